--- /dev/null
+++ b/policy/trace_test.go
@@ -0,0 +1,288 @@
+package policy
+
+import (
+	"cmp"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+)
+
+var update = flag.Bool("update", false, "write the golden files of this package anew")
+
+// hasher is an Actions that folds each action into a hash, and remembers what a host would report back later.
+type hasher struct {
+	calm     bool // little traffic, most of it answered in time
+	now      Time
+	actions  int
+	hash     uint64
+	timers   []dueTimer
+	probes   []ServerID
+	attempts []sentAttempt
+	uploads  []RequestID
+	counts   map[RequestID]int
+}
+
+type dueTimer struct {
+	at    Time
+	token string
+}
+
+type sentAttempt struct {
+	id      RequestID
+	attempt int
+	server  ServerID
+	sent    Time
+}
+
+func (h *hasher) note(format string, args ...any) {
+	sum := fnv.New64a()
+	fmt.Fprintf(sum, "%x %d ", h.hash, h.now)
+	fmt.Fprintf(sum, format, args...)
+	h.hash = sum.Sum64()
+	h.actions++
+}
+
+func (h *hasher) Send(id RequestID, s ServerID, d time.Duration) {
+	h.note("send %d %s %d", id, s, d)
+	h.attempts = append(h.attempts, sentAttempt{id, h.counts[id], s, h.now})
+	h.counts[id]++
+}
+func (h *hasher) Refuse(id RequestID, d time.Duration) { h.note("refuse %d %d", id, d) }
+func (h *hasher) Fail(id RequestID)                    { h.note("fail %d", id) }
+func (h *hasher) Cancel(id RequestID, attempt int)     { h.note("cancel %d %d", id, attempt) }
+func (h *hasher) SetTimer(d time.Duration, token string) {
+	h.note("timer %d %s", d, token)
+	h.timers = append(h.timers, dueTimer{h.now + d, token})
+}
+func (h *hasher) Probe(s ServerID) {
+	h.note("probe %s", s)
+	h.probes = append(h.probes, s)
+}
+func (h *hasher) Watch(on bool)   { h.note("watch %v", on) }
+func (h *hasher) Log(text string) { h.note("log %s", text) }
+
+// takeAny removes a random element of list.
+func takeAny[T any](rng *rand.Rand, list *[]T) (x T, ok bool) {
+	if len(*list) == 0 {
+		return x, false
+	}
+	i := rng.IntN(len(*list))
+	x = (*list)[i]
+	*list = append((*list)[:i], (*list)[i+1:]...)
+	return x, true
+}
+
+// traceConfigs are configurations that between them switch on each branch of the module.
+func traceConfigs() []Config {
+	base := testConfig()
+	base.GroupSize, base.Ordinal = 7, 3
+	base.HintsRetry, base.MaxRetryAfter = true, 2*time.Second
+	base.ConnectionTariff, base.HandshakeTariff = 0.05, 0.001
+	zonal := base
+	zonal.CrossZoneTariff, zonal.InlineReports = 0.5, true
+	pushed := base
+	pushed.Pushed, pushed.MayProbe, pushed.MayCancel = true, false, false
+	keyed := base
+	keyed.WarmKeys, keyed.GroupSize, keyed.Ordinal = true, 300, 250
+	alone := testConfig()
+	alone.MayDuplicate, alone.MaxAttempts = false, 2
+	return []Config{base, zonal, pushed, keyed, alone}
+}
+
+// randomLoad is a report as a server might send it, nil at times.
+func randomLoad(rng *rand.Rand) *Load {
+	if rng.IntN(5) == 0 {
+		return nil
+	}
+	queue := rng.Float64() * 6
+	if rng.IntN(8) == 0 {
+		queue = -1
+	}
+	return &Load{Queue: queue, Inflight: rng.Float64() * 8, Latency: 40, ErrorRate: rng.Float64()}
+}
+
+// randomList names some of twelve servers, one of them restarted now and then.
+func randomList(rng *rand.Rand, now Time) (ListKind, []Server) {
+	kind := []ListKind{ListDelta, ListDelta, ListFull, ListCached, ListFailed, ListLost}[rng.IntN(6)]
+	var list []Server
+	for i := range 12 {
+		if kind == ListDelta && rng.IntN(4) > 0 {
+			continue
+		}
+		s := Server{ID: ServerID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, Kind: fmt.Sprint("k", i%3), Weight: 1}
+		if rng.IntN(5) == 0 {
+			s.State = ServerState(rng.IntN(3))
+		}
+		if i%4 == 0 {
+			s.Started = max(0, now-Time(rng.Int64N(int64(10*time.Second))))
+		}
+		list = append(list, s)
+	}
+	return kind, list
+}
+
+// trace plays a few thousand random events and returns the hash of all actions and of what was learnt.
+func trace(t *testing.T, cfg Config, seed uint64, events int, calm bool) (uint64, int) {
+	t.Helper()
+	b, err := New(cfg, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rng := rand.New(rand.NewPCG(seed, 99))
+	h := &hasher{calm: calm, counts: map[RequestID]int{}}
+	_, first := randomList(rng, 0)
+	b.Members(0, ListCached, first, h)
+	var last RequestID
+	for range events {
+		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
+		playEvent(b, h, rng, &last)
+		seen := b.Seen(h.now)
+		h.note("seen %d %v %d", seen.Usual, seen.Short, seen.Avoided)
+	}
+	learnt, err := json.Marshal(b.Learnt(h.now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.note("learnt %s", learnt)
+	next, _ := New(cfg, seed)
+	kind, list := randomList(rng, h.now)
+	next.Members(h.now, kind, list, h)
+	next.Adopt(h.now, b.Learnt(h.now))
+	for range events / 4 {
+		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
+		playEvent(next, h, rng, &last)
+	}
+	return h.hash, h.actions
+}
+
+// playEvent gives b one random event.
+func playEvent(b *Balancer, h *hasher, rng *rand.Rand, last *RequestID) {
+	requests := 330
+	if h.calm {
+		requests = 130
+	}
+	switch dice := rng.IntN(1000); {
+	case dice < requests:
+		*last++
+		b.Request(h.now, randomRequest(rng, h.now, *last), h)
+	case dice < 600:
+		playOutcome(b, h, rng)
+	case dice < 800:
+		playProbe(b, h, rng)
+	case dice < 940:
+		playTimers(b, h)
+	case dice < 955:
+		b.Withdrawn(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
+	case dice < 965:
+		b.Streaming(h.now, *last-min(*last, RequestID(rng.IntN(5))), 0, h)
+	case dice < 975:
+		id := *last - min(*last, RequestID(rng.IntN(3)))
+		b.Uploading(h.now, id, 0)
+		h.uploads = append(h.uploads, id)
+	case dice < 985:
+		if id, ok := takeAny(rng, &h.uploads); ok {
+			b.Uploaded(h.now, id, h.now+time.Second, h)
+		}
+	case dice < 992:
+		b.Hint(h.now, ServerID(fmt.Sprint("s", rng.IntN(13))))
+	default:
+		kind, list := randomList(rng, h.now)
+		b.Members(h.now, kind, list, h)
+	}
+}
+
+func randomRequest(rng *rand.Rand, now Time, id RequestID) Request {
+	classes := []string{"safe", "safe", "keyed", "zonal", "cellular", "unsafe", "unknown"}
+	r := Request{ID: id, Class: classes[rng.IntN(len(classes))], Tenant: "t", Expires: now + Time(rng.Int64N(int64(time.Second)))}
+	if rng.IntN(3) == 0 {
+		r.Key, r.Cost = fmt.Sprint("key", rng.IntN(4)), 20*time.Millisecond
+	}
+	if rng.IntN(12) == 0 {
+		r.Prior = []Prior{{Zone: "a", Cell: 1, NotRun: rng.IntN(2) == 0, For: 200 * time.Millisecond}}
+	}
+	if rng.IntN(12) == 0 {
+		r.Most = 1 + rng.IntN(2)
+	}
+	r.Long = rng.IntN(15) == 0
+	if !r.Long && rng.IntN(2) == 0 {
+		r.Expires = now + time.Second
+	}
+	return r
+}
+
+// playTimers fires what is due, in order.
+func playTimers(b *Balancer, h *hasher) {
+	slices.SortStableFunc(h.timers, func(x, y dueTimer) int { return cmp.Compare(x.at, y.at) })
+	for len(h.timers) > 0 && h.timers[0].at <= h.now {
+		token := h.timers[0].token
+		h.timers = h.timers[1:]
+		b.Timer(h.now, token, h)
+	}
+}
+
+func playOutcome(b *Balancer, h *hasher, rng *rand.Rand) {
+	a, ok := takeAny(rng, &h.attempts)
+	if !ok {
+		return
+	}
+	if h.calm && (a.server == "s1" || a.server == "s2") && h.now-a.sent < time.Second { // slow ones
+		h.attempts = append(h.attempts, a)
+		return
+	}
+	status := OK
+	if rng.IntN(4) == 0 {
+		status = Status(rng.IntN(int(Moot) + 1))
+	}
+	b.Outcome(h.now, Outcome{
+		ID: a.id, Attempt: a.attempt, Server: a.server, Status: status, Delay: h.now - a.sent, Closed: status == OK, Load: randomLoad(rng),
+	}, h)
+}
+
+func playProbe(b *Balancer, h *hasher, rng *rand.Rand) {
+	s, ok := takeAny(rng, &h.probes)
+	if !ok {
+		return
+	}
+	status := OK
+	if rng.IntN(8) == 0 {
+		status = Status(rng.IntN(int(Moot) + 1))
+	}
+	b.Probed(h.now, ProbeResult{Server: s, Status: status, Delay: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
+}
+
+// TestActionTrace holds that the module decides as it did when the golden file was written, to the draw: equal events from an
+// equal seed give an equal sequence of actions.
+func TestActionTrace(t *testing.T) {
+	got := ""
+	for i, cfg := range traceConfigs() {
+		for seed := range uint64(4) {
+			for _, calm := range []bool{false, true} {
+				hash, actions := trace(t, cfg, seed+1, 4000, calm)
+				got += fmt.Sprintf("config %d seed %d calm %v: %016x after %d actions\n", i, seed+1, calm, hash, actions)
+			}
+		}
+	}
+	file := filepath.Join("testdata", "actions.golden")
+	if *update {
+		if err := os.MkdirAll("testdata", 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got, want)
+	}
+}
