--- /dev/null
+++ b/internal/council/golden_test.go
@@ -0,0 +1,294 @@
+package council
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"sorrelrudder/internal/lease"
+	"sorrelrudder/internal/task"
+)
+
+var update = flag.Bool("update", false, "write the golden files from the present code")
+
+// goldenCase is a value whose serialized form must not change.
+type goldenCase struct {
+	name   string
+	value  any
+	encode func() ([]byte, error)
+	decode func(data []byte) (any, error)
+}
+
+func jsonCase[T any](name string, value T) goldenCase {
+	return goldenCase{name, value, func() ([]byte, error) { return json.Marshal(value) }, func(data []byte) (any, error) {
+		var read T
+		err := json.Unmarshal(data, &read)
+		return read, err
+	}}
+}
+
+func messageCase(name string, m *raftpb.Message) goldenCase {
+	return goldenCase{name, m, func() ([]byte, error) { return EncodeMessage(m) }, func(data []byte) (any, error) { return DecodeMessage(data) }}
+}
+
+// checkGolden compares each value with its line in file, both ways. A line is a name and the bytes, in hexadecimal unless they are JSON.
+func checkGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	lines := map[string]string{}
+	if *update {
+		var out bytes.Buffer
+		for _, c := range cases {
+			data, err := c.encode()
+			if err != nil {
+				t.Fatalf("%s: %v", c.name, err)
+			}
+			text := string(data)
+			if !json.Valid(data) {
+				text = "hex:" + hex.EncodeToString(data)
+			}
+			fmt.Fprintf(&out, "%s %s\n", c.name, text)
+		}
+		if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(text)) {
+		name, form, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		lines[name] = form
+	}
+	for _, c := range cases {
+		want := []byte(lines[c.name])
+		if digits, is := strings.CutPrefix(lines[c.name], "hex:"); is {
+			if want, err = hex.DecodeString(digits); err != nil {
+				t.Fatalf("%s: %s: %v", file, c.name, err)
+			}
+		}
+		delete(lines, c.name)
+		if got, err := c.encode(); err != nil || !bytes.Equal(got, want) {
+			t.Errorf("%s: encoded, %v\n got %q\nwant %q", c.name, err, got, want)
+		}
+		got, err := c.decode(want)
+		if err != nil || !sameValue(got, c.value) {
+			t.Errorf("%s: decoded, %v\n got %+v\nwant %+v", c.name, err, got, c.value)
+		}
+	}
+	if len(lines) > 0 {
+		t.Errorf("%s: without a case: %v", file, slices.Sorted(maps.Keys(lines)))
+	}
+}
+
+func sameValue(a, b any) bool {
+	if m, is := a.(proto.Message); is {
+		return proto.Equal(m, b.(proto.Message))
+	}
+	return reflect.DeepEqual(a, b)
+}
+
+// checkPopulated fails for each exported field of the project's structs that no case sets: its form would not be checked.
+func checkPopulated(t *testing.T, cases []goldenCase) {
+	t.Helper()
+	set := map[string]bool{}
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
+		switch v.Kind() {
+		case reflect.Pointer, reflect.Interface:
+			if !v.IsNil() {
+				walk(v.Elem())
+			}
+		case reflect.Slice:
+			for i := range v.Len() {
+				walk(v.Index(i))
+			}
+		case reflect.Map:
+			for _, key := range v.MapKeys() {
+				walk(v.MapIndex(key))
+			}
+		case reflect.Struct:
+			if !strings.HasPrefix(v.Type().PkgPath(), "sorrelrudder/") {
+				return
+			}
+			for i := range v.NumField() {
+				if f := v.Type().Field(i); f.IsExported() {
+					name := v.Type().String() + "." + f.Name
+					set[name] = set[name] || !v.Field(i).IsZero()
+					walk(v.Field(i))
+				}
+			}
+		}
+	}
+	for _, c := range cases {
+		walk(reflect.ValueOf(c.value))
+	}
+	for _, name := range slices.Sorted(maps.Keys(set)) {
+		if !set[name] {
+			t.Errorf("%s is not set in any example", name)
+		}
+	}
+}
+
+func exampleFleet() *Fleet {
+	leases := &lease.Machine{
+		Last: 9,
+		Sessions: map[uint64]*lease.Session{
+			3: {Member: "p0", Nonce: "n0.1", Version: 4, Seq: 2, Answers: map[uint64]lease.Result{2: exampleLeaseResult()}, Holds: map[string]uint64{"task/sweep": 4}, Waits: map[string]bool{}},
+			5: {Member: "p1", Nonce: "n1.1", Superseded: true, Version: 6, Answers: map[uint64]lease.Result{}, Holds: map[string]uint64{}, Waits: map[string]bool{"task/sweep": true}},
+		},
+		Names: map[string]*lease.Entry{
+			"task/sweep": {Limit: 1, Holders: []lease.Hold{{Session: 3, Token: 4}}, Waiters: []uint64{5}},
+			"zones":      {Limit: 2, Holders: []lease.Hold{{Session: 5, Token: 6, Revoked: true}}},
+		},
+		Revoked: map[uint64]string{6: "zones"},
+	}
+	return &Fleet{
+		ID: "fleet-a", Last: 4, Names: []string{"p0", "p1"}, Volatile: true, Leases: leases, Ordered: 2, Decider: 6,
+		Seats: map[string]*Seat{"p0": {ID: 1, Store: "store-0", Voter: true}, "p1": {ID: 4, Store: "store-1", Former: 2}},
+		Orders: map[string]*Order{
+			"order/farm/box": {Number: 1, Value: "out"},
+			"zone/farm/b":    {Number: 2, Value: "0 false 1 lost", Lifted: true, Token: 6},
+		},
+		Slots: &task.Book{Asks: 7, Tasks: map[string]*task.Page{"sweep": ptr(examplePage())}},
+	}
+}
+
+func exampleLeaseResult() lease.Result {
+	return lease.Result{Why: lease.Taken, Session: 3, Token: 4, Place: 1, Version: 4, Before: 3}
+}
+
+func examplePage() task.Page {
+	return task.Page{
+		Rev: 11, Token: 4, Slot: 20, Open: true, By: 4, Begun: 2, Last: task.Done, Counts: map[task.Outcome]int64{task.Done: 5, task.Unknown: 1}, Skipped: 3, Called: true,
+		Waits: 6, Priority: 2, Passed: 1, Period: 8, Requests: 12, TookMs: 340,
+	}
+}
+
+func exampleCommands() (lease.Command, SeatCommand, task.Command, OrderCommand) {
+	return lease.Command{
+			Op: lease.Acquire, Member: "p0", Nonce: "n0.1", After: 2, Session: 3, Seq: 2, Name: "task/sweep", Limit: 1, Wait: true, To: "p1", Token: 4,
+		}, SeatCommand{Op: Admit, Name: "p1", Store: "store-1", Memory: true}, task.Command{
+			Op: task.Finish, Task: "sweep", Slot: 20, Token: 4, Again: true, Outcome: task.Failed, Skipped: 3, Most: 5, Priority: 2, Period: 8, Requests: 12, TookMs: 340,
+		}, OrderCommand{Key: "zone/farm/b", Value: "0 false 1 lost", Lift: true, Token: 6, After: 1, Seen: 2, Built: true}
+}
+
+func ptr[T any](v T) *T { return &v }
+
+func exampleEntries() []*raftpb.Entry {
+	return []*raftpb.Entry{
+		{Index: ptr(uint64(8)), Term: ptr(uint64(2)), Type: raftpb.EntryNormal.Enum(), Data: []byte("data")},
+		{Index: ptr(uint64(9)), Term: ptr(uint64(3)), Type: raftpb.EntryConfChangeV2.Enum(), Data: []byte("change")},
+	}
+}
+
+func exampleSnapshot() *raftpb.Snapshot {
+	return &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{
+		Index: ptr(uint64(7)), Term: ptr(uint64(2)), ConfState: &raftpb.ConfState{Voters: []uint64{1, 2}, Learners: []uint64{4}, VotersOutgoing: []uint64{3}},
+	}}
+}
+
+// TestGoldenForms: what goes into the log, into snapshots and to other processes is written and read as it was by earlier versions.
+func TestGoldenForms(t *testing.T) {
+	leaseCommand, seatCommand, slotCommand, orderCommand := exampleCommands()
+	fleet := exampleFleet()
+	cases := []goldenCase{
+		jsonCase("entry/lease", record{Term: 2, ID: 10, Lease: &leaseCommand}),
+		jsonCase("entry/seat", record{Term: 2, ID: 11, Seat: &seatCommand}),
+		jsonCase("entry/slot", record{Term: 2, ID: 12, Slot: &slotCommand}),
+		jsonCase("entry/order", record{Term: 2, ID: 13, Order: &orderCommand}),
+		{"snapshot", fleet, fleet.snapshot, func(data []byte) (any, error) { return restore(data) }},
+		jsonCase("request", Request{
+			Lease: &lease.Ask{ID: 1, Member: "p0", Session: 3, Have: 4, Command: &leaseCommand}, Seat: &seatCommand, Slot: &slotCommand, Order: &orderCommand,
+			Pages: []string{"sweep"}, State: true,
+		}),
+		{"response", exampleResponse(fleet), func() ([]byte, error) { return json.Marshal(exampleResponse(fleet)) }, func(data []byte) (any, error) {
+			var read Response
+			if err := json.Unmarshal(data, &read); err != nil {
+				return nil, err
+			}
+			read.State.Fleet = read.State.Fleet.Clone() // with empty maps where the form has none
+			return read, nil
+		}},
+		messageCase("message/append", &raftpb.Message{
+			Type: raftpb.MsgApp.Enum(), To: ptr(uint64(2)), From: ptr(uint64(1)), Term: ptr(uint64(3)), LogTerm: ptr(uint64(2)), Index: ptr(uint64(7)), Commit: ptr(uint64(8)), Entries: exampleEntries(),
+		}),
+		messageCase("message/snapshot", &raftpb.Message{Type: raftpb.MsgSnap.Enum(), To: ptr(uint64(4)), From: ptr(uint64(1)), Term: ptr(uint64(3)), Snapshot: exampleSnapshot()}),
+		messageCase("message/heartbeat", &raftpb.Message{
+			Type: raftpb.MsgHeartbeat.Enum(), To: ptr(uint64(2)), From: ptr(uint64(1)), Term: ptr(uint64(3)), Commit: ptr(uint64(8)), Context: []byte{0, 0, 0, 0, 0, 0, 0, 5},
+		}),
+		messageCase("message/reject", &raftpb.Message{
+			Type: raftpb.MsgAppResp.Enum(), To: ptr(uint64(1)), From: ptr(uint64(2)), Term: ptr(uint64(3)), Index: ptr(uint64(7)), Reject: ptr(true), RejectHint: ptr(uint64(5)), LogTerm: ptr(uint64(2)),
+		}),
+	}
+	for _, c := range []struct {
+		name string
+		conf *raftpb.ConfState
+	}{
+		{"change/learner", &raftpb.ConfState{Voters: []uint64{1, 2}}},
+		{"change/replace", &raftpb.ConfState{Voters: []uint64{1, 3}, Learners: []uint64{2, 4}}},
+		{"change/remove", &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}},
+	} {
+		change := fleet.change(c.conf, func(uint64) bool { return true })
+		cases = append(cases, goldenCase{c.name, change, func() ([]byte, error) { return proto.Marshal(change) }, func(data []byte) (any, error) {
+			read := &raftpb.ConfChangeV2{}
+			return read, proto.Unmarshal(data, read)
+		}})
+	}
+	checkGolden(t, "testdata/forms.golden", cases)
+	checkPopulated(t, cases)
+}
+
+func exampleResponse(f *Fleet) Response {
+	return Response{
+		Elsewhere: true, Leader: "p0",
+		Lease: &lease.Answer{
+			ID: 1, Why: lease.NoSession, Last: 9, Result: ptr(exampleLeaseResult()), Listing: &lease.Listing{Version: 4, Holds: map[string]uint64{"task/sweep": 4}},
+		},
+		Seat: &SeatResult{Why: "no store", ID: 4, Fleet: "fleet-a", Voter: true}, Slot: &task.Result{Why: task.Crowded, State: examplePage()},
+		Order: &OrderResult{Why: Meanwhile, Number: 2, Now: f.Orders["zone/farm/b"]}, Decided: f.decided(), Pages: map[string]task.Page{"sweep": examplePage()},
+		State: &State{ID: 1, Role: "StateLeader", Leader: "p0", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1, 2}, Learners: []uint64{4}, Fleet: f},
+	}
+}
+
+// TestFoundingForm: a fleet begins with the state that earlier versions gave it.
+func TestFoundingForm(t *testing.T) {
+	snap, err := FoundingSnapshot(Founded("fleet-a", "p0", "store-0", []string{"p0", "p1"}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	hard := FoundingState()
+	checkGolden(t, "testdata/founding.golden", []goldenCase{
+		{"snapshot", snap, func() ([]byte, error) { return proto.Marshal(snap) }, func(data []byte) (any, error) {
+			read := &raftpb.Snapshot{}
+			return read, proto.Unmarshal(data, read)
+		}},
+		{"hard", hard, func() ([]byte, error) { return proto.Marshal(hard) }, func(data []byte) (any, error) {
+			read := &raftpb.HardState{}
+			return read, proto.Unmarshal(data, read)
+		}},
+	})
+}
+
+// TestStoredWords: the words that stand in entries, snapshots and keys keep their spelling.
+func TestStoredWords(t *testing.T) {
+	for _, c := range []struct{ got, want string }{
+		{string(Admit), "admit"}, {string(Add), "add"}, {string(Remove), "remove"}, {string(Replace), "replace"},
+		{OrderKind, "order"}, {ZoneKind, "zone"}, {Meanwhile, "something else was decided meanwhile"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%q was %q", c.got, c.want)
+		}
+	}
+}
