--- /dev/null
+++ b/internal/tier/golden_test.go
@@ -0,0 +1,609 @@
+package tier
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/lease"
+	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/task"
+	"sorrelrudder/internal/zonal"
+)
+
+// update is for forms that are meant to change: what stands in testdata was written by earlier versions, and is there to be read by later ones.
+var update = flag.Bool("update", false, "write the golden files from the present code")
+
+// goldenCase is a value whose serialized form must not change.
+type goldenCase struct {
+	name   string
+	value  any
+	encode func() ([]byte, error)
+	decode func(data []byte) (any, error)
+}
+
+func jsonCase[T any](name string, value T) goldenCase {
+	return goldenCase{name, value, func() ([]byte, error) { return json.Marshal(value) }, func(data []byte) (any, error) {
+		var read T
+		err := json.Unmarshal(data, &read)
+		return read, err
+	}}
+}
+
+// golden returns the lines of a golden file by their names; with -update it writes them first.
+func golden(t *testing.T, file string, names []string, form func(name string) string) map[string]string {
+	t.Helper()
+	if *update {
+		var out bytes.Buffer
+		for _, name := range names {
+			fmt.Fprintf(&out, "%s %s\n", name, form(name))
+		}
+		if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, form, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		lines[name] = form
+	}
+	for name := range lines {
+		if !slices.Contains(names, name) {
+			t.Errorf("%s: %s has no case", file, name)
+		}
+	}
+	return lines
+}
+
+// checkGolden compares each value with its line in file, both ways. A line is a name and the bytes, in hexadecimal unless they are JSON.
+func checkGolden(t *testing.T, file string, cases []goldenCase) {
+	t.Helper()
+	forms := map[string]string{}
+	var names []string
+	for _, c := range cases {
+		data, err := c.encode()
+		if err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		forms[c.name] = string(data)
+		if !json.Valid(data) {
+			forms[c.name] = "hex:" + hex.EncodeToString(data)
+		}
+		names = append(names, c.name)
+	}
+	lines := golden(t, file, names, func(name string) string { return forms[name] })
+	for _, c := range cases {
+		want := []byte(lines[c.name])
+		if digits, is := strings.CutPrefix(lines[c.name], "hex:"); is {
+			var err error
+			if want, err = hex.DecodeString(digits); err != nil {
+				t.Fatalf("%s: %s: %v", file, c.name, err)
+			}
+		}
+		if forms[c.name] != lines[c.name] {
+			t.Errorf("%s: encoded\n got %s\nwant %s", c.name, forms[c.name], lines[c.name])
+		}
+		if got, err := c.decode(want); err != nil || !reflect.DeepEqual(got, c.value) {
+			t.Errorf("%s: decoded, %v\n got %+v\nwant %+v", c.name, err, got, c.value)
+		}
+	}
+}
+
+// checkPopulated fails for each exported field of this package's and of package replica's structs that no case sets. Those of package council have
+// their own test.
+func checkPopulated(t *testing.T, cases []goldenCase) {
+	t.Helper()
+	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[replica.Figures]().PkgPath()}
+	set := map[string]bool{}
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
+		switch v.Kind() {
+		case reflect.Pointer, reflect.Interface:
+			if !v.IsNil() {
+				walk(v.Elem())
+			}
+		case reflect.Slice:
+			for i := range v.Len() {
+				walk(v.Index(i))
+			}
+		case reflect.Map:
+			for _, key := range v.MapKeys() {
+				walk(v.MapIndex(key))
+			}
+		case reflect.Struct:
+			if !slices.Contains(packages, v.Type().PkgPath()) {
+				return
+			}
+			for i := range v.NumField() {
+				if f := v.Type().Field(i); f.IsExported() {
+					name := v.Type().String() + "." + f.Name
+					set[name] = set[name] || !v.Field(i).IsZero()
+					walk(v.Field(i))
+				}
+			}
+		}
+	}
+	for _, c := range cases {
+		walk(reflect.ValueOf(c.value))
+	}
+	for _, name := range slices.Sorted(maps.Keys(set)) {
+		if !set[name] {
+			t.Errorf("%s is not set in any example", name)
+		}
+	}
+}
+
+func exampleHello() hello {
+	return hello{Version: helloVersion, Name: "p0", To: "p1", Fleet: "fleet-a", Nonce: bytes.Repeat([]byte{7}, sha256.Size), Pong: true}
+}
+
+func exampleStatus() *Status {
+	page := task.Page{Rev: 11, Token: 4, Slot: 20, Last: task.Done}
+	return &Status{
+		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]Held{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
+		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
+		Council: &council.State{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Page{"sweep": page},
+		Copies: &CopiesStatus{
+			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
+			Entries: []CopyEntry{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
+			Zones: []ZoneStatus{{Pool: "farm", Zone: "a", Servers: 3, Avoided: 1, Epoch: 5, Step: 2, Pinned: true, Cold: true, Falls: 1, Why: "lost", Cause: "dead"}},
+			Sums:  map[string]uint64{"order": 9}, Figures: replica.Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7},
+			Refused: replica.Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6},
+		},
+	}
+}
+
+// TestGoldenMessages: what processes and operators send each other is written and read as it was by earlier versions.
+func TestGoldenMessages(t *testing.T) {
+	cases := []goldenCase{
+		jsonCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
+		jsonCase("hello", exampleHello()),
+		jsonCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
+		jsonCase("request", asked{Handle: 12, Request: council.Request{Pages: []string{"sweep"}}}),
+		jsonCase("response", asked{Handle: 12, Response: council.Response{Elsewhere: true, Leader: "p1"}}),
+		jsonCase("status", asked{Handle: 12, Status: exampleStatus()}),
+		jsonCase("operator", asked{Handle: 12, Found: true, Handover: &handover{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
+	}
+	key := []byte("0123456789abcdef0123456789abcdef")
+	for kind, name := range map[byte]string{kindHello: "hello", kindRaft: "raft", kindAsk: "ask", kindAnswer: "answer", kindWake: "wake", kindGossip: "gossip", kindPing: "ping", kindPong: "pong"} {
+		want := frame{kind, []byte("payload")}
+		cases = append(cases, goldenCase{"frame/" + name, want, func() ([]byte, error) {
+			var wire recorder
+			err := (&conn{Conn: &wire, mine: key}).write(want.kind, want.payload)
+			return wire.Bytes(), err
+		}, func(data []byte) (any, error) {
+			kind, payload, err := (&conn{r: bufio.NewReader(bytes.NewReader(data)), hers: key}).read(mostFrame)
+			return frame{kind, payload}, err
+		}})
+	}
+	slices.SortStableFunc(cases, func(a, b goldenCase) int { return strings.Compare(a.name, b.name) })
+	checkGolden(t, "testdata/messages.golden", cases)
+	checkPopulated(t, cases)
+}
+
+// recorder is a connection that keeps what is written.
+type recorder struct {
+	net.Conn
+	bytes.Buffer
+}
+
+func (r *recorder) Write(p []byte) (int, error)      { return r.Buffer.Write(p) }
+func (r *recorder) Read(p []byte) (int, error)       { return r.Buffer.Read(p) }
+func (r *recorder) SetWriteDeadline(time.Time) error { return nil }
+
+// formerPeer is one end of a connection as earlier versions made it: on purpose it shares no code with conn.
+type formerPeer struct {
+	net.Conn
+	mine, hers []byte
+}
+
+var formerSecret = []byte("0123456789abcdef")
+
+func formerKey(secret []byte, parts ...string) []byte {
+	m := hmac.New(sha256.New, secret)
+	for _, p := range parts {
+		fmt.Fprintf(m, "%s%s", binary.BigEndian.AppendUint32(nil, uint32(len(p))), p)
+	}
+	return m.Sum(nil)
+}
+
+func (p *formerPeer) write(kind, payload string) error {
+	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+16))
+	frame = append(frame, kind+payload...)
+	_, err := p.Write(append(frame, formerKey(p.mine, kind, payload)[:16]...))
+	return err
+}
+
+func (p *formerPeer) read() (kind, payload string, err error) {
+	var head [4]byte
+	if _, err := io.ReadFull(p, head[:]); err != nil {
+		return "", "", err
+	}
+	rest := make([]byte, binary.BigEndian.Uint32(head[:]))
+	if _, err := io.ReadFull(p, rest); err != nil {
+		return "", "", err
+	}
+	end := len(rest) - 16
+	kind, payload = string(rest[:1]), string(rest[1:end])
+	if !bytes.Equal(formerKey(p.hers, kind, payload)[:16], rest[end:]) {
+		return "", "", fmt.Errorf("the tag of %q is another", kind)
+	}
+	return kind, payload, nil
+}
+
+// greet reads or writes the greetings of a dialler or of the other end, and returns what the peer has said.
+func (p *formerPeer) greet(dials bool, name string) (peer map[string]any, err error) {
+	nonce := strings.Repeat("n", 32)
+	var theirs string
+	say := func() error {
+		mine, err := json.Marshal(map[string]any{"v": 1, "name": name, "nonce": []byte(nonce)})
+		if err != nil {
+			return err
+		}
+		return p.write("H", string(mine))
+	}
+	hear := func() error {
+		kind, payload, err := p.read()
+		if err != nil || kind != "H" {
+			return fmt.Errorf("%q in place of a greeting: %w", kind, err)
+		}
+		var h struct {
+			Nonce []byte `json:"nonce"`
+		}
+		if err := json.Unmarshal([]byte(payload), &h); err != nil {
+			return err
+		}
+		theirs = string(h.Nonce)
+		return json.Unmarshal([]byte(payload), &peer)
+	}
+	if dials {
+		p.mine, p.hers = formerKey(formerSecret, "hello"), formerKey(formerSecret, "answer", nonce)
+		if err = say(); err == nil {
+			err = hear()
+		}
+		p.mine, p.hers = formerKey(formerSecret, "dialler", nonce, theirs), formerKey(formerSecret, "other", nonce, theirs)
+		return peer, err
+	}
+	p.hers = formerKey(formerSecret, "hello")
+	if err = hear(); err == nil {
+		p.mine = formerKey(formerSecret, "answer", theirs)
+		err = say()
+	}
+	p.mine, p.hers = formerKey(formerSecret, "other", theirs, nonce), formerKey(formerSecret, "dialler", theirs, nonce)
+	return peer, err
+}
+
+// TestFormerPeer: a process of an earlier version is understood at either end of a connection, and understands what it is told.
+func TestFormerPeer(t *testing.T) {
+	for _, dials := range []bool{true, false} {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer ln.Close()
+		var c *conn
+		failed := make(chan error, 1)
+		connect := func() (err error) {
+			if !dials {
+				c, err = dial(context.Background(), ln.Addr().String(), formerSecret, hello{Name: "p0", To: "former", Fleet: "fleet-a"})
+				return err
+			}
+			raw, err := ln.Accept()
+			if err == nil {
+				c, err = accept(raw, formerSecret, hello{Name: "p0", Fleet: "fleet-a"}, func(hello) error { return nil })
+			}
+			return err
+		}
+		go func() { failed <- connect() }()
+		p := &formerPeer{}
+		if dials {
+			p.Conn, err = net.Dial("tcp", ln.Addr().String())
+		} else {
+			p.Conn, err = ln.Accept()
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer p.Close()
+		if err := p.SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Fatal(err)
+		}
+		said, err := p.greet(dials, "former")
+		if err != nil {
+			t.Fatalf("dials %v: %v", dials, err)
+		}
+		if err := <-failed; err != nil {
+			t.Fatalf("dials %v: %v", dials, err)
+		}
+		defer c.Close()
+		delete(said, "nonce")
+		want := map[string]any{"v": 1.0, "name": "p0", "fleet": "fleet-a", "pong": true}
+		if !dials {
+			want = map[string]any{"v": 1.0, "name": "p0", "fleet": "fleet-a", "to": "former"}
+		}
+		if !reflect.DeepEqual(said, want) || c.peer.Name != "former" {
+			t.Errorf("dials %v: greeted with %v, not %v; understood %+v", dials, said, want, c.peer)
+		}
+		if err := c.write(kindAsk, []byte("question")); err != nil {
+			t.Error(err)
+		}
+		if kind, payload, err := p.read(); kind != "Q" || payload != "question" || err != nil {
+			t.Errorf("dials %v: heard %q, %q, %v", dials, kind, payload, err)
+		}
+		if err := p.write("A", "answer"); err != nil {
+			t.Error(err)
+		}
+		if kind, payload, err := c.read(mostFrame); kind != kindAnswer || string(payload) != "answer" || err != nil {
+			t.Errorf("dials %v: understood %q, %q, %v", dials, kind, payload, err)
+		}
+	}
+}
+
+// writeExampleStore has the only seat of a fleet write a store: a snapshot after another was admitted, and then an entry of each kind.
+func writeExampleStore(t *testing.T, path string) *council.Fleet {
+	t.Helper()
+	s, err := OpenStore(path, "p0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	s.id.Store = "store-0" // in place of the one that was drawn
+	snap, err := council.FoundingSnapshot(council.Founded("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Save(council.Saved{Snapshot: snap, Hard: council.FoundingState()}, true); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Admitted("fleet-a", 1); err != nil {
+		t.Fatal(err)
+	}
+	n := leadingNode(t, s)
+	ask := func(q council.Request) {
+		t.Helper()
+		n.Ask(0, 1, q)
+		if out, err := n.Work(0, s); err != nil || len(out.Replies) != 1 || out.Replies[0].Response.Elsewhere {
+			t.Fatalf("%+v: %+v, %v", q, out.Replies, err)
+		}
+	}
+	ask(council.Request{Seat: &council.SeatCommand{Op: council.Admit, Name: "p1", Store: "store-1"}})
+	before, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for saved := before; saved.Snapshot.GetMetadata().GetIndex() == before.Snapshot.GetMetadata().GetIndex(); {
+		n.Tick(0) // until the change of members is carried out, which cuts the log
+		if _, err := n.Work(0, s); err != nil {
+			t.Fatal(err)
+		}
+		if saved, err = s.Load(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ask(council.Request{Lease: &lease.Ask{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.Open, Member: "p0", Nonce: "n0.1"}}})
+	ask(council.Request{Lease: &lease.Ask{ID: 2, Member: "p0", Session: 1, Command: &lease.Command{Op: lease.Acquire, Session: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
+	ask(council.Request{Seat: &council.SeatCommand{Op: council.Add, Name: "p2"}})
+	ask(council.Request{Slot: &task.Command{Op: task.Begin, Task: "sweep", Slot: 20, Token: 2}})
+	ask(council.Request{Order: &council.OrderCommand{Key: "order/farm/box", Value: "out"}})
+	return n.Fleet().Clone()
+}
+
+// leadingNode is the node of a store's process, once it leads.
+func leadingNode(t *testing.T, s *Store) *council.Node {
+	t.Helper()
+	saved, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	n, err := council.New(council.Config{ID: s.Identity().ID, Rules: lease.Rules{Term: time.Second}, Saved: saved})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 100 {
+		n.Tick(0)
+		if _, err := n.Work(0, s); err != nil {
+			t.Fatal(err)
+		}
+		if n.Leads() {
+			return n
+		}
+	}
+	t.Fatal("the only seat does not lead")
+	return nil
+}
+
+// dumpStore returns all that a store's file has, by bucket and key.
+func dumpStore(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	all := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				name := string(k)
+				if string(bucket) == "entries" {
+					name = fmt.Sprint(binary.BigEndian.Uint64(k))
+				}
+				all[string(bucket)+"/"+name] = fmt.Sprintf("%q", v)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// TestStoreOfFormerVersion: a store that an earlier version has written is opened and read, this version writes the same, and the state that comes
+// of it is the same.
+func TestStoreOfFormerVersion(t *testing.T) {
+	const file = "testdata/store.db"
+	dir := t.TempDir()
+	fresh, former := filepath.Join(dir, "fresh.db"), filepath.Join(dir, "former.db")
+	fleet := writeExampleStore(t, fresh)
+	if *update {
+		copyFile(t, fresh, file)
+	}
+	copyFile(t, file, former)
+	dump := dumpStore(t, fresh)
+	names := slices.Sorted(maps.Keys(dump))
+	lines := golden(t, "testdata/store.golden", names, func(name string) string { return dump[name] })
+	if !maps.Equal(dump, lines) {
+		t.Errorf("written now\n got %v\nwant %v", dump, lines)
+	}
+	if read := dumpStore(t, former); !maps.Equal(read, lines) {
+		t.Errorf("in the store\n got %v\nwant %v", read, lines)
+	}
+	s, err := OpenStore(former, "p0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if want := (Identity{Format: 1, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}); s.Identity() != want {
+		t.Errorf("the identity %+v, not %+v", s.Identity(), want)
+	}
+	saved, err := s.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	meta, entries := saved.Snapshot.GetMetadata(), saved.Entries
+	if saved.Hard.GetTerm() != 2 || saved.Hard.GetVote() != 1 || !slices.Equal(meta.GetConfState().GetLearners(), []uint64{2}) || len(entries) != 5 ||
+		entries[0].GetIndex() != meta.GetIndex()+1 {
+		t.Errorf("hard %v, snapshot %v, %d entries", saved.Hard, meta, len(entries))
+	}
+	if got := leadingNode(t, s).Fleet().Clone(); !reflect.DeepEqual(got, fleet) {
+		t.Errorf("the state\n got %+v\nwant %+v", got, fleet)
+	}
+}
+
+func copyFile(t *testing.T, from, to string) {
+	t.Helper()
+	data, err := os.ReadFile(from)
+	if err == nil {
+		err = os.WriteFile(to, data, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestCopiesOfFormerVersion: the file of shared state that an earlier version has kept is read, and this version writes the same.
+func TestCopiesOfFormerVersion(t *testing.T) {
+	const file = "testdata/copies.kept"
+	newCopies := func(path string) *copies {
+		cfg := replica.Usual()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, council.DecidedKinds
+		return &copies{cfg: CopiesConfig{Store: path}, node: replica.New(0, cfg)}
+	}
+	k := newCopies("")
+	k.node.Decide("order/farm/box", 4, []byte("out"))
+	k.node.Decide("zone/farm/b", 5, nil)
+	data := k.snapshot("p")
+	if *update {
+		if err := writeWhole(file, data); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(data, want) {
+		t.Errorf("written now\n got %x\nwant %x", data, want)
+	}
+	path := filepath.Join(t.TempDir(), "copies")
+	copyFile(t, file, path)
+	read := newCopies(path)
+	if err := read.load(0, "p"); err != nil || read.loaded != 2 {
+		t.Fatalf("%d entries, %v", read.loaded, err)
+	}
+	for key, number := range map[string]uint64{"order/farm/box": 4, "zone/farm/b": 5} {
+		if e, ok := read.node.Copies().Get(replica.Council, key); !ok || e.Seq != number {
+			t.Errorf("%s: %+v", key, e)
+		}
+	}
+	if read.node.Inc() <= k.node.Inc() {
+		t.Error("the next start does not write above the last one")
+	}
+}
+
+// TestStoredWords: names, keys and numbers that are stored or sent keep their spelling and value.
+func TestStoredWords(t *testing.T) {
+	for _, c := range []struct{ got, want any }{
+		{leaseOf("sweep"), "task/sweep"}, {zonal.Lease, "zones"}, {operatorName, "operator"},
+		{replica.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {council.OrderKind, "order"}, {council.ZoneKind, "zone"},
+		{replica.ServerKey(council.ZoneKind, "farm", "b"), "zone/farm/b"},
+		{string(zonal.LookValue(0, 3)), "0"}, {string(zonal.LookValue(2, 3)), "p"}, {string(zonal.LookValue(3, 3)), "1"},
+		{evacuate.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
+		{evacuate.State{Step: evacuate.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
+		{storeFormat, 1}, {helloVersion, 1}, {tagLen, 16},
+	} {
+		if c.got != c.want {
+			t.Errorf("%v was %v", c.got, c.want)
+		}
+	}
+}
+
+// requestRecorder keeps the request that it is given.
+type requestRecorder struct{ sent *message.Request }
+
+func (r *requestRecorder) Do(_ context.Context, _ string, q *message.Request) (message.Answer, error) {
+	r.sent = q
+	return message.Answer{Status: http.StatusOK}, nil
+}
+
+// TestSlotRequest: servers are sent what earlier versions sent them for a slot, keys and tokens above all.
+func TestSlotRequest(t *testing.T) {
+	clock, err := NewClock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var pools requestRecorder
+	tr := &Tier{ctx: t.Context(), clock: clock, sender: &pools}
+	cfg := Task{Spec: task.Spec{Name: "sweep", Effect: task.Keyed}, Pool: "farm", Method: "POST", Path: "/delivery-order/sweep?all=1", Tenant: "depot", Body: "body"}
+	r := &runner{cfg: cfg, core: task.NewRunner(cfg.Spec, time.Second, time.Second)}
+	tr.send(r, task.Send{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
+	q := pools.sent
+	left := q.Header.Get("X-Timeout-Ms")
+	want := &message.Request{
+		Method: "POST", URI: "/delivery-order/sweep?all=1", Path: "/delivery-order/sweep", Host: "farm", Length: 4, Body: []byte("body"),
+		Header: http.Header{
+			"X-Request-Id": {"sweep-20-4-2"}, "X-Timeout-Ms": {left}, "Fencing-Token": {"4"}, "Task-Slot": {"sweep-20"}, "Idempotency-Key": {"sweep-20"}, "X-Tenant-Id": {"depot"},
+		},
+	}
+	if left == "" || !reflect.DeepEqual(q, want) {
+		t.Errorf("%+v, not %+v", q, want)
+	}
+}
