--- a/internal/council/golden_test.go
+++ b/internal/council/golden_test.go
@@ -99,10 +99,11 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// checkPopulated fails for each exported field of the project's structs that no case sets: its form would not be checked.
-func checkPopulated(t *testing.T, cases []goldenCase) {
+// checkFields fails for each exported field of the project's structs that no case sets, so that its form is not
+// checked, or that has no tag, so that its form changes with its name.
+func checkFields(t *testing.T, cases []goldenCase) {
 	t.Helper()
-	set := map[string]bool{}
+	set, untagged := map[string]bool{}, map[string]bool{}
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
 		switch v.Kind() {
@@ -126,6 +127,9 @@
 				if f := v.Type().Field(i); f.IsExported() {
 					name := v.Type().String() + "." + f.Name
 					set[name] = set[name] || !v.Field(i).IsZero()
+					if f.Tag.Get("json") == "" {
+						untagged[name] = true
+					}
 					walk(v.Field(i))
 				}
 			}
@@ -138,6 +142,9 @@
 		if !set[name] {
 			t.Errorf("%s is not set in any example", name)
 		}
+		if untagged[name] {
+			t.Errorf("%s has no json tag: its form would change with its name", name)
+		}
 	}
 }
 
@@ -247,7 +254,7 @@
 		}})
 	}
 	checkGolden(t, "testdata/forms.golden", cases)
-	checkPopulated(t, cases)
+	checkFields(t, cases)
 }
 
 func exampleResponse(f *Fleet) Response {
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -116,12 +116,12 @@
 	}
 }
 
-// checkPopulated fails for each exported field of this package's and of package replica's structs that no case sets. Those of package council have
-// their own test.
-func checkPopulated(t *testing.T, cases []goldenCase) {
+// checkFields fails for each exported field of this package's and of package replica's structs that no case sets, or that has no tag.
+// Those of package council have their own test.
+func checkFields(t *testing.T, cases []goldenCase) {
 	t.Helper()
 	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[replica.Figures]().PkgPath()}
-	set := map[string]bool{}
+	set, untagged := map[string]bool{}, map[string]bool{}
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
 		switch v.Kind() {
@@ -145,6 +145,9 @@
 				if f := v.Type().Field(i); f.IsExported() {
 					name := v.Type().String() + "." + f.Name
 					set[name] = set[name] || !v.Field(i).IsZero()
+					if f.Tag.Get("json") == "" {
+						untagged[name] = true
+					}
 					walk(v.Field(i))
 				}
 			}
@@ -157,6 +160,9 @@
 		if !set[name] {
 			t.Errorf("%s is not set in any example", name)
 		}
+		if untagged[name] {
+			t.Errorf("%s has no json tag: its form would change with its name", name)
+		}
 	}
 }
 
@@ -205,7 +211,7 @@
 	}
 	slices.SortStableFunc(cases, func(a, b goldenCase) int { return strings.Compare(a.name, b.name) })
 	checkGolden(t, "testdata/messages.golden", cases)
-	checkPopulated(t, cases)
+	checkFields(t, cases)
 }
 
 // recorder is a connection that keeps what is written.
