--- /dev/null
+++ b/internal/bridge/form_test.go
@@ -0,0 +1,132 @@
+package bridge
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelrudder/internal/hop"
+	"sorrelrudder/internal/message"
+	"sorrelrudder/policy"
+)
+
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (f roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
+
+func formBridge(t *testing.T) *Bridge {
+	t.Helper()
+	p := Pool{Settings: farm("a"), To: "far", Reaches: []string{"order"}}
+	b, err := New(Config{Site: "near", Peers: []Peer{{Name: "far", Address: "10.9.0.1:7443"}}, Pools: map[string]Pool{"orders": p}}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(b.Close)
+	b.pools["orders"].peer = b.peer("far")
+	return b
+}
+
+// TestProbeForm pins what a probe asks and which answers it takes for what.
+func TestProbeForm(t *testing.T) {
+	c := formBridge(t).pools["orders"]
+	var sent bytes.Buffer
+	c.client = &http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
+		if err := q.Write(&sent); err != nil {
+			return nil, err
+		}
+		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=served, spent=0, room=7, stamp=5"}}
+		return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: q}, nil
+	})}
+	a, status, err := c.probe(time.Second)
+	if want := (hop.Answer{How: hop.Served, Room: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
+		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
+	}
+	zone := c.peer.zone()
+	checkForms(t, "probe.golden", []form{{name: "probe", write: fmt.Sprintf("%q", sent.String())}, {name: "zone of a peer", write: zone}})
+}
+
+// TestCrossingForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
+func TestCrossingForm(t *testing.T) {
+	c := formBridge(t).pools["orders"]
+	c.most = 5
+	c.stamp, c.stampAt = 77*time.Second, c.bridge.now()
+	q := &policy.Request{
+		Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true,
+		Prior: []policy.Prior{{Zone: "a", For: 9 * time.Second}, {NotRun: true}},
+	}
+	fields := c.Extra(q, nil, 400*time.Millisecond)
+	if len(fields) != 1 || fields[0].Name != "Sorrel-Hop" {
+		t.Fatalf("fields %+v", fields)
+	}
+	got, err := hop.ParseRequest([]string{fields[0].Value}, "far")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got.Ago, got.Within = 0, 0 // of the clock
+	want := &hop.Request{
+		Left: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true, Used: 2, May: 3,
+		Ran: []hop.Prior{{For: 9 * time.Second}}, Origin: "near", Passed: []string{"near"}, Stamp: 77 * time.Second,
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("what crosses is %+v, want %+v", got, want)
+	}
+	answered := []struct {
+		status int
+		how    string
+		want   policy.Status
+	}{
+		{http.StatusOK, "served", policy.OK}, {http.StatusBadGateway, "served", policy.AppError}, {http.StatusServiceUnavailable, "refused", policy.Full},
+		{http.StatusBadGateway, "may-have-run", policy.AppError},
+	}
+	for _, x := range answered {
+		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=" + x.how + ", spent=1, room=7, stamp=5"}}
+		if got, _ := c.Read(x.status, h); got != x.want {
+			t.Errorf("%d with %s is taken for %v, want %v", x.status, x.how, got, x.want)
+		}
+	}
+}
+
+// TestRefusalForm pins the statuses with which a receiver refuses, and that it says that nothing has run.
+func TestRefusalForm(t *testing.T) {
+	b := formBridge(t)
+	h := &handler{b: b}
+	good := `v=1, left=90000000, pool="orders", class="order", used=0, may=2, stamp=NOW, ago=0, within=80000000, origin="far", passed=("far")`
+	stamp := fmt.Sprint("stamp=", b.now().Microseconds())
+	good = strings.Replace(good, "stamp=NOW", stamp, 1)
+	var forms []form
+	refuse := func(name, peer, path string, header http.Header) {
+		_, _, err := h.Admit(&message.Request{Method: http.MethodGet, Path: path, Peer: peer, Header: header})
+		bad, ok := err.(message.Bad)
+		if !ok {
+			t.Fatalf("%s: %v is no refusal", name, err)
+		}
+		a, err := hop.ParseAnswer(bad.Header.Values("Sorrel-Hop-Answer"), 2)
+		if err != nil || a.How != hop.Refused || a.Spent != 0 || a.Room != 0 {
+			t.Errorf("%s is answered with %+v, %v", name, a, err)
+		}
+		forms = append(forms, form{name: name, write: fmt.Sprint(bad.Status)})
+	}
+	request := func(name, old, new string) {
+		refuse(name, "far", "/x", http.Header{"Sorrel-Hop": {strings.Replace(good, old, new, 1)}})
+	}
+	refuse("not a peer", "?", "/x", http.Header{"Sorrel-Hop": {good}})
+	refuse("no field", "far", "/x", http.Header{})
+	refuse("probe of another pool", "far", "/hop", http.Header{"Sorrel-Hop-Pool": {"others"}})
+	request("another version", "v=1", "v=2")
+	request("a second hop", `passed=("far")`, `passed=("far" "third")`)
+	request("another origin", `"far", passed=("far")`, `"third", passed=("third")`)
+	request("another pool", `"orders"`, `"others"`)
+	request("more groups than attempts", "used=0", `used=0, ran=("all";for=9)`)
+	request("too late", stamp, "stamp=0") // an hour ago
+	request("no time left", stamp+", ago=0, within=80000000", "stamp=0, ago=0, within=8000000000")
+	b.draining.Store(true)
+	request("drains", "v=1", "v=1")
+	refuse("probe of one that drains", "far", "/hop", http.Header{"Sorrel-Hop-Pool": {"orders"}})
+	checkForms(t, "refusals.golden", forms)
+}
--- /dev/null
+++ b/internal/wire/form_test.go
@@ -0,0 +1,212 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// without drops what is empty: the simulator's messages hold only the fields of their kind.
+func without(v any) any {
+	switch v := v.(type) {
+	case map[string]any:
+		for key, x := range v {
+			if x = without(x); x == nil {
+				delete(v, key)
+			} else {
+				v[key] = x
+			}
+		}
+		if len(v) == 0 {
+			return nil
+		}
+	case []any:
+		for i := range v {
+			v[i] = without(v[i])
+		}
+		if len(v) == 0 {
+			return nil
+		}
+	case json.Number:
+		if v == "0" {
+			return nil
+		}
+	case string:
+		if v == "" {
+			return nil
+		}
+	case bool:
+		if !v {
+			return nil
+		}
+	}
+	return v
+}
+
+// eventForm is a batch of one event to one instance, as one line.
+func eventForm(name string, e event, full bool) form {
+	at := int64(20000)
+	b := batch{AtTimeUs: &at, Groups: []group{{Sidecar: "sidecar/0", Msgs: []event{e}}}}
+	text, err := json.Marshal(b)
+	if err != nil {
+		panic(err)
+	}
+	var fields any
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.UseNumber()
+	if err := d.Decode(&fields); err != nil {
+		panic(err)
+	}
+	if text, err = json.Marshal(without(fields)); err != nil {
+		panic(err)
+	}
+	read := func(text string) (any, error) {
+		var b batch
+		err := json.Unmarshal([]byte(text), &b)
+		return b, err
+	}
+	return form{name: name, write: string(text), read: read, value: b, full: full}
+}
+
+// session is one of every event, and of each value of every enumeration, in an order in which an instance can take them.
+func session() []form {
+	const server = "10.0.0.1:80"
+	lines := []entry{
+		{LastStartUs: 5, CapacityHint: 1.5, Lifecycle: "on", Az: "a", Upstream: server, UnitGroup: 3, GenerationHw: "gen7"},
+		{Lifecycle: "fading", Az: "a", Upstream: "10.0.0.2:80", CapacityHint: 1}, {Lifecycle: "off", Az: "b", Upstream: "10.0.0.3:80"},
+	}
+	all := []form{
+		eventForm("open", event{Cmd: "OpenInstance", Salt: 1<<63 | 7, Settings: json.RawMessage(sessionSettings)}, false),
+		eventForm("list", event{Cmd: "Pool", Page: 2, Lines: lines}, false),
+	}
+	for _, how := range slices.Sorted(maps.Keys(kinds)) {
+		all = append(all, eventForm("list that is "+how, event{Cmd: "BackendsChanged", How: how, Page: 2}, false))
+	}
+	for i, outcome := range slices.Sorted(maps.Keys(statuses)) {
+		corr := uint64(i + 1)
+		demand := event{Cmd: "Demand", Corr: corr, CostUs: 900, ExpiresUs: 400020, IsRetry: true, Item: "91f0", Project: "acme", Type: "q"}
+		report := event{Cmd: "ReportBack", Corr: corr, Terminal: true, Disposition: outcome, DelaySeenUs: 7000, Upstream: server, Metrics: []float64{2, 7.5}}
+		all = append(all, eventForm("request", demand, false), eventForm("outcome "+outcome, report, false))
+	}
+	for _, outcome := range slices.Sorted(maps.Keys(statuses)) {
+		e := event{Cmd: "HealthResult", Disposition: outcome, DelaySeenUs: 600, Upstream: server, Metrics: []float64{3, 8.5}}
+		all = append(all, eventForm("probe "+outcome, e, false))
+	}
+	return append(all,
+		eventForm("request that streams", event{Cmd: "Demand", Corr: 1 << 52, Type: "q", ExpiresUs: 500000}, false),
+		eventForm("first part of an answer", event{Cmd: "Opened", Corr: 1 << 52, Shot: 1}, false),
+		eventForm("request withdrawn", event{Cmd: "Withdrawn", Corr: 1 << 52}, false),
+		eventForm("timer", event{Cmd: "DeadlineHit", Ctx: "watch"}, false),
+		eventForm("note of a neighbour", event{Cmd: "Memo"}, false),
+		eventForm("end", event{Cmd: "Halt"}, false),
+	)
+}
+
+// sessionSettings has its fields in order, as the forms are written.
+const sessionSettings = `{"GroupSize":1,"Limits":{"Cancelling":true,"MayDuplicate":true,"Probes":true,"SendCap":3},` +
+	`"MembershipMode":"on_request","RequestClasses":[{"AimUs":250000,"DeadlineUs":500000,"Effect":"read_like","Group":"all","Name":"q","Worth":2}],` +
+	`"Safety":{"AskEveryUs":10000000,"GraceToAnswerUs":20000},"Telemetry":{"Fields":["queue","latency_ms"],"Via":"on_probe"},"TickUs":5000,"Zone":"a"}`
+
+// TestEventForm pins every event that comes in.
+func TestEventForm(t *testing.T) {
+	full := event{
+		Cmd: "Demand", Salt: 1, Settings: json.RawMessage(`{"GroupSize":1}`), Page: 2,
+		Lines: []entry{{LastStartUs: 5, CapacityHint: 1.5, Lifecycle: "on", Az: "a", Upstream: "10.0.0.1:80", UnitGroup: 3, GenerationHw: "gen7"}},
+		How:   "patch", Corr: 1<<63 | 1, CostUs: 900, ExpiresUs: 400020, IsRetry: true, Item: "91f0", Project: "acme", Type: "q", Shot: 1,
+		Terminal: true, Disposition: "delivered", DelaySeenUs: 7000, Upstream: "10.0.0.1:80", Metrics: []float64{2.5}, Ctx: "watch",
+	}
+	checkForms(t, "events.golden", append([]form{eventForm("all fields", full, true)}, session()...))
+}
+
+// TestSessionForm pins what an instance answers to these events: that each field gets where it counts. The answers are package policy's, and
+// change where its decisions are meant to.
+func TestSessionForm(t *testing.T) {
+	var forms []form
+	h := &host{instances: map[string]*instance{}}
+	for _, f := range session() {
+		out, err := h.batch([]byte(f.write))
+		if err != nil {
+			t.Fatalf("%s: %v", f.write, err)
+		}
+		forms = append(forms, form{name: f.name, write: strings.TrimSuffix(string(out), "\n")})
+	}
+	checkForms(t, "session.golden", forms)
+	want := []policy.Server{
+		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * policy.Time(time.Microsecond)},
+		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Gone, Zone: "b"},
+	}
+	if !reflect.DeepEqual(h.pages[2], want) {
+		t.Errorf("the list is %+v, want %+v", h.pages[2], want)
+	}
+}
+
+// TestOrderForm pins every action that goes out.
+func TestOrderForm(t *testing.T) {
+	var forms []form
+	add := func(name string, act func(*instance)) {
+		i := &instance{}
+		act(i)
+		value := reply{Groups: []orders{{Sidecar: "sidecar/0", Orders: i.orders}}}
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		read := func(text string) (any, error) {
+			var r reply
+			err := json.Unmarshal([]byte(text), &r)
+			return r, err
+		}
+		forms = append(forms, form{name: name, write: string(text), read: read, value: value})
+	}
+	add("send", func(i *instance) { i.Send(1<<63|5, "10.0.0.1:80", 80*time.Millisecond) })
+	add("send request 0", func(i *instance) { i.Send(0, "10.0.0.1:80", 80*time.Millisecond) })
+	add("refuse", func(i *instance) { i.Refuse(5, time.Second) })
+	add("fail", func(i *instance) { i.Fail(6) })
+	add("cancel", func(i *instance) { i.Cancel(5, 1) })
+	add("cancel attempt 0", func(i *instance) { i.Cancel(5, 0) })
+	add("set timer", func(i *instance) { i.SetTimer(25*time.Microsecond, "x") })
+	add("set timer that is due", func(i *instance) { i.SetTimer(-1, "x") })
+	add("probe", func(i *instance) { i.Probe("10.0.0.1:80") })
+	add("watch", func(i *instance) { i.Watch(true) })
+	add("watch no more", func(i *instance) { i.Watch(false) })
+	add("log", func(i *instance) { i.Log("hello") })
+	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
+	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	got[0].Text, _, _ = strings.Cut(got[0].Text, ":")
+	add("fault", func(i *instance) { i.orders = got })
+	checkForms(t, "orders.golden", forms)
+}
+
+// TestWords pins what each word of the simulator means, and that there are no others.
+func TestWords(t *testing.T) {
+	checkWords(t, "outcome", statuses, map[string]policy.Status{
+		"delivered": policy.OK, "app_error": policy.AppError, "shed": policy.Full, "expired": policy.Timeout,
+		"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.Moot,
+	})
+	checkWords(t, "state", states, map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone})
+	checkWords(t, "list", kinds, map[string]policy.ListKind{
+		"patch": policy.ListDelta, "whole": policy.ListFull, "stale_copy": policy.ListCached, "broken": policy.ListFailed,
+	})
+	events := slices.Sorted(maps.Keys(known))
+	if got := fmt.Sprint(events); got != "[BackendsChanged DeadlineHit Demand Halt HealthResult Memo Opened ReportBack Withdrawn]" {
+		t.Errorf("events %s", got)
+	}
+}
+
+func checkWords[T comparable](t *testing.T, what string, got, want map[string]T) {
+	t.Helper()
+	if !maps.Equal(got, want) {
+		t.Errorf("%s: %v, want %v", what, got, want)
+	}
+}
--- /dev/null
+++ b/internal/zonal/form_test.go
@@ -0,0 +1,72 @@
+package zonal
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/replica"
+)
+
+// TestEntryForm pins what members and the council write of zones, key and contents, and that the scene is read from exactly that.
+func TestEntryForm(t *testing.T) {
+	members := map[string]string{"p": "a"}
+	n := nodeOf("p", members, func(string) bool { return true })
+	decided := evacuate.State{Step: 1, Falls: 2, Why: "down"}
+	n.Put(replica.ServerKey(replica.DeadKind, "orders", "10.0.0.1:80"), nil)
+	n.Put(replica.ServerKey(GreyKind, "orders", "a"), nil)
+	n.Put(replica.ServerKey(LookKind, "orders", "a"), LookValue(0, 3))
+	n.Put(replica.ServerKey(LookKind, "orders", "b"), LookValue(2, 3))
+	n.Put(replica.ServerKey(LookKind, "orders", "c"), LookValue(3, 3))
+	n.Decide(replica.ServerKey(council.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
+	var forms []form
+	n.Copies().All("", func(e *replica.Entry) bool {
+		forms = append(forms, form{name: e.Key, write: fmt.Sprintf("%s %x", e.Owner, e.Contents)})
+		return true
+	})
+	checkForms(t, "entries.golden", forms)
+
+	want := evacuate.Scene{
+		Zones: members, Members: 1, Servers: []evacuate.Server{{Name: "10.0.0.1:80", Zone: "a"}},
+		Words: []evacuate.Word{{Member: "p", Server: "10.0.0.1:80"}},
+		Looks: []evacuate.Look{
+			{Member: "p", Zone: "a", Silent: true}, {Member: "p", Zone: "b"}, {Member: "p", Zone: "c", Answers: true},
+		},
+		Greys:   []evacuate.GreyWord{{Member: "p", Zone: "a"}},
+		Decided: map[string]evacuate.State{"b": decided}, Epochs: map[string]uint64{"b": 8},
+	}
+	if got := Scene(n, members, "orders", map[string]string{"10.0.0.1:80": "a"}); !reflect.DeepEqual(got, want) {
+		t.Errorf("the scene is %+v\nwant %+v", got, want)
+	}
+}
+
+// TestCommandForm pins what the holder of the lease asks the council, and under which name it holds the lease.
+func TestCommandForm(t *testing.T) {
+	n := nodeOf("p", map[string]string{"p": "a"}, func(string) bool { return true })
+	n.Decide("zone/orders/a", 5, []byte("4 false 0 "))
+	n.Decide("zone/orders/b", 9, []byte("0 false 0 "))
+	got := Command(n, "orders", evacuate.Change{Zone: "a", State: evacuate.State{Step: 3, Falls: 1, Why: "a step was borne"}}, 77)
+	want := council.OrderCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, After: 5, Seen: 9}
+	if got != want || Lease != "zones" {
+		t.Errorf("the command is %+v, want %+v; the lease is %q", got, want, Lease)
+	}
+}
+
+// TestLookersForm pins who looks at a zone: members of two versions must choose the same.
+func TestLookersForm(t *testing.T) {
+	members := map[string]string{}
+	for i := range 12 {
+		members[fmt.Sprint("p", i)] = "a"
+	}
+	var lookers []string
+	for i := range 12 {
+		name := fmt.Sprint("p", i)
+		n := nodeOf(name, members, func(string) bool { return true })
+		if looksAt(n, members, name, "b") {
+			lookers = append(lookers, name)
+		}
+	}
+	checkForms(t, "lookers.golden", []form{{name: "lookers", write: fmt.Sprint(lookers)}})
+}
