--- a/internal/evacuate/evacuate.go
+++ b/internal/evacuate/evacuate.go
@@ -66,11 +66,11 @@
 
 // State is what is decided of a zone.
 type State struct {
-	Step   int  `json:"step"`             // 0: left, to Steps: in use
-	Pinned bool `json:"pinned,omitempty"` // by an operator: nothing is decided of it by itself
-	Falls  int  `json:"falls,omitempty"`  // relapses in a row
-	Cold   bool `json:"cold,omitempty"`   // wholly in use, and not yet for as long as its servers may be cold: a process that starts now cannot know
-	Why    string
+	Step   int    `json:"step"`             // 0: left, to Steps: in use
+	Pinned bool   `json:"pinned,omitempty"` // by an operator: nothing is decided of it by itself
+	Falls  int    `json:"falls,omitempty"`  // relapses in a row
+	Cold   bool   `json:"cold,omitempty"`   // wholly in use, and not yet for as long as its servers may be cold: a process that starts now cannot know
+	Why    string `json:"Why"`
 }
 
 // Returning reports whether a zone's servers in use may be cold, though no list says so: nobody has sent them anything for a while.
--- a/internal/replica/copies.go
+++ b/internal/replica/copies.go
@@ -36,12 +36,12 @@
 
 // Counts are what has been refused or told.
 type Counts struct {
-	Unknown int // of a kind or an owner that is not known here
-	Illegal int
-	Full    int
-	Differ  int // contents of one version that differ
-	Old     int // of a version that was known, or an older one
-	Foreign int // decisions of another council than this fleet's
+	Unknown int `json:"Unknown"` // of a kind or an owner that is not known here
+	Illegal int `json:"Illegal"`
+	Full    int `json:"Full"`
+	Differ  int `json:"Differ"`  // contents of one version that differ
+	Old     int `json:"Old"`     // of a version that was known, or an older one
+	Foreign int `json:"Foreign"` // decisions of another council than this fleet's
 }
 
 // Plant is a mistake that is made on purpose, to see that it is found.
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -45,10 +45,13 @@
 
 // Figures count what a node has done.
 type Figures struct {
-	Suspicions, Objections, Deaths int // found here; of this process; held to be dead here
-	Syncs, Equal                   int // looks at another's copies, and those that found no difference
-	Helped                         int // bytes of entries that went to those that catch up
-	Turned                         int // asks of those that catch up that were turned away for want of room
+	Suspicions int `json:"Suspicions"` // found here
+	Objections int `json:"Objections"` // of this process
+	Deaths     int `json:"Deaths"`     // held to be dead here
+	Syncs      int `json:"Syncs"`      // looks at another's copies
+	Equal      int `json:"Equal"`      // of them those that found no difference
+	Helped     int `json:"Helped"`     // bytes of entries that went to those that catch up
+	Turned     int `json:"Turned"`     // asks of those that catch up that were turned away for want of room
 }
 
 const (
