--- /dev/null
+++ b/internal/settings/form_test.go
@@ -0,0 +1,148 @@
+package settings
+
+import (
+	"encoding/json"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// fullSettings is testdata/full.json as it is decoded.
+func fullSettings() Settings {
+	return Settings{
+		Config: policy.Config{
+			Ordinal: 7, GroupSize: 48, Zone: "west",
+			Classes: []policy.Class{
+				{Name: "check", Effect: policy.Safe, Group: policy.GroupAll, KeyTTL: 1007 * time.Microsecond, Aim: 1005 * time.Microsecond, Deadline: 1006 * time.Microsecond, Worth: 1.5, LateShare: 0.125},
+				{Name: "order", Effect: policy.Keyed, Group: policy.GroupZone, KeyTTL: 1010 * time.Microsecond, Aim: 1008 * time.Microsecond, Deadline: 1009 * time.Microsecond, Worth: 2.5, LateShare: 0.375},
+				{Name: "book", Effect: policy.Unsafe, Group: policy.GroupCell, KeyTTL: 1013 * time.Microsecond, Aim: 1011 * time.Microsecond, Deadline: 1012 * time.Microsecond, Worth: 3.5, LateShare: 0.5},
+				{Name: "list", Effect: policy.Safe, Group: policy.GroupAll, KeyTTL: 1016 * time.Microsecond, Aim: 1014 * time.Microsecond, Deadline: 1015 * time.Microsecond, Worth: 4.5, LateShare: 0.625},
+			},
+			Tenants:        []policy.Tenant{{Name: "acme", AllowancePer: 12.5}, {Name: "globex", AllowancePer: 13.5}},
+			OverShareWorth: 0.25,
+			Pushed:         true, MayProbe: true, MayCancel: true, MayDuplicate: true, HintsRetry: true,
+			MaxAttempts: 3, MaxRetryAfter: 1004 * time.Microsecond, DialTimeout: 1003 * time.Microsecond,
+			ConnIdle: 1002 * time.Microsecond, Tick: 1001 * time.Microsecond,
+			InlineReports: true, WarmKeys: true,
+			AskEvery: 1017 * time.Microsecond, AnswerGrace: 1019 * time.Microsecond, ColdFrom: 0.75, Ramp: 1020 * time.Microsecond,
+			ProbeTariff: 0.04, ConnectionTariff: 0.01, HandshakeTariff: 0.03, CrossZoneTariff: 0.02,
+		},
+		Fields:     []string{"queue", "latency_ms"},
+		DrainGrace: 1018 * time.Microsecond,
+	}
+}
+
+// TestSettingsForm holds the keys and values of the settings object, and what each of them sets.
+func TestSettingsForm(t *testing.T) {
+	full, err := os.ReadFile("testdata/full.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	inExample := exampleKeys(t, full)
+	for _, key := range keysOf(reflect.TypeFor[object](), "") {
+		if !inExample[key] {
+			t.Errorf("key %s is decoded, and not in the example", key)
+		}
+		delete(inExample, key)
+	}
+	for key := range inExample {
+		t.Errorf("key %s is in the example, and not decoded", key)
+	}
+	// Each boolean and each named value is changed alone: equal values in the full example could be mixed up.
+	for _, c := range []struct {
+		name, old, new string
+		change         func(*Settings)
+	}{
+		{"full", ``, ``, func(*Settings) {}},
+		{"asked", `"pushed"`, `"asked"`, func(s *Settings) { s.Config.Pushed = false }},
+		{"on probe", `"inline"`, `"on_probe"`, func(s *Settings) { s.Config.InlineReports = false }},
+		{"Cancelling", `"Cancelling": true`, `"Cancelling": false`, func(s *Settings) { s.Config.MayCancel = false }},
+		{"MayDuplicate", `"MayDuplicate": true`, `"MayDuplicate": false`, func(s *Settings) { s.Config.MayDuplicate = false }},
+		{"Probes", `"Probes": true`, `"Probes": false`, func(s *Settings) { s.Config.MayProbe = false }},
+		{"RetryAfter", `"RetryAfter": true`, `"RetryAfter": false`, func(s *Settings) { s.Config.HintsRetry = false }},
+		{"WarmKeys", `"WarmKeys": true`, `"WarmKeys": false`, func(s *Settings) { s.Config.WarmKeys = false }},
+		{"no AskEveryUs", `"AskEveryUs": 1017, `, ``, func(s *Settings) {
+			s.Config.AskEvery, s.Assumed = 10*time.Second, []string{"Safety.AskEveryUs: 10s"}
+		}},
+		{"no DrainGraceUs", `"DrainGraceUs": 1018, `, ``, func(s *Settings) {
+			s.DrainGrace, s.Assumed = 0, []string{"Safety.DrainGraceUs: the shortest that is known"}
+		}},
+		{"no KeyTtlUs", `"KeyTtlUs": 1010, `, ``, func(s *Settings) {
+			s.Config.Classes[1].KeyTTL = 0
+			s.Assumed = []string{`RequestClasses "order": KeyTtlUs: none, so that nothing is repeated that may have run`}
+		}},
+	} {
+		if c.old != "" && strings.Count(string(full), c.old) != 1 {
+			t.Errorf("%s: the example does not hold %s once", c.name, c.old)
+		}
+		want := fullSettings()
+		c.change(&want)
+		got, err := Parse([]byte(strings.Replace(string(full), c.old, c.new, 1)))
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v\n got %+v\nwant %+v", c.name, err, got, want)
+		}
+	}
+}
+
+// TestLoadFieldForm holds the names of the fields of a load report.
+func TestLoadFieldForm(t *testing.T) {
+	got := NoLoad()
+	if want := (policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}); got != want {
+		t.Errorf("no report: %+v, want %+v", got, want)
+	}
+	for i, field := range []string{"queue", "inflight", "latency_ms", "eps", "unknown"} {
+		Set(&got, field, float64(i))
+	}
+	if want := (policy.Load{Queue: 0, Inflight: 1, Latency: 2, ErrorRate: 3}); got != want {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+}
+
+// keysOf lists the paths of the keys that are decoded into a value of type t.
+func keysOf(t reflect.Type, prefix string) (keys []string) {
+	for t.Kind() == reflect.Slice {
+		t = t.Elem()
+	}
+	if t.Kind() != reflect.Struct {
+		return []string{prefix}
+	}
+	for f := range t.Fields() {
+		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+		if name == "" {
+			name = f.Name
+		}
+		keys = append(keys, keysOf(f.Type, prefix+"."+name)...)
+	}
+	return keys
+}
+
+// exampleKeys is the set of the paths of all keys of a JSON text.
+func exampleKeys(t *testing.T, text []byte) map[string]bool {
+	t.Helper()
+	var root any
+	if err := json.Unmarshal(text, &root); err != nil {
+		t.Fatal(err)
+	}
+	keys := map[string]bool{}
+	var walk func(value any, prefix string)
+	walk = func(value any, prefix string) {
+		switch v := value.(type) {
+		case map[string]any:
+			for key, inner := range v {
+				walk(inner, prefix+"."+key)
+			}
+		case []any:
+			for _, inner := range v {
+				walk(inner, prefix)
+			}
+		default:
+			keys[prefix] = true
+		}
+	}
+	walk(root, "")
+	return keys
+}
