--- /dev/null
+++ b/internal/sidecar/form_test.go
@@ -0,0 +1,166 @@
+package sidecar
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/keep"
+	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/settings"
+	"sorrelrudder/internal/source"
+	"sorrelrudder/policy"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// fullConfig is testdata/config.json as it is decoded.
+func fullConfig() Config {
+	seq := int64(41)
+	return Config{
+		Name: "sidecar-a", Listen: "127.0.0.1:8001", Discovery: "127.0.0.1:8002", filed: "127.0.0.1:8002", Seed: 0xf00d,
+		Admin: "127.0.0.1:8003", MemoryMB: 96, Sockets: 512,
+		Known: &source.List{Seq: &seq, Whole: true, Hosts: []source.Entry{{
+			Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001,
+		}}},
+		Settings: settings.Settings{
+			Config:     policy.Config{GroupSize: 1, MaxAttempts: 3, AskEvery: 2 * time.Second},
+			DrainGrace: 300 * time.Millisecond,
+		},
+	}
+}
+
+// TestConfigForm holds the keys of the file that GW_CONFIG names, and what each variable of the environment sets.
+func TestConfigForm(t *testing.T) {
+	text, err := os.ReadFile("testdata/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file map[string]json.RawMessage
+	if err := json.Unmarshal(text, &file); err != nil {
+		t.Fatal(err)
+	}
+	pid := uint64(os.Getpid()) << 32
+	for _, c := range []struct {
+		name    string
+		without string // key that is left out of the file
+		env     map[string]string
+		change  func(*Config)
+	}{
+		{"file", "", nil, func(*Config) {}},
+		{"no name", "name", nil, func(c *Config) { c.Name = "" }},
+		{"no seed", "seed", nil, func(c *Config) { c.Seed = 0 }},
+		{"no admin", "admin", nil, func(c *Config) { c.Admin = "" }},
+		{"no limits", "limits", nil, func(c *Config) { c.MemoryMB, c.Sockets = 128, 1024 }},
+		{"no known", "known", nil, func(c *Config) { c.Known = nil }},
+		{"GW_NAME", "name", map[string]string{"GW_NAME": "b"}, func(c *Config) { c.Name = "b" }},
+		{"GW_LISTEN", "listen", map[string]string{"GW_LISTEN": "h:1"}, func(c *Config) { c.Listen = "h:1" }},
+		{"GW_DISCOVERY", "", map[string]string{"GW_DISCOVERY": "h:2"}, func(c *Config) { c.Discovery = "h:2" }},
+		{"GW_DISCOVERY alone", "discovery", map[string]string{"GW_DISCOVERY": "h:2"}, func(c *Config) { c.Discovery, c.filed = "h:2", "" }},
+		{"GW_ADMIN", "admin", map[string]string{"GW_ADMIN": "h:3"}, func(c *Config) { c.Admin = "h:3" }},
+		{"GW_FIGURES_EVERY", "", map[string]string{"GW_FIGURES_EVERY": "7s"}, func(c *Config) { c.Figures = 7 * time.Second }},
+		{"GW_FD", "", map[string]string{"GW_FD": "5", "TMPDIR": "/shared"}, func(c *Config) {
+			c.FD, c.Shared, c.Seed = 5, "/shared", 0xf00d^pid
+		}},
+		{"TMPDIR alone", "", map[string]string{"TMPDIR": "/shared"}, func(*Config) {}},
+	} {
+		kept := maps.Clone(file)
+		delete(kept, c.without)
+		path := filepath.Join(t.TempDir(), "config.json")
+		text, err := json.Marshal(kept)
+		if err == nil {
+			err = os.WriteFile(path, text, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := fullConfig()
+		c.change(&want)
+		got, err := LoadConfig(func(name string) string {
+			if name == "GW_CONFIG" {
+				return path
+			}
+			return c.env[name]
+		})
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v\n got %+v\nwant %+v", c.name, err, got, want)
+		}
+	}
+}
+
+// TestHandOverForm holds what a process leaves for its successor, which may be of another version: the file's name, and its
+// content both ways.
+func TestHandOverForm(t *testing.T) {
+	if learntFile != "sorrelrudder-learnt.json" {
+		t.Errorf("the file is named %s", learntFile)
+	}
+	value := gateway.Learnt{
+		Clients: keep.Learnt{
+			1: {{Waited: []float64{1.5, 2.5}, Used: []float64{3, 4}}, {Waited: []float64{5.5}, Used: []float64{6}}},
+			2: {{Waited: []float64{7.5}, Used: []float64{8}}},
+		},
+		Pools: map[string]pool.Learnt{poolName: {
+			Learnt: policy.Learnt{
+				Line: [4]float64{0.5, 1.25, 2.75, 3.125}, Busy: 0.625, CopyWins: 0.375,
+				Servers: map[policy.ServerID]policy.LearntServer{
+					"s1": {Started: 11 * time.Millisecond, Slowness: 1.75, Answers: 12, Gap: 13.5, EjectedFor: 14 * time.Second, Fails: 15},
+					"s2": {Started: -16 * time.Millisecond, Slowness: 0.875, Answers: 17, Gap: 18.5, EjectedFor: 19 * time.Second, Fails: 20},
+				},
+				Patience: map[string]time.Duration{"check": 21 * time.Millisecond, "order": 22 * time.Millisecond},
+			},
+			Born: map[policy.ServerID]int64{"s1": 1700000000001, "s2": 1700000000002},
+		}},
+	}
+	const path = "testdata/learnt.json"
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded = append(encoded, '\n')
+	if *update {
+		if err := os.WriteFile(path, encoded, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("encoded as\n%swant\n%s", encoded, golden)
+	}
+	var decoded gateway.Learnt
+	if err := json.Unmarshal(golden, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%v\n got %+v\nwant %+v", err, decoded, value)
+	}
+	assertPopulated(t, reflect.ValueOf(value), "Learnt")
+}
+
+// assertPopulated fails for each field within v that holds its zero value: a golden file would say nothing of it.
+func assertPopulated(t *testing.T, v reflect.Value, path string) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Struct:
+		for field, value := range v.Fields() {
+			assertPopulated(t, value, path+"."+field.Name)
+		}
+	case reflect.Slice, reflect.Array:
+		for _, element := range v.Seq2() {
+			assertPopulated(t, element, path+"[]")
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			assertPopulated(t, v.MapIndex(key), path+"["+key.String()+"]")
+		}
+	}
+	if v.IsZero() {
+		t.Errorf("%s is not populated", path)
+	}
+}
