--- a/internal/gateway/learnt.go
+++ b/internal/gateway/learnt.go
@@ -8,8 +8,8 @@
 // Learnt is what a process has learnt of clients and servers, for one that takes its place with the same pools. It is a help
 // and no truth: whatever is missing or wrong in it is learnt anew.
 type Learnt struct {
-	Clients keep.Learnt // by pool, in the order of their keys
-	Pools   map[string]pool.Learnt
+	Clients keep.Learnt            `json:"Clients"` // by pool, in the order of their keys
+	Pools   map[string]pool.Learnt `json:"Pools"`
 }
 
 // Learnt returns what has been learnt so far.
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -191,7 +191,10 @@
 type Learnt map[Owner][]Habit
 
 // Habit is that of one kind of connection, by step of age: the seconds waited there and the uses that ended a wait.
-type Habit struct{ Waited, Used []float64 }
+type Habit struct {
+	Waited []float64 `json:"Waited"`
+	Used   []float64 `json:"Used"`
+}
 
 // Learnt returns what has been learnt so far.
 func (r *Rule) Learnt() Learnt {
--- a/internal/pool/learnt.go
+++ b/internal/pool/learnt.go
@@ -9,7 +9,7 @@
 // Learnt is what a pool knows of its servers, for the process that takes this one's place. Its times of start are the list's.
 type Learnt struct {
 	policy.Learnt
-	Born map[policy.ServerID]int64 // as the list tells it, in Unix milliseconds
+	Born map[policy.ServerID]int64 `json:"Born"` // as the list tells it, in Unix milliseconds
 }
 
 // Learnt returns what has been learnt so far.
--- a/policy/api.go
+++ b/policy/api.go
@@ -181,22 +181,24 @@
 	Load    *Load
 }
 
-// Learnt is what a Balancer has learnt of its servers and clients, for the process that takes this one's place.
+// Learnt is what a Balancer has learnt of its servers and clients, for the process that takes this one's place, which may be of
+// another version: the tags are the stored form.
 type Learnt struct {
-	Line           [4]float64 // of the delay by queue: means of both, variance, covariance
-	Busy, CopyWins float64
-	Servers        map[ServerID]LearntServer
-	Patience       map[string]time.Duration // by class: the time that clients give most tries
+	Line     [4]float64                `json:"Line"` // of the delay by queue: means of both, variance, covariance
+	Busy     float64                   `json:"Busy"`
+	CopyWins float64                   `json:"CopyWins"`
+	Servers  map[ServerID]LearntServer `json:"Servers"`
+	Patience map[string]time.Duration  `json:"Patience"` // by class: the time that clients give most tries
 }
 
 // LearntServer is what it has learnt of one.
 type LearntServer struct {
-	Started    Time // as the list tells it, on the clock of who asks
-	Slowness   float64
-	Answers    int // that tell it
-	Gap        float64
-	EjectedFor time.Duration // from now on; 0: it is not
-	Fails      int
+	Started    Time          `json:"Started"` // as the list tells it, on the clock of who asks
+	Slowness   float64       `json:"Slowness"`
+	Answers    int           `json:"Answers"` // that tell it
+	Gap        float64       `json:"Gap"`
+	EjectedFor time.Duration `json:"EjectedFor"` // from now on; 0: it is not
+	Fails      int           `json:"Fails"`
 }
 
 // Seen is how a Balancer sees its servers at one moment, for operators.
