--- /dev/null
+++ b/internal/admin/form_test.go
@@ -0,0 +1,61 @@
+package admin
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"log/slog"
+	"os"
+	"reflect"
+	"testing"
+
+	"sorrelrudder/internal/figures"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// told is a process with the figures given.
+type told Figures
+
+func (f told) Ready() error     { return errors.New("unused") }
+func (f told) Figures() Figures { return Figures(f) }
+
+// TestVarsForm holds what GET /_vars tells.
+func TestVarsForm(t *testing.T) {
+	value := Figures{
+		Results: map[string]figures.Class{
+			"check": {Succeeded: 101, Declined: 102, Aborted: 103}, "order": {Succeeded: 104, Declined: 105, Aborted: 106},
+		},
+		Forwards: 107, Outstanding: 108, Discovered: 109, Ejected: 110,
+	}
+	for field, v := range reflect.ValueOf(value).Fields() {
+		if v.IsZero() {
+			t.Errorf("%s is not in the example", field.Name)
+		}
+	}
+	door, err := Open("127.0.0.1:0", told(value), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer door.Close(context.Background())
+	_, body := call(t, door.Addr().String(), "GET", "/_vars")
+	const path = "testdata/vars.json"
+	if *update {
+		if err := os.WriteFile(path, []byte(body), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal([]byte(body), golden) {
+		t.Errorf("told as\n%swant\n%s", body, golden)
+	}
+	var got Figures
+	if err := json.Unmarshal(golden, &got); err != nil || !reflect.DeepEqual(got, value) {
+		t.Errorf("%v\n got %+v\nwant %+v", err, got, value)
+	}
+}
