--- /dev/null
+++ b/internal/source/form_test.go
@@ -0,0 +1,97 @@
+package source
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"reflect"
+	"slices"
+	"testing"
+
+	"sorrelrudder/policy"
+)
+
+func seq(n int64) *int64 { return &n }
+
+func readGolden(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// TestListForm holds the keys of a list and the words for the states of servers.
+func TestListForm(t *testing.T) {
+	text := readGolden(t, "testdata/list.json")
+	want := &List{Seq: seq(41), Whole: true, Hosts: []Entry{
+		{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001},
+		{Host: "s2", Dial: "127.0.0.1:9002", Site: "east", Block: 5, Class: "small", Health: "leaving", Share: 0.25, BornMs: 1700000000002},
+	}}
+	if got, err := ParseList(text); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
+	}
+	var list struct{ Hosts []map[string]any }
+	if err := json.Unmarshal(text, &list); err != nil {
+		t.Fatal(err)
+	}
+	keys := []string{"block", "born_ms", "class", "dial", "health", "host", "share", "site"}
+	if got := slices.Sorted(maps.Keys(list.Hosts[0])); !slices.Equal(got, keys) || reflect.TypeFor[Entry]().NumField() != len(keys) {
+		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Entry", got, keys)
+	}
+	states := map[string]policy.ServerState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+	if !maps.Equal(States, states) {
+		t.Errorf("states %v, want %v", States, states)
+	}
+}
+
+// TestWatchForm holds the call for a watch and its messages: the whole list, changes of one and of several servers, an empty
+// line, and an empty list.
+func TestWatchForm(t *testing.T) {
+	messages := readGolden(t, "testdata/watch.txt")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	asked := make(chan string, 1)
+	go func() {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		if q, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
+			asked <- q.Method + " " + q.RequestURI + " " + q.Host
+			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+string(messages))
+		}
+	}()
+	var got []*List
+	err = ask(ln.Addr().String()).Watch(context.Background(), 41, func(l *List) { got = append(got, l) })
+	if !errors.Is(err, io.EOF) {
+		t.Fatalf("the watch ended with %v", err)
+	}
+	if call, want := <-asked, "GET /v1/servers?follow=1&since=41 "+ln.Addr().String(); call != want {
+		t.Errorf("asked %s, want %s", call, want)
+	}
+	want := []*List{
+		{Seq: seq(42), Whole: true, Hosts: []Entry{
+			{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001},
+		}},
+		{Seq: seq(43), Hosts: []Entry{
+			{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "leaving", Share: 0.5, BornMs: 1700000000001},
+		}},
+		{Seq: seq(44), Hosts: []Entry{{Host: "s1", Health: "left"}, {Host: "s2", Dial: "127.0.0.1:9002", Health: "active"}}},
+		{Seq: seq(45), Whole: true, Hosts: []Entry{}},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf(" got %+v\nwant %+v", got, want)
+	}
+}
