--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -8,12 +8,14 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"syscall"
 	"testing"
 	"time"
 
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/keep"
 	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/policy"
@@ -143,6 +145,32 @@
 	assertPopulated(t, reflect.ValueOf(value), "Learnt")
 }
 
+// TestCompanyForm holds the files by which the processes of one sidecar know of each other, which may be of different versions:
+// each holds one locked under such a name.
+func TestCompanyForm(t *testing.T) {
+	dir := t.TempDir()
+	company, err := proc.JoinCompany(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer company.Leave()
+	files, err := filepath.Glob(filepath.Join(dir, "sorrelrudder-process-*"))
+	if err != nil || len(files) != 1 {
+		t.Errorf("%q, %v, want one file of this process", files, err)
+	}
+	other, err := os.Create(filepath.Join(dir, "sorrelrudder-process-other"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	if err := syscall.Flock(int(other.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		t.Fatal(err)
+	}
+	if others, err := company.Others(); others != 1 || err != nil {
+		t.Errorf("%d others, %v, want 1", others, err)
+	}
+}
+
 // assertPopulated fails for each field within v that holds its zero value: a golden file would say nothing of it.
 func assertPopulated(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
