--- a/cmd/cairnpick/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command cairnpick is one real sidecar: it takes a client application's requests, and sends each to the
+// Command sidecar is one real sidecar: it takes a client application's requests, and sends each to the
 // upstream that the decision module picks.
 package main
 
@@ -16,7 +16,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "cairnpick:", err)
+		fmt.Fprintln(os.Stderr, "sidecar:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/cairnpick/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -20,7 +20,7 @@
 )
 
 // asProgram is the variable by which this test's program is the sidecar itself, in a process of its own.
-const asProgram = "CAIRNPICK_TEST_AS_PROGRAM"
+const asProgram = "SIDECAR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
--- a/internal/lab/paired_test.go
+++ b/internal/lab/paired_test.go
@@ -14,11 +14,11 @@
 
 // TestPairedSidecars measures two builds of the sidecar against each other, in turn over the same boxes. It is run by hand:
 //
-//	CAIRNPICK_BEFORE=/path/old CAIRNPICK_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/lab
+//	SIDECAR_BEFORE=/path/old SIDECAR_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/lab
 func TestPairedSidecars(t *testing.T) {
-	builds := []string{os.Getenv("CAIRNPICK_BEFORE"), os.Getenv("CAIRNPICK_AFTER")}
+	builds := []string{os.Getenv("SIDECAR_BEFORE"), os.Getenv("SIDECAR_AFTER")}
 	if builds[0] == "" || builds[1] == "" {
-		t.Skip("CAIRNPICK_BEFORE and CAIRNPICK_AFTER name no builds")
+		t.Skip("SIDECAR_BEFORE and SIDECAR_AFTER name no builds")
 	}
 	ctx := context.Background()
 	e := &Env{Seed: 1, report: &Report{Measures: map[string]float64{}, bounds: map[string]string{}}}
