--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -97,7 +97,7 @@
 
 // TestSidecarLinksNothingHeavy guards the memory of the sidecar: what only the product needs is never linked into it.
 func TestSidecarLinksNothingHeavy(t *testing.T) {
-	for _, command := range []string{"sidecar", "adapter"} {
+	for _, command := range []string{"sidecar", "simadapter"} {
 		for _, p := range needs(t, command) {
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
@@ -163,7 +163,7 @@
 	"internal/spill":   {"policy"},
 	"internal/standin": {}, // shares no code with what it watches
 	"internal/lab":     {"internal/standin"},
-	"cmd/adapter":      {"internal/wire"},
+	"cmd/simadapter":   {"internal/wire"},
 	"cmd/sidecar":      {"internal/sidecar"},
 	"cmd/sorrelrudder": {"internal/council", "internal/evacuate", "internal/replica", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
 }
@@ -244,7 +244,7 @@
 		}
 	}
 	looked := 0
-	for _, p := range append(needs(t, "sidecar"), needs(t, "adapter")...) {
+	for _, p := range append(needs(t, "sidecar"), needs(t, "simadapter")...) {
 		dir, own := strings.CutPrefix(p, "sorrelrudder/")
 		if !own {
 			continue
