--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -14,7 +14,7 @@
 	"text/tabwriter"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/opfile"
@@ -145,7 +145,7 @@
 }
 
 // fleetOf is the replicated state as the process knows it.
-func fleetOf(st *tier.Status, w *tabwriter.Writer) *council.Fleet {
+func fleetOf(st *tier.Status, w *tabwriter.Writer) *consensus.Fleet {
 	if st.Council == nil || st.Council.Fleet == nil {
 		fmt.Fprintf(w, "%s has no seat in the council, or has not heard of its state yet: ask another\n", st.Name)
 		return nil
@@ -231,7 +231,7 @@
 
 func (c *tierRevoke) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *tier.Operator) error {
-		r, err := o.Ask(ctx, council.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
+		r, err := o.Ask(ctx, consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
 		if err != nil {
 			return err
 		}
@@ -404,12 +404,12 @@
 func (c *tierLift) Run(s *streams) error  { return c.order(s, "", true) }
 
 func (c *tierOrder) order(s *streams, value string, lift bool) error {
-	key := replica.ServerKey(council.OrderKind, c.Pool, c.Server)
+	key := replica.ServerKey(consensus.OrderKind, c.Pool, c.Server)
 	if key == "" {
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
 	return c.ask(func(ctx context.Context, o *tier.Operator) error {
-		r, err := o.Order(ctx, council.OrderCommand{Key: key, Value: value, Lift: lift})
+		r, err := o.Order(ctx, consensus.OrderCommand{Key: key, Value: value, Lift: lift})
 		if err != nil {
 			return err
 		}
@@ -555,7 +555,7 @@
 		if c.Force {
 			next.Why += ", by force"
 		}
-		r, err := o.Order(ctx, council.OrderCommand{Key: replica.ServerKey(council.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
+		r, err := o.Order(ctx, consensus.OrderCommand{Key: replica.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
 		if err != nil {
 			return err
 		}
@@ -603,13 +603,13 @@
 	tierReplace struct{ tierSeat }
 )
 
-func (c *tierAdd) Run(s *streams) error     { return c.change(s, council.Add) }
-func (c *tierRemove) Run(s *streams) error  { return c.change(s, council.Remove) }
-func (c *tierReplace) Run(s *streams) error { return c.change(s, council.Replace) }
+func (c *tierAdd) Run(s *streams) error     { return c.change(s, consensus.Add) }
+func (c *tierRemove) Run(s *streams) error  { return c.change(s, consensus.Remove) }
+func (c *tierReplace) Run(s *streams) error { return c.change(s, consensus.Replace) }
 
-func (c *tierSeat) change(s *streams, op council.SeatOp) error {
+func (c *tierSeat) change(s *streams, op consensus.SeatOp) error {
 	return c.ask(func(ctx context.Context, o *tier.Operator) error {
-		r, err := o.Ask(ctx, council.Request{Seat: &council.SeatCommand{Op: op, Name: c.Name}})
+		r, err := o.Ask(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: op, Name: c.Name}})
 		if err != nil {
 			return err
 		}
@@ -631,7 +631,7 @@
 
 func (c *tierTaskRun) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *tier.Operator) error {
-		r, err := o.Ask(ctx, council.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
+		r, err := o.Ask(ctx, consensus.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
 		if err != nil {
 			return err
 		}
--- a/internal/council/council_test.go
+++ b/internal/consensus/council_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"slices"
--- a/internal/council/fleet.go
+++ b/internal/consensus/fleet.go
@@ -1,7 +1,7 @@
-// Package council keeps one state at several processes: which processes vote, who holds which lease, which slots of tasks are taken.
+// Package consensus keeps one state at several processes: which processes vote, who holds which lease, which slots of tasks are taken.
 // The log is that of go.etcd.io/raft; this package decides what goes into it, what comes of it, who is told, and who votes. It has
 // no I/O and no clock: what it wants written goes to a Disk, and the time is told.
-package council
+package consensus
 
 import (
 	"encoding/json"
--- a/internal/explore/copies.go
+++ b/internal/explore/copies.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/zonal"
 )
@@ -35,7 +35,7 @@
 	}
 	cfg := replica.Usual()
 	cfg.Gossip, cfg.Sync, cfg.Keep = 150*time.Millisecond, time.Second, 4*time.Second
-	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zonal.LookKind}, council.DecidedKinds, p.w.rumours.Uint64()
+	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zonal.LookKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
 	if slices.Contains(replica.Plants, replica.Plant(p.w.o.Plant)) {
 		cfg.Plant = replica.Plant(p.w.o.Plant)
 	}
@@ -94,8 +94,8 @@
 		p.rep.node.Put(key, []byte{byte(p.w.rumours.IntN(3))})
 	}
 	if p.w.rumours.IntN(12) == 0 {
-		key := fmt.Sprintf("%s/%d", council.OrderKind, p.w.rumours.IntN(3))
-		p.call(council.Request{Order: &council.OrderCommand{Key: key, Value: p.name, Lift: p.w.rumours.IntN(2) == 0}}, func(council.Response) {})
+		key := fmt.Sprintf("%s/%d", consensus.OrderKind, p.w.rumours.IntN(3))
+		p.call(consensus.Request{Order: &consensus.OrderCommand{Key: key, Value: p.name, Lift: p.w.rumours.IntN(2) == 0}}, func(consensus.Response) {})
 	}
 	p.w.watch.copies(p)
 	p.gossipLater()
@@ -108,7 +108,7 @@
 		return
 	}
 	p.rep.node.Copies().Council(replica.FleetTag(p.node.Fleet().ID))
-	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o council.Order) { p.rep.node.Decide(key, o.Number, o.Bytes()) })
+	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o consensus.Order) { p.rep.node.Decide(key, o.Number, o.Bytes()) })
 	p.w.watch.copies(p)
 	p.gossipLater()
 }
@@ -142,7 +142,7 @@
 }
 
 // equalCopies says at the end what differs among the processes, of which all has been well for ten seconds.
-func (o *observer) equalCopies(decided *council.Fleet) {
+func (o *observer) equalCopies(decided *consensus.Fleet) {
 	var first *proc
 	for _, p := range o.w.procs {
 		if p.rep == nil || !p.up {
--- a/internal/explore/observer.go
+++ b/internal/explore/observer.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonal"
@@ -138,7 +138,7 @@
 		}
 	}
 	book := task.Page{}
-	var decided *council.Fleet
+	var decided *consensus.Fleet
 	for _, p := range w.procs {
 		if p.node == nil || p.node.State().Applied != most {
 			continue
--- a/internal/explore/proc.go
+++ b/internal/explore/proc.go
@@ -11,7 +11,7 @@
 
 	"go.etcd.io/raft/v3"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonal"
@@ -42,12 +42,12 @@
 type disk struct {
 	w    *world
 	p    *proc
-	now  council.Saved // what was written
-	sure council.Saved // what was synced
-	old  council.Saved // an older copy
+	now  consensus.Saved // what was written
+	sure consensus.Saved // what was synced
+	old  consensus.Saved // an older copy
 }
 
-func (d *disk) Save(s council.Saved, sync bool) error {
+func (d *disk) Save(s consensus.Saved, sync bool) error {
 	if d.w.syncFails[d.p.i] && sync {
 		delete(d.w.syncFails, d.p.i)
 		return errDisk
@@ -100,13 +100,13 @@
 	disk  *disk
 	id    uint64 // 0: no identity
 	fleet string
-	node  *council.Node
+	node  *consensus.Node
 	led   bool
 
 	keeper  *lease.Keeper
 	runner  *task.Runner
 	looks   int
-	guide   *council.Guide
+	guide   *consensus.Guide
 	asks    map[uint64]*call
 	lastAsk uint64
 	nextAct map[string]time.Duration
@@ -129,11 +129,11 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("p%d", i)
 		}
-		s, err := council.FoundingSnapshot(council.Founded("fleet", p.name, p.store(), names))
+		s, err := consensus.FoundingSnapshot(consensus.Founded("fleet", p.name, p.store(), names))
 		if err != nil {
 			panic(err)
 		}
-		p.disk.Save(council.Saved{Snapshot: s, Hard: council.FoundingState()}, true)
+		p.disk.Save(consensus.Saved{Snapshot: s, Hard: consensus.FoundingState()}, true)
 		p.disk.sure = p.disk.now
 	}
 	return p
@@ -179,7 +179,7 @@
 	for i := range names {
 		names[i] = p.w.procs[i].name
 	}
-	p.guide = council.NewGuide(names, p.w.own.IntN(p.w.voters), rules.RenewEvery())
+	p.guide = consensus.NewGuide(names, p.w.own.IntN(p.w.voters), rules.RenewEvery())
 	p.sit()
 	p.shares()
 	p.soon(time.Duration(p.w.own.IntN(50))*time.Millisecond, p.beat)
@@ -199,7 +199,7 @@
 	if p.disk.sure.Snapshot != nil {
 		p.disk.old = p.disk.sure
 	}
-	n, err := council.New(council.Config{ID: p.id, Rules: rules, Saved: p.disk.sure, SnapshotEvery: 64, Lax: p.w.o.Plant == Lax})
+	n, err := consensus.New(consensus.Config{ID: p.id, Rules: rules, Saved: p.disk.sure, SnapshotEvery: 64, Lax: p.w.o.Plant == Lax})
 	if err != nil {
 		p.w.breaks("%s does not start: %v", p.name, err)
 		return
@@ -272,7 +272,7 @@
 	if p.w.own.IntN(4) > 0 { // so that a council is whole before the first fault, but for chances that no run meets
 		return
 	}
-	p.call(council.Request{Seat: &council.SeatCommand{Op: council.Admit, Name: p.name, Store: p.store()}}, func(r council.Response) {
+	p.call(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: p.name, Store: p.store()}}, func(r consensus.Response) {
 		if r.Seat != nil && r.Seat.ID != 0 && p.id == 0 {
 			p.id, p.fleet = r.Seat.ID, r.Seat.Fleet
 			p.w.note("%s has the identity %d, votes %v", p.name, p.id, r.Seat.Voter)
@@ -310,7 +310,7 @@
 		if to == nil {
 			continue
 		}
-		data, err := council.EncodeMessage(m)
+		data, err := consensus.EncodeMessage(m)
 		if err != nil {
 			panic(err)
 		}
@@ -343,7 +343,7 @@
 	if p.node == nil {
 		return
 	}
-	m, err := council.DecodeMessage(data)
+	m, err := consensus.DecodeMessage(data)
 	if err == nil {
 		p.node.Heard(id, from.name)
 		err = p.node.Step(p.councilClock(), m)
@@ -357,14 +357,14 @@
 
 // call is a request to the council without its answer.
 type call struct {
-	q    council.Request
-	then func(council.Response)
+	q    consensus.Request
+	then func(consensus.Response)
 	to   string
 	hops int
 }
 
 // call asks the council, by whom the guide picks. Without an answer then is never called.
-func (p *proc) call(q council.Request, then func(council.Response)) {
+func (p *proc) call(q consensus.Request, then func(consensus.Response)) {
 	p.lastAsk++
 	handle := uint64(p.i)<<56 | uint64(p.started)<<40 | p.lastAsk
 	c := &call{q: q, then: then}
@@ -383,7 +383,7 @@
 	to := p.w.byName(c.to)
 	p.w.carry(p, to, "ask", func() {
 		if to.node == nil {
-			p.w.carry(to, p, "elsewhere", func() { p.answered(handle, council.Response{Elsewhere: true}) })
+			p.w.carry(to, p, "elsewhere", func() { p.answered(handle, consensus.Response{Elsewhere: true}) })
 			return
 		}
 		to.node.Ask(to.councilClock(), handle, c.q)
@@ -392,12 +392,12 @@
 }
 
 // answer carries an answer to who asked.
-func (p *proc) answer(r council.Reply) {
+func (p *proc) answer(r consensus.Reply) {
 	to := p.w.procs[r.Handle>>56]
 	p.w.carry(p, to, "answer", func() { to.answered(r.Handle, r.Response) })
 }
 
-func (p *proc) answered(handle uint64, r council.Response) {
+func (p *proc) answered(handle uint64, r consensus.Response) {
 	c := p.asks[handle]
 	if c == nil {
 		return
@@ -427,7 +427,7 @@
 				p.w.asked[id] = began
 			}
 		}
-		p.call(council.Request{Lease: &a}, func(r council.Response) {
+		p.call(consensus.Request{Lease: &a}, func(r consensus.Response) {
 			if r.Lease != nil {
 				p.w.remember(p.i, a, *r.Lease, began)
 				p.keeper.Answered(p.clock(), *r.Lease)
@@ -484,7 +484,7 @@
 	switch {
 	case a.Look:
 		asked := p.runner.LookedAt()
-		p.call(council.Request{Pages: []string{p.w.spec.Name}}, func(r council.Response) {
+		p.call(consensus.Request{Pages: []string{p.w.spec.Name}}, func(r consensus.Response) {
 			if r.Pages != nil {
 				p.runner.Looked(p.clock(), asked, r.Pages[p.w.spec.Name])
 				p.keep()
@@ -493,7 +493,7 @@
 	case a.Command != nil:
 		c := *a.Command
 		p.w.note("%s asks: %s slot %d by %d %s", p.name, c.Op, c.Slot, c.Token, c.Outcome)
-		p.call(council.Request{Slot: &c}, func(r council.Response) {
+		p.call(consensus.Request{Slot: &c}, func(r consensus.Response) {
 			if r.Slot != nil {
 				p.w.note("%s hears of %s slot %d: %s", p.name, c.Op, c.Slot, r.Slot.Why)
 				token, _, _ := p.keeper.Holding(p.clock(), "task/t")
@@ -540,15 +540,15 @@
 // operate has an operator ask for something until it is done.
 func (w *world) operate(f Fault) {
 	p := w.procs[f.P%len(w.procs)]
-	q := council.Request{Seat: &council.SeatCommand{Op: council.Replace, Name: p.name}}
+	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: p.name}}
 	if f.Kind == Revoke {
-		q = council.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: w.names[f.Q%len(w.names)].name}}}
+		q = consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: w.names[f.Q%len(w.names)].name}}}
 	}
-	w.asks(func() council.Request { return q }, func(council.Response) bool { return true })
+	w.asks(func() consensus.Request { return q }, func(consensus.Response) bool { return true })
 }
 
 // asks has an operator ask the council until it is done.
-func (w *world) asks(q func() council.Request, answered func(council.Response) (done bool)) {
+func (w *world) asks(q func() consensus.Request, answered func(consensus.Response) (done bool)) {
 	from := w.procs[len(w.procs)-1]
 	tries := 0
 	var ask func()
@@ -557,7 +557,7 @@
 			return
 		}
 		if from.up && w.now >= from.pausedUntil {
-			from.call(q(), func(r council.Response) {
+			from.call(q(), func(r consensus.Response) {
 				if answered(r) {
 					tries = 100
 				}
--- a/internal/explore/zones.go
+++ b/internal/explore/zones.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/zonal"
@@ -171,13 +171,13 @@
 
 // order has an operator decide of a zone.
 func (w *world) order(zone int, s evacuate.State) {
-	c := council.OrderCommand{Key: replica.ServerKey(council.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
+	c := consensus.OrderCommand{Key: replica.ServerKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
-	w.asks(func() council.Request {
+	w.asks(func() consensus.Request {
 		ask := c
-		return council.Request{Order: &ask}
-	}, func(r council.Response) (done bool) {
+		return consensus.Request{Order: &ask}
+	}, func(r consensus.Response) (done bool) {
 		if r.Order == nil || w.words[zone] != word {
 			return true
 		}
@@ -306,7 +306,7 @@
 		return
 	}
 	z.asking = p.clock()
-	p.call(council.Request{Order: &c}, func(r council.Response) {
+	p.call(consensus.Request{Order: &c}, func(r consensus.Response) {
 		z.asking = -1
 		if r.Order != nil && r.Order.Why == "" && p.rep != nil && p.rep.node == n {
 			n.Decide(c.Key, r.Order.Number, []byte(c.Value))
@@ -325,19 +325,19 @@
 }
 
 // decides looks at what is new in the log.
-func (o *observer) decides(f *council.Fleet) {
+func (o *observer) decides(f *consensus.Fleet) {
 	z := o.zones
 	if z == nil || f == nil || f.Ordered <= z.number {
 		return
 	}
 	whole := true
 	next := z.number
-	f.OrdersSince(z.number, func(key string, d council.Order) {
+	f.OrdersSince(z.number, func(key string, d consensus.Order) {
 		whole = whole && d.Number == next+1 // else something between has been overwritten in one piece
 		next = d.Number
 		z.values[d.Number] = key + " " + d.Value
 		pool, name, ok := replica.ServerOf(key)
-		if replica.KindOf(key) != council.ZoneKind || !ok || pool != zonePool {
+		if replica.KindOf(key) != consensus.ZoneKind || !ok || pool != zonePool {
 			return
 		}
 		s, err := evacuate.Decode(d.Value)
@@ -351,7 +351,7 @@
 }
 
 // judge says whether a decision may be one.
-func (o *observer) judge(zone int, s evacuate.State, d council.Order, whole bool) {
+func (o *observer) judge(zone int, s evacuate.State, d consensus.Order, whole bool) {
 	z, w := o.zones, o.w
 	was, at := z.states[zone], z.at[zone]
 	z.states[zone], z.at[zone] = s, w.now
@@ -412,7 +412,7 @@
 		return
 	}
 	id := ""
-	p.rep.node.Copies().Of(replica.Council, council.ZoneKind+"/", func(e *replica.Entry) bool {
+	p.rep.node.Copies().Of(replica.Council, consensus.ZoneKind+"/", func(e *replica.Entry) bool {
 		id += fmt.Sprint(e.Key, e.Seq, " ")
 		if want, decided := o.zones.values[e.Seq]; e.Seq > o.zones.number || decided && len(e.Values()) == 1 && want != e.Key+" "+string(e.Values()[0]) {
 			o.w.breaks("%s holds %s by number %d, %q, which the council has not decided", p.name, e.Key, e.Seq, e.Contents)
--- a/internal/opfile/tier.go
+++ b/internal/opfile/tier.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/lease"
@@ -109,8 +109,8 @@
 		r.bad(t.at("council"), "is empty: name three, five or seven members that vote")
 	case n%2 == 0:
 		r.bad(t.at("council"), "has %d members: an even number bears no more failures than one less, and is slower", n)
-	case n > council.MostSeats:
-		r.bad(t.at("council"), "has %d members, more than %d", n, council.MostSeats)
+	case n > consensus.MostSeats:
+		r.bad(t.at("council"), "has %d members, more than %d", n, consensus.MostSeats)
 	}
 	for i, name := range c.Council {
 		if slices.Contains(c.Council[:i], name) {
--- a/internal/tier/copies.go
+++ b/internal/tier/copies.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/zonal"
@@ -92,7 +92,7 @@
 	}
 	cfg := replica.Usual()
 	cfg.Name, cfg.Members = t.cfg.Name, slices.Sorted(maps.Keys(t.cfg.Members))
-	cfg.Kinds, cfg.Decided = []string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, council.DecidedKinds
+	cfg.Kinds, cfg.Decided = []string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds
 	cfg.Gossip, cfg.Probe, cfg.Sync, cfg.Keep, cfg.Fanout, cfg.Budget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
 	h.Write([]byte(t.keeper.Start()))
@@ -199,7 +199,7 @@
 	step, whole := k.ages(now)
 	dead, orders := 0, 0
 	k.node.Copies().All("", func(e *replica.Entry) bool {
-		if len(e.Values()) > 0 && replica.KindOf(e.Key) == council.OrderKind {
+		if len(e.Values()) > 0 && replica.KindOf(e.Key) == consensus.OrderKind {
 			orders++
 		} else if len(e.Values()) > 0 {
 			dead++
@@ -300,7 +300,7 @@
 		}
 		return next[pool]
 	}
-	k.node.Copies().All(council.OrderKind+"/", func(e *replica.Entry) bool {
+	k.node.Copies().All(consensus.OrderKind+"/", func(e *replica.Entry) bool {
 		if pool, server, ok := replica.ServerOf(e.Key); ok && len(e.Values()) > 0 {
 			at(pool).avoid[server] = true
 		}
@@ -385,26 +385,26 @@
 }
 
 // decidedAt takes the council's word, asked for at that moment, of how far it has come: who has the same sum has all that was decided before.
-func (t *Tier) decidedAt(at time.Duration, d *council.Decided) {
+func (t *Tier) decidedAt(at time.Duration, d *consensus.Decided) {
 	k := t.copies
 	if k == nil || d == nil {
 		return
 	}
 	k.node.Copies().Council(replica.FleetTag(d.Fleet))
-	if k.node.Copies().Sum(council.OrderKind)+k.node.Copies().Sum(council.ZoneKind) == d.Sum {
+	if k.node.Copies().Sum(consensus.OrderKind)+k.node.Copies().Sum(consensus.ZoneKind) == d.Sum {
 		k.whole = max(k.whole, at)
 	}
 }
 
 // takeOrders takes over what the log here has decided. The caller has mu.
-func (t *Tier) takeOrders(f *council.Fleet) {
+func (t *Tier) takeOrders(f *consensus.Fleet) {
 	k := t.copies
 	if k == nil || f == nil {
 		return
 	}
 	k.node.Copies().Council(replica.FleetTag(f.ID))
 	if f.Ordered > k.orders {
-		k.orders = f.OrdersSince(k.orders, func(key string, o council.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
+		k.orders = f.OrdersSince(k.orders, func(key string, o consensus.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
 		t.keep()
 	}
 }
@@ -450,7 +450,7 @@
 		s.Members[name] = k.node.Member(name).State.String()
 	}
 	s.Zones = k.zonesStatus()
-	for _, kind := range append([]string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, council.DecidedKinds...) {
+	for _, kind := range append([]string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds...) {
 		s.Sums[kind] = k.node.Copies().Sum(kind)
 	}
 	for pool, kept := range k.kept {
--- a/internal/tier/copies_test.go
+++ b/internal/tier/copies_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 )
@@ -113,7 +113,7 @@
 	return s.Copies
 }
 
-func order(t *testing.T, tr *Tier, cfg Config, c council.OrderCommand) council.OrderResult {
+func order(t *testing.T, tr *Tier, cfg Config, c consensus.OrderCommand) consensus.OrderResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Ask(ctx, council.Request{Order: &c})
+	r, err := o.Ask(ctx, consensus.Request{Order: &c})
 	if err != nil || r.Order == nil {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -163,12 +163,12 @@
 	farms[1].sees("box", false)
 	eventually(t, "it is taken back", func() bool { return len(state(t, all[2], cfgs[2]).Hints) == 0 })
 
-	key := replica.ServerKey(council.OrderKind, "farm", "box")
-	if r := order(t, all[1], cfgs[1], council.OrderCommand{Key: key, Lift: true}); r.Why == "" {
+	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
+	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Lift: true}); r.Why == "" {
 		t.Error("an order that was not given was lifted")
 	}
 	all[2].Close()
-	if r := order(t, all[1], cfgs[1], council.OrderCommand{Key: key, Value: "patched"}); r.Why != "" || r.Number != 1 {
+	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Value: "patched"}); r.Why != "" || r.Number != 1 {
 		t.Errorf("%+v", r)
 	}
 	eventually(t, "those that are there carry it out", func() bool { return farms[0].avoids("box") && farms[1].avoids("box") })
@@ -179,7 +179,7 @@
 		s := state(t, all[2], cfgs[2])
 		return s.DecidedMs >= 0 && s.InStepMs >= 0
 	})
-	order(t, all[0], cfgs[0], council.OrderCommand{Key: key, Lift: true})
+	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Lift: true})
 	eventually(t, "it is lifted everywhere", func() bool {
 		return !farms[0].avoids("box") && !farms[1].avoids("box") && !farms[2].avoids("box")
 	})
@@ -188,7 +188,7 @@
 		f.refuse = true
 		f.mu.Unlock()
 	}
-	order(t, all[0], cfgs[0], council.OrderCommand{Key: key})
+	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key})
 	eventually(t, "what can't be carried out is told", func() bool { return len(state(t, all[0], cfgs[0]).Kept) == 1 })
 }
 
@@ -199,7 +199,7 @@
 	k := &copies{cfg: CopiesConfig{Store: file}}
 	fresh := func() {
 		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, council.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
 		k.node = replica.New(0, cfg)
 	}
 	fresh()
@@ -253,7 +253,7 @@
 			t.Fatal(err)
 		}
 		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, council.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
 		k := &copies{cfg: CopiesConfig{Store: file}, node: replica.New(0, cfg)}
 		if err := k.load(0, "p"); err != nil {
 			t.Fatal(err)
@@ -342,10 +342,10 @@
 	if !steps[1] && !steps[2] && !steps[3] {
 		t.Errorf("it was returned to at once: steps %v", steps)
 	}
-	key := replica.ServerKey(council.ZoneKind, "farm", "c")
-	order(t, all[0], cfgs[0], council.OrderCommand{Key: key, Value: evacuate.State{Pinned: true, Why: "an operator"}.Encode()})
+	key := replica.ServerKey(consensus.ZoneKind, "farm", "c")
+	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Pinned: true, Why: "an operator"}.Encode()})
 	eventually(t, "all leave it by order", avoided(4))
-	if r := order(t, all[0], cfgs[0], council.OrderCommand{Key: key, Value: evacuate.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
+	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
 		t.Error("a holder that has not heard of the operator's word decides against it")
 	}
 }
@@ -373,13 +373,13 @@
 			tr.Close()
 		}
 	}()
-	key := replica.ServerKey(council.ZoneKind, "farm", "b")
+	key := replica.ServerKey(consensus.ZoneKind, "farm", "b")
 	for _, cold := range []bool{true, false} {
 		eventually(t, "all are there to each other", func() bool {
 			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
 		})
 		s := evacuate.State{Step: evacuate.Steps, Cold: cold, Why: "a step was borne"}
-		if r := order(t, all[0], cfgs[0], council.OrderCommand{Key: key, Value: s.Encode()}); r.Why != "" {
+		if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: s.Encode()}); r.Why != "" {
 			t.Fatal(r.Why)
 		}
 		epoch := state(t, all[0], cfgs[0]).Zones[1].Epoch
@@ -477,11 +477,11 @@
 		}
 	}
 	begin()
-	key := replica.ServerKey(council.OrderKind, "farm", "box")
-	other := replica.ServerKey(council.OrderKind, "farm", "other")
+	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
+	other := replica.ServerKey(consensus.OrderKind, "farm", "other")
 	for range 3 {
-		order(t, all[0], cfgs[0], council.OrderCommand{Key: key, Value: "patched"})
-		order(t, all[0], cfgs[0], council.OrderCommand{Key: other, Value: "patched"})
+		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: "patched"})
+		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: other, Value: "patched"})
 	}
 	eventually(t, "all carry it out", func() bool {
 		return farms[0].avoids("box") && farms[1].avoids("box") && farms[2].avoids("box")
@@ -512,7 +512,7 @@
 			tr.Close()
 		}
 	}()
-	if r := order(t, all[1], cfgs[1], council.OrderCommand{Key: other, Value: "patched"}); r.Number != 1 {
+	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: other, Value: "patched"}); r.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
 	eventually(t, "what the new fleet has decided is carried out, and nothing else", func() bool {
@@ -523,7 +523,7 @@
 		}
 		return true
 	})
-	if r := order(t, all[2], cfgs[2], council.OrderCommand{Key: other, Lift: true}); r.Number != 2 {
+	if r := order(t, all[2], cfgs[2], consensus.OrderCommand{Key: other, Lift: true}); r.Number != 2 {
 		t.Fatalf("%+v", r)
 	}
 	eventually(t, "and its word lifts it", func() bool {
@@ -543,8 +543,8 @@
 			tr.Close()
 		}
 	}()
-	key := replica.ServerKey(council.OrderKind, "farm", "box")
-	order(t, all[2], cfgs[2], council.OrderCommand{Key: key, Value: "first"})
+	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
+	order(t, all[2], cfgs[2], consensus.OrderCommand{Key: key, Value: "first"})
 	// The other two end: what is asked of the third now has no answer until they are back.
 	all[0].Close()
 	all[1].Close()
@@ -556,9 +556,9 @@
 	}
 	defer o.Close()
 	done := make(chan error, 1)
-	var got *council.OrderResult
+	var got *consensus.OrderResult
 	go func() {
-		r, err := o.Order(ctx, council.OrderCommand{Key: key, Value: "second"})
+		r, err := o.Order(ctx, consensus.OrderCommand{Key: key, Value: "second"})
 		got = r
 		done <- err
 	}()
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -25,7 +25,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
@@ -175,7 +175,7 @@
 	return &Status{
 		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]Held{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
 		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
-		Council: &council.State{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Page{"sweep": page},
+		Council: &consensus.State{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Page{"sweep": page},
 		Copies: &CopiesStatus{
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
 			Entries: []CopyEntry{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
@@ -192,8 +192,8 @@
 		jsonCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
 		jsonCase("hello", exampleHello()),
 		jsonCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
-		jsonCase("request", asked{Handle: 12, Request: council.Request{Pages: []string{"sweep"}}}),
-		jsonCase("response", asked{Handle: 12, Response: council.Response{Elsewhere: true, Leader: "p1"}}),
+		jsonCase("request", asked{Handle: 12, Request: consensus.Request{Pages: []string{"sweep"}}}),
+		jsonCase("response", asked{Handle: 12, Response: consensus.Response{Elsewhere: true, Leader: "p1"}}),
 		jsonCase("status", asked{Handle: 12, Status: exampleStatus()}),
 		jsonCase("operator", asked{Handle: 12, Found: true, Handover: &handover{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
 	}
@@ -373,7 +373,7 @@
 }
 
 // writeExampleStore has the only seat of a fleet write a store: a snapshot after another was admitted, and then an entry of each kind.
-func writeExampleStore(t *testing.T, path string) *council.Fleet {
+func writeExampleStore(t *testing.T, path string) *consensus.Fleet {
 	t.Helper()
 	s, err := OpenStore(path, "p0")
 	if err != nil {
@@ -381,25 +381,25 @@
 	}
 	defer s.Close()
 	s.id.Store = "store-0" // in place of the one that was drawn
-	snap, err := council.FoundingSnapshot(council.Founded("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
+	snap, err := consensus.FoundingSnapshot(consensus.Founded("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(council.Saved{Snapshot: snap, Hard: council.FoundingState()}, true); err != nil {
+	if err := s.Save(consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}, true); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Admitted("fleet-a", 1); err != nil {
 		t.Fatal(err)
 	}
 	n := leadingNode(t, s)
-	ask := func(q council.Request) {
+	ask := func(q consensus.Request) {
 		t.Helper()
 		n.Ask(0, 1, q)
 		if out, err := n.Work(0, s); err != nil || len(out.Replies) != 1 || out.Replies[0].Response.Elsewhere {
 			t.Fatalf("%+v: %+v, %v", q, out.Replies, err)
 		}
 	}
-	ask(council.Request{Seat: &council.SeatCommand{Op: council.Admit, Name: "p1", Store: "store-1"}})
+	ask(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: "p1", Store: "store-1"}})
 	before, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
@@ -413,22 +413,22 @@
 			t.Fatal(err)
 		}
 	}
-	ask(council.Request{Lease: &lease.Ask{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.Open, Member: "p0", Nonce: "n0.1"}}})
-	ask(council.Request{Lease: &lease.Ask{ID: 2, Member: "p0", Session: 1, Command: &lease.Command{Op: lease.Acquire, Session: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
-	ask(council.Request{Seat: &council.SeatCommand{Op: council.Add, Name: "p2"}})
-	ask(council.Request{Slot: &task.Command{Op: task.Begin, Task: "sweep", Slot: 20, Token: 2}})
-	ask(council.Request{Order: &council.OrderCommand{Key: "order/farm/box", Value: "out"}})
+	ask(consensus.Request{Lease: &lease.Ask{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.Open, Member: "p0", Nonce: "n0.1"}}})
+	ask(consensus.Request{Lease: &lease.Ask{ID: 2, Member: "p0", Session: 1, Command: &lease.Command{Op: lease.Acquire, Session: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
+	ask(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Add, Name: "p2"}})
+	ask(consensus.Request{Slot: &task.Command{Op: task.Begin, Task: "sweep", Slot: 20, Token: 2}})
+	ask(consensus.Request{Order: &consensus.OrderCommand{Key: "order/farm/box", Value: "out"}})
 	return n.Fleet().Clone()
 }
 
 // leadingNode is the node of a store's process, once it leads.
-func leadingNode(t *testing.T, s *Store) *council.Node {
+func leadingNode(t *testing.T, s *Store) *consensus.Node {
 	t.Helper()
 	saved, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := council.New(council.Config{ID: s.Identity().ID, Rules: lease.Rules{Term: time.Second}, Saved: saved})
+	n, err := consensus.New(consensus.Config{ID: s.Identity().ID, Rules: lease.Rules{Term: time.Second}, Saved: saved})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -530,7 +530,7 @@
 	const file = "testdata/copies.kept"
 	newCopies := func(path string) *copies {
 		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, council.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
 		return &copies{cfg: CopiesConfig{Store: path}, node: replica.New(0, cfg)}
 	}
 	k := newCopies("")
@@ -569,8 +569,8 @@
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{leaseOf("sweep"), "task/sweep"}, {zonal.Lease, "zones"}, {operatorName, "operator"},
-		{replica.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {council.OrderKind, "order"}, {council.ZoneKind, "zone"},
-		{replica.ServerKey(council.ZoneKind, "farm", "b"), "zone/farm/b"},
+		{replica.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
+		{replica.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
 		{string(zonal.LookValue(0, 3)), "0"}, {string(zonal.LookValue(2, 3)), "p"}, {string(zonal.LookValue(3, 3)), "1"},
 		{evacuate.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
 		{evacuate.State{Step: evacuate.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
--- a/internal/tier/memory.go
+++ b/internal/tier/memory.go
@@ -8,16 +8,16 @@
 
 	"github.com/google/uuid"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 )
 
 // promises keeps what a process has promised in the council: on a disk that outlives it, or for as long as it runs.
 type promises interface {
-	council.Disk
+	consensus.Disk
 	Identity() Identity
 	Admitted(fleet string, id uint64) error // it is kept before it is used
 	Found(names []string) error
-	Load() (council.Saved, error)
+	Load() (consensus.Saved, error)
 	Syncs() int64
 	Close() error
 }
@@ -30,10 +30,10 @@
 	return &memory{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
 }
 
-func (m *memory) Save(council.Saved, bool) error { return nil }
-func (m *memory) Identity() Identity             { return m.id }
-func (m *memory) Syncs() int64                   { return 0 }
-func (m *memory) Close() error                   { return nil }
+func (m *memory) Save(consensus.Saved, bool) error { return nil }
+func (m *memory) Identity() Identity               { return m.id }
+func (m *memory) Syncs() int64                     { return 0 }
+func (m *memory) Close() error                     { return nil }
 
 func (m *memory) Admitted(fleet string, id uint64) error {
 	m.id.Fleet, m.id.ID = fleet, id
@@ -44,7 +44,7 @@
 	return errors.New("a council in memory is founded at a process that runs")
 }
 
-func (m *memory) Load() (council.Saved, error) { return council.Saved{}, nil }
+func (m *memory) Load() (consensus.Saved, error) { return consensus.Saved{}, nil }
 
 // found makes this process, which keeps its promises in memory and has no identity yet, the first seat of a new fleet. One that has heard
 // of a fleet refuses: two fleets of one file would each have a holder.
@@ -63,13 +63,13 @@
 	case heard != "":
 		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", heard)
 	}
-	fleet := council.Founded(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Council)
+	fleet := consensus.Founded(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Council)
 	fleet.Volatile = true
-	snap, err := council.FoundingSnapshot(fleet)
+	snap, err := consensus.FoundingSnapshot(fleet)
 	if err != nil {
 		return err
 	}
-	s.node, err = council.New(council.Config{ID: 1, Rules: t.cfg.Rules, Saved: council.Saved{Snapshot: snap, Hard: council.FoundingState()}})
+	s.node, err = consensus.New(consensus.Config{ID: 1, Rules: t.cfg.Rules, Saved: consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}})
 	if err != nil {
 		return err
 	}
--- a/internal/tier/operate.go
+++ b/internal/tier/operate.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/uuid"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
 )
 
@@ -36,7 +36,7 @@
 // Close closes the connection.
 func (o *Operator) Close() error { return o.c.Close() }
 
-func (o *Operator) ask(ctx context.Context, q council.Request) (asked, error) {
+func (o *Operator) ask(ctx context.Context, q consensus.Request) (asked, error) {
 	return o.askAll(ctx, asked{Request: q})
 }
 
@@ -80,7 +80,7 @@
 const askPause = 100 * time.Millisecond
 
 // Ask asks the council, by the process' own ways, until ctx ends: while a leader is elected there is nobody to answer.
-func (o *Operator) Ask(ctx context.Context, q council.Request) (council.Response, error) {
+func (o *Operator) Ask(ctx context.Context, q consensus.Request) (consensus.Response, error) {
 	defer o.c.SetReadDeadline(time.Time{})
 	for {
 		a, err := o.ask(ctx, q)
@@ -96,10 +96,10 @@
 }
 
 // Order gives an order, or takes it back, in a way that has no second effect: a copy of an earlier word that comes late changes nothing.
-func (o *Operator) Order(ctx context.Context, c council.OrderCommand) (*council.OrderResult, error) {
+func (o *Operator) Order(ctx context.Context, c consensus.OrderCommand) (*consensus.OrderResult, error) {
 	c.Built = true
 	for {
-		r, err := o.Ask(ctx, council.Request{Order: &c})
+		r, err := o.Ask(ctx, consensus.Request{Order: &c})
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 		switch {
 		case again && ctx.Err() == nil:
 			c = next
-		case r.Order.Why == council.Meanwhile:
+		case r.Order.Why == consensus.Meanwhile:
 			return r.Order, nil // it is in force
 		default:
 			return nil, errors.New(r.Order.Why)
@@ -123,7 +123,7 @@
 
 // Status asks the process what it knows itself.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
-	a, err := o.ask(ctx, council.Request{State: true})
+	a, err := o.ask(ctx, consensus.Request{State: true})
 	if err == nil && a.Status == nil {
 		err = errors.New("the process tells no status")
 	}
@@ -152,7 +152,7 @@
 		asks, at := k.Next(now)
 		for _, a := range asks {
 			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.Term)
-			res, err := o.Ask(asking, council.Request{Lease: &a})
+			res, err := o.Ask(asking, consensus.Request{Lease: &a})
 			cancel()
 			if err != nil && !errors.Is(err, ErrNoCouncil) {
 				return err
--- a/internal/tier/seat.go
+++ b/internal/tier/seat.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
 )
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	s.node, err = council.New(council.Config{ID: id.ID, Rules: t.cfg.Rules, Saved: saved})
+	s.node, err = consensus.New(consensus.Config{ID: id.ID, Rules: t.cfg.Rules, Saved: saved})
 	if err != nil {
 		return damaged(t.cfg.Store, err)
 	}
@@ -65,9 +65,9 @@
 }
 
 // ask hands the node a request.
-func (t *Tier) ask(s *seat, q council.Request, then func(council.Response)) {
+func (t *Tier) ask(s *seat, q consensus.Request, then func(consensus.Response)) {
 	if s.node == nil {
-		then(council.Response{Elsewhere: true})
+		then(consensus.Response{Elsewhere: true})
 		return
 	}
 	s.last++
@@ -82,11 +82,11 @@
 		return
 	}
 	s.admitAt = now + t.cfg.Rules.RenewEvery()
-	q := council.Request{Seat: &council.SeatCommand{Op: council.Admit, Name: t.cfg.Name, Store: t.store.Identity().Store, Memory: t.cfg.Memory}}
+	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: t.cfg.Name, Store: t.store.Identity().Store, Memory: t.cfg.Memory}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.guide.Silence(now, t.cfg.Name) // no seat yet
-	t.call(&call{q: q, then: func(r council.Response) {
+	t.call(&call{q: q, then: func(r consensus.Response) {
 		if r.Seat == nil {
 			return
 		}
@@ -95,7 +95,7 @@
 	}})
 }
 
-func (t *Tier) admitted(s *seat, r council.SeatResult) {
+func (t *Tier) admitted(s *seat, r consensus.SeatResult) {
 	if s.node != nil || s.failed != nil {
 		return
 	}
@@ -132,7 +132,7 @@
 		s.node, s.failed = nil, err
 		t.log.Error("this process has no part in the council until its next start", "err", err)
 		for _, then := range s.routes {
-			then(council.Response{Elsewhere: true})
+			then(consensus.Response{Elsewhere: true})
 		}
 		clear(s.routes)
 		return
@@ -147,7 +147,7 @@
 		if l == nil {
 			continue
 		}
-		data, err := council.EncodeMessage(m)
+		data, err := consensus.EncodeMessage(m)
 		if err != nil {
 			t.log.Error("a message that can't be written", "err", err)
 			continue
@@ -240,7 +240,7 @@
 	SentFrames  int64                `json:"sent_frames"`
 	SentBytes   int64                `json:"sent_bytes"`
 	Syncs       int64                `json:"syncs,omitempty"`   // of the store, since the start
-	Council     *council.State       `json:"council,omitempty"` // at those that have a seat
+	Council     *consensus.State     `json:"council,omitempty"` // at those that have a seat
 	Failed      string               `json:"failed,omitempty"`
 	Tasks       map[string]task.Page `json:"tasks,omitempty"`
 	Copies      *CopiesStatus        `json:"copies,omitempty"`
--- a/internal/tier/store.go
+++ b/internal/tier/store.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 )
 
 // labDisk names the laboratory's setting: a file that says what is wrong with the disk: "fail" at the next sync, "full", or "slow 50ms".
@@ -44,7 +44,7 @@
 	snapshotKey    = []byte("snapshot")
 )
 
-// Store keeps what a process has promised in the council. It is the disk of a council.Node.
+// Store keeps what a process has promised in the council. It is the disk of a consensus.Node.
 type Store struct {
 	db     *bbolt.DB
 	path   string
@@ -168,11 +168,11 @@
 		return fmt.Errorf("%s: has the identity %d in the fleet %s already; nothing was changed", s.path, s.id.ID, s.id.Fleet)
 	}
 	fleet := uuid.NewString()
-	snap, err := council.FoundingSnapshot(council.Founded(fleet, s.id.Name, s.id.Store, names))
+	snap, err := consensus.FoundingSnapshot(consensus.Founded(fleet, s.id.Name, s.id.Store, names))
 	if err != nil {
 		return err
 	}
-	if err := s.Save(council.Saved{Snapshot: snap, Hard: council.FoundingState()}, true); err != nil {
+	if err := s.Save(consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}, true); err != nil {
 		return err
 	}
 	return s.Admitted(fleet, 1)
@@ -195,8 +195,8 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// Save is the method of council.Disk. What need not be synced is not written: it would be learnt anew after a crash.
-func (s *Store) Save(v council.Saved, sync bool) error {
+// Save is the method of consensus.Disk. What need not be synced is not written: it would be learnt anew after a crash.
+func (s *Store) Save(v consensus.Saved, sync bool) error {
 	if err := s.fault(); err != nil {
 		return err
 	}
@@ -260,7 +260,7 @@
 }
 
 // Load reads all that a node starts with.
-func (s *Store) Load() (v council.Saved, err error) {
+func (s *Store) Load() (v consensus.Saved, err error) {
 	err = guarded(s.path, func() error {
 		v, err = s.load()
 		return err
@@ -268,7 +268,7 @@
 	return v, err
 }
 
-func (s *Store) load() (v council.Saved, err error) {
+func (s *Store) load() (v consensus.Saved, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		read := func(sealed []byte, m proto.Message) error {
 			data, err := unseal(sealed)
@@ -303,7 +303,7 @@
 		})
 	})
 	if err != nil {
-		return council.Saved{}, damaged(s.path, err)
+		return consensus.Saved{}, damaged(s.path, err)
 	}
 	return v, nil
 }
--- a/internal/tier/tier.go
+++ b/internal/tier/tier.go
@@ -18,7 +18,7 @@
 
 	"github.com/google/uuid"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
@@ -91,7 +91,7 @@
 	conns    map[*conn]struct{}
 	asks     map[uint64]*call
 	lastAsk  uint64
-	guide    *council.Guide
+	guide    *consensus.Guide
 	held     map[string]uint64 // as it was logged
 	leaving  bool
 	toldOf   uint64 // keeper's changes that were told
@@ -113,8 +113,8 @@
 
 // call is a request of this process to the council.
 type call struct {
-	q    council.Request
-	then func(council.Response) // called under mu
+	q    consensus.Request
+	then func(consensus.Response) // called under mu
 	hops int
 	at   time.Duration
 	to   string // whom it went to last
@@ -124,8 +124,8 @@
 
 // seat is this process' part in the council. Only the council's goroutine has it.
 type seat struct {
-	node    *council.Node
-	routes  map[uint64]func(council.Response)
+	node    *consensus.Node
+	routes  map[uint64]func(consensus.Response)
 	last    uint64
 	admitAt time.Duration
 	failed  error
@@ -148,7 +148,7 @@
 		cfg: cfg, log: log.With("tier", cfg.Name), clock: clock, secret: secret, inbox: make(chan func(*seat), inboxLen),
 		keeper: lease.NewKeeper(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*runner{}, links: map[string]*link{},
 		inward: map[string]*conn{}, conns: map[*conn]struct{}{}, asks: map[uint64]*call{}, held: map[string]uint64{}, linkErr: map[string]string{}, passing: map[string]string{},
-		toldAt: -complainTime, guide: council.NewGuide(cfg.Council, len(cfg.Name), cfg.Rules.RenewEvery()),
+		toldAt: -complainTime, guide: consensus.NewGuide(cfg.Council, len(cfg.Name), cfg.Rules.RenewEvery()),
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	if cfg.Store != "" {
@@ -172,7 +172,7 @@
 // Start begins to take part. Requests of tasks go through s.
 func (t *Tier) Start(s Sender) error {
 	t.sender = s
-	st := &seat{routes: map[uint64]func(council.Response){}}
+	st := &seat{routes: map[uint64]func(consensus.Response){}}
 	if t.store != nil {
 		if err := t.sit(st); err != nil {
 			return err
@@ -357,7 +357,7 @@
 	t.passOn()
 	asks, at := t.keeper.Next(now)
 	for _, a := range asks {
-		t.call(&call{q: council.Request{Lease: &a}, then: func(r council.Response) {
+		t.call(&call{q: consensus.Request{Lease: &a}, then: func(r consensus.Response) {
 			t.decidedAt(now, r.Decided)
 			if r.Lease != nil {
 				t.keeper.Answered(t.clock.Now(), *r.Lease)
@@ -432,14 +432,14 @@
 	switch {
 	case a.Look:
 		asked := r.core.LookedAt()
-		t.call(&call{q: council.Request{Pages: []string{r.cfg.Name}}, then: func(res council.Response) {
+		t.call(&call{q: consensus.Request{Pages: []string{r.cfg.Name}}, then: func(res consensus.Response) {
 			if res.Pages != nil {
 				r.core.Looked(t.clock.Now(), asked, res.Pages[r.cfg.Name])
 			}
 		}})
 	case a.Command != nil:
 		c := *a.Command
-		t.call(&call{q: council.Request{Slot: &c}, then: func(res council.Response) {
+		t.call(&call{q: consensus.Request{Slot: &c}, then: func(res consensus.Response) {
 			if res.Slot != nil {
 				now := t.clock.Now()
 				token, _, _ := t.keeper.Holding(now, leaseOf(r.cfg.Name))
@@ -476,7 +476,7 @@
 	c.to = to
 	if to == t.cfg.Name && t.store != nil {
 		q := c.q
-		if !t.tryPost(func(s *seat) { t.ask(s, q, func(r council.Response) { t.answered(handle, r) }) }) {
+		if !t.tryPost(func(s *seat) { t.ask(s, q, func(r consensus.Response) { t.answered(handle, r) }) }) {
 			t.guide.Silence(now, to)
 		}
 		return
@@ -494,10 +494,10 @@
 
 // asked is a request as it goes over a link, and its answer.
 type asked struct {
-	Handle   uint64           `json:"handle"`
-	Request  council.Request  `json:"request,omitzero"`
-	Response council.Response `json:"response,omitzero"`
-	Status   *Status          `json:"status,omitempty"`
+	Handle   uint64             `json:"handle"`
+	Request  consensus.Request  `json:"request,omitzero"`
+	Response consensus.Response `json:"response,omitzero"`
+	Status   *Status            `json:"status,omitempty"`
 
 	// Of operators, to this very process; Why says what became of it.
 	Found    bool      `json:"found,omitempty"`
@@ -507,7 +507,7 @@
 }
 
 // answered takes an answer of the council. One who does not lead says who may: the same request goes there, a few times.
-func (t *Tier) answered(handle uint64, r council.Response) {
+func (t *Tier) answered(handle uint64, r consensus.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.asks[handle]
@@ -676,7 +676,7 @@
 func (t *Tier) take(c *conn, kind byte, payload []byte) {
 	switch kind {
 	case kindRaft:
-		m, err := council.DecodeMessage(payload)
+		m, err := consensus.DecodeMessage(payload)
 		if err != nil {
 			t.complain(c.peer.Name, err)
 			return
@@ -732,7 +732,7 @@
 			c.Close()
 		}
 	}
-	answer := func(r council.Response, s *Status) { say(asked{Response: r, Status: s}) }
+	answer := func(r consensus.Response, s *Status) { say(asked{Response: r, Status: s}) }
 	done := func(err error) {
 		if err != nil {
 			say(asked{Why: err.Error()})
@@ -748,18 +748,18 @@
 	case c.peer.Name == operatorName && a.Forget != "":
 		done(t.forget(a.Forget))
 	case a.Request.State:
-		t.status(func(s *Status) { answer(council.Response{}, s) })
+		t.status(func(s *Status) { answer(consensus.Response{}, s) })
 	case c.peer.Name == operatorName:
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		c := &call{q: a.Request, then: func(r council.Response) { t.done.Go(func() { answer(r, nil) }) }}
+		c := &call{q: a.Request, then: func(r consensus.Response) { t.done.Go(func() { answer(r, nil) }) }}
 		if o := a.Request.Order; o != nil && o.Built { // its answer may be lost with a leader: asking again has no second effect
-			c.lost = func() { c.then(council.Response{Elsewhere: true}) }
+			c.lost = func() { c.then(consensus.Response{Elsewhere: true}) }
 		}
 		t.call(c)
 	case t.store == nil:
-		answer(council.Response{Elsewhere: true}, nil)
+		answer(consensus.Response{Elsewhere: true}, nil)
 	default:
-		t.post(func(s *seat) { t.ask(s, a.Request, func(r council.Response) { answer(r, nil) }) })
+		t.post(func(s *seat) { t.ask(s, a.Request, func(r consensus.Response) { answer(r, nil) }) })
 	}
 }
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/goleak"
 	"google.golang.org/protobuf/proto"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Ask(ctx, council.Request{Seat: &council.SeatCommand{Op: council.Replace, Name: "p2"}})
+	r, err := o.Ask(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: "p2"}})
 	if err != nil || r.Seat == nil || r.Seat.Why != "" {
 		t.Fatalf("%+v, %v", r.Seat, err)
 	}
@@ -323,17 +323,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	save := func(v council.Saved) {
+	save := func(v consensus.Saved) {
 		t.Helper()
 		if err := s.Save(v, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	term, commit := uint64(3), uint64(2)
-	save(council.Saved{Hard: &raftpb.HardState{Term: &term, Commit: &commit}, Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 2, "c"), entry(4, 2, "d")}})
-	save(council.Saved{Entries: []*raftpb.Entry{entry(3, 3, "C")}})
+	save(consensus.Saved{Hard: &raftpb.HardState{Term: &term, Commit: &commit}, Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 2, "c"), entry(4, 2, "d")}})
+	save(consensus.Saved{Entries: []*raftpb.Entry{entry(3, 3, "C")}})
 	snap := &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{Index: &commit, Term: &term}}
-	save(council.Saved{Snapshot: snap})
+	save(consensus.Saved{Snapshot: snap})
 	if err := s.Admitted("fleet", 7); err != nil {
 		t.Fatal(err)
 	}
@@ -355,7 +355,7 @@
 		v.Hard.GetTerm() != 3 || !proto.Equal(v.Snapshot, snap) {
 		t.Errorf("%+v, %+v", id, v)
 	}
-	save(council.Saved{Snapshot: snap, Reset: true})
+	save(consensus.Saved{Snapshot: snap, Reset: true})
 	if v, err = s.Load(); err != nil || len(v.Entries) != 0 {
 		t.Errorf("entries of another history are left: %+v, %v", v.Entries, err)
 	}
@@ -370,7 +370,7 @@
 		t.Fatal(err)
 	}
 	mark := "a promise that is kept"
-	if err := s.Save(council.Saved{Entries: []*raftpb.Entry{entry(1, 1, mark)}}, true); err != nil {
+	if err := s.Save(consensus.Saved{Entries: []*raftpb.Entry{entry(1, 1, mark)}}, true); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -437,11 +437,11 @@
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte{8, 3, 16, 1, 24, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, err := council.DecodeMessage(data)
+		m, err := consensus.DecodeMessage(data)
 		if err != nil {
 			return
 		}
-		n, err := council.New(council.Config{ID: 1, Rules: lease.Rules{Term: time.Second}})
+		n, err := consensus.New(consensus.Config{ID: 1, Rules: lease.Rules{Term: time.Second}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/tier/zones.go
+++ b/internal/tier/zones.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/zonal"
@@ -92,7 +92,7 @@
 		if change == nil || z.asking && now < z.askedAt+t.cfg.Rules.RenewEvery() {
 			continue // without an answer it is asked again: After tells a late copy from a new one
 		}
-		key := replica.ServerKey(council.ZoneKind, pool, change.Zone)
+		key := replica.ServerKey(consensus.ZoneKind, pool, change.Zone)
 		if z.cfg.Automatic == ZonesAdvise {
 			if z.advised[key] != change.State.Encode() {
 				z.advised[key] = change.State.Encode()
@@ -102,7 +102,7 @@
 		}
 		z.asking, z.askedAt = true, now
 		command := zonal.Command(k.node, pool, *change, token)
-		t.call(&call{q: council.Request{Order: &command}, then: func(r council.Response) {
+		t.call(&call{q: consensus.Request{Order: &command}, then: func(r consensus.Response) {
 			z.asking = false
 			if r.Order == nil || r.Order.Why != "" {
 				return // it is looked at again
--- a/internal/zonal/form_test.go
+++ b/internal/zonal/form_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 )
@@ -20,7 +20,7 @@
 	n.Put(replica.ServerKey(LookKind, "orders", "a"), LookValue(0, 3))
 	n.Put(replica.ServerKey(LookKind, "orders", "b"), LookValue(2, 3))
 	n.Put(replica.ServerKey(LookKind, "orders", "c"), LookValue(3, 3))
-	n.Decide(replica.ServerKey(council.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
+	n.Decide(replica.ServerKey(consensus.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
 	var forms []form
 	n.Copies().All("", func(e *replica.Entry) bool {
 		forms = append(forms, form{name: e.Key, write: fmt.Sprintf("%s %x", e.Owner, e.Contents)})
@@ -48,7 +48,7 @@
 	n.Decide("zone/orders/a", 5, []byte("4 false 0 "))
 	n.Decide("zone/orders/b", 9, []byte("0 false 0 "))
 	got := Command(n, "orders", evacuate.Change{Zone: "a", State: evacuate.State{Step: 3, Falls: 1, Why: "a step was borne"}}, 77)
-	want := council.OrderCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, After: 5, Seen: 9}
+	want := consensus.OrderCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, After: 5, Seen: 9}
 	if got != want || Lease != "zones" {
 		t.Errorf("the command is %+v, want %+v; the lease is %q", got, want, Lease)
 	}
--- a/internal/zonal/zonal.go
+++ b/internal/zonal/zonal.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/replica"
 )
@@ -44,7 +44,7 @@
 // Decided is what is decided of a pool's zones, and the numbers of the decisions.
 func Decided(n *replica.Node, pool string) (states map[string]evacuate.State, numbers map[string]uint64) {
 	states, numbers = map[string]evacuate.State{}, map[string]uint64{}
-	n.Copies().Of(replica.Council, council.ZoneKind+"/"+pool+"/", func(e *replica.Entry) bool {
+	n.Copies().Of(replica.Council, consensus.ZoneKind+"/"+pool+"/", func(e *replica.Entry) bool {
 		_, zone, ok := replica.ServerOf(e.Key)
 		if !ok {
 			return true
@@ -187,10 +187,10 @@
 }
 
 // Command is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
-func Command(n *replica.Node, pool string, change evacuate.Change, token uint64) council.OrderCommand {
+func Command(n *replica.Node, pool string, change evacuate.Change, token uint64) consensus.OrderCommand {
 	_, numbers := Decided(n, pool)
-	c := council.OrderCommand{
-		Key: replica.ServerKey(council.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
+	c := consensus.OrderCommand{
+		Key: replica.ServerKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
 	}
 	for _, number := range numbers {
 		c.Seen = max(c.Seen, number)
--- a/internal/zonal/zonal_test.go
+++ b/internal/zonal/zonal_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"sorrelrudder/internal/council"
+	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	_ "sorrelrudder/internal/fixedseed"
 	"sorrelrudder/internal/replica"
@@ -16,7 +16,7 @@
 // nodeOf is a process of a fleet to which the members named are there.
 func nodeOf(name string, members map[string]string, there func(string) bool) *replica.Node {
 	cfg := replica.Usual()
-	cfg.Name, cfg.Kinds, cfg.Decided = name, []string{replica.DeadKind, LookKind, GreyKind}, council.DecidedKinds
+	cfg.Name, cfg.Kinds, cfg.Decided = name, []string{replica.DeadKind, LookKind, GreyKind}, consensus.DecidedKinds
 	for m := range members {
 		cfg.Members = append(cfg.Members, m)
 	}
@@ -99,7 +99,7 @@
 		for name := range members {
 			n := nodeOf(name, members, func(string) bool { return false })
 			for zone, s := range states {
-				n.Decide(replica.ServerKey(council.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
+				n.Decide(replica.ServerKey(consensus.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
 			}
 			avoid, returning, soft := Orders(n, "farm", list)
 			if all := fmt.Sprint(avoid, returning, soft); first == "" {
