--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -102,7 +102,7 @@
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/plain", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/hop", "sorrelrudder/internal/bridge",
-				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/replica", "sorrelrudder/internal/evacuate", "sorrelrudder/internal/zonal", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
+				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/evacuate", "sorrelrudder/internal/zonal", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
 			} {
 				if strings.HasPrefix(p, heavy) {
 					t.Errorf("%s links %s", command, p)
@@ -137,13 +137,13 @@
 	"internal/dayfile":   {"policy", "internal/emulator"},
 	"internal/fixedseed": {},
 	"internal/lease":     {},
-	"internal/replica":   {},
+	"internal/gossip":    {},
 	"internal/evacuate":  {},
-	"internal/zonal":     {"internal/consensus", "internal/evacuate", "internal/replica"},
+	"internal/zonal":     {"internal/consensus", "internal/evacuate", "internal/gossip"},
 	"internal/task":      {},
-	"internal/consensus": {"internal/lease", "internal/replica", "internal/task"},
-	"internal/explore":   {"internal/consensus", "internal/evacuate", "internal/lease", "internal/replica", "internal/task", "internal/zonal"},
-	"internal/tier":      {"internal/consensus", "internal/evacuate", "internal/lease", "internal/message", "internal/replica", "internal/task", "internal/zonal"},
+	"internal/consensus": {"internal/lease", "internal/gossip", "internal/task"},
+	"internal/explore":   {"internal/consensus", "internal/evacuate", "internal/lease", "internal/gossip", "internal/task", "internal/zonal"},
+	"internal/tier":      {"internal/consensus", "internal/evacuate", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zonal"},
 	"internal/admin":     {"internal/figures"},
 	"internal/pool":      {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
 	"internal/keep":      {},
@@ -165,11 +165,11 @@
 	"internal/lab":     {"internal/standin"},
 	"cmd/simadapter":   {"internal/wire"},
 	"cmd/sidecar":      {"internal/sidecar"},
-	"cmd/sorrelrudder": {"internal/consensus", "internal/evacuate", "internal/replica", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder": {"internal/consensus", "internal/evacuate", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/replica", "internal/evacuate", "internal/zonal"}
+var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/evacuate", "internal/zonal"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -16,9 +16,9 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/opfile"
-	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/tier"
 )
@@ -404,7 +404,7 @@
 func (c *tierLift) Run(s *streams) error  { return c.order(s, "", true) }
 
 func (c *tierOrder) order(s *streams, value string, lift bool) error {
-	key := replica.ServerKey(consensus.OrderKind, c.Pool, c.Server)
+	key := gossip.ServerKey(consensus.OrderKind, c.Pool, c.Server)
 	if key == "" {
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
@@ -555,7 +555,7 @@
 		if c.Force {
 			next.Why += ", by force"
 		}
-		r, err := o.Order(ctx, consensus.OrderCommand{Key: replica.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
+		r, err := o.Order(ctx, consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
 		if err != nil {
 			return err
 		}
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // OrderKind begins the keys of what operators order: "order/POOL/SERVER".
@@ -76,7 +76,7 @@
 
 func (f *Fleet) order(c OrderCommand) OrderResult {
 	switch {
-	case !strings.HasPrefix(c.Key, OrderKind+"/") && !strings.HasPrefix(c.Key, ZoneKind+"/") || len(c.Key) > replica.MostKeyLen || len(c.Value) > replica.MostValue:
+	case !strings.HasPrefix(c.Key, OrderKind+"/") && !strings.HasPrefix(c.Key, ZoneKind+"/") || len(c.Key) > gossip.MostKeyLen || len(c.Value) > gossip.MostValue:
 		return OrderResult{Why: "malformed"}
 	case c.Token != 0 && c.Token < f.Decider:
 		return OrderResult{Why: "a newer holder decides"}
@@ -113,10 +113,10 @@
 
 // newestZone is the number of the newest decision on a zone of the pool that key is of, 0 without one or for another kind of key.
 func (f *Fleet) newestZone(key string) (newest uint64) {
-	if replica.KindOf(key) != ZoneKind {
+	if gossip.KindOf(key) != ZoneKind {
 		return 0
 	}
-	pool, _, _ := replica.ServerOf(key)
+	pool, _, _ := gossip.ServerOf(key)
 	for other, o := range f.Orders {
 		if strings.HasPrefix(other, ZoneKind+"/"+pool+"/") {
 			newest = max(newest, o.Number)
@@ -145,10 +145,10 @@
 
 // decided is how far this node has come, as it is told with each renewal.
 func (f *Fleet) decided() *Decided {
-	d, tag := &Decided{Number: f.Ordered, Fleet: f.ID}, replica.FleetTag(f.ID)
+	d, tag := &Decided{Number: f.Ordered, Fleet: f.ID}, gossip.FleetTag(f.ID)
 	for _, key := range slices.Sorted(maps.Keys(f.Orders)) {
 		o := f.Orders[key]
-		d.Sum += replica.DecidedEntry(tag, key, o.Number, o.bytes()).Sum()
+		d.Sum += gossip.DecidedEntry(tag, key, o.Number, o.bytes()).Sum()
 	}
 	return d
 }
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // TestOrders: numbers only grow; a holder with an older token, or one that has not heard of the newest decision, changes nothing; an operator
@@ -60,9 +60,9 @@
 			newest = r.Number
 		}
 		// Who has all of them, in whatever order they came, has the same sum.
-		var entries []replica.Entry
+		var entries []gossip.Entry
 		f.OrdersSince(0, func(key string, o Order) {
-			entries = append(entries, replica.DecidedEntry(replica.FleetTag(f.ID), key, o.Number, o.Bytes()))
+			entries = append(entries, gossip.DecidedEntry(gossip.FleetTag(f.ID), key, o.Number, o.Bytes()))
 		})
 		sum := uint64(0)
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3}).Draw(t, "order") {
--- a/internal/explore/copies.go
+++ b/internal/explore/copies.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
 )
 
@@ -19,12 +19,12 @@
 
 // shared is a process' part in the shared state, and what the observer has seen of it since its start.
 type shared struct {
-	node   *replica.Node
+	node   *gossip.Node
 	ticks  uint64
 	armed  time.Duration // when the next tick is, by the process' clock; below 0: none is due
 	orders uint64
-	newest map[replica.Place]replica.Version
-	gone   map[replica.Place]bool
+	newest map[gossip.Place]gossip.Version
+	gone   map[gossip.Place]bool
 	zoner  *zoner // nil: no zones are played
 }
 
@@ -33,20 +33,20 @@
 	if !p.w.o.Copies {
 		return
 	}
-	cfg := replica.Usual()
+	cfg := gossip.Usual()
 	cfg.Gossip, cfg.Sync, cfg.Keep = 150*time.Millisecond, time.Second, 4*time.Second
 	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zonal.LookKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
-	if slices.Contains(replica.Plants, replica.Plant(p.w.o.Plant)) {
-		cfg.Plant = replica.Plant(p.w.o.Plant)
+	if slices.Contains(gossip.Plants, gossip.Plant(p.w.o.Plant)) {
+		cfg.Plant = gossip.Plant(p.w.o.Plant)
 	}
 	for _, q := range p.w.procs {
 		cfg.Members = append(cfg.Members, q.name)
 	}
-	p.rep = &shared{node: replica.New(p.clock(), cfg), newest: map[replica.Place]replica.Version{}, gone: map[replica.Place]bool{}, armed: -1}
+	p.rep = &shared{node: gossip.New(p.clock(), cfg), newest: map[gossip.Place]gossip.Version{}, gone: map[gossip.Place]bool{}, armed: -1}
 	p.gossipLater()
 	p.soon(time.Duration(p.w.rumours.IntN(800))*time.Millisecond, p.writes)
 	if p.w.o.Zones {
-		p.rep.zoner = &zoner{evidence: replica.NewEvidence(2), asking: -1, looked: map[string]bool{}}
+		p.rep.zoner = &zoner{evidence: gossip.NewEvidence(2), asking: -1, looked: map[string]bool{}}
 		p.soon(time.Duration(p.w.rumours.IntN(300))*time.Millisecond, p.watchesZones)
 	}
 }
@@ -69,7 +69,7 @@
 }
 
 // says carries messages, and has the observer look at what has changed.
-func (p *proc) says(out []replica.Out) {
+func (p *proc) says(out []gossip.Out) {
 	for _, o := range out {
 		to := p.w.byName(o.To)
 		p.w.carry(p, to, "copies", func() {
@@ -107,7 +107,7 @@
 	if p.rep == nil || p.node == nil || p.node.Fleet() == nil {
 		return
 	}
-	p.rep.node.Copies().Council(replica.FleetTag(p.node.Fleet().ID))
+	p.rep.node.Copies().Council(gossip.FleetTag(p.node.Fleet().ID))
 	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o consensus.Order) { p.rep.node.Decide(key, o.Number, o.Bytes()) })
 	p.w.watch.copies(p)
 	p.gossipLater()
@@ -119,7 +119,7 @@
 	if p.rep.zoner != nil {
 		p.rep.zoner.evidence.Look(p.clock(), p.rep.node, changed)
 	}
-	if slices.ContainsFunc(changed, func(at replica.Place) bool { return at.Owner() == replica.Council }) {
+	if slices.ContainsFunc(changed, func(at gossip.Place) bool { return at.Owner() == gossip.Council }) {
 		o.carries(p)
 	}
 	for _, at := range changed {
@@ -152,13 +152,13 @@
 			first = p
 		}
 		for _, q := range o.w.procs {
-			if s := p.rep.node.Member(q.name).State; q != p && s != replica.Alive {
+			if s := p.rep.node.Member(q.name).State; q != p && s != gossip.Alive {
 				o.w.breaks("%s holds %s for %s at the end", p.name, q.name, s)
 			}
 		}
 		var mine, firsts []string
-		list := func(to *[]string) func(*replica.Entry) bool {
-			return func(e *replica.Entry) bool {
+		list := func(to *[]string) func(*gossip.Entry) bool {
+			return func(e *gossip.Entry) bool {
 				*to = append(*to, fmt.Sprintf("%s %s %v %q", e.Owner, e.Key, e.Version, e.Contents))
 				return true
 			}
@@ -176,7 +176,7 @@
 		return
 	}
 	for key, order := range decided.Orders {
-		e, ok := first.rep.node.Copies().Get(replica.Council, key)
+		e, ok := first.rep.node.Copies().Get(gossip.Council, key)
 		if !ok || e.Seq != order.Number || (len(e.Values()) > 0) == order.Lifted {
 			o.w.breaks("%s: the council has decided %+v, and copies hold %+v", key, order, e)
 		}
--- a/internal/explore/fault.go
+++ b/internal/explore/fault.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // Kind is what goes wrong.
@@ -110,7 +110,7 @@
 
 // ofCopies are those of the state that processes share; they are looked for in runs with Copies.
 func ofCopies() (all []Plant) {
-	for _, p := range replica.Plants {
+	for _, p := range gossip.Plants {
 		all = append(all, Plant(p))
 	}
 	return all
--- a/internal/explore/scale.go
+++ b/internal/explore/scale.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // ScaleOptions say what a fleet of copies in virtual time is put through.
@@ -20,7 +20,7 @@
 	Slow    float64 // share of processes that get to their messages late, now and then by more than a probe waits
 	Length  time.Duration
 	Wake    time.Duration // over which all start
-	Start   replica.Config
+	Start   gossip.Config
 	Restart int // processes that return at once at the end, with nothing
 }
 
@@ -45,7 +45,7 @@
 }
 
 type scaleNode struct {
-	node *replica.Node
+	node *gossip.Node
 	name string
 	up   bool
 	slow bool
@@ -88,7 +88,7 @@
 	return done != nil && done()
 }
 
-func (s *scale) send(from *scaleNode, out []replica.Out) {
+func (s *scale) send(from *scaleNode, out []gossip.Out) {
 	for _, o := range out {
 		data := o.Message.Encode()
 		from.sent += float64(len(data))
@@ -126,7 +126,7 @@
 func (s *scale) start(p *scaleNode, names []string) {
 	cfg := s.o.Start
 	cfg.Name, cfg.Members, cfg.Seed = p.name, names, s.rng.Uint64()
-	p.node, p.up = replica.New(s.now, cfg), true
+	p.node, p.up = gossip.New(s.now, cfg), true
 	s.arm(p)
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, p := range s.nodes {
-		if p.up && p.node.Count(replica.Alive)+p.node.Count(replica.Suspect) != up-1 {
+		if p.up && p.node.Count(gossip.Alive)+p.node.Count(gossip.Suspect) != up-1 {
 			return false
 		}
 	}
@@ -200,7 +200,7 @@
 	}
 	s.run(s.now+20*time.Second, nil) // what was new at the start has been told
 	r.Bytes, r.Frames = spread()
-	before := make(map[string]replica.Figures)
+	before := make(map[string]gossip.Figures)
 	for _, p := range s.nodes {
 		before[p.name] = p.node.Figures
 	}
@@ -253,7 +253,7 @@
 		at := s.now
 		left := slices.Clone(s.nodes)
 		s.run(s.now+time.Minute, func() bool {
-			left = slices.DeleteFunc(left, func(q *scaleNode) bool { return !q.up || q.node.Member(p.name).State == replica.Dead })
+			left = slices.DeleteFunc(left, func(q *scaleNode) bool { return !q.up || q.node.Member(p.name).State == gossip.Dead })
 			return len(left) == 0
 		})
 		deaths = append(deaths, (s.now - at).Seconds())
--- a/internal/explore/zones.go
+++ b/internal/explore/zones.go
@@ -9,7 +9,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
 )
 
@@ -171,7 +171,7 @@
 
 // order has an operator decide of a zone.
 func (w *world) order(zone int, s evacuate.State) {
-	c := consensus.OrderCommand{Key: replica.ServerKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
+	c := consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
 	w.asks(func() consensus.Request {
@@ -189,7 +189,7 @@
 
 // zoner is a process' part in leaving zones.
 type zoner struct {
-	evidence *replica.Evidence
+	evidence *gossip.Evidence
 	keeper   *evacuate.Keeper // nil: it does not hold the lease
 	asking   time.Duration    // since; below 0: nothing is asked
 	looked   map[string]bool
@@ -232,9 +232,9 @@
 	avoid := p.avoids()
 	for _, server := range slices.Sorted(maps.Keys(p.w.field.list)) {
 		if avoid[server] { // what it leaves out it says nothing of
-			z.evidence.Saw(now, n, replica.ServerKey(replica.DeadKind, zonePool, server), false)
+			z.evidence.Saw(now, n, gossip.ServerKey(gossip.DeadKind, zonePool, server), false)
 		} else if rng.IntN(2) == 0 {
-			z.evidence.Saw(now, n, replica.ServerKey(replica.DeadKind, zonePool, server), !p.w.field.answers(server, p.i%zones))
+			z.evidence.Saw(now, n, gossip.ServerKey(gossip.DeadKind, zonePool, server), !p.w.field.answers(server, p.i%zones))
 		}
 	}
 	z.turn++
@@ -248,7 +248,7 @@
 				answered++
 			}
 		}
-		key := replica.ServerKey(zonal.LookKind, zonePool, zone)
+		key := gossip.ServerKey(zonal.LookKind, zonePool, zone)
 		wanted[key] = true
 		n.Put(key, zonal.LookValue(answered, len(looks[zone])))
 		z.looked[key] = true
@@ -336,8 +336,8 @@
 		whole = whole && d.Number == next+1 // else something between has been overwritten in one piece
 		next = d.Number
 		z.values[d.Number] = key + " " + d.Value
-		pool, name, ok := replica.ServerOf(key)
-		if replica.KindOf(key) != consensus.ZoneKind || !ok || pool != zonePool {
+		pool, name, ok := gossip.ServerOf(key)
+		if gossip.KindOf(key) != consensus.ZoneKind || !ok || pool != zonePool {
 			return
 		}
 		s, err := evacuate.Decode(d.Value)
@@ -412,7 +412,7 @@
 		return
 	}
 	id := ""
-	p.rep.node.Copies().Of(replica.Council, consensus.ZoneKind+"/", func(e *replica.Entry) bool {
+	p.rep.node.Copies().Of(gossip.Council, consensus.ZoneKind+"/", func(e *gossip.Entry) bool {
 		id += fmt.Sprint(e.Key, e.Seq, " ")
 		if want, decided := o.zones.values[e.Seq]; e.Seq > o.zones.number || decided && len(e.Values()) == 1 && want != e.Key+" "+string(e.Values()[0]) {
 			o.w.breaks("%s holds %s by number %d, %q, which the council has not decided", p.name, e.Key, e.Seq, e.Contents)
--- a/internal/replica/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -1,4 +1,4 @@
-package replica
+package gossip
 
 import (
 	"flag"
--- a/internal/replica/replica.go
+++ b/internal/gossip/replica.go
@@ -1,4 +1,4 @@
-// Package replica decides about copies of state that many processes hold: what each has written of what it sees (observed), and what the
+// Package gossip decides about copies of state that many processes hold: what each has written of what it sees (observed), and what the
 // council has decided (decided). It knows who is there (SWIM with Lifeguard's local health), spreads what is new by rumour, finds what
 // differs by sums over ranges, and merges by one rule. There is no I/O, clock or goroutine here: messages and the time of the caller's
 // own monotonic clock go in, messages come out, which may be lost, doubled, late and out of order.
@@ -7,7 +7,7 @@
 // within it, of each key the larger sequence number wins. Two contents of one and the same version, which no process that is right can
 // write, are both kept and told; what reads them takes the more careful. So a merge is the least upper bound of a lattice: commutative,
 // associative, idempotent, whatever order messages come in, and no clock has a part in it.
-package replica
+package gossip
 
 import (
 	"bytes"
--- a/internal/tier/copies.go
+++ b/internal/tier/copies.go
@@ -13,7 +13,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
 )
 
@@ -52,8 +52,8 @@
 // copies is a process' part in the shared state. All of it is under the tier's mu, but for sights.
 type copies struct {
 	cfg      CopiesConfig
-	node     *replica.Node
-	evidence *replica.Evidence
+	node     *gossip.Node
+	evidence *gossip.Evidence
 	pools    Pools
 	sights   chan sight
 	orders   uint64        // the number of the newest order that was taken from the council's log here
@@ -90,16 +90,16 @@
 	if c == nil {
 		return nil
 	}
-	cfg := replica.Usual()
+	cfg := gossip.Usual()
 	cfg.Name, cfg.Members = t.cfg.Name, slices.Sorted(maps.Keys(t.cfg.Members))
-	cfg.Kinds, cfg.Decided = []string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds
+	cfg.Kinds, cfg.Decided = []string{gossip.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds
 	cfg.Gossip, cfg.Probe, cfg.Sync, cfg.Keep, cfg.Fanout, cfg.Budget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
 	h.Write([]byte(t.keeper.Start()))
 	cfg.Seed = h.Sum64()
 	now := t.clock.Now()
 	k := &copies{
-		cfg: *c, node: replica.New(now, cfg), evidence: replica.NewEvidence(c.Witnesses), sights: make(chan sight, sightsLen), nudge: make(chan struct{}, 1), whole: -1,
+		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewEvidence(c.Witnesses), sights: make(chan sight, sightsLen), nudge: make(chan struct{}, 1), whole: -1,
 		avoiding: map[string]orders{}, kept: map[string]bool{}, work: make(chan struct{}, 1),
 		zones: zones{cfg: t.cfg.Zones, keepers: map[string]*evacuate.Keeper{}, advised: map[string]string{}, causes: map[string]evacuate.Cause{}, look: make(chan struct{}, 1), grey: map[string]*evacuate.Grey{}, said: map[string]bool{}}, looked: map[string]bool{},
 		hints: map[string]bool{}, due: map[string]orders{}, saveAt: now + saveEvery,
@@ -144,13 +144,13 @@
 		if s.silent && k.avoiding[s.pool].avoid[s.server] {
 			continue // what is left out is for those that look: a word of before must not stand in the way of a return
 		}
-		if key := replica.ServerKey(replica.DeadKind, s.pool, s.server); key != "" {
+		if key := gossip.ServerKey(gossip.DeadKind, s.pool, s.server); key != "" {
 			k.evidence.Saw(now, k.node, key, s.silent)
 		}
 	}
 	for _, lie := range k.lies {
 		k.stirred = true
-		k.evidence.Saw(now, k.node, replica.DeadKind+"/"+lie, true)
+		k.evidence.Saw(now, k.node, gossip.DeadKind+"/"+lie, true)
 	}
 	t.say(k.node.Tick(now))
 	t.heed(now)
@@ -171,7 +171,7 @@
 	if k.pools != nil && k.stirred {
 		at = min(at, k.hintAt)
 	}
-	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.keepers) > 0 || k.node.Copies().Sum(replica.DeadKind) != 0) {
+	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.keepers) > 0 || k.node.Copies().Sum(gossip.DeadKind) != 0) {
 		at = min(at, z.judgeAt) // while this process decides, or there is something to look at
 	}
 	if k.cfg.Figures > 0 {
@@ -198,16 +198,16 @@
 	frames, bytes := t.sent.gossipFrames.Load(), t.sent.gossipBytes.Load()
 	step, whole := k.ages(now)
 	dead, orders := 0, 0
-	k.node.Copies().All("", func(e *replica.Entry) bool {
-		if len(e.Values()) > 0 && replica.KindOf(e.Key) == consensus.OrderKind {
+	k.node.Copies().All("", func(e *gossip.Entry) bool {
+		if len(e.Values()) > 0 && gossip.KindOf(e.Key) == consensus.OrderKind {
 			orders++
 		} else if len(e.Values()) > 0 {
 			dead++
 		}
 		return true
 	})
-	t.log.Info(CopiesFigures, "frames", frames-k.frames, "bytes", bytes-k.bytes, "in_step_ms", step, "decided_ms", whole, "alive", k.node.Count(replica.Alive)+1,
-		"suspect", k.node.Count(replica.Suspect), "gone", k.node.Count(replica.Dead), "dead", dead, "orders", orders, "hinted", k.hinted, "differ", k.node.Copies().Counts.Differ)
+	t.log.Info(CopiesFigures, "frames", frames-k.frames, "bytes", bytes-k.bytes, "in_step_ms", step, "decided_ms", whole, "alive", k.node.Count(gossip.Alive)+1,
+		"suspect", k.node.Count(gossip.Suspect), "gone", k.node.Count(gossip.Dead), "dead", dead, "orders", orders, "hinted", k.hinted, "differ", k.node.Copies().Counts.Differ)
 	k.frames, k.bytes, k.toldAt = frames, bytes, now
 }
 
@@ -232,7 +232,7 @@
 	}
 	changed := k.node.Copies().Changed()
 	for _, p := range changed {
-		k.ordered = k.ordered || p.Owner() == replica.Council
+		k.ordered = k.ordered || p.Owner() == gossip.Council
 	}
 	k.stirred = k.stirred || len(changed) > 0 || k.ordered
 	k.evidence.Look(now, k.node, changed)
@@ -276,7 +276,7 @@
 		t.mu.Unlock()
 		t.carryOut(due)
 		for _, key := range slices.Sorted(maps.Keys(hints)) {
-			if pool, server, ok := replica.ServerOf(key); ok {
+			if pool, server, ok := gossip.ServerOf(key); ok {
 				k.pools.Hint(pool, server)
 			}
 		}
@@ -300,8 +300,8 @@
 		}
 		return next[pool]
 	}
-	k.node.Copies().All(consensus.OrderKind+"/", func(e *replica.Entry) bool {
-		if pool, server, ok := replica.ServerOf(e.Key); ok && len(e.Values()) > 0 {
+	k.node.Copies().All(consensus.OrderKind+"/", func(e *gossip.Entry) bool {
+		if pool, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
 			at(pool).avoid[server] = true
 		}
 		return true
@@ -329,7 +329,7 @@
 		done := k.pools.Avoid(pool, due[pool].avoid, due[pool].returning, due[pool].soft)
 		t.mu.Lock()
 		for server := range due[pool].avoid {
-			k.evidence.Saw(t.clock.Now(), k.node, replica.ServerKey(replica.DeadKind, pool, server), false)
+			k.evidence.Saw(t.clock.Now(), k.node, gossip.ServerKey(gossip.DeadKind, pool, server), false)
 		}
 		t.keep()
 		t.mu.Unlock()
@@ -346,8 +346,8 @@
 }
 
 // say sends messages to others. The caller has mu.
-func (t *Tier) say(out []replica.Out) {
-	var last *replica.Message
+func (t *Tier) say(out []gossip.Out) {
+	var last *gossip.Message
 	var data []byte
 	for _, o := range out {
 		if o.Message != last { // one message often goes to several
@@ -361,7 +361,7 @@
 
 // hearCopies takes a message about shared state.
 func (t *Tier) hearCopies(from string, payload []byte) {
-	m, err := replica.Decode(payload)
+	m, err := gossip.Decode(payload)
 	t.mu.Lock()
 	k := t.copies
 	if k == nil {
@@ -369,8 +369,8 @@
 		return
 	}
 	if err != nil {
-		told := k.foreign && errors.Is(err, replica.ErrFormat)
-		k.foreign = k.foreign || errors.Is(err, replica.ErrFormat)
+		told := k.foreign && errors.Is(err, gossip.ErrFormat)
+		k.foreign = k.foreign || errors.Is(err, gossip.ErrFormat)
 		t.mu.Unlock()
 		if !told {
 			t.complain(from, err)
@@ -390,7 +390,7 @@
 	if k == nil || d == nil {
 		return
 	}
-	k.node.Copies().Council(replica.FleetTag(d.Fleet))
+	k.node.Copies().Council(gossip.FleetTag(d.Fleet))
 	if k.node.Copies().Sum(consensus.OrderKind)+k.node.Copies().Sum(consensus.ZoneKind) == d.Sum {
 		k.whole = max(k.whole, at)
 	}
@@ -402,7 +402,7 @@
 	if k == nil || f == nil {
 		return
 	}
-	k.node.Copies().Council(replica.FleetTag(f.ID))
+	k.node.Copies().Council(gossip.FleetTag(f.ID))
 	if f.Ordered > k.orders {
 		k.orders = f.OrdersSince(k.orders, func(key string, o consensus.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
 		t.keep()
@@ -422,8 +422,8 @@
 	Hinted      int               `json:"hinted"`                    // hints given so far
 	Zones       []ZoneStatus      `json:"zones,omitempty"`
 	Sums        map[string]uint64 `json:"sums"`
-	Figures     replica.Figures   `json:"figures"`
-	Refused     replica.Counts    `json:"refused"`
+	Figures     gossip.Figures    `json:"figures"`
+	Refused     gossip.Counts     `json:"refused"`
 }
 
 // CopyEntry is one entry, as it is told.
@@ -450,7 +450,7 @@
 		s.Members[name] = k.node.Member(name).State.String()
 	}
 	s.Zones = k.zonesStatus()
-	for _, kind := range append([]string{replica.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds...) {
+	for _, kind := range append([]string{gossip.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds...) {
 		s.Sums[kind] = k.node.Copies().Sum(kind)
 	}
 	for pool, kept := range k.kept {
@@ -459,7 +459,7 @@
 		}
 	}
 	slices.Sort(s.Kept)
-	k.node.Copies().All("", func(e *replica.Entry) bool {
+	k.node.Copies().All("", func(e *gossip.Entry) bool {
 		c := CopyEntry{Owner: e.Owner, Key: e.Key, Inc: e.Inc, Seq: e.Seq}
 		for _, v := range e.Values() {
 			c.Values = append(c.Values, string(v))
@@ -489,9 +489,9 @@
 
 // snapshot is what is kept for the next start.
 func (k *copies) snapshot(name string) []byte {
-	m := &replica.Message{Kind: replica.Sync, Target: name}
-	m.Owners = append(m.Owners, replica.OwnerState{Name: name, Inc: k.node.Inc()})
-	k.node.Copies().All("", func(e *replica.Entry) bool {
+	m := &gossip.Message{Kind: gossip.Sync, Target: name}
+	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Inc: k.node.Inc()})
+	k.node.Copies().All("", func(e *gossip.Entry) bool {
 		if e.Owner == name {
 			return true // what it saw itself is to be seen anew
 		}
@@ -513,12 +513,12 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
-	var m *replica.Message
+	var m *gossip.Message
 	if err == nil {
 		data, err = unseal(data)
 	}
 	if err == nil {
-		m, err = replica.Decode(data)
+		m, err = gossip.Decode(data)
 	}
 	if err == nil && m.Target != name {
 		err = fmt.Errorf("it was kept by %q", m.Target)
--- a/internal/tier/copies_test.go
+++ b/internal/tier/copies_test.go
@@ -13,7 +13,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // farmPools stand for a process' pools: they note what they are told, and see what the test has them see.
@@ -146,7 +146,7 @@
 	eventually(t, "all are there to each other", func() bool {
 		for i, tr := range all {
 			for _, s := range state(t, tr, cfgs[i]).Members {
-				if s != replica.Alive.String() {
+				if s != gossip.Alive.String() {
 					return false
 				}
 			}
@@ -163,7 +163,7 @@
 	farms[1].sees("box", false)
 	eventually(t, "it is taken back", func() bool { return len(state(t, all[2], cfgs[2]).Hints) == 0 })
 
-	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
+	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
 	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Lift: true}); r.Why == "" {
 		t.Error("an order that was not given was lifted")
 	}
@@ -198,9 +198,9 @@
 	file := filepath.Join(dir, "copies")
 	k := &copies{cfg: CopiesConfig{Store: file}}
 	fresh := func() {
-		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
-		k.node = replica.New(0, cfg)
+		cfg := gossip.Usual()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		k.node = gossip.New(0, cfg)
 	}
 	fresh()
 	k.node.Decide("order/farm/box", 4, []byte("x"))
@@ -214,7 +214,7 @@
 	if err := k.load(0, "p"); err != nil || k.loaded != 1 {
 		t.Fatalf("%d, %v", k.loaded, err)
 	}
-	if e, ok := k.node.Copies().Get(replica.Council, "order/farm/box"); !ok || e.Seq != 4 {
+	if e, ok := k.node.Copies().Get(gossip.Council, "order/farm/box"); !ok || e.Seq != 4 {
 		t.Errorf("%+v", e)
 	}
 	if k.node.Inc() <= inc {
@@ -252,9 +252,9 @@
 		if err := os.WriteFile(file, seal(data), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
-		k := &copies{cfg: CopiesConfig{Store: file}, node: replica.New(0, cfg)}
+		cfg := gossip.Usual()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		k := &copies{cfg: CopiesConfig{Store: file}, node: gossip.New(0, cfg)}
 		if err := k.load(0, "p"); err != nil {
 			t.Fatal(err)
 		}
@@ -342,7 +342,7 @@
 	if !steps[1] && !steps[2] && !steps[3] {
 		t.Errorf("it was returned to at once: steps %v", steps)
 	}
-	key := replica.ServerKey(consensus.ZoneKind, "farm", "c")
+	key := gossip.ServerKey(consensus.ZoneKind, "farm", "c")
 	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Pinned: true, Why: "an operator"}.Encode()})
 	eventually(t, "all leave it by order", avoided(4))
 	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
@@ -373,7 +373,7 @@
 			tr.Close()
 		}
 	}()
-	key := replica.ServerKey(consensus.ZoneKind, "farm", "b")
+	key := gossip.ServerKey(consensus.ZoneKind, "farm", "b")
 	for _, cold := range []bool{true, false} {
 		eventually(t, "all are there to each other", func() bool {
 			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
@@ -477,8 +477,8 @@
 		}
 	}
 	begin()
-	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
-	other := replica.ServerKey(consensus.OrderKind, "farm", "other")
+	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
+	other := gossip.ServerKey(consensus.OrderKind, "farm", "other")
 	for range 3 {
 		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: "patched"})
 		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: other, Value: "patched"})
@@ -543,7 +543,7 @@
 			tr.Close()
 		}
 	}()
-	key := replica.ServerKey(consensus.OrderKind, "farm", "box")
+	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
 	order(t, all[2], cfgs[2], consensus.OrderCommand{Key: key, Value: "first"})
 	// The other two end: what is asked of the third now has no answer until they are back.
 	all[0].Close()
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -27,9 +27,9 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/replica"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonal"
 )
@@ -120,7 +120,7 @@
 // Those of package council have their own test.
 func checkFields(t *testing.T, cases []goldenCase) {
 	t.Helper()
-	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[replica.Figures]().PkgPath()}
+	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[gossip.Figures]().PkgPath()}
 	set, untagged := map[string]bool{}, map[string]bool{}
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
@@ -180,8 +180,8 @@
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
 			Entries: []CopyEntry{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
 			Zones: []ZoneStatus{{Pool: "farm", Zone: "a", Servers: 3, Avoided: 1, Epoch: 5, Step: 2, Pinned: true, Cold: true, Falls: 1, Why: "lost", Cause: "dead"}},
-			Sums:  map[string]uint64{"order": 9}, Figures: replica.Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7},
-			Refused: replica.Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6},
+			Sums:  map[string]uint64{"order": 9}, Figures: gossip.Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7},
+			Refused: gossip.Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6},
 		},
 	}
 }
@@ -529,9 +529,9 @@
 func TestCopiesOfFormerVersion(t *testing.T) {
 	const file = "testdata/copies.kept"
 	newCopies := func(path string) *copies {
-		cfg := replica.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{replica.DeadKind}, consensus.DecidedKinds
-		return &copies{cfg: CopiesConfig{Store: path}, node: replica.New(0, cfg)}
+		cfg := gossip.Usual()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		return &copies{cfg: CopiesConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
 	k := newCopies("")
 	k.node.Decide("order/farm/box", 4, []byte("out"))
@@ -556,7 +556,7 @@
 		t.Fatalf("%d entries, %v", read.loaded, err)
 	}
 	for key, number := range map[string]uint64{"order/farm/box": 4, "zone/farm/b": 5} {
-		if e, ok := read.node.Copies().Get(replica.Council, key); !ok || e.Seq != number {
+		if e, ok := read.node.Copies().Get(gossip.Council, key); !ok || e.Seq != number {
 			t.Errorf("%s: %+v", key, e)
 		}
 	}
@@ -569,8 +569,8 @@
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{leaseOf("sweep"), "task/sweep"}, {zonal.Lease, "zones"}, {operatorName, "operator"},
-		{replica.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
-		{replica.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
+		{gossip.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
+		{gossip.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
 		{string(zonal.LookValue(0, 3)), "0"}, {string(zonal.LookValue(2, 3)), "p"}, {string(zonal.LookValue(3, 3)), "1"},
 		{evacuate.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
 		{evacuate.State{Step: evacuate.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
--- a/internal/tier/rest_test.go
+++ b/internal/tier/rest_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // BenchmarkRest tells what processor time a process of three takes at rest, at the usual times, and how often it is woken.
@@ -17,7 +17,7 @@
 			for i := range cfgs {
 				cfgs[i].Rules.Term, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
 				if sharing {
-					u := replica.Usual()
+					u := gossip.Usual()
 					cfgs[i].Copies = &CopiesConfig{Gossip: u.Gossip, Probe: u.Probe, Sync: u.Sync, Keep: u.Keep, Fanout: u.Fanout, Budget: u.Budget, Witnesses: 2}
 				}
 				all = append(all, start(b, cfgs[i], &servers{}))
--- a/internal/tier/zones.go
+++ b/internal/tier/zones.go
@@ -11,7 +11,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
 )
 
@@ -57,10 +57,10 @@
 		return
 	}
 	z.judgeAt = now + judgeEvery
-	if k.pools != nil && k.node.Copies().Sum(replica.DeadKind) != 0 {
+	if k.pools != nil && k.node.Copies().Sum(gossip.DeadKind) != 0 {
 		for pool := range z.lists {
 			for zone := range k.looksOf(t, pool, 0) {
-				if !k.looked[replica.ServerKey(zonal.LookKind, pool, zone)] { // at once, and not with the next round
+				if !k.looked[gossip.ServerKey(zonal.LookKind, pool, zone)] { // at once, and not with the next round
 					select {
 					case z.look <- struct{}{}:
 					default:
@@ -92,7 +92,7 @@
 		if change == nil || z.asking && now < z.askedAt+t.cfg.Rules.RenewEvery() {
 			continue // without an answer it is asked again: After tells a late copy from a new one
 		}
-		key := replica.ServerKey(consensus.ZoneKind, pool, change.Zone)
+		key := gossip.ServerKey(consensus.ZoneKind, pool, change.Zone)
 		if z.cfg.Automatic == ZonesAdvise {
 			if z.advised[key] != change.State.Encode() {
 				z.advised[key] = change.State.Encode()
@@ -157,7 +157,7 @@
 		k.turns++
 		for zone, servers := range k.looksOf(t, pool, k.turns) {
 			looks = append(looks, look{pool, zone, servers})
-			wanted[replica.ServerKey(zonal.LookKind, pool, zone)] = true
+			wanted[gossip.ServerKey(zonal.LookKind, pool, zone)] = true
 		}
 	}
 	for key := range k.looked {
@@ -180,7 +180,7 @@
 		}
 		all.Wait()
 		t.mu.Lock()
-		key := replica.ServerKey(zonal.LookKind, l.pool, l.zone)
+		key := gossip.ServerKey(zonal.LookKind, l.pool, l.zone)
 		if k.node.Put(key, zonal.LookValue(int(answered.Load()), len(l.servers))) {
 			k.looked[key] = true
 		}
@@ -202,7 +202,7 @@
 			z.grey[pool] = evacuate.NewGrey(evacuate.UsualGrey())
 		}
 		for _, zone := range z.grey[pool].Turn(now, zones) {
-			if key := replica.ServerKey(zonal.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
+			if key := gossip.ServerKey(zonal.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
 				said[key] = true
 			}
 		}
--- a/internal/zonal/form_test.go
+++ b/internal/zonal/form_test.go
@@ -7,7 +7,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // TestEntryForm pins what members and the council write of zones, key and contents, and that the scene is read from exactly that.
@@ -15,14 +15,14 @@
 	members := map[string]string{"p": "a"}
 	n := nodeOf("p", members, func(string) bool { return true })
 	decided := evacuate.State{Step: 1, Falls: 2, Why: "down"}
-	n.Put(replica.ServerKey(replica.DeadKind, "orders", "10.0.0.1:80"), nil)
-	n.Put(replica.ServerKey(GreyKind, "orders", "a"), nil)
-	n.Put(replica.ServerKey(LookKind, "orders", "a"), LookValue(0, 3))
-	n.Put(replica.ServerKey(LookKind, "orders", "b"), LookValue(2, 3))
-	n.Put(replica.ServerKey(LookKind, "orders", "c"), LookValue(3, 3))
-	n.Decide(replica.ServerKey(consensus.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
+	n.Put(gossip.ServerKey(gossip.DeadKind, "orders", "10.0.0.1:80"), nil)
+	n.Put(gossip.ServerKey(GreyKind, "orders", "a"), nil)
+	n.Put(gossip.ServerKey(LookKind, "orders", "a"), LookValue(0, 3))
+	n.Put(gossip.ServerKey(LookKind, "orders", "b"), LookValue(2, 3))
+	n.Put(gossip.ServerKey(LookKind, "orders", "c"), LookValue(3, 3))
+	n.Decide(gossip.ServerKey(consensus.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
 	var forms []form
-	n.Copies().All("", func(e *replica.Entry) bool {
+	n.Copies().All("", func(e *gossip.Entry) bool {
 		forms = append(forms, form{name: e.Key, write: fmt.Sprintf("%s %x", e.Owner, e.Contents)})
 		return true
 	})
--- a/internal/zonal/zonal.go
+++ b/internal/zonal/zonal.go
@@ -11,7 +11,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 const (
@@ -42,10 +42,10 @@
 }
 
 // Decided is what is decided of a pool's zones, and the numbers of the decisions.
-func Decided(n *replica.Node, pool string) (states map[string]evacuate.State, numbers map[string]uint64) {
+func Decided(n *gossip.Node, pool string) (states map[string]evacuate.State, numbers map[string]uint64) {
 	states, numbers = map[string]evacuate.State{}, map[string]uint64{}
-	n.Copies().Of(replica.Council, consensus.ZoneKind+"/"+pool+"/", func(e *replica.Entry) bool {
-		_, zone, ok := replica.ServerOf(e.Key)
+	n.Copies().Of(gossip.Council, consensus.ZoneKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		_, zone, ok := gossip.ServerOf(e.Key)
 		if !ok {
 			return true
 		}
@@ -65,21 +65,21 @@
 }
 
 // Scene is what is known of a pool. members are the zones of all members, by name; list those of the servers that the pool's list names ready.
-func Scene(n *replica.Node, members map[string]string, pool string, list map[string]string) evacuate.Scene {
+func Scene(n *gossip.Node, members map[string]string, pool string, list map[string]string) evacuate.Scene {
 	s := evacuate.Scene{Zones: map[string]string{}, Members: len(members), Servers: servers(list)}
 	for name, zone := range members {
-		if n.Member(name).State == replica.Alive {
+		if n.Member(name).State == gossip.Alive {
 			s.Zones[name] = zone
 		}
 	}
-	n.Copies().All(replica.DeadKind+"/"+pool+"/", func(e *replica.Entry) bool {
-		if _, server, ok := replica.ServerOf(e.Key); ok && len(e.Values()) > 0 {
+	n.Copies().All(gossip.DeadKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
 			s.Words = append(s.Words, evacuate.Word{Member: e.Owner, Server: server})
 		}
 		return true
 	})
-	n.Copies().All(LookKind+"/"+pool+"/", func(e *replica.Entry) bool {
-		if _, zone, ok := replica.ServerOf(e.Key); ok && len(e.Values()) > 0 {
+	n.Copies().All(LookKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
 			l := evacuate.Look{Member: e.Owner, Zone: zone, Answers: true, Silent: true}
 			for _, v := range e.Values() { // of several contents of one version none is believed that would change anything
 				l.Answers, l.Silent = l.Answers && string(v) == answers, l.Silent && string(v) == silent
@@ -88,8 +88,8 @@
 		}
 		return true
 	})
-	n.Copies().All(GreyKind+"/"+pool+"/", func(e *replica.Entry) bool {
-		if _, zone, ok := replica.ServerOf(e.Key); ok && len(e.Values()) > 0 {
+	n.Copies().All(GreyKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
 			s.Greys = append(s.Greys, evacuate.GreyWord{Member: e.Owner, Zone: zone})
 		}
 		return true
@@ -109,7 +109,7 @@
 
 // Orders are the servers of a pool that are not in use by what is decided of their zones; of those the ones of zones that were left by themselves and not
 // by an operator; and those in use of a zone that is being returned to.
-func Orders(n *replica.Node, pool string, list map[string]string) (avoid, returning, soft map[string]bool) {
+func Orders(n *gossip.Node, pool string, list map[string]string) (avoid, returning, soft map[string]bool) {
 	states, _ := Decided(n, pool)
 	if len(states) == 0 {
 		return nil, nil, nil
@@ -127,13 +127,13 @@
 }
 
 // looksAt reports whether a member is one of those that look at a zone: a few of those that are there to it and not in the zone, not all.
-func looksAt(n *replica.Node, members map[string]string, name, zone string) bool {
+func looksAt(n *gossip.Node, members map[string]string, name, zone string) bool {
 	rank := func(name string) uint64 {
 		h := fnv.New64a()
 		h.Write([]byte(name + "/" + zone))
 		return h.Sum64()
 	}
-	there := func(other string) bool { return other == name || n.Member(other).State == replica.Alive }
+	there := func(other string) bool { return other == name || n.Member(other).State == gossip.Alive }
 	outside := false
 	for other, in := range members {
 		outside = outside || in != zone && there(other)
@@ -152,7 +152,7 @@
 
 // Looks are the zones of a pool at which a member is to look, and at which servers of each: others each turn. Those are the zones that are not wholly
 // in use, and with rules those that words would have left.
-func Looks(n *replica.Node, rules *evacuate.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
+func Looks(n *gossip.Node, rules *evacuate.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
 	states, _ := Decided(n, pool)
 	wanted := map[string]bool{}
 	for zone, s := range states {
@@ -160,7 +160,7 @@
 			wanted[zone] = true
 		}
 	}
-	if rules != nil && n.Copies().Sum(replica.DeadKind) != 0 {
+	if rules != nil && n.Copies().Sum(gossip.DeadKind) != 0 {
 		for zone, cause := range rules.Judge(Scene(n, members, pool, list)) {
 			if cause.Suspected() {
 				wanted[zone] = true
@@ -187,10 +187,10 @@
 }
 
 // Command is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
-func Command(n *replica.Node, pool string, change evacuate.Change, token uint64) consensus.OrderCommand {
+func Command(n *gossip.Node, pool string, change evacuate.Change, token uint64) consensus.OrderCommand {
 	_, numbers := Decided(n, pool)
 	c := consensus.OrderCommand{
-		Key: replica.ServerKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
+		Key: gossip.ServerKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
 	}
 	for _, number := range numbers {
 		c.Seen = max(c.Seen, number)
--- a/internal/zonal/zonal_test.go
+++ b/internal/zonal/zonal_test.go
@@ -10,20 +10,20 @@
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/evacuate"
 	_ "sorrelrudder/internal/fixedseed"
-	"sorrelrudder/internal/replica"
+	"sorrelrudder/internal/gossip"
 )
 
 // nodeOf is a process of a fleet to which the members named are there.
-func nodeOf(name string, members map[string]string, there func(string) bool) *replica.Node {
-	cfg := replica.Usual()
-	cfg.Name, cfg.Kinds, cfg.Decided = name, []string{replica.DeadKind, LookKind, GreyKind}, consensus.DecidedKinds
+func nodeOf(name string, members map[string]string, there func(string) bool) *gossip.Node {
+	cfg := gossip.Usual()
+	cfg.Name, cfg.Kinds, cfg.Decided = name, []string{gossip.DeadKind, LookKind, GreyKind}, consensus.DecidedKinds
 	for m := range members {
 		cfg.Members = append(cfg.Members, m)
 	}
-	n := replica.New(0, cfg)
+	n := gossip.New(0, cfg)
 	for m := range members {
 		if m != name && there(m) {
-			n.Take(time.Millisecond, m, &replica.Message{Kind: replica.Gossip, Members: []replica.MemberState{{Name: m, Inc: 1 << 16}}})
+			n.Take(time.Millisecond, m, &gossip.Message{Kind: gossip.Gossip, Members: []gossip.MemberState{{Name: m, Inc: 1 << 16}}})
 		}
 	}
 	return n
@@ -99,7 +99,7 @@
 		for name := range members {
 			n := nodeOf(name, members, func(string) bool { return false })
 			for zone, s := range states {
-				n.Decide(replica.ServerKey(consensus.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
+				n.Decide(gossip.ServerKey(consensus.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
 			}
 			avoid, returning, soft := Orders(n, "farm", list)
 			if all := fmt.Sprint(avoid, returning, soft); first == "" {
@@ -141,10 +141,10 @@
 func TestScene(t *testing.T) {
 	members := map[string]string{"p": "a", "q": "b", "r": "c"}
 	n := nodeOf("p", members, func(m string) bool { return m == "q" })
-	n.Put(replica.ServerKey(replica.DeadKind, "farm", "s1"), nil)
-	n.Put(replica.ServerKey(LookKind, "farm", "b"), LookValue(0, 3))
-	n.Put(replica.ServerKey(GreyKind, "farm", "c"), nil)
-	n.Put(replica.ServerKey(replica.DeadKind, "farmyard", "s1"), nil)
+	n.Put(gossip.ServerKey(gossip.DeadKind, "farm", "s1"), nil)
+	n.Put(gossip.ServerKey(LookKind, "farm", "b"), LookValue(0, 3))
+	n.Put(gossip.ServerKey(GreyKind, "farm", "c"), nil)
+	n.Put(gossip.ServerKey(gossip.DeadKind, "farmyard", "s1"), nil)
 	s := Scene(n, members, "farm", map[string]string{"s1": "b"})
 	if len(s.Zones) != 2 || s.Zones["p"] != "a" || s.Zones["q"] != "b" || s.Members != 3 {
 		t.Errorf("%+v: only those that are there, this process among them", s.Zones)
