--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -13,7 +13,7 @@
 
 	"sorrelrudder/internal/dayfile"
 	"sorrelrudder/internal/emulator"
-	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // mostRuns bounds the runs of one call.
@@ -46,7 +46,7 @@
 		case "list":
 			h.List = true
 		case "zones":
-			h.Zones, h.ZoneRules = true, evacuate.Usual()
+			h.Zones, h.ZoneRules = true, zonefailover.Usual()
 			h.ZoneRules.Step, h.ZoneRules.Hold = c.ZoneStep, c.ZoneHold
 			if err := h.ZoneRules.Check(); err != nil {
 				return h, fmt.Errorf("%w: %w", errDay, err)
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -102,7 +102,7 @@
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/plain", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/hop", "sorrelrudder/internal/bridge",
-				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/evacuate", "sorrelrudder/internal/zonal", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
+				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zonal", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
 			} {
 				if strings.HasPrefix(p, heavy) {
 					t.Errorf("%s links %s", command, p)
@@ -117,37 +117,37 @@
 
 // mayImport says which of the project's packages a package may import; docs/ARCHITECTURE.md says why.
 var mayImport = map[string][]string{
-	"policy":             {},
-	"internal/route":     {},
-	"internal/share":     {},
-	"internal/message":   {},
-	"internal/settings":  {"policy", "internal/staleness"},
-	"internal/wire":      {"policy", "internal/settings"},
-	"internal/proc":      {"internal/share"},
-	"internal/staleness": {},
-	"internal/source":    {"policy", "internal/staleness"},
-	"internal/upstream":  {"policy", "internal/message", "internal/proc"},
-	"internal/classify":  {},
-	"internal/h2":        {},
-	"internal/tlsfiles":  {},
-	"internal/plain":     {"policy", "internal/classify", "internal/message", "internal/pool", "internal/upstream"},
-	"internal/figures":   {},
-	"internal/tally":     {},
-	"internal/emulator":  {"policy", "internal/evacuate"},
-	"internal/dayfile":   {"policy", "internal/emulator"},
-	"internal/fixedseed": {},
-	"internal/lease":     {},
-	"internal/gossip":    {},
-	"internal/evacuate":  {},
-	"internal/zonal":     {"internal/consensus", "internal/evacuate", "internal/gossip"},
-	"internal/task":      {},
-	"internal/consensus": {"internal/lease", "internal/gossip", "internal/task"},
-	"internal/explore":   {"internal/consensus", "internal/evacuate", "internal/lease", "internal/gossip", "internal/task", "internal/zonal"},
-	"internal/tier":      {"internal/consensus", "internal/evacuate", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zonal"},
-	"internal/admin":     {"internal/figures"},
-	"internal/pool":      {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
-	"internal/keep":      {},
-	"internal/front":     {"internal/keep", "internal/message", "internal/proc"},
+	"policy":                {},
+	"internal/route":        {},
+	"internal/share":        {},
+	"internal/message":      {},
+	"internal/settings":     {"policy", "internal/staleness"},
+	"internal/wire":         {"policy", "internal/settings"},
+	"internal/proc":         {"internal/share"},
+	"internal/staleness":    {},
+	"internal/source":       {"policy", "internal/staleness"},
+	"internal/upstream":     {"policy", "internal/message", "internal/proc"},
+	"internal/classify":     {},
+	"internal/h2":           {},
+	"internal/tlsfiles":     {},
+	"internal/plain":        {"policy", "internal/classify", "internal/message", "internal/pool", "internal/upstream"},
+	"internal/figures":      {},
+	"internal/tally":        {},
+	"internal/emulator":     {"policy", "internal/zonefailover"},
+	"internal/dayfile":      {"policy", "internal/emulator"},
+	"internal/fixedseed":    {},
+	"internal/lease":        {},
+	"internal/gossip":       {},
+	"internal/zonefailover": {},
+	"internal/zonal":        {"internal/consensus", "internal/zonefailover", "internal/gossip"},
+	"internal/task":         {},
+	"internal/consensus":    {"internal/lease", "internal/gossip", "internal/task"},
+	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zonal"},
+	"internal/tier":         {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zonal"},
+	"internal/admin":        {"internal/figures"},
+	"internal/pool":         {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
+	"internal/keep":         {},
+	"internal/front":        {"internal/keep", "internal/message", "internal/proc"},
 	"internal/gateway": {
 		"internal/keep",
 		"policy", "internal/admin", "internal/figures", "internal/front", "internal/message", "internal/pool", "internal/proc", "internal/route", "internal/settings",
@@ -158,18 +158,18 @@
 		"policy", "internal/front", "internal/gateway", "internal/hop", "internal/message", "internal/pool", "internal/settings", "internal/source",
 		"internal/spill", "internal/upstream",
 	},
-	"internal/opfile":  {"internal/consensus", "internal/evacuate", "internal/lease", "internal/task", "internal/tier", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spill", "internal/gateway", "internal/message", "internal/route", "internal/source"},
+	"internal/opfile":  {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/tier", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spill", "internal/gateway", "internal/message", "internal/route", "internal/source"},
 	"internal/hop":     {},
 	"internal/spill":   {"policy"},
 	"internal/standin": {}, // shares no code with what it watches
 	"internal/lab":     {"internal/standin"},
 	"cmd/simadapter":   {"internal/wire"},
 	"cmd/sidecar":      {"internal/sidecar"},
-	"cmd/sorrelrudder": {"internal/consensus", "internal/evacuate", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder": {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/evacuate", "internal/zonal"}
+var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zonal"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/opfile"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/tier"
+	"sorrelrudder/internal/zonefailover"
 )
 
 type tierCmd struct {
@@ -432,7 +432,7 @@
 		w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "pool\tzone\tservers\tavoided here\tepoch\tstep\tfalls\twhy\tjudged")
 		for _, z := range st.Copies.Zones {
-			step := fmt.Sprintf("%d of %d", z.Step, evacuate.Steps)
+			step := fmt.Sprintf("%d of %d", z.Step, zonefailover.Steps)
 			if z.Pinned {
 				step += ", pinned"
 			}
@@ -468,7 +468,7 @@
 		case z.Pool != c.Pool:
 		case z.Zone == c.Zone:
 			of = z
-		case z.Step == evacuate.Steps:
+		case z.Step == zonefailover.Steps:
 			rest += z.Servers
 		}
 	}
@@ -512,33 +512,33 @@
 )
 
 func (c *tierZoneLeave) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, rest int) (evacuate.State, error) {
+	return c.decide(s, func(z *tier.ZoneStatus, rest int) (zonefailover.State, error) {
 		if rest == 0 && !c.Force {
-			return evacuate.State{}, fmt.Errorf("without %s no zone of %s would be wholly in use; nothing was changed (--force does it all the same)", c.Zone, c.Pool)
+			return zonefailover.State{}, fmt.Errorf("without %s no zone of %s would be wholly in use; nothing was changed (--force does it all the same)", c.Zone, c.Pool)
 		}
-		return evacuate.State{Step: 0, Pinned: true, Why: "an operator"}, nil
+		return zonefailover.State{Step: 0, Pinned: true, Why: "an operator"}, nil
 	})
 }
 
 func (c *tierZoneReturn) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, _ int) (evacuate.State, error) {
+	return c.decide(s, func(z *tier.ZoneStatus, _ int) (zonefailover.State, error) {
 		switch {
-		case c.Step < 1 || c.Step > evacuate.Steps:
-			return evacuate.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errDay, c.Step, evacuate.Steps)
+		case c.Step < 1 || c.Step > zonefailover.Steps:
+			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errDay, c.Step, zonefailover.Steps)
 		case c.Step > z.Step+1 && !c.Force:
-			return evacuate.State{}, fmt.Errorf("%s is at step %d: its servers may be cold, and %d at once is more than a step; nothing was changed (--force does it all the same)", c.Zone, z.Step, c.Step-z.Step)
+			return zonefailover.State{}, fmt.Errorf("%s is at step %d: its servers may be cold, and %d at once is more than a step; nothing was changed (--force does it all the same)", c.Zone, z.Step, c.Step-z.Step)
 		}
-		return evacuate.State{Step: c.Step, Pinned: true, Why: "an operator"}, nil
+		return zonefailover.State{Step: c.Step, Pinned: true, Why: "an operator"}, nil
 	})
 }
 
 func (c *tierZoneAuto) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, _ int) (evacuate.State, error) {
-		return evacuate.State{Step: z.Step, Falls: z.Falls, Why: "left to itself"}, nil
+	return c.decide(s, func(z *tier.ZoneStatus, _ int) (zonefailover.State, error) {
+		return zonefailover.State{Step: z.Step, Falls: z.Falls, Why: "left to itself"}, nil
 	})
 }
 
-func (c *tierZone) decide(s *streams, of func(z *tier.ZoneStatus, rest int) (evacuate.State, error)) error {
+func (c *tierZone) decide(s *streams, of func(z *tier.ZoneStatus, rest int) (zonefailover.State, error)) error {
 	return c.ask(func(ctx context.Context, o *tier.Operator) error {
 		st, err := zonesOf(ctx, o)
 		if err != nil {
@@ -559,7 +559,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(s.out, "epoch %d: %s of %s is at step %d of %d\n", r.Number, c.Zone, c.Pool, next.Step, evacuate.Steps)
+		_, err = fmt.Fprintf(s.out, "epoch %d: %s of %s is at step %d of %d\n", r.Number, c.Zone, c.Pool, next.Step, zonefailover.Steps)
 		return err
 	})
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/policy"
 )
 
@@ -95,7 +95,7 @@
 	Learn     bool // slowness of servers and the line of delays, for one that starts
 	List      bool // the list, for one that starts
 	Zones     bool // a zone that fails is left by all by one decision, and returned to step by step
-	ZoneRules evacuate.Rules
+	ZoneRules zonefailover.Rules
 }
 
 // event is due at a time; those of one time come in the order in which they were asked for.
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"sorrelrudder/internal/evacuate"
+	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/policy"
 )
 
@@ -14,9 +14,9 @@
 // and with a decision that all carry out the lag after it. That it is decided once and carried out whole is the council's doing and taken for granted.
 type decider struct {
 	w      *World
-	keeper *evacuate.Keeper
+	keeper *zonefailover.Keeper
 	words  map[int]map[policy.ServerID]policy.Time // by instance: when it last found a server silent
-	states map[string]evacuate.State
+	states map[string]zonefailover.State
 	epoch  uint64
 	epochs map[string]uint64
 }
@@ -37,7 +37,7 @@
 }
 
 func newDecider(w *World) *decider {
-	f := &decider{w: w, keeper: evacuate.NewKeeper(w.day.Hearsay.ZoneRules), words: map[int]map[policy.ServerID]policy.Time{}, states: map[string]evacuate.State{}, epochs: map[string]uint64{}}
+	f := &decider{w: w, keeper: zonefailover.NewKeeper(w.day.Hearsay.ZoneRules), words: map[int]map[policy.ServerID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
 	w.after(w.day.Start+judgeEvery, f.judge)
 	return f
 }
@@ -61,12 +61,12 @@
 }
 
 // scene is what the one who decides knows.
-func (f *decider) scene() evacuate.Scene {
+func (f *decider) scene() zonefailover.Scene {
 	w := f.w
-	s := evacuate.Scene{Zones: map[string]string{}, Members: len(w.instances), Decided: f.states, Epochs: f.epochs}
+	s := zonefailover.Scene{Zones: map[string]string{}, Members: len(w.instances), Decided: f.states, Epochs: f.epochs}
 	for _, e := range w.list.whole() {
 		if e.State == policy.Ready {
-			s.Servers = append(s.Servers, evacuate.Server{Name: string(e.ID), Zone: e.Zone})
+			s.Servers = append(s.Servers, zonefailover.Server{Name: string(e.ID), Zone: e.Zone})
 		}
 	}
 	for _, in := range w.instances {
@@ -80,7 +80,7 @@
 			case age > wordFor:
 				delete(f.words[in.ordinal], id)
 			case age >= w.day.Hearsay.Lag:
-				s.Words = append(s.Words, evacuate.Word{Member: name, Server: string(id)})
+				s.Words = append(s.Words, zonefailover.Word{Member: name, Server: string(id)})
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 				}
 			}
 			at++
-			s.Looks = append(s.Looks, evacuate.Look{Member: in.name(), Zone: zone, Answers: answered == of, Silent: answered == 0})
+			s.Looks = append(s.Looks, zonefailover.Look{Member: in.name(), Zone: zone, Answers: answered == of, Silent: answered == 0})
 		}
 	}
 	return s
@@ -128,13 +128,13 @@
 
 // avoided are the servers that are not in use by what is decided.
 func (f *decider) avoided(list map[policy.ServerID]policy.Server) map[string]bool {
-	var all []evacuate.Server
+	var all []zonefailover.Server
 	for id, e := range list {
 		if e.State == policy.Ready {
-			all = append(all, evacuate.Server{Name: string(id), Zone: e.Zone})
+			all = append(all, zonefailover.Server{Name: string(id), Zone: e.Zone})
 		}
 	}
-	return evacuate.Avoided(all, f.states)
+	return zonefailover.Avoided(all, f.states)
 }
 
 // follow has an instance leave out what is decided. What it uses again counts as started then, as pool.Pool.Avoid has it.
@@ -199,7 +199,7 @@
 			delete(in.list, e.ID)
 		} else {
 			if _, had := in.list[e.ID]; !had && kind == policy.ListDelta {
-				if d, is := in.w.fleet.states[e.Zone]; is && d.Step < evacuate.Steps { // it has started since the zone was left
+				if d, is := in.w.fleet.states[e.Zone]; is && d.Step < zonefailover.Steps { // it has started since the zone was left
 					in.leftBorn[e.ID] = -1
 				}
 			}
--- a/internal/explore/observer.go
+++ b/internal/explore/observer.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // observer says what must not be. Of the processes it only sees what they would act on; the rest it counts for itself.
@@ -35,7 +35,7 @@
 		o.names = append(o.names, leaseName{zonal.Lease, 1})
 		o.zones, o.avoids = &zonesWatch{values: map[uint64]string{}}, map[string]string{}
 		for zone := range zones {
-			o.zones.states[zone].Step = evacuate.Steps
+			o.zones.states[zone].Step = zonefailover.Steps
 		}
 	}
 	return o
--- a/internal/explore/zones.go
+++ b/internal/explore/zones.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // The faults of servers, by zone. They are drawn only where zones are played.
@@ -51,8 +51,8 @@
 )
 
 // zoneRules are short, so that a run sees returns and relapses.
-func (w *world) zoneRules() evacuate.Rules {
-	r := evacuate.Usual()
+func (w *world) zoneRules() zonefailover.Rules {
+	r := zonefailover.Usual()
 	r.Step, r.Hold, r.Most, r.Warm = 300*time.Millisecond, 500*time.Millisecond, 2*time.Second, 900*time.Millisecond
 	if w.o.Plant == WarmSoon {
 		r.Warm = 1
@@ -161,8 +161,8 @@
 	case Release:
 		count(&w.field.bad)
 	case ZoneWord:
-		w.order(f.P%zones, evacuate.State{Pinned: true, Why: "an operator"})
-		w.after(f.For, func() { w.order(f.P%zones, evacuate.State{Why: "an operator lets go"}) })
+		w.order(f.P%zones, zonefailover.State{Pinned: true, Why: "an operator"})
+		w.after(f.For, func() { w.order(f.P%zones, zonefailover.State{Why: "an operator lets go"}) })
 	default:
 		return false
 	}
@@ -170,7 +170,7 @@
 }
 
 // order has an operator decide of a zone.
-func (w *world) order(zone int, s evacuate.State) {
+func (w *world) order(zone int, s zonefailover.State) {
 	c := consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
@@ -190,8 +190,8 @@
 // zoner is a process' part in leaving zones.
 type zoner struct {
 	evidence *gossip.Evidence
-	keeper   *evacuate.Keeper // nil: it does not hold the lease
-	asking   time.Duration    // since; below 0: nothing is asked
+	keeper   *zonefailover.Keeper // nil: it does not hold the lease
+	asking   time.Duration        // since; below 0: nothing is asked
 	looked   map[string]bool
 	turn     int
 	id       string // of the decisions by which it was looked at what it leaves out
@@ -275,18 +275,21 @@
 		return
 	}
 	if z.keeper == nil {
-		z.keeper = evacuate.NewKeeper(p.w.zoneRules())
+		z.keeper = zonefailover.NewKeeper(p.w.zoneRules())
 	}
 	scene := zonal.Scene(n, p.members(), zonePool, p.w.field.list)
 	switch p.w.o.Plant {
 	case WallStep:
 		now += time.Duration(p.w.now/(700*time.Millisecond)) * 400 * time.Millisecond // set forth now and then
 	case Blind:
-		scene.Looks = slices.DeleteFunc(scene.Looks, func(l evacuate.Look) bool { s, is := scene.Decided[l.Zone]; return is && s.Step < evacuate.Steps })
+		scene.Looks = slices.DeleteFunc(scene.Looks, func(l zonefailover.Look) bool {
+			s, is := scene.Decided[l.Zone]
+			return is && s.Step < zonefailover.Steps
+		})
 		for _, member := range slices.Sorted(maps.Keys(scene.Zones)) {
 			for zone := range zones {
-				if s, is := scene.Decided[zoneName(zone)]; is && s.Step < evacuate.Steps {
-					scene.Looks = append(scene.Looks, evacuate.Look{Member: member, Zone: zoneName(zone), Answers: true})
+				if s, is := scene.Decided[zoneName(zone)]; is && s.Step < zonefailover.Steps {
+					scene.Looks = append(scene.Looks, zonefailover.Look{Member: member, Zone: zoneName(zone), Answers: true})
 				}
 			}
 		}
@@ -319,7 +322,7 @@
 // zonesWatch is what the observer remembers of zones. It reads the council's log and what processes leave out, and knows the truth.
 type zonesWatch struct {
 	number uint64 // of the newest decision that was seen in the log
-	states [zones]evacuate.State
+	states [zones]zonefailover.State
 	at     [zones]time.Duration // of the newest decision
 	values map[uint64]string    // of decisions, by number
 }
@@ -340,7 +343,7 @@
 		if gossip.KindOf(key) != consensus.ZoneKind || !ok || pool != zonePool {
 			return
 		}
-		s, err := evacuate.Decode(d.Value)
+		s, err := zonefailover.Decode(d.Value)
 		if err != nil {
 			o.w.breaks("the council has decided %q: %v", d.Value, err)
 			return
@@ -351,7 +354,7 @@
 }
 
 // judge says whether a decision may be one.
-func (o *observer) judge(zone int, s evacuate.State, d consensus.Order, whole bool) {
+func (o *observer) judge(zone int, s zonefailover.State, d consensus.Order, whole bool) {
 	z, w := o.zones, o.w
 	was, at := z.states[zone], z.at[zone]
 	z.states[zone], z.at[zone] = s, w.now
@@ -365,12 +368,12 @@
 	switch {
 	case was.Pinned:
 		w.breaks("zone %s is decided by itself against an operator's word", zoneName(zone))
-	case s.Cold != (forward && s.Step == evacuate.Steps):
+	case s.Cold != (forward && s.Step == zonefailover.Steps):
 		w.breaks("zone %s is decided to be at step %d, cold: %v", zoneName(zone), s.Step, s.Cold)
 	case warm:
-	case !(was.Step == evacuate.Steps && s.Step == 0 || forward && s.Step == was.Step+1 || was.Step > 0 && s.Step == max(0, was.Step-2)):
+	case !(was.Step == zonefailover.Steps && s.Step == 0 || forward && s.Step == was.Step+1 || was.Step > 0 && s.Step == max(0, was.Step-2)):
 		w.breaks("zone %s goes from step %d to %d", zoneName(zone), was.Step, s.Step)
-	case was.Step == evacuate.Steps && w.now > w.field.last[zone]+believed && !w.field.is[zone]:
+	case was.Step == zonefailover.Steps && w.now > w.field.last[zone]+believed && !w.field.is[zone]:
 		w.breaks("zone %s is left, and was well to all but one zone for %v", zoneName(zone), w.now-w.field.last[zone])
 	case forward && w.field.is[zone] && (w.now > w.field.since[zone]+heardOf || w.now > w.field.since[zone]+soon && w.calm(w.field.since[zone]-rules.Term)):
 		w.breaks("zone %s is returned to, to step %d, and has been down for %v", zoneName(zone), s.Step, w.now-w.field.since[zone])
@@ -390,18 +393,18 @@
 	if warm {
 		return
 	}
-	if !forward && was.Step == evacuate.Steps {
+	if !forward && was.Step == zonefailover.Steps {
 		w.counts["zones_left"]++
 		for other := range zones {
-			if other != zone && z.states[other].Step < evacuate.Steps && !z.states[other].Pinned {
+			if other != zone && z.states[other].Step < zonefailover.Steps && !z.states[other].Pinned {
 				w.breaks("zone %s is left while zone %s is not wholly in use", zoneName(zone), zoneName(other))
 			}
 		}
 	}
-	if !forward && was.Step < evacuate.Steps {
+	if !forward && was.Step < zonefailover.Steps {
 		w.counts["zone_relapses"]++
 	}
-	if forward && s.Step == evacuate.Steps {
+	if forward && s.Step == zonefailover.Steps {
 		w.counts["zones_returned"]++
 	}
 }
@@ -441,7 +444,7 @@
 		for other := range zones {
 			alike = alike || other != zone && w.now <= w.field.last[other]+soon+believed
 		}
-		if !alike && s.Step > 0 && s.Step < evacuate.Steps && !s.Pinned && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.Term) {
+		if !alike && s.Step > 0 && s.Step < zonefailover.Steps && !s.Pinned && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.Term) {
 			w.breaks("zone %s has been down for %v and is still used at step %d", zoneName(zone), w.now-w.field.since[zone], s.Step)
 		}
 	}
--- a/internal/opfile/tier.go
+++ b/internal/opfile/tier.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/tier"
+	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/policy"
 )
 
@@ -82,8 +82,8 @@
 	}
 	if t.has("zones") {
 		z := t.table("zones")
-		usual := evacuate.Usual()
-		c.Zones = &tier.ZonesConfig{Automatic: z.word("automatic", tier.ZonesAdvise, tier.ZonesOff, tier.ZonesAdvise, tier.ZonesOn), Members: zones, Rules: evacuate.Rules{
+		usual := zonefailover.Usual()
+		c.Zones = &tier.ZonesConfig{Automatic: z.word("automatic", tier.ZonesAdvise, tier.ZonesOff, tier.ZonesAdvise, tier.ZonesOn), Members: zones, Rules: zonefailover.Rules{
 			Down: z.number("down", usual.Down, 0.01, 1), Others: z.number("others", usual.Others, 0, 1), Least: z.number("least", usual.Least, 0, 0.99),
 			Step: z.duration("step", usual.Step, 100*time.Millisecond, time.Hour), Hold: z.duration("hold", usual.Hold, 100*time.Millisecond, time.Hour),
 			Most: z.duration("hold_most", usual.Most, 100*time.Millisecond, 24*time.Hour), Looks: int(z.whole("looks", int64(usual.Looks), 1, 5)), Grey: z.boolean("grey", usual.Grey),
--- a/internal/tier/copies.go
+++ b/internal/tier/copies.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // CopiesConfig is what a process is told of the state that the fleet's processes share.
@@ -101,7 +101,7 @@
 	k := &copies{
 		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewEvidence(c.Witnesses), sights: make(chan sight, sightsLen), nudge: make(chan struct{}, 1), whole: -1,
 		avoiding: map[string]orders{}, kept: map[string]bool{}, work: make(chan struct{}, 1),
-		zones: zones{cfg: t.cfg.Zones, keepers: map[string]*evacuate.Keeper{}, advised: map[string]string{}, causes: map[string]evacuate.Cause{}, look: make(chan struct{}, 1), grey: map[string]*evacuate.Grey{}, said: map[string]bool{}}, looked: map[string]bool{},
+		zones: zones{cfg: t.cfg.Zones, keepers: map[string]*zonefailover.Keeper{}, advised: map[string]string{}, causes: map[string]zonefailover.Cause{}, look: make(chan struct{}, 1), grey: map[string]*zonefailover.Grey{}, said: map[string]bool{}}, looked: map[string]bool{},
 		hints: map[string]bool{}, due: map[string]orders{}, saveAt: now + saveEvery,
 	}
 	if err := k.load(now, t.cfg.Name); err != nil {
--- a/internal/tier/copies_test.go
+++ b/internal/tier/copies_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // farmPools stand for a process' pools: they note what they are told, and see what the test has them see.
@@ -269,7 +269,7 @@
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
 	}
-	rules := evacuate.Usual()
+	rules := zonefailover.Usual()
 	rules.Step, rules.Hold = 100*time.Millisecond, 100*time.Millisecond
 	var farms []*farmPools
 	var all []*Tier
@@ -343,9 +343,9 @@
 		t.Errorf("it was returned to at once: steps %v", steps)
 	}
 	key := gossip.ServerKey(consensus.ZoneKind, "farm", "c")
-	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Pinned: true, Why: "an operator"}.Encode()})
+	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Pinned: true, Why: "an operator"}.Encode()})
 	eventually(t, "all leave it by order", avoided(4))
-	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: evacuate.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
+	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
 		t.Error("a holder that has not heard of the operator's word decides against it")
 	}
 }
@@ -365,7 +365,7 @@
 		return f
 	}
 	for i := range cfgs {
-		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOff, Rules: evacuate.Usual(), Members: zones}
+		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOff, Rules: zonefailover.Usual(), Members: zones}
 		all = append(all, start(t, cfgs[i], farm()))
 	}
 	defer func() {
@@ -378,7 +378,7 @@
 		eventually(t, "all are there to each other", func() bool {
 			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
 		})
-		s := evacuate.State{Step: evacuate.Steps, Cold: cold, Why: "a step was borne"}
+		s := zonefailover.State{Step: zonefailover.Steps, Cold: cold, Why: "a step was borne"}
 		if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: s.Encode()}); r.Why != "" {
 			t.Fatal(r.Why)
 		}
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -26,12 +26,12 @@
 	"go.etcd.io/bbolt"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // update is for forms that are meant to change: what stands in testdata was written by earlier versions, and is there to be read by later ones.
@@ -572,8 +572,8 @@
 		{gossip.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
 		{gossip.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
 		{string(zonal.LookValue(0, 3)), "0"}, {string(zonal.LookValue(2, 3)), "p"}, {string(zonal.LookValue(3, 3)), "1"},
-		{evacuate.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
-		{evacuate.State{Step: evacuate.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
+		{zonefailover.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
+		{zonefailover.State{Step: zonefailover.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
 		{storeFormat, 1}, {helloVersion, 1}, {tagLen, 16},
 	} {
 		if c.got != c.want {
--- a/internal/tier/zones.go
+++ b/internal/tier/zones.go
@@ -10,16 +10,16 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // ZonesConfig is what a process is told of leaving zones.
 type ZonesConfig struct {
-	Automatic string            // "off": operators decide; "advise": the log is told what would be; "on"
-	Rules     evacuate.Rules    //
-	Members   map[string]string // zones of members, by name
+	Automatic string             // "off": operators decide; "advise": the log is told what would be; "on"
+	Rules     zonefailover.Rules //
+	Members   map[string]string  // zones of members, by name
 }
 
 // The words for Automatic.
@@ -37,16 +37,16 @@
 // zones is a process' part in leaving zones. All of it is under the tier's mu.
 type zones struct {
 	cfg     *ZonesConfig // nil: nothing is decided here, and what is decided is carried out
-	keepers map[string]*evacuate.Keeper
+	keepers map[string]*zonefailover.Keeper
 	lists   map[string]map[string]string // zones of servers, by pool
 	judgeAt time.Duration
 	asking  bool
 	askedAt time.Duration
 	advised map[string]string // by key, as the log was told
-	causes  map[string]evacuate.Cause
-	grey    map[string]*evacuate.Grey // by pool
-	said    map[string]bool           // keys of grey zones that are written
-	look    chan struct{}             // a zone is to be looked at, and is not yet
+	causes  map[string]zonefailover.Cause
+	grey    map[string]*zonefailover.Grey // by pool
+	said    map[string]bool               // keys of grey zones that are written
+	look    chan struct{}                 // a zone is to be looked at, and is not yet
 }
 
 // judge has the holder of the lease decide of zones, one change at a time. The caller has mu.
@@ -76,7 +76,7 @@
 	}
 	for _, pool := range slices.Sorted(maps.Keys(z.lists)) {
 		if z.keepers[pool] == nil {
-			z.keepers[pool] = evacuate.NewKeeper(z.cfg.Rules)
+			z.keepers[pool] = zonefailover.NewKeeper(z.cfg.Rules)
 		}
 		scene := zonal.Scene(k.node, z.cfg.Members, pool, z.lists[pool])
 		change, causes := z.keepers[pool].Next(now, scene)
@@ -84,7 +84,7 @@
 			key := pool + "/" + zone
 			if z.causes[key] != cause {
 				z.causes[key] = cause
-				if cause != evacuate.Well {
+				if cause != zonefailover.Well {
 					t.log.Info("a zone is judged", "pool", pool, "zone", zone, "cause", string(cause), "words", len(scene.Words))
 				}
 			}
@@ -133,12 +133,12 @@
 func (t *Tier) lookAround() {
 	k := t.copies
 	lists := map[string]map[string]string{}
-	tallies := map[string]map[string]evacuate.Tally{}
+	tallies := map[string]map[string]zonefailover.Tally{}
 	for _, pool := range k.pools.PoolNames() {
 		lists[pool] = k.pools.Servers(pool)
-		tallies[pool] = map[string]evacuate.Tally{}
+		tallies[pool] = map[string]zonefailover.Tally{}
 		k.pools.Outcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
-			tallies[pool][zone] = evacuate.Tally{Answered: answered, Failed: failed, Delay: delay}
+			tallies[pool][zone] = zonefailover.Tally{Answered: answered, Failed: failed, Delay: delay}
 		})
 	}
 	type look struct {
@@ -190,7 +190,7 @@
 }
 
 // sayGreys writes which zones fail in part to this process. The caller has mu.
-func (t *Tier) sayGreys(tallies map[string]map[string]evacuate.Tally) {
+func (t *Tier) sayGreys(tallies map[string]map[string]zonefailover.Tally) {
 	k, z := t.copies, &t.copies.zones
 	if z.cfg == nil || !z.cfg.Rules.Grey {
 		return
@@ -199,7 +199,7 @@
 	said := map[string]bool{}
 	for pool, zones := range tallies {
 		if z.grey[pool] == nil {
-			z.grey[pool] = evacuate.NewGrey(evacuate.UsualGrey())
+			z.grey[pool] = zonefailover.NewGrey(zonefailover.UsualGrey())
 		}
 		for _, zone := range z.grey[pool].Turn(now, zones) {
 			if key := gossip.ServerKey(zonal.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
@@ -222,7 +222,7 @@
 
 // looksOf are the zones of a pool at which this process is to look, and servers of each. The caller has mu.
 func (k *copies) looksOf(t *Tier, pool string, turn int) map[string][]string {
-	var rules *evacuate.Rules
+	var rules *zonefailover.Rules
 	members := map[string]string{}
 	if cfg := k.zones.cfg; cfg != nil {
 		members = cfg.Members
@@ -283,7 +283,7 @@
 			}
 			s, is := states[zone]
 			if !is {
-				s.Step = evacuate.Steps
+				s.Step = zonefailover.Steps
 			}
 			all = append(all, ZoneStatus{
 				Pool: pool, Zone: zone, Servers: count[zone], Avoided: avoided[zone], Epoch: numbers[zone], Step: s.Step, Pinned: s.Pinned, Cold: s.Cold, Falls: s.Falls,
--- a/internal/zonal/form_test.go
+++ b/internal/zonal/form_test.go
@@ -6,15 +6,15 @@
 	"testing"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // TestEntryForm pins what members and the council write of zones, key and contents, and that the scene is read from exactly that.
 func TestEntryForm(t *testing.T) {
 	members := map[string]string{"p": "a"}
 	n := nodeOf("p", members, func(string) bool { return true })
-	decided := evacuate.State{Step: 1, Falls: 2, Why: "down"}
+	decided := zonefailover.State{Step: 1, Falls: 2, Why: "down"}
 	n.Put(gossip.ServerKey(gossip.DeadKind, "orders", "10.0.0.1:80"), nil)
 	n.Put(gossip.ServerKey(GreyKind, "orders", "a"), nil)
 	n.Put(gossip.ServerKey(LookKind, "orders", "a"), LookValue(0, 3))
@@ -28,14 +28,14 @@
 	})
 	checkForms(t, "entries.golden", forms)
 
-	want := evacuate.Scene{
-		Zones: members, Members: 1, Servers: []evacuate.Server{{Name: "10.0.0.1:80", Zone: "a"}},
-		Words: []evacuate.Word{{Member: "p", Server: "10.0.0.1:80"}},
-		Looks: []evacuate.Look{
+	want := zonefailover.Scene{
+		Zones: members, Members: 1, Servers: []zonefailover.Server{{Name: "10.0.0.1:80", Zone: "a"}},
+		Words: []zonefailover.Word{{Member: "p", Server: "10.0.0.1:80"}},
+		Looks: []zonefailover.Look{
 			{Member: "p", Zone: "a", Silent: true}, {Member: "p", Zone: "b"}, {Member: "p", Zone: "c", Answers: true},
 		},
-		Greys:   []evacuate.GreyWord{{Member: "p", Zone: "a"}},
-		Decided: map[string]evacuate.State{"b": decided}, Epochs: map[string]uint64{"b": 8},
+		Greys:   []zonefailover.GreyWord{{Member: "p", Zone: "a"}},
+		Decided: map[string]zonefailover.State{"b": decided}, Epochs: map[string]uint64{"b": 8},
 	}
 	if got := Scene(n, members, "orders", map[string]string{"10.0.0.1:80": "a"}); !reflect.DeepEqual(got, want) {
 		t.Errorf("the scene is %+v\nwant %+v", got, want)
@@ -47,7 +47,7 @@
 	n := nodeOf("p", map[string]string{"p": "a"}, func(string) bool { return true })
 	n.Decide("zone/orders/a", 5, []byte("4 false 0 "))
 	n.Decide("zone/orders/b", 9, []byte("0 false 0 "))
-	got := Command(n, "orders", evacuate.Change{Zone: "a", State: evacuate.State{Step: 3, Falls: 1, Why: "a step was borne"}}, 77)
+	got := Command(n, "orders", zonefailover.Change{Zone: "a", State: zonefailover.State{Step: 3, Falls: 1, Why: "a step was borne"}}, 77)
 	want := consensus.OrderCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, After: 5, Seen: 9}
 	if got != want || Lease != "zones" {
 		t.Errorf("the command is %+v, want %+v; the lease is %q", got, want, Lease)
--- a/internal/zonal/zonal.go
+++ b/internal/zonal/zonal.go
@@ -10,8 +10,8 @@
 	"slices"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/zonefailover"
 )
 
 const (
@@ -42,17 +42,17 @@
 }
 
 // Decided is what is decided of a pool's zones, and the numbers of the decisions.
-func Decided(n *gossip.Node, pool string) (states map[string]evacuate.State, numbers map[string]uint64) {
-	states, numbers = map[string]evacuate.State{}, map[string]uint64{}
+func Decided(n *gossip.Node, pool string) (states map[string]zonefailover.State, numbers map[string]uint64) {
+	states, numbers = map[string]zonefailover.State{}, map[string]uint64{}
 	n.Copies().Of(gossip.Council, consensus.ZoneKind+"/"+pool+"/", func(e *gossip.Entry) bool {
 		_, zone, ok := gossip.ServerOf(e.Key)
 		if !ok {
 			return true
 		}
 		numbers[zone] = e.Seq
-		worst, any := evacuate.State{Step: evacuate.Steps}, false
+		worst, any := zonefailover.State{Step: zonefailover.Steps}, false
 		for _, v := range e.Values() { // of several contents of one version the one that uses least
-			if s, err := evacuate.Decode(string(v)); err == nil && (!any || s.Step < worst.Step || s.Step == worst.Step && s.Cold) {
+			if s, err := zonefailover.Decode(string(v)); err == nil && (!any || s.Step < worst.Step || s.Step == worst.Step && s.Cold) {
 				worst, any = s, true
 			}
 		}
@@ -65,8 +65,8 @@
 }
 
 // Scene is what is known of a pool. members are the zones of all members, by name; list those of the servers that the pool's list names ready.
-func Scene(n *gossip.Node, members map[string]string, pool string, list map[string]string) evacuate.Scene {
-	s := evacuate.Scene{Zones: map[string]string{}, Members: len(members), Servers: servers(list)}
+func Scene(n *gossip.Node, members map[string]string, pool string, list map[string]string) zonefailover.Scene {
+	s := zonefailover.Scene{Zones: map[string]string{}, Members: len(members), Servers: servers(list)}
 	for name, zone := range members {
 		if n.Member(name).State == gossip.Alive {
 			s.Zones[name] = zone
@@ -74,13 +74,13 @@
 	}
 	n.Copies().All(gossip.DeadKind+"/"+pool+"/", func(e *gossip.Entry) bool {
 		if _, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			s.Words = append(s.Words, evacuate.Word{Member: e.Owner, Server: server})
+			s.Words = append(s.Words, zonefailover.Word{Member: e.Owner, Server: server})
 		}
 		return true
 	})
 	n.Copies().All(LookKind+"/"+pool+"/", func(e *gossip.Entry) bool {
 		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			l := evacuate.Look{Member: e.Owner, Zone: zone, Answers: true, Silent: true}
+			l := zonefailover.Look{Member: e.Owner, Zone: zone, Answers: true, Silent: true}
 			for _, v := range e.Values() { // of several contents of one version none is believed that would change anything
 				l.Answers, l.Silent = l.Answers && string(v) == answers, l.Silent && string(v) == silent
 			}
@@ -90,7 +90,7 @@
 	})
 	n.Copies().All(GreyKind+"/"+pool+"/", func(e *gossip.Entry) bool {
 		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			s.Greys = append(s.Greys, evacuate.GreyWord{Member: e.Owner, Zone: zone})
+			s.Greys = append(s.Greys, zonefailover.GreyWord{Member: e.Owner, Zone: zone})
 		}
 		return true
 	})
@@ -98,12 +98,12 @@
 	return s
 }
 
-func servers(list map[string]string) []evacuate.Server {
-	all := make([]evacuate.Server, 0, len(list))
+func servers(list map[string]string) []zonefailover.Server {
+	all := make([]zonefailover.Server, 0, len(list))
 	for server, zone := range list {
-		all = append(all, evacuate.Server{Name: server, Zone: zone})
+		all = append(all, zonefailover.Server{Name: server, Zone: zone})
 	}
-	slices.SortFunc(all, func(a, b evacuate.Server) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b zonefailover.Server) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -115,7 +115,7 @@
 		return nil, nil, nil
 	}
 	all := servers(list)
-	avoid, returning, soft = evacuate.Avoided(all, states), map[string]bool{}, map[string]bool{}
+	avoid, returning, soft = zonefailover.Avoided(all, states), map[string]bool{}, map[string]bool{}
 	for _, x := range all {
 		if s, is := states[x.Zone]; is && s.Returning() && !avoid[x.Name] {
 			returning[x.Name] = true
@@ -152,11 +152,11 @@
 
 // Looks are the zones of a pool at which a member is to look, and at which servers of each: others each turn. Those are the zones that are not wholly
 // in use, and with rules those that words would have left.
-func Looks(n *gossip.Node, rules *evacuate.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
+func Looks(n *gossip.Node, rules *zonefailover.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
 	states, _ := Decided(n, pool)
 	wanted := map[string]bool{}
 	for zone, s := range states {
-		if s.Step < evacuate.Steps {
+		if s.Step < zonefailover.Steps {
 			wanted[zone] = true
 		}
 	}
@@ -187,7 +187,7 @@
 }
 
 // Command is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
-func Command(n *gossip.Node, pool string, change evacuate.Change, token uint64) consensus.OrderCommand {
+func Command(n *gossip.Node, pool string, change zonefailover.Change, token uint64) consensus.OrderCommand {
 	_, numbers := Decided(n, pool)
 	c := consensus.OrderCommand{
 		Key: gossip.ServerKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
--- a/internal/zonal/zonal_test.go
+++ b/internal/zonal/zonal_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/evacuate"
 	_ "sorrelrudder/internal/fixedseed"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/zonefailover"
 )
 
 // nodeOf is a process of a fleet to which the members named are there.
@@ -47,7 +47,7 @@
 		for name, zone := range members {
 			outside = outside || zone != "b"
 			n := nodeOf(name, members, func(string) bool { return true })
-			n.Decide("zone/farm/b", 1, []byte(evacuate.State{}.Encode()))
+			n.Decide("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
 			at := Looks(n, nil, members, name, "farm", list, turn)
 			if len(at) > 1 || len(at) == 1 && at["b"] == nil {
 				t.Fatalf("%s looks at %v", name, at)
@@ -70,7 +70,7 @@
 		}
 		for name, zone := range members {
 			n := nodeOf(name, members, func(string) bool { return true })
-			n.Decide("zone/farm/b", 1, []byte(evacuate.State{}.Encode()))
+			n.Decide("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
 			if zone == "b" && outside && len(Looks(n, nil, members, name, "farm", list, turn)) > 0 {
 				t.Fatalf("%s is in the zone, and looks at it", name)
 			}
@@ -87,11 +87,11 @@
 		for i := range rapid.IntRange(0, 20).Draw(t, "servers") {
 			list[fmt.Sprint("s", i)] = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server's zone")
 		}
-		states := map[string]evacuate.State{}
+		states := map[string]zonefailover.State{}
 		for _, zone := range []string{"a", "b"} {
 			if rapid.Bool().Draw(t, "decided") {
-				s := evacuate.State{Step: rapid.IntRange(0, evacuate.Steps).Draw(t, "step"), Pinned: rapid.Bool().Draw(t, "pinned")}
-				s.Cold = s.Step == evacuate.Steps && rapid.Bool().Draw(t, "cold")
+				s := zonefailover.State{Step: rapid.IntRange(0, zonefailover.Steps).Draw(t, "step"), Pinned: rapid.Bool().Draw(t, "pinned")}
+				s.Cold = s.Step == zonefailover.Steps && rapid.Bool().Draw(t, "cold")
 				states[zone] = s
 			}
 		}
@@ -109,7 +109,7 @@
 			}
 			for server, zone := range list {
 				s, is := states[zone]
-				part := is && s.Step < evacuate.Steps
+				part := is && s.Step < zonefailover.Steps
 				back := part || s.Cold
 				switch {
 				case avoid[server] && !part, returning[server] && (!back || avoid[server]), back && !avoid[server] && !returning[server]:
@@ -126,13 +126,13 @@
 func TestCommand(t *testing.T) {
 	members := map[string]string{"p": "a"}
 	n := nodeOf("p", members, func(string) bool { return false })
-	n.Decide("zone/farm/a", 3, []byte(evacuate.State{Step: 4}.Encode()))
-	n.Decide("zone/farm/b", 7, []byte(evacuate.State{Step: 4}.Encode()))
-	n.Decide("zone/other/b", 9, []byte(evacuate.State{Step: 4}.Encode()))
-	if c := Command(n, "farm", evacuate.Change{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.After != 3 || c.Seen != 7 || c.Token != 5 || c.Built {
+	n.Decide("zone/farm/a", 3, []byte(zonefailover.State{Step: 4}.Encode()))
+	n.Decide("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
+	n.Decide("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
+	if c := Command(n, "farm", zonefailover.Change{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.After != 3 || c.Seen != 7 || c.Token != 5 || c.Built {
 		t.Errorf("%+v", c)
 	}
-	if c := Command(n, "farm", evacuate.Change{Zone: "c"}, 5); c.After != 0 || c.Seen != 7 {
+	if c := Command(n, "farm", zonefailover.Change{Zone: "c"}, 5); c.After != 0 || c.Seen != 7 {
 		t.Errorf("of a zone that nothing was decided of: %+v", c)
 	}
 }
@@ -149,7 +149,7 @@
 	if len(s.Zones) != 2 || s.Zones["p"] != "a" || s.Zones["q"] != "b" || s.Members != 3 {
 		t.Errorf("%+v: only those that are there, this process among them", s.Zones)
 	}
-	if len(s.Words) != 1 || s.Words[0] != (evacuate.Word{Member: "p", Server: "s1"}) || len(s.Greys) != 1 || len(s.Servers) != 1 {
+	if len(s.Words) != 1 || s.Words[0] != (zonefailover.Word{Member: "p", Server: "s1"}) || len(s.Greys) != 1 || len(s.Servers) != 1 {
 		t.Errorf("%+v", s)
 	}
 	if len(s.Looks) != 1 || !s.Looks[0].Silent || s.Looks[0].Answers {
--- a/internal/evacuate/evacuate.go
+++ b/internal/zonefailover/evacuate.go
@@ -1,4 +1,4 @@
-// Package evacuate decides when a fleet leaves a zone whose servers fail, and at what pace it returns. One process decides for all, the holder
+// Package zonefailover decides when a fleet leaves a zone whose servers fail, and at what pace it returns. One process decides for all, the holder
 // of a lease; what it decides goes through the council's log, and all act on that. There is no I/O and no clock here: what members have found
 // out of servers goes in, with the time of the caller's own clock, and a step comes out.
 //
@@ -6,7 +6,7 @@
 // zone is down if most of its servers are silent to members of more than one zone while most servers of the others are not. If only members of
 // one zone find so, the way between the two is broken, and only those are hurt. If servers of all zones are silent alike, it is a release or
 // too much load, and leaving one would make it worse.
-package evacuate
+package zonefailover
 
 import (
 	"cmp"
--- a/internal/evacuate/golden_test.go
+++ b/internal/zonefailover/golden_test.go
@@ -1,4 +1,4 @@
-package evacuate
+package zonefailover
 
 import (
 	"flag"
