--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -102,7 +102,7 @@
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/plain", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/hop", "sorrelrudder/internal/bridge",
-				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zonal", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
+				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
 			} {
 				if strings.HasPrefix(p, heavy) {
 					t.Errorf("%s links %s", command, p)
@@ -139,11 +139,11 @@
 	"internal/lease":        {},
 	"internal/gossip":       {},
 	"internal/zonefailover": {},
-	"internal/zonal":        {"internal/consensus", "internal/zonefailover", "internal/gossip"},
+	"internal/zoneview":     {"internal/consensus", "internal/zonefailover", "internal/gossip"},
 	"internal/task":         {},
 	"internal/consensus":    {"internal/lease", "internal/gossip", "internal/task"},
-	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zonal"},
-	"internal/tier":         {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zonal"},
+	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zoneview"},
+	"internal/tier":         {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/admin":        {"internal/figures"},
 	"internal/pool":         {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
 	"internal/keep":         {},
@@ -169,7 +169,7 @@
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zonal"}
+var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/internal/explore/copies.go
+++ b/internal/explore/copies.go
@@ -8,7 +8,7 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/gossip"
-	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zoneview"
 )
 
 const (
@@ -35,7 +35,7 @@
 	}
 	cfg := gossip.Usual()
 	cfg.Gossip, cfg.Sync, cfg.Keep = 150*time.Millisecond, time.Second, 4*time.Second
-	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zonal.LookKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
+	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zoneview.LookKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
 	if slices.Contains(gossip.Plants, gossip.Plant(p.w.o.Plant)) {
 		cfg.Plant = gossip.Plant(p.w.o.Plant)
 	}
--- a/internal/explore/observer.go
+++ b/internal/explore/observer.go
@@ -7,8 +7,8 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/zonal"
 	"sorrelrudder/internal/zonefailover"
+	"sorrelrudder/internal/zoneview"
 )
 
 // observer says what must not be. Of the processes it only sees what they would act on; the rest it counts for itself.
@@ -32,7 +32,7 @@
 		names: append(append([]leaseName{}, w.names...), leaseName{"task/t", 1}),
 	}
 	if w.field != nil {
-		o.names = append(o.names, leaseName{zonal.Lease, 1})
+		o.names = append(o.names, leaseName{zoneview.Lease, 1})
 		o.zones, o.avoids = &zonesWatch{values: map[uint64]string{}}, map[string]string{}
 		for zone := range zones {
 			o.zones.states[zone].Step = zonefailover.Steps
--- a/internal/explore/proc.go
+++ b/internal/explore/proc.go
@@ -14,7 +14,7 @@
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/zonal"
+	"sorrelrudder/internal/zoneview"
 )
 
 // seedLibrary has the log's library draw its elections' times from the seed: it takes them from crypto/rand. That is one variable of
@@ -173,7 +173,7 @@
 	}
 	p.keeper.Want("task/t", 1)
 	if p.w.o.Zones {
-		p.keeper.Want(zonal.Lease, 1)
+		p.keeper.Want(zoneview.Lease, 1)
 	}
 	names := make([]string, p.w.voters)
 	for i := range names {
--- a/internal/explore/zones.go
+++ b/internal/explore/zones.go
@@ -9,8 +9,8 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/gossip"
-	"sorrelrudder/internal/zonal"
 	"sorrelrudder/internal/zonefailover"
+	"sorrelrudder/internal/zoneview"
 )
 
 // The faults of servers, by zone. They are drawn only where zones are played.
@@ -214,14 +214,14 @@
 			as := fmt.Sprint(zone, (int(server[1]-'0')+p.i)%perZone)
 			list[as], turned[as] = zone, server
 		}
-		all, _, _ := zonal.Orders(p.rep.node, zonePool, list)
+		all, _, _ := zoneview.Orders(p.rep.node, zonePool, list)
 		own := map[string]bool{}
 		for as := range all {
 			own[turned[as]] = true
 		}
 		return own
 	}
-	all, _, _ := zonal.Orders(p.rep.node, zonePool, p.w.field.list)
+	all, _, _ := zoneview.Orders(p.rep.node, zonePool, p.w.field.list)
 	return all
 }
 
@@ -240,7 +240,7 @@
 	z.turn++
 	wanted := map[string]bool{}
 	r := p.w.zoneRules()
-	looks := zonal.Looks(n, &r, p.members(), p.name, zonePool, p.w.field.list, z.turn)
+	looks := zoneview.Looks(n, &r, p.members(), p.name, zonePool, p.w.field.list, z.turn)
 	for _, zone := range slices.Sorted(maps.Keys(looks)) {
 		answered := 0
 		for _, server := range looks[zone] {
@@ -248,9 +248,9 @@
 				answered++
 			}
 		}
-		key := gossip.ServerKey(zonal.LookKind, zonePool, zone)
+		key := gossip.ServerKey(zoneview.LookKind, zonePool, zone)
 		wanted[key] = true
-		n.Put(key, zonal.LookValue(answered, len(looks[zone])))
+		n.Put(key, zoneview.LookValue(answered, len(looks[zone])))
 		z.looked[key] = true
 	}
 	for _, key := range slices.Sorted(maps.Keys(z.looked)) {
@@ -268,7 +268,7 @@
 // decidesZones is what the holder of the lease does.
 func (p *proc) decidesZones(now time.Duration) {
 	z, n := p.rep.zoner, p.rep.node
-	token, _, held := p.keeper.Holding(now, zonal.Lease)
+	token, _, held := p.keeper.Holding(now, zoneview.Lease)
 	alone := p.w.o.Plant == Minority && !held && p.keeper.Session() != 0 && now >= p.keeper.Until()
 	if (!held || p.leaving) && !alone {
 		z.keeper, z.asking = nil, -1
@@ -277,7 +277,7 @@
 	if z.keeper == nil {
 		z.keeper = zonefailover.NewKeeper(p.w.zoneRules())
 	}
-	scene := zonal.Scene(n, p.members(), zonePool, p.w.field.list)
+	scene := zoneview.Scene(n, p.members(), zonePool, p.w.field.list)
 	switch p.w.o.Plant {
 	case WallStep:
 		now += time.Duration(p.w.now/(700*time.Millisecond)) * 400 * time.Millisecond // set forth now and then
@@ -303,7 +303,7 @@
 	if p.w.o.Plant == NoRetire && change.State.Falls > scene.Decided[change.Zone].Falls {
 		return
 	}
-	c := zonal.Command(n, zonePool, *change, token)
+	c := zoneview.Command(n, zonePool, *change, token)
 	if alone {
 		n.Decide(c.Key, c.After+1, []byte(c.Value))
 		return
--- a/internal/tier/copies.go
+++ b/internal/tier/copies.go
@@ -13,8 +13,8 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/gossip"
-	"sorrelrudder/internal/zonal"
 	"sorrelrudder/internal/zonefailover"
+	"sorrelrudder/internal/zoneview"
 )
 
 // CopiesConfig is what a process is told of the state that the fleet's processes share.
@@ -92,7 +92,7 @@
 	}
 	cfg := gossip.Usual()
 	cfg.Name, cfg.Members = t.cfg.Name, slices.Sorted(maps.Keys(t.cfg.Members))
-	cfg.Kinds, cfg.Decided = []string{gossip.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds
+	cfg.Kinds, cfg.Decided = []string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds
 	cfg.Gossip, cfg.Probe, cfg.Sync, cfg.Keep, cfg.Fanout, cfg.Budget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
 	h.Write([]byte(t.keeper.Start()))
@@ -128,7 +128,7 @@
 		t.done.Go(t.carry)
 		t.done.Go(t.watchZones)
 		if t.cfg.Zones != nil && t.cfg.Zones.Automatic != ZonesOff {
-			t.keeper.Want(zonal.Lease, 1)
+			t.keeper.Want(zoneview.Lease, 1)
 		}
 	}
 	return nil
@@ -450,7 +450,7 @@
 		s.Members[name] = k.node.Member(name).State.String()
 	}
 	s.Zones = k.zonesStatus()
-	for _, kind := range append([]string{gossip.DeadKind, zonal.LookKind, zonal.GreyKind}, consensus.DecidedKinds...) {
+	for _, kind := range append([]string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds...) {
 		s.Sums[kind] = k.node.Copies().Sum(kind)
 	}
 	for pool, kept := range k.kept {
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -30,8 +30,8 @@
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/zonal"
 	"sorrelrudder/internal/zonefailover"
+	"sorrelrudder/internal/zoneview"
 )
 
 // update is for forms that are meant to change: what stands in testdata was written by earlier versions, and is there to be read by later ones.
@@ -568,10 +568,10 @@
 // TestStoredWords: names, keys and numbers that are stored or sent keep their spelling and value.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
-		{leaseOf("sweep"), "task/sweep"}, {zonal.Lease, "zones"}, {operatorName, "operator"},
-		{gossip.DeadKind, "dead"}, {zonal.LookKind, "look"}, {zonal.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
+		{leaseOf("sweep"), "task/sweep"}, {zoneview.Lease, "zones"}, {operatorName, "operator"},
+		{gossip.DeadKind, "dead"}, {zoneview.LookKind, "look"}, {zoneview.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
 		{gossip.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
-		{string(zonal.LookValue(0, 3)), "0"}, {string(zonal.LookValue(2, 3)), "p"}, {string(zonal.LookValue(3, 3)), "1"},
+		{string(zoneview.LookValue(0, 3)), "0"}, {string(zoneview.LookValue(2, 3)), "p"}, {string(zoneview.LookValue(3, 3)), "1"},
 		{zonefailover.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
 		{zonefailover.State{Step: zonefailover.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
 		{storeFormat, 1}, {helloVersion, 1}, {tagLen, 16},
--- a/internal/tier/zones.go
+++ b/internal/tier/zones.go
@@ -11,8 +11,8 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/gossip"
-	"sorrelrudder/internal/zonal"
 	"sorrelrudder/internal/zonefailover"
+	"sorrelrudder/internal/zoneview"
 )
 
 // ZonesConfig is what a process is told of leaving zones.
@@ -60,7 +60,7 @@
 	if k.pools != nil && k.node.Copies().Sum(gossip.DeadKind) != 0 {
 		for pool := range z.lists {
 			for zone := range k.looksOf(t, pool, 0) {
-				if !k.looked[gossip.ServerKey(zonal.LookKind, pool, zone)] { // at once, and not with the next round
+				if !k.looked[gossip.ServerKey(zoneview.LookKind, pool, zone)] { // at once, and not with the next round
 					select {
 					case z.look <- struct{}{}:
 					default:
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	token, _, held := t.keeper.Holding(now, zonal.Lease)
+	token, _, held := t.keeper.Holding(now, zoneview.Lease)
 	if !held {
 		clear(z.keepers) // whoever holds it next begins anew
 		return
@@ -78,7 +78,7 @@
 		if z.keepers[pool] == nil {
 			z.keepers[pool] = zonefailover.NewKeeper(z.cfg.Rules)
 		}
-		scene := zonal.Scene(k.node, z.cfg.Members, pool, z.lists[pool])
+		scene := zoneview.Scene(k.node, z.cfg.Members, pool, z.lists[pool])
 		change, causes := z.keepers[pool].Next(now, scene)
 		for zone, cause := range causes {
 			key := pool + "/" + zone
@@ -101,7 +101,7 @@
 			continue
 		}
 		z.asking, z.askedAt = true, now
-		command := zonal.Command(k.node, pool, *change, token)
+		command := zoneview.Command(k.node, pool, *change, token)
 		t.call(&call{q: consensus.Request{Order: &command}, then: func(r consensus.Response) {
 			z.asking = false
 			if r.Order == nil || r.Order.Why != "" {
@@ -157,7 +157,7 @@
 		k.turns++
 		for zone, servers := range k.looksOf(t, pool, k.turns) {
 			looks = append(looks, look{pool, zone, servers})
-			wanted[gossip.ServerKey(zonal.LookKind, pool, zone)] = true
+			wanted[gossip.ServerKey(zoneview.LookKind, pool, zone)] = true
 		}
 	}
 	for key := range k.looked {
@@ -180,8 +180,8 @@
 		}
 		all.Wait()
 		t.mu.Lock()
-		key := gossip.ServerKey(zonal.LookKind, l.pool, l.zone)
-		if k.node.Put(key, zonal.LookValue(int(answered.Load()), len(l.servers))) {
+		key := gossip.ServerKey(zoneview.LookKind, l.pool, l.zone)
+		if k.node.Put(key, zoneview.LookValue(int(answered.Load()), len(l.servers))) {
 			k.looked[key] = true
 		}
 		t.keep()
@@ -202,7 +202,7 @@
 			z.grey[pool] = zonefailover.NewGrey(zonefailover.UsualGrey())
 		}
 		for _, zone := range z.grey[pool].Turn(now, zones) {
-			if key := gossip.ServerKey(zonal.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
+			if key := gossip.ServerKey(zoneview.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
 				said[key] = true
 			}
 		}
@@ -234,13 +234,13 @@
 			members[name] = ""
 		}
 	}
-	return zonal.Looks(k.node, rules, members, t.cfg.Name, pool, k.zones.lists[pool], turn)
+	return zoneview.Looks(k.node, rules, members, t.cfg.Name, pool, k.zones.lists[pool], turn)
 }
 
 // addZones adds to a pool's orders those about zones that are not wholly in use.
 func (k *copies) addZones(at func(pool string) orders) {
 	for pool, list := range k.zones.lists {
-		avoid, returning, soft := zonal.Orders(k.node, pool, list)
+		avoid, returning, soft := zoneview.Orders(k.node, pool, list)
 		for server := range soft {
 			at(pool).soft[server] = !at(pool).avoid[server] // an operator's word on the server itself is harder
 		}
@@ -269,7 +269,7 @@
 // zonesStatus tells of all zones. The caller has mu.
 func (k *copies) zonesStatus() (all []ZoneStatus) {
 	for _, pool := range slices.Sorted(maps.Keys(k.zones.lists)) {
-		states, numbers := zonal.Decided(k.node, pool)
+		states, numbers := zoneview.Decided(k.node, pool)
 		count, avoided := map[string]int{}, map[string]int{}
 		for server, zone := range k.zones.lists[pool] {
 			count[zone]++
--- a/internal/zonal/golden_test.go
+++ b/internal/zoneview/golden_test.go
@@ -1,4 +1,4 @@
-package zonal
+package zoneview
 
 import (
 	"flag"
--- a/internal/zonal/zonal.go
+++ b/internal/zoneview/zonal.go
@@ -1,7 +1,7 @@
-// Package zonal stands between what processes share and what is decided of zones: it reads the scene that evacuate judges out of the copies, says
+// Package zoneview stands between what processes share and what is decided of zones: it reads the scene that evacuate judges out of the copies, says
 // which servers a process leaves out by what was decided, who looks at a zone that was left, and what the holder of the lease asks the council. It
 // has no I/O and no clock, so that the same code runs in the program and in virtual time.
-package zonal
+package zoneview
 
 import (
 	"cmp"
