--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -15,9 +15,9 @@
 	"text/tabwriter"
 	"time"
 
+	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/lab"
 	"sorrelrudder/internal/tally"
-	"sorrelrudder/internal/tier"
 )
 
 // mostLogLine bounds a line of a log; a longer one ends the reading of that file.
@@ -140,7 +140,7 @@
 		text := bufio.NewScanner(f)
 		text.Buffer(nil, mostLogLine)
 		for text.Scan() {
-			if lab.Field(text.Text(), "msg") == tier.CopiesFigures {
+			if lab.Field(text.Text(), "msg") == fleet.CopiesFigures {
 				if at, err := time.Parse(time.RFC3339Nano, lab.Field(text.Text(), "time")); err == nil {
 					lines = append(lines, line{at: at, file: name, text: text.Text()})
 					if first.IsZero() || at.Before(first) {
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -20,11 +20,11 @@
 	"github.com/alecthomas/kong"
 
 	"sorrelrudder/internal/bridge"
+	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/h2"
 	"sorrelrudder/internal/lab"
 	"sorrelrudder/internal/opfile"
-	"sorrelrudder/internal/tier"
 	"sorrelrudder/internal/tlsfiles"
 )
 
@@ -148,8 +148,8 @@
 }
 
 // startTier has the process take part in its fleet.
-func startTier(cfg tier.Config, g *gateway.Gateway, log *slog.Logger) (*tier.Tier, error) {
-	t, err := tier.New(cfg, log)
+func startTier(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Tier, error) {
+	t, err := fleet.New(cfg, log)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -102,7 +102,7 @@
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/plain", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/hop", "sorrelrudder/internal/bridge",
-				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/tier", "sorrelrudder/internal/explore",
+				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/explore",
 			} {
 				if strings.HasPrefix(p, heavy) {
 					t.Errorf("%s links %s", command, p)
@@ -143,7 +143,7 @@
 	"internal/task":         {},
 	"internal/consensus":    {"internal/lease", "internal/gossip", "internal/task"},
 	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zoneview"},
-	"internal/tier":         {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zoneview"},
+	"internal/fleet":        {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/admin":        {"internal/figures"},
 	"internal/pool":         {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
 	"internal/keep":         {},
@@ -158,14 +158,14 @@
 		"policy", "internal/front", "internal/gateway", "internal/hop", "internal/message", "internal/pool", "internal/settings", "internal/source",
 		"internal/spill", "internal/upstream",
 	},
-	"internal/opfile":  {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/tier", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spill", "internal/gateway", "internal/message", "internal/route", "internal/source"},
+	"internal/opfile":  {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spill", "internal/gateway", "internal/message", "internal/route", "internal/source"},
 	"internal/hop":     {},
 	"internal/spill":   {"policy"},
 	"internal/standin": {}, // shares no code with what it watches
 	"internal/lab":     {"internal/standin"},
 	"cmd/simadapter":   {"internal/wire"},
 	"cmd/sidecar":      {"internal/sidecar"},
-	"cmd/sorrelrudder": {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/tier", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder": {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/opfile"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/tier"
 	"sorrelrudder/internal/zonefailover"
 )
 
@@ -70,7 +70,7 @@
 	if f.Tier == nil || f.Tier.Store == "" {
 		return fmt.Errorf("%s: no member of a council: [tier] with a store is missing", c.File)
 	}
-	store, err := tier.OpenStore(f.Tier.Store, f.Tier.Name)
+	store, err := fleet.OpenStore(f.Tier.Store, f.Tier.Name)
 	if err != nil {
 		return err
 	}
@@ -90,10 +90,10 @@
 	Timeout time.Duration `default:"5s" help:"How long an answer is waited for."`
 }
 
-func (a *asking) ask(do func(ctx context.Context, o *tier.Operator) error) error {
+func (a *asking) ask(do func(ctx context.Context, o *fleet.Operator) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
-	o, err := tier.Connect(ctx, a.Address, a.Secret)
+	o, err := fleet.Connect(ctx, a.Address, a.Secret)
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 }
 
 // status asks for what the process knows, and prints it as JSON or by table.
-func (a *asking) status(s *streams, table func(*tier.Status, *tabwriter.Writer)) error {
-	return a.ask(func(ctx context.Context, o *tier.Operator) error {
+func (a *asking) status(s *streams, table func(*fleet.Status, *tabwriter.Writer)) error {
+	return a.ask(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := o.Status(ctx)
 		if err != nil {
 			return err
@@ -120,7 +120,7 @@
 type tierStatusCmd struct{ asking }
 
 func (c *tierStatusCmd) Run(s *streams) error {
-	return c.status(s, func(st *tier.Status, w *tabwriter.Writer) {
+	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		fmt.Fprintf(w, "process\t%s\nincarnation\t%s\nfleet\t%s\nsession\t%d\nleader\t%s\n", st.Name, st.Incarnation,
 			cmp.Or(st.Fleet, "unknown"), st.Session, cmp.Or(st.Leader, "unknown"))
 		if st.Superseded {
@@ -145,7 +145,7 @@
 }
 
 // fleetOf is the replicated state as the process knows it.
-func fleetOf(st *tier.Status, w *tabwriter.Writer) *consensus.Fleet {
+func fleetOf(st *fleet.Status, w *tabwriter.Writer) *consensus.Fleet {
 	if st.Council == nil || st.Council.Fleet == nil {
 		fmt.Fprintf(w, "%s has no seat in the council, or has not heard of its state yet: ask another\n", st.Name)
 		return nil
@@ -156,7 +156,7 @@
 type tierMembers struct{ asking }
 
 func (c *tierMembers) Run(s *streams) error {
-	return c.status(s, func(st *tier.Status, w *tabwriter.Writer) {
+	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		f := fleetOf(st, w)
 		if f == nil {
 			return
@@ -184,7 +184,7 @@
 type tierLeases struct{ asking }
 
 func (c *tierLeases) Run(s *streams) error {
-	return c.status(s, func(st *tier.Status, w *tabwriter.Writer) {
+	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		f := fleetOf(st, w)
 		if f == nil {
 			return
@@ -209,7 +209,7 @@
 type tierTasks struct{ asking }
 
 func (c *tierTasks) Run(s *streams) error {
-	return c.status(s, func(st *tier.Status, w *tabwriter.Writer) {
+	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		f := fleetOf(st, w)
 		if f == nil {
 			return
@@ -230,13 +230,13 @@
 }
 
 func (c *tierRevoke) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Ask(ctx, consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
 		if err != nil {
 			return err
 		}
 		if r.Lease == nil || r.Lease.Result == nil {
-			return tier.ErrNoCouncil
+			return fleet.ErrNoCouncil
 		}
 		if r.Lease.Result.Why != "" {
 			return fmt.Errorf("%s: %s", c.Name, r.Lease.Result.Why)
@@ -253,10 +253,10 @@
 }
 
 func (c *tierState) Run(s *streams) error {
-	state := func(address string) (st *tier.Status, err error) {
+	state := func(address string) (st *fleet.Status, err error) {
 		a := c.asking
 		a.Address = address
-		err = a.ask(func(ctx context.Context, o *tier.Operator) error {
+		err = a.ask(func(ctx context.Context, o *fleet.Operator) error {
 			st, err = o.Status(ctx)
 			return err
 		})
@@ -277,7 +277,7 @@
 		return c.diff(s, one, other)
 	}
 	k := one.Copies
-	k.Entries = slices.DeleteFunc(k.Entries, func(e tier.CopyEntry) bool { return c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") })
+	k.Entries = slices.DeleteFunc(k.Entries, func(e fleet.CopyEntry) bool { return c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") })
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(k)
 	}
@@ -309,7 +309,7 @@
 	return w.Flush()
 }
 
-func valueOf(e tier.CopyEntry) string {
+func valueOf(e fleet.CopyEntry) string {
 	switch len(e.Values) {
 	case 0:
 		return "taken back"
@@ -320,10 +320,10 @@
 }
 
 // diff prints what two processes hold differently, and which rule settles it. Exit 1 if anything is.
-func (c *tierState) diff(s *streams, a, b *tier.Status) error {
+func (c *tierState) diff(s *streams, a, b *fleet.Status) error {
 	type at struct{ owner, key string }
-	both := map[at][2]*tier.CopyEntry{}
-	for i, st := range []*tier.Status{a, b} {
+	both := map[at][2]*fleet.CopyEntry{}
+	for i, st := range []*fleet.Status{a, b} {
 		for n := range st.Copies.Entries {
 			e := &st.Copies.Entries[n]
 			if c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") {
@@ -340,7 +340,7 @@
 	keys := slices.SortedFunc(maps.Keys(both), func(x, y at) int { return cmp.Or(cmp.Compare(x.owner, y.owner), cmp.Compare(x.key, y.key)) })
 	for _, key := range keys {
 		x, y := both[key][0], both[key][1]
-		text := func(e *tier.CopyEntry) string {
+		text := func(e *fleet.CopyEntry) string {
 			if e == nil {
 				return "nothing"
 			}
@@ -378,7 +378,7 @@
 }
 
 func (c *tierForget) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		if err := o.Forget(ctx, c.Key); err != nil {
 			return err
 		}
@@ -408,7 +408,7 @@
 	if key == "" {
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Order(ctx, consensus.OrderCommand{Key: key, Value: value, Lift: lift})
 		if err != nil {
 			return err
@@ -421,7 +421,7 @@
 type tierZoneStatus struct{ asking }
 
 func (c *tierZoneStatus) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := zonesOf(ctx, o)
 		if err != nil {
 			return err
@@ -445,7 +445,7 @@
 	})
 }
 
-func zonesOf(ctx context.Context, o *tier.Operator) (*tier.Status, error) {
+func zonesOf(ctx context.Context, o *fleet.Operator) (*fleet.Status, error) {
 	st, err := o.Status(ctx)
 	if err == nil && st.Copies == nil {
 		err = fmt.Errorf("%s shares no state: [tier.copies] is missing in its file", st.Name)
@@ -461,7 +461,7 @@
 }
 
 // plan says what leaving a zone would do, by the list of the process that is asked.
-func (c *tierZone) plan(st *tier.Status) (of *tier.ZoneStatus, rest int, err error) {
+func (c *tierZone) plan(st *fleet.Status) (of *fleet.ZoneStatus, rest int, err error) {
 	for i := range st.Copies.Zones {
 		z := &st.Copies.Zones[i]
 		switch {
@@ -485,7 +485,7 @@
 type tierZonePlan struct{ tierZone }
 
 func (c *tierZonePlan) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := zonesOf(ctx, o)
 		if err != nil {
 			return err
@@ -512,7 +512,7 @@
 )
 
 func (c *tierZoneLeave) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, rest int) (zonefailover.State, error) {
+	return c.decide(s, func(z *fleet.ZoneStatus, rest int) (zonefailover.State, error) {
 		if rest == 0 && !c.Force {
 			return zonefailover.State{}, fmt.Errorf("without %s no zone of %s would be wholly in use; nothing was changed (--force does it all the same)", c.Zone, c.Pool)
 		}
@@ -521,7 +521,7 @@
 }
 
 func (c *tierZoneReturn) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, _ int) (zonefailover.State, error) {
+	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
 		switch {
 		case c.Step < 1 || c.Step > zonefailover.Steps:
 			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errDay, c.Step, zonefailover.Steps)
@@ -533,13 +533,13 @@
 }
 
 func (c *tierZoneAuto) Run(s *streams) error {
-	return c.decide(s, func(z *tier.ZoneStatus, _ int) (zonefailover.State, error) {
+	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
 		return zonefailover.State{Step: z.Step, Falls: z.Falls, Why: "left to itself"}, nil
 	})
 }
 
-func (c *tierZone) decide(s *streams, of func(z *tier.ZoneStatus, rest int) (zonefailover.State, error)) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+func (c *tierZone) decide(s *streams, of func(z *fleet.ZoneStatus, rest int) (zonefailover.State, error)) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := zonesOf(ctx, o)
 		if err != nil {
 			return err
@@ -567,7 +567,7 @@
 type tierFoundCmd struct{ asking }
 
 func (c *tierFoundCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		if err := o.Found(ctx); err != nil {
 			return err
 		}
@@ -583,7 +583,7 @@
 }
 
 func (c *tierHandover) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		if err := o.Handover(ctx, c.Name, c.To); err != nil {
 			return err
 		}
@@ -608,13 +608,13 @@
 func (c *tierReplace) Run(s *streams) error { return c.change(s, consensus.Replace) }
 
 func (c *tierSeat) change(s *streams, op consensus.SeatOp) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Ask(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: op, Name: c.Name}})
 		if err != nil {
 			return err
 		}
 		if r.Seat == nil {
-			return tier.ErrNoCouncil
+			return fleet.ErrNoCouncil
 		}
 		if r.Seat.Why != "" {
 			return fmt.Errorf("nothing was changed: %s", r.Seat.Why)
@@ -630,13 +630,13 @@
 }
 
 func (c *tierTaskRun) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *tier.Operator) error {
+	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Ask(ctx, consensus.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
 		if err != nil {
 			return err
 		}
 		if r.Slot == nil {
-			return tier.ErrNoCouncil
+			return fleet.ErrNoCouncil
 		}
 		if r.Slot.Why != "" {
 			return fmt.Errorf("%s: %s", c.Name, r.Slot.Why)
@@ -663,7 +663,7 @@
 	defer stop()
 	connecting, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	o, err := tier.Connect(connecting, c.Address, c.Secret)
+	o, err := fleet.Connect(connecting, c.Address, c.Secret)
 	if err != nil {
 		return err
 	}
--- a/internal/tier/memory.go
+++ b/internal/fleet/memory.go
@@ -1,4 +1,4 @@
-package tier
+package fleet
 
 import (
 	"cmp"
--- a/internal/tier/tier.go
+++ b/internal/fleet/tier.go
@@ -1,6 +1,6 @@
-// Package tier is the host of a fleet's processes that know each other: the links between them, the council at those that have a
+// Package fleet is the host of a fleet's processes that know each other: the links between them, the council at those that have a
 // seat, this process' leases and its tasks. It carries out what packages council, lease and task decide, and decides nothing.
-package tier
+package fleet
 
 import (
 	"cmp"
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"sorrelrudder/internal/bridge"
+	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/source"
-	"sorrelrudder/internal/tier"
 	"sorrelrudder/policy"
 )
 
@@ -30,7 +30,7 @@
 	// Warnings are what may be meant and is dangerous.
 	Warnings []string
 	Bridge   *bridge.Config // nil: the process has no peers
-	Tier     *tier.Config   // nil: the process knows no others
+	Tier     *fleet.Config  // nil: the process knows no others
 	root     *section
 }
 
--- a/internal/opfile/tier.go
+++ b/internal/opfile/tier.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/tier"
 	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/policy"
 )
@@ -30,7 +30,7 @@
 		return
 	}
 	t := s.table("tier")
-	c := &tier.Config{Name: t.needed("name"), Secret: t.needed("secret"), Store: t.str("store", ""), Council: t.strs("council"), Members: map[string]string{}}
+	c := &fleet.Config{Name: t.needed("name"), Secret: t.needed("secret"), Store: t.str("store", ""), Council: t.strs("council"), Members: map[string]string{}}
 	c.Rules = lease.Rules{
 		Term: t.duration("term", 3*time.Second, 50*time.Millisecond, time.Hour), Drift: t.number("drift", 0.01, 0, 0.2),
 		Guard: t.duration("guard", 50*time.Millisecond, 0, time.Minute),
@@ -65,7 +65,7 @@
 	}
 	if t.has("copies") {
 		k := t.table("copies")
-		c.Copies = &tier.CopiesConfig{
+		c.Copies = &fleet.CopiesConfig{
 			Gossip: k.duration("gossip", 100*time.Millisecond, 10*time.Millisecond, 10*time.Second), Fanout: int(k.whole("fanout", 3, 1, 16)),
 			Probe: k.duration("probe", 500*time.Millisecond, 50*time.Millisecond, time.Minute), Sync: k.duration("sync", 2*time.Second, 100*time.Millisecond, time.Hour),
 			Keep: k.duration("keep", 30*time.Second, time.Second, 24*time.Hour), Witnesses: int(k.whole("witnesses", 2, 1, 100)),
@@ -83,7 +83,7 @@
 	if t.has("zones") {
 		z := t.table("zones")
 		usual := zonefailover.Usual()
-		c.Zones = &tier.ZonesConfig{Automatic: z.word("automatic", tier.ZonesAdvise, tier.ZonesOff, tier.ZonesAdvise, tier.ZonesOn), Members: zones, Rules: zonefailover.Rules{
+		c.Zones = &fleet.ZonesConfig{Automatic: z.word("automatic", fleet.ZonesAdvise, fleet.ZonesOff, fleet.ZonesAdvise, fleet.ZonesOn), Members: zones, Rules: zonefailover.Rules{
 			Down: z.number("down", usual.Down, 0.01, 1), Others: z.number("others", usual.Others, 0, 1), Least: z.number("least", usual.Least, 0, 0.99),
 			Step: z.duration("step", usual.Step, 100*time.Millisecond, time.Hour), Hold: z.duration("hold", usual.Hold, 100*time.Millisecond, time.Hour),
 			Most: z.duration("hold_most", usual.Most, 100*time.Millisecond, 24*time.Hour), Looks: int(z.whole("looks", int64(usual.Looks), 1, 5)), Grey: z.boolean("grey", usual.Grey),
@@ -155,8 +155,8 @@
 var missed = map[string]task.Missed{"skip": task.Skip, "once": task.Once, "each": task.Each}
 
 // task reads one task. Its class, and with it what doing it twice would do, is that of its path in its pool.
-func (r *reader) task(s *section, pools []gateway.Pool) tier.Task {
-	k := tier.Task{Pool: s.needed("pool"), Path: s.needed("path"), Tenant: s.str("tenant", ""), Body: s.str("body", "")}
+func (r *reader) task(s *section, pools []gateway.Pool) fleet.Task {
+	k := fleet.Task{Pool: s.needed("pool"), Path: s.needed("path"), Tenant: s.str("tenant", ""), Body: s.str("body", "")}
 	k.Name = s.needed("name")
 	k.Every = s.duration("every", 24*time.Hour, 10*time.Millisecond, 366*day)
 	k.At = s.duration("at", 0, 0, day)
