--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -156,20 +156,20 @@
 	"internal/sidecar": {"internal/gateway", "internal/proc", "internal/settings", "internal/source"},
 	"internal/bridge": {
 		"policy", "internal/front", "internal/gateway", "internal/hop", "internal/message", "internal/pool", "internal/settings", "internal/source",
-		"internal/spill", "internal/upstream",
+		"internal/spillover", "internal/upstream",
 	},
-	"internal/opfile":  {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spill", "internal/gateway", "internal/message", "internal/route", "internal/source"},
-	"internal/hop":     {},
-	"internal/spill":   {"policy"},
-	"internal/standin": {}, // shares no code with what it watches
-	"internal/lab":     {"internal/standin"},
-	"cmd/simadapter":   {"internal/wire"},
-	"cmd/sidecar":      {"internal/sidecar"},
-	"cmd/sorrelrudder": {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
+	"internal/opfile":    {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/bridge", "internal/spillover", "internal/gateway", "internal/message", "internal/route", "internal/source"},
+	"internal/hop":       {},
+	"internal/spillover": {"policy"},
+	"internal/standin":   {}, // shares no code with what it watches
+	"internal/lab":       {"internal/standin"},
+	"cmd/simadapter":     {"internal/wire"},
+	"cmd/sidecar":        {"internal/sidecar"},
+	"cmd/sorrelrudder":   {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/plain", "internal/route", "internal/bridge", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spill", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
+var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -22,7 +22,7 @@
 	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/spill"
+	"sorrelrudder/internal/spillover"
 )
 
 // Config is what the operator says of this site and its peers.
@@ -51,8 +51,8 @@
 type Pool struct {
 	Settings settings.Settings
 	To       string // the site that its requests may cross to; "": none
-	Spill    spill.Config
-	Grant    spill.GrantConfig
+	Spill    spillover.Config
+	Grant    spillover.GrantConfig
 	// Reaches are the keyed classes whose repeats the servers of both sites drop together.
 	Reaches []string
 }
--- a/internal/bridge/bridge_test.go
+++ b/internal/bridge/bridge_test.go
@@ -30,7 +30,7 @@
 	"sorrelrudder/internal/hop"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/source"
-	"sorrelrudder/internal/spill"
+	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/standin"
 	"sorrelrudder/policy"
 )
@@ -83,11 +83,11 @@
 	}
 	cfg := Config{Site: name, Peers: []Peer{p}, TLS: files, Pools: map[string]Pool{"farm": {
 		Settings: set, To: peer, Reaches: []string{"order"},
-		Spill: spill.Config{
+		Spill: spillover.Config{
 			ProbeEvery: 20 * time.Millisecond, MostPause: 50 * time.Millisecond, ProbesToOpen: 2, StallAfter: time.Second, Window: 20 * time.Millisecond,
 			Start: 0.01, Stop: 0.001, MostShare: 1,
 		},
-		Grant: spill.GrantConfig{Window: 50 * time.Millisecond, First: 16, Most: 64, Short: 0.02},
+		Grant: spillover.GrantConfig{Window: 50 * time.Millisecond, First: 16, Most: 64, Short: 0.02},
 	}}}
 	if err := cfg.Check(); err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	return p
 }
 
-func (p *pair) state() spill.State {
+func (p *pair) state() spillover.State {
 	c := p.near.bridge.pools["farm"]
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +188,7 @@
 
 func (p *pair) awaitOpen(t *testing.T) {
 	t.Helper()
-	waitFor(t, "the link to open", func() bool { return p.state() == spill.Open })
+	waitFor(t, "the link to open", func() bool { return p.state() == spillover.Open })
 }
 
 // ask sends one request to an address and returns its status and body; 0 if there was no answer.
@@ -357,7 +357,7 @@
 	}
 	there.Wait()
 	p.link.Stall(true)
-	for n := 0; n < 20 && p.state() == spill.Open; n++ { // the link holds these up, and delivers them later
+	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the link holds these up, and delivers them later
 		asking.Go(func() {
 			status, _ := p.ask(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
 			if status == 200 {
@@ -366,7 +366,7 @@
 		})
 	}
 	asking.Wait()
-	if p.state() == spill.Open {
+	if p.state() == spillover.Open {
 		t.Error("the link counts as open")
 	}
 	if status, _ := p.ask(t, p.near.addr("farm"), "check", "after", "", time.Second); status != 503 {
@@ -391,7 +391,7 @@
 	p := startPair(t, 0, [2]*TLS{})
 	p.crossing(t, "check")
 	p.far.stop()
-	waitFor(t, "the link to close", func() bool { return p.state() != spill.Open })
+	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
 	if status, _ := p.ask(t, p.near.addr("farm"), "order", "late", "late", time.Second); status != 503 {
 		t.Errorf("got %d, want a refusal", status)
 	}
@@ -407,7 +407,7 @@
 	p.far.gw.Close() // at once, like a process that dies, but for its connections' ends
 	p.far.stop()
 	<-p.far.ended
-	waitFor(t, "the link to close", func() bool { return p.state() != spill.Open })
+	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
 	p.far = startSite(t, "far", "near", free(t), hopAt, p.far.boxes, nil)
 	p.awaitOpen(t)
 	p.crossing(t, "book")
@@ -448,7 +448,7 @@
 			t.Fatalf("refused only after %v", took)
 		}
 	}
-	if p.state() == spill.Open {
+	if p.state() == spillover.Open {
 		t.Error("the link to a peer that says nothing counts as open")
 	}
 	p.rules(t)
--- a/internal/bridge/crossing.go
+++ b/internal/bridge/crossing.go
@@ -17,7 +17,7 @@
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/source"
-	"sorrelrudder/internal/spill"
+	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -51,8 +51,8 @@
 	kick    chan struct{} // tells watch that something crosses
 
 	mu        sync.Mutex
-	spill     *spill.Spill
-	grant     *spill.Grant
+	spill     *spillover.Spill
+	grant     *spillover.Grant
 	rtt       time.Duration // smoothed
 	stamp     time.Duration // the last of the far site's
 	stampAt   time.Duration // when it came
@@ -64,14 +64,14 @@
 func newCrossing(b *Bridge, name string, p Pool) *crossing {
 	c := &crossing{
 		bridge: b, name: name, cfg: p, classes: map[string]policy.Class{}, most: p.Settings.Config.MaxAttempts,
-		log: b.log.With("pool", name, "peer", p.To), kick: make(chan struct{}, 1), grant: spill.NewGrant(p.Grant),
+		log: b.log.With("pool", name, "peer", p.To), kick: make(chan struct{}, 1), grant: spillover.NewGrant(p.Grant),
 	}
-	var classes []spill.Class
+	var classes []spillover.Class
 	for _, k := range p.Settings.Config.Classes {
-		classes = append(classes, spill.Class{Name: k.Name, Worth: k.Worth, Work: k.Aim})
+		classes = append(classes, spillover.Class{Name: k.Name, Worth: k.Worth, Work: k.Aim})
 		c.classes[k.Name] = k
 	}
-	c.spill = spill.New(p.Spill, classes)
+	c.spill = spillover.New(p.Spill, classes)
 	return c
 }
 
@@ -152,7 +152,7 @@
 			probing = false
 			c.mu.Lock()
 			now := c.bridge.now()
-			var changes []*spill.Change
+			var changes []*spillover.Change
 			if r.ok {
 				if c.rtt == 0 {
 					c.rtt = r.took
@@ -180,7 +180,7 @@
 			if c.spill.Out() > 0 || c.spill.Spilling() {
 				often, look = probeBusy, busy
 			}
-			if s := c.spill.State(); s == spill.Open || s == spill.Draining {
+			if s := c.spill.State(); s == spillover.Open || s == spillover.Draining {
 				probe = now-last >= often
 			} else {
 				look = busy
@@ -234,18 +234,18 @@
 
 // changed carries out a change of the link's state: the far member comes and goes in the list, and what is out on a link that
 // is no more has broken off.
-func (c *crossing) changed(ch *spill.Change, err error) {
+func (c *crossing) changed(ch *spillover.Change, err error) {
 	if ch == nil {
 		return
 	}
 	c.log.Info("link", "from", ch.From.String(), "to", ch.To.String(), "cause", string(ch.Cause), "err", err)
 	switch ch.To {
-	case spill.Open:
+	case spillover.Open:
 		c.announce("active")
-	case spill.Draining:
+	case spillover.Draining:
 		c.announce("leaving")
 	default:
-		if ch.From == spill.Open || ch.From == spill.Draining {
+		if ch.From == spillover.Open || ch.From == spillover.Draining {
 			c.list.Set(nil)
 			c.far.Break(farMember)
 		}
@@ -293,7 +293,7 @@
 	rtt, crosses := c.rtt, false
 	if c.far != nil {
 		c.spill.Denied(now, h.Event.Class)
-		crosses = time.Until(h.Until) > rtt+backSlack && spill.Legal(c.rules(h.Event.Class), h.Prior, c.most, rtt) && c.spill.Ask(now, h.Event.Class)
+		crosses = time.Until(h.Until) > rtt+backSlack && spillover.Legal(c.rules(h.Event.Class), h.Prior, c.most, rtt) && c.spill.Ask(now, h.Event.Class)
 	}
 	c.mu.Unlock()
 	if !crosses {
@@ -331,7 +331,7 @@
 // member that there is could not get better by itself.
 func (c *crossing) unstick() {
 	c.mu.Lock()
-	stuck := c.spill.State() == spill.Open && c.bridge.now()-c.announced >= announceEvery
+	stuck := c.spill.State() == spillover.Open && c.bridge.now()-c.announced >= announceEvery
 	c.mu.Unlock()
 	if stuck {
 		c.announce("active")
@@ -339,9 +339,9 @@
 }
 
 // rules are what may be done with a request of a class that may have run here.
-func (c *crossing) rules(class string) spill.Rules {
+func (c *crossing) rules(class string) spillover.Rules {
 	k, known := c.classes[class]
-	return spill.Rules{
+	return spillover.Rules{
 		Safe: known && k.Effect == policy.Safe, Keyed: known && k.Effect == policy.Keyed, Reaches: slices.Contains(c.cfg.Reaches, class),
 	}
 }
@@ -360,7 +360,7 @@
 		Used: len(q.Prior), May: max(1, c.most-len(q.Prior)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
 	}
 	for _, p := range q.Prior {
-		if !p.NotRun { // only of classes whose repeats are dropped at both sites alike, see spill.Legal
+		if !p.NotRun { // only of classes whose repeats are dropped at both sites alike, see spillover.Legal
 			r.Ran = append(r.Ran, hop.Prior{For: p.For})
 		}
 	}
--- a/internal/opfile/site.go
+++ b/internal/opfile/site.go
@@ -6,7 +6,7 @@
 
 	"sorrelrudder/internal/bridge"
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/spill"
+	"sorrelrudder/internal/spillover"
 )
 
 // site reads who this site is, and its peers.
@@ -80,7 +80,7 @@
 		}
 		r.known(t.at("to"), "peer", b.To, peers)
 	}
-	b.Spill = spill.Config{
+	b.Spill = spillover.Config{
 		Window: t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
 		Start:  t.number("start", 0.02, 0, 1), Stop: t.number("stop", 0.005, 0, 1), MostShare: t.number("most_share", 1, 0, 1),
 		ProbeEvery: t.duration("probe_every", 100*time.Millisecond, time.Millisecond, time.Minute),
@@ -90,7 +90,7 @@
 	if b.Spill.Stop >= b.Spill.Start {
 		r.bad(t.at("stop"), "is %v, not below start, which is %v", b.Spill.Stop, b.Spill.Start)
 	}
-	b.Grant = spill.GrantConfig{
+	b.Grant = spillover.GrantConfig{
 		Window: t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
 		First:  int(t.whole("grant_first", 8, 0, mostCount)), Most: int(t.whole("grant_most", 256, 0, mostCount)),
 		Short: t.number("grant_short", 0.02, 0, 1),
--- a/internal/spill/grant.go
+++ b/internal/spillover/grant.go
@@ -1,4 +1,4 @@
-package spill
+package spillover
 
 import "time"
 
--- a/internal/spill/spill.go
+++ b/internal/spillover/spill.go
@@ -1,4 +1,4 @@
-// Package spill decides when work crosses to another site, how much of it and of which class, and when it comes back. It is
+// Package spillover decides when work crosses to another site, how much of it and of which class, and when it comes back. It is
 // pure: events in, decisions out, with the time passed in; no clock, socket or goroutine. It knows nothing of how a
 // request crosses, and it never says that one may: whether an attempt at the far site is legal at all is for the decision
 // module, which sees the far site as members of its list; this module says how many of them there are.
@@ -6,7 +6,7 @@
 // Local first: a request is offered to the far site only if the local site has just turned down, for want of time, what is
 // worth as much. The far site grants room in credits, so that a spill never tips it over; a link that was dead is
 // probed before it is loaded again.
-package spill
+package spillover
 
 import (
 	"cmp"
