--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -19,12 +19,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"sorrelrudder/internal/bridge"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/h2"
 	"sorrelrudder/internal/lab"
 	"sorrelrudder/internal/opfile"
+	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/tlsfiles"
 )
 
@@ -170,7 +170,7 @@
 		}
 		return g, closeUnless(g, g.Listen())
 	}
-	b, err := bridge.New(*f.Bridge, log)
+	b, err := sitelink.New(*f.Bridge, log)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -10,12 +10,12 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/bridge"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/route"
+	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/policy"
 )
@@ -29,8 +29,8 @@
 	Cores   int // that may run Go code at once
 	// Warnings are what may be meant and is dangerous.
 	Warnings []string
-	Bridge   *bridge.Config // nil: the process has no peers
-	Tier     *fleet.Config  // nil: the process knows no others
+	Bridge   *sitelink.Config // nil: the process has no peers
+	Tier     *fleet.Config    // nil: the process knows no others
 	root     *section
 }
 
--- a/internal/opfile/site.go
+++ b/internal/opfile/site.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"time"
 
-	"sorrelrudder/internal/bridge"
 	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/spillover"
 )
 
@@ -18,18 +18,18 @@
 		}
 		return
 	}
-	b := &bridge.Config{Pools: map[string]bridge.Pool{}}
+	b := &sitelink.Config{Pools: map[string]sitelink.Pool{}}
 	t := s.table("site")
 	b.Site = t.needed("name")
 	if t.has("tls") {
 		files := t.table("tls")
-		b.TLS = &bridge.TLS{Certificate: files.needed("certificate"), Key: files.needed("key"), Authorities: files.needed("authorities")}
+		b.TLS = &sitelink.TLS{Certificate: files.needed("certificate"), Key: files.needed("key"), Authorities: files.needed("authorities")}
 		files.done()
 	}
 	t.done()
 	seen := map[string]bool{b.Site: true}
 	for _, p := range s.tables("peers") {
-		peer := bridge.Peer{Name: p.needed("name"), Address: p.needed("address"), Subject: p.str("subject", "")}
+		peer := sitelink.Peer{Name: p.needed("name"), Address: p.needed("address"), Subject: p.str("subject", "")}
 		if peer.Address != "" {
 			r.address(p.at("address"), peer.Address, false)
 		}
@@ -72,7 +72,7 @@
 		return
 	}
 	t := s.table("spill")
-	b := bridge.Pool{Settings: p.Settings, To: t.str("to", ""), Reaches: reaches}
+	b := sitelink.Pool{Settings: p.Settings, To: t.str("to", ""), Reaches: reaches}
 	if b.To != "" {
 		var peers []string
 		for _, p := range f.Bridge.Peers {
--- a/internal/bridge/bridge.go
+++ b/internal/sitelink/bridge.go
@@ -1,8 +1,8 @@
-// Package bridge joins the process to its peers at other sites: it carries requests across that a pool's own servers do not
+// Package sitelink joins the process to its peers at other sites: it carries requests across that a pool's own servers do not
 // serve, and takes in those of others. It is an extension of the gateway that only the product links. When work crosses, how
 // much and of which class is decided by package spill, and whether an attempt is legal by the decision module, which sees
 // the far site as the only member of a pool beside the others; this package carries that out.
-package bridge
+package sitelink
 
 import (
 	"context"
--- a/internal/bridge/golden_test.go
+++ b/internal/sitelink/golden_test.go
@@ -1,4 +1,4 @@
-package bridge
+package sitelink
 
 import (
 	"flag"
