--- a/internal/hop/form_test.go
+++ b/internal/siteheader/form_test.go
@@ -1,4 +1,4 @@
-package hop
+package siteheader
 
 import (
 	"reflect"
--- a/internal/hop/hop.go
+++ b/internal/siteheader/hop.go
@@ -1,7 +1,7 @@
-// Package hop reads and writes the fields that cross between two sites with a request and its answer, as
+// Package siteheader reads and writes the fields that cross between two sites with a request and its answer, as
 // docs/protocol/hop.md has them: dictionaries of RFC 9651. It opens no socket and decides nothing but whether a field can be
 // read and is within its bounds; whether its sender may send it at all is for who received it.
-package hop
+package siteheader
 
 import (
 	"errors"
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -27,8 +27,8 @@
 	"go.uber.org/goleak"
 
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/hop"
 	"sorrelrudder/internal/settings"
+	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/standin"
@@ -221,8 +221,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if addr == p.near.addr("farm") && resp.Header.Get(hop.AnswerField) != "" {
-		t.Errorf("%s: the client is told %s", id, resp.Header.Get(hop.AnswerField))
+	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.AnswerField) != "" {
+		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.AnswerField))
 	}
 	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), standin.Made(class, id, key)))
 	return resp.StatusCode, string(body)
@@ -273,12 +273,12 @@
 			t.Fatalf("got %d, and %d attempts", status, p.ledger.Arrivals(key))
 		}
 	}
-	r := hop.Request{Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", May: 1, Origin: "near", Passed: []string{"near"}}
+	r := siteheader.Request{Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", May: 1, Origin: "near", Passed: []string{"near"}}
 	text, err := r.String()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := p.ask(t, p.far.addr("sites"), "order-here", "forced", "forced", time.Second, hop.RequestField+": "+text); status != 403 {
+	if status, _ := p.ask(t, p.far.addr("sites"), "order-here", "forced", "forced", time.Second, siteheader.RequestField+": "+text); status != 403 {
 		t.Errorf("a peer that sends it got %d", status)
 	}
 	p.rules(t)
@@ -489,8 +489,8 @@
 // TestForgedFields guards against who is no peer, and against peers that lie: nothing runs, and the others go on.
 func TestForgedFields(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
-	field := func(change func(*hop.Request)) string {
-		r := hop.Request{
+	field := func(change func(*siteheader.Request)) string {
+		r := siteheader.Request{
 			Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", May: 1, Origin: "near", Passed: []string{"near"},
 		}
 		change(&r)
@@ -498,9 +498,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return hop.RequestField + ": " + text
+		return siteheader.RequestField + ": " + text
 	}
-	plain := field(func(*hop.Request) {})
+	plain := field(func(*siteheader.Request) {})
 	for name, c := range map[string]struct {
 		field string
 		want  int
@@ -510,16 +510,18 @@
 		"version":          {strings.Replace(plain, "v=1", "v=9", 1), 505},
 		"negative time":    {strings.Replace(plain, "left=1000000", "left=-5", 1), 400},
 		"huge time":        {strings.Replace(plain, "left=1000000", "left=999999999999999", 1), 400},
-		"attempts":         {field(func(r *hop.Request) { r.Used = 4000 }), 400},
-		"more ran":         {field(func(r *hop.Request) { r.Ran = []hop.Prior{{For: time.Second}} }), 400},
-		"another's origin": {field(func(r *hop.Request) { r.Origin, r.Passed = "else", []string{"else"} }), 403},
-		"a second hop":     {field(func(r *hop.Request) { r.Passed = []string{"near", "else"} }), 508},
-		"a loop":           {field(func(r *hop.Request) { r.Origin, r.Passed = "far", []string{"far"} }), 508},
-		"held up":          {field(func(r *hop.Request) { r.Stamp -= 1500 * time.Millisecond }), 503},
-		"given up":         {field(func(r *hop.Request) { r.Stamp, r.Within = r.Stamp-500*time.Millisecond, 400*time.Millisecond }), 503},
-		"no such pool":     {field(func(r *hop.Request) { r.Pool = "none" }), 404},
-		"unsafe, ran":      {field(func(r *hop.Request) { r.Class, r.Used, r.Ran = "book", 1, []hop.Prior{{For: time.Minute}} }), 400},
-		"no attempt left":  {strings.Replace(plain, "may=1", "may=0", 1), 400},
+		"attempts":         {field(func(r *siteheader.Request) { r.Used = 4000 }), 400},
+		"more ran":         {field(func(r *siteheader.Request) { r.Ran = []siteheader.Prior{{For: time.Second}} }), 400},
+		"another's origin": {field(func(r *siteheader.Request) { r.Origin, r.Passed = "else", []string{"else"} }), 403},
+		"a second hop":     {field(func(r *siteheader.Request) { r.Passed = []string{"near", "else"} }), 508},
+		"a loop":           {field(func(r *siteheader.Request) { r.Origin, r.Passed = "far", []string{"far"} }), 508},
+		"held up":          {field(func(r *siteheader.Request) { r.Stamp -= 1500 * time.Millisecond }), 503},
+		"given up":         {field(func(r *siteheader.Request) { r.Stamp, r.Within = r.Stamp-500*time.Millisecond, 400*time.Millisecond }), 503},
+		"no such pool":     {field(func(r *siteheader.Request) { r.Pool = "none" }), 404},
+		"unsafe, ran": {field(func(r *siteheader.Request) {
+			r.Class, r.Used, r.Ran = "book", 1, []siteheader.Prior{{For: time.Minute}}
+		}), 400},
+		"no attempt left": {strings.Replace(plain, "may=1", "may=0", 1), 400},
 	} {
 		class := "check"
 		if strings.Contains(c.field, `"book"`) {
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/hop"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/upstream"
@@ -200,7 +200,7 @@
 				from := time.Now()
 				a, status, err := c.probe(wait)
 				results <- result{
-					ok: err == nil && a.How == hop.Served, drains: err == nil && a.How == hop.Refused && status == http.StatusServiceUnavailable,
+					ok: err == nil && a.How == siteheader.Served, drains: err == nil && a.How == siteheader.Refused && status == http.StatusServiceUnavailable,
 					room: a.Room, stamp: a.Stamp, took: time.Since(from), err: err,
 				}
 			})
@@ -209,24 +209,24 @@
 }
 
 // probe asks the far site for its room.
-func (c *crossing) probe(wait time.Duration) (hop.Answer, int, error) {
+func (c *crossing) probe(wait time.Duration) (siteheader.Answer, int, error) {
 	ctx, cancel := context.WithTimeout(c.bridge.ctx, wait)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.peer.Address+hopTarget, nil)
 	if err != nil {
-		return hop.Answer{}, 0, err
+		return siteheader.Answer{}, 0, err
 	}
 	q.Header.Set(poolField, c.name)
 	resp, err := c.client.Do(q)
 	if err != nil {
-		return hop.Answer{}, 0, err
+		return siteheader.Answer{}, 0, err
 	}
 	defer resp.Body.Close()
 	if _, err := io.CopyN(io.Discard, resp.Body, message.MostBody); !errors.Is(err, io.EOF) {
-		return hop.Answer{}, 0, fmt.Errorf("a probe's answer: %w", err)
+		return siteheader.Answer{}, 0, fmt.Errorf("a probe's answer: %w", err)
 	}
-	a, err := hop.ParseAnswer(resp.Header.Values(hop.AnswerField), 0)
-	if err == nil && a.How == hop.Refused && resp.StatusCode != http.StatusServiceUnavailable {
+	a, err := siteheader.ParseAnswer(resp.Header.Values(siteheader.AnswerField), 0)
+	if err == nil && a.How == siteheader.Refused && resp.StatusCode != http.StatusServiceUnavailable {
 		err = fmt.Errorf("the peer refuses probes with %s", resp.Status)
 	}
 	return a, resp.StatusCode, err
@@ -355,13 +355,13 @@
 	c.mu.Lock()
 	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.Patience(now)
 	c.mu.Unlock()
-	r := hop.Request{
+	r := siteheader.Request{
 		Stamp: stamp, Ago: ago, Within: min(within, left), Left: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Cost: q.Cost, Retry: q.Retry,
 		Used: len(q.Prior), May: max(1, c.most-len(q.Prior)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
 	}
 	for _, p := range q.Prior {
 		if !p.NotRun { // only of classes whose repeats are dropped at both sites alike, see spillover.Legal
-			r.Ran = append(r.Ran, hop.Prior{For: p.For})
+			r.Ran = append(r.Ran, siteheader.Prior{For: p.For})
 		}
 	}
 	text, err := r.String()
@@ -369,12 +369,12 @@
 		c.log.Warn("a request that cannot cross", "err", err)
 		return nil
 	}
-	return []upstream.Field{{Name: hop.RequestField, Value: text}}
+	return []upstream.Field{{Name: siteheader.RequestField, Value: text}}
 }
 
 // Read is the method of pool.Dialect.
 func (c *crossing) Read(status int, h http.Header) (policy.Status, *policy.Load) {
-	a, err := hop.ParseAnswer(h.Values(hop.AnswerField), c.most)
+	a, err := siteheader.ParseAnswer(h.Values(siteheader.AnswerField), c.most)
 	now := c.bridge.now()
 	c.mu.Lock()
 	if err == nil {
@@ -384,9 +384,9 @@
 	c.mu.Unlock()
 	load := &policy.Load{Queue: 0, Inflight: -1, Latency: -1, ErrorRate: -1}
 	switch {
-	case err == nil && a.How == hop.Served && status == http.StatusOK:
+	case err == nil && a.How == siteheader.Served && status == http.StatusOK:
 		return policy.OK, load
-	case err == nil && a.How == hop.Refused:
+	case err == nil && a.How == siteheader.Refused:
 		return policy.Full, load
 	}
 	return policy.AppError, load
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/hop"
 	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/policy"
 )
 
@@ -44,7 +44,7 @@
 		return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: q}, nil
 	})}
 	a, status, err := c.probe(time.Second)
-	if want := (hop.Answer{How: hop.Served, Room: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
+	if want := (siteheader.Answer{How: siteheader.Served, Room: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
 		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
 	}
 	zone := c.peer.zone()
@@ -64,14 +64,14 @@
 	if len(fields) != 1 || fields[0].Name != "Sorrel-Hop" {
 		t.Fatalf("fields %+v", fields)
 	}
-	got, err := hop.ParseRequest([]string{fields[0].Value}, "far")
+	got, err := siteheader.ParseRequest([]string{fields[0].Value}, "far")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got.Ago, got.Within = 0, 0 // of the clock
-	want := &hop.Request{
+	want := &siteheader.Request{
 		Left: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true, Used: 2, May: 3,
-		Ran: []hop.Prior{{For: 9 * time.Second}}, Origin: "near", Passed: []string{"near"}, Stamp: 77 * time.Second,
+		Ran: []siteheader.Prior{{For: 9 * time.Second}}, Origin: "near", Passed: []string{"near"}, Stamp: 77 * time.Second,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("what crosses is %+v, want %+v", got, want)
@@ -106,8 +106,8 @@
 		if !ok {
 			t.Fatalf("%s: %v is no refusal", name, err)
 		}
-		a, err := hop.ParseAnswer(bad.Header.Values("Sorrel-Hop-Answer"), 2)
-		if err != nil || a.How != hop.Refused || a.Spent != 0 || a.Room != 0 {
+		a, err := siteheader.ParseAnswer(bad.Header.Values("Sorrel-Hop-Answer"), 2)
+		if err != nil || a.How != siteheader.Refused || a.Spent != 0 || a.Room != 0 {
 			t.Errorf("%s is answered with %+v, %v", name, a, err)
 		}
 		forms = append(forms, form{name: name, write: fmt.Sprint(bad.Status)})
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -7,9 +7,9 @@
 
 	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/hop"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/policy"
 )
 
@@ -20,18 +20,18 @@
 }
 
 // field is a head with the field of a hop's answer.
-func (b *Bridge) field(a hop.Answer) http.Header {
+func (b *Bridge) field(a siteheader.Answer) http.Header {
 	a.Stamp = b.now()
 	text, err := a.String()
 	if err != nil {
 		return nil
 	}
-	return http.Header{hop.AnswerField: {text}}
+	return http.Header{siteheader.AnswerField: {text}}
 }
 
 // bad turns a request away of which nothing has run.
 func (h *handler) bad(status int, text string) message.Bad {
-	return message.Bad{Status: status, Text: text, Header: h.b.field(hop.Answer{How: hop.Refused})}
+	return message.Bad{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
 }
 
 // Admit is the method of front.Handler.
@@ -42,11 +42,11 @@
 	if q.Path == hopTarget && q.Method == http.MethodGet {
 		return h.probed(q)
 	}
-	r, err := hop.ParseRequest(q.Header.Values(hop.RequestField), h.b.cfg.Site)
+	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.b.cfg.Site)
 	switch {
-	case errors.Is(err, hop.ErrVersion):
+	case errors.Is(err, siteheader.ErrVersion):
 		return nil, 0, h.bad(http.StatusHTTPVersionNotSupported, err.Error())
-	case errors.Is(err, hop.ErrLoop):
+	case errors.Is(err, siteheader.ErrLoop):
 		return nil, 0, h.bad(http.StatusLoopDetected, err.Error())
 	case err != nil:
 		return nil, 0, h.bad(http.StatusBadRequest, err.Error())
@@ -69,7 +69,7 @@
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "it was on its way for too long")
 	}
 	r.Left -= late
-	q.Header.Del(hop.RequestField)
+	q.Header.Del(siteheader.RequestField)
 	f := pool.Foreign{Timeout: r.Left, Event: policy.Request{
 		Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Most: r.Used + r.May,
 	}}
@@ -88,7 +88,7 @@
 		if !errors.As(err, &why) {
 			return nil, owner, err
 		}
-		why.Header = h.b.field(hop.Answer{How: hop.Refused, Room: c.room()})
+		why.Header = h.b.field(siteheader.Answer{How: siteheader.Refused, Room: c.room()})
 		return nil, owner, why
 	}
 	return &admission{Admission: a, c: c}, owner, nil
@@ -103,7 +103,7 @@
 	if h.b.draining.Load() {
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
 	}
-	a := hop.Answer{How: hop.Served}
+	a := siteheader.Answer{How: siteheader.Served}
 	if c != nil && h.g.Serves(c.name) {
 		a.Room = c.room()
 	}
@@ -142,7 +142,7 @@
 	if err != nil {
 		var why message.Bad
 		if errors.As(err, &why) {
-			why.Header = a.c.bridge.field(hop.Answer{How: hop.Refused, Room: a.c.room()})
+			why.Header = a.c.bridge.field(siteheader.Answer{How: siteheader.Refused, Room: a.c.room()})
 			return nil, why
 		}
 		return nil, err
@@ -185,16 +185,16 @@
 // mark adds the field of the hop to an answer.
 func (e *exchange) mark(ans message.Answer) message.Answer {
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
-	a := hop.Answer{How: hop.MayHaveRun, Room: e.back(refused)}
+	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
 	ran := true
 	if x, ok := e.Exchange.(interface{ Account() (int, bool) }); ok {
 		a.Spent, ran = x.Account()
 	}
 	switch {
 	case ans.Status == http.StatusOK:
-		a.How = hop.Served
+		a.How = siteheader.Served
 	case !ran:
-		a.How = hop.Refused
+		a.How = siteheader.Refused
 		a.Wait = ans.RetryAfter
 	}
 	if e.c.bridge.draining.Load() {
