--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -146,10 +146,10 @@
 	"internal/fleet":        {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/admin":        {"internal/figures"},
 	"internal/pool":         {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
-	"internal/keep":         {},
-	"internal/front":        {"internal/keep", "internal/message", "internal/proc"},
+	"internal/keepalive":    {},
+	"internal/front":        {"internal/keepalive", "internal/message", "internal/proc"},
 	"internal/gateway": {
-		"internal/keep",
+		"internal/keepalive",
 		"policy", "internal/admin", "internal/figures", "internal/front", "internal/message", "internal/pool", "internal/proc", "internal/route", "internal/settings",
 		"internal/share", "internal/source", "internal/upstream",
 	},
@@ -169,7 +169,7 @@
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keep", "internal/route", "internal/share", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
+var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/share", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
 // Package fixedseed, imported by a package's tests, gives their properties the same draws at every run, so that CI gives the same
-// verdict every time. `go test ./internal/keep -rapid.seed=0` draws others.
+// verdict every time. `go test ./internal/keepalive -rapid.seed=0` draws others.
 package fixedseed
 
 import (
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -23,13 +23,13 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/keep"
+	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/proc"
 )
 
 const (
-	// headTime is how long a head may take from its first byte to its last: slow clients need 2 s. With keep.MostWait it
+	// headTime is how long a head may take from its first byte to its last: slow clients need 2 s. With keepalive.MostWait it
 	// bounds the life of a connection that never brings a whole head; of bodies bodyPause and leastRate do.
 	headTime = 2400 * time.Millisecond
 	// watchAfter is how long a request is open before its client is watched.
@@ -66,7 +66,7 @@
 )
 
 // Owner names the pool that a connection's last request was for. 0: it has brought none.
-type Owner = keep.Owner
+type Owner = keepalive.Owner
 
 // Handler says what becomes of requests. It is called from many goroutines at once.
 type Handler interface {
@@ -131,7 +131,7 @@
 	origin      time.Time // of the rule's clock
 
 	mu       sync.Mutex
-	rule     *keep.Rule
+	rule     *keepalive.Rule
 	draining bool
 	ports    map[net.Listener]*port
 	conns    map[*clientConn]struct{}         // all; the descriptors bound it
@@ -184,11 +184,11 @@
 	drain  chan struct{}  // Server.mu: of a connection that carries several requests; closed to end it
 	// closeDelimited is, under Server.mu, that an answer is on its way whose end is that of the connection (RFC 9112, 6.3).
 	closeDelimited bool
-	since          time.Time    // Server.mu: in that list since then
-	uses           int          // Server.mu: answers on it
-	rests          bool         // Server.mu: the rule has let it wait and is owed how that ended
-	wait           keep.Wait    // Server.mu: what it said
-	read           atomic.Int64 // when something was read last, in nanoseconds since started
+	since          time.Time      // Server.mu: in that list since then
+	uses           int            // Server.mu: answers on it
+	rests          bool           // Server.mu: the rule has let it wait and is owed how that ended
+	wait           keepalive.Wait // Server.mu: what it said
+	read           atomic.Int64   // when something was read last, in nanoseconds since started
 }
 
 // started is the origin of clientConn.read.
@@ -226,7 +226,7 @@
 func NewWith(h Handler, d *proc.Descriptors, log *slog.Logger, o Options) *Server {
 	return &Server{
 		handler: h, descriptors: d, log: log, options: o, conns: map[*clientConn]struct{}{}, ports: map[net.Listener]*port{},
-		idle: map[Owner]*[idleKinds]lists.List{}, origin: time.Now(), rule: keep.New(d.Clients()),
+		idle: map[Owner]*[idleKinds]lists.List{}, origin: time.Now(), rule: keepalive.New(d.Clients()),
 	}
 }
 
@@ -379,12 +379,12 @@
 func (s *Server) now() time.Duration { return time.Since(s.origin) }
 
 // kind is what the rule takes c for. The caller holds mu.
-func (c *clientConn) kind() keep.Kind { return keep.Kind(min(c.uses, int(keep.Again))) }
+func (c *clientConn) kind() keepalive.Kind { return keepalive.Kind(min(c.uses, int(keepalive.Again))) }
 
 // rest asks the rule how long c, on which nothing is open, may wait, and reports whether it may at all. The caller holds mu.
 func (s *Server) rest(c *clientConn) bool {
 	if s.options.Steady {
-		c.wait = keep.Wait{Most: keep.MostWait}
+		c.wait = keepalive.Wait{Most: keepalive.MostWait}
 		return true
 	}
 	c.wait = s.rule.Rest(s.now(), c.owner, c.kind())
@@ -687,14 +687,14 @@
 }
 
 // Learnt is what the server knows of its clients' habits.
-func (s *Server) Learnt() keep.Learnt {
+func (s *Server) Learnt() keepalive.Learnt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rule.Learnt()
 }
 
 // Adopt takes over what another process has learnt of them.
-func (s *Server) Adopt(l keep.Learnt) {
+func (s *Server) Adopt(l keepalive.Learnt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rule.Adopt(l)
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -17,7 +17,7 @@
 
 	"go.uber.org/goleak"
 
-	"sorrelrudder/internal/keep"
+	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/proc"
 )
@@ -380,9 +380,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 2000 {
-		for k := keep.Fresh; k <= keep.Again; k++ {
+		for k := keepalive.Fresh; k <= keepalive.Again; k++ {
 			w := r.rule.Rest(r.now(), o, k)
-			r.rule.Rested(o, k, w, keep.MostWait, false)
+			r.rule.Rested(o, k, w, keepalive.MostWait, false)
 		}
 	}
 }
--- a/internal/gateway/learnt.go
+++ b/internal/gateway/learnt.go
@@ -1,14 +1,14 @@
 package gateway
 
 import (
-	"sorrelrudder/internal/keep"
+	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/pool"
 )
 
 // Learnt is what a process has learnt of clients and servers, for one that takes its place with the same pools. It is a help
 // and no truth: whatever is missing or wrong in it is learnt anew.
 type Learnt struct {
-	Clients keep.Learnt            `json:"Clients"` // by pool, in the order of their keys
+	Clients keepalive.Learnt       `json:"Clients"` // by pool, in the order of their keys
 	Pools   map[string]pool.Learnt `json:"Pools"`
 }
 
--- a/internal/keep/keep.go
+++ b/internal/keepalive/keep.go
@@ -1,4 +1,4 @@
-// Package keep decides how long a client's connection on which nothing is open is kept: not at all, so that its answer says
+// Package keepalive decides how long a client's connection on which nothing is open is kept: not at all, so that its answer says
 // `Connection: close`, for a while, or as long as any may stay. It is pure: it knows neither sockets nor clocks, and is told
 // what the connections do. Which pool they are for it knows only as a number.
 //
@@ -8,7 +8,7 @@
 // proportion less where some are free. A connection is kept while its index is at or above the price: what is never used again
 // is closed at once, what is used within MostWait is kept as long as there are places, and in between the wait grows with
 // the room. Once all places are taken, the one worth least makes room.
-package keep
+package keepalive
 
 import (
 	"math"
--- a/internal/keep/keep_test.go
+++ b/internal/keepalive/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package keepalive
 
 import (
 	"testing"
