--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -119,11 +119,11 @@
 var mayImport = map[string][]string{
 	"policy":                {},
 	"internal/route":        {},
-	"internal/share":        {},
+	"internal/quota":        {},
 	"internal/message":      {},
 	"internal/settings":     {"policy", "internal/staleness"},
 	"internal/wire":         {"policy", "internal/settings"},
-	"internal/proc":         {"internal/share"},
+	"internal/proc":         {"internal/quota"},
 	"internal/staleness":    {},
 	"internal/source":       {"policy", "internal/staleness"},
 	"internal/upstream":     {"policy", "internal/message", "internal/proc"},
@@ -151,7 +151,7 @@
 	"internal/gateway": {
 		"internal/keepalive",
 		"policy", "internal/admin", "internal/figures", "internal/front", "internal/message", "internal/pool", "internal/proc", "internal/route", "internal/settings",
-		"internal/share", "internal/source", "internal/upstream",
+		"internal/quota", "internal/source", "internal/upstream",
 	},
 	"internal/sidecar": {"internal/gateway", "internal/proc", "internal/settings", "internal/source"},
 	"internal/sitelink": {
@@ -169,7 +169,7 @@
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/share", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
+var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/quota", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,9 +12,9 @@
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/share"
 	"sorrelrudder/internal/source"
 )
 
@@ -152,8 +152,8 @@
 
 // claims are what one pool may have, as share counts it.
 type claims struct {
-	admission          share.Limits
-	descriptors, conns share.Claim
+	admission          quota.Limits
+	descriptors, conns quota.Claim
 }
 
 // claims shares what the process has between its pools.
@@ -163,11 +163,11 @@
 		sum += q.Limits.Weight
 	}
 	part := p.Limits.Weight / sum * keptShare
-	claim := func(total, most int64) share.Claim {
+	claim := func(total, most int64) quota.Claim {
 		if most == 0 {
-			most = share.NoLimit
+			most = quota.NoLimit
 		}
-		return share.Claim{Min: min(int64(float64(total)*part), most), Max: most}
+		return quota.Claim{Min: min(int64(float64(total)*part), most), Max: most}
 	}
 	clients := proc.ClientMost(c.usable())
 	conns := claim(clients, 0)
@@ -175,7 +175,7 @@
 		conns.Min = 0
 	}
 	return claims{
-		admission: share.Limits{
+		admission: quota.Limits{
 			Open: claim(clients, p.Limits.Open), Bodies: claim(c.bodies(), p.Limits.Bodies),
 			Rate: p.Limits.Rate, Burst: p.Limits.Burst, Hold: p.Limits.Hold,
 		},
@@ -186,8 +186,8 @@
 
 // freshClaim is what connections may have of which it is not known yet for which pool they are: those of all pools begin as
 // such, so that a part is kept for them.
-func (c *Config) freshClaim() share.Claim {
-	most := share.Claim{Max: share.NoLimit}
+func (c *Config) freshClaim() quota.Claim {
+	most := quota.Claim{Max: quota.NoLimit}
 	if len(c.Pools) > 1 {
 		most.Min = int64(float64(proc.ClientMost(c.usable())) * freshShare)
 	}
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
-	"sorrelrudder/internal/share"
+	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/upstream"
 )
 
@@ -68,7 +68,7 @@
 }
 
 // besideClaim is what pools beside those of the configuration may have of the descriptors.
-var besideClaim = share.Claim{Max: share.NoLimit}
+var besideClaim = quota.Claim{Max: quota.NoLimit}
 
 // Beside starts a pool beside those of the configuration, such as one whose servers are at another site. Its descriptors are
 // of the common rest. The caller closes it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,8 +25,8 @@
 	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
-	"sorrelrudder/internal/share"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -72,21 +72,21 @@
 	applying  sync.Mutex // one configuration at a time
 	cfg       Config
 	listeners map[Listener]*listening
-	lastKey   share.Key
+	lastKey   quota.Key
 	stopped   bool
 	avoided   map[string]orders // servers that take nothing new, by order, by pool
 	silent    atomic.Pointer[func(pool, server string, is bool)]
 
 	// What the pools share. No method of a pool is called under shares: pools call back.
 	shares    sync.Mutex
-	admission *share.Admission
-	pacer     *share.Pacer
-	conns     share.Pot            // connections of clients; those that have brought no request are nobody's
+	admission *quota.Admission
+	pacer     *quota.Pacer
+	conns     quota.Pot            // connections of clients; those that have brought no request are nobody's
 	retired   map[*member]struct{} // by a reload, and not yet gone
 }
 
 // nobody owns the connections that have brought no request yet. No pool has this key.
-const nobody share.Key = 0
+const nobody quota.Key = 0
 
 // table is how requests find their pool. It is replaced whole.
 type table struct {
@@ -97,7 +97,7 @@
 
 // member is a pool of the process.
 type member struct {
-	key    share.Key
+	key    quota.Key
 	module policy.Config // what its clients may be told
 	cfg    Pool          // Gateway.applying
 	pool   *pool.Pool
@@ -127,7 +127,7 @@
 	g := &Gateway{
 		log: log, origin: time.Now().Add(-time.Hour), descriptors: proc.NewDescriptors(cfg.Descriptors),
 		several: make(chan struct{}), listeners: map[Listener]*listening{}, retired: map[*member]struct{}{},
-		admission: share.NewAdmission(0, 0), pacer: share.NewPacer(), conns: share.NewPot(0),
+		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), conns: quota.NewPot(0),
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.speech = sp
@@ -405,7 +405,7 @@
 	g.pacer.Drop(m.key)
 	g.retired[m] = struct{}{}
 	g.shares.Unlock()
-	g.descriptors.Claim(m.key, share.Claim{Max: share.NoLimit})
+	g.descriptors.Claim(m.key, quota.Claim{Max: quota.NoLimit})
 	g.log.Info("pool drains", "pool", m.cfg.Name, "load", m.pool.String())
 	g.leaving.Go(func() {
 		ctx, cancel := context.WithTimeout(g.ctx, m.pool.Longest()+drainSlack)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -9,8 +9,8 @@
 	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
-	"sorrelrudder/internal/share"
 )
 
 // handler is what a Gateway is to the connections of its clients.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, owner, err
 	}
-	if v := g.admission.Ask(now, m.key, room); v.Reason != share.Admitted {
+	if v := g.admission.Ask(now, m.key, room); v.Reason != quota.Admitted {
 		bad := refusal(m, v)
 		g.counts.Ended(ask.Class(), figures.Of(bad.Status))
 		return nil, owner, bad
@@ -77,9 +77,9 @@
 }
 
 // refusal is what a client is told whose request is not admitted.
-func refusal(m *member, v share.Verdict) message.Bad {
+func refusal(m *member, v quota.Verdict) message.Bad {
 	bad := message.Bad{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
-	if v.Reason == share.OverRate || v.Reason == share.OverOpen {
+	if v.Reason == quota.OverRate || v.Reason == quota.OverOpen {
 		bad.Status = http.StatusTooManyRequests
 	}
 	if cfg := m.module; cfg.HintsRetry {
@@ -96,7 +96,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.pacer.Pause(g.now(), share.Key(o), refused)
+	return g.pacer.Pause(g.now(), quota.Key(o), refused)
 }
 
 // Hold is the method of front.Handler.
@@ -104,7 +104,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.conns.Take(share.Key(o), 1)
+	return g.conns.Take(quota.Key(o), 1)
 }
 
 // Drop is the method of front.Handler.
@@ -112,7 +112,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	g.conns.Give(share.Key(o), 1)
+	g.conns.Give(quota.Key(o), 1)
 }
 
 // Excess is the method of front.Handler.
@@ -120,7 +120,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.conns.Excess(share.Key(o))
+	return g.conns.Excess(quota.Key(o))
 }
 
 // admission is a request that its pool's limits let in.
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -13,8 +13,8 @@
 
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/share"
 	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -48,7 +48,7 @@
 		Classes: []policy.Class{safeClass},
 	}
 	descriptors := proc.NewDescriptors(64)
-	descriptors.Set(1, share.Claim{Max: share.NoLimit}, func() bool { return false })
+	descriptors.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
 	seq := int64(1)
 	p, err := New(Config{
 		Settings: settings.Settings{Config: cfg, Fields: []string{"queue", "inflight", "latency_ms", "eps"}},
--- a/internal/share/pacer.go
+++ b/internal/quota/pacer.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"math"
--- a/internal/share/pot.go
+++ b/internal/quota/pot.go
@@ -1,7 +1,7 @@
-// Package share decides how the pools of one process share what the process has: requests open, memory for bodies,
+// Package quota decides how the pools of one process share what the process has: requests open, memory for bodies,
 // descriptors and the attention of its processor. It is pure: events in, decisions out, with the time passed in. It
 // knows no socket, no clock and no goroutine, and nothing of servers, routes or requests beyond their sizes.
-package share
+package quota
 
 import "math"
 
