--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -147,15 +147,15 @@
 	"internal/admin":        {"internal/figures"},
 	"internal/pool":         {"policy", "internal/figures", "internal/message", "internal/settings", "internal/source", "internal/tally", "internal/upstream"},
 	"internal/keepalive":    {},
-	"internal/front":        {"internal/keepalive", "internal/message", "internal/proc"},
+	"internal/downstream":   {"internal/keepalive", "internal/message", "internal/proc"},
 	"internal/gateway": {
 		"internal/keepalive",
-		"policy", "internal/admin", "internal/figures", "internal/front", "internal/message", "internal/pool", "internal/proc", "internal/route", "internal/settings",
+		"policy", "internal/admin", "internal/figures", "internal/downstream", "internal/message", "internal/pool", "internal/proc", "internal/route", "internal/settings",
 		"internal/quota", "internal/source", "internal/upstream",
 	},
 	"internal/sidecar": {"internal/gateway", "internal/proc", "internal/settings", "internal/source"},
 	"internal/sitelink": {
-		"policy", "internal/front", "internal/gateway", "internal/siteheader", "internal/message", "internal/pool", "internal/settings", "internal/source",
+		"policy", "internal/downstream", "internal/gateway", "internal/siteheader", "internal/message", "internal/pool", "internal/settings", "internal/source",
 		"internal/spillover", "internal/upstream",
 	},
 	"internal/opfile":     {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/plain", "internal/sitelink", "internal/spillover", "internal/gateway", "internal/message", "internal/route", "internal/source"},
--- a/internal/front/body.go
+++ b/internal/downstream/body.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
--- a/internal/front/server.go
+++ b/internal/downstream/server.go
@@ -1,7 +1,7 @@
-// Package front holds the connections of clients: it reads requests from them (HTTP/1.1), asks a Handler what becomes of
+// Package downstream holds the connections of clients: it reads requests from them (HTTP/1.1), asks a Handler what becomes of
 // each, and writes its one final answer. Which pool a request is for, whether it is admitted and what it is answered is
 // not for this package to know.
-package front
+package downstream
 
 import (
 	"bytes"
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sorrelrudder/internal/admin"
-	"sorrelrudder/internal/front"
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
@@ -54,7 +54,7 @@
 
 // Speech is what the process can speak at its listeners beside HTTP/1.1 without TLS. The zero value is nothing more.
 type Speech struct {
-	Streams front.Protocol
+	Streams downstream.Protocol
 	// Secure makes what a listener needs for its TLS. It holds until ctx ends.
 	Secure func(ctx context.Context, t TLS) (*tls.Config, error)
 }
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -7,7 +7,7 @@
 	"net"
 	"net/http"
 
-	"sorrelrudder/internal/front"
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/quota"
@@ -20,7 +20,7 @@
 	// Crossing is where the refused requests of a pool may go; nil: nowhere. It is asked whenever an instance of the pool starts.
 	Crossing(pool string) Crossing
 	// Handler has the requests that come in at foreign listeners of g.
-	Handler(g *Gateway) front.Handler
+	Handler(g *Gateway) downstream.Handler
 	// Identify and Wrap are for the connections there and the listeners themselves.
 	Identify(net.Conn) string
 	Wrap(net.Listener) net.Listener
@@ -42,7 +42,7 @@
 }
 
 // AdmitForeign is for the requests that another site hands over, to a pool by its name. They go no further than that.
-func (g *Gateway) AdmitForeign(q *message.Request, name string, f pool.Foreign) (front.Admission, front.Owner, error) {
+func (g *Gateway) AdmitForeign(q *message.Request, name string, f pool.Foreign) (downstream.Admission, downstream.Owner, error) {
 	m := g.table.Load().pools[name]
 	if m == nil {
 		return nil, 0, message.Bad{Status: http.StatusNotFound, Text: "no such pool"}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,8 +21,8 @@
 	"time"
 
 	"sorrelrudder/internal/admin"
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/figures"
-	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/quota"
@@ -54,10 +54,10 @@
 	log         *slog.Logger
 	origin      time.Time
 	descriptors *proc.Descriptors
-	server      *front.Server
+	server      *downstream.Server
 	extension   Extension // nil: none
 	speech      Speech
-	foreign     *front.Server // of the listeners of other sites; nil without an extension
+	foreign     *downstream.Server // of the listeners of other sites; nil without an extension
 	table       atomic.Pointer[table]
 	counts      figures.Counts // of all pools, also those that have gone
 	listens     atomic.Bool
@@ -111,7 +111,7 @@
 	*backlog
 	served net.Listener // what the server knows it as
 	ended  chan error   // of its accepting
-	port   front.Port
+	port   downstream.Port
 }
 
 // New makes a gateway of cfg. It opens no socket for clients; its pools begin to ask for their lists.
@@ -131,11 +131,11 @@
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.speech = sp
-	g.server = front.NewWith((*handler)(g), g.descriptors, log, front.Options{Streams: sp.Streams})
+	g.server = downstream.NewWith((*handler)(g), g.descriptors, log, downstream.Options{Streams: sp.Streams})
 	g.descriptors.OnClients(g.server.Evict)
 	if x != nil {
 		g.extension = x
-		g.foreign = front.NewWith(x.Handler(g), g.descriptors, log, front.Options{Identify: x.Identify, Steady: true})
+		g.foreign = downstream.NewWith(x.Handler(g), g.descriptors, log, downstream.Options{Identify: x.Identify, Steady: true})
 		g.descriptors.OnClients(func() bool { return g.server.Evict() || g.foreign.Evict() })
 	}
 	g.table.Store(&table{})
@@ -525,7 +525,7 @@
 }
 
 // serverOf is who has the connections of a listener.
-func (g *Gateway) serverOf(l Listener) *front.Server {
+func (g *Gateway) serverOf(l Listener) *downstream.Server {
 	if l.Foreign {
 		return g.foreign
 	}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/figures"
-	"sorrelrudder/internal/front"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/quota"
@@ -39,8 +39,8 @@
 	return t.pools[m.Pool], rest, nil
 }
 
-// Admit is the method of front.Handler.
-func (h *handler) Admit(q *message.Request) (front.Admission, front.Owner, error) {
+// Admit is the method of downstream.Handler.
+func (h *handler) Admit(q *message.Request) (downstream.Admission, downstream.Owner, error) {
 	g := (*Gateway)(h)
 	m, rest, err := g.table.Load().find(q)
 	if err != nil {
@@ -55,8 +55,8 @@
 }
 
 // admit asks the limits of pool m about a request that is legal there unless err is set.
-func (g *Gateway) admit(m *member, q *message.Request, ask pool.Ask, err error) (*admission, front.Owner, error) {
-	owner := front.Owner(m.key)
+func (g *Gateway) admit(m *member, q *message.Request, ask pool.Ask, err error) (*admission, downstream.Owner, error) {
+	owner := downstream.Owner(m.key)
 	room := q.Length
 	if room < 0 || room > message.MostBody { // so much of a long one is held
 		room = message.MostBody
@@ -91,32 +91,32 @@
 	return bad
 }
 
-// Pause is the method of front.Handler.
-func (h *handler) Pause(o front.Owner, refused int) time.Duration {
+// Pause is the method of downstream.Handler.
+func (h *handler) Pause(o downstream.Owner, refused int) time.Duration {
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
 	return g.pacer.Pause(g.now(), quota.Key(o), refused)
 }
 
-// Hold is the method of front.Handler.
-func (h *handler) Hold(o front.Owner) bool {
+// Hold is the method of downstream.Handler.
+func (h *handler) Hold(o downstream.Owner) bool {
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
 	return g.conns.Take(quota.Key(o), 1)
 }
 
-// Drop is the method of front.Handler.
-func (h *handler) Drop(o front.Owner) {
+// Drop is the method of downstream.Handler.
+func (h *handler) Drop(o downstream.Owner) {
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
 	g.conns.Give(quota.Key(o), 1)
 }
 
-// Excess is the method of front.Handler.
-func (h *handler) Excess(o front.Owner) int64 {
+// Excess is the method of downstream.Handler.
+func (h *handler) Excess(o downstream.Owner) int64 {
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
@@ -134,8 +134,8 @@
 	foreign bool
 }
 
-// Take is the method of front.Admission.
-func (a *admission) Take(body []byte, rest message.Rest) (front.Exchange, error) {
+// Take is the method of downstream.Admission.
+func (a *admission) Take(body []byte, rest message.Rest) (downstream.Exchange, error) {
 	a.q.Body, a.q.Rest = body, rest
 	if unused := a.room - int64(len(body)); unused > 0 {
 		a.g.shares.Lock()
@@ -157,7 +157,7 @@
 	return x, nil
 }
 
-// Release is the method of front.Admission.
+// Release is the method of downstream.Admission.
 func (a *admission) Release() {
 	a.g.shares.Lock()
 	defer a.g.shares.Unlock()
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -35,13 +35,13 @@
 	windowStream = 64 << 10
 )
 
-// Protocol is a front.Protocol.
+// Protocol is a downstream.Protocol.
 type Protocol struct{ Log *slog.Logger }
 
-// Name is the method of front.Protocol.
+// Name is the method of downstream.Protocol.
 func (Protocol) Name() string { return http2.NextProtoTLS }
 
-// Serve is the method of front.Protocol.
+// Serve is the method of downstream.Protocol.
 func (p Protocol) Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler) {
 	count := &counted{Handler: h, active: active}
 	base := &http.Server{Handler: count, MaxHeaderBytes: mostHead, ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)}
--- a/internal/sitelink/bridge.go
+++ b/internal/sitelink/bridge.go
@@ -19,7 +19,7 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/front"
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/spillover"
@@ -146,7 +146,7 @@
 }
 
 // Handler is the method of gateway.Extension.
-func (b *Bridge) Handler(g *gateway.Gateway) front.Handler { return &handler{b, g} }
+func (b *Bridge) Handler(g *gateway.Gateway) downstream.Handler { return &handler{b, g} }
 
 // Identify is the method of gateway.Extension: the name of the peer at the other end, or "?".
 func (b *Bridge) Identify(c net.Conn) string {
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"sorrelrudder/internal/front"
+	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
@@ -34,8 +34,8 @@
 	return message.Bad{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
 }
 
-// Admit is the method of front.Handler.
-func (h *handler) Admit(q *message.Request) (front.Admission, front.Owner, error) {
+// Admit is the method of downstream.Handler.
+func (h *handler) Admit(q *message.Request) (downstream.Admission, downstream.Owner, error) {
 	if h.b.peer(q.Peer) == nil {
 		return nil, 0, h.bad(http.StatusForbidden, "not a peer of this site")
 	}
@@ -95,7 +95,7 @@
 }
 
 // probed answers a probe with the room of the pool that it asks about.
-func (h *handler) probed(q *message.Request) (front.Admission, front.Owner, error) {
+func (h *handler) probed(q *message.Request) (downstream.Admission, downstream.Owner, error) {
 	c := h.b.pools[q.Header.Get(poolField)]
 	if c == nil && q.Header.Get(poolField) != "" {
 		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
@@ -113,9 +113,9 @@
 // told is a request whose answer is known.
 type told struct{ a message.Answer }
 
-func (t told) Take([]byte, message.Rest) (front.Exchange, error) { return t, nil }
-func (told) Release()                                            {}
-func (told) Withdraw() bool                                      { return false }
+func (t told) Take([]byte, message.Rest) (downstream.Exchange, error) { return t, nil }
+func (told) Release()                                                 {}
+func (told) Withdraw() bool                                           { return false }
 func (t told) Answer() <-chan message.Answer {
 	c := make(chan message.Answer, 1)
 	c <- t.a
@@ -132,12 +132,12 @@
 
 // admission is a foreign request that the pool's limits let in.
 type admission struct {
-	front.Admission
+	downstream.Admission
 	c *crossing
 }
 
-// Take is the method of front.Admission.
-func (a *admission) Take(body []byte, rest message.Rest) (front.Exchange, error) {
+// Take is the method of downstream.Admission.
+func (a *admission) Take(body []byte, rest message.Rest) (downstream.Exchange, error) {
 	x, err := a.Admission.Take(body, rest)
 	if err != nil {
 		var why message.Bad
@@ -155,13 +155,13 @@
 
 // exchange is one that a pool has taken. Its answer is given the field of the hop.
 type exchange struct {
-	front.Exchange
+	downstream.Exchange
 	c      *crossing
 	answer chan message.Answer
 	left   chan struct{}
 }
 
-func newExchange(c *crossing, x front.Exchange) *exchange {
+func newExchange(c *crossing, x downstream.Exchange) *exchange {
 	e := &exchange{Exchange: x, c: c, answer: make(chan message.Answer, 1), left: make(chan struct{})}
 	c.bridge.work.Go(func() {
 		select {
@@ -211,10 +211,10 @@
 	return ans
 }
 
-// Answer is the method of front.Exchange.
+// Answer is the method of downstream.Exchange.
 func (e *exchange) Answer() <-chan message.Answer { return e.answer }
 
-// Withdraw is the method of front.Exchange.
+// Withdraw is the method of downstream.Exchange.
 func (e *exchange) Withdraw() bool {
 	if !e.Exchange.Withdraw() {
 		return false
@@ -223,14 +223,14 @@
 	return true
 }
 
-// Pause is the method of front.Handler: peers are not paced, their room is.
-func (*handler) Pause(front.Owner, int) time.Duration { return 0 }
+// Pause is the method of downstream.Handler: peers are not paced, their room is.
+func (*handler) Pause(downstream.Owner, int) time.Duration { return 0 }
 
-// Hold is the method of front.Handler.
-func (*handler) Hold(front.Owner) bool { return true }
+// Hold is the method of downstream.Handler.
+func (*handler) Hold(downstream.Owner) bool { return true }
 
-// Drop is the method of front.Handler.
-func (*handler) Drop(front.Owner) {}
+// Drop is the method of downstream.Handler.
+func (*handler) Drop(downstream.Owner) {}
 
-// Excess is the method of front.Handler.
-func (*handler) Excess(front.Owner) int64 { return 0 }
+// Excess is the method of downstream.Handler.
+func (*handler) Excess(downstream.Owner) int64 { return 0 }
