--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpservice"
 	"sorrelrudder/internal/opfile"
-	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/route"
 )
 
@@ -72,7 +72,7 @@
 
 // classOf is the class that a pool takes a request for.
 func classOf(p *gateway.Pool, method, host, rest, uri string, h http.Header) string {
-	d, ok := p.Dialect.(*plain.Dialect)
+	d, ok := p.Dialect.(*httpservice.Dialect)
 	if !ok {
 		class, _, _ := strings.Cut(strings.TrimPrefix(rest, "/"), "/")
 		return class
--- a/internal/plain/plain.go
+++ b/internal/httpservice/plain.go
@@ -1,11 +1,11 @@
-// Package plain is how a pool speaks with ordinary HTTP services, which know nothing of the platform's protocol: what a request
+// Package httpservice is how a pool speaks with ordinary HTTP services, which know nothing of the platform's protocol: what a request
 // says of itself by its method, path and fields, what goes on to a server, and what a server's answer proves. It decides
 // nothing about servers or attempts: that is the module's, by what this package can tell it truly.
 //
 // What plain HTTP tells, and what not: a status proves that the server has had the request, whatever it is; so a 503 may have
 // run, unless the operator says that this service answers it only to what it has not begun. Idempotent is not harmless: a PUT that
 // may have run is sent again only if nothing could have come between, which nobody here knows.
-package plain
+package httpservice
 
 import (
 	"encoding/hex"
--- a/internal/plain/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -1,4 +1,4 @@
-package plain
+package httpservice
 
 import (
 	"encoding/base64"
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -12,8 +12,8 @@
 
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpservice"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/source"
@@ -233,7 +233,7 @@
 	c.MayProbe = probes.boolean("allowed", true)
 	c.ProbeTariff = probes.number("cost", 0.05, 0, 100)
 	probes.done()
-	var dialect plain.Config
+	var dialect httpservice.Config
 	if plainHTTP {
 		dialect = r.plain(s, &p)
 	}
--- a/internal/opfile/plain.go
+++ b/internal/opfile/plain.go
@@ -9,7 +9,7 @@
 
 	"sorrelrudder/internal/classify"
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/plain"
+	"sorrelrudder/internal/httpservice"
 	"sorrelrudder/policy"
 )
 
@@ -24,12 +24,12 @@
 // safeMethods are those that RFC 9110, 9.2.1, calls safe.
 var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-var forwardings = map[string]plain.Forwarding{"replace": plain.Replace, "append": plain.Append, "drop": plain.Drop}
+var forwardings = map[string]httpservice.Forwarding{"replace": httpservice.Replace, "append": httpservice.Append, "drop": httpservice.Drop}
 
 // plain reads what a pool of ordinary HTTP services has in place of the platform's protocol.
-func (r *reader) plain(s *section, p *gateway.Pool) plain.Config {
+func (r *reader) plain(s *section, p *gateway.Pool) httpservice.Config {
 	t := s.table("http")
-	cfg := plain.Config{
+	cfg := httpservice.Config{
 		Via: t.str("via", "sorrelrudder"), Deadlines: t.strs("deadline_from"),
 		Forwarding: forwardings[t.word("forwarded", "replace", "replace", "append", "drop")],
 		Failures:   r.statuses(t, "failures", http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout),
@@ -89,10 +89,10 @@
 }
 
 // plainClasses reads the classes of such a pool, and makes its dialect. The last, which takes all that no other does, is unsafe.
-func (r *reader) plainClasses(s *section, p *gateway.Pool, cfg plain.Config, tables []*section) {
+func (r *reader) plainClasses(s *section, p *gateway.Pool, cfg httpservice.Config, tables []*section) {
 	c := &p.Settings.Config
 	names := map[string]bool{}
-	add := func(pc plain.Class, m policy.Class) {
+	add := func(pc httpservice.Class, m policy.Class) {
 		if m.Effect == policy.Keyed {
 			bare := m
 			bare.Name, bare.Effect = m.Name+bareSuffix, policy.Unsafe
@@ -109,7 +109,7 @@
 		if names[m.Name] {
 			r.bad(t.at("name"), "class %q is there twice", m.Name)
 		}
-		var pc plain.Class
+		var pc httpservice.Class
 		safe := true
 		for _, text := range t.strs("match") {
 			pattern, err := classify.ParsePattern(text)
@@ -147,7 +147,7 @@
 			}
 			rule.Patterns = append(rule.Patterns, pattern)
 		}
-		add(plain.Class{Rule: rule}, reads)
+		add(httpservice.Class{Rule: rule}, reads)
 	}
 	other := usual
 	other.Name, other.Effect = otherClass, policy.Unsafe
@@ -155,22 +155,22 @@
 		r.bad(s.at("classes"), "a class is named %q, which is that of all other requests", otherClass)
 		return
 	}
-	add(plain.Class{}, other)
-	p.Dialect = plain.New(cfg)
+	add(httpservice.Class{}, other)
+	p.Dialect = httpservice.New(cfg)
 }
 
 // value reads where a value is taken from: "header:NAME" or "path:NAME".
-func (r *reader) value(s *section, key string) plain.Source {
+func (r *reader) value(s *section, key string) httpservice.Source {
 	text := s.str(key, "")
 	if text == "" {
-		return plain.Source{}
+		return httpservice.Source{}
 	}
 	if field, ok := strings.CutPrefix(text, "header:"); ok && field != "" {
-		return plain.Source{Field: http.CanonicalHeaderKey(field)}
+		return httpservice.Source{Field: http.CanonicalHeaderKey(field)}
 	}
 	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
-		return plain.Source{Name: name}
+		return httpservice.Source{Name: name}
 	}
 	r.bad(s.at(key), "is %q, not header:NAME or path:NAME", text)
-	return plain.Source{}
+	return httpservice.Source{}
 }
--- a/internal/opfile/tier.go
+++ b/internal/opfile/tier.go
@@ -10,8 +10,8 @@
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpservice"
 	"sorrelrudder/internal/lease"
-	"sorrelrudder/internal/plain"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/policy"
@@ -195,7 +195,7 @@
 		return k
 	}
 	class, _, _ := strings.Cut(strings.TrimPrefix(k.Path, "/"), "/")
-	if d, ok := pools[at].Dialect.(*plain.Dialect); ok {
+	if d, ok := pools[at].Dialect.(*httpservice.Dialect); ok {
 		// By the pool's rules, as a client's request of that head would be; of a keyed class tasks always bear a key.
 		path, _, _ := strings.Cut(k.Path, "?")
 		class = d.Class(k.Method, cmp.Or(k.Host, k.Pool), path, http.Header{"Idempotency-Key": {"a task's"}})
