--- a/internal/source/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package source holds where a pool's list of servers comes from: the platform's discovery, or a list that the operator
+// Package discovery holds where a pool's list of servers comes from: the platform's discovery, or a list that the operator
 // wrote down. A source is asked for a watch and tells what it knows until that ends; when to ask again is for the decision
 // module to say. It knows nothing of pools or connections to servers.
-package source
+package discovery
 
 import (
 	"bufio"
--- a/internal/source/source_test.go
+++ b/internal/discovery/source_test.go
@@ -1,4 +1,4 @@
-package source
+package discovery
 
 import (
 	"bufio"
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/route"
-	"sorrelrudder/internal/source"
 )
 
 // instantServer answers each request at once with a few bytes. It costs little, so that what is measured is the gateway.
@@ -75,7 +75,7 @@
 				name := fmt.Sprint("pool", i)
 				cfg.Pools = append(cfg.Pools, Pool{
 					Name: name, Settings: testSettings(), Limits: Limits{Weight: 1}, Seed: 1,
-					Servers: []source.Entry{
+					Servers: []discovery.Entry{
 						{Host: "a", Dial: addr, Health: "active", Share: 1}, {Host: "b", Dial: addr, Health: "active", Share: 1},
 						{Host: "c", Dial: addr, Health: "active", Share: 1},
 					},
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sorrelrudder/internal/admin"
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
@@ -15,7 +16,6 @@
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 )
 
 // Config is all that a process is told.
@@ -63,9 +63,9 @@
 type Pool struct {
 	Name      string
 	Settings  settings.Settings
-	Discovery string         // address
-	Servers   []source.Entry // if there is no discovery
-	Known     *source.List   // what was last known of discovery's list, or nil
+	Discovery string            // address
+	Servers   []discovery.Entry // if there is no discovery
+	Known     *discovery.List   // what was last known of discovery's list, or nil
 	Seed      uint64
 	Limits    Limits
 	Dialect   pool.Dialect // how its clients and servers speak; nil: the platform's protocol
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,13 +21,13 @@
 	"time"
 
 	"sorrelrudder/internal/admin"
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -101,7 +101,7 @@
 	module policy.Config // what its clients may be told
 	cfg    Pool          // Gateway.applying
 	pool   *pool.Pool
-	static *source.Static // nil if there is a discovery
+	static *discovery.Static // nil if there is a discovery
 
 	crossing Crossing // nil: its requests go nowhere else
 }
@@ -329,7 +329,7 @@
 	if p.Discovery != "" {
 		cfg.Source = p.discovery()
 	} else {
-		m.static = source.NewStatic(p.Servers)
+		m.static = discovery.NewStatic(p.Servers)
 		cfg.Source, cfg.Known = m.static, m.static.List()
 	}
 	log := g.log
@@ -348,8 +348,8 @@
 }
 
 // discovery is where the list of p comes from.
-func (p *Pool) discovery() source.Source {
-	return source.Discovery{Addr: p.Discovery, Bound: p.Settings.ListBound()}
+func (p *Pool) discovery() discovery.Source {
+	return discovery.Discovery{Addr: p.Discovery, Bound: p.Settings.ListBound()}
 }
 
 // setSource takes over where the list of a pool that stays comes from.
@@ -361,7 +361,7 @@
 			m.pool.SetSource(p.discovery())
 		}
 	case m.static == nil:
-		m.static = source.NewStatic(p.Servers)
+		m.static = discovery.NewStatic(p.Servers)
 		m.pool.SetSource(m.static)
 	case !reflect.DeepEqual(p.Servers, m.cfg.Servers):
 		m.static.Set(p.Servers)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,9 +17,9 @@
 
 	"go.uber.org/goleak"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/standin"
 	"sorrelrudder/policy"
 )
@@ -72,11 +72,11 @@
 	return b
 }
 
-func listed(boxes ...*standin.Box) []source.Entry {
-	all := []source.Entry{}
+func listed(boxes ...*standin.Box) []discovery.Entry {
+	all := []discovery.Entry{}
 	for _, b := range boxes {
 		e := b.Entry()
-		all = append(all, source.Entry{Host: e.Host, Dial: e.Dial, Health: e.Health, Share: 1})
+		all = append(all, discovery.Entry{Host: e.Host, Dial: e.Dial, Health: e.Health, Share: 1})
 	}
 	return all
 }
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/httpservice"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/sitelink"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/policy"
 )
 
@@ -186,7 +186,7 @@
 	}
 	seen := map[string]bool{}
 	for _, e := range servers {
-		entry := source.Entry{
+		entry := discovery.Entry{
 			Host: e.needed("name"), Dial: e.needed("address"), Site: e.str("zone", ""), Health: "active",
 			Block: int(e.whole("cell", 0, 0, mostCount)), Share: e.number("weight", 1, 0, 1000),
 		}
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -28,7 +28,7 @@
 	src   scripted
 	dials chan heldDial
 	sent  chan string // the addresses to which requests have come
-	hosts [2]source.Entry
+	hosts [2]discovery.Entry
 }
 
 // heldDial is a connection that waits for the test to let it come up.
@@ -41,11 +41,11 @@
 func startCrossing(t *testing.T, class policy.Class, answer string) *crossing {
 	t.Helper()
 	x := &crossing{
-		src:   scripted{make(chan *source.List), make(chan struct{}, 1)},
+		src:   scripted{make(chan *discovery.List), make(chan struct{}, 1)},
 		dials: make(chan heldDial, 16), sent: make(chan string, 16),
 	}
 	for i := range x.hosts {
-		x.hosts[i] = source.Entry{Host: string(rune('a' + i)), Dial: serveOnce(t, answer, x.sent), Health: "active"}
+		x.hosts[i] = discovery.Entry{Host: string(rune('a' + i)), Dial: serveOnce(t, answer, x.sent), Health: "active"}
 	}
 	cfg := policy.Config{
 		GroupSize: 1, MaxAttempts: 2, AskEvery: 8 * time.Millisecond, Tick: time.Millisecond, DialTimeout: time.Millisecond,
@@ -70,12 +70,12 @@
 }
 
 // list is that of both servers as they stand.
-func (x *crossing) list(seq int64) *source.List {
-	return &source.List{Seq: &seq, Whole: true, Hosts: []source.Entry{x.hosts[0], x.hosts[1]}}
+func (x *crossing) list(seq int64) *discovery.List {
+	return &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{x.hosts[0], x.hosts[1]}}
 }
 
 // change has the list tell of another state of the server at addr.
-func (x *crossing) change(addr string, change func(*source.Entry)) {
+func (x *crossing) change(addr string, change func(*discovery.Entry)) {
 	for i := range x.hosts {
 		if x.hosts[i].Dial == addr {
 			change(&x.hosts[i])
@@ -150,9 +150,9 @@
 // TestToldWhileConnecting guards against a request that is sent to a server which the list has said to drain, or to have gone, or
 // to be another process by now, while the connection to it came up: another server gets it.
 func TestToldWhileConnecting(t *testing.T) {
-	for name, change := range map[string]func(*source.Entry){
-		"drains":    func(e *source.Entry) { e.Health = "leaving" },
-		"restarted": func(e *source.Entry) { e.BornMs = time.Now().UnixMilli() },
+	for name, change := range map[string]func(*discovery.Entry){
+		"drains":    func(e *discovery.Entry) { e.Health = "leaving" },
+		"restarted": func(e *discovery.Entry) { e.BornMs = time.Now().UnixMilli() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := startCrossing(t, safeClass, fine)
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -52,8 +52,8 @@
 	seq := int64(1)
 	p, err := New(Config{
 		Settings: settings.Settings{Config: cfg, Fields: []string{"queue", "inflight", "latency_ms", "eps"}},
-		Source:   scripted{make(chan *source.List), make(chan struct{}, 1)},
-		Known:    &source.List{Seq: &seq, Whole: true, Hosts: []source.Entry{{Host: "a", Dial: ln.Addr().String(), Health: "active"}}},
+		Source:   scripted{make(chan *discovery.List), make(chan struct{}, 1)},
+		Known:    &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{{Host: "a", Dial: ln.Addr().String(), Health: "active"}}},
 	}, upstream.New(cfg, descriptors.Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/pool/hearsay.go
+++ b/internal/pool/hearsay.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sorrelrudder/internal/source"
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/policy"
 )
 
@@ -90,7 +90,7 @@
 	p.event(func(now policy.Time) {
 		left := 0
 		for id, e := range p.entries {
-			if source.States[e.Health] == policy.Ready && !servers[string(id)] {
+			if discovery.States[e.Health] == policy.Ready && !servers[string(id)] {
 				left++
 			}
 		}
@@ -169,9 +169,9 @@
 }
 
 // listed is what the module is told of an entry of the list.
-func (p *Pool) listed(e source.Entry) policy.Server {
+func (p *Pool) listed(e discovery.Entry) policy.Server {
 	s := policy.Server{
-		ID: policy.ServerID(e.Host), State: source.States[e.Health], Zone: e.Site, Cell: e.Block, Weight: e.Share, Kind: e.Class, Started: p.started(e.BornMs),
+		ID: policy.ServerID(e.Host), State: discovery.States[e.Health], Zone: e.Site, Cell: e.Block, Weight: e.Share, Kind: e.Class, Started: p.started(e.BornMs),
 	}
 	if s.State == policy.Ready && p.avoided[e.Host] && !(p.soft[e.Host] && e.BornMs != p.leftBorn[e.Host]) {
 		s.State = policy.Draining
@@ -191,7 +191,7 @@
 	defer p.mu.Unlock()
 	all := make([]Listed, 0, len(p.entries))
 	for _, e := range p.entries {
-		if source.States[e.Health] == policy.Ready {
+		if discovery.States[e.Health] == policy.Ready {
 			all = append(all, Listed{e.Host, e.Site})
 		}
 	}
--- a/internal/pool/outdated_test.go
+++ b/internal/pool/outdated_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
 
 // scripted is a source that tells one message a call.
 type scripted struct {
-	calls chan *source.List
+	calls chan *discovery.List
 	took  chan struct{}
 }
 
-func (s scripted) Watch(ctx context.Context, _ int64, tell func(*source.List)) error {
+func (s scripted) Watch(ctx context.Context, _ int64, tell func(*discovery.List)) error {
 	select {
 	case l := <-s.calls:
 		tell(l)
@@ -31,10 +31,10 @@
 	}
 }
 
-func listed(seq int64, whole bool, hosts ...string) *source.List {
-	l := &source.List{Seq: &seq, Whole: whole}
+func listed(seq int64, whole bool, hosts ...string) *discovery.List {
+	l := &discovery.List{Seq: &seq, Whole: whole}
 	for _, h := range hosts {
-		l.Hosts = append(l.Hosts, source.Entry{Host: h, Dial: "127.0.0.1:1", Health: "active"})
+		l.Hosts = append(l.Hosts, discovery.Entry{Host: h, Dial: "127.0.0.1:1", Health: "active"})
 	}
 	return l
 }
@@ -45,7 +45,7 @@
 		GroupSize: 1, MaxAttempts: 1, AskEvery: 8 * time.Millisecond, Tick: time.Millisecond,
 		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *source.List), make(chan struct{}, 1)}
+	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(10, true, "a")},
 		upstream.New(cfg, proc.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -64,7 +64,7 @@
 		return names
 	}
 	for i, c := range []struct {
-		tell *source.List
+		tell *discovery.List
 		want string
 	}{
 		{listed(9, true, "b"), "a"},
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -32,8 +32,8 @@
 type Config struct {
 	Name     string
 	Settings settings.Settings
-	Source   source.Source
-	Known    *source.List // the list as it was last known, perhaps out of date; nil: none
+	Source   discovery.Source
+	Known    *discovery.List // the list as it was last known, perhaps out of date; nil: none
 	Seed     uint64
 	// Serves is asked whether requests may wait for a first server; nil: they may. It is called under the pool's lock, as
 	// Ready is, and must not call the pool.
@@ -108,10 +108,10 @@
 	balancer  *policy.Balancer
 	requests  map[policy.RequestID]*request // until they have ended and their attempts are back
 	lastID    policy.RequestID
-	ids       openIDs                            // of requests
-	peers     map[policy.ServerID]*upstream.Peer // the upstreams that are listed
-	entries   map[policy.ServerID]source.Entry   // what the list says of them
-	source    source.Source
+	ids       openIDs                             // of requests
+	peers     map[policy.ServerID]*upstream.Peer  // the upstreams that are listed
+	entries   map[policy.ServerID]discovery.Entry // what the list says of them
+	source    discovery.Source
 	seq       int64              // of the last list message
 	told      bool               // the source has told a list, beyond what was known at the start
 	warned    string             // why the last watch ended, until a list comes
@@ -178,7 +178,7 @@
 		source: cfg.Source, balancer: b, requests: map[policy.RequestID]*request{}, tell: cfg.Ready, serves: cfg.Serves,
 		silent: cfg.Silent, said: map[policy.ServerID]bool{},
 		dialect: cfg.Dialect, away: cfg.Elsewhere, counts: cmp.Or(cfg.Counts, &figures.Counts{}),
-		peers: map[policy.ServerID]*upstream.Peer{}, entries: map[policy.ServerID]source.Entry{},
+		peers: map[policy.ServerID]*upstream.Peer{}, entries: map[policy.ServerID]discovery.Entry{},
 		effects: map[string]policy.Effect{}, keeps: map[string]time.Duration{}, aims: map[string]time.Duration{},
 	}
 	p.service, _ = cfg.Dialect.(Service)
@@ -195,7 +195,7 @@
 	p.alarm.Stop()
 	known := cfg.Known
 	if known == nil {
-		known = &source.List{Seq: new(int64)}
+		known = &discovery.List{Seq: new(int64)}
 	}
 	p.work.Go(func() { up.Sweep(ctx) })
 	if cfg.FiguresEvery > 0 {
@@ -528,7 +528,7 @@
 }
 
 // members hands a message about the server list to the module.
-func (p *Pool) members(now policy.Time, kind policy.ListKind, l *source.List) {
+func (p *Pool) members(now policy.Time, kind policy.ListKind, l *discovery.List) {
 	p.seq = *l.Seq
 	if kind != policy.ListCached {
 		p.told, p.warned = true, ""
@@ -544,14 +544,14 @@
 	if kind != policy.ListDelta {
 		for id := range p.peers {
 			if !listed[id] {
-				p.setPeer(id, policy.Server{State: policy.Gone}, source.Entry{})
+				p.setPeer(id, policy.Server{State: policy.Gone}, discovery.Entry{})
 			}
 		}
 	}
 	if p.tell != nil {
 		ready := 0
 		for _, e := range p.entries {
-			if source.States[e.Health] == policy.Ready {
+			if discovery.States[e.Health] == policy.Ready {
 				ready++
 			}
 		}
@@ -581,7 +581,7 @@
 
 // setPeer notes what the list says of an upstream. One that restarts, moves or goes loses its connections: another
 // process may stand at its address by now.
-func (p *Pool) setPeer(id policy.ServerID, s policy.Server, e source.Entry) {
+func (p *Pool) setPeer(id policy.ServerID, s policy.Server, e discovery.Entry) {
 	to := p.peers[id]
 	if to != nil && (s.State == policy.Gone || to.Addr() != e.Dial || to.Started() != p.started(e.BornMs)) {
 		delete(p.peers, id)
@@ -624,7 +624,7 @@
 		var stood policy.Time // since when it has; zero: it has told nothing
 		watch, end := context.WithCancel(ctx)
 		defer end()
-		err := from.Watch(watch, since, func(l *source.List) {
+		err := from.Watch(watch, since, func(l *discovery.List) {
 			kind := policy.ListDelta
 			if l.Whole {
 				kind = policy.ListFull
@@ -653,7 +653,7 @@
 			p.tally.Add(tally.CallsFailed, 1)
 			p.warn(err)
 			kind := policy.ListFailed
-			if errors.Is(err, source.ErrSilent) || stood > 0 && now-stood >= steadyWatch {
+			if errors.Is(err, discovery.ErrSilent) || stood > 0 && now-stood >= steadyWatch {
 				kind = policy.ListLost
 			}
 			p.balancer.Members(now, kind, nil, p)
@@ -675,7 +675,7 @@
 
 // outdated says why a message of the source is not to be taken over. It guards against a replica that lags behind the one asked
 // before: servers that have gone would be sent requests again. Where the source truly counts anew, its list is late by some calls.
-func (p *Pool) outdated(l *source.List) error {
+func (p *Pool) outdated(l *discovery.List) error {
 	if *l.Seq >= p.seq {
 		p.older = 0
 		return nil
@@ -688,7 +688,7 @@
 }
 
 // SetSource makes another source that of the list, and has the module ask there. The list in force stays until it tells.
-func (p *Pool) SetSource(from source.Source) {
+func (p *Pool) SetSource(from discovery.Source) {
 	p.event(func(now policy.Time) {
 		p.source = from
 		p.seq = 0 // whatever stands there may count otherwise
@@ -710,10 +710,10 @@
 }
 
 // Known is the list in force, for an instance that takes this one's place.
-func (p *Pool) Known() *source.List {
+func (p *Pool) Known() *discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := &source.List{Seq: new(int64), Whole: true}
+	l := &discovery.List{Seq: new(int64), Whole: true}
 	for _, e := range p.entries {
 		l.Hosts = append(l.Hosts, e)
 	}
@@ -767,7 +767,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.entries {
-		serves = serves || source.States[e.Health] == policy.Ready
+		serves = serves || discovery.States[e.Health] == policy.Ready
 	}
 	return serves, p.told
 }
--- a/internal/pool/returned_test.go
+++ b/internal/pool/returned_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -19,7 +19,7 @@
 		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Minute, Tick: time.Millisecond, Ramp: time.Minute, ColdFrom: 0.1,
 		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *source.List), make(chan struct{}, 1)}
+	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(1, true, "a", "b", "c")},
 		upstream.New(cfg, proc.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/pool/staleness_test.go
+++ b/internal/pool/staleness_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/staleness"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -66,9 +66,9 @@
 }
 
 // startAsking starts a pool that asks discovery at addr, and knows the list given.
-func startAsking(t *testing.T, cfg settings.Settings, addr string, known *source.List) *Pool {
+func startAsking(t *testing.T, cfg settings.Settings, addr string, known *discovery.List) *Pool {
 	t.Helper()
-	p, err := New(Config{Settings: cfg, Source: source.Discovery{Addr: addr, Bound: cfg.ListBound()}, Known: known},
+	p, err := New(Config{Settings: cfg, Source: discovery.Discovery{Addr: addr, Bound: cfg.ListBound()}, Known: known},
 		upstream.New(cfg.Config, proc.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 		next, moved := startDiscovery(t)
 		began := time.Now()
 		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
-		p.SetSource(source.Discovery{Addr: next, Bound: bound})
+		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
 		nextCall(t, moved).answer(t, oneServer)
 		within(t, "since it moved", began, time.Now(), bound.Again+busy)
 		if len(calls) > 0 {
@@ -166,7 +166,7 @@
 		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
 		began := time.Now()
 		first.Close() // the old watch ends in the same instant
-		p.SetSource(source.Discovery{Addr: next, Bound: bound})
+		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
 		mute := nextCall(t, moved)
 		within(t, "since it moved", began, mute.at, bound.Again+busy)
 		within(t, "never answered", mute.at, nextCall(t, moved).at, bound.AfterMute()+busy)
@@ -182,7 +182,7 @@
 		}
 		reserved.Close() // nobody is there yet
 		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
-		p.SetSource(source.Discovery{Addr: reserved.Addr().String(), Bound: bound})
+		p.SetSource(discovery.Discovery{Addr: reserved.Addr().String(), Bound: bound})
 		time.Sleep(4 * bound.Pause) // some calls are refused meanwhile; more makes no difference
 		back, err := net.Listen("tcp", reserved.Addr().String())
 		if err != nil {
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/figures"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/policy"
 )
@@ -53,7 +53,7 @@
 		seen := p.balancer.Seen(now)
 		row.Usual, row.Short, row.Avoided, row.Open = seen.Usual, seen.Short, seen.Avoided, len(p.requests)
 		for id, e := range p.entries {
-			if source.States[e.Health] == policy.Ready {
+			if discovery.States[e.Health] == policy.Ready {
 				row.Listed++
 				if p.warming(now, id) {
 					row.Warming++
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -30,7 +30,7 @@
 		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Millisecond, Tick: time.Millisecond, Ramp: time.Hour,
 		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *source.List), make(chan struct{}, 1)}
+	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	out := make(lines, 100)
 	known := listed(1, true, "a", "b")
 	known.Hosts[1].BornMs = time.Now().UnixMilli()
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 )
 
 // Config is what one sidecar is told at its start.
@@ -25,7 +25,7 @@
 	Seed      uint64
 	MemoryMB  int // the sidecar is killed over it
 	Sockets   int // descriptors that the process may hold
-	Known     *source.List
+	Known     *discovery.List
 	Settings  settings.Settings
 	Admin     string        // address of the operators' door; empty: none
 	Figures   time.Duration // how often the log is told what it saw and did; 0: never
@@ -114,7 +114,7 @@
 		c.Seed ^= uint64(os.Getpid()) << 32 // both processes of an upgrade are given the same
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = source.ParseList(file.Known); err != nil {
+		if c.Known, err = discovery.ParseList(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/proc"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/policy"
 )
 
@@ -29,7 +29,7 @@
 	return Config{
 		Name: "sidecar-a", Listen: "127.0.0.1:8001", Discovery: "127.0.0.1:8002", filed: "127.0.0.1:8002", Seed: 0xf00d,
 		Admin: "127.0.0.1:8003", MemoryMB: 96, Sockets: 512,
-		Known: &source.List{Seq: &seq, Whole: true, Hosts: []source.Entry{{
+		Known: &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{{
 			Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001,
 		}}},
 		Settings: settings.Settings{
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -26,10 +26,10 @@
 
 	"go.uber.org/goleak"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/siteheader"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/standin"
 	"sorrelrudder/policy"
@@ -97,10 +97,10 @@
 	if s.bridge, err = New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
-	var hosts []source.Entry
+	var hosts []discovery.Entry
 	for _, b := range boxes {
 		e := b.Entry()
-		hosts = append(hosts, source.Entry{Host: e.Host, Dial: e.Dial, Site: name, Health: "active", Share: 1})
+		hosts = append(hosts, discovery.Entry{Host: e.Host, Dial: e.Dial, Site: name, Health: "active", Share: 1})
 	}
 	gcfg := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -12,11 +12,11 @@
 	"sync"
 	"time"
 
+	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/siteheader"
-	"sorrelrudder/internal/source"
 	"sorrelrudder/internal/spillover"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -46,7 +46,7 @@
 	log     *slog.Logger
 	peer    *Peer
 	far     *pool.Pool // nil: no link
-	list    *source.Static
+	list    *discovery.Static
 	client  *http.Client
 	kick    chan struct{} // tells watch that something crosses
 
@@ -93,7 +93,7 @@
 	cfg.ColdFrom, cfg.Ramp, cfg.InlineReports, cfg.ProbeTariff = 1, 0, true, 1000
 	cfg.ConnectionTariff, cfg.HandshakeTariff, cfg.CrossZoneTariff = 0, 0, 0
 	dial := c.bridge.dial(peer)
-	c.list = source.NewStatic(nil)
+	c.list = discovery.NewStatic(nil)
 	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.list, Known: c.list.List(), Dialect: c, Seed: uint64(time.Now().UnixNano())}
 	pc.Settings = c.cfg.Settings
 	pc.Settings.Config = cfg
@@ -261,7 +261,7 @@
 	born := c.born
 	c.announced = c.bridge.now()
 	c.mu.Unlock()
-	c.list.Set([]source.Entry{{Host: farMember, Dial: c.peer.Address, Site: c.peer.zone(), Block: 0, Health: health, Share: 1, BornMs: born}})
+	c.list.Set([]discovery.Entry{{Host: farMember, Dial: c.peer.Address, Site: c.peer.zone(), Block: 0, Health: health, Share: 1, BornMs: born}})
 }
 
 func (c *crossing) drain() {
