--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 const (
@@ -276,7 +276,7 @@
 	tick := time.NewTicker(endedLook)
 	defer tick.Stop()
 	for {
-		if proc.Ended(c) {
+		if process.Ended(c) {
 			return true
 		}
 		select {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -25,7 +25,7 @@
 
 	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 const (
@@ -125,7 +125,7 @@
 // encoding, and whether a connection has sent nothing.
 type Server struct {
 	handler     Handler
-	descriptors *proc.Descriptors
+	descriptors *process.Descriptors
 	log         *slog.Logger
 	options     Options
 	origin      time.Time // of the rule's clock
@@ -206,7 +206,7 @@
 }
 
 // left reports whether the client has closed.
-func (c *clientConn) left() bool { return c.reader.left.Load() || proc.Ended(c.Conn) }
+func (c *clientConn) left() bool { return c.reader.left.Load() || process.Ended(c.Conn) }
 
 // still is for how long nothing has come on c.
 func (c *clientConn) still() time.Duration { return time.Since(started) - time.Duration(c.read.Load()) }
@@ -218,12 +218,12 @@
 }
 
 // New returns a server without listeners.
-func New(h Handler, d *proc.Descriptors, log *slog.Logger) *Server {
+func New(h Handler, d *process.Descriptors, log *slog.Logger) *Server {
 	return NewWith(h, d, log, Options{})
 }
 
 // NewWith returns one with options.
-func NewWith(h Handler, d *proc.Descriptors, log *slog.Logger, o Options) *Server {
+func NewWith(h Handler, d *process.Descriptors, log *slog.Logger, o Options) *Server {
 	return &Server{
 		handler: h, descriptors: d, log: log, options: o, conns: map[*clientConn]struct{}{}, ports: map[net.Listener]*port{},
 		idle: map[Owner]*[idleKinds]lists.List{}, origin: time.Now(), rule: keepalive.New(d.Clients()),
@@ -455,7 +455,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leave(c)
-	if s.closing(c) && c.reader.r.Buffered() == 0 && proc.Quiet(c.Conn) {
+	if s.closing(c) && c.reader.r.Buffered() == 0 && process.Quiet(c.Conn) {
 		return false
 	}
 	s.setQuiet(c)
@@ -480,7 +480,7 @@
 				break
 			}
 			c := e.Value.(*clientConn)
-			if !s.rule.Spent(o, c.kind(), time.Since(c.since)) || !proc.Quiet(c.Conn) {
+			if !s.rule.Spent(o, c.kind(), time.Since(c.since)) || !process.Quiet(c.Conn) {
 				break
 			}
 			s.dismiss(c)
@@ -492,7 +492,7 @@
 // the wait, or after c was dismissed.
 func (s *Server) await(c *clientConn) bool {
 	err := c.reader.await()
-	come := err == nil || errors.Is(err, os.ErrDeadlineExceeded) && !proc.Quiet(c.Conn)
+	come := err == nil || errors.Is(err, os.ErrDeadlineExceeded) && !process.Quiet(c.Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leave(c)
@@ -645,7 +645,7 @@
 	longest, looked := slowTime, 0
 	for e := s.quiet[reading].Front(); e != nil && looked < mostSlowLook; e = e.Next() {
 		looked++
-		if c := e.Value.(*clientConn); c.still() >= longest && proc.Quiet(c.Conn) {
+		if c := e.Value.(*clientConn); c.still() >= longest && process.Quiet(c.Conn) {
 			stillest, longest = c, c.still()
 		}
 	}
@@ -677,7 +677,7 @@
 		if time.Since(c.since) < least {
 			return false
 		}
-		if !proc.Quiet(c.Conn) { // a request has come, or the end, and its goroutine is about to see it
+		if !process.Quiet(c.Conn) { // a request has come, or the end, and its goroutine is about to see it
 			continue
 		}
 		s.dismiss(c)
@@ -905,7 +905,7 @@
 	s.mu.Lock()
 	c.uses++
 	last = last || s.closing(c)
-	if !last && !s.rest(c) && c.reader.r.Buffered() == 0 && proc.Quiet(c.Conn) { // else the next request is there already
+	if !last && !s.rest(c) && c.reader.r.Buffered() == 0 && process.Quiet(c.Conn) { // else the next request is there already
 		last = true
 	}
 	s.mu.Unlock()
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -19,7 +19,7 @@
 
 	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 const patience = 20 * time.Second
@@ -100,7 +100,7 @@
 
 func startWith(t *testing.T, h Handler, descriptors int, wrap func(net.Listener) net.Listener) *running {
 	t.Helper()
-	d := proc.NewDescriptors(descriptors)
+	d := process.NewDescriptors(descriptors)
 	s := New(h, d, slog.New(slog.DiscardHandler))
 	d.OnClients(s.Evict)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -242,7 +242,7 @@
 // must not hold them for as long as a request may take.
 func TestSlowHeadsGiveWay(t *testing.T) {
 	s := start(t, 64, nil)
-	most := int(proc.ClientMost(64))
+	most := int(process.ClientMost(64))
 	var slow []*client
 	begin := func() {
 		c := s.dial(t)
@@ -393,7 +393,7 @@
 	for name, silent := range map[string]int{"alone": 0, "beside silent ones": 500} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 384, nil)
-			places := int(proc.ClientMost(384))
+			places := int(process.ClientMost(384))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			var dialing sync.WaitGroup
@@ -472,7 +472,7 @@
 
 func (c *lateConn) Read(p []byte) (int, error) {
 	if c.late.Swap(false) {
-		for proc.Quiet(c.TCPConn) {
+		for process.Quiet(c.TCPConn) {
 			time.Sleep(time.Millisecond)
 		}
 		return 0, os.ErrDeadlineExceeded
@@ -512,7 +512,7 @@
 		all = append(all, c)
 	}
 	s.descriptors.Resize(96)
-	places := int(proc.ClientMost(96))
+	places := int(process.ClientMost(96))
 	waitFor(t, "connections to go", func() bool { return s.Connections() <= places })
 	for _, c := range all {
 		if resp, _ := c.ask(t, get("h", "b")); resp.StatusCode != 200 { // closed: it connects anew
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,7 +12,7 @@
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/pool"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/settings"
@@ -169,7 +169,7 @@
 		}
 		return quota.Claim{Min: min(int64(float64(total)*part), most), Max: most}
 	}
-	clients := proc.ClientMost(c.usable())
+	clients := process.ClientMost(c.usable())
 	conns := claim(clients, 0)
 	if len(c.Pools) == 1 { // nobody is to be kept from it
 		conns.Min = 0
@@ -179,7 +179,7 @@
 			Open: claim(clients, p.Limits.Open), Bodies: claim(c.bodies(), p.Limits.Bodies),
 			Rate: p.Limits.Rate, Burst: p.Limits.Burst, Hold: p.Limits.Hold,
 		},
-		descriptors: claim(proc.ForUpstreams(c.usable()), p.Limits.Descriptors),
+		descriptors: claim(process.ForUpstreams(c.usable()), p.Limits.Descriptors),
 		conns:       conns,
 	}
 }
@@ -189,7 +189,7 @@
 func (c *Config) freshClaim() quota.Claim {
 	most := quota.Claim{Max: quota.NoLimit}
 	if len(c.Pools) > 1 {
-		most.Min = int64(float64(proc.ClientMost(c.usable())) * freshShare)
+		most.Min = int64(float64(process.ClientMost(c.usable())) * freshShare)
 	}
 	return most
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,7 +25,7 @@
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/pool"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/upstream"
@@ -53,7 +53,7 @@
 type Gateway struct {
 	log         *slog.Logger
 	origin      time.Time
-	descriptors *proc.Descriptors
+	descriptors *process.Descriptors
 	server      *downstream.Server
 	extension   Extension // nil: none
 	speech      Speech
@@ -125,7 +125,7 @@
 // NewSpeaking makes one that speaks more at its listeners.
 func NewSpeaking(cfg Config, log *slog.Logger, x Extension, sp Speech) (*Gateway, error) {
 	g := &Gateway{
-		log: log, origin: time.Now().Add(-time.Hour), descriptors: proc.NewDescriptors(cfg.Descriptors),
+		log: log, origin: time.Now().Add(-time.Hour), descriptors: process.NewDescriptors(cfg.Descriptors),
 		several: make(chan struct{}), listeners: map[Listener]*listening{}, retired: map[*member]struct{}{},
 		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), conns: quota.NewPot(0),
 	}
@@ -373,7 +373,7 @@
 	g.descriptors.Resize(c.usable())
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	clients := proc.ClientMost(c.usable())
+	clients := process.ClientMost(c.usable())
 	g.admission.Resize(clients, c.bodies())
 	g.conns.Resize(clients)
 	g.conns.Set(nobody, c.freshClaim())
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -15,7 +15,7 @@
 
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/upstream"
@@ -51,7 +51,7 @@
 		GroupSize: 1, MaxAttempts: 2, AskEvery: 8 * time.Millisecond, Tick: time.Millisecond, DialTimeout: time.Millisecond,
 		Classes: []policy.Class{class},
 	}
-	descriptors := proc.NewDescriptors(64)
+	descriptors := process.NewDescriptors(64)
 	descriptors.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
 	up := upstream.New(cfg, descriptors.Pool(1))
 	up.DialWith(func(_ context.Context, addr string) (net.Conn, error) { // it comes up however late that is
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -13,7 +13,7 @@
 
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/upstream"
@@ -47,7 +47,7 @@
 		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Hour, Tick: time.Millisecond, DialTimeout: 20 * time.Second, InlineReports: inline,
 		Classes: []policy.Class{safeClass},
 	}
-	descriptors := proc.NewDescriptors(64)
+	descriptors := process.NewDescriptors(64)
 	descriptors.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
 	seq := int64(1)
 	p, err := New(Config{
--- a/internal/pool/returned_test.go
+++ b/internal/pool/returned_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -21,7 +21,7 @@
 	}
 	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(1, true, "a", "b", "c")},
-		upstream.New(cfg, proc.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
+		upstream.New(cfg, process.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pool/staleness_test.go
+++ b/internal/pool/staleness_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/staleness"
 	"sorrelrudder/internal/upstream"
@@ -69,7 +69,7 @@
 func startAsking(t *testing.T, cfg settings.Settings, addr string, known *discovery.List) *Pool {
 	t.Helper()
 	p, err := New(Config{Settings: cfg, Source: discovery.Discovery{Addr: addr, Bound: cfg.ListBound()}, Known: known},
-		upstream.New(cfg.Config, proc.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
+		upstream.New(cfg.Config, process.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/internal/upstream"
@@ -36,7 +36,7 @@
 	known.Hosts[1].BornMs = time.Now().UnixMilli()
 	p, err := New(Config{
 		Settings: settings.Settings{Config: cfg}, Source: src, Known: known, FiguresEvery: 20 * time.Millisecond,
-	}, upstream.New(cfg, proc.NewDescriptors(64).Pool(1)), slog.New(slog.NewTextHandler(out, nil)))
+	}, upstream.New(cfg, process.NewDescriptors(64).Pool(1)), slog.New(slog.NewTextHandler(out, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proc/company.go
+++ b/internal/process/company.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"errors"
--- a/internal/proc/descriptors.go
+++ b/internal/process/descriptors.go
@@ -1,7 +1,7 @@
-// Package proc holds what one process has once and its pools share: its descriptors, and how a socket is looked at without
+// Package process holds what one process has once and its pools share: its descriptors, and how a socket is looked at without
 // reading from it. How much of it each pool may have is decided by package share; this package carries that out. It
 // knows nothing of requests or servers.
-package proc
+package process
 
 import (
 	"cmp"
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -16,7 +16,7 @@
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/keepalive"
 	"sorrelrudder/internal/pool"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/policy"
 )
@@ -149,7 +149,7 @@
 // each holds one locked under such a name.
 func TestCompanyForm(t *testing.T) {
 	dir := t.TempDir()
-	company, err := proc.JoinCompany(dir)
+	company, err := process.JoinCompany(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 // patience is how long a test waits for what must come; none asserts that something takes less.
@@ -763,7 +763,7 @@
 	const sockets = 64
 	s := start(t, config(t, "127.0.0.1:1", sockets, listOf(t, u)))
 	var busy []*client
-	for i := range int(proc.ClientMost(sockets)) { // as many as clients may hold
+	for i := range int(process.ClientMost(sockets)) { // as many as clients may hold
 		var c *client
 		waitFor(t, "a request to be taken", func() bool {
 			if c == nil { // also where one that had just come was closed to make room before it was read: it comes again
--- a/internal/sidecar/succession.go
+++ b/internal/sidecar/succession.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 const (
@@ -35,7 +35,7 @@
 	if s.cfg.Shared == "" {
 		return s.Listen()
 	}
-	company, err := proc.JoinCompany(s.cfg.Shared)
+	company, err := process.JoinCompany(s.cfg.Shared)
 	if err != nil { // it can serve all the same, and the other one cannot know of it either
 		s.log.Warn("the processes of this sidecar do not know of each other", "err", err)
 		return s.Listen()
@@ -71,7 +71,7 @@
 }
 
 // follow keeps to this process's part of the limits until ctx ends, and a little longer: what it still holds then counts too.
-func (s *Sidecar) follow(ctx context.Context, company *proc.Company) {
+func (s *Sidecar) follow(ctx context.Context, company *process.Company) {
 	defer company.Leave()
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
@@ -127,7 +127,7 @@
 }
 
 // share takes over this process's part of the limits, if that has changed.
-func (s *Sidecar) share(company *proc.Company) {
+func (s *Sidecar) share(company *process.Company) {
 	others, err := company.Others()
 	if err != nil {
 		s.log.Warn("cannot tell whether there is another process", "err", err)
--- a/internal/sidecar/succession_test.go
+++ b/internal/sidecar/succession_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 )
 
 // startHeld runs a sidecar whose listening socket ln is held by the platform, beside others that share dir.
@@ -185,7 +185,7 @@
 		}
 		defer held.Close()
 		dir := t.TempDir()
-		other, err := proc.JoinCompany(dir)
+		other, err := process.JoinCompany(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"sorrelrudder/internal/message"
-	"sorrelrudder/internal/proc"
+	"sorrelrudder/internal/process"
 	"sorrelrudder/policy"
 )
 
@@ -188,7 +188,7 @@
 }
 
 // quiet reports whether nothing is there to be read from the upstream, neither bytes nor the end.
-func (c *Conn) quiet() bool { return c.r.Buffered() == 0 && proc.Quiet(c.Conn) }
+func (c *Conn) quiet() bool { return c.r.Buffered() == 0 && process.Quiet(c.Conn) }
 
 // Keep makes c idle, unless something came with the answer that is not part of it. What comes later shows when it is used
 // again.
