--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/figures"
+	"sorrelrudder/internal/metrics"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // Figures are what GET /_vars tells.
 type Figures struct {
-	Results     map[string]figures.Class `json:"results"`
+	Results     map[string]metrics.Class `json:"results"`
 	Forwards    int64                    `json:"forwards"`    // attempts written whole to servers
 	Outstanding int                      `json:"outstanding"` // requests taken and not yet ended
 	Discovered  int                      `json:"discovered"`  // servers on the list
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/goleak"
 
-	"sorrelrudder/internal/figures"
+	"sorrelrudder/internal/metrics"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -30,7 +30,7 @@
 }
 
 func (p *process) Figures() Figures {
-	return Figures{Results: map[string]figures.Class{"order": {Succeeded: 812}}, Forwards: 820, Outstanding: 14, Discovered: 3, Ejected: 1}
+	return Figures{Results: map[string]metrics.Class{"order": {Succeeded: 812}}, Forwards: 820, Outstanding: 14, Discovered: 3, Ejected: 1}
 }
 
 func open(t *testing.T) (*process, string) {
--- a/internal/admin/form_test.go
+++ b/internal/admin/form_test.go
@@ -11,7 +11,7 @@
 	"reflect"
 	"testing"
 
-	"sorrelrudder/internal/figures"
+	"sorrelrudder/internal/metrics"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -25,7 +25,7 @@
 // TestVarsForm holds what GET /_vars tells.
 func TestVarsForm(t *testing.T) {
 	value := Figures{
-		Results: map[string]figures.Class{
+		Results: map[string]metrics.Class{
 			"check": {Succeeded: 101, Declined: 102, Aborted: 103}, "order": {Succeeded: 104, Declined: 105, Aborted: 106},
 		},
 		Forwards: 107, Outstanding: 108, Discovered: 109, Ejected: 110,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,7 @@
 	"sorrelrudder/internal/admin"
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/downstream"
-	"sorrelrudder/internal/figures"
+	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
@@ -59,7 +59,7 @@
 	speech      Speech
 	foreign     *downstream.Server // of the listeners of other sites; nil without an extension
 	table       atomic.Pointer[table]
-	counts      figures.Counts // of all pools, also those that have gone
+	counts      metrics.Counts // of all pools, also those that have gone
 	listens     atomic.Bool
 	draining    atomic.Bool
 	door        *admin.Door   // nil: none
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"sorrelrudder/internal/downstream"
-	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/route"
@@ -70,7 +70,7 @@
 	}
 	if v := g.admission.Ask(now, m.key, room); v.Reason != quota.Admitted {
 		bad := refusal(m, v)
-		g.counts.Ended(ask.Class(), figures.Of(bad.Status))
+		g.counts.Ended(ask.Class(), metrics.Of(bad.Status))
 		return nil, owner, bad
 	}
 	return &admission{g: g, m: m, q: q, ask: ask, room: room}, owner, nil
@@ -150,7 +150,7 @@
 	if err != nil {
 		a.Release()
 		if bad := (message.Bad{}); errors.As(err, &bad) {
-			a.g.counts.Ended(a.ask.Class(), figures.Of(bad.Status))
+			a.g.counts.Ended(a.ask.Class(), metrics.Of(bad.Status))
 		}
 		return nil, err
 	}
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures counts, for operators, what became of the requests of one process, by class. It knows neither sockets nor
+// Package metrics counts, for operators, what became of the requests of one process, by class. It knows neither sockets nor
 // clocks nor how its figures are told.
-package figures
+package metrics
 
 import (
 	"maps"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"fmt"
--- a/internal/pool/away.go
+++ b/internal/pool/away.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
-	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/metrics"
 	"sorrelrudder/policy"
 )
 
@@ -35,7 +35,7 @@
 			return
 		}
 		h.r.away, taken = nil, true
-		h.pool.answer(h.r, a, figures.Of(a.Status))
+		h.pool.answer(h.r, a, metrics.Of(a.Status))
 		if a.Rest != nil { // who has served it has the rest
 			h.pool.streamed(h.r, true)
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/figures"
 	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/internal/upstream"
@@ -47,7 +47,7 @@
 	// its own, which ends soon after the context that it is given.
 	Elsewhere func(context.Context, *Handover)
 	// Counts is told how requests end and of each attempt written whole; nil: nobody asks.
-	Counts *figures.Counts
+	Counts *metrics.Counts
 	// Silent is told of each server that has not answered an attempt or a probe, each time, and once it answers again; nil: nobody asks. It
 	// is called under the pool's lock, and must not call the pool.
 	Silent func(server string, is bool)
@@ -100,7 +100,7 @@
 	serves   func() bool
 	dialect  Dialect
 	service  Service // the same, if it is one
-	counts   *figures.Counts
+	counts   *metrics.Counts
 	away     func(context.Context, *Handover)
 	work     sync.WaitGroup // goroutines; added to under mu while not closed
 
@@ -177,7 +177,7 @@
 		settings: cfg.Settings, log: log, ctx: ctx, stop: stop, origin: origin, originMs: origin.UnixMilli(), up: up,
 		source: cfg.Source, balancer: b, requests: map[policy.RequestID]*request{}, tell: cfg.Ready, serves: cfg.Serves,
 		silent: cfg.Silent, said: map[policy.ServerID]bool{},
-		dialect: cfg.Dialect, away: cfg.Elsewhere, counts: cmp.Or(cfg.Counts, &figures.Counts{}),
+		dialect: cfg.Dialect, away: cfg.Elsewhere, counts: cmp.Or(cfg.Counts, &metrics.Counts{}),
 		peers: map[policy.ServerID]*upstream.Peer{}, entries: map[policy.ServerID]discovery.Entry{},
 		effects: map[string]policy.Effect{}, keeps: map[string]time.Duration{}, aims: map[string]time.Duration{},
 	}
@@ -225,7 +225,7 @@
 		}
 		if !r.ended || r.away != nil { // whoever closes a pool that is not drained still owes an answer
 			r.ended, r.away = true, nil
-			p.answer(r, message.Answer{Status: http.StatusBadGateway}, figures.Aborted)
+			p.answer(r, message.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
 		}
 		r.free()
 	}
@@ -248,7 +248,7 @@
 			if h := r.away; h != nil {
 				r.away = nil
 				close(h.left)
-				p.answer(r, message.Answer{Status: http.StatusBadGateway}, figures.Aborted)
+				p.answer(r, message.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
 				p.forget(r)
 			} else if !r.ended {
 				p.balancer.Withdrawn(now, r.id, p)
@@ -350,12 +350,12 @@
 		return
 	}
 	r.ended = true
-	p.answer(r, a, figures.Of(a.Status))
+	p.answer(r, a, metrics.Of(a.Status))
 	p.after = append(p.after, func(policy.Time) { p.forget(r) })
 }
 
 // answer hands the final answer of r over, by which it ended so.
-func (p *Pool) answer(r *request, a message.Answer, o figures.Outcome) {
+func (p *Pool) answer(r *request, a message.Answer, o metrics.Outcome) {
 	if a.Rest != nil {
 		r.streams = true
 	} else {
@@ -367,9 +367,9 @@
 
 // streamed notes the end of a long answer.
 func (p *Pool) streamed(r *request, whole bool) {
-	end := figures.Succeeded
+	end := metrics.Succeeded
 	if !whole {
-		end = figures.Aborted
+		end = metrics.Aborted
 	}
 	p.counts.Ended(r.event.Class, end)
 	r.streams = false
@@ -405,7 +405,7 @@
 	}
 	if status == policy.OK && !r.ended {
 		r.ended, taken = true, true
-		p.answer(r, ans, figures.Succeeded)
+		p.answer(r, ans, metrics.Succeeded)
 	}
 	p.balancer.Outcome(now, policy.Outcome{
 		ID: r.id, Attempt: a.number, Server: a.server, Status: status, Delay: now - a.sent,
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/figures"
+	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/tally"
 	"sorrelrudder/policy"
 )
@@ -16,11 +16,11 @@
 }
 
 // endOf is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
-func (p *Pool) endOf(r *request, o figures.Outcome) tally.Count {
+func (p *Pool) endOf(r *request, o metrics.Outcome) tally.Count {
 	switch o {
-	case figures.Declined:
+	case metrics.Declined:
 		return tally.Refused
-	case figures.Succeeded:
+	case metrics.Succeeded:
 		if aim := p.aims[r.event.Class]; p.tells && aim > 0 && p.now()-r.taken > aim {
 			return tally.Late
 		}
