--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -17,7 +17,7 @@
 
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/lab"
-	"sorrelrudder/internal/tally"
+	"sorrelrudder/internal/statslog"
 )
 
 // mostLogLine bounds a line of a log; a longer one ends the reading of that file.
@@ -119,7 +119,7 @@
 // count reads the logs, and returns a row for each spell in which a process told something.
 func (c *fleetCmd) count(files []string) ([]fleetRow, error) {
 	type seen struct {
-		row       tally.Row
+		row       statslog.Row
 		processes map[string]bool
 		shared    *sharedRow
 	}
@@ -128,7 +128,7 @@
 	type line struct {
 		at   time.Time
 		file string
-		row  tally.Row
+		row  statslog.Row
 		text string // of shared state
 	}
 	var lines []line
@@ -149,7 +149,7 @@
 				}
 				continue
 			}
-			at, pool, row, ok := tally.Parse(text.Text())
+			at, pool, row, ok := statslog.Parse(text.Text())
 			if !ok || c.Pool != "" && pool != c.Pool {
 				continue
 			}
@@ -187,7 +187,7 @@
 			UsualMs: float64(x.row.Usual) / float64(time.Millisecond), Short: x.row.Short,
 			Shared: x.shared, Listed: float64(x.row.Listed) / each, Warming: float64(x.row.Warming) / each, Avoided: float64(x.row.Avoided) / each,
 		}
-		for _, k := range tally.Counts() {
+		for _, k := range statslog.Counts() {
 			r.Counts[k.String()] = x.row.N[k]
 		}
 		rows = append(rows, r)
@@ -199,14 +199,14 @@
 func printFleet(w io.Writer, rows []fleetRow) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "s\tprocs\t")
-	for _, k := range tally.Counts() {
+	for _, k := range statslog.Counts() {
 		fmt.Fprintf(t, "%s\t", k)
 	}
 	fmt.Fprintln(t, "usual\tshort\tlisted\twarming\tavoided\t")
 	sum := map[string]int{}
 	for _, r := range rows {
 		fmt.Fprintf(t, "%g\t%d\t", r.At, r.Processes)
-		for _, k := range tally.Counts() {
+		for _, k := range statslog.Counts() {
 			fmt.Fprintf(t, "%d\t", r.Counts[k.String()])
 			sum[k.String()] += r.Counts[k.String()]
 		}
@@ -214,7 +214,7 @@
 	}
 	most := slices.MaxFunc(rows, func(a, b fleetRow) int { return cmp.Compare(a.Processes, b.Processes) })
 	fmt.Fprintf(t, "all\t%d\t", most.Processes)
-	for _, k := range tally.Counts() {
+	for _, k := range statslog.Counts() {
 		fmt.Fprintf(t, "%d\t", sum[k.String()])
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t")
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -132,7 +132,7 @@
 	"internal/tlsfiles":     {},
 	"internal/httpservice":  {"policy", "internal/classify", "internal/message", "internal/pool", "internal/upstream"},
 	"internal/metrics":      {},
-	"internal/tally":        {},
+	"internal/statslog":     {},
 	"internal/emulator":     {"policy", "internal/zonefailover"},
 	"internal/dayfile":      {"policy", "internal/emulator"},
 	"internal/fixedseed":    {},
@@ -145,7 +145,7 @@
 	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/fleet":        {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/message", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/admin":        {"internal/metrics"},
-	"internal/pool":         {"policy", "internal/metrics", "internal/message", "internal/settings", "internal/discovery", "internal/tally", "internal/upstream"},
+	"internal/pool":         {"policy", "internal/metrics", "internal/message", "internal/settings", "internal/discovery", "internal/statslog", "internal/upstream"},
 	"internal/keepalive":    {},
 	"internal/downstream":   {"internal/keepalive", "internal/message", "internal/process"},
 	"internal/gateway": {
@@ -165,11 +165,11 @@
 	"internal/lab":        {"internal/standin"},
 	"cmd/simadapter":      {"internal/wire"},
 	"cmd/sidecar":         {"internal/sidecar"},
-	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/opfile", "internal/tally", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/opfile", "internal/statslog", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/quota", "internal/spillover", "internal/staleness", "internal/tally", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
+var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/quota", "internal/spillover", "internal/staleness", "internal/statslog", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
 // TestImports holds the rules of docs/ARCHITECTURE.md.
 func TestImports(t *testing.T) {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -19,7 +19,7 @@
 	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/tally"
+	"sorrelrudder/internal/statslog"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -122,10 +122,10 @@
 	alarm     *time.Timer // fires when the first timer is due
 	alarmAt   policy.Time // zero: not set
 	after     []func(now policy.Time)
-	closed    bool      // nothing more is to happen
-	givenUp   bool      // nothing more is taken
-	tally     tally.Row // what happened since the log was told; counted whether it is or not
-	tells     bool      // it is
+	closed    bool         // nothing more is to happen
+	givenUp   bool         // nothing more is taken
+	tally     statslog.Row // what happened since the log was told; counted whether it is or not
+	tells     bool         // it is
 	silent    func(server string, is bool)
 	said      map[policy.ServerID]bool // that silent was told of
 	outcomes  map[string]*outcomes     // by zone, where silent asks; nil: nobody does
@@ -315,7 +315,7 @@
 		p.requests[r.id] = r
 		q.ID, q.Expires = r.id, now+timeout
 		r.event, r.taken = q, now
-		p.tally.Add(tally.Taken, 1)
+		p.tally.Add(statslog.Taken, 1)
 		if !served {
 			p.refuse(r, errNoServer.Answer())
 			return
@@ -337,7 +337,7 @@
 			return
 		}
 		open, r.ended = true, true
-		p.tally.Add(tally.Left, 1)
+		p.tally.Add(statslog.Left, 1)
 		p.balancer.Withdrawn(now, r.id, p)
 		p.forget(r)
 	})
@@ -431,12 +431,12 @@
 	a.number, a.zone, a.cell = len(r.event.Prior)+len(r.attempts), e.Site, e.Block
 	r.attempts = append(r.attempts, a)
 	r.out++
-	p.tally.Add(tally.Sends, 1)
+	p.tally.Add(statslog.Sends, 1)
 	if a.number > 0 {
-		p.tally.Add(tally.Again, 1)
+		p.tally.Add(statslog.Again, 1)
 	}
 	if p.tells && p.warming(a.sent, server) {
-		p.tally.Add(tally.Cold, 1)
+		p.tally.Add(statslog.Cold, 1)
 	}
 	to, listed := p.peers[server]
 	if r.ended || !listed || timeout <= 0 {
@@ -618,7 +618,7 @@
 	ctx, cancel := context.WithCancel(p.ctx)
 	p.stopWatch = cancel
 	since, from := p.seq, p.source
-	p.tally.Add(tally.Calls, 1)
+	p.tally.Add(statslog.Calls, 1)
 	p.spawn(func() {
 		var old error
 		var stood policy.Time // since when it has; zero: it has told nothing
@@ -650,7 +650,7 @@
 			}
 			cancel()
 			p.stopWatch = nil
-			p.tally.Add(tally.CallsFailed, 1)
+			p.tally.Add(statslog.CallsFailed, 1)
 			p.warn(err)
 			kind := policy.ListFailed
 			if errors.Is(err, discovery.ErrSilent) || stood > 0 && now-stood >= steadyWatch {
--- a/internal/pool/probe.go
+++ b/internal/pool/probe.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/tally"
+	"sorrelrudder/internal/statslog"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -39,13 +39,13 @@
 		return
 	}
 	p.probing++
-	p.tally.Add(tally.Probes, 1)
+	p.tally.Add(statslog.Probes, 1)
 	p.spawn(func() {
 		status, load := p.probe(to)
 		p.event(func(now policy.Time) {
 			p.probing--
 			if status != policy.OK {
-				p.tally.Add(tally.ProbesLost, 1)
+				p.tally.Add(statslog.ProbesLost, 1)
 			}
 			p.balancer.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: now - sent, Load: load}, p)
 			p.notice(server, status)
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -5,28 +5,28 @@
 
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/metrics"
-	"sorrelrudder/internal/tally"
+	"sorrelrudder/internal/statslog"
 	"sorrelrudder/policy"
 )
 
 // tallied are the ends of attempts that are counted by kind.
-var tallied = map[policy.Status]tally.Count{
-	policy.ConnectFailed: tally.Unreached, policy.Timeout: tally.TimedOut, policy.AppError: tally.Erred,
-	policy.Full: tally.TurnedAway, policy.Reset: tally.Broken,
+var tallied = map[policy.Status]statslog.Count{
+	policy.ConnectFailed: statslog.Unreached, policy.Timeout: statslog.TimedOut, policy.AppError: statslog.Erred,
+	policy.Full: statslog.TurnedAway, policy.Reset: statslog.Broken,
 }
 
 // endOf is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
-func (p *Pool) endOf(r *request, o metrics.Outcome) tally.Count {
+func (p *Pool) endOf(r *request, o metrics.Outcome) statslog.Count {
 	switch o {
 	case metrics.Declined:
-		return tally.Refused
+		return statslog.Refused
 	case metrics.Succeeded:
 		if aim := p.aims[r.event.Class]; p.tells && aim > 0 && p.now()-r.taken > aim {
-			return tally.Late
+			return statslog.Late
 		}
-		return tally.InAim
+		return statslog.InAim
 	}
-	return tally.Failed
+	return statslog.Failed
 }
 
 // warming reports whether a server started less than the ramp time ago.
@@ -48,7 +48,7 @@
 		}
 		p.mu.Lock()
 		row := p.tally
-		p.tally = tally.Row{}
+		p.tally = statslog.Row{}
 		now := p.now()
 		seen := p.balancer.Seen(now)
 		row.Usual, row.Short, row.Avoided, row.Open = seen.Usual, seen.Short, seen.Avoided, len(p.requests)
@@ -62,10 +62,10 @@
 		}
 		p.mu.Unlock()
 		d := p.up.Dialled()
-		row.Add(tally.Dials, int(d-dialled))
+		row.Add(statslog.Dials, int(d-dialled))
 		dialled = d
 		if !row.Empty() {
-			p.log.Info(tally.Message, row.Attrs()...)
+			p.log.Info(statslog.Message, row.Attrs()...)
 		}
 	}
 }
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -8,7 +8,7 @@
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/tally"
+	"sorrelrudder/internal/statslog"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -43,11 +43,11 @@
 	defer p.Close()
 	src.calls <- listed(2, true, "a", "b") // one call has come, and ends
 	<-src.took
-	var sum tally.Row
-	for sum.N[tally.CallsFailed] == 0 || sum.N[tally.Calls] < 2 {
+	var sum statslog.Row
+	for sum.N[statslog.CallsFailed] == 0 || sum.N[statslog.Calls] < 2 {
 		select {
 		case line := <-out:
-			if _, _, row, ok := tally.Parse(line); ok {
+			if _, _, row, ok := statslog.Parse(line); ok {
 				if row.Empty() || row.Listed != 2 {
 					t.Errorf("told %s", line)
 				}
@@ -57,7 +57,7 @@
 			t.Fatalf("only %+v was told", sum)
 		}
 	}
-	if sum.N[tally.Calls] != 2 || sum.N[tally.CallsFailed] != 1 {
+	if sum.N[statslog.Calls] != 2 || sum.N[statslog.CallsFailed] != 1 {
 		t.Errorf("two calls, of which one has ended, are told as %+v", sum)
 	}
 }
--- a/internal/tally/tally.go
+++ b/internal/statslog/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts what a pool sees and does in one spell, writes it as the attributes of one log line, and reads such lines
+// Package statslog counts what a pool sees and does in one spell, writes it as the attributes of one log line, and reads such lines
 // back, so that the lines of a whole fleet can be counted together. It knows neither sockets nor clocks.
-package tally
+package statslog
 
 import (
 	"strconv"
