--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 )
 
 const (
@@ -44,10 +44,10 @@
 	return b
 }
 
-// Length is the method of message.Rest.
+// Length is the method of httpmsg.Rest.
 func (b *bodyReader) Length() int64 { return b.length }
 
-// Read is the method of message.Rest. It waits for one byte at most: of a chunk that comes slowly the reader of chunks would
+// Read is the method of httpmsg.Rest. It waits for one byte at most: of a chunk that comes slowly the reader of chunks would
 // wait for the whole.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.ended {
@@ -66,7 +66,7 @@
 	n, err := b.read(p)
 	b.total += int64(n)
 	switch {
-	case b.total > message.MostLong:
+	case b.total > httpmsg.MostLong:
 		return 0, errBodyLong
 	case err == io.EOF && b.ended, err == nil:
 		return n, err
@@ -129,7 +129,7 @@
 // errStopped is what is read of an upload whose request has its answer.
 var errStopped = errors.New("the request has its answer")
 
-// Read is the method of message.Rest.
+// Read is the method of httpmsg.Rest.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/process"
 )
 
@@ -28,20 +28,20 @@
 )
 
 var (
-	errHead     = message.Bad{Status: http.StatusBadRequest, Text: "the head cannot be read"}
-	errHeadLong = message.Bad{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long"}
-	errBodyLong = message.Bad{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
-	errBody     = message.Bad{Status: http.StatusBadRequest, Text: "the body cannot be read"}
-	errSlow     = message.Bad{Status: http.StatusRequestTimeout, Text: "the request did not come whole in time"}
-	errLengths  = message.Bad{Status: http.StatusBadRequest, Text: "both Content-Length and Transfer-Encoding"}
-	errVersion  = message.Bad{Status: http.StatusHTTPVersionNotSupported, Text: "not HTTP/1.1"}
-	errHost     = message.Bad{Status: http.StatusBadRequest, Text: "no Host"}
-	errTarget   = message.Bad{Status: http.StatusBadRequest, Text: "the target is no path"}
+	errHead     = httpmsg.Bad{Status: http.StatusBadRequest, Text: "the head cannot be read"}
+	errHeadLong = httpmsg.Bad{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long"}
+	errBodyLong = httpmsg.Bad{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
+	errBody     = httpmsg.Bad{Status: http.StatusBadRequest, Text: "the body cannot be read"}
+	errSlow     = httpmsg.Bad{Status: http.StatusRequestTimeout, Text: "the request did not come whole in time"}
+	errLengths  = httpmsg.Bad{Status: http.StatusBadRequest, Text: "both Content-Length and Transfer-Encoding"}
+	errVersion  = httpmsg.Bad{Status: http.StatusHTTPVersionNotSupported, Text: "not HTTP/1.1"}
+	errHost     = httpmsg.Bad{Status: http.StatusBadRequest, Text: "no Host"}
+	errTarget   = httpmsg.Bad{Status: http.StatusBadRequest, Text: "the target is no path"}
 )
 
 // clientRequest is a request whose head was read.
 type clientRequest struct {
-	message.Request
+	httpmsg.Request
 	chunked bool
 	expects bool // the client waits for a 100 before it sends the body
 	old     bool // of HTTP/1.0
@@ -67,7 +67,7 @@
 // parsers are readers for heads that have been read whole.
 var parsers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// read reads the head of a request within the connection's deadline. An error that is no message.Bad means that the client
+// read reads the head of a request within the connection's deadline. An error that is no httpmsg.Bad means that the client
 // left.
 func (r *requestReader) read() (*clientRequest, error) {
 	head, err := r.head()
@@ -104,11 +104,11 @@
 		// by the other of the two. http.ReadRequest drops the length without a word, so checkHead looks for it.
 		return nil, errLengths
 	}
-	if q.ContentLength > message.MostLong {
+	if q.ContentLength > httpmsg.MostLong {
 		return nil, errBodyLong
 	}
 	cq := &clientRequest{
-		Request: message.Request{
+		Request: httpmsg.Request{
 			Method: q.Method, URI: uri, Path: q.URL.Path, Host: q.Host, Header: q.Header, Length: q.ContentLength,
 		},
 		chunked: chunked, old: !q.ProtoAtLeast(1, 1),
@@ -132,17 +132,17 @@
 		return nil, nil, nil
 	}
 	b := newBodyReader(r, c, q)
-	if 0 < q.Length && q.Length <= message.MostBody {
+	if 0 < q.Length && q.Length <= httpmsg.MostBody {
 		body = make([]byte, q.Length)
 		_, err = io.ReadFull(b, body)
 		return body, nil, err
 	}
 	var first bytes.Buffer
-	_, err = first.ReadFrom(io.LimitReader(b, message.MostBody))
+	_, err = first.ReadFrom(io.LimitReader(b, httpmsg.MostBody))
 	if err != nil {
 		return nil, nil, err
 	}
-	if first.Len() < message.MostBody || b.ended {
+	if first.Len() < httpmsg.MostBody || b.ended {
 		return first.Bytes(), nil, nil
 	}
 	return first.Bytes(), b, nil
@@ -163,7 +163,7 @@
 // skips reports whether the body of q is read over where it is answered unread. It is not where its end is not known, or
 // whether it comes at all, nor where it is long.
 func (q *clientRequest) skips() bool {
-	return !q.chunked && !q.expects && q.Length <= message.MostBody
+	return !q.chunked && !q.expects && q.Length <= httpmsg.MostBody
 }
 
 // head reads the bytes of a head. Empty lines before it are passed over (RFC 9112, 2.2).
@@ -193,7 +193,7 @@
 }
 
 // readError is what a failed read means: bad, if the client is still there to be told.
-func readError(err error, bad message.Bad) error {
+func readError(err error, bad httpmsg.Bad) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return errSlow
@@ -231,7 +231,7 @@
 		switch key := http.CanonicalHeaderKey(string(name)); key {
 		case "Content-Length", "Transfer-Encoding", "Host", "X-Request-Id", "X-Timeout-Ms", "Idempotency-Key":
 			if once[key] {
-				return false, message.Bad{Status: http.StatusBadRequest, Text: "more than one " + key}
+				return false, httpmsg.Bad{Status: http.StatusBadRequest, Text: "more than one " + key}
 			}
 			once[key] = true
 		}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -23,8 +23,8 @@
 	"sync/atomic"
 	"time"
 
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/keepalive"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/process"
 )
 
@@ -70,8 +70,8 @@
 
 // Handler says what becomes of requests. It is called from many goroutines at once.
 type Handler interface {
-	// Admit decides on a request by its head. The owner counts also if it is turned away, with a message.Bad.
-	Admit(q *message.Request) (Admission, Owner, error)
+	// Admit decides on a request by its head. The owner counts also if it is turned away, with a httpmsg.Bad.
+	Admit(q *httpmsg.Request) (Admission, Owner, error)
 	// Pause is how long a connection is not read after an answer: refused counts the requests on it in a row that were not
 	// admitted.
 	Pause(o Owner, refused int) time.Duration
@@ -87,8 +87,8 @@
 // Admission is a request that is admitted and whose body is still to come. One of its methods must be called.
 type Admission interface {
 	// Take hands over the request with its body, or with the first of a long one and the rest, which is nil otherwise. The
-	// error is a message.Bad.
-	Take(body []byte, rest message.Rest) (Exchange, error)
+	// error is a httpmsg.Bad.
+	Take(body []byte, rest httpmsg.Rest) (Exchange, error)
 	// Release tells that the body never came.
 	Release()
 }
@@ -96,7 +96,7 @@
 // Exchange is a request that a pool has taken.
 type Exchange interface {
 	// Answer is where the one final answer comes.
-	Answer() <-chan message.Answer
+	Answer() <-chan httpmsg.Answer
 	// Withdraw tells that the client has left, and reports whether the request was still open: else its answer is there.
 	Withdraw() bool
 }
@@ -791,7 +791,7 @@
 // whether another request may follow on c.
 func (s *Server) answer(c *clientConn, q *clientRequest) (status int, admitted, open bool) {
 	if q.Path == "/healthz" && q.Method == http.MethodGet {
-		open = s.write(c, message.Answer{Status: http.StatusOK}, q.last) && c.reader.skipBody(c, q)
+		open = s.write(c, httpmsg.Answer{Status: http.StatusOK}, q.last) && c.reader.skipBody(c, q)
 		return http.StatusOK, true, open
 	}
 	if s.options.Identify != nil {
@@ -830,7 +830,7 @@
 }
 
 // drop lets go of an answer that nobody is to have.
-func drop(ans message.Answer) {
+func drop(ans httpmsg.Answer) {
 	if ans.Rest != nil {
 		ans.Rest.Close(false)
 	}
@@ -845,7 +845,7 @@
 		status, _ = s.turnAway(c, q, err)
 		return status, false, false
 	}
-	var ans message.Answer
+	var ans httpmsg.Answer
 	select {
 	case ans = <-x.Answer():
 	case <-u.done:
@@ -865,7 +865,7 @@
 
 // await waits for the answer of x, and reports whether the client is still there. Whether it is is watched once the answer
 // is not there at once: the watch takes a goroutine, a read and two turns of the scheduler, as much as a small request.
-func (c *clientConn) await(x Exchange) (ans message.Answer, open bool) {
+func (c *clientConn) await(x Exchange) (ans httpmsg.Answer, open bool) {
 	if c.early == nil {
 		c.early = time.NewTimer(watchAfter)
 	} else {
@@ -895,13 +895,13 @@
 
 // turnAway answers a request that is not taken.
 func (s *Server) turnAway(c *clientConn, q *clientRequest, err error) (status int, open bool) {
-	var bad message.Bad
+	var bad httpmsg.Bad
 	errors.As(err, &bad)
 	return bad.Status, s.write(c, bad.Answer(), q.last || !q.skips())
 }
 
 // write writes an answer, and reports whether another request may follow.
-func (s *Server) write(c *clientConn, ans message.Answer, last bool) (open bool) {
+func (s *Server) write(c *clientConn, ans httpmsg.Answer, last bool) (open bool) {
 	s.mu.Lock()
 	c.uses++
 	last = last || s.closing(c)
@@ -993,7 +993,7 @@
 var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
 
 // writeRest passes on the rest of a long answer as it comes.
-func (c *clientConn) writeRest(rest message.Stream, chunked bool) error {
+func (c *clientConn) writeRest(rest httpmsg.Stream, chunked bool) error {
 	buffer := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buffer)
 	for {
@@ -1028,7 +1028,7 @@
 
 // reject answers a request that could not be read.
 func (s *Server) reject(c *clientConn, err error) {
-	var bad message.Bad
+	var bad httpmsg.Bad
 	if !errors.As(err, &bad) {
 		return // the client has gone
 	}
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -17,8 +17,8 @@
 
 	"go.uber.org/goleak"
 
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/keepalive"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/process"
 )
 
@@ -32,10 +32,10 @@
 	conns map[Owner]int
 }
 
-func (h *echoHandler) Admit(q *message.Request) (Admission, Owner, error) {
+func (h *echoHandler) Admit(q *httpmsg.Request) (Admission, Owner, error) {
 	o := Owner(q.Host[0])
 	if strings.HasPrefix(q.Path, "/full") {
-		return nil, o, message.Bad{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
+		return nil, o, httpmsg.Bad{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
 	}
 	return echoAdmission{q}, o, nil
 }
@@ -60,13 +60,13 @@
 	return int64(h.conns[o])
 }
 
-type echoAdmission struct{ q *message.Request }
+type echoAdmission struct{ q *httpmsg.Request }
 
-func (a echoAdmission) Take(body []byte, rest message.Rest) (Exchange, error) {
+func (a echoAdmission) Take(body []byte, rest httpmsg.Rest) (Exchange, error) {
 	if rest != nil {
 		all, err := io.ReadAll(rest)
 		if err != nil {
-			return nil, message.Bad{Status: 400, Text: err.Error()}
+			return nil, httpmsg.Bad{Status: 400, Text: err.Error()}
 		}
 		body = append(body, all...)
 	}
@@ -76,9 +76,9 @@
 
 type echoExchange string
 
-func (e echoExchange) Answer() <-chan message.Answer {
-	c := make(chan message.Answer, 1)
-	c <- message.Answer{Status: 200, Body: []byte(e)}
+func (e echoExchange) Answer() <-chan httpmsg.Answer {
+	c := make(chan httpmsg.Answer, 1)
+	c <- httpmsg.Answer{Status: 200, Body: []byte(e)}
 	return c
 }
 func (echoExchange) Withdraw() bool { return false }
@@ -530,29 +530,29 @@
 	took chan heldExchange
 }
 
-func (h *heldHandler) Admit(q *message.Request) (Admission, Owner, error) {
+func (h *heldHandler) Admit(q *httpmsg.Request) (Admission, Owner, error) {
 	return heldAdmission{h, q}, 'h', nil
 }
 
 type heldAdmission struct {
 	h *heldHandler
-	q *message.Request
+	q *httpmsg.Request
 }
 
-func (a heldAdmission) Take([]byte, message.Rest) (Exchange, error) {
-	x := heldExchange{a.q, make(chan message.Answer, 1), make(chan struct{}, 1)}
+func (a heldAdmission) Take([]byte, httpmsg.Rest) (Exchange, error) {
+	x := heldExchange{a.q, make(chan httpmsg.Answer, 1), make(chan struct{}, 1)}
 	a.h.took <- x
 	return x, nil
 }
 func (heldAdmission) Release() {}
 
 type heldExchange struct {
-	q         *message.Request
-	answer    chan message.Answer
+	q         *httpmsg.Request
+	answer    chan httpmsg.Answer
 	withdrawn chan struct{}
 }
 
-func (x heldExchange) Answer() <-chan message.Answer { return x.answer }
+func (x heldExchange) Answer() <-chan httpmsg.Answer { return x.answer }
 func (x heldExchange) Withdraw() bool {
 	x.withdrawn <- struct{}{}
 	return true
@@ -584,7 +584,7 @@
 			select {
 			case <-x.withdrawn:
 			case <-time.After(patience):
-				x.answer <- message.Answer{Status: 200} // or the server would not end
+				x.answer <- httpmsg.Answer{Status: 200} // or the server would not end
 				t.Fatal("it was not seen to leave")
 			}
 			if !x.q.Left() {
@@ -625,20 +625,20 @@
 // restHandler answers each request with the first of a long answer, whose rest never ends by itself.
 type restHandler struct{ echoHandler }
 
-func (h *restHandler) Admit(*message.Request) (Admission, Owner, error) {
+func (h *restHandler) Admit(*httpmsg.Request) (Admission, Owner, error) {
 	return restAdmission{}, 'r', nil
 }
 
 type restAdmission struct{}
 
-func (restAdmission) Take([]byte, message.Rest) (Exchange, error) { return restExchange{}, nil }
+func (restAdmission) Take([]byte, httpmsg.Rest) (Exchange, error) { return restExchange{}, nil }
 func (restAdmission) Release()                                    {}
 
 type restExchange struct{}
 
-func (restExchange) Answer() <-chan message.Answer {
-	c := make(chan message.Answer, 1)
-	c <- message.Answer{Status: 200, Body: []byte("first"), Rest: &endlessRest{closed: make(chan struct{})}}
+func (restExchange) Answer() <-chan httpmsg.Answer {
+	c := make(chan httpmsg.Answer, 1)
+	c <- httpmsg.Answer{Status: 200, Body: []byte("first"), Rest: &endlessRest{closed: make(chan struct{})}}
 	return c
 }
 func (restExchange) Withdraw() bool { return false }
--- a/internal/downstream/streams.go
+++ b/internal/downstream/streams.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 )
 
 // Protocol serves connections that carry several requests at once. The front keeps the connections and answers the requests.
@@ -73,7 +73,7 @@
 func (v *streamed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q, err := request(r, v.c.RemoteAddr())
 	if err != nil {
-		v.write(w, r, err.(message.Bad).Answer())
+		v.write(w, r, err.(httpmsg.Bad).Answer())
 		return
 	}
 	q.Secure, q.Left = v.c.port.TLS != nil, func() bool { return r.Context().Err() != nil }
@@ -120,14 +120,14 @@
 	}
 }
 
-// request is r as a pool has it. The error is a message.Bad.
-func request(r *http.Request, from net.Addr) (*message.Request, error) {
+// request is r as a pool has it. The error is a httpmsg.Bad.
+func request(r *http.Request, from net.Addr) (*httpmsg.Request, error) {
 	for _, once := range []string{"X-Request-Id", "X-Timeout-Ms", "Idempotency-Key"} {
 		if len(r.Header[once]) > 1 {
-			return nil, message.Bad{Status: http.StatusBadRequest, Text: "more than one " + once}
+			return nil, httpmsg.Bad{Status: http.StatusBadRequest, Text: "more than one " + once}
 		}
 	}
-	q := &message.Request{
+	q := &httpmsg.Request{
 		Method: r.Method, URI: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: r.Header, Length: r.ContentLength, Remote: from,
 	}
 	switch {
@@ -135,7 +135,7 @@
 		return nil, errTarget
 	case q.Host == "":
 		return nil, errHost
-	case q.Length > message.MostLong:
+	case q.Length > httpmsg.MostLong:
 		return nil, errBodyLong
 	case r.Body == nil || r.Body == http.NoBody:
 		q.Length = 0
@@ -145,7 +145,7 @@
 
 // refuse answers a request that is not taken. A client that has left is told nothing.
 func (v *streamed) refuse(w http.ResponseWriter, r *http.Request, err error) {
-	var bad message.Bad
+	var bad httpmsg.Bad
 	if !errors.As(err, &bad) {
 		panic(http.ErrAbortHandler)
 	}
@@ -153,7 +153,7 @@
 }
 
 // write writes an answer. One that breaks off resets its stream, so that its client can tell.
-func (v *streamed) write(w http.ResponseWriter, r *http.Request, ans message.Answer) {
+func (v *streamed) write(w http.ResponseWriter, r *http.Request, ans httpmsg.Answer) {
 	control := http.NewResponseController(w)
 	for name, values := range ans.Header {
 		w.Header()[name] = values
@@ -197,7 +197,7 @@
 }
 
 // copyStream passes on the rest of a long answer as it comes.
-func copyStream(w http.ResponseWriter, control *http.ResponseController, rest message.Stream) error {
+func copyStream(w http.ResponseWriter, control *http.ResponseController, rest httpmsg.Stream) error {
 	buffer := copyBuffers.Get().(*[copyBuffer]byte)
 	defer copyBuffers.Put(buffer)
 	for {
@@ -229,7 +229,7 @@
 	total   int64
 }
 
-// Length is the method of message.Rest.
+// Length is the method of httpmsg.Rest.
 func (b *streamBody) Length() int64 { return b.length }
 
 // first reads the body, or the first of a long one, and reports whether more follows.
@@ -237,14 +237,14 @@
 	if b.length == 0 {
 		return nil, false, nil
 	}
-	body, err = io.ReadAll(io.LimitReader(b, message.MostBody))
+	body, err = io.ReadAll(io.LimitReader(b, httpmsg.MostBody))
 	if err != nil {
 		return nil, false, err
 	}
-	return body, len(body) == message.MostBody && b.total != b.length, nil
+	return body, len(body) == httpmsg.MostBody && b.total != b.length, nil
 }
 
-// Read is the method of message.Rest.
+// Read is the method of httpmsg.Rest.
 func (b *streamBody) Read(p []byte) (int, error) {
 	now := time.Now()
 	if now.Sub(b.from) > bodyGrace+time.Duration(b.total)*time.Second/leastRate {
@@ -254,7 +254,7 @@
 	n, err := b.r.Body.Read(p)
 	b.total += int64(n)
 	switch {
-	case b.total > message.MostLong:
+	case b.total > httpmsg.MostLong:
 		return 0, errBodyLong
 	case err == nil || err == io.EOF:
 		return n, err
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -27,8 +27,8 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/lease"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/internal/zoneview"
@@ -583,11 +583,11 @@
 }
 
 // requestRecorder keeps the request that it is given.
-type requestRecorder struct{ sent *message.Request }
+type requestRecorder struct{ sent *httpmsg.Request }
 
-func (r *requestRecorder) Do(_ context.Context, _ string, q *message.Request) (message.Answer, error) {
+func (r *requestRecorder) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Answer, error) {
 	r.sent = q
-	return message.Answer{Status: http.StatusOK}, nil
+	return httpmsg.Answer{Status: http.StatusOK}, nil
 }
 
 // TestSlotRequest: servers are sent what earlier versions sent them for a slot, keys and tokens above all.
@@ -603,7 +603,7 @@
 	tr.send(r, task.Send{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
 	q := pools.sent
 	left := q.Header.Get("X-Timeout-Ms")
-	want := &message.Request{
+	want := &httpmsg.Request{
 		Method: "POST", URI: "/delivery-order/sweep?all=1", Path: "/delivery-order/sweep", Host: "farm", Length: 4, Body: []byte("body"),
 		Header: http.Header{
 			"X-Request-Id": {"sweep-20-4-2"}, "X-Timeout-Ms": {left}, "Fencing-Token": {"4"}, "Task-Slot": {"sweep-20"}, "Idempotency-Key": {"sweep-20"}, "X-Tenant-Id": {"depot"},
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/task"
 )
 
@@ -194,7 +194,7 @@
 		header.Set("X-Tenant-Id", r.cfg.Tenant)
 	}
 	path, _, _ := strings.Cut(r.cfg.Path, "?")
-	a, err := t.sender.Do(ctx, r.cfg.Pool, &message.Request{
+	a, err := t.sender.Do(ctx, r.cfg.Pool, &httpmsg.Request{
 		Method: r.cfg.Method, URI: r.cfg.Path, Path: path, Host: cmp.Or(r.cfg.Host, r.cfg.Pool), Header: header, Length: int64(len(r.cfg.Body)), Body: []byte(r.cfg.Body),
 	})
 	outcome := outcomeOf(a, err, r.cfg.Plain)
@@ -207,8 +207,8 @@
 
 // outcomeOf is what an answer says of a slot: a refusal promises that nothing has run, a failure promises nothing. The refusal of a server
 // that speaks plain HTTP promises nothing either; its answer bears the mark of having been passed on, and this process' own does not.
-func outcomeOf(a message.Answer, err error, plain bool) task.Outcome {
-	bad, isBad := err.(message.Bad)
+func outcomeOf(a httpmsg.Answer, err error, plain bool) task.Outcome {
+	bad, isBad := err.(httpmsg.Bad)
 	switch {
 	case isBad && bad.Refused():
 		return task.Refused
--- a/internal/fleet/tier.go
+++ b/internal/fleet/tier.go
@@ -19,8 +19,8 @@
 	"github.com/google/uuid"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/lease"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
 )
 
@@ -50,7 +50,7 @@
 
 // Sender sends a request through the process' pools, under the four rules.
 type Sender interface {
-	Do(ctx context.Context, pool string, q *message.Request) (message.Answer, error)
+	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Answer, error)
 }
 
 const (
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/tier_test.go
@@ -21,8 +21,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/lease"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/task"
 )
 
@@ -45,11 +45,11 @@
 	seen []string
 }
 
-func (s *servers) Do(_ context.Context, _ string, q *message.Request) (message.Answer, error) {
+func (s *servers) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Answer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, q.Header.Get("Idempotency-Key"))
-	return message.Answer{Status: 200}, nil
+	return httpmsg.Answer{Status: 200}, nil
 }
 
 func (s *servers) count() int {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/admin"
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/downstream"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
@@ -196,5 +196,5 @@
 
 // bodies is how many bytes of bodies the process may hold.
 func (c *Config) bodies() int64 {
-	return max(message.MostBody, int64(float64(c.MemoryMB<<20)*bodyShare))
+	return max(httpmsg.MostBody, int64(float64(c.MemoryMB<<20)*bodyShare))
 }
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -8,7 +8,7 @@
 	"net/http"
 
 	"sorrelrudder/internal/downstream"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/upstream"
@@ -42,10 +42,10 @@
 }
 
 // AdmitForeign is for the requests that another site hands over, to a pool by its name. They go no further than that.
-func (g *Gateway) AdmitForeign(q *message.Request, name string, f pool.Foreign) (downstream.Admission, downstream.Owner, error) {
+func (g *Gateway) AdmitForeign(q *httpmsg.Request, name string, f pool.Foreign) (downstream.Admission, downstream.Owner, error) {
 	m := g.table.Load().pools[name]
 	if m == nil {
-		return nil, 0, message.Bad{Status: http.StatusNotFound, Text: "no such pool"}
+		return nil, 0, httpmsg.Bad{Status: http.StatusNotFound, Text: "no such pool"}
 	}
 	ask, err := m.pool.LegalForeign(q, f)
 	a, owner, err := g.admit(m, q, ask, err)
@@ -89,34 +89,34 @@
 }
 
 // Do sends a request of this process' own through a pool and its decision module, and returns the one answer. An error is a
-// message.Bad, before any server could have had the request, or that of ctx: then it may have run. Work of the process' own gives way to
+// httpmsg.Bad, before any server could have had the request, or that of ctx: then it may have run. Work of the process' own gives way to
 // that of clients: while the pool is short, it is refused.
-func (g *Gateway) Do(ctx context.Context, name string, q *message.Request) (message.Answer, error) {
+func (g *Gateway) Do(ctx context.Context, name string, q *httpmsg.Request) (httpmsg.Answer, error) {
 	m := g.table.Load().pools[name]
 	if m == nil {
-		return message.Answer{}, message.Bad{Status: http.StatusNotFound, Text: "no such pool"}
+		return httpmsg.Answer{}, httpmsg.Bad{Status: http.StatusNotFound, Text: "no such pool"}
 	}
 	g.shares.Lock()
 	yields := g.admission.Crowded(m.key)
 	g.shares.Unlock()
 	if yields {
-		return message.Answer{}, message.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is taken by clients"}
+		return httpmsg.Answer{}, httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is taken by clients"}
 	}
 	ask, err := m.pool.Legal(q, q.Path)
 	a, _, err := g.admit(m, q, ask, err)
 	if err != nil {
-		return message.Answer{}, err
+		return httpmsg.Answer{}, err
 	}
 	x, err := a.Take(q.Body, nil)
 	if err != nil {
-		return message.Answer{}, err
+		return httpmsg.Answer{}, err
 	}
-	var answer message.Answer
+	var answer httpmsg.Answer
 	select {
 	case answer = <-x.Answer():
 	case <-ctx.Done():
 		if x.Withdraw() {
-			return message.Answer{}, ctx.Err()
+			return httpmsg.Answer{}, ctx.Err()
 		}
 		answer = <-x.Answer() // it was there already
 	}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sorrelrudder/internal/downstream"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/quota"
@@ -20,7 +20,7 @@
 const bodyWork = 8 << 10
 
 // find returns the pool of a request, and its path below the route.
-func (t *table) find(q *message.Request) (*member, string, error) {
+func (t *table) find(q *httpmsg.Request) (*member, string, error) {
 	if t.routes == nil {
 		return t.only, q.Path, nil
 	}
@@ -33,14 +33,14 @@
 		case errors.Is(err, route.ErrUnknownPath):
 			status = http.StatusNotFound
 		}
-		return nil, "", message.Bad{Status: status, Text: err.Error()}
+		return nil, "", httpmsg.Bad{Status: status, Text: err.Error()}
 	}
 	q.URI = m.Below(q.URI)
 	return t.pools[m.Pool], rest, nil
 }
 
 // Admit is the method of downstream.Handler.
-func (h *handler) Admit(q *message.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) Admit(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
 	g := (*Gateway)(h)
 	m, rest, err := g.table.Load().find(q)
 	if err != nil {
@@ -55,11 +55,11 @@
 }
 
 // admit asks the limits of pool m about a request that is legal there unless err is set.
-func (g *Gateway) admit(m *member, q *message.Request, ask pool.Ask, err error) (*admission, downstream.Owner, error) {
+func (g *Gateway) admit(m *member, q *httpmsg.Request, ask pool.Ask, err error) (*admission, downstream.Owner, error) {
 	owner := downstream.Owner(m.key)
 	room := q.Length
-	if room < 0 || room > message.MostBody { // so much of a long one is held
-		room = message.MostBody
+	if room < 0 || room > httpmsg.MostBody { // so much of a long one is held
+		room = httpmsg.MostBody
 	}
 	g.shares.Lock()
 	defer g.shares.Unlock()
@@ -77,8 +77,8 @@
 }
 
 // refusal is what a client is told whose request is not admitted.
-func refusal(m *member, v quota.Verdict) message.Bad {
-	bad := message.Bad{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
+func refusal(m *member, v quota.Verdict) httpmsg.Bad {
+	bad := httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
 	if v.Reason == quota.OverRate || v.Reason == quota.OverOpen {
 		bad.Status = http.StatusTooManyRequests
 	}
@@ -127,7 +127,7 @@
 type admission struct {
 	g    *Gateway
 	m    *member
-	q    *message.Request
+	q    *httpmsg.Request
 	ask  pool.Ask
 	room int64
 
@@ -135,7 +135,7 @@
 }
 
 // Take is the method of downstream.Admission.
-func (a *admission) Take(body []byte, rest message.Rest) (downstream.Exchange, error) {
+func (a *admission) Take(body []byte, rest httpmsg.Rest) (downstream.Exchange, error) {
 	a.q.Body, a.q.Rest = body, rest
 	if unused := a.room - int64(len(body)); unused > 0 {
 		a.g.shares.Lock()
@@ -149,7 +149,7 @@
 	x, err := a.m.pool.Take(a.q, a.ask, a.Release)
 	if err != nil {
 		a.Release()
-		if bad := (message.Bad{}); errors.As(err, &bad) {
+		if bad := (httpmsg.Bad{}); errors.As(err, &bad) {
 			a.g.counts.Ended(a.ask.Class(), metrics.Of(bad.Status))
 		}
 		return nil, err
--- a/internal/message/message.go
+++ b/internal/httpmsg/message.go
@@ -1,6 +1,6 @@
-// Package message holds what passes between a client's connection and a pool: requests as they were read, and their
+// Package httpmsg holds what passes between a client's connection and a pool: requests as they were read, and their
 // answers. It knows neither sockets nor pools.
-package message
+package httpmsg
 
 import (
 	"fmt"
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -21,7 +21,7 @@
 	"github.com/google/uuid"
 
 	"sorrelrudder/internal/classify"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -106,9 +106,9 @@
 }
 
 // Ask is the method of pool.Service. It also makes the head of q what goes on to servers.
-func (d *Dialect) Ask(q *message.Request, _ string) (pool.Said, error) {
+func (d *Dialect) Ask(q *httpmsg.Request, _ string) (pool.Said, error) {
 	bad := func(status int, text string) (pool.Said, error) {
-		return pool.Said{}, message.Bad{Status: status, Text: text}
+		return pool.Said{}, httpmsg.Bad{Status: status, Text: text}
 	}
 	switch {
 	case q.Method == http.MethodConnect || q.Method == http.MethodTrace:
@@ -166,7 +166,7 @@
 
 // address makes the head of q tell servers where it came from, and gives it an id if it has none. The id is for people: whether two
 // requests are one is never decided by it.
-func (d *Dialect) address(q *message.Request, id string) {
+func (d *Dialect) address(q *httpmsg.Request, id string) {
 	h := q.Header
 	if h.Get("X-Request-Id") == "" {
 		h.Set("X-Request-Id", id)
--- a/internal/httpservice/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"sorrelrudder/internal/classify"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/policy"
 )
 
@@ -40,8 +40,8 @@
 	return New(cfg)
 }
 
-func request(method, uri string, fields ...string) *message.Request {
-	q := &message.Request{Method: method, URI: uri, Host: "shop.example.org:80", Header: http.Header{}, Remote: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 7}}
+func request(method, uri string, fields ...string) *httpmsg.Request {
+	q := &httpmsg.Request{Method: method, URI: uri, Host: "shop.example.org:80", Header: http.Header{}, Remote: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 7}}
 	for i := 0; i < len(fields); i += 2 {
 		q.Header.Add(fields[i], fields[i+1])
 	}
@@ -51,7 +51,7 @@
 func TestAsk(t *testing.T) {
 	d := dialect(t, nil)
 	for name, c := range map[string]struct {
-		q            *message.Request
+		q            *httpmsg.Request
 		class        string
 		safe         bool
 		timeout      time.Duration
@@ -81,11 +81,11 @@
 	if a.Name == b.Name {
 		t.Error("a client's id tells requests apart")
 	}
-	for _, q := range []*message.Request{
+	for _, q := range []*httpmsg.Request{
 		request("TRACE", "/"), request("CONNECT", "/"), request("GET", "/chat", "Connection", "keep-alive, Upgrade", "Upgrade", "websocket"),
 	} {
 		_, err := d.Ask(q, "")
-		if bad, ok := err.(message.Bad); !ok || bad.Status != 501 {
+		if bad, ok := err.(httpmsg.Bad); !ok || bad.Status != 501 {
 			t.Errorf("%s %v: %v", q.Method, q.Header, err)
 		}
 	}
--- a/internal/opfile/opfile.go
+++ b/internal/opfile/opfile.go
@@ -13,8 +13,8 @@
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/httpservice"
-	"sorrelrudder/internal/message"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/policy"
@@ -209,8 +209,8 @@
 	p.Limits.Burst = limits.number("burst", math.Max(1, math.Ceil(p.Limits.Rate/10)), 1, 1e9)
 	p.Limits.Open = limits.whole("open", 0, 0, mostCount)
 	p.Limits.Bodies = limits.size("bodies", 0, 0, 1<<40)
-	if p.Limits.Bodies > 0 && p.Limits.Bodies < message.MostBody {
-		r.bad(limits.at("bodies"), "is below %s, the longest body: such a request would always be refused", formatSize(message.MostBody))
+	if p.Limits.Bodies > 0 && p.Limits.Bodies < httpmsg.MostBody {
+		r.bad(limits.at("bodies"), "is below %s, the longest body: such a request would always be refused", formatSize(httpmsg.MostBody))
 	}
 	p.Limits.Descriptors = limits.whole("descriptors", 0, 0, mostCount)
 	p.Limits.Hold = limits.boolean("wait_for_servers", false)
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
 )
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if !a.onCancel(cancel) {
-		p.settle(a, policy.Canceled, nil, message.Answer{})
+		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
 		return
 	}
 	c, err := p.up.Connect(ctx, to, a.deadline)
@@ -87,13 +87,13 @@
 	}
 	if !a.onCancel(func() { c.Close() }) {
 		c.Close()
-		p.settle(a, policy.Canceled, nil, message.Answer{})
+		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
 		return
 	}
 	q := p.request(a)
 	if !p.begins(a, to) {
 		c.Close()
-		p.settle(a, policy.Moot, nil, message.Answer{})
+		p.settle(a, policy.Moot, nil, httpmsg.Answer{})
 		return
 	}
 	var resp *http.Response
@@ -114,7 +114,7 @@
 			resp.Close = true
 		case turnedAway(early):
 			c.Close()
-			p.settle(a, policy.Full, nil, message.Answer{})
+			p.settle(a, policy.Full, nil, httpmsg.Answer{})
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 			}
 			_, err := io.CopyN(io.Discard, resp.Body, mostErrorBody)
 			p.done(a, c, resp, err == io.EOF)
-			p.settle(a, status, load, message.Answer{})
+			p.settle(a, status, load, httpmsg.Answer{})
 			return
 		}
 	} else if text := resp.Header.Get("X-Server-Load"); text != "" && p.settings.Config.InlineReports {
@@ -146,7 +146,7 @@
 		}
 		_, err := io.CopyN(io.Discard, resp.Body, mostErrorBody)
 		p.done(a, c, resp, err == io.EOF)
-		p.settle(a, status, load, message.Answer{})
+		p.settle(a, status, load, httpmsg.Answer{})
 		return
 	}
 	p.pass(a, c, resp, load)
@@ -164,7 +164,7 @@
 		case r.ended:
 		case left: // whoever waits for the answer is let go, and finds the client gone
 			p.balancer.Withdrawn(now, r.id, p)
-			p.end(r, message.Answer{Status: http.StatusBadGateway})
+			p.end(r, httpmsg.Answer{Status: http.StatusBadGateway})
 		default:
 			e, listed := p.entries[a.server]
 			may = listed && p.peers[a.server] == to && p.listed(e).State == policy.Ready &&
@@ -220,8 +220,8 @@
 		return err
 	}
 	// The client has left, or sends what cannot be used. Nothing has run.
-	ans := message.Answer{Status: http.StatusBadRequest}
-	var bad message.Bad
+	ans := httpmsg.Answer{Status: http.StatusBadRequest}
+	var bad httpmsg.Bad
 	if errors.As(err, &bad) {
 		ans = bad.Answer()
 	}
@@ -242,12 +242,12 @@
 		ans := p.answerOf(resp, body)
 		p.event(func(policy.Time) { a.req.last = &ans })
 	}
-	p.settle(a, status, load, message.Answer{})
+	p.settle(a, status, load, httpmsg.Answer{})
 }
 
 // answerOf is what the client is told of an answer.
-func (p *Pool) answerOf(resp *http.Response, body []byte) message.Answer {
-	ans := message.Answer{Status: resp.StatusCode, Header: message.Forwarded(resp.Header), Body: body, Length: resp.ContentLength}
+func (p *Pool) answerOf(resp *http.Response, body []byte) httpmsg.Answer {
+	ans := httpmsg.Answer{Status: resp.StatusCode, Header: httpmsg.Forwarded(resp.Header), Body: body, Length: resp.ContentLength}
 	if p.service != nil {
 		p.service.Pass(ans.Header)
 	}
@@ -274,7 +274,7 @@
 	switch {
 	case !a.onCancel(func() { c.Close() }):
 		c.Close()
-		p.settle(a, policy.Canceled, nil, message.Answer{})
+		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
 	case !p.settle(a, policy.OK, load, ans): // another attempt has answered, or the client has left
 		c.Close()
 	}
@@ -288,7 +288,7 @@
 // head promises.
 func readFirst(resp *http.Response, from *upstream.Body, deadline time.Time) (body []byte, whole bool, err error) {
 	length := resp.ContentLength
-	if length > message.MostLong {
+	if length > httpmsg.MostLong {
 		return nil, false, fmt.Errorf("an answer of %d bytes", length)
 	}
 	if 0 <= length && length <= smallAnswer {
@@ -307,14 +307,14 @@
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := from.Read(body[len(body):min(cap(body), message.MostBody)], upstream.AnswerPause, deadline)
+		n, err := from.Read(body[len(body):min(cap(body), httpmsg.MostBody)], upstream.AnswerPause, deadline)
 		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF:
 			return body, true, nil
 		case err != nil:
 			return nil, false, err
-		case len(body) == message.MostBody || length > message.MostBody && n > 0:
+		case len(body) == httpmsg.MostBody || length > httpmsg.MostBody && n > 0:
 			return body, false, nil
 		case length < 0 && len(body) > 0 && time.Since(began) > longAfter:
 			return body, false, nil
@@ -335,19 +335,19 @@
 	total int64
 }
 
-// Length is the method of message.Rest.
+// Length is the method of httpmsg.Rest.
 func (s *stream) Length() int64 { return s.resp.ContentLength }
 
-// Read is the method of message.Rest.
+// Read is the method of httpmsg.Rest.
 func (s *stream) Read(p []byte) (int, error) {
 	n, err := s.from.Read(p, streamPause, time.Time{})
-	if s.total += int64(n); s.total > message.MostLong {
+	if s.total += int64(n); s.total > httpmsg.MostLong {
 		return 0, errors.New("the answer is too long")
 	}
 	return n, err
 }
 
-// Close is the method of message.Stream.
+// Close is the method of httpmsg.Stream.
 func (s *stream) Close(whole bool) {
 	s.p.done(s.a, s.c, s.resp, whole)
 	s.p.event(func(policy.Time) { s.p.streamed(s.a.req, whole) })
@@ -378,7 +378,7 @@
 		status = policy.Timeout
 	}
 	p.log.Debug("attempt", "request", a.req.name, "upstream", a.server, "status", status, "err", err)
-	p.settle(a, status, nil, message.Answer{})
+	p.settle(a, status, nil, httpmsg.Answer{})
 }
 
 // request is what the server is sent of a.
--- a/internal/pool/away.go
+++ b/internal/pool/away.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/metrics"
 	"sorrelrudder/policy"
 )
@@ -12,11 +12,11 @@
 // Handover is a request that the module has refused here, so that asking for it again is harmless, for whoever may have it
 // served elsewhere. Nothing more goes out for it here. Answer must be called once.
 type Handover struct {
-	Message message.Request
+	Message httpmsg.Request
 	Name    string         // its id
 	Event   policy.Request // as the module was told, Prior without the attempts made here
 	Until   time.Time      // so long the client waits
-	Refusal message.Answer // what it is to be answered if it is served nowhere else
+	Refusal httpmsg.Answer // what it is to be answered if it is served nowhere else
 	Prior   []policy.Prior // all attempts so far
 
 	pool *Pool
@@ -28,7 +28,7 @@
 func (h *Handover) Left() <-chan struct{} { return h.left }
 
 // Answer gives the request its final answer. After the client has left it does nothing.
-func (h *Handover) Answer(a message.Answer) {
+func (h *Handover) Answer(a httpmsg.Answer) {
 	taken := false
 	h.pool.event(func(policy.Time) {
 		if h.r.away != h {
@@ -47,14 +47,14 @@
 }
 
 // refuse ends r with a refusal, or hands it over.
-func (p *Pool) refuse(r *request, refusal message.Answer) {
+func (p *Pool) refuse(r *request, refusal httpmsg.Answer) {
 	if p.away == nil || p.closed || r == nil || r.ended || r.foreign || r.rest != nil { // a long body cannot be read twice
 		p.end(r, refusal)
 		return
 	}
 	now := p.now()
 	h := &Handover{
-		Message: message.Request{Method: r.method, URI: r.uri, Host: r.host, Header: r.header.Clone(), Body: r.body, Left: r.left},
+		Message: httpmsg.Request{Method: r.method, URI: r.uri, Host: r.host, Header: r.header.Clone(), Body: r.body, Left: r.left},
 		Name:    r.name, Event: r.event, Until: p.origin.Add(r.event.Expires), Refusal: refusal, pool: p, r: r, left: make(chan struct{}),
 	}
 	if h.Message.Header == nil {
@@ -78,9 +78,9 @@
 }
 
 // LegalForeign is Legal for a request that another site has handed over: what it says of itself is in f.
-func (p *Pool) LegalForeign(q *message.Request, f Foreign) (Ask, error) {
+func (p *Pool) LegalForeign(q *httpmsg.Request, f Foreign) (Ask, error) {
 	ask := Ask{event: f.Event, foreign: true, name: q.Header.Get("X-Request-Id")}
-	bad := func(status int, text string) (Ask, error) { return Ask{}, message.Bad{Status: status, Text: text} }
+	bad := func(status int, text string) (Ask, error) { return Ask{}, httpmsg.Bad{Status: status, Text: text} }
 	if ask.name == "" || len(ask.name) > mostID {
 		return bad(http.StatusBadRequest, "no usable X-Request-ID")
 	}
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
@@ -87,7 +87,7 @@
 
 func (x *crossing) take(t *testing.T, q policy.Request, timeout time.Duration, left func() bool) *Exchange {
 	t.Helper()
-	e, err := x.Take(&message.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, Left: left},
+	e, err := x.Take(&httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, Left: left},
 		Ask{event: q, timeout: timeout, name: "r"}, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -259,7 +259,7 @@
 	ran := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
 	close(wait(t, "the first attempt", x.dials).up)
 	wait(t, "the request", x.sent)
-	q := &message.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"s"}}}
+	q := &httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"s"}}}
 	connects, err := x.Take(q, Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: "s"}, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -271,7 +271,7 @@
 			t.Errorf("the one %s was answered %d", name, a.Status)
 		}
 	}
-	var bad message.Bad
+	var bad httpmsg.Bad
 	if _, err := x.Take(q, Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: "u"}, func() {}); !errors.As(err, &bad) || bad.Status != http.StatusServiceUnavailable {
 		t.Errorf("a further one was taken, or turned away with %v", err)
 	}
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/process"
 	"sorrelrudder/internal/quota"
 	"sorrelrudder/internal/settings"
@@ -115,7 +115,7 @@
 		t.Run(name, func(t *testing.T) {
 			p, _ := startPlatformPool(t, httpAnswer(200, c.field, "ok"), c.inline)
 			for _, id := range []string{"r1", "r2"} {
-				e, err := p.Take(&message.Request{Method: "GET", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {id}}},
+				e, err := p.Take(&httpmsg.Request{Method: "GET", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {id}}},
 					Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: id}, func() {})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"sorrelrudder/internal/discovery"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/statslog"
@@ -69,8 +69,8 @@
 // they are, those included that Read tells as failures, once no further attempt is made.
 type Service interface {
 	Dialect
-	// Ask reads what a request says of itself, and makes its fields what goes on. The error is a message.Bad.
-	Ask(q *message.Request, path string) (Said, error)
+	// Ask reads what a request says of itself, and makes its fields what goes on. The error is a httpmsg.Bad.
+	Ask(q *httpmsg.Request, path string) (Said, error)
 	// Pass makes the fields of an answer what goes on.
 	Pass(h http.Header)
 }
@@ -145,11 +145,11 @@
 	host     string
 	header   http.Header
 	body     []byte
-	rest     message.Rest  // what follows body; nil: nothing
+	rest     httpmsg.Rest  // what follows body; nil: nothing
 	timeout  time.Duration // how long the client waits once all of it is sent
 	free     func()        // gives the room of body back
 	left     func() bool   // whether its client has left; nil: nobody can tell
-	answer   chan message.Answer
+	answer   chan httpmsg.Answer
 	event    policy.Request // as the module was told
 	taken    policy.Time
 	foreign  bool // handed over by another site: it goes no further
@@ -157,7 +157,7 @@
 	out      int
 	ended    bool
 	away     *Handover       // not nil: it ended here and is elsewhere; its answer is still to come
-	last     *message.Answer // of a Service: the last failing answer of a server
+	last     *httpmsg.Answer // of a Service: the last failing answer of a server
 	streams  bool            // it has the first of a long answer; the rest is on its way
 }
 
@@ -225,7 +225,7 @@
 		}
 		if !r.ended || r.away != nil { // whoever closes a pool that is not drained still owes an answer
 			r.ended, r.away = true, nil
-			p.answer(r, message.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
+			p.answer(r, httpmsg.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
 		}
 		r.free()
 	}
@@ -248,11 +248,11 @@
 			if h := r.away; h != nil {
 				r.away = nil
 				close(h.left)
-				p.answer(r, message.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
+				p.answer(r, httpmsg.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
 				p.forget(r)
 			} else if !r.ended {
 				p.balancer.Withdrawn(now, r.id, p)
-				p.end(r, r.lastOr(message.Answer{Status: http.StatusBadGateway}, false))
+				p.end(r, r.lastOr(httpmsg.Answer{Status: http.StatusBadGateway}, false))
 			}
 		}
 	})
@@ -287,10 +287,10 @@
 }
 
 // errClosed is what a request finds that comes after the pool has ended. It has run nowhere.
-var errClosed = message.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
+var errClosed = httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
 
 // errNoServer is what a request finds that was admitted just before the list went empty. It has run nowhere.
-var errNoServer = message.Bad{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
+var errNoServer = httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
 
 // take hands a request, whose last byte has just come, to the module. It takes none whose id another has that is open.
 func (p *Pool) take(r *request, q policy.Request, timeout time.Duration) error {
@@ -345,7 +345,7 @@
 }
 
 // end gives r its final answer. It guards against a second one.
-func (p *Pool) end(r *request, a message.Answer) {
+func (p *Pool) end(r *request, a httpmsg.Answer) {
 	if r == nil || r.ended {
 		return
 	}
@@ -355,7 +355,7 @@
 }
 
 // answer hands the final answer of r over, by which it ended so.
-func (p *Pool) answer(r *request, a message.Answer, o metrics.Outcome) {
+func (p *Pool) answer(r *request, a httpmsg.Answer, o metrics.Outcome) {
 	if a.Rest != nil {
 		r.streams = true
 	} else {
@@ -388,12 +388,12 @@
 }
 
 // settle takes the end of an attempt: with OK, ans is its answer. It reports whether that is the request's.
-func (p *Pool) settle(a *attempt, status policy.Status, load *policy.Load, ans message.Answer) (taken bool) {
+func (p *Pool) settle(a *attempt, status policy.Status, load *policy.Load, ans httpmsg.Answer) (taken bool) {
 	p.event(func(now policy.Time) { taken = p.settled(now, a, status, load, ans) })
 	return taken
 }
 
-func (p *Pool) settled(now policy.Time, a *attempt, status policy.Status, load *policy.Load, ans message.Answer) (taken bool) {
+func (p *Pool) settled(now policy.Time, a *attempt, status policy.Status, load *policy.Load, ans httpmsg.Answer) (taken bool) {
 	r := a.req
 	if a.done { // guards against a second outcome of one attempt
 		return false
@@ -440,7 +440,7 @@
 	}
 	to, listed := p.peers[server]
 	if r.ended || !listed || timeout <= 0 {
-		p.after = append(p.after, func(now policy.Time) { p.settled(now, a, policy.Moot, nil, message.Answer{}) })
+		p.after = append(p.after, func(now policy.Time) { p.settled(now, a, policy.Moot, nil, httpmsg.Answer{}) })
 		return
 	}
 	p.spawn(func() { p.attempt(a, to) })
@@ -448,17 +448,17 @@
 
 func (p *Pool) Refuse(id policy.RequestID, retryAfter time.Duration) {
 	r := p.requests[id]
-	p.refuse(r, r.lastOr(message.Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}, true))
+	p.refuse(r, r.lastOr(httpmsg.Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}, true))
 }
 
 func (p *Pool) Fail(id policy.RequestID) {
 	r := p.requests[id]
-	p.end(r, r.lastOr(message.Answer{Status: http.StatusBadGateway}, false))
+	p.end(r, r.lastOr(httpmsg.Answer{Status: http.StatusBadGateway}, false))
 }
 
 // lastOr is what the client of r is told, whose attempts have failed: what a server has answered, or else a. An answer that
 // promises that asking again is harmless is not passed on where it is not.
-func (r *request) lastOr(a message.Answer, harmless bool) message.Answer {
+func (r *request) lastOr(a httpmsg.Answer, harmless bool) httpmsg.Answer {
 	if r == nil || r.last == nil {
 		return a
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,7 +13,7 @@
 
 	_ "sorrelrudder/internal/fixedseed"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/policy"
 )
 
@@ -102,8 +102,8 @@
 		"negative time":    {"GET", "/check", header("X-Timeout-Ms", "-1"), 400},
 		"endless time":     {"GET", "/check", header("X-Timeout-Ms", "99999999999999999999"), 400},
 	} {
-		ask, err := p.Legal(&message.Request{Method: c.method, Header: c.header}, c.path)
-		bad, _ := err.(message.Bad)
+		ask, err := p.Legal(&httpmsg.Request{Method: c.method, Header: c.header}, c.path)
+		bad, _ := err.(httpmsg.Bad)
 		if bad.Status != c.status || (err == nil) != (c.status == 0) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -111,7 +111,7 @@
 			t.Errorf("%s: %+v", name, ask)
 		}
 	}
-	ask, err := p.Legal(&message.Request{Method: "GET", Header: header(
+	ask, err := p.Legal(&httpmsg.Request{Method: "GET", Header: header(
 		"X-Timeout-Ms", "60000", "X-Tenant-Id", "t", "X-Retried", "1", "X-Cost", "1500")}, "/check/of/7")
 	want := policy.Request{Class: "check", Key: "7", Tenant: "t", Retry: true, Cost: 1500 * time.Microsecond}
 	if err != nil || !reflect.DeepEqual(ask.event, want) || ask.timeout != p.longest {
--- a/internal/pool/take.go
+++ b/internal/pool/take.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/policy"
 )
 
@@ -17,7 +17,7 @@
 	mostWait = time.Minute
 )
 
-var errIDInUse = message.Bad{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
+var errIDInUse = httpmsg.Bad{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
 
 // Ask is what a request says of itself, as the module is told it.
 type Ask struct {
@@ -33,15 +33,15 @@
 func (a *Ask) Class() string { return a.event.Class }
 
 // Legal reads what the head of a request says of itself; path is its path below what led to this pool, and its first part
-// is the class. What does not have the protocol's form is turned away here with a message.Bad, as servers would turn it
+// is the class. What does not have the protocol's form is turned away here with a httpmsg.Bad, as servers would turn it
 // away, or read something else in it.
-func (p *Pool) Legal(q *message.Request, path string) (Ask, error) {
+func (p *Pool) Legal(q *httpmsg.Request, path string) (Ask, error) {
 	var ask Ask
 	if p.service != nil {
 		said, err := p.service.Ask(q, path)
 		return Ask{event: said.Event, timeout: min(said.Timeout, p.longest), name: said.Name, safe: said.Safe, bodies: true}, err
 	}
-	bad := func(status int, text string) (Ask, error) { return Ask{}, message.Bad{Status: status, Text: text} }
+	bad := func(status int, text string) (Ask, error) { return Ask{}, httpmsg.Bad{Status: status, Text: text} }
 	ask.name = q.Header.Get("X-Request-Id")
 	if ask.name == "" || len(ask.name) > mostID {
 		return bad(http.StatusBadRequest, "no usable X-Request-ID")
@@ -85,14 +85,14 @@
 }
 
 // Take hands the module a request whose last byte has come. It calls free once the request's body is not needed any more,
-// and not at all if it returns an error, which is a message.Bad.
-func (p *Pool) Take(q *message.Request, ask Ask, free func()) (*Exchange, error) {
+// and not at all if it returns an error, which is a httpmsg.Bad.
+func (p *Pool) Take(q *httpmsg.Request, ask Ask, free func()) (*Exchange, error) {
 	if ask.safe && !ask.bodies && (len(q.Body) > 0 || q.Rest != nil) {
-		return nil, message.Bad{Status: http.StatusBadRequest, Text: "a body where the class has none"}
+		return nil, httpmsg.Bad{Status: http.StatusBadRequest, Text: "a body where the class has none"}
 	}
 	r := &request{
-		name: ask.name, foreign: ask.foreign, method: q.Method, uri: q.URI, host: q.Host, header: message.Forwarded(q.Header),
-		body: q.Body, rest: q.Rest, free: free, left: q.Left, answer: make(chan message.Answer, 1),
+		name: ask.name, foreign: ask.foreign, method: q.Method, uri: q.URI, host: q.Host, header: httpmsg.Forwarded(q.Header),
+		body: q.Body, rest: q.Rest, free: free, left: q.Left, answer: make(chan httpmsg.Answer, 1),
 	}
 	if err := p.take(r, ask.event, ask.timeout); err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 }
 
 // Answer is where the one final answer comes.
-func (e *Exchange) Answer() <-chan message.Answer { return e.r.answer }
+func (e *Exchange) Answer() <-chan httpmsg.Answer { return e.r.answer }
 
 // Withdraw tells that the client has left, and reports whether the request was still open: else its answer is there.
 func (e *Exchange) Withdraw() bool { return e.pool.withdraw(e.r) }
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/keepalive"
-	"sorrelrudder/internal/message"
 )
 
 // longBody is a body of n bytes of which no two parts are alike.
@@ -45,17 +45,17 @@
 		"length":     fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
 		"chunks":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, 100_000),
 		"one chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, len(long)),
-		"just long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", message.MostBody+1, long[:message.MostBody+1]),
-		"just short": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", message.MostBody, long[:message.MostBody]),
-		"just full":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long[:message.MostBody], 1000),
+		"just long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MostBody+1, long[:httpmsg.MostBody+1]),
+		"just short": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MostBody, long[:httpmsg.MostBody]),
+		"just full":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long[:httpmsg.MostBody], 1000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			want := long
 			if strings.HasPrefix(name, "just") {
-				want = long[:message.MostBody]
+				want = long[:httpmsg.MostBody]
 				if name == "just long" {
-					want = long[:message.MostBody+1]
+					want = long[:httpmsg.MostBody+1]
 				}
 			}
 			u := startUpstream(t, func(*http.Request, []byte) string { return text })
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/process"
 )
 
@@ -315,7 +315,7 @@
 func TestUsualClients(t *testing.T) {
 	u := startUpstream(t, func(q *http.Request, body []byte) string { return ok(q.URL.RequestURI() + " " + string(body)) })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-	key, long := "Idempotency-Key: k\r\n", strings.Repeat("x", message.MostBody-20)
+	key, long := "Idempotency-Key: k\r\n", strings.Repeat("x", httpmsg.MostBody-20)
 	c := s.dial(t)
 	for i, tc := range []struct{ text, want string }{
 		{strings.Replace(get("a"), "/check", "/check/%2e%2e//7?v=7", 1), "/check/%2e%2e//7?v=7 "},
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -14,7 +14,7 @@
 
 	"sorrelrudder/internal/discovery"
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/internal/spillover"
@@ -222,7 +222,7 @@
 		return siteheader.Answer{}, 0, err
 	}
 	defer resp.Body.Close()
-	if _, err := io.CopyN(io.Discard, resp.Body, message.MostBody); !errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, resp.Body, httpmsg.MostBody); !errors.Is(err, io.EOF) {
 		return siteheader.Answer{}, 0, fmt.Errorf("a probe's answer: %w", err)
 	}
 	a, err := siteheader.ParseAnswer(resp.Header.Values(siteheader.AnswerField), 0)
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/policy"
 )
@@ -101,8 +101,8 @@
 	good = strings.Replace(good, "stamp=NOW", stamp, 1)
 	var forms []form
 	refuse := func(name, peer, path string, header http.Header) {
-		_, _, err := h.Admit(&message.Request{Method: http.MethodGet, Path: path, Peer: peer, Header: header})
-		bad, ok := err.(message.Bad)
+		_, _, err := h.Admit(&httpmsg.Request{Method: http.MethodGet, Path: path, Peer: peer, Header: header})
+		bad, ok := err.(httpmsg.Bad)
 		if !ok {
 			t.Fatalf("%s: %v is no refusal", name, err)
 		}
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -7,7 +7,7 @@
 
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/message"
+	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
 	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/policy"
@@ -30,12 +30,12 @@
 }
 
 // bad turns a request away of which nothing has run.
-func (h *handler) bad(status int, text string) message.Bad {
-	return message.Bad{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
+func (h *handler) bad(status int, text string) httpmsg.Bad {
+	return httpmsg.Bad{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
 }
 
 // Admit is the method of downstream.Handler.
-func (h *handler) Admit(q *message.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) Admit(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
 	if h.b.peer(q.Peer) == nil {
 		return nil, 0, h.bad(http.StatusForbidden, "not a peer of this site")
 	}
@@ -84,7 +84,7 @@
 	}
 	a, owner, err := h.g.AdmitForeign(q, r.Pool, f)
 	if err != nil {
-		var why message.Bad
+		var why httpmsg.Bad
 		if !errors.As(err, &why) {
 			return nil, owner, err
 		}
@@ -95,7 +95,7 @@
 }
 
 // probed answers a probe with the room of the pool that it asks about.
-func (h *handler) probed(q *message.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) probed(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
 	c := h.b.pools[q.Header.Get(poolField)]
 	if c == nil && q.Header.Get(poolField) != "" {
 		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
@@ -107,17 +107,17 @@
 	if c != nil && h.g.Serves(c.name) {
 		a.Room = c.room()
 	}
-	return told{message.Answer{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
+	return told{httpmsg.Answer{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
 }
 
 // told is a request whose answer is known.
-type told struct{ a message.Answer }
+type told struct{ a httpmsg.Answer }
 
-func (t told) Take([]byte, message.Rest) (downstream.Exchange, error) { return t, nil }
+func (t told) Take([]byte, httpmsg.Rest) (downstream.Exchange, error) { return t, nil }
 func (told) Release()                                                 {}
 func (told) Withdraw() bool                                           { return false }
-func (t told) Answer() <-chan message.Answer {
-	c := make(chan message.Answer, 1)
+func (t told) Answer() <-chan httpmsg.Answer {
+	c := make(chan httpmsg.Answer, 1)
 	c <- t.a
 	return c
 }
@@ -137,10 +137,10 @@
 }
 
 // Take is the method of downstream.Admission.
-func (a *admission) Take(body []byte, rest message.Rest) (downstream.Exchange, error) {
+func (a *admission) Take(body []byte, rest httpmsg.Rest) (downstream.Exchange, error) {
 	x, err := a.Admission.Take(body, rest)
 	if err != nil {
-		var why message.Bad
+		var why httpmsg.Bad
 		if errors.As(err, &why) {
 			why.Header = a.c.bridge.field(siteheader.Answer{How: siteheader.Refused, Room: a.c.room()})
 			return nil, why
@@ -157,12 +157,12 @@
 type exchange struct {
 	downstream.Exchange
 	c      *crossing
-	answer chan message.Answer
+	answer chan httpmsg.Answer
 	left   chan struct{}
 }
 
 func newExchange(c *crossing, x downstream.Exchange) *exchange {
-	e := &exchange{Exchange: x, c: c, answer: make(chan message.Answer, 1), left: make(chan struct{})}
+	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Answer, 1), left: make(chan struct{})}
 	c.bridge.work.Go(func() {
 		select {
 		case ans := <-x.Answer():
@@ -183,7 +183,7 @@
 }
 
 // mark adds the field of the hop to an answer.
-func (e *exchange) mark(ans message.Answer) message.Answer {
+func (e *exchange) mark(ans httpmsg.Answer) httpmsg.Answer {
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
 	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
 	ran := true
@@ -212,7 +212,7 @@
 }
 
 // Answer is the method of downstream.Exchange.
-func (e *exchange) Answer() <-chan message.Answer { return e.answer }
+func (e *exchange) Answer() <-chan httpmsg.Answer { return e.answer }
 
 // Withdraw is the method of downstream.Exchange.
 func (e *exchange) Withdraw() bool {
