--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -19,11 +19,11 @@
 
 	"github.com/alecthomas/kong"
 
+	"sorrelrudder/internal/config"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/h2"
 	"sorrelrudder/internal/lab"
-	"sorrelrudder/internal/opfile"
 	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/tlsfiles"
 )
@@ -77,7 +77,7 @@
 		return exitUsage
 	}
 	err = ctx.Run(&streams{stdout, stderr})
-	var bad opfile.Errors
+	var bad config.Errors
 	switch {
 	case err == nil:
 		return 0
@@ -106,7 +106,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
-	f, err := opfile.Load(c.File)
+	f, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 }
 
 // start makes the process of a file, and opens its listeners and links.
-func start(f *opfile.File, log *slog.Logger) (*gateway.Gateway, error) {
+func start(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
 	speech := gateway.Speech{Streams: h2.Protocol{Log: log}, Secure: secureWith(log)}
 	if f.Bridge == nil {
 		g, err := gateway.NewSpeaking(f.Gateway, log, nil, speech)
@@ -191,7 +191,7 @@
 // secureWith makes the TLS of listeners from files, which are read again when they change.
 func secureWith(log *slog.Logger) func(context.Context, gateway.TLS) (*tls.Config, error) {
 	return func(ctx context.Context, t gateway.TLS) (*tls.Config, error) {
-		s, err := tlsfiles.Load(opfile.CertificatesOf(t), log)
+		s, err := tlsfiles.Load(config.CertificatesOf(t), log)
 		if err != nil {
 			return nil, err
 		}
@@ -209,21 +209,21 @@
 }
 
 // limit keeps the process to what the file gives it.
-func limit(f *opfile.File) {
+func limit(f *config.File) {
 	runtime.GOMAXPROCS(f.Cores)
 	// Guards against being killed for memory: the rest is for stacks of the runtime, code and the kernel.
 	debug.SetMemoryLimit(int64(f.Gateway.MemoryMB) << 20 / 4 * 3)
 }
 
 // follow reads the file again at each signal until ctx ends. One that cannot be used leaves the present one in force.
-func follow(ctx context.Context, reload <-chan os.Signal, file string, first *opfile.File, g *gateway.Gateway, log *slog.Logger) {
+func follow(ctx context.Context, reload <-chan os.Signal, file string, first *config.File, g *gateway.Gateway, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reload:
 		}
-		f, err := opfile.Load(file)
+		f, err := config.Load(file)
 		if err == nil {
 			err = g.Apply(f.Gateway)
 		}
@@ -248,7 +248,7 @@
 }
 
 func (c *checkCmd) Run(s *streams) error {
-	f, err := opfile.Load(c.File)
+	f, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -100,7 +100,7 @@
 	for _, command := range []string{"sidecar", "simadapter"} {
 		for _, p := range needs(t, command) {
 			for _, heavy := range []string{
-				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/opfile",
+				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
 				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/explore",
 			} {
@@ -158,14 +158,14 @@
 		"policy", "internal/downstream", "internal/gateway", "internal/siteheader", "internal/httpmsg", "internal/pool", "internal/settings", "internal/discovery",
 		"internal/spillover", "internal/upstream",
 	},
-	"internal/opfile":     {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/httpservice", "internal/sitelink", "internal/spillover", "internal/gateway", "internal/httpmsg", "internal/route", "internal/discovery"},
+	"internal/config":     {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/httpservice", "internal/sitelink", "internal/spillover", "internal/gateway", "internal/httpmsg", "internal/route", "internal/discovery"},
 	"internal/siteheader": {},
 	"internal/spillover":  {"policy"},
 	"internal/standin":    {}, // shares no code with what it watches
 	"internal/lab":        {"internal/standin"},
 	"cmd/simadapter":      {"internal/wire"},
 	"cmd/sidecar":         {"internal/sidecar"},
-	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/opfile", "internal/statslog", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/dayfile", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"sorrelrudder/internal/opfile"
+	"sorrelrudder/internal/config"
 )
 
 const patience = 20 * time.Second
@@ -41,7 +41,7 @@
 	for i, s := range servers {
 		begin += fmt.Sprintf("[[pools.shop.servers]]\nname = \"s%d\"\naddress = %q\n", i, s)
 	}
-	f, err := opfile.Parse("test.toml", []byte(begin+more))
+	f, err := config.Parse("test.toml", []byte(begin+more))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -6,9 +6,9 @@
 	"net/url"
 	"strings"
 
+	"sorrelrudder/internal/config"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/httpservice"
-	"sorrelrudder/internal/opfile"
 	"sorrelrudder/internal/route"
 )
 
@@ -21,7 +21,7 @@
 
 // Run tells which route and which class take a request, without a process that serves.
 func (c *routeCmd) Run(s *streams) error {
-	f, err := opfile.Load(c.File)
+	f, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -14,11 +14,11 @@
 	"text/tabwriter"
 	"time"
 
+	"sorrelrudder/internal/config"
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/lease"
-	"sorrelrudder/internal/opfile"
 	"sorrelrudder/internal/task"
 	"sorrelrudder/internal/zonefailover"
 )
@@ -63,7 +63,7 @@
 }
 
 func (c *tierInitCmd) Run(s *streams) error {
-	f, err := opfile.Load(c.File)
+	f, err := config.Load(c.File)
 	if err != nil {
 		return err
 	}
--- a/internal/opfile/tier_test.go
+++ b/internal/config/tier_test.go
@@ -1,4 +1,4 @@
-package opfile
+package config
 
 import (
 	"os"
--- a/internal/opfile/tree.go
+++ b/internal/config/tree.go
@@ -1,7 +1,7 @@
-// Package opfile reads the operator's file: listeners, pools, routes and limits in TOML. It reports every error with its
+// Package config reads the operator's file: listeners, pools, routes and limits in TOML. It reports every error with its
 // file, line and key, writes out what it read with all defaults, and makes the process's configuration of it. It decides
 // nothing that the process could decide.
-package opfile
+package config
 
 import (
 	"cmp"
