--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"sorrelrudder/internal/dayfile"
 	"sorrelrudder/internal/emulator"
+	"sorrelrudder/internal/scenario"
 	"sorrelrudder/internal/zonefailover"
 )
 
@@ -63,7 +63,7 @@
 
 // Run plays the day with several seeds, on all cores.
 func (c *emulateCmd) Run(s *streams) error {
-	day, err := dayfile.LoadScaled(c.File, c.Scale)
+	day, err := scenario.LoadScaled(c.File, c.Scale)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errDay, err)
 	}
--- a/cmd/sorrelrudder/golden_test.go
+++ b/cmd/sorrelrudder/golden_test.go
@@ -19,7 +19,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/pelletier/go-toml/v2"
 
-	"sorrelrudder/internal/dayfile"
+	"sorrelrudder/internal/scenario"
 )
 
 // The golden files hold what operators and their scripts see: a renaming inside the program leaves them as they are.
@@ -185,9 +185,9 @@
 			keys = append(keys, key)
 		}
 	}
-	walk("", reflect.TypeFor[dayfile.File]())
+	walk("", reflect.TypeFor[scenario.File]())
 	slices.Sort(keys)
-	usual, err := toml.Marshal(dayfile.Usual())
+	usual, err := toml.Marshal(scenario.Usual())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -134,7 +134,7 @@
 	"internal/metrics":      {},
 	"internal/statslog":     {},
 	"internal/emulator":     {"policy", "internal/zonefailover"},
-	"internal/dayfile":      {"policy", "internal/emulator"},
+	"internal/scenario":     {"policy", "internal/emulator"},
 	"internal/fixedseed":    {},
 	"internal/lease":        {},
 	"internal/gossip":       {},
@@ -165,7 +165,7 @@
 	"internal/lab":        {"internal/standin"},
 	"cmd/simadapter":      {"internal/wire"},
 	"cmd/sidecar":         {"internal/sidecar"},
-	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/dayfile", "internal/emulator"},
+	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
--- a/internal/dayfile/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -1,5 +1,5 @@
-// Package dayfile reads a day of the emulator from TOML: every error with file, line and key. What is left out has the value of Usual.
-package dayfile
+// Package scenario reads a day of the emulator from TOML: every error with file, line and key. What is left out has the value of Usual.
+package scenario
 
 import (
 	"bytes"
--- a/internal/dayfile/dayfile_test.go
+++ b/internal/scenario/dayfile_test.go
@@ -1,4 +1,4 @@
-package dayfile
+package scenario
 
 import (
 	"strings"
