--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"sorrelrudder/internal/wire"
+	"sorrelrudder/internal/simwire"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -122,7 +122,7 @@
 	"internal/quota":        {},
 	"internal/httpmsg":      {},
 	"internal/settings":     {"policy", "internal/staleness"},
-	"internal/wire":         {"policy", "internal/settings"},
+	"internal/simwire":      {"policy", "internal/settings"},
 	"internal/process":      {"internal/quota"},
 	"internal/staleness":    {},
 	"internal/discovery":    {"policy", "internal/staleness"},
@@ -163,7 +163,7 @@
 	"internal/spillover":  {"policy"},
 	"internal/standin":    {}, // shares no code with what it watches
 	"internal/lab":        {"internal/standin"},
-	"cmd/simadapter":      {"internal/wire"},
+	"cmd/simadapter":      {"internal/simwire"},
 	"cmd/sidecar":         {"internal/sidecar"},
 	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
 }
--- a/internal/wire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,7 +1,7 @@
-// Package wire speaks the simulator's line protocol: it decodes batches of
+// Package simwire speaks the simulator's line protocol: it decodes batches of
 // events, hands them to the policy instances that it hosts, and encodes what
 // they decide. It decides nothing itself.
-package wire
+package simwire
 
 import (
 	"bufio"
