--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"sorrelrudder/internal/consensus"
-	"sorrelrudder/internal/explore"
 	"sorrelrudder/internal/gossip"
+	"sorrelrudder/internal/simulation"
 )
 
 const (
@@ -46,10 +46,10 @@
 	debug.SetGCPercent(800) // a run has some MB
 	out := json.NewEncoder(s.out)
 	for seed := c.First; seed < c.First+c.Count; seed++ {
-		o := explore.Options{Seed: seed, Plant: explore.Plant(c.Plant), Copies: c.Copies, Zones: c.Zones}
-		got := explore.Run(o)
+		o := simulation.Options{Seed: seed, Plant: simulation.Plant(c.Plant), Copies: c.Copies, Zones: c.Zones}
+		got := simulation.Run(o)
 		if got.Broken != "" {
-			got = explore.Shrink(o, got, shrinkRuns)
+			got = simulation.Shrink(o, got, shrinkRuns)
 		}
 		if err := out.Encode(got); err != nil {
 			return err
@@ -60,26 +60,26 @@
 
 // exploreReport is what many runs came to.
 type exploreReport struct {
-	Scenario  string             `json:"scenario"`
-	First     uint64             `json:"seed"`
-	Seeds     int                `json:"seeds"`
-	Seconds   float64            `json:"seconds"`
-	PerMinute float64            `json:"seeds_a_minute"`
-	Pass      bool               `json:"pass"`
-	Broken    []explore.Outcome  `json:"broken"`
-	Counts    map[string]float64 `json:"counts"`
-	Hash      uint64             `json:"hash"` // over all runs in the order of their seeds
+	Scenario  string               `json:"scenario"`
+	First     uint64               `json:"seed"`
+	Seeds     int                  `json:"seeds"`
+	Seconds   float64              `json:"seconds"`
+	PerMinute float64              `json:"seeds_a_minute"`
+	Pass      bool                 `json:"pass"`
+	Broken    []simulation.Outcome `json:"broken"`
+	Counts    map[string]float64   `json:"counts"`
+	Hash      uint64               `json:"hash"` // over all runs in the order of their seeds
 }
 
 // tierExplore plays fleets in virtual time on all cores.
 func (c *labCmd) tierExplore(ctx context.Context, s *streams, self string) error {
-	if c.Plant != "" && !slices.Contains(explore.Plants, explore.Plant(c.Plant)) {
-		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errDay, c.Plant, explore.Plants)
+	if c.Plant != "" && !slices.Contains(simulation.Plants, simulation.Plant(c.Plant)) {
+		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errDay, c.Plant, simulation.Plants)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
 	}
-	r := exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []explore.Outcome{}, Counts: map[string]float64{}}
+	r := exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []simulation.Outcome{}, Counts: map[string]float64{}}
 	began := time.Now()
 	next := make(chan [2]uint64)
 	go func() {
@@ -99,7 +99,7 @@
 	for range max(1, c.Workers) {
 		all.Go(func() {
 			for batch := range next {
-				err := exploreBatchIn(ctx, self, batch, c.Plant, c.Copies || c.Zones || explore.Plant(c.Plant).OfCopies(), c.Zones || explore.Plant(c.Plant).OfZones(), func(o explore.Outcome) {
+				err := exploreBatchIn(ctx, self, batch, c.Plant, c.Copies || c.Zones || simulation.Plant(c.Plant).OfCopies(), c.Zones || simulation.Plant(c.Plant).OfZones(), func(o simulation.Outcome) {
 					mu.Lock()
 					defer mu.Unlock()
 					r.Seeds++
@@ -132,7 +132,7 @@
 	}
 	r.Seconds = time.Since(began).Seconds()
 	r.PerMinute = float64(r.Seeds) / time.Since(began).Minutes()
-	slices.SortFunc(r.Broken, func(a, b explore.Outcome) int { return int(int64(a.Seed - b.Seed)) })
+	slices.SortFunc(r.Broken, func(a, b simulation.Outcome) int { return int(int64(a.Seed - b.Seed)) })
 	r.Pass = len(r.Broken) == 0 && r.Seeds > 0
 	if err := c.tellExplored(s, &r); err != nil {
 		return err
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func exploreBatchIn(ctx context.Context, self string, batch [2]uint64, plant string, copies, zones bool, each func(explore.Outcome)) error {
+func exploreBatchIn(ctx context.Context, self string, batch [2]uint64, plant string, copies, zones bool, each func(simulation.Outcome)) error {
 	args := []string{"explore-worker", strconv.FormatUint(batch[0], 10), strconv.FormatUint(batch[1], 10)}
 	if plant != "" {
 		args = append(args, plant)
@@ -166,7 +166,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		var o explore.Outcome
+		var o simulation.Outcome
 		if err := json.Unmarshal(lines.Bytes(), &o); err == nil {
 			each(o)
 		}
@@ -205,15 +205,15 @@
 	if err != nil {
 		return err
 	}
-	var o explore.Outcome
+	var o simulation.Outcome
 	if err := json.Unmarshal(text, &o); err != nil {
 		return fmt.Errorf("%w: %s: %w", errDay, c.Replay, err)
 	}
 	if o.Faults == nil {
-		o.Faults = []explore.Fault{}
+		o.Faults = []simulation.Fault{}
 	}
 	w := bufio.NewWriter(s.out)
-	got := explore.Run(explore.Options{Seed: o.Seed, Copies: o.Copies, Zones: o.Zones, Plant: explore.Plant(c.Plant), Faults: o.Faults, Log: w, Trace: c.Verbose})
+	got := simulation.Run(simulation.Options{Seed: o.Seed, Copies: o.Copies, Zones: o.Zones, Plant: simulation.Plant(c.Plant), Faults: o.Faults, Log: w, Trace: c.Verbose})
 	if err := w.Flush(); err != nil {
 		return err
 	}
@@ -240,7 +240,7 @@
 			if size < 2 || size > mostScale || !(loss >= 0 && loss < 1) {
 				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errDay, size, loss, mostScale)
 			}
-			r := explore.Scale(explore.ScaleOptions{
+			r := simulation.Scale(simulation.ScaleOptions{
 				Seed: c.Seed, Size: size, Loss: loss, Writes: 10, Killed: 2, Length: 10 * time.Second, Wake: time.Second, Start: cfg, Restart: max(1, min(100, size/10)),
 			})
 			if c.JSON {
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -102,7 +102,7 @@
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
 				"sorrelrudder/internal/standin", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
-				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/explore",
+				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/simulation",
 			} {
 				if strings.HasPrefix(p, heavy) {
 					t.Errorf("%s links %s", command, p)
@@ -142,7 +142,7 @@
 	"internal/zoneview":     {"internal/consensus", "internal/zonefailover", "internal/gossip"},
 	"internal/task":         {},
 	"internal/consensus":    {"internal/lease", "internal/gossip", "internal/task"},
-	"internal/explore":      {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zoneview"},
+	"internal/simulation":   {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/fleet":        {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/httpmsg", "internal/gossip", "internal/task", "internal/zoneview"},
 	"internal/admin":        {"internal/metrics"},
 	"internal/pool":         {"policy", "internal/metrics", "internal/httpmsg", "internal/settings", "internal/discovery", "internal/statslog", "internal/upstream"},
@@ -165,7 +165,7 @@
 	"internal/lab":        {"internal/standin"},
 	"cmd/simadapter":      {"internal/simwire"},
 	"cmd/sidecar":         {"internal/sidecar"},
-	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/explore", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
+	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/simulation", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
--- a/internal/explore/fault.go
+++ b/internal/simulation/fault.go
@@ -1,7 +1,7 @@
-// Package explore plays fleets in virtual time: the cores of the council, the leases and the tasks as they are, on a network, on disks and
+// Package simulation plays fleets in virtual time: the cores of the council, the leases and the tasks as they are, on a network, on disks and
 // on clocks that a seed makes fail. An observer that knows nothing of the cores' state says what must not be. Equal seeds give equal
 // runs, byte for byte, in one process at a time.
-package explore
+package simulation
 
 import (
 	"cmp"
--- a/internal/explore/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package explore
+package simulation
 
 const raced = true
--- a/internal/explore/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,4 +1,4 @@
-package explore
+package simulation
 
 // Shrink takes faults away from a run that broke as long as it still breaks, whatever then breaks first. It plays at most most runs.
 func Shrink(o Options, broken Outcome, most int) Outcome {
--- a/internal/explore/zones.go
+++ b/internal/simulation/zones.go
@@ -1,4 +1,4 @@
-package explore
+package simulation
 
 import (
 	"fmt"
