--- a/cmd/sorrelrudder/h2_test.go
+++ b/cmd/sorrelrudder/h2_test.go
@@ -19,15 +19,15 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 // authority issues certificates for tests.
-type authority struct{ *standin.Authority }
+type authority struct{ *fake.Authority }
 
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
-	a, err := standin.NewAuthority(t.TempDir())
+	a, err := fake.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -101,7 +101,7 @@
 		for _, p := range needs(t, command) {
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
-				"sorrelrudder/internal/standin", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
+				"sorrelrudder/internal/fake", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
 				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/simulation",
 			} {
 				if strings.HasPrefix(p, heavy) {
@@ -161,8 +161,8 @@
 	"internal/config":     {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/httpservice", "internal/sitelink", "internal/spillover", "internal/gateway", "internal/httpmsg", "internal/route", "internal/discovery"},
 	"internal/siteheader": {},
 	"internal/spillover":  {"policy"},
-	"internal/standin":    {}, // shares no code with what it watches
-	"internal/lab":        {"internal/standin"},
+	"internal/fake":       {}, // shares no code with what it watches
+	"internal/lab":        {"internal/fake"},
 	"cmd/simadapter":      {"internal/simwire"},
 	"cmd/sidecar":         {"internal/sidecar"},
 	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/simulation", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -15,8 +15,8 @@
 
 	"go.uber.org/goleak"
 
+	"sorrelrudder/internal/fake"
 	"sorrelrudder/internal/staleness"
-	"sorrelrudder/internal/standin"
 )
 
 const patience = 20 * time.Second
@@ -69,7 +69,7 @@
 }
 
 func TestDiscovery(t *testing.T) {
-	d, err := standin.StartDiscovery(nil, standin.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "active"})
+	d, err := fake.StartDiscovery(nil, fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "active"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	if l := next(t, lists); !l.Whole || len(l.Hosts) != 1 {
 		t.Errorf("%+v", l)
 	}
-	d.Set(standin.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "leaving"})
+	d.Set(fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "leaving"})
 	if l := next(t, lists); l.Whole || l.Hosts[0].Health != "leaving" {
 		t.Errorf("%+v", l)
 	}
--- a/internal/standin/ledger.go
+++ b/internal/fake/ledger.go
@@ -1,8 +1,8 @@
-// Package standin imitates what stands around the program: boxes that do work, the platform's discovery, a link between two
+// Package fake imitates what stands around the program: boxes that do work, the platform's discovery, a link between two
 // places, and clients with deadlines and retries. All of it is on loopback sockets and in real time. A ledger counts what
 // clients asked, what they were answered and what the boxes did, and tells afterwards whether one of the four rules was
 // broken. The package shares no code with the program that it watches, so that one mistake cannot hide another.
-package standin
+package fake
 
 import (
 	"fmt"
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,9 +18,9 @@
 	"go.uber.org/goleak"
 
 	"sorrelrudder/internal/discovery"
+	"sorrelrudder/internal/fake"
 	"sorrelrudder/internal/route"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/standin"
 	"sorrelrudder/policy"
 )
 
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var effects = map[string]standin.Effect{"check": standin.Safe, "order": standin.Keyed, "book": standin.Unsafe}
+var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "book": fake.Unsafe}
 
 // testSettings have one class of each effect, and time enough that none ends by itself.
 func testSettings() settings.Settings {
@@ -50,7 +50,7 @@
 // site is boxes for some pools, and a gateway for them.
 type site struct {
 	t      *testing.T
-	ledger *standin.Ledger
+	ledger *fake.Ledger
 	cfg    Config
 	g      *Gateway
 	addr   string
@@ -58,13 +58,13 @@
 }
 
 // box starts a box that needs no time.
-func (s *site) box(name string, change func(*standin.BoxConfig)) *standin.Box {
+func (s *site) box(name string, change func(*fake.BoxConfig)) *fake.Box {
 	s.t.Helper()
-	cfg := standin.BoxConfig{Name: name, Cores: 8, Queue: 100, Effects: effects, Ledger: s.ledger}
+	cfg := fake.BoxConfig{Name: name, Cores: 8, Queue: 100, Effects: effects, Ledger: s.ledger}
 	if change != nil {
 		change(&cfg)
 	}
-	b, err := standin.StartBox(cfg)
+	b, err := fake.StartBox(cfg)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	return b
 }
 
-func listed(boxes ...*standin.Box) []discovery.Entry {
+func listed(boxes ...*fake.Box) []discovery.Entry {
 	all := []discovery.Entry{}
 	for _, b := range boxes {
 		e := b.Entry()
@@ -82,7 +82,7 @@
 }
 
 // pool is a pool with a list of its own, and its route by the host NAME.example.org.
-func (s *site) pool(name string, boxes ...*standin.Box) *Pool {
+func (s *site) pool(name string, boxes ...*fake.Box) *Pool {
 	s.cfg.Pools = append(s.cfg.Pools, Pool{
 		Name: name, Settings: testSettings(), Servers: listed(boxes...), Limits: Limits{Weight: 1}, Seed: 1,
 	})
@@ -91,7 +91,7 @@
 }
 
 func newSite(t *testing.T) *site {
-	return &site{t: t, ledger: standin.NewLedger(), cfg: Config{
+	return &site{t: t, ledger: fake.NewLedger(), cfg: Config{
 		Name: "test", MemoryMB: 64, Descriptors: 256, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}},
 	}}
 }
@@ -215,7 +215,7 @@
 	io.WriteString(c, text)
 	for i := range 5 {
 		resp, body := c.ask(t, "")
-		if want := standin.Made("check", fmt.Sprint("pipelined", i), ""); resp.StatusCode != 200 || body != want {
+		if want := fake.Made("check", fmt.Sprint("pipelined", i), ""); resp.StatusCode != 200 || body != want {
 			t.Fatalf("answer %d: %d %q, want %q", i, resp.StatusCode, body, want)
 		}
 	}
@@ -252,7 +252,7 @@
 	} {
 		n++
 		id := fmt.Sprint("host", n)
-		s.ledger.Sent(s.ledger.Op(standin.Safe), id, patience)
+		s.ledger.Sent(s.ledger.Op(fake.Safe), id, patience)
 		resp, _ := s.dial().ask(t, fmt.Sprintf("GET /check HTTP/1.1\r\n%sX-Request-ID: %s\r\nX-Timeout-Ms: 1000\r\n\r\n", c.head, id))
 		if resp.StatusCode != c.want {
 			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.want)
@@ -270,7 +270,7 @@
 	s.cfg.Routes[0].Path, s.cfg.Routes[0].Strip = "/farm/v1", true
 	s.start()
 	resp, body := s.dial().ask(t, s.sent("POST", "orders.example.org", "/farm/v1/order/7?x=1", "strip", "Idempotency-Key: k\r\nContent-Length: 0\r\n"))
-	if want := standin.Made("order", "", "k"); resp.StatusCode != 200 || body != want {
+	if want := fake.Made("order", "", "k"); resp.StatusCode != 200 || body != want {
 		t.Errorf("got %d %q, want %q", resp.StatusCode, body, want)
 	}
 }
@@ -283,10 +283,10 @@
 		hold[i] = make(chan struct{})
 		s.pool(name, s.box(name, nil))
 	}
-	s.cfg.Pools[0].Servers = listed(s.box("slow", func(c *standin.BoxConfig) { c.Service = 300 * time.Millisecond }))
+	s.cfg.Pools[0].Servers = listed(s.box("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
 	s.start()
 	first := s.dial()
-	s.ledger.Sent(s.ledger.Op(standin.Safe), "same", patience)
+	s.ledger.Sent(s.ledger.Op(fake.Safe), "same", patience)
 	text := "GET /check HTTP/1.1\r\nHost: %s.example.org\r\nX-Request-ID: same\r\nX-Timeout-Ms: 10000\r\n\r\n"
 	fmt.Fprintf(first, text, "orders")
 	waitFor(t, "the first to be open", func() bool { return s.g.Load().Requests == 1 })
@@ -306,7 +306,7 @@
 func TestEmptyList(t *testing.T) {
 	s := newSite(t)
 	a, b := s.box("a", nil), s.box("b", nil)
-	disco, err := standin.StartDiscovery(s.ledger, a.Entry())
+	disco, err := fake.StartDiscovery(s.ledger, a.Entry())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -346,7 +346,7 @@
 // to be up: all that was never sent is refused at once.
 func TestListEmptiesUnderLoad(t *testing.T) {
 	s := newSite(t)
-	disco, err := standin.StartDiscovery(s.ledger)
+	disco, err := fake.StartDiscovery(s.ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -393,7 +393,7 @@
 func TestOpenLimit(t *testing.T) {
 	s := newSite(t)
 	stuck := s.box("stuck", nil)
-	stuck.SetFault(standin.Fault{Kind: standin.Silent, Share: 1})
+	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", stuck)
 	s.pool("meters", s.box("b", nil))
 	s.start()
@@ -503,9 +503,9 @@
 // is still to come, are answered by its boxes; new ones find no route.
 func TestRemovedPool(t *testing.T) {
 	s := newSite(t)
-	failing, good := s.box("failing", nil), s.box("good", func(c *standin.BoxConfig) { c.Service = 200 * time.Millisecond })
+	failing, good := s.box("failing", nil), s.box("good", func(c *fake.BoxConfig) { c.Service = 200 * time.Millisecond })
 	// The first attempt is refused its connection only after a while, so that the retry comes after the removal.
-	failing.SetFault(standin.Fault{Kind: standin.Error, Share: 1, Delay: 300 * time.Millisecond})
+	failing.SetFault(fake.Fault{Kind: fake.Error, Share: 1, Delay: 300 * time.Millisecond})
 	s.pool("orders", failing, good)
 	s.pool("meters", s.box("b", nil))
 	s.start()
@@ -538,7 +538,7 @@
 
 func (s *site) keptRules() {
 	s.t.Helper()
-	for _, b := range s.ledger.Check(standin.UsualSlack).Broken {
+	for _, b := range s.ledger.Check(fake.UsualSlack).Broken {
 		// These tests don't note answers, so that only what concerns effects is looked at.
 		if strings.HasPrefix(b, "rule 2") {
 			s.t.Error(b)
@@ -656,23 +656,23 @@
 // faster: pools are replaced, boxes move, limits change.
 func TestManyReloads(t *testing.T) {
 	s := newSite(t)
-	slow := func(c *standin.BoxConfig) { c.Service = 5 * time.Millisecond }
+	slow := func(c *fake.BoxConfig) { c.Service = 5 * time.Millisecond }
 	a, b, c := s.box("a", slow), s.box("b", slow), s.box("c", slow)
 	s.pool("orders", a, b)
 	s.pool("meters", c)
 	s.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	crowds := make([]*standin.Crowd, 2)
+	crowds := make([]*fake.Crowd, 2)
 	for i, name := range []string{"orders", "meters"} {
 		all.Go(func() {
-			crowds[i] = standin.RunClients(ctx, standin.ClientConfig{
+			crowds[i] = fake.RunClients(ctx, fake.ClientConfig{
 				Name: name, Addr: s.addr, Host: name + ".example.org", Rate: 100, Tries: 2, Ledger: s.ledger, Seed: uint64(i),
 				Backoff: 10 * time.Millisecond, Honour: true,
-				Classes: []standin.ClassLoad{
-					{Name: "check", Effect: standin.Safe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-					{Name: "book", Effect: standin.Unsafe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-					{Name: "order", Effect: standin.Keyed, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
+				Classes: []fake.ClassLoad{
+					{Name: "check", Effect: fake.Safe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
+					{Name: "book", Effect: fake.Unsafe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
+					{Name: "order", Effect: fake.Keyed, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
 				},
 			})
 		})
@@ -692,7 +692,7 @@
 	cancel()
 	all.Wait()
 	waitFor(t, "the old pools to be gone", func() bool { return s.g.Load().Draining == 0 })
-	for _, broken := range s.ledger.Check(standin.Slack{Answer: 2 * time.Second, After: 2 * time.Second, Grace: time.Second}).Broken {
+	for _, broken := range s.ledger.Check(fake.Slack{Answer: 2 * time.Second, After: 2 * time.Second, Grace: time.Second}).Broken {
 		t.Error(broken)
 	}
 	for i, crowd := range crowds {
@@ -709,7 +709,7 @@
 func TestCloseAnswers(t *testing.T) {
 	s := newSite(t)
 	stuck := s.box("stuck", nil)
-	stuck.SetFault(standin.Fault{Kind: standin.Silent, Share: 1})
+	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", stuck)
 	s.start()
 	c := s.dial()
@@ -758,8 +758,8 @@
 func givenUp(t *testing.T, retired bool) {
 	s := newSite(t)
 	s.cfg.DrainMost = 300 * time.Millisecond
-	hangs := s.box("hangs", func(c *standin.BoxConfig) { c.Cores = 100 })
-	hangs.SetFault(standin.Fault{Kind: standin.Silent, Share: 1})
+	hangs := s.box("hangs", func(c *fake.BoxConfig) { c.Cores = 100 })
+	hangs.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", hangs)
 	s.pool("meters", s.box("b", nil))
 	s.start()
--- a/internal/lab/bridge.go
+++ b/internal/lab/bridge.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -37,11 +37,11 @@
 
 // twoSites are two programs, each with boxes, discovery and a link to the other.
 type twoSites struct {
-	ledger *standin.Ledger
+	ledger *fake.Ledger
 	names  [2]string
-	boxes  [2][]*standin.Box
-	discos [2]*standin.Discovery
-	links  [2]*standin.Relay // from the site to the other
+	boxes  [2][]*fake.Box
+	discos [2]*fake.Discovery
+	links  [2]*fake.Relay // from the site to the other
 	progs  [2]*Program
 }
 
@@ -93,12 +93,12 @@
 
 // startSitesOf does so with boxes of such a service time.
 func startSitesOf(ctx context.Context, e *Env, gateway bool, service time.Duration) (*twoSites, error) {
-	t := &twoSites{ledger: standin.NewLedger(), names: [2]string{"clare-pump", "giru-office"}}
-	repeats := standin.NewRepeats(time.Minute) // of both sites together
+	t := &twoSites{ledger: fake.NewLedger(), names: [2]string{"clare-pump", "giru-office"}}
+	repeats := fake.NewRepeats(time.Minute) // of both sites together
 	var hops [2]string
 	for i, name := range t.names {
 		var err error
-		t.boxes[i], err = e.boxes(name, siteBoxes, t.ledger, func(c *standin.BoxConfig) {
+		t.boxes[i], err = e.boxes(name, siteBoxes, t.ledger, func(c *fake.BoxConfig) {
 			c.Zone, c.Repeats, c.Cores, c.Service = name, repeats, 1, service
 			c.Seed += uint64(i) << 32
 		})
@@ -114,7 +114,7 @@
 	}
 	for i := range t.names {
 		var err error
-		if t.links[i], err = standin.StartRelay(hops[1-i]); err != nil {
+		if t.links[i], err = fake.StartRelay(hops[1-i]); err != nil {
 			return nil, err
 		}
 		e.Defer(t.links[i].Close)
@@ -143,11 +143,11 @@
 }
 
 // crowds has clients at both sites ask for a while, and returns what became of them.
-func (t *twoSites) crowds(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...standin.ClassLoad) (all [2]*standin.Crowd) {
+func (t *twoSites) crowds(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.Crowd) {
 	var both sync.WaitGroup
 	for i, name := range t.names {
 		both.Go(func() {
-			all[i] = standin.RunClients(ctx, standin.ClientConfig{
+			all[i] = fake.RunClients(ctx, fake.ClientConfig{
 				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.progs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], Tries: 3,
 				Backoff: 30 * time.Millisecond, Honour: true, Classes: classes, Ledger: t.ledger, Seed: e.Seed + uint64(i)<<8,
 			})
@@ -192,7 +192,7 @@
 	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Ops)))
 }
 
-func boxNames(boxes []*standin.Box) map[string]bool {
+func boxNames(boxes []*fake.Box) map[string]bool {
 	names := map[string]bool{}
 	for _, b := range boxes {
 		names[b.Name()] = true
@@ -200,7 +200,7 @@
 	return names
 }
 
-var siteClasses = []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
+var siteClasses = []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
 
 // gatewayCalm plays two sites with room, with the gateway and without it, so that its cost shows.
 func gatewayCalm(ctx context.Context, e *Env) error {
@@ -375,8 +375,8 @@
 			}()
 		}},
 		step{0.5, func() { t.links[0].Stall(false) }},
-		step{0.58, func() { t.links[0].StallWay(standin.Back, true) }},
-		step{0.65, func() { t.links[0].StallWay(standin.Back, false) }},
+		step{0.58, func() { t.links[0].StallWay(fake.Back, true) }},
+		step{0.65, func() { t.links[0].StallWay(fake.Back, false) }},
 		step{0.7, func() { t.links[0].StallOne() }},
 		step{0.8, func() { t.links[0].Reset() }},
 	)
@@ -391,7 +391,7 @@
 		e.Broken("the stall of the link was not noticed")
 	}
 	e.Measure("stalls_noticed", float64(t.progs[0].Count("to=stalled")))
-	e.Measure("requests_failed", float64(all[0].Counts[standin.Failed]))
+	e.Measure("requests_failed", float64(all[0].Counts[fake.Failed]))
 	return nil
 }
 
--- a/internal/lab/carriage.go
+++ b/internal/lab/carriage.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -33,7 +33,7 @@
 // carrier is one of the two protocols over a link of its own.
 type carrier struct {
 	name   string
-	relay  *standin.Relay
+	relay  *fake.Relay
 	client *http.Client
 	base   string
 }
@@ -54,7 +54,7 @@
 	})}
 	go server.Serve(ln)
 	e.Defer(func() { server.Close() })
-	relay, err := standin.StartRelay(ln.Addr().String())
+	relay, err := fake.StartRelay(ln.Addr().String())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/clients.go
+++ b/internal/lab/clients.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -32,12 +32,12 @@
 // clientsOnce plays two phases: the clients alone, and the same beside connections that say nothing. In both a connection
 // that only asks whether the program is there tells how long a client waits from its SYN to the first byte of an answer.
 func clientsOnce(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	p, _, _, err := e.startFarm(ctx, ledger, "[process]\ndescriptors = 384\n\n")
 	if err != nil {
 		return err
 	}
-	var once, keepers *standin.Crowd
+	var once, keepers *fake.Crowd
 	for i, silent := range []bool{false, true} {
 		name, prefix := "clients that ask once, beside keep-alive clients", ""
 		if silent {
@@ -45,27 +45,27 @@
 		}
 		e.Phase(name, e.Duration/2)
 		load, cancel := context.WithTimeout(ctx, e.Duration/2)
-		usual := standin.ClientConfig{
+		usual := fake.ClientConfig{
 			Addr: p.Addr("farm"), Host: "farm.example.org", Tries: 3, Backoff: 30 * time.Millisecond, Honour: true, Ledger: ledger,
-			Classes: []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck},
+			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck},
 		}
 		var all sync.WaitGroup
-		var a, b *standin.Crowd
+		var a, b *fake.Crowd
 		var waits []time.Duration
 		var opened int64
 		all.Go(func() {
 			c := usual
 			c.Name, c.Seed, c.Rate, c.Once, c.MostConns = fmt.Sprintf("once%d", i), e.Seed, onceRate, true, onceConns
-			a = standin.RunClients(load, c)
+			a = fake.RunClients(load, c)
 		})
 		all.Go(func() {
 			c := usual
 			c.Name, c.Seed, c.Rate = fmt.Sprintf("keep%d", i), e.Seed+100, 60
-			b = standin.RunClients(load, c)
+			b = fake.RunClients(load, c)
 		})
 		all.Go(func() { waits = acceptTimes(load, p.Addr("farm")) })
 		if silent {
-			all.Go(func() { opened = standin.Silents(load, p.Addr("farm"), onceSilents) })
+			all.Go(func() { opened = fake.Silents(load, p.Addr("farm"), onceSilents) })
 		}
 		all.Wait()
 		cancel()
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -41,8 +41,8 @@
 
 // cost compares the program with a plain reverse proxy over the same boxes, in turn, so that both see the same machine.
 func cost(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger() // for its rules nothing is asked of it here: the load is too dense to keep
-	boxes, err := e.boxes("box", 3, nil, func(c *standin.BoxConfig) {
+	ledger := fake.NewLedger() // for its rules nothing is asked of it here: the load is too dense to keep
+	boxes, err := e.boxes("box", 3, nil, func(c *fake.BoxConfig) {
 		c.Service, c.Cores, c.Queue = 0, 64, 1000
 	})
 	if err != nil {
--- a/internal/lab/h2.go
+++ b/internal/lab/h2.go
@@ -17,7 +17,7 @@
 
 	"golang.org/x/net/http2"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -37,8 +37,8 @@
 // web is a program with a listener that speaks TLS, in front of plain boxes.
 type web struct {
 	p      *Program
-	ca     *standin.Authority
-	ledger *standin.Ledger
+	ca     *fake.Authority
+	ledger *fake.Ledger
 }
 
 func (e *Env) startWeb(ctx context.Context) (*web, error) {
@@ -47,18 +47,18 @@
 
 // startWebAs is startWeb with another table of the process.
 func (e *Env) startWebAs(ctx context.Context, process string) (*web, error) {
-	w := &web{ledger: standin.NewLedger()}
-	boxes, err := e.boxes("box", 4, w.ledger, func(c *standin.BoxConfig) { c.Reports = standin.ORCA })
+	w := &web{ledger: fake.NewLedger()}
+	boxes, err := e.boxes("box", 4, w.ledger, func(c *fake.BoxConfig) { c.Reports = fake.ORCA })
 	if err != nil {
 		return nil, err
 	}
-	if w.ca, err = standin.NewAuthority(e.Dir); err != nil {
+	if w.ca, err = fake.NewAuthority(e.Dir); err != nil {
 		return nil, err
 	}
 	if err := w.ca.Issue("farm", webHost); err != nil {
 		return nil, err
 	}
-	text := strings.Replace(plainPool(standin.ORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
+	text := strings.Replace(plainPool(fake.ORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
 	text = strings.Replace(text, "address = \"127.0.0.1:0\"\n", fmt.Sprintf("address = \"127.0.0.1:0\"\n[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n",
 		filepath.Join(e.Dir, "farm.pem"), filepath.Join(e.Dir, "farm.key")), 1)
 	w.p, err = e.Start(ctx, text, 1)
@@ -84,7 +84,7 @@
 
 // load has lanes ask one after the other until ctx ends; each lane takes a client of its own from time to time if renew is set.
 func (w *web) load(ctx context.Context, name string, seed uint64, lanes int, renew time.Duration, n *webCounts) {
-	classes := []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
+	classes := []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
 	shared, end := w.client()
 	defer end()
 	var all sync.WaitGroup
@@ -107,9 +107,9 @@
 	all.Wait()
 }
 
-func (w *web) ask(client *http.Client, class standin.ClassLoad, id string, n *webCounts) {
+func (w *web) ask(client *http.Client, class fake.ClassLoad, id string, n *webCounts) {
 	method, body := http.MethodGet, ""
-	if class.Effect != standin.Safe {
+	if class.Effect != fake.Safe {
 		method, body = http.MethodPost, strings.Repeat("b", class.Body)
 	}
 	q, err := http.NewRequest(method, fmt.Sprintf("https://%s/%s/%s", webHost, class.Name, id), strings.NewReader(body))
@@ -120,7 +120,7 @@
 	q.Header.Set("X-Request-ID", id)
 	q.Header.Set("X-Timeout-Ms", fmt.Sprint(class.Deadline.Milliseconds()))
 	key := ""
-	if class.Effect == standin.Keyed {
+	if class.Effect == fake.Keyed {
 		key = id
 		q.Header.Set("Idempotency-Key", key)
 	}
@@ -140,7 +140,7 @@
 		n.failed.Add(1)
 		return
 	}
-	made := strings.HasPrefix(string(text), standin.Made(class.Name, id, key))
+	made := strings.HasPrefix(string(text), fake.Made(class.Name, id, key))
 	w.ledger.Answered(id, resp.StatusCode, made)
 	if resp.ProtoMajor == 2 {
 		n.streams.Add(1)
@@ -230,8 +230,8 @@
 		f.WriteSettings()
 		for id := uint32(1); ctx.Err() == nil; id += 2 {
 			name := fmt.Sprintf("reset-%d", n)
-			h := standin.HeadersOf("GET", webHost, "/allocation-check/"+name, name)
-			w.ledger.Sent(w.ledger.Op(standin.Safe), name, time.Second)
+			h := fake.HeadersOf("GET", webHost, "/allocation-check/"+name, name)
+			w.ledger.Sent(w.ledger.Op(fake.Safe), name, time.Second)
 			w.ledger.Left(name)
 			if f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h, EndStream: true, EndHeaders: true}) != nil ||
 				f.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 // Scenario is a scripted day.
@@ -191,8 +191,8 @@
 }
 
 // Rules checks the four rules against a ledger, once all is over.
-func (e *Env) Rules(l *standin.Ledger) standin.Verdict {
-	v := l.Check(standin.UsualSlack)
+func (e *Env) Rules(l *fake.Ledger) fake.Verdict {
+	v := l.Check(fake.UsualSlack)
 	for _, b := range v.Broken {
 		e.Broken("%s", b)
 	}
--- a/internal/lab/lease.go
+++ b/internal/lab/lease.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -149,7 +149,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed}, from, to)
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, to)
 	killed.measure("killed", usualTakeover)
 	left.measure("left", time.Second)
 	f.stop()
@@ -202,7 +202,7 @@
 			return err
 		}
 	}
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed, "book": standin.Unsafe}, from, to)
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed, "book": fake.Unsafe}, from, to)
 	f.stop()
 	return nil
 }
@@ -245,7 +245,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed}, from, to)
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, to)
 	t.measure("stopped", usualTakeover)
 	f.stop()
 	return nil
@@ -261,7 +261,7 @@
 		return err
 	}
 	from := time.Now()
-	cut, join := func(w *standin.Way) { w.Cut = true }, func(w *standin.Way) { w.Cut = false }
+	cut, join := func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false }
 	part := e.Duration / 4
 	splits := []struct {
 		what string
@@ -296,7 +296,7 @@
 		}
 		pause(ctx, part/4)
 	}
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
 	f.stop()
 	return nil
 }
@@ -440,7 +440,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
 	f.stop()
 	return nil
 }
@@ -455,16 +455,16 @@
 	if err != nil {
 		return err
 	}
-	tasks := map[string]standin.Effect{"keyed": standin.Keyed, "unsafe": standin.Unsafe, "safe": standin.Safe}
+	tasks := map[string]fake.Effect{"keyed": fake.Keyed, "unsafe": fake.Unsafe, "safe": fake.Safe}
 	for name := range tasks {
 		if err := f.settle(ctx, "task/"+name); err != nil {
 			return err
 		}
 	}
 	e.Phase("answers get lost, and holders with them", e.Duration)
-	f.boxes[0].SetFault(standin.Fault{Kind: standin.Silent, Share: 0.1})
-	f.boxes[1].SetFault(standin.Fault{Kind: standin.Reset, Share: 0.1})
-	f.boxes[2].SetFault(standin.Fault{Kind: standin.Turned, Share: 0.1})
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.Silent, Share: 0.1})
+	f.boxes[1].SetFault(fake.Fault{Kind: fake.Reset, Share: 0.1})
+	f.boxes[2].SetFault(fake.Fault{Kind: fake.Turned, Share: 0.1})
 	from := time.Now()
 	var all []TierFault
 	for i := range int(e.Duration / (2 * time.Second)) {
@@ -479,7 +479,7 @@
 	}
 	f.play(ctx, faults)
 	for _, b := range f.boxes {
-		b.SetFault(standin.Fault{})
+		b.SetFault(fake.Fault{})
 	}
 	to := time.Now()
 	for name := range tasks {
@@ -542,17 +542,17 @@
 	slices.Sort(took)
 	e.Measure("votes_again_p50_s", took[len(took)/2].Seconds())
 	e.Measure("votes_again_most_s", took[len(took)-1].Seconds())
-	f.judge(map[string]standin.Effect{"sweep": standin.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
 	f.stop()
 	return nil
 }
 
 func taskBounds(ctx context.Context, e *Env) error {
 	const atOnce, allowed = 2, 5
-	tasks, effects := "", map[string]standin.Effect{}
+	tasks, effects := "", map[string]fake.Effect{}
 	for i := range 6 {
 		name := fmt.Sprint("work", i)
-		effects[name] = standin.Keyed
+		effects[name] = fake.Keyed
 		more := fmt.Sprintf("method = \"POST\"\npriority = %d\n", i)
 		if i == 5 {
 			more += fmt.Sprintf("[tasks.budget]\nper = \"2s\"\nrequests = %d\n", allowed)
@@ -561,7 +561,7 @@
 	}
 	f, err := e.startFleet(ctx, fleetConfig{
 		processes: 5, voters: 3, plain: true, tasks: tasks, more: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
-		box: func(b *standin.BoxConfig) { b.Service, b.Reports = 20*time.Millisecond, standin.NoReports },
+		box: func(b *fake.BoxConfig) { b.Service, b.Reports = 20*time.Millisecond, fake.NoReports },
 	})
 	if err != nil {
 		return err
--- a/internal/lab/long.go
+++ b/internal/lab/long.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -32,17 +32,17 @@
 func longBodies(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 11))
 	text := "[process]\nmemory = \"128MiB\"\ndescriptors = 1024\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n"
-	paces := []standin.Pace{{Piece: 64 << 10}, {Rate: 8 << 20, Piece: 40_000}, {Rate: 1 << 20, Piece: 9_000}, {Rate: 400_000, Piece: 3_000}}
-	var boxes []*standin.LongBox
-	start := func(pace standin.Pace, stops int64) (*standin.LongBox, error) {
-		b, err := standin.StartLongBox(pace, stops, e.Seed)
+	paces := []fake.Pace{{Piece: 64 << 10}, {Rate: 8 << 20, Piece: 40_000}, {Rate: 1 << 20, Piece: 9_000}, {Rate: 400_000, Piece: 3_000}}
+	var boxes []*fake.LongBox
+	start := func(pace fake.Pace, stops int64) (*fake.LongBox, error) {
+		b, err := fake.StartLongBox(pace, stops, e.Seed)
 		if err == nil {
 			e.Defer(b.Close)
 			boxes = append(boxes, b)
 		}
 		return b, err
 	}
-	pool := func(name, class, effect string, boxes ...*standin.LongBox) {
+	pool := func(name, class, effect string, boxes ...*fake.LongBox) {
 		text += fmt.Sprintf("\n[pools.%s]\n", name)
 		for i, b := range boxes {
 			text += fmt.Sprintf("[[pools.%s.servers]]\nname = \"%s-%d\"\naddress = %q\n", name, name, i, b.Addr())
@@ -50,7 +50,7 @@
 		text += fmt.Sprintf("[[pools.%s.classes]]\nname = %q\neffect = %q\naim = \"5s\"\ndeadline = \"20s\"\n[[routes]]\nname = %q\nhosts = [\"farm.example.org\"]\nclasses = [%q]\npool = %q\n",
 			name, class, effect, name, class, name)
 	}
-	var all []*standin.LongBox
+	var all []*fake.LongBox
 	for _, p := range paces[:3] { // the slowest would take a minute for the longest
 		b, err := start(p, 0)
 		if err != nil {
@@ -93,7 +93,7 @@
 	lane := func(n int, rng *rand.Rand) {
 		for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
 			pace := paces[rng.IntN(len(paces))]
-			a := standin.LongAsk{
+			a := fake.LongAsk{
 				Addr: p.Addr("farm"), ID: fmt.Sprintf("long-%d-%d-%d", e.Seed, n, i), Class: "channel-report", Upload: rng.IntN(2) == 0,
 				Chunked: rng.IntN(3) == 0, Pace: pace, Timeout: 20 * time.Second, Patience: 2 * time.Minute, Seed: rng.Uint64(),
 			}
@@ -105,7 +105,7 @@
 			if rng.IntN(20) == 0 && pace.Rate == 0 {
 				a.Size = longMost
 			}
-			got := standin.AskLong(ctx, a)
+			got := fake.AskLong(ctx, a)
 			mu.Lock()
 			asked++
 			switch {
@@ -135,15 +135,15 @@
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		lanes.Go(func() { lane(n, own) })
 	}
-	var drip, half standin.LongAnswer
+	var drip, half fake.LongAnswer
 	lanes.Go(func() {
-		drip = standin.AskLong(ctx, standin.LongAsk{
-			Addr: p.Addr("farm"), ID: "drip", Class: "meter-photo", Upload: true, Size: 100_000, Pace: standin.Pace{Rate: 1, Piece: 1},
+		drip = fake.AskLong(ctx, fake.LongAsk{
+			Addr: p.Addr("farm"), ID: "drip", Class: "meter-photo", Upload: true, Size: 100_000, Pace: fake.Pace{Rate: 1, Piece: 1},
 			Timeout: 20 * time.Second, Patience: 30 * time.Second,
 		})
 	})
 	lanes.Go(func() {
-		half = standin.AskLong(ctx, standin.LongAsk{
+		half = fake.AskLong(ctx, fake.LongAsk{
 			Addr: p.Addr("farm"), ID: "half", Class: "stuck-photo", Upload: true, Size: longMost, Pace: paces[0],
 			Timeout: 20 * time.Second, Patience: 30 * time.Second,
 		})
--- a/internal/lab/plain.go
+++ b/internal/lab/plain.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -26,26 +26,26 @@
 // plainFaults befall one box after the other, each for an eighth of a play, with as long in good order between them.
 var plainFaults = []struct {
 	name  string
-	fault standin.Fault
+	fault fake.Fault
 }{
-	{"answers late", standin.Fault{Kind: standin.Slow, Share: 1, Delay: 400 * time.Millisecond}},
-	{"stands still", standin.Fault{Kind: standin.Silent, Share: 1}},
-	{"answers garbage", standin.Fault{Kind: standin.Spoilt, Share: 1}},
-	{"closes as requests come", standin.Fault{Kind: standin.Closes, Share: 0.5}},
+	{"answers late", fake.Fault{Kind: fake.Slow, Share: 1, Delay: 400 * time.Millisecond}},
+	{"stands still", fake.Fault{Kind: fake.Silent, Share: 1}},
+	{"answers garbage", fake.Fault{Kind: fake.Spoilt, Share: 1}},
+	{"closes as requests come", fake.Fault{Kind: fake.Closes, Share: 0.5}},
 }
 
 // plainPools is the pool of a play: by the platform's protocol, or by plain HTTP with the classes by rule.
-func plainPool(reports standin.Reports, boxes []*standin.Box) string {
+func plainPool(reports fake.Reports, boxes []*fake.Box) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
 	classes := classesTOML("farm")
-	if reports != standin.PlatformReports {
+	if reports != fake.PlatformReports {
 		load := "none"
-		if reports == standin.ORCA {
+		if reports == fake.ORCA {
 			load = "orca"
 		}
 		fmt.Fprintf(&b, "protocol = \"http\"\n[pools.farm.http]\ndeadline_from = [\"X-Timeout-Ms\"]\ncheck = \"/healthz\"\nload = %q\n", load)
-		for _, c := range []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck} {
+		for _, c := range []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck} {
 			name := fmt.Sprintf("name = %q\n", c.Name)
 			classes = strings.Replace(classes, name, name+fmt.Sprintf("match = [\"/%s/\"]\n", c.Name), 1)
 		}
@@ -56,14 +56,14 @@
 }
 
 func httpPlain(ctx context.Context, e *Env) error {
-	served := map[standin.Reports]float64{}
+	served := map[fake.Reports]float64{}
 	answered, tries, doubled := 0, 0, 0
 	for _, play := range []struct {
 		name    string
-		reports standin.Reports
-	}{{"platform", standin.PlatformReports}, {"orca", standin.ORCA}, {"silent", standin.NoReports}} {
-		ledger := standin.NewLedger()
-		boxes, err := e.boxes(play.name, plainBoxes, ledger, func(c *standin.BoxConfig) { c.Reports = play.reports })
+		reports fake.Reports
+	}{{"platform", fake.PlatformReports}, {"orca", fake.ORCA}, {"silent", fake.NoReports}} {
+		ledger := fake.NewLedger()
+		boxes, err := e.boxes(play.name, plainBoxes, ledger, func(c *fake.BoxConfig) { c.Reports = play.reports })
 		if err != nil {
 			return err
 		}
@@ -84,15 +84,15 @@
 				if !pause(load, step) {
 					return
 				}
-				boxes[i].SetFault(standin.Fault{})
+				boxes[i].SetFault(fake.Fault{})
 			}
 			if pause(load, step) {
 				boxes[plainBoxes-1].Close()
 			}
 		}()
-		crowd := standin.RunClients(load, standin.ClientConfig{
+		crowd := fake.RunClients(load, fake.ClientConfig{
 			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: plainRate, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-			Classes: []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
+			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
 		})
 		cancel()
 		if err := p.Stop(); err != nil {
@@ -107,9 +107,9 @@
 	e.AtLeast("answered_once", float64(answered)/float64(max(1, tries)), 1)
 	e.AtMost("duplicates", float64(doubled), 0)
 	e.AtMost("retried_unsafely", float64(doubled), 0)
-	e.AtLeast("served", served[standin.ORCA], 0.9)
-	e.AtMost("lost_with_orca", served[standin.PlatformReports]-served[standin.ORCA], 0.02)
-	e.Measure("lost_without_reports", served[standin.PlatformReports]-served[standin.NoReports])
+	e.AtLeast("served", served[fake.ORCA], 0.9)
+	e.AtMost("lost_with_orca", served[fake.PlatformReports]-served[fake.ORCA], 0.02)
+	e.Measure("lost_without_reports", served[fake.PlatformReports]-served[fake.NoReports])
 	return nil
 }
 
--- a/internal/lab/pools.go
+++ b/internal/lab/pools.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -71,15 +71,15 @@
 }
 
 type poolsDay struct {
-	quiet          *standin.Crowd // of meters and channels
-	flood          *standin.Crowd
+	quiet          *fake.Crowd // of meters and channels
+	flood          *fake.Crowd
 	heads, silents int64
 	cpu            time.Duration // of the program
 }
 
 // playPools plays a day with a program and boxes of its own.
 func playPools(ctx context.Context, e *Env, flooded bool) (*poolsDay, error) {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	lists := map[string]string{}
 	for _, name := range []string{"orders", "meters", "channels"} {
 		boxes, err := e.boxes(name, 3, ledger, nil)
@@ -105,29 +105,29 @@
 	defer cancel()
 	day := &poolsDay{}
 	addr := p.Addr("farm")
-	usual := standin.ClientConfig{
+	usual := fake.ClientConfig{
 		Addr: addr, Tries: 3, Backoff: 40 * time.Millisecond, Honour: true, Ledger: ledger, Seed: e.Seed,
 	}
 	var all sync.WaitGroup
 	all.Go(func() { // meters and channels are one crowd each; their sums are the quiet pools' measure
 		meters, channels := usual, usual
 		meters.Name, meters.Host, meters.Rate = "m", "meters.example.org", 60
-		meters.Classes = []standin.ClassLoad{meterBooking}
+		meters.Classes = []fake.ClassLoad{meterBooking}
 		channels.Name, channels.Host, channels.Rate = "c", "channels.example.org", 90
-		channels.Classes = []standin.ClassLoad{allocationCheck}
+		channels.Classes = []fake.ClassLoad{allocationCheck}
 		channels.Seed++
-		var a, b *standin.Crowd
+		var a, b *fake.Crowd
 		var both sync.WaitGroup
-		both.Go(func() { a = standin.RunClients(load, meters) })
-		both.Go(func() { b = standin.RunClients(load, channels) })
+		both.Go(func() { a = fake.RunClients(load, meters) })
+		both.Go(func() { b = fake.RunClients(load, channels) })
 		both.Wait()
 		day.quiet = a.With(b)
 	})
 	all.Go(func() {
 		orders := usual
 		orders.Name, orders.Host, orders.Rate = "o", "orders.example.org", poolRate/2
-		orders.Classes = []standin.ClassLoad{deliveryOrder, allocationCheck}
-		standin.RunClients(load, orders)
+		orders.Classes = []fake.ClassLoad{deliveryOrder, allocationCheck}
+		fake.RunClients(load, orders)
 	})
 	if flooded {
 		flood := usual
@@ -135,19 +135,19 @@
 		flood.MostOut = 400
 		big := deliveryOrder
 		big.Body = 60 << 10
-		var crowds [3]*standin.Crowd
-		for i, change := range []func(*standin.ClientConfig){
-			func(c *standin.ClientConfig) { c.Classes = []standin.ClassLoad{allocationCheck, deliveryOrder} },
-			func(c *standin.ClientConfig) { c.Classes = []standin.ClassLoad{big} },
-			func(c *standin.ClientConfig) { c.Classes, c.Fresh = []standin.ClassLoad{allocationCheck}, true },
+		var crowds [3]*fake.Crowd
+		for i, change := range []func(*fake.ClientConfig){
+			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{allocationCheck, deliveryOrder} },
+			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{big} },
+			func(c *fake.ClientConfig) { c.Classes, c.Fresh = []fake.ClassLoad{allocationCheck}, true },
 		} {
 			c := flood
 			c.Name, c.Seed, c.Rate = fmt.Sprintf("f%d", i), e.Seed+10+uint64(i), []float64{7, 1, 2}[i]*poolRate
 			change(&c)
-			all.Go(func() { crowds[i] = standin.RunClients(load, c) })
+			all.Go(func() { crowds[i] = fake.RunClients(load, c) })
 		}
-		all.Go(func() { day.heads = standin.SlowHeads(load, addr, "orders.example.org", 100) })
-		all.Go(func() { day.silents = standin.Silents(load, addr, 100) })
+		all.Go(func() { day.heads = fake.SlowHeads(load, addr, "orders.example.org", 100) })
+		all.Go(func() { day.silents = fake.Silents(load, addr, 100) })
 		all.Wait()
 		day.flood = crowds[0].With(crowds[1]).With(crowds[2])
 	}
--- a/internal/lab/quickstart.go
+++ b/internal/lab/quickstart.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -17,7 +17,7 @@
 
 // quickstart shows the program at work: a pool of three boxes, of which one errs for a while and one leaves.
 func quickstart(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	p, boxes, disco, err := e.startFarm(ctx, ledger, "")
 	if err != nil {
 		return err
@@ -26,16 +26,16 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	go script(load, e.Duration,
-		step{0.3, func() { boxes[0].SetFault(standin.Fault{Kind: standin.Error, Share: 1}) }},
-		step{0.6, func() { boxes[0].SetFault(standin.Fault{}) }},
+		step{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.Error, Share: 1}) }},
+		step{0.6, func() { boxes[0].SetFault(fake.Fault{}) }},
 		step{0.7, func() {
 			boxes[2].Drain(true)
 			disco.Set(entries(boxes)...)
 		}},
 	)
-	crowd := standin.RunClients(load, standin.ClientConfig{
+	crowd := fake.RunClients(load, fake.ClientConfig{
 		Name: "farm", Addr: p.Addr("farm"), Host: "farm.example.org", Rate: 150, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-		Classes: []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
+		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
 	})
 	if err := p.Stop(); err != nil {
 		e.Broken("the program ended with %v", err)
@@ -49,7 +49,7 @@
 }
 
 // startFarm starts a program of one pool of three boxes; more is what its file says beside that.
-func (e *Env) startFarm(ctx context.Context, l *standin.Ledger, more string) (*Program, []*standin.Box, *standin.Discovery, error) {
+func (e *Env) startFarm(ctx context.Context, l *fake.Ledger, more string) (*Program, []*fake.Box, *fake.Discovery, error) {
 	boxes, err := e.boxes("box", 3, l, nil)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/lab/reload.go
+++ b/internal/lab/reload.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -21,10 +21,10 @@
 const reloads = 200
 
 // variant is a configuration of the reload day, drawn by the number of the reload.
-func variant(n int, boxes map[string][]*standin.Box) (text string, bad bool) {
+func variant(n int, boxes map[string][]*fake.Box) (text string, bad bool) {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
-	pool := func(name string, all []*standin.Box, more, classes string) {
+	pool := func(name string, all []*fake.Box, more, classes string) {
 		fmt.Fprintf(&b, "\n[pools.%s]\n%s", name, more)
 		b.WriteString(serversTOML(name, all))
 		b.WriteString(classes)
@@ -32,7 +32,7 @@
 	}
 	orders, meters := boxes["orders"], boxes["meters"]
 	if n%4 == 1 { // a box changes its pool
-		meters = append(append([]*standin.Box{}, meters...), orders[2])
+		meters = append(append([]*fake.Box{}, meters...), orders[2])
 		orders = orders[:2]
 	}
 	limits := ""
@@ -56,10 +56,10 @@
 }
 
 func poolsReload(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
-	boxes := map[string][]*standin.Box{}
+	ledger := fake.NewLedger()
+	boxes := map[string][]*fake.Box{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		all, err := e.boxes(name, 3, ledger, func(c *standin.BoxConfig) { c.Service = 20 * time.Millisecond })
+		all, err := e.boxes(name, 3, ledger, func(c *fake.BoxConfig) { c.Service = 20 * time.Millisecond })
 		if err != nil {
 			return err
 		}
@@ -77,19 +77,19 @@
 	e.Phase(fmt.Sprintf("%d reloads under load", reloads), e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	usual := standin.ClientConfig{
+	usual := fake.ClientConfig{
 		Addr: p.Addr("farm"), Tries: 3, Backoff: 30 * time.Millisecond, Honour: true, Ledger: ledger, Seed: e.Seed,
 	}
-	crowds := map[string]*standin.Crowd{}
+	crowds := map[string]*fake.Crowd{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	for name, classes := range map[string][]standin.ClassLoad{
+	for name, classes := range map[string][]fake.ClassLoad{
 		"orders": {deliveryOrder, allocationCheck}, "meters": {meterBooking, allocationCheck}, "channels": {allocationCheck, deliveryOrder},
 	} {
 		c := usual
 		c.Name, c.Host, c.Classes, c.Rate = name, name+".example.org", classes, 80
 		all.Go(func() {
-			crowd := standin.RunClients(load, c)
+			crowd := fake.RunClients(load, c)
 			mu.Lock()
 			defer mu.Unlock()
 			crowds[name] = crowd
--- a/internal/lab/replica.go
+++ b/internal/lab/replica.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -294,21 +294,21 @@
 }
 
 // crowds has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
-func (f *fleet) crowds(ctx context.Context, name string, rate float64, ledger *standin.Ledger) *standin.Crowd {
+func (f *fleet) crowds(ctx context.Context, name string, rate float64, ledger *fake.Ledger) *fake.Crowd {
 	return f.crowdsAt(ctx, f.procs, name, rate, ledger)
 }
 
 // crowdsAt does so at some: one that is stopped answers late, which is no fault of its own.
-func (f *fleet) crowdsAt(ctx context.Context, procs []*fleetProc, name string, rate float64, ledger *standin.Ledger) *standin.Crowd {
+func (f *fleet) crowdsAt(ctx context.Context, procs []*fleetProc, name string, rate float64, ledger *fake.Ledger) *fake.Crowd {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var sum *standin.Crowd
+	var sum *fake.Crowd
 	for _, p := range procs {
 		addr := p.prog.Addr("farm")
 		all.Go(func() {
-			c := standin.RunClients(ctx, standin.ClientConfig{
+			c := fake.RunClients(ctx, fake.ClientConfig{
 				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-				Classes: []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: f.env.Seed<<8 + uint64(p.i),
+				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: f.env.Seed<<8 + uint64(p.i),
 			})
 			mu.Lock()
 			defer mu.Unlock()
@@ -324,7 +324,7 @@
 }
 
 // once holds the four rules, and that each request had one answer and none a second effect.
-func (e *Env) once(ledger *standin.Ledger, prefix string) {
+func (e *Env) once(ledger *fake.Ledger, prefix string) {
 	v := e.Rules(ledger)
 	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Tries)), 1)
 	e.AtMost(prefix+"duplicates", float64(v.Doubled), 0)
@@ -354,11 +354,11 @@
 		served float64
 	}
 	results := map[bool]outcome{}
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startShared(ctx, shared, fleetConfig{
 			processes: processes, voters: 3, nboxes: boxes, ledger: ledger, dealt: true,
-			box: func(b *standin.BoxConfig) { b.Service = 15 * time.Millisecond },
+			box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
@@ -366,15 +366,15 @@
 		length := e.Duration / 2
 		e.Phase("a server dies silently, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length+2*time.Second)
-		var dead *standin.Box
+		var dead *fake.Box
 		went := make(chan struct{})
 		go func() {
 			defer close(went)
 			if pause(load, 2*time.Second) { // all have met some servers by then: one of those that are used most
-				byUse := slices.SortedFunc(slices.Values(f.boxes), func(a, b *standin.Box) int { return int(b.Served() - a.Served()) })
+				byUse := slices.SortedFunc(slices.Values(f.boxes), func(a, b *fake.Box) int { return int(b.Served() - a.Served()) })
 				dead = byUse[int(e.Seed)%3]
 				f.note("%s dies", dead.Name())
-				dead.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+				dead.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 			}
 		}()
 		crowd := f.crowds(load, name, rate, ledger)
@@ -403,11 +403,11 @@
 // replicaRush starts processes again under load, two at a time, while servers are dead that only those know which have met them.
 func replicaRush(ctx context.Context, e *Env) error {
 	const first = 3 * time.Second // of a process' life, in which it is compared
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	served := map[string]float64{}
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startShared(ctx, shared, fleetConfig{
-			processes: 10, voters: 3, nboxes: 9, ledger: ledger, box: func(b *standin.BoxConfig) { b.Service = 15 * time.Millisecond },
+			processes: 10, voters: 3, nboxes: 9, ledger: ledger, box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
@@ -418,9 +418,9 @@
 		cancel()
 		for _, b := range f.boxes[:2] {
 			f.note("%s dies", b.Name())
-			b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 		}
-		var again, others *standin.Crowd
+		var again, others *fake.Crowd
 		most := 0.0
 		for round := 0; round < int(e.Duration/2/(first+time.Second)); round++ {
 			back := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
@@ -444,9 +444,9 @@
 			var all sync.WaitGroup
 			for _, p := range f.procs {
 				all.Go(func() {
-					c := standin.RunClients(load, standin.ClientConfig{
+					c := fake.RunClients(load, fake.ClientConfig{
 						Name: fmt.Sprint(name, round, p.name), Addr: p.prog.Addr("farm"), Host: "farm.example.org", Rate: 30, Tries: 1,
-						Classes: []standin.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed<<16 + uint64(p.i*100+round),
+						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed<<16 + uint64(p.i*100+round),
 					})
 					mu.Lock()
 					defer mu.Unlock()
@@ -483,7 +483,7 @@
 }
 
 func replicaSplit(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
 	if err != nil {
 		return err
@@ -497,12 +497,12 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	followed := h.follow(load)
-	crowd := make(chan *standin.Crowd, 1)
+	crowd := make(chan *fake.Crowd, 1)
 	go func() { crowd <- f.crowds(load, "farm", 5, ledger) }()
 	e.Phase("half and half", part)
 	f.note("split")
-	mend := f.each(func(a, b int) bool { return side(a) != side(b) }, func(w *standin.Way) { w.Cut = true }, func(w *standin.Way) { w.Cut = false })
-	f.boxes[0].SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+	mend := f.each(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 	pause(load, part/2)
 	if err := f.order("avoid", "farm", f.boxes[1].Name(), f.procs[0]); err != nil {
 		return err
@@ -522,7 +522,7 @@
 		return err
 	}
 	e.AtLeast("decided_age_cut_off_s", float64(far.DecidedMs)/1000, (part / 2).Seconds()) // it says how old what it has is
-	f.boxes[0].SetFault(standin.Fault{})
+	f.boxes[0].SetFault(fake.Fault{})
 	mend()
 	healed := time.Now()
 	f.note("the halves meet again")
@@ -676,8 +676,8 @@
 	followed := h.follow(load)
 	e.Phase("starts of one name, orders over lossy links", e.Duration)
 	mend := f.each(func(int, int) bool { return true },
-		func(w *standin.Way) { w.Drop, w.Double, w.Jitter = 0.1, 0.1, 100*time.Millisecond },
-		func(w *standin.Way) { w.Drop, w.Double, w.Jitter = 0, 0, 0 })
+		func(w *fake.Way) { w.Drop, w.Double, w.Jitter = 0.1, 0.1, 100*time.Millisecond },
+		func(w *fake.Way) { w.Drop, w.Double, w.Jitter = 0, 0, 0 })
 	p := f.procs[7]
 	ordered := map[string]bool{}
 	starts := 0
@@ -733,7 +733,7 @@
 
 func replicaLiar(ctx context.Context, e *Env) error {
 	served := map[int]float64{}
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	for liars := range 3 {
 		var names []string
 		for i := range 9 {
@@ -741,7 +741,7 @@
 		}
 		f, err := e.startFleet(ctx, fleetConfig{
 			processes: 12, voters: 3, nboxes: 9, copies: usualCopies, ledger: ledger, dealt: true,
-			box: func(b *standin.BoxConfig) { b.Service = 15 * time.Millisecond },
+			box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
 			lies: func(i int) string {
 				if i >= 12-liars {
 					return strings.Join(names, ",")
@@ -782,7 +782,7 @@
 
 func replicaStorm(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 43))
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
 	if err != nil {
 		return err
@@ -799,9 +799,9 @@
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	followed := h.follow(load)
-	f.boxes[0].SetFault(standin.Fault{Kind: standin.Dead, Share: 0.5})
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.Dead, Share: 0.5})
 	f.play(ctx, faults)
-	f.boxes[0].SetFault(standin.Fault{})
+	f.boxes[0].SetFault(fake.Fault{})
 	cancel()
 	<-followed
 	if err := f.mendAll(ctx); err != nil {
--- a/internal/lab/tier.go
+++ b/internal/lab/tier.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 // The times of fleets in the laboratory: short, so that a run of seconds sees many terms.
@@ -32,7 +32,7 @@
 type fleetConfig struct {
 	processes, voters int
 	tasks             string                     // [[tasks]] of the operator's file
-	box               func(*standin.BoxConfig)   // how the boxes differ from usual ones, or nil
+	box               func(*fake.BoxConfig)      // how the boxes differ from usual ones, or nil
 	clocks            func(i int) (rate float64) // or nil
 	memory            bool                       // the council is in memory
 	plain             bool                       // the pool speaks plain HTTP
@@ -43,7 +43,7 @@
 	term              time.Duration              // 0: tierTerm
 	zone              func(i int) string         // of a process, or nil
 	dealt             bool                       // each process chooses among servers of its own
-	ledger            *standin.Ledger            // of clients, or nil
+	ledger            *fake.Ledger               // of clients, or nil
 	pool              string                     // further sections of the pool
 	lies              func(i int) string         // what a process says is dead though it is not, or nil
 }
@@ -53,11 +53,11 @@
 	env    *Env
 	cfg    fleetConfig
 	dir    string // of its files
-	acts   *standin.Acts
-	boxes  []*standin.Box
+	acts   *fake.Acts
+	boxes  []*fake.Box
 	secret string
 	procs  []*fleetProc
-	links  map[[2]int]*standin.FrameLink
+	links  map[[2]int]*fake.FrameLink
 	began  time.Time
 
 	mu   sync.Mutex
@@ -96,11 +96,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{env: e, cfg: cfg, dir: dir, acts: standin.NewActs(), links: map[[2]int]*standin.FrameLink{}, secret: filepath.Join(dir, "secret")}
+	f := &fleet{env: e, cfg: cfg, dir: dir, acts: fake.NewActs(), links: map[[2]int]*fake.FrameLink{}, secret: filepath.Join(dir, "secret")}
 	if err := os.WriteFile(f.secret, []byte("a secret of the laboratory\n"), 0o600); err != nil {
 		return nil, err
 	}
-	f.boxes, err = e.boxes("box", cmp.Or(cfg.nboxes, 3), cfg.ledger, func(b *standin.BoxConfig) {
+	f.boxes, err = e.boxes("box", cmp.Or(cfg.nboxes, 3), cfg.ledger, func(b *fake.BoxConfig) {
 		b.Acts, b.Service = f.acts, 5*time.Millisecond
 		if cfg.box != nil {
 			cfg.box(b)
@@ -128,7 +128,7 @@
 			if p == q {
 				continue
 			}
-			l, err := standin.StartFrameLink(q.addr, e.Seed<<16+uint64(p.i*256+q.i))
+			l, err := fake.StartFrameLink(q.addr, e.Seed<<16+uint64(p.i*256+q.i))
 			if err != nil {
 				return nil, err
 			}
@@ -178,9 +178,9 @@
 // text is the operator's file of a process: the others are where its links to them begin.
 func (p *fleetProc) text() string {
 	var b strings.Builder
-	reports := standin.PlatformReports
+	reports := fake.PlatformReports
 	if p.f.cfg.plain {
-		reports = standin.NoReports
+		reports = fake.NoReports
 	}
 	pool := plainPool(reports, p.f.boxes)
 	if p.f.cfg.zone != nil {
@@ -480,19 +480,19 @@
 }
 
 // each changes both ways of links, and returns what undoes it.
-func (f *fleet) each(pick func(from, to int) bool, change, undo func(*standin.Way)) (mend func()) {
-	var picked []*standin.FrameLink
+func (f *fleet) each(pick func(from, to int) bool, change, undo func(*fake.Way)) (mend func()) {
+	var picked []*fake.FrameLink
 	for pair, l := range f.links {
 		if pick(pair[0], pair[1]) {
 			picked = append(picked, l)
-			l.Change(standin.Forth, change)
-			l.Change(standin.Back, change)
+			l.Change(fake.Forth, change)
+			l.Change(fake.Back, change)
 		}
 	}
 	return func() {
 		for _, l := range picked {
-			l.Change(standin.Forth, undo)
-			l.Change(standin.Back, undo)
+			l.Change(fake.Forth, undo)
+			l.Change(fake.Back, undo)
 		}
 	}
 }
@@ -507,7 +507,7 @@
 		case <-time.After(t.For):
 		}
 	}
-	cut, join := func(w *standin.Way) { w.Cut = true }, func(w *standin.Way) { w.Cut = false }
+	cut, join := func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false }
 	mend := func() {}
 	switch t.Kind {
 	case "kill":
@@ -561,25 +561,25 @@
 		if there == nil {
 			return
 		}
-		there.Change(standin.Forth, cut)
-		back.Change(standin.Back, cut)
+		there.Change(fake.Forth, cut)
+		back.Change(fake.Back, cut)
 		mend = func() {
-			there.Change(standin.Forth, join)
-			back.Change(standin.Back, join)
+			there.Change(fake.Forth, join)
+			back.Change(fake.Back, join)
 		}
 	case "still":
-		mend = f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *standin.Way) { w.Still = true }, func(w *standin.Way) { w.Still = false })
+		mend = f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.Way) { w.Still = true }, func(w *fake.Way) { w.Still = false })
 	case "split":
 		side := func(i int) bool { return (i+t.P)%len(f.procs) < len(f.procs)*2/5 }
 		mend = f.each(func(a, b int) bool { return side(a) != side(b) }, cut, join)
 	case "loss":
-		mend = f.each(func(int, int) bool { return true }, func(w *standin.Way) { w.Drop = t.Share }, func(w *standin.Way) { w.Drop = 0 })
+		mend = f.each(func(int, int) bool { return true }, func(w *fake.Way) { w.Drop = t.Share }, func(w *fake.Way) { w.Drop = 0 })
 	case "storm":
 		mend = f.each(func(int, int) bool { return true },
-			func(w *standin.Way) { w.Double, w.Delay, w.Jitter = 0.1, 5*time.Millisecond, 150*time.Millisecond },
-			func(w *standin.Way) { w.Double, w.Delay, w.Jitter = 0, 0, 0 })
+			func(w *fake.Way) { w.Double, w.Delay, w.Jitter = 0.1, 5*time.Millisecond, 150*time.Millisecond },
+			func(w *fake.Way) { w.Double, w.Delay, w.Jitter = 0, 0, 0 })
 	case "truncate":
-		f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *standin.Way) { w.Truncates++ }, func(*standin.Way) {})
+		f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.Way) { w.Truncates++ }, func(*fake.Way) {})
 		return
 	case "slowdisk":
 		os.WriteFile(p.disk, []byte("slow 60ms"), 0o600)
@@ -605,7 +605,7 @@
 
 // mendAll ends all faults, and starts what does not run.
 func (f *fleet) mendAll(ctx context.Context) error {
-	f.each(func(int, int) bool { return true }, func(w *standin.Way) { *w = standin.Way{} }, func(*standin.Way) {})
+	f.each(func(int, int) bool { return true }, func(w *fake.Way) { *w = fake.Way{} }, func(*fake.Way) {})
 	for _, p := range f.procs {
 		os.Remove(p.disk)
 		p.mu.Lock()
@@ -623,11 +623,11 @@
 }
 
 // judge notes what the resource and the logs say.
-func (f *fleet) judge(tasks map[string]standin.Effect, from, to time.Time) {
+func (f *fleet) judge(tasks map[string]fake.Effect, from, to time.Time) {
 	e := f.env
 	v := f.acts.Verdict(func(slot string) bool {
 		task, _, _ := strings.Cut(slot, "-")
-		return tasks[task] != standin.Safe
+		return tasks[task] != fake.Safe
 	})
 	if v.First != "" {
 		e.Broken("%s", v.First)
--- a/internal/lab/tiercost.go
+++ b/internal/lab/tiercost.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -34,7 +34,7 @@
 	if err := f.settle(ctx, "task/sweep"); err != nil {
 		return err
 	}
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	text, _, _ := strings.Cut(f.procs[0].text(), "[tier]") // the same pool, and no fleet
 	alone, err := e.StartAs(ctx, "alone", text, 1)
 	if err != nil {
@@ -53,8 +53,8 @@
 		began := time.Now()
 		load, cancel := context.WithTimeout(ctx, part)
 		defer cancel()
-		crowd := standin.RunClients(load, standin.ClientConfig{
-			Name: fmt.Sprint("farm", crowds), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, Tries: 1, Classes: []standin.ClassLoad{allocationCheck}, Ledger: ledger, Seed: e.Seed,
+		crowd := fake.RunClients(load, fake.ClientConfig{
+			Name: fmt.Sprint("farm", crowds), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, Tries: 1, Classes: []fake.ClassLoad{allocationCheck}, Ledger: ledger, Seed: e.Seed,
 		})
 		after, err := p.CPU()
 		if err != nil || crowd.Ops() == 0 {
--- a/internal/lab/zone.go
+++ b/internal/lab/zone.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"sorrelrudder/internal/standin"
+	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -61,27 +61,27 @@
 )
 
 // zoneFleet starts twelve processes in three zones, with three boxes in each, which are cold at their start.
-func (e *Env) zoneFleet(ctx context.Context, ledger *standin.Ledger, zones bool, voters int) (*fleet, error) {
+func (e *Env) zoneFleet(ctx context.Context, ledger *fake.Ledger, zones bool, voters int) (*fleet, error) {
 	return e.zoneFleetOf(ctx, ledger, zones, zoneProcesses, voters, "", usualBox)
 }
 
-func usualBox(b *standin.BoxConfig) { b.Service, b.Cores, b.Queue = 40*time.Millisecond, 2, 200 }
+func usualBox(b *fake.BoxConfig) { b.Service, b.Cores, b.Queue = 40*time.Millisecond, 2, 200 }
 
 // zoneFleetMore is the usual one with further keys of [tier.zones], or of processes each for itself.
-func (e *Env) zoneFleetMore(ctx context.Context, ledger *standin.Ledger, zones bool, more string) (*fleet, error) {
+func (e *Env) zoneFleetMore(ctx context.Context, ledger *fake.Ledger, zones bool, more string) (*fleet, error) {
 	return e.zoneFleetKeys(ctx, ledger, zones, zoneProcesses, 3, "", more, usualBox)
 }
 
-func (e *Env) zoneFleetOf(ctx context.Context, ledger *standin.Ledger, zones bool, processes, voters int, pool string, box func(*standin.BoxConfig)) (*fleet, error) {
+func (e *Env) zoneFleetOf(ctx context.Context, ledger *fake.Ledger, zones bool, processes, voters int, pool string, box func(*fake.BoxConfig)) (*fleet, error) {
 	return e.zoneFleetKeys(ctx, ledger, zones, processes, voters, pool, "", box)
 }
 
-func (e *Env) zoneFleetKeys(ctx context.Context, ledger *standin.Ledger, zones bool, processes, voters int, pool, more string, box func(*standin.BoxConfig)) (*fleet, error) {
+func (e *Env) zoneFleetKeys(ctx context.Context, ledger *fake.Ledger, zones bool, processes, voters int, pool, more string, box func(*fake.BoxConfig)) (*fleet, error) {
 	n := 0
 	cfg := fleetConfig{
 		processes: processes, voters: voters, nboxes: zoneBoxes, ledger: ledger, dealt: true, copies: usualCopies, pool: pool, plain: pool != "",
 		zone: func(i int) string { return labZones[i%3] },
-		box: func(b *standin.BoxConfig) {
+		box: func(b *fake.BoxConfig) {
 			b.Zone = labZones[n%3]
 			box(b)
 			n++
@@ -118,7 +118,7 @@
 }
 
 // inZone are the boxes of a zone.
-func (f *fleet) inZone(zone string) (all []*standin.Box) {
+func (f *fleet) inZone(zone string) (all []*fake.Box) {
 	for _, b := range f.boxes {
 		if b.Zone() == zone {
 			all = append(all, b)
@@ -169,14 +169,14 @@
 		f.note("zone %s is lost", zone)
 		o.lost = time.Now()
 		for _, b := range f.inZone(zone) {
-			b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 		}
 		pause(ctx, length)
 		f.note("zone %s is back, cold", zone)
 		o.back = time.Now()
 		for _, b := range f.inZone(zone) {
 			b.Chill()
-			b.SetFault(standin.Fault{})
+			b.SetFault(fake.Fault{})
 		}
 		<-ctx.Done()
 	}()
@@ -190,7 +190,7 @@
 	}
 	results := map[bool]outcome{}
 	for _, together := range []bool{false, true} {
-		ledger := standin.NewLedger()
+		ledger := fake.NewLedger()
 		f, err := e.zoneFleet(ctx, ledger, together, 3)
 		if err != nil {
 			return err
@@ -248,10 +248,10 @@
 	const ramp = 4 * time.Second
 	served := map[bool]float64{}
 	for _, together := range []bool{false, true} {
-		ledger := standin.NewLedger()
-		f, err := e.zoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *standin.BoxConfig) {
+		ledger := fake.NewLedger()
+		f, err := e.zoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BoxConfig) {
 			b.Service, b.Cores, b.Queue = 20*time.Millisecond, 2, 200
-			b.ColdFrom, b.Ramp, b.Falls, b.Reports = 0.1, ramp, 1500*time.Millisecond, standin.NoReports
+			b.ColdFrom, b.Ramp, b.Falls, b.Reports = 0.1, ramp, 1500*time.Millisecond, fake.NoReports
 		})
 		if err != nil {
 			return err
@@ -300,23 +300,23 @@
 }
 
 func zoneTorn(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *standin.Crowd, 1)
+	crowd := make(chan *fake.Crowd, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
-	dead := func(boxes ...*standin.Box) (mend func()) {
+	dead := func(boxes ...*fake.Box) (mend func()) {
 		for _, b := range boxes {
-			b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 		}
 		return func() {
 			for _, b := range boxes {
-				b.SetFault(standin.Fault{})
+				b.SetFault(fake.Fault{})
 			}
 		}
 	}
@@ -329,12 +329,12 @@
 	pause(ctx, part)
 	mend()
 	e.Phase("members that are cut off", part)
-	mend = f.each(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *standin.Way) { w.Cut = true }, func(w *standin.Way) { w.Cut = false })
+	mend = f.each(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
 	pause(ctx, part)
 	mend()
 	e.Phase("errors of one in eight", part)
 	for _, b := range f.inZone("c") {
-		b.SetFault(standin.Fault{Kind: standin.Error, Share: 0.125})
+		b.SetFault(fake.Fault{Kind: fake.Error, Share: 0.125})
 	}
 	pause(ctx, part)
 	cancel()
@@ -348,14 +348,14 @@
 }
 
 func zoneBlind(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *standin.Crowd, 1)
+	crowd := make(chan *fake.Crowd, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
 	e.Phase("no majority, and a zone goes", part)
@@ -364,7 +364,7 @@
 	f.procs[2].end()
 	at := time.Now()
 	for _, b := range f.inZone("b") {
-		b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+		b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 	}
 	pause(ctx, part)
 	if n := len(f.followed(3, at)); n > 0 {
@@ -386,7 +386,7 @@
 		return fmt.Errorf("zone leave: %w: %s", err, out)
 	}
 	for _, b := range f.inZone("b") {
-		b.SetFault(standin.Fault{})
+		b.SetFault(fake.Fault{})
 	}
 	pinned := time.Now()
 	pause(ctx, part)
@@ -415,25 +415,25 @@
 }
 
 func zoneFlap(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	crowd := make(chan *standin.Crowd, 1)
+	crowd := make(chan *fake.Crowd, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	e.Phase("the zone goes and comes", e.Duration)
 	at := time.Now()
 	for pause(load, 1500*time.Millisecond) {
 		for _, b := range f.inZone("b") {
-			b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 		}
 		pause(load, 1500*time.Millisecond)
 		for _, b := range f.inZone("b") {
 			b.Chill()
-			b.SetFault(standin.Fault{})
+			b.SetFault(fake.Fault{})
 		}
 	}
 	c := <-crowd
@@ -502,14 +502,14 @@
 // zoneDecider does to those that decide and follow what can be done to processes while a zone is left and returned to.
 func zoneDecider(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 51))
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.zoneFleet(ctx, ledger, true, 5)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *standin.Crowd, 1)
+	crowd := make(chan *fake.Crowd, 1)
 	go func() { crowd <- f.crowdsAt(load, f.procs[3:], "farm", 6, ledger) }()
 	x := &epochs{newest: map[string]uint64{}}
 	followed := make(chan struct{})
@@ -546,7 +546,7 @@
 	e.Phase("the zone of the one who decides is lost with it", e.Duration/3)
 	lost := time.Now()
 	for _, b := range f.inZone(zone) {
-		b.SetFault(standin.Fault{Kind: standin.Dead, Share: 1})
+		b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
 	}
 	f.note("zone %s is lost, and %s is killed, which decides", zone, decider.name)
 	decider.end()
@@ -573,7 +573,7 @@
 	f.note("zone %s is back, and %s", zone, decider.name)
 	back := time.Now()
 	for _, b := range f.inZone(zone) {
-		b.SetFault(standin.Fault{})
+		b.SetFault(fake.Fault{})
 	}
 	step := func(least int) func() bool {
 		return func() bool {
@@ -599,7 +599,7 @@
 	}
 	f.note("%s is stopped, which decides; deaf: %v", next.name, half)
 	next.prog.Signal(syscall.SIGSTOP)
-	mend := f.each(func(a, b int) bool { return half[a] != half[b] }, func(w *standin.Way) { w.Cut = true }, func(w *standin.Way) { w.Cut = false })
+	mend := f.each(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
 	if err := f.await(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
 		return err
 	}
@@ -667,18 +667,18 @@
 
 var greyKinds = []struct {
 	name  string
-	fault standin.Fault
+	fault fake.Fault
 }{
-	{"errors", standin.Fault{Kind: standin.Error, Share: 0.125}},
-	{"lost", standin.Fault{Kind: standin.Silent, Share: 0.125}},
-	{"slow", standin.Fault{Kind: standin.Slow, Share: 1, Delay: 360 * time.Millisecond}},
-	{"half", standin.Fault{Kind: standin.Error, Share: 0.5}},
+	{"errors", fake.Fault{Kind: fake.Error, Share: 0.125}},
+	{"lost", fake.Fault{Kind: fake.Silent, Share: 0.125}},
+	{"slow", fake.Fault{Kind: fake.Slow, Share: 1, Delay: 360 * time.Millisecond}},
+	{"half", fake.Fault{Kind: fake.Error, Share: 0.5}},
 }
 
 // zoneGrey measures what it would be worth to leave a zone that fails by half: the same load on it as each process uses it, and with it left by an
 // operator's order.
 func zoneGrey(ctx context.Context, e *Env) error {
-	ledger := standin.NewLedger()
+	ledger := fake.NewLedger()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
@@ -715,7 +715,7 @@
 				cancel()
 				served[left] = crowd.Share()
 				for _, b := range f.inZone("b") {
-					b.SetFault(standin.Fault{})
+					b.SetFault(fake.Fault{})
 				}
 				if left {
 					back := time.Now()
@@ -752,7 +752,7 @@
 	for _, k := range greyKinds {
 		served := map[bool]float64{}
 		for _, auto := range []bool{false, true} {
-			ledger := standin.NewLedger()
+			ledger := fake.NewLedger()
 			f, err := e.zoneFleetMore(ctx, ledger, auto, "grey = true\n")
 			if err != nil {
 				return err
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -27,11 +27,11 @@
 	"go.uber.org/goleak"
 
 	"sorrelrudder/internal/discovery"
+	"sorrelrudder/internal/fake"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/settings"
 	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/internal/spillover"
-	"sorrelrudder/internal/standin"
 	"sorrelrudder/policy"
 )
 
@@ -53,7 +53,7 @@
 	name   string
 	bridge *Bridge
 	gw     *gateway.Gateway
-	boxes  []*standin.Box
+	boxes  []*fake.Box
 	ended  chan struct{}
 	stop   context.CancelFunc
 }
@@ -73,7 +73,7 @@
 }
 
 // startSite starts a site whose peer is at peerAt, with a list of boxes. The link spills whatever is denied.
-func startSite(t *testing.T, name, peer, peerAt, hopAt string, boxes []*standin.Box, files *TLS) *site {
+func startSite(t *testing.T, name, peer, peerAt, hopAt string, boxes []*fake.Box, files *TLS) *site {
 	t.Helper()
 	s := &site{name: name, boxes: boxes, ended: make(chan struct{})}
 	set := farm(name)
@@ -139,11 +139,11 @@
 	return ln.Addr().String()
 }
 
-var effects = map[string]standin.Effect{"check": standin.Safe, "order": standin.Keyed, "order-here": standin.Keyed, "book": standin.Unsafe}
+var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "order-here": fake.Keyed, "book": fake.Unsafe}
 
-func box(t *testing.T, name string, l *standin.Ledger, r *standin.Repeats) *standin.Box {
+func box(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
 	t.Helper()
-	b, err := standin.StartBox(standin.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
+	b, err := fake.StartBox(fake.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,22 +154,22 @@
 // pair is two sites with a link from the first to the second.
 type pair struct {
 	near, far *site
-	link      *standin.Relay
-	ledger    *standin.Ledger
+	link      *fake.Relay
+	ledger    *fake.Ledger
 }
 
 func startPair(t *testing.T, nearBoxes int, files [2]*TLS) *pair {
 	t.Helper()
-	p := &pair{ledger: standin.NewLedger()}
-	repeats := standin.NewRepeats(time.Minute)
-	var near, far []*standin.Box
+	p := &pair{ledger: fake.NewLedger()}
+	repeats := fake.NewRepeats(time.Minute)
+	var near, far []*fake.Box
 	for i := range nearBoxes {
 		near = append(near, box(t, fmt.Sprintf("near-%d", i), p.ledger, repeats))
 	}
 	far = append(far, box(t, "far-0", p.ledger, repeats), box(t, "far-1", p.ledger, repeats))
 	hops := [2]string{free(t), free(t)}
 	var err error
-	if p.link, err = standin.StartRelay(hops[1]); err != nil {
+	if p.link, err = fake.StartRelay(hops[1]); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.link.Close)
@@ -224,7 +224,7 @@
 	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.AnswerField) != "" {
 		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.AnswerField))
 	}
-	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), standin.Made(class, id, key)))
+	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
 	return resp.StatusCode, string(body)
 }
 
@@ -245,7 +245,7 @@
 
 func (p *pair) rules(t *testing.T) {
 	t.Helper()
-	for _, b := range p.ledger.Check(standin.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
+	for _, b := range p.ledger.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
 		t.Error(b)
 	}
 }
@@ -290,7 +290,7 @@
 	p := startPair(t, 0, [2]*TLS{})
 	p.crossing(t, "book")
 	for _, b := range p.far.boxes {
-		b.SetFault(standin.Fault{Kind: standin.Slow, Share: 1, Delay: 500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 500 * time.Millisecond})
 	}
 	for n := range 5 {
 		from := time.Now()
@@ -304,7 +304,7 @@
 		}
 	}
 	for _, b := range p.far.boxes {
-		b.SetFault(standin.Fault{})
+		b.SetFault(fake.Fault{})
 	}
 	p.crossing(t, "check")
 	p.rules(t)
@@ -317,7 +317,7 @@
 	p.crossing(t, "check")
 	p.crossing(t, "book")
 	for _, b := range p.far.boxes {
-		b.SetFault(standin.Fault{Kind: standin.Slow, Share: 1, Delay: 1500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 1500 * time.Millisecond})
 	}
 	var asking sync.WaitGroup
 	var there sync.WaitGroup
@@ -373,7 +373,7 @@
 		t.Errorf("a request beside a stalled link got %d, want a refusal at once", status)
 	}
 	for _, b := range p.far.boxes {
-		b.SetFault(standin.Fault{})
+		b.SetFault(fake.Fault{})
 	}
 	p.link.Stall(false)
 	p.awaitOpen(t)
@@ -437,7 +437,7 @@
 	})
 	defer held.Wait()
 	defer ln.Close()
-	p := &pair{ledger: standin.NewLedger()}
+	p := &pair{ledger: fake.NewLedger()}
 	p.near = startSite(t, "near", "far", ln.Addr().String(), free(t), nil, nil)
 	for n := range 20 {
 		from := time.Now()
@@ -480,7 +480,7 @@
 			t.Fatalf("got %d, want a refusal", status)
 		}
 	}
-	if n := p.ledger.Check(standin.UsualSlack).Arrivals; n > 200 {
+	if n := p.ledger.Check(fake.UsualSlack).Arrivals; n > 200 {
 		t.Errorf("%d attempts", n)
 	}
 	p.rules(t)
