--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -15,8 +15,8 @@
 	"text/tabwriter"
 	"time"
 
+	"sorrelrudder/internal/e2e"
 	"sorrelrudder/internal/fleet"
-	"sorrelrudder/internal/lab"
 	"sorrelrudder/internal/statslog"
 )
 
@@ -57,7 +57,7 @@
 // add counts a line of one process.
 func (r *sharedRow) add(line string) {
 	field := func(key string) int64 {
-		n, err := strconv.ParseInt(lab.Field(line, key), 10, 64)
+		n, err := strconv.ParseInt(e2e.Field(line, key), 10, 64)
 		if err != nil {
 			return 0
 		}
@@ -140,8 +140,8 @@
 		text := bufio.NewScanner(f)
 		text.Buffer(nil, mostLogLine)
 		for text.Scan() {
-			if lab.Field(text.Text(), "msg") == fleet.CopiesFigures {
-				if at, err := time.Parse(time.RFC3339Nano, lab.Field(text.Text(), "time")); err == nil {
+			if e2e.Field(text.Text(), "msg") == fleet.CopiesFigures {
+				if at, err := time.Parse(time.RFC3339Nano, e2e.Field(text.Text(), "time")); err == nil {
 					lines = append(lines, line{at: at, file: name, text: text.Text()})
 					if first.IsZero() || at.Before(first) {
 						first = at
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -20,10 +20,10 @@
 	"github.com/alecthomas/kong"
 
 	"sorrelrudder/internal/config"
+	"sorrelrudder/internal/e2e"
 	"sorrelrudder/internal/fleet"
 	"sorrelrudder/internal/gateway"
 	"sorrelrudder/internal/h2"
-	"sorrelrudder/internal/lab"
 	"sorrelrudder/internal/sitelink"
 	"sorrelrudder/internal/tlsfiles"
 )
@@ -89,7 +89,7 @@
 		return exitUsage
 	case errors.Is(err, errScenario):
 		return exitFailed
-	case errors.Is(err, lab.ErrUnknown), errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, e2e.ErrUnknown), errors.Is(err, os.ErrNotExist):
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
 		return exitUsage
 	}
@@ -286,7 +286,7 @@
 
 func (c *labCmd) Run(s *streams) error {
 	if c.Scenario == "list" {
-		for _, sc := range lab.List() {
+		for _, sc := range e2e.List() {
 			fmt.Fprintf(s.out, "%-16s %6s  %s\n", sc.Name, sc.Duration, sc.Summary)
 		}
 		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "tier-explore", "", "fleets in virtual time under drawn faults, thousands of seeds; see --seeds, --plant, --copies, --zones, --replay")
@@ -305,7 +305,7 @@
 	if c.Scenario == "replica-scale" {
 		return c.replicaScale(s)
 	}
-	o := lab.Options{Seed: c.Seed, Duration: c.Duration, Program: []string{self}, Faults: c.Faults}
+	o := e2e.Options{Seed: c.Seed, Duration: c.Duration, Program: []string{self}, Faults: c.Faults}
 	if c.Verbose {
 		o.Log = s.err
 	} else if f, ok := s.err.(*os.File); ok && isTerminal(f) {
@@ -313,7 +313,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	r, err := lab.Play(ctx, c.Scenario, o)
+	r, err := e2e.Play(ctx, c.Scenario, o)
 	if err != nil {
 		return err
 	}
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -100,7 +100,7 @@
 	for _, command := range []string{"sidecar", "simadapter"} {
 		for _, p := range needs(t, command) {
 			for _, heavy := range []string{
-				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/lab", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
+				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/e2e", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
 				"sorrelrudder/internal/fake", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
 				"go.etcd.io/", "sorrelrudder/internal/lease", "sorrelrudder/internal/task", "sorrelrudder/internal/gossip", "sorrelrudder/internal/zonefailover", "sorrelrudder/internal/zoneview", "sorrelrudder/internal/consensus", "sorrelrudder/internal/fleet", "sorrelrudder/internal/simulation",
 			} {
@@ -162,10 +162,10 @@
 	"internal/siteheader": {},
 	"internal/spillover":  {"policy"},
 	"internal/fake":       {}, // shares no code with what it watches
-	"internal/lab":        {"internal/fake"},
+	"internal/e2e":        {"internal/fake"},
 	"cmd/simadapter":      {"internal/simwire"},
 	"cmd/sidecar":         {"internal/sidecar"},
-	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/simulation", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/lab", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
+	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/simulation", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/e2e", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
 }
 
 // pure modules read no clock, open nothing and start nothing.
--- a/internal/lab/lab.go
+++ b/internal/e2e/lab.go
@@ -1,6 +1,6 @@
-// Package lab plays scripted days on loopback sockets against the real program, with stand-ins for all that is around it,
+// Package e2e plays scripted days on loopback sockets against the real program, with stand-ins for all that is around it,
 // and checks the four rules against the stand-ins' ledger afterwards. A scenario is one file that registers itself.
-package lab
+package e2e
 
 import (
 	"context"
--- a/internal/lab/paired_test.go
+++ b/internal/e2e/paired_test.go
@@ -1,4 +1,4 @@
-package lab
+package e2e
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 // TestPairedSidecars measures two builds of the sidecar against each other, in turn over the same boxes. It is run by hand:
 //
-//	SIDECAR_BEFORE=/path/old SIDECAR_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/lab
+//	SIDECAR_BEFORE=/path/old SIDECAR_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/e2e
 func TestPairedSidecars(t *testing.T) {
 	builds := []string{os.Getenv("SIDECAR_BEFORE"), os.Getenv("SIDECAR_AFTER")}
 	if builds[0] == "" || builds[1] == "" {
--- a/internal/lab/tier.go
+++ b/internal/e2e/tier.go
@@ -1,4 +1,4 @@
-package lab
+package e2e
 
 import (
 	"cmp"
