--- a/cmd/sorrelrudder/golden_test.go
+++ b/cmd/sorrelrudder/golden_test.go
@@ -217,7 +217,7 @@
 // TestMeasureNames compares the names of all measures of the laboratory as its sources spell them, since playing all scenarios takes
 // too long: what is no literal stands as "*". Where a name is spelled in another way in the source, it is still to be the same.
 func TestMeasureNames(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join("..", "..", "internal", "lab", "*.go"))
+	files, err := filepath.Glob(filepath.Join("..", "..", "internal", "e2e", "*.go"))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -62,7 +62,7 @@
 	class := classOf(&pool, strings.ToUpper(c.Method), u.Host, rest, uri, h)
 	for _, k := range pool.Settings.Config.Classes {
 		if k.Name == class {
-			fmt.Fprintf(s.out, "class   %s\neffect  %s\naim     %v\nwaits   %v at most\n", k.Name, [...]string{"safe", "keyed", "unsafe"}[k.Effect], k.Aim, k.Deadline)
+			fmt.Fprintf(s.out, "class   %s\neffect  %s\naim     %v\nwaits   %v at most\n", k.Name, [...]string{"safe", "keyed", "unsafe"}[k.Idempotency], k.LatencyObjective, k.Deadline)
 			return nil
 		}
 	}
--- a/internal/config/opfile.go
+++ b/internal/config/opfile.go
@@ -154,9 +154,9 @@
 	}
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 
-var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
 
 // pool reads the table of one pool.
 func (r *reader) pool(name string, s *section) gateway.Pool {
@@ -164,13 +164,13 @@
 	c := &p.Settings.Config
 	p.Limits.Weight = s.number("weight", 1, 0.001, 1000)
 	c.Zone = s.str("zone", "")
-	c.GroupSize = int(s.whole("instances", 1, 1, mostCount))
-	c.Ordinal = int(s.whole("instance", 0, 0, mostCount))
-	if c.Ordinal >= c.GroupSize {
-		r.bad(s.at("instance"), "is %d; counted from 0, it must be below instances, which is %d", c.Ordinal, c.GroupSize)
+	c.InstanceCount = int(s.whole("instances", 1, 1, mostCount))
+	c.InstanceIndex = int(s.whole("instance", 0, 0, mostCount))
+	if c.InstanceIndex >= c.InstanceCount {
+		r.bad(s.at("instance"), "is %d; counted from 0, it must be below instances, which is %d", c.InstanceIndex, c.InstanceCount)
 	}
-	c.Tick = time.Millisecond
-	c.AnswerGrace = 20 * time.Millisecond
+	c.TimerResolution = time.Millisecond
+	c.ResponseGrace = 20 * time.Millisecond
 	plainHTTP := s.word("protocol", "platform", "platform", "http") == "http"
 
 	p.Discovery = s.str("discovery", "")
@@ -218,20 +218,20 @@
 
 	attempts := s.table("attempts")
 	c.MaxAttempts = int(attempts.whole("max", 3, 1, 10))
-	c.MayDuplicate = attempts.boolean("second_copies", true)
-	c.MayCancel = attempts.boolean("cancel", true)
+	c.HedgingAllowed = attempts.boolean("second_copies", true)
+	c.CancellationAllowed = attempts.boolean("cancel", true)
 	c.DialTimeout = attempts.duration("dial_timeout", 250*time.Millisecond, time.Millisecond, time.Minute)
 	c.ConnIdle = attempts.duration("idle", 5*time.Second, 0, time.Hour)
 	attempts.done()
 
 	refusals := s.table("refusals")
-	c.HintsRetry = refusals.boolean("retry_after", true)
+	c.RetryAfterHonored = refusals.boolean("retry_after", true)
 	c.MaxRetryAfter = refusals.duration("most_retry_after", 1500*time.Millisecond, 0, time.Hour)
 	refusals.done()
 
 	probes := s.table("probes")
-	c.MayProbe = probes.boolean("allowed", true)
-	c.ProbeTariff = probes.number("cost", 0.05, 0, 100)
+	c.HealthChecksAllowed = probes.boolean("allowed", true)
+	c.HealthCheckCost = probes.number("cost", 0.05, 0, 100)
 	probes.done()
 	var dialect httpservice.Config
 	if plainHTTP {
@@ -239,7 +239,7 @@
 	}
 
 	reports := s.table("reports")
-	c.InlineReports = reports.word("via", "answers", "answers", "probes") == "answers"
+	c.InlineLoadReports = reports.word("via", "answers", "answers", "probes") == "answers"
 	if p.Settings.Fields = reports.strs("fields"); !reports.has("fields") {
 		p.Settings.Fields = []string{"inflight", "queue", "util"}
 		reports.print("fields", `["inflight", "queue", "util"]`, true)
@@ -247,16 +247,16 @@
 	reports.done()
 
 	safety := s.table("safety")
-	c.AskEvery = safety.duration("ask_every", 10*time.Second, 10*time.Millisecond, time.Hour)
-	c.ColdFrom = safety.number("cold_from", 0.2, 0, 1)
-	c.Ramp = safety.duration("ramp", 10*time.Second, 0, time.Hour)
+	c.PollInterval = safety.duration("ask_every", 10*time.Second, 10*time.Millisecond, time.Hour)
+	c.SlowStartMinCapacity = safety.number("cold_from", 0.2, 0, 1)
+	c.SlowStartDuration = safety.duration("ramp", 10*time.Second, 0, time.Hour)
 	safety.done()
 
 	costs := s.table("costs")
-	c.ConnectionTariff = costs.number("connection", 0, 0, 100)
-	c.HandshakeTariff = costs.number("handshake", 0, 0, 100)
-	c.CrossZoneTariff = costs.number("cross_zone", 0, 0, 100)
-	c.OverShareWorth = costs.number("over_share_worth", 0.1, 0, 1)
+	c.ConnectionCost = costs.number("connection", 0, 0, 100)
+	c.HandshakeCost = costs.number("handshake", 0, 0, 100)
+	c.CrossZoneCost = costs.number("cross_zone", 0, 0, 100)
+	c.OverQuotaWeight = costs.number("over_share_worth", 0.1, 0, 1)
 	costs.done()
 
 	classes := s.tables("classes")
@@ -278,7 +278,7 @@
 	}
 	tenants := map[string]bool{}
 	for _, t := range s.tables("tenants") {
-		tenant := policy.Tenant{Name: t.needed("name"), AllowancePer: t.number("rate", 0, 0, 1e9)}
+		tenant := policy.Tenant{Name: t.needed("name"), RateQuota: t.number("rate", 0, 0, 1e9)}
 		t.done()
 		if tenants[tenant.Name] {
 			r.bad(t.at("name"), "tenant %q is there twice", tenant.Name)
@@ -303,19 +303,19 @@
 // classOf reads what a class is beside its name; effect is the default.
 func (r *reader) classOf(s *section, c *policy.Class, effect string) {
 	effect = s.word("effect", effect, "safe", "keyed", "unsafe")
-	c.Effect = effects[effect]
-	c.Aim = s.duration("aim", 300*time.Millisecond, time.Millisecond, day)
-	c.Deadline = s.duration("deadline", max(time.Second, c.Aim), time.Millisecond, day)
-	if c.Deadline < c.Aim {
-		r.bad(s.at("deadline"), "is %v, below the aim of %v", c.Deadline, c.Aim)
-	}
-	c.Worth = s.number("worth", 1, 0, 1e9)
-	c.LateShare = s.number("late_share", 0.3, 0, 1)
+	c.Idempotency = effects[effect]
+	c.LatencyObjective = s.duration("aim", 300*time.Millisecond, time.Millisecond, day)
+	c.Deadline = s.duration("deadline", max(time.Second, c.LatencyObjective), time.Millisecond, day)
+	if c.Deadline < c.LatencyObjective {
+		r.bad(s.at("deadline"), "is %v, below the aim of %v", c.Deadline, c.LatencyObjective)
+	}
+	c.PriorityWeight = s.number("worth", 1, 0, 1e9)
+	c.LateWeightFraction = s.number("late_share", 0.3, 0, 1)
 	if effect == "keyed" {
-		c.Group = groups[s.word("repeats_dropped_by", "all", "all", "zone", "cell")]
-		c.KeyTTL = s.duration("repeats_dropped_for", 30*time.Second, 0, day)
+		c.DedupScope = groups[s.word("repeats_dropped_by", "all", "all", "zone", "cell")]
+		c.DedupWindow = s.duration("repeats_dropped_for", 30*time.Second, 0, day)
 		if s.boolean("repeats_dropped_at_both_sites", false) {
-			if c.Group != policy.GroupAll {
+			if c.DedupScope != policy.DedupEverywhere {
 				r.bad(s.at("repeats_dropped_at_both_sites"), "needs repeats_dropped_by = \"all\"")
 			}
 			r.reaches = append(r.reaches, c.Name)
--- a/internal/config/opfile_test.go
+++ b/internal/config/opfile_test.go
@@ -32,7 +32,7 @@
 	p := g.Pools[0]
 	c := p.Settings.Config
 	if g.MemoryMB != 192 || g.Descriptors != 1024 || f.Cores != 1 || p.Name != "orders" || p.Limits.Weight != 1 || p.Limits.Hold ||
-		c.MaxAttempts != 3 || !c.HintsRetry || !c.InlineReports || c.Classes[0].Effect != policy.Keyed || c.Classes[0].KeyTTL != 30*time.Second {
+		c.MaxAttempts != 3 || !c.RetryAfterHonored || !c.InlineLoadReports || c.Classes[0].Idempotency != policy.IdempotentByKey || c.Classes[0].DedupWindow != 30*time.Second {
 		t.Errorf("the defaults are not as written: %+v", g)
 	}
 }
@@ -64,12 +64,12 @@
 		}
 		var got []string
 		for _, c := range f.Gateway.Pools[0].Settings.Config.Classes {
-			got = append(got, c.Name+" "+[...]string{"safe", "keyed", "unsafe"}[c.Effect])
+			got = append(got, c.Name+" "+[...]string{"safe", "keyed", "unsafe"}[c.Idempotency])
 		}
 		if text := strings.Join(got, ", "); text != want {
 			t.Errorf("%q: %s, want %s", more, text, want)
 		}
-		if f.Gateway.Pools[0].Settings.Config.MayProbe {
+		if f.Gateway.Pools[0].Settings.Config.HealthChecksAllowed {
 			t.Errorf("%q: probes without a path to ask for", more)
 		}
 		again, err := Parse("f.toml", []byte(f.String()))
--- a/internal/config/plain.go
+++ b/internal/config/plain.go
@@ -51,8 +51,8 @@
 	}
 	t.done()
 	c := &p.Settings.Config
-	c.MayProbe = c.MayProbe && cfg.Check != ""
-	c.InlineReports = cfg.ORCA
+	c.HealthChecksAllowed = c.HealthChecksAllowed && cfg.Check != ""
+	c.InlineLoadReports = cfg.ORCA
 	return cfg
 }
 
@@ -93,13 +93,13 @@
 	c := &p.Settings.Config
 	names := map[string]bool{}
 	add := func(pc httpservice.Class, m policy.Class) {
-		if m.Effect == policy.Keyed {
+		if m.Idempotency == policy.IdempotentByKey {
 			bare := m
-			bare.Name, bare.Effect = m.Name+bareSuffix, policy.Unsafe
+			bare.Name, bare.Idempotency = m.Name+bareSuffix, policy.NonIdempotent
 			pc.Bare = bare.Name
 			c.Classes = append(c.Classes, bare)
 		}
-		pc.Rule.Class, pc.Effect, pc.Deadline = m.Name, m.Effect, m.Deadline
+		pc.Rule.Class, pc.Effect, pc.Deadline = m.Name, m.Idempotency, m.Deadline
 		cfg.Classes = append(cfg.Classes, pc)
 		c.Classes = append(c.Classes, m)
 		names[m.Name] = true
@@ -135,7 +135,7 @@
 		t.done()
 		add(pc, m)
 	}
-	usual := policy.Class{Aim: 300 * time.Millisecond, Deadline: 15 * time.Second, Worth: 1, LateShare: 0.3}
+	usual := policy.Class{LatencyObjective: 300 * time.Millisecond, Deadline: 15 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.3}
 	if len(tables) == 0 {
 		reads := usual
 		reads.Name = readsClass
@@ -150,7 +150,7 @@
 		add(httpservice.Class{Rule: rule}, reads)
 	}
 	other := usual
-	other.Name, other.Effect = otherClass, policy.Unsafe
+	other.Name, other.Idempotency = otherClass, policy.NonIdempotent
 	if names[otherClass] {
 		r.bad(s.at("classes"), "a class is named %q, which is that of all other requests", otherClass)
 		return
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -89,7 +89,7 @@
 			Most: z.duration("hold_most", usual.Most, 100*time.Millisecond, 24*time.Hour), Looks: int(z.whole("looks", int64(usual.Looks), 1, 5)), Grey: z.boolean("grey", usual.Grey),
 		}}
 		for _, p := range f.Gateway.Pools { // so long the fleet takes what it returns to for cold
-			c.Zones.Rules.Warm = max(c.Zones.Rules.Warm, p.Settings.Config.Ramp)
+			c.Zones.Rules.Warm = max(c.Zones.Rules.Warm, p.Settings.Config.SlowStartDuration)
 		}
 		z.done()
 		if c.Copies == nil {
@@ -215,9 +215,9 @@
 		r.known(s.at("path"), "class", class, names)
 		return k
 	}
-	k.Effect, k.Window = task.Effect(of.Effect), of.KeyTTL
-	if !k.Plain && (of.Effect == policy.Safe) != (k.Method == http.MethodGet) {
-		r.bad(s.at("method"), "is %s, and the class %q is %s", k.Method, class, [...]string{"safe", "keyed", "unsafe"}[of.Effect])
+	k.Effect, k.Window = task.Effect(of.Idempotency), of.DedupWindow
+	if !k.Plain && (of.Idempotency == policy.Idempotent) != (k.Method == http.MethodGet) {
+		r.bad(s.at("method"), "is %s, and the class %q is %s", k.Method, class, [...]string{"safe", "keyed", "unsafe"}[of.Idempotency])
 	}
 	if err := k.Spec.Check(); err != nil {
 		r.bad(s.n, "%v", err)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,8 +42,8 @@
 }
 
 // States are the words of discovery for the states of servers.
-var States = map[string]policy.ServerState{
-	"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone,
+var States = map[string]policy.EndpointState{
+	"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed,
 }
 
 // ParseList reads a message of discovery. It rejects the whole of one that is malformed anywhere, so that a
@@ -76,7 +76,7 @@
 		switch {
 		case !ok:
 			return nil, fmt.Errorf("server list: host %q has health %q", e.Host, e.Health)
-		case e.Host == "" || e.Dial == "" && state != policy.Gone:
+		case e.Host == "" || e.Dial == "" && state != policy.Removed:
 			return nil, fmt.Errorf("server list: entry %d lacks host or dial", i)
 		}
 	}
--- a/internal/discovery/form_test.go
+++ b/internal/discovery/form_test.go
@@ -46,7 +46,7 @@
 	if got := slices.Sorted(maps.Keys(list.Hosts[0])); !slices.Equal(got, keys) || reflect.TypeFor[Entry]().NumField() != len(keys) {
 		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Entry", got, keys)
 	}
-	states := map[string]policy.ServerState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+	states := map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed}
 	if !maps.Equal(States, states) {
 		t.Errorf("states %v, want %v", States, states)
 	}
--- a/internal/emulator/cases_test.go
+++ b/internal/emulator/cases_test.go
@@ -67,7 +67,7 @@
 		}
 		lost := 0
 		w.settled = func(a *attempt, st policy.Status) {
-			if a.try.in.ordinal == 0 && a.s.cut && (st == policy.ConnectFailed || st == policy.Timeout) {
+			if a.try.in.ordinal == 0 && a.s.cut && (st == policy.StatusConnectFailed || st == policy.StatusTimeout) {
 				lost++
 			}
 		}
@@ -95,9 +95,9 @@
 	w.settled = func(a *attempt, st policy.Status) {
 		switch {
 		case a.try.in.ordinal != 0 || w.At() < 6*time.Second:
-		case st == policy.OK:
+		case st == policy.StatusOK:
 			good++
-		case st != policy.Canceled:
+		case st != policy.StatusCanceled:
 			bad++
 		}
 	}
@@ -192,7 +192,7 @@
 			day.Steps = append(day.Steps, Step{at, func(w *World) {
 				for _, s := range w.servers {
 					for _, in := range w.instances {
-						in.do(func(now policy.Time) { in.b.Hint(now, policy.ServerID(s.id)) })
+						in.do(func(now policy.Time) { in.b.HandleUnreachableHint(now, policy.EndpointID(s.id)) })
 					}
 				}
 			}})
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -18,9 +18,9 @@
 		Zones: []string{"a", "b"}, Near: ms / 2, Far: 7 * ms, Room: 300, MostConns: 400, Handshake: 2 * ms, ReportLag: 150 * ms,
 		ColdFrom: 0.35, ColdFor: 8 * time.Second, Tip: 2.5, TipFor: time.Second,
 		Classes: []Class{
-			{policy.Class{Name: "check", Aim: 450 * ms, Deadline: 2200 * ms, Worth: 2, LateShare: 0.2}, 0.47, 90 * ms, 1},
-			{policy.Class{Name: "order", Effect: policy.Keyed, KeyTTL: 1500 * ms, Aim: 450 * ms, Deadline: 1840 * ms, Worth: 10, LateShare: 0.5}, 0.34, 75 * ms, 1},
-			{policy.Class{Name: "booking", Effect: policy.Keyed, Group: policy.GroupCell, KeyTTL: 12 * time.Second, Aim: 890 * ms, Deadline: 1840 * ms, Worth: 3, LateShare: 0.3}, 0.19, 140 * ms, 1},
+			{policy.Class{Name: "check", LatencyObjective: 450 * ms, Deadline: 2200 * ms, PriorityWeight: 2, LateWeightFraction: 0.2}, 0.47, 90 * ms, 1},
+			{policy.Class{Name: "order", Idempotency: policy.IdempotentByKey, DedupWindow: 1500 * ms, LatencyObjective: 450 * ms, Deadline: 1840 * ms, PriorityWeight: 10, LateWeightFraction: 0.5}, 0.34, 75 * ms, 1},
+			{policy.Class{Name: "booking", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupCell, DedupWindow: 12 * time.Second, LatencyObjective: 890 * ms, Deadline: 1840 * ms, PriorityWeight: 3, LateWeightFraction: 0.3}, 0.19, 140 * ms, 1},
 		},
 		Clients:   Clients{Rate: 1300, Spread: 1, Retries: 3, Pause: 20 * ms, TryShare: 0.5, Heed: true},
 		Discovery: Discovery{Calls: 60, Patience: 2 * time.Second, Notice: 1500 * ms},
@@ -269,7 +269,7 @@
 	}
 	send := func(tr *try, s *server) *attempt {
 		a := &attempt{try: tr, s: s, sent: w.now}
-		w.watch.sends(a, policy.ServerID(s.id))
+		w.watch.sends(a, policy.EndpointID(s.id))
 		tr.attempts = append(tr.attempts, a)
 		return a
 	}
@@ -283,7 +283,7 @@
 			w.watch.answered(tr, refused)
 		},
 		"take nothing": func() {
-			w.watch.told(in, policy.ListDelta, []policy.Server{{ID: "s005", State: policy.Draining}})
+			w.watch.told(in, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
 			w.now += 2100 * ms
 			send(mk(0), w.servers[5])
 		},
--- a/internal/emulator/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -17,12 +17,12 @@
 func (in *instance) tells(now policy.Time, s *server, st policy.Status) {
 	w := in.w
 	if w.fleet != nil && s != nil {
-		w.fleet.saw(in, policy.ServerID(s.id), st)
+		w.fleet.saw(in, policy.EndpointID(s.id), st)
 	}
-	if !w.day.Hearsay.Dead || s == nil || st != policy.ConnectFailed && st != policy.Timeout && st != policy.Reset {
+	if !w.day.Hearsay.Dead || s == nil || st != policy.StatusConnectFailed && st != policy.StatusTimeout && st != policy.StatusReset {
 		return
 	}
-	id := policy.ServerID(s.id)
+	id := policy.EndpointID(s.id)
 	if at, had := in.said[id]; had && now < at+sayAgain {
 		return
 	}
@@ -35,7 +35,7 @@
 			w.after(time.Duration(again)*sayAgain/sayTimes, func() {
 				for _, other := range w.instances {
 					if other != in {
-						other.do(func(now policy.Time) { other.b.Hint(now, id) })
+						other.do(func(now policy.Time) { other.b.HandleUnreachableHint(now, id) })
 					}
 				}
 			})
@@ -50,7 +50,7 @@
 }
 
 // enough notes a witness, and reports whether as many as are wanted have told of the server of late.
-func (w *World) enough(id policy.ServerID, in *instance) bool {
+func (w *World) enough(id policy.EndpointID, in *instance) bool {
 	kept := w.witnesses[id][:0]
 	for _, x := range w.witnesses[id] {
 		if x.in != in && x.at > w.now-sayAgain {
@@ -58,7 +58,7 @@
 		}
 	}
 	if w.witnesses == nil {
-		w.witnesses = map[policy.ServerID][]witness{}
+		w.witnesses = map[policy.EndpointID][]witness{}
 	}
 	w.witnesses[id] = append(kept, witness{in, w.now})
 	return len(w.witnesses[id]) >= max(1, w.day.Hearsay.Witnesses)
@@ -66,16 +66,16 @@
 
 // reports has the others take a report for one of their own probes', after the lag. That would be bold; it measures what room that all see
 // would be worth at most.
-func (in *instance) reports(to policy.ServerID, st policy.Status, l *policy.Load) {
+func (in *instance) reports(to policy.EndpointID, st policy.Status, l *policy.LoadReport) {
 	w := in.w
-	if !w.day.Hearsay.Room || st != policy.OK {
+	if !w.day.Hearsay.Room || st != policy.StatusOK {
 		return
 	}
 	w.after(w.day.Hearsay.Lag, func() {
 		for _, other := range w.instances {
 			if other != in && other.known[to] != nil && other.known[to].zone == other.zone {
 				other.do(func(now policy.Time) {
-					other.b.Probed(now, policy.ProbeResult{Server: to, Status: policy.OK, Load: l}, other)
+					other.b.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: to, Status: policy.StatusOK, Load: l}, other)
 				})
 			}
 		}
@@ -94,12 +94,12 @@
 		if from == in || !from.up {
 			continue
 		}
-		l := from.b.Learnt(w.now)
-		for id, s := range l.Servers {
-			s.EjectedFor, s.Fails = 0, 0
-			l.Servers[id] = s
+		l := from.b.ExportLearnedState(w.now)
+		for id, s := range l.Endpoints {
+			s.EjectedFor, s.ConsecutiveFailures = 0, 0
+			l.Endpoints[id] = s
 		}
-		w.after(w.day.Hearsay.Lag, func() { in.do(func(now policy.Time) { in.b.Adopt(now, l) }) })
+		w.after(w.day.Hearsay.Lag, func() { in.do(func(now policy.Time) { in.b.ImportLearnedState(now, l) }) })
 		return
 	}
 }
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -16,19 +16,19 @@
 	tries   map[policy.RequestID]*try
 	lastID  policy.RequestID
 	up      bool
-	known   map[policy.ServerID]*server     // by the list that it was told
-	starts  map[policy.ServerID]policy.Time // of the servers, as it was told
-	idle    map[*server]int                 // connections on which nothing is asked
+	known   map[policy.EndpointID]*server     // by the list that it was told
+	starts  map[policy.EndpointID]policy.Time // of the servers, as it was told
+	idle    map[*server]int                   // connections on which nothing is asked
 	watcher *watcher
 	after   []func()
 	inside  bool
-	said    map[policy.ServerID]policy.Time // when it told others of a server
+	said    map[policy.EndpointID]policy.Time // when it told others of a server
 
 	// Where zones are decided for all.
-	list     map[policy.ServerID]policy.Server // as it was told
+	list     map[policy.EndpointID]policy.Endpoint // as it was told
 	avoids   map[string]bool
-	returned map[policy.ServerID]policy.Time
-	leftBorn map[policy.ServerID]policy.Time // of those it avoids, as the list had their start then
+	returned map[policy.EndpointID]policy.Time
+	leftBorn map[policy.EndpointID]policy.Time // of those it avoids, as the list had their start then
 }
 
 // try is a request as an instance has it.
@@ -64,18 +64,18 @@
 // renew makes a module that knows nothing.
 func (in *instance) renew() error {
 	cfg := in.w.day.Module
-	cfg.Ordinal, cfg.GroupSize, cfg.Zone = in.ordinal, in.w.day.Instances, in.zone
-	cfg.ColdFrom, cfg.Ramp = in.w.day.ColdFrom, in.w.day.ColdFor
+	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.ordinal, in.w.day.Instances, in.zone
+	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.w.day.ColdFrom, in.w.day.ColdFor
 	cfg.Classes = nil
 	for _, c := range in.w.day.Classes {
 		cfg.Classes = append(cfg.Classes, c.Class)
 	}
 	in.seed++
 	b, err := policy.New(cfg, in.seed)
-	in.b, in.tries, in.known, in.idle, in.watcher = b, map[policy.RequestID]*try{}, map[policy.ServerID]*server{}, map[*server]int{}, nil
-	in.said, in.starts = map[policy.ServerID]policy.Time{}, map[policy.ServerID]policy.Time{}
-	in.list, in.avoids, in.returned = map[policy.ServerID]policy.Server{}, nil, map[policy.ServerID]policy.Time{}
-	in.leftBorn = map[policy.ServerID]policy.Time{}
+	in.b, in.tries, in.known, in.idle, in.watcher = b, map[policy.RequestID]*try{}, map[policy.EndpointID]*server{}, map[*server]int{}, nil
+	in.said, in.starts = map[policy.EndpointID]policy.Time{}, map[policy.EndpointID]policy.Time{}
+	in.list, in.avoids, in.returned = map[policy.EndpointID]policy.Endpoint{}, nil, map[policy.EndpointID]policy.Time{}
+	in.leftBorn = map[policy.EndpointID]policy.Time{}
 	return err
 }
 
@@ -104,7 +104,7 @@
 func (in *instance) start() {
 	in.up = true
 	old := in.w.list.changes
-	var known []policy.Server
+	var known []policy.Endpoint
 	for _, c := range old {
 		if c.seq == 0 {
 			known = append(known, c.entry)
@@ -113,7 +113,7 @@
 	if in.w.day.Hearsay.List && in.w.At() > in.w.day.Start {
 		known = in.w.list.whole()
 	}
-	in.told(policy.ListCached, known)
+	in.told(policy.UpdateCached, known)
 	in.inherit()
 }
 
@@ -158,27 +158,27 @@
 }
 
 // told takes a message about the list.
-func (in *instance) told(kind policy.ListKind, entries []policy.Server) {
+func (in *instance) told(kind policy.UpdateKind, entries []policy.Endpoint) {
 	in.do(func(now policy.Time) {
 		in.w.watch.told(in, kind, entries)
-		if kind != policy.ListDelta {
+		if kind != policy.UpdateDelta {
 			clear(in.known)
 		}
 		for _, e := range entries {
 			in.starts[e.ID] = e.Started
 			var at *server
 			for _, s := range in.w.servers {
-				if policy.ServerID(s.id) == e.ID && (at == nil || !s.gone) {
+				if policy.EndpointID(s.id) == e.ID && (at == nil || !s.gone) {
 					at = s
 				}
 			}
-			if e.State == policy.Gone {
+			if e.State == policy.Removed {
 				delete(in.known, e.ID)
 			} else {
 				in.known[e.ID] = at
 			}
 		}
-		in.b.Members(now, kind, in.listed(kind, entries), in)
+		in.b.UpdateEndpoints(now, kind, in.listed(kind, entries), in)
 	})
 }
 
@@ -186,7 +186,7 @@
 func (in *instance) lost() {
 	in.do(func(now policy.Time) {
 		in.watcher = nil
-		in.b.Members(now, policy.ListFailed, nil, in)
+		in.b.UpdateEndpoints(now, policy.UpdatePollFailed, nil, in)
 	})
 }
 
@@ -208,7 +208,7 @@
 		}
 	})
 	in.do(func(now policy.Time) {
-		in.b.Request(now, policy.Request{ID: t.id, Class: q.class.Name, Expires: t.expires, Cost: q.work}, in)
+		in.b.HandleRequest(now, policy.Request{ID: t.id, Class: q.class.Name, Expires: t.expires, ExpectedWork: q.work}, in)
 	})
 }
 
@@ -278,17 +278,17 @@
 		in.w.settled(a, st)
 	}
 	switch st {
-	case policy.ConnectFailed:
+	case policy.StatusConnectFailed:
 		in.w.second().Unreached++
-	case policy.Timeout:
+	case policy.StatusTimeout:
 		in.w.second().TimedOut++
-	case policy.AppError:
+	case policy.StatusApplicationError:
 		in.w.second().Erred++
-	case policy.Full:
+	case policy.StatusOverloaded:
 		in.w.second().Full++
 	}
-	if st != policy.ConnectFailed || a.begun {
-		if st == policy.OK || st == policy.AppError || st == policy.Full {
+	if st != policy.StatusConnectFailed || a.begun {
+		if st == policy.StatusOK || st == policy.StatusApplicationError || st == policy.StatusOverloaded {
 			in.idle[a.s]++
 		} else {
 			a.s.conns--
@@ -296,12 +296,12 @@
 	}
 	in.do(func(now policy.Time) {
 		t := a.try
-		if st == policy.OK && !t.ended {
+		if st == policy.StatusOK && !t.ended {
 			t.end(served, 0)
 		}
 		in.w.watch.outcome(a, st)
 		defer in.tells(now, a.s, st)
-		in.b.Outcome(now, policy.Outcome{ID: t.id, Attempt: a.number, Server: policy.ServerID(a.s.id), Status: st, Delay: now - a.sent, Closed: t.ended}, in)
+		in.b.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.s.id), Status: st, Delay: now - a.sent, RequestEnded: t.ended}, in)
 		in.forget(t)
 	})
 }
@@ -309,7 +309,7 @@
 // back brings the answer to an attempt.
 func (a *attempt) back(w *World, st policy.Status) {
 	in := a.try.in
-	if st == policy.OK && w.lost > 0 && w.rng.Float64() < w.lost {
+	if st == policy.StatusOK && w.lost > 0 && w.rng.Float64() < w.lost {
 		return
 	}
 	w.after(in.way(a.s), func() { in.settle(a, st) })
@@ -322,7 +322,7 @@
 		if t := in.tries[id]; t != nil {
 			for _, a := range t.attempts {
 				if a.s == s && !a.done && a.begun {
-					in.w.after(in.way(s), func() { in.settle(a, policy.Reset) })
+					in.w.after(in.way(s), func() { in.settle(a, policy.StatusReset) })
 				}
 			}
 		}
@@ -331,7 +331,7 @@
 
 // The methods of policy.Actions.
 
-func (in *instance) Send(id policy.RequestID, to policy.ServerID, timeout time.Duration) {
+func (in *instance) StartAttempt(id policy.RequestID, to policy.EndpointID, timeout time.Duration) {
 	t, s := in.tries[id], in.known[to]
 	if t == nil {
 		in.w.watch.breach("1: %d sent something of a request that it has not", in.ordinal)
@@ -348,7 +348,7 @@
 	if s == nil {
 		a.done = true
 		in.after = append(in.after, func() {
-			in.b.Outcome(in.w.now, policy.Outcome{ID: id, Attempt: a.number, Server: to, Status: policy.Moot, Closed: t.ended}, in)
+			in.b.HandleAttemptResult(in.w.now, policy.AttemptResult{ID: id, Attempt: a.number, Endpoint: to, Status: policy.StatusNotSent, RequestEnded: t.ended}, in)
 			in.forget(t)
 		})
 		return
@@ -359,24 +359,24 @@
 	if s.zone != in.zone {
 		sec.Crossed++
 	}
-	in.w.after(timeout, func() { in.settle(a, policy.Timeout) })
+	in.w.after(timeout, func() { in.settle(a, policy.StatusTimeout) })
 	in.connect(s, func(up bool) {
 		switch {
 		case !up:
-			in.settle(a, policy.ConnectFailed)
+			in.settle(a, policy.StatusConnectFailed)
 		case a.done: // given up meanwhile
 			in.idle[s]++
 		default:
 			a.begun = true
 			in.w.after(in.way(s), func() { s.comes(in.w, a) })
 			if in.w.resets > 0 && in.w.rng.Float64() < in.w.resets {
-				in.w.after(2*in.way(s), func() { in.settle(a, policy.Reset) })
+				in.w.after(2*in.way(s), func() { in.settle(a, policy.StatusReset) })
 			}
 		}
 	})
 }
 
-func (in *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
+func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	if t := in.tries[id]; t != nil {
 		t.end(refused, retryAfter)
 		in.after = append(in.after, func() { in.forget(t) })
@@ -390,10 +390,10 @@
 	}
 }
 
-func (in *instance) Cancel(id policy.RequestID, n int) {
+func (in *instance) CancelAttempt(id policy.RequestID, n int) {
 	if t := in.tries[id]; t != nil && n < len(t.attempts) {
 		a := t.attempts[n]
-		in.after = append(in.after, func() { in.settle(a, policy.Canceled) })
+		in.after = append(in.after, func() { in.settle(a, policy.StatusCanceled) })
 	}
 }
 
@@ -401,48 +401,48 @@
 	b := in.b
 	in.w.after(after, func() {
 		if in.b == b { // else the process that asked for it has ended
-			in.do(func(now policy.Time) { b.Timer(now, token, in) })
+			in.do(func(now policy.Time) { b.HandleTimer(now, token, in) })
 		}
 	})
 }
 
-func (in *instance) Probe(to policy.ServerID) {
+func (in *instance) CheckHealth(to policy.EndpointID) {
 	s := in.known[to]
 	in.w.second().Probes++
 	b := in.b
-	answer := func(st policy.Status, l *policy.Load) {
+	answer := func(st policy.Status, l *policy.LoadReport) {
 		if in.b == b {
 			in.do(func(now policy.Time) {
-				in.b.Probed(now, policy.ProbeResult{Server: to, Status: st, Load: l}, in)
+				in.b.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: to, Status: st, Load: l}, in)
 				in.tells(now, s, st)
 				in.reports(to, st, l)
 			})
 		}
 	}
 	if s == nil {
-		in.after = append(in.after, func() { answer(policy.Moot, nil) })
+		in.after = append(in.after, func() { answer(policy.StatusNotSent, nil) })
 		return
 	}
 	in.connect(s, func(up bool) {
 		if !up {
-			answer(policy.ConnectFailed, nil)
+			answer(policy.StatusConnectFailed, nil)
 			return
 		}
 		in.w.after(in.way(s), func() {
 			if s.dead() {
-				in.w.after(400*time.Millisecond, func() { s.conns--; answer(policy.Timeout, nil) })
+				in.w.after(400*time.Millisecond, func() { s.conns--; answer(policy.StatusTimeout, nil) })
 				return
 			}
 			queue := s.reported(in.w)
 			in.w.after(in.way(s), func() {
 				in.idle[s]++
-				answer(policy.OK, &policy.Load{Queue: queue, Inflight: -1, Latency: -1, ErrorRate: -1})
+				answer(policy.StatusOK, &policy.LoadReport{Queue: queue, InFlight: -1, Latency: -1, ErrorRate: -1})
 			})
 		})
 	})
 }
 
-func (in *instance) Watch(on bool) {
+func (in *instance) WatchEndpoints(on bool) {
 	if in.watcher != nil {
 		in.watcher.off = true
 		in.watcher = nil
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -19,7 +19,7 @@
 // observer holds the four rules, by books of its own.
 type observer struct {
 	w     *World
-	left  map[*instance]map[policy.ServerID]policy.Time // since when an instance has been told that a server takes nothing new
+	left  map[*instance]map[policy.EndpointID]policy.Time // since when an instance has been told that a server takes nothing new
 	tries map[*try]*book
 }
 
@@ -30,7 +30,7 @@
 }
 
 func newObserver(w *World) *observer {
-	return &observer{w: w, left: map[*instance]map[policy.ServerID]policy.Time{}, tries: map[*try]*book{}}
+	return &observer{w: w, left: map[*instance]map[policy.EndpointID]policy.Time{}, tries: map[*try]*book{}}
 }
 
 func (o *observer) breach(format string, args ...any) {
@@ -41,13 +41,13 @@
 }
 
 // told notes what an instance is told of the list.
-func (o *observer) told(in *instance, kind policy.ListKind, entries []policy.Server) {
+func (o *observer) told(in *instance, kind policy.UpdateKind, entries []policy.Endpoint) {
 	left := o.left[in]
 	if left == nil {
-		left = map[policy.ServerID]policy.Time{}
+		left = map[policy.EndpointID]policy.Time{}
 		o.left[in] = left
 	}
-	listed := map[policy.ServerID]bool{}
+	listed := map[policy.EndpointID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
 		if e.State == policy.Ready {
@@ -56,7 +56,7 @@
 			left[e.ID] = o.w.now
 		}
 	}
-	if kind == policy.ListFull {
+	if kind == policy.UpdateFull {
 		for id := range in.known {
 			if _, is := left[id]; !is && !listed[id] {
 				left[id] = o.w.now
@@ -71,7 +71,7 @@
 func (o *observer) forget(t *try) { delete(o.tries, t) }
 
 // sends judges an attempt as it is sent.
-func (o *observer) sends(a *attempt, to policy.ServerID) {
+func (o *observer) sends(a *attempt, to policy.EndpointID) {
 	t := a.try
 	k := o.tries[t]
 	switch {
@@ -89,11 +89,11 @@
 			continue
 		}
 		switch c := t.class; {
-		case c.Effect == policy.Unsafe:
+		case c.Idempotency == policy.NonIdempotent:
 			o.breach("2: %s was sent again though it may have run", c.Name)
-		case c.Effect == policy.Keyed && (c.Group == policy.GroupZone && other.s.zone != a.s.zone || c.Group == policy.GroupCell && other.s.cell != a.s.cell):
+		case c.Idempotency == policy.IdempotentByKey && (c.DedupScope == policy.DedupZone && other.s.zone != a.s.zone || c.DedupScope == policy.DedupCell && other.s.cell != a.s.cell):
 			o.breach("2: %s was sent to another group though it may have run", c.Name)
-		case c.Effect == policy.Keyed && o.w.now > other.sent+c.KeyTTL:
+		case c.Idempotency == policy.IdempotentByKey && o.w.now > other.sent+c.DedupWindow:
 			o.breach("2: %s was sent again %v after a try that may have run", c.Name, o.w.now-other.sent)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // outcome notes what an instance is told of an attempt. A server that has answered with an error, or not at all, may have run it.
 func (o *observer) outcome(a *attempt, st policy.Status) {
-	if k := o.tries[a.try]; k != nil && (st == policy.Full || st == policy.ConnectFailed || st == policy.Moot) {
+	if k := o.tries[a.try]; k != nil && (st == policy.StatusOverloaded || st == policy.StatusConnectFailed || st == policy.StatusNotSent) {
 		delete(k.out, a)
 		if a.ran {
 			o.breach("2: the emulator itself told as not run what has run")
@@ -126,7 +126,7 @@
 	if o.w.now > t.expires+answerSlack {
 		o.breach("1: an answer %v too late (instance %d)", o.w.now-t.expires, t.in.ordinal)
 	}
-	if how == refused && t.class.Effect != policy.Safe && !(t.class.Effect == policy.Keyed && t.class.Group == policy.GroupAll) && len(k.out) > 0 {
+	if how == refused && t.class.Idempotency != policy.Idempotent && !(t.class.Idempotency == policy.IdempotentByKey && t.class.DedupScope == policy.DedupEverywhere) && len(k.out) > 0 {
 		o.breach("2: %s was refused though it may have run", t.class.Name)
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -124,16 +124,16 @@
 	case s.dead():
 		return // the connection stays open and silent, or the reset is told by who ended it
 	case s.draining:
-		a.back(w, policy.Full)
+		a.back(w, policy.StatusOverloaded)
 		return
 	case s.fails > 0 && w.rng.Float64() < s.fails:
-		w.after(2*time.Millisecond, func() { a.back(w, policy.AppError) })
+		w.after(2*time.Millisecond, func() { a.back(w, policy.StatusApplicationError) })
 		return
 	case s.busy >= s.kind.Cores && len(s.waiting) >= w.day.Room:
-		a.back(w, policy.Full)
+		a.back(w, policy.StatusOverloaded)
 		return
 	}
-	s.push(w, a.try.root.work, a.try.in.starts[policy.ServerID(s.id)] == s.started)
+	s.push(w, a.try.root.work, a.try.in.starts[policy.EndpointID(s.id)] == s.started)
 	s.waiting = append(s.waiting, &job{a, a.try.root.work})
 	s.work(w)
 }
@@ -148,7 +148,7 @@
 		w.after(time.Duration(float64(j.work)/(s.kind.Speed*s.warmth(w))), func() {
 			s.busy--
 			if !s.dead() {
-				j.a.back(w, policy.OK)
+				j.a.back(w, policy.StatusOK)
 			}
 			s.work(w)
 		})
@@ -180,7 +180,7 @@
 	for _, s := range w.servers {
 		if !s.gone && match(s.addr, s.zone) {
 			s.silent = true
-			w.list.change(s, policy.Gone)
+			w.list.change(s, policy.Removed)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	for _, s := range w.servers {
 		if s.id == id && !s.gone {
 			s.gone = true
-			w.list.change(s, policy.Gone)
+			w.list.change(s, policy.Removed)
 			for _, in := range w.instances {
 				in.reset(s)
 			}
@@ -239,7 +239,7 @@
 	for _, s := range w.servers {
 		if !s.dead() && match(s.addr, s.zone) {
 			s.cut = true
-			w.list.change(s, policy.Gone)
+			w.list.change(s, policy.Removed)
 		}
 	}
 }
@@ -298,7 +298,7 @@
 type change struct {
 	seq   int
 	told  policy.Time // from when on it is told
-	entry policy.Server
+	entry policy.Endpoint
 }
 
 type watcher struct {
@@ -314,28 +314,28 @@
 	return l
 }
 
-func (s *server) entry(state policy.ServerState) policy.Server {
-	return policy.Server{ID: policy.ServerID(s.id), State: state, Zone: s.zone, Cell: s.cell, Kind: s.kind.Name, Weight: 1, Started: s.started}
+func (s *server) entry(state policy.EndpointState) policy.Endpoint {
+	return policy.Endpoint{ID: policy.EndpointID(s.id), State: state, Zone: s.zone, Cell: s.cell, Kind: s.kind.Name, Weight: 1, Started: s.started}
 }
 
 // change notes a change of the list, which is told later.
-func (l *list) change(s *server, state policy.ServerState) {
+func (l *list) change(s *server, state policy.EndpointState) {
 	l.seq++
 	c := change{l.seq, l.w.now + l.w.day.Discovery.Notice, s.entry(state)}
 	l.changes = append(l.changes, c)
 	l.w.after(l.w.day.Discovery.Notice, func() {
 		for _, x := range l.watchers {
 			if !x.off {
-				l.w.after(l.w.day.Near, func() { x.in.told(policy.ListDelta, []policy.Server{c.entry}) })
+				l.w.after(l.w.day.Near, func() { x.in.told(policy.UpdateDelta, []policy.Endpoint{c.entry}) })
 			}
 		}
 	})
 }
 
 // whole is the list as it is told now.
-func (l *list) whole() []policy.Server {
-	at := map[policy.ServerID]int{}
-	var all []policy.Server
+func (l *list) whole() []policy.Endpoint {
+	at := map[policy.EndpointID]int{}
+	var all []policy.Endpoint
 	for _, c := range l.changes {
 		if c.told > l.w.now {
 			continue
@@ -349,7 +349,7 @@
 	}
 	kept := all[:0]
 	for _, e := range all {
-		if e.State != policy.Gone {
+		if e.State != policy.Removed {
 			kept = append(kept, e)
 		}
 	}
@@ -376,7 +376,7 @@
 	l.w.after(l.freeAt-l.w.now+l.w.day.Near, func() {
 		if !x.off {
 			l.watchers = append(l.watchers, x)
-			in.told(policy.ListFull, l.whole())
+			in.told(policy.UpdateFull, l.whole())
 		}
 	})
 	return x
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -137,7 +137,7 @@
 	instances []*instance
 	weights   []float64 // of the instances, summed up
 	watch     *observer
-	witnesses map[policy.ServerID][]witness
+	witnesses map[policy.EndpointID][]witness
 	fleet     *decider                      // nil: nothing is decided for all
 	settled   func(*attempt, policy.Status) // where it is set, told the end of each attempt
 	Result    Result
@@ -171,9 +171,9 @@
 // UsualModule is the module's configuration by which days are played, but for what Day says it is the day's.
 func UsualModule() policy.Config {
 	return policy.Config{
-		MayProbe: true, MayCancel: true, MayDuplicate: true, HintsRetry: true, MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
-		DialTimeout: 250 * time.Millisecond, ConnIdle: 5 * time.Second, Tick: time.Millisecond, AskEvery: 10 * time.Second,
-		AnswerGrace: 5 * time.Millisecond, ProbeTariff: 0.08, HandshakeTariff: 0.08, CrossZoneTariff: 0.03,
+		HealthChecksAllowed: true, CancellationAllowed: true, HedgingAllowed: true, RetryAfterHonored: true, MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
+		DialTimeout: 250 * time.Millisecond, ConnIdle: 5 * time.Second, TimerResolution: time.Millisecond, PollInterval: 10 * time.Second,
+		ResponseGrace: 5 * time.Millisecond, HealthCheckCost: 0.08, HandshakeCost: 0.08, CrossZoneCost: 0.03,
 	}
 }
 
@@ -319,7 +319,7 @@
 }
 
 // worth counts by work, so that a heavy request is worth more than a light one of its class.
-func (q *root) worth() float64 { return q.class.Worth * q.work.Seconds() }
+func (q *root) worth() float64 { return q.class.PriorityWeight * q.work.Seconds() }
 
 // try asks once.
 func (q *root) try(w *World) {
@@ -339,14 +339,14 @@
 	}
 	s := &w.Result.Seconds[q.second]
 	switch {
-	case how == served && w.now-q.began <= q.class.Aim:
+	case how == served && w.now-q.began <= q.class.LatencyObjective:
 		q.done = true
 		s.InAim++
 		s.Served += q.worth()
 	case how == served:
 		q.done = true
 		s.Late++
-		s.Served += q.worth() * q.class.LateShare
+		s.Served += q.worth() * q.class.LateWeightFraction
 	default:
 		pause := w.day.Clients.Pause
 		if w.day.Clients.Heed && retryAfter > 0 {
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -15,7 +15,7 @@
 type decider struct {
 	w      *World
 	keeper *zonefailover.Keeper
-	words  map[int]map[policy.ServerID]policy.Time // by instance: when it last found a server silent
+	words  map[int]map[policy.EndpointID]policy.Time // by instance: when it last found a server silent
 	states map[string]zonefailover.State
 	epoch  uint64
 	epochs map[string]uint64
@@ -37,25 +37,25 @@
 }
 
 func newDecider(w *World) *decider {
-	f := &decider{w: w, keeper: zonefailover.NewKeeper(w.day.Hearsay.ZoneRules), words: map[int]map[policy.ServerID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
+	f := &decider{w: w, keeper: zonefailover.NewKeeper(w.day.Hearsay.ZoneRules), words: map[int]map[policy.EndpointID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
 	w.after(w.day.Start+judgeEvery, f.judge)
 	return f
 }
 
 // saw notes what an instance has found of a server.
-func (f *decider) saw(in *instance, id policy.ServerID, st policy.Status) {
+func (f *decider) saw(in *instance, id policy.EndpointID, st policy.Status) {
 	of := f.words[in.ordinal]
 	if in.avoids[string(id)] {
 		return // what it leaves out it says nothing of
 	}
 	switch st {
-	case policy.ConnectFailed, policy.Timeout, policy.Reset:
+	case policy.StatusConnectFailed, policy.StatusTimeout, policy.StatusReset:
 		if of == nil {
-			of = map[policy.ServerID]policy.Time{}
+			of = map[policy.EndpointID]policy.Time{}
 			f.words[in.ordinal] = of
 		}
 		of[id] = f.w.now
-	case policy.OK:
+	case policy.StatusOK:
 		delete(of, id)
 	}
 }
@@ -127,7 +127,7 @@
 }
 
 // avoided are the servers that are not in use by what is decided.
-func (f *decider) avoided(list map[policy.ServerID]policy.Server) map[string]bool {
+func (f *decider) avoided(list map[policy.EndpointID]policy.Endpoint) map[string]bool {
 	var all []zonefailover.Server
 	for id, e := range list {
 		if e.State == policy.Ready {
@@ -143,12 +143,12 @@
 		return
 	}
 	before := in.avoids
-	used := map[policy.ServerID]bool{} // also of those that are avoided: they have started again
+	used := map[policy.EndpointID]bool{} // also of those that are avoided: they have started again
 	for id, e := range in.list {
 		used[id] = in.overlaid(e).State == policy.Ready
 	}
 	in.avoids = in.w.fleet.avoided(in.list)
-	var changed []policy.Server
+	var changed []policy.Endpoint
 	for id, e := range in.list {
 		now, was := in.avoids[string(id)], before[string(id)]
 		if now == was || e.State != policy.Ready {
@@ -166,14 +166,14 @@
 		}
 		changed = append(changed, in.overlaid(e))
 	}
-	slices.SortFunc(changed, func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(changed, func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	if len(changed) > 0 {
-		in.do(func(now policy.Time) { in.b.Members(now, policy.ListDelta, changed, in) })
+		in.do(func(now policy.Time) { in.b.UpdateEndpoints(now, policy.UpdateDelta, changed, in) })
 	}
 }
 
 // overlaid is what the module is told of an entry of the list.
-func (in *instance) overlaid(e policy.Server) policy.Server {
+func (in *instance) overlaid(e policy.Endpoint) policy.Endpoint {
 	if in.w.fleet == nil {
 		return e
 	}
@@ -187,18 +187,18 @@
 }
 
 // listed notes what the list says, and returns what the module is told of it.
-func (in *instance) listed(kind policy.ListKind, entries []policy.Server) []policy.Server {
+func (in *instance) listed(kind policy.UpdateKind, entries []policy.Endpoint) []policy.Endpoint {
 	if in.w.fleet == nil {
 		return entries
 	}
-	if kind != policy.ListDelta {
+	if kind != policy.UpdateDelta {
 		clear(in.list)
 	}
 	for _, e := range entries {
-		if e.State == policy.Gone {
+		if e.State == policy.Removed {
 			delete(in.list, e.ID)
 		} else {
-			if _, had := in.list[e.ID]; !had && kind == policy.ListDelta {
+			if _, had := in.list[e.ID]; !had && kind == policy.UpdateDelta {
 				if d, is := in.w.fleet.states[e.Zone]; is && d.Step < zonefailover.Steps { // it has started since the zone was left
 					in.leftBorn[e.ID] = -1
 				}
@@ -212,7 +212,7 @@
 			delete(in.leftBorn, id)
 		}
 	}
-	out := make([]policy.Server, len(entries))
+	out := make([]policy.Endpoint, len(entries))
 	for i, e := range entries {
 		out[i] = in.overlaid(e)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -33,16 +33,16 @@
 
 // testSettings have one class of each effect, and time enough that none ends by itself.
 func testSettings() settings.Settings {
-	class := func(name string, e policy.Effect) policy.Class {
-		return policy.Class{Name: name, Effect: e, KeyTTL: time.Minute, Aim: 10 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 1}
+	class := func(name string, e policy.Idempotency) policy.Class {
+		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 10 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, LateWeightFraction: 1}
 	}
 	return settings.Settings{
 		Fields: []string{"queue", "inflight"},
 		Config: policy.Config{
-			GroupSize: 1, MaxAttempts: 3, MayProbe: true, MayCancel: true, HintsRetry: true, MaxRetryAfter: 2 * time.Second,
-			DialTimeout: 2 * time.Second, ConnIdle: time.Minute, Tick: time.Millisecond, AskEvery: 10 * time.Second,
-			InlineReports: true, ProbeTariff: 0.05,
-			Classes: []policy.Class{class("check", policy.Safe), class("order", policy.Keyed), class("book", policy.Unsafe)},
+			InstanceCount: 1, MaxAttempts: 3, HealthChecksAllowed: true, CancellationAllowed: true, RetryAfterHonored: true, MaxRetryAfter: 2 * time.Second,
+			DialTimeout: 2 * time.Second, ConnIdle: time.Minute, TimerResolution: time.Millisecond, PollInterval: 10 * time.Second,
+			InlineLoadReports: true, HealthCheckCost: 0.05,
+			Classes: []policy.Class{class("check", policy.Idempotent), class("order", policy.IdempotentByKey), class("book", policy.NonIdempotent)},
 		},
 	}
 }
@@ -318,7 +318,7 @@
 	deadAddr := dead.Addr().String()
 	dead.Close()
 	orders := s.pool("orders")
-	orders.Discovery, orders.Settings.Config.AskEvery = disco.Addr(), time.Second
+	orders.Discovery, orders.Settings.Config.PollInterval = disco.Addr(), time.Second
 	s.pool("meters", b)
 	s.pool("channels").Discovery = deadAddr
 	s.start()
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -82,7 +82,7 @@
 	if v.Reason == quota.OverRate || v.Reason == quota.OverOpen {
 		bad.Status = http.StatusTooManyRequests
 	}
-	if cfg := m.module; cfg.HintsRetry {
+	if cfg := m.module; cfg.RetryAfterHonored {
 		bad.RetryAfter = v.RetryAfter
 		if cfg.MaxRetryAfter > 0 {
 			bad.RetryAfter = min(bad.RetryAfter, cfg.MaxRetryAfter)
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -30,7 +30,7 @@
 // parseORCA reads the load that an answer tells, nil if it tells none that can be used. What the module marks servers by is a
 // queue: the named metrics `queue` and `inflight` are that; else the utilisation u stands for the u/(1-u) requests that a server
 // so busy holds at the mean, which orders servers as their queues would.
-func parseORCA(h http.Header) *policy.Load {
+func parseORCA(h http.Header) *policy.LoadReport {
 	text, binary := h.Get(orcaField), h.Get(orcaBinary)
 	if len(text)+len(binary) > mostReport || text == "" && binary == "" {
 		return nil
@@ -90,16 +90,16 @@
 	}
 }
 
-func loadOf(r *orca.OrcaLoadReport) *policy.Load {
-	l := policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}
+func loadOf(r *orca.OrcaLoadReport) *policy.LoadReport {
+	l := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
 	usable := func(v float64) bool { return v >= 0 && v <= mostQueue } // not NaN
 	if v, ok := r.GetNamedMetrics()["queue"]; ok && usable(v) {
 		l.Queue = v
 	}
 	if v, ok := r.GetNamedMetrics()["inflight"]; ok && usable(v) {
-		l.Inflight = v
+		l.InFlight = v
 	}
-	if l.Queue >= 0 || l.Inflight >= 0 {
+	if l.Queue >= 0 || l.InFlight >= 0 {
 		return &l
 	}
 	util := r.GetApplicationUtilization()
@@ -109,9 +109,9 @@
 	if !(util > 0) || math.IsInf(util, 0) {
 		return nil
 	}
-	l.Inflight = fullQueue
+	l.InFlight = fullQueue
 	if util < fullUtil {
-		l.Inflight = util / (1 - util)
+		l.InFlight = util / (1 - util)
 	}
 	return &l
 }
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -33,7 +33,7 @@
 // Class is one of the pool's classes and how its requests are known.
 type Class struct {
 	Rule   classify.Rule
-	Effect policy.Effect
+	Effect policy.Idempotency
 	// Bare is the class of requests of a keyed one that have no key: nobody could tell a repeat of them.
 	Bare     string
 	Deadline time.Duration // where the client names none that is trusted
@@ -98,9 +98,9 @@
 }
 
 // of is the class as the module knows it, and what repeating may do: a keyed one without a key has none that would drop repeats.
-func (c *Class) of(h http.Header) (name string, e policy.Effect) {
-	if c.Effect == policy.Keyed && h.Get("Idempotency-Key") == "" {
-		return c.Bare, policy.Unsafe
+func (c *Class) of(h http.Header) (name string, e policy.Idempotency) {
+	if c.Effect == policy.IdempotentByKey && h.Get("Idempotency-Key") == "" {
+		return c.Bare, policy.NonIdempotent
 	}
 	return c.Rule.Class, c.Effect
 }
@@ -122,7 +122,7 @@
 	said := pool.Said{Timeout: c.Deadline, Name: uuid.Must(uuid.NewV7()).String()}
 	name, effect := c.of(q.Header)
 	said.Event.Class = name
-	said.Safe = effect == policy.Safe
+	said.Safe = effect == policy.Idempotent
 	value := func(s Source) string {
 		if s.Name != "" {
 			return m.Value(s.Name)
@@ -263,18 +263,18 @@
 }
 
 // Read is the method of pool.Dialect.
-func (d *Dialect) Read(status int, h http.Header) (policy.Status, *policy.Load) {
-	var load *policy.Load
+func (d *Dialect) Read(status int, h http.Header) (policy.Status, *policy.LoadReport) {
+	var load *policy.LoadReport
 	if d.cfg.ORCA {
 		load = parseORCA(h)
 	}
 	switch {
 	case slices.Contains(d.cfg.NotRun, status):
-		return policy.Full, load
+		return policy.StatusOverloaded, load
 	case slices.Contains(d.cfg.Failures, status):
-		return policy.AppError, load
+		return policy.StatusApplicationError, load
 	}
-	return policy.OK, load
+	return policy.StatusOK, load
 }
 
 // ProbeTarget is the method of pool.Dialect.
--- a/internal/httpservice/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -30,8 +30,8 @@
 		Via: "edge", Failures: []int{502, 503}, Deadlines: []string{"X-Timeout-Ms", "grpc-timeout"},
 		Classes: []Class{
 			{Rule: classify.Rule{Class: "read", Patterns: pattern("GET /items/{id}")}, Deadline: time.Second, Key: Source{Name: "id"}, Tenant: Source{Field: "X-Shop"}},
-			{Rule: classify.Rule{Class: "order", Patterns: pattern("POST /orders")}, Effect: policy.Keyed, Bare: "order without a key", Deadline: 2 * time.Second},
-			{Rule: classify.Rule{Class: "other"}, Effect: policy.Unsafe, Deadline: 3 * time.Second},
+			{Rule: classify.Rule{Class: "order", Patterns: pattern("POST /orders")}, Effect: policy.IdempotentByKey, Bare: "order without a key", Deadline: 2 * time.Second},
+			{Rule: classify.Rule{Class: "other"}, Effect: policy.NonIdempotent, Deadline: 3 * time.Second},
 		},
 	}
 	if change != nil {
@@ -136,7 +136,7 @@
 func TestRead(t *testing.T) {
 	d := dialect(t, func(c *Config) { c.NotRun = []int{429} })
 	for status, want := range map[int]policy.Status{
-		200: policy.OK, 204: policy.OK, 301: policy.OK, 404: policy.OK, 500: policy.OK, 502: policy.AppError, 503: policy.AppError, 429: policy.Full,
+		200: policy.StatusOK, 204: policy.StatusOK, 301: policy.StatusOK, 404: policy.StatusOK, 500: policy.StatusOK, 502: policy.StatusApplicationError, 503: policy.StatusApplicationError, 429: policy.StatusOverloaded,
 	} {
 		if got, _ := d.Read(status, http.Header{}); got != want {
 			t.Errorf("%d: %v, want %v", status, got, want)
@@ -172,7 +172,7 @@
 		l := parseORCA(http.Header{orcaField: {text}})
 		got := -1.0
 		if l != nil {
-			got = max(l.Queue, l.Inflight)
+			got = max(l.Queue, l.InFlight)
 		}
 		if math.Abs(got-want) > 1e-9 {
 			t.Errorf("%.60q: %v, want %v", text, got, want)
@@ -192,7 +192,7 @@
 		if l == nil {
 			return
 		}
-		for _, v := range []float64{l.Queue, l.Inflight} {
+		for _, v := range []float64{l.Queue, l.InFlight} {
 			if !(v == -1 || v >= 0 && v <= mostQueue) {
 				t.Fatalf("%q gives %+v", text, l)
 			}
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -26,7 +26,7 @@
 type attempt struct {
 	req      *request
 	number   int
-	server   policy.ServerID
+	server   policy.EndpointID
 	sent     policy.Time
 	deadline time.Time
 	done     bool          // its outcome is told; under the host's lock
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if !a.onCancel(cancel) {
-		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
+		p.settle(a, policy.StatusCanceled, nil, httpmsg.Answer{})
 		return
 	}
 	c, err := p.up.Connect(ctx, to, a.deadline)
@@ -87,13 +87,13 @@
 	}
 	if !a.onCancel(func() { c.Close() }) {
 		c.Close()
-		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
+		p.settle(a, policy.StatusCanceled, nil, httpmsg.Answer{})
 		return
 	}
 	q := p.request(a)
 	if !p.begins(a, to) {
 		c.Close()
-		p.settle(a, policy.Moot, nil, httpmsg.Answer{})
+		p.settle(a, policy.StatusNotSent, nil, httpmsg.Answer{})
 		return
 	}
 	var resp *http.Response
@@ -114,7 +114,7 @@
 			resp.Close = true
 		case turnedAway(early):
 			c.Close()
-			p.settle(a, policy.Full, nil, httpmsg.Answer{})
+			p.settle(a, policy.StatusOverloaded, nil, httpmsg.Answer{})
 			return
 		}
 	}
@@ -123,10 +123,10 @@
 		p.broken(a, err)
 		return
 	}
-	var load *policy.Load
+	var load *policy.LoadReport
 	if p.dialect != nil {
 		var status policy.Status
-		if status, load = p.dialect.Read(resp.StatusCode, resp.Header); status != policy.OK {
+		if status, load = p.dialect.Read(resp.StatusCode, resp.Header); status != policy.StatusOK {
 			if p.service != nil {
 				p.failing(a, c, resp, status, load)
 				return
@@ -136,13 +136,13 @@
 			p.settle(a, status, load, httpmsg.Answer{})
 			return
 		}
-	} else if text := resp.Header.Get("X-Server-Load"); text != "" && p.settings.Config.InlineReports {
+	} else if text := resp.Header.Get("X-Server-Load"); text != "" && p.settings.Config.InlineLoadReports {
 		load = parseLoad(text, p.settings.Fields)
 	}
 	if p.dialect == nil && resp.StatusCode != http.StatusOK {
-		status := policy.AppError
+		status := policy.StatusApplicationError
 		if turnedAway(resp) {
-			status = policy.Full
+			status = policy.StatusOverloaded
 		}
 		_, err := io.CopyN(io.Discard, resp.Body, mostErrorBody)
 		p.done(a, c, resp, err == io.EOF)
@@ -163,7 +163,7 @@
 		switch {
 		case r.ended:
 		case left: // whoever waits for the answer is let go, and finds the client gone
-			p.balancer.Withdrawn(now, r.id, p)
+			p.balancer.HandleClientGone(now, r.id, p)
 			p.end(r, httpmsg.Answer{Status: http.StatusBadGateway})
 		default:
 			e, listed := p.entries[a.server]
@@ -178,16 +178,16 @@
 func (p *Pool) pastWindow(now policy.Time, a *attempt) bool {
 	r := a.req
 	keep := p.keeps[r.event.Class]
-	if p.effects[r.event.Class] != policy.Keyed {
+	if p.effects[r.event.Class] != policy.IdempotentByKey {
 		return false
 	}
 	for _, b := range r.attempts {
-		if b != a && !(b.done && b.status.NotRun()) && now >= b.sent+keep {
+		if b != a && !(b.done && b.status.NotExecuted()) && now >= b.sent+keep {
 			return true
 		}
 	}
-	for _, b := range r.event.Prior {
-		if !b.NotRun && now >= r.taken+b.For {
+	for _, b := range r.event.PriorAttempts {
+		if !b.NotExecuted && now >= r.taken+b.DedupRemaining {
 			return true
 		}
 	}
@@ -205,12 +205,12 @@
 	r := a.req
 	p.event(func(now policy.Time) {
 		r.body, q.Body = nil, nil
-		p.balancer.Uploading(now, r.id, a.number)
+		p.balancer.HandleBodyStarted(now, r.id, a.number)
 	})
 	err := c.SendRest(q.Rest, func() time.Time {
 		p.event(func(now policy.Time) {
 			a.sent = now
-			p.balancer.Uploaded(now, r.id, now+r.timeout, p)
+			p.balancer.HandleBodyFinished(now, r.id, now+r.timeout, p)
 		})
 		a.deadline = time.Now().Add(r.timeout)
 		return a.deadline
@@ -227,7 +227,7 @@
 	}
 	p.event(func(now policy.Time) {
 		if !r.ended {
-			p.balancer.Withdrawn(now, r.id, p)
+			p.balancer.HandleClientGone(now, r.id, p)
 			p.end(r, ans)
 		}
 	})
@@ -235,7 +235,7 @@
 }
 
 // failing takes an answer of a Service that is to be tried again where that is harmless. It is kept for the client if it is whole.
-func (p *Pool) failing(a *attempt, c *upstream.Conn, resp *http.Response, status policy.Status, load *policy.Load) {
+func (p *Pool) failing(a *attempt, c *upstream.Conn, resp *http.Response, status policy.Status, load *policy.LoadReport) {
 	body, whole, err := readFirst(resp, c.Body(resp), a.deadline)
 	p.done(a, c, resp, whole && err == nil)
 	if whole && err == nil {
@@ -256,7 +256,7 @@
 
 // pass takes a 200 answer. One that is not long counts only once it is whole, so that what is spoilt reaches no client; the
 // client of a long one has it as it comes.
-func (p *Pool) pass(a *attempt, c *upstream.Conn, resp *http.Response, load *policy.Load) {
+func (p *Pool) pass(a *attempt, c *upstream.Conn, resp *http.Response, load *policy.LoadReport) {
 	from := c.Body(resp)
 	body, whole, err := readFirst(resp, from, a.deadline)
 	if err != nil {
@@ -267,15 +267,15 @@
 	ans := p.answerOf(resp, body)
 	if whole {
 		p.done(a, c, resp, true)
-		p.settle(a, policy.OK, load, ans)
+		p.settle(a, policy.StatusOK, load, ans)
 		return
 	}
 	ans.Rest = &stream{p: p, a: a, c: c, resp: resp, from: from, total: int64(len(body))}
 	switch {
 	case !a.onCancel(func() { c.Close() }):
 		c.Close()
-		p.settle(a, policy.Canceled, nil, httpmsg.Answer{})
-	case !p.settle(a, policy.OK, load, ans): // another attempt has answered, or the client has left
+		p.settle(a, policy.StatusCanceled, nil, httpmsg.Answer{})
+	case !p.settle(a, policy.StatusOK, load, ans): // another attempt has answered, or the client has left
 		c.Close()
 	}
 }
@@ -364,18 +364,18 @@
 
 // broken tells the outcome of an attempt that ended without a whole answer.
 func (p *Pool) broken(a *attempt, err error) {
-	status := policy.Reset
+	status := policy.StatusReset
 	var notWritten upstream.NotWritten
 	var noSocket upstream.NoDescriptor
 	switch {
 	case a.isCanceled():
-		status = policy.Canceled
+		status = policy.StatusCanceled
 	case errors.As(err, &noSocket): // no evidence against the upstream
-		status = policy.Moot
+		status = policy.StatusNotSent
 	case errors.As(err, &notWritten): // whatever ended it, the upstream never had the whole
-		status = policy.ConnectFailed
+		status = policy.StatusConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.deadline):
-		status = policy.Timeout
+		status = policy.StatusTimeout
 	}
 	p.log.Debug("attempt", "request", a.req.name, "upstream", a.server, "status", status, "err", err)
 	p.settle(a, status, nil, httpmsg.Answer{})
--- a/internal/pool/away.go
+++ b/internal/pool/away.go
@@ -13,11 +13,11 @@
 // served elsewhere. Nothing more goes out for it here. Answer must be called once.
 type Handover struct {
 	Message httpmsg.Request
-	Name    string         // its id
-	Event   policy.Request // as the module was told, Prior without the attempts made here
-	Until   time.Time      // so long the client waits
-	Refusal httpmsg.Answer // what it is to be answered if it is served nowhere else
-	Prior   []policy.Prior // all attempts so far
+	Name    string                // its id
+	Event   policy.Request        // as the module was told, Prior without the attempts made here
+	Until   time.Time             // so long the client waits
+	Refusal httpmsg.Answer        // what it is to be answered if it is served nowhere else
+	Prior   []policy.PriorAttempt // all attempts so far
 
 	pool *Pool
 	r    *request
@@ -60,11 +60,11 @@
 	if h.Message.Header == nil {
 		h.Message.Header = http.Header{}
 	}
-	h.Prior = append(h.Prior, r.event.Prior...)
+	h.Prior = append(h.Prior, r.event.PriorAttempts...)
 	keep := p.keeps[r.event.Class]
 	for _, a := range r.attempts {
-		h.Prior = append(h.Prior, policy.Prior{
-			Zone: a.zone, Cell: a.cell, NotRun: a.done && a.status.NotRun(), For: max(0, keep-(now-a.sent)),
+		h.Prior = append(h.Prior, policy.PriorAttempt{
+			Zone: a.zone, Cell: a.cell, NotExecuted: a.done && a.status.NotExecuted(), DedupRemaining: max(0, keep-(now-a.sent)),
 		})
 	}
 	r.ended, r.away = true, h
@@ -88,16 +88,16 @@
 	switch {
 	case !known:
 		return bad(http.StatusNotFound, "no such class")
-	case effect == policy.Keyed && q.Header.Get("Idempotency-Key") == "":
+	case effect == policy.IdempotentByKey && q.Header.Get("Idempotency-Key") == "":
 		return bad(http.StatusBadRequest, "no Idempotency-Key")
-	case effect == policy.Unsafe:
-		for _, prior := range f.Event.Prior {
-			if !prior.NotRun { // the other site must not have sent it at all
+	case effect == policy.NonIdempotent:
+		for _, prior := range f.Event.PriorAttempts {
+			if !prior.NotExecuted { // the other site must not have sent it at all
 				return bad(http.StatusBadRequest, "an unsafe request that may have run")
 			}
 		}
 	}
-	ask.safe = effect == policy.Safe
+	ask.safe = effect == policy.Idempotent
 	ask.timeout = min(f.Timeout, p.longest)
 	return ask, nil
 }
@@ -105,7 +105,7 @@
 // TakeOver hands the module a request that another pool of this process has handed over, with so much time.
 func (p *Pool) TakeOver(h *Handover, timeout time.Duration, most int) (*Exchange, error) {
 	ask := Ask{event: h.Event, timeout: timeout, name: h.Name}
-	ask.event.Prior, ask.event.Most = h.Prior, most
+	ask.event.PriorAttempts, ask.event.MaxAttempts = h.Prior, most
 	return p.Take(&h.Message, ask, func() {})
 }
 
@@ -115,13 +115,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range e.r.attempts {
-		ran = ran || !a.done || !a.status.NotRun()
+		ran = ran || !a.done || !a.status.NotExecuted()
 	}
 	return len(e.r.attempts), ran
 }
 
 // Break ends the connections on which attempts at a server are out: what was written whole may have run there.
-func (p *Pool) Break(server policy.ServerID) {
+func (p *Pool) Break(server policy.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.requests {
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -48,7 +48,7 @@
 		x.hosts[i] = discovery.Entry{Host: string(rune('a' + i)), Dial: serveOnce(t, answer, x.sent), Health: "active"}
 	}
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 2, AskEvery: 8 * time.Millisecond, Tick: time.Millisecond, DialTimeout: time.Millisecond,
+		InstanceCount: 1, MaxAttempts: 2, PollInterval: 8 * time.Millisecond, TimerResolution: time.Millisecond, DialTimeout: time.Millisecond,
 		Classes: []policy.Class{class},
 	}
 	descriptors := process.NewDescriptors(64)
@@ -145,7 +145,7 @@
 
 const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-var safeClass = policy.Class{Name: "c", Worth: 1, Aim: time.Minute, Deadline: time.Minute}
+var safeClass = policy.Class{Name: "c", PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}
 
 // TestToldWhileConnecting guards against a request that is sent to a server which the list has said to drain, or to have gone, or
 // to be another process by now, while the connection to it came up: another server gets it.
@@ -202,7 +202,7 @@
 // since its connection came up late.
 func TestWindowWhileConnecting(t *testing.T) {
 	const window = 150 * time.Millisecond
-	x := startCrossing(t, policy.Class{Name: "c", Effect: policy.Keyed, KeyTTL: window, Worth: 1, Aim: time.Minute, Deadline: time.Minute}, "")
+	x := startCrossing(t, policy.Class{Name: "c", Idempotency: policy.IdempotentByKey, DedupWindow: window, PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}, "")
 	e := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
 	close(wait(t, "the first attempt", x.dials).up)
 	wait(t, "the request", x.sent) // it may have run: the connection is reset
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -44,7 +44,7 @@
 		}
 	}()
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Hour, Tick: time.Millisecond, DialTimeout: 20 * time.Second, InlineReports: inline,
+		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Hour, TimerResolution: time.Millisecond, DialTimeout: 20 * time.Second, InlineLoadReports: inline,
 		Classes: []policy.Class{safeClass},
 	}
 	descriptors := process.NewDescriptors(64)
@@ -69,20 +69,20 @@
 
 // TestProbeForm holds what a server of the platform is asked by a probe, and what its answers tell.
 func TestProbeForm(t *testing.T) {
-	all := &policy.Load{Queue: 2, Inflight: 7, Latency: 3.5, ErrorRate: 0.25}
-	some := &policy.Load{Queue: 2, Inflight: -1, Latency: -1, ErrorRate: -1}
+	all := &policy.LoadReport{Queue: 2, InFlight: 7, Latency: 3.5, ErrorRate: 0.25}
+	some := &policy.LoadReport{Queue: 2, InFlight: -1, Latency: -1, ErrorRate: -1}
 	for _, c := range []struct {
 		name, answer string
 		status       policy.Status
-		load         *policy.Load
+		load         *policy.LoadReport
 	}{
-		{"all fields", httpAnswer(200, "", "TEXT queue=2, inflight=7, latency_ms=3.5, eps=0.25, util=0.61"), policy.OK, all},
-		{"no format", httpAnswer(200, "", "queue=2\n"), policy.OK, some},
-		{"no load", httpAnswer(200, "", ""), policy.OK, nil},
-		{"load in a field", httpAnswer(200, "X-Server-Load: TEXT queue=2\r\n", ""), policy.OK, nil},
-		{"503", httpAnswer(503, "", "queue=2"), policy.Full, nil},
-		{"504", httpAnswer(504, "", "queue=2"), policy.AppError, nil},
-		{"500", httpAnswer(500, "", "queue=2"), policy.AppError, nil},
+		{"all fields", httpAnswer(200, "", "TEXT queue=2, inflight=7, latency_ms=3.5, eps=0.25, util=0.61"), policy.StatusOK, all},
+		{"no format", httpAnswer(200, "", "queue=2\n"), policy.StatusOK, some},
+		{"no load", httpAnswer(200, "", ""), policy.StatusOK, nil},
+		{"load in a field", httpAnswer(200, "X-Server-Load: TEXT queue=2\r\n", ""), policy.StatusOK, nil},
+		{"503", httpAnswer(503, "", "queue=2"), policy.StatusOverloaded, nil},
+		{"504", httpAnswer(504, "", "queue=2"), policy.StatusApplicationError, nil},
+		{"500", httpAnswer(500, "", "queue=2"), policy.StatusApplicationError, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, requests := startPlatformPool(t, c.answer, true)
@@ -124,7 +124,7 @@
 					t.Fatalf("answered %d", a.Status)
 				}
 			}
-			if queue := p.Learnt().Line[0]; (queue > 0) != c.told {
+			if queue := p.Learnt().DelayModel[0]; (queue > 0) != c.told {
 				t.Errorf("mean queue %v; a load was told: %v", queue, c.told)
 			}
 		})
--- a/internal/pool/hearsay.go
+++ b/internal/pool/hearsay.go
@@ -9,21 +9,21 @@
 
 // notice tells of a server that has not answered this pool, and of one that answers again. A time-out may be the load or chance: what comes of
 // it is for those to say who hear it of several.
-func (p *Pool) notice(id policy.ServerID, status policy.Status) {
+func (p *Pool) notice(id policy.EndpointID, status policy.Status) {
 	if p.silent == nil {
 		return
 	}
 	switch status {
-	case policy.ConnectFailed, policy.Timeout, policy.Reset: // told again while it lasts: what is not found out anew is forgotten
+	case policy.StatusConnectFailed, policy.StatusTimeout, policy.StatusReset: // told again while it lasts: what is not found out anew is forgotten
 		p.said[id] = true
 		p.silent(string(id), true)
-	case policy.OK:
+	case policy.StatusOK:
 		p.unsay(id)
 	}
 }
 
 // unsay takes back what was told of a server, which answers again, has restarted or is gone.
-func (p *Pool) unsay(id policy.ServerID) {
+func (p *Pool) unsay(id policy.EndpointID) {
 	if p.said[id] {
 		delete(p.said, id)
 		p.silent(string(id), false)
@@ -53,10 +53,10 @@
 		p.outcomes[zone] = o
 	}
 	switch status {
-	case policy.OK, policy.Canceled:
+	case policy.StatusOK, policy.StatusCanceled:
 		o.answered++
 		o.delay += took
-	case policy.AppError, policy.Timeout, policy.Reset, policy.ConnectFailed:
+	case policy.StatusApplicationError, policy.StatusTimeout, policy.StatusReset, policy.StatusConnectFailed:
 		o.failed++
 	}
 }
@@ -75,7 +75,7 @@
 
 // Hint has the module hear that a server does not answer others. It only ever makes it careful: see policy.Balancer.Hint.
 func (p *Pool) Hint(server string) {
-	p.event(func(now policy.Time) { p.balancer.Hint(now, policy.ServerID(server)) })
+	p.event(func(now policy.Time) { p.balancer.HandleUnreachableHint(now, policy.EndpointID(server)) })
 }
 
 // anotherStart is no start that a list names.
@@ -98,7 +98,7 @@
 			servers, returning, soft = nil, nil, nil
 		}
 		before := p.avoided
-		used := map[policy.ServerID]bool{} // also of those that are avoided: they have started again
+		used := map[policy.EndpointID]bool{} // also of those that are avoided: they have started again
 		for id, e := range p.entries {
 			used[id] = p.listed(e).State == policy.Ready
 		}
@@ -110,7 +110,7 @@
 		}
 		leftZones := map[string]bool{} // zones of which some were avoided already
 		for id := range before {
-			if e, there := p.entries[policy.ServerID(id)]; there {
+			if e, there := p.entries[policy.EndpointID(id)]; there {
 				leftZones[e.Site] = true
 			}
 		}
@@ -121,16 +121,16 @@
 			if p.leftBorn == nil {
 				p.leftBorn = map[string]int64{}
 			}
-			e, there := p.entries[policy.ServerID(id)]
-			if p.leftBorn[id] = e.BornMs; there && e.BornMs != 0 && leftZones[e.Site] && !p.met[policy.ServerID(id)] {
+			e, there := p.entries[policy.EndpointID(id)]
+			if p.leftBorn[id] = e.BornMs; there && e.BornMs != 0 && leftZones[e.Site] && !p.met[policy.EndpointID(id)] {
 				p.leftBorn[id] = anotherStart // the list has named it since its zone was left
 			}
 		}
-		p.met = map[policy.ServerID]bool{}
+		p.met = map[policy.EndpointID]bool{}
 		for id := range p.entries {
 			p.met[id] = true
 		}
-		var changed []policy.Server
+		var changed []policy.Endpoint
 		for id, e := range p.entries {
 			_, had := p.returned[string(id)]
 			since, back := policy.Time(0), false // 0: as the list has it
@@ -151,7 +151,7 @@
 			}
 		}
 		if len(changed) > 0 {
-			p.balancer.Members(now, policy.ListDelta, changed, p)
+			p.balancer.UpdateEndpoints(now, policy.UpdateDelta, changed, p)
 		}
 	})
 	return done
@@ -159,7 +159,7 @@
 
 // setReturned notes since when a server is used again. The caller holds mu.
 func (p *Pool) setReturned(id string, since policy.Time) {
-	if p.settings.Config.Ramp <= 0 {
+	if p.settings.Config.SlowStartDuration <= 0 {
 		return
 	}
 	if p.returned == nil {
@@ -169,9 +169,9 @@
 }
 
 // listed is what the module is told of an entry of the list.
-func (p *Pool) listed(e discovery.Entry) policy.Server {
-	s := policy.Server{
-		ID: policy.ServerID(e.Host), State: discovery.States[e.Health], Zone: e.Site, Cell: e.Block, Weight: e.Share, Kind: e.Class, Started: p.started(e.BornMs),
+func (p *Pool) listed(e discovery.Entry) policy.Endpoint {
+	s := policy.Endpoint{
+		ID: policy.EndpointID(e.Host), State: discovery.States[e.Health], Zone: e.Site, Cell: e.Block, Weight: e.Share, Kind: e.Class, Started: p.started(e.BornMs),
 	}
 	if s.State == policy.Ready && p.avoided[e.Host] && !(p.soft[e.Host] && e.BornMs != p.leftBorn[e.Host]) {
 		s.State = policy.Draining
@@ -201,12 +201,12 @@
 // Look asks a server that is avoided whether it answers, as a probe does. The module hears nothing of it.
 func (p *Pool) Look(server string) bool {
 	p.mu.Lock()
-	to := p.peers[policy.ServerID(server)]
+	to := p.peers[policy.EndpointID(server)]
 	closed := p.closed
 	p.mu.Unlock()
 	if to == nil || closed {
 		return false
 	}
 	status, _ := p.probe(to)
-	return status == policy.OK
+	return status == policy.StatusOK
 }
--- a/internal/pool/outdated_test.go
+++ b/internal/pool/outdated_test.go
@@ -42,8 +42,8 @@
 // A list older than the one in force is not taken over, whole or in part, until call after call tells it.
 func TestOutdatedList(t *testing.T) {
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 1, AskEvery: 8 * time.Millisecond, Tick: time.Millisecond,
-		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
+		InstanceCount: 1, MaxAttempts: 1, PollInterval: 8 * time.Millisecond, TimerResolution: time.Millisecond,
+		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
 	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(10, true, "a")},
@@ -56,7 +56,7 @@
 		names := ""
 		for _, h := range []string{"a", "b", "c", "d"} {
 			p.mu.Lock()
-			if _, is := p.entries[policy.ServerID(h)]; is {
+			if _, is := p.entries[policy.EndpointID(h)]; is {
 				names += h
 			}
 			p.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -60,7 +60,7 @@
 	// Extra is what a server is sent beside a request with the fields h, with so much time left for it.
 	Extra(q *policy.Request, h http.Header, left time.Duration) []upstream.Field
 	// Read says how the answer to an attempt or a probe ended it, by its status and fields, and the load that it tells.
-	Read(status int, h http.Header) (policy.Status, *policy.Load)
+	Read(status int, h http.Header) (policy.Status, *policy.LoadReport)
 	// ProbeTarget is what probes ask for.
 	ProbeTarget() string
 }
@@ -93,9 +93,9 @@
 	originMs int64     // the same instant in Unix milliseconds, read once: see started
 	up       *upstream.Conns
 	longest  time.Duration
-	effects  map[string]policy.Effect // by class
-	keeps    map[string]time.Duration // how long repeats of it are dropped
-	aims     map[string]time.Duration // by class
+	effects  map[string]policy.Idempotency // by class
+	keeps    map[string]time.Duration      // how long repeats of it are dropped
+	aims     map[string]time.Duration      // by class
 	tell     func(servers int)
 	serves   func() bool
 	dialect  Dialect
@@ -108,9 +108,9 @@
 	balancer  *policy.Balancer
 	requests  map[policy.RequestID]*request // until they have ended and their attempts are back
 	lastID    policy.RequestID
-	ids       openIDs                             // of requests
-	peers     map[policy.ServerID]*upstream.Peer  // the upstreams that are listed
-	entries   map[policy.ServerID]discovery.Entry // what the list says of them
+	ids       openIDs                               // of requests
+	peers     map[policy.EndpointID]*upstream.Peer  // the upstreams that are listed
+	entries   map[policy.EndpointID]discovery.Entry // what the list says of them
 	source    discovery.Source
 	seq       int64              // of the last list message
 	told      bool               // the source has told a list, beyond what was known at the start
@@ -127,13 +127,13 @@
 	tally     statslog.Row // what happened since the log was told; counted whether it is or not
 	tells     bool         // it is
 	silent    func(server string, is bool)
-	said      map[policy.ServerID]bool // that silent was told of
-	outcomes  map[string]*outcomes     // by zone, where silent asks; nil: nobody does
-	avoided   map[string]bool          // servers that take nothing new, by order
-	soft      map[string]bool          // of those the ones that are used again once the list names another start
-	met       map[policy.ServerID]bool // servers that the list had as orders were given last
-	leftBorn  map[string]int64         // of those that are avoided: their start as the list had it then, in Unix milliseconds
-	returned  map[string]policy.Time   // servers that were avoided, and since when they are not; 0: as the list has their start
+	said      map[policy.EndpointID]bool // that silent was told of
+	outcomes  map[string]*outcomes       // by zone, where silent asks; nil: nobody does
+	avoided   map[string]bool            // servers that take nothing new, by order
+	soft      map[string]bool            // of those the ones that are used again once the list names another start
+	met       map[policy.EndpointID]bool // servers that the list had as orders were given last
+	leftBorn  map[string]int64           // of those that are avoided: their start as the list had it then, in Unix milliseconds
+	returned  map[string]policy.Time     // servers that were avoided, and since when they are not; 0: as the list has their start
 }
 
 // request is one request of a client, from its last byte until all its attempts are back.
@@ -166,7 +166,7 @@
 	module := cfg.Settings.Config
 	// On sockets the agent that has what was pushed must be asked too.
 	bound := cfg.Settings.ListBound()
-	module.Pushed, module.AskEvery, module.AskPause, module.AskAgain = false, bound.AskEvery, bound.Pause, bound.Again
+	module.EndpointsPushed, module.PollInterval, module.PollMaxBackoff, module.WatchReopenMaxDelay = false, bound.AskEvery, bound.Pause, bound.Again
 	b, err := policy.New(module, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -176,14 +176,14 @@
 	p := &Pool{
 		settings: cfg.Settings, log: log, ctx: ctx, stop: stop, origin: origin, originMs: origin.UnixMilli(), up: up,
 		source: cfg.Source, balancer: b, requests: map[policy.RequestID]*request{}, tell: cfg.Ready, serves: cfg.Serves,
-		silent: cfg.Silent, said: map[policy.ServerID]bool{},
+		silent: cfg.Silent, said: map[policy.EndpointID]bool{},
 		dialect: cfg.Dialect, away: cfg.Elsewhere, counts: cmp.Or(cfg.Counts, &metrics.Counts{}),
-		peers: map[policy.ServerID]*upstream.Peer{}, entries: map[policy.ServerID]discovery.Entry{},
-		effects: map[string]policy.Effect{}, keeps: map[string]time.Duration{}, aims: map[string]time.Duration{},
+		peers: map[policy.EndpointID]*upstream.Peer{}, entries: map[policy.EndpointID]discovery.Entry{},
+		effects: map[string]policy.Idempotency{}, keeps: map[string]time.Duration{}, aims: map[string]time.Duration{},
 	}
 	p.service, _ = cfg.Dialect.(Service)
 	for _, c := range cfg.Settings.Config.Classes {
-		p.effects[c.Name], p.keeps[c.Name], p.aims[c.Name] = c.Effect, c.KeyTTL, c.Aim
+		p.effects[c.Name], p.keeps[c.Name], p.aims[c.Name] = c.Idempotency, c.DedupWindow, c.LatencyObjective
 		p.counts.Name(c.Name)
 		p.longest = max(p.longest, c.Deadline)
 	}
@@ -203,9 +203,9 @@
 		p.work.Go(func() { p.tellFigures(cfg.FiguresEvery) })
 	}
 	p.event(func(now policy.Time) {
-		p.members(now, policy.ListCached, known)
+		p.members(now, policy.UpdateCached, known)
 		if len(p.peers) == 0 || bound.AskSoon() { // what is known is nothing that requests could go to, or cannot be held on to
-			p.balancer.Members(now, policy.ListLost, nil, p)
+			p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 		}
 	})
 	return p, nil
@@ -251,7 +251,7 @@
 				p.answer(r, httpmsg.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
 				p.forget(r)
 			} else if !r.ended {
-				p.balancer.Withdrawn(now, r.id, p)
+				p.balancer.HandleClientGone(now, r.id, p)
 				p.end(r, r.lastOr(httpmsg.Answer{Status: http.StatusBadGateway}, false))
 			}
 		}
@@ -311,7 +311,7 @@
 		}
 		p.lastID++
 		r.id, r.timeout = p.lastID, timeout
-		q.Long = r.rest != nil
+		q.StreamedBody = r.rest != nil
 		p.requests[r.id] = r
 		q.ID, q.Expires = r.id, now+timeout
 		r.event, r.taken = q, now
@@ -320,7 +320,7 @@
 			p.refuse(r, errNoServer.Answer())
 			return
 		}
-		p.balancer.Request(now, q, p)
+		p.balancer.HandleRequest(now, q, p)
 	})
 	return err
 }
@@ -338,7 +338,7 @@
 		}
 		open, r.ended = true, true
 		p.tally.Add(statslog.Left, 1)
-		p.balancer.Withdrawn(now, r.id, p)
+		p.balancer.HandleClientGone(now, r.id, p)
 		p.forget(r)
 	})
 	return open
@@ -388,12 +388,12 @@
 }
 
 // settle takes the end of an attempt: with OK, ans is its answer. It reports whether that is the request's.
-func (p *Pool) settle(a *attempt, status policy.Status, load *policy.Load, ans httpmsg.Answer) (taken bool) {
+func (p *Pool) settle(a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Answer) (taken bool) {
 	p.event(func(now policy.Time) { taken = p.settled(now, a, status, load, ans) })
 	return taken
 }
 
-func (p *Pool) settled(now policy.Time, a *attempt, status policy.Status, load *policy.Load, ans httpmsg.Answer) (taken bool) {
+func (p *Pool) settled(now policy.Time, a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Answer) (taken bool) {
 	r := a.req
 	if a.done { // guards against a second outcome of one attempt
 		return false
@@ -403,13 +403,13 @@
 	if c, is := tallied[status]; is {
 		p.tally.Add(c, 1)
 	}
-	if status == policy.OK && !r.ended {
+	if status == policy.StatusOK && !r.ended {
 		r.ended, taken = true, true
 		p.answer(r, ans, metrics.Succeeded)
 	}
-	p.balancer.Outcome(now, policy.Outcome{
-		ID: r.id, Attempt: a.number, Server: a.server, Status: status, Delay: now - a.sent,
-		Closed: r.ended, Load: load,
+	p.balancer.HandleAttemptResult(now, policy.AttemptResult{
+		ID: r.id, Attempt: a.number, Endpoint: a.server, Status: status, Delay: now - a.sent,
+		RequestEnded: r.ended, Load: load,
 	}, p)
 	p.notice(a.server, status)
 	p.count(a.zone, status, now-a.sent)
@@ -420,7 +420,7 @@
 // The methods of policy.Actions. The balancer calls them under mu, so they never block, and report what
 // comes of them through after or from a goroutine of their own.
 
-func (p *Pool) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
+func (p *Pool) StartAttempt(id policy.RequestID, server policy.EndpointID, timeout time.Duration) {
 	r := p.requests[id]
 	if r == nil {
 		return
@@ -428,7 +428,7 @@
 	now := time.Now()
 	a := &attempt{req: r, server: server, sent: now.Sub(p.origin), deadline: now.Add(timeout)}
 	e := p.entries[server]
-	a.number, a.zone, a.cell = len(r.event.Prior)+len(r.attempts), e.Site, e.Block
+	a.number, a.zone, a.cell = len(r.event.PriorAttempts)+len(r.attempts), e.Site, e.Block
 	r.attempts = append(r.attempts, a)
 	r.out++
 	p.tally.Add(statslog.Sends, 1)
@@ -440,13 +440,13 @@
 	}
 	to, listed := p.peers[server]
 	if r.ended || !listed || timeout <= 0 {
-		p.after = append(p.after, func(now policy.Time) { p.settled(now, a, policy.Moot, nil, httpmsg.Answer{}) })
+		p.after = append(p.after, func(now policy.Time) { p.settled(now, a, policy.StatusNotSent, nil, httpmsg.Answer{}) })
 		return
 	}
 	p.spawn(func() { p.attempt(a, to) })
 }
 
-func (p *Pool) Refuse(id policy.RequestID, retryAfter time.Duration) {
+func (p *Pool) Reject(id policy.RequestID, retryAfter time.Duration) {
 	r := p.requests[id]
 	p.refuse(r, r.lastOr(httpmsg.Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}, true))
 }
@@ -468,9 +468,9 @@
 	return *r.last
 }
 
-func (p *Pool) Cancel(id policy.RequestID, attempt int) {
+func (p *Pool) CancelAttempt(id policy.RequestID, attempt int) {
 	if r := p.requests[id]; r != nil {
-		if i := attempt - len(r.event.Prior); i >= 0 && i < len(r.attempts) {
+		if i := attempt - len(r.event.PriorAttempts); i >= 0 && i < len(r.attempts) {
 			r.attempts[i].cancel()
 		}
 	}
@@ -501,7 +501,7 @@
 			due = append(due, heap.Pop(&p.timers).(timer).token)
 		}
 		for _, token := range due {
-			p.balancer.Timer(now, token, p)
+			p.balancer.HandleTimer(now, token, p)
 		}
 		p.setAlarm()
 	})
@@ -528,23 +528,23 @@
 }
 
 // members hands a message about the server list to the module.
-func (p *Pool) members(now policy.Time, kind policy.ListKind, l *discovery.List) {
+func (p *Pool) members(now policy.Time, kind policy.UpdateKind, l *discovery.List) {
 	p.seq = *l.Seq
-	if kind != policy.ListCached {
+	if kind != policy.UpdateCached {
 		p.told, p.warned = true, ""
 	}
-	servers := make([]policy.Server, len(l.Hosts))
-	listed := make(map[policy.ServerID]bool, len(l.Hosts))
+	servers := make([]policy.Endpoint, len(l.Hosts))
+	listed := make(map[policy.EndpointID]bool, len(l.Hosts))
 	for i, e := range l.Hosts {
-		id := policy.ServerID(e.Host)
+		id := policy.EndpointID(e.Host)
 		listed[id] = true
 		servers[i] = p.listed(e)
 		p.setPeer(id, servers[i], e)
 	}
-	if kind != policy.ListDelta {
+	if kind != policy.UpdateDelta {
 		for id := range p.peers {
 			if !listed[id] {
-				p.setPeer(id, policy.Server{State: policy.Gone}, discovery.Entry{})
+				p.setPeer(id, policy.Endpoint{State: policy.Removed}, discovery.Entry{})
 			}
 		}
 	}
@@ -557,7 +557,7 @@
 		}
 		p.tell(ready)
 	}
-	p.balancer.Members(now, kind, servers, p)
+	p.balancer.UpdateEndpoints(now, kind, servers, p)
 	if p.serves != nil && !p.serves() {
 		p.giveBack(now)
 	}
@@ -570,9 +570,9 @@
 		if r.ended || len(r.attempts) > 0 {
 			continue
 		}
-		p.balancer.Withdrawn(now, r.id, p)
+		p.balancer.HandleClientGone(now, r.id, p)
 		bad := errNoServer.Answer()
-		if !p.settings.Config.HintsRetry {
+		if !p.settings.Config.RetryAfterHonored {
 			bad.RetryAfter = 0
 		}
 		p.refuse(r, bad)
@@ -581,9 +581,9 @@
 
 // setPeer notes what the list says of an upstream. One that restarts, moves or goes loses its connections: another
 // process may stand at its address by now.
-func (p *Pool) setPeer(id policy.ServerID, s policy.Server, e discovery.Entry) {
+func (p *Pool) setPeer(id policy.EndpointID, s policy.Endpoint, e discovery.Entry) {
 	to := p.peers[id]
-	if to != nil && (s.State == policy.Gone || to.Addr() != e.Dial || to.Started() != p.started(e.BornMs)) {
+	if to != nil && (s.State == policy.Removed || to.Addr() != e.Dial || to.Started() != p.started(e.BornMs)) {
 		delete(p.peers, id)
 		p.up.Retire(to)
 		to = nil
@@ -591,7 +591,7 @@
 	}
 	p.entries[id] = e
 	switch {
-	case s.State == policy.Gone:
+	case s.State == policy.Removed:
 		delete(p.entries, id)
 		delete(p.returned, string(id))
 	case to == nil:
@@ -605,9 +605,9 @@
 // sooner, each time, would be a call after the other.
 const steadyWatch = time.Second
 
-// Watch is a method of policy.Actions. A watch ends in one ListFailed or ListLost, unless it is called off; when to ask again is
+// WatchEndpoints is a method of policy.Actions. A watch ends in one ListFailed or ListLost, unless it is called off; when to ask again is
 // for the module to say.
-func (p *Pool) Watch(on bool) {
+func (p *Pool) WatchEndpoints(on bool) {
 	if p.stopWatch != nil {
 		p.stopWatch()
 		p.stopWatch = nil
@@ -625,9 +625,9 @@
 		watch, end := context.WithCancel(ctx)
 		defer end()
 		err := from.Watch(watch, since, func(l *discovery.List) {
-			kind := policy.ListDelta
+			kind := policy.UpdateDelta
 			if l.Whole {
-				kind = policy.ListFull
+				kind = policy.UpdateFull
 			}
 			p.event(func(now policy.Time) {
 				if watch.Err() != nil {
@@ -652,11 +652,11 @@
 			p.stopWatch = nil
 			p.tally.Add(statslog.CallsFailed, 1)
 			p.warn(err)
-			kind := policy.ListFailed
+			kind := policy.UpdatePollFailed
 			if errors.Is(err, discovery.ErrSilent) || stood > 0 && now-stood >= steadyWatch {
-				kind = policy.ListLost
+				kind = policy.UpdateWatchLost
 			}
-			p.balancer.Members(now, kind, nil, p)
+			p.balancer.UpdateEndpoints(now, kind, nil, p)
 		})
 	})
 }
@@ -696,7 +696,7 @@
 			p.stopWatch()
 			p.stopWatch = nil
 		}
-		p.balancer.Members(now, policy.ListLost, nil, p)
+		p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 	})
 }
 
@@ -704,7 +704,7 @@
 func (p *Pool) Hurry() {
 	p.event(func(now policy.Time) {
 		if !p.told && p.stopWatch == nil {
-			p.balancer.Members(now, policy.ListLost, nil, p)
+			p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 		}
 	})
 }
@@ -753,7 +753,7 @@
 func (p *Pool) Figures() Figures {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := Figures{Listed: len(p.peers), Avoided: p.balancer.Avoided(p.now())}
+	f := Figures{Listed: len(p.peers), Avoided: p.balancer.EjectedCount(p.now())}
 	for _, r := range p.requests {
 		if !r.ended || r.away != nil || r.streams {
 			f.Outstanding++
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -71,8 +71,8 @@
 }
 
 func TestLegal(t *testing.T) {
-	p := &Pool{longest: 5 * time.Second, effects: map[string]policy.Effect{
-		"check": policy.Safe, "order": policy.Keyed, "book": policy.Unsafe,
+	p := &Pool{longest: 5 * time.Second, effects: map[string]policy.Idempotency{
+		"check": policy.Idempotent, "order": policy.IdempotentByKey, "book": policy.NonIdempotent,
 	}}
 	header := func(more ...string) http.Header {
 		h := http.Header{"X-Request-Id": {"a"}, "X-Timeout-Ms": {"300"}}
@@ -113,7 +113,7 @@
 	}
 	ask, err := p.Legal(&httpmsg.Request{Method: "GET", Header: header(
 		"X-Timeout-Ms", "60000", "X-Tenant-Id", "t", "X-Retried", "1", "X-Cost", "1500")}, "/check/of/7")
-	want := policy.Request{Class: "check", Key: "7", Tenant: "t", Retry: true, Cost: 1500 * time.Microsecond}
+	want := policy.Request{Class: "check", Key: "7", Tenant: "t", IsRetry: true, ExpectedWork: 1500 * time.Microsecond}
 	if err != nil || !reflect.DeepEqual(ask.event, want) || ask.timeout != p.longest {
 		t.Errorf("got %+v, %v", ask, err)
 	}
@@ -129,7 +129,7 @@
 		if l == nil {
 			return
 		}
-		for _, v := range []float64{l.Queue, l.Inflight} {
+		for _, v := range []float64{l.Queue, l.InFlight} {
 			if !(v == -1 || v >= 0 && v <= mostLoad) {
 				t.Fatalf("%q gives %+v", text, l)
 			}
--- a/internal/pool/probe.go
+++ b/internal/pool/probe.go
@@ -28,13 +28,13 @@
 	mostLoad = 1e9
 )
 
-// Probe is a method of policy.Actions.
-func (p *Pool) Probe(server policy.ServerID) {
+// CheckHealth is a method of policy.Actions.
+func (p *Pool) CheckHealth(server policy.EndpointID) {
 	sent := p.now()
 	to, listed := p.peers[server]
 	if !listed || p.probing >= mostProbes {
 		p.after = append(p.after, func(now policy.Time) {
-			p.balancer.Probed(now, policy.ProbeResult{Server: server, Status: policy.Moot}, p)
+			p.balancer.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: server, Status: policy.StatusNotSent}, p)
 		})
 		return
 	}
@@ -44,24 +44,24 @@
 		status, load := p.probe(to)
 		p.event(func(now policy.Time) {
 			p.probing--
-			if status != policy.OK {
+			if status != policy.StatusOK {
 				p.tally.Add(statslog.ProbesLost, 1)
 			}
-			p.balancer.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: now - sent, Load: load}, p)
+			p.balancer.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: server, Status: status, Delay: now - sent, Load: load}, p)
 			p.notice(server, status)
 		})
 	})
 }
 
 // probe asks an upstream for its load.
-func (p *Pool) probe(to *upstream.Peer) (policy.Status, *policy.Load) {
+func (p *Pool) probe(to *upstream.Peer) (policy.Status, *policy.LoadReport) {
 	c, err := p.up.Connect(context.Background(), to, time.Now().Add(probeTimeout))
 	var noSocket upstream.NoDescriptor
 	switch {
 	case errors.As(err, &noSocket):
-		return policy.Moot, nil
+		return policy.StatusNotSent, nil
 	case err != nil:
-		return policy.ConnectFailed, nil
+		return policy.StatusConnectFailed, nil
 	}
 	ask := &upstream.Request{Method: http.MethodGet, Target: "/load", Host: to.Addr()}
 	if p.dialect != nil {
@@ -77,13 +77,13 @@
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.Close()
-		return policy.Timeout, nil
+		return policy.StatusTimeout, nil
 	case errors.As(err, &notWritten):
 		c.Close()
-		return policy.ConnectFailed, nil
+		return policy.StatusConnectFailed, nil
 	default:
 		c.Close()
-		return policy.Reset, nil
+		return policy.StatusReset, nil
 	}
 	if resp.Close || len(body) == mostReport {
 		c.Close()
@@ -92,23 +92,23 @@
 	}
 	if p.dialect != nil {
 		status, load := p.dialect.Read(resp.StatusCode, resp.Header)
-		if p.service != nil && status == policy.OK && resp.StatusCode >= http.StatusMultipleChoices { // a check that fails
-			status = policy.AppError
+		if p.service != nil && status == policy.StatusOK && resp.StatusCode >= http.StatusMultipleChoices { // a check that fails
+			status = policy.StatusApplicationError
 		}
 		return status, load
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return policy.OK, parseLoad(string(body), p.settings.Fields)
+		return policy.StatusOK, parseLoad(string(body), p.settings.Fields)
 	case http.StatusServiceUnavailable:
-		return policy.Full, nil
+		return policy.StatusOverloaded, nil
 	}
-	return policy.AppError, nil
+	return policy.StatusApplicationError, nil
 }
 
 // parseLoad reads a report such as "TEXT queue=2, util=0.61" by the names of its fields. It returns nil if
 // there is nothing in it that can be read.
-func parseLoad(text string, fields []string) *policy.Load {
+func parseLoad(text string, fields []string) *policy.LoadReport {
 	text = strings.TrimSpace(text)
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
 		text = rest
--- a/internal/pool/returned_test.go
+++ b/internal/pool/returned_test.go
@@ -16,8 +16,8 @@
 // so does one of a zone that the fleet has begun to use again, for a process that has just started. Its connections are not taken for a restarted one's.
 func TestReturned(t *testing.T) {
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Minute, Tick: time.Millisecond, Ramp: time.Minute, ColdFrom: 0.1,
-		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
+		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Minute, TimerResolution: time.Millisecond, SlowStartDuration: time.Minute, SlowStartMinCapacity: 0.1,
+		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
 	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(1, true, "a", "b", "c")},
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	told := func(host string) policy.Server {
+	told := func(host string) policy.Endpoint {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.listed(p.entries[policy.ServerID(host)])
+		return p.listed(p.entries[policy.EndpointID(host)])
 	}
 	only := func(names ...string) map[string]bool {
 		all := map[string]bool{}
--- a/internal/pool/staleness_test.go
+++ b/internal/pool/staleness_test.go
@@ -22,8 +22,8 @@
 // fleetConfig is that of one of so many sidecars.
 func fleetConfig(size int) policy.Config {
 	return policy.Config{
-		GroupSize: size, MaxAttempts: 1, AskEvery: 10 * time.Second, Tick: time.Millisecond,
-		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
+		InstanceCount: size, MaxAttempts: 1, PollInterval: 10 * time.Second, TimerResolution: time.Millisecond,
+		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
 }
 
@@ -148,7 +148,7 @@
 		nextCall(t, calls).answer(t, oneServer) // its watch stands as the address changes
 		next, moved := startDiscovery(t)
 		began := time.Now()
-		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
+		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
 		nextCall(t, moved).answer(t, oneServer)
 		within(t, "since it moved", began, time.Now(), bound.Again+busy)
@@ -163,7 +163,7 @@
 		first := nextCall(t, calls)
 		first.answer(t, oneServer)
 		next, moved := startDiscovery(t)
-		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
+		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		began := time.Now()
 		first.Close() // the old watch ends in the same instant
 		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
@@ -181,7 +181,7 @@
 			t.Fatal(err)
 		}
 		reserved.Close() // nobody is there yet
-		bound := staleness.Of(false, cfg.Config.AskEvery, cfg.DrainGrace)
+		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		p.SetSource(discovery.Discovery{Addr: reserved.Addr().String(), Bound: bound})
 		time.Sleep(4 * bound.Pause) // some calls are refused meanwhile; more makes no difference
 		back, err := net.Listen("tcp", reserved.Addr().String())
@@ -201,7 +201,7 @@
 	t.Run("an agent that is silent", func(t *testing.T) {
 		t.Parallel()
 		pushed := cfg
-		pushed.Config.Pushed, pushed.DrainGrace = true, 2*time.Second
+		pushed.Config.EndpointsPushed, pushed.DrainGrace = true, 2*time.Second
 		addr, calls := startDiscovery(t)
 		began := time.Now()
 		startAsking(t, pushed, addr, listed(1, true, "a"))
--- a/internal/pool/take.go
+++ b/internal/pool/take.go
@@ -53,9 +53,9 @@
 		event.Key = path[i+1:]
 	}
 	event.Tenant = q.Header.Get("X-Tenant-Id")
-	event.Retry = q.Header.Get("X-Retried") == "1"
+	event.IsRetry = q.Header.Get("X-Retried") == "1"
 	if us, err := strconv.ParseInt(q.Header.Get("X-Cost"), 10, 64); err == nil && us > 0 && us < int64(time.Hour/time.Microsecond) {
-		event.Cost = time.Duration(us) * time.Microsecond
+		event.ExpectedWork = time.Duration(us) * time.Microsecond
 	}
 	effect, known := p.effects[event.Class]
 	key := q.Header.Get("Idempotency-Key") != ""
@@ -63,12 +63,12 @@
 	case len(p.effects) == 0: // the settings name no class: any will do
 	case !known:
 		return bad(http.StatusNotFound, "no such class")
-	case (effect == policy.Safe) != (q.Method == http.MethodGet), effect != policy.Safe && q.Method != http.MethodPost:
+	case (effect == policy.Idempotent) != (q.Method == http.MethodGet), effect != policy.Idempotent && q.Method != http.MethodPost:
 		return bad(http.StatusMethodNotAllowed, "the class has another method")
-	case effect == policy.Keyed && !key: // servers could not tell a repeat, so that it would run twice
+	case effect == policy.IdempotentByKey && !key: // servers could not tell a repeat, so that it would run twice
 		return bad(http.StatusBadRequest, "no Idempotency-Key")
 	}
-	ask.safe = known && effect == policy.Safe
+	ask.safe = known && effect == policy.Idempotent
 	ms, err := strconv.ParseUint(q.Header.Get("X-Timeout-Ms"), 10, 63)
 	if err != nil || ms == 0 {
 		return bad(http.StatusBadRequest, "no usable X-Timeout-Ms")
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -11,8 +11,8 @@
 
 // tallied are the ends of attempts that are counted by kind.
 var tallied = map[policy.Status]statslog.Count{
-	policy.ConnectFailed: statslog.Unreached, policy.Timeout: statslog.TimedOut, policy.AppError: statslog.Erred,
-	policy.Full: statslog.TurnedAway, policy.Reset: statslog.Broken,
+	policy.StatusConnectFailed: statslog.Unreached, policy.StatusTimeout: statslog.TimedOut, policy.StatusApplicationError: statslog.Erred,
+	policy.StatusOverloaded: statslog.TurnedAway, policy.StatusReset: statslog.Broken,
 }
 
 // endOf is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
@@ -30,9 +30,9 @@
 }
 
 // warming reports whether a server started less than the ramp time ago.
-func (p *Pool) warming(now policy.Time, server policy.ServerID) bool {
+func (p *Pool) warming(now policy.Time, server policy.EndpointID) bool {
 	to := p.peers[server]
-	return to != nil && to.Started() != 0 && now-to.Started() < p.settings.Config.Ramp
+	return to != nil && to.Started() != 0 && now-to.Started() < p.settings.Config.SlowStartDuration
 }
 
 // tellFigures has the log told, until the pool ends, what the pool saw and did. A spell in which nothing happened is not told.
@@ -50,8 +50,8 @@
 		row := p.tally
 		p.tally = statslog.Row{}
 		now := p.now()
-		seen := p.balancer.Seen(now)
-		row.Usual, row.Short, row.Avoided, row.Open = seen.Usual, seen.Short, seen.Avoided, len(p.requests)
+		seen := p.balancer.Summarize(now)
+		row.Usual, row.Short, row.Avoided, row.Open = seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints, len(p.requests)
 		for id, e := range p.entries {
 			if discovery.States[e.Health] == policy.Ready {
 				row.Listed++
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -27,8 +27,8 @@
 // The log tells what happened in each spell, once; a spell in which nothing did is not told.
 func TestFiguresAreTold(t *testing.T) {
 	cfg := policy.Config{
-		GroupSize: 1, MaxAttempts: 1, AskEvery: time.Millisecond, Tick: time.Millisecond, Ramp: time.Hour,
-		Classes: []policy.Class{{Name: "a", Aim: time.Second, Deadline: time.Second}},
+		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Millisecond, TimerResolution: time.Millisecond, SlowStartDuration: time.Hour,
+		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
 	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
 	out := make(lines, 100)
--- a/internal/scenario/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -261,7 +261,7 @@
 		Discovery: emulator.Discovery{Calls: f.Discovery.Calls, Patience: 2 * time.Second, Notice: time.Duration(f.Discovery.Notice)},
 		Module:    emulator.UsualModule(),
 	}
-	day.Module.HintsRetry = f.Clients.Heed
+	day.Module.RetryAfterHonored = f.Clients.Heed
 	for i, k := range f.Kinds {
 		at := fmt.Sprintf("kinds[%d].", i+1)
 		within(at+"cores", float64(k.Cores), 1, 1024)
@@ -272,8 +272,8 @@
 	if len(f.Kinds) == 0 {
 		day.Kinds = []emulator.Kind{{Name: "even", Share: 1, Cores: 3, Speed: 1.2}}
 	}
-	effects := map[string]policy.Effect{"": policy.Safe, "safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups := map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell}
+	effects := map[string]policy.Idempotency{"": policy.Idempotent, "safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+	groups := map[string]policy.DedupScope{"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
 	for i, c := range f.Classes {
 		at := fmt.Sprintf("classes[%d].", i+1)
 		effect, known := effects[c.Effect]
@@ -295,14 +295,14 @@
 		within(at+"work_cv", c.CV, 0, 10)
 		day.Classes = append(day.Classes, emulator.Class{
 			Class: policy.Class{
-				Name: c.Name, Effect: effect, Group: group, KeyTTL: time.Duration(c.KeyTTL), Aim: time.Duration(c.Aim),
-				Deadline: time.Duration(c.Deadline), Worth: c.Worth, LateShare: c.Late,
+				Name: c.Name, Idempotency: effect, DedupScope: group, DedupWindow: time.Duration(c.KeyTTL), LatencyObjective: time.Duration(c.Aim),
+				Deadline: time.Duration(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.Late,
 			}, Share: c.Share, Work: time.Duration(c.Work), CV: c.CV,
 		})
 	}
 	if len(f.Classes) == 0 {
 		day.Classes = []emulator.Class{{
-			Class: policy.Class{Name: "read", Aim: 450 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, LateShare: 0.3}, Share: 1, Work: 90 * time.Millisecond, CV: 1,
+			Class: policy.Class{Name: "read", LatencyObjective: 450 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.3}, Share: 1, Work: 90 * time.Millisecond, CV: 1,
 		}}
 	}
 	for i, x := range f.Faults {
--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -15,21 +15,21 @@
 func fullSettings() Settings {
 	return Settings{
 		Config: policy.Config{
-			Ordinal: 7, GroupSize: 48, Zone: "west",
+			InstanceIndex: 7, InstanceCount: 48, Zone: "west",
 			Classes: []policy.Class{
-				{Name: "check", Effect: policy.Safe, Group: policy.GroupAll, KeyTTL: 1007 * time.Microsecond, Aim: 1005 * time.Microsecond, Deadline: 1006 * time.Microsecond, Worth: 1.5, LateShare: 0.125},
-				{Name: "order", Effect: policy.Keyed, Group: policy.GroupZone, KeyTTL: 1010 * time.Microsecond, Aim: 1008 * time.Microsecond, Deadline: 1009 * time.Microsecond, Worth: 2.5, LateShare: 0.375},
-				{Name: "book", Effect: policy.Unsafe, Group: policy.GroupCell, KeyTTL: 1013 * time.Microsecond, Aim: 1011 * time.Microsecond, Deadline: 1012 * time.Microsecond, Worth: 3.5, LateShare: 0.5},
-				{Name: "list", Effect: policy.Safe, Group: policy.GroupAll, KeyTTL: 1016 * time.Microsecond, Aim: 1014 * time.Microsecond, Deadline: 1015 * time.Microsecond, Worth: 4.5, LateShare: 0.625},
+				{Name: "check", Idempotency: policy.Idempotent, DedupScope: policy.DedupEverywhere, DedupWindow: 1007 * time.Microsecond, LatencyObjective: 1005 * time.Microsecond, Deadline: 1006 * time.Microsecond, PriorityWeight: 1.5, LateWeightFraction: 0.125},
+				{Name: "order", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupZone, DedupWindow: 1010 * time.Microsecond, LatencyObjective: 1008 * time.Microsecond, Deadline: 1009 * time.Microsecond, PriorityWeight: 2.5, LateWeightFraction: 0.375},
+				{Name: "book", Idempotency: policy.NonIdempotent, DedupScope: policy.DedupCell, DedupWindow: 1013 * time.Microsecond, LatencyObjective: 1011 * time.Microsecond, Deadline: 1012 * time.Microsecond, PriorityWeight: 3.5, LateWeightFraction: 0.5},
+				{Name: "list", Idempotency: policy.Idempotent, DedupScope: policy.DedupEverywhere, DedupWindow: 1016 * time.Microsecond, LatencyObjective: 1014 * time.Microsecond, Deadline: 1015 * time.Microsecond, PriorityWeight: 4.5, LateWeightFraction: 0.625},
 			},
-			Tenants:        []policy.Tenant{{Name: "acme", AllowancePer: 12.5}, {Name: "globex", AllowancePer: 13.5}},
-			OverShareWorth: 0.25,
-			Pushed:         true, MayProbe: true, MayCancel: true, MayDuplicate: true, HintsRetry: true,
+			Tenants:         []policy.Tenant{{Name: "acme", RateQuota: 12.5}, {Name: "globex", RateQuota: 13.5}},
+			OverQuotaWeight: 0.25,
+			EndpointsPushed: true, HealthChecksAllowed: true, CancellationAllowed: true, HedgingAllowed: true, RetryAfterHonored: true,
 			MaxAttempts: 3, MaxRetryAfter: 1004 * time.Microsecond, DialTimeout: 1003 * time.Microsecond,
-			ConnIdle: 1002 * time.Microsecond, Tick: 1001 * time.Microsecond,
-			InlineReports: true, WarmKeys: true,
-			AskEvery: 1017 * time.Microsecond, AnswerGrace: 1019 * time.Microsecond, ColdFrom: 0.75, Ramp: 1020 * time.Microsecond,
-			ProbeTariff: 0.04, ConnectionTariff: 0.01, HandshakeTariff: 0.03, CrossZoneTariff: 0.02,
+			ConnIdle: 1002 * time.Microsecond, TimerResolution: 1001 * time.Microsecond,
+			InlineLoadReports: true, KeyAffinity: true,
+			PollInterval: 1017 * time.Microsecond, ResponseGrace: 1019 * time.Microsecond, SlowStartMinCapacity: 0.75, SlowStartDuration: 1020 * time.Microsecond,
+			HealthCheckCost: 0.04, ConnectionCost: 0.01, HandshakeCost: 0.03, CrossZoneCost: 0.02,
 		},
 		Fields:     []string{"queue", "latency_ms"},
 		DrainGrace: 1018 * time.Microsecond,
@@ -58,21 +58,21 @@
 		change         func(*Settings)
 	}{
 		{"full", ``, ``, func(*Settings) {}},
-		{"asked", `"pushed"`, `"asked"`, func(s *Settings) { s.Config.Pushed = false }},
-		{"on probe", `"inline"`, `"on_probe"`, func(s *Settings) { s.Config.InlineReports = false }},
-		{"Cancelling", `"Cancelling": true`, `"Cancelling": false`, func(s *Settings) { s.Config.MayCancel = false }},
-		{"MayDuplicate", `"MayDuplicate": true`, `"MayDuplicate": false`, func(s *Settings) { s.Config.MayDuplicate = false }},
-		{"Probes", `"Probes": true`, `"Probes": false`, func(s *Settings) { s.Config.MayProbe = false }},
-		{"RetryAfter", `"RetryAfter": true`, `"RetryAfter": false`, func(s *Settings) { s.Config.HintsRetry = false }},
-		{"WarmKeys", `"WarmKeys": true`, `"WarmKeys": false`, func(s *Settings) { s.Config.WarmKeys = false }},
+		{"asked", `"pushed"`, `"asked"`, func(s *Settings) { s.Config.EndpointsPushed = false }},
+		{"on probe", `"inline"`, `"on_probe"`, func(s *Settings) { s.Config.InlineLoadReports = false }},
+		{"Cancelling", `"Cancelling": true`, `"Cancelling": false`, func(s *Settings) { s.Config.CancellationAllowed = false }},
+		{"MayDuplicate", `"MayDuplicate": true`, `"MayDuplicate": false`, func(s *Settings) { s.Config.HedgingAllowed = false }},
+		{"Probes", `"Probes": true`, `"Probes": false`, func(s *Settings) { s.Config.HealthChecksAllowed = false }},
+		{"RetryAfter", `"RetryAfter": true`, `"RetryAfter": false`, func(s *Settings) { s.Config.RetryAfterHonored = false }},
+		{"WarmKeys", `"WarmKeys": true`, `"WarmKeys": false`, func(s *Settings) { s.Config.KeyAffinity = false }},
 		{"no AskEveryUs", `"AskEveryUs": 1017, `, ``, func(s *Settings) {
-			s.Config.AskEvery, s.Assumed = 10*time.Second, []string{"Safety.AskEveryUs: 10s"}
+			s.Config.PollInterval, s.Assumed = 10*time.Second, []string{"Safety.AskEveryUs: 10s"}
 		}},
 		{"no DrainGraceUs", `"DrainGraceUs": 1018, `, ``, func(s *Settings) {
 			s.DrainGrace, s.Assumed = 0, []string{"Safety.DrainGraceUs: the shortest that is known"}
 		}},
 		{"no KeyTtlUs", `"KeyTtlUs": 1010, `, ``, func(s *Settings) {
-			s.Config.Classes[1].KeyTTL = 0
+			s.Config.Classes[1].DedupWindow = 0
 			s.Assumed = []string{`RequestClasses "order": KeyTtlUs: none, so that nothing is repeated that may have run`}
 		}},
 	} {
@@ -91,13 +91,13 @@
 // TestLoadFieldForm holds the names of the fields of a load report.
 func TestLoadFieldForm(t *testing.T) {
 	got := NoLoad()
-	if want := (policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}); got != want {
+	if want := (policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}); got != want {
 		t.Errorf("no report: %+v, want %+v", got, want)
 	}
 	for i, field := range []string{"queue", "inflight", "latency_ms", "eps", "unknown"} {
 		Set(&got, field, float64(i))
 	}
-	if want := (policy.Load{Queue: 0, Inflight: 1, Latency: 2, ErrorRate: 3}); got != want {
+	if want := (policy.LoadReport{Queue: 0, InFlight: 1, Latency: 2, ErrorRate: 3}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,12 +55,12 @@
 	}
 }
 
-var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentByKey, "non_idempotent": policy.NonIdempotent,
 }
 
-var groups = map[string]policy.Group{
-	"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var groups = map[string]policy.DedupScope{
+	"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
 // Parse reads the settings object. An error names the key at fault.
@@ -73,25 +73,25 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	cfg := policy.Config{
-		WarmKeys: s.FamilyInfo.WarmKeys,
-		Ordinal:  s.Ordinal, GroupSize: s.GroupSize, Zone: s.Zone, OverShareWorth: s.OverShareWorth,
-		Pushed: s.MembershipMode == "pushed", MayProbe: s.Limits.Probes, MayCancel: s.Limits.Cancelling,
-		MayDuplicate: s.Limits.MayDuplicate, HintsRetry: s.Limits.RetryAfter, MaxAttempts: s.Limits.SendCap,
+		KeyAffinity:   s.FamilyInfo.WarmKeys,
+		InstanceIndex: s.Ordinal, InstanceCount: s.GroupSize, Zone: s.Zone, OverQuotaWeight: s.OverShareWorth,
+		EndpointsPushed: s.MembershipMode == "pushed", HealthChecksAllowed: s.Limits.Probes, CancellationAllowed: s.Limits.Cancelling,
+		HedgingAllowed: s.Limits.MayDuplicate, RetryAfterHonored: s.Limits.RetryAfter, MaxAttempts: s.Limits.SendCap,
 		MaxRetryAfter: Micros(s.Limits.MaxRetryAfterUs), DialTimeout: Micros(s.Limits.DialTimeoutUs),
-		ConnIdle: Micros(s.Limits.ConnIdleUs), Tick: Micros(s.TickUs), InlineReports: s.Telemetry.Via == "inline",
-		AskEvery: Micros(s.Safety.AskEveryUs), AnswerGrace: Micros(s.Safety.GraceToAnswerUs),
-		ColdFrom: s.Safety.ColdFrom, Ramp: Micros(s.Safety.RampTimeUs),
-		ProbeTariff: s.Tariffs.Probe, ConnectionTariff: s.Tariffs.Connection,
-		HandshakeTariff: s.Tariffs.Handshake, CrossZoneTariff: s.Tariffs.CrossZone,
+		ConnIdle: Micros(s.Limits.ConnIdleUs), TimerResolution: Micros(s.TickUs), InlineLoadReports: s.Telemetry.Via == "inline",
+		PollInterval: Micros(s.Safety.AskEveryUs), ResponseGrace: Micros(s.Safety.GraceToAnswerUs),
+		SlowStartMinCapacity: s.Safety.ColdFrom, SlowStartDuration: Micros(s.Safety.RampTimeUs),
+		HealthCheckCost: s.Tariffs.Probe, ConnectionCost: s.Tariffs.Connection,
+		HandshakeCost: s.Tariffs.Handshake, CrossZoneCost: s.Tariffs.CrossZone,
 	}
 	for _, c := range s.RequestClasses {
 		cfg.Classes = append(cfg.Classes, policy.Class{
-			Name: c.Name, Effect: effects[c.Effect], Group: groups[c.Group], KeyTTL: Micros(c.KeyTtlUs),
-			Aim: Micros(c.AimUs), Deadline: Micros(c.DeadlineUs), Worth: c.Worth, LateShare: c.LateShare,
+			Name: c.Name, Idempotency: effects[c.Effect], DedupScope: groups[c.Group], DedupWindow: Micros(c.KeyTtlUs),
+			LatencyObjective: Micros(c.AimUs), Deadline: Micros(c.DeadlineUs), PriorityWeight: c.Worth, LateWeightFraction: c.LateShare,
 		})
 	}
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, AllowancePer: t.AllowancePerS})
+		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, RateQuota: t.AllowancePerS})
 	}
 	out := Settings{Config: cfg, Fields: s.Telemetry.Fields, DrainGrace: Micros(s.Safety.DrainGraceUs)}
 	out.assume()
@@ -107,15 +107,15 @@
 
 // assume takes what is safe under the rules for what the settings leave out.
 func (s *Settings) assume() {
-	if s.Config.AskEvery == 0 {
-		s.Config.AskEvery = usualAskEvery
+	if s.Config.PollInterval == 0 {
+		s.Config.PollInterval = usualAskEvery
 		s.Assumed = append(s.Assumed, fmt.Sprintf("Safety.AskEveryUs: %v", usualAskEvery))
 	}
 	if s.DrainGrace == 0 {
 		s.Assumed = append(s.Assumed, "Safety.DrainGraceUs: the shortest that is known")
 	}
 	for _, c := range s.Config.Classes {
-		if c.Effect == policy.Keyed && c.KeyTTL == 0 {
+		if c.Idempotency == policy.IdempotentByKey && c.DedupWindow == 0 {
 			s.Assumed = append(s.Assumed, fmt.Sprintf("RequestClasses %q: KeyTtlUs: none, so that nothing is repeated that may have run", c.Name))
 		}
 	}
@@ -123,7 +123,7 @@
 
 // ListBound is how old the list of servers may get by these settings.
 func (s *Settings) ListBound() staleness.Bound {
-	return staleness.Of(s.Config.Pushed, s.Config.AskEvery, s.DrainGrace)
+	return staleness.Of(s.Config.EndpointsPushed, s.Config.PollInterval, s.DrainGrace)
 }
 
 // validate guards against what the module would reject or misread, by the names that the operators use.
@@ -180,18 +180,18 @@
 }
 
 // NoLoad returns a report in which nothing is reported.
-func NoLoad() policy.Load {
-	return policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: -1}
+func NoLoad() policy.LoadReport {
+	return policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
 }
 
 // Set notes the value that a report gives under a field's name. Fields that the module has no use for are
 // skipped.
-func Set(l *policy.Load, field string, value float64) {
+func Set(l *policy.LoadReport, field string, value float64) {
 	switch field {
 	case "queue":
 		l.Queue = value
 	case "inflight":
-		l.Inflight = value
+		l.InFlight = value
 	case "latency_ms":
 		l.Latency = value
 	case "eps":
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -33,7 +33,7 @@
 			Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001,
 		}}},
 		Settings: settings.Settings{
-			Config:     policy.Config{GroupSize: 1, MaxAttempts: 3, AskEvery: 2 * time.Second},
+			Config:     policy.Config{InstanceCount: 1, MaxAttempts: 3, PollInterval: 2 * time.Second},
 			DrainGrace: 300 * time.Millisecond,
 		},
 	}
@@ -109,15 +109,15 @@
 			2: {{Waited: []float64{7.5}, Used: []float64{8}}},
 		},
 		Pools: map[string]pool.Learnt{poolName: {
-			Learnt: policy.Learnt{
-				Line: [4]float64{0.5, 1.25, 2.75, 3.125}, Busy: 0.625, CopyWins: 0.375,
-				Servers: map[policy.ServerID]policy.LearntServer{
-					"s1": {Started: 11 * time.Millisecond, Slowness: 1.75, Answers: 12, Gap: 13.5, EjectedFor: 14 * time.Second, Fails: 15},
-					"s2": {Started: -16 * time.Millisecond, Slowness: 0.875, Answers: 17, Gap: 18.5, EjectedFor: 19 * time.Second, Fails: 20},
+			LearnedState: policy.LearnedState{
+				DelayModel: [4]float64{0.5, 1.25, 2.75, 3.125}, ProbeContention: 0.625, HedgeWinRate: 0.375,
+				Endpoints: map[policy.EndpointID]policy.LearnedEndpoint{
+					"s1": {Started: 11 * time.Millisecond, Slowness: 1.75, Samples: 12, ResponseInterval: 13.5, EjectedFor: 14 * time.Second, ConsecutiveFailures: 15},
+					"s2": {Started: -16 * time.Millisecond, Slowness: 0.875, Samples: 17, ResponseInterval: 18.5, EjectedFor: 19 * time.Second, ConsecutiveFailures: 20},
 				},
-				Patience: map[string]time.Duration{"check": 21 * time.Millisecond, "order": 22 * time.Millisecond},
+				ClientTimeouts: map[string]time.Duration{"check": 21 * time.Millisecond, "order": 22 * time.Millisecond},
 			},
-			Born: map[policy.ServerID]int64{"s1": 1700000000001, "s2": 1700000000002},
+			Born: map[policy.EndpointID]int64{"s1": 1700000000001, "s2": 1700000000002},
 		}},
 	}
 	const path = "testdata/learnt.json"
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -631,7 +631,7 @@
 		return echo(q, b)
 	})
 	cfg := config(t, "127.0.0.1:1", 256, listOf(t, fast, slow))
-	cfg.Settings.Config.Classes[0].Aim = 2 * hasty
+	cfg.Settings.Config.Classes[0].LatencyObjective = 2 * hasty
 	s := start(t, cfg)
 	// Until the slow one is known as slow: none goes there, or it has answered often enough to be known. One that answers just within
 	// the aim may go on being sent some of the usual ones, rightly and for ever.
@@ -671,7 +671,7 @@
 		return echo(q, b)
 	})
 	cfg := config(t, "127.0.0.1:1", 256, listOf(t, u))
-	cfg.Settings.Config.Classes[0].Aim = 300 * time.Millisecond
+	cfg.Settings.Config.Classes[0].LatencyObjective = 300 * time.Millisecond
 	s := start(t, cfg)
 	for i := range 3 {
 		if status, _ := s.dial(t).ask(t, get("calm"+strconv.Itoa(i))); status != 200 {
@@ -729,8 +729,8 @@
 		return echo(q, b)
 	}
 	cfg := config(t, "127.0.0.1:1", 256, listOf(t, startUpstream(t, f), startUpstream(t, f), startUpstream(t, f)))
-	cfg.Settings.Config.MayDuplicate = true
-	cfg.Settings.Config.Classes[0].Aim = time.Second
+	cfg.Settings.Config.HedgingAllowed = true
+	cfg.Settings.Config.Classes[0].LatencyObjective = time.Second
 	s := start(t, cfg)
 	c := s.dial(t)
 	for i := range 70 { // these pay for the first copies
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -139,9 +139,9 @@
 		forms = append(forms, form{name: f.name, write: strings.TrimSuffix(string(out), "\n")})
 	}
 	checkForms(t, "session.golden", forms)
-	want := []policy.Server{
+	want := []policy.Endpoint{
 		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * policy.Time(time.Microsecond)},
-		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Gone, Zone: "b"},
+		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
 	}
 	if !reflect.DeepEqual(h.pages[2], want) {
 		t.Errorf("the list is %+v, want %+v", h.pages[2], want)
@@ -166,17 +166,17 @@
 		}
 		forms = append(forms, form{name: name, write: string(text), read: read, value: value})
 	}
-	add("send", func(i *instance) { i.Send(1<<63|5, "10.0.0.1:80", 80*time.Millisecond) })
-	add("send request 0", func(i *instance) { i.Send(0, "10.0.0.1:80", 80*time.Millisecond) })
-	add("refuse", func(i *instance) { i.Refuse(5, time.Second) })
+	add("send", func(i *instance) { i.StartAttempt(1<<63|5, "10.0.0.1:80", 80*time.Millisecond) })
+	add("send request 0", func(i *instance) { i.StartAttempt(0, "10.0.0.1:80", 80*time.Millisecond) })
+	add("refuse", func(i *instance) { i.Reject(5, time.Second) })
 	add("fail", func(i *instance) { i.Fail(6) })
-	add("cancel", func(i *instance) { i.Cancel(5, 1) })
-	add("cancel attempt 0", func(i *instance) { i.Cancel(5, 0) })
+	add("cancel", func(i *instance) { i.CancelAttempt(5, 1) })
+	add("cancel attempt 0", func(i *instance) { i.CancelAttempt(5, 0) })
 	add("set timer", func(i *instance) { i.SetTimer(25*time.Microsecond, "x") })
 	add("set timer that is due", func(i *instance) { i.SetTimer(-1, "x") })
-	add("probe", func(i *instance) { i.Probe("10.0.0.1:80") })
-	add("watch", func(i *instance) { i.Watch(true) })
-	add("watch no more", func(i *instance) { i.Watch(false) })
+	add("probe", func(i *instance) { i.CheckHealth("10.0.0.1:80") })
+	add("watch", func(i *instance) { i.WatchEndpoints(true) })
+	add("watch no more", func(i *instance) { i.WatchEndpoints(false) })
 	add("log", func(i *instance) { i.Log("hello") })
 	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
 	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
@@ -191,12 +191,12 @@
 // TestWords pins what each word of the simulator means, and that there are no others.
 func TestWords(t *testing.T) {
 	checkWords(t, "outcome", statuses, map[string]policy.Status{
-		"delivered": policy.OK, "app_error": policy.AppError, "shed": policy.Full, "expired": policy.Timeout,
-		"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.Moot,
+		"delivered": policy.StatusOK, "app_error": policy.StatusApplicationError, "shed": policy.StatusOverloaded, "expired": policy.StatusTimeout,
+		"dial_failed": policy.StatusConnectFailed, "dropped": policy.StatusReset, "revoked": policy.StatusCanceled, "unused": policy.StatusNotSent,
 	})
-	checkWords(t, "state", states, map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone})
-	checkWords(t, "list", kinds, map[string]policy.ListKind{
-		"patch": policy.ListDelta, "whole": policy.ListFull, "stale_copy": policy.ListCached, "broken": policy.ListFailed,
+	checkWords(t, "state", states, map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed})
+	checkWords(t, "list", kinds, map[string]policy.UpdateKind{
+		"patch": policy.UpdateDelta, "whole": policy.UpdateFull, "stale_copy": policy.UpdateCached, "broken": policy.UpdatePollFailed,
 	})
 	events := slices.Sorted(maps.Keys(known))
 	if got := fmt.Sprint(events); got != "[BackendsChanged DeadlineHit Demand Halt HealthResult Memo Opened ReportBack Withdrawn]" {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -97,7 +97,7 @@
 type order struct {
 	Cmd        string            `json:"cmd"`
 	Corr       *policy.RequestID `json:"Corr,omitempty"` // 0 is an id too
-	Upstream   policy.ServerID   `json:"Upstream,omitzero"`
+	Upstream   policy.EndpointID `json:"Upstream,omitzero"`
 	MaxWaitUs  int64             `json:"MaxWaitUs,omitzero"`
 	StayAwayUs int64             `json:"StayAwayUs,omitzero"`
 	Shot       *int              `json:"Shot,omitempty"`
@@ -108,20 +108,20 @@
 }
 
 var statuses = map[string]policy.Status{
-	"delivered": policy.OK, "app_error": policy.AppError, "shed": policy.Full, "expired": policy.Timeout,
-	"dial_failed": policy.ConnectFailed, "dropped": policy.Reset, "revoked": policy.Canceled, "unused": policy.Moot,
+	"delivered": policy.StatusOK, "app_error": policy.StatusApplicationError, "shed": policy.StatusOverloaded, "expired": policy.StatusTimeout,
+	"dial_failed": policy.StatusConnectFailed, "dropped": policy.StatusReset, "revoked": policy.StatusCanceled, "unused": policy.StatusNotSent,
 }
 
-var states = map[string]policy.ServerState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Gone}
+var states = map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed}
 
-var kinds = map[string]policy.ListKind{
-	"patch": policy.ListDelta, "whole": policy.ListFull, "stale_copy": policy.ListCached, "broken": policy.ListFailed,
+var kinds = map[string]policy.UpdateKind{
+	"patch": policy.UpdateDelta, "whole": policy.UpdateFull, "stale_copy": policy.UpdateCached, "broken": policy.UpdatePollFailed,
 }
 
 // host holds the instances of the process and the lists they refer to.
 type host struct {
 	instances map[string]*instance
-	pages     [16][]policy.Server
+	pages     [16][]policy.Endpoint
 }
 
 func open(e *event) (*instance, error) {
@@ -214,40 +214,40 @@
 		if !ok {
 			return fmt.Errorf("unknown kind of list %q", e.How)
 		}
-		var lines []policy.Server
-		if kind != policy.ListFailed {
+		var lines []policy.Endpoint
+		if kind != policy.UpdatePollFailed {
 			if e.Page < 0 || e.Page >= len(h.pages) {
 				return fmt.Errorf("no list %d", e.Page)
 			}
 			lines = h.pages[e.Page]
 		}
-		b.Members(now, kind, lines, inst)
+		b.UpdateEndpoints(now, kind, lines, inst)
 	case "Demand":
 		tenant, _ := e.Project.(string)
-		b.Request(now, policy.Request{
-			ID: policy.RequestID(e.Corr), Class: e.Type, Tenant: tenant, Key: e.Item, Cost: settings.Micros(e.CostUs),
-			Retry: e.IsRetry, Expires: settings.Micros(e.ExpiresUs),
+		b.HandleRequest(now, policy.Request{
+			ID: policy.RequestID(e.Corr), Class: e.Type, Tenant: tenant, Key: e.Item, ExpectedWork: settings.Micros(e.CostUs),
+			IsRetry: e.IsRetry, Expires: settings.Micros(e.ExpiresUs),
 		}, inst)
 	case "Opened":
-		b.Streaming(now, policy.RequestID(e.Corr), e.Shot, inst)
+		b.HandleResponseStarted(now, policy.RequestID(e.Corr), e.Shot, inst)
 	case "ReportBack", "HealthResult":
 		status, ok := statuses[e.Disposition]
 		if !ok {
 			return fmt.Errorf("unknown outcome %q", e.Disposition)
 		}
-		server, delay, load := policy.ServerID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.load(e.Metrics)
+		server, delay, load := policy.EndpointID(e.Upstream), settings.Micros(e.DelaySeenUs), inst.load(e.Metrics)
 		if e.Cmd == "HealthResult" {
-			b.Probed(now, policy.ProbeResult{Server: server, Status: status, Delay: delay, Load: load}, inst)
+			b.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: server, Status: status, Delay: delay, Load: load}, inst)
 			return nil
 		}
-		b.Outcome(now, policy.Outcome{
-			ID: policy.RequestID(e.Corr), Attempt: e.Shot, Server: server, Status: status, Delay: delay,
-			Closed: e.Terminal, Load: load,
+		b.HandleAttemptResult(now, policy.AttemptResult{
+			ID: policy.RequestID(e.Corr), Attempt: e.Shot, Endpoint: server, Status: status, Delay: delay,
+			RequestEnded: e.Terminal, Load: load,
 		}, inst)
 	case "Withdrawn":
-		b.Withdrawn(now, policy.RequestID(e.Corr), inst)
+		b.HandleClientGone(now, policy.RequestID(e.Corr), inst)
 	case "DeadlineHit":
-		b.Timer(now, e.Ctx, inst)
+		b.HandleTimer(now, e.Ctx, inst)
 	}
 	return nil
 }
@@ -256,14 +256,14 @@
 	if e.Page < 0 || e.Page >= len(h.pages) {
 		return fmt.Errorf("list number %d out of range", e.Page)
 	}
-	lines := make([]policy.Server, len(e.Lines))
+	lines := make([]policy.Endpoint, len(e.Lines))
 	for i, l := range e.Lines {
 		state, ok := states[l.Lifecycle]
 		if !ok {
 			return fmt.Errorf("unknown state %q of %s", l.Lifecycle, l.Upstream)
 		}
-		lines[i] = policy.Server{
-			ID: policy.ServerID(l.Upstream), State: state, Zone: l.Az, Cell: l.UnitGroup,
+		lines[i] = policy.Endpoint{
+			ID: policy.EndpointID(l.Upstream), State: state, Zone: l.Az, Cell: l.UnitGroup,
 			Weight: l.CapacityHint, Kind: l.GenerationHw, Started: settings.Micros(l.LastStartUs),
 		}
 	}
@@ -272,7 +272,7 @@
 }
 
 // load reads a report by the names of its fields.
-func (i *instance) load(row []float64) *policy.Load {
+func (i *instance) load(row []float64) *policy.LoadReport {
 	if len(row) == 0 {
 		return nil
 	}
@@ -287,17 +287,17 @@
 
 func (i *instance) add(o order) { i.orders = append(i.orders, o) }
 
-func (i *instance) Send(id policy.RequestID, s policy.ServerID, timeout time.Duration) {
+func (i *instance) StartAttempt(id policy.RequestID, s policy.EndpointID, timeout time.Duration) {
 	i.add(order{Cmd: "Route", Corr: &id, Upstream: s, MaxWaitUs: timeout.Microseconds()})
 }
 
-func (i *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
+func (i *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	i.add(order{Cmd: "OverloadReply", Corr: &id, StayAwayUs: retryAfter.Microseconds()})
 }
 
 func (i *instance) Fail(id policy.RequestID) { i.add(order{Cmd: "Lose", Corr: &id}) }
 
-func (i *instance) Cancel(id policy.RequestID, attempt int) {
+func (i *instance) CancelAttempt(id policy.RequestID, attempt int) {
 	i.add(order{Cmd: "DropAttempt", Corr: &id, Shot: &attempt})
 }
 
@@ -306,8 +306,8 @@
 	i.add(order{Cmd: "SetTimer", AfterUs: &us, Ctx: token})
 }
 
-func (i *instance) Probe(s policy.ServerID) { i.add(order{Cmd: "Ping", Upstream: s}) }
+func (i *instance) CheckHealth(s policy.EndpointID) { i.add(order{Cmd: "Ping", Upstream: s}) }
 
-func (i *instance) Watch(on bool) { i.add(order{Cmd: "KeepInformed", Active: &on}) }
+func (i *instance) WatchEndpoints(on bool) { i.add(order{Cmd: "KeepInformed", Active: &on}) }
 
 func (i *instance) Log(text string) { i.add(order{Cmd: "JournalLine", Text: text}) }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -95,13 +95,13 @@
 
 func TestOrdersRoundTrip(t *testing.T) {
 	i := &instance{}
-	i.Send(5, "10.0.0.1:80", 80*time.Millisecond)
-	i.Refuse(5, time.Second)
+	i.StartAttempt(5, "10.0.0.1:80", 80*time.Millisecond)
+	i.Reject(5, time.Second)
 	i.Fail(6)
-	i.Cancel(5, 0)
+	i.CancelAttempt(5, 0)
 	i.SetTimer(0, "x")
-	i.Probe("10.0.0.1:80")
-	i.Watch(false)
+	i.CheckHealth("10.0.0.1:80")
+	i.WatchEndpoints(false)
 	i.Log("hello")
 	text, err := json.Marshal(i.orders)
 	if err != nil {
@@ -121,12 +121,12 @@
 	tests := []struct {
 		fields []string
 		row    []float64
-		want   *policy.Load
+		want   *policy.LoadReport
 	}{
 		{[]string{"queue", "latency_ms"}, nil, nil},
-		{[]string{"queue", "latency_ms"}, []float64{3, 40}, &policy.Load{Queue: 3, Inflight: -1, Latency: 40, ErrorRate: -1}},
-		{[]string{"eps", "queue"}, []float64{2}, &policy.Load{Queue: -1, Inflight: -1, Latency: -1, ErrorRate: 2}},
-		{[]string{"inflight", "util"}, []float64{4, 0.5}, &policy.Load{Queue: -1, Inflight: 4, Latency: -1, ErrorRate: -1}},
+		{[]string{"queue", "latency_ms"}, []float64{3, 40}, &policy.LoadReport{Queue: 3, InFlight: -1, Latency: 40, ErrorRate: -1}},
+		{[]string{"eps", "queue"}, []float64{2}, &policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: 2}},
+		{[]string{"inflight", "util"}, []float64{4, 0.5}, &policy.LoadReport{Queue: -1, InFlight: 4, Latency: -1, ErrorRate: -1}},
 	}
 	for _, tt := range tests {
 		i := &instance{fields: tt.fields}
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -62,13 +62,13 @@
 
 // farm are the classes of the tests' pool, with an aim so far off that nothing is refused for being late.
 func farm(zone string) settings.Settings {
-	class := func(name string, e policy.Effect) policy.Class {
-		return policy.Class{Name: name, Effect: e, KeyTTL: time.Minute, Aim: 2 * time.Second, Deadline: 3 * time.Second, Worth: 1}
+	class := func(name string, e policy.Idempotency) policy.Class {
+		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 2 * time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}
 	}
 	return settings.Settings{Fields: []string{"inflight", "queue"}, Config: policy.Config{
-		GroupSize: 1, Zone: zone, MaxAttempts: 3, MayCancel: true, MayProbe: true, HintsRetry: true, MaxRetryAfter: time.Second,
-		DialTimeout: time.Second, ConnIdle: 5 * time.Second, Tick: time.Millisecond, InlineReports: true, AskEvery: 10 * time.Second,
-		ColdFrom: 1, ProbeTariff: 0.05, Classes: []policy.Class{class("check", policy.Safe), class("order", policy.Keyed), class("order-here", policy.Keyed), class("book", policy.Unsafe)},
+		InstanceCount: 1, Zone: zone, MaxAttempts: 3, CancellationAllowed: true, HealthChecksAllowed: true, RetryAfterHonored: true, MaxRetryAfter: time.Second,
+		DialTimeout: time.Second, ConnIdle: 5 * time.Second, TimerResolution: time.Millisecond, InlineLoadReports: true, PollInterval: 10 * time.Second,
+		SlowStartMinCapacity: 1, HealthCheckCost: 0.05, Classes: []policy.Class{class("check", policy.Idempotent), class("order", policy.IdempotentByKey), class("order-here", policy.IdempotentByKey), class("book", policy.NonIdempotent)},
 	}}
 }
 
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -68,7 +68,7 @@
 	}
 	var classes []spillover.Class
 	for _, k := range p.Settings.Config.Classes {
-		classes = append(classes, spillover.Class{Name: k.Name, Worth: k.Worth, Work: k.Aim})
+		classes = append(classes, spillover.Class{Name: k.Name, Worth: k.PriorityWeight, Work: k.LatencyObjective})
 		c.classes[k.Name] = k
 	}
 	c.spill = spillover.New(p.Spill, classes)
@@ -84,14 +84,14 @@
 	cfg := c.cfg.Settings.Config
 	cfg.Classes = slices.Clone(cfg.Classes)
 	for i := range cfg.Classes {
-		if k := &cfg.Classes[i]; k.Effect == policy.Keyed && !slices.Contains(c.cfg.Reaches, k.Name) {
-			k.Group = policy.GroupZone // of this site, which the far one is not of
+		if k := &cfg.Classes[i]; k.Idempotency == policy.IdempotentByKey && !slices.Contains(c.cfg.Reaches, k.Name) {
+			k.DedupScope = policy.DedupZone // of this site, which the far one is not of
 		}
 	}
-	cfg.MaxAttempts, cfg.MayDuplicate, cfg.MayProbe, cfg.MayCancel = 16, false, true, true
-	cfg.GroupSize, cfg.Ordinal, cfg.Zone, cfg.ConnIdle = 1, 0, peer.zone(), hopIdle
-	cfg.ColdFrom, cfg.Ramp, cfg.InlineReports, cfg.ProbeTariff = 1, 0, true, 1000
-	cfg.ConnectionTariff, cfg.HandshakeTariff, cfg.CrossZoneTariff = 0, 0, 0
+	cfg.MaxAttempts, cfg.HedgingAllowed, cfg.HealthChecksAllowed, cfg.CancellationAllowed = 16, false, true, true
+	cfg.InstanceCount, cfg.InstanceIndex, cfg.Zone, cfg.ConnIdle = 1, 0, peer.zone(), hopIdle
+	cfg.SlowStartMinCapacity, cfg.SlowStartDuration, cfg.InlineLoadReports, cfg.HealthCheckCost = 1, 0, true, 1000
+	cfg.ConnectionCost, cfg.HandshakeCost, cfg.CrossZoneCost = 0, 0, 0
 	dial := c.bridge.dial(peer)
 	c.list = discovery.NewStatic(nil)
 	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.list, Known: c.list.List(), Dialect: c, Seed: uint64(time.Now().UnixNano())}
@@ -342,7 +342,7 @@
 func (c *crossing) rules(class string) spillover.Rules {
 	k, known := c.classes[class]
 	return spillover.Rules{
-		Safe: known && k.Effect == policy.Safe, Keyed: known && k.Effect == policy.Keyed, Reaches: slices.Contains(c.cfg.Reaches, class),
+		Safe: known && k.Idempotency == policy.Idempotent, Keyed: known && k.Idempotency == policy.IdempotentByKey, Reaches: slices.Contains(c.cfg.Reaches, class),
 	}
 }
 
@@ -356,12 +356,12 @@
 	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.Patience(now)
 	c.mu.Unlock()
 	r := siteheader.Request{
-		Stamp: stamp, Ago: ago, Within: min(within, left), Left: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Cost: q.Cost, Retry: q.Retry,
-		Used: len(q.Prior), May: max(1, c.most-len(q.Prior)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
+		Stamp: stamp, Ago: ago, Within: min(within, left), Left: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Cost: q.ExpectedWork, Retry: q.IsRetry,
+		Used: len(q.PriorAttempts), May: max(1, c.most-len(q.PriorAttempts)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
 	}
-	for _, p := range q.Prior {
-		if !p.NotRun { // only of classes whose repeats are dropped at both sites alike, see spillover.Legal
-			r.Ran = append(r.Ran, siteheader.Prior{For: p.For})
+	for _, p := range q.PriorAttempts {
+		if !p.NotExecuted { // only of classes whose repeats are dropped at both sites alike, see spillover.Legal
+			r.Ran = append(r.Ran, siteheader.Prior{For: p.DedupRemaining})
 		}
 	}
 	text, err := r.String()
@@ -373,7 +373,7 @@
 }
 
 // Read is the method of pool.Dialect.
-func (c *crossing) Read(status int, h http.Header) (policy.Status, *policy.Load) {
+func (c *crossing) Read(status int, h http.Header) (policy.Status, *policy.LoadReport) {
 	a, err := siteheader.ParseAnswer(h.Values(siteheader.AnswerField), c.most)
 	now := c.bridge.now()
 	c.mu.Lock()
@@ -382,12 +382,12 @@
 		c.stamp, c.stampAt = a.Stamp, now
 	}
 	c.mu.Unlock()
-	load := &policy.Load{Queue: 0, Inflight: -1, Latency: -1, ErrorRate: -1}
+	load := &policy.LoadReport{Queue: 0, InFlight: -1, Latency: -1, ErrorRate: -1}
 	switch {
 	case err == nil && a.How == siteheader.Served && status == http.StatusOK:
-		return policy.OK, load
+		return policy.StatusOK, load
 	case err == nil && a.How == siteheader.Refused:
-		return policy.Full, load
+		return policy.StatusOverloaded, load
 	}
-	return policy.AppError, load
+	return policy.StatusApplicationError, load
 }
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -57,8 +57,8 @@
 	c.most = 5
 	c.stamp, c.stampAt = 77*time.Second, c.bridge.now()
 	q := &policy.Request{
-		Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true,
-		Prior: []policy.Prior{{Zone: "a", For: 9 * time.Second}, {NotRun: true}},
+		Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true,
+		PriorAttempts: []policy.PriorAttempt{{Zone: "a", DedupRemaining: 9 * time.Second}, {NotExecuted: true}},
 	}
 	fields := c.Extra(q, nil, 400*time.Millisecond)
 	if len(fields) != 1 || fields[0].Name != "Sorrel-Hop" {
@@ -81,8 +81,8 @@
 		how    string
 		want   policy.Status
 	}{
-		{http.StatusOK, "served", policy.OK}, {http.StatusBadGateway, "served", policy.AppError}, {http.StatusServiceUnavailable, "refused", policy.Full},
-		{http.StatusBadGateway, "may-have-run", policy.AppError},
+		{http.StatusOK, "served", policy.StatusOK}, {http.StatusBadGateway, "served", policy.StatusApplicationError}, {http.StatusServiceUnavailable, "refused", policy.StatusOverloaded},
+		{http.StatusBadGateway, "may-have-run", policy.StatusApplicationError},
 	}
 	for _, x := range answered {
 		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=" + x.how + ", spent=1, room=7, stamp=5"}}
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -71,16 +71,16 @@
 	r.Left -= late
 	q.Header.Del(siteheader.RequestField)
 	f := pool.Foreign{Timeout: r.Left, Event: policy.Request{
-		Class: r.Class, Tenant: r.Tenant, Key: r.Key, Cost: r.Cost, Retry: r.Retry, Most: r.Used + r.May,
+		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.Cost, IsRetry: r.Retry, MaxAttempts: r.Used + r.May,
 	}}
 	if len(r.Ran) > r.Used {
 		return nil, 0, h.bad(http.StatusBadRequest, "more groups may have run it than attempts were made")
 	}
 	for _, p := range r.Ran {
-		f.Event.Prior = append(f.Event.Prior, policy.Prior{Zone: p.Group.Zone, Cell: p.Group.Cell, For: p.For})
+		f.Event.PriorAttempts = append(f.Event.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.For})
 	}
-	for len(f.Event.Prior) < r.Used {
-		f.Event.Prior = append(f.Event.Prior, policy.Prior{NotRun: true})
+	for len(f.Event.PriorAttempts) < r.Used {
+		f.Event.PriorAttempts = append(f.Event.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
 	a, owner, err := h.g.AdmitForeign(q, r.Pool, f)
 	if err != nil {
--- a/internal/spillover/grant_test.go
+++ b/internal/spillover/grant_test.go
@@ -82,14 +82,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		effect := rapid.IntRange(0, 2).Draw(t, "effect")
 		r := Rules{Safe: effect == 0, Keyed: effect == 1, Reaches: rapid.Bool().Draw(t, "reaches")}
-		var prior []policy.Prior
+		var prior []policy.PriorAttempt
 		mayHaveRun, forgets := false, false
 		const trip = 20 * time.Millisecond
 		for range rapid.IntRange(0, 5).Draw(t, "attempts") {
-			p := policy.Prior{NotRun: rapid.Bool().Draw(t, "not run"), For: time.Duration(rapid.IntRange(0, 100).Draw(t, "for")) * time.Millisecond}
+			p := policy.PriorAttempt{NotExecuted: rapid.Bool().Draw(t, "not run"), DedupRemaining: time.Duration(rapid.IntRange(0, 100).Draw(t, "for")) * time.Millisecond}
 			prior = append(prior, p)
-			mayHaveRun = mayHaveRun || !p.NotRun
-			forgets = forgets || !p.NotRun && p.For <= trip
+			mayHaveRun = mayHaveRun || !p.NotExecuted
+			forgets = forgets || !p.NotExecuted && p.DedupRemaining <= trip
 		}
 		most := rapid.IntRange(1, 4).Draw(t, "most")
 		want := len(prior) < most && (r.Safe || r.Keyed && r.Reaches && !forgets || !r.Keyed && !mayHaveRun)
--- a/internal/spillover/legal.go
+++ b/internal/spillover/legal.go
@@ -19,11 +19,11 @@
 // the far site drops its repeat, and still does when it gets there. A keyed one whose repeats the sites drop each for itself never
 // crosses, even if nothing of it has run: its client may have asked before, or ask again, and that try could run here. The
 // decision module judges the same of the attempts once more.
-func Legal(r Rules, prior []policy.Prior, most int, roundTrip time.Duration) bool {
+func Legal(r Rules, prior []policy.PriorAttempt, most int, roundTrip time.Duration) bool {
 	if len(prior) >= most || r.Keyed && !r.Reaches {
 		return false
 	}
-	return r.Safe || !slices.ContainsFunc(prior, func(p policy.Prior) bool {
-		return !p.NotRun && (!r.Keyed || p.For <= roundTrip)
+	return r.Safe || !slices.ContainsFunc(prior, func(p policy.PriorAttempt) bool {
+		return !p.NotExecuted && (!r.Keyed || p.DedupRemaining <= roundTrip)
 	})
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -130,8 +130,8 @@
 func idleTime(cfg policy.Config) time.Duration {
 	most := time.Duration(float64(cfg.ConnIdle) * idleShare)
 	for _, c := range cfg.Classes {
-		if cfg.ConnectionTariff > 0 {
-			most = min(most, time.Duration(100*cfg.HandshakeTariff/cfg.ConnectionTariff*float64(c.Aim)))
+		if cfg.ConnectionCost > 0 {
+			most = min(most, time.Duration(100*cfg.HandshakeCost/cfg.ConnectionCost*float64(c.LatencyObjective)))
 		}
 	}
 	return most
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -29,7 +29,7 @@
 
 // Where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
 func TestHeldConnectionsAreWeighed(t *testing.T) {
-	classes := []policy.Class{{Aim: time.Second}, {Aim: 200 * time.Millisecond}}
+	classes := []policy.Class{{LatencyObjective: time.Second}, {LatencyObjective: 200 * time.Millisecond}}
 	for name, c := range map[string]struct {
 		held, handshake float64
 		want            time.Duration
@@ -39,7 +39,7 @@
 		"dear to hold":    {5, 0.05, 200 * time.Millisecond},
 		"free handshakes": {5, 0, 0},
 	} {
-		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionTariff: c.held, HandshakeTariff: c.handshake}, none{}).idleFor
+		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, none{}).idleFor
 		if got != c.want {
 			t.Errorf("%s: held for %v, want %v", name, got, c.want)
 		}
--- a/policy/api.go
+++ b/policy/api.go
@@ -11,104 +11,104 @@
 // Time is an instant on the host's monotonic clock; its origin means nothing.
 type Time = time.Duration
 
-// ServerID names a server. Only equality, order and hash of it are used.
-type ServerID string
-
-// Prior is an attempt that was made elsewhere before its request came here. It counts as one of this request's.
-type Prior struct {
-	Zone   string
-	Cell   int
-	NotRun bool          // proven never to have run
-	For    time.Duration // if it may have: a repeat is dropped for so long yet, as its request comes
+// EndpointID names a server. Only equality, order and hash of it are used.
+type EndpointID string
+
+// PriorAttempt is an attempt that was made elsewhere before its request came here. It counts as one of this request's.
+type PriorAttempt struct {
+	Zone           string
+	Cell           int
+	NotExecuted    bool          // proven never to have run
+	DedupRemaining time.Duration // if it may have: a repeat is dropped for so long yet, as its request comes
 }
 
 // RequestID names a request; the host never uses one twice.
 type RequestID uint64
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped within a group for a while
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated freely
+	IdempotentByKey                    // repeats are dropped within a group for a while
+	NonIdempotent                      // must never run twice
 )
 
-// Group says which servers drop the repeats of a keyed request.
-type Group int
+// DedupScope says which servers drop the repeats of a keyed request.
+type DedupScope int
 
 // The groups.
 const (
-	GroupAll  Group = iota // every server
-	GroupZone              // the servers of the zone that got it first
-	GroupCell              // the servers of the cell that got it first
+	DedupEverywhere DedupScope = iota // every server
+	DedupZone                         // the servers of the zone that got it first
+	DedupCell                         // the servers of the cell that got it first
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Effect    Effect
-	Group     Group         // for Keyed
-	KeyTTL    time.Duration // for Keyed: how long repeats are dropped
-	Aim       time.Duration // answers within it have the full worth
-	Deadline  time.Duration // the client's patience over all its tries
-	Worth     float64
-	LateShare float64 // share of the worth left after Aim
+	Name               string
+	Idempotency        Idempotency
+	DedupScope         DedupScope    // for Keyed
+	DedupWindow        time.Duration // for Keyed: how long repeats are dropped
+	LatencyObjective   time.Duration // answers within it have the full worth
+	Deadline           time.Duration // the client's patience over all its tries
+	PriorityWeight     float64
+	LateWeightFraction float64 // share of the worth left after Aim
 }
 
 // Tenant describes one tenant's allowance over all sidecars.
 type Tenant struct {
-	Name         string
-	AllowancePer float64 // requests a second
+	Name      string
+	RateQuota float64 // requests a second
 }
 
 // Config is what a sidecar is told at start.
 type Config struct {
-	Ordinal, GroupSize int // this sidecar's number among its peers
-	Zone               string
-	Classes            []Class
-	Tenants            []Tenant
-	OverShareWorth     float64 // worth of traffic beyond a tenant's allowance
-
-	Pushed        bool // the server list arrives unasked
-	MayProbe      bool
-	MayCancel     bool
-	MayDuplicate  bool // a request may have two attempts out at once
-	HintsRetry    bool // clients heed the delay given with a refusal
-	MaxAttempts   int
-	MaxRetryAfter time.Duration
-	DialTimeout   time.Duration
-	ConnIdle      time.Duration
-	Tick          time.Duration // least time between two events
-
-	InlineReports bool // answers carry load reports; otherwise only probes do
-	WarmKeys      bool // a server does less work for a key that it met lately
-
-	AskEvery    time.Duration // without news this long, the list counts as told
-	AskPause    time.Duration // most from a failed call for the list to the next; 0: as AskEvery allows
-	AskAgain    time.Duration // most from the loss of the list to the call; 0: as AskEvery allows
-	AnswerGrace time.Duration
-	ColdFrom    float64       // least share of capacity at a server's start
-	Ramp        time.Duration // a server is warm after it
-
-	ProbeTariff, ConnectionTariff, HandshakeTariff, CrossZoneTariff float64
+	InstanceIndex, InstanceCount int // this sidecar's number among its peers
+	Zone                         string
+	Classes                      []Class
+	Tenants                      []Tenant
+	OverQuotaWeight              float64 // worth of traffic beyond a tenant's allowance
+
+	EndpointsPushed     bool // the server list arrives unasked
+	HealthChecksAllowed bool
+	CancellationAllowed bool
+	HedgingAllowed      bool // a request may have two attempts out at once
+	RetryAfterHonored   bool // clients heed the delay given with a refusal
+	MaxAttempts         int
+	MaxRetryAfter       time.Duration
+	DialTimeout         time.Duration
+	ConnIdle            time.Duration
+	TimerResolution     time.Duration // least time between two events
+
+	InlineLoadReports bool // answers carry load reports; otherwise only probes do
+	KeyAffinity       bool // a server does less work for a key that it met lately
+
+	PollInterval         time.Duration // without news this long, the list counts as told
+	PollMaxBackoff       time.Duration // most from a failed call for the list to the next; 0: as AskEvery allows
+	WatchReopenMaxDelay  time.Duration // most from the loss of the list to the call; 0: as AskEvery allows
+	ResponseGrace        time.Duration
+	SlowStartMinCapacity float64       // least share of capacity at a server's start
+	SlowStartDuration    time.Duration // a server is warm after it
+
+	HealthCheckCost, ConnectionCost, HandshakeCost, CrossZoneCost float64
 }
 
-// ServerState is what the list says of a server.
-type ServerState int
+// EndpointState is what the list says of a server.
+type EndpointState int
 
 // The server states.
 const (
-	Ready ServerState = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Server is an entry of the server list.
-type Server struct {
-	ID      ServerID
-	State   ServerState
+// Endpoint is an entry of the server list.
+type Endpoint struct {
+	ID      EndpointID
+	State   EndpointState
 	Zone    string
 	Cell    int
 	Weight  float64
@@ -116,32 +116,32 @@
 	Started Time   // zero: long ago
 }
 
-// ListKind says how a list update is to be read.
-type ListKind int
+// UpdateKind says how a list update is to be read.
+type UpdateKind int
 
 // The list kinds.
 const (
-	ListDelta  ListKind = iota // changed entries only
-	ListFull                   // everything; absent servers are gone
-	ListCached                 // everything, perhaps out of date
-	ListFailed                 // a call failed or the subscription broke
-	ListLost                   // the list may be out of date, and can be had: its subscription ended, or it has moved
+	UpdateDelta      UpdateKind = iota // changed entries only
+	UpdateFull                         // everything; absent servers are gone
+	UpdateCached                       // everything, perhaps out of date
+	UpdatePollFailed                   // a call failed or the subscription broke
+	UpdateWatchLost                    // the list may be out of date, and can be had: its subscription ended, or it has moved
 )
 
 // Request is a client's request.
 type Request struct {
-	ID      RequestID
-	Class   string
-	Tenant  string
-	Key     string
-	Cost    time.Duration // rough expected work; zero: unknown
-	Retry   bool
-	Expires Time // the client gives this try up
-	Prior   []Prior
-	Most    int // attempts at most, Prior included; 0: as many as Config allows
+	ID            RequestID
+	Class         string
+	Tenant        string
+	Key           string
+	ExpectedWork  time.Duration // rough expected work; zero: unknown
+	IsRetry       bool
+	Expires       Time // the client gives this try up
+	PriorAttempts []PriorAttempt
+	MaxAttempts   int // attempts at most, Prior included; 0: as many as Config allows
 	// Long: its body is passed on as it comes. Expires is for its first attempt to begin; Uploading tells when its body begins
 	// to be used up, so that no further attempt can be made, and Uploaded when its last byte is written.
-	Long bool
+	StreamedBody bool
 }
 
 // Status says how an attempt or a probe ended.
@@ -149,89 +149,91 @@
 
 // The statuses. NotRun tells which prove that nothing was executed.
 const (
-	OK Status = iota
-	AppError
-	Full
-	Timeout
-	ConnectFailed
-	Reset
-	Canceled
-	Moot
+	StatusOK Status = iota
+	StatusApplicationError
+	StatusOverloaded
+	StatusTimeout
+	StatusConnectFailed
+	StatusReset
+	StatusCanceled
+	StatusNotSent
 )
 
-// NotRun reports whether s proves that the attempt was never executed.
-func (s Status) NotRun() bool { return s == Full || s == ConnectFailed || s == Moot }
+// NotExecuted reports whether s proves that the attempt was never executed.
+func (s Status) NotExecuted() bool {
+	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusNotSent
+}
 
-// Load is a server's report; negative fields were not reported.
-type Load struct {
+// LoadReport is a server's report; negative fields were not reported.
+type LoadReport struct {
 	Queue     float64 // requests that wait
-	Inflight  float64 // requests that it holds in all
+	InFlight  float64 // requests that it holds in all
 	Latency   float64 // recent service time in milliseconds
 	ErrorRate float64 // errors a second
 }
 
-// Outcome is the end of one attempt.
-type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Server  ServerID
-	Status  Status
-	Delay   time.Duration
-	Closed  bool // the request has ended
-	Load    *Load
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
+	ID           RequestID
+	Attempt      int
+	Endpoint     EndpointID
+	Status       Status
+	Delay        time.Duration
+	RequestEnded bool // the request has ended
+	Load         *LoadReport
 }
 
-// Learnt is what a Balancer has learnt of its servers and clients, for the process that takes this one's place, which may be of
+// LearnedState is what a Balancer has learnt of its servers and clients, for the process that takes this one's place, which may be of
 // another version: the tags are the stored form.
-type Learnt struct {
-	Line     [4]float64                `json:"Line"` // of the delay by queue: means of both, variance, covariance
-	Busy     float64                   `json:"Busy"`
-	CopyWins float64                   `json:"CopyWins"`
-	Servers  map[ServerID]LearntServer `json:"Servers"`
-	Patience map[string]time.Duration  `json:"Patience"` // by class: the time that clients give most tries
+type LearnedState struct {
+	DelayModel      [4]float64                     `json:"Line"` // of the delay by queue: means of both, variance, covariance
+	ProbeContention float64                        `json:"Busy"`
+	HedgeWinRate    float64                        `json:"CopyWins"`
+	Endpoints       map[EndpointID]LearnedEndpoint `json:"Servers"`
+	ClientTimeouts  map[string]time.Duration       `json:"Patience"` // by class: the time that clients give most tries
 }
 
-// LearntServer is what it has learnt of one.
-type LearntServer struct {
-	Started    Time          `json:"Started"` // as the list tells it, on the clock of who asks
-	Slowness   float64       `json:"Slowness"`
-	Answers    int           `json:"Answers"` // that tell it
-	Gap        float64       `json:"Gap"`
-	EjectedFor time.Duration `json:"EjectedFor"` // from now on; 0: it is not
-	Fails      int           `json:"Fails"`
+// LearnedEndpoint is what it has learnt of one.
+type LearnedEndpoint struct {
+	Started             Time          `json:"Started"` // as the list tells it, on the clock of who asks
+	Slowness            float64       `json:"Slowness"`
+	Samples             int           `json:"Answers"` // that tell it
+	ResponseInterval    float64       `json:"Gap"`
+	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not
+	ConsecutiveFailures int           `json:"Fails"`
 }
 
-// Seen is how a Balancer sees its servers at one moment, for operators.
-type Seen struct {
-	Usual   time.Duration // the usual delay of answers
-	Short   float64       // how short of room its servers are: 0, there is room for all, to 1
-	Avoided int           // servers left out after failures
+// Summary is how a Balancer sees its servers at one moment, for operators.
+type Summary struct {
+	TypicalLatency   time.Duration // the usual delay of answers
+	CapacityShortage float64       // how short of room its servers are: 0, there is room for all, to 1
+	EjectedEndpoints int           // servers left out after failures
 }
 
-// ProbeResult is the end of one probe.
-type ProbeResult struct {
-	Server ServerID
-	Status Status
-	Delay  time.Duration
-	Load   *Load
+// HealthCheckResult is the end of one probe.
+type HealthCheckResult struct {
+	Endpoint EndpointID
+	Status   Status
+	Delay    time.Duration
+	Load     *LoadReport
 }
 
 // Actions carries out what the Balancer decides. Calls take effect in order.
 type Actions interface {
-	// Send starts the request's next attempt, numbered from 0.
-	Send(id RequestID, server ServerID, timeout time.Duration)
-	// Refuse ends a request, promising that a retry is harmless.
-	Refuse(id RequestID, retryAfter time.Duration)
+	// StartAttempt starts the request's next attempt, numbered from 0.
+	StartAttempt(id RequestID, server EndpointID, timeout time.Duration)
+	// Reject ends a request, promising that a retry is harmless.
+	Reject(id RequestID, retryAfter time.Duration)
 	// Fail ends a request without any promise.
 	Fail(id RequestID)
-	// Cancel calls an attempt off.
-	Cancel(id RequestID, attempt int)
+	// CancelAttempt calls an attempt off.
+	CancelAttempt(id RequestID, attempt int)
 	// SetTimer asks for a Timer event.
 	SetTimer(after time.Duration, token string)
-	// Probe asks a server for a load report.
-	Probe(server ServerID)
-	// Watch subscribes to the server list.
-	Watch(on bool)
+	// CheckHealth asks a server for a load report.
+	CheckHealth(server EndpointID)
+	// WatchEndpoints subscribes to the server list.
+	WatchEndpoints(on bool)
 	// Log adds a line for staff.
 	Log(text string)
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,22 +10,22 @@
 // printer is a host that prints what it is asked to do.
 type printer struct{}
 
-func (printer) Send(id policy.RequestID, s policy.ServerID, d time.Duration) {
+func (printer) StartAttempt(id policy.RequestID, s policy.EndpointID, d time.Duration) {
 	fmt.Println("send", id, "to", s, "within", d)
 }
-func (printer) Refuse(id policy.RequestID, d time.Duration) { fmt.Println("refuse", id) }
-func (printer) Fail(id policy.RequestID)                    { fmt.Println("fail", id) }
-func (printer) Cancel(id policy.RequestID, attempt int)     { fmt.Println("cancel", id, attempt) }
-func (printer) SetTimer(d time.Duration, token string)      {}
-func (printer) Probe(s policy.ServerID)                     { fmt.Println("probe", s) }
-func (printer) Watch(on bool)                               { fmt.Println("watch", on) }
-func (printer) Log(text string)                             { fmt.Println(text) }
+func (printer) Reject(id policy.RequestID, d time.Duration)    { fmt.Println("refuse", id) }
+func (printer) Fail(id policy.RequestID)                       { fmt.Println("fail", id) }
+func (printer) CancelAttempt(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
+func (printer) SetTimer(d time.Duration, token string)         {}
+func (printer) CheckHealth(s policy.EndpointID)                { fmt.Println("probe", s) }
+func (printer) WatchEndpoints(on bool)                         { fmt.Println("watch", on) }
+func (printer) Log(text string)                                { fmt.Println(text) }
 
 func Example() {
 	b, err := policy.New(policy.Config{
-		GroupSize: 1, MaxAttempts: 3, Pushed: true, MayCancel: true, Tick: 5 * time.Millisecond,
+		InstanceCount: 1, MaxAttempts: 3, EndpointsPushed: true, CancellationAllowed: true, TimerResolution: 5 * time.Millisecond,
 		Classes: []policy.Class{
-			{Name: "lookup", Aim: 250 * time.Millisecond, Deadline: time.Second, Worth: 1},
+			{Name: "lookup", LatencyObjective: 250 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
 		},
 	}, 1)
 	if err != nil {
@@ -33,10 +33,10 @@
 		return
 	}
 	now := 10 * time.Second
-	b.Members(now, policy.ListFull, []policy.Server{{ID: "10.0.0.1:80"}}, printer{})
-	b.Request(now, policy.Request{ID: 1, Class: "lookup", Expires: now + time.Second}, printer{})
+	b.UpdateEndpoints(now, policy.UpdateFull, []policy.Endpoint{{ID: "10.0.0.1:80"}}, printer{})
+	b.HandleRequest(now, policy.Request{ID: 1, Class: "lookup", Expires: now + time.Second}, printer{})
 	now += 40 * time.Millisecond
-	b.Outcome(now, policy.Outcome{ID: 1, Server: "10.0.0.1:80", Status: policy.OK, Closed: true}, printer{})
+	b.HandleAttemptResult(now, policy.AttemptResult{ID: 1, Endpoint: "10.0.0.1:80", Status: policy.StatusOK, RequestEnded: true}, printer{})
 	// Output:
 	// send 1 to 10.0.0.1:80 within 245ms
 }
--- a/policy/hint_test.go
+++ b/policy/hint_test.go
@@ -11,8 +11,8 @@
 func TestHint(t *testing.T) {
 	b, rec := start(t, testConfig(), 9)
 	b.servers["s0"].State = Draining
-	for _, id := range []ServerID{"s0", "nobody", "s3"} {
-		b.Hint(time.Second, id)
+	for _, id := range []EndpointID{"s0", "nobody", "s3"} {
+		b.HandleUnreachableHint(time.Second, id)
 	}
 	if len(b.servers) != 9 || b.servers["s0"].ejected != 0 {
 		t.Error("a server that is not on the list, or drains, was touched")
@@ -21,28 +21,28 @@
 	if !b.leftOut(time.Second, s) || s.fails != 0 || s.marked {
 		t.Fatalf("%+v", s)
 	}
-	if b.Probed(1100*time.Millisecond, ProbeResult{Server: "s3", Load: &Load{}}, rec); !b.leftOut(1100*time.Millisecond, s) {
+	if b.HandleHealthCheck(1100*time.Millisecond, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); !b.leftOut(1100*time.Millisecond, s) {
 		t.Error("what was on its way before the hint ends it")
 	}
 	if !b.leftOut(time.Minute, s) {
 		t.Error("time alone ends it")
 	}
-	if b.Probed(2*time.Second, ProbeResult{Server: "s3", Load: &Load{}}, rec); b.leftOut(2*time.Second, s) {
+	if b.HandleHealthCheck(2*time.Second, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); b.leftOut(2*time.Second, s) {
 		t.Error("an answered probe does not end it")
 	}
-	if b.Hint(2*time.Second+firstEject-1, "s3"); b.leftOut(2*time.Second+firstEject-1, s) {
+	if b.HandleUnreachableHint(2*time.Second+firstEject-1, "s3"); b.leftOut(2*time.Second+firstEject-1, s) {
 		t.Error("hearsay is believed against an answer of late")
 	}
 	for i := range 9 {
-		b.Hint(3*time.Second, ServerID(fmt.Sprint("s", i)))
+		b.HandleUnreachableHint(3*time.Second, EndpointID(fmt.Sprint("s", i)))
 	}
 	if n := b.countLeftOut(3 * time.Second); n != 3 {
 		t.Errorf("a liar takes %d of 9 servers", n)
 	}
 	cfg := testConfig()
-	cfg.MayProbe = false // nothing would find out that it is not so
+	cfg.HealthChecksAllowed = false // nothing would find out that it is not so
 	b, _ = start(t, cfg, 9)
-	if b.Hint(0, "s3"); b.servers["s3"].ejected != 0 {
+	if b.HandleUnreachableHint(0, "s3"); b.servers["s3"].ejected != 0 {
 		t.Error("hearsay is believed where no probe can prove it wrong")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -80,7 +80,7 @@
 	cfg      Config
 	rng      *rand.Rand
 	classes  map[string]*class
-	servers  map[ServerID]*server
+	servers  map[EndpointID]*server
 	ready    []*server // ready servers in this sidecar's order of preference
 	zonal    bool      // the ready set is of the own zone
 	setSize  int       // how many of them make up the ready set
@@ -113,38 +113,38 @@
 	}
 	b := &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		classes: map[string]*class{}, servers: map[ServerID]*server{}, requests: map[RequestID]*request{}, kinds: map[string]*machines{},
+		classes: map[string]*class{}, servers: map[EndpointID]*server{}, requests: map[RequestID]*request{}, kinds: map[string]*machines{},
 		threshold: math.Inf(1), credit: probeSample, busy: 1, every: tellsFor,
 	}
 	for _, c := range cfg.Classes {
 		b.classes[c.Name] = &class{Class: c}
-		b.topWorth = max(b.topWorth, c.Worth/c.Aim.Seconds())
-		if b.markLife == 0 || c.Aim < b.markLife {
-			b.markLife = c.Aim
+		b.topWorth = max(b.topWorth, c.PriorityWeight/c.LatencyObjective.Seconds())
+		if b.markLife == 0 || c.LatencyObjective < b.markLife {
+			b.markLife = c.LatencyObjective
 		}
 	}
 	return b, nil
 }
 
-// Members takes a message about the server list.
-func (b *Balancer) Members(now Time, kind ListKind, entries []Server, act Actions) {
-	if kind == ListFailed {
+// UpdateEndpoints takes a message about the server list.
+func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, entries []Endpoint, act Actions) {
+	if kind == UpdatePollFailed {
 		// A failed call is retried after a growing, jittered pause: a thousand sidecars
 		// that ask again at once would swamp the list service for good.
 		b.watching = false
 		b.watchFails++
-		pause := min(b.spread(b.cfg.AskEvery/8)<<min(b.watchFails, 3), cmp.Or(b.cfg.AskPause*2/3, b.cfg.AskEvery))
+		pause := min(b.spread(b.cfg.PollInterval/8)<<min(b.watchFails, 3), cmp.Or(b.cfg.PollMaxBackoff*2/3, b.cfg.PollInterval))
 		act.SetTimer(pause/2+b.jitter(pause), "watch")
 		return
 	}
-	if kind == ListLost {
+	if kind == UpdateWatchLost {
 		b.watching, b.watchFails = false, 0
-		act.SetTimer(b.jitter(min(b.spread(b.cfg.AskEvery/16), cmp.Or(b.cfg.AskAgain, b.cfg.AskEvery))), "watch")
+		act.SetTimer(b.jitter(min(b.spread(b.cfg.PollInterval/16), cmp.Or(b.cfg.WatchReopenMaxDelay, b.cfg.PollInterval))), "watch")
 		return
 	}
-	if kind != ListDelta {
+	if kind != UpdateDelta {
 		for _, s := range b.servers {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	for _, e := range entries {
@@ -153,16 +153,16 @@
 			s = &server{slowness: 1}
 			b.servers[e.ID] = s
 		}
-		s.Server, s.like = e, b.kind(e.Kind)
+		s.Endpoint, s.like = e, b.kind(e.Kind)
 	}
 	b.rebuild()
 	for id, s := range b.servers { // ids come and go for ever; attempts keep hold of theirs
-		if s.State == Gone {
+		if s.State == Removed {
 			delete(b.servers, id)
 		}
 	}
-	if kind == ListCached && !b.cfg.Pushed && !b.watching {
-		act.SetTimer(b.jitter(min(b.cfg.AskEvery*6/10, time.Duration(b.cfg.GroupSize)*firstTurn)), "watch")
+	if kind == UpdateCached && !b.cfg.EndpointsPushed && !b.watching {
+		act.SetTimer(b.jitter(min(b.cfg.PollInterval*6/10, time.Duration(b.cfg.InstanceCount)*firstTurn)), "watch")
 	} else if b.watching {
 		b.watchFails = 0
 	}
@@ -180,7 +180,7 @@
 // spread is the pause over which this group's calls to the list service are spread: most, which is as much as the rules
 // give, or less where the group is too small to swamp the service.
 func (b *Balancer) spread(most time.Duration) time.Duration {
-	return min(most, time.Duration(b.cfg.GroupSize)*askTurn)
+	return min(most, time.Duration(b.cfg.InstanceCount)*askTurn)
 }
 
 // rebuild orders the ready servers. A ready set starts at a place given by the sidecar's number and
@@ -199,23 +199,23 @@
 	byHash(pool, 0)
 	// Where leaving the zone has a price, the set holds more of the own zone than its part, and nothing else where it costs more than
 	// the probes to find a server there.
-	abroad := func(s *server) bool { return s.Zone != b.cfg.Zone && b.cfg.CrossZoneTariff > 0 }
+	abroad := func(s *server) bool { return s.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 }
 	near := slices.DeleteFunc(slices.Clone(pool), abroad)
 	far := slices.DeleteFunc(slices.Clone(pool), func(s *server) bool { return !abroad(s) })
-	b.zonal = len(near) >= minReadySet && b.cfg.CrossZoneTariff > probeSample*b.cfg.ProbeTariff
+	b.zonal = len(near) >= minReadySet && b.cfg.CrossZoneCost > probeSample*b.cfg.HealthCheckCost
 	if b.zonal {
 		far = nil
 	}
 	b.setSize = min(len(near)+len(far), maxReadySet)
-	if b.cfg.ConnectionTariff > 0 {
-		perSidecar := 100 * connSpend / b.cfg.ConnectionTariff * float64(len(pool)) / float64(b.cfg.GroupSize)
+	if b.cfg.ConnectionCost > 0 {
+		perSidecar := 100 * connSpend / b.cfg.ConnectionCost * float64(len(pool)) / float64(b.cfg.InstanceCount)
 		b.setSize = min(b.setSize, max(minReadySet, int(perSidecar)))
 	}
 	home := int(math.Round(homeMore * float64(b.setSize*len(near)) / float64(max(1, len(near)+len(far)))))
 	home = max(b.setSize-len(far), min(home, b.setSize-1, len(near)))
 	ordered := b.draw(b.draw(nil, near, home), far, b.setSize-home)
 	b.setSize = len(ordered) // all but always as many as before
-	byHash(pool, uint64(b.cfg.Ordinal)<<32)
+	byHash(pool, uint64(b.cfg.InstanceIndex)<<32)
 	for _, s := range pool {
 		if !slices.Contains(ordered[:b.setSize], s) {
 			ordered = append(ordered, s)
@@ -228,18 +228,18 @@
 // many more than its part of the sets. Else they are by places.
 func (b *Balancer) draw(set, list []*server, k int) []*server {
 	n, before := len(list), len(set)
-	if b.cfg.GroupSize > mostDealt || b.cfg.GroupSize*k < stillSets*n {
-		step := 1 + b.cfg.Ordinal%max(1, (n-1)/max(1, k-1))
+	if b.cfg.InstanceCount > mostDealt || b.cfg.InstanceCount*k < stillSets*n {
+		step := 1 + b.cfg.InstanceIndex%max(1, (n-1)/max(1, k-1))
 		for j := range k {
-			set = append(set, list[(b.cfg.Ordinal*n/b.cfg.GroupSize+j*step)%n])
+			set = append(set, list[(b.cfg.InstanceIndex*n/b.cfg.InstanceCount+j*step)%n])
 		}
 		return set
 	}
 	left := make(map[*server]int, n)
 	for _, s := range list {
-		left[s] = int(math.Ceil(dealtMore * float64(b.cfg.GroupSize*k) / float64(n)))
+		left[s] = int(math.Ceil(dealtMore * float64(b.cfg.InstanceCount*k) / float64(n)))
 	}
-	for o := range b.cfg.Ordinal + 1 {
+	for o := range b.cfg.InstanceIndex + 1 {
 		byHash(list, uint64(o)<<32)
 		set = set[:before]
 		for _, s := range list {
@@ -252,32 +252,32 @@
 	return set
 }
 
-// Request takes a client's request.
-func (b *Balancer) Request(now Time, q Request, act Actions) {
+// HandleRequest takes a client's request.
+func (b *Balancer) HandleRequest(now Time, q Request, act Actions) {
 	c := b.classes[q.Class]
 	if c == nil { // unknown: assume the worst of a repeat and the best of a late answer
 		left := q.Expires - now
-		c = &class{Class: Class{Name: q.Class, Effect: Unsafe, Aim: left, Deadline: left}}
+		c = &class{Class: Class{Name: q.Class, Idempotency: NonIdempotent, LatencyObjective: left, Deadline: left}}
 	}
 	r := &request{Request: q, class: c}
-	for _, p := range q.Prior {
-		r.attempts = append(r.attempts, attempt{zone: p.Zone, cell: p.Cell, notRun: p.NotRun, sent: now + p.For - c.KeyTTL})
+	for _, p := range q.PriorAttempts {
+		r.attempts = append(r.attempts, attempt{zone: p.Zone, cell: p.Cell, notRun: p.NotExecuted, sent: now + p.DedupRemaining - c.DedupWindow})
 	}
 	b.requests[q.ID] = r
 	b.every += time.Duration(smooth * float64(min(now-b.came, 4*tellsFor)-b.every))
 	b.came = now
-	r.began, r.tick = c.began(now, q, b.cfg.Tick), b.cfg.Tick
+	r.began, r.tick = c.began(now, q, b.cfg.TimerResolution), b.cfg.TimerResolution
 	r.span()
 	// Under overload what is worth less for its time gives way first, by standing less of a queue.
 	bare := b.delay.at(0)
 	strict := b.room.strict(now)
 	// What is worth most is refused only where it would be late: the band is for those that make room for it.
-	scale := math.Pow(c.Worth/c.Aim.Seconds()/max(b.topWorth, 1e-9), strict)
+	scale := math.Pow(c.PriorityWeight/c.LatencyObjective.Seconds()/max(b.topWorth, 1e-9), strict)
 	if scale < 1 {
 		scale *= 1 - strict*lateBand*b.rng.Float64()
 	}
 	r.limit = time.Duration(bare + (float64(r.useful-now)-bare)*scale)
-	if r.end <= now+b.cfg.Tick { // nobody gains from the work
+	if r.end <= now+b.cfg.TimerResolution { // nobody gains from the work
 		b.finish(now, r, false, act)
 		return
 	}
@@ -289,13 +289,13 @@
 		}
 	}
 	set := b.set(now)
-	if !b.cfg.MayProbe || b.credit < probeSample || len(set) == 0 {
+	if !b.cfg.HealthChecksAllowed || b.credit < probeSample || len(set) == 0 {
 		// Work that nobody awaits any more keeps queues long for all.
 		b.place(now, r, set, act)
 		return
 	}
 	r.probed = b.renew(now, r, set, act)
-	good := func(s *server) bool { return b.hasMark(now, s) && !b.full(now, r, s) && !b.cfg.WarmKeys }
+	good := func(s *server) bool { return b.hasMark(now, s) && !b.full(now, r, s) && !b.cfg.KeyAffinity }
 	if slices.ContainsFunc(set, good) {
 		b.send(now, r, set, act)
 		return
@@ -310,7 +310,7 @@
 // find requests waiting, and down to a tenth while they find none, when any server will do.
 func (b *Balancer) earn(share float64) {
 	share *= min(1, max(leastProbes, float64(b.every)/float64(tellsFor)))
-	b.credit = min(b.credit+share*max(b.busy, 0.1)*probeSpend/max(b.cfg.ProbeTariff, 1e-9), probeSample)
+	b.credit = min(b.credit+share*max(b.busy, 0.1)*probeSpend/max(b.cfg.HealthCheckCost, 1e-9), probeSample)
 }
 
 // renew starts a probe round, whose replies set the threshold. The period T is thus counted in
@@ -320,8 +320,8 @@
 func (b *Balancer) renew(now Time, r *request, set []*server, act Actions) []*server {
 	set = slices.Clone(set)
 	b.rng.Shuffle(len(set), func(i, j int) { set[i], set[j] = set[j], set[i] })
-	if b.cfg.WarmKeys && r.Key != "" {
-		byHash(set, hash(ServerID(r.Key), 0))
+	if b.cfg.KeyAffinity && r.Key != "" {
+		byHash(set, hash(EndpointID(r.Key), 0))
 	}
 	set = set[:min(probeSample, len(set))]
 	b.credit -= probeSample
@@ -335,19 +335,19 @@
 func (b *Balancer) probe(now Time, s *server, act Actions) {
 	s.ask(now)
 	s.probes++
-	act.Probe(s.ID)
+	act.CheckHealth(s.ID)
 }
 
-// Probed takes the result of a probe.
-func (b *Balancer) Probed(now Time, p ProbeResult, act Actions) {
-	s := b.servers[p.Server]
+// HandleHealthCheck takes the result of a probe.
+func (b *Balancer) HandleHealthCheck(now Time, p HealthCheckResult, act Actions) {
+	s := b.servers[p.Endpoint]
 	if s == nil {
 		return
 	}
 	s.probes = max(0, s.probes-1)
 	silent := b.silent(now, s)
 	s.hear(now, p.Status)
-	if p.Status != OK {
+	if p.Status != StatusOK {
 		b.failed(now, s, p.Status, silent)
 		b.replied(now, s, false, act)
 		return
@@ -414,7 +414,7 @@
 func (b *Balancer) place(now Time, r *request, set []*server, act Actions) {
 	hasRoom := func(s *server) bool { return s.idle() || now+b.feared(now, s, 1) <= r.useful }
 	b.room.note(now, slices.ContainsFunc(set, hasRoom))
-	if b.room.strict(now) < 1 || b.room.seenEnough() || r.class.Worth/r.class.Aim.Seconds() > b.topWorth/2 {
+	if b.room.strict(now) < 1 || b.room.seenEnough() || r.class.PriorityWeight/r.class.LatencyObjective.Seconds() > b.topWorth/2 {
 		if free := slices.DeleteFunc(slices.Clone(set), func(s *server) bool { return b.full(now, r, s) }); len(free) > 0 {
 			set = free
 		}
@@ -430,7 +430,7 @@
 // report notes a load report. The tick of the design is the arrival of a report: the server is
 // marked if the figure is at or below the threshold. Figures are never used twice for marking,
 // which is how marks and thresholds of a sidecar that sends little stay fresh.
-func (b *Balancer) report(now Time, s *server, l *Load) {
+func (b *Balancer) report(now Time, s *server, l *LoadReport) {
 	q := queueOf(l)
 	if q < 0 {
 		return
@@ -439,13 +439,13 @@
 	s.marked, s.markedAt = s.State == Ready && s.queue <= b.threshold, now
 }
 
-// Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now Time, o Outcome, act Actions) {
+// HandleAttemptResult takes the end of an attempt.
+func (b *Balancer) HandleAttemptResult(now Time, o AttemptResult, act Actions) {
 	r := b.requests[o.ID]
 	known := r != nil && o.Attempt >= 0 && o.Attempt < len(r.attempts) && r.attempts[o.Attempt].out
-	own := known && o.Status == Timeout && r.attempts[o.Attempt].ownFault(now)
-	if s := b.servers[o.Server]; s != nil {
-		if o.Status == OK {
+	own := known && o.Status == StatusTimeout && r.attempts[o.Attempt].ownFault(now)
+	if s := b.servers[o.Endpoint]; s != nil {
+		if o.Status == StatusOK {
 			s.works(now, true)
 		} else if !own {
 			b.failed(now, s, o.Status, b.silent(now, s))
@@ -456,20 +456,20 @@
 		return
 	}
 	a := &r.attempts[o.Attempt]
-	a.out, a.notRun = false, o.Status.NotRun()
+	a.out, a.notRun = false, o.Status.NotExecuted()
 	r.out--
-	if (o.Status == OK || o.Status == AppError) && !r.paused {
+	if (o.Status == StatusOK || o.Status == StatusApplicationError) && !r.paused {
 		a.server.answered(now, a.sent)
 	}
 	if !r.paused {
 		a.server.out--
 	}
 	a.server.hear(now, o.Status)
-	if o.Status == OK && (r.out > 0) {
+	if o.Status == StatusOK && (r.out > 0) {
 		b.copied(o.Attempt > 0)
 	}
-	r.ended = r.ended || o.Closed
-	if o.Status == OK || o.Status == Timeout && !own {
+	r.ended = r.ended || o.RequestEnded
+	if o.Status == StatusOK || o.Status == StatusTimeout && !own {
 		b.took(a, float64(o.Delay))
 	}
 	switch {
@@ -534,16 +534,16 @@
 func (b *Balancer) failed(now Time, s *server, st Status, silent bool) {
 	s.marked = false
 	switch st {
-	case Canceled, Moot:
+	case StatusCanceled, StatusNotSent:
 		return
-	case Timeout, Full:
+	case StatusTimeout, StatusOverloaded:
 		s.queue = math.Inf(1) // until it reports again
 	}
 	s.fails, b.busy = s.fails+1, 1
-	if s.ejected == 0 && (st == Full || st == Timeout && !silent && (s.fails < 3 || now-s.lastOK < time.Second)) {
+	if s.ejected == 0 && (st == StatusOverloaded || st == StatusTimeout && !silent && (s.fails < 3 || now-s.lastOK < time.Second)) {
 		return // may be the load: see set
 	}
-	s.ejected = now + min(firstEject<<min(s.fails-1, 10), max(b.cfg.Ramp, firstEject))
+	s.ejected = now + min(firstEject<<min(s.fails-1, 10), max(b.cfg.SlowStartDuration, firstEject))
 }
 
 // works notes that s has answered. That ends an ejection whose time is over, and no other: what was out there before tells little.
@@ -581,53 +581,53 @@
 	return set
 }
 
-// Learnt returns what has been learnt so far.
-func (b *Balancer) Learnt(now Time) Learnt {
-	l := Learnt{
-		Line: [4]float64{b.delay.queue, b.delay.delay, b.delay.variance, b.delay.covariance}, Busy: b.busy, CopyWins: b.copyWins,
-		Servers: map[ServerID]LearntServer{}, Patience: map[string]time.Duration{},
+// ExportLearnedState returns what has been learnt so far.
+func (b *Balancer) ExportLearnedState(now Time) LearnedState {
+	l := LearnedState{
+		DelayModel: [4]float64{b.delay.queue, b.delay.delay, b.delay.variance, b.delay.covariance}, ProbeContention: b.busy, HedgeWinRate: b.copyWins,
+		Endpoints: map[EndpointID]LearnedEndpoint{}, ClientTimeouts: map[string]time.Duration{},
 	}
 	for id, s := range b.servers {
-		l.Servers[id] = LearntServer{s.Started, s.slowness, s.answers, s.gap, max(0, s.ejected-now), s.fails}
+		l.Endpoints[id] = LearnedEndpoint{s.Started, s.slowness, s.answers, s.gap, max(0, s.ejected-now), s.fails}
 	}
 	for name, c := range b.classes {
 		if c.votes >= minVotes {
-			l.Patience[name] = c.usual
+			l.ClientTimeouts[name] = c.usual
 		}
 	}
 	return l
 }
 
-// Adopt takes over what another Balancer has learnt, of the servers that are on the list and have not restarted since.
-func (b *Balancer) Adopt(now Time, l Learnt) {
-	b.delay = delayModel{l.Line[0], l.Line[1], l.Line[2], l.Line[3]}
-	b.busy, b.copyWins = l.Busy, l.CopyWins
-	for id, t := range l.Servers {
+// ImportLearnedState takes over what another Balancer has learnt, of the servers that are on the list and have not restarted since.
+func (b *Balancer) ImportLearnedState(now Time, l LearnedState) {
+	b.delay = delayModel{l.DelayModel[0], l.DelayModel[1], l.DelayModel[2], l.DelayModel[3]}
+	b.busy, b.copyWins = l.ProbeContention, l.HedgeWinRate
+	for id, t := range l.Endpoints {
 		if s := b.servers[id]; s != nil && s.Started == t.Started {
-			s.slowness, s.answers, s.gap, s.fails = t.Slowness, t.Answers, t.Gap, t.Fails
+			s.slowness, s.answers, s.gap, s.fails = t.Slowness, t.Samples, t.ResponseInterval, t.ConsecutiveFailures
 			if t.EjectedFor > 0 {
 				s.ejected = now + t.EjectedFor
 			}
 		}
 	}
-	for name, usual := range l.Patience {
+	for name, usual := range l.ClientTimeouts {
 		if c := b.classes[name]; c != nil {
 			c.usual, c.votes = usual, minVotes
 		}
 	}
 }
 
-// Hint takes hearsay that a server does not answer: it is left out until a probe of this sidecar's own has been answered, and counts
+// HandleUnreachableHint takes hearsay that a server does not answer: it is left out until a probe of this sidecar's own has been answered, and counts
 // as no failure. It is not believed against an answer of late, nor where it would leave out more than a third: a liar costs no more.
-func (b *Balancer) Hint(now Time, id ServerID) {
+func (b *Balancer) HandleUnreachableHint(now Time, id EndpointID) {
 	s := b.servers[id]
-	if s != nil && s.State == Ready && s.ejected == 0 && b.cfg.MayProbe && now-s.lastOK >= firstEject && 3*(b.countLeftOut(now)+1) <= len(b.ready) {
+	if s != nil && s.State == Ready && s.ejected == 0 && b.cfg.HealthChecksAllowed && now-s.lastOK >= firstEject && 3*(b.countLeftOut(now)+1) <= len(b.ready) {
 		s.marked, s.ejected = false, now+firstEject
 	}
 }
 
-// Avoided is how many servers that the list names ready are left out after failures; one that is silent for the moment is not.
-func (b *Balancer) Avoided(now Time) int {
+// EjectedCount is how many servers that the list names ready are left out after failures; one that is silent for the moment is not.
+func (b *Balancer) EjectedCount(now Time) int {
 	if bad := b.countLeftOut(now); 2*bad <= len(b.ready) { // see set
 		return bad
 	}
@@ -637,7 +637,7 @@
 // leftOut reports whether s is left out after failures: for a time, and where probes are to be had until it has answered one. Else
 // clients' requests would find out whether it is over, of each sidecar one after each time.
 func (b *Balancer) leftOut(now Time, s *server) bool {
-	return s.ejected > now || s.ejected > 0 && b.cfg.MayProbe
+	return s.ejected > now || s.ejected > 0 && b.cfg.HealthChecksAllowed
 }
 
 func (b *Balancer) countLeftOut(now Time) (bad int) {
@@ -649,9 +649,9 @@
 	return bad
 }
 
-// Seen tells how things look.
-func (b *Balancer) Seen(now Time) Seen {
-	return Seen{Usual: time.Duration(b.delay.delay), Short: b.room.strict(now), Avoided: b.Avoided(now)}
+// Summarize tells how things look.
+func (b *Balancer) Summarize(now Time) Summary {
+	return Summary{TypicalLatency: time.Duration(b.delay.delay), CapacityShortage: b.room.strict(now), EjectedEndpoints: b.EjectedCount(now)}
 }
 
 // coldTurn draws a place of the ready set, and returns the server there if it is cold, in proportion to
@@ -704,15 +704,15 @@
 	if len(r.attempts) == 1 {
 		b.earn(1 - refusedShare)
 		b.hedges = min(b.hedges+hedgeShare, mostHedges)
-		wait := max(b.cfg.Tick, slowShare*b.expected(now, s))
+		wait := max(b.cfg.TimerResolution, slowShare*b.expected(now, s))
 		if b.copyWins < copiesWin { // at the last moment, as most that are slow still answer; timers come a little late
-			wait = max(wait, r.useful-now-b.expected(now, s)-lateTimer*b.cfg.Tick)
+			wait = max(wait, r.useful-now-b.expected(now, s)-lateTimer*b.cfg.TimerResolution)
 		}
-		if b.cfg.MayDuplicate && r.class.Effect != Unsafe && !r.Long && now+wait < r.useful {
+		if b.cfg.HedgingAllowed && r.class.Idempotency != NonIdempotent && !r.StreamedBody && now+wait < r.useful {
 			act.SetTimer(wait, hedgeToken+token(r.ID))
 		}
 	}
-	act.Send(r.ID, s.ID, r.end-now)
+	act.StartAttempt(r.ID, s.ID, r.end-now)
 	return true
 }
 
@@ -804,12 +804,12 @@
 // comeBack is how long the client of a refused request had better wait: until the queue by which it could first be
 // served will have shrunk to its limit.
 func (b *Balancer) comeBack(now Time, r *request) time.Duration {
-	if !b.cfg.HintsRetry {
+	if !b.cfg.RetryAfterHonored {
 		return 0
 	}
 	wait := b.cfg.MaxRetryAfter
 	for _, s := range b.set(now) {
-		wait = min(wait, max(b.cfg.Tick, b.feared(now, s, b.room.strict(now))-r.limit))
+		wait = min(wait, max(b.cfg.TimerResolution, b.feared(now, s, b.room.strict(now))-r.limit))
 	}
 	return wait
 }
@@ -834,7 +834,7 @@
 
 // warmth is the least share of its capacity that s has at now, or 1 from nearWarm on.
 func (b *Balancer) warmth(now Time, s *server) float64 {
-	w := b.cfg.ColdFrom + (1-b.cfg.ColdFrom)*float64(max(0, now-s.Started))/float64(max(b.cfg.Ramp, 1))
+	w := b.cfg.SlowStartMinCapacity + (1-b.cfg.SlowStartMinCapacity)*float64(max(0, now-s.Started))/float64(max(b.cfg.SlowStartDuration, 1))
 	if s.Started == 0 || w >= nearWarm {
 		return 1
 	}
@@ -843,8 +843,8 @@
 
 // maySend is the one judge of whether the rules allow an attempt of r at s.
 func (b *Balancer) maySend(now Time, r *request, s *server) bool {
-	if r.ended || r.stream || r.used || s.State != Ready || now >= r.Expires || len(r.attempts) >= b.cfg.MaxAttempts || r.Most > 0 && len(r.attempts) >= r.Most ||
-		r.out > 0 && !b.cfg.MayDuplicate {
+	if r.ended || r.stream || r.used || s.State != Ready || now >= r.Expires || len(r.attempts) >= b.cfg.MaxAttempts || r.MaxAttempts > 0 && len(r.attempts) >= r.MaxAttempts ||
+		r.out > 0 && !b.cfg.HedgingAllowed {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -853,10 +853,10 @@
 		}
 		c := r.class
 		switch {
-		case c.Effect == Unsafe:
+		case c.Idempotency == NonIdempotent:
 			return false
-		case c.Effect == Keyed && (now >= a.sent+c.KeyTTL-b.cfg.DialTimeout-b.cfg.Tick ||
-			c.Group == GroupZone && a.zone != s.Zone || c.Group == GroupCell && a.cell != s.Cell):
+		case c.Idempotency == IdempotentByKey && (now >= a.sent+c.DedupWindow-b.cfg.DialTimeout-b.cfg.TimerResolution ||
+			c.DedupScope == DedupZone && a.zone != s.Zone || c.DedupScope == DedupCell && a.cell != s.Cell):
 			return false
 		}
 	}
@@ -865,7 +865,7 @@
 
 // mayRefuse is the one judge of whether a refusal, which promises that a retry is harmless, is true of r.
 func mayRefuse(r *request) bool {
-	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll ||
+	return r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.notRun })
 }
 
@@ -879,7 +879,7 @@
 		b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
 	}
 	if retry && mayRefuse(r) {
-		act.Refuse(r.ID, b.comeBack(now, r))
+		act.Reject(r.ID, b.comeBack(now, r))
 	} else {
 		act.Fail(r.ID)
 	}
@@ -888,9 +888,9 @@
 
 func (b *Balancer) cancelAll(r *request, act Actions) {
 	for i, a := range r.attempts {
-		if a.out && b.cfg.MayCancel && !a.canceled {
+		if a.out && b.cfg.CancellationAllowed && !a.canceled {
 			r.attempts[i].canceled = true
-			act.Cancel(r.ID, i)
+			act.CancelAttempt(r.ID, i)
 		}
 	}
 }
@@ -902,16 +902,16 @@
 	}
 }
 
-// Streaming notes that the answer of r has begun.
-func (b *Balancer) Streaming(now Time, id RequestID, attempt int, act Actions) {
+// HandleResponseStarted notes that the answer of r has begun.
+func (b *Balancer) HandleResponseStarted(now Time, id RequestID, attempt int, act Actions) {
 	if r := b.requests[id]; r != nil {
 		r.stream = true
 	}
 }
 
-// Uploading notes that the body of r, which is long, begins to be used up by its only attempt that is out. From here on the
+// HandleBodyStarted notes that the body of r, which is long, begins to be used up by its only attempt that is out. From here on the
 // client's pace counts, which tells nothing of the server, until Uploaded.
-func (b *Balancer) Uploading(now Time, id RequestID, attempt int) {
+func (b *Balancer) HandleBodyStarted(now Time, id RequestID, attempt int) {
 	r := b.requests[id]
 	if r == nil || r.ended || r.used || attempt >= len(r.attempts) || !r.attempts[attempt].out {
 		return
@@ -920,8 +920,8 @@
 	r.attempts[attempt].server.out--
 }
 
-// Uploaded notes that the last byte of r is written, and that its client waits until expires. All times count from here.
-func (b *Balancer) Uploaded(now Time, id RequestID, expires Time, act Actions) {
+// HandleBodyFinished notes that the last byte of r is written, and that its client waits until expires. All times count from here.
+func (b *Balancer) HandleBodyFinished(now Time, id RequestID, expires Time, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.paused {
 		return
@@ -939,8 +939,8 @@
 	act.SetTimer(max(0, r.end-now), token(id))
 }
 
-// Withdrawn notes that the client has left.
-func (b *Balancer) Withdrawn(now Time, id RequestID, act Actions) {
+// HandleClientGone notes that the client has left.
+func (b *Balancer) HandleClientGone(now Time, id RequestID, act Actions) {
 	if r := b.requests[id]; r != nil && !r.ended {
 		r.ended = true
 		r.class.owe(r)
@@ -950,12 +950,12 @@
 	}
 }
 
-// Timer takes a timer that has fallen due.
-func (b *Balancer) Timer(now Time, tok string, act Actions) {
+// HandleTimer takes a timer that has fallen due.
+func (b *Balancer) HandleTimer(now Time, tok string, act Actions) {
 	if tok == "watch" {
 		if !b.watching {
 			b.watching = true
-			act.Watch(true)
+			act.WatchEndpoints(true)
 		}
 		return
 	}
