--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,14 +17,16 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Send(id RequestID, s ServerID, d time.Duration) { r.note("send %d %s", id, s) }
-func (r *recorder) Refuse(id RequestID, d time.Duration)           { r.note("refuse %d", id) }
-func (r *recorder) Fail(id RequestID)                              { r.note("fail %d", id) }
-func (r *recorder) Cancel(id RequestID, attempt int)               { r.note("cancel %d %d", id, attempt) }
-func (r *recorder) SetTimer(d time.Duration, token string)         { r.note("timer %v %s", d, token) }
-func (r *recorder) Probe(s ServerID)                               { r.note("probe %s", s) }
-func (r *recorder) Watch(on bool)                                  { r.note("watch %v", on) }
-func (r *recorder) Log(text string)                                { r.note("log %s", text) }
+func (r *recorder) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
+	r.note("send %d %s", id, s)
+}
+func (r *recorder) Reject(id RequestID, d time.Duration)    { r.note("refuse %d", id) }
+func (r *recorder) Fail(id RequestID)                       { r.note("fail %d", id) }
+func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.note("cancel %d %d", id, attempt) }
+func (r *recorder) SetTimer(d time.Duration, token string)  { r.note("timer %v %s", d, token) }
+func (r *recorder) CheckHealth(s EndpointID)                { r.note("probe %s", s) }
+func (r *recorder) WatchEndpoints(on bool)                  { r.note("watch %v", on) }
+func (r *recorder) Log(text string)                         { r.note("log %s", text) }
 
 // take returns the lines that start with prefix and clears all.
 func (r *recorder) take(prefix string) []string {
@@ -36,15 +38,15 @@
 func testConfig() Config {
 	const s = time.Second
 	return Config{
-		GroupSize: 1, Zone: "a", MayProbe: true, MayCancel: true, MayDuplicate: true, MaxAttempts: 3,
-		DialTimeout: 100 * time.Millisecond, Tick: 5 * time.Millisecond, AskEvery: 10 * time.Second,
-		AnswerGrace: 20 * time.Millisecond, ColdFrom: 0.3, Ramp: 8 * time.Second, ProbeTariff: 0.01,
+		InstanceCount: 1, Zone: "a", HealthChecksAllowed: true, CancellationAllowed: true, HedgingAllowed: true, MaxAttempts: 3,
+		DialTimeout: 100 * time.Millisecond, TimerResolution: 5 * time.Millisecond, PollInterval: 10 * time.Second,
+		ResponseGrace: 20 * time.Millisecond, SlowStartMinCapacity: 0.3, SlowStartDuration: 8 * time.Second, HealthCheckCost: 0.01,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1},
-			{Name: "keyed", Effect: Keyed, KeyTTL: s / 3, Aim: s, Deadline: 2 * s},
-			{Name: "zonal", Effect: Keyed, Group: GroupZone, KeyTTL: s / 3, Aim: s, Deadline: 2 * s},
-			{Name: "cellular", Effect: Keyed, Group: GroupCell, KeyTTL: s, Aim: s, Deadline: 2 * s},
-			{Name: "unsafe", Effect: Unsafe, Aim: time.Second, Deadline: 2 * time.Second},
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentByKey, DedupWindow: s / 3, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "zonal", Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: s / 3, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "cellular", Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: s, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second},
 		},
 	}
 }
@@ -56,20 +58,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []Server
+	var list []Endpoint
 	for i := range n {
-		id := ServerID(fmt.Sprint("s", i))
-		list = append(list, Server{ID: id, Zone: string(rune('a' + i%2)), Cell: i / 2})
+		id := EndpointID(fmt.Sprint("s", i))
+		list = append(list, Endpoint{ID: id, Zone: string(rune('a' + i%2)), Cell: i / 2})
 	}
 	rec := &recorder{}
-	b.Members(0, ListCached, list, rec)
+	b.UpdateEndpoints(0, UpdateCached, list, rec)
 	rec.take("")
 	return b, rec
 }
 
 func TestThresholdMarksAndSpending(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
+	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	var probes []string
 	for _, l := range rec.lines {
 		if l[:5] == "probe" {
@@ -82,18 +84,18 @@
 	b.servers["s0"].marked, b.servers["s0"].queue = true, 9
 	rec.take("")
 	b.held = nil
-	b.Probed(0, ProbeResult{Server: "s1", Load: &Load{Queue: 5}}, rec)
-	b.Probed(0, ProbeResult{Server: "s2", Load: &Load{Queue: 3}}, rec)
+	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s1", Load: &LoadReport{Queue: 5}}, rec)
+	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s2", Load: &LoadReport{Queue: 3}}, rec)
 	if b.threshold != 3 {
 		t.Errorf("threshold = %v, want 3, the shortest of the round", b.threshold)
 	}
-	for id, want := range map[ServerID]bool{"s0": false, "s1": false, "s2": true, "s3": false} {
+	for id, want := range map[EndpointID]bool{"s0": false, "s1": false, "s2": true, "s3": false} {
 		if got := b.servers[id].marked; got != want {
 			t.Errorf("%s marked = %v, want %v", id, got, want)
 		}
 	}
 	b.credit = -10 // no further round
-	b.Request(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
+	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 s2"}) {
 		t.Errorf("sent %v, want the marked s2", got)
 	}
@@ -106,28 +108,28 @@
 	tests := []struct {
 		class     string
 		first     Status
-		again     []ServerID // servers that may get the second attempt
+		again     []EndpointID // servers that may get the second attempt
 		refusable bool
 	}{
-		{"safe", AppError, []ServerID{"s0", "s1", "s2", "s3"}, true},
-		{"keyed", AppError, []ServerID{"s0", "s1", "s2", "s3"}, true},
-		{"zonal", AppError, []ServerID{"s0", "s2"}, false},
-		{"cellular", Reset, []ServerID{"s0", "s1"}, false},
-		{"cellular", Full, []ServerID{"s0", "s1", "s2", "s3"}, true},
-		{"unsafe", AppError, nil, false},
-		{"unsafe", ConnectFailed, []ServerID{"s0", "s1", "s2", "s3"}, true},
-		{"unknown", Timeout, nil, false},
+		{"safe", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"keyed", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"zonal", StatusApplicationError, []EndpointID{"s0", "s2"}, false},
+		{"cellular", StatusReset, []EndpointID{"s0", "s1"}, false},
+		{"cellular", StatusOverloaded, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"unsafe", StatusApplicationError, nil, false},
+		{"unsafe", StatusConnectFailed, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"unknown", StatusTimeout, nil, false},
 	}
 	for _, tt := range tests {
 		b, _ := start(t, testConfig(), 4)
 		c := b.classes[tt.class]
 		if c == nil {
-			c = &class{Class: Class{Effect: Unsafe}}
+			c = &class{Class: Class{Idempotency: NonIdempotent}}
 		}
 		s := b.servers["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: c}
-		r.attempts = []attempt{{server: s, zone: s.Zone, cell: s.Cell, notRun: tt.first.NotRun()}}
-		var again []ServerID
+		r.attempts = []attempt{{server: s, zone: s.Zone, cell: s.Cell, notRun: tt.first.NotExecuted()}}
+		var again []EndpointID
 		for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 			if b.maySend(0, r, b.servers[id]) {
 				again = append(again, id)
@@ -145,7 +147,7 @@
 func TestNoSecondCopyWhereForbidden(t *testing.T) {
 	cfg := testConfig()
 	for _, may := range []bool{true, false} {
-		cfg.MayDuplicate = may
+		cfg.HedgingAllowed = may
 		b, _ := start(t, cfg, 2)
 		s := b.servers["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], out: 1}
@@ -166,8 +168,8 @@
 		allCold bool
 		want    float64 // share of requests that s0 is sent
 	}{
-		{"one of two", false, cfg.ColdFrom / 2},
-		{"both", true, cfg.ColdFrom}, // at most; the rest is refused or goes to the other
+		{"one of two", false, cfg.SlowStartMinCapacity / 2},
+		{"both", true, cfg.SlowStartMinCapacity}, // at most; the rest is refused or goes to the other
 	}
 	for _, tc := range tests {
 		b, rec := start(t, cfg, 2)
@@ -198,7 +200,7 @@
 		if share := float64(sent) / requests; share > tc.want+0.03 || share < tc.want*0.8-0.03 {
 			t.Errorf("%s: cold server got a share of %.3f, want about %.3f", tc.name, share, tc.want)
 		}
-		if w := b.warmth(now+cfg.Ramp, cold); w != 1 {
+		if w := b.warmth(now+cfg.SlowStartDuration, cold); w != 1 {
 			t.Errorf("warmth after the ramp = %v, want 1", w)
 		}
 	}
@@ -209,17 +211,17 @@
 	b, rec := start(t, testConfig(), 4)
 	s := b.servers["s0"]
 	s.marked = true
-	b.failed(0, s, AppError, false)
+	b.failed(0, s, StatusApplicationError, false)
 	if s.marked || slices.Contains(b.set(0), s) {
 		t.Error("a server that erred is still marked or in the ready set")
 	}
-	b.cfg.MayProbe = false
+	b.cfg.HealthChecksAllowed = false
 	if !slices.Contains(b.set(firstEject), s) {
 		t.Error("the ejection does not end")
 	}
-	b.cfg.MayProbe = true
+	b.cfg.HealthChecksAllowed = true
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		b.failed(0, b.servers[id], ConnectFailed, false)
+		b.failed(0, b.servers[id], StatusConnectFailed, false)
 	}
 	if got := b.set(0); len(got) != b.setSize {
 		t.Errorf("with all ejected the ready set has %d servers, want %d", len(got), b.setSize)
@@ -233,12 +235,12 @@
 	b, rec := start(t, testConfig(), 4)
 	now := Time(time.Hour)
 	s := b.ready[0]
-	b.failed(now, s, ConnectFailed, false)
+	b.failed(now, s, StatusConnectFailed, false)
 	b.credit = -1000 // no rounds
 	id := RequestID(0)
 	ask := func() (sent, probes int) {
 		id++
-		b.Request(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
+		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 		for _, l := range rec.take("") {
 			if l == fmt.Sprintf("send %d %s", id, s.ID) {
 				sent++
@@ -264,7 +266,7 @@
 		if asked != 1 {
 			t.Fatalf("round %d: %d probes instead of one", round, asked)
 		}
-		b.Probed(now, ProbeResult{Server: s.ID, Status: Timeout}, rec)
+		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Status: StatusTimeout}, rec)
 		if want := now + firstEject<<(round+1); s.ejected != want {
 			t.Errorf("round %d: left out until %v, want %v", round, s.ejected, want)
 		}
@@ -272,8 +274,8 @@
 	now = s.ejected
 	ask()
 	fails := s.fails
-	b.Probed(now, ProbeResult{Server: s.ID, Load: &Load{}}, rec)
-	if !slices.Contains(b.set(now), s) || b.Avoided(now) != 0 {
+	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
+	if !slices.Contains(b.set(now), s) || b.EjectedCount(now) != 0 {
 		t.Error("left out although it has answered a probe")
 	}
 	if s.fails != fails {
@@ -287,8 +289,8 @@
 	cfg := testConfig()
 	b, rec := start(t, cfg, 2)
 	now := Time(time.Hour)
-	b.Members(now, ListDelta, []Server{{ID: "new", Started: now}}, rec)
-	for at, want := range map[time.Duration]bool{0: false, cfg.Ramp / 2: false, cfg.Ramp * 3 / 5: true, cfg.Ramp: true} {
+	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "new", Started: now}}, rec)
+	for at, want := range map[time.Duration]bool{0: false, cfg.SlowStartDuration / 2: false, cfg.SlowStartDuration * 3 / 5: true, cfg.SlowStartDuration: true} {
 		if got := slices.Contains(b.set(now+at), b.servers["new"]); got != want {
 			t.Errorf("%v after its start: in the set %v, want %v", at, got, want)
 		}
@@ -313,11 +315,11 @@
 	if slices.Contains(b.set(40*time.Millisecond), s) {
 		t.Error("still in the ready set after a long silence")
 	}
-	b.Outcome(50*time.Millisecond, Outcome{ID: 1, Server: s.ID, Status: OK, Closed: true}, rec)
+	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	if !slices.Contains(b.set(60*time.Millisecond), s) {
 		t.Error("left alone although it has answered")
 	}
-	b.Outcome(time.Second, Outcome{ID: 2, Server: s.ID, Status: Timeout}, rec)
+	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout}, rec)
 	if s.ejected <= time.Second {
 		t.Error("a time-out after a long silence is no reason to eject it")
 	}
@@ -337,13 +339,13 @@
 	}
 	want, expected := *s, b.expected(0, s)
 	ask(1, 0)
-	b.Outcome(50*time.Millisecond, Outcome{ID: 1, Server: s.ID, Status: Timeout, Delay: 50 * time.Millisecond, Closed: true}, rec)
+	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Delay: 50 * time.Millisecond, RequestEnded: true}, rec)
 	if s.queue != want.queue || s.fails != 0 || b.busy != 0 || b.expected(0, s) != expected {
 		t.Errorf("a short time-out left queue %v, %d failures, busy %v and a delay of %v; want nothing but a delay of %v",
 			s.queue, s.fails, b.busy, b.expected(0, s), expected)
 	}
 	ask(2, 0)
-	b.Outcome(time.Second, Outcome{ID: 2, Server: s.ID, Status: Timeout, Delay: time.Second, Closed: true}, rec)
+	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Delay: time.Second, RequestEnded: true}, rec)
 	if s.fails == 0 {
 		t.Error("a long time-out left no trace")
 	}
@@ -352,7 +354,7 @@
 // TestComeBack guards against clients that ask again at once while nothing has changed.
 func TestComeBack(t *testing.T) {
 	cfg := testConfig()
-	cfg.HintsRetry, cfg.MaxRetryAfter = true, 300*time.Millisecond
+	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
 	b, _ := start(t, cfg, 4)
 	b.delay.learn(0, float64(100*time.Millisecond))
 	b.busy = 0
@@ -370,18 +372,18 @@
 // queues that are known to be long, or waiting on once all replies are in.
 func TestHeldRequest(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	b.Request(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
+	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); len(got) != 0 {
 		t.Fatalf("sent %v on no figures at all", got)
 	}
-	b.Timer(b.requests[1].patience, token(1), rec)
+	b.HandleTimer(b.requests[1].patience, token(1), rec)
 	if got := rec.take("send"); len(got) != 1 {
 		t.Errorf("sent %v after patience, want request 1 to be sent", got)
 	}
-	b.Request(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
+	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	probed := b.requests[2].probed[0].ID
 	rec.take("")
-	b.Probed(0, ProbeResult{Server: probed, Load: &Load{Queue: 1}}, rec)
+	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: probed, Load: &LoadReport{Queue: 1}}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 " + string(probed)}) {
 		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, probed)
 	}
@@ -390,9 +392,9 @@
 	for _, s := range b.ready {
 		s.queue, s.reported, s.marked = 1000, true, false
 	}
-	b.Request(0, Request{ID: 3, Class: "safe", Expires: time.Second}, rec)
+	b.HandleRequest(0, Request{ID: 3, Class: "safe", Expires: time.Second}, rec)
 	for _, s := range b.requests[3].probed {
-		b.Probed(0, ProbeResult{Server: s.ID, Load: &Load{Queue: 1000}}, rec)
+		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{Queue: 1000}}, rec)
 	}
 	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 3"}) {
 		t.Errorf("got %v, want a refusal with the last reply", got)
@@ -423,7 +425,7 @@
 		{"of another key", usual, []*request{owed}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
 		{"of other work", usual, []*request{owed}, 300 * ms,
-			Request{Expires: 700 * ms, Tenant: "t", Key: "k", Cost: 1}, 300 * ms},
+			Request{Expires: 700 * ms, Tenant: "t", Key: "k", ExpectedWork: 1}, 300 * ms},
 		{"nothing tells them apart", usual, []*request{{began: 100 * ms}}, 300 * ms,
 			Request{Expires: 700 * ms}, 300 * ms},
 		{"too late for it", usual, []*request{owed}, 800 * ms,
@@ -445,7 +447,7 @@
 // that it is over, and there are none while all are refused.
 func TestSlowSpellEnds(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbeTariff = 1 // few probes
+	cfg.HealthCheckCost = 1 // few probes
 	b, rec := start(t, cfg, 4)
 	for _, s := range b.ready {
 		s.reported = true // that nothing waits
@@ -454,11 +456,11 @@
 	now, sent := time.Second, 0
 	for id := RequestID(1); id <= 50; id++ {
 		b.credit = 0
-		b.Request(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
+		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
 		for _, line := range rec.take("send") {
-			var server ServerID
+			var server EndpointID
 			fmt.Sscanf(line, "send %d %s", &id, &server)
-			b.Outcome(now, Outcome{ID: id, Server: server, Status: OK, Delay: time.Second, Closed: true}, rec)
+			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: server, Status: StatusOK, Delay: time.Second, RequestEnded: true}, rec)
 			sent++
 		}
 		now += 10 * time.Millisecond
@@ -484,7 +486,7 @@
 		ask(id, 0)
 	}
 	for id := RequestID(1); id <= 10; id++ { // one every 20 ms
-		b.Outcome(Time(id)*20*ms, Outcome{ID: id, Server: s.ID, Status: OK, Closed: true}, rec)
+		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	}
 	b.delay = delayModel{delay: float64(20 * ms), variance: 1e9} // flat
 	for id := RequestID(11); id <= 20; id++ {
@@ -504,9 +506,9 @@
 // TestWorthlessTryIsFailedAtOnce guards against work for a retry of a request whose aim has passed.
 func TestWorthlessTryIsFailedAtOnce(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
-	b.Request(0, Request{ID: 1, Class: "safe", Cost: 7, Expires: 500 * time.Millisecond}, rec)
-	b.Timer(b.requests[1].end, token(1), rec)
-	b.Request(210*time.Millisecond, Request{ID: 2, Class: "safe", Cost: 7, Expires: 710 * time.Millisecond}, rec)
+	b.HandleRequest(0, Request{ID: 1, Class: "safe", ExpectedWork: 7, Expires: 500 * time.Millisecond}, rec)
+	b.HandleTimer(b.requests[1].end, token(1), rec)
+	b.HandleRequest(210*time.Millisecond, Request{ID: 2, Class: "safe", ExpectedWork: 7, Expires: 710 * time.Millisecond}, rec)
 	if got := rec.take("fail"); !slices.Equal(got, []string{"fail 1", "fail 2"}) {
 		t.Errorf("got %v, want both requests failed", got)
 	}
@@ -516,16 +518,16 @@
 // against sets that fall on some servers more than on others.
 func TestReadySetsAreBalanced(t *testing.T) {
 	cfg := testConfig()
-	cfg.GroupSize, cfg.ConnectionTariff = 600, 0.08
-	count := map[ServerID]int{}
-	for i := range cfg.GroupSize {
-		cfg.Ordinal = i
+	cfg.InstanceCount, cfg.ConnectionCost = 600, 0.08
+	count := map[EndpointID]int{}
+	for i := range cfg.InstanceCount {
+		cfg.InstanceIndex = i
 		b, _ := start(t, cfg, 40)
 		for _, s := range b.set(0) {
 			count[s.ID]++
 		}
 	}
-	want := cfg.GroupSize * minReadySet / 40
+	want := cfg.InstanceCount * minReadySet / 40
 	for id, n := range count {
 		if n < want*9/10 || n > want*11/10 {
 			t.Errorf("%s is in %d ready sets, want about %d", id, n, want)
@@ -535,15 +537,15 @@
 
 func TestConfigOutOfRange(t *testing.T) {
 	tests := map[string]func(*Config){
-		"no group":         func(c *Config) { c.GroupSize = 0 },
-		"ordinal":          func(c *Config) { c.Ordinal = 1 },
+		"no group":         func(c *Config) { c.InstanceCount = 0 },
+		"ordinal":          func(c *Config) { c.InstanceIndex = 1 },
 		"attempts":         func(c *Config) { c.MaxAttempts = 0 },
-		"cold share":       func(c *Config) { c.ColdFrom = 1.5 },
-		"negative ramp":    func(c *Config) { c.Ramp = -1 },
-		"negative tick":    func(c *Config) { c.Tick = -1 },
-		"aim":              func(c *Config) { c.Classes[0].Aim = 0 },
+		"cold share":       func(c *Config) { c.SlowStartMinCapacity = 1.5 },
+		"negative ramp":    func(c *Config) { c.SlowStartDuration = -1 },
+		"negative tick":    func(c *Config) { c.TimerResolution = -1 },
+		"aim":              func(c *Config) { c.Classes[0].LatencyObjective = 0 },
 		"aim and deadline": func(c *Config) { c.Classes[0].Deadline = 1 },
-		"worth":            func(c *Config) { c.Classes[0].Worth = -1 },
+		"worth":            func(c *Config) { c.Classes[0].PriorityWeight = -1 },
 	}
 	for name, change := range tests {
 		cfg := testConfig()
@@ -558,11 +560,11 @@
 func TestWarmKeysHaveHomes(t *testing.T) {
 	for _, warm := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.WarmKeys = warm
+		cfg.KeyAffinity = warm
 		b, rec := start(t, cfg, 12)
 		probed := map[string]bool{}
 		for id := range RequestID(20) {
-			b.Request(0, Request{ID: id + 1, Class: "safe", Key: "k", Expires: time.Second}, rec)
+			b.HandleRequest(0, Request{ID: id + 1, Class: "safe", Key: "k", Expires: time.Second}, rec)
 			for _, p := range rec.take("probe") {
 				probed[p] = true
 			}
@@ -577,17 +579,17 @@
 // going without them once servers fail.
 func TestProbesFollowNeed(t *testing.T) {
 	cfg := testConfig()
-	cfg.ProbeTariff = probeSpend // one probe a request, at most
+	cfg.HealthCheckCost = probeSpend // one probe a request, at most
 	b, rec := start(t, cfg, 4)
 	id := RequestID(0)
 	probes := func(queue float64) (n int) {
 		for range 100 {
 			id++
-			b.Request(0, Request{ID: id, Class: "safe", Expires: time.Second}, rec)
+			b.HandleRequest(0, Request{ID: id, Class: "safe", Expires: time.Second}, rec)
 			for _, l := range rec.take("") {
 				if server, ok := strings.CutPrefix(l, "probe "); ok {
 					n++
-					b.Probed(0, ProbeResult{Server: ServerID(server), Load: &Load{Queue: queue}}, rec)
+					b.HandleHealthCheck(0, HealthCheckResult{Endpoint: EndpointID(server), Load: &LoadReport{Queue: queue}}, rec)
 				}
 			}
 		}
@@ -599,7 +601,7 @@
 	if calm*4 > waiting || calm == 0 {
 		t.Errorf("%d probes in wait, %d with all idle: want some, a quarter at most", waiting, calm)
 	}
-	b.Outcome(0, Outcome{ID: 999, Server: "s0", Status: AppError}, rec)
+	b.HandleAttemptResult(0, AttemptResult{ID: 999, Endpoint: "s0", Status: StatusApplicationError}, rec)
 	if b.busy != 1 {
 		t.Errorf("busy %v after a failure, want 1", b.busy)
 	}
@@ -608,33 +610,33 @@
 // TestAdopt guards against a process that begins with no idea of its servers where the one before knew, and against taking
 // one that has restarted for what it was.
 func TestAdopt(t *testing.T) {
-	cfg := Config{GroupSize: 1, MaxAttempts: 3, Classes: []Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Worth: 1}}}
-	list := []Server{{ID: "a"}, {ID: "b", Started: 5}, {ID: "c"}}
+	cfg := Config{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}
+	list := []Endpoint{{ID: "a"}, {ID: "b", Started: 5}, {ID: "c"}}
 	balancer := func() *Balancer {
 		b, err := New(cfg, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Members(time.Hour, ListFull, list, new(recorder))
+		b.UpdateEndpoints(time.Hour, UpdateFull, list, new(recorder))
 		return b
 	}
 	old := balancer()
 	old.delay = delayModel{1, 2e7, 3, 4}
 	old.servers["a"].slowness, old.servers["b"].slowness = 3, 4
 	old.servers["a"].ejected = time.Hour + 2*time.Second
-	l := old.Learnt(time.Hour)
-	restarted := l.Servers["b"]
+	l := old.ExportLearnedState(time.Hour)
+	restarted := l.Endpoints["b"]
 	restarted.Started = 4
-	l.Servers["b"] = restarted
+	l.Endpoints["b"] = restarted
 	next := balancer()
-	next.Adopt(2*time.Hour, l)
+	next.ImportLearnedState(2*time.Hour, l)
 	if next.delay != old.delay || next.servers["a"].slowness != 3 || next.servers["b"].slowness != 1 {
 		t.Errorf("%+v, %v, %v", next.delay, next.servers["a"].slowness, next.servers["b"].slowness)
 	}
-	if n := next.Avoided(2*time.Hour + time.Second); n != 1 {
+	if n := next.EjectedCount(2*time.Hour + time.Second); n != 1 {
 		t.Errorf("%d servers are avoided, want 1", n)
 	}
-	if n := next.Avoided(2*time.Hour + 3*time.Second); n != 0 {
+	if n := next.EjectedCount(2*time.Hour + 3*time.Second); n != 0 {
 		t.Errorf("%d servers are avoided when that is over", n)
 	}
 }
@@ -644,7 +646,7 @@
 func TestProbesSpendLessWhereTrafficTells(t *testing.T) {
 	probesEach := func(gap time.Duration) float64 {
 		cfg := testConfig()
-		cfg.ProbeTariff = 0.05
+		cfg.HealthCheckCost = 0.05
 		b, rec := start(t, cfg, 10)
 		const requests = 400
 		probes := 0
@@ -652,16 +654,16 @@
 		for i := range requests {
 			now += gap
 			id := RequestID(i + 1)
-			b.Request(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
+			b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 			for _, l := range rec.lines {
 				if s, ok := strings.CutPrefix(l, "probe "); ok { // all are busy, so that probing pays
 					probes++
-					b.Probed(now, ProbeResult{Server: ServerID(s), Load: &Load{Queue: 1}}, rec)
+					b.HandleHealthCheck(now, HealthCheckResult{Endpoint: EndpointID(s), Load: &LoadReport{Queue: 1}}, rec)
 				}
 			}
 			for _, l := range rec.take("send") {
-				s := ServerID(l[strings.LastIndexByte(l, ' ')+1:])
-				b.Outcome(now+10*time.Millisecond, Outcome{ID: id, Server: s, Delay: 10 * time.Millisecond, Closed: true}, rec)
+				s := EndpointID(l[strings.LastIndexByte(l, ' ')+1:])
+				b.HandleAttemptResult(now+10*time.Millisecond, AttemptResult{ID: id, Endpoint: s, Delay: 10 * time.Millisecond, RequestEnded: true}, rec)
 			}
 		}
 		return float64(probes) / requests
@@ -680,8 +682,8 @@
 func TestMostWorthTakesTheRoomThatIsLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
-		{Name: "order", Aim: time.Second, Deadline: 2 * time.Second, Worth: 10},
-		{Name: "check", Aim: time.Second, Deadline: 2 * time.Second, Worth: 2},
+		{Name: "order", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 10},
+		{Name: "check", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 2},
 	}
 	served := map[string]int{}
 	const each = 100
@@ -701,7 +703,7 @@
 		}
 		class := []string{"order", "check"}[i%2]
 		b.rng = rand.New(rand.NewPCG(uint64(i), 7))
-		b.Request(time.Second, Request{ID: 1, Class: class, Expires: 3 * time.Second}, rec)
+		b.HandleRequest(time.Second, Request{ID: 1, Class: class, Expires: 3 * time.Second}, rec)
 		if got := rec.take("send"); slices.Equal(got, []string{"send 1 s3"}) {
 			served[class]++
 		} else if len(got) > 0 {
@@ -714,31 +716,31 @@
 }
 
 // answer has b send a request, and server answer it after delay.
-func answer(b *Balancer, rec *recorder, now Time, id RequestID, server ServerID, delay time.Duration) {
+func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
 	s := b.servers[server]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], end: now + time.Second, useful: now + time.Second}
 	r.attempts = []attempt{{server: s, sent: now, out: true, queue: 0, cold: b.warmth(now, s) < 1}}
 	r.out = 1
 	s.out++
 	b.requests[id] = r
-	b.Outcome(now+delay, Outcome{ID: id, Server: server, Delay: delay, Closed: true}, rec)
+	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Delay: delay, RequestEnded: true}, rec)
 }
 
 // What the answers of some machines tell is taken for all of their kind until those have answered themselves. Seen to fail with
 // each server on its own: one that is new counted as an even one, as in a sidecar that meets each seldom it is for long.
 func TestSlownessIsSharedByKind(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
-	var list []Server
+	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Server{ID: ServerID(fmt.Sprint("s", i)), Kind: []string{"quick", "slow"}[i%2]})
+		list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Kind: []string{"quick", "slow"}[i%2]})
 	}
-	b.Members(0, ListFull, list[:10], rec)
+	b.UpdateEndpoints(0, UpdateFull, list[:10], rec)
 	now := Time(time.Hour)
 	for i := range 300 {
 		now += 50 * time.Millisecond
-		answer(b, rec, now, RequestID(i+1), ServerID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
+		answer(b, rec, now, RequestID(i+1), EndpointID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
 	}
-	b.Members(now, ListFull, list, rec) // s10 and s11 are new
+	b.UpdateEndpoints(now, UpdateFull, list, rec) // s10 and s11 are new
 	quick, slow := b.expected(now, b.servers["s10"]), b.expected(now, b.servers["s11"])
 	if slow < 2*quick {
 		t.Errorf("a new server of the slow kind is expected to take %v, one of the quick kind %v", slow, quick)
@@ -763,7 +765,7 @@
 		answer(b, rec, now, id, "s0", 40*time.Millisecond)
 	}
 	before := b.expected(now, b.servers["s1"])
-	b.Members(now, ListDelta, []Server{{ID: "s9", Started: now}}, rec)
+	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "s9", Started: now}}, rec)
 	for range 50 {
 		now += 50 * time.Millisecond
 		id++
@@ -781,8 +783,8 @@
 func TestKindsAreBounded(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	for i := range 10 * mostKinds {
-		id := ServerID(fmt.Sprint("s", i))
-		b.Members(0, ListFull, []Server{{ID: id, Kind: string(id)}}, rec)
+		id := EndpointID(fmt.Sprint("s", i))
+		b.UpdateEndpoints(0, UpdateFull, []Endpoint{{ID: id, Kind: string(id)}}, rec)
 		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
 	if len(b.kinds) > mostKinds {
@@ -793,14 +795,14 @@
 // The order in which a list names its servers means nothing: sets and connections stay as they are.
 func TestOrderOfTheListMeansNothing(t *testing.T) {
 	b, rec := start(t, testConfig(), 40)
-	var list []Server
+	var list []Endpoint
 	for _, s := range b.servers {
-		list = append(list, s.Server)
+		list = append(list, s.Endpoint)
 	}
 	before := slices.Clone(b.ready)
 	for seed := range uint64(5) {
 		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		b.Members(time.Second, ListFull, list, rec)
+		b.UpdateEndpoints(time.Second, UpdateFull, list, rec)
 		if !slices.Equal(before, b.ready) {
 			t.Fatal("the ready servers changed with the order of the list")
 		}
@@ -814,16 +816,16 @@
 	const all, patience = 8 * time.Second, 2 * time.Second
 	for _, size := range []int{20, 30, 60, 300} {
 		cfg := testConfig()
-		cfg.GroupSize = size
+		cfg.InstanceCount = size
 		var calls []time.Duration
 		for i := range size {
-			cfg.Ordinal = i
+			cfg.InstanceIndex = i
 			b, err := New(cfg, uint64(i)+1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			rec := &recorder{}
-			b.Members(0, ListCached, []Server{{ID: "s"}}, rec)
+			b.UpdateEndpoints(0, UpdateCached, []Endpoint{{ID: "s"}}, rec)
 			for _, line := range rec.take("timer ") {
 				var wait, token string
 				if fmt.Sscan(line, new(string), &wait, &token); token == "watch" {
@@ -848,7 +850,7 @@
 			free += all / time.Duration(size)
 			latest = max(latest, free)
 		}
-		if refused > size/5 || latest > cfg.AskEvery {
+		if refused > size/5 || latest > cfg.PollInterval {
 			t.Errorf("%d sidecars: %d first calls are refused, the last is answered after %v", size, refused, latest)
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -15,11 +15,11 @@
 	cfg      Config
 	now      Time
 	classes  map[string]Class
-	servers  map[ServerID]Server
-	drained  map[ServerID]bool // told draining or gone
+	servers  map[EndpointID]Endpoint
+	drained  map[EndpointID]bool // told draining or gone
 	requests map[RequestID]*openRequest
 	timers   []timerEvent
-	probes   []ServerID
+	probes   []EndpointID
 	log      []string
 	failed   bool
 }
@@ -40,7 +40,7 @@
 }
 
 type openAttempt struct {
-	server Server
+	server Endpoint
 	sent   Time
 	out    bool
 	status Status
@@ -52,7 +52,7 @@
 	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) Send(id RequestID, s ServerID, timeout time.Duration) {
+func (c *checker) StartAttempt(id RequestID, s EndpointID, timeout time.Duration) {
 	c.log = append(c.log, fmt.Sprint("send ", id, s, timeout))
 	r := c.requests[id]
 	srv, ok := c.servers[s]
@@ -67,26 +67,26 @@
 		c.breach("send to %s, which drains or is gone", s)
 	case r.used:
 		c.breach("send for request %d, whose body is used up", id)
-	case r.Long && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.out }):
+	case r.StreamedBody && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.out }):
 		c.breach("second copy of %d, whose body can be read once", id)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
 		c.breach("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 	for _, a := range r.attempts {
-		if a.out && !c.cfg.MayDuplicate {
+		if a.out && !c.cfg.HedgingAllowed {
 			c.breach("second copy of %d, which the site forbids", id)
 		}
-		proven := !a.out && (a.status == Full || a.status == ConnectFailed || a.status == Moot)
-		if proven || r.class.Effect == Safe {
+		proven := !a.out && (a.status == StatusOverloaded || a.status == StatusConnectFailed || a.status == StatusNotSent)
+		if proven || r.class.Idempotency == Idempotent {
 			continue
 		}
 		switch {
-		case r.class.Effect == Unsafe:
+		case r.class.Idempotency == NonIdempotent:
 			c.breach("unsafe request %d sent again", id)
-		case c.now > a.sent+r.class.KeyTTL:
+		case c.now > a.sent+r.class.DedupWindow:
 			c.breach("keyed request %d sent again %v after its first send", id, c.now-a.sent)
-		case r.class.Group == GroupZone && a.server.Zone != srv.Zone,
-			r.class.Group == GroupCell && a.server.Cell != srv.Cell:
+		case r.class.DedupScope == DedupZone && a.server.Zone != srv.Zone,
+			r.class.DedupScope == DedupCell && a.server.Cell != srv.Cell:
 			c.breach("keyed request %d sent outside its group", id)
 		}
 	}
@@ -102,21 +102,21 @@
 	if r.ended {
 		c.breach("second answer to request %d", id)
 	}
-	if c.now > r.Expires+c.cfg.AnswerGrace && !r.going {
+	if c.now > r.Expires+c.cfg.ResponseGrace && !r.going {
 		c.breach("answer to request %d comes %v late", id, c.now-r.Expires)
 	}
 	r.ended = true
 	return r
 }
 
-func (c *checker) Refuse(id RequestID, d time.Duration) {
+func (c *checker) Reject(id RequestID, d time.Duration) {
 	c.log = append(c.log, fmt.Sprint("refuse ", id, d))
 	r := c.answer(id)
-	if r == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+	if r == nil || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere {
 		return
 	}
 	for _, a := range r.attempts {
-		if a.out || a.status != Full && a.status != ConnectFailed && a.status != Moot {
+		if a.out || a.status != StatusOverloaded && a.status != StatusConnectFailed && a.status != StatusNotSent {
 			c.breach("request %d may have run and is refused", id)
 		}
 	}
@@ -127,12 +127,12 @@
 	c.answer(id)
 }
 
-func (c *checker) Cancel(id RequestID, attempt int) {
+func (c *checker) CancelAttempt(id RequestID, attempt int) {
 	c.log = append(c.log, fmt.Sprint("cancel ", id, attempt))
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
 		c.breach("cancel of attempt %d of %d, which was never made", attempt, id)
 	}
-	if !c.cfg.MayCancel {
+	if !c.cfg.CancellationAllowed {
 		c.breach("cancel where the site forbids it")
 	}
 }
@@ -142,12 +142,12 @@
 	if d > 71*time.Minute || token == "" || len(token) > 64 {
 		c.breach("timer of %v named %q", d, token)
 	}
-	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.Tick), token})
+	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.TimerResolution), token})
 }
 
-func (c *checker) Probe(s ServerID) {
+func (c *checker) CheckHealth(s EndpointID) {
 	c.log = append(c.log, fmt.Sprint("probe ", s))
-	if !c.cfg.MayProbe {
+	if !c.cfg.HealthChecksAllowed {
 		c.breach("probe where the site forbids it")
 	}
 	if _, ok := c.servers[s]; !ok {
@@ -156,37 +156,37 @@
 	c.probes = append(c.probes, s)
 }
 
-func (c *checker) Watch(on bool)   { c.log = append(c.log, fmt.Sprint("watch ", on)) }
-func (c *checker) Log(text string) { c.log = append(c.log, "log "+text) }
+func (c *checker) WatchEndpoints(on bool) { c.log = append(c.log, fmt.Sprint("watch ", on)) }
+func (c *checker) Log(text string)        { c.log = append(c.log, "log "+text) }
 
 // play runs a random legal sequence of events drawn from seed and returns the actions taken.
 func play(t *testing.T, seed uint64, steps int) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := testConfig()
-	cfg.GroupSize = 1 + rng.IntN(20)
-	cfg.Ordinal = rng.IntN(cfg.GroupSize)
-	cfg.MayProbe, cfg.MayCancel, cfg.MayDuplicate = rng.IntN(4) > 0, rng.IntN(4) > 0, rng.IntN(3) > 0
+	cfg.InstanceCount = 1 + rng.IntN(20)
+	cfg.InstanceIndex = rng.IntN(cfg.InstanceCount)
+	cfg.HealthChecksAllowed, cfg.CancellationAllowed, cfg.HedgingAllowed = rng.IntN(4) > 0, rng.IntN(4) > 0, rng.IntN(3) > 0
 	cfg.MaxAttempts = 1 + rng.IntN(5)
-	cfg.ConnectionTariff, cfg.HandshakeTariff = 0.05*float64(rng.IntN(2)), 0.05
+	cfg.ConnectionCost, cfg.HandshakeCost = 0.05*float64(rng.IntN(2)), 0.05
 	for i := range cfg.Classes {
-		cfg.Classes[i].LateShare = 0.5 * float64(rng.IntN(2))
+		cfg.Classes[i].LateWeightFraction = 0.5 * float64(rng.IntN(2))
 	}
 	b, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := &checker{
-		t: t, cfg: cfg, classes: map[string]Class{}, servers: map[ServerID]Server{},
-		drained: map[ServerID]bool{}, requests: map[RequestID]*openRequest{},
+		t: t, cfg: cfg, classes: map[string]Class{}, servers: map[EndpointID]Endpoint{},
+		drained: map[EndpointID]bool{}, requests: map[RequestID]*openRequest{},
 	}
 	for _, cl := range cfg.Classes {
 		c.classes[cl.Name] = cl
 	}
-	update := func(kind ListKind, list []Server) {
-		if kind == ListFailed {
+	update := func(kind UpdateKind, list []Endpoint) {
+		if kind == UpdatePollFailed {
 			list = nil
 		}
-		if kind == ListFull || kind == ListCached {
+		if kind == UpdateFull || kind == UpdateCached {
 			for id := range c.servers {
 				c.drained[id] = true
 			}
@@ -194,53 +194,53 @@
 		for _, s := range list {
 			c.servers[s.ID], c.drained[s.ID] = s, s.State != Ready
 		}
-		b.Members(c.now, kind, list, c)
+		b.UpdateEndpoints(c.now, kind, list, c)
 	}
-	draw := func(n int) (list []Server) {
+	draw := func(n int) (list []Endpoint) {
 		for range n {
 			i := rng.IntN(8)
-			s := Server{ID: ServerID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 2}
-			s.State = ServerState(max(0, rng.IntN(5)-2))
+			s := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 2}
+			s.State = EndpointState(max(0, rng.IntN(5)-2))
 			if rng.IntN(3) == 0 {
 				s.Started = max(1, c.now-time.Duration(rng.IntN(9))*time.Second)
 			}
-			if !slices.ContainsFunc(list, func(o Server) bool { return o.ID == s.ID }) {
+			if !slices.ContainsFunc(list, func(o Endpoint) bool { return o.ID == s.ID }) {
 				list = append(list, s)
 			}
 		}
 		return list
 	}
-	load := func() *Load {
+	load := func() *LoadReport {
 		if rng.IntN(3) == 0 {
 			return nil
 		}
-		return &Load{Queue: float64(rng.IntN(30)) - 1, Latency: 20, ErrorRate: -1}
+		return &LoadReport{Queue: float64(rng.IntN(30)) - 1, Latency: 20, ErrorRate: -1}
 	}
 	settle := func(r *openRequest, i int, status Status) {
 		a := &r.attempts[i]
 		a.out, a.status = false, status
-		if r.going && status != Canceled { // its last byte was never written
-			status = ConnectFailed
+		if r.going && status != StatusCanceled { // its last byte was never written
+			status = StatusConnectFailed
 			a.status, r.going = status, false
 			r.Expires = max(r.Expires, c.now) // it begins with the last byte
 		}
-		if status == OK {
+		if status == StatusOK {
 			r.ended = true
 		}
-		b.Outcome(c.now, Outcome{
-			ID: r.ID, Attempt: i, Server: a.server.ID, Status: status, Delay: c.now - a.sent,
-			Closed: r.ended, Load: load(),
+		b.HandleAttemptResult(c.now, AttemptResult{
+			ID: r.ID, Attempt: i, Endpoint: a.server.ID, Status: status, Delay: c.now - a.sent,
+			RequestEnded: r.ended, Load: load(),
 		}, c)
 	}
-	update(ListCached, draw(rng.IntN(9)))
+	update(UpdateCached, draw(rng.IntN(9)))
 	var ids []RequestID
 	for step := range steps {
-		c.now += cfg.Tick * time.Duration(1+rng.IntN(4))
+		c.now += cfg.TimerResolution * time.Duration(1+rng.IntN(4))
 		due := slices.Clone(c.timers)
 		c.timers = c.timers[:0]
 		for _, e := range due {
 			if e.at <= c.now {
-				b.Timer(c.now, e.token, c)
+				b.HandleTimer(c.now, e.token, c)
 			} else {
 				c.timers = append(c.timers, e)
 			}
@@ -250,13 +250,13 @@
 			if r.going {
 				continue
 			}
-			if !r.ended && c.now > r.Expires+cfg.AnswerGrace {
+			if !r.ended && c.now > r.Expires+cfg.ResponseGrace {
 				c.breach("request %d got no answer in time", id)
 				return c.log
 			}
 			for i := range r.attempts {
 				if r.attempts[i].out && c.now >= r.Expires {
-					settle(r, i, Timeout)
+					settle(r, i, StatusTimeout)
 				}
 			}
 		}
@@ -268,18 +268,18 @@
 			r := c.requests[ids[len(ids)-1-rng.IntN(min(len(ids), 8))]]
 			out := slices.IndexFunc(r.attempts, func(a openAttempt) bool { return a.out })
 			switch {
-			case !r.Long || r.ended || out < 0:
+			case !r.StreamedBody || r.ended || out < 0:
 			case !r.used:
 				r.used, r.going = true, true
-				b.Uploading(c.now, r.ID, out)
+				b.HandleBodyStarted(c.now, r.ID, out)
 			case r.going:
 				r.going = false
 				r.Expires = c.now + time.Duration(1+rng.IntN(900))*time.Millisecond
 				r.attempts[out].sent = c.now
-				b.Uploaded(c.now, r.ID, r.Expires, c)
+				b.HandleBodyFinished(c.now, r.ID, r.Expires, c)
 			}
 		case 0:
-			update(ListKind(rng.IntN(4)), draw(rng.IntN(5)))
+			update(UpdateKind(rng.IntN(4)), draw(rng.IntN(5)))
 		case 1, 2, 3, 4:
 			name := "unheard-of"
 			if k := rng.IntN(len(cfg.Classes) + 1); k < len(cfg.Classes) {
@@ -287,25 +287,25 @@
 			}
 			cl, ok := c.classes[name]
 			if !ok {
-				cl = Class{Effect: Unsafe}
+				cl = Class{Idempotency: NonIdempotent}
 			}
 			id := RequestID(step + 1)
 			patience := time.Duration(1+rng.IntN(900)) * time.Millisecond
-			q := Request{ID: id, Class: name, Expires: c.now + patience, Long: rng.IntN(4) == 0}
+			q := Request{ID: id, Class: name, Expires: c.now + patience, StreamedBody: rng.IntN(4) == 0}
 			c.requests[id] = &openRequest{Request: q, class: cl}
 			ids = append(ids, id)
-			b.Request(c.now, q, c)
+			b.HandleRequest(c.now, q, c)
 		case 5:
 			if len(ids) > 0 {
 				r := c.requests[ids[rng.IntN(len(ids))]]
 				r.ended = true
-				b.Withdrawn(c.now, r.ID, c)
+				b.HandleClientGone(c.now, r.ID, c)
 			}
 		case 6, 7:
 			if len(c.probes) > 0 {
 				p := c.probes[0]
 				c.probes = c.probes[1:]
-				b.Probed(c.now, ProbeResult{Server: p, Status: Status(rng.IntN(8)), Load: load()}, c)
+				b.HandleHealthCheck(c.now, HealthCheckResult{Endpoint: p, Status: Status(rng.IntN(8)), Load: load()}, c)
 			}
 		default:
 			if len(ids) == 0 {
--- a/policy/sets_test.go
+++ b/policy/sets_test.go
@@ -8,26 +8,26 @@
 // Each server is in about equally many sets of 80 sidecars before 60 servers, also as one goes and as 36 are replaced; how far sets
 // move is told.
 func TestSetsOfManySidecars(t *testing.T) {
-	list := func(n int, skip func(i int) bool) []Server {
-		var all []Server
+	list := func(n int, skip func(i int) bool) []Endpoint {
+		var all []Endpoint
 		for i := range n {
 			if !skip(i) {
-				all = append(all, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2))})
+				all = append(all, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2))})
 			}
 		}
 		return all
 	}
-	sets := func(servers []Server) (all []map[ServerID]bool, most, least int) {
-		met := map[ServerID]int{}
+	sets := func(servers []Endpoint) (all []map[EndpointID]bool, most, least int) {
+		met := map[EndpointID]int{}
 		for o := range 80 {
 			cfg := testConfig()
-			cfg.Ordinal, cfg.GroupSize = o, 80
+			cfg.InstanceIndex, cfg.InstanceCount = o, 80
 			b, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Members(0, ListFull, servers, &recorder{})
-			set := map[ServerID]bool{}
+			b.UpdateEndpoints(0, UpdateFull, servers, &recorder{})
+			set := map[EndpointID]bool{}
 			for _, s := range b.ready[:b.setSize] {
 				set[s.ID] = true
 				met[s.ID]++
@@ -46,7 +46,7 @@
 		t.Errorf("60 servers are in %d to %d sets of 80", least, most)
 	}
 	for name, c := range map[string]struct {
-		servers []Server
+		servers []Endpoint
 		must    float64 // members that have gone
 	}{
 		"one gone": {list(60, func(i int) bool { return i == 17 }), 1.0 / 60},
@@ -81,19 +81,19 @@
 		"small zone": {300, 200, 40, 0.1, 0.45},
 		"a third":    {300, 200, 66, 0.75, 0.85},
 	} {
-		var list []Server
+		var list []Endpoint
 		for i := range c.servers {
-			list = append(list, Server{ID: ServerID(fmt.Sprint("s", i)), Zone: map[bool]string{true: "a", false: "b"}[i < c.inA]})
+			list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: map[bool]string{true: "a", false: "b"}[i < c.inA]})
 		}
-		met, own, members := map[ServerID]int{}, 0, 0
+		met, own, members := map[EndpointID]int{}, 0, 0
 		for o := range c.sidecars {
 			cfg := testConfig()
-			cfg.Ordinal, cfg.GroupSize, cfg.CrossZoneTariff, cfg.Zone = o, c.sidecars, 0.015, string(rune('a'+o%2))
+			cfg.InstanceIndex, cfg.InstanceCount, cfg.CrossZoneCost, cfg.Zone = o, c.sidecars, 0.015, string(rune('a'+o%2))
 			b, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Members(0, ListFull, list, &recorder{})
+			b.UpdateEndpoints(0, UpdateFull, list, &recorder{})
 			for _, s := range b.ready[:b.setSize] {
 				met[s.ID]++
 				if cfg.Zone == "a" {
--- a/policy/state.go
+++ b/policy/state.go
@@ -14,17 +14,17 @@
 // validate reports what in cfg is out of range.
 func (cfg Config) validate() error {
 	switch {
-	case cfg.GroupSize < 1 || cfg.Ordinal < 0 || cfg.Ordinal >= cfg.GroupSize:
-		return fmt.Errorf("policy: ordinal %d outside a group of %d", cfg.Ordinal, cfg.GroupSize)
+	case cfg.InstanceCount < 1 || cfg.InstanceIndex < 0 || cfg.InstanceIndex >= cfg.InstanceCount:
+		return fmt.Errorf("policy: ordinal %d outside a group of %d", cfg.InstanceIndex, cfg.InstanceCount)
 	case cfg.MaxAttempts < 1:
 		return errors.New("policy: MaxAttempts below 1")
-	case !(cfg.ColdFrom >= 0 && cfg.ColdFrom <= 1) || cfg.Ramp < 0:
+	case !(cfg.SlowStartMinCapacity >= 0 && cfg.SlowStartMinCapacity <= 1) || cfg.SlowStartDuration < 0:
 		return errors.New("policy: ColdFrom outside 0..1 or negative Ramp")
-	case cfg.Tick < 0 || cfg.AskEvery < 0 || cfg.AnswerGrace < 0 || cfg.DialTimeout < 0:
+	case cfg.TimerResolution < 0 || cfg.PollInterval < 0 || cfg.ResponseGrace < 0 || cfg.DialTimeout < 0:
 		return errors.New("policy: negative time in Config")
 	}
 	for _, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline < c.Aim || c.Worth < 0 || c.KeyTTL < 0 {
+		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight < 0 || c.DedupWindow < 0 {
 			return fmt.Errorf("policy: class %q: aim, deadline, worth or window out of range", c.Name)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	c.owed = slices.DeleteFunc(c.owed, func(r *request) bool { return now > r.began+c.Deadline })
 	for i, r := range c.owed {
-		if r.Tenant == q.Tenant && r.Key == q.Key && r.Cost == q.Cost && (q.Key != "" || q.Cost > 0) && q.Expires <= r.began+c.Deadline+2*tick {
+		if r.Tenant == q.Tenant && r.Key == q.Key && r.ExpectedWork == q.ExpectedWork && (q.Key != "" || q.ExpectedWork > 0) && q.Expires <= r.began+c.Deadline+2*tick {
 			c.owed = slices.Delete(c.owed, i, i+1)
 			return r.began
 		}
@@ -89,7 +89,7 @@
 }
 
 type server struct {
-	Server
+	Endpoint
 	queue    float64 // latest reported queue
 	reported bool
 	marked   bool
@@ -149,7 +149,7 @@
 // hear notes the end of an attempt or a probe, if it tells that s is there.
 func (s *server) hear(now Time, st Status) {
 	switch st {
-	case Timeout, ConnectFailed, Canceled, Moot:
+	case StatusTimeout, StatusConnectFailed, StatusCanceled, StatusNotSent:
 	default:
 		s.asked = now
 	}
@@ -193,11 +193,11 @@
 
 // queueOf is the queue of JBT-d: all that a server holds, where it tells. Those that take many requests
 // at once are slow long before any of them waits. It is negative if l tells neither.
-func queueOf(l *Load) float64 {
+func queueOf(l *LoadReport) float64 {
 	if l == nil {
 		return -1
 	}
-	return max(l.Queue, l.Inflight)
+	return max(l.Queue, l.InFlight)
 }
 
 // roomModel tells a shortage from a slow answer or a spoilt one: in how many of the latest requests some server of the set
@@ -286,9 +286,9 @@
 
 // span works out until when an answer is of full worth, and of any.
 func (r *request) span() {
-	r.useful = min(r.began+r.class.Aim, r.Expires) // nobody waits longer, however short that is
+	r.useful = min(r.began+r.class.LatencyObjective, r.Expires) // nobody waits longer, however short that is
 	r.end = r.Expires
-	if r.class.LateShare == 0 {
+	if r.class.LateWeightFraction == 0 {
 		r.end = min(r.end, r.useful-r.tick)
 	}
 }
@@ -306,7 +306,7 @@
 	slices.SortFunc(list, func(x, y *server) int { return cmp.Or(cmp.Compare(x.key, y.key), cmp.Compare(x.ID, y.ID)) })
 }
 
-func hash(id ServerID, salt uint64) uint64 {
+func hash(id EndpointID, salt uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	x := h.Sum64() ^ salt*0x9e3779b97f4a7c15
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -23,7 +23,7 @@
 	actions  int
 	hash     uint64
 	timers   []dueTimer
-	probes   []ServerID
+	probes   []EndpointID
 	attempts []sentAttempt
 	uploads  []RequestID
 	counts   map[RequestID]int
@@ -37,7 +37,7 @@
 type sentAttempt struct {
 	id      RequestID
 	attempt int
-	server  ServerID
+	server  EndpointID
 	sent    Time
 }
 
@@ -49,24 +49,24 @@
 	h.actions++
 }
 
-func (h *hasher) Send(id RequestID, s ServerID, d time.Duration) {
+func (h *hasher) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
 	h.note("send %d %s %d", id, s, d)
 	h.attempts = append(h.attempts, sentAttempt{id, h.counts[id], s, h.now})
 	h.counts[id]++
 }
-func (h *hasher) Refuse(id RequestID, d time.Duration) { h.note("refuse %d %d", id, d) }
-func (h *hasher) Fail(id RequestID)                    { h.note("fail %d", id) }
-func (h *hasher) Cancel(id RequestID, attempt int)     { h.note("cancel %d %d", id, attempt) }
+func (h *hasher) Reject(id RequestID, d time.Duration)    { h.note("refuse %d %d", id, d) }
+func (h *hasher) Fail(id RequestID)                       { h.note("fail %d", id) }
+func (h *hasher) CancelAttempt(id RequestID, attempt int) { h.note("cancel %d %d", id, attempt) }
 func (h *hasher) SetTimer(d time.Duration, token string) {
 	h.note("timer %d %s", d, token)
 	h.timers = append(h.timers, dueTimer{h.now + d, token})
 }
-func (h *hasher) Probe(s ServerID) {
+func (h *hasher) CheckHealth(s EndpointID) {
 	h.note("probe %s", s)
 	h.probes = append(h.probes, s)
 }
-func (h *hasher) Watch(on bool)   { h.note("watch %v", on) }
-func (h *hasher) Log(text string) { h.note("log %s", text) }
+func (h *hasher) WatchEndpoints(on bool) { h.note("watch %v", on) }
+func (h *hasher) Log(text string)        { h.note("log %s", text) }
 
 // takeAny removes a random element of list.
 func takeAny[T any](rng *rand.Rand, list *[]T) (x T, ok bool) {
@@ -82,22 +82,22 @@
 // traceConfigs are configurations that between them switch on each branch of the module.
 func traceConfigs() []Config {
 	base := testConfig()
-	base.GroupSize, base.Ordinal = 7, 3
-	base.HintsRetry, base.MaxRetryAfter = true, 2*time.Second
-	base.ConnectionTariff, base.HandshakeTariff = 0.05, 0.001
+	base.InstanceCount, base.InstanceIndex = 7, 3
+	base.RetryAfterHonored, base.MaxRetryAfter = true, 2*time.Second
+	base.ConnectionCost, base.HandshakeCost = 0.05, 0.001
 	zonal := base
-	zonal.CrossZoneTariff, zonal.InlineReports = 0.5, true
+	zonal.CrossZoneCost, zonal.InlineLoadReports = 0.5, true
 	pushed := base
-	pushed.Pushed, pushed.MayProbe, pushed.MayCancel = true, false, false
+	pushed.EndpointsPushed, pushed.HealthChecksAllowed, pushed.CancellationAllowed = true, false, false
 	keyed := base
-	keyed.WarmKeys, keyed.GroupSize, keyed.Ordinal = true, 300, 250
+	keyed.KeyAffinity, keyed.InstanceCount, keyed.InstanceIndex = true, 300, 250
 	alone := testConfig()
-	alone.MayDuplicate, alone.MaxAttempts = false, 2
+	alone.HedgingAllowed, alone.MaxAttempts = false, 2
 	return []Config{base, zonal, pushed, keyed, alone}
 }
 
 // randomLoad is a report as a server might send it, nil at times.
-func randomLoad(rng *rand.Rand) *Load {
+func randomLoad(rng *rand.Rand) *LoadReport {
 	if rng.IntN(5) == 0 {
 		return nil
 	}
@@ -105,20 +105,20 @@
 	if rng.IntN(8) == 0 {
 		queue = -1
 	}
-	return &Load{Queue: queue, Inflight: rng.Float64() * 8, Latency: 40, ErrorRate: rng.Float64()}
+	return &LoadReport{Queue: queue, InFlight: rng.Float64() * 8, Latency: 40, ErrorRate: rng.Float64()}
 }
 
 // randomList names some of twelve servers, one of them restarted now and then.
-func randomList(rng *rand.Rand, now Time) (ListKind, []Server) {
-	kind := []ListKind{ListDelta, ListDelta, ListFull, ListCached, ListFailed, ListLost}[rng.IntN(6)]
-	var list []Server
+func randomList(rng *rand.Rand, now Time) (UpdateKind, []Endpoint) {
+	kind := []UpdateKind{UpdateDelta, UpdateDelta, UpdateFull, UpdateCached, UpdatePollFailed, UpdateWatchLost}[rng.IntN(6)]
+	var list []Endpoint
 	for i := range 12 {
-		if kind == ListDelta && rng.IntN(4) > 0 {
+		if kind == UpdateDelta && rng.IntN(4) > 0 {
 			continue
 		}
-		s := Server{ID: ServerID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, Kind: fmt.Sprint("k", i%3), Weight: 1}
+		s := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, Kind: fmt.Sprint("k", i%3), Weight: 1}
 		if rng.IntN(5) == 0 {
-			s.State = ServerState(rng.IntN(3))
+			s.State = EndpointState(rng.IntN(3))
 		}
 		if i%4 == 0 {
 			s.Started = max(0, now-Time(rng.Int64N(int64(10*time.Second))))
@@ -138,23 +138,23 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	h := &hasher{calm: calm, counts: map[RequestID]int{}}
 	_, first := randomList(rng, 0)
-	b.Members(0, ListCached, first, h)
+	b.UpdateEndpoints(0, UpdateCached, first, h)
 	var last RequestID
 	for range events {
 		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
 		playEvent(b, h, rng, &last)
-		seen := b.Seen(h.now)
-		h.note("seen %d %v %d", seen.Usual, seen.Short, seen.Avoided)
+		seen := b.Summarize(h.now)
+		h.note("seen %d %v %d", seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints)
 	}
-	learnt, err := json.Marshal(b.Learnt(h.now))
+	learnt, err := json.Marshal(b.ExportLearnedState(h.now))
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.note("learnt %s", learnt)
 	next, _ := New(cfg, seed)
 	kind, list := randomList(rng, h.now)
-	next.Members(h.now, kind, list, h)
-	next.Adopt(h.now, b.Learnt(h.now))
+	next.UpdateEndpoints(h.now, kind, list, h)
+	next.ImportLearnedState(h.now, b.ExportLearnedState(h.now))
 	for range events / 4 {
 		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
 		playEvent(next, h, rng, &last)
@@ -171,7 +171,7 @@
 	switch dice := rng.IntN(1000); {
 	case dice < requests:
 		*last++
-		b.Request(h.now, randomRequest(rng, h.now, *last), h)
+		b.HandleRequest(h.now, randomRequest(rng, h.now, *last), h)
 	case dice < 600:
 		playOutcome(b, h, rng)
 	case dice < 800:
@@ -179,22 +179,22 @@
 	case dice < 940:
 		playTimers(b, h)
 	case dice < 955:
-		b.Withdrawn(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
+		b.HandleClientGone(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
 	case dice < 965:
-		b.Streaming(h.now, *last-min(*last, RequestID(rng.IntN(5))), 0, h)
+		b.HandleResponseStarted(h.now, *last-min(*last, RequestID(rng.IntN(5))), 0, h)
 	case dice < 975:
 		id := *last - min(*last, RequestID(rng.IntN(3)))
-		b.Uploading(h.now, id, 0)
+		b.HandleBodyStarted(h.now, id, 0)
 		h.uploads = append(h.uploads, id)
 	case dice < 985:
 		if id, ok := takeAny(rng, &h.uploads); ok {
-			b.Uploaded(h.now, id, h.now+time.Second, h)
+			b.HandleBodyFinished(h.now, id, h.now+time.Second, h)
 		}
 	case dice < 992:
-		b.Hint(h.now, ServerID(fmt.Sprint("s", rng.IntN(13))))
+		b.HandleUnreachableHint(h.now, EndpointID(fmt.Sprint("s", rng.IntN(13))))
 	default:
 		kind, list := randomList(rng, h.now)
-		b.Members(h.now, kind, list, h)
+		b.UpdateEndpoints(h.now, kind, list, h)
 	}
 }
 
@@ -202,16 +202,16 @@
 	classes := []string{"safe", "safe", "keyed", "zonal", "cellular", "unsafe", "unknown"}
 	r := Request{ID: id, Class: classes[rng.IntN(len(classes))], Tenant: "t", Expires: now + Time(rng.Int64N(int64(time.Second)))}
 	if rng.IntN(3) == 0 {
-		r.Key, r.Cost = fmt.Sprint("key", rng.IntN(4)), 20*time.Millisecond
+		r.Key, r.ExpectedWork = fmt.Sprint("key", rng.IntN(4)), 20*time.Millisecond
 	}
 	if rng.IntN(12) == 0 {
-		r.Prior = []Prior{{Zone: "a", Cell: 1, NotRun: rng.IntN(2) == 0, For: 200 * time.Millisecond}}
+		r.PriorAttempts = []PriorAttempt{{Zone: "a", Cell: 1, NotExecuted: rng.IntN(2) == 0, DedupRemaining: 200 * time.Millisecond}}
 	}
 	if rng.IntN(12) == 0 {
-		r.Most = 1 + rng.IntN(2)
+		r.MaxAttempts = 1 + rng.IntN(2)
 	}
-	r.Long = rng.IntN(15) == 0
-	if !r.Long && rng.IntN(2) == 0 {
+	r.StreamedBody = rng.IntN(15) == 0
+	if !r.StreamedBody && rng.IntN(2) == 0 {
 		r.Expires = now + time.Second
 	}
 	return r
@@ -223,7 +223,7 @@
 	for len(h.timers) > 0 && h.timers[0].at <= h.now {
 		token := h.timers[0].token
 		h.timers = h.timers[1:]
-		b.Timer(h.now, token, h)
+		b.HandleTimer(h.now, token, h)
 	}
 }
 
@@ -236,12 +236,12 @@
 		h.attempts = append(h.attempts, a)
 		return
 	}
-	status := OK
+	status := StatusOK
 	if rng.IntN(4) == 0 {
-		status = Status(rng.IntN(int(Moot) + 1))
+		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
-	b.Outcome(h.now, Outcome{
-		ID: a.id, Attempt: a.attempt, Server: a.server, Status: status, Delay: h.now - a.sent, Closed: status == OK, Load: randomLoad(rng),
+	b.HandleAttemptResult(h.now, AttemptResult{
+		ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Delay: h.now - a.sent, RequestEnded: status == StatusOK, Load: randomLoad(rng),
 	}, h)
 }
 
@@ -250,11 +250,11 @@
 	if !ok {
 		return
 	}
-	status := OK
+	status := StatusOK
 	if rng.IntN(8) == 0 {
-		status = Status(rng.IntN(int(Moot) + 1))
+		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
-	b.Probed(h.now, ProbeResult{Server: s, Status: status, Delay: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
+	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: s, Status: status, Delay: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
 }
 
 // TestActionTrace holds that the module decides as it did when the golden file was written, to the draw: equal events from an
