--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -135,6 +135,7 @@
 	"internal/statslog":     {},
 	"internal/emulator":     {"policy", "internal/zonefailover"},
 	"internal/scenario":     {"policy", "internal/emulator"},
+	"internal/goldentest":   {},
 	"internal/fixedseed":    {},
 	"internal/lease":        {},
 	"internal/gossip":       {},
--- a/internal/gossip/golden_test.go
+++ b/internal/goldentest/goldentest.go
@@ -1,4 +1,6 @@
-package gossip
+// Package goldentest, used by tests alone, holds the serialized forms of values against golden files: what another process or the next
+// version reads must not change with a name in the code.
+package goldentest
 
 import (
 	"flag"
@@ -12,24 +14,24 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// form is a value together with how it is written and read. Each is one line of a golden file.
-type form struct {
-	name  string
-	write string
-	read  func(text string) (any, error) // nil: it is only written
-	value any                            // that read is to return
-	full  bool                           // no field of value may be left at zero, so that each has been pinned
+// Form is a value with its serialized form: one line of a golden file.
+type Form struct {
+	Name    string
+	Written string
+	Read    func(text string) (any, error) // nil: the form is only written
+	Value   any                            // that Read is to return
+	Full    bool                           // no field of Value may be left at zero, so that each has been pinned
 }
 
-// checkForms holds each form against its line in a golden file, both ways. The file is what the other end, or the next version, reads: it
+// CheckForms holds each form against its line in a golden file, both ways. The file is what the other end, or the next version, reads: it
 // changes with the protocol alone, never with a name in the code.
-func checkForms(t *testing.T, file string, forms []form) {
+func CheckForms(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if *update {
 		var all strings.Builder
 		for _, f := range forms {
-			fmt.Fprintf(&all, "%s\t%s\n", f.name, f.write)
+			fmt.Fprintf(&all, "%s\t%s\n", f.Name, f.Written)
 		}
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
@@ -48,19 +50,19 @@
 	}
 	for i, f := range forms {
 		name, want, _ := strings.Cut(lines[i], "\t")
-		if name != f.name {
-			t.Errorf("%s: line %d is of %q, want %q", path, i+1, name, f.name)
+		if name != f.Name {
+			t.Errorf("%s: line %d is of %q, want %q", path, i+1, name, f.Name)
 		}
-		if f.write != want {
-			t.Errorf("%s is written\n%s\nwant\n%s", f.name, f.write, want)
+		if f.Written != want {
+			t.Errorf("%s is written\n%s\nwant\n%s", f.Name, f.Written, want)
 		}
-		if f.read == nil {
+		if f.Read == nil {
 			continue
 		}
-		if got, err := f.read(want); err != nil || !reflect.DeepEqual(got, f.value) {
-			t.Errorf("%s is read as\n%+v, %v\nwant\n%+v", f.name, got, err, f.value)
+		if got, err := f.Read(want); err != nil || !reflect.DeepEqual(got, f.Value) {
+			t.Errorf("%s is read as\n%+v, %v\nwant\n%+v", f.Name, got, err, f.Value)
 		}
-		if field := unset(reflect.ValueOf(f.value), f.name); f.full && field != "" {
+		if field := unset(reflect.ValueOf(f.Value), f.Name); f.Full && field != "" {
 			t.Errorf("%s is left at zero: nothing pins it", field)
 		}
 	}
--- a/internal/gossip/form_test.go
+++ b/internal/gossip/form_test.go
@@ -8,6 +8,8 @@
 	"reflect"
 	"testing"
 	"time"
+
+	"sorrelrudder/internal/goldentest"
 )
 
 func fullMessage() *Message {
@@ -38,7 +40,7 @@
 	return &Message{Kind: Sync, Target: "fleet-1", Owners: []OwnerState{{Name: "fleet-1", Inc: 4<<incBits | 3}}, Entries: m.Entries}
 }
 
-func messageForm(name string, m *Message, full bool) form {
+func messageForm(name string, m *Message, full bool) goldentest.Form {
 	read := func(text string) (any, error) {
 		data, err := hex.DecodeString(text)
 		if err != nil {
@@ -46,12 +48,12 @@
 		}
 		return Decode(data)
 	}
-	return form{name: name, write: hex.EncodeToString(m.Encode()), read: read, value: m, full: full}
+	return goldentest.Form{Name: name, Written: hex.EncodeToString(m.Encode()), Read: read, Value: m, Full: full}
 }
 
 // TestMessageForm pins the bytes of messages between members, and of what one keeps for its next start.
 func TestMessageForm(t *testing.T) {
-	checkForms(t, "messages.golden", []form{
+	goldentest.CheckForms(t, "messages.golden", []goldentest.Form{
 		messageForm("full", fullMessage(), true),
 		messageForm("kept", keptMessage(), false),
 		messageForm("ping", &Message{Kind: Ping, Seq: 1, Members: []MemberState{{Name: "fleet-1", Inc: 1 << incBits, State: Alive}}}, false),
@@ -96,13 +98,13 @@
 	n.Delete("look/orders/b")
 	n.Decide("zone/orders/a", 7, []byte("x"))
 	n.Decide("zone/orders/b", 8, nil)
-	var forms []form
+	var forms []goldentest.Form
 	n.Copies().All("", func(e *Entry) bool {
 		text := fmt.Sprintf("%s %d %d %x", e.Owner, e.Inc>>incBits, e.Seq, e.Contents)
-		forms = append(forms, form{name: e.Key, write: text})
+		forms = append(forms, goldentest.Form{Name: e.Key, Written: text})
 		return true
 	})
-	checkForms(t, "entries.golden", forms)
+	goldentest.CheckForms(t, "entries.golden", forms)
 	if pool, name, ok := ServerOf(server); pool != "orders" || name != "10.0.0.1:80" || !ok {
 		t.Errorf("%s is of pool %q and server %q, %v", server, pool, name, ok)
 	}
@@ -125,14 +127,14 @@
 		{"kind", c.Sum("dead")}, {"sixteenth", c.sumAt("dead", 1, leaf/fan)}, {"range of a leaf", c.sumAt("dead", 2, leaf)},
 		{"tag of a fleet", FleetTag("5f0c2a")},
 	}
-	var forms []form
+	var forms []goldentest.Form
 	for _, x := range all {
-		forms = append(forms, form{name: x.name, write: fmt.Sprintf("%016x", x.sum)})
+		forms = append(forms, goldentest.Form{Name: x.name, Written: fmt.Sprintf("%016x", x.sum)})
 	}
-	checkForms(t, "sums.golden", forms)
+	goldentest.CheckForms(t, "sums.golden", forms)
 }
 
-func jsonForm[T any](name string, value T) form {
+func jsonForm[T any](name string, value T) goldentest.Form {
 	text, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -142,12 +144,12 @@
 		err := json.Unmarshal([]byte(text), &v)
 		return v, err
 	}
-	return form{name: name, write: string(text), read: read, value: value, full: true}
+	return goldentest.Form{Name: name, Written: string(text), Read: read, Value: value, Full: true}
 }
 
 // TestCountsForm pins what a process tells of its copies as JSON.
 func TestCountsForm(t *testing.T) {
-	checkForms(t, "counts.golden", []form{
+	goldentest.CheckForms(t, "counts.golden", []goldentest.Form{
 		jsonForm("figures", Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7}),
 		jsonForm("counts", Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6}),
 	})
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/goldentest"
 	"sorrelrudder/policy"
 )
 
@@ -52,7 +53,7 @@
 }
 
 // eventForm is a batch of one event to one instance, as one line.
-func eventForm(name string, e event, full bool) form {
+func eventForm(name string, e event, full bool) goldentest.Form {
 	at := int64(20000)
 	b := batch{AtTimeUs: &at, Groups: []group{{Sidecar: "sidecar/0", Msgs: []event{e}}}}
 	text, err := json.Marshal(b)
@@ -73,17 +74,17 @@
 		err := json.Unmarshal([]byte(text), &b)
 		return b, err
 	}
-	return form{name: name, write: string(text), read: read, value: b, full: full}
+	return goldentest.Form{Name: name, Written: string(text), Read: read, Value: b, Full: full}
 }
 
 // session is one of every event, and of each value of every enumeration, in an order in which an instance can take them.
-func session() []form {
+func session() []goldentest.Form {
 	const server = "10.0.0.1:80"
 	lines := []entry{
 		{LastStartUs: 5, CapacityHint: 1.5, Lifecycle: "on", Az: "a", Upstream: server, UnitGroup: 3, GenerationHw: "gen7"},
 		{Lifecycle: "fading", Az: "a", Upstream: "10.0.0.2:80", CapacityHint: 1}, {Lifecycle: "off", Az: "b", Upstream: "10.0.0.3:80"},
 	}
-	all := []form{
+	all := []goldentest.Form{
 		eventForm("open", event{Cmd: "OpenInstance", Salt: 1<<63 | 7, Settings: json.RawMessage(sessionSettings)}, false),
 		eventForm("list", event{Cmd: "Pool", Page: 2, Lines: lines}, false),
 	}
@@ -123,22 +124,22 @@
 		How:   "patch", Corr: 1<<63 | 1, CostUs: 900, ExpiresUs: 400020, IsRetry: true, Item: "91f0", Project: "acme", Type: "q", Shot: 1,
 		Terminal: true, Disposition: "delivered", DelaySeenUs: 7000, Upstream: "10.0.0.1:80", Metrics: []float64{2.5}, Ctx: "watch",
 	}
-	checkForms(t, "events.golden", append([]form{eventForm("all fields", full, true)}, session()...))
+	goldentest.CheckForms(t, "events.golden", append([]goldentest.Form{eventForm("all fields", full, true)}, session()...))
 }
 
 // TestSessionForm pins what an instance answers to these events: that each field gets where it counts. The answers are package policy's, and
 // change where its decisions are meant to.
 func TestSessionForm(t *testing.T) {
-	var forms []form
+	var forms []goldentest.Form
 	h := &host{instances: map[string]*instance{}}
 	for _, f := range session() {
-		out, err := h.batch([]byte(f.write))
+		out, err := h.batch([]byte(f.Written))
 		if err != nil {
-			t.Fatalf("%s: %v", f.write, err)
+			t.Fatalf("%s: %v", f.Written, err)
 		}
-		forms = append(forms, form{name: f.name, write: strings.TrimSuffix(string(out), "\n")})
+		forms = append(forms, goldentest.Form{Name: f.Name, Written: strings.TrimSuffix(string(out), "\n")})
 	}
-	checkForms(t, "session.golden", forms)
+	goldentest.CheckForms(t, "session.golden", forms)
 	want := []policy.Endpoint{
 		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * policy.Time(time.Microsecond)},
 		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
@@ -150,7 +151,7 @@
 
 // TestOrderForm pins every action that goes out.
 func TestOrderForm(t *testing.T) {
-	var forms []form
+	var forms []goldentest.Form
 	add := func(name string, act func(*instance)) {
 		i := &instance{}
 		act(i)
@@ -164,7 +165,7 @@
 			err := json.Unmarshal([]byte(text), &r)
 			return r, err
 		}
-		forms = append(forms, form{name: name, write: string(text), read: read, value: value})
+		forms = append(forms, goldentest.Form{Name: name, Written: string(text), Read: read, Value: value})
 	}
 	add("send", func(i *instance) { i.StartAttempt(1<<63|5, "10.0.0.1:80", 80*time.Millisecond) })
 	add("send request 0", func(i *instance) { i.StartAttempt(0, "10.0.0.1:80", 80*time.Millisecond) })
@@ -185,7 +186,7 @@
 	}
 	got[0].Text, _, _ = strings.Cut(got[0].Text, ":")
 	add("fault", func(i *instance) { i.orders = got })
-	checkForms(t, "orders.golden", forms)
+	goldentest.CheckForms(t, "orders.golden", forms)
 }
 
 // TestWords pins what each word of the simulator means, and that there are no others.
--- a/internal/siteheader/form_test.go
+++ b/internal/siteheader/form_test.go
@@ -5,9 +5,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sorrelrudder/internal/goldentest"
 )
 
-func requestForm(name string, q *Request, full bool) form {
+func requestForm(name string, q *Request, full bool) goldentest.Form {
 	text, err := q.String()
 	if err != nil {
 		panic(err)
@@ -15,16 +17,16 @@
 	// The two come in either order, which means nothing in a dictionary.
 	text = strings.Replace(text, `key="k-1", tenant="acme"`, `tenant="acme", key="k-1"`, 1)
 	read := func(text string) (any, error) { return ParseRequest([]string{text}, "far") }
-	return form{name: name, write: text, read: read, value: q, full: full}
+	return goldentest.Form{Name: name, Written: text, Read: read, Value: q, Full: full}
 }
 
-func answerForm(name string, a Answer, full bool) form {
+func answerForm(name string, a Answer, full bool) goldentest.Form {
 	text, err := a.String()
 	if err != nil {
 		panic(err)
 	}
 	read := func(text string) (any, error) { return ParseAnswer([]string{text}, mostAttempts) }
-	return form{name: name, write: text, read: read, value: a, full: full}
+	return goldentest.Form{Name: name, Written: text, Read: read, Value: a, Full: full}
 }
 
 // TestFieldForm pins the fields that cross between sites.
@@ -38,7 +40,7 @@
 		Origin: "near", Passed: []string{"near"}, Stamp: time.Hour, Ago: 20 * time.Millisecond, Within: 215 * time.Millisecond,
 	}
 	least := &Request{Left: us, Pool: "orders", Class: "read", May: 1, Origin: "near", Passed: []string{"near"}}
-	checkForms(t, "fields.golden", []form{
+	goldentest.CheckForms(t, "fields.golden", []goldentest.Form{
 		requestForm("full request", full, true),
 		requestForm("least request", least, false),
 		answerForm("refused", Answer{How: Refused, Spent: 1, Room: 12, Wait: 40 * time.Millisecond, Stamp: time.Hour}, true),
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"sorrelrudder/internal/goldentest"
 	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/siteheader"
 	"sorrelrudder/policy"
@@ -48,7 +49,7 @@
 		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
 	}
 	zone := c.peer.zone()
-	checkForms(t, "probe.golden", []form{{name: "probe", write: fmt.Sprintf("%q", sent.String())}, {name: "zone of a peer", write: zone}})
+	goldentest.CheckForms(t, "probe.golden", []goldentest.Form{{Name: "probe", Written: fmt.Sprintf("%q", sent.String())}, {Name: "zone of a peer", Written: zone}})
 }
 
 // TestCrossingForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
@@ -99,7 +100,7 @@
 	good := `v=1, left=90000000, pool="orders", class="order", used=0, may=2, stamp=NOW, ago=0, within=80000000, origin="far", passed=("far")`
 	stamp := fmt.Sprint("stamp=", b.now().Microseconds())
 	good = strings.Replace(good, "stamp=NOW", stamp, 1)
-	var forms []form
+	var forms []goldentest.Form
 	refuse := func(name, peer, path string, header http.Header) {
 		_, _, err := h.Admit(&httpmsg.Request{Method: http.MethodGet, Path: path, Peer: peer, Header: header})
 		bad, ok := err.(httpmsg.Bad)
@@ -110,7 +111,7 @@
 		if err != nil || a.How != siteheader.Refused || a.Spent != 0 || a.Room != 0 {
 			t.Errorf("%s is answered with %+v, %v", name, a, err)
 		}
-		forms = append(forms, form{name: name, write: fmt.Sprint(bad.Status)})
+		forms = append(forms, goldentest.Form{Name: name, Written: fmt.Sprint(bad.Status)})
 	}
 	request := func(name, old, new string) {
 		refuse(name, "far", "/x", http.Header{"Sorrel-Hop": {strings.Replace(good, old, new, 1)}})
@@ -128,5 +129,5 @@
 	b.draining.Store(true)
 	request("drains", "v=1", "v=1")
 	refuse("probe of one that drains", "far", "/hop", http.Header{"Sorrel-Hop-Pool": {"orders"}})
-	checkForms(t, "refusals.golden", forms)
+	goldentest.CheckForms(t, "refusals.golden", forms)
 }
--- a/internal/zonefailover/form_test.go
+++ b/internal/zonefailover/form_test.go
@@ -3,14 +3,16 @@
 import (
 	"encoding/json"
 	"testing"
+
+	"sorrelrudder/internal/goldentest"
 )
 
 // TestStateForm pins what is decided of a zone, as the log and the copies hold it, and as JSON.
 func TestStateForm(t *testing.T) {
-	inText := func(name string, s State) form {
-		return form{name: name, write: s.Encode(), read: func(text string) (any, error) { return Decode(text) }, value: s}
+	inText := func(name string, s State) goldentest.Form {
+		return goldentest.Form{Name: name, Written: s.Encode(), Read: func(text string) (any, error) { return Decode(text) }, Value: s}
 	}
-	inJSON := func(name string, s State) form {
+	inJSON := func(name string, s State) goldentest.Form {
 		text, err := json.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
@@ -20,12 +22,12 @@
 			err := json.Unmarshal([]byte(text), &s)
 			return s, err
 		}
-		return form{name: name, write: string(text), read: read, value: s}
+		return goldentest.Form{Name: name, Written: string(text), Read: read, Value: s}
 	}
 	full := State{Step: Steps, Pinned: true, Falls: 3, Cold: true, Why: "an operator"}
 	pinned, returning := State{Pinned: true, Why: "an operator"}, State{Step: 2, Falls: 1, Why: "a step was borne"}
-	checkForms(t, "states.golden", []form{
-		{name: "full", write: full.Encode(), read: func(text string) (any, error) { return Decode(text) }, value: full, full: true},
+	goldentest.CheckForms(t, "states.golden", []goldentest.Form{
+		{Name: "full", Written: full.Encode(), Read: func(text string) (any, error) { return Decode(text) }, Value: full, Full: true},
 		inText("pinned", pinned), inText("returning", returning), inJSON("full as JSON", full), inJSON("least as JSON", State{}),
 	})
 	if got := (State{}).Encode(); got != "0 false 0 " {
@@ -45,11 +47,11 @@
 		{"well", Well}, {"minority", Minority}, {"one side", OneSide}, {"all alike", AllAlike}, {"not enough", NotEnough}, {"not looked at", Unlooked},
 		{"partly", Partly}, {"grey", GreyZone}, {"down", Down},
 	}
-	var forms []form
+	var forms []goldentest.Form
 	for _, c := range causes {
-		forms = append(forms, form{name: c.name, write: string(c.cause)})
+		forms = append(forms, goldentest.Form{Name: c.name, Written: string(c.cause)})
 	}
-	checkForms(t, "causes.golden", forms)
+	goldentest.CheckForms(t, "causes.golden", forms)
 	if Steps != 4 || len(parts) != Steps+1 || coldMark != "c" {
 		t.Errorf("steps %d, parts %v, mark %q", Steps, parts, coldMark)
 	}
--- a/internal/zoneview/form_test.go
+++ b/internal/zoneview/form_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/goldentest"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/zonefailover"
 )
@@ -21,12 +22,12 @@
 	n.Put(gossip.ServerKey(LookKind, "orders", "b"), LookValue(2, 3))
 	n.Put(gossip.ServerKey(LookKind, "orders", "c"), LookValue(3, 3))
 	n.Decide(gossip.ServerKey(consensus.ZoneKind, "orders", "b"), 8, []byte(decided.Encode()))
-	var forms []form
+	var forms []goldentest.Form
 	n.Copies().All("", func(e *gossip.Entry) bool {
-		forms = append(forms, form{name: e.Key, write: fmt.Sprintf("%s %x", e.Owner, e.Contents)})
+		forms = append(forms, goldentest.Form{Name: e.Key, Written: fmt.Sprintf("%s %x", e.Owner, e.Contents)})
 		return true
 	})
-	checkForms(t, "entries.golden", forms)
+	goldentest.CheckForms(t, "entries.golden", forms)
 
 	want := zonefailover.Scene{
 		Zones: members, Members: 1, Servers: []zonefailover.Server{{Name: "10.0.0.1:80", Zone: "a"}},
@@ -68,5 +69,5 @@
 			lookers = append(lookers, name)
 		}
 	}
-	checkForms(t, "lookers.golden", []form{{name: "lookers", write: fmt.Sprint(lookers)}})
+	goldentest.CheckForms(t, "lookers.golden", []goldentest.Form{{Name: "lookers", Written: fmt.Sprint(lookers)}})
 }
