--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -78,28 +78,28 @@
 			probes = append(probes, l[6:])
 		}
 	}
-	if len(probes) != probeSample {
-		t.Fatalf("probes = %v, want %d of them", probes, probeSample)
+	if len(probes) != sampleSize {
+		t.Fatalf("probes = %v, want %d of them", probes, sampleSize)
 	}
-	b.servers["s0"].marked, b.servers["s0"].queue = true, 9
+	b.endpoints["s0"].marked, b.endpoints["s0"].reportedQueue = true, 9
 	rec.take("")
-	b.held = nil
+	b.queued = nil
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s1", Load: &LoadReport{Queue: 5}}, rec)
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s2", Load: &LoadReport{Queue: 3}}, rec)
 	if b.threshold != 3 {
 		t.Errorf("threshold = %v, want 3, the shortest of the round", b.threshold)
 	}
 	for id, want := range map[EndpointID]bool{"s0": false, "s1": false, "s2": true, "s3": false} {
-		if got := b.servers[id].marked; got != want {
+		if got := b.endpoints[id].marked; got != want {
 			t.Errorf("%s marked = %v, want %v", id, got, want)
 		}
 	}
-	b.credit = -10 // no further round
+	b.healthCheckCredit = -10 // no further round
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 s2"}) {
 		t.Errorf("sent %v, want the marked s2", got)
 	}
-	if b.servers["s2"].marked {
+	if b.endpoints["s2"].marked {
 		t.Error("the send did not spend its mark")
 	}
 }
@@ -124,21 +124,21 @@
 		b, _ := start(t, testConfig(), 4)
 		c := b.classes[tt.class]
 		if c == nil {
-			c = &class{Class: Class{Idempotency: NonIdempotent}}
+			c = &classState{Class: Class{Idempotency: NonIdempotent}}
 		}
-		s := b.servers["s0"]
+		s := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: c}
-		r.attempts = []attempt{{server: s, zone: s.Zone, cell: s.Cell, notRun: tt.first.NotExecuted()}}
+		r.attempts = []attempt{{endpoint: s, zone: s.Zone, cell: s.Cell, notExecuted: tt.first.NotExecuted()}}
 		var again []EndpointID
-		for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-			if b.maySend(0, r, b.servers[id]) {
+		for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
+			if b.attemptAllowed(0, r, b.endpoints[id]) {
 				again = append(again, id)
 			}
 		}
 		if !slices.Equal(again, tt.again) {
 			t.Errorf("%s after %v may go to %v, want %v", tt.class, tt.first, again, tt.again)
 		}
-		if got := mayRefuse(r); got != tt.refusable {
+		if got := rejectionSafe(r); got != tt.refusable {
 			t.Errorf("%s after %v: mayRefuse = %v, want %v", tt.class, tt.first, got, tt.refusable)
 		}
 	}
@@ -149,10 +149,10 @@
 	for _, may := range []bool{true, false} {
 		cfg.HedgingAllowed = may
 		b, _ := start(t, cfg, 2)
-		s := b.servers["s0"]
-		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], out: 1}
-		r.attempts = []attempt{{server: s, out: true}}
-		if got := b.maySend(0, r, b.servers["s1"]); got != may {
+		s := b.endpoints["s0"]
+		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
+		r.attempts = []attempt{{endpoint: s, inFlight: true}}
+		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != may {
 			t.Errorf("MayDuplicate %v: maySend = %v", may, got)
 		}
 	}
@@ -173,34 +173,34 @@
 	}
 	for _, tc := range tests {
 		b, rec := start(t, cfg, 2)
-		cold := b.servers["s0"]
+		cold := b.endpoints["s0"]
 		cold.Started = now
 		if tc.allCold {
-			b.servers["s1"].Started = now
+			b.endpoints["s1"].Started = now
 		}
 		const requests = 4000
 		sent := 0
 		for i := range requests {
-			for _, s := range b.ready {
+			for _, s := range b.readyEndpoints {
 				s.marked, s.markedAt = true, now
 			}
 			r := &request{
 				Request: Request{ID: RequestID(i + 1), Expires: now + time.Second},
-				class:   b.classes["safe"], useful: now + time.Second, end: now + time.Second,
+				class:   b.classes["safe"], objectiveDeadline: now + time.Second, finalDeadline: now + time.Second,
 			}
-			b.send(now, r, b.set(now), rec)
-			if n := len(r.attempts); n > 0 && r.attempts[0].server == cold {
+			b.startAttempt(now, r, b.activeSubset(now), rec)
+			if n := len(r.attempts); n > 0 && r.attempts[0].endpoint == cold {
 				sent++
 			}
-			again := b.send(now, r, b.set(now), rec)
-			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].server == cold {
+			again := b.startAttempt(now, r, b.activeSubset(now), rec)
+			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].endpoint == cold {
 				t.Fatalf("%s: a further attempt went to a cold server", tc.name)
 			}
 		}
 		if share := float64(sent) / requests; share > tc.want+0.03 || share < tc.want*0.8-0.03 {
 			t.Errorf("%s: cold server got a share of %.3f, want about %.3f", tc.name, share, tc.want)
 		}
-		if w := b.warmth(now+cfg.SlowStartDuration, cold); w != 1 {
+		if w := b.capacityFraction(now+cfg.SlowStartDuration, cold); w != 1 {
 			t.Errorf("warmth after the ramp = %v, want 1", w)
 		}
 	}
@@ -209,22 +209,22 @@
 // TestFailingServerIsLeftOut guards against a server that errs at once and so keeps a short queue.
 func TestFailingServerIsLeftOut(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	s := b.servers["s0"]
+	s := b.endpoints["s0"]
 	s.marked = true
-	b.failed(0, s, StatusApplicationError, false)
-	if s.marked || slices.Contains(b.set(0), s) {
+	b.recordFailure(0, s, StatusApplicationError, false)
+	if s.marked || slices.Contains(b.activeSubset(0), s) {
 		t.Error("a server that erred is still marked or in the ready set")
 	}
 	b.cfg.HealthChecksAllowed = false
-	if !slices.Contains(b.set(firstEject), s) {
+	if !slices.Contains(b.activeSubset(baseEjectionTime), s) {
 		t.Error("the ejection does not end")
 	}
 	b.cfg.HealthChecksAllowed = true
-	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		b.failed(0, b.servers[id], StatusConnectFailed, false)
+	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
+		b.recordFailure(0, b.endpoints[id], StatusConnectFailed, false)
 	}
-	if got := b.set(0); len(got) != b.setSize {
-		t.Errorf("with all ejected the ready set has %d servers, want %d", len(got), b.setSize)
+	if got := b.activeSubset(0); len(got) != b.subsetSize {
+		t.Errorf("with all ejected the ready set has %d servers, want %d", len(got), b.subsetSize)
 	}
 	rec.take("")
 }
@@ -234,9 +234,9 @@
 func TestEjectionEndsWithAProbe(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	now := Time(time.Hour)
-	s := b.ready[0]
-	b.failed(now, s, StatusConnectFailed, false)
-	b.credit = -1000 // no rounds
+	s := b.readyEndpoints[0]
+	b.recordFailure(now, s, StatusConnectFailed, false)
+	b.healthCheckCredit = -1000 // no rounds
 	id := RequestID(0)
 	ask := func() (sent, probes int) {
 		id++
@@ -255,7 +255,7 @@
 		t.Errorf("%d sends and %d probes before the time is over", sent, probes)
 	}
 	for round := range 3 {
-		now = s.ejected
+		now = s.ejectedUntil
 		asked := 0
 		for range 20 {
 			sent, probes := ask()
@@ -267,18 +267,18 @@
 			t.Fatalf("round %d: %d probes instead of one", round, asked)
 		}
 		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Status: StatusTimeout}, rec)
-		if want := now + firstEject<<(round+1); s.ejected != want {
-			t.Errorf("round %d: left out until %v, want %v", round, s.ejected, want)
+		if want := now + baseEjectionTime<<(round+1); s.ejectedUntil != want {
+			t.Errorf("round %d: left out until %v, want %v", round, s.ejectedUntil, want)
 		}
 	}
-	now = s.ejected
+	now = s.ejectedUntil
 	ask()
-	fails := s.fails
+	fails := s.consecutiveFailures
 	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
-	if !slices.Contains(b.set(now), s) || b.EjectedCount(now) != 0 {
+	if !slices.Contains(b.activeSubset(now), s) || b.EjectedCount(now) != 0 {
 		t.Error("left out although it has answered a probe")
 	}
-	if s.fails != fails {
+	if s.consecutiveFailures != fails {
 		t.Error("a probe alone has its failures forgotten: a server that fails each request would be met twice as often")
 	}
 }
@@ -291,7 +291,7 @@
 	now := Time(time.Hour)
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "new", Started: now}}, rec)
 	for at, want := range map[time.Duration]bool{0: false, cfg.SlowStartDuration / 2: false, cfg.SlowStartDuration * 3 / 5: true, cfg.SlowStartDuration: true} {
-		if got := slices.Contains(b.set(now+at), b.servers["new"]); got != want {
+		if got := slices.Contains(b.activeSubset(now+at), b.endpoints["new"]); got != want {
 			t.Errorf("%v after its start: in the set %v, want %v", at, got, want)
 		}
 	}
@@ -301,26 +301,26 @@
 // time is up, and the list tells of it much later.
 func TestSilentServer(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	b.delay.learn(0, float64(10*time.Millisecond))
-	s := b.ready[0]
-	s.reported = true
+	b.latency.observe(0, float64(10*time.Millisecond))
+	s := b.readyEndpoints[0]
+	s.hasReport = true
 	for id := RequestID(1); id <= 3; id++ {
-		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], end: time.Second}
+		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Second}
 		b.requests[id] = r
-		b.send(0, r, []*server{s}, rec)
+		b.startAttempt(0, r, []*endpoint{s}, rec)
 	}
-	if !slices.Contains(b.set(20*time.Millisecond), s) {
+	if !slices.Contains(b.activeSubset(20*time.Millisecond), s) {
 		t.Error("left alone although no more than the usual time has passed")
 	}
-	if slices.Contains(b.set(40*time.Millisecond), s) {
+	if slices.Contains(b.activeSubset(40*time.Millisecond), s) {
 		t.Error("still in the ready set after a long silence")
 	}
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
-	if !slices.Contains(b.set(60*time.Millisecond), s) {
+	if !slices.Contains(b.activeSubset(60*time.Millisecond), s) {
 		t.Error("left alone although it has answered")
 	}
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout}, rec)
-	if s.ejected <= time.Second {
+	if s.ejectedUntil <= time.Second {
 		t.Error("a time-out after a long silence is no reason to eject it")
 	}
 }
@@ -328,25 +328,25 @@
 // TestHastyTimeout guards against believing a server full, failing or fast because a client waited less than it takes.
 func TestHastyTimeout(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	b.delay.learn(0, float64(100*time.Millisecond))
-	b.busy = 0
-	s := b.ready[0]
-	s.reported = true
+	b.latency.observe(0, float64(100*time.Millisecond))
+	b.contention = 0
+	s := b.readyEndpoints[0]
+	s.hasReport = true
 	ask := func(id RequestID, at Time) {
-		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], end: time.Minute}
+		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.send(at, r, []*server{s}, rec)
+		b.startAttempt(at, r, []*endpoint{s}, rec)
 	}
-	want, expected := *s, b.expected(0, s)
+	want, expected := *s, b.expectedLatency(0, s)
 	ask(1, 0)
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Delay: 50 * time.Millisecond, RequestEnded: true}, rec)
-	if s.queue != want.queue || s.fails != 0 || b.busy != 0 || b.expected(0, s) != expected {
+	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.contention != 0 || b.expectedLatency(0, s) != expected {
 		t.Errorf("a short time-out left queue %v, %d failures, busy %v and a delay of %v; want nothing but a delay of %v",
-			s.queue, s.fails, b.busy, b.expected(0, s), expected)
+			s.reportedQueue, s.consecutiveFailures, b.contention, b.expectedLatency(0, s), expected)
 	}
 	ask(2, 0)
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Delay: time.Second, RequestEnded: true}, rec)
-	if s.fails == 0 {
+	if s.consecutiveFailures == 0 {
 		t.Error("a long time-out left no trace")
 	}
 }
@@ -356,14 +356,14 @@
 	cfg := testConfig()
 	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
 	b, _ := start(t, cfg, 4)
-	b.delay.learn(0, float64(100*time.Millisecond))
-	b.busy = 0
-	r := &request{limit: 90 * time.Millisecond}
-	if got := b.comeBack(0, r); got != 10*time.Millisecond {
+	b.latency.observe(0, float64(100*time.Millisecond))
+	b.contention = 0
+	r := &request{latencyLimit: 90 * time.Millisecond}
+	if got := b.retryAfter(0, r); got != 10*time.Millisecond {
 		t.Errorf("told to come back after %v, want the 10ms by which the queue is over the limit", got)
 	}
-	r.limit = -time.Hour
-	if got := b.comeBack(0, r); got != cfg.MaxRetryAfter {
+	r.latencyLimit = -time.Hour
+	if got := b.retryAfter(0, r); got != cfg.MaxRetryAfter {
 		t.Errorf("told to come back after %v, want no more than %v", got, cfg.MaxRetryAfter)
 	}
 }
@@ -376,24 +376,24 @@
 	if got := rec.take("send"); len(got) != 0 {
 		t.Fatalf("sent %v on no figures at all", got)
 	}
-	b.HandleTimer(b.requests[1].patience, token(1), rec)
+	b.HandleTimer(b.requests[1].queuedUntil, timerToken(1), rec)
 	if got := rec.take("send"); len(got) != 1 {
 		t.Errorf("sent %v after patience, want request 1 to be sent", got)
 	}
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
-	probed := b.requests[2].probed[0].ID
+	probed := b.requests[2].sampled[0].ID
 	rec.take("")
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: probed, Load: &LoadReport{Queue: 1}}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 " + string(probed)}) {
 		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, probed)
 	}
-	b.delay.learn(0, float64(time.Second/10))
-	b.credit = probeSample
-	for _, s := range b.ready {
-		s.queue, s.reported, s.marked = 1000, true, false
+	b.latency.observe(0, float64(time.Second/10))
+	b.healthCheckCredit = sampleSize
+	for _, s := range b.readyEndpoints {
+		s.reportedQueue, s.hasReport, s.marked = 1000, true, false
 	}
 	b.HandleRequest(0, Request{ID: 3, Class: "safe", Expires: time.Second}, rec)
-	for _, s := range b.requests[3].probed {
+	for _, s := range b.requests[3].sampled {
 		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{Queue: 1000}}, rec)
 	}
 	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 3"}) {
@@ -406,7 +406,7 @@
 func TestBegan(t *testing.T) {
 	const ms = time.Millisecond
 	usual := []Request{{Expires: 400 * ms}, {Expires: 400 * ms}}
-	owed := &request{Request: Request{Tenant: "t", Key: "k"}, began: 100 * ms}
+	owed := &request{Request: Request{Tenant: "t", Key: "k"}, startedAt: 100 * ms}
 	tests := []struct {
 		name   string
 		before []Request // at 0
@@ -417,27 +417,27 @@
 	}{
 		{"nothing known", nil, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
 		{"a usual try", usual, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
-		{"a last try gets longer", usual, []*request{{began: 198 * ms}}, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
-		{"a last try is cut short", usual, []*request{{began: 0}}, 900 * ms, Request{Expires: 1000 * ms}, 0},
-		{"a client of little patience", usual, []*request{{began: 100 * ms}}, 900 * ms, Request{Expires: 1000 * ms}, 900 * ms},
+		{"a last try gets longer", usual, []*request{{startedAt: 198 * ms}}, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
+		{"a last try is cut short", usual, []*request{{startedAt: 0}}, 900 * ms, Request{Expires: 1000 * ms}, 0},
+		{"a client of little patience", usual, []*request{{startedAt: 100 * ms}}, 900 * ms, Request{Expires: 1000 * ms}, 900 * ms},
 		{"a retry of one owed", usual, []*request{owed}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k"}, 100 * ms},
 		{"of another key", usual, []*request{owed}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
 		{"of other work", usual, []*request{owed}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k", ExpectedWork: 1}, 300 * ms},
-		{"nothing tells them apart", usual, []*request{{began: 100 * ms}}, 300 * ms,
+		{"nothing tells them apart", usual, []*request{{startedAt: 100 * ms}}, 300 * ms,
 			Request{Expires: 700 * ms}, 300 * ms},
 		{"too late for it", usual, []*request{owed}, 800 * ms,
 			Request{Expires: 1200 * ms, Tenant: "t", Key: "k"}, 800 * ms},
 	}
 	for _, tc := range tests {
-		c := &class{Class: Class{Deadline: time.Second}}
+		c := &classState{Class: Class{Deadline: time.Second}}
 		for _, q := range tc.before {
-			c.began(0, q, 5*ms)
+			c.estimateStart(0, q, 5*ms)
 		}
-		c.owed = tc.owed
-		if got := c.began(tc.now, tc.q, 5*ms); got != tc.want {
+		c.unanswered = tc.owed
+		if got := c.estimateStart(tc.now, tc.q, 5*ms); got != tc.want {
 			t.Errorf("%s: began %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -449,13 +449,13 @@
 	cfg := testConfig()
 	cfg.HealthCheckCost = 1 // few probes
 	b, rec := start(t, cfg, 4)
-	for _, s := range b.ready {
-		s.reported = true // that nothing waits
+	for _, s := range b.readyEndpoints {
+		s.hasReport = true // that nothing waits
 	}
-	b.delay.learn(0, float64(time.Second))
+	b.latency.observe(0, float64(time.Second))
 	now, sent := time.Second, 0
 	for id := RequestID(1); id <= 50; id++ {
-		b.credit = 0
+		b.healthCheckCredit = 0
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
 		for _, line := range rec.take("send") {
 			var server EndpointID
@@ -475,12 +475,12 @@
 func TestPace(t *testing.T) {
 	const ms = time.Millisecond
 	b, rec := start(t, testConfig(), 4)
-	s := b.ready[0]
-	s.reported = true
+	s := b.readyEndpoints[0]
+	s.hasReport = true
 	ask := func(id RequestID, at Time) {
-		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], end: time.Minute}
+		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.send(at, r, []*server{s}, rec)
+		b.startAttempt(at, r, []*endpoint{s}, rec)
 	}
 	for id := RequestID(1); id <= 10; id++ {
 		ask(id, 0)
@@ -488,17 +488,17 @@
 	for id := RequestID(1); id <= 10; id++ { // one every 20 ms
 		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	}
-	b.delay = delayModel{delay: float64(20 * ms), variance: 1e9} // flat
+	b.latency = latencyModel{meanLatency: float64(20 * ms), queueVariance: 1e9} // flat
 	for id := RequestID(11); id <= 20; id++ {
 		ask(id, time.Second)
 	}
-	if got := b.expected(time.Second, s); got < 180*ms || got > 220*ms {
+	if got := b.expectedLatency(time.Second, s); got < 180*ms || got > 220*ms {
 		t.Errorf("behind ten others at 20ms each %v is expected, want about 200ms", got)
 	}
-	if s.idle() {
+	if s.isIdle() {
 		t.Error("it counts as idle")
 	}
-	if got := b.expected(time.Second+500*ms, s); got < 600*ms {
+	if got := b.expectedLatency(time.Second+500*ms, s); got < 600*ms {
 		t.Errorf("after half a second without an answer %v is expected", got)
 	}
 }
@@ -507,7 +507,7 @@
 func TestWorthlessTryIsFailedAtOnce(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", ExpectedWork: 7, Expires: 500 * time.Millisecond}, rec)
-	b.HandleTimer(b.requests[1].end, token(1), rec)
+	b.HandleTimer(b.requests[1].finalDeadline, timerToken(1), rec)
 	b.HandleRequest(210*time.Millisecond, Request{ID: 2, Class: "safe", ExpectedWork: 7, Expires: 710 * time.Millisecond}, rec)
 	if got := rec.take("fail"); !slices.Equal(got, []string{"fail 1", "fail 2"}) {
 		t.Errorf("got %v, want both requests failed", got)
@@ -523,11 +523,11 @@
 	for i := range cfg.InstanceCount {
 		cfg.InstanceIndex = i
 		b, _ := start(t, cfg, 40)
-		for _, s := range b.set(0) {
+		for _, s := range b.activeSubset(0) {
 			count[s.ID]++
 		}
 	}
-	want := cfg.InstanceCount * minReadySet / 40
+	want := cfg.InstanceCount * minSubsetSize / 40
 	for id, n := range count {
 		if n < want*9/10 || n > want*11/10 {
 			t.Errorf("%s is in %d ready sets, want about %d", id, n, want)
@@ -569,7 +569,7 @@
 				probed[p] = true
 			}
 		}
-		if homes := len(probed) == probeSample; homes != warm {
+		if homes := len(probed) == sampleSize; homes != warm {
 			t.Errorf("warm keys %v: rounds for one key asked %d servers", warm, len(probed))
 		}
 	}
@@ -579,7 +579,7 @@
 // going without them once servers fail.
 func TestProbesFollowNeed(t *testing.T) {
 	cfg := testConfig()
-	cfg.HealthCheckCost = probeSpend // one probe a request, at most
+	cfg.HealthCheckCost = healthCheckBudgetPoints // one probe a request, at most
 	b, rec := start(t, cfg, 4)
 	id := RequestID(0)
 	probes := func(queue float64) (n int) {
@@ -602,8 +602,8 @@
 		t.Errorf("%d probes in wait, %d with all idle: want some, a quarter at most", waiting, calm)
 	}
 	b.HandleAttemptResult(0, AttemptResult{ID: 999, Endpoint: "s0", Status: StatusApplicationError}, rec)
-	if b.busy != 1 {
-		t.Errorf("busy %v after a failure, want 1", b.busy)
+	if b.contention != 1 {
+		t.Errorf("busy %v after a failure, want 1", b.contention)
 	}
 }
 
@@ -621,17 +621,17 @@
 		return b
 	}
 	old := balancer()
-	old.delay = delayModel{1, 2e7, 3, 4}
-	old.servers["a"].slowness, old.servers["b"].slowness = 3, 4
-	old.servers["a"].ejected = time.Hour + 2*time.Second
+	old.latency = latencyModel{1, 2e7, 3, 4}
+	old.endpoints["a"].slowness, old.endpoints["b"].slowness = 3, 4
+	old.endpoints["a"].ejectedUntil = time.Hour + 2*time.Second
 	l := old.ExportLearnedState(time.Hour)
 	restarted := l.Endpoints["b"]
 	restarted.Started = 4
 	l.Endpoints["b"] = restarted
 	next := balancer()
 	next.ImportLearnedState(2*time.Hour, l)
-	if next.delay != old.delay || next.servers["a"].slowness != 3 || next.servers["b"].slowness != 1 {
-		t.Errorf("%+v, %v, %v", next.delay, next.servers["a"].slowness, next.servers["b"].slowness)
+	if next.latency != old.latency || next.endpoints["a"].slowness != 3 || next.endpoints["b"].slowness != 1 {
+		t.Errorf("%+v, %v, %v", next.latency, next.endpoints["a"].slowness, next.endpoints["b"].slowness)
 	}
 	if n := next.EjectedCount(2*time.Hour + time.Second); n != 1 {
 		t.Errorf("%d servers are avoided, want 1", n)
@@ -689,17 +689,17 @@
 	const each = 100
 	for i := range 2 * each {
 		b, rec := start(t, cfg, 5)
-		b.credit = -10 // no probe: the figures are as they are
-		b.delay = delayModel{queue: 5, delay: float64(500 * time.Millisecond), variance: 25, covariance: 25 * float64(90*time.Millisecond)}
-		for id, s := range b.servers {
-			s.reported, s.queue = true, 9 // some 860 ms, and to be feared late
+		b.healthCheckCredit = -10 // no probe: the figures are as they are
+		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
+		for id, s := range b.endpoints {
+			s.hasReport, s.reportedQueue = true, 9 // some 860 ms, and to be feared late
 			if id == "s3" {
-				s.queue = 6 // some 590 ms
+				s.reportedQueue = 6 // some 590 ms
 			}
 		}
-		b.busy = 1
+		b.contention = 1
 		for range 100 {
-			b.room.note(time.Second, false)
+			b.capacity.record(time.Second, false)
 		}
 		class := []string{"order", "check"}[i%2]
 		b.rng = rand.New(rand.NewPCG(uint64(i), 7))
@@ -717,11 +717,11 @@
 
 // answer has b send a request, and server answer it after delay.
 func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
-	s := b.servers[server]
-	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], end: now + time.Second, useful: now + time.Second}
-	r.attempts = []attempt{{server: s, sent: now, out: true, queue: 0, cold: b.warmth(now, s) < 1}}
-	r.out = 1
-	s.out++
+	s := b.endpoints[server]
+	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
+	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: b.capacityFraction(now, s) < 1}}
+	r.inFlight = 1
+	s.inFlight++
 	b.requests[id] = r
 	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Delay: delay, RequestEnded: true}, rec)
 }
@@ -741,7 +741,7 @@
 		answer(b, rec, now, RequestID(i+1), EndpointID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
 	}
 	b.UpdateEndpoints(now, UpdateFull, list, rec) // s10 and s11 are new
-	quick, slow := b.expected(now, b.servers["s10"]), b.expected(now, b.servers["s11"])
+	quick, slow := b.expectedLatency(now, b.endpoints["s10"]), b.expectedLatency(now, b.endpoints["s11"])
 	if slow < 2*quick {
 		t.Errorf("a new server of the slow kind is expected to take %v, one of the quick kind %v", slow, quick)
 	}
@@ -749,7 +749,7 @@
 		now += 50 * time.Millisecond
 		answer(b, rec, now, RequestID(1000+i), "s11", 40*time.Millisecond)
 	}
-	if own := b.expected(now, b.servers["s11"]); own > slow*2/3 {
+	if own := b.expectedLatency(now, b.endpoints["s11"]); own > slow*2/3 {
 		t.Errorf("after 30 answers of its own it is still expected to take %v of %v", own, slow)
 	}
 }
@@ -764,17 +764,17 @@
 		id++
 		answer(b, rec, now, id, "s0", 40*time.Millisecond)
 	}
-	before := b.expected(now, b.servers["s1"])
+	before := b.expectedLatency(now, b.endpoints["s1"])
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "s9", Started: now}}, rec)
 	for range 50 {
 		now += 50 * time.Millisecond
 		id++
 		answer(b, rec, now, id, "s9", 400*time.Millisecond)
 	}
-	if after := b.expected(now, b.servers["s1"]); after > before*11/10 {
+	if after := b.expectedLatency(now, b.endpoints["s1"]); after > before*11/10 {
 		t.Errorf("answers of a cold server make a warm one expected to take %v instead of %v", after, before)
 	}
-	if cold := b.expected(now, b.servers["s9"]); cold < 4*before {
+	if cold := b.expectedLatency(now, b.endpoints["s9"]); cold < 4*before {
 		t.Errorf("the cold one is expected to take %v", cold)
 	}
 }
@@ -782,13 +782,13 @@
 // A list that names a kind for each server must not be remembered for ever.
 func TestKindsAreBounded(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
-	for i := range 10 * mostKinds {
+	for i := range 10 * maxMachineTypes {
 		id := EndpointID(fmt.Sprint("s", i))
 		b.UpdateEndpoints(0, UpdateFull, []Endpoint{{ID: id, Kind: string(id)}}, rec)
 		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
-	if len(b.kinds) > mostKinds {
-		t.Errorf("%d kinds are kept", len(b.kinds))
+	if len(b.machineTypes) > maxMachineTypes {
+		t.Errorf("%d kinds are kept", len(b.machineTypes))
 	}
 }
 
@@ -796,14 +796,14 @@
 func TestOrderOfTheListMeansNothing(t *testing.T) {
 	b, rec := start(t, testConfig(), 40)
 	var list []Endpoint
-	for _, s := range b.servers {
+	for _, s := range b.endpoints {
 		list = append(list, s.Endpoint)
 	}
-	before := slices.Clone(b.ready)
+	before := slices.Clone(b.readyEndpoints)
 	for seed := range uint64(5) {
 		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		b.UpdateEndpoints(time.Second, UpdateFull, list, rec)
-		if !slices.Equal(before, b.ready) {
+		if !slices.Equal(before, b.readyEndpoints) {
 			t.Fatal("the ready servers changed with the order of the list")
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -319,17 +319,17 @@
 				}
 			}
 		}
-		for id, s := range b.servers {
+		for id, s := range b.endpoints {
 			out := 0
 			for _, r := range b.requests {
 				for _, a := range r.attempts {
-					if a.out && a.server == s && !r.paused {
+					if a.inFlight && a.endpoint == s && !r.bodyInTransfer {
 						out++
 					}
 				}
 			}
-			if s.out != out {
-				c.breach("%s counts %d out, %d are", id, s.out, out)
+			if s.inFlight != out {
+				c.breach("%s counts %d out, %d are", id, s.inFlight, out)
 			}
 		}
 		if c.failed {
--- a/policy/sets_test.go
+++ b/policy/sets_test.go
@@ -28,7 +28,7 @@
 			}
 			b.UpdateEndpoints(0, UpdateFull, servers, &recorder{})
 			set := map[EndpointID]bool{}
-			for _, s := range b.ready[:b.setSize] {
+			for _, s := range b.readyEndpoints[:b.subsetSize] {
 				set[s.ID] = true
 				met[s.ID]++
 			}
@@ -94,7 +94,7 @@
 				t.Fatal(err)
 			}
 			b.UpdateEndpoints(0, UpdateFull, list, &recorder{})
-			for _, s := range b.ready[:b.setSize] {
+			for _, s := range b.readyEndpoints[:b.subsetSize] {
 				met[s.ID]++
 				if cfg.Zone == "a" {
 					members++
@@ -113,7 +113,7 @@
 		if share < c.least || share > c.most {
 			t.Errorf("%s: %.2f of the members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
 		}
-		if mean := c.sidecars * maxReadySet / c.servers; least == 0 || most > 2*mean+1 {
+		if mean := c.sidecars * maxSubsetSize / c.servers; least == 0 || most > 2*mean+1 {
 			t.Errorf("%s: servers are in %d to %d sets, in the mean in %d", name, least, most, mean)
 		}
 	}
