--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -140,7 +140,7 @@
 		text := bufio.NewScanner(f)
 		text.Buffer(nil, mostLogLine)
 		for text.Scan() {
-			if e2e.Field(text.Text(), "msg") == fleet.CopiesFigures {
+			if e2e.Field(text.Text(), "msg") == fleet.SharedStateLogMessage {
 				if at, err := time.Parse(time.RFC3339Nano, e2e.Field(text.Text(), "time")); err == nil {
 					lines = append(lines, line{at: at, file: name, text: text.Text()})
 					if first.IsZero() || at.Before(first) {
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -148,7 +148,7 @@
 }
 
 // startTier has the process take part in its fleet.
-func startTier(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Tier, error) {
+func startTier(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Host, error) {
 	t, err := fleet.New(cfg, log)
 	if err != nil {
 		return nil, err
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -75,10 +75,10 @@
 		return err
 	}
 	defer store.Close()
-	if err := store.Found(f.Tier.Council); err != nil {
+	if err := store.Found(f.Tier.Voters); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Tier.Name, strings.Join(f.Tier.Council, ", "))
+	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Tier.Name, strings.Join(f.Tier.Voters, ", "))
 	return err
 }
 
@@ -231,12 +231,12 @@
 
 func (c *tierRevoke) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Ask(ctx, consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
+		r, err := o.Request(ctx, consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
 		if err != nil {
 			return err
 		}
 		if r.Lease == nil || r.Lease.Result == nil {
-			return fleet.ErrNoCouncil
+			return fleet.ErrNoLeader
 		}
 		if r.Lease.Result.Why != "" {
 			return fmt.Errorf("%s: %s", c.Name, r.Lease.Result.Why)
@@ -277,7 +277,7 @@
 		return c.diff(s, one, other)
 	}
 	k := one.Copies
-	k.Entries = slices.DeleteFunc(k.Entries, func(e fleet.CopyEntry) bool { return c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") })
+	k.Entries = slices.DeleteFunc(k.Entries, func(e fleet.SharedEntryStatus) bool { return c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") })
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(k)
 	}
@@ -309,7 +309,7 @@
 	return w.Flush()
 }
 
-func valueOf(e fleet.CopyEntry) string {
+func valueOf(e fleet.SharedEntryStatus) string {
 	switch len(e.Values) {
 	case 0:
 		return "taken back"
@@ -322,7 +322,7 @@
 // diff prints what two processes hold differently, and which rule settles it. Exit 1 if anything is.
 func (c *tierState) diff(s *streams, a, b *fleet.Status) error {
 	type at struct{ owner, key string }
-	both := map[at][2]*fleet.CopyEntry{}
+	both := map[at][2]*fleet.SharedEntryStatus{}
 	for i, st := range []*fleet.Status{a, b} {
 		for n := range st.Copies.Entries {
 			e := &st.Copies.Entries[n]
@@ -340,7 +340,7 @@
 	keys := slices.SortedFunc(maps.Keys(both), func(x, y at) int { return cmp.Or(cmp.Compare(x.owner, y.owner), cmp.Compare(x.key, y.key)) })
 	for _, key := range keys {
 		x, y := both[key][0], both[key][1]
-		text := func(e *fleet.CopyEntry) string {
+		text := func(e *fleet.SharedEntryStatus) string {
 			if e == nil {
 				return "nothing"
 			}
@@ -409,7 +409,7 @@
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Order(ctx, consensus.OrderCommand{Key: key, Value: value, Lift: lift})
+		r, err := o.Command(ctx, consensus.OrderCommand{Key: key, Value: value, Lift: lift})
 		if err != nil {
 			return err
 		}
@@ -555,7 +555,7 @@
 		if c.Force {
 			next.Why += ", by force"
 		}
-		r, err := o.Order(ctx, consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
+		r, err := o.Command(ctx, consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
 		if err != nil {
 			return err
 		}
@@ -568,7 +568,7 @@
 
 func (c *tierFoundCmd) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		if err := o.Found(ctx); err != nil {
+		if err := o.Bootstrap(ctx); err != nil {
 			return err
 		}
 		_, err := fmt.Fprintln(s.out, "founded; the other members of the council are admitted as they ask")
@@ -609,12 +609,12 @@
 
 func (c *tierSeat) change(s *streams, op consensus.SeatOp) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Ask(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: op, Name: c.Name}})
+		r, err := o.Request(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: op, Name: c.Name}})
 		if err != nil {
 			return err
 		}
 		if r.Seat == nil {
-			return fleet.ErrNoCouncil
+			return fleet.ErrNoLeader
 		}
 		if r.Seat.Why != "" {
 			return fmt.Errorf("nothing was changed: %s", r.Seat.Why)
@@ -631,12 +631,12 @@
 
 func (c *tierTaskRun) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Ask(ctx, consensus.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
+		r, err := o.Request(ctx, consensus.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
 		if err != nil {
 			return err
 		}
 		if r.Slot == nil {
-			return fleet.ErrNoCouncil
+			return fleet.ErrNoLeader
 		}
 		if r.Slot.Why != "" {
 			return fmt.Errorf("%s: %s", c.Name, r.Slot.Why)
@@ -668,5 +668,5 @@
 		return err
 	}
 	defer o.Close()
-	return o.Hold(ctx, c.Name, c.Limit, r, func(token uint64) { fmt.Fprintln(s.out, token) })
+	return o.HoldLease(ctx, c.Name, c.Limit, r, func(token uint64) { fmt.Fprintln(s.out, token) })
 }
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -30,7 +30,7 @@
 		return
 	}
 	t := s.table("tier")
-	c := &fleet.Config{Name: t.needed("name"), Secret: t.needed("secret"), Store: t.str("store", ""), Council: t.strs("council"), Members: map[string]string{}}
+	c := &fleet.Config{Name: t.needed("name"), Secret: t.needed("secret"), Store: t.str("store", ""), Voters: t.strs("council"), Members: map[string]string{}}
 	c.Rules = lease.Rules{
 		Term: t.duration("term", 3*time.Second, 50*time.Millisecond, time.Hour), Drift: t.number("drift", 0.01, 0, 0.2),
 		Guard: t.duration("guard", 50*time.Millisecond, 0, time.Minute),
@@ -61,22 +61,22 @@
 		if t.str("council_in_memory", "") != memoryWord {
 			r.bad(t.at("council_in_memory"), "is to be %q, which says what is given up", memoryWord)
 		}
-		c.Memory = true
+		c.VotersInMemory = true
 	}
 	if t.has("copies") {
 		k := t.table("copies")
-		c.Copies = &fleet.CopiesConfig{
+		c.SharedState = &fleet.SharedStateConfig{
 			Gossip: k.duration("gossip", 100*time.Millisecond, 10*time.Millisecond, 10*time.Second), Fanout: int(k.whole("fanout", 3, 1, 16)),
 			Probe: k.duration("probe", 500*time.Millisecond, 50*time.Millisecond, time.Minute), Sync: k.duration("sync", 2*time.Second, 100*time.Millisecond, time.Hour),
 			Keep: k.duration("keep", 30*time.Second, time.Second, 24*time.Hour), Witnesses: int(k.whole("witnesses", 2, 1, 100)),
 			Budget: float64(k.whole("catch_up_bytes", 1<<20, 4<<10, 1<<30)), Store: k.str("store", ""),
 		}
-		c.Copies.Figures = f.Gateway.FiguresEvery
+		c.SharedState.Figures = f.Gateway.FiguresEvery
 		k.done()
-		if c.Copies.Probe < 2*c.Copies.Gossip {
-			r.bad(k.at("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", c.Copies.Probe, c.Copies.Gossip)
+		if c.SharedState.Probe < 2*c.SharedState.Gossip {
+			r.bad(k.at("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", c.SharedState.Probe, c.SharedState.Gossip)
 		}
-		if c.Copies.Store != "" && c.Copies.Store == c.Store {
+		if c.SharedState.Store != "" && c.SharedState.Store == c.Store {
 			r.bad(k.at("store"), "is that of the council: what is shared needs a file of its own")
 		}
 	}
@@ -92,7 +92,7 @@
 			c.Zones.Rules.Warm = max(c.Zones.Rules.Warm, p.Settings.Config.SlowStartDuration)
 		}
 		z.done()
-		if c.Copies == nil {
+		if c.SharedState == nil {
 			r.bad(z.n, "needs [tier.copies]: what members see of servers is what it goes by")
 		}
 		if err := c.Zones.Check(); err != nil {
@@ -104,7 +104,7 @@
 	if c.Name != "" && c.Members[c.Name] == "" {
 		r.bad(t.at("name"), "%q is none of [[tier.members]]", c.Name)
 	}
-	switch n := len(c.Council); {
+	switch n := len(c.Voters); {
 	case n == 0:
 		r.bad(t.at("council"), "is empty: name three, five or seven members that vote")
 	case n%2 == 0:
@@ -112,19 +112,19 @@
 	case n > consensus.MostSeats:
 		r.bad(t.at("council"), "has %d members, more than %d", n, consensus.MostSeats)
 	}
-	for i, name := range c.Council {
-		if slices.Contains(c.Council[:i], name) {
+	for i, name := range c.Voters {
+		if slices.Contains(c.Voters[:i], name) {
 			r.bad(t.at("council"), "names %q twice", name)
 		}
 		if c.Members[name] == "" {
 			r.bad(t.at("council"), "names %q, which is none of [[tier.members]]", name)
 		}
 	}
-	seated := slices.Contains(c.Council, c.Name)
-	if c.Memory && c.Store != "" {
+	seated := slices.Contains(c.Voters, c.Name)
+	if c.VotersInMemory && c.Store != "" {
 		r.bad(t.at("store"), "can't be together with council_in_memory: it would not be used")
 	}
-	if seated && c.Store == "" && !c.Memory {
+	if seated && c.Store == "" && !c.VotersInMemory {
 		r.bad(t.at("store"), "is missing: this process is in the council, and what it promises there has to outlive it")
 	}
 	if !seated && c.Store != "" {
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -13,7 +13,7 @@
 	for _, names := range []int{1, 100, 10000} {
 		b.Run(fmt.Sprint(names, " names"), func(b *testing.B) {
 			cfgs := fleet(b, 3)
-			var all []*Tier
+			var all []*Host
 			for _, cfg := range cfgs {
 				all = append(all, start(b, cfg, &servers{}))
 			}
@@ -23,24 +23,24 @@
 				}
 			}()
 			holds := func(name string) bool {
-				_, _, ok := all[2].Holding(name)
+				_, _, ok := all[2].HeldLease(name)
 				return ok
 			}
 			held := func() int {
 				all[2].mu.Lock()
 				defer all[2].mu.Unlock()
-				return len(all[2].keeper.Held(all[2].clock.Now()))
+				return len(all[2].session.Held(all[2].clock.Now()))
 			}
-			all[2].Want("first", 1)
+			all[2].AcquireLease("first", 1)
 			eventually(b, "the fleet stands", func() bool { return holds("first") })
 			for range b.N {
 				syncs := all[0].store.Syncs()
 				began := time.Now()
 				all[2].mu.Lock()
 				for i := range names {
-					all[2].keeper.Want(fmt.Sprint("many-", i), 1)
+					all[2].session.Want(fmt.Sprint("many-", i), 1)
 				}
-				all[2].keep()
+				all[2].runDue()
 				all[2].mu.Unlock()
 				for !holds(fmt.Sprint("many-", names-1)) && time.Since(began) < time.Minute {
 					time.Sleep(time.Millisecond)
@@ -55,7 +55,7 @@
 				for i := range 200 {
 					name := fmt.Sprint("one-", i)
 					at := time.Now()
-					all[2].Want(name, 1)
+					all[2].AcquireLease(name, 1)
 					for !holds(name) && time.Since(at) < time.Second {
 						time.Sleep(50 * time.Microsecond)
 					}
@@ -84,7 +84,7 @@
 				cfgs[0].Members[cfg.Name] = freeAddr(b)
 				cfgs = append(cfgs, cfg)
 			}
-			var all []*Tier
+			var all []*Host
 			for i := range cfgs {
 				cfgs[i].Rules.Term = 3 * time.Second
 				cfgs[i].Tick = 100 * time.Millisecond
@@ -99,13 +99,13 @@
 				eventually(b, "all have sessions", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
-					return t.keeper.Session() != 0
+					return t.session.Session() != 0
 				})
 			}
 			for range b.N {
-				count := func(ts []*Tier) (sum int64) {
+				count := func(ts []*Host) (sum int64) {
 					for _, t := range ts {
-						sum += t.sent.bytes.Load()
+						sum += t.traffic.bytes.Load()
 					}
 					return sum
 				}
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// labClock names the laboratory's setting: how fast this process' clock runs beside the true one. Nobody else sets it.
-const labClock = "SORRELRUDDER_LAB_CLOCK"
+// clockFaultsVariable names the laboratory's setting: how fast this process' clock runs beside the true one. Nobody else sets it.
+const clockFaultsVariable = "SORRELRUDDER_LAB_CLOCK"
 
 // Clock reads a clock that no one sets and that goes on while the machine is suspended, which that of package time does not: a holder
 // whose machine slept must find its time gone.
@@ -22,10 +22,10 @@
 // NewClock returns one that begins now.
 func NewClock() (*Clock, error) {
 	c := &Clock{rate: 1}
-	if text := os.Getenv(labClock); text != "" {
+	if text := os.Getenv(clockFaultsVariable); text != "" {
 		rate, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(rate > 0.5 && rate < 2) {
-			return nil, fmt.Errorf("%s is %q", labClock, text)
+			return nil, fmt.Errorf("%s is %q", clockFaultsVariable, text)
 		}
 		c.rate = rate
 	}
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -17,8 +17,8 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// CopiesConfig is what a process is told of the state that the fleet's processes share.
-type CopiesConfig struct {
+// SharedStateConfig is what a process is told of the state that the fleet's processes share.
+type SharedStateConfig struct {
 	Gossip, Probe, Sync, Keep time.Duration
 	Fanout, Witnesses         int
 	Budget                    float64       // bytes a second to those that catch up
@@ -38,55 +38,55 @@
 }
 
 const (
-	sightsLen = 1024 // what pools have seen, until it is looked at; more is dropped, and seen again
-	hintEvery = 100 * time.Millisecond
-	saveEvery = 10 * time.Second
+	observationsLength = 1024 // what pools have seen, until it is looked at; more is dropped, and seen again
+	hintInterval       = 100 * time.Millisecond
+	saveInterval       = 10 * time.Second
 )
 
-// sight is something that a pool has seen of a server.
-type sight struct {
+// observation is something that a pool has seen of a server.
+type observation struct {
 	pool, server string
 	silent       bool
 }
 
-// copies is a process' part in the shared state. All of it is under the tier's mu, but for sights.
-type copies struct {
-	cfg      CopiesConfig
-	node     *gossip.Node
-	evidence *gossip.Evidence
-	pools    Pools
-	sights   chan sight
-	orders   uint64        // the number of the newest order that was taken from the council's log here
-	nudge    chan struct{} // there is something among sights
-	sightAt  time.Duration // before it sights are not looked at for a nudge
-	hintAt   time.Duration
-	stirred  bool // the evidence or the orders may have changed since hints were looked for, or some stand
-	saveAt   time.Duration
-	ordered  bool          // the orders in force have changed
-	foreign  bool          // a peer of another format was told of
-	whole    time.Duration // the newest moment up to which all that was decided is known to be here; below 0: none
-	avoiding map[string]orders
-	work     chan struct{}     // something of the next two is there
-	hints    map[string]bool   // servers to be hinted at
-	due      map[string]orders // to be carried out, by pool
-	kept     map[string]bool   // pools whose orders can't be carried out: no ready server would be left
-	loaded   int
-	hinted   int
-	zones    zones
-	looked   map[string]bool // keys of looks that are written
-	turns    int
-	toldAt   time.Duration
-	frames   int64 // sent until toldAt
-	bytes    int64
-	lies     []string // only the laboratory's
+// sharedState is a process' part in the shared state. All of it is under the tier's mu, but for sights.
+type sharedState struct {
+	cfg                 SharedStateConfig
+	node                *gossip.Node
+	evidence            *gossip.Evidence
+	pools               Pools
+	observations        chan observation
+	commandsApplied     uint64        // the number of the newest order that was taken from the council's log here
+	observed            chan struct{} // there is something among sights
+	observationsAt      time.Duration // before it sights are not looked at for a nudge
+	hintsAt             time.Duration
+	evidenceChanged     bool // the evidence or the orders may have changed since hints were looked for, or some stand
+	saveAt              time.Duration
+	exclusionsChanged   bool          // the orders in force have changed
+	foreignFormatLogged bool          // a peer of another format was told of
+	completeUntil       time.Duration // the newest moment up to which all that was decided is known to be here; below 0: none
+	excluded            map[string]exclusions
+	work                chan struct{}         // something of the next two is there
+	hints               map[string]bool       // servers to be hinted at
+	dueExclusions       map[string]exclusions // to be carried out, by pool
+	notApplied          map[string]bool       // pools whose orders can't be carried out: no ready server would be left
+	loaded              int
+	hinted              int
+	zones               zoneFailover
+	healthCheckKeys     map[string]bool // keys of looks that are written
+	healthCheckRounds   int
+	loggedAt            time.Duration
+	loggedFrames        int64 // sent until toldAt
+	loggedBytes         int64
+	falseReports        []string // only the laboratory's
 }
 
-// labLies names the laboratory's setting: servers, as POOL/SERVER and separated by commas, that the process says are dead, whatever it sees.
-const labLies = "SORRELRUDDER_LAB_LIES"
+// falseReportsVariable names the laboratory's setting: servers, as POOL/SERVER and separated by commas, that the process says are dead, whatever it sees.
+const falseReportsVariable = "SORRELRUDDER_LAB_LIES"
 
-// share begins to take part in the shared state. The caller has mu.
-func (t *Tier) share(s Sender) error {
-	c := t.cfg.Copies
+// startSharedState begins to take part in the shared state. The caller has mu.
+func (t *Host) startSharedState(s Sender) error {
+	c := t.cfg.SharedState
 	if c == nil {
 		return nil
 	}
@@ -95,107 +95,107 @@
 	cfg.Kinds, cfg.Decided = []string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds
 	cfg.Gossip, cfg.Probe, cfg.Sync, cfg.Keep, cfg.Fanout, cfg.Budget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
-	h.Write([]byte(t.keeper.Start()))
+	h.Write([]byte(t.session.Start()))
 	cfg.Seed = h.Sum64()
 	now := t.clock.Now()
-	k := &copies{
-		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewEvidence(c.Witnesses), sights: make(chan sight, sightsLen), nudge: make(chan struct{}, 1), whole: -1,
-		avoiding: map[string]orders{}, kept: map[string]bool{}, work: make(chan struct{}, 1),
-		zones: zones{cfg: t.cfg.Zones, keepers: map[string]*zonefailover.Keeper{}, advised: map[string]string{}, causes: map[string]zonefailover.Cause{}, look: make(chan struct{}, 1), grey: map[string]*zonefailover.Grey{}, said: map[string]bool{}}, looked: map[string]bool{},
-		hints: map[string]bool{}, due: map[string]orders{}, saveAt: now + saveEvery,
+	k := &sharedState{
+		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewEvidence(c.Witnesses), observations: make(chan observation, observationsLength), observed: make(chan struct{}, 1), completeUntil: -1,
+		excluded: map[string]exclusions{}, notApplied: map[string]bool{}, work: make(chan struct{}, 1),
+		zones: zoneFailover{cfg: t.cfg.Zones, ramps: map[string]*zonefailover.Keeper{}, advised: map[string]string{}, causes: map[string]zonefailover.Cause{}, checkDue: make(chan struct{}, 1), grey: map[string]*zonefailover.Grey{}, greyKeys: map[string]bool{}}, healthCheckKeys: map[string]bool{},
+		hints: map[string]bool{}, dueExclusions: map[string]exclusions{}, saveAt: now + saveInterval,
 	}
-	if err := k.load(now, t.cfg.Name); err != nil {
+	if err := k.restore(now, t.cfg.Name); err != nil {
 		return err
 	}
-	if lies := os.Getenv(labLies); lies != "" {
-		k.lies = strings.Split(lies, ",")
+	if lies := os.Getenv(falseReportsVariable); lies != "" {
+		k.falseReports = strings.Split(lies, ",")
 	}
 	k.pools, _ = s.(Pools)
 	if k.pools != nil {
 		k.pools.OnSilent(func(pool, server string, is bool) { // under a pool's lock: it must not wait
 			select {
-			case k.sights <- sight{pool, server, is}:
+			case k.observations <- observation{pool, server, is}:
 			default:
 			}
 			select {
-			case k.nudge <- struct{}{}:
+			case k.observed <- struct{}{}:
 			default: // it will find them
 			}
 		})
 	}
-	t.copies = k
+	t.shared = k
 	if k.pools != nil {
-		t.done.Go(t.carry)
-		t.done.Go(t.watchZones)
+		t.goroutines.Go(t.applyToPools)
+		t.goroutines.Go(t.watchZones)
 		if t.cfg.Zones != nil && t.cfg.Zones.Automatic != ZonesOff {
-			t.keeper.Want(zoneview.Lease, 1)
+			t.session.Want(zoneview.Lease, 1)
 		}
 	}
 	return nil
 }
 
-// gossip does what is due for the shared state, and returns when it is to be called again at the latest. The caller has mu.
-func (t *Tier) gossip(now time.Duration) time.Duration {
-	k := t.copies
-	k.sightAt = now + hintEvery
-	for n := len(k.sights); n > 0; n-- {
-		s := <-k.sights
-		k.stirred = true
-		if s.silent && k.avoiding[s.pool].avoid[s.server] {
+// runGossip does what is due for the shared state, and returns when it is to be called again at the latest. The caller has mu.
+func (t *Host) runGossip(now time.Duration) time.Duration {
+	k := t.shared
+	k.observationsAt = now + hintInterval
+	for n := len(k.observations); n > 0; n-- {
+		s := <-k.observations
+		k.evidenceChanged = true
+		if s.silent && k.excluded[s.pool].excluded[s.server] {
 			continue // what is left out is for those that look: a word of before must not stand in the way of a return
 		}
 		if key := gossip.ServerKey(gossip.DeadKind, s.pool, s.server); key != "" {
 			k.evidence.Saw(now, k.node, key, s.silent)
 		}
 	}
-	for _, lie := range k.lies {
-		k.stirred = true
+	for _, lie := range k.falseReports {
+		k.evidenceChanged = true
 		k.evidence.Saw(now, k.node, gossip.DeadKind+"/"+lie, true)
 	}
-	t.say(k.node.Tick(now))
-	t.heed(now)
-	t.judge(now)
-	if k.cfg.Figures > 0 && now >= k.toldAt+k.cfg.Figures {
-		t.tellCopies(now)
+	t.sendGossip(k.node.Tick(now))
+	t.processChanges(now)
+	t.judgeZones(now)
+	if k.cfg.Figures > 0 && now >= k.loggedAt+k.cfg.Figures {
+		t.logSharedState(now)
 	}
 	if k.cfg.Store != "" && now >= k.saveAt {
-		k.saveAt = now + saveEvery
+		k.saveAt = now + saveInterval
 		data := k.snapshot(t.cfg.Name)
-		t.done.Go(func() {
-			if err := writeWhole(k.cfg.Store, data); err != nil {
+		t.goroutines.Go(func() {
+			if err := writeFileAtomically(k.cfg.Store, data); err != nil {
 				t.log.Warn("what is shared could not be kept", "err", err)
 			}
 		})
 	}
 	at := k.node.Next()
-	if k.pools != nil && k.stirred {
-		at = min(at, k.hintAt)
+	if k.pools != nil && k.evidenceChanged {
+		at = min(at, k.hintsAt)
 	}
-	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.keepers) > 0 || k.node.Copies().Sum(gossip.DeadKind) != 0) {
+	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.ramps) > 0 || k.node.Copies().Sum(gossip.DeadKind) != 0) {
 		at = min(at, z.judgeAt) // while this process decides, or there is something to look at
 	}
 	if k.cfg.Figures > 0 {
-		at = min(at, k.toldAt+k.cfg.Figures)
+		at = min(at, k.loggedAt+k.cfg.Figures)
 	}
 	return at
 }
 
-// look has what pools have seen be looked at soon: not at each sight, of which there may be many.
-func (t *Tier) look() {
+// scheduleObservations has what pools have seen be looked at soon: not at each sight, of which there may be many.
+func (t *Host) scheduleObservations() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() == nil {
-		t.timer.Reset(max(0, t.clock.Real(t.copies.sightAt-t.clock.Now())))
+		t.timer.Reset(max(0, t.clock.Real(t.shared.observationsAt-t.clock.Now())))
 	}
 }
 
-// CopiesFigures is the message of the log's line on shared state. 'sorrelrudder fleet' counts it over all processes.
-const CopiesFigures = "shared state"
+// SharedStateLogMessage is the message of the log's line on shared state. 'sorrelrudder fleet' counts it over all processes.
+const SharedStateLogMessage = "shared state"
 
-// tellCopies tells the log what has become of the shared state. The caller has mu.
-func (t *Tier) tellCopies(now time.Duration) {
-	k := t.copies
-	frames, bytes := t.sent.gossipFrames.Load(), t.sent.gossipBytes.Load()
+// logSharedState tells the log what has become of the shared state. The caller has mu.
+func (t *Host) logSharedState(now time.Duration) {
+	k := t.shared
+	frames, bytes := t.traffic.gossipFrames.Load(), t.traffic.gossipBytes.Load()
 	step, whole := k.ages(now)
 	dead, orders := 0, 0
 	k.node.Copies().All("", func(e *gossip.Entry) bool {
@@ -206,52 +206,52 @@
 		}
 		return true
 	})
-	t.log.Info(CopiesFigures, "frames", frames-k.frames, "bytes", bytes-k.bytes, "in_step_ms", step, "decided_ms", whole, "alive", k.node.Count(gossip.Alive)+1,
+	t.log.Info(SharedStateLogMessage, "frames", frames-k.loggedFrames, "bytes", bytes-k.loggedBytes, "in_step_ms", step, "decided_ms", whole, "alive", k.node.Count(gossip.Alive)+1,
 		"suspect", k.node.Count(gossip.Suspect), "gone", k.node.Count(gossip.Dead), "dead", dead, "orders", orders, "hinted", k.hinted, "differ", k.node.Copies().Counts.Differ)
-	k.frames, k.bytes, k.toldAt = frames, bytes, now
+	k.loggedFrames, k.loggedBytes, k.loggedAt = frames, bytes, now
 }
 
 // ages are how many milliseconds ago the copies were seen to equal another's, and as of how long ago all that was decided is here; -1: neither
 // is known since the start.
-func (k *copies) ages(now time.Duration) (step, whole int64) {
+func (k *sharedState) ages(now time.Duration) (step, whole int64) {
 	step, whole = -1, -1
 	if ago, ok := k.node.Caught(now); ok {
 		step = ago.Milliseconds()
 	}
-	if k.whole >= 0 {
-		whole = (now - k.whole).Milliseconds()
+	if k.completeUntil >= 0 {
+		whole = (now - k.completeUntil).Milliseconds()
 	}
 	return step, whole
 }
 
-// heed looks at what has changed in the copies. The caller has mu.
-func (t *Tier) heed(now time.Duration) {
-	k := t.copies
+// processChanges looks at what has changed in the copies. The caller has mu.
+func (t *Host) processChanges(now time.Duration) {
+	k := t.shared
 	for _, e := range k.node.Events() {
 		t.log.Info("a member", "name", e.Name, "was", e.From.String(), "is", e.To.String())
 	}
 	changed := k.node.Copies().Changed()
 	for _, p := range changed {
-		k.ordered = k.ordered || p.Owner() == gossip.Council
+		k.exclusionsChanged = k.exclusionsChanged || p.Owner() == gossip.Council
 	}
-	k.stirred = k.stirred || len(changed) > 0 || k.ordered
+	k.evidenceChanged = k.evidenceChanged || len(changed) > 0 || k.exclusionsChanged
 	k.evidence.Look(now, k.node, changed)
-	if k.pools == nil || now < k.hintAt {
+	if k.pools == nil || now < k.hintsAt {
 		return
 	}
-	k.hintAt = now + hintEvery
+	k.hintsAt = now + hintInterval
 	hints := k.evidence.Hints(k.node)
-	k.stirred = len(hints) > 0 || k.evidence.Own() > 0 // hints are given again while they stand, and what was seen here ages
+	k.evidenceChanged = len(hints) > 0 || k.evidence.Own() > 0 // hints are given again while they stand, and what was seen here ages
 	k.hinted += len(hints)
-	var due map[string]orders
-	if k.ordered {
-		k.ordered = false
-		due = k.ordersByPool()
+	var due map[string]exclusions
+	if k.exclusionsChanged {
+		k.exclusionsChanged = false
+		due = k.changedExclusions()
 	}
 	for _, key := range hints {
 		k.hints[key] = true
 	}
-	maps.Copy(k.due, due)
+	maps.Copy(k.dueExclusions, due)
 	if len(hints)+len(due) > 0 {
 		select {
 		case k.work <- struct{}{}:
@@ -260,10 +260,10 @@
 	}
 }
 
-// carry has the pools hear and do what is due, one thing after the other: an older order never comes after a newer. A pool is asked without any
+// applyToPools has the pools hear and do what is due, one thing after the other: an older order never comes after a newer. A pool is asked without any
 // lock of the tier.
-func (t *Tier) carry() {
-	k := t.copies
+func (t *Host) applyToPools() {
+	k := t.shared
 	for {
 		select {
 		case <-t.ctx.Done():
@@ -271,10 +271,10 @@
 		case <-k.work:
 		}
 		t.mu.Lock()
-		hints, due := k.hints, k.due
-		k.hints, k.due = map[string]bool{}, map[string]orders{}
+		hints, due := k.hints, k.dueExclusions
+		k.hints, k.dueExclusions = map[string]bool{}, map[string]exclusions{}
 		t.mu.Unlock()
-		t.carryOut(due)
+		t.applyExclusions(due)
 		for _, key := range slices.Sorted(maps.Keys(hints)) {
 			if pool, server, ok := gossip.ServerOf(key); ok {
 				k.pools.Hint(pool, server)
@@ -283,70 +283,70 @@
 	}
 }
 
-// orders are what a pool is to do: send nothing new to some servers, but for those of soft that have started again, and take others, which the fleet
+// exclusions are what a pool is to do: send nothing new to some servers, but for those of soft that have started again, and take others, which the fleet
 // has begun to use again, for cold.
-type orders struct{ avoid, returning, soft map[string]bool }
+type exclusions struct{ excluded, recovering, untilRestart map[string]bool }
 
-func (o orders) equal(p orders) bool {
-	return maps.Equal(o.avoid, p.avoid) && maps.Equal(o.returning, p.returning) && maps.Equal(o.soft, p.soft)
+func (o exclusions) equal(p exclusions) bool {
+	return maps.Equal(o.excluded, p.excluded) && maps.Equal(o.recovering, p.recovering) && maps.Equal(o.untilRestart, p.untilRestart)
 }
 
-// ordersByPool are the orders that have changed, by pool; a pool that had some and has none is there with none.
-func (k *copies) ordersByPool() map[string]orders {
-	next := map[string]orders{}
-	at := func(pool string) orders {
-		if next[pool].avoid == nil {
-			next[pool] = orders{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+// changedExclusions are the orders that have changed, by pool; a pool that had some and has none is there with none.
+func (k *sharedState) changedExclusions() map[string]exclusions {
+	next := map[string]exclusions{}
+	at := func(pool string) exclusions {
+		if next[pool].excluded == nil {
+			next[pool] = exclusions{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 		}
 		return next[pool]
 	}
 	k.node.Copies().All(consensus.OrderKind+"/", func(e *gossip.Entry) bool {
 		if pool, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			at(pool).avoid[server] = true
+			at(pool).excluded[server] = true
 		}
 		return true
 	})
-	k.addZones(at)
-	out := map[string]orders{}
+	k.addZoneExclusions(at)
+	out := map[string]exclusions{}
 	for pool, o := range next {
-		if !o.equal(k.avoiding[pool]) {
+		if !o.equal(k.excluded[pool]) {
 			out[pool] = o
 		}
 	}
-	for pool := range k.avoiding {
-		if next[pool].avoid == nil {
-			out[pool] = orders{}
+	for pool := range k.excluded {
+		if next[pool].excluded == nil {
+			out[pool] = exclusions{}
 		}
 	}
-	k.avoiding = next
+	k.excluded = next
 	return out
 }
 
-// carryOut has the pools avoid what is ordered.
-func (t *Tier) carryOut(due map[string]orders) {
-	k := t.copies
+// applyExclusions has the pools avoid what is ordered.
+func (t *Host) applyExclusions(due map[string]exclusions) {
+	k := t.shared
 	for _, pool := range slices.Sorted(maps.Keys(due)) {
-		done := k.pools.Avoid(pool, due[pool].avoid, due[pool].returning, due[pool].soft)
+		done := k.pools.Avoid(pool, due[pool].excluded, due[pool].recovering, due[pool].untilRestart)
 		t.mu.Lock()
-		for server := range due[pool].avoid {
+		for server := range due[pool].excluded {
 			k.evidence.Saw(t.clock.Now(), k.node, gossip.ServerKey(gossip.DeadKind, pool, server), false)
 		}
-		t.keep()
+		t.runDue()
 		t.mu.Unlock()
-		names := slices.Sorted(maps.Keys(due[pool].avoid))
+		names := slices.Sorted(maps.Keys(due[pool].excluded))
 		if done {
 			t.log.Info("orders are carried out", "pool", pool, "avoided", names)
 		} else {
 			t.log.Warn("orders are not carried out: no ready server would be left", "pool", pool, "avoided", names)
 		}
 		t.mu.Lock()
-		k.kept[pool] = !done
+		k.notApplied[pool] = !done
 		t.mu.Unlock()
 	}
 }
 
-// say sends messages to others. The caller has mu.
-func (t *Tier) say(out []gossip.Out) {
+// sendGossip sends messages to others. The caller has mu.
+func (t *Host) sendGossip(out []gossip.Out) {
 	var last *gossip.Message
 	var data []byte
 	for _, o := range out {
@@ -359,75 +359,75 @@
 	}
 }
 
-// hearCopies takes a message about shared state.
-func (t *Tier) hearCopies(from string, payload []byte) {
+// handleGossip takes a message about shared state.
+func (t *Host) handleGossip(from string, payload []byte) {
 	m, err := gossip.Decode(payload)
 	t.mu.Lock()
-	k := t.copies
+	k := t.shared
 	if k == nil {
 		t.mu.Unlock()
 		return
 	}
 	if err != nil {
-		told := k.foreign && errors.Is(err, gossip.ErrFormat)
-		k.foreign = k.foreign || errors.Is(err, gossip.ErrFormat)
+		told := k.foreignFormatLogged && errors.Is(err, gossip.ErrFormat)
+		k.foreignFormatLogged = k.foreignFormatLogged || errors.Is(err, gossip.ErrFormat)
 		t.mu.Unlock()
 		if !told {
-			t.complain(from, err)
+			t.logRejectedConnection(from, err)
 		}
 		return
 	}
 	now := t.clock.Now()
-	t.say(k.node.Take(now, from, m))
-	t.heed(now)
-	t.keep()
+	t.sendGossip(k.node.Take(now, from, m))
+	t.processChanges(now)
+	t.runDue()
 	t.mu.Unlock()
 }
 
-// decidedAt takes the council's word, asked for at that moment, of how far it has come: who has the same sum has all that was decided before.
-func (t *Tier) decidedAt(at time.Duration, d *consensus.Decided) {
-	k := t.copies
+// noteDecided takes the council's word, asked for at that moment, of how far it has come: who has the same sum has all that was decided before.
+func (t *Host) noteDecided(at time.Duration, d *consensus.Decided) {
+	k := t.shared
 	if k == nil || d == nil {
 		return
 	}
 	k.node.Copies().Council(gossip.FleetTag(d.Fleet))
 	if k.node.Copies().Sum(consensus.OrderKind)+k.node.Copies().Sum(consensus.ZoneKind) == d.Sum {
-		k.whole = max(k.whole, at)
+		k.completeUntil = max(k.completeUntil, at)
 	}
 }
 
-// takeOrders takes over what the log here has decided. The caller has mu.
-func (t *Tier) takeOrders(f *consensus.Fleet) {
-	k := t.copies
+// applyOperatorCommands takes over what the log here has decided. The caller has mu.
+func (t *Host) applyOperatorCommands(f *consensus.Fleet) {
+	k := t.shared
 	if k == nil || f == nil {
 		return
 	}
 	k.node.Copies().Council(gossip.FleetTag(f.ID))
-	if f.Ordered > k.orders {
-		k.orders = f.OrdersSince(k.orders, func(key string, o consensus.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
-		t.keep()
+	if f.Ordered > k.commandsApplied {
+		k.commandsApplied = f.OrdersSince(k.commandsApplied, func(key string, o consensus.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
+		t.runDue()
 	}
 }
 
-// CopiesStatus is what a process tells operators of the shared state.
-type CopiesStatus struct {
-	Incarnation uint64            `json:"incarnation"`
-	Members     map[string]string `json:"members"`    // by name: alive, suspect, dead, left, unheard of
-	Health      int               `json:"health"`     // 0: its own; more: how much it lengthens its times for troubles of its own
-	InStepMs    int64             `json:"in_step_ms"` // ago its copies were seen to equal another's; below 0: not since the start
-	DecidedMs   int64             `json:"decided_ms"` // ago: all that was decided until then is here; below 0: that is not known
-	Entries     []CopyEntry       `json:"entries"`
-	Hints       []string          `json:"hints,omitempty"`           // servers that are hinted at now
-	Kept        []string          `json:"not_carried_out,omitempty"` // pools whose orders would leave no server
-	Hinted      int               `json:"hinted"`                    // hints given so far
-	Zones       []ZoneStatus      `json:"zones,omitempty"`
-	Sums        map[string]uint64 `json:"sums"`
-	Figures     gossip.Figures    `json:"figures"`
-	Refused     gossip.Counts     `json:"refused"`
+// SharedStateStatus is what a process tells operators of the shared state.
+type SharedStateStatus struct {
+	Incarnation uint64              `json:"incarnation"`
+	Members     map[string]string   `json:"members"`    // by name: alive, suspect, dead, left, unheard of
+	Health      int                 `json:"health"`     // 0: its own; more: how much it lengthens its times for troubles of its own
+	InStepMs    int64               `json:"in_step_ms"` // ago its copies were seen to equal another's; below 0: not since the start
+	DecidedMs   int64               `json:"decided_ms"` // ago: all that was decided until then is here; below 0: that is not known
+	Entries     []SharedEntryStatus `json:"entries"`
+	Hints       []string            `json:"hints,omitempty"`           // servers that are hinted at now
+	Kept        []string            `json:"not_carried_out,omitempty"` // pools whose orders would leave no server
+	Hinted      int                 `json:"hinted"`                    // hints given so far
+	Zones       []ZoneStatus        `json:"zones,omitempty"`
+	Sums        map[string]uint64   `json:"sums"`
+	Figures     gossip.Figures      `json:"figures"`
+	Refused     gossip.Counts       `json:"refused"`
 }
 
-// CopyEntry is one entry, as it is told.
-type CopyEntry struct {
+// SharedEntryStatus is one entry, as it is told.
+type SharedEntryStatus struct {
 	Owner  string   `json:"owner"`
 	Key    string   `json:"key"`
 	Inc    uint64   `json:"inc"`
@@ -435,13 +435,13 @@
 	Values []string `json:"values,omitempty"` // none: taken back; several: contents of one version that differ
 }
 
-// copiesStatus tells of the shared state, nil without any. The caller has mu.
-func (t *Tier) copiesStatus(now time.Duration) *CopiesStatus {
-	k := t.copies
+// sharedStateStatus tells of the shared state, nil without any. The caller has mu.
+func (t *Host) sharedStateStatus(now time.Duration) *SharedStateStatus {
+	k := t.shared
 	if k == nil {
 		return nil
 	}
-	s := &CopiesStatus{
+	s := &SharedStateStatus{
 		Incarnation: k.node.Inc(), Members: map[string]string{}, Health: k.node.Health(), Hints: k.evidence.Hints(k.node),
 		Hinted: k.hinted, Sums: map[string]uint64{}, Figures: k.node.Figures, Refused: k.node.Copies().Counts,
 	}
@@ -453,42 +453,42 @@
 	for _, kind := range append([]string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds...) {
 		s.Sums[kind] = k.node.Copies().Sum(kind)
 	}
-	for pool, kept := range k.kept {
+	for pool, kept := range k.notApplied {
 		if kept {
 			s.Kept = append(s.Kept, pool)
 		}
 	}
 	slices.Sort(s.Kept)
 	k.node.Copies().All("", func(e *gossip.Entry) bool {
-		c := CopyEntry{Owner: e.Owner, Key: e.Key, Inc: e.Inc, Seq: e.Seq}
+		c := SharedEntryStatus{Owner: e.Owner, Key: e.Key, Inc: e.Inc, Seq: e.Seq}
 		for _, v := range e.Values() {
 			c.Values = append(c.Values, string(v))
 		}
 		s.Entries = append(s.Entries, c)
-		return len(s.Entries) < mostToldEntries
+		return len(s.Entries) < maxStatusEntries
 	})
 	return s
 }
 
-const mostToldEntries = 20000
+const maxStatusEntries = 20000
 
-// forget takes back what this process says under a key.
-func (t *Tier) forget(key string) error {
+// forgetEntry takes back what this process says under a key.
+func (t *Host) forgetEntry(key string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.copies
+	k := t.shared
 	switch {
 	case k == nil:
 		return errors.New("this process shares no state: [tier.copies] is missing in its file")
 	case !k.evidence.Forget(k.node, key):
 		return fmt.Errorf("%q has written nothing under %q: ask the member that has", t.cfg.Name, key)
 	}
-	t.keep()
+	t.runDue()
 	return nil
 }
 
 // snapshot is what is kept for the next start.
-func (k *copies) snapshot(name string) []byte {
+func (k *sharedState) snapshot(name string) []byte {
 	m := &gossip.Message{Kind: gossip.Sync, Target: name}
 	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Inc: k.node.Inc()})
 	k.node.Copies().All("", func(e *gossip.Entry) bool {
@@ -496,16 +496,16 @@
 			return true // what it saw itself is to be seen anew
 		}
 		m.Entries = append(m.Entries, *e)
-		return len(m.Entries) < mostKept
+		return len(m.Entries) < maxSavedEntries
 	})
-	return seal(m.Encode())
+	return sealFile(m.Encode())
 }
 
-const mostKept = 2000
+const maxSavedEntries = 2000
 
-// load takes over what the last start has kept. What is in it is old, and counts for nothing that a newer word of its owner contradicts; a file
+// restore takes over what the last start has kept. What is in it is old, and counts for nothing that a newer word of its owner contradicts; a file
 // that is damaged, another's or of another format is put aside, since all of it can be had from others.
-func (k *copies) load(now time.Duration, name string) error {
+func (k *sharedState) restore(now time.Duration, name string) error {
 	if k.cfg.Store == "" {
 		return nil
 	}
@@ -515,7 +515,7 @@
 	}
 	var m *gossip.Message
 	if err == nil {
-		data, err = unseal(data)
+		data, err = unsealFile(data)
 	}
 	if err == nil {
 		m, err = gossip.Decode(data)
@@ -535,8 +535,8 @@
 	return nil
 }
 
-// writeWhole writes a file so that a crash leaves the old one or the new one.
-func writeWhole(path string, data []byte) error {
+// writeFileAtomically writes a file so that a crash leaves the old one or the new one.
+func writeFileAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/copies_test.go
@@ -88,7 +88,7 @@
 func sharing(t *testing.T, n int) []Config {
 	cfgs := fleet(t, n)
 	for i := range cfgs {
-		cfgs[i].Copies = &CopiesConfig{
+		cfgs[i].SharedState = &SharedStateConfig{
 			Gossip: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Sync: 200 * time.Millisecond, Keep: time.Second, Fanout: 2, Witnesses: 2, Budget: 1 << 20,
 			Store: filepath.Join(t.TempDir(), "copies"),
 		}
@@ -97,7 +97,7 @@
 }
 
 // state asks a process as an operator does.
-func state(t *testing.T, tr *Tier, cfg Config) *CopiesStatus {
+func state(t *testing.T, tr *Host, cfg Config) *SharedStateStatus {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -113,7 +113,7 @@
 	return s.Copies
 }
 
-func order(t *testing.T, tr *Tier, cfg Config, c consensus.OrderCommand) consensus.OrderResult {
+func order(t *testing.T, tr *Host, cfg Config, c consensus.OrderCommand) consensus.OrderResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Ask(ctx, consensus.Request{Order: &c})
+	r, err := o.Request(ctx, consensus.Request{Order: &c})
 	if err != nil || r.Order == nil {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -134,7 +134,7 @@
 func TestSharedState(t *testing.T) {
 	cfgs := sharing(t, 3)
 	farms := []*farmPools{newFarm(), newFarm(), newFarm()}
-	var all []*Tier
+	var all []*Host
 	for i, cfg := range cfgs {
 		all = append(all, start(t, cfg, farms[i]))
 	}
@@ -196,7 +196,7 @@
 func TestKeptCopies(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "copies")
-	k := &copies{cfg: CopiesConfig{Store: file}}
+	k := &sharedState{cfg: SharedStateConfig{Store: file}}
 	fresh := func() {
 		cfg := gossip.Usual()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
@@ -207,11 +207,11 @@
 	k.node.Put("dead/farm/own", nil)
 	inc := k.node.Inc()
 	data := k.snapshot("p")
-	if err := writeWhole(file, data); err != nil {
+	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
 	}
 	fresh()
-	if err := k.load(0, "p"); err != nil || k.loaded != 1 {
+	if err := k.restore(0, "p"); err != nil || k.loaded != 1 {
 		t.Fatalf("%d, %v", k.loaded, err)
 	}
 	if e, ok := k.node.Copies().Get(gossip.Council, "order/farm/box"); !ok || e.Seq != 4 {
@@ -225,18 +225,18 @@
 			t.Fatal(err)
 		}
 		fresh()
-		if err := k.load(0, "p"); err != nil {
+		if err := k.restore(0, "p"); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := os.Stat(file); !os.IsNotExist(err) {
 			t.Errorf("%s: the file is still there", name)
 		}
 	}
-	if err := writeWhole(file, data); err != nil {
+	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
 	}
 	fresh()
-	if err := k.load(0, "q"); err != nil || len(k.node.Copies().Changed()) > 0 {
+	if err := k.restore(0, "q"); err != nil || len(k.node.Copies().Changed()) > 0 {
 		t.Errorf("another's file: %v", err)
 	}
 	if left, err := filepath.Glob(file + ".new-*"); err != nil || len(left) > 0 {
@@ -249,13 +249,13 @@
 	f.Add([]byte("x"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		file := filepath.Join(t.TempDir(), "copies")
-		if err := os.WriteFile(file, seal(data), 0o600); err != nil {
+		if err := os.WriteFile(file, sealFile(data), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cfg := gossip.Usual()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
-		k := &copies{cfg: CopiesConfig{Store: file}, node: gossip.New(0, cfg)}
-		if err := k.load(0, "p"); err != nil {
+		k := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
+		if err := k.restore(0, "p"); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -272,7 +272,7 @@
 	rules := zonefailover.Usual()
 	rules.Step, rules.Hold = 100*time.Millisecond, 100*time.Millisecond
 	var farms []*farmPools
-	var all []*Tier
+	var all []*Host
 	for i := range cfgs {
 		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOn, Rules: rules, Members: zones}
 		f := newFarm()
@@ -358,7 +358,7 @@
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
 	}
-	var all []*Tier
+	var all []*Host
 	farm := func() *farmPools {
 		f := newFarm()
 		f.zones, f.down = map[string]string{"a0": "a", "b0": "b", "b1": "b", "c0": "c"}, map[string]bool{}
@@ -423,12 +423,12 @@
 			}
 			open.Go(func() {
 				defer raw.Close()
-				c, err := accept(raw, secret, hello{Name: "q"}, func(hello) error { return nil })
+				c, err := acceptConn(raw, secret, hello{Name: "q"}, func(hello) error { return nil })
 				if err != nil {
 					return
 				}
 				for {
-					kind, _, err := c.read(mostFrame)
+					kind, _, err := c.read(maxFrameBytes)
 					if err != nil {
 						return
 					}
@@ -455,7 +455,7 @@
 			return false
 		}
 	})
-	if took := time.Since(began); took > idleTime/2 {
+	if took := time.Since(began); took > idleTimeout/2 {
 		t.Errorf("only after %v", took)
 	}
 	cancel()
@@ -468,7 +468,7 @@
 func TestFoundedAnew(t *testing.T) {
 	cfgs := sharing(t, 3)
 	var farms []*farmPools
-	var all []*Tier
+	var all []*Host
 	begin := func() {
 		farms, all = nil, nil
 		for _, cfg := range cfgs {
@@ -488,10 +488,10 @@
 	})
 	for i, tr := range all {
 		tr.mu.Lock()
-		data := tr.copies.snapshot(cfgs[i].Name)
+		data := tr.shared.snapshot(cfgs[i].Name)
 		tr.mu.Unlock()
 		tr.Close()
-		if err := writeWhole(cfgs[i].Copies.Store, data); err != nil {
+		if err := writeFileAtomically(cfgs[i].SharedState.Store, data); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Remove(cfgs[i].Store); err != nil {
@@ -502,7 +502,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Found(cfgs[0].Council); err != nil {
+	if err := s.Found(cfgs[0].Voters); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -534,7 +534,7 @@
 // TestOrderWithoutAnswer: an operator's order whose answer is lost with the council's leader is asked again, and done once.
 func TestOrderWithoutAnswer(t *testing.T) {
 	cfgs := sharing(t, 3)
-	var all []*Tier
+	var all []*Host
 	for _, cfg := range cfgs {
 		all = append(all, start(t, cfg, newFarm()))
 	}
@@ -558,14 +558,14 @@
 	done := make(chan error, 1)
 	var got *consensus.OrderResult
 	go func() {
-		r, err := o.Order(ctx, consensus.OrderCommand{Key: key, Value: "second"})
+		r, err := o.Command(ctx, consensus.OrderCommand{Key: key, Value: "second"})
 		got = r
 		done <- err
 	}()
 	eventually(t, "its session has lapsed: a term has passed", func() bool {
 		all[2].mu.Lock()
 		defer all[2].mu.Unlock()
-		return all[2].keeper.Until() < all[2].clock.Now()
+		return all[2].session.Until() < all[2].clock.Now()
 	})
 	all[0], all[1] = start(t, cfgs[0], newFarm()), start(t, cfgs[1], newFarm())
 	if err := <-done; err != nil {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -173,12 +173,12 @@
 func exampleStatus() *Status {
 	page := task.Page{Rev: 11, Token: 4, Slot: 20, Last: task.Done}
 	return &Status{
-		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]Held{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
+		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]HeldLease{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
 		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
 		Council: &consensus.State{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Page{"sweep": page},
-		Copies: &CopiesStatus{
+		Copies: &SharedStateStatus{
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
-			Entries: []CopyEntry{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
+			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
 			Zones: []ZoneStatus{{Pool: "farm", Zone: "a", Servers: 3, Avoided: 1, Epoch: 5, Step: 2, Pinned: true, Cold: true, Falls: 1, Why: "lost", Cause: "dead"}},
 			Sums:  map[string]uint64{"order": 9}, Figures: gossip.Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7},
 			Refused: gossip.Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6},
@@ -192,20 +192,20 @@
 		jsonCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
 		jsonCase("hello", exampleHello()),
 		jsonCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
-		jsonCase("request", asked{Handle: 12, Request: consensus.Request{Pages: []string{"sweep"}}}),
-		jsonCase("response", asked{Handle: 12, Response: consensus.Response{Elsewhere: true, Leader: "p1"}}),
-		jsonCase("status", asked{Handle: 12, Status: exampleStatus()}),
-		jsonCase("operator", asked{Handle: 12, Found: true, Handover: &handover{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
+		jsonCase("request", rpc{Handle: 12, Request: consensus.Request{Pages: []string{"sweep"}}}),
+		jsonCase("response", rpc{Handle: 12, Response: consensus.Response{Elsewhere: true, Leader: "p1"}}),
+		jsonCase("status", rpc{Handle: 12, Status: exampleStatus()}),
+		jsonCase("operator", rpc{Handle: 12, Found: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
 	}
 	key := []byte("0123456789abcdef0123456789abcdef")
-	for kind, name := range map[byte]string{kindHello: "hello", kindRaft: "raft", kindAsk: "ask", kindAnswer: "answer", kindWake: "wake", kindGossip: "gossip", kindPing: "ping", kindPong: "pong"} {
+	for kind, name := range map[byte]string{kindHello: "hello", kindRaft: "raft", kindRequest: "ask", kindResponse: "answer", kindWake: "wake", kindGossip: "gossip", kindPing: "ping", kindPong: "pong"} {
 		want := frame{kind, []byte("payload")}
 		cases = append(cases, goldenCase{"frame/" + name, want, func() ([]byte, error) {
 			var wire recorder
-			err := (&conn{Conn: &wire, mine: key}).write(want.kind, want.payload)
+			err := (&conn{Conn: &wire, sendKey: key}).write(want.kind, want.payload)
 			return wire.Bytes(), err
 		}, func(data []byte) (any, error) {
-			kind, payload, err := (&conn{r: bufio.NewReader(bytes.NewReader(data)), hers: key}).read(mostFrame)
+			kind, payload, err := (&conn{reader: bufio.NewReader(bytes.NewReader(data)), receiveKey: key}).read(maxFrameBytes)
 			return frame{kind, payload}, err
 		}})
 	}
@@ -323,7 +323,7 @@
 			}
 			raw, err := ln.Accept()
 			if err == nil {
-				c, err = accept(raw, formerSecret, hello{Name: "p0", Fleet: "fleet-a"}, func(hello) error { return nil })
+				c, err = acceptConn(raw, formerSecret, hello{Name: "p0", Fleet: "fleet-a"}, func(hello) error { return nil })
 			}
 			return err
 		}
@@ -357,7 +357,7 @@
 		if !reflect.DeepEqual(said, want) || c.peer.Name != "former" {
 			t.Errorf("dials %v: greeted with %v, not %v; understood %+v", dials, said, want, c.peer)
 		}
-		if err := c.write(kindAsk, []byte("question")); err != nil {
+		if err := c.write(kindRequest, []byte("question")); err != nil {
 			t.Error(err)
 		}
 		if kind, payload, err := p.read(); kind != "Q" || payload != "question" || err != nil {
@@ -366,7 +366,7 @@
 		if err := p.write("A", "answer"); err != nil {
 			t.Error(err)
 		}
-		if kind, payload, err := c.read(mostFrame); kind != kindAnswer || string(payload) != "answer" || err != nil {
+		if kind, payload, err := c.read(maxFrameBytes); kind != kindResponse || string(payload) != "answer" || err != nil {
 			t.Errorf("dials %v: understood %q, %q, %v", dials, kind, payload, err)
 		}
 	}
@@ -528,17 +528,17 @@
 // TestCopiesOfFormerVersion: the file of shared state that an earlier version has kept is read, and this version writes the same.
 func TestCopiesOfFormerVersion(t *testing.T) {
 	const file = "testdata/copies.kept"
-	newCopies := func(path string) *copies {
+	newCopies := func(path string) *sharedState {
 		cfg := gossip.Usual()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
-		return &copies{cfg: CopiesConfig{Store: path}, node: gossip.New(0, cfg)}
+		return &sharedState{cfg: SharedStateConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
 	k := newCopies("")
 	k.node.Decide("order/farm/box", 4, []byte("out"))
 	k.node.Decide("zone/farm/b", 5, nil)
 	data := k.snapshot("p")
 	if *update {
-		if err := writeWhole(file, data); err != nil {
+		if err := writeFileAtomically(file, data); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -552,7 +552,7 @@
 	path := filepath.Join(t.TempDir(), "copies")
 	copyFile(t, file, path)
 	read := newCopies(path)
-	if err := read.load(0, "p"); err != nil || read.loaded != 2 {
+	if err := read.restore(0, "p"); err != nil || read.loaded != 2 {
 		t.Fatalf("%d entries, %v", read.loaded, err)
 	}
 	for key, number := range map[string]uint64{"order/farm/box": 4, "zone/farm/b": 5} {
@@ -568,13 +568,13 @@
 // TestStoredWords: names, keys and numbers that are stored or sent keep their spelling and value.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
-		{leaseOf("sweep"), "task/sweep"}, {zoneview.Lease, "zones"}, {operatorName, "operator"},
+		{taskLeaseName("sweep"), "task/sweep"}, {zoneview.Lease, "zones"}, {operatorName, "operator"},
 		{gossip.DeadKind, "dead"}, {zoneview.LookKind, "look"}, {zoneview.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
 		{gossip.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
 		{string(zoneview.LookValue(0, 3)), "0"}, {string(zoneview.LookValue(2, 3)), "p"}, {string(zoneview.LookValue(3, 3)), "1"},
 		{zonefailover.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
 		{zonefailover.State{Step: zonefailover.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
-		{storeFormat, 1}, {helloVersion, 1}, {tagLen, 16},
+		{storeFormat, 1}, {helloVersion, 1}, {tagLength, 16},
 	} {
 		if c.got != c.want {
 			t.Errorf("%v was %v", c.got, c.want)
@@ -597,10 +597,10 @@
 		t.Fatal(err)
 	}
 	var pools requestRecorder
-	tr := &Tier{ctx: t.Context(), clock: clock, sender: &pools}
+	tr := &Host{ctx: t.Context(), clock: clock, sender: &pools}
 	cfg := Task{Spec: task.Spec{Name: "sweep", Effect: task.Keyed}, Pool: "farm", Method: "POST", Path: "/delivery-order/sweep?all=1", Tenant: "depot", Body: "body"}
-	r := &runner{cfg: cfg, core: task.NewRunner(cfg.Spec, time.Second, time.Second)}
-	tr.send(r, task.Send{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
+	r := &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, time.Second, time.Second)}
+	tr.sendTaskRequest(r, task.Send{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
 	q := pools.sent
 	left := q.Header.Get("X-Timeout-Ms")
 	want := &httpmsg.Request{
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -22,35 +22,35 @@
 // A frame is four bytes of length, one of its kind, what it carries and a tag that proves the secret. Frames may be lost, doubled and
 // overtake each other: what they carry is made for that. One that was changed ends the connection.
 const (
-	kindHello  = 'H'
-	kindRaft   = 'R' // a message of the council's log
-	kindAsk    = 'Q' // a request, with its handle
-	kindAnswer = 'A' // its answer
-	kindWake   = 'W' // your leases have changed
-	kindGossip = 'G' // about shared state
-	kindPing   = 'P' // is there still somebody at the other end?
-	kindPong   = 'O' // yes
+	kindHello    = 'H'
+	kindRaft     = 'R' // a message of the council's log
+	kindRequest  = 'Q' // a request, with its handle
+	kindResponse = 'A' // its answer
+	kindWake     = 'W' // your leases have changed
+	kindGossip   = 'G' // about shared state
+	kindPing     = 'P' // is there still somebody at the other end?
+	kindPong     = 'O' // yes
 )
 
 const (
-	tagLen     = 16
-	mostHello  = 4 << 10
-	mostFrame  = 64 << 20 // a snapshot of 100,000 leases has some 20 MB
-	handshake  = 2 * time.Second
-	writeTime  = 5 * time.Second
-	idleTime   = time.Minute // without a frame a connection is closed
-	queueLen   = 512         // frames of a link that wait; more are dropped, as on a network
-	mostInward = 2048        // connections of others
-	// pingEvery is how often a dialler that sends asks whether the other end is still there, silence how long it waits for a word then. What
+	tagLength             = 16
+	maxHelloBytes         = 4 << 10
+	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases has some 20 MB
+	handshakeTimeout      = 2 * time.Second
+	writeTimeout          = 5 * time.Second
+	idleTimeout           = time.Minute // without a frame a connection is closed
+	linkQueueLength       = 512         // frames of a link that wait; more are dropped, as on a network
+	maxInboundConnections = 2048        // connections of others
+	// pingInterval is how often a dialler that sends asks whether the other end is still there, silence how long it waits for a word then. What
 	// goes out on a link has its answers elsewhere, so that one whose other end has vanished without a word would else swallow all for a minute.
-	pingEvery = time.Second
-	silence   = 3 * time.Second
+	pingInterval = time.Second
+	pongTimeout  = 3 * time.Second
 )
 
 var (
-	errTag    = errors.New("a frame without the right tag: another secret, or it was changed on the way")
-	errLong   = errors.New("a frame is too long")
-	errNobody = errors.New("no member of this fleet")
+	errBadTag        = errors.New("a frame without the right tag: another secret, or it was changed on the way")
+	errFrameTooLong  = errors.New("a frame is too long")
+	errUnknownMember = errors.New("no member of this fleet")
 )
 
 // hello is what both ends say first.
@@ -65,8 +65,8 @@
 
 const helloVersion = 1
 
-// key is an HMAC of parts that cannot run into each other.
-func key(secret []byte, parts ...[]byte) []byte {
+// deriveKey is an HMAC of parts that cannot run into each other.
+func deriveKey(secret []byte, parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	for _, p := range parts {
 		m.Write(binary.BigEndian.AppendUint32(nil, uint32(len(p))))
@@ -78,31 +78,31 @@
 // conn is a connection whose ends have proven the secret.
 type conn struct {
 	net.Conn
-	r          *bufio.Reader
-	mine, hers []byte // keys of what goes out and what comes in
-	peer       hello
-	mu         sync.Mutex // of writing
-	sent       *traffic
+	reader              *bufio.Reader
+	sendKey, receiveKey []byte // keys of what goes out and what comes in
+	peer                hello
+	writeMu             sync.Mutex // of writing
+	traffic             *traffic
 }
 
 // traffic counts what a process has sent to others.
 type traffic struct{ frames, bytes, gossipFrames, gossipBytes atomic.Int64 }
 
 func (c *conn) write(kind byte, payload []byte) error {
-	head := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+tagLen))
+	head := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+tagLength))
 	head = append(head, kind)
-	tag := key(c.mine, []byte{kind}, payload)[:tagLen]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if err := c.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+	tag := deriveKey(c.sendKey, []byte{kind}, payload)[:tagLength]
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	if c.sent != nil {
-		c.sent.frames.Add(1)
-		c.sent.bytes.Add(int64(len(head) + len(payload) + len(tag)))
+	if c.traffic != nil {
+		c.traffic.frames.Add(1)
+		c.traffic.bytes.Add(int64(len(head) + len(payload) + len(tag)))
 		if kind == kindGossip {
-			c.sent.gossipFrames.Add(1)
-			c.sent.gossipBytes.Add(int64(len(head) + len(payload) + len(tag)))
+			c.traffic.gossipFrames.Add(1)
+			c.traffic.gossipBytes.Add(int64(len(head) + len(payload) + len(tag)))
 		}
 	}
 	buffers := net.Buffers{head, payload, tag}
@@ -113,42 +113,42 @@
 // read returns the next frame. Memory is taken as bytes come, not as they are announced.
 func (c *conn) read(most uint32) (kind byte, payload []byte, err error) {
 	var head [4]byte
-	if _, err := io.ReadFull(c.r, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n < 1+tagLen || n > most {
-		return 0, nil, errLong
+	if n < 1+tagLength || n > most {
+		return 0, nil, errFrameTooLong
 	}
 	var buf bytes.Buffer
-	if _, err := io.CopyN(&buf, c.r, int64(n)); err != nil {
+	if _, err := io.CopyN(&buf, c.reader, int64(n)); err != nil {
 		return 0, nil, err
 	}
 	all := buf.Bytes()
-	kind, payload = all[0], all[1:len(all)-tagLen]
-	if !hmac.Equal(key(c.hers, []byte{kind}, payload)[:tagLen], all[len(all)-tagLen:]) {
-		return 0, nil, errTag
+	kind, payload = all[0], all[1:len(all)-tagLength]
+	if !hmac.Equal(deriveKey(c.receiveKey, []byte{kind}, payload)[:tagLength], all[len(all)-tagLength:]) {
+		return 0, nil, errBadTag
 	}
 	return kind, payload, nil
 }
 
 // sessionKeys are those of what the dialler and of what the other end says.
 func sessionKeys(secret, a, b []byte) (dialler, other []byte) {
-	return key(secret, []byte("dialler"), a, b), key(secret, []byte("other"), a, b)
+	return deriveKey(secret, []byte("dialler"), a, b), deriveKey(secret, []byte("other"), a, b)
 }
 
-func (c *conn) hello(key []byte, h hello) error {
+func (c *conn) sendHello(key []byte, h hello) error {
 	data, err := json.Marshal(h)
 	if err != nil {
 		return err
 	}
-	c.mine = key
+	c.sendKey = key
 	return c.write(kindHello, data)
 }
 
-func (c *conn) heard(key []byte) (h hello, err error) {
-	c.hers = key
-	kind, data, err := c.read(mostHello)
+func (c *conn) readHello(key []byte) (h hello, err error) {
+	c.receiveKey = key
+	kind, data, err := c.read(maxHelloBytes)
 	if err != nil {
 		return h, err
 	}
@@ -175,23 +175,23 @@
 
 // dial connects to address, and proves the secret and has it proven.
 func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, handshake)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, r: bufio.NewReader(raw)}
+	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
 	deadline, _ := ctx.Deadline()
 	me.Version, me.Nonce = helloVersion, nonce()
 	err = raw.SetDeadline(deadline)
 	if err == nil {
-		err = c.hello(key(secret, []byte("hello")), me)
+		err = c.sendHello(deriveKey(secret, []byte("hello")), me)
 	}
 	if err == nil {
 		// The answer is proven with this dialler's nonce: nobody can have kept it from another time.
-		c.peer, err = c.heard(key(secret, []byte("answer"), me.Nonce))
+		c.peer, err = c.readHello(deriveKey(secret, []byte("answer"), me.Nonce))
 	}
 	if err == nil && me.To != "" && c.peer.Name != me.To {
 		err = fmt.Errorf("there is %q where %q should be", c.peer.Name, me.To)
@@ -203,17 +203,17 @@
 		raw.Close()
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
-	c.mine, c.hers = sessionKeys(secret, me.Nonce, c.peer.Nonce)
+	c.sendKey, c.receiveKey = sessionKeys(secret, me.Nonce, c.peer.Nonce)
 	return c, nil
 }
 
-// accept is the other end of dial. The dialler has proven the secret once its first frame has been read.
-func accept(raw net.Conn, secret []byte, me hello, known func(hello) error) (*conn, error) {
-	c := &conn{Conn: raw, r: bufio.NewReader(raw)}
-	if err := raw.SetDeadline(time.Now().Add(handshake)); err != nil {
+// acceptConn is the other end of dial. The dialler has proven the secret once its first frame has been read.
+func acceptConn(raw net.Conn, secret []byte, me hello, known func(hello) error) (*conn, error) {
+	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
+	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
 	}
-	h, err := c.heard(key(secret, []byte("hello")))
+	h, err := c.readHello(deriveKey(secret, []byte("hello")))
 	if err != nil {
 		return nil, err
 	}
@@ -222,13 +222,13 @@
 	}
 	c.peer = h
 	me.Version, me.Nonce, me.Pong = helloVersion, nonce(), true
-	if err := c.hello(key(secret, []byte("answer"), h.Nonce), me); err != nil {
+	if err := c.sendHello(deriveKey(secret, []byte("answer"), h.Nonce), me); err != nil {
 		return nil, err
 	}
 	if err := raw.SetDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
-	c.hers, c.mine = sessionKeys(secret, h.Nonce, me.Nonce)
+	c.receiveKey, c.sendKey = sessionKeys(secret, h.Nonce, me.Nonce)
 	return c, nil
 }
 
@@ -243,16 +243,16 @@
 type link struct {
 	address string
 	secret  []byte
-	me      func() hello
+	local   func() hello
 	queue   chan frame
-	take    func(*conn, byte, []byte)
-	told    func(error) // of a connection that could not be made or broke
-	met     func(hello) // what the other end said of itself
-	sent    *traffic
+	onFrame func(*conn, byte, []byte)
+	onError func(error) // of a connection that could not be made or broke
+	onHello func(hello) // what the other end said of itself
+	traffic *traffic
 }
 
 func newLink(address string, secret []byte, me func() hello, take func(*conn, byte, []byte), told func(error)) *link {
-	return &link{address: address, secret: secret, me: me, queue: make(chan frame, queueLen), take: take, told: told, met: func(hello) {}}
+	return &link{address: address, secret: secret, local: me, queue: make(chan frame, linkQueueLength), onFrame: take, onError: told, onHello: func(hello) {}}
 }
 
 // send queues a frame, and reports whether there was room.
@@ -275,27 +275,27 @@
 			return
 		case f = <-l.queue:
 		}
-		c, err := dial(ctx, l.address, l.secret, l.me())
+		c, err := dial(ctx, l.address, l.secret, l.local())
 		if err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			l.told(err)
+			l.onError(err)
 			pause = min(max(2*pause, 20*time.Millisecond), time.Second)
-			if !l.rest(ctx, jitter(pause)) {
+			if !l.drainFor(ctx, jitter(pause)) {
 				return
 			}
 			continue
 		}
 		pause = 0
-		c.sent = l.sent
-		l.met(c.peer)
-		l.carry(ctx, c, f)
+		c.traffic = l.traffic
+		l.onHello(c.peer)
+		l.serve(ctx, c, f)
 	}
 }
 
-// rest drops what is to be sent for a while: it would be old when there is a connection again.
-func (l *link) rest(ctx context.Context, d time.Duration) bool {
+// drainFor drops what is to be sent for a while: it would be old when there is a connection again.
+func (l *link) drainFor(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	for {
@@ -309,8 +309,8 @@
 	}
 }
 
-// carry uses a connection until it breaks.
-func (l *link) carry(ctx context.Context, c *conn, first frame) {
+// serve uses a connection until it breaks.
+func (l *link) serve(ctx context.Context, c *conn, first frame) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	broken := make(chan struct{})
@@ -319,23 +319,23 @@
 		defer close(broken)
 		defer c.Close()
 		for {
-			c.SetReadDeadline(time.Now().Add(idleTime))
-			kind, payload, err := c.read(mostFrame)
+			c.SetReadDeadline(time.Now().Add(idleTimeout))
+			kind, payload, err := c.read(maxFrameBytes)
 			if err != nil {
 				return
 			}
 			heard.Add(1)
-			l.take(c, kind, payload)
+			l.onFrame(c, kind, payload)
 		}
 	}()
 	defer func() { <-broken }()
 	defer c.Close()
-	ping := time.NewTicker(pingEvery)
+	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
 	sent := true                  // something, since the last ping
 	waits, had := false, int64(0) // for a word, since when so much was heard
 	if err := c.write(first.kind, first.payload); err != nil {
-		l.told(err)
+		l.onError(err)
 		return
 	}
 	for {
@@ -352,11 +352,11 @@
 			sent, f = false, frame{kind: kindPing}
 			if n := heard.Load(); !waits || n != had { // a further ping must not put off the end of the first
 				waits, had = true, n
-				c.SetReadDeadline(time.Now().Add(silence))
+				c.SetReadDeadline(time.Now().Add(pongTimeout))
 			}
 		}
 		if err := c.write(f.kind, f.payload); err != nil {
-			l.told(err)
+			l.onError(err)
 			return
 		}
 	}
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -11,8 +11,8 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// promises keeps what a process has promised in the council: on a disk that outlives it, or for as long as it runs.
-type promises interface {
+// voterStore keeps what a process has promised in the council: on a disk that outlives it, or for as long as it runs.
+type voterStore interface {
 	consensus.Disk
 	Identity() Identity
 	Admitted(fleet string, id uint64) error // it is kept before it is used
@@ -22,36 +22,36 @@
 	Close() error
 }
 
-// memory keeps a process' promises for as long as it runs. The next start has another store, and so another identity: it can't break what
+// memoryStore keeps a process' promises for as long as it runs. The next start has another store, and so another identity: it can't break what
 // this one has promised, since it never votes in its place.
-type memory struct{ id Identity }
+type memoryStore struct{ id Identity }
 
-func newMemory(name string) *memory {
-	return &memory{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
+func newMemory(name string) *memoryStore {
+	return &memoryStore{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
 }
 
-func (m *memory) Save(consensus.Saved, bool) error { return nil }
-func (m *memory) Identity() Identity               { return m.id }
-func (m *memory) Syncs() int64                     { return 0 }
-func (m *memory) Close() error                     { return nil }
+func (m *memoryStore) Save(consensus.Saved, bool) error { return nil }
+func (m *memoryStore) Identity() Identity               { return m.id }
+func (m *memoryStore) Syncs() int64                     { return 0 }
+func (m *memoryStore) Close() error                     { return nil }
 
-func (m *memory) Admitted(fleet string, id uint64) error {
+func (m *memoryStore) Admitted(fleet string, id uint64) error {
 	m.id.Fleet, m.id.ID = fleet, id
 	return nil
 }
 
-func (m *memory) Found([]string) error {
+func (m *memoryStore) Found([]string) error {
 	return errors.New("a council in memory is founded at a process that runs")
 }
 
-func (m *memory) Load() (consensus.Saved, error) { return consensus.Saved{}, nil }
+func (m *memoryStore) Load() (consensus.Saved, error) { return consensus.Saved{}, nil }
 
-// found makes this process, which keeps its promises in memory and has no identity yet, the first seat of a new fleet. One that has heard
+// bootstrap makes this process, which keeps its promises in memory and has no identity yet, the first seat of a new fleet. One that has heard
 // of a fleet refuses: two fleets of one file would each have a holder.
-func (t *Tier) found(s *seat) error {
-	m, ok := t.store.(*memory)
+func (t *Host) bootstrap(s *voter) error {
+	m, ok := t.store.(*memoryStore)
 	t.mu.Lock()
-	heard := cmp.Or(t.fleet, t.heard)
+	heard := cmp.Or(t.fleetID, t.peerFleetID)
 	t.mu.Unlock()
 	switch {
 	case t.store == nil:
@@ -63,7 +63,7 @@
 	case heard != "":
 		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", heard)
 	}
-	fleet := consensus.Founded(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Council)
+	fleet := consensus.Founded(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Voters)
 	fleet.Volatile = true
 	snap, err := consensus.FoundingSnapshot(fleet)
 	if err != nil {
@@ -77,48 +77,48 @@
 		return err
 	}
 	t.mu.Lock()
-	t.fleet = fleet.ID
+	t.fleetID = fleet.ID
 	t.mu.Unlock()
 	t.log.Info("a fleet was founded in memory: it ends with the majority of its council", "fleet", fleet.ID)
 	return nil
 }
 
-// have has the very process that is asked do something, and says why it did not.
-func (o *Operator) have(ctx context.Context, q asked) error {
-	a, err := o.askAll(ctx, q)
+// perform has the very process that is asked do something, and says why it did not.
+func (o *Operator) perform(ctx context.Context, q rpc) error {
+	a, err := o.roundTrip(ctx, q)
 	if err == nil && a.Why != "" {
 		err = errors.New(a.Why)
 	}
 	return err
 }
 
-// Found has the process found its fleet, whose council is in memory.
-func (o *Operator) Found(ctx context.Context) error {
-	return o.have(ctx, asked{Found: true})
+// Bootstrap has the process found its fleet, whose council is in memory.
+func (o *Operator) Bootstrap(ctx context.Context) error {
+	return o.perform(ctx, rpc{Found: true})
 }
 
 // Handover has the process, which holds a lease, give it to a member as soon as nothing of it is out.
 func (o *Operator) Handover(ctx context.Context, name, to string) error {
-	return o.have(ctx, asked{Handover: &handover{name, to}})
+	return o.perform(ctx, rpc{Handover: &handoverRequest{name, to}})
 }
 
 // Forget has the process take back what it says under a key.
 func (o *Operator) Forget(ctx context.Context, key string) error {
-	return o.have(ctx, asked{Forget: key})
+	return o.perform(ctx, rpc{Forget: key})
 }
 
-// handover is a lease that is to go to a member.
-type handover struct {
+// handoverRequest is a lease that is to go to a member.
+type handoverRequest struct {
 	Name string `json:"name"`
 	To   string `json:"to"`
 }
 
-// handOver begins to give a lease to a member: its task begins no further slot, and once what is out has ended the lease goes. This
+// startHandover begins to give a lease to a member: its task begins no further slot, and once what is out has ended the lease goes. This
 // process waits for it again then, behind all others.
-func (t *Tier) handOver(h handover) error {
+func (t *Host) startHandover(h handoverRequest) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	switch _, _, held := t.keeper.Holding(t.clock.Now(), h.Name); {
+	switch _, _, held := t.session.Holding(t.clock.Now(), h.Name); {
 	case !held:
 		return fmt.Errorf("%q is not held by %q", h.Name, t.cfg.Name)
 	case h.To == t.cfg.Name, t.cfg.Members[h.To] == "":
@@ -126,27 +126,27 @@
 	case t.leaving:
 		return errors.New("the process is about to end")
 	}
-	t.passing[h.Name] = h.To
-	t.keep()
+	t.handovers[h.Name] = h.To
+	t.runDue()
 	return nil
 }
 
 // pass gives away the leases that are to be handed over and of which nothing is out. The caller has mu.
-func (t *Tier) passOn() {
-	for name, to := range t.passing {
-		if r := t.runnerOf(name); r != nil && r.core.Busy() {
+func (t *Host) finishHandovers() {
+	for name, to := range t.handovers {
+		if r := t.runnerForLease(name); r != nil && r.core.Busy() {
 			continue
 		}
-		delete(t.passing, name)
+		delete(t.handovers, name)
 		t.log.Info("lease handed over", "name", name, "to", to)
-		t.keeper.Handover(name, to)
+		t.session.Handover(name, to)
 	}
 }
 
-// runnerOf is the runner of the task that a lease is for, nil if it is for none. The caller has mu.
-func (t *Tier) runnerOf(lease string) *runner {
+// runnerForLease is the runner of the task that a lease is for, nil if it is for none. The caller has mu.
+func (t *Host) runnerForLease(lease string) *taskRunner {
 	for _, r := range t.runners {
-		if leaseOf(r.cfg.Name) == lease {
+		if taskLeaseName(r.cfg.Name) == lease {
 			return r
 		}
 	}
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -16,8 +16,8 @@
 
 // Operator asks a running process, as an operator does.
 type Operator struct {
-	c    *conn
-	last uint64
+	conn       *conn
+	lastHandle uint64
 }
 
 // Connect connects to the process at address.
@@ -30,81 +30,81 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Operator{c: c}, nil
+	return &Operator{conn: c}, nil
 }
 
 // Close closes the connection.
-func (o *Operator) Close() error { return o.c.Close() }
+func (o *Operator) Close() error { return o.conn.Close() }
 
-func (o *Operator) ask(ctx context.Context, q consensus.Request) (asked, error) {
-	return o.askAll(ctx, asked{Request: q})
+func (o *Operator) request(ctx context.Context, q consensus.Request) (rpc, error) {
+	return o.roundTrip(ctx, rpc{Request: q})
 }
 
-func (o *Operator) askAll(ctx context.Context, q asked) (asked, error) {
-	o.last++
-	q.Handle = o.last
+func (o *Operator) roundTrip(ctx context.Context, q rpc) (rpc, error) {
+	o.lastHandle++
+	q.Handle = o.lastHandle
 	data, err := json.Marshal(q)
 	if err != nil {
-		return asked{}, err
+		return rpc{}, err
 	}
-	stop := context.AfterFunc(ctx, func() { o.c.SetReadDeadline(time.Now()) })
+	stop := context.AfterFunc(ctx, func() { o.conn.SetReadDeadline(time.Now()) })
 	defer stop()
-	if err := o.c.write(kindAsk, data); err != nil {
-		return asked{}, err
+	if err := o.conn.write(kindRequest, data); err != nil {
+		return rpc{}, err
 	}
 	for {
-		kind, payload, err := o.c.read(mostFrame)
+		kind, payload, err := o.conn.read(maxFrameBytes)
 		if err != nil {
 			if ctx.Err() != nil {
 				err = ctx.Err()
 			}
-			return asked{}, fmt.Errorf("no answer of the process: %w", err)
+			return rpc{}, fmt.Errorf("no answer of the process: %w", err)
 		}
-		var a asked
-		if kind != kindAnswer {
+		var a rpc
+		if kind != kindResponse {
 			continue
 		}
 		if err := json.Unmarshal(payload, &a); err != nil {
-			return asked{}, err
+			return rpc{}, err
 		}
-		if a.Handle == o.last {
+		if a.Handle == o.lastHandle {
 			return a, nil
 		}
 	}
 }
 
-// ErrNoCouncil is what a process says that reaches no leader of the council.
-var ErrNoCouncil = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
+// ErrNoLeader is what a process says that reaches no leader of the council.
+var ErrNoLeader = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
 
-// askPause is between two tries of an operator's request while the council elects a leader.
-const askPause = 100 * time.Millisecond
+// retryPause is between two tries of an operator's request while the council elects a leader.
+const retryPause = 100 * time.Millisecond
 
-// Ask asks the council, by the process' own ways, until ctx ends: while a leader is elected there is nobody to answer.
-func (o *Operator) Ask(ctx context.Context, q consensus.Request) (consensus.Response, error) {
-	defer o.c.SetReadDeadline(time.Time{})
+// Request asks the council, by the process' own ways, until ctx ends: while a leader is elected there is nobody to answer.
+func (o *Operator) Request(ctx context.Context, q consensus.Request) (consensus.Response, error) {
+	defer o.conn.SetReadDeadline(time.Time{})
 	for {
-		a, err := o.ask(ctx, q)
+		a, err := o.request(ctx, q)
 		if err != nil || !a.Response.Elsewhere {
 			return a.Response, err
 		}
 		select {
 		case <-ctx.Done():
-			return a.Response, ErrNoCouncil
-		case <-time.After(askPause):
+			return a.Response, ErrNoLeader
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// Order gives an order, or takes it back, in a way that has no second effect: a copy of an earlier word that comes late changes nothing.
-func (o *Operator) Order(ctx context.Context, c consensus.OrderCommand) (*consensus.OrderResult, error) {
+// Command gives an order, or takes it back, in a way that has no second effect: a copy of an earlier word that comes late changes nothing.
+func (o *Operator) Command(ctx context.Context, c consensus.OrderCommand) (*consensus.OrderResult, error) {
 	c.Built = true
 	for {
-		r, err := o.Ask(ctx, consensus.Request{Order: &c})
+		r, err := o.Request(ctx, consensus.Request{Order: &c})
 		if err != nil {
 			return nil, err
 		}
 		if r.Order == nil {
-			return nil, ErrNoCouncil
+			return nil, ErrNoLeader
 		}
 		if r.Order.Why == "" {
 			return r.Order, nil
@@ -123,17 +123,17 @@
 
 // Status asks the process what it knows itself.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
-	a, err := o.ask(ctx, consensus.Request{State: true})
+	a, err := o.request(ctx, consensus.Request{State: true})
 	if err == nil && a.Status == nil {
 		err = errors.New("the process tells no status")
 	}
 	return a.Status, err
 }
 
-// Hold takes a lease for whoever calls it, as a process of the fleet would: it calls held with the token each time that it has it, and
+// HoldLease takes a lease for whoever calls it, as a process of the fleet would: it calls held with the token each time that it has it, and
 // returns once ctx ends, after it has given the lease up, or with an error once the lease was lost. Of limit holders there may be at
 // once; all must name the same.
-func (o *Operator) Hold(ctx context.Context, name string, limit int, r lease.Rules, held func(token uint64)) error {
+func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Rules, held func(token uint64)) error {
 	clock, err := NewClock()
 	if err != nil {
 		return err
@@ -152,9 +152,9 @@
 		asks, at := k.Next(now)
 		for _, a := range asks {
 			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.Term)
-			res, err := o.Ask(asking, consensus.Request{Lease: &a})
+			res, err := o.Request(asking, consensus.Request{Lease: &a})
 			cancel()
-			if err != nil && !errors.Is(err, ErrNoCouncil) {
+			if err != nil && !errors.Is(err, ErrNoLeader) {
 				return err
 			}
 			if res.Lease != nil {
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -13,12 +13,12 @@
 	for _, sharing := range []bool{false, true} {
 		b.Run(map[bool]string{false: "leases", true: "leases and copies"}[sharing], func(b *testing.B) {
 			cfgs := fleet(b, 3)
-			var all []*Tier
+			var all []*Host
 			for i := range cfgs {
 				cfgs[i].Rules.Term, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
 				if sharing {
 					u := gossip.Usual()
-					cfgs[i].Copies = &CopiesConfig{Gossip: u.Gossip, Probe: u.Probe, Sync: u.Sync, Keep: u.Keep, Fanout: u.Fanout, Budget: u.Budget, Witnesses: 2}
+					cfgs[i].SharedState = &SharedStateConfig{Gossip: u.Gossip, Probe: u.Probe, Sync: u.Sync, Keep: u.Keep, Fanout: u.Fanout, Budget: u.Budget, Witnesses: 2}
 				}
 				all = append(all, start(b, cfgs[i], &servers{}))
 			}
@@ -28,13 +28,13 @@
 				}
 			}()
 			for _, t := range all {
-				t.Want("one", 1)
+				t.AcquireLease("one", 1)
 			}
 			for _, t := range all {
 				eventually(b, "all have sessions", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
-					return t.keeper.Session() != 0
+					return t.session.Session() != 0
 				})
 			}
 			used := func() (time.Duration, int64) {
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -15,12 +15,12 @@
 	"sorrelrudder/internal/task"
 )
 
-// sit begins to take part in the council, if the store has an identity there.
-func (t *Tier) sit(s *seat) error {
+// openVoter begins to take part in the council, if the store has an identity there.
+func (t *Host) openVoter(s *voter) error {
 	id := t.store.Identity()
 	if id.ID == 0 {
 		found := "tier init"
-		if t.cfg.Memory {
+		if t.cfg.VotersInMemory {
 			found = "tier found"
 		}
 		t.log.Warn("this process' store has no identity: it asks the council for one, and votes only once it is admitted "+
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// preside has the council's node work until the end.
-func (t *Tier) preside(s *seat) {
+// runConsensus has the council's node work until the end.
+func (t *Host) runConsensus(s *voter) {
 	tick := time.NewTicker(t.cfg.Tick)
 	defer tick.Stop()
 	for {
@@ -50,8 +50,8 @@
 		case <-tick.C:
 			if s.node != nil {
 				s.node.Tick(t.clock.Now())
-			} else if t.store != nil && s.failed == nil {
-				t.admit(s)
+			} else if t.store != nil && s.err == nil {
+				t.requestAdmission(s)
 			}
 		case f := <-t.inbox:
 			f(s)
@@ -60,43 +60,43 @@
 				(<-t.inbox)(s)
 			}
 		}
-		t.work(s)
+		t.processReady(s)
 	}
 }
 
-// ask hands the node a request.
-func (t *Tier) ask(s *seat, q consensus.Request, then func(consensus.Response)) {
+// propose hands the node a request.
+func (t *Host) propose(s *voter, q consensus.Request, then func(consensus.Response)) {
 	if s.node == nil {
 		then(consensus.Response{Elsewhere: true})
 		return
 	}
-	s.last++
-	s.routes[s.last] = then
-	s.node.Ask(t.clock.Now(), s.last, q)
+	s.lastHandle++
+	s.callbacks[s.lastHandle] = then
+	s.node.Ask(t.clock.Now(), s.lastHandle, q)
 }
 
-// admit asks the council for an identity.
-func (t *Tier) admit(s *seat) {
+// requestAdmission asks the council for an identity.
+func (t *Host) requestAdmission(s *voter) {
 	now := t.clock.Now()
-	if now < s.admitAt {
+	if now < s.nextAdmission {
 		return
 	}
-	s.admitAt = now + t.cfg.Rules.RenewEvery()
-	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: t.cfg.Name, Store: t.store.Identity().Store, Memory: t.cfg.Memory}}
+	s.nextAdmission = now + t.cfg.Rules.RenewEvery()
+	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: t.cfg.Name, Store: t.store.Identity().Store, Memory: t.cfg.VotersInMemory}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.guide.Silence(now, t.cfg.Name) // no seat yet
-	t.call(&call{q: q, then: func(r consensus.Response) {
+	t.leader.Silence(now, t.cfg.Name) // no seat yet
+	t.submit(&pendingRequest{request: q, onResponse: func(r consensus.Response) {
 		if r.Seat == nil {
 			return
 		}
 		got := *r.Seat
-		t.tryPost(func(s *seat) { t.admitted(s, got) })
+		t.tryEnqueue(func(s *voter) { t.handleAdmission(s, got) })
 	}})
 }
 
-func (t *Tier) admitted(s *seat, r consensus.SeatResult) {
-	if s.node != nil || s.failed != nil {
+func (t *Host) handleAdmission(s *voter, r consensus.SeatResult) {
+	if s.node != nil || s.err != nil {
 		return
 	}
 	if r.ID == 0 {
@@ -105,15 +105,15 @@
 	}
 	err := t.store.Admitted(r.Fleet, r.ID)
 	if err == nil {
-		err = t.sit(s)
+		err = t.openVoter(s)
 	}
 	if err != nil {
-		s.failed = err
+		s.err = err
 		t.log.Error("no part in the council", "err", err)
 		return
 	}
 	t.mu.Lock()
-	t.fleet = r.Fleet
+	t.fleetID = r.Fleet
 	t.mu.Unlock()
 	if !r.Voter {
 		t.log.Warn("this process' seat was that of another store: it listens and does not vote, since what the other store promised is lost; "+
@@ -121,27 +121,27 @@
 	}
 }
 
-// work carries out what the node wants.
-func (t *Tier) work(s *seat) {
+// processReady carries out what the node wants.
+func (t *Host) processReady(s *voter) {
 	if s.node == nil {
 		return
 	}
 	out, err := s.node.Work(t.clock.Now(), t.store)
 	if err != nil {
 		// After a failed write nobody knows what the disk holds: the file is read again, or not at all, by the next start.
-		s.node, s.failed = nil, err
+		s.node, s.err = nil, err
 		t.log.Error("this process has no part in the council until its next start", "err", err)
-		for _, then := range s.routes {
+		for _, then := range s.callbacks {
 			then(consensus.Response{Elsewhere: true})
 		}
-		clear(s.routes)
+		clear(s.callbacks)
 		return
 	}
 	for _, e := range out.Events {
 		t.log.Info(e.What, e.Args...)
 	}
 	t.mu.Lock()
-	t.takeOrders(s.node.Fleet())
+	t.applyOperatorCommands(s.node.Fleet())
 	for _, m := range out.Messages {
 		l := t.linkTo(s.node.NameOf(m.GetTo()))
 		if l == nil {
@@ -157,16 +157,16 @@
 	var wakes []*conn
 	for _, name := range out.Wakes {
 		if name == t.cfg.Name {
-			t.keeper.Wake()
-			t.keep()
-		} else if c := t.inward[name]; c != nil {
+			t.session.Wake()
+			t.runDue()
+		} else if c := t.inbound[name]; c != nil {
 			wakes = append(wakes, c)
 		}
 	}
 	t.mu.Unlock()
 	for _, r := range out.Replies {
-		if then := s.routes[r.Handle]; then != nil {
-			delete(s.routes, r.Handle)
+		if then := s.callbacks[r.Handle]; then != nil {
+			delete(s.callbacks, r.Handle)
 			then(r.Response)
 		}
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// send sends the request of a slot through its pool, and notes what came of it.
-func (t *Tier) send(r *runner, s task.Send) {
+// sendTaskRequest sends the request of a slot through its pool, and notes what came of it.
+func (t *Host) sendTaskRequest(r *taskRunner, s task.Send) {
 	deadline := t.clock.Real(s.Deadline - t.clock.Now())
 	ctx, cancel := context.WithTimeout(t.ctx, deadline)
 	defer cancel()
@@ -202,7 +202,7 @@
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	r.core.Sent(now, outcome, now+max(a.RetryAfter, 20*time.Millisecond))
-	t.keep()
+	t.runDue()
 }
 
 // outcomeOf is what an answer says of a slot: a refusal promises that nothing has run, a failure promises nothing. The refusal of a server
@@ -232,7 +232,7 @@
 	Incarnation string               `json:"incarnation"`
 	Session     uint64               `json:"session"`
 	Superseded  bool                 `json:"superseded,omitempty"`
-	Holds       map[string]Held      `json:"holds,omitempty"`
+	Holds       map[string]HeldLease `json:"holds,omitempty"`
 	Running     map[string]int64     `json:"running,omitempty"` // slots whose request is out, by task
 	Fleet       string               `json:"fleet,omitempty"`
 	Leader      string               `json:"leader,omitempty"`
@@ -243,30 +243,30 @@
 	Council     *consensus.State     `json:"council,omitempty"` // at those that have a seat
 	Failed      string               `json:"failed,omitempty"`
 	Tasks       map[string]task.Page `json:"tasks,omitempty"`
-	Copies      *CopiesStatus        `json:"copies,omitempty"`
+	Copies      *SharedStateStatus   `json:"copies,omitempty"`
 }
 
-// Held is a lease that a process may act on.
-type Held struct {
+// HeldLease is a lease that a process may act on.
+type HeldLease struct {
 	Token  uint64 `json:"token"`
 	LeftMs int64  `json:"left_ms"`
 }
 
 // status tells what this process knows, without asking others.
-func (t *Tier) status(then func(*Status)) {
+func (t *Host) status(then func(*Status)) {
 	t.mu.Lock()
 	now := t.clock.Now()
 	s := &Status{
-		Name: t.cfg.Name, Incarnation: t.keeper.Start(), Session: t.keeper.Session(), Superseded: t.keeper.Gone(), Holds: map[string]Held{},
-		Running: map[string]int64{}, Fleet: t.fleet, Leader: t.guide.Leader(), LinkErrors: maps.Clone(t.linkErr),
-		SentFrames: t.sent.frames.Load(), SentBytes: t.sent.bytes.Load(),
+		Name: t.cfg.Name, Incarnation: t.session.Start(), Session: t.session.Session(), Superseded: t.session.Gone(), Holds: map[string]HeldLease{},
+		Running: map[string]int64{}, Fleet: t.fleetID, Leader: t.leader.Leader(), LinkErrors: maps.Clone(t.linkErrors),
+		SentFrames: t.traffic.frames.Load(), SentBytes: t.traffic.bytes.Load(),
 	}
 	if t.store != nil {
 		s.Syncs = t.store.Syncs()
 	}
-	for _, name := range slices.Clone(t.keeper.Held(now)) {
-		if token, until, ok := t.keeper.Holding(now, name); ok {
-			s.Holds[name] = Held{token, (until - now).Milliseconds()}
+	for _, name := range slices.Clone(t.session.Held(now)) {
+		if token, until, ok := t.session.Holding(now, name); ok {
+			s.Holds[name] = HeldLease{token, (until - now).Milliseconds()}
 		}
 	}
 	for name, r := range t.runners {
@@ -274,15 +274,15 @@
 			s.Running[name] = slot
 		}
 	}
-	s.Copies = t.copiesStatus(now)
+	s.Copies = t.sharedStateStatus(now)
 	t.mu.Unlock()
 	if t.store == nil {
 		then(s)
 		return
 	}
-	t.post(func(st *seat) {
-		if st.failed != nil {
-			s.Failed = st.failed.Error()
+	t.enqueue(func(st *voter) {
+		if st.err != nil {
+			s.Failed = st.err.Error()
 		}
 		if st.node != nil {
 			s.Council = st.node.State()
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -21,8 +21,8 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// labDisk names the laboratory's setting: a file that says what is wrong with the disk: "fail" at the next sync, "full", or "slow 50ms".
-const labDisk = "SORRELRUDDER_LAB_DISK"
+// diskFaultsVariable names the laboratory's setting: a file that says what is wrong with the disk: "fail" at the next sync, "full", or "slow 50ms".
+const diskFaultsVariable = "SORRELRUDDER_LAB_DISK"
 
 // Identity is who a store belongs to.
 type Identity struct {
@@ -39,8 +39,8 @@
 	identityBucket = []byte("identity")
 	stateBucket    = []byte("state")
 	entryBucket    = []byte("entries")
-	theKey         = []byte("it")
-	hardKey        = []byte("hard")
+	identityKey    = []byte("it")
+	hardStateKey   = []byte("hard")
 	snapshotKey    = []byte("snapshot")
 )
 
@@ -53,12 +53,12 @@
 	syncs  atomic.Int64
 }
 
-// ErrDamaged is a store that can't be trusted. Nothing of it is deleted.
-var ErrDamaged = errors.New("the store is damaged")
+// ErrStoreDamaged is a store that can't be trusted. Nothing of it is deleted.
+var ErrStoreDamaged = errors.New("the store is damaged")
 
-// guarded reads a file that may be anything: one that ends too early faults where it is mapped, and one whose pages point astray
+// recoverDamage reads a file that may be anything: one that ends too early faults where it is mapped, and one whose pages point astray
 // panics. Either is a damaged store, and no reason to end without a word.
-func guarded(path string, read func() error) (err error) {
+func recoverDamage(path string, read func() error) (err error) {
 	was := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(was)
 	defer func() {
@@ -71,7 +71,7 @@
 
 // OpenStore opens the store of the process of that name, and makes it where there is none.
 func OpenStore(path, name string) (s *Store, err error) {
-	err = guarded(path, func() error {
+	err = recoverDamage(path, func() error {
 		s, err = openStore(path, name)
 		return err
 	})
@@ -91,7 +91,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("the store: %w", err)
 	}
-	s := &Store{db: db, path: path, faults: os.Getenv(labDisk)}
+	s := &Store{db: db, path: path, faults: os.Getenv(diskFaultsVariable)}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(identityBucket)
 		if b == nil {
@@ -103,7 +103,7 @@
 			s.id = Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}
 			return s.put(tx)
 		}
-		data, err := unseal(b.Get(theKey))
+		data, err := unsealFile(b.Get(identityKey))
 		if err == nil {
 			err = json.Unmarshal(data, &s.id)
 		}
@@ -131,7 +131,7 @@
 
 func damaged(path string, err error) error {
 	return fmt.Errorf("%s: %w: %w; put it aside (don't delete it before the council stands) and start again: the process comes back "+
-		"as one that listens, and 'sorrelrudder tier member replace' has it vote", path, ErrDamaged, err)
+		"as one that listens, and 'sorrelrudder tier member replace' has it vote", path, ErrStoreDamaged, err)
 }
 
 // Identity is whose store it is.
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(identityBucket).Put(theKey, seal(data))
+	return tx.Bucket(identityBucket).Put(identityKey, sealFile(data))
 }
 
 // Admitted notes the identity that the council has given. It is on the disk before it is used.
@@ -178,12 +178,12 @@
 	return s.Admitted(fleet, 1)
 }
 
-// seal puts a checksum before data: the file's own cover its structure, and not what is kept.
-func seal(data []byte) []byte {
+// sealFile puts a checksum before data: the file's own cover its structure, and not what is kept.
+func sealFile(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(data)), data...)
 }
 
-func unseal(sealed []byte) ([]byte, error) {
+func unsealFile(sealed []byte) ([]byte, error) {
 	if len(sealed) < 4 {
 		return nil, errors.New("a value is missing")
 	}
@@ -211,10 +211,10 @@
 			if err != nil {
 				return err
 			}
-			return b.Put(key, seal(data))
+			return b.Put(key, sealFile(data))
 		}
 		if v.Hard != nil {
-			if err := write(state, hardKey, v.Hard); err != nil {
+			if err := write(state, hardStateKey, v.Hard); err != nil {
 				return err
 			}
 		}
@@ -261,7 +261,7 @@
 
 // Load reads all that a node starts with.
 func (s *Store) Load() (v consensus.Saved, err error) {
-	err = guarded(s.path, func() error {
+	err = recoverDamage(s.path, func() error {
 		v, err = s.load()
 		return err
 	})
@@ -271,14 +271,14 @@
 func (s *Store) load() (v consensus.Saved, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		read := func(sealed []byte, m proto.Message) error {
-			data, err := unseal(sealed)
+			data, err := unsealFile(sealed)
 			if err == nil {
 				err = proto.Unmarshal(data, m)
 			}
 			return err
 		}
 		state := tx.Bucket(stateBucket)
-		if data := state.Get(hardKey); data != nil {
+		if data := state.Get(hardStateKey); data != nil {
 			v.Hard = &raftpb.HardState{}
 			if err := read(data, v.Hard); err != nil {
 				return err
--- a/internal/fleet/tier.go
+++ b/internal/fleet/tier.go
@@ -26,17 +26,17 @@
 
 // Config is what a process is told of its fleet.
 type Config struct {
-	Name    string
-	Secret  string            // file
-	Store   string            // file; empty: this process has no seat, or keeps what it promises in memory
-	Memory  bool              // the council is in memory: with its majority all that was promised is forgotten
-	Council []string          // who may have a seat
-	Members map[string]string // addresses by name
-	Rules   lease.Rules
-	Tick    time.Duration // of the council: a leader that is silent for ten is replaced
-	Tasks   []Task
-	Copies  *CopiesConfig // nil: the process shares no state with others
-	Zones   *ZonesConfig  // nil: no zone is left by itself
+	Name           string
+	Secret         string            // file
+	Store          string            // file; empty: this process has no seat, or keeps what it promises in memory
+	VotersInMemory bool              // the council is in memory: with its majority all that was promised is forgotten
+	Voters         []string          // who may have a seat
+	Members        map[string]string // addresses by name
+	Rules          lease.Rules
+	Tick           time.Duration // of the council: a leader that is silent for ten is replaced
+	Tasks          []Task
+	SharedState    *SharedStateConfig // nil: the process shares no state with others
+	Zones          *ZonesConfig       // nil: no zone is left by itself
 }
 
 // Task is work that is done once for the whole fleet.
@@ -54,101 +54,101 @@
 }
 
 const (
-	mostAsks     = 1024 // of this process, without their answers
-	inboxLen     = 1024
-	mostHops     = 3
-	leastSecret  = 16
-	closeTime    = 3 * time.Second
-	operatorName = "operator"
-	manyLeases   = 256
-	tellEvery    = 200 * time.Millisecond // with many leases
-	complainTime = time.Second            // between two lines on connections that were turned away
+	maxPendingRequests   = 1024 // of this process, without their answers
+	inboxLength          = 1024
+	maxForwards          = 3
+	minSecretBytes       = 16
+	leaveTimeout         = 3 * time.Second
+	operatorName         = "operator"
+	manyLeases           = 256
+	leaseLogInterval     = 200 * time.Millisecond // with many leases
+	rejectionLogInterval = time.Second            // between two lines on connections that were turned away
 )
 
-// Tier is one process' part.
-type Tier struct {
-	cfg    Config
-	log    *slog.Logger
-	clock  *Clock
-	secret []byte
-	store  promises // nil: no seat
-	ln     net.Listener
-	sender Sender
-	fleet  string // of the store, once it is known
-	sent   traffic
-
-	ctx   context.Context
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	inbox chan func(*seat)
-	timer *time.Timer
-
-	mu       sync.Mutex
-	keeper   *lease.Keeper
-	runners  map[string]*runner
-	links    map[string]*link
-	inward   map[string]*conn // by the peer's name, the newest
-	conns    map[*conn]struct{}
-	asks     map[uint64]*call
-	lastAsk  uint64
-	guide    *consensus.Guide
-	held     map[string]uint64 // as it was logged
-	leaving  bool
-	toldOf   uint64 // keeper's changes that were told
-	lapsed   bool   // the session had, then
-	lookedAt time.Duration
-	refused  int // connections turned away since that was logged
-	toldAt   time.Duration
-	linkErr  map[string]string
-	copies   *copies           // nil: none
-	heard    string            // a fleet that a member is of
-	passing  map[string]string // leases that go to a member once nothing of them is out
-}
-
-type runner struct {
-	cfg  Task
-	core *task.Runner
-	next time.Duration // not to be asked before
-}
-
-// call is a request of this process to the council.
-type call struct {
-	q    consensus.Request
-	then func(consensus.Response) // called under mu
-	hops int
-	at   time.Duration
-	to   string // whom it went to last
-	late bool   // it was not answered in time
-	lost func() // called under mu once no answer is waited for any more; nil: it is asked again by itself
-}
-
-// seat is this process' part in the council. Only the council's goroutine has it.
-type seat struct {
-	node    *consensus.Node
-	routes  map[uint64]func(consensus.Response)
-	last    uint64
-	admitAt time.Duration
-	failed  error
+// Host is one process' part.
+type Host struct {
+	cfg      Config
+	log      *slog.Logger
+	clock    *Clock
+	secret   []byte
+	store    voterStore // nil: no seat
+	listener net.Listener
+	sender   Sender
+	fleetID  string // of the store, once it is known
+	traffic  traffic
+
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	inbox      chan func(*voter)
+	timer      *time.Timer
+
+	mu                  sync.Mutex
+	session             *lease.Keeper
+	runners             map[string]*taskRunner
+	links               map[string]*link
+	inbound             map[string]*conn // by the peer's name, the newest
+	conns               map[*conn]struct{}
+	pending             map[uint64]*pendingRequest
+	lastHandle          uint64
+	leader              *consensus.Guide
+	loggedLeases        map[string]uint64 // as it was logged
+	leaving             bool
+	loggedChanges       uint64 // keeper's changes that were told
+	loggedLapsed        bool   // the session had, then
+	leasesLoggedAt      time.Duration
+	rejectedConnections int // connections turned away since that was logged
+	rejectionLoggedAt   time.Duration
+	linkErrors          map[string]string
+	shared              *sharedState      // nil: none
+	peerFleetID         string            // a fleet that a member is of
+	handovers           map[string]string // leases that go to a member once nothing of them is out
+}
+
+type taskRunner struct {
+	cfg       Task
+	core      *task.Runner
+	notBefore time.Duration // not to be asked before
+}
+
+// pendingRequest is a request of this process to the council.
+type pendingRequest struct {
+	request    consensus.Request
+	onResponse func(consensus.Response) // called under mu
+	forwards   int
+	sentAt     time.Duration
+	sentTo     string // whom it went to last
+	late       bool   // it was not answered in time
+	onLost     func() // called under mu once no answer is waited for any more; nil: it is asked again by itself
+}
+
+// voter is this process' part in the council. Only the council's goroutine has it.
+type voter struct {
+	node          *consensus.Node
+	callbacks     map[uint64]func(consensus.Response)
+	lastHandle    uint64
+	nextAdmission time.Duration
+	err           error
 }
 
 // New makes the part of a process. It opens its store and its listener, and does nothing yet.
-func New(cfg Config, log *slog.Logger) (*Tier, error) {
+func New(cfg Config, log *slog.Logger) (*Host, error) {
 	secret, err := os.ReadFile(cfg.Secret)
 	if err != nil {
 		return nil, fmt.Errorf("the tier's secret: %w", err)
 	}
-	if len(secret) < leastSecret {
-		return nil, fmt.Errorf("%s: the tier's secret has %d bytes, fewer than %d", cfg.Secret, len(secret), leastSecret)
+	if len(secret) < minSecretBytes {
+		return nil, fmt.Errorf("%s: the tier's secret has %d bytes, fewer than %d", cfg.Secret, len(secret), minSecretBytes)
 	}
 	clock, err := NewClock()
 	if err != nil {
 		return nil, err
 	}
-	t := &Tier{
-		cfg: cfg, log: log.With("tier", cfg.Name), clock: clock, secret: secret, inbox: make(chan func(*seat), inboxLen),
-		keeper: lease.NewKeeper(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*runner{}, links: map[string]*link{},
-		inward: map[string]*conn{}, conns: map[*conn]struct{}{}, asks: map[uint64]*call{}, held: map[string]uint64{}, linkErr: map[string]string{}, passing: map[string]string{},
-		toldAt: -complainTime, guide: consensus.NewGuide(cfg.Council, len(cfg.Name), cfg.Rules.RenewEvery()),
+	t := &Host{
+		cfg: cfg, log: log.With("tier", cfg.Name), clock: clock, secret: secret, inbox: make(chan func(*voter), inboxLength),
+		session: lease.NewKeeper(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*taskRunner{}, links: map[string]*link{},
+		inbound: map[string]*conn{}, conns: map[*conn]struct{}{}, pending: map[uint64]*pendingRequest{}, loggedLeases: map[string]uint64{}, linkErrors: map[string]string{}, handovers: map[string]string{},
+		rejectionLoggedAt: -rejectionLogInterval, leader: consensus.NewGuide(cfg.Voters, len(cfg.Name), cfg.Rules.RenewEvery()),
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	if cfg.Store != "" {
@@ -156,11 +156,11 @@
 		if err != nil {
 			return nil, err
 		}
-		t.store, t.fleet = store, store.Identity().Fleet
-	} else if cfg.Memory && slices.Contains(cfg.Council, cfg.Name) {
+		t.store, t.fleetID = store, store.Identity().Fleet
+	} else if cfg.VotersInMemory && slices.Contains(cfg.Voters, cfg.Name) {
 		t.store = newMemory(cfg.Name)
 	}
-	if t.ln, err = net.Listen("tcp", cfg.Members[cfg.Name]); err != nil {
+	if t.listener, err = net.Listen("tcp", cfg.Members[cfg.Name]); err != nil {
 		if t.store != nil {
 			t.store.Close()
 		}
@@ -170,64 +170,64 @@
 }
 
 // Start begins to take part. Requests of tasks go through s.
-func (t *Tier) Start(s Sender) error {
+func (t *Host) Start(s Sender) error {
 	t.sender = s
-	st := &seat{routes: map[uint64]func(consensus.Response){}}
+	st := &voter{callbacks: map[uint64]func(consensus.Response){}}
 	if t.store != nil {
-		if err := t.sit(st); err != nil {
+		if err := t.openVoter(st); err != nil {
 			return err
 		}
 	}
 	t.mu.Lock()
 	for _, cfg := range t.cfg.Tasks {
-		t.runners[cfg.Name] = &runner{cfg: cfg, core: task.NewRunner(cfg.Spec, t.cfg.Rules.RenewEvery()/2, t.cfg.Rules.RenewEvery())}
-		t.keeper.Want(leaseOf(cfg.Name), 1)
+		t.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, t.cfg.Rules.RenewEvery()/2, t.cfg.Rules.RenewEvery())}
+		t.session.Want(taskLeaseName(cfg.Name), 1)
 	}
-	err := t.share(s)
+	err := t.startSharedState(s)
 	t.timer = time.NewTimer(0)
 	t.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	t.done.Go(t.accept)
-	t.done.Go(func() { t.preside(st) })
-	t.done.Go(t.rounds)
-	t.log.Info("the tier is up", "address", t.ln.Addr().String(), "incarnation", t.keeperStart(), "seat", t.store != nil, "fleet", t.fleet)
+	t.goroutines.Go(t.acceptConnections)
+	t.goroutines.Go(func() { t.runConsensus(st) })
+	t.goroutines.Go(t.runTimers)
+	t.log.Info("the tier is up", "address", t.listener.Addr().String(), "incarnation", t.incarnation(), "seat", t.store != nil, "fleet", t.fleetID)
 	return nil
 }
 
-func (t *Tier) keeperStart() string {
+func (t *Host) incarnation() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.keeper.Start()
+	return t.session.Start()
 }
 
 // Addr is where other processes connect.
-func (t *Tier) Addr() string { return t.ln.Addr().String() }
+func (t *Host) Addr() string { return t.listener.Addr().String() }
 
-// leaseOf is the lease whose holder does a task.
-func leaseOf(task string) string { return "task/" + task }
+// taskLeaseName is the lease whose holder does a task.
+func taskLeaseName(task string) string { return "task/" + task }
 
 // Leave gives up in order what this process holds, and hands on the council's lead: nobody has to wait for a term. It returns once
 // that has been heard, or soon. What is out for tasks is waited for first.
-func (t *Tier) Leave() {
-	until := time.Now().Add(closeTime)
+func (t *Host) Leave() {
+	until := time.Now().Add(leaveTimeout)
 	t.mu.Lock()
 	t.leaving = true
-	if t.copies != nil {
-		t.say(t.copies.node.Leave(t.clock.Now()))
+	if t.shared != nil {
+		t.sendGossip(t.shared.node.Leave(t.clock.Now()))
 	}
 	t.mu.Unlock()
-	for time.Now().Before(until) && t.running() {
+	for time.Now().Before(until) && t.hasRunningTasks() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	t.mu.Lock()
-	t.keeper.Close()
-	t.keep()
+	t.session.Close()
+	t.runDue()
 	t.mu.Unlock()
 	for time.Now().Before(until) {
 		t.mu.Lock()
-		closed := t.keeper.Closed() || t.keeper.Session() == 0
+		closed := t.session.Closed() || t.session.Session() == 0
 		t.mu.Unlock()
 		if closed {
 			break
@@ -235,7 +235,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	handed := make(chan struct{})
-	t.post(func(s *seat) {
+	t.enqueue(func(s *voter) {
 		if s.node != nil {
 			s.node.Transfer()
 		}
@@ -249,7 +249,7 @@
 	}
 }
 
-func (t *Tier) running() bool {
+func (t *Host) hasRunningTasks() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.runners {
@@ -261,9 +261,9 @@
 }
 
 // Close ends at once.
-func (t *Tier) Close() error {
+func (t *Host) Close() error {
 	t.stop()
-	t.ln.Close()
+	t.listener.Close()
 	t.mu.Lock()
 	for c := range t.conns {
 		c.Close()
@@ -272,42 +272,42 @@
 		t.timer.Stop()
 	}
 	t.mu.Unlock()
-	t.done.Wait()
+	t.goroutines.Wait()
 	if t.store != nil {
 		return t.store.Close()
 	}
 	return nil
 }
 
-// Holding says whether this process may act on a lease now, with which fencing token, and for how long at most.
-func (t *Tier) Holding(name string) (token uint64, left time.Duration, ok bool) {
+// HeldLease says whether this process may act on a lease now, with which fencing token, and for how long at most.
+func (t *Host) HeldLease(name string) (token uint64, left time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	token, until, ok := t.keeper.Holding(now, name)
+	token, until, ok := t.session.Holding(now, name)
 	return token, t.clock.Real(until - now), ok
 }
 
-// Want has this process hold a lease, of which limit may be held at once over the fleet, or wait for it.
-func (t *Tier) Want(name string, limit int) {
+// AcquireLease has this process hold a lease, of which limit may be held at once over the fleet, or wait for it.
+func (t *Host) AcquireLease(name string, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.keeper.Want(name, limit)
-	t.keep()
+	t.session.Want(name, limit)
+	t.runDue()
 }
 
-// Unwant gives a lease up, to a member or, with an empty name, to whoever waits. What is done under it must have ended.
-func (t *Tier) Unwant(name, to string) {
+// ReleaseLease gives a lease up, to a member or, with an empty name, to whoever waits. What is done under it must have ended.
+func (t *Host) ReleaseLease(name, to string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.keeper.Unwant(name, to)
-	t.keep()
+	t.session.Unwant(name, to)
+	t.runDue()
 }
 
-// Guard returns a context that ends before the process' right to act on a lease does, and the token to act with. A resource that checks
+// GuardLease returns a context that ends before the process' right to act on a lease does, and the token to act with. A resource that checks
 // tokens is safe against all that comes later than that; for one that does not, an act that was begun in time and arrives late is not.
-func (t *Tier) Guard(ctx context.Context, name string) (context.Context, context.CancelFunc, uint64, error) {
-	token, left, ok := t.Holding(name)
+func (t *Host) GuardLease(ctx context.Context, name string) (context.Context, context.CancelFunc, uint64, error) {
+	token, left, ok := t.HeldLease(name)
 	if !ok {
 		return nil, nil, 0, fmt.Errorf("the lease %q is not held here", name)
 	}
@@ -315,7 +315,7 @@
 	var again func(d time.Duration)
 	again = func(d time.Duration) {
 		timer := time.AfterFunc(d, func() {
-			if now, left, ok := t.Holding(name); ok && now == token {
+			if now, left, ok := t.HeldLease(name); ok && now == token {
 				again(left)
 				return
 			}
@@ -327,122 +327,122 @@
 	return ctx, cancel, token, nil
 }
 
-// rounds looks at what is to be asked and done, whenever that is due.
-func (t *Tier) rounds() {
+// runTimers looks at what is to be asked and done, whenever that is due.
+func (t *Host) runTimers() {
 	var nudge chan struct{}
-	if t.copies != nil {
-		nudge = t.copies.nudge
+	if t.shared != nil {
+		nudge = t.shared.observed
 	}
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
 		case <-nudge:
-			t.look()
+			t.scheduleObservations()
 			continue
 		case <-t.timer.C:
 		}
 		t.mu.Lock()
-		t.keep()
+		t.runDue()
 		t.mu.Unlock()
 	}
 }
 
-// keep does what is due for the leases and the tasks. The caller has mu.
-func (t *Tier) keep() {
+// runDue does what is due for the leases and the tasks. The caller has mu.
+func (t *Host) runDue() {
 	if t.timer == nil || t.ctx.Err() != nil {
 		return
 	}
 	now := t.clock.Now()
-	t.passOn()
-	asks, at := t.keeper.Next(now)
+	t.finishHandovers()
+	asks, at := t.session.Next(now)
 	for _, a := range asks {
-		t.call(&call{q: consensus.Request{Lease: &a}, then: func(r consensus.Response) {
-			t.decidedAt(now, r.Decided)
+		t.submit(&pendingRequest{request: consensus.Request{Lease: &a}, onResponse: func(r consensus.Response) {
+			t.noteDecided(now, r.Decided)
 			if r.Lease != nil {
-				t.keeper.Answered(t.clock.Now(), *r.Lease)
+				t.session.Answered(t.clock.Now(), *r.Lease)
 			}
 		}})
 	}
-	t.tell(now)
+	t.logLeaseChanges(now)
 	wall := time.Now()
 	for _, r := range t.runners {
-		token, until, _ := t.keeper.Holding(now, leaseOf(r.cfg.Name))
-		if _, passing := t.passing[leaseOf(r.cfg.Name)]; (t.leaving || passing) && !r.core.Busy() {
+		token, until, _ := t.session.Holding(now, taskLeaseName(r.cfg.Name))
+		if _, passing := t.handovers[taskLeaseName(r.cfg.Name)]; (t.leaving || passing) && !r.core.Busy() {
 			continue
 		}
 		act, next := r.core.Next(now, wall, token, until)
-		t.do(r, act)
+		t.runTaskAction(r, act)
 		at = min(at, next)
 	}
-	if t.copies != nil {
-		at = min(at, t.gossip(now))
+	if t.shared != nil {
+		at = min(at, t.runGossip(now))
 	}
-	for handle, c := range t.asks { // those whose answer is late, or was lost
-		if !c.late && now > c.at+t.cfg.Rules.RenewEvery()/2 {
+	for handle, c := range t.pending { // those whose answer is late, or was lost
+		if !c.late && now > c.sentAt+t.cfg.Rules.RenewEvery()/2 {
 			c.late = true
-			t.guide.Silence(now, c.to)
+			t.leader.Silence(now, c.sentTo)
 		}
-		if now > c.at+t.cfg.Rules.Term {
-			delete(t.asks, handle)
-			if c.lost != nil {
-				c.lost()
+		if now > c.sentAt+t.cfg.Rules.Term {
+			delete(t.pending, handle)
+			if c.onLost != nil {
+				c.onLost()
 			}
 		}
 	}
 	t.timer.Reset(max(time.Millisecond, min(t.clock.Real(at-now), t.cfg.Rules.Term)))
 }
 
-// tell logs what has changed of what this process holds. The caller has mu.
-func (t *Tier) tell(now time.Duration) {
+// logLeaseChanges logs what has changed of what this process holds. The caller has mu.
+func (t *Host) logLeaseChanges(now time.Duration) {
 	// With many leases each look costs.
-	n, lapsed := t.keeper.Changes(), now >= t.keeper.Until()
-	if n == t.toldOf && lapsed == t.lapsed || len(t.held) > manyLeases && now < t.lookedAt+tellEvery {
+	n, lapsed := t.session.Changes(), now >= t.session.Until()
+	if n == t.loggedChanges && lapsed == t.loggedLapsed || len(t.loggedLeases) > manyLeases && now < t.leasesLoggedAt+leaseLogInterval {
 		return
 	}
-	t.toldOf, t.lapsed, t.lookedAt = n, lapsed, now
+	t.loggedChanges, t.loggedLapsed, t.leasesLoggedAt = n, lapsed, now
 	held := map[string]uint64{}
-	for _, name := range t.keeper.Held(now) {
-		if token, _, ok := t.keeper.Holding(now, name); ok {
+	for _, name := range t.session.Held(now) {
+		if token, _, ok := t.session.Holding(now, name); ok {
 			held[name] = token
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(t.held)) {
-		if held[name] != t.held[name] {
-			t.log.Info("lease lost", "name", name, "token", t.held[name])
+	for _, name := range slices.Sorted(maps.Keys(t.loggedLeases)) {
+		if held[name] != t.loggedLeases[name] {
+			t.log.Info("lease lost", "name", name, "token", t.loggedLeases[name])
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(held)) {
-		if held[name] != t.held[name] {
+		if held[name] != t.loggedLeases[name] {
 			t.log.Info("lease held", "name", name, "token", held[name])
 		}
 	}
-	t.held = held
-	if t.keeper.Gone() && !t.leaving {
+	t.loggedLeases = held
+	if t.session.Gone() && !t.leaving {
 		t.leaving = true
-		if t.copies != nil {
-			t.say(t.copies.node.Leave(now))
+		if t.shared != nil {
+			t.sendGossip(t.shared.node.Leave(now))
 		}
 		t.log.Error("another process has this one's name: this one holds no lease and does no task any more", "name", t.cfg.Name)
 	}
 }
 
-// do carries out what a task's runner wants. The caller has mu.
-func (t *Tier) do(r *runner, a task.Action) {
+// runTaskAction carries out what a task's runner wants. The caller has mu.
+func (t *Host) runTaskAction(r *taskRunner, a task.Action) {
 	switch {
 	case a.Look:
 		asked := r.core.LookedAt()
-		t.call(&call{q: consensus.Request{Pages: []string{r.cfg.Name}}, then: func(res consensus.Response) {
+		t.submit(&pendingRequest{request: consensus.Request{Pages: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
 			if res.Pages != nil {
 				r.core.Looked(t.clock.Now(), asked, res.Pages[r.cfg.Name])
 			}
 		}})
 	case a.Command != nil:
 		c := *a.Command
-		t.call(&call{q: consensus.Request{Slot: &c}, then: func(res consensus.Response) {
+		t.submit(&pendingRequest{request: consensus.Request{Slot: &c}, onResponse: func(res consensus.Response) {
 			if res.Slot != nil {
 				now := t.clock.Now()
-				token, _, _ := t.keeper.Holding(now, leaseOf(r.cfg.Name))
+				token, _, _ := t.session.Holding(now, taskLeaseName(r.cfg.Name))
 				r.core.Answered(now, c, *res.Slot, token)
 				if c.Op == task.Finish && res.Slot.Why == "" {
 					t.log.Info("task slot", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
@@ -451,87 +451,87 @@
 		}})
 	case a.Send != nil:
 		s := *a.Send
-		t.done.Go(func() { t.send(r, s) })
+		t.goroutines.Go(func() { t.sendTaskRequest(r, s) })
 	}
 }
 
-// call asks the council, by whom this process takes for its leader. The caller has mu.
-func (t *Tier) call(c *call) {
-	if len(t.asks) >= mostAsks {
-		if c.lost != nil {
-			c.lost()
+// submit asks the council, by whom this process takes for its leader. The caller has mu.
+func (t *Host) submit(c *pendingRequest) {
+	if len(t.pending) >= maxPendingRequests {
+		if c.onLost != nil {
+			c.onLost()
 		}
 		return // it is asked again
 	}
-	t.lastAsk++
-	c.at = t.clock.Now()
-	t.asks[t.lastAsk] = c
-	t.pass(t.lastAsk, c)
+	t.lastHandle++
+	c.sentAt = t.clock.Now()
+	t.pending[t.lastHandle] = c
+	t.sendToLeader(t.lastHandle, c)
 }
 
-// pass sends a request to whom this process takes for the leader. The caller has mu.
-func (t *Tier) pass(handle uint64, c *call) {
+// sendToLeader sends a request to whom this process takes for the leader. The caller has mu.
+func (t *Host) sendToLeader(handle uint64, c *pendingRequest) {
 	now := t.clock.Now()
-	to := t.guide.Pick(now)
-	c.to = to
+	to := t.leader.Pick(now)
+	c.sentTo = to
 	if to == t.cfg.Name && t.store != nil {
-		q := c.q
-		if !t.tryPost(func(s *seat) { t.ask(s, q, func(r consensus.Response) { t.answered(handle, r) }) }) {
-			t.guide.Silence(now, to)
+		q := c.request
+		if !t.tryEnqueue(func(s *voter) { t.propose(s, q, func(r consensus.Response) { t.handleResponse(handle, r) }) }) {
+			t.leader.Silence(now, to)
 		}
 		return
 	}
-	data, err := json.Marshal(asked{Handle: handle, Request: c.q})
+	data, err := json.Marshal(rpc{Handle: handle, Request: c.request})
 	if err != nil {
 		t.log.Error("a request that can't be written", "err", err)
 		return
 	}
 	l := t.linkTo(to)
-	if l == nil || !l.send(kindAsk, data) {
-		t.guide.Silence(now, to)
+	if l == nil || !l.send(kindRequest, data) {
+		t.leader.Silence(now, to)
 	}
 }
 
-// asked is a request as it goes over a link, and its answer.
-type asked struct {
+// rpc is a request as it goes over a link, and its answer.
+type rpc struct {
 	Handle   uint64             `json:"handle"`
 	Request  consensus.Request  `json:"request,omitzero"`
 	Response consensus.Response `json:"response,omitzero"`
 	Status   *Status            `json:"status,omitempty"`
 
 	// Of operators, to this very process; Why says what became of it.
-	Found    bool      `json:"found,omitempty"`
-	Handover *handover `json:"handover,omitempty"`
-	Forget   string    `json:"forget,omitempty"`
-	Why      string    `json:"why,omitempty"`
+	Found    bool             `json:"found,omitempty"`
+	Handover *handoverRequest `json:"handover,omitempty"`
+	Forget   string           `json:"forget,omitempty"`
+	Why      string           `json:"why,omitempty"`
 }
 
-// answered takes an answer of the council. One who does not lead says who may: the same request goes there, a few times.
-func (t *Tier) answered(handle uint64, r consensus.Response) {
+// handleResponse takes an answer of the council. One who does not lead says who may: the same request goes there, a few times.
+func (t *Host) handleResponse(handle uint64, r consensus.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := t.asks[handle]
+	c := t.pending[handle]
 	if c == nil {
 		return
 	}
 	if r.Elsewhere {
-		if t.guide.Elsewhere(t.clock.Now(), c.to, r.Leader) && c.hops < mostHops {
-			c.hops++
-			t.pass(handle, c)
+		if t.leader.Elsewhere(t.clock.Now(), c.sentTo, r.Leader) && c.forwards < maxForwards {
+			c.forwards++
+			t.sendToLeader(handle, c)
 			return
 		}
-		delete(t.asks, handle)
-		c.then(r)
+		delete(t.pending, handle)
+		c.onResponse(r)
 		return
 	}
-	t.guide.Led(c.to)
-	delete(t.asks, handle)
-	c.then(r)
-	t.keep()
+	t.leader.Led(c.sentTo)
+	delete(t.pending, handle)
+	c.onResponse(r)
+	t.runDue()
 }
 
 // linkTo is the way to a member, nil if there is none of that name. The caller has mu.
-func (t *Tier) linkTo(name string) *link {
+func (t *Host) linkTo(name string) *link {
 	if l := t.links[name]; l != nil {
 		return l
 	}
@@ -542,38 +542,38 @@
 	l := newLink(address, t.secret, func() hello {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		return hello{Name: t.cfg.Name, To: name, Fleet: t.fleet}
-	}, t.take, func(err error) {
+		return hello{Name: t.cfg.Name, To: name, Fleet: t.fleetID}
+	}, t.handleFrame, func(err error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.guide.Silence(t.clock.Now(), name)
-		if t.linkErr[name] != err.Error() {
-			t.linkErr[name] = err.Error()
+		t.leader.Silence(t.clock.Now(), name)
+		if t.linkErrors[name] != err.Error() {
+			t.linkErrors[name] = err.Error()
 			t.log.Warn("the link to a member is broken", "member", name, "err", err)
 		}
 	})
-	l.sent, l.met = &t.sent, t.hear
+	l.traffic, l.onHello = &t.traffic, t.notePeerFleet
 	t.links[name] = l
-	t.done.Go(func() { l.run(t.ctx) })
+	t.goroutines.Go(func() { l.run(t.ctx) })
 	return l
 }
 
-// hear notes of which fleet a member is.
-func (t *Tier) hear(h hello) {
+// notePeerFleet notes of which fleet a member is.
+func (t *Host) notePeerFleet(h hello) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard = cmp.Or(h.Fleet, t.heard)
+	t.peerFleetID = cmp.Or(h.Fleet, t.peerFleetID)
 }
 
-// post has the council's goroutine do something; it waits for room.
-func (t *Tier) post(f func(*seat)) {
+// enqueue has the council's goroutine do something; it waits for room.
+func (t *Host) enqueue(f func(*voter)) {
 	select {
 	case t.inbox <- f:
 	case <-t.ctx.Done():
 	}
 }
 
-func (t *Tier) tryPost(f func(*seat)) bool {
+func (t *Host) tryEnqueue(f func(*voter)) bool {
 	select {
 	case t.inbox <- f:
 		return true
@@ -582,11 +582,11 @@
 	}
 }
 
-// accept takes the connections of others.
-func (t *Tier) accept() {
-	room := make(chan struct{}, mostInward)
+// acceptConnections takes the connections of others.
+func (t *Host) acceptConnections() {
+	room := make(chan struct{}, maxInboundConnections)
 	for {
-		raw, err := t.ln.Accept()
+		raw, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return
@@ -602,27 +602,27 @@
 		case room <- struct{}{}:
 		default:
 			raw.Close()
-			t.complain("", errors.New("too many connections"))
+			t.logRejectedConnection("", errors.New("too many connections"))
 			continue
 		}
-		t.done.Go(func() {
+		t.goroutines.Go(func() {
 			defer func() { <-room }()
-			t.serve(raw)
+			t.serveConnection(raw)
 		})
 	}
 }
 
-func (t *Tier) serve(raw net.Conn) {
+func (t *Host) serveConnection(raw net.Conn) {
 	defer raw.Close()
 	stop := context.AfterFunc(t.ctx, func() { raw.Close() })
 	defer stop()
 	t.mu.Lock()
-	me := hello{Name: t.cfg.Name, Fleet: t.fleet}
+	me := hello{Name: t.cfg.Name, Fleet: t.fleetID}
 	t.mu.Unlock()
-	c, err := accept(raw, t.secret, me, func(h hello) error {
+	c, err := acceptConn(raw, t.secret, me, func(h hello) error {
 		switch {
 		case h.Name != operatorName && t.cfg.Members[h.Name] == "":
-			return fmt.Errorf("%q: %w", h.Name, errNobody)
+			return fmt.Errorf("%q: %w", h.Name, errUnknownMember)
 		case h.To != "" && h.To != t.cfg.Name:
 			return fmt.Errorf("%q looks for %q here", h.Name, h.To)
 		case h.Fleet != "" && me.Fleet != "" && h.Fleet != me.Fleet:
@@ -631,135 +631,135 @@
 		return nil
 	})
 	if err != nil {
-		t.complain(raw.RemoteAddr().String(), err)
+		t.logRejectedConnection(raw.RemoteAddr().String(), err)
 		return
 	}
-	c.sent = &t.sent
+	c.traffic = &t.traffic
 	t.mu.Lock()
-	t.heard = cmp.Or(c.peer.Fleet, t.heard)
+	t.peerFleetID = cmp.Or(c.peer.Fleet, t.peerFleetID)
 	t.conns[c] = struct{}{}
-	t.inward[c.peer.Name] = c
+	t.inbound[c.peer.Name] = c
 	t.mu.Unlock()
 	defer func() {
 		t.mu.Lock()
 		delete(t.conns, c)
-		if t.inward[c.peer.Name] == c {
-			delete(t.inward, c.peer.Name)
+		if t.inbound[c.peer.Name] == c {
+			delete(t.inbound, c.peer.Name)
 		}
 		t.mu.Unlock()
 	}()
 	for {
-		c.SetReadDeadline(time.Now().Add(2 * idleTime))
-		kind, payload, err := c.read(mostFrame)
+		c.SetReadDeadline(time.Now().Add(2 * idleTimeout))
+		kind, payload, err := c.read(maxFrameBytes)
 		if err != nil {
-			if errors.Is(err, errTag) || errors.Is(err, errLong) {
-				t.complain(c.peer.Name, err)
+			if errors.Is(err, errBadTag) || errors.Is(err, errFrameTooLong) {
+				t.logRejectedConnection(c.peer.Name, err)
 			}
 			return
 		}
-		t.take(c, kind, payload)
+		t.handleFrame(c, kind, payload)
 	}
 }
 
-// complain logs connections that are turned away, once a second at most.
-func (t *Tier) complain(from string, err error) {
+// logRejectedConnection logs connections that are turned away, once a second at most.
+func (t *Host) logRejectedConnection(from string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refused++
-	if now := t.clock.Now(); now >= t.toldAt+complainTime {
-		t.log.Warn("a connection to the tier was turned away", "from", from, "err", err, "count", t.refused)
-		t.refused, t.toldAt = 0, now
+	t.rejectedConnections++
+	if now := t.clock.Now(); now >= t.rejectionLoggedAt+rejectionLogInterval {
+		t.log.Warn("a connection to the tier was turned away", "from", from, "err", err, "count", t.rejectedConnections)
+		t.rejectedConnections, t.rejectionLoggedAt = 0, now
 	}
 }
 
-// take takes a frame.
-func (t *Tier) take(c *conn, kind byte, payload []byte) {
+// handleFrame takes a frame.
+func (t *Host) handleFrame(c *conn, kind byte, payload []byte) {
 	switch kind {
 	case kindRaft:
 		m, err := consensus.DecodeMessage(payload)
 		if err != nil {
-			t.complain(c.peer.Name, err)
+			t.logRejectedConnection(c.peer.Name, err)
 			return
 		}
 		from := c.peer.Name
-		t.post(func(s *seat) {
+		t.enqueue(func(s *voter) {
 			if s.node == nil {
 				return
 			}
 			s.node.Heard(m.GetFrom(), from)
 			if err := s.node.Step(t.clock.Now(), m); err != nil {
-				t.complain(from, err)
+				t.logRejectedConnection(from, err)
 			}
 		})
-	case kindAsk:
-		var a asked
+	case kindRequest:
+		var a rpc
 		if err := json.Unmarshal(payload, &a); err != nil {
-			t.complain(c.peer.Name, err)
+			t.logRejectedConnection(c.peer.Name, err)
 			return
 		}
-		t.serveAsk(c, a)
-	case kindAnswer:
-		var a asked
+		t.serveRequest(c, a)
+	case kindResponse:
+		var a rpc
 		if err := json.Unmarshal(payload, &a); err != nil {
-			t.complain(c.peer.Name, err)
+			t.logRejectedConnection(c.peer.Name, err)
 			return
 		}
-		t.answered(a.Handle, a.Response)
+		t.handleResponse(a.Handle, a.Response)
 	case kindPing:
 		if c.write(kindPong, nil) != nil {
 			c.Close()
 		}
 	case kindGossip:
-		t.hearCopies(c.peer.Name, payload)
+		t.handleGossip(c.peer.Name, payload)
 	case kindWake:
 		t.mu.Lock()
-		t.keeper.Wake()
-		t.keep()
+		t.session.Wake()
+		t.runDue()
 		t.mu.Unlock()
 	}
 }
 
-// serveAsk answers a request of another process, or of an operator: of those it finds out itself who can answer.
-func (t *Tier) serveAsk(c *conn, a asked) {
-	say := func(b asked) {
+// serveRequest answers a request of another process, or of an operator: of those it finds out itself who can answer.
+func (t *Host) serveRequest(c *conn, a rpc) {
+	say := func(b rpc) {
 		b.Handle = a.Handle
 		data, err := json.Marshal(b)
 		if err != nil {
 			t.log.Error("an answer that can't be written", "err", err)
 			return
 		}
-		if err := c.write(kindAnswer, data); err != nil {
+		if err := c.write(kindResponse, data); err != nil {
 			c.Close()
 		}
 	}
-	answer := func(r consensus.Response, s *Status) { say(asked{Response: r, Status: s}) }
+	answer := func(r consensus.Response, s *Status) { say(rpc{Response: r, Status: s}) }
 	done := func(err error) {
 		if err != nil {
-			say(asked{Why: err.Error()})
+			say(rpc{Why: err.Error()})
 			return
 		}
-		say(asked{})
+		say(rpc{})
 	}
 	switch {
 	case c.peer.Name == operatorName && a.Found:
-		t.post(func(s *seat) { done(t.found(s)) })
+		t.enqueue(func(s *voter) { done(t.bootstrap(s)) })
 	case c.peer.Name == operatorName && a.Handover != nil:
-		done(t.handOver(*a.Handover))
+		done(t.startHandover(*a.Handover))
 	case c.peer.Name == operatorName && a.Forget != "":
-		done(t.forget(a.Forget))
+		done(t.forgetEntry(a.Forget))
 	case a.Request.State:
 		t.status(func(s *Status) { answer(consensus.Response{}, s) })
 	case c.peer.Name == operatorName:
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		c := &call{q: a.Request, then: func(r consensus.Response) { t.done.Go(func() { answer(r, nil) }) }}
+		c := &pendingRequest{request: a.Request, onResponse: func(r consensus.Response) { t.goroutines.Go(func() { answer(r, nil) }) }}
 		if o := a.Request.Order; o != nil && o.Built { // its answer may be lost with a leader: asking again has no second effect
-			c.lost = func() { c.then(consensus.Response{Elsewhere: true}) }
+			c.onLost = func() { c.onResponse(consensus.Response{Elsewhere: true}) }
 		}
-		t.call(c)
+		t.submit(c)
 	case t.store == nil:
 		answer(consensus.Response{Elsewhere: true}, nil)
 	default:
-		t.post(func(s *seat) { t.ask(s, a.Request, func(r consensus.Response) { answer(r, nil) }) })
+		t.enqueue(func(s *voter) { t.propose(s, a.Request, func(r consensus.Response) { answer(r, nil) }) })
 	}
 }
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/tier_test.go
@@ -97,7 +97,7 @@
 	var all []Config
 	for _, name := range names {
 		all = append(all, Config{
-			Name: name, Secret: secret, Store: filepath.Join(dir, name+".db"), Council: names, Members: members, Tick: 10 * time.Millisecond,
+			Name: name, Secret: secret, Store: filepath.Join(dir, name+".db"), Voters: names, Members: members, Tick: 10 * time.Millisecond,
 			Rules: lease.Rules{Term: 600 * time.Millisecond, Drift: 0.01, Guard: 10 * time.Millisecond}, Tasks: tasks,
 		})
 	}
@@ -117,7 +117,7 @@
 	return all
 }
 
-func start(t testing.TB, cfg Config, s Sender) *Tier {
+func start(t testing.TB, cfg Config, s Sender) *Host {
 	t.Helper()
 	tr, err := New(cfg, quietLog())
 	if err != nil {
@@ -136,7 +136,7 @@
 		Spec: task.Spec{Name: "sweep", Every: 20 * time.Millisecond, Missed: task.Once, Effect: task.Keyed, Window: time.Minute, Deadline: 200 * time.Millisecond, Tries: 3},
 		Pool: "farm", Method: "POST", Path: "/delivery-order/sweep",
 	})
-	var all []*Tier
+	var all []*Host
 	for _, cfg := range cfgs {
 		all = append(all, start(t, cfg, farm))
 	}
@@ -145,7 +145,7 @@
 			if tr == nil {
 				continue
 			}
-			if _, _, ok := tr.Holding("task/sweep"); ok {
+			if _, _, ok := tr.HeldLease("task/sweep"); ok {
 				return i
 			}
 		}
@@ -153,7 +153,7 @@
 	}
 	eventually(t, "somebody does the task", func() bool { return holder() >= 0 && farm.count() > 5 })
 	first := holder()
-	ctx, cancel, token, err := all[first].Guard(context.Background(), "task/sweep")
+	ctx, cancel, token, err := all[first].GuardLease(context.Background(), "task/sweep")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 	all[first] = nil
 	before := farm.count()
 	eventually(t, "another goes on", func() bool { return holder() >= 0 && farm.count() > before+5 })
-	if now, _, _ := all[holder()].Holding("task/sweep"); now <= token {
+	if now, _, _ := all[holder()].HeldLease("task/sweep"); now <= token {
 		t.Errorf("token %d after %d", now, token)
 	}
 	for _, tr := range all {
@@ -193,7 +193,7 @@
 // guard is against its old promises counting for a process that does not know them.
 func TestAnotherDisk(t *testing.T) {
 	cfgs := fleet(t, 3)
-	var all []*Tier
+	var all []*Host
 	for _, cfg := range cfgs {
 		all = append(all, start(t, cfg, &servers{}))
 	}
@@ -202,7 +202,7 @@
 			tr.Close()
 		}
 	}()
-	status := func(tr *Tier) *Status {
+	status := func(tr *Host) *Status {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		o, err := Connect(ctx, tr.Addr(), tr.cfg.Secret)
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Ask(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: "p2"}})
+	r, err := o.Request(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: "p2"}})
 	if err != nil || r.Seat == nil || r.Seat.Why != "" {
 		t.Fatalf("%+v, %v", r.Seat, err)
 	}
@@ -294,11 +294,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.mine = key([]byte("wrong"))
-	if err := c.write(kindAsk, []byte("{}")); err != nil {
+	c.sendKey = deriveKey([]byte("wrong"))
+	if err := c.write(kindRequest, []byte("{}")); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := c.read(mostFrame); err == nil {
+	if _, _, err := c.read(maxFrameBytes); err == nil {
 		t.Error("a changed frame is answered")
 	}
 	c.Close()
@@ -418,7 +418,7 @@
 // FuzzFrame: whatever comes, a frame is refused or read, and no memory is taken for what was only announced.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 20, 'H', 1, 2, 3})
-	f.Add(binary.BigEndian.AppendUint32(nil, mostFrame))
+	f.Add(binary.BigEndian.AppendUint32(nil, maxFrameBytes))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		near, far := net.Pipe()
 		defer near.Close()
@@ -427,7 +427,7 @@
 			far.Close()
 		}()
 		near.SetDeadline(time.Now().Add(patience))
-		if c, err := accept(near, []byte("0123456789abcdef"), hello{Name: "p"}, func(hello) error { return nil }); err == nil {
+		if c, err := acceptConn(near, []byte("0123456789abcdef"), hello{Name: "p"}, func(hello) error { return nil }); err == nil {
 			t.Errorf("let in: %+v", c.peer)
 		}
 	})
@@ -469,7 +469,7 @@
 		h := holder{make(chan uint64, 1), cancel, make(chan error, 1)}
 		go func() {
 			defer o.Close()
-			h.err <- o.Hold(ctx, "patch", 2, cfgs[0].Rules, func(token uint64) { h.token <- token })
+			h.err <- o.HoldLease(ctx, "patch", 2, cfgs[0].Rules, func(token uint64) { h.token <- token })
 		}()
 		all = append(all, h)
 	}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -30,56 +30,56 @@
 )
 
 const (
-	judgeEvery = 200 * time.Millisecond
-	listEvery  = 500 * time.Millisecond // between two looks at the pools' lists, and at zones that were left
+	judgeInterval = 200 * time.Millisecond
+	listInterval  = 500 * time.Millisecond // between two looks at the pools' lists, and at zones that were left
 )
 
-// zones is a process' part in leaving zones. All of it is under the tier's mu.
-type zones struct {
-	cfg     *ZonesConfig // nil: nothing is decided here, and what is decided is carried out
-	keepers map[string]*zonefailover.Keeper
-	lists   map[string]map[string]string // zones of servers, by pool
-	judgeAt time.Duration
-	asking  bool
-	askedAt time.Duration
-	advised map[string]string // by key, as the log was told
-	causes  map[string]zonefailover.Cause
-	grey    map[string]*zonefailover.Grey // by pool
-	said    map[string]bool               // keys of grey zones that are written
-	look    chan struct{}                 // a zone is to be looked at, and is not yet
+// zoneFailover is a process' part in leaving zones. All of it is under the tier's mu.
+type zoneFailover struct {
+	cfg             *ZonesConfig // nil: nothing is decided here, and what is decided is carried out
+	ramps           map[string]*zonefailover.Keeper
+	endpointZones   map[string]map[string]string // zones of servers, by pool
+	judgeAt         time.Duration
+	proposalPending bool
+	proposedAt      time.Duration
+	advised         map[string]string // by key, as the log was told
+	causes          map[string]zonefailover.Cause
+	grey            map[string]*zonefailover.Grey // by pool
+	greyKeys        map[string]bool               // keys of grey zones that are written
+	checkDue        chan struct{}                 // a zone is to be looked at, and is not yet
 }
 
-// judge has the holder of the lease decide of zones, one change at a time. The caller has mu.
-func (t *Tier) judge(now time.Duration) {
-	k := t.copies
+// judgeZones has the holder of the lease decide of zones, one change at a time. The caller has mu.
+func (t *Host) judgeZones(now time.Duration) {
+	k := t.shared
 	z := &k.zones
 	if z.cfg == nil || z.cfg.Automatic == ZonesOff || now < z.judgeAt {
 		return
 	}
-	z.judgeAt = now + judgeEvery
+	z.judgeAt = now + judgeInterval
 	if k.pools != nil && k.node.Copies().Sum(gossip.DeadKind) != 0 {
-		for pool := range z.lists {
-			for zone := range k.looksOf(t, pool, 0) {
-				if !k.looked[gossip.ServerKey(zoneview.LookKind, pool, zone)] { // at once, and not with the next round
+		for pool := range z.endpointZones {
+			for zone := range k.zoneHealthChecks(t, pool, 0) {
+				if !k.healthCheckKeys[gossip.ServerKey(zoneview.LookKind, pool, zone)] { // at once, and not with the next round
 					select {
-					case z.look <- struct{}{}:
+					case z.checkDue <- struct{}{}:
 					default:
 					}
 				}
 			}
 		}
 	}
-	token, _, held := t.keeper.Holding(now, zoneview.Lease)
+	token, _, held := t.session.Holding(now, zoneview.Lease)
 	if !held {
-		clear(z.keepers) // whoever holds it next begins anew
+		clear(z.ramps) // whoever holds it next begins anew
 		return
 	}
-	for _, pool := range slices.Sorted(maps.Keys(z.lists)) {
-		if z.keepers[pool] == nil {
-			z.keepers[pool] = zonefailover.NewKeeper(z.cfg.Rules)
+	for _, pool := range slices.Sorted(maps.Keys(z.endpointZones)) {
+		if z.ramps[pool] == nil {
+			z.ramps[pool] = zonefailover.NewKeeper(z.cfg.Rules)
 		}
-		scene := zoneview.Scene(k.node, z.cfg.Members, pool, z.lists[pool])
-		change, causes := z.keepers[pool].Next(now, scene)
+		scene := zoneview.Scene(k.node, z.cfg.Members, pool, z.endpointZones[pool])
+		change, causes := z.ramps[pool].Next(now, scene)
 		for zone, cause := range causes {
 			key := pool + "/" + zone
 			if z.causes[key] != cause {
@@ -89,7 +89,7 @@
 				}
 			}
 		}
-		if change == nil || z.asking && now < z.askedAt+t.cfg.Rules.RenewEvery() {
+		if change == nil || z.proposalPending && now < z.proposedAt+t.cfg.Rules.RenewEvery() {
 			continue // without an answer it is asked again: After tells a late copy from a new one
 		}
 		key := gossip.ServerKey(consensus.ZoneKind, pool, change.Zone)
@@ -100,10 +100,10 @@
 			}
 			continue
 		}
-		z.asking, z.askedAt = true, now
+		z.proposalPending, z.proposedAt = true, now
 		command := zoneview.Command(k.node, pool, *change, token)
-		t.call(&call{q: consensus.Request{Order: &command}, then: func(r consensus.Response) {
-			z.asking = false
+		t.submit(&pendingRequest{request: consensus.Request{Order: &command}, onResponse: func(r consensus.Response) {
+			z.proposalPending = false
 			if r.Order == nil || r.Order.Why != "" {
 				return // it is looked at again
 			}
@@ -114,24 +114,24 @@
 }
 
 // watchZones looks around again and again.
-func (t *Tier) watchZones() {
-	tick := time.NewTicker(listEvery)
+func (t *Host) watchZones() {
+	tick := time.NewTicker(listInterval)
 	defer tick.Stop()
 	for {
-		t.lookAround()
+		t.checkZoneHealth()
 		select {
 		case <-t.ctx.Done():
 			return
 		case <-tick.C:
-		case <-t.copies.zones.look:
+		case <-t.shared.zones.checkDue:
 		}
 	}
 }
 
-// lookAround takes the pools' lists, and looks at zones that are not wholly in use. It is called without
+// checkZoneHealth takes the pools' lists, and looks at zones that are not wholly in use. It is called without
 // the tier's mu: it waits for servers.
-func (t *Tier) lookAround() {
-	k := t.copies
+func (t *Host) checkZoneHealth() {
+	k := t.shared
 	lists := map[string]map[string]string{}
 	tallies := map[string]map[string]zonefailover.Tally{}
 	for _, pool := range k.pools.PoolNames() {
@@ -147,26 +147,26 @@
 	}
 	var looks []look
 	t.mu.Lock()
-	if !maps.EqualFunc(lists, k.zones.lists, maps.Equal[map[string]string]) {
-		k.ordered, k.stirred = true, true // servers may be new
+	if !maps.EqualFunc(lists, k.zones.endpointZones, maps.Equal[map[string]string]) {
+		k.exclusionsChanged, k.evidenceChanged = true, true // servers may be new
 	}
-	k.zones.lists = lists
-	t.sayGreys(tallies)
+	k.zones.endpointZones = lists
+	t.publishGreyZones(tallies)
 	wanted := map[string]bool{}
 	for _, pool := range slices.Sorted(maps.Keys(lists)) {
-		k.turns++
-		for zone, servers := range k.looksOf(t, pool, k.turns) {
+		k.healthCheckRounds++
+		for zone, servers := range k.zoneHealthChecks(t, pool, k.healthCheckRounds) {
 			looks = append(looks, look{pool, zone, servers})
 			wanted[gossip.ServerKey(zoneview.LookKind, pool, zone)] = true
 		}
 	}
-	for key := range k.looked {
+	for key := range k.healthCheckKeys {
 		if !wanted[key] {
 			k.node.Delete(key)
-			delete(k.looked, key)
+			delete(k.healthCheckKeys, key)
 		}
 	}
-	t.keep()
+	t.runDue()
 	t.mu.Unlock()
 	for _, l := range looks {
 		var answered atomic.Int64
@@ -182,16 +182,16 @@
 		t.mu.Lock()
 		key := gossip.ServerKey(zoneview.LookKind, l.pool, l.zone)
 		if k.node.Put(key, zoneview.LookValue(int(answered.Load()), len(l.servers))) {
-			k.looked[key] = true
+			k.healthCheckKeys[key] = true
 		}
-		t.keep()
+		t.runDue()
 		t.mu.Unlock()
 	}
 }
 
-// sayGreys writes which zones fail in part to this process. The caller has mu.
-func (t *Tier) sayGreys(tallies map[string]map[string]zonefailover.Tally) {
-	k, z := t.copies, &t.copies.zones
+// publishGreyZones writes which zones fail in part to this process. The caller has mu.
+func (t *Host) publishGreyZones(tallies map[string]map[string]zonefailover.Tally) {
+	k, z := t.shared, &t.shared.zones
 	if z.cfg == nil || !z.cfg.Rules.Grey {
 		return
 	}
@@ -207,12 +207,12 @@
 			}
 		}
 	}
-	for key := range z.said {
+	for key := range z.greyKeys {
 		if !said[key] {
 			k.node.Delete(key)
 		}
 	}
-	z.said = said
+	z.greyKeys = said
 	for pool := range z.grey {
 		if tallies[pool] == nil {
 			delete(z.grey, pool)
@@ -220,8 +220,8 @@
 	}
 }
 
-// looksOf are the zones of a pool at which this process is to look, and servers of each. The caller has mu.
-func (k *copies) looksOf(t *Tier, pool string, turn int) map[string][]string {
+// zoneHealthChecks are the zones of a pool at which this process is to look, and servers of each. The caller has mu.
+func (k *sharedState) zoneHealthChecks(t *Host, pool string, turn int) map[string][]string {
 	var rules *zonefailover.Rules
 	members := map[string]string{}
 	if cfg := k.zones.cfg; cfg != nil {
@@ -234,19 +234,19 @@
 			members[name] = ""
 		}
 	}
-	return zoneview.Looks(k.node, rules, members, t.cfg.Name, pool, k.zones.lists[pool], turn)
+	return zoneview.Looks(k.node, rules, members, t.cfg.Name, pool, k.zones.endpointZones[pool], turn)
 }
 
-// addZones adds to a pool's orders those about zones that are not wholly in use.
-func (k *copies) addZones(at func(pool string) orders) {
-	for pool, list := range k.zones.lists {
+// addZoneExclusions adds to a pool's orders those about zones that are not wholly in use.
+func (k *sharedState) addZoneExclusions(at func(pool string) exclusions) {
+	for pool, list := range k.zones.endpointZones {
 		avoid, returning, soft := zoneview.Orders(k.node, pool, list)
 		for server := range soft {
-			at(pool).soft[server] = !at(pool).avoid[server] // an operator's word on the server itself is harder
+			at(pool).untilRestart[server] = !at(pool).excluded[server] // an operator's word on the server itself is harder
 		}
 		if len(avoid)+len(returning) > 0 {
-			maps.Copy(at(pool).avoid, avoid)
-			maps.Copy(at(pool).returning, returning)
+			maps.Copy(at(pool).excluded, avoid)
+			maps.Copy(at(pool).recovering, returning)
 		}
 	}
 }
@@ -267,13 +267,13 @@
 }
 
 // zonesStatus tells of all zones. The caller has mu.
-func (k *copies) zonesStatus() (all []ZoneStatus) {
-	for _, pool := range slices.Sorted(maps.Keys(k.zones.lists)) {
+func (k *sharedState) zonesStatus() (all []ZoneStatus) {
+	for _, pool := range slices.Sorted(maps.Keys(k.zones.endpointZones)) {
 		states, numbers := zoneview.Decided(k.node, pool)
 		count, avoided := map[string]int{}, map[string]int{}
-		for server, zone := range k.zones.lists[pool] {
+		for server, zone := range k.zones.endpointZones[pool] {
 			count[zone]++
-			if k.avoiding[pool].avoid[server] {
+			if k.excluded[pool].excluded[server] {
 				avoided[zone]++
 			}
 		}
