--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -46,9 +46,9 @@
 		case "list":
 			h.List = true
 		case "zones":
-			h.Zones, h.ZoneRules = true, zonefailover.Usual()
-			h.ZoneRules.Step, h.ZoneRules.Hold = c.ZoneStep, c.ZoneHold
-			if err := h.ZoneRules.Check(); err != nil {
+			h.Zones, h.ZoneRules = true, zonefailover.DefaultRules()
+			h.ZoneRules.StepDuration, h.ZoneRules.HoldDown = c.ZoneStep, c.ZoneHold
+			if err := h.ZoneRules.Validate(); err != nil {
 				return h, fmt.Errorf("%w: %w", errDay, err)
 			}
 		default:
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -404,7 +404,7 @@
 func (c *tierLift) Run(s *streams) error  { return c.order(s, "", true) }
 
 func (c *tierOrder) order(s *streams, value string, lift bool) error {
-	key := gossip.ServerKey(consensus.OrderKind, c.Pool, c.Server)
+	key := gossip.PoolKey(consensus.OrderKind, c.Pool, c.Server)
 	if key == "" {
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
@@ -432,7 +432,7 @@
 		w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "pool\tzone\tservers\tavoided here\tepoch\tstep\tfalls\twhy\tjudged")
 		for _, z := range st.Copies.Zones {
-			step := fmt.Sprintf("%d of %d", z.Step, zonefailover.Steps)
+			step := fmt.Sprintf("%d of %d", z.Step, zonefailover.FullStep)
 			if z.Pinned {
 				step += ", pinned"
 			}
@@ -468,7 +468,7 @@
 		case z.Pool != c.Pool:
 		case z.Zone == c.Zone:
 			of = z
-		case z.Step == zonefailover.Steps:
+		case z.Step == zonefailover.FullStep:
 			rest += z.Servers
 		}
 	}
@@ -516,25 +516,25 @@
 		if rest == 0 && !c.Force {
 			return zonefailover.State{}, fmt.Errorf("without %s no zone of %s would be wholly in use; nothing was changed (--force does it all the same)", c.Zone, c.Pool)
 		}
-		return zonefailover.State{Step: 0, Pinned: true, Why: "an operator"}, nil
+		return zonefailover.State{Step: 0, Manual: true, Reason: "an operator"}, nil
 	})
 }
 
 func (c *tierZoneReturn) Run(s *streams) error {
 	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
 		switch {
-		case c.Step < 1 || c.Step > zonefailover.Steps:
-			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errDay, c.Step, zonefailover.Steps)
+		case c.Step < 1 || c.Step > zonefailover.FullStep:
+			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errDay, c.Step, zonefailover.FullStep)
 		case c.Step > z.Step+1 && !c.Force:
 			return zonefailover.State{}, fmt.Errorf("%s is at step %d: its servers may be cold, and %d at once is more than a step; nothing was changed (--force does it all the same)", c.Zone, z.Step, c.Step-z.Step)
 		}
-		return zonefailover.State{Step: c.Step, Pinned: true, Why: "an operator"}, nil
+		return zonefailover.State{Step: c.Step, Manual: true, Reason: "an operator"}, nil
 	})
 }
 
 func (c *tierZoneAuto) Run(s *streams) error {
 	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
-		return zonefailover.State{Step: z.Step, Falls: z.Falls, Why: "left to itself"}, nil
+		return zonefailover.State{Step: z.Step, Relapses: z.Falls, Reason: "left to itself"}, nil
 	})
 }
 
@@ -553,13 +553,13 @@
 			return err
 		}
 		if c.Force {
-			next.Why += ", by force"
+			next.Reason += ", by force"
 		}
-		r, err := o.Command(ctx, consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
+		r, err := o.Command(ctx, consensus.OrderCommand{Key: gossip.PoolKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(s.out, "epoch %d: %s of %s is at step %d of %d\n", r.Number, c.Zone, c.Pool, next.Step, zonefailover.Steps)
+		_, err = fmt.Fprintf(s.out, "epoch %d: %s of %s is at step %d of %d\n", r.Number, c.Zone, c.Pool, next.Step, zonefailover.FullStep)
 		return err
 	})
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -81,19 +81,19 @@
 		r.known(t.at("to"), "peer", b.To, peers)
 	}
 	b.Spill = spillover.Config{
-		Window: t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
-		Start:  t.number("start", 0.02, 0, 1), Stop: t.number("stop", 0.005, 0, 1), MostShare: t.number("most_share", 1, 0, 1),
-		ProbeEvery: t.duration("probe_every", 100*time.Millisecond, time.Millisecond, time.Minute),
-		MostPause:  t.duration("most_probe_pause", 2*time.Second, time.Millisecond, time.Hour), ProbesToOpen: int(t.whole("probes_to_open", 3, 1, 100)),
-		StallAfter: time.Second, // until a round trip is known
+		Window:     t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
+		StartRatio: t.number("start", 0.02, 0, 1), StopRatio: t.number("stop", 0.005, 0, 1), MaxForwardedRatio: t.number("most_share", 1, 0, 1),
+		HealthCheckInterval:    t.duration("probe_every", 100*time.Millisecond, time.Millisecond, time.Minute),
+		MaxHealthCheckInterval: t.duration("most_probe_pause", 2*time.Second, time.Millisecond, time.Hour), HealthyThreshold: int(t.whole("probes_to_open", 3, 1, 100)),
+		StallTimeout: time.Second, // until a round trip is known
 	}
-	if b.Spill.Stop >= b.Spill.Start {
-		r.bad(t.at("stop"), "is %v, not below start, which is %v", b.Spill.Stop, b.Spill.Start)
+	if b.Spill.StopRatio >= b.Spill.StartRatio {
+		r.bad(t.at("stop"), "is %v, not below start, which is %v", b.Spill.StopRatio, b.Spill.StartRatio)
 	}
 	b.Grant = spillover.GrantConfig{
-		Window: t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
-		First:  int(t.whole("grant_first", 8, 0, mostCount)), Most: int(t.whole("grant_most", 256, 0, mostCount)),
-		Short: t.number("grant_short", 0.02, 0, 1),
+		Window:  t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
+		Initial: int(t.whole("grant_first", 8, 0, mostCount)), Max: int(t.whole("grant_most", 256, 0, mostCount)),
+		MaxRejectedRatio: t.number("grant_short", 0.02, 0, 1),
 	}
 	t.done()
 	f.Bridge.Pools[name] = b
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -82,14 +82,14 @@
 	}
 	if t.has("zones") {
 		z := t.table("zones")
-		usual := zonefailover.Usual()
+		usual := zonefailover.DefaultRules()
 		c.Zones = &fleet.ZonesConfig{Automatic: z.word("automatic", fleet.ZonesAdvise, fleet.ZonesOff, fleet.ZonesAdvise, fleet.ZonesOn), Members: zones, Rules: zonefailover.Rules{
-			Down: z.number("down", usual.Down, 0.01, 1), Others: z.number("others", usual.Others, 0, 1), Least: z.number("least", usual.Least, 0, 0.99),
-			Step: z.duration("step", usual.Step, 100*time.Millisecond, time.Hour), Hold: z.duration("hold", usual.Hold, 100*time.Millisecond, time.Hour),
-			Most: z.duration("hold_most", usual.Most, 100*time.Millisecond, 24*time.Hour), Looks: int(z.whole("looks", int64(usual.Looks), 1, 5)), Grey: z.boolean("grey", usual.Grey),
+			UnreachableThreshold: z.number("down", usual.UnreachableThreshold, 0.01, 1), MaxUnreachableElsewhere: z.number("others", usual.MaxUnreachableElsewhere, 0, 1), MinRemainingCapacity: z.number("least", usual.MinRemainingCapacity, 0, 0.99),
+			StepDuration: z.duration("step", usual.StepDuration, 100*time.Millisecond, time.Hour), HoldDown: z.duration("hold", usual.HoldDown, 100*time.Millisecond, time.Hour),
+			MaxHoldDown: z.duration("hold_most", usual.MaxHoldDown, 100*time.Millisecond, 24*time.Hour), HealthQuorum: int(z.whole("looks", int64(usual.HealthQuorum), 1, 5)), GrayFailures: z.boolean("grey", usual.GrayFailures),
 		}}
 		for _, p := range f.Gateway.Pools { // so long the fleet takes what it returns to for cold
-			c.Zones.Rules.Warm = max(c.Zones.Rules.Warm, p.Settings.Config.SlowStartDuration)
+			c.Zones.Rules.WarmUp = max(c.Zones.Rules.WarmUp, p.Settings.Config.SlowStartDuration)
 		}
 		z.done()
 		if c.SharedState == nil {
--- a/internal/config/tier_test.go
+++ b/internal/config/tier_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.Tier.Zones.Rules.Warm; got != 25*time.Second {
+	if got := f.Tier.Zones.Rules.WarmUp; got != 25*time.Second {
 		t.Errorf("cold for %v", got)
 	}
 }
--- a/internal/consensus/orders.go
+++ b/internal/consensus/orders.go
@@ -76,7 +76,7 @@
 
 func (f *Fleet) order(c OrderCommand) OrderResult {
 	switch {
-	case !strings.HasPrefix(c.Key, OrderKind+"/") && !strings.HasPrefix(c.Key, ZoneKind+"/") || len(c.Key) > gossip.MostKeyLen || len(c.Value) > gossip.MostValue:
+	case !strings.HasPrefix(c.Key, OrderKind+"/") && !strings.HasPrefix(c.Key, ZoneKind+"/") || len(c.Key) > gossip.MaxKeyBytes || len(c.Value) > gossip.MaxValueBytes:
 		return OrderResult{Why: "malformed"}
 	case c.Token != 0 && c.Token < f.Decider:
 		return OrderResult{Why: "a newer holder decides"}
@@ -116,7 +116,7 @@
 	if gossip.KindOf(key) != ZoneKind {
 		return 0
 	}
-	pool, _, _ := gossip.ServerOf(key)
+	pool, _, _ := gossip.SplitPoolKey(key)
 	for other, o := range f.Orders {
 		if strings.HasPrefix(other, ZoneKind+"/"+pool+"/") {
 			newest = max(newest, o.Number)
@@ -148,7 +148,7 @@
 	d, tag := &Decided{Number: f.Ordered, Fleet: f.ID}, gossip.FleetTag(f.ID)
 	for _, key := range slices.Sorted(maps.Keys(f.Orders)) {
 		o := f.Orders[key]
-		d.Sum += gossip.DecidedEntry(tag, key, o.Number, o.bytes()).Sum()
+		d.Sum += gossip.DecidedEntry(tag, key, o.Number, o.bytes()).Digest()
 	}
 	return d
 }
--- a/internal/consensus/orders_test.go
+++ b/internal/consensus/orders_test.go
@@ -67,7 +67,7 @@
 		sum := uint64(0)
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3}).Draw(t, "order") {
 			if i < len(entries) {
-				sum += entries[i].Sum()
+				sum += entries[i].Digest()
 			}
 		}
 		if d := f.decided(); d.Number != newest || d.Sum != sum {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -117,7 +117,7 @@
 
 func (d Discovery) watch(ctx context.Context, since int64, tell func(*List)) (err error) {
 	begun := time.Now()
-	dialer := net.Dialer{Timeout: min(discoveryDial, d.Bound.Call)}
+	dialer := net.Dialer{Timeout: min(discoveryDial, d.Bound.CallTimeout)}
 	nc, err := dialer.DialContext(ctx, "tcp", d.Addr)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() && ctx.Err() == nil {
 		return ErrSilent
@@ -126,7 +126,7 @@
 	}
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	c := &watched{Conn: nc, bound: d.Bound, until: begun.Add(d.Bound.Call), left: mostHead}
+	c := &watched{Conn: nc, bound: d.Bound, until: begun.Add(d.Bound.CallTimeout), left: mostHead}
 	c.SetDeadline(c.until)
 	defer func() {
 		if c.silent { // whatever who read there made of it
@@ -204,7 +204,7 @@
 	c.left -= n
 	c.silent = errors.Is(err, os.ErrDeadlineExceeded)
 	if n > 0 {
-		silent := time.Now().Add(c.bound.Silence)
+		silent := time.Now().Add(c.bound.WatchTimeout)
 		if !c.until.IsZero() && c.until.Before(silent) {
 			silent = c.until
 		}
@@ -216,12 +216,12 @@
 // begun notes that a message has begun.
 func (c *watched) begun() {
 	if c.until.IsZero() {
-		c.until = time.Now().Add(c.bound.Silence)
+		c.until = time.Now().Add(c.bound.WatchTimeout)
 	}
 }
 
 // told notes that a message has come whole.
 func (c *watched) told() {
 	c.left, c.until = mostMessage, time.Time{}
-	c.SetReadDeadline(time.Now().Add(c.bound.Silence))
+	c.SetReadDeadline(time.Now().Add(c.bound.WatchTimeout))
 }
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -25,7 +25,7 @@
 
 // ask is discovery at addr, on the platform's terms.
 func ask(addr string) Discovery {
-	return Discovery{Addr: addr, Bound: staleness.Of(false, 10*time.Second, 2*time.Second)}
+	return Discovery{Addr: addr, Bound: staleness.BoundFor(false, 10*time.Second, 2*time.Second)}
 }
 
 func next(t *testing.T, lists <-chan *List) *List {
@@ -184,7 +184,7 @@
 // TestSilentDiscovery guards against waiting for a watch that has fallen silent, wherever it did, and against giving up one that
 // only has nothing to tell.
 func TestSilentDiscovery(t *testing.T) {
-	bound := staleness.Bound{Silence: 300 * time.Millisecond, Call: 300 * time.Millisecond}
+	bound := staleness.Bound{WatchTimeout: 300 * time.Millisecond, CallTimeout: 300 * time.Millisecond}
 	const head, list = "HTTP/1.1 200 OK\r\n\r\n", `{"seq":1,"whole":true,"hosts":[]}` + "\n"
 	for name, script := range map[string]struct {
 		text  string
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -29,7 +29,7 @@
 )
 
 const (
-	// headTime is how long a head may take from its first byte to its last: slow clients need 2 s. With keepalive.MostWait it
+	// headTime is how long a head may take from its first byte to its last: slow clients need 2 s. With keepalive.MaxIdle it
 	// bounds the life of a connection that never brings a whole head; of bodies bodyPause and leastRate do.
 	headTime = 2400 * time.Millisecond
 	// watchAfter is how long a request is open before its client is watched.
@@ -66,7 +66,7 @@
 )
 
 // Owner names the pool that a connection's last request was for. 0: it has brought none.
-type Owner = keepalive.Owner
+type Owner = keepalive.PoolID
 
 // Handler says what becomes of requests. It is called from many goroutines at once.
 type Handler interface {
@@ -131,7 +131,7 @@
 	origin      time.Time // of the rule's clock
 
 	mu       sync.Mutex
-	rule     *keepalive.Rule
+	rule     *keepalive.IdlePolicy
 	draining bool
 	ports    map[net.Listener]*port
 	conns    map[*clientConn]struct{}         // all; the descriptors bound it
@@ -281,8 +281,8 @@
 		c.held = s.handler.Hold(0)
 		s.rule.Resize(s.descriptors.Clients())
 		s.rule.Opened(s.now())
-		s.rule.Own(0)
-		if s.rule.Ahead(s.now()) { // the next need not wait until one has closed
+		s.rule.Assign(0)
+		if s.rule.ShouldEvictAhead(s.now()) { // the next need not wait until one has closed
 			s.evict()
 		}
 		s.rest(c)
@@ -379,16 +379,18 @@
 func (s *Server) now() time.Duration { return time.Since(s.origin) }
 
 // kind is what the rule takes c for. The caller holds mu.
-func (c *clientConn) kind() keepalive.Kind { return keepalive.Kind(min(c.uses, int(keepalive.Again))) }
+func (c *clientConn) kind() keepalive.Kind {
+	return keepalive.Kind(min(c.uses, int(keepalive.SeveralRequests)))
+}
 
 // rest asks the rule how long c, on which nothing is open, may wait, and reports whether it may at all. The caller holds mu.
 func (s *Server) rest(c *clientConn) bool {
 	if s.options.Steady {
-		c.wait = keepalive.Wait{Most: keepalive.MostWait}
+		c.wait = keepalive.Wait{Max: keepalive.MaxIdle}
 		return true
 	}
-	c.wait = s.rule.Rest(s.now(), c.owner, c.kind())
-	c.rests = c.wait.Most > 0
+	c.wait = s.rule.BeginIdle(s.now(), c.owner, c.kind())
+	c.rests = c.wait.Max > 0
 	return c.rests
 }
 
@@ -396,7 +398,7 @@
 func (s *Server) rested(c *clientConn, after time.Duration, used bool) {
 	if c.rests {
 		c.rests = false
-		s.rule.Rested(c.owner, c.kind(), c.wait, after, used)
+		s.rule.EndIdle(c.owner, c.kind(), c.wait, after, used)
 	}
 }
 
@@ -428,7 +430,7 @@
 			s.idle[c.owner] = of
 		}
 		switch {
-		case c.wait.Explores:
+		case c.wait.Explore:
 			l = &of[explored]
 		case c.uses == 1:
 			l = &of[askedOnce]
@@ -437,7 +439,7 @@
 		}
 	}
 	s.setPlace(c, l)
-	wait := c.wait.Most
+	wait := c.wait.Max
 	if s.closing(c) {
 		wait = drainQuiet
 	}
@@ -480,7 +482,7 @@
 				break
 			}
 			c := e.Value.(*clientConn)
-			if !s.rule.Spent(o, c.kind(), time.Since(c.since)) || !process.Quiet(c.Conn) {
+			if !s.rule.Expired(o, c.kind(), time.Since(c.since)) || !process.Quiet(c.Conn) {
 				break
 			}
 			s.dismiss(c)
@@ -524,8 +526,8 @@
 	if c.held {
 		s.handler.Drop(c.owner)
 	}
-	s.rule.Disown(c.owner)
-	s.rule.Own(o)
+	s.rule.Unassign(c.owner)
+	s.rule.Assign(o)
 	c.owner, c.held = o, s.handler.Hold(o) // c is in no list by its owner: it reads
 }
 
@@ -550,7 +552,7 @@
 		s.ending--
 	}
 	s.rested(c, 0, false) // it never came to wait
-	s.rule.Disown(c.owner)
+	s.rule.Unassign(c.owner)
 	s.rule.Closed()
 	if c.held {
 		s.handler.Drop(c.owner)
@@ -635,7 +637,7 @@
 // worth is that of the connection at e to the rule.
 func (s *Server) worth(e *lists.Element) float64 {
 	c := e.Value.(*clientConn)
-	return s.rule.Worth(c.owner, c.kind(), time.Since(c.since))
+	return s.rule.GittinsIndex(c.owner, c.kind(), time.Since(c.since))
 }
 
 // evictStill dismisses, of the requests that are coming, the one that has brought nothing for longest, from slowTime on: slow
@@ -687,17 +689,17 @@
 }
 
 // Learnt is what the server knows of its clients' habits.
-func (s *Server) Learnt() keepalive.Learnt {
+func (s *Server) Learnt() keepalive.History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rule.Learnt()
+	return s.rule.History()
 }
 
 // Adopt takes over what another process has learnt of them.
-func (s *Server) Adopt(l keepalive.Learnt) {
+func (s *Server) Adopt(l keepalive.History) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rule.Adopt(l)
+	s.rule.Restore(l)
 }
 
 // Yield makes connections close with their next answer, and leaves those alone that are idle. Drain follows.
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -380,9 +380,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 2000 {
-		for k := keepalive.Fresh; k <= keepalive.Again; k++ {
-			w := r.rule.Rest(r.now(), o, k)
-			r.rule.Rested(o, k, w, keepalive.MostWait, false)
+		for k := keepalive.NoRequest; k <= keepalive.SeveralRequests; k++ {
+			w := r.rule.BeginIdle(r.now(), o, k)
+			r.rule.EndIdle(o, k, w, keepalive.MaxIdle, false)
 		}
 	}
 }
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -14,7 +14,7 @@
 // and with a decision that all carry out the lag after it. That it is decided once and carried out whole is the council's doing and taken for granted.
 type decider struct {
 	w      *World
-	keeper *zonefailover.Keeper
+	keeper *zonefailover.Controller
 	words  map[int]map[policy.EndpointID]policy.Time // by instance: when it last found a server silent
 	states map[string]zonefailover.State
 	epoch  uint64
@@ -37,7 +37,7 @@
 }
 
 func newDecider(w *World) *decider {
-	f := &decider{w: w, keeper: zonefailover.NewKeeper(w.day.Hearsay.ZoneRules), words: map[int]map[policy.EndpointID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
+	f := &decider{w: w, keeper: zonefailover.NewController(w.day.Hearsay.ZoneRules), words: map[int]map[policy.EndpointID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
 	w.after(w.day.Start+judgeEvery, f.judge)
 	return f
 }
@@ -61,12 +61,12 @@
 }
 
 // scene is what the one who decides knows.
-func (f *decider) scene() zonefailover.Scene {
+func (f *decider) scene() zonefailover.Snapshot {
 	w := f.w
-	s := zonefailover.Scene{Zones: map[string]string{}, Members: len(w.instances), Decided: f.states, Epochs: f.epochs}
+	s := zonefailover.Snapshot{MemberZones: map[string]string{}, FleetSize: len(w.instances), States: f.states, Revisions: f.epochs}
 	for _, e := range w.list.whole() {
 		if e.State == policy.Ready {
-			s.Servers = append(s.Servers, zonefailover.Server{Name: string(e.ID), Zone: e.Zone})
+			s.Endpoints = append(s.Endpoints, zonefailover.Endpoint{Name: string(e.ID), Zone: e.Zone})
 		}
 	}
 	for _, in := range w.instances {
@@ -74,13 +74,13 @@
 			continue
 		}
 		name := in.name()
-		s.Zones[name] = in.zone
+		s.MemberZones[name] = in.zone
 		for id, at := range f.words[in.ordinal] {
 			switch age := w.now - at; {
 			case age > wordFor:
 				delete(f.words[in.ordinal], id)
 			case age >= w.day.Hearsay.Lag:
-				s.Words = append(s.Words, zonefailover.Word{Member: name, Server: string(id)})
+				s.Unreachable = append(s.Unreachable, zonefailover.UnreachableReport{Member: name, Endpoint: string(id)})
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 				}
 			}
 			at++
-			s.Looks = append(s.Looks, zonefailover.Look{Member: in.name(), Zone: zone, Answers: answered == of, Silent: answered == 0})
+			s.ZoneChecks = append(s.ZoneChecks, zonefailover.ZoneCheck{Member: in.name(), Zone: zone, AllHealthy: answered == of, NoneHealthy: answered == 0})
 		}
 	}
 	return s
@@ -118,7 +118,7 @@
 	}
 	f.epoch++
 	f.states[change.Zone], f.epochs[change.Zone] = change.State, f.epoch
-	w.Result.Decisions = append(w.Result.Decisions, Decision{w.At(), change.Zone, change.State.Step, change.State.Why})
+	w.Result.Decisions = append(w.Result.Decisions, Decision{w.At(), change.Zone, change.State.Step, change.State.Reason})
 	w.after(w.day.Hearsay.Lag, func() {
 		for _, in := range w.instances {
 			in.follow()
@@ -128,13 +128,13 @@
 
 // avoided are the servers that are not in use by what is decided.
 func (f *decider) avoided(list map[policy.EndpointID]policy.Endpoint) map[string]bool {
-	var all []zonefailover.Server
+	var all []zonefailover.Endpoint
 	for id, e := range list {
 		if e.State == policy.Ready {
-			all = append(all, zonefailover.Server{Name: string(id), Zone: e.Zone})
+			all = append(all, zonefailover.Endpoint{Name: string(id), Zone: e.Zone})
 		}
 	}
-	return zonefailover.Avoided(all, f.states)
+	return zonefailover.ExcludedEndpoints(all, f.states)
 }
 
 // follow has an instance leave out what is decided. What it uses again counts as started then, as pool.Pool.Avoid has it.
@@ -199,7 +199,7 @@
 			delete(in.list, e.ID)
 		} else {
 			if _, had := in.list[e.ID]; !had && kind == policy.UpdateDelta {
-				if d, is := in.w.fleet.states[e.Zone]; is && d.Step < zonefailover.Steps { // it has started since the zone was left
+				if d, is := in.w.fleet.states[e.Zone]; is && d.Step < zonefailover.FullStep { // it has started since the zone was left
 					in.leftBorn[e.ID] = -1
 				}
 			}
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -53,7 +53,7 @@
 type sharedState struct {
 	cfg                 SharedStateConfig
 	node                *gossip.Node
-	evidence            *gossip.Evidence
+	evidence            *gossip.FailureReports
 	pools               Pools
 	observations        chan observation
 	commandsApplied     uint64        // the number of the newest order that was taken from the council's log here
@@ -90,18 +90,18 @@
 	if c == nil {
 		return nil
 	}
-	cfg := gossip.Usual()
+	cfg := gossip.DefaultConfig()
 	cfg.Name, cfg.Members = t.cfg.Name, slices.Sorted(maps.Keys(t.cfg.Members))
-	cfg.Kinds, cfg.Decided = []string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds
-	cfg.Gossip, cfg.Probe, cfg.Sync, cfg.Keep, cfg.Fanout, cfg.Budget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
+	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecidedKinds
+	cfg.GossipInterval, cfg.PingInterval, cfg.SyncInterval, cfg.DeadRetention, cfg.Fanout, cfg.CatchUpBudget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
 	h.Write([]byte(t.session.Start()))
 	cfg.Seed = h.Sum64()
 	now := t.clock.Now()
 	k := &sharedState{
-		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewEvidence(c.Witnesses), observations: make(chan observation, observationsLength), observed: make(chan struct{}, 1), completeUntil: -1,
+		cfg: *c, node: gossip.New(now, cfg), evidence: gossip.NewFailureReports(c.Witnesses), observations: make(chan observation, observationsLength), observed: make(chan struct{}, 1), completeUntil: -1,
 		excluded: map[string]exclusions{}, notApplied: map[string]bool{}, work: make(chan struct{}, 1),
-		zones: zoneFailover{cfg: t.cfg.Zones, ramps: map[string]*zonefailover.Keeper{}, advised: map[string]string{}, causes: map[string]zonefailover.Cause{}, checkDue: make(chan struct{}, 1), grey: map[string]*zonefailover.Grey{}, greyKeys: map[string]bool{}}, healthCheckKeys: map[string]bool{},
+		zones: zoneFailover{cfg: t.cfg.Zones, ramps: map[string]*zonefailover.Controller{}, advised: map[string]string{}, causes: map[string]zonefailover.Cause{}, checkDue: make(chan struct{}, 1), grey: map[string]*zonefailover.GrayDetector{}, greyKeys: map[string]bool{}}, healthCheckKeys: map[string]bool{},
 		hints: map[string]bool{}, dueExclusions: map[string]exclusions{}, saveAt: now + saveInterval,
 	}
 	if err := k.restore(now, t.cfg.Name); err != nil {
@@ -128,7 +128,7 @@
 		t.goroutines.Go(t.applyToPools)
 		t.goroutines.Go(t.watchZones)
 		if t.cfg.Zones != nil && t.cfg.Zones.Automatic != ZonesOff {
-			t.session.Want(zoneview.Lease, 1)
+			t.session.Want(zoneview.LeaseName, 1)
 		}
 	}
 	return nil
@@ -144,13 +144,13 @@
 		if s.silent && k.excluded[s.pool].excluded[s.server] {
 			continue // what is left out is for those that look: a word of before must not stand in the way of a return
 		}
-		if key := gossip.ServerKey(gossip.DeadKind, s.pool, s.server); key != "" {
-			k.evidence.Saw(now, k.node, key, s.silent)
+		if key := gossip.PoolKey(gossip.UnreachableKind, s.pool, s.server); key != "" {
+			k.evidence.Record(now, k.node, key, s.silent)
 		}
 	}
 	for _, lie := range k.falseReports {
 		k.evidenceChanged = true
-		k.evidence.Saw(now, k.node, gossip.DeadKind+"/"+lie, true)
+		k.evidence.Record(now, k.node, gossip.UnreachableKind+"/"+lie, true)
 	}
 	t.sendGossip(k.node.Tick(now))
 	t.processChanges(now)
@@ -167,11 +167,11 @@
 			}
 		})
 	}
-	at := k.node.Next()
+	at := k.node.NextTick()
 	if k.pools != nil && k.evidenceChanged {
 		at = min(at, k.hintsAt)
 	}
-	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.ramps) > 0 || k.node.Copies().Sum(gossip.DeadKind) != 0) {
+	if z := &k.zones; z.cfg != nil && z.cfg.Automatic != ZonesOff && (len(z.ramps) > 0 || k.node.Store().Digest(gossip.UnreachableKind) != 0) {
 		at = min(at, z.judgeAt) // while this process decides, or there is something to look at
 	}
 	if k.cfg.Figures > 0 {
@@ -198,7 +198,7 @@
 	frames, bytes := t.traffic.gossipFrames.Load(), t.traffic.gossipBytes.Load()
 	step, whole := k.ages(now)
 	dead, orders := 0, 0
-	k.node.Copies().All("", func(e *gossip.Entry) bool {
+	k.node.Store().ForEach("", func(e *gossip.Entry) bool {
 		if len(e.Values()) > 0 && gossip.KindOf(e.Key) == consensus.OrderKind {
 			orders++
 		} else if len(e.Values()) > 0 {
@@ -207,7 +207,7 @@
 		return true
 	})
 	t.log.Info(SharedStateLogMessage, "frames", frames-k.loggedFrames, "bytes", bytes-k.loggedBytes, "in_step_ms", step, "decided_ms", whole, "alive", k.node.Count(gossip.Alive)+1,
-		"suspect", k.node.Count(gossip.Suspect), "gone", k.node.Count(gossip.Dead), "dead", dead, "orders", orders, "hinted", k.hinted, "differ", k.node.Copies().Counts.Differ)
+		"suspect", k.node.Count(gossip.Suspect), "gone", k.node.Count(gossip.Dead), "dead", dead, "orders", orders, "hinted", k.hinted, "differ", k.node.Store().Counts.Conflicts)
 	k.loggedFrames, k.loggedBytes, k.loggedAt = frames, bytes, now
 }
 
@@ -215,7 +215,7 @@
 // is known since the start.
 func (k *sharedState) ages(now time.Duration) (step, whole int64) {
 	step, whole = -1, -1
-	if ago, ok := k.node.Caught(now); ok {
+	if ago, ok := k.node.InSync(now); ok {
 		step = ago.Milliseconds()
 	}
 	if k.completeUntil >= 0 {
@@ -227,21 +227,21 @@
 // processChanges looks at what has changed in the copies. The caller has mu.
 func (t *Host) processChanges(now time.Duration) {
 	k := t.shared
-	for _, e := range k.node.Events() {
+	for _, e := range k.node.TakeEvents() {
 		t.log.Info("a member", "name", e.Name, "was", e.From.String(), "is", e.To.String())
 	}
-	changed := k.node.Copies().Changed()
+	changed := k.node.Store().TakeChanges()
 	for _, p := range changed {
-		k.exclusionsChanged = k.exclusionsChanged || p.Owner() == gossip.Council
+		k.exclusionsChanged = k.exclusionsChanged || p.Owner() == gossip.ConsensusOwner
 	}
 	k.evidenceChanged = k.evidenceChanged || len(changed) > 0 || k.exclusionsChanged
-	k.evidence.Look(now, k.node, changed)
+	k.evidence.Update(now, k.node, changed)
 	if k.pools == nil || now < k.hintsAt {
 		return
 	}
 	k.hintsAt = now + hintInterval
 	hints := k.evidence.Hints(k.node)
-	k.evidenceChanged = len(hints) > 0 || k.evidence.Own() > 0 // hints are given again while they stand, and what was seen here ages
+	k.evidenceChanged = len(hints) > 0 || k.evidence.OwnCount() > 0 // hints are given again while they stand, and what was seen here ages
 	k.hinted += len(hints)
 	var due map[string]exclusions
 	if k.exclusionsChanged {
@@ -276,7 +276,7 @@
 		t.mu.Unlock()
 		t.applyExclusions(due)
 		for _, key := range slices.Sorted(maps.Keys(hints)) {
-			if pool, server, ok := gossip.ServerOf(key); ok {
+			if pool, server, ok := gossip.SplitPoolKey(key); ok {
 				k.pools.Hint(pool, server)
 			}
 		}
@@ -300,8 +300,8 @@
 		}
 		return next[pool]
 	}
-	k.node.Copies().All(consensus.OrderKind+"/", func(e *gossip.Entry) bool {
-		if pool, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
+	k.node.Store().ForEach(consensus.OrderKind+"/", func(e *gossip.Entry) bool {
+		if pool, server, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
 			at(pool).excluded[server] = true
 		}
 		return true
@@ -329,7 +329,7 @@
 		done := k.pools.Avoid(pool, due[pool].excluded, due[pool].recovering, due[pool].untilRestart)
 		t.mu.Lock()
 		for server := range due[pool].excluded {
-			k.evidence.Saw(t.clock.Now(), k.node, gossip.ServerKey(gossip.DeadKind, pool, server), false)
+			k.evidence.Record(t.clock.Now(), k.node, gossip.PoolKey(gossip.UnreachableKind, pool, server), false)
 		}
 		t.runDue()
 		t.mu.Unlock()
@@ -346,7 +346,7 @@
 }
 
 // sendGossip sends messages to others. The caller has mu.
-func (t *Host) sendGossip(out []gossip.Out) {
+func (t *Host) sendGossip(out []gossip.Envelope) {
 	var last *gossip.Message
 	var data []byte
 	for _, o := range out {
@@ -369,8 +369,8 @@
 		return
 	}
 	if err != nil {
-		told := k.foreignFormatLogged && errors.Is(err, gossip.ErrFormat)
-		k.foreignFormatLogged = k.foreignFormatLogged || errors.Is(err, gossip.ErrFormat)
+		told := k.foreignFormatLogged && errors.Is(err, gossip.ErrUnsupportedFormat)
+		k.foreignFormatLogged = k.foreignFormatLogged || errors.Is(err, gossip.ErrUnsupportedFormat)
 		t.mu.Unlock()
 		if !told {
 			t.logRejectedConnection(from, err)
@@ -378,7 +378,7 @@
 		return
 	}
 	now := t.clock.Now()
-	t.sendGossip(k.node.Take(now, from, m))
+	t.sendGossip(k.node.Receive(now, from, m))
 	t.processChanges(now)
 	t.runDue()
 	t.mu.Unlock()
@@ -390,8 +390,8 @@
 	if k == nil || d == nil {
 		return
 	}
-	k.node.Copies().Council(gossip.FleetTag(d.Fleet))
-	if k.node.Copies().Sum(consensus.OrderKind)+k.node.Copies().Sum(consensus.ZoneKind) == d.Sum {
+	k.node.Store().SetFleetTag(gossip.FleetTag(d.Fleet))
+	if k.node.Store().Digest(consensus.OrderKind)+k.node.Store().Digest(consensus.ZoneKind) == d.Sum {
 		k.completeUntil = max(k.completeUntil, at)
 	}
 }
@@ -402,9 +402,9 @@
 	if k == nil || f == nil {
 		return
 	}
-	k.node.Copies().Council(gossip.FleetTag(f.ID))
+	k.node.Store().SetFleetTag(gossip.FleetTag(f.ID))
 	if f.Ordered > k.commandsApplied {
-		k.commandsApplied = f.OrdersSince(k.commandsApplied, func(key string, o consensus.Order) { k.node.Decide(key, o.Number, o.Bytes()) })
+		k.commandsApplied = f.OrdersSince(k.commandsApplied, func(key string, o consensus.Order) { k.node.ApplyDecision(key, o.Number, o.Bytes()) })
 		t.runDue()
 	}
 }
@@ -422,7 +422,7 @@
 	Hinted      int                 `json:"hinted"`                    // hints given so far
 	Zones       []ZoneStatus        `json:"zones,omitempty"`
 	Sums        map[string]uint64   `json:"sums"`
-	Figures     gossip.Figures      `json:"figures"`
+	Figures     gossip.Stats        `json:"figures"`
 	Refused     gossip.Counts       `json:"refused"`
 }
 
@@ -442,16 +442,16 @@
 		return nil
 	}
 	s := &SharedStateStatus{
-		Incarnation: k.node.Inc(), Members: map[string]string{}, Health: k.node.Health(), Hints: k.evidence.Hints(k.node),
-		Hinted: k.hinted, Sums: map[string]uint64{}, Figures: k.node.Figures, Refused: k.node.Copies().Counts,
+		Incarnation: k.node.Incarnation(), Members: map[string]string{}, Health: k.node.HealthScore(), Hints: k.evidence.Hints(k.node),
+		Hinted: k.hinted, Sums: map[string]uint64{}, Figures: k.node.Stats, Refused: k.node.Store().Counts,
 	}
 	s.InStepMs, s.DecidedMs = k.ages(now)
 	for name := range t.cfg.Members {
 		s.Members[name] = k.node.Member(name).State.String()
 	}
 	s.Zones = k.zonesStatus()
-	for _, kind := range append([]string{gossip.DeadKind, zoneview.LookKind, zoneview.GreyKind}, consensus.DecidedKinds...) {
-		s.Sums[kind] = k.node.Copies().Sum(kind)
+	for _, kind := range append([]string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecidedKinds...) {
+		s.Sums[kind] = k.node.Store().Digest(kind)
 	}
 	for pool, kept := range k.notApplied {
 		if kept {
@@ -459,8 +459,8 @@
 		}
 	}
 	slices.Sort(s.Kept)
-	k.node.Copies().All("", func(e *gossip.Entry) bool {
-		c := SharedEntryStatus{Owner: e.Owner, Key: e.Key, Inc: e.Inc, Seq: e.Seq}
+	k.node.Store().ForEach("", func(e *gossip.Entry) bool {
+		c := SharedEntryStatus{Owner: e.Owner, Key: e.Key, Inc: e.Incarnation, Seq: e.Sequence}
 		for _, v := range e.Values() {
 			c.Values = append(c.Values, string(v))
 		}
@@ -480,7 +480,7 @@
 	switch {
 	case k == nil:
 		return errors.New("this process shares no state: [tier.copies] is missing in its file")
-	case !k.evidence.Forget(k.node, key):
+	case !k.evidence.Withdraw(k.node, key):
 		return fmt.Errorf("%q has written nothing under %q: ask the member that has", t.cfg.Name, key)
 	}
 	t.runDue()
@@ -489,9 +489,9 @@
 
 // snapshot is what is kept for the next start.
 func (k *sharedState) snapshot(name string) []byte {
-	m := &gossip.Message{Kind: gossip.Sync, Target: name}
-	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Inc: k.node.Inc()})
-	k.node.Copies().All("", func(e *gossip.Entry) bool {
+	m := &gossip.Message{Kind: gossip.SyncMessage, Target: name}
+	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Incarnation: k.node.Incarnation()})
+	k.node.Store().ForEach("", func(e *gossip.Entry) bool {
 		if e.Owner == name {
 			return true // what it saw itself is to be seen anew
 		}
--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/copies_test.go
@@ -163,7 +163,7 @@
 	farms[1].sees("box", false)
 	eventually(t, "it is taken back", func() bool { return len(state(t, all[2], cfgs[2]).Hints) == 0 })
 
-	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
+	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
 	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Lift: true}); r.Why == "" {
 		t.Error("an order that was not given was lifted")
 	}
@@ -198,14 +198,14 @@
 	file := filepath.Join(dir, "copies")
 	k := &sharedState{cfg: SharedStateConfig{Store: file}}
 	fresh := func() {
-		cfg := gossip.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		cfg := gossip.DefaultConfig()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
 		k.node = gossip.New(0, cfg)
 	}
 	fresh()
-	k.node.Decide("order/farm/box", 4, []byte("x"))
+	k.node.ApplyDecision("order/farm/box", 4, []byte("x"))
 	k.node.Put("dead/farm/own", nil)
-	inc := k.node.Inc()
+	inc := k.node.Incarnation()
 	data := k.snapshot("p")
 	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
@@ -214,10 +214,10 @@
 	if err := k.restore(0, "p"); err != nil || k.loaded != 1 {
 		t.Fatalf("%d, %v", k.loaded, err)
 	}
-	if e, ok := k.node.Copies().Get(gossip.Council, "order/farm/box"); !ok || e.Seq != 4 {
+	if e, ok := k.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
 		t.Errorf("%+v", e)
 	}
-	if k.node.Inc() <= inc {
+	if k.node.Incarnation() <= inc {
 		t.Error("the next start does not write above the last one")
 	}
 	for name, bad := range map[string][]byte{"cut": data[:len(data)/2], "flipped": append([]byte{data[0] ^ 1}, data[1:]...), "empty": {}} {
@@ -236,7 +236,7 @@
 		t.Fatal(err)
 	}
 	fresh()
-	if err := k.restore(0, "q"); err != nil || len(k.node.Copies().Changed()) > 0 {
+	if err := k.restore(0, "q"); err != nil || len(k.node.Store().TakeChanges()) > 0 {
 		t.Errorf("another's file: %v", err)
 	}
 	if left, err := filepath.Glob(file + ".new-*"); err != nil || len(left) > 0 {
@@ -252,8 +252,8 @@
 		if err := os.WriteFile(file, sealFile(data), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cfg := gossip.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		cfg := gossip.DefaultConfig()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
 		k := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
 		if err := k.restore(0, "p"); err != nil {
 			t.Fatal(err)
@@ -269,8 +269,8 @@
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
 	}
-	rules := zonefailover.Usual()
-	rules.Step, rules.Hold = 100*time.Millisecond, 100*time.Millisecond
+	rules := zonefailover.DefaultRules()
+	rules.StepDuration, rules.HoldDown = 100*time.Millisecond, 100*time.Millisecond
 	var farms []*farmPools
 	var all []*Host
 	for i := range cfgs {
@@ -342,8 +342,8 @@
 	if !steps[1] && !steps[2] && !steps[3] {
 		t.Errorf("it was returned to at once: steps %v", steps)
 	}
-	key := gossip.ServerKey(consensus.ZoneKind, "farm", "c")
-	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Pinned: true, Why: "an operator"}.Encode()})
+	key := gossip.PoolKey(consensus.ZoneKind, "farm", "c")
+	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
 	eventually(t, "all leave it by order", avoided(4))
 	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
 		t.Error("a holder that has not heard of the operator's word decides against it")
@@ -365,7 +365,7 @@
 		return f
 	}
 	for i := range cfgs {
-		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOff, Rules: zonefailover.Usual(), Members: zones}
+		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOff, Rules: zonefailover.DefaultRules(), Members: zones}
 		all = append(all, start(t, cfgs[i], farm()))
 	}
 	defer func() {
@@ -373,12 +373,12 @@
 			tr.Close()
 		}
 	}()
-	key := gossip.ServerKey(consensus.ZoneKind, "farm", "b")
+	key := gossip.PoolKey(consensus.ZoneKind, "farm", "b")
 	for _, cold := range []bool{true, false} {
 		eventually(t, "all are there to each other", func() bool {
 			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
 		})
-		s := zonefailover.State{Step: zonefailover.Steps, Cold: cold, Why: "a step was borne"}
+		s := zonefailover.State{Step: zonefailover.FullStep, WarmingUp: cold, Reason: "a step was borne"}
 		if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: s.Encode()}); r.Why != "" {
 			t.Fatal(r.Why)
 		}
@@ -477,8 +477,8 @@
 		}
 	}
 	begin()
-	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
-	other := gossip.ServerKey(consensus.OrderKind, "farm", "other")
+	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
+	other := gossip.PoolKey(consensus.OrderKind, "farm", "other")
 	for range 3 {
 		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: "patched"})
 		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: other, Value: "patched"})
@@ -543,7 +543,7 @@
 			tr.Close()
 		}
 	}()
-	key := gossip.ServerKey(consensus.OrderKind, "farm", "box")
+	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
 	order(t, all[2], cfgs[2], consensus.OrderCommand{Key: key, Value: "first"})
 	// The other two end: what is asked of the third now has no answer until they are back.
 	all[0].Close()
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -120,7 +120,7 @@
 // Those of package council have their own test.
 func checkFields(t *testing.T, cases []goldenCase) {
 	t.Helper()
-	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[gossip.Figures]().PkgPath()}
+	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[gossip.Stats]().PkgPath()}
 	set, untagged := map[string]bool{}, map[string]bool{}
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
@@ -180,8 +180,8 @@
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
 			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
 			Zones: []ZoneStatus{{Pool: "farm", Zone: "a", Servers: 3, Avoided: 1, Epoch: 5, Step: 2, Pinned: true, Cold: true, Falls: 1, Why: "lost", Cause: "dead"}},
-			Sums:  map[string]uint64{"order": 9}, Figures: gossip.Figures{Suspicions: 1, Objections: 2, Deaths: 3, Syncs: 4, Equal: 5, Helped: 6, Turned: 7},
-			Refused: gossip.Counts{Unknown: 1, Illegal: 2, Full: 3, Differ: 4, Old: 5, Foreign: 6},
+			Sums:  map[string]uint64{"order": 9}, Figures: gossip.Stats{Suspicions: 1, Refutations: 2, Deaths: 3, Syncs: 4, SyncsEqual: 5, CatchUpBytes: 6, CatchUpRejected: 7},
+			Refused: gossip.Counts{Unknown: 1, Invalid: 2, OverLimit: 3, Conflicts: 4, Stale: 5, ForeignFleet: 6},
 		},
 	}
 }
@@ -529,13 +529,13 @@
 func TestCopiesOfFormerVersion(t *testing.T) {
 	const file = "testdata/copies.kept"
 	newCopies := func(path string) *sharedState {
-		cfg := gossip.Usual()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.Decided = "p", []string{"p", "q"}, []string{gossip.DeadKind}, consensus.DecidedKinds
+		cfg := gossip.DefaultConfig()
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
 		return &sharedState{cfg: SharedStateConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
 	k := newCopies("")
-	k.node.Decide("order/farm/box", 4, []byte("out"))
-	k.node.Decide("zone/farm/b", 5, nil)
+	k.node.ApplyDecision("order/farm/box", 4, []byte("out"))
+	k.node.ApplyDecision("zone/farm/b", 5, nil)
 	data := k.snapshot("p")
 	if *update {
 		if err := writeFileAtomically(file, data); err != nil {
@@ -556,11 +556,11 @@
 		t.Fatalf("%d entries, %v", read.loaded, err)
 	}
 	for key, number := range map[string]uint64{"order/farm/box": 4, "zone/farm/b": 5} {
-		if e, ok := read.node.Copies().Get(gossip.Council, key); !ok || e.Seq != number {
+		if e, ok := read.node.Store().Get(gossip.ConsensusOwner, key); !ok || e.Sequence != number {
 			t.Errorf("%s: %+v", key, e)
 		}
 	}
-	if read.node.Inc() <= k.node.Inc() {
+	if read.node.Incarnation() <= k.node.Incarnation() {
 		t.Error("the next start does not write above the last one")
 	}
 }
@@ -568,12 +568,12 @@
 // TestStoredWords: names, keys and numbers that are stored or sent keep their spelling and value.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
-		{taskLeaseName("sweep"), "task/sweep"}, {zoneview.Lease, "zones"}, {operatorName, "operator"},
-		{gossip.DeadKind, "dead"}, {zoneview.LookKind, "look"}, {zoneview.GreyKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
-		{gossip.ServerKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
-		{string(zoneview.LookValue(0, 3)), "0"}, {string(zoneview.LookValue(2, 3)), "p"}, {string(zoneview.LookValue(3, 3)), "1"},
-		{zonefailover.State{Step: 2, Pinned: true, Falls: 1, Why: "lost"}.Encode(), "2 true 1 lost"},
-		{zonefailover.State{Step: zonefailover.Steps, Cold: true, Why: "back"}.Encode(), "4c false 0 back"},
+		{taskLeaseName("sweep"), "task/sweep"}, {zoneview.LeaseName, "zones"}, {operatorName, "operator"},
+		{gossip.UnreachableKind, "dead"}, {zoneview.ZoneCheckKind, "look"}, {zoneview.GrayFailureKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
+		{gossip.PoolKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
+		{string(zoneview.EncodeZoneCheck(0, 3)), "0"}, {string(zoneview.EncodeZoneCheck(2, 3)), "p"}, {string(zoneview.EncodeZoneCheck(3, 3)), "1"},
+		{zonefailover.State{Step: 2, Manual: true, Relapses: 1, Reason: "lost"}.Encode(), "2 true 1 lost"},
+		{zonefailover.State{Step: zonefailover.FullStep, WarmingUp: true, Reason: "back"}.Encode(), "4c false 0 back"},
 		{storeFormat, 1}, {helloVersion, 1}, {tagLength, 16},
 	} {
 		if c.got != c.want {
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -17,8 +17,8 @@
 			for i := range cfgs {
 				cfgs[i].Rules.Term, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
 				if sharing {
-					u := gossip.Usual()
-					cfgs[i].SharedState = &SharedStateConfig{Gossip: u.Gossip, Probe: u.Probe, Sync: u.Sync, Keep: u.Keep, Fanout: u.Fanout, Budget: u.Budget, Witnesses: 2}
+					u := gossip.DefaultConfig()
+					cfgs[i].SharedState = &SharedStateConfig{Gossip: u.GossipInterval, Probe: u.PingInterval, Sync: u.SyncInterval, Keep: u.DeadRetention, Fanout: u.Fanout, Budget: u.CatchUpBudget, Witnesses: 2}
 				}
 				all = append(all, start(b, cfgs[i], &servers{}))
 			}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -37,16 +37,16 @@
 // zoneFailover is a process' part in leaving zones. All of it is under the tier's mu.
 type zoneFailover struct {
 	cfg             *ZonesConfig // nil: nothing is decided here, and what is decided is carried out
-	ramps           map[string]*zonefailover.Keeper
+	ramps           map[string]*zonefailover.Controller
 	endpointZones   map[string]map[string]string // zones of servers, by pool
 	judgeAt         time.Duration
 	proposalPending bool
 	proposedAt      time.Duration
 	advised         map[string]string // by key, as the log was told
 	causes          map[string]zonefailover.Cause
-	grey            map[string]*zonefailover.Grey // by pool
-	greyKeys        map[string]bool               // keys of grey zones that are written
-	checkDue        chan struct{}                 // a zone is to be looked at, and is not yet
+	grey            map[string]*zonefailover.GrayDetector // by pool
+	greyKeys        map[string]bool                       // keys of grey zones that are written
+	checkDue        chan struct{}                         // a zone is to be looked at, and is not yet
 }
 
 // judgeZones has the holder of the lease decide of zones, one change at a time. The caller has mu.
@@ -57,10 +57,10 @@
 		return
 	}
 	z.judgeAt = now + judgeInterval
-	if k.pools != nil && k.node.Copies().Sum(gossip.DeadKind) != 0 {
+	if k.pools != nil && k.node.Store().Digest(gossip.UnreachableKind) != 0 {
 		for pool := range z.endpointZones {
 			for zone := range k.zoneHealthChecks(t, pool, 0) {
-				if !k.healthCheckKeys[gossip.ServerKey(zoneview.LookKind, pool, zone)] { // at once, and not with the next round
+				if !k.healthCheckKeys[gossip.PoolKey(zoneview.ZoneCheckKind, pool, zone)] { // at once, and not with the next round
 					select {
 					case z.checkDue <- struct{}{}:
 					default:
@@ -69,46 +69,46 @@
 			}
 		}
 	}
-	token, _, held := t.session.Holding(now, zoneview.Lease)
+	token, _, held := t.session.Holding(now, zoneview.LeaseName)
 	if !held {
 		clear(z.ramps) // whoever holds it next begins anew
 		return
 	}
 	for _, pool := range slices.Sorted(maps.Keys(z.endpointZones)) {
 		if z.ramps[pool] == nil {
-			z.ramps[pool] = zonefailover.NewKeeper(z.cfg.Rules)
+			z.ramps[pool] = zonefailover.NewController(z.cfg.Rules)
 		}
-		scene := zoneview.Scene(k.node, z.cfg.Members, pool, z.endpointZones[pool])
+		scene := zoneview.Snapshot(k.node, z.cfg.Members, pool, z.endpointZones[pool])
 		change, causes := z.ramps[pool].Next(now, scene)
 		for zone, cause := range causes {
 			key := pool + "/" + zone
 			if z.causes[key] != cause {
 				z.causes[key] = cause
-				if cause != zonefailover.Well {
-					t.log.Info("a zone is judged", "pool", pool, "zone", zone, "cause", string(cause), "words", len(scene.Words))
+				if cause != zonefailover.CauseHealthy {
+					t.log.Info("a zone is judged", "pool", pool, "zone", zone, "cause", string(cause), "words", len(scene.Unreachable))
 				}
 			}
 		}
 		if change == nil || z.proposalPending && now < z.proposedAt+t.cfg.Rules.RenewEvery() {
 			continue // without an answer it is asked again: After tells a late copy from a new one
 		}
-		key := gossip.ServerKey(consensus.ZoneKind, pool, change.Zone)
+		key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
 		if z.cfg.Automatic == ZonesAdvise {
 			if z.advised[key] != change.State.Encode() {
 				z.advised[key] = change.State.Encode()
-				t.log.Warn("a zone would be decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Why)
+				t.log.Warn("a zone would be decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Reason)
 			}
 			continue
 		}
 		z.proposalPending, z.proposedAt = true, now
-		command := zoneview.Command(k.node, pool, *change, token)
+		command := zoneview.ShiftCommand(k.node, pool, *change, token)
 		t.submit(&pendingRequest{request: consensus.Request{Order: &command}, onResponse: func(r consensus.Response) {
 			z.proposalPending = false
 			if r.Order == nil || r.Order.Why != "" {
 				return // it is looked at again
 			}
-			t.log.Warn("a zone is decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Falls, "why", change.State.Why, "epoch", r.Order.Number)
-			k.node.Decide(key, r.Order.Number, []byte(change.State.Encode()))
+			t.log.Warn("a zone is decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Relapses, "why", change.State.Reason, "epoch", r.Order.Number)
+			k.node.ApplyDecision(key, r.Order.Number, []byte(change.State.Encode()))
 		}})
 	}
 }
@@ -133,12 +133,12 @@
 func (t *Host) checkZoneHealth() {
 	k := t.shared
 	lists := map[string]map[string]string{}
-	tallies := map[string]map[string]zonefailover.Tally{}
+	tallies := map[string]map[string]zonefailover.AttemptCounts{}
 	for _, pool := range k.pools.PoolNames() {
 		lists[pool] = k.pools.Servers(pool)
-		tallies[pool] = map[string]zonefailover.Tally{}
+		tallies[pool] = map[string]zonefailover.AttemptCounts{}
 		k.pools.Outcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
-			tallies[pool][zone] = zonefailover.Tally{Answered: answered, Failed: failed, Delay: delay}
+			tallies[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: delay}
 		})
 	}
 	type look struct {
@@ -157,7 +157,7 @@
 		k.healthCheckRounds++
 		for zone, servers := range k.zoneHealthChecks(t, pool, k.healthCheckRounds) {
 			looks = append(looks, look{pool, zone, servers})
-			wanted[gossip.ServerKey(zoneview.LookKind, pool, zone)] = true
+			wanted[gossip.PoolKey(zoneview.ZoneCheckKind, pool, zone)] = true
 		}
 	}
 	for key := range k.healthCheckKeys {
@@ -180,8 +180,8 @@
 		}
 		all.Wait()
 		t.mu.Lock()
-		key := gossip.ServerKey(zoneview.LookKind, l.pool, l.zone)
-		if k.node.Put(key, zoneview.LookValue(int(answered.Load()), len(l.servers))) {
+		key := gossip.PoolKey(zoneview.ZoneCheckKind, l.pool, l.zone)
+		if k.node.Put(key, zoneview.EncodeZoneCheck(int(answered.Load()), len(l.servers))) {
 			k.healthCheckKeys[key] = true
 		}
 		t.runDue()
@@ -190,19 +190,19 @@
 }
 
 // publishGreyZones writes which zones fail in part to this process. The caller has mu.
-func (t *Host) publishGreyZones(tallies map[string]map[string]zonefailover.Tally) {
+func (t *Host) publishGreyZones(tallies map[string]map[string]zonefailover.AttemptCounts) {
 	k, z := t.shared, &t.shared.zones
-	if z.cfg == nil || !z.cfg.Rules.Grey {
+	if z.cfg == nil || !z.cfg.Rules.GrayFailures {
 		return
 	}
 	now := t.clock.Now()
 	said := map[string]bool{}
 	for pool, zones := range tallies {
 		if z.grey[pool] == nil {
-			z.grey[pool] = zonefailover.NewGrey(zonefailover.UsualGrey())
+			z.grey[pool] = zonefailover.NewGrayDetector(zonefailover.DefaultGrayRules())
 		}
-		for _, zone := range z.grey[pool].Turn(now, zones) {
-			if key := gossip.ServerKey(zoneview.GreyKind, pool, zone); key != "" && k.node.Put(key, nil) {
+		for _, zone := range z.grey[pool].Observe(now, zones) {
+			if key := gossip.PoolKey(zoneview.GrayFailureKind, pool, zone); key != "" && k.node.Put(key, nil) {
 				said[key] = true
 			}
 		}
@@ -234,13 +234,13 @@
 			members[name] = ""
 		}
 	}
-	return zoneview.Looks(k.node, rules, members, t.cfg.Name, pool, k.zones.endpointZones[pool], turn)
+	return zoneview.AssignedChecks(k.node, rules, members, t.cfg.Name, pool, k.zones.endpointZones[pool], turn)
 }
 
 // addZoneExclusions adds to a pool's orders those about zones that are not wholly in use.
 func (k *sharedState) addZoneExclusions(at func(pool string) exclusions) {
 	for pool, list := range k.zones.endpointZones {
-		avoid, returning, soft := zoneview.Orders(k.node, pool, list)
+		avoid, returning, soft := zoneview.Exclusions(k.node, pool, list)
 		for server := range soft {
 			at(pool).untilRestart[server] = !at(pool).excluded[server] // an operator's word on the server itself is harder
 		}
@@ -269,7 +269,7 @@
 // zonesStatus tells of all zones. The caller has mu.
 func (k *sharedState) zonesStatus() (all []ZoneStatus) {
 	for _, pool := range slices.Sorted(maps.Keys(k.zones.endpointZones)) {
-		states, numbers := zoneview.Decided(k.node, pool)
+		states, numbers := zoneview.ZoneStates(k.node, pool)
 		count, avoided := map[string]int{}, map[string]int{}
 		for server, zone := range k.zones.endpointZones[pool] {
 			count[zone]++
@@ -283,11 +283,11 @@
 			}
 			s, is := states[zone]
 			if !is {
-				s.Step = zonefailover.Steps
+				s.Step = zonefailover.FullStep
 			}
 			all = append(all, ZoneStatus{
-				Pool: pool, Zone: zone, Servers: count[zone], Avoided: avoided[zone], Epoch: numbers[zone], Step: s.Step, Pinned: s.Pinned, Cold: s.Cold, Falls: s.Falls,
-				Why: s.Why, Cause: string(k.zones.causes[pool+"/"+zone]),
+				Pool: pool, Zone: zone, Servers: count[zone], Avoided: avoided[zone], Epoch: numbers[zone], Step: s.Step, Pinned: s.Manual, Cold: s.WarmingUp, Falls: s.Relapses,
+				Why: s.Reason, Cause: string(k.zones.causes[pool+"/"+zone]),
 			})
 		}
 	}
@@ -296,7 +296,7 @@
 
 // Check says what of a configuration can't be.
 func (z *ZonesConfig) Check() error {
-	if err := z.Rules.Check(); err != nil {
+	if err := z.Rules.Validate(); err != nil {
 		return err
 	}
 	known := map[string]bool{}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -165,19 +165,19 @@
 	part := p.Limits.Weight / sum * keptShare
 	claim := func(total, most int64) quota.Claim {
 		if most == 0 {
-			most = quota.NoLimit
+			most = quota.Unlimited
 		}
-		return quota.Claim{Min: min(int64(float64(total)*part), most), Max: most}
+		return quota.Claim{Reserved: min(int64(float64(total)*part), most), Limit: most}
 	}
 	clients := process.ClientMost(c.usable())
 	conns := claim(clients, 0)
 	if len(c.Pools) == 1 { // nobody is to be kept from it
-		conns.Min = 0
+		conns.Reserved = 0
 	}
 	return claims{
 		admission: quota.Limits{
-			Open: claim(clients, p.Limits.Open), Bodies: claim(c.bodies(), p.Limits.Bodies),
-			Rate: p.Limits.Rate, Burst: p.Limits.Burst, Hold: p.Limits.Hold,
+			OpenRequests: claim(clients, p.Limits.Open), BodyBytes: claim(c.bodies(), p.Limits.Bodies),
+			Rate: p.Limits.Rate, Burst: p.Limits.Burst, WaitForServers: p.Limits.Hold,
 		},
 		descriptors: claim(process.ForUpstreams(c.usable()), p.Limits.Descriptors),
 		conns:       conns,
@@ -187,9 +187,9 @@
 // freshClaim is what connections may have of which it is not known yet for which pool they are: those of all pools begin as
 // such, so that a part is kept for them.
 func (c *Config) freshClaim() quota.Claim {
-	most := quota.Claim{Max: quota.NoLimit}
+	most := quota.Claim{Limit: quota.Unlimited}
 	if len(c.Pools) > 1 {
-		most.Min = int64(float64(process.ClientMost(c.usable())) * freshShare)
+		most.Reserved = int64(float64(process.ClientMost(c.usable())) * freshShare)
 	}
 	return most
 }
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -64,11 +64,11 @@
 	}
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.admission.Serves(m.key)
+	return g.admission.CanServe(m.key)
 }
 
 // besideClaim is what pools beside those of the configuration may have of the descriptors.
-var besideClaim = quota.Claim{Max: quota.NoLimit}
+var besideClaim = quota.Claim{Limit: quota.Unlimited}
 
 // Beside starts a pool beside those of the configuration, such as one whose servers are at another site. Its descriptors are
 // of the common rest. The caller closes it.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -72,7 +72,7 @@
 	applying  sync.Mutex // one configuration at a time
 	cfg       Config
 	listeners map[Listener]*listening
-	lastKey   quota.Key
+	lastKey   quota.PoolID
 	stopped   bool
 	avoided   map[string]orders // servers that take nothing new, by order, by pool
 	silent    atomic.Pointer[func(pool, server string, is bool)]
@@ -81,12 +81,12 @@
 	shares    sync.Mutex
 	admission *quota.Admission
 	pacer     *quota.Pacer
-	conns     quota.Pot            // connections of clients; those that have brought no request are nobody's
+	conns     quota.Budget         // connections of clients; those that have brought no request are nobody's
 	retired   map[*member]struct{} // by a reload, and not yet gone
 }
 
 // nobody owns the connections that have brought no request yet. No pool has this key.
-const nobody quota.Key = 0
+const nobody quota.PoolID = 0
 
 // table is how requests find their pool. It is replaced whole.
 type table struct {
@@ -97,7 +97,7 @@
 
 // member is a pool of the process.
 type member struct {
-	key    quota.Key
+	key    quota.PoolID
 	module policy.Config // what its clients may be told
 	cfg    Pool          // Gateway.applying
 	pool   *pool.Pool
@@ -127,7 +127,7 @@
 	g := &Gateway{
 		log: log, origin: time.Now().Add(-time.Hour), descriptors: process.NewDescriptors(cfg.Descriptors),
 		several: make(chan struct{}), listeners: map[Listener]*listening{}, retired: map[*member]struct{}{},
-		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), conns: quota.NewPot(0),
+		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), conns: quota.NewBudget(0),
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.speech = sp
@@ -288,7 +288,7 @@
 	m := &member{key: g.lastKey, module: p.Settings.Config, cfg: p}
 	up := upstream.New(p.Settings.Config, g.descriptors.Pool(m.key))
 	cl := c.claims(p)
-	cl.admission.Away = g.crosses(p.Name)
+	cl.admission.Forwardable = g.crosses(p.Name)
 	// Its parts are set before it starts, as it may probe at once; of what is taken by others it may find little left
 	// until resize.
 	g.descriptors.Set(m.key, cl.descriptors, up.Evict)
@@ -305,12 +305,12 @@
 		Name: p.Name, Settings: p.Settings, Dialect: p.Dialect, Known: known, Seed: p.Seed, Ready: func(n int) {
 			g.shares.Lock()
 			defer g.shares.Unlock()
-			g.admission.Ready(m.key, n)
+			g.admission.SetReady(m.key, n)
 		},
 		FiguresEvery: c.FiguresEvery, Counts: &g.counts, Serves: func() bool {
 			g.shares.Lock()
 			defer g.shares.Unlock()
-			return g.admission.Serves(m.key)
+			return g.admission.CanServe(m.key)
 		},
 	}
 	if g.extension != nil {
@@ -379,7 +379,7 @@
 	g.conns.Set(nobody, c.freshClaim())
 	for _, p := range c.Pools {
 		m, cl := t.pools[p.Name], c.claims(p)
-		cl.admission.Away = g.crosses(p.Name)
+		cl.admission.Forwardable = g.crosses(p.Name)
 		g.descriptors.Claim(m.key, cl.descriptors)
 		g.admission.Set(g.now(), m.key, cl.admission)
 		g.conns.Set(m.key, cl.conns)
@@ -392,20 +392,20 @@
 	g.descriptors.Drop(m.key)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	g.admission.Drop(m.key)
-	g.conns.Drop(m.key)
-	g.pacer.Drop(m.key)
+	g.admission.Remove(m.key)
+	g.conns.Remove(m.key)
+	g.pacer.Remove(m.key)
 }
 
 // retire ends a pool once what it took is answered. Its requests may go on to open connections, within what is left over.
 func (g *Gateway) retire(m *member) {
 	g.shares.Lock()
-	g.admission.Drop(m.key)
-	g.conns.Drop(m.key)
-	g.pacer.Drop(m.key)
+	g.admission.Remove(m.key)
+	g.conns.Remove(m.key)
+	g.pacer.Remove(m.key)
 	g.retired[m] = struct{}{}
 	g.shares.Unlock()
-	g.descriptors.Claim(m.key, quota.Claim{Max: quota.NoLimit})
+	g.descriptors.Claim(m.key, quota.Claim{Limit: quota.Unlimited})
 	g.log.Info("pool drains", "pool", m.cfg.Name, "load", m.pool.String())
 	g.leaving.Go(func() {
 		ctx, cancel := context.WithTimeout(g.ctx, m.pool.Longest()+drainSlack)
@@ -427,7 +427,7 @@
 	for {
 		requests, _, _ := m.pool.Load()
 		g.shares.Lock()
-		admitted := g.admission.Open(m.key)
+		admitted := g.admission.OpenRequests(m.key)
 		g.shares.Unlock()
 		if requests == 0 && admitted == 0 {
 			return nil
@@ -663,7 +663,7 @@
 		}
 		lag := time.Since(due)
 		g.shares.Lock()
-		g.pacer.Lag(lag)
+		g.pacer.RecordLag(lag)
 		g.shares.Unlock()
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -457,7 +457,7 @@
 			c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := c.r.Peek(1)
 			s.g.shares.Lock()
-			taken := s.g.admission.Open(1) + s.g.admission.Open(2)
+			taken := s.g.admission.OpenRequests(1) + s.g.admission.OpenRequests(2)
 			s.g.shares.Unlock()
 			return err == nil || int(taken) > i-full
 		})
@@ -734,15 +734,15 @@
 		var open, bodies, descriptors, conns int64
 		for _, p := range c.Pools {
 			cl := c.claims(p)
-			open += cl.admission.Open.Min
-			bodies += cl.admission.Bodies.Min
-			descriptors += cl.descriptors.Min
-			conns += cl.conns.Min
-			if p.Limits.Open > 0 && cl.admission.Open.Max != p.Limits.Open {
-				t.Errorf("the most of %d became %d", p.Limits.Open, cl.admission.Open.Max)
+			open += cl.admission.OpenRequests.Reserved
+			bodies += cl.admission.BodyBytes.Reserved
+			descriptors += cl.descriptors.Reserved
+			conns += cl.conns.Reserved
+			if p.Limits.Open > 0 && cl.admission.OpenRequests.Limit != p.Limits.Open {
+				t.Errorf("the most of %d became %d", p.Limits.Open, cl.admission.OpenRequests.Limit)
 			}
 		}
-		if conns+c.freshClaim().Min > 453 || open > 453/2 || bodies > 4<<20 || descriptors > 555/2 {
+		if conns+c.freshClaim().Reserved > 453 || open > 453/2 || bodies > 4<<20 || descriptors > 555/2 {
 			t.Errorf("%d pools: kept are %d open, %d bytes, %d descriptors, %d connections", n, open, bodies, descriptors, conns)
 		}
 	}
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -64,11 +64,11 @@
 	g.shares.Lock()
 	defer g.shares.Unlock()
 	now := g.now()
-	g.pacer.Worked(now, m.key, 1+float64(room)/bodyWork)
+	g.pacer.RecordWork(now, m.key, 1+float64(room)/bodyWork)
 	if err != nil {
 		return nil, owner, err
 	}
-	if v := g.admission.Ask(now, m.key, room); v.Reason != quota.Admitted {
+	if v := g.admission.Admit(now, m.key, room); v.Reason != quota.Admitted {
 		bad := refusal(m, v)
 		g.counts.Ended(ask.Class(), metrics.Of(bad.Status))
 		return nil, owner, bad
@@ -77,9 +77,9 @@
 }
 
 // refusal is what a client is told whose request is not admitted.
-func refusal(m *member, v quota.Verdict) httpmsg.Bad {
+func refusal(m *member, v quota.Decision) httpmsg.Bad {
 	bad := httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
-	if v.Reason == quota.OverRate || v.Reason == quota.OverOpen {
+	if v.Reason == quota.RateExceeded || v.Reason == quota.TooManyOpen {
 		bad.Status = http.StatusTooManyRequests
 	}
 	if cfg := m.module; cfg.RetryAfterHonored {
@@ -96,7 +96,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.pacer.Pause(g.now(), quota.Key(o), refused)
+	return g.pacer.ReadDelay(g.now(), quota.PoolID(o), refused)
 }
 
 // Hold is the method of downstream.Handler.
@@ -104,7 +104,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.conns.Take(quota.Key(o), 1)
+	return g.conns.Acquire(quota.PoolID(o), 1)
 }
 
 // Drop is the method of downstream.Handler.
@@ -112,7 +112,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	g.conns.Give(quota.Key(o), 1)
+	g.conns.Release(quota.PoolID(o), 1)
 }
 
 // Excess is the method of downstream.Handler.
@@ -120,7 +120,7 @@
 	g := (*Gateway)(h)
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	return g.conns.Excess(quota.Key(o))
+	return g.conns.Excess(quota.PoolID(o))
 }
 
 // admission is a request that its pool's limits let in.
@@ -139,7 +139,7 @@
 	a.q.Body, a.q.Rest = body, rest
 	if unused := a.room - int64(len(body)); unused > 0 {
 		a.g.shares.Lock()
-		a.g.admission.Trim(a.m.key, unused)
+		a.g.admission.ReleaseBody(a.m.key, unused)
 		a.g.shares.Unlock()
 		a.room -= unused
 	}
@@ -161,5 +161,5 @@
 func (a *admission) Release() {
 	a.g.shares.Lock()
 	defer a.g.shares.Unlock()
-	a.g.admission.Done(a.m.key, a.room)
+	a.g.admission.Release(a.m.key, a.room)
 }
--- a/internal/gateway/learnt.go
+++ b/internal/gateway/learnt.go
@@ -8,7 +8,7 @@
 // Learnt is what a process has learnt of clients and servers, for one that takes its place with the same pools. It is a help
 // and no truth: whatever is missing or wrong in it is learnt anew.
 type Learnt struct {
-	Clients keepalive.Learnt       `json:"Clients"` // by pool, in the order of their keys
+	Clients keepalive.History      `json:"Clients"` // by pool, in the order of their keys
 	Pools   map[string]pool.Learnt `json:"Pools"`
 }
 
--- a/internal/gossip/evidence.go
+++ b/internal/gossip/evidence.go
@@ -7,105 +7,105 @@
 	"time"
 )
 
-// DeadKind begins the keys under which members write which servers do not answer them: "dead/POOL/SERVER".
-const DeadKind = "dead"
+// UnreachableKind begins the keys under which members write which servers do not answer them: "dead/POOL/SERVER".
+const UnreachableKind = "dead"
 
-// Evidence decides what is made of hearsay on servers. It only ever makes a process careful: what several others have found out by
+// FailureReports decides what is made of hearsay on servers. It only ever makes a process careful: what several others have found out by
 // themselves is hinted at, and what comes of a hint is for the decision module to say, which asks the server itself.
-type Evidence struct {
-	witnesses int                        // that must have found it out, this process not counted
-	by        map[string]map[string]bool // owners by key
-	own       map[string]time.Duration   // what this process has found out, and when last
+type FailureReports struct {
+	quorum     int                        // that must have found it out, this process not counted
+	reporters  map[string]map[string]bool // owners by key
+	ownReports map[string]time.Duration   // what this process has found out, and when last
 }
 
 const (
-	// ownFor is how long what a process has found out counts without being found out anew.
-	ownFor = 5 * time.Second
-	// mostHints bounds what is hinted at at once.
-	mostHints = 256
-	// mostOwn bounds what a process says itself; MostKeys/2 is what fits.
-	mostOwn = MostKeys / 2
+	// ownReportTTL is how long what a process has found out counts without being found out anew.
+	ownReportTTL = 5 * time.Second
+	// maxHints bounds what is hinted at at once.
+	maxHints = 256
+	// maxOwnReports bounds what a process says itself; MostKeys/2 is what fits.
+	maxOwnReports = MaxKeysPerOwner / 2
 )
 
-// NewEvidence returns none. One witness is not enough: with one, failures by chance are believed, and a liar costs service
+// NewFailureReports returns none. One witness is not enough: with one, failures by chance are believed, and a liar costs service
 // (docs/design/replica.md has the figures).
-func NewEvidence(witnesses int) *Evidence {
-	return &Evidence{witnesses: max(1, witnesses), by: map[string]map[string]bool{}, own: map[string]time.Duration{}}
+func NewFailureReports(witnesses int) *FailureReports {
+	return &FailureReports{quorum: max(1, witnesses), reporters: map[string]map[string]bool{}, ownReports: map[string]time.Duration{}}
 }
 
-// ServerKey is the key of a server, empty if it has none: names that are too long are not shared.
-func ServerKey(kind, pool, server string) string {
+// PoolKey is the key of a server, empty if it has none: names that are too long are not shared.
+func PoolKey(kind, pool, server string) string {
 	key := kind + "/" + pool + "/" + server
-	if len(key) > MostKeyLen || strings.Contains(pool, "/") {
+	if len(key) > MaxKeyBytes || strings.Contains(pool, "/") {
 		return ""
 	}
 	return key
 }
 
-// ServerOf is the pool and the server of a key.
-func ServerOf(key string) (pool, server string, ok bool) {
+// SplitPoolKey is the pool and the server of a key.
+func SplitPoolKey(key string) (pool, server string, ok bool) {
 	_, rest, _ := strings.Cut(key, "/")
 	return strings.Cut(rest, "/")
 }
 
-// Saw notes what this process has found out of a server itself, and writes it for others.
-func (v *Evidence) Saw(now time.Duration, n *Node, key string, dead bool) {
+// Record notes what this process has found out of a server itself, and writes it for others.
+func (v *FailureReports) Record(now time.Duration, n *Node, key string, dead bool) {
 	if !dead {
-		if _, had := v.own[key]; had {
-			delete(v.own, key)
+		if _, had := v.ownReports[key]; had {
+			delete(v.ownReports, key)
 			n.Delete(key)
 		}
 		return
 	}
-	if _, had := v.own[key]; !had && (len(v.own) >= mostOwn || !n.Put(key, nil)) {
+	if _, had := v.ownReports[key]; !had && (len(v.ownReports) >= maxOwnReports || !n.Put(key, nil)) {
 		return
 	}
-	v.own[key] = now
+	v.ownReports[key] = now
 }
 
-// Own is how many servers this process says are dead.
-func (v *Evidence) Own() int { return len(v.own) }
+// OwnCount is how many servers this process says are dead.
+func (v *FailureReports) OwnCount() int { return len(v.ownReports) }
 
-// Forget takes back what this process says of a key, and reports whether it said anything.
-func (v *Evidence) Forget(n *Node, key string) bool {
-	_, had := v.own[key]
-	delete(v.own, key)
+// Withdraw takes back what this process says of a key, and reports whether it said anything.
+func (v *FailureReports) Withdraw(n *Node, key string) bool {
+	_, had := v.ownReports[key]
+	delete(v.ownReports, key)
 	n.Delete(key)
 	return had
 }
 
-// Look takes over what has changed in the copies, and drops what this process has not found out anew for long.
-func (v *Evidence) Look(now time.Duration, n *Node, changed []Place) {
+// Update takes over what has changed in the copies, and drops what this process has not found out anew for long.
+func (v *FailureReports) Update(now time.Duration, n *Node, changed []EntryID) {
 	for _, p := range changed {
-		if KindOf(p.key) != DeadKind || p.owner == n.cfg.Name {
+		if KindOf(p.key) != UnreachableKind || p.owner == n.cfg.Name {
 			continue
 		}
-		e, ok := n.copies.Get(p.owner, p.key)
+		e, ok := n.store.Get(p.owner, p.key)
 		switch {
 		case ok && len(e.Values()) > 0: // also one of two that differ: the careful one counts
-			if v.by[p.key] == nil {
-				v.by[p.key] = map[string]bool{}
+			if v.reporters[p.key] == nil {
+				v.reporters[p.key] = map[string]bool{}
 			}
-			v.by[p.key][p.owner] = true
-		case v.by[p.key] != nil:
-			delete(v.by[p.key], p.owner)
-			if len(v.by[p.key]) == 0 {
-				delete(v.by, p.key)
+			v.reporters[p.key][p.owner] = true
+		case v.reporters[p.key] != nil:
+			delete(v.reporters[p.key], p.owner)
+			if len(v.reporters[p.key]) == 0 {
+				delete(v.reporters, p.key)
 			}
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(v.own)) {
-		if now > v.own[key]+ownFor {
-			v.Forget(n, key)
+	for _, key := range slices.Sorted(maps.Keys(v.ownReports)) {
+		if now > v.ownReports[key]+ownReportTTL {
+			v.Withdraw(n, key)
 		}
 	}
 }
 
 // Hints are the keys of servers that enough members who are there have found dead, and this process has not.
-func (v *Evidence) Hints(n *Node) []string {
+func (v *FailureReports) Hints(n *Node) []string {
 	var all []string
-	for key, owners := range v.by {
-		if _, mine := v.own[key]; mine || len(owners) < v.witnesses {
+	for key, owners := range v.reporters {
+		if _, mine := v.ownReports[key]; mine || len(owners) < v.quorum {
 			continue
 		}
 		there := 0
@@ -114,10 +114,10 @@
 				there++
 			}
 		}
-		if there >= v.witnesses {
+		if there >= v.quorum {
 			all = append(all, key)
 		}
 	}
 	slices.Sort(all)
-	return all[:min(len(all), mostHints)]
+	return all[:min(len(all), maxHints)]
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -21,9 +21,9 @@
 }
 
 func config(name string, size int, seed uint64) Config {
-	c := Usual()
-	c.Name, c.Members, c.Kinds, c.Decided, c.Seed = name, names(size), kinds, decided, seed
-	c.Keep = 10 * time.Second
+	c := DefaultConfig()
+	c.Name, c.Members, c.Kinds, c.DecidedKinds, c.Seed = name, names(size), kinds, decided, seed
+	c.DeadRetention = 10 * time.Second
 	return c
 }
 
@@ -98,7 +98,7 @@
 
 // arm has a process tick when it wants to, unless it does so sooner already.
 func (w *network) arm(name string, n *Node) {
-	next := n.Next()
+	next := n.NextTick()
 	if at, is := w.armed[n]; is && at <= next {
 		return
 	}
@@ -112,7 +112,7 @@
 	})
 }
 
-func (w *network) send(from string, out []Out) {
+func (w *network) send(from string, out []Envelope) {
 	for _, o := range out {
 		m, err := Decode(o.Message.Encode())
 		if err != nil {
@@ -130,11 +130,11 @@
 			d := ms + time.Duration(w.rng.Int64N(int64(w.late+ms)))
 			w.after(d, func() {
 				if to := w.up[o.To]; to != nil {
-					w.send(o.To, to.Take(w.now, from, m))
+					w.send(o.To, to.Receive(w.now, from, m))
 					w.arm(o.To, to)
 				}
 				if o.To == w.twinOf {
-					w.send(o.To, w.twin.Take(w.now, from, m))
+					w.send(o.To, w.twin.Receive(w.now, from, m))
 				}
 			})
 		}
@@ -168,8 +168,8 @@
 func (w *network) same() bool {
 	first := w.up["a"]
 	for _, n := range w.up {
-		for _, kind := range n.copies.kinds {
-			if n.copies.Sum(kind) != first.copies.Sum(kind) {
+		for _, kind := range n.store.kinds {
+			if n.store.Digest(kind) != first.store.Digest(kind) {
 				return false
 			}
 		}
@@ -178,8 +178,8 @@
 }
 
 func (w *network) holds(at, owner, key string) bool {
-	e, ok := w.up[at].copies.Get(owner, key)
-	return ok && !e.Gone()
+	e, ok := w.up[at].store.Get(owner, key)
+	return ok && !e.Deleted()
 }
 
 // TestSplit: both sides of a split write, one decides, each gives the other up; after the healing all hold the same, the decision and what is
@@ -195,7 +195,7 @@
 	w.up["b"].Put("dead/box", []byte("1"))
 	w.up["i"].Put("dead/box", []byte("2"))
 	w.up["a"].Delete("dead/old")
-	w.up["c"].Decide("order/box", 7, []byte("avoid"))
+	w.up["c"].ApplyDecision("order/box", 7, []byte("avoid"))
 	w.until("the other side is given up", 2*time.Minute, func() bool {
 		n := w.up["b"]
 		return n.Count(Dead) == 5 && !w.holds("b", "j", "dead/old") && !w.holds("h", "a", "dead/old")
@@ -211,7 +211,7 @@
 	})
 	t.Logf("healed within %v", took)
 	for name := range w.up {
-		if !w.holds(name, "b", "dead/box") || !w.holds(name, "i", "dead/box") || !w.holds(name, "j", "dead/old") || !w.holds(name, Council, "order/box") {
+		if !w.holds(name, "b", "dead/box") || !w.holds(name, "i", "dead/box") || !w.holds(name, "j", "dead/old") || !w.holds(name, ConsensusOwner, "order/box") {
 			t.Errorf("%s lacks something", name)
 		}
 		if w.holds(name, "a", "dead/old") {
@@ -227,11 +227,11 @@
 	w.until("all have it", 5*time.Second, w.same)
 	w.cut = func(from, to string) bool { return from == "c" || to == "c" }
 	w.until("it is given up", 2*time.Minute, func() bool { return !w.holds("a", "c", "dead/x") })
-	inc := w.up["c"].Inc()
+	inc := w.up["c"].Incarnation()
 	w.up["c"].Put("dead/y", []byte("1"))
 	w.cut = nil
 	w.until("all hold what it writes", 30*time.Second, func() bool { return w.same() && w.holds("a", "c", "dead/x") && w.holds("a", "c", "dead/y") })
-	if w.up["c"].Inc() <= inc {
+	if w.up["c"].Incarnation() <= inc {
 		t.Error("it was given up, and goes on with the incarnation that was")
 	}
 }
@@ -246,7 +246,7 @@
 			t.Errorf("%s holds somebody for dead", name)
 		}
 	}
-	if n := w.up["a"].Figures.Suspicions; n > 0 {
+	if n := w.up["a"].Stats.Suspicions; n > 0 {
 		t.Errorf("it suspects whom it can't reach itself %d times, though others can", n)
 	}
 	w.up["a"].Put("dead/x", nil)
@@ -265,7 +265,7 @@
 	}
 	w.late, w.twice = 0, false
 	w.until("all hold the newest", 20*time.Second, func() bool { return w.same() && w.holds("a", "d", "dead/99") })
-	w.up["a"].copies.All("dead/", func(e *Entry) bool {
+	w.up["a"].store.ForEach("dead/", func(e *Entry) bool {
 		if e.Owner == "d" && e.Key != "dead/99" {
 			t.Errorf("%s of an older start", e.Key)
 		}
@@ -279,10 +279,10 @@
 	w := newNetwork(t, 4)
 	n := w.up["a"]
 	n.Put("dead/x", []byte("1"))
-	late, _ := n.copies.Get("a", "dead/x")
+	late, _ := n.store.Get("a", "dead/x")
 	w.until("all have it", 5*time.Second, w.same)
 	n.Delete("dead/x")
-	for i := range 3 * MostKeys { // many more keys than are kept: the owner begins anew
+	for i := range 3 * MaxKeysPerOwner { // many more keys than are kept: the owner begins anew
 		key := fmt.Sprintf("dead/%d", i)
 		if !n.Put(key, []byte("1")) {
 			t.Fatalf("no room for %s", key)
@@ -290,7 +290,7 @@
 		n.Delete(key)
 	}
 	w.until("all are in step", 20*time.Second, w.same)
-	w.send("b", []Out{{"c", &Message{Kind: Gossip, Entries: []Entry{late}}}})
+	w.send("b", []Envelope{{"c", &Message{Kind: RumorMessage, Entries: []Entry{late}}}})
 	w.run(5 * time.Second)
 	for name := range w.up {
 		if w.holds(name, "a", "dead/x") {
@@ -334,7 +334,7 @@
 	w.up["b"].Put("dead/first", []byte("1"))
 	w.twin, w.twinOf = New(w.now, config("b", 5, 99)), "b"
 	w.twin.Put("dead/twin", []byte("1"))
-	before := max(w.up["b"].Inc(), w.twin.Inc()) >> incBits
+	before := max(w.up["b"].Incarnation(), w.twin.Incarnation()) >> incarnationRandomBits
 	both := 0
 	for range 400 { // 20 s
 		w.send("b", w.twin.Tick(w.now))
@@ -343,7 +343,7 @@
 			both++
 		}
 	}
-	n := max(w.up["b"].Inc(), w.twin.Inc())>>incBits - before
+	n := max(w.up["b"].Incarnation(), w.twin.Incarnation())>>incarnationRandomBits - before
 	if t.Logf("%d incarnations", n); n < 5 || n > 50 {
 		t.Errorf("%d incarnations within 20 s: some are wanted, and not more than each can begin once a second", n)
 	}
@@ -386,16 +386,16 @@
 		if i >= 20 {
 			w.start(name)
 		}
-		w.up[name].cfg.Budget, w.up[name].budget = budget, 0
+		w.up[name].cfg.CatchUpBudget, w.up[name].catchUpBudget = budget, 0
 	}
 	before := map[string]int{}
 	for _, name := range names {
-		before[name] = w.up[name].Figures.Helped
+		before[name] = w.up[name].Stats.CatchUpBytes
 	}
 	from := w.now
 	took := w.until("all have caught up", 3*time.Minute, func() bool {
 		for _, name := range names {
-			if _, ok := w.up[name].Caught(w.now); !ok {
+			if _, ok := w.up[name].InSync(w.now); !ok {
 				return false
 			}
 		}
@@ -403,8 +403,8 @@
 	})
 	turned := 0
 	for name, n := range w.up {
-		turned += n.Figures.Turned
-		if gave := float64(n.Figures.Helped - before[name]); gave > budget*((w.now-from).Seconds()+1)+answerBytes {
+		turned += n.Stats.CatchUpRejected
+		if gave := float64(n.Stats.CatchUpBytes - before[name]); gave > budget*((w.now-from).Seconds()+1)+maxSyncReplyBytes {
 			t.Errorf("%s gave %.0f bytes within %v", name, gave, w.now-from)
 		}
 	}
@@ -417,13 +417,13 @@
 // TestNoCouncil: without the council's word the decided state stays as it was, and what is observed goes on.
 func TestNoCouncil(t *testing.T) {
 	w := newNetwork(t, 6)
-	w.up["a"].Decide("order/x", 3, []byte("avoid"))
-	w.up["b"].Decide("order/x", 2, nil) // has heard less
-	w.until("all have the newest", 5*time.Second, func() bool { return w.same() && w.holds("f", Council, "order/x") })
+	w.up["a"].ApplyDecision("order/x", 3, []byte("avoid"))
+	w.up["b"].ApplyDecision("order/x", 2, nil) // has heard less
+	w.until("all have the newest", 5*time.Second, func() bool { return w.same() && w.holds("f", ConsensusOwner, "order/x") })
 	w.up["c"].Put("dead/y", []byte("1"))
 	w.until("what is observed goes on", 5*time.Second, func() bool { return w.holds("f", "c", "dead/y") })
-	w.up["d"].Decide("order/x", 9, nil)
-	w.until("what is lifted is lifted everywhere", 5*time.Second, func() bool { return w.same() && !w.holds("a", Council, "order/x") })
+	w.up["d"].ApplyDecision("order/x", 9, nil)
+	w.until("what is lifted is lifted everywhere", 5*time.Second, func() bool { return w.same() && !w.holds("a", ConsensusOwner, "order/x") })
 }
 
 // TestCutOffAtEveryPiece: the connection of one that catches up ends after its first message, after its second, and so on, each time: what has
@@ -458,15 +458,15 @@
 // TestAnotherFleet: what processes of another fleet say, whose names this one does not know, is kept out and counted, and costs nothing.
 func TestAnotherFleet(t *testing.T) {
 	w := newNetwork(t, 4)
-	before := w.up["a"].copies.Counts
-	stranger := &Message{Kind: Gossip, Members: []MemberState{{"stranger", 1 << incBits, 0, Alive, ""}}, Owners: []OwnerState{{"stranger", 9, 9}},
+	before := w.up["a"].store.Counts
+	stranger := &Message{Kind: RumorMessage, Members: []MemberState{{"stranger", 1 << incarnationRandomBits, 0, Alive, ""}}, Owners: []OwnerState{{"stranger", 9, 9}},
 		Entries: []Entry{{"stranger", "dead/x", Version{1, 1}, [][]byte{content("")}}}}
-	w.send("b", []Out{{"a", stranger}})
+	w.send("b", []Envelope{{"a", stranger}})
 	w.run(time.Second)
-	if c := w.up["a"].copies.Counts; c.Unknown < before.Unknown+3 || len(w.up["a"].copies.all()) > 0 {
-		t.Errorf("%+v, %v", c, w.up["a"].copies.all())
+	if c := w.up["a"].store.Counts; c.Unknown < before.Unknown+3 || len(w.up["a"].store.all()) > 0 {
+		t.Errorf("%+v, %v", c, w.up["a"].store.all())
 	}
-	if out := w.up["a"].Take(w.now, "stranger", stranger); len(out) > 0 {
+	if out := w.up["a"].Receive(w.now, "stranger", stranger); len(out) > 0 {
 		t.Error("one that is no member is answered")
 	}
 }
@@ -475,11 +475,11 @@
 // counts no more. Whoever says that all is well changes nothing: there is nothing to say it with.
 func TestEvidence(t *testing.T) {
 	w := newNetwork(t, 6)
-	v := NewEvidence(2)
+	v := NewFailureReports(2)
 	a := w.up["a"]
 	look := func() []string {
 		w.run(2 * time.Second)
-		v.Look(w.now, a, a.copies.Changed())
+		v.Update(w.now, a, a.store.TakeChanges())
 		return v.Hints(a)
 	}
 	w.up["b"].Put("dead/farm/box", nil)
@@ -490,14 +490,14 @@
 	if h := look(); len(h) != 1 {
 		t.Fatalf("two are not: %v", h)
 	}
-	v.Saw(w.now, a, "dead/farm/box", true)
+	v.Record(w.now, a, "dead/farm/box", true)
 	if h := v.Hints(a); len(h) != 0 {
 		t.Errorf("it is told what it has found out itself: %v", h)
 	}
-	w.run(ownFor + time.Second)
+	w.run(ownReportTTL + time.Second)
 	look()
-	if h := look(); len(h) != 1 || v.Own() != 0 || w.holds("b", "a", "dead/farm/box") {
-		t.Errorf("%v; what it does not find out anew still counts: %d", h, v.Own())
+	if h := look(); len(h) != 1 || v.OwnCount() != 0 || w.holds("b", "a", "dead/farm/box") {
+		t.Errorf("%v; what it does not find out anew still counts: %d", h, v.OwnCount())
 	}
 	w.up["c"].Delete("dead/farm/box")
 	if h := look(); len(h) != 0 {
@@ -520,33 +520,33 @@
 	w := newNetwork(t, 6)
 	former, present := FleetTag("former"), FleetTag("present")
 	for _, n := range w.up {
-		n.Copies().Council(former)
+		n.Store().SetFleetTag(former)
 	}
-	w.up["a"].Decide("order/x", 50, []byte("avoid"))
-	w.up["a"].Decide("order/y", 51, []byte("avoid"))
-	w.until("all have it", 5*time.Second, func() bool { return w.same() && w.holds("f", Council, "order/y") })
+	w.up["a"].ApplyDecision("order/x", 50, []byte("avoid"))
+	w.up["a"].ApplyDecision("order/y", 51, []byte("avoid"))
+	w.until("all have it", 5*time.Second, func() bool { return w.same() && w.holds("f", ConsensusOwner, "order/y") })
 	for _, name := range []string{"a", "b", "c"} {
-		w.up[name].Copies().Council(present)
+		w.up[name].Store().SetFleetTag(present)
 	}
-	w.up["b"].Decide("order/x", 1, []byte("new"))
+	w.up["b"].ApplyDecision("order/x", 1, []byte("new"))
 	w.run(5 * time.Second)
 	for _, name := range []string{"a", "b", "c"} {
-		if e, ok := w.up[name].Copies().Get(Council, "order/x"); !ok || e.Seq != 1 {
+		if e, ok := w.up[name].Store().Get(ConsensusOwner, "order/x"); !ok || e.Sequence != 1 {
 			t.Errorf("%s holds %+v", name, e)
 		}
-		if w.holds(name, Council, "order/y") {
+		if w.holds(name, ConsensusOwner, "order/y") {
 			t.Errorf("%s has an order of the former council", name)
 		}
 	}
-	if w.up["b"].Copies().Counts.Foreign == 0 {
+	if w.up["b"].Store().Counts.ForeignFleet == 0 {
 		t.Error("nothing of the former was kept out: nothing was shown")
 	}
 	for _, n := range w.up {
-		n.Copies().Council(present)
+		n.Store().SetFleetTag(present)
 	}
 	w.until("all are equal", 5*time.Second, func() bool {
-		e, ok := w.up["f"].Copies().Get(Council, "order/x")
-		return w.same() && ok && e.Seq == 1 && !w.holds("f", Council, "order/y")
+		e, ok := w.up["f"].Store().Get(ConsensusOwner, "order/x")
+		return w.same() && ok && e.Sequence == 1 && !w.holds("f", ConsensusOwner, "order/y")
 	})
 }
 
@@ -554,20 +554,20 @@
 // a round of gossip.
 func TestLastingDifference(t *testing.T) {
 	w := newNetwork(t, 2)
-	w.up["a"].Copies().Council(FleetTag("present"))
-	w.up["b"].Copies().Council(FleetTag("former"))
-	w.up["a"].Decide("order/x", 1, []byte("avoid"))
-	w.up["b"].Decide("order/y", 2, []byte("avoid"))
+	w.up["a"].Store().SetFleetTag(FleetTag("present"))
+	w.up["b"].Store().SetFleetTag(FleetTag("former"))
+	w.up["a"].ApplyDecision("order/x", 1, []byte("avoid"))
+	w.up["b"].ApplyDecision("order/y", 2, []byte("avoid"))
 	w.run(time.Second)
 	before := map[string]int{}
 	for name, n := range w.up {
-		before[name] = n.Figures.Syncs
+		before[name] = n.Stats.Syncs
 	}
 	const over = 20 * time.Second
 	w.run(over)
 	for name, n := range w.up {
-		if looks := n.Figures.Syncs - before[name]; looks > int(over/n.cfg.Gossip)+1 || looks < 2 {
-			t.Errorf("%s has looked %d times within %v, a round of gossip being %v", name, looks, over, n.cfg.Gossip)
+		if looks := n.Stats.Syncs - before[name]; looks > int(over/n.cfg.GossipInterval)+1 || looks < 2 {
+			t.Errorf("%s has looked %d times within %v, a round of gossip being %v", name, looks, over, n.cfg.GossipInterval)
 		}
 	}
 }
--- a/internal/gossip/replica.go
+++ b/internal/gossip/replica.go
@@ -19,38 +19,38 @@
 
 // Bounds. What goes beyond is refused and counted, except that of too many keys of one owner all copies keep the same.
 const (
-	MostOwners  = 8192
-	MostKeys    = 256 // of one owner
-	MostKeyLen  = 200
-	MostValue   = 1024 // bytes
-	mostDiffers = 4    // contents of one version that are kept
+	MaxOwners       = 8192
+	MaxKeysPerOwner = 256 // of one owner
+	MaxKeyBytes     = 200
+	MaxValueBytes   = 1024 // bytes
+	maxSiblings     = 4    // contents of one version that are kept
 )
 
-// Council owns what is decided. No member has that name.
-const Council = "*council"
+// ConsensusOwner owns what is decided. No member has that name.
+const ConsensusOwner = "*council"
 
 // Version orders what one owner has written of one key.
 type Version struct {
-	Inc uint64 // incarnation: grows with each start of the owner, and whenever it writes itself anew
-	Seq uint64 // grows with each change within it; of what is decided, the number of the decision
+	Incarnation uint64 // incarnation: grows with each start of the owner, and whenever it writes itself anew
+	Sequence    uint64 // grows with each change within it; of what is decided, the number of the decision
 }
 
 // Compare orders versions.
 func (v Version) Compare(w Version) int {
-	return cmp.Or(cmp.Compare(v.Inc, w.Inc), cmp.Compare(v.Seq, w.Seq))
+	return cmp.Or(cmp.Compare(v.Incarnation, w.Incarnation), cmp.Compare(v.Sequence, w.Sequence))
 }
 
 // Entry is one copy of what an owner has written.
 type Entry struct {
 	Owner, Key string // the key begins with its kind and a slash
 	Version
-	// Contents has one element, or several if there are different ones of one version. The first byte of each tells whether it is there.
-	Contents [][]byte
+	// Siblings has one element, or several if there are different ones of one version. The first byte of each tells whether it is there.
+	Siblings [][]byte
 }
 
 const (
-	absent  = 0 // the owner has taken the key back
-	present = 1
+	tombstoneMark = 0 // the owner has taken the key back
+	valueMark     = 1
 )
 
 // KindOf is the kind of a key.
@@ -62,26 +62,26 @@
 // Values are the contents that are there.
 func (e *Entry) Values() [][]byte {
 	var all [][]byte
-	for _, c := range e.Contents {
-		if len(c) > 0 && c[0] == present {
+	for _, c := range e.Siblings {
+		if len(c) > 0 && c[0] == valueMark {
 			all = append(all, c[1:])
 		}
 	}
 	return all
 }
 
-// Gone reports whether the owner has taken the key back.
-func (e *Entry) Gone() bool {
-	return len(e.Contents) == 1 && len(e.Contents[0]) == 1 && e.Contents[0][0] == absent
+// Deleted reports whether the owner has taken the key back.
+func (e *Entry) Deleted() bool {
+	return len(e.Siblings) == 1 && len(e.Siblings[0]) == 1 && e.Siblings[0][0] == tombstoneMark
 }
 
-// legal reports whether an entry of a peer can be one.
-func (e *Entry) legal() bool {
-	if e.Owner == "" || len(e.Key) > MostKeyLen || !strings.Contains(e.Key, "/") || e.Inc == 0 || e.Seq == 0 || len(e.Contents) == 0 || len(e.Contents) > mostDiffers {
+// valid reports whether an entry of a peer can be one.
+func (e *Entry) valid() bool {
+	if e.Owner == "" || len(e.Key) > MaxKeyBytes || !strings.Contains(e.Key, "/") || e.Incarnation == 0 || e.Sequence == 0 || len(e.Siblings) == 0 || len(e.Siblings) > maxSiblings {
 		return false
 	}
-	for i, c := range e.Contents {
-		if len(c) == 0 || len(c) > MostValue+1 || c[0] > present || c[0] == absent && len(c) > 1 || i > 0 && bytes.Compare(e.Contents[i-1], c) >= 0 {
+	for i, c := range e.Siblings {
+		if len(c) == 0 || len(c) > MaxValueBytes+1 || c[0] > valueMark || c[0] == tombstoneMark && len(c) > 1 || i > 0 && bytes.Compare(e.Siblings[i-1], c) >= 0 {
 			return false
 		}
 	}
@@ -96,21 +96,21 @@
 	case c < 0:
 		return b
 	}
-	all := append(slices.Clone(a.Contents), b.Contents...)
+	all := append(slices.Clone(a.Siblings), b.Siblings...)
 	slices.SortFunc(all, bytes.Compare)
 	all = slices.CompactFunc(all, bytes.Equal)
-	a.Contents = all[:min(len(all), mostDiffers)]
+	a.Siblings = all[:min(len(all), maxSiblings)]
 	return a
 }
 
-// Sum is what an entry adds to the sum of its kind.
-func (e Entry) Sum() uint64 { return e.sum() }
+// Digest is what an entry adds to the sum of its kind.
+func (e Entry) Digest() uint64 { return e.digest() }
 
-// sum is what an entry adds to the sums of its ranges.
-func (e *Entry) sum() uint64 {
+// digest is what an entry adds to the sums of its ranges.
+func (e *Entry) digest() uint64 {
 	h := fnv.New64a()
 	var buf [16]byte
-	for i, x := range []uint64{e.Inc, e.Seq} {
+	for i, x := range []uint64{e.Incarnation, e.Sequence} {
 		for b := range 8 {
 			buf[8*i+b] = byte(x >> (8 * b))
 		}
@@ -119,86 +119,86 @@
 	h.Write([]byte(e.Owner))
 	h.Write([]byte{0xff})
 	h.Write([]byte(e.Key))
-	for _, c := range e.Contents {
+	for _, c := range e.Siblings {
 		h.Write([]byte{0xff, byte(len(c)), byte(len(c) >> 8)})
 		h.Write(c)
 	}
-	return mix(h.Sum64())
+	return mix64(h.Sum64())
 }
 
-// leafOf is the range that a key of an owner belongs to.
-func leafOf(owner, key string) int {
+// leafIndex is the range that a key of an owner belongs to.
+func leafIndex(owner, key string) int {
 	h := fnv.New64a()
 	h.Write([]byte(owner))
 	h.Write([]byte{0xff})
 	h.Write([]byte(key))
-	return int(mix(h.Sum64()) % leaves)
+	return int(mix64(h.Sum64()) % leafCount)
 }
 
-func mix(x uint64) uint64 {
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// fan is how many ranges one is parted into, leaves how many there are at the bottom: a few entries each with thousands of owners.
+// treeFanout is how many ranges one is parted into, leaves how many there are at the bottom: a few entries each with thousands of owners.
 const (
-	fan    = 16
-	leaves = fan * fan
+	treeFanout = 16
+	leafCount  = treeFanout * treeFanout
 )
 
-// sums are those of all entries of one kind, by range: of all, of a sixteenth, of a leaf. Equal copies have equal sums, and two that differ
+// digestTree are those of all entries of one kind, by range: of all, of a sixteenth, of a leaf. Equal copies have equal sums, and two that differ
 // find out where with two answers.
-type sums struct {
-	top    uint64
-	middle [fan]uint64
-	leaf   [leaves]uint64
-	in     [leaves][]Place // who is there
+type digestTree struct {
+	root    uint64
+	inner   [treeFanout]uint64
+	leaves  [leafCount]uint64
+	entries [leafCount][]EntryID // who is there
 }
 
-// Place names an entry.
-type Place struct{ owner, key string }
+// EntryID names an entry.
+type EntryID struct{ owner, key string }
 
 // Owner is whose the entry is.
-func (p Place) Owner() string { return p.owner }
+func (p EntryID) Owner() string { return p.owner }
 
 // Key is that of the entry.
-func (p Place) Key() string { return p.key }
-
-func (s *sums) add(owner, key string, x uint64) {
-	at := leafOf(owner, key)
-	s.top += x
-	s.middle[at/fan] += x
-	s.leaf[at] += x
-	s.in[at] = append(s.in[at], Place{owner, key})
-}
-
-func (s *sums) remove(owner, key string, x uint64) {
-	at := leafOf(owner, key)
-	s.top -= x
-	s.middle[at/fan] -= x
-	s.leaf[at] -= x
-	if i := slices.Index(s.in[at], Place{owner, key}); i >= 0 {
-		last := len(s.in[at]) - 1
-		s.in[at][i] = s.in[at][last]
-		s.in[at] = s.in[at][:last]
+func (p EntryID) Key() string { return p.key }
+
+func (s *digestTree) add(owner, key string, x uint64) {
+	at := leafIndex(owner, key)
+	s.root += x
+	s.inner[at/treeFanout] += x
+	s.leaves[at] += x
+	s.entries[at] = append(s.entries[at], EntryID{owner, key})
+}
+
+func (s *digestTree) remove(owner, key string, x uint64) {
+	at := leafIndex(owner, key)
+	s.root -= x
+	s.inner[at/treeFanout] -= x
+	s.leaves[at] -= x
+	if i := slices.Index(s.entries[at], EntryID{owner, key}); i >= 0 {
+		last := len(s.entries[at]) - 1
+		s.entries[at][i] = s.entries[at][last]
+		s.entries[at] = s.entries[at][:last]
 	}
 }
 
-// places are those of a leaf, in order.
-func (s *sums) places(leaf int) []Place {
-	return slices.SortedFunc(slices.Values(s.in[leaf]), func(a, b Place) int {
+// leafEntries are those of a leaf, in order.
+func (s *digestTree) leafEntries(leaf int) []EntryID {
+	return slices.SortedFunc(slices.Values(s.entries[leaf]), func(a, b EntryID) int {
 		return cmp.Or(strings.Compare(a.owner, b.owner), strings.Compare(a.key, b.key))
 	})
 }
 
-// at is the sum of a range.
-func (s *sums) at(level uint8, index int) uint64 {
+// rangeDigest is the sum of a range.
+func (s *digestTree) rangeDigest(level uint8, index int) uint64 {
 	switch level {
 	case 0:
-		return s.top
+		return s.root
 	case 1:
-		return s.middle[index]
+		return s.inner[index]
 	}
-	return s.leaf[index]
+	return s.leaves[index]
 }
--- a/internal/gossip/replica_test.go
+++ b/internal/gossip/replica_test.go
@@ -18,22 +18,22 @@
 
 func anyone(string) bool { return true }
 
-func content(v string) []byte { return append([]byte{present}, v...) }
+func content(v string) []byte { return append([]byte{valueMark}, v...) }
 
 // drawn is an entry that some process could send, right or not.
 func drawn(t *rapid.T) Entry {
 	e := Entry{
-		Owner: rapid.SampledFrom([]string{"a", "b", Council}).Draw(t, "owner"),
+		Owner: rapid.SampledFrom([]string{"a", "b", ConsensusOwner}).Draw(t, "owner"),
 		Key:   rapid.SampledFrom([]string{"dead/x", "dead/y", "order/x"}).Draw(t, "key"),
 		Version: Version{
-			Inc: rapid.Uint64Range(1, 3).Draw(t, "inc"), Seq: rapid.Uint64Range(1, 3).Draw(t, "seq"),
+			Incarnation: rapid.Uint64Range(1, 3).Draw(t, "inc"), Sequence: rapid.Uint64Range(1, 3).Draw(t, "seq"),
 		},
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "contents") {
-		e.Contents = append(e.Contents, rapid.SampledFrom([][]byte{{absent}, content("1"), content("2"), content("3"), content("4"), content("5")}).Draw(t, "content"))
+		e.Siblings = append(e.Siblings, rapid.SampledFrom([][]byte{{tombstoneMark}, content("1"), content("2"), content("3"), content("4"), content("5")}).Draw(t, "content"))
 	}
-	slices.SortFunc(e.Contents, bytes.Compare)
-	e.Contents = slices.CompactFunc(e.Contents, bytes.Equal)
+	slices.SortFunc(e.Siblings, bytes.Compare)
+	e.Siblings = slices.CompactFunc(e.Siblings, bytes.Equal)
 	return e
 }
 
@@ -50,16 +50,16 @@
 	return told{entry: &e}
 }
 
-func (c *Copies) hear(x told) {
+func (c *Store) hear(x told) {
 	if x.owner != nil {
-		c.Learn(*x.owner)
+		c.ApplyOwnerState(*x.owner)
 	} else {
 		c.Merge(*x.entry)
 	}
 }
 
-func (c *Copies) all() (all []Entry) {
-	c.All("", func(e *Entry) bool { all = append(all, *e); return true })
+func (c *Store) all() (all []Entry) {
+	c.ForEach("", func(e *Entry) bool { all = append(all, *e); return true })
 	return all
 }
 
@@ -68,42 +68,42 @@
 func TestMergeIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heard := rapid.SliceOfN(rapid.Custom(drawTold), 1, 25).Draw(t, "heard")
-		one := NewCopies(kinds, decided, anyone, NoPlant)
-		newest := map[Place]Version{}
+		one := NewStore(kinds, decided, anyone, NoFault)
+		newest := map[EntryID]Version{}
 		for _, x := range heard {
 			one.hear(x)
 			for _, e := range one.all() {
-				at := Place{e.Owner, e.Key}
+				at := EntryID{e.Owner, e.Key}
 				if e.Compare(newest[at]) < 0 {
 					t.Fatalf("%v went back from %v to %v", at, newest[at], e.Version)
 				}
 				newest[at] = e.Version
-				if inc, gone := one.Inc(e.Owner); e.Inc != inc || e.Inc <= gone {
+				if inc, gone := one.Incarnation(e.Owner); e.Incarnation != inc || e.Incarnation <= gone {
 					t.Fatalf("%+v is held, and incarnation %d is in force, %d given up", e, inc, gone)
 				}
 			}
 		}
-		other := NewCopies(kinds, decided, anyone, NoPlant)
+		other := NewStore(kinds, decided, anyone, NoFault)
 		for _, i := range rapid.Permutation(indices(len(heard))).Draw(t, "order") {
 			other.hear(heard[i])
 			other.hear(heard[i])
 		}
 		// A third hears of all by way of the two.
-		third := NewCopies(kinds, decided, anyone, NoPlant)
-		for _, c := range []*Copies{other, one} {
+		third := NewStore(kinds, decided, anyone, NoFault)
+		for _, c := range []*Store{other, one} {
 			for name, o := range c.owners {
-				third.Learn(OwnerState{name, o.inc, o.gone})
+				third.ApplyOwnerState(OwnerState{name, o.incarnation, o.reaped})
 			}
 			for _, e := range c.all() {
 				third.Merge(e)
 			}
 		}
-		for _, c := range []*Copies{other, third} {
+		for _, c := range []*Store{other, third} {
 			if !reflect.DeepEqual(one.all(), c.all()) {
 				t.Fatalf("%+v\n%+v", one.all(), c.all())
 			}
 			for _, kind := range c.kinds {
-				if one.Sum(kind) != c.Sum(kind) {
+				if one.Digest(kind) != c.Digest(kind) {
 					t.Fatalf("equal copies of %s have unequal sums", kind)
 				}
 			}
@@ -121,36 +121,36 @@
 
 // TestMostKeys: of an owner with too many keys all copies keep the same, in whatever order they hear of them.
 func TestMostKeys(t *testing.T) {
-	a, b := NewCopies(kinds, nil, anyone, NoPlant), NewCopies(kinds, nil, anyone, NoPlant)
+	a, b := NewStore(kinds, nil, anyone, NoFault), NewStore(kinds, nil, anyone, NoFault)
 	entry := func(i int) Entry {
-		return Entry{Owner: "liar", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Contents: [][]byte{content("")}}
+		return Entry{Owner: "liar", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Siblings: [][]byte{content("")}}
 	}
-	for i := range 3 * MostKeys {
+	for i := range 3 * MaxKeysPerOwner {
 		a.Merge(entry(i))
-		b.Merge(entry(3*MostKeys - 1 - i))
+		b.Merge(entry(3*MaxKeysPerOwner - 1 - i))
 	}
-	if len(a.all()) != MostKeys || a.Sum("dead") != b.Sum("dead") {
-		t.Errorf("%d, %d keys, sums %x, %x", len(a.all()), len(b.all()), a.Sum("dead"), b.Sum("dead"))
+	if len(a.all()) != MaxKeysPerOwner || a.Digest("dead") != b.Digest("dead") {
+		t.Errorf("%d, %d keys, sums %x, %x", len(a.all()), len(b.all()), a.Digest("dead"), b.Digest("dead"))
 	}
 }
 
 // TestRefused: what is of no known kind or owner, what members say of what only the council decides, and what can't be is kept out and counted.
 func TestRefused(t *testing.T) {
-	c := NewCopies(kinds, decided, func(o string) bool { return o == "a" }, NoPlant)
+	c := NewStore(kinds, decided, func(o string) bool { return o == "a" }, NoFault)
 	ok := Entry{"a", "dead/x", Version{1, 1}, [][]byte{content("")}}
 	for name, change := range map[string]func(*Entry){
 		"kind":            func(e *Entry) { e.Key = "weather/x" },
 		"owner":           func(e *Entry) { e.Owner = "stranger" },
 		"not the council": func(e *Entry) { e.Key = "order/x" },
-		"the council":     func(e *Entry) { e.Owner = Council },
+		"the council":     func(e *Entry) { e.Owner = ConsensusOwner },
 		"no kind":         func(e *Entry) { e.Key = "dead" },
-		"no version":      func(e *Entry) { e.Seq = 0 },
-		"no incarnation":  func(e *Entry) { e.Inc = 0 },
-		"no content":      func(e *Entry) { e.Contents = nil },
-		"order":           func(e *Entry) { e.Contents = [][]byte{content("b"), content("a")} },
-		"long key":        func(e *Entry) { e.Key = "dead/" + string(make([]byte, MostKeyLen)) },
-		"long value":      func(e *Entry) { e.Contents = [][]byte{make([]byte, MostValue+2)} },
-		"odd":             func(e *Entry) { e.Contents = [][]byte{{7}} },
+		"no version":      func(e *Entry) { e.Sequence = 0 },
+		"no incarnation":  func(e *Entry) { e.Incarnation = 0 },
+		"no content":      func(e *Entry) { e.Siblings = nil },
+		"order":           func(e *Entry) { e.Siblings = [][]byte{content("b"), content("a")} },
+		"long key":        func(e *Entry) { e.Key = "dead/" + string(make([]byte, MaxKeyBytes)) },
+		"long value":      func(e *Entry) { e.Siblings = [][]byte{make([]byte, MaxValueBytes+2)} },
+		"odd":             func(e *Entry) { e.Siblings = [][]byte{{7}} },
 	} {
 		e := ok
 		change(&e)
@@ -166,32 +166,32 @@
 
 // TestDiffer: two contents of one version are both kept, whoever comes first, told, and outlive no newer version.
 func TestDiffer(t *testing.T) {
-	c := NewCopies(kinds, nil, anyone, NoPlant)
+	c := NewStore(kinds, nil, anyone, NoFault)
 	e := Entry{"a", "dead/x", Version{1, 2}, [][]byte{content("up")}}
 	c.Merge(e)
-	e.Contents = [][]byte{content("down")}
-	if !c.Merge(e) || c.Counts.Differ != 1 {
+	e.Siblings = [][]byte{content("down")}
+	if !c.Merge(e) || c.Counts.Conflicts != 1 {
 		t.Errorf("%+v", c.Counts)
 	}
 	if got, _ := c.Get("a", "dead/x"); len(got.Values()) != 2 {
 		t.Errorf("%q", got.Values())
 	}
-	e.Seq++
-	if c.Merge(e); len(c.all()) != 1 || len(c.all()[0].Contents) != 1 {
+	e.Sequence++
+	if c.Merge(e); len(c.all()) != 1 || len(c.all()[0].Siblings) != 1 {
 		t.Errorf("%+v", c.all())
 	}
 }
 
 func TestMessage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &Message{Kind: Sync, Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.StringN(0, 5, 20).Draw(t, "target"), Load: 7, Busy: rapid.Bool().Draw(t, "busy")}
+		m := &Message{Kind: SyncMessage, Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.StringN(0, 5, 20).Draw(t, "target"), Load: 7, Busy: rapid.Bool().Draw(t, "busy")}
 		for range rapid.IntRange(0, 4).Draw(t, "n") {
 			e := drawn(t)
 			m.Entries = append(m.Entries, e)
-			m.Members = append(m.Members, MemberState{e.Owner, e.Inc, 3, Suspect, "b"})
-			m.Owners = append(m.Owners, OwnerState{e.Owner, e.Inc, e.Seq})
-			m.Ranges = append(m.Ranges, Range{"dead", 1, 3, e.sum()})
-			m.Leaves = append(m.Leaves, Leaf{"dead", 200, true, []Head{{e.Owner, e.Key, e.Version, e.sum()}}})
+			m.Members = append(m.Members, MemberState{e.Owner, e.Incarnation, 3, Suspect, "b"})
+			m.Owners = append(m.Owners, OwnerState{e.Owner, e.Incarnation, e.Sequence})
+			m.Ranges = append(m.Ranges, RangeDigest{"dead", 1, 3, e.digest()})
+			m.Leaves = append(m.Leaves, LeafDigest{"dead", 200, true, []EntryDigest{{e.Owner, e.Key, e.Version, e.digest()}}})
 		}
 		data := m.Encode()
 		got, err := Decode(data)
@@ -204,15 +204,15 @@
 			}
 		}
 	})
-	if _, err := Decode([]byte{format + 1, Sync, 0}); !errors.Is(err, ErrFormat) {
+	if _, err := Decode([]byte{formatVersion + 1, SyncMessage, 0}); !errors.Is(err, ErrUnsupportedFormat) {
 		t.Errorf("a newer format: %v", err)
 	}
 }
 
 // FuzzMessage: whatever comes from a peer is taken or refused, in bounded memory; what is taken can be told on.
 func FuzzMessage(f *testing.F) {
-	m := &Message{Kind: Sync, Seq: 1, Ranges: []Range{{"dead", 0, 0, 5}, {membersKind, 2, 255, 5}}, Members: []MemberState{{"b", 9 << incBits, 0, Dead, ""}, {"a", 8 << incBits, 0, Dead, "b"}},
-		Owners: []OwnerState{{"b", 1, 1}}, Leaves: []Leaf{{"dead", 3, true, []Head{{"b", "dead/x", Version{1, 1}, 4}}}},
+	m := &Message{Kind: SyncMessage, Seq: 1, Ranges: []RangeDigest{{"dead", 0, 0, 5}, {membersKind, 2, 255, 5}}, Members: []MemberState{{"b", 9 << incarnationRandomBits, 0, Dead, ""}, {"a", 8 << incarnationRandomBits, 0, Dead, "b"}},
+		Owners: []OwnerState{{"b", 1, 1}}, Leaves: []LeafDigest{{"dead", 3, true, []EntryDigest{{"b", "dead/x", Version{1, 1}, 4}}}},
 		Entries: []Entry{{"b", "dead/x", Version{1, 1}, [][]byte{content("")}}}}
 	f.Add(m.Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -221,7 +221,7 @@
 			return
 		}
 		n := New(0, config("a", 3, 1))
-		for _, out := range append(n.Take(time.Second, "b", got), n.Tick(2*time.Second)...) {
+		for _, out := range append(n.Receive(time.Second, "b", got), n.Tick(2*time.Second)...) {
 			if _, err := Decode(out.Message.Encode()); err != nil {
 				t.Fatalf("what goes out can't be read: %v", err)
 			}
--- a/internal/keepalive/keep_test.go
+++ b/internal/keepalive/keep_test.go
@@ -29,8 +29,8 @@
 	for now := time.Duration(0); now < length; now += tick {
 		for i := range all {
 			c := &all[i]
-			if c.open && now-c.from >= c.wait.Most {
-				r.Rested(1, Kind(min(c.uses, 2)), c.wait, now-c.from, false)
+			if c.open && now-c.from >= c.wait.Max {
+				r.EndIdle(1, Kind(min(c.uses, 2)), c.wait, now-c.from, false)
 				r.Closed()
 				held--
 				c.open = false
@@ -50,13 +50,13 @@
 					opened++
 				}
 			} else {
-				r.Rested(1, Kind(min(c.uses, 2)), c.wait, now-c.from, true)
+				r.EndIdle(1, Kind(min(c.uses, 2)), c.wait, now-c.from, true)
 			}
 			most = max(most, held)
 			c.uses++
 			c.from = now
 			c.next = now + gap(i, now)
-			if c.wait = r.Rest(now, 1, Kind(min(c.uses, 2))); c.wait.Most == 0 {
+			if c.wait = r.BeginIdle(now, 1, Kind(min(c.uses, 2))); c.wait.Max == 0 {
 				r.Closed()
 				held--
 				c.open = false
@@ -97,8 +97,8 @@
 		for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
 			rest := all[:0]
 			for _, h := range all {
-				if now-h.from >= h.w.Most {
-					r.Rested(1, Once, h.w, now-h.from, false)
+				if now-h.from >= h.w.Max {
+					r.EndIdle(1, OneRequest, h.w, now-h.from, false)
 					r.Closed()
 					continue
 				}
@@ -107,7 +107,7 @@
 			all = rest
 			for ; n < int(now.Seconds()*float64(rate)); n++ {
 				r.Opened(now)
-				if w := r.Rest(now, 1, Once); w.Most > 0 {
+				if w := r.BeginIdle(now, 1, OneRequest); w.Max > 0 {
 					all = append(all, held{w, now})
 				} else {
 					r.Closed()
@@ -164,19 +164,19 @@
 	for range conns {
 		now += 5 * time.Millisecond
 		r.Opened(now)
-		if w := r.Rest(now, 1, Once); w.Most < MostWait {
-			t.Fatalf("with room and nothing known, one may wait only %v", w.Most)
+		if w := r.BeginIdle(now, 1, OneRequest); w.Max < MaxIdle {
+			t.Fatalf("with room and nothing known, one may wait only %v", w.Max)
 		}
 	}
-	if r.Spent(1, Once, 300*time.Millisecond) {
+	if r.Expired(1, OneRequest, 300*time.Millisecond) {
 		t.Fatal("not worth it after 300 ms, with room and next to nothing known")
 	}
 	now += time.Second
-	for range renewEvery {
-		r.Rest(now, 1, Once)
+	for range refreshInterval {
+		r.BeginIdle(now, 1, OneRequest)
 	}
-	if !r.Spent(1, Once, time.Second) {
-		t.Errorf("one that has waited 1 s beside %d others is worth %v", conns, r.Worth(1, Once, time.Second))
+	if !r.Expired(1, OneRequest, time.Second) {
+		t.Errorf("one that has waited 1 s beside %d others is worth %v", conns, r.GittinsIndex(1, OneRequest, time.Second))
 	}
 }
 
@@ -188,7 +188,7 @@
 		r := New(places)
 		now := time.Duration(0)
 		type held struct {
-			o Owner
+			o PoolID
 			k Kind
 			w Wait
 		}
@@ -199,31 +199,31 @@
 			if len(all) > 0 && rapid.Bool().Draw(t, "ends") {
 				h := all[0]
 				all = all[1:]
-				if h.w.Explores {
+				if h.w.Explore {
 					exploring--
 				}
 				after := time.Duration(rapid.Int64Range(0, int64(3*time.Second)).Draw(t, "after"))
-				r.Rested(h.o, h.k, h.w, after, rapid.Bool().Draw(t, "used"))
+				r.EndIdle(h.o, h.k, h.w, after, rapid.Bool().Draw(t, "used"))
 				r.Closed()
 				continue
 			}
-			h := held{o: Owner(rapid.IntRange(0, 3).Draw(t, "owner")), k: Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
+			h := held{o: PoolID(rapid.IntRange(0, 3).Draw(t, "owner")), k: Kind(rapid.IntRange(0, 2).Draw(t, "kind"))}
 			r.Opened(now)
-			h.w = r.Rest(now, h.o, h.k)
+			h.w = r.BeginIdle(now, h.o, h.k)
 			switch {
-			case h.w.Most < 0 || h.w.Most > MostWait || h.k == Fresh && h.w.Most < leastFresh:
-				t.Fatalf("a wait of %v for kind %d", h.w.Most, h.k)
-			case h.w.Most == 0:
+			case h.w.Max < 0 || h.w.Max > MaxIdle || h.k == NoRequest && h.w.Max < minFirstRequestWait:
+				t.Fatalf("a wait of %v for kind %d", h.w.Max, h.k)
+			case h.w.Max == 0:
 				r.Closed()
 				continue
 			}
-			if h.w.Explores {
+			if h.w.Explore {
 				exploring++
 			}
-			if float64(exploring) > max(1, exploreShare*float64(places)) {
+			if float64(exploring) > max(1, maxExploreShare*float64(places)) {
 				t.Fatalf("%d of %d places explore", exploring, places)
 			}
-			if w := r.Worth(h.o, h.k, now); !(w >= 0 && w < 1e4) {
+			if w := r.GittinsIndex(h.o, h.k, now); !(w >= 0 && w < 1e4) {
 				t.Fatalf("worth %v", w)
 			}
 			all = append(all, h)
@@ -237,8 +237,8 @@
 	r.Opened(0)
 	b.ReportAllocs()
 	for i := range b.N {
-		w := r.Rest(time.Duration(i)*time.Millisecond, 1, Again)
-		r.Rested(1, Again, w, time.Duration(i%1000)*time.Millisecond, true)
+		w := r.BeginIdle(time.Duration(i)*time.Millisecond, 1, SeveralRequests)
+		r.EndIdle(1, SeveralRequests, w, time.Duration(i%1000)*time.Millisecond, true)
 	}
 }
 
@@ -249,8 +249,8 @@
 	for i := range 300 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		old.Opened(now)
-		w := old.Rest(now, 1, Once)
-		old.Rested(1, Once, w, 2*time.Second, false)
+		w := old.BeginIdle(now, 1, OneRequest)
+		old.EndIdle(1, OneRequest, w, 2*time.Second, false)
 		if i < 280 {
 			old.Closed()
 		}
@@ -259,19 +259,19 @@
 	for range 20 { // as many places are taken
 		next.Opened(0)
 	}
-	if w := next.Rest(0, 1, Once); w.Most < time.Second {
-		t.Fatalf("with nothing known one may wait only %v", w.Most)
+	if w := next.BeginIdle(0, 1, OneRequest); w.Max < time.Second {
+		t.Fatalf("with nothing known one may wait only %v", w.Max)
 	}
-	next.Adopt(old.Learnt())
-	if w := next.Rest(0, 1, Once); w.Most > 100*time.Millisecond {
-		t.Errorf("what is never used again may wait %v", w.Most)
+	next.Restore(old.History())
+	if w := next.BeginIdle(0, 1, OneRequest); w.Max > 100*time.Millisecond {
+		t.Errorf("what is never used again may wait %v", w.Max)
 	}
-	if w := next.Rest(0, 1, Again); w.Most < time.Second {
-		t.Errorf("of another kind one may wait only %v", w.Most)
+	if w := next.BeginIdle(0, 1, SeveralRequests); w.Max < time.Second {
+		t.Errorf("of another kind one may wait only %v", w.Max)
 	}
-	worth := next.Worth(1, Again, 0)
-	next.Adopt(Learnt{1: {{}, {}, {Waited: make([]float64, steps), Used: make([]float64, steps)}}, 2: {{}}})
-	if w := next.Worth(1, Again, 0); w != worth {
+	worth := next.GittinsIndex(1, SeveralRequests, 0)
+	next.Restore(History{1: {{}, {}, {Waited: make([]float64, ageBuckets), Used: make([]float64, ageBuckets)}}, 2: {{}}})
+	if w := next.GittinsIndex(1, SeveralRequests, 0); w != worth {
 		t.Errorf("worth %v after what cannot be, %v before", w, worth)
 	}
 }
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -52,7 +52,7 @@
 		Classes: []policy.Class{class},
 	}
 	descriptors := process.NewDescriptors(64)
-	descriptors.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
+	descriptors.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
 	up := upstream.New(cfg, descriptors.Pool(1))
 	up.DialWith(func(_ context.Context, addr string) (net.Conn, error) { // it comes up however late that is
 		h := heldDial{addr, make(chan struct{})}
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -48,7 +48,7 @@
 		Classes: []policy.Class{safeClass},
 	}
 	descriptors := process.NewDescriptors(64)
-	descriptors.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
+	descriptors.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
 	seq := int64(1)
 	p, err := New(Config{
 		Settings: settings.Settings{Config: cfg, Fields: []string{"queue", "inflight", "latency_ms", "eps"}},
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -166,7 +166,7 @@
 	module := cfg.Settings.Config
 	// On sockets the agent that has what was pushed must be asked too.
 	bound := cfg.Settings.ListBound()
-	module.EndpointsPushed, module.PollInterval, module.PollMaxBackoff, module.WatchReopenMaxDelay = false, bound.AskEvery, bound.Pause, bound.Again
+	module.EndpointsPushed, module.PollInterval, module.PollMaxBackoff, module.WatchReopenMaxDelay = false, bound.PollInterval, bound.RejectedBackoff, bound.RetryDelay
 	b, err := policy.New(module, cfg.Seed)
 	if err != nil {
 		return nil, err
@@ -204,7 +204,7 @@
 	}
 	p.event(func(now policy.Time) {
 		p.members(now, policy.UpdateCached, known)
-		if len(p.peers) == 0 || bound.AskSoon() { // what is known is nothing that requests could go to, or cannot be held on to
+		if len(p.peers) == 0 || bound.PollAtOnce() { // what is known is nothing that requests could go to, or cannot be held on to
 			p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 		}
 	})
--- a/internal/pool/staleness_test.go
+++ b/internal/pool/staleness_test.go
@@ -108,14 +108,14 @@
 		first := nextCall(t, calls)
 		first.answer(t, oneServer)
 		told := time.Now()
-		within(t, "silent since its list", told, nextCall(t, calls).at, staleness.Of(false, 0, cfg.DrainGrace).AfterSilence()+busy)
+		within(t, "silent since its list", told, nextCall(t, calls).at, staleness.BoundFor(false, 0, cfg.DrainGrace).AfterSilence()+busy)
 	})
 	t.Run("a call that nothing answers", func(t *testing.T) {
 		t.Parallel()
 		addr, calls := startDiscovery(t)
 		startAsking(t, cfg, addr, nil)
 		first := nextCall(t, calls)
-		within(t, "never answered", first.at, nextCall(t, calls).at, staleness.Of(false, 0, cfg.DrainGrace).AfterMute()+busy)
+		within(t, "never answered", first.at, nextCall(t, calls).at, staleness.BoundFor(false, 0, cfg.DrainGrace).AfterUnansweredCall()+busy)
 	})
 	t.Run("calls that are turned away", func(t *testing.T) {
 		t.Parallel()
@@ -126,7 +126,7 @@
 			io.WriteString(last, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 			last.Close()
 			next := nextCall(t, calls)
-			within(t, "turned away", last.at, next.at, staleness.Of(false, 0, cfg.DrainGrace).AfterRefusal()+busy)
+			within(t, "turned away", last.at, next.at, staleness.BoundFor(false, 0, cfg.DrainGrace).AfterRejection()+busy)
 			last = next
 		}
 	})
@@ -139,7 +139,7 @@
 		time.Sleep(steadyWatch + 100*time.Millisecond) // it has to have stood so long; more makes no difference
 		first.Conn.(*net.TCPConn).SetLinger(0)
 		first.Close()
-		within(t, "reset", time.Now(), nextCall(t, calls).at, staleness.Of(false, 0, cfg.DrainGrace).Again+busy)
+		within(t, "reset", time.Now(), nextCall(t, calls).at, staleness.BoundFor(false, 0, cfg.DrainGrace).RetryDelay+busy)
 	})
 	t.Run("another address", func(t *testing.T) {
 		t.Parallel()
@@ -148,10 +148,10 @@
 		nextCall(t, calls).answer(t, oneServer) // its watch stands as the address changes
 		next, moved := startDiscovery(t)
 		began := time.Now()
-		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
+		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
 		nextCall(t, moved).answer(t, oneServer)
-		within(t, "since it moved", began, time.Now(), bound.Again+busy)
+		within(t, "since it moved", began, time.Now(), bound.RetryDelay+busy)
 		if len(calls) > 0 {
 			t.Error("the old address was asked again")
 		}
@@ -163,13 +163,13 @@
 		first := nextCall(t, calls)
 		first.answer(t, oneServer)
 		next, moved := startDiscovery(t)
-		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
+		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		began := time.Now()
 		first.Close() // the old watch ends in the same instant
 		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
 		mute := nextCall(t, moved)
-		within(t, "since it moved", began, mute.at, bound.Again+busy)
-		within(t, "never answered", mute.at, nextCall(t, moved).at, bound.AfterMute()+busy)
+		within(t, "since it moved", began, mute.at, bound.RetryDelay+busy)
+		within(t, "never answered", mute.at, nextCall(t, moved).at, bound.AfterUnansweredCall()+busy)
 	})
 	t.Run("another address that refuses", func(t *testing.T) {
 		t.Parallel()
@@ -181,9 +181,9 @@
 			t.Fatal(err)
 		}
 		reserved.Close() // nobody is there yet
-		bound := staleness.Of(false, cfg.Config.PollInterval, cfg.DrainGrace)
+		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		p.SetSource(discovery.Discovery{Addr: reserved.Addr().String(), Bound: bound})
-		time.Sleep(4 * bound.Pause) // some calls are refused meanwhile; more makes no difference
+		time.Sleep(4 * bound.RejectedBackoff) // some calls are refused meanwhile; more makes no difference
 		back, err := net.Listen("tcp", reserved.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -196,7 +196,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		within(t, "since it is there", began, time.Now(), bound.AfterRefusal()+busy)
+		within(t, "since it is there", began, time.Now(), bound.AfterRejection()+busy)
 	})
 	t.Run("an agent that is silent", func(t *testing.T) {
 		t.Parallel()
@@ -209,7 +209,7 @@
 		within(t, "since the start", began, first.at, pushed.DrainGrace/2+busy)
 		for range 3 { // it answers the first call that finds discovery up again
 			next := nextCall(t, calls)
-			within(t, "never answered", first.at, next.at, staleness.Of(true, 0, pushed.DrainGrace).AfterMute()+busy)
+			within(t, "never answered", first.at, next.at, staleness.BoundFor(true, 0, pushed.DrainGrace).AfterUnansweredCall()+busy)
 			first = next
 		}
 	})
--- a/internal/process/descriptors.go
+++ b/internal/process/descriptors.go
@@ -27,7 +27,7 @@
 	// socketRetry is how often one that waits for a descriptor looks for idle connections to close.
 	socketRetry = 10 * time.Millisecond
 	// clients is the key under which the clients' connections are counted; no pool has it.
-	clients quota.Key = 0
+	clients quota.PoolID = 0
 )
 
 // Descriptors counts the descriptors of connections. Near the limit idle connections make room: those to
@@ -39,15 +39,15 @@
 	total   atomic.Int64
 
 	mu     sync.Mutex
-	pot    quota.Pot
-	freed  chan struct{}             // closed, and made anew, when one is given back while others wait
-	evict  map[quota.Key]func() bool // each closes an idle connection and reports whether there was one
-	client func() bool               // the same of clients
+	pot    quota.Budget
+	freed  chan struct{}                // closed, and made anew, when one is given back while others wait
+	evict  map[quota.PoolID]func() bool // each closes an idle connection and reports whether there was one
+	client func() bool                  // the same of clients
 }
 
 // NewDescriptors returns the descriptors of a process that may hold limit.
 func NewDescriptors(limit int) *Descriptors {
-	d := &Descriptors{freed: make(chan struct{}), evict: map[quota.Key]func() bool{}, pot: quota.NewPot(0)}
+	d := &Descriptors{freed: make(chan struct{}), evict: map[quota.PoolID]func() bool{}, pot: quota.NewBudget(0)}
 	d.Resize(limit)
 	return d
 }
@@ -58,7 +58,7 @@
 	defer d.mu.Unlock()
 	n := int64(max(1, limit-SpareDescriptors))
 	d.pot.Resize(n)
-	d.pot.Set(clients, quota.Claim{Max: ClientMost(limit)})
+	d.pot.Set(clients, quota.Claim{Limit: ClientMost(limit)})
 	d.total.Store(n)
 }
 
@@ -81,7 +81,7 @@
 }
 
 // Set gives a pool its claim on descriptors, and evict is what closes an idle one of its connections.
-func (d *Descriptors) Set(k quota.Key, c quota.Claim, evict func() bool) {
+func (d *Descriptors) Set(k quota.PoolID, c quota.Claim, evict func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pot.Set(k, c)
@@ -89,20 +89,20 @@
 }
 
 // Drop ends the claim of a pool that opens no connection any more.
-func (d *Descriptors) Drop(k quota.Key) {
+func (d *Descriptors) Drop(k quota.PoolID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pot.Drop(k)
+	d.pot.Remove(k)
 	delete(d.evict, k)
 }
 
 // Pool is the part of the descriptors that one pool has.
-func (d *Descriptors) Pool(k quota.Key) *Part { return &Part{d, k} }
+func (d *Descriptors) Pool(k quota.PoolID) *Part { return &Part{d, k} }
 
 // Part is what a pool has of the process's descriptors.
 type Part struct {
 	of  *Descriptors
-	key quota.Key
+	key quota.PoolID
 }
 
 // Acquire takes a descriptor, and returns the function that gives it back.
@@ -122,7 +122,7 @@
 	return d.acquire(ctx, clients)
 }
 
-func (d *Descriptors) acquire(ctx context.Context, k quota.Key) (release func(), err error) {
+func (d *Descriptors) acquire(ctx context.Context, k quota.PoolID) (release func(), err error) {
 	if !d.try(k) {
 		if err := d.wait(ctx, k); err != nil {
 			return nil, err
@@ -131,19 +131,19 @@
 	return sync.OnceFunc(func() { d.give(k) }), nil
 }
 
-func (d *Descriptors) try(k quota.Key) bool {
+func (d *Descriptors) try(k quota.PoolID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ok := d.pot.Take(k, 1)
-	d.inUse.Store(d.pot.InUse())
+	ok := d.pot.Acquire(k, 1)
+	d.inUse.Store(d.pot.TotalUsed())
 	return ok
 }
 
-func (d *Descriptors) give(k quota.Key) {
+func (d *Descriptors) give(k quota.PoolID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.pot.Give(k, 1)
-	d.inUse.Store(d.pot.InUse())
+	d.pot.Release(k, 1)
+	d.inUse.Store(d.pot.TotalUsed())
 	if d.waiting.Load() > 0 {
 		close(d.freed)
 		d.freed = make(chan struct{})
@@ -151,7 +151,7 @@
 }
 
 // wait has idle connections make room until there is a descriptor for pool k.
-func (d *Descriptors) wait(ctx context.Context, k quota.Key) error {
+func (d *Descriptors) wait(ctx context.Context, k quota.PoolID) error {
 	d.waiting.Add(1)
 	defer d.waiting.Add(-1)
 	for {
@@ -182,21 +182,21 @@
 }
 
 // evictors are those who may make room for pool k, in order: where it has all that it may have itself, only it.
-func (d *Descriptors) evictors(k quota.Key) []func() bool {
+func (d *Descriptors) evictors(k quota.PoolID) []func() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if k == clients {
 		if d.pot.Used(clients) >= d.Clients() {
 			return only(d.client)
 		}
-	} else if d.pot.Capped(k) {
+	} else if d.pot.AtLimit(k) {
 		return only(d.evict[k])
 	}
-	keys := make([]quota.Key, 0, len(d.evict))
+	keys := make([]quota.PoolID, 0, len(d.evict))
 	for k := range d.evict {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b quota.Key) int {
+	slices.SortFunc(keys, func(a, b quota.PoolID) int {
 		return cmp.Or(cmp.Compare(d.pot.Excess(b), d.pot.Excess(a)), cmp.Compare(a, b))
 	})
 	all := make([]func() bool, 0, len(keys)+1)
@@ -214,7 +214,7 @@
 }
 
 // Claim changes what a pool may have.
-func (d *Descriptors) Claim(k quota.Key, c quota.Claim) {
+func (d *Descriptors) Claim(k quota.PoolID, c quota.Claim) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pot.Set(k, c)
--- a/internal/process/proc_test.go
+++ b/internal/process/proc_test.go
@@ -20,13 +20,13 @@
 // many take and give.
 func TestWaiters(t *testing.T) {
 	d := NewDescriptors(SpareDescriptors + 4)
-	for k := range quota.Key(3) {
-		d.Set(k+1, quota.Claim{Min: 1, Max: quota.NoLimit}, func() bool { return false })
+	for k := range quota.PoolID(3) {
+		d.Set(k+1, quota.Claim{Reserved: 1, Limit: quota.Unlimited}, func() bool { return false })
 	}
 	var all sync.WaitGroup
 	for i := range 24 {
 		all.Go(func() {
-			p := d.Pool(quota.Key(i%3 + 1))
+			p := d.Pool(quota.PoolID(i%3 + 1))
 			for range 50 {
 				ctx, cancel := context.WithTimeout(context.Background(), patience)
 				release, err := p.Acquire(ctx)
@@ -44,7 +44,7 @@
 		})
 	}
 	all.Wait()
-	if n := d.pot.InUse(); n != 0 {
+	if n := d.pot.TotalUsed(); n != 0 {
 		t.Errorf("%d are still in use", n)
 	}
 }
@@ -56,7 +56,7 @@
 	var evicted []string
 	ctx := context.Background()
 	var held []func()
-	take := func(k quota.Key, n int) {
+	take := func(k quota.PoolID, n int) {
 		for range n {
 			release, err := d.Pool(k).Acquire(ctx)
 			if err != nil {
@@ -65,15 +65,15 @@
 			held = append(held, release)
 		}
 	}
-	evict := func(name string, k quota.Key) func() bool {
+	evict := func(name string, k quota.PoolID) func() bool {
 		return func() bool {
 			evicted = append(evicted, name)
 			d.give(k) // as a connection that closes
 			return true
 		}
 	}
-	d.Set(1, quota.Claim{Min: 2, Max: quota.NoLimit}, evict("big", 1))
-	d.Set(2, quota.Claim{Min: 2, Max: 3}, evict("small", 2))
+	d.Set(1, quota.Claim{Reserved: 2, Limit: quota.Unlimited}, evict("big", 1))
+	d.Set(2, quota.Claim{Reserved: 2, Limit: 3}, evict("small", 2))
 	take(1, 8)
 	take(2, 2)
 	take(2, 1) // all are taken: the big one gives way
@@ -93,7 +93,7 @@
 func TestClientsLeaveRoom(t *testing.T) {
 	const limit = 64
 	d := NewDescriptors(limit)
-	d.Set(1, quota.Claim{Max: quota.NoLimit}, func() bool { return false })
+	d.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
 	for range ClientMost(limit) {
 		if _, err := d.AcquireClient(context.Background()); err != nil {
 			t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -123,7 +123,7 @@
 
 // ListBound is how old the list of servers may get by these settings.
 func (s *Settings) ListBound() staleness.Bound {
-	return staleness.Of(s.Config.EndpointsPushed, s.Config.PollInterval, s.DrainGrace)
+	return staleness.BoundFor(s.Config.EndpointsPushed, s.Config.PollInterval, s.DrainGrace)
 }
 
 // validate guards against what the module would reject or misread, by the names that the operators use.
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("the file is named %s", learntFile)
 	}
 	value := gateway.Learnt{
-		Clients: keepalive.Learnt{
+		Clients: keepalive.History{
 			1: {{Waited: []float64{1.5, 2.5}, Used: []float64{3, 4}}, {Waited: []float64{5.5}, Used: []float64{6}}},
 			2: {{Waited: []float64{7.5}, Used: []float64{8}}},
 		},
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -70,7 +70,7 @@
 					sent = time.Now()
 					asked++
 					status, body := c.ask(t, get(strconv.Itoa(asked)))
-					if status == 0 && inTurn > 0 && time.Since(before) >= keepalive.MostWait && time.Now().Before(until) {
+					if status == 0 && inTurn > 0 && time.Since(before) >= keepalive.MaxIdle && time.Now().Before(until) {
 						t.Logf("answer %d: this machine stood still, and the connection was idle for longer than any may be", inTurn)
 						break
 					}
--- a/internal/simulation/copies.go
+++ b/internal/simulation/copies.go
@@ -23,8 +23,8 @@
 	ticks  uint64
 	armed  time.Duration // when the next tick is, by the process' clock; below 0: none is due
 	orders uint64
-	newest map[gossip.Place]gossip.Version
-	gone   map[gossip.Place]bool
+	newest map[gossip.EntryID]gossip.Version
+	gone   map[gossip.EntryID]bool
 	zoner  *zoner // nil: no zones are played
 }
 
@@ -33,27 +33,27 @@
 	if !p.w.o.Copies {
 		return
 	}
-	cfg := gossip.Usual()
-	cfg.Gossip, cfg.Sync, cfg.Keep = 150*time.Millisecond, time.Second, 4*time.Second
-	cfg.Name, cfg.Kinds, cfg.Decided, cfg.Seed = p.name, []string{copiesKind, zoneview.LookKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
-	if slices.Contains(gossip.Plants, gossip.Plant(p.w.o.Plant)) {
-		cfg.Plant = gossip.Plant(p.w.o.Plant)
+	cfg := gossip.DefaultConfig()
+	cfg.GossipInterval, cfg.SyncInterval, cfg.DeadRetention = 150*time.Millisecond, time.Second, 4*time.Second
+	cfg.Name, cfg.Kinds, cfg.DecidedKinds, cfg.Seed = p.name, []string{copiesKind, zoneview.ZoneCheckKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
+	if slices.Contains(gossip.InjectedFaults, gossip.InjectedFault(p.w.o.Plant)) {
+		cfg.Fault = gossip.InjectedFault(p.w.o.Plant)
 	}
 	for _, q := range p.w.procs {
 		cfg.Members = append(cfg.Members, q.name)
 	}
-	p.rep = &shared{node: gossip.New(p.clock(), cfg), newest: map[gossip.Place]gossip.Version{}, gone: map[gossip.Place]bool{}, armed: -1}
+	p.rep = &shared{node: gossip.New(p.clock(), cfg), newest: map[gossip.EntryID]gossip.Version{}, gone: map[gossip.EntryID]bool{}, armed: -1}
 	p.gossipLater()
 	p.soon(time.Duration(p.w.rumours.IntN(800))*time.Millisecond, p.writes)
 	if p.w.o.Zones {
-		p.rep.zoner = &zoner{evidence: gossip.NewEvidence(2), asking: -1, looked: map[string]bool{}}
+		p.rep.zoner = &zoner{evidence: gossip.NewFailureReports(2), asking: -1, looked: map[string]bool{}}
 		p.soon(time.Duration(p.w.rumours.IntN(300))*time.Millisecond, p.watchesZones)
 	}
 }
 
 // gossipLater has the copies tick when they want to, unless they do so sooner already.
 func (p *proc) gossipLater() {
-	next := p.rep.node.Next()
+	next := p.rep.node.NextTick()
 	if p.rep.armed >= 0 && p.rep.armed <= next {
 		return
 	}
@@ -69,12 +69,12 @@
 }
 
 // says carries messages, and has the observer look at what has changed.
-func (p *proc) says(out []gossip.Out) {
+func (p *proc) says(out []gossip.Envelope) {
 	for _, o := range out {
 		to := p.w.byName(o.To)
 		p.w.carry(p, to, "copies", func() {
 			if to.rep != nil {
-				to.says(to.rep.node.Take(to.clock(), p.name, o.Message))
+				to.says(to.rep.node.Receive(to.clock(), p.name, o.Message))
 			}
 		})
 	}
@@ -107,23 +107,23 @@
 	if p.rep == nil || p.node == nil || p.node.Fleet() == nil {
 		return
 	}
-	p.rep.node.Copies().Council(gossip.FleetTag(p.node.Fleet().ID))
-	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o consensus.Order) { p.rep.node.Decide(key, o.Number, o.Bytes()) })
+	p.rep.node.Store().SetFleetTag(gossip.FleetTag(p.node.Fleet().ID))
+	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o consensus.Order) { p.rep.node.ApplyDecision(key, o.Number, o.Bytes()) })
 	p.w.watch.copies(p)
 	p.gossipLater()
 }
 
 // copies looks at what has changed at a process: a version never goes back, and what was gone does not come back as it was.
 func (o *observer) copies(p *proc) {
-	changed := p.rep.node.Copies().Changed()
+	changed := p.rep.node.Store().TakeChanges()
 	if p.rep.zoner != nil {
-		p.rep.zoner.evidence.Look(p.clock(), p.rep.node, changed)
+		p.rep.zoner.evidence.Update(p.clock(), p.rep.node, changed)
 	}
-	if slices.ContainsFunc(changed, func(at gossip.Place) bool { return at.Owner() == gossip.Council }) {
+	if slices.ContainsFunc(changed, func(at gossip.EntryID) bool { return at.Owner() == gossip.ConsensusOwner }) {
 		o.carries(p)
 	}
 	for _, at := range changed {
-		e, ok := p.rep.node.Copies().Get(at.Owner(), at.Key())
+		e, ok := p.rep.node.Store().Get(at.Owner(), at.Key())
 		if !ok {
 			p.rep.gone[at] = true
 			continue
@@ -159,12 +159,12 @@
 		var mine, firsts []string
 		list := func(to *[]string) func(*gossip.Entry) bool {
 			return func(e *gossip.Entry) bool {
-				*to = append(*to, fmt.Sprintf("%s %s %v %q", e.Owner, e.Key, e.Version, e.Contents))
+				*to = append(*to, fmt.Sprintf("%s %s %v %q", e.Owner, e.Key, e.Version, e.Siblings))
 				return true
 			}
 		}
-		p.rep.node.Copies().All("", list(&mine))
-		first.rep.node.Copies().All("", list(&firsts))
+		p.rep.node.Store().ForEach("", list(&mine))
+		first.rep.node.Store().ForEach("", list(&firsts))
 		for i := range max(len(mine), len(firsts)) {
 			if i >= len(mine) || i >= len(firsts) || mine[i] != firsts[i] {
 				o.w.breaks("copies of %s and %s differ at the end: %.200q, %.200q", first.name, p.name, firsts[min(i, len(firsts)):min(i+2, len(firsts))], mine[min(i, len(mine)):min(i+2, len(mine))])
@@ -176,8 +176,8 @@
 		return
 	}
 	for key, order := range decided.Orders {
-		e, ok := first.rep.node.Copies().Get(gossip.Council, key)
-		if !ok || e.Seq != order.Number || (len(e.Values()) > 0) == order.Lifted {
+		e, ok := first.rep.node.Store().Get(gossip.ConsensusOwner, key)
+		if !ok || e.Sequence != order.Number || (len(e.Values()) > 0) == order.Lifted {
 			o.w.breaks("%s: the council has decided %+v, and copies hold %+v", key, order, e)
 		}
 	}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -110,7 +110,7 @@
 
 // ofCopies are those of the state that processes share; they are looked for in runs with Copies.
 func ofCopies() (all []Plant) {
-	for _, p := range gossip.Plants {
+	for _, p := range gossip.InjectedFaults {
 		all = append(all, Plant(p))
 	}
 	return all
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -32,10 +32,10 @@
 		names: append(append([]leaseName{}, w.names...), leaseName{"task/t", 1}),
 	}
 	if w.field != nil {
-		o.names = append(o.names, leaseName{zoneview.Lease, 1})
+		o.names = append(o.names, leaseName{zoneview.LeaseName, 1})
 		o.zones, o.avoids = &zonesWatch{values: map[uint64]string{}}, map[string]string{}
 		for zone := range zones {
-			o.zones.states[zone].Step = zonefailover.Steps
+			o.zones.states[zone].Step = zonefailover.FullStep
 		}
 	}
 	return o
--- a/internal/simulation/proc.go
+++ b/internal/simulation/proc.go
@@ -173,7 +173,7 @@
 	}
 	p.keeper.Want("task/t", 1)
 	if p.w.o.Zones {
-		p.keeper.Want(zoneview.Lease, 1)
+		p.keeper.Want(zoneview.LeaseName, 1)
 	}
 	names := make([]string, p.w.voters)
 	for i := range names {
--- a/internal/simulation/scale.go
+++ b/internal/simulation/scale.go
@@ -88,7 +88,7 @@
 	return done != nil && done()
 }
 
-func (s *scale) send(from *scaleNode, out []gossip.Out) {
+func (s *scale) send(from *scaleNode, out []gossip.Envelope) {
 	for _, o := range out {
 		data := o.Message.Encode()
 		from.sent += float64(len(data))
@@ -105,7 +105,7 @@
 		s.after(d, func() {
 			if to.up {
 				to.got += float64(len(data))
-				s.send(to, to.node.Take(s.now, from.name, m))
+				s.send(to, to.node.Receive(s.now, from.name, m))
 				s.arm(to)
 			}
 		})
@@ -115,7 +115,7 @@
 func (s *scale) arm(p *scaleNode) {
 	p.tick++
 	mine := p.tick
-	s.after(max(0, p.node.Next()-s.now), func() {
+	s.after(max(0, p.node.NextTick()-s.now), func() {
 		if p.up && p.tick == mine {
 			s.send(p, p.node.Tick(s.now))
 			s.arm(p)
@@ -141,7 +141,7 @@
 			first = p
 			continue
 		}
-		if p.node.Copies().Sum(kind) != first.node.Copies().Sum(kind) {
+		if p.node.Store().Digest(kind) != first.node.Store().Digest(kind) {
 			return false
 		}
 	}
@@ -200,9 +200,9 @@
 	}
 	s.run(s.now+20*time.Second, nil) // what was new at the start has been told
 	r.Bytes, r.Frames = spread()
-	before := make(map[string]gossip.Figures)
+	before := make(map[string]gossip.Stats)
 	for _, p := range s.nodes {
-		before[p.name] = p.node.Figures
+		before[p.name] = p.node.Stats
 	}
 	var took []float64
 	var sent float64
@@ -219,7 +219,7 @@
 		left := slices.Clone(s.nodes)
 		all := s.run(s.now+20*time.Second, func() bool {
 			left = slices.DeleteFunc(left, func(q *scaleNode) bool {
-				_, ok := q.node.Copies().Get(p.name, key)
+				_, ok := q.node.Store().Get(p.name, key)
 				return ok
 			})
 			return len(left) == 0
@@ -238,8 +238,8 @@
 		r.BytesBusy = sent / (s.now - wroteAt).Seconds() / float64(o.Size)
 	}
 	for _, p := range s.nodes {
-		r.Suspicions += p.node.Figures.Suspicions - before[p.name].Suspicions
-		r.False += p.node.Figures.Deaths - before[p.name].Deaths
+		r.Suspicions += p.node.Stats.Suspicions - before[p.name].Suspicions
+		r.False += p.node.Stats.Deaths - before[p.name].Deaths
 	}
 	var gone []*scaleNode
 	var deaths []float64
@@ -281,7 +281,7 @@
 		left := slices.Clone(back)
 		s.run(s.now+time.Minute, func() bool {
 			left = slices.DeleteFunc(left, func(p *scaleNode) bool {
-				if _, ok := p.node.Caught(s.now); ok {
+				if _, ok := p.node.InSync(s.now); ok {
 					r.CatchupB = max(r.CatchupB, p.got)
 					return true
 				}
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -8,8 +8,8 @@
 )
 
 func scaleDay(size int, loss float64) ScaleOptions {
-	cfg := gossip.Usual()
-	cfg.Kinds, cfg.Decided = []string{"dead"}, []string{"order"}
+	cfg := gossip.DefaultConfig()
+	cfg.Kinds, cfg.DecidedKinds = []string{"dead"}, []string{"order"}
 	return ScaleOptions{Seed: 1, Size: size, Loss: loss, Writes: 20, Killed: 3, Length: 10 * time.Second, Wake: time.Second, Start: cfg, Restart: max(1, size/10)}
 }
 
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -52,13 +52,13 @@
 
 // zoneRules are short, so that a run sees returns and relapses.
 func (w *world) zoneRules() zonefailover.Rules {
-	r := zonefailover.Usual()
-	r.Step, r.Hold, r.Most, r.Warm = 300*time.Millisecond, 500*time.Millisecond, 2*time.Second, 900*time.Millisecond
+	r := zonefailover.DefaultRules()
+	r.StepDuration, r.HoldDown, r.MaxHoldDown, r.WarmUp = 300*time.Millisecond, 500*time.Millisecond, 2*time.Second, 900*time.Millisecond
 	if w.o.Plant == WarmSoon {
-		r.Warm = 1
+		r.WarmUp = 1
 	}
 	if w.o.Plant == TwoLeft {
-		r.Least, r.Others = 0, 0.59
+		r.MinRemainingCapacity, r.MaxUnreachableElsewhere = 0, 0.59
 	}
 	return r
 }
@@ -161,8 +161,8 @@
 	case Release:
 		count(&w.field.bad)
 	case ZoneWord:
-		w.order(f.P%zones, zonefailover.State{Pinned: true, Why: "an operator"})
-		w.after(f.For, func() { w.order(f.P%zones, zonefailover.State{Why: "an operator lets go"}) })
+		w.order(f.P%zones, zonefailover.State{Manual: true, Reason: "an operator"})
+		w.after(f.For, func() { w.order(f.P%zones, zonefailover.State{Reason: "an operator lets go"}) })
 	default:
 		return false
 	}
@@ -171,7 +171,7 @@
 
 // order has an operator decide of a zone.
 func (w *world) order(zone int, s zonefailover.State) {
-	c := consensus.OrderCommand{Key: gossip.ServerKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
+	c := consensus.OrderCommand{Key: gossip.PoolKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
 	w.asks(func() consensus.Request {
@@ -189,9 +189,9 @@
 
 // zoner is a process' part in leaving zones.
 type zoner struct {
-	evidence *gossip.Evidence
-	keeper   *zonefailover.Keeper // nil: it does not hold the lease
-	asking   time.Duration        // since; below 0: nothing is asked
+	evidence *gossip.FailureReports
+	keeper   *zonefailover.Controller // nil: it does not hold the lease
+	asking   time.Duration            // since; below 0: nothing is asked
 	looked   map[string]bool
 	turn     int
 	id       string // of the decisions by which it was looked at what it leaves out
@@ -214,14 +214,14 @@
 			as := fmt.Sprint(zone, (int(server[1]-'0')+p.i)%perZone)
 			list[as], turned[as] = zone, server
 		}
-		all, _, _ := zoneview.Orders(p.rep.node, zonePool, list)
+		all, _, _ := zoneview.Exclusions(p.rep.node, zonePool, list)
 		own := map[string]bool{}
 		for as := range all {
 			own[turned[as]] = true
 		}
 		return own
 	}
-	all, _, _ := zoneview.Orders(p.rep.node, zonePool, p.w.field.list)
+	all, _, _ := zoneview.Exclusions(p.rep.node, zonePool, p.w.field.list)
 	return all
 }
 
@@ -232,15 +232,15 @@
 	avoid := p.avoids()
 	for _, server := range slices.Sorted(maps.Keys(p.w.field.list)) {
 		if avoid[server] { // what it leaves out it says nothing of
-			z.evidence.Saw(now, n, gossip.ServerKey(gossip.DeadKind, zonePool, server), false)
+			z.evidence.Record(now, n, gossip.PoolKey(gossip.UnreachableKind, zonePool, server), false)
 		} else if rng.IntN(2) == 0 {
-			z.evidence.Saw(now, n, gossip.ServerKey(gossip.DeadKind, zonePool, server), !p.w.field.answers(server, p.i%zones))
+			z.evidence.Record(now, n, gossip.PoolKey(gossip.UnreachableKind, zonePool, server), !p.w.field.answers(server, p.i%zones))
 		}
 	}
 	z.turn++
 	wanted := map[string]bool{}
 	r := p.w.zoneRules()
-	looks := zoneview.Looks(n, &r, p.members(), p.name, zonePool, p.w.field.list, z.turn)
+	looks := zoneview.AssignedChecks(n, &r, p.members(), p.name, zonePool, p.w.field.list, z.turn)
 	for _, zone := range slices.Sorted(maps.Keys(looks)) {
 		answered := 0
 		for _, server := range looks[zone] {
@@ -248,9 +248,9 @@
 				answered++
 			}
 		}
-		key := gossip.ServerKey(zoneview.LookKind, zonePool, zone)
+		key := gossip.PoolKey(zoneview.ZoneCheckKind, zonePool, zone)
 		wanted[key] = true
-		n.Put(key, zoneview.LookValue(answered, len(looks[zone])))
+		n.Put(key, zoneview.EncodeZoneCheck(answered, len(looks[zone])))
 		z.looked[key] = true
 	}
 	for _, key := range slices.Sorted(maps.Keys(z.looked)) {
@@ -268,51 +268,51 @@
 // decidesZones is what the holder of the lease does.
 func (p *proc) decidesZones(now time.Duration) {
 	z, n := p.rep.zoner, p.rep.node
-	token, _, held := p.keeper.Holding(now, zoneview.Lease)
+	token, _, held := p.keeper.Holding(now, zoneview.LeaseName)
 	alone := p.w.o.Plant == Minority && !held && p.keeper.Session() != 0 && now >= p.keeper.Until()
 	if (!held || p.leaving) && !alone {
 		z.keeper, z.asking = nil, -1
 		return
 	}
 	if z.keeper == nil {
-		z.keeper = zonefailover.NewKeeper(p.w.zoneRules())
+		z.keeper = zonefailover.NewController(p.w.zoneRules())
 	}
-	scene := zoneview.Scene(n, p.members(), zonePool, p.w.field.list)
+	scene := zoneview.Snapshot(n, p.members(), zonePool, p.w.field.list)
 	switch p.w.o.Plant {
 	case WallStep:
 		now += time.Duration(p.w.now/(700*time.Millisecond)) * 400 * time.Millisecond // set forth now and then
 	case Blind:
-		scene.Looks = slices.DeleteFunc(scene.Looks, func(l zonefailover.Look) bool {
-			s, is := scene.Decided[l.Zone]
-			return is && s.Step < zonefailover.Steps
+		scene.ZoneChecks = slices.DeleteFunc(scene.ZoneChecks, func(l zonefailover.ZoneCheck) bool {
+			s, is := scene.States[l.Zone]
+			return is && s.Step < zonefailover.FullStep
 		})
-		for _, member := range slices.Sorted(maps.Keys(scene.Zones)) {
+		for _, member := range slices.Sorted(maps.Keys(scene.MemberZones)) {
 			for zone := range zones {
-				if s, is := scene.Decided[zoneName(zone)]; is && s.Step < zonefailover.Steps {
-					scene.Looks = append(scene.Looks, zonefailover.Look{Member: member, Zone: zoneName(zone), Answers: true})
+				if s, is := scene.States[zoneName(zone)]; is && s.Step < zonefailover.FullStep {
+					scene.ZoneChecks = append(scene.ZoneChecks, zonefailover.ZoneCheck{Member: member, Zone: zoneName(zone), AllHealthy: true})
 				}
 			}
 		}
 	case Minority:
-		scene.Members = len(scene.Zones)
+		scene.FleetSize = len(scene.MemberZones)
 	}
 	change, _ := z.keeper.Next(now, scene)
 	if change == nil || z.asking >= 0 && p.clock() < z.asking+rules.RenewEvery() {
 		return
 	}
-	if p.w.o.Plant == NoRetire && change.State.Falls > scene.Decided[change.Zone].Falls {
+	if p.w.o.Plant == NoRetire && change.State.Relapses > scene.States[change.Zone].Relapses {
 		return
 	}
-	c := zoneview.Command(n, zonePool, *change, token)
+	c := zoneview.ShiftCommand(n, zonePool, *change, token)
 	if alone {
-		n.Decide(c.Key, c.After+1, []byte(c.Value))
+		n.ApplyDecision(c.Key, c.After+1, []byte(c.Value))
 		return
 	}
 	z.asking = p.clock()
 	p.call(consensus.Request{Order: &c}, func(r consensus.Response) {
 		z.asking = -1
 		if r.Order != nil && r.Order.Why == "" && p.rep != nil && p.rep.node == n {
-			n.Decide(c.Key, r.Order.Number, []byte(c.Value))
+			n.ApplyDecision(c.Key, r.Order.Number, []byte(c.Value))
 			p.w.watch.copies(p)
 			p.gossipLater()
 		}
@@ -339,7 +339,7 @@
 		whole = whole && d.Number == next+1 // else something between has been overwritten in one piece
 		next = d.Number
 		z.values[d.Number] = key + " " + d.Value
-		pool, name, ok := gossip.ServerOf(key)
+		pool, name, ok := gossip.SplitPoolKey(key)
 		if gossip.KindOf(key) != consensus.ZoneKind || !ok || pool != zonePool {
 			return
 		}
@@ -364,47 +364,47 @@
 		return
 	}
 	forward := s.Step > was.Step
-	warm := was.Cold && !s.Cold && s.Step == was.Step
+	warm := was.WarmingUp && !s.WarmingUp && s.Step == was.Step
 	switch {
-	case was.Pinned:
+	case was.Manual:
 		w.breaks("zone %s is decided by itself against an operator's word", zoneName(zone))
-	case s.Cold != (forward && s.Step == zonefailover.Steps):
-		w.breaks("zone %s is decided to be at step %d, cold: %v", zoneName(zone), s.Step, s.Cold)
+	case s.WarmingUp != (forward && s.Step == zonefailover.FullStep):
+		w.breaks("zone %s is decided to be at step %d, cold: %v", zoneName(zone), s.Step, s.WarmingUp)
 	case warm:
-	case !(was.Step == zonefailover.Steps && s.Step == 0 || forward && s.Step == was.Step+1 || was.Step > 0 && s.Step == max(0, was.Step-2)):
+	case !(was.Step == zonefailover.FullStep && s.Step == 0 || forward && s.Step == was.Step+1 || was.Step > 0 && s.Step == max(0, was.Step-2)):
 		w.breaks("zone %s goes from step %d to %d", zoneName(zone), was.Step, s.Step)
-	case was.Step == zonefailover.Steps && w.now > w.field.last[zone]+believed && !w.field.is[zone]:
+	case was.Step == zonefailover.FullStep && w.now > w.field.last[zone]+believed && !w.field.is[zone]:
 		w.breaks("zone %s is left, and was well to all but one zone for %v", zoneName(zone), w.now-w.field.last[zone])
 	case forward && w.field.is[zone] && (w.now > w.field.since[zone]+heardOf || w.now > w.field.since[zone]+soon && w.calm(w.field.since[zone]-rules.Term)):
 		w.breaks("zone %s is returned to, to step %d, and has been down for %v", zoneName(zone), s.Step, w.now-w.field.since[zone])
 	}
 	usual := (&world{}).zoneRules()
-	least := usual.Step
+	least := usual.StepDuration
 	if was.Step == 0 {
-		least = min(usual.Hold<<min(was.Falls, 20), usual.Most)
+		least = min(usual.HoldDown<<min(was.Relapses, 20), usual.MaxHoldDown)
 	}
 	if warm {
-		least = usual.Warm
+		least = usual.WarmUp
 		w.counts["zones_warm"]++
 	}
 	if (forward || warm) && w.now < at+time.Duration(float64(least)/(1+drift)) {
-		w.breaks("zone %s goes to step %d, cold: %v, after %v, %v at least", zoneName(zone), s.Step, s.Cold, w.now-at, least)
+		w.breaks("zone %s goes to step %d, cold: %v, after %v, %v at least", zoneName(zone), s.Step, s.WarmingUp, w.now-at, least)
 	}
 	if warm {
 		return
 	}
-	if !forward && was.Step == zonefailover.Steps {
+	if !forward && was.Step == zonefailover.FullStep {
 		w.counts["zones_left"]++
 		for other := range zones {
-			if other != zone && z.states[other].Step < zonefailover.Steps && !z.states[other].Pinned {
+			if other != zone && z.states[other].Step < zonefailover.FullStep && !z.states[other].Manual {
 				w.breaks("zone %s is left while zone %s is not wholly in use", zoneName(zone), zoneName(other))
 			}
 		}
 	}
-	if !forward && was.Step < zonefailover.Steps {
+	if !forward && was.Step < zonefailover.FullStep {
 		w.counts["zone_relapses"]++
 	}
-	if forward && s.Step == zonefailover.Steps {
+	if forward && s.Step == zonefailover.FullStep {
 		w.counts["zones_returned"]++
 	}
 }
@@ -415,10 +415,10 @@
 		return
 	}
 	id := ""
-	p.rep.node.Copies().Of(gossip.Council, consensus.ZoneKind+"/", func(e *gossip.Entry) bool {
-		id += fmt.Sprint(e.Key, e.Seq, " ")
-		if want, decided := o.zones.values[e.Seq]; e.Seq > o.zones.number || decided && len(e.Values()) == 1 && want != e.Key+" "+string(e.Values()[0]) {
-			o.w.breaks("%s holds %s by number %d, %q, which the council has not decided", p.name, e.Key, e.Seq, e.Contents)
+	p.rep.node.Store().ForEachOf(gossip.ConsensusOwner, consensus.ZoneKind+"/", func(e *gossip.Entry) bool {
+		id += fmt.Sprint(e.Key, e.Sequence, " ")
+		if want, decided := o.zones.values[e.Sequence]; e.Sequence > o.zones.number || decided && len(e.Values()) == 1 && want != e.Key+" "+string(e.Values()[0]) {
+			o.w.breaks("%s holds %s by number %d, %q, which the council has not decided", p.name, e.Key, e.Sequence, e.Siblings)
 		}
 		return true
 	})
@@ -444,7 +444,7 @@
 		for other := range zones {
 			alike = alike || other != zone && w.now <= w.field.last[other]+soon+believed
 		}
-		if !alike && s.Step > 0 && s.Step < zonefailover.Steps && !s.Pinned && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.Term) {
+		if !alike && s.Step > 0 && s.Step < zonefailover.FullStep && !s.Manual && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.Term) {
 			w.breaks("zone %s has been down for %v and is still used at step %d", zoneName(zone), w.now-w.field.since[zone], s.Step)
 		}
 	}
@@ -470,8 +470,8 @@
 		return
 	}
 	for zone, s := range o.zones.states {
-		if s.Returning() {
-			o.w.breaks("zone %s is at step %d (pinned: %v, cold: %v) at the end", zoneName(zone), s.Step, s.Pinned, s.Cold)
+		if s.Recovering() {
+			o.w.breaks("zone %s is at step %d (pinned: %v, cold: %v) at the end", zoneName(zone), s.Step, s.Manual, s.WarmingUp)
 		}
 	}
 	for _, p := range o.w.procs {
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -84,10 +84,10 @@
 	cfg := Config{Site: name, Peers: []Peer{p}, TLS: files, Pools: map[string]Pool{"farm": {
 		Settings: set, To: peer, Reaches: []string{"order"},
 		Spill: spillover.Config{
-			ProbeEvery: 20 * time.Millisecond, MostPause: 50 * time.Millisecond, ProbesToOpen: 2, StallAfter: time.Second, Window: 20 * time.Millisecond,
-			Start: 0.01, Stop: 0.001, MostShare: 1,
+			HealthCheckInterval: 20 * time.Millisecond, MaxHealthCheckInterval: 50 * time.Millisecond, HealthyThreshold: 2, StallTimeout: time.Second, Window: 20 * time.Millisecond,
+			StartRatio: 0.01, StopRatio: 0.001, MaxForwardedRatio: 1,
 		},
-		Grant: spillover.GrantConfig{Window: 50 * time.Millisecond, First: 16, Most: 64, Short: 0.02},
+		Grant: spillover.GrantConfig{Window: 50 * time.Millisecond, Initial: 16, Max: 64, MaxRejectedRatio: 0.02},
 	}}}
 	if err := cfg.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -51,7 +51,7 @@
 	kick    chan struct{} // tells watch that something crosses
 
 	mu        sync.Mutex
-	spill     *spillover.Spill
+	spill     *spillover.Link
 	grant     *spillover.Grant
 	rtt       time.Duration // smoothed
 	stamp     time.Duration // the last of the far site's
@@ -68,7 +68,7 @@
 	}
 	var classes []spillover.Class
 	for _, k := range p.Settings.Config.Classes {
-		classes = append(classes, spillover.Class{Name: k.Name, Worth: k.PriorityWeight, Work: k.LatencyObjective})
+		classes = append(classes, spillover.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, ServiceTime: k.LatencyObjective})
 		c.classes[k.Name] = k
 	}
 	c.spill = spillover.New(p.Spill, classes)
@@ -152,21 +152,21 @@
 			probing = false
 			c.mu.Lock()
 			now := c.bridge.now()
-			var changes []*spillover.Change
+			var changes []*spillover.Transition
 			if r.ok {
 				if c.rtt == 0 {
 					c.rtt = r.took
 				}
 				c.rtt += (r.took - c.rtt) / 8
 				c.stamp, c.stampAt = r.stamp, now
-				c.spill.SetStall(stallBase + 2*c.rtt)
+				c.spill.SetStallTimeout(stallBase + 2*c.rtt)
 			}
 			if !c.bridge.draining.Load() && r.drains != c.farDrains {
 				c.farDrains = r.drains
 				changes = append(changes, c.spill.Drain(now, r.drains))
 			}
 			if !r.drains {
-				changes = append(changes, c.spill.Probed(now, r.ok, r.room))
+				changes = append(changes, c.spill.RecordHealthCheck(now, r.ok, r.room))
 			}
 			c.mu.Unlock()
 			for _, ch := range changes {
@@ -177,7 +177,7 @@
 			now := c.bridge.now()
 			probe, ch := c.spill.Tick(now)
 			often, look := probeEvery, rare
-			if c.spill.Out() > 0 || c.spill.Spilling() {
+			if c.spill.InFlight() > 0 || c.spill.Spilling() {
 				often, look = probeBusy, busy
 			}
 			if s := c.spill.State(); s == spillover.Open || s == spillover.Draining {
@@ -234,7 +234,7 @@
 
 // changed carries out a change of the link's state: the far member comes and goes in the list, and what is out on a link that
 // is no more has broken off.
-func (c *crossing) changed(ch *spillover.Change, err error) {
+func (c *crossing) changed(ch *spillover.Transition, err error) {
 	if ch == nil {
 		return
 	}
@@ -279,9 +279,9 @@
 	now := c.bridge.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.grant.Own(now)
+	c.grant.RecordLocal(now)
 	if c.far != nil {
-		c.spill.Local(now, class, false)
+		c.spill.RecordLocal(now, class, false)
 	}
 }
 
@@ -289,11 +289,11 @@
 func (c *crossing) Cross(ctx context.Context, h *pool.Handover) {
 	now := c.bridge.now()
 	c.mu.Lock()
-	c.grant.Short(now)
+	c.grant.RecordLocalRejected(now)
 	rtt, crosses := c.rtt, false
 	if c.far != nil {
-		c.spill.Denied(now, h.Event.Class)
-		crosses = time.Until(h.Until) > rtt+backSlack && spillover.Legal(c.rules(h.Event.Class), h.Prior, c.most, rtt) && c.spill.Ask(now, h.Event.Class)
+		c.spill.RecordRejected(now, h.Event.Class)
+		crosses = time.Until(h.Until) > rtt+backSlack && spillover.MayForward(c.rules(h.Event.Class), h.Prior, c.most, rtt) && c.spill.TryForward(now, h.Event.Class)
 	}
 	c.mu.Unlock()
 	if !crosses {
@@ -319,7 +319,7 @@
 		}
 	}
 	c.mu.Lock()
-	c.spill.Back(c.bridge.now(), false, 0)
+	c.spill.RecordReturn(c.bridge.now(), false, 0)
 	c.mu.Unlock()
 	if ans.Status == http.StatusServiceUnavailable {
 		ans = h.Refusal // as true as before, and when to come back is better known here
@@ -342,7 +342,7 @@
 func (c *crossing) rules(class string) spillover.Rules {
 	k, known := c.classes[class]
 	return spillover.Rules{
-		Safe: known && k.Idempotency == policy.Idempotent, Keyed: known && k.Idempotency == policy.IdempotentByKey, Reaches: slices.Contains(c.cfg.Reaches, class),
+		Idempotent: known && k.Idempotency == policy.Idempotent, HasIdempotencyKey: known && k.Idempotency == policy.IdempotentByKey, SharedDedup: slices.Contains(c.cfg.Reaches, class),
 	}
 }
 
@@ -353,14 +353,14 @@
 func (c *crossing) Extra(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
 	now := c.bridge.now()
 	c.mu.Lock()
-	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.Patience(now)
+	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.TimeToStall(now)
 	c.mu.Unlock()
 	r := siteheader.Request{
 		Stamp: stamp, Ago: ago, Within: min(within, left), Left: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Cost: q.ExpectedWork, Retry: q.IsRetry,
 		Used: len(q.PriorAttempts), May: max(1, c.most-len(q.PriorAttempts)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
 	}
 	for _, p := range q.PriorAttempts {
-		if !p.NotExecuted { // only of classes whose repeats are dropped at both sites alike, see spillover.Legal
+		if !p.NotExecuted { // only of classes whose repeats are dropped at both sites alike, see spillover.MayForward
 			r.Ran = append(r.Ran, siteheader.Prior{For: p.DedupRemaining})
 		}
 	}
@@ -378,7 +378,7 @@
 	now := c.bridge.now()
 	c.mu.Lock()
 	if err == nil {
-		c.spill.Told(now, a.Room)
+		c.spill.RecordGrant(now, a.Room)
 		c.stamp, c.stampAt = a.Stamp, now
 	}
 	c.mu.Unlock()
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -57,7 +57,7 @@
 	if c == nil {
 		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
 	}
-	if rules := c.rules(r.Class); rules.Keyed && !rules.Reaches {
+	if rules := c.rules(r.Class); rules.HasIdempotencyKey && !rules.SharedDedup {
 		return nil, 0, h.bad(http.StatusForbidden, "repeats of the class are not dropped at both sites together")
 	}
 	if h.b.draining.Load() {
@@ -127,7 +127,7 @@
 	now := c.bridge.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.grant.Room(now)
+	return c.grant.Available(now)
 }
 
 // admission is a foreign request that the pool's limits let in.
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	a.c.mu.Lock()
-	a.c.grant.Taken(a.c.bridge.now())
+	a.c.grant.RecordRemote(a.c.bridge.now())
 	a.c.mu.Unlock()
 	return newExchange(a.c, x), nil
 }
@@ -178,8 +178,8 @@
 	now := e.c.bridge.now()
 	e.c.mu.Lock()
 	defer e.c.mu.Unlock()
-	e.c.grant.Back(now, refused)
-	return e.c.grant.Room(now)
+	e.c.grant.RecordRemoteDone(now, refused)
+	return e.c.grant.Available(now)
 }
 
 // mark adds the field of the hop to an answer.
--- a/internal/spillover/grant_test.go
+++ b/internal/spillover/grant_test.go
@@ -10,7 +10,7 @@
 )
 
 func grantConfig() GrantConfig {
-	return GrantConfig{Window: 200 * time.Millisecond, First: 8, Most: 64, Short: 0.02}
+	return GrantConfig{Window: 200 * time.Millisecond, Initial: 8, Max: 64, MaxRejectedRatio: 0.02}
 }
 
 // TestGrantBounds holds what a site grants to its bounds, whatever comes.
@@ -22,19 +22,19 @@
 			now += time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "gap"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				g.Own(now)
+				g.RecordLocal(now)
 			case 1:
-				g.Short(now)
+				g.RecordLocalRejected(now)
 			case 2:
-				g.Taken(now)
+				g.RecordRemote(now)
 				out++
 			case 3:
 				if out > 0 {
-					g.Back(now, rapid.Bool().Draw(t, "refused"))
+					g.RecordRemoteDone(now, rapid.Bool().Draw(t, "refused"))
 					out--
 				}
 			}
-			if room := g.Room(now); room < 0 || room+out > max(64, out) {
+			if room := g.Available(now); room < 0 || room+out > max(64, out) {
 				t.Fatalf("%d are out and %d more are granted", out, room)
 			}
 		}
@@ -49,30 +49,30 @@
 	play := func(windows int, short bool) {
 		for range windows * 20 {
 			now += 10 * time.Millisecond
-			g.Own(now)
+			g.RecordLocal(now)
 			if short {
-				g.Short(now)
+				g.RecordLocalRejected(now)
 			}
-			n := g.Room(now)
+			n := g.Available(now)
 			for range n {
-				g.Taken(now)
+				g.RecordRemote(now)
 			}
 			for range n {
-				g.Back(now, false)
+				g.RecordRemoteDone(now, false)
 			}
 		}
 	}
 	play(20, false)
-	if g.Room(now) < 8 {
-		t.Fatalf("a site with room grants %d", g.Room(now))
+	if g.Available(now) < 8 {
+		t.Fatalf("a site with room grants %d", g.Available(now))
 	}
 	play(7, true)
-	if g.Room(now) > 1 {
-		t.Fatalf("a site that turns its own clients away grants %d", g.Room(now))
+	if g.Available(now) > 1 {
+		t.Fatalf("a site that turns its own clients away grants %d", g.Available(now))
 	}
 	play(20, false)
-	if g.Room(now) < 4 {
-		t.Fatalf("a site that has room again grants %d", g.Room(now))
+	if g.Available(now) < 4 {
+		t.Fatalf("a site that has room again grants %d", g.Available(now))
 	}
 }
 
@@ -81,7 +81,7 @@
 func TestLegal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		effect := rapid.IntRange(0, 2).Draw(t, "effect")
-		r := Rules{Safe: effect == 0, Keyed: effect == 1, Reaches: rapid.Bool().Draw(t, "reaches")}
+		r := Rules{Idempotent: effect == 0, HasIdempotencyKey: effect == 1, SharedDedup: rapid.Bool().Draw(t, "reaches")}
 		var prior []policy.PriorAttempt
 		mayHaveRun, forgets := false, false
 		const trip = 20 * time.Millisecond
@@ -92,8 +92,8 @@
 			forgets = forgets || !p.NotExecuted && p.DedupRemaining <= trip
 		}
 		most := rapid.IntRange(1, 4).Draw(t, "most")
-		want := len(prior) < most && (r.Safe || r.Keyed && r.Reaches && !forgets || !r.Keyed && !mayHaveRun)
-		if got := Legal(r, prior, most, trip); got != want {
+		want := len(prior) < most && (r.Idempotent || r.HasIdempotencyKey && r.SharedDedup && !forgets || !r.HasIdempotencyKey && !mayHaveRun)
+		if got := MayForward(r, prior, most, trip); got != want {
 			t.Fatalf("%+v, %+v, at most %d: %v", r, prior, most, got)
 		}
 	})
--- a/internal/spillover/spill.go
+++ b/internal/spillover/spill.go
@@ -22,7 +22,7 @@
 	// Dead: nothing crosses. A probe is sent now and then.
 	Dead State = iota
 	// Probing: a probe is out, or too few have come back since the link was dead.
-	Probing
+	Checking
 	// Open: work may cross, within the credits granted.
 	Open
 	// Stalled: nothing has come back for too long although something is out. Nothing more crosses; what is out may have run.
@@ -40,86 +40,86 @@
 
 // Config is what the operator says of a link. All times are above 0.
 type Config struct {
-	// ProbeEvery is how long after a failed probe the next is sent. It doubles with each in a row, up to MostPause.
-	ProbeEvery, MostPause time.Duration
-	// ProbesToOpen is how many probes in a row must come back for a link that was dead to open, at least 1.
-	ProbesToOpen int
-	// StallAfter is how long nothing may come back, while something is out, until the link counts as stalled. It is some
+	// HealthCheckInterval is how long after a failed probe the next is sent. It doubles with each in a row, up to MostPause.
+	HealthCheckInterval, MaxHealthCheckInterval time.Duration
+	// HealthyThreshold is how many probes in a row must come back for a link that was dead to open, at least 1.
+	HealthyThreshold int
+	// StallTimeout is how long nothing may come back, while something is out, until the link counts as stalled. It is some
 	// times the usual round trip, not the time of a request: the far side acknowledges what it takes.
-	StallAfter time.Duration
+	StallTimeout time.Duration
 	// Window is the time over which the shortness of the local site is judged.
 	Window time.Duration
-	// Start and Stop are the parts of the local offers in a window that were turned down from which spilling starts, and
+	// StartRatio and Stop are the parts of the local offers in a window that were turned down from which spilling starts, and
 	// below which it stops: 0 <= Stop < Start <= 1. Between them all stays as it is, so that work does not swing.
-	Start, Stop float64
-	// MostShare is the part of the local requests that may cross at most, 0 to 1.
-	MostShare float64
+	StartRatio, StopRatio float64
+	// MaxForwardedRatio is the part of the local requests that may cross at most, 0 to 1.
+	MaxForwardedRatio float64
 }
 
 // Class is what the module has to know of a class of requests.
 type Class struct {
-	Name  string
-	Worth float64       // of an answer
-	Work  time.Duration // of a request at a box, roughly; above 0
+	Name           string
+	PriorityWeight float64       // of an answer
+	ServiceTime    time.Duration // of a request at a box, roughly; above 0
 }
 
-// Spill decides for one link. It is not safe for concurrent use.
-type Spill struct {
-	cfg     Config
-	classes map[string]int // place in the order of worth for the work, the worthiest first
-	order   []Class
+// Link decides for one link. It is not safe for concurrent use.
+type Link struct {
+	cfg        Config
+	classes    map[string]int // place in the order of worth for the work, the worthiest first
+	classOrder []Class
 
-	state   State
-	at      time.Duration // of the last event
-	probeAt time.Duration // when the next probe is due
-	pause   time.Duration
-	good    int // probes in a row that came back
+	state         State
+	lastEvent     time.Duration // of the last event
+	nextCheckAt   time.Duration // when the next probe is due
+	checkBackoff  time.Duration
+	healthyChecks int // probes in a row that came back
 
-	out     int           // requests that crossed and are not back
-	heard   time.Duration // when something last came back, or the first of those out crossed
-	credits int           // further requests that the far site takes
+	inFlight  int           // requests that crossed and are not back
+	lastHeard time.Duration // when something last came back, or the first of those out crossed
+	credits   int           // further requests that the far site takes
 
-	spilling bool
-	from     time.Duration // of the window
-	offered  []int         // in the window, by place in the order
-	denied   []int         // of them turned down locally
-	crossed  int           // in the window
-	cut      int           // classes at a place below it may cross
+	spilling        bool
+	windowStart     time.Duration // of the window
+	offered         []int         // in the window, by place in the order
+	rejected        []int         // of them turned down locally
+	forwarded       int           // in the window
+	eligibleClasses int           // classes at a place below it may cross
 }
 
 // New returns a link that is dead until a probe has come back.
-func New(cfg Config, classes []Class) *Spill {
-	s := &Spill{cfg: cfg, classes: map[string]int{}, order: slices.Clone(classes), pause: cfg.ProbeEvery}
-	slices.SortStableFunc(s.order, func(a, b Class) int {
-		return cmp.Or(-cmp.Compare(a.Worth/a.Work.Seconds(), b.Worth/b.Work.Seconds()), cmp.Compare(a.Name, b.Name))
+func New(cfg Config, classes []Class) *Link {
+	s := &Link{cfg: cfg, classes: map[string]int{}, classOrder: slices.Clone(classes), checkBackoff: cfg.HealthCheckInterval}
+	slices.SortStableFunc(s.classOrder, func(a, b Class) int {
+		return cmp.Or(-cmp.Compare(a.PriorityWeight/a.ServiceTime.Seconds(), b.PriorityWeight/b.ServiceTime.Seconds()), cmp.Compare(a.Name, b.Name))
 	})
-	for i, c := range s.order {
+	for i, c := range s.classOrder {
 		s.classes[c.Name] = i
 	}
-	s.offered, s.denied = make([]int, len(classes)), make([]int, len(classes))
+	s.offered, s.rejected = make([]int, len(classes)), make([]int, len(classes))
 	return s
 }
 
 // State is what is thought of the link.
-func (s *Spill) State() State { return s.state }
+func (s *Link) State() State { return s.state }
 
 // Spilling reports whether work crosses at present.
-func (s *Spill) Spilling() bool { return s.state == Open && s.spilling }
+func (s *Link) Spilling() bool { return s.state == Open && s.spilling }
 
-// Out is how many requests have crossed and are not back.
-func (s *Spill) Out() int { return s.out }
+// InFlight is how many requests have crossed and are not back.
+func (s *Link) InFlight() int { return s.inFlight }
 
-// Change is a change of a link's state.
-type Change struct {
+// Transition is a change of a link's state.
+type Transition struct {
 	From, To State
 	Cause    Cause
 }
 
-func (s *Spill) become(to State, cause Cause) *Change {
+func (s *Link) setState(to State, cause Cause) *Transition {
 	if s.state == to {
 		return nil
 	}
-	c := &Change{s.state, to, cause}
+	c := &Transition{s.state, to, cause}
 	s.state = to
 	if to != Open {
 		s.credits = 0 // a grant is of the state in which it was made
@@ -129,71 +129,71 @@
 
 // Tick lets time pass. It reports whether a probe is to be sent now, and a change of state if there is one. It is to be
 // called at least as often as StallAfter/4 while something is out.
-func (s *Spill) Tick(now time.Duration) (probe bool, c *Change) {
+func (s *Link) Tick(now time.Duration) (probe bool, c *Transition) {
 	s.advance(now)
 	switch s.state {
 	case Open:
-		if s.out > 0 && now-s.heard > s.cfg.StallAfter {
-			s.good, s.pause, s.probeAt = 0, s.cfg.ProbeEvery, now+s.cfg.ProbeEvery
-			return false, s.become(Stalled, "nothing came back while requests were out")
+		if s.inFlight > 0 && now-s.lastHeard > s.cfg.StallTimeout {
+			s.healthyChecks, s.checkBackoff, s.nextCheckAt = 0, s.cfg.HealthCheckInterval, now+s.cfg.HealthCheckInterval
+			return false, s.setState(Stalled, "nothing came back while requests were out")
 		}
 	case Dead, Stalled:
-		if now >= s.probeAt {
-			s.probeAt = now + s.pause
+		if now >= s.nextCheckAt {
+			s.nextCheckAt = now + s.checkBackoff
 			return true, nil
 		}
-	case Probing:
-		if now >= s.probeAt {
-			s.probeAt = now + s.cfg.ProbeEvery
+	case Checking:
+		if now >= s.nextCheckAt {
+			s.nextCheckAt = now + s.cfg.HealthCheckInterval
 			return true, nil
 		}
 	}
 	return false, nil
 }
 
-// Probed takes the result of a probe. room is what the far site grants with it.
-func (s *Spill) Probed(now time.Duration, ok bool, room int) *Change {
+// RecordHealthCheck takes the result of a probe. room is what the far site grants with it.
+func (s *Link) RecordHealthCheck(now time.Duration, ok bool, room int) *Transition {
 	s.advance(now)
 	if s.state == Draining {
 		return nil
 	}
 	if !ok {
-		s.good = 0
-		s.pause = min(2*s.pause, max(s.cfg.MostPause, s.cfg.ProbeEvery))
-		s.probeAt = now + s.pause
-		return s.become(Dead, "a probe did not come back")
+		s.healthyChecks = 0
+		s.checkBackoff = min(2*s.checkBackoff, max(s.cfg.MaxHealthCheckInterval, s.cfg.HealthCheckInterval))
+		s.nextCheckAt = now + s.checkBackoff
+		return s.setState(Dead, "a probe did not come back")
 	}
-	s.heard = now
+	s.lastHeard = now
 	if s.state == Open {
 		s.credits = max(0, room)
 		return nil
 	}
-	s.good++
-	if s.good < s.cfg.ProbesToOpen {
-		s.probeAt = now // the next at once: a link that was dead shows itself in a few round trips
-		return s.become(Probing, "a probe came back")
+	s.healthyChecks++
+	if s.healthyChecks < s.cfg.HealthyThreshold {
+		s.nextCheckAt = now // the next at once: a link that was dead shows itself in a few round trips
+		return s.setState(Checking, "a probe came back")
 	}
-	s.pause = s.cfg.ProbeEvery
-	c := s.become(Open, "probes came back")
+	s.checkBackoff = s.cfg.HealthCheckInterval
+	c := s.setState(Open, "probes came back")
 	s.credits = max(0, room)
 	return c
 }
 
 // Drain notes that either site drains, or no longer does. After it the link must show itself anew.
-func (s *Spill) Drain(now time.Duration, on bool) *Change {
+func (s *Link) Drain(now time.Duration, on bool) *Transition {
 	s.advance(now)
 	if on {
-		return s.become(Draining, "a site drains")
+		return s.setState(Draining, "a site drains")
 	}
 	if s.state != Draining {
 		return nil
 	}
-	s.good, s.pause, s.probeAt = 0, s.cfg.ProbeEvery, now
-	return s.become(Dead, "no site drains any more")
+	s.healthyChecks, s.checkBackoff, s.nextCheckAt = 0, s.cfg.HealthCheckInterval, now
+	return s.setState(Dead, "no site drains any more")
 }
 
-// Local notes how the local site met a request of a class: denied, if it could not be expected to be served there in time.
-func (s *Spill) Local(now time.Duration, class string, denied bool) {
+// RecordLocal notes how the local site met a request of a class: denied, if it could not be expected to be served there in time.
+func (s *Link) RecordLocal(now time.Duration, class string, denied bool) {
 	s.advance(now)
 	i, ok := s.classes[class]
 	if !ok {
@@ -201,97 +201,97 @@
 	}
 	s.offered[i]++
 	if denied {
-		s.denied[i]++
+		s.rejected[i]++
 	}
 }
 
-// Denied notes that a request that was told to Local before, as not denied, has been turned down after all.
-func (s *Spill) Denied(now time.Duration, class string) {
+// RecordRejected notes that a request that was told to Local before, as not denied, has been turned down after all.
+func (s *Link) RecordRejected(now time.Duration, class string) {
 	s.advance(now)
 	i, ok := s.classes[class]
 	if !ok {
 		return
 	}
-	s.denied[i]++
+	s.rejected[i]++
 	offered, denied := 0, 0
 	for i := range s.offered {
 		offered += s.offered[i]
-		denied += s.denied[i]
+		denied += s.rejected[i]
 	}
 	// A site that has lost its servers is seen to be short before the window is over.
-	if !s.spilling && offered >= enoughOffers && float64(denied) >= s.cfg.Start*float64(offered) {
+	if !s.spilling && offered >= minOffered && float64(denied) >= s.cfg.StartRatio*float64(offered) {
 		s.spilling = true
-		s.judge(offered)
+		s.selectClasses(offered)
 	}
 }
 
-// enoughOffers is how many requests of a window tell that a site is short.
-const enoughOffers = 10
+// minOffered is how many requests of a window tell that a site is short.
+const minOffered = 10
 
-// SetStall changes StallAfter, as the round trip is learnt.
-func (s *Spill) SetStall(after time.Duration) { s.cfg.StallAfter = after }
+// SetStallTimeout changes StallAfter, as the round trip is learnt.
+func (s *Link) SetStallTimeout(after time.Duration) { s.cfg.StallTimeout = after }
 
-// Patience is how long nothing may come back from now on until what is out is given up.
-func (s *Spill) Patience(now time.Duration) time.Duration {
-	return max(0, s.heard+s.cfg.StallAfter-now)
+// TimeToStall is how long nothing may come back from now on until what is out is given up.
+func (s *Link) TimeToStall(now time.Duration) time.Duration {
+	return max(0, s.lastHeard+s.cfg.StallTimeout-now)
 }
 
-// Told notes that the far side has said something, and grants so much room.
-func (s *Spill) Told(now time.Duration, room int) {
+// RecordGrant notes that the far side has said something, and grants so much room.
+func (s *Link) RecordGrant(now time.Duration, room int) {
 	s.advance(now)
-	s.heard = max(s.heard, now)
+	s.lastHeard = max(s.lastHeard, now)
 	if s.state == Open {
 		s.credits = max(0, room)
 	}
 }
 
 // advance closes the window once it is over, and judges by it.
-func (s *Spill) advance(now time.Duration) {
-	s.at = now
-	if now-s.from < s.cfg.Window {
+func (s *Link) advance(now time.Duration) {
+	s.lastEvent = now
+	if now-s.windowStart < s.cfg.Window {
 		return
 	}
 	offered, denied := 0, 0
 	for i := range s.offered {
 		offered += s.offered[i]
-		denied += s.denied[i]
+		denied += s.rejected[i]
 	}
 	if offered > 0 {
 		share := min(1, float64(denied)/float64(offered)) // some were offered in the window before
 		switch {
-		case share >= s.cfg.Start:
+		case share >= s.cfg.StartRatio:
 			s.spilling = true
-		case share <= s.cfg.Stop:
+		case share <= s.cfg.StopRatio:
 			s.spilling = false
 		}
-		s.judge(offered)
-	} else if s.out == 0 {
+		s.selectClasses(offered)
+	} else if s.inFlight == 0 {
 		s.spilling = false // nothing is asked for
 	}
-	s.from, s.crossed = now, 0
+	s.windowStart, s.forwarded = now, 0
 	clear(s.offered)
-	clear(s.denied)
+	clear(s.rejected)
 }
 
-// judge sets which classes may cross: the worthiest for the work, as many as MostShare of what was offered allows.
-func (s *Spill) judge(offered int) {
-	room := s.cfg.MostShare * float64(offered)
-	s.cut = 0
-	for i := range s.order {
+// selectClasses sets which classes may cross: the worthiest for the work, as many as MostShare of what was offered allows.
+func (s *Link) selectClasses(offered int) {
+	room := s.cfg.MaxForwardedRatio * float64(offered)
+	s.eligibleClasses = 0
+	for i := range s.classOrder {
 		if room <= 0 {
 			break
 		}
-		room -= float64(s.denied[i])
-		s.cut = i + 1
+		room -= float64(s.rejected[i])
+		s.eligibleClasses = i + 1
 	}
 }
 
-// Ask decides whether a request of a class, which the local site could not serve in time, crosses. If it does, Back must
+// TryForward decides whether a request of a class, which the local site could not serve in time, crosses. If it does, Back must
 // follow.
-func (s *Spill) Ask(now time.Duration, class string) bool {
+func (s *Link) TryForward(now time.Duration, class string) bool {
 	s.advance(now)
 	i, ok := s.classes[class]
-	if !ok || !s.Spilling() || s.credits < 1 || i >= s.cut {
+	if !ok || !s.Spilling() || s.credits < 1 || i >= s.eligibleClasses {
 		return false
 	}
 	offered := 0
@@ -299,27 +299,27 @@
 		offered += n
 	}
 	// The worthiest have what is left of the window's share; the first of a window always may.
-	if s.crossed > 0 && float64(s.crossed) >= s.cfg.MostShare*float64(offered) {
+	if s.forwarded > 0 && float64(s.forwarded) >= s.cfg.MaxForwardedRatio*float64(offered) {
 		return false
 	}
-	if s.out == 0 {
-		s.heard = now
+	if s.inFlight == 0 {
+		s.lastHeard = now
 	}
 	s.credits--
-	s.crossed++
-	s.out++
+	s.forwarded++
+	s.inFlight++
 	return true
 }
 
-// Back notes that a request that crossed has its answer, or is given up. heard tells whether the far side said so, and room
+// RecordReturn notes that a request that crossed has its answer, or is given up. heard tells whether the far side said so, and room
 // is what it grants then.
-func (s *Spill) Back(now time.Duration, heard bool, room int) {
+func (s *Link) RecordReturn(now time.Duration, heard bool, room int) {
 	s.advance(now)
-	s.out = max(0, s.out-1)
+	s.inFlight = max(0, s.inFlight-1)
 	if !heard {
 		return
 	}
-	s.heard = now
+	s.lastHeard = now
 	if s.state == Open {
 		s.credits = max(0, room)
 	}
--- a/internal/spillover/spill_test.go
+++ b/internal/spillover/spill_test.go
@@ -11,8 +11,8 @@
 
 var (
 	cfg = Config{
-		ProbeEvery: 100 * time.Millisecond, MostPause: 2 * time.Second, ProbesToOpen: 3, StallAfter: 80 * time.Millisecond,
-		Window: 500 * time.Millisecond, Start: 0.1, Stop: 0.02, MostShare: 0.5,
+		HealthCheckInterval: 100 * time.Millisecond, MaxHealthCheckInterval: 2 * time.Second, HealthyThreshold: 3, StallTimeout: 80 * time.Millisecond,
+		Window: 500 * time.Millisecond, StartRatio: 0.1, StopRatio: 0.02, MaxForwardedRatio: 0.5,
 	}
 	classes = []Class{
 		{"allocation-check", 1, 10 * time.Millisecond}, {"delivery-order", 5, 20 * time.Millisecond}, {"report", 1, 100 * time.Millisecond},
@@ -20,42 +20,42 @@
 )
 
 // opened is a link that has shown itself, with so much room, and a local site that turns down a part of what it is offered.
-func opened(t *testing.T, room int, denied bool) (*Spill, time.Duration) {
+func opened(t *testing.T, room int, denied bool) (*Link, time.Duration) {
 	t.Helper()
 	s := New(cfg, classes)
 	now := time.Duration(0)
-	for range cfg.ProbesToOpen {
+	for range cfg.HealthyThreshold {
 		probe, _ := s.Tick(now)
 		if !probe {
 			t.Fatalf("no probe at %v", now)
 		}
 		now += 10 * time.Millisecond
-		s.Probed(now, true, room)
+		s.RecordHealthCheck(now, true, room)
 	}
 	if s.State() != Open {
-		t.Fatalf("the link is %v after %d probes", s.State(), cfg.ProbesToOpen)
+		t.Fatalf("the link is %v after %d probes", s.State(), cfg.HealthyThreshold)
 	}
 	for range 100 {
-		s.Local(now, "delivery-order", denied)
-		s.Local(now, "allocation-check", denied)
-		s.Local(now, "report", denied)
+		s.RecordLocal(now, "delivery-order", denied)
+		s.RecordLocal(now, "allocation-check", denied)
+		s.RecordLocal(now, "report", denied)
 	}
 	now += cfg.Window
-	s.Probed(now, true, room)
-	s.Local(now, "delivery-order", denied)
+	s.RecordHealthCheck(now, true, room)
+	s.RecordLocal(now, "delivery-order", denied)
 	return s, now
 }
 
 func TestLocalFirst(t *testing.T) {
 	s, now := opened(t, 10, false)
-	if s.Ask(now, "delivery-order") {
+	if s.TryForward(now, "delivery-order") {
 		t.Error("work crosses although the local site serves all")
 	}
 	s, now = opened(t, 10, true)
-	if !s.Ask(now, "delivery-order") {
+	if !s.TryForward(now, "delivery-order") {
 		t.Error("nothing crosses although the local site turns all down")
 	}
-	if s.Ask(now, "unheard-of") {
+	if s.TryForward(now, "unheard-of") {
 		t.Error("a class that the link does not know crosses")
 	}
 }
@@ -63,10 +63,10 @@
 // TestWorthiestFirst guards against spending the share of what may cross on what is worth little for its work.
 func TestWorthiestFirst(t *testing.T) {
 	s, now := opened(t, 100, true)
-	if !s.Ask(now, "delivery-order") {
+	if !s.TryForward(now, "delivery-order") {
 		t.Error("the worthiest does not cross")
 	}
-	if s.Ask(now, "report") {
+	if s.TryForward(now, "report") {
 		t.Error("the least worthy crosses: half of what is offered may, and the others fill that")
 	}
 }
@@ -77,21 +77,21 @@
 	n := 0
 	for range 10 {
 		for range 10 {
-			s.Local(now, "delivery-order", true)
+			s.RecordLocal(now, "delivery-order", true)
 		}
-		if s.Ask(now, "delivery-order") {
+		if s.TryForward(now, "delivery-order") {
 			n++
 		}
 	}
 	if n != 2 {
 		t.Errorf("%d crossed, 2 were granted", n)
 	}
-	s.Back(now, true, 1)
-	if !s.Ask(now, "delivery-order") || s.Ask(now, "delivery-order") {
+	s.RecordReturn(now, true, 1)
+	if !s.TryForward(now, "delivery-order") || s.TryForward(now, "delivery-order") {
 		t.Error("a grant of 1 with an answer is not 1 more")
 	}
-	if s.Out() != 2 {
-		t.Errorf("%d are out, want 2", s.Out())
+	if s.InFlight() != 2 {
+		t.Errorf("%d are out, want 2", s.InFlight())
 	}
 }
 
@@ -100,10 +100,10 @@
 	s, now := opened(t, 1000, true)
 	window := func(denied int) bool {
 		for i := range 100 {
-			s.Local(now, "delivery-order", i < denied)
+			s.RecordLocal(now, "delivery-order", i < denied)
 		}
 		now += cfg.Window
-		s.Probed(now, true, 1000)
+		s.RecordHealthCheck(now, true, 1000)
 		return s.Spilling()
 	}
 	for i, c := range []struct {
@@ -119,32 +119,32 @@
 // TestStall guards against loading a link that stands still, and against opening it on one probe.
 func TestStall(t *testing.T) {
 	s, now := opened(t, 10, true)
-	if !s.Ask(now, "delivery-order") {
+	if !s.TryForward(now, "delivery-order") {
 		t.Fatal("nothing crosses")
 	}
-	now += cfg.StallAfter / 2
+	now += cfg.StallTimeout / 2
 	if _, c := s.Tick(now); c != nil {
 		t.Errorf("stalled too soon: %+v", c)
 	}
-	s.Told(now, 1)
-	now += cfg.StallAfter
+	s.RecordGrant(now, 1)
+	now += cfg.StallTimeout
 	if _, c := s.Tick(now); c != nil {
 		t.Errorf("a word from the far side did not count: %+v", c)
 	}
-	now += cfg.StallAfter / 2
+	now += cfg.StallTimeout / 2
 	if _, c := s.Tick(now); c == nil || c.To != Stalled {
 		t.Fatalf("a silent link is %v", s.State())
 	}
-	if s.Ask(now, "delivery-order") {
+	if s.TryForward(now, "delivery-order") {
 		t.Error("work crosses a stalled link")
 	}
-	now += cfg.ProbeEvery
-	for i := range cfg.ProbesToOpen {
+	now += cfg.HealthCheckInterval
+	for i := range cfg.HealthyThreshold {
 		if probe, _ := s.Tick(now); !probe {
 			t.Fatalf("no probe %d", i)
 		}
 		now += 10 * time.Millisecond
-		if c := s.Probed(now, true, 5); (c != nil && c.To == Open) != (i == cfg.ProbesToOpen-1) {
+		if c := s.RecordHealthCheck(now, true, 5); (c != nil && c.To == Open) != (i == cfg.HealthyThreshold-1) {
 			t.Errorf("after probe %d: %+v", i, c)
 		}
 	}
@@ -161,11 +161,11 @@
 				gaps = append(gaps, now-last)
 			}
 			last = now
-			s.Probed(now, false, 0)
+			s.RecordHealthCheck(now, false, 0)
 		}
 	}
 	for i, g := range gaps {
-		if g > cfg.MostPause+10*time.Millisecond || i > 0 && g < gaps[i-1] {
+		if g > cfg.MaxHealthCheckInterval+10*time.Millisecond || i > 0 && g < gaps[i-1] {
 			t.Errorf("gaps between probes: %v", gaps)
 			break
 		}
@@ -181,10 +181,10 @@
 	if c := s.Drain(now, true); c == nil || c.To != Draining {
 		t.Fatalf("got %+v", c)
 	}
-	if s.Ask(now, "delivery-order") {
+	if s.TryForward(now, "delivery-order") {
 		t.Error("work crosses while a site drains")
 	}
-	if c := s.Probed(now, true, 10); c != nil {
+	if c := s.RecordHealthCheck(now, true, 10); c != nil {
 		t.Errorf("a probe ended the drain: %+v", c)
 	}
 	if c := s.Drain(now, false); c == nil || c.To != Dead {
@@ -218,7 +218,7 @@
 				}
 				probing = false
 				ok, room := rapid.Bool().Draw(t, "ok"), rapid.IntRange(0, 5).Draw(t, "room")
-				c := s.Probed(now, ok, room)
+				c := s.RecordHealthCheck(now, ok, room)
 				if s.State() == Open && ok {
 					granted = room
 				}
@@ -229,9 +229,9 @@
 					t.Fatalf("no change: %+v", c)
 				}
 			},
-			"local": func(t *rapid.T) { s.Local(now, name.Draw(t, "class"), rapid.Bool().Draw(t, "denied")) },
+			"local": func(t *rapid.T) { s.RecordLocal(now, name.Draw(t, "class"), rapid.Bool().Draw(t, "denied")) },
 			"ask": func(t *rapid.T) {
-				if !s.Ask(now, name.Draw(t, "class")) {
+				if !s.TryForward(now, name.Draw(t, "class")) {
 					return
 				}
 				out++
@@ -246,8 +246,8 @@
 				for _, n := range s.offered {
 					offered += n
 				}
-				if s.crossed > 1 && float64(s.crossed-1) >= cfg.MostShare*float64(offered) {
-					t.Fatalf("%d of %d offered crossed", s.crossed, offered)
+				if s.forwarded > 1 && float64(s.forwarded-1) >= cfg.MaxForwardedRatio*float64(offered) {
+					t.Fatalf("%d of %d offered crossed", s.forwarded, offered)
 				}
 			},
 			"back": func(t *rapid.T) {
@@ -256,13 +256,13 @@
 				}
 				out--
 				heard, room := rapid.Bool().Draw(t, "heard"), rapid.IntRange(0, 5).Draw(t, "room")
-				s.Back(now, heard, room)
+				s.RecordReturn(now, heard, room)
 				if heard && s.State() == Open {
 					granted = room
 				}
 			},
 			"lost": func(t *rapid.T) {
-				s.Probed(now, false, 0)
+				s.RecordHealthCheck(now, false, 0)
 				if s.State() == Open {
 					t.Fatal("open though a probe did not come back")
 				}
@@ -275,8 +275,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if s.Out() != out {
-					t.Fatalf("%d are out, want %d", s.Out(), out)
+				if s.InFlight() != out {
+					t.Fatalf("%d are out, want %d", s.InFlight(), out)
 				}
 				if s.state != Open && s.credits != 0 {
 					t.Fatalf("%d credits while %v", s.credits, s.state)
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -6,71 +6,73 @@
 import "time"
 
 const (
-	// Told is the platform's term: a change counts as told so long after discovery had it and could be reached, whether or not it
+	// NotifiedAfter is the platform's term: a change counts as told so long after discovery had it and could be reached, whether or not it
 	// was heard; after a watch fell silent, as after a call that failed or was given up.
-	Told = 6 * time.Second
-	// Beat is how often a watch says something at least: an empty line while nothing changes.
-	Beat = 2 * time.Second
-	// usualGrace is taken where the settings give none: the least that is known of any deployment.
-	usualGrace = 500 * time.Millisecond
-	// leastCall keeps the calls to an agent apart where the settings give no time at all.
-	leastCall = 50 * time.Millisecond
+	NotifiedAfter = 6 * time.Second
+	// HeartbeatInterval is how often a watch says something at least: an empty line while nothing changes.
+	HeartbeatInterval = 2 * time.Second
+	// defaultGrace is taken where the settings give none: the least that is known of any deployment.
+	defaultGrace = 500 * time.Millisecond
+	// minCallTimeout keeps the calls to an agent apart where the settings give no time at all.
+	minCallTimeout = 50 * time.Millisecond
 )
 
 // Bound says how a list is kept from growing older than it may.
 type Bound struct {
-	// Silence is how long a watch may say nothing before it is taken for broken.
-	Silence time.Duration
-	// Call is how long a call may take until its first message, the connection included. Discovery turns away what has waited
+	// WatchTimeout is how long a watch may say nothing before it is taken for broken.
+	WatchTimeout time.Duration
+	// CallTimeout is how long a call may take until its first message, the connection included. Discovery turns away what has waited
 	// too long by itself; it does not tell after how long, and 3 s is the most that is known of any deployment.
-	Call time.Duration
-	// Again is the most from the end of a watch, or of a call that was given up, to the next call.
-	Again time.Duration
-	// Pause is the same from a call that discovery turned away.
-	Pause time.Duration
-	// AskEvery is for how long a process that has neither watched nor asked may hold on to its list.
-	AskEvery time.Duration
+	CallTimeout time.Duration
+	// RetryDelay is the most from the end of a watch, or of a call that was given up, to the next call.
+	RetryDelay time.Duration
+	// RejectedBackoff is the same from a call that discovery turned away.
+	RejectedBackoff time.Duration
+	// PollInterval is for how long a process that has neither watched nor asked may hold on to its list.
+	PollInterval time.Duration
 }
 
-// Of returns the bound for a list that discovery is asked for, or, if it is pushed, that an agent beside the process has:
+// BoundFor returns the bound for a list that discovery is asked for, or, if it is pushed, that an agent beside the process has:
 // the agent answers at once and at no cost, and what it has counts as told from the first moment on, so that the grace
 // alone is there to hear it. askEvery and grace are what the settings give; a grace of 0 is none.
-func Of(pushed bool, askEvery, grace time.Duration) Bound {
+func BoundFor(pushed bool, askEvery, grace time.Duration) Bound {
 	if grace <= 0 {
-		grace = usualGrace
+		grace = defaultGrace
 	}
 	if !pushed {
 		return Bound{
-			Silence: Beat + time.Second, Call: 3250 * time.Millisecond, Again: 500 * time.Millisecond, Pause: 1500 * time.Millisecond,
-			AskEvery: askEvery,
+			WatchTimeout: HeartbeatInterval + time.Second, CallTimeout: 3250 * time.Millisecond, RetryDelay: 500 * time.Millisecond, RejectedBackoff: 1500 * time.Millisecond,
+			PollInterval: askEvery,
 		}
 	}
-	call := max(leastCall, min(grace, Beat)*2/5)
-	return Bound{Silence: Beat + time.Second, Call: call, Again: call / 2, Pause: call, AskEvery: call}
+	call := max(minCallTimeout, min(grace, HeartbeatInterval)*2/5)
+	return Bound{WatchTimeout: HeartbeatInterval + time.Second, CallTimeout: call, RetryDelay: call / 2, RejectedBackoff: call, PollInterval: call}
 }
 
-// firstSpread is the part of AskEvery over which the module spreads a group's first calls.
-const firstSpread = 0.6
+// firstPollSpread is the part of AskEvery over which the module spreads a group's first calls.
+const firstPollSpread = 0.6
 
-// AskSoon reports whether the first call, made within that part, could be answered too late: then it is made at once.
-func (b Bound) AskSoon() bool { return b.Call > time.Duration((1-firstSpread)*float64(b.AskEvery)) }
+// PollAtOnce reports whether the first call, made within that part, could be answered too late: then it is made at once.
+func (b Bound) PollAtOnce() bool {
+	return b.CallTimeout > time.Duration((1-firstPollSpread)*float64(b.PollInterval))
+}
 
 // AfterStart is from the start of a process to the answer of its first call, at worst.
 func (b Bound) AfterStart() time.Duration {
-	if b.AskSoon() {
-		return b.Again + b.Call
+	if b.PollAtOnce() {
+		return b.RetryDelay + b.CallTimeout
 	}
-	return time.Duration(firstSpread*float64(b.AskEvery)) + b.Call
+	return time.Duration(firstPollSpread*float64(b.PollInterval)) + b.CallTimeout
 }
 
 // The worst that each way of missing a change takes until the call that hears of it: what is left of the term and the grace is
 // for the answer.
 
 // AfterSilence is from the moment in which a watch fell silent: the last that it said may have come just then.
-func (b Bound) AfterSilence() time.Duration { return b.Silence + b.Again }
+func (b Bound) AfterSilence() time.Duration { return b.WatchTimeout + b.RetryDelay }
 
-// AfterMute is from the moment in which discovery could be reached again, just after a call had set out that nothing answers.
-func (b Bound) AfterMute() time.Duration { return b.Call + b.Again }
+// AfterUnansweredCall is from the moment in which discovery could be reached again, just after a call had set out that nothing answers.
+func (b Bound) AfterUnansweredCall() time.Duration { return b.CallTimeout + b.RetryDelay }
 
-// AfterRefusal is the same where the call was turned away just before.
-func (b Bound) AfterRefusal() time.Duration { return b.Pause }
+// AfterRejection is the same where the call was turned away just before.
+func (b Bound) AfterRejection() time.Duration { return b.RejectedBackoff }
--- a/internal/staleness/staleness_test.go
+++ b/internal/staleness/staleness_test.go
@@ -16,18 +16,18 @@
 		grace := time.Duration(rapid.Int64Range(100, 10_000).Draw(t, "grace")) * time.Millisecond
 		ask := time.Duration(rapid.Int64Range(100, 60_000).Draw(t, "askEvery")) * time.Millisecond
 		pushed := rapid.Bool().Draw(t, "pushed")
-		b := Of(pushed, ask, grace)
+		b := BoundFor(pushed, ask, grace)
 		// Where discovery is asked a change is told at the end of the term; what an agent has is told at once.
-		term, answer := Told+grace, 2*time.Second
+		term, answer := NotifiedAfter+grace, 2*time.Second
 		if pushed {
 			term, answer = grace, grace/10
 		}
-		for name, worst := range map[string]time.Duration{"a call that nothing answers": b.AfterMute(), "a call turned away": b.AfterRefusal()} {
+		for name, worst := range map[string]time.Duration{"a call that nothing answers": b.AfterUnansweredCall(), "a call turned away": b.AfterRejection()} {
 			if worst+answer > term {
 				t.Errorf("pushed %v, grace %v: %s leaves %v of %v for the answer, want %v", pushed, grace, name, term-worst, term, answer)
 			}
 		}
-		if left := Told + grace - b.AfterSilence(); left < 2*time.Second {
+		if left := NotifiedAfter + grace - b.AfterSilence(); left < 2*time.Second {
 			t.Errorf("pushed %v, grace %v: a silent watch leaves %v for the answer", pushed, grace, left)
 		}
 		// A process that has just started may hold on to the list that it was given for as long as the settings say and the grace, or
@@ -36,16 +36,16 @@
 		if pushed {
 			start = grace
 		}
-		if start = max(start, b.Again+b.Call); b.AfterStart() > start {
+		if start = max(start, b.RetryDelay+b.CallTimeout); b.AfterStart() > start {
 			t.Errorf("pushed %v, asks every %v, grace %v: the first answer comes after %v, want %v", pushed, ask, grace, b.AfterStart(), start)
 		}
-		if b.Silence <= Beat {
-			t.Errorf("a watch is taken for silent after %v, while it may say nothing for %v", b.Silence, Beat)
+		if b.WatchTimeout <= HeartbeatInterval {
+			t.Errorf("a watch is taken for silent after %v, while it may say nothing for %v", b.WatchTimeout, HeartbeatInterval)
 		}
-		if !pushed && b.AskEvery != ask {
-			t.Errorf("asks every %v, the settings say %v", b.AskEvery, ask)
+		if !pushed && b.PollInterval != ask {
+			t.Errorf("asks every %v, the settings say %v", b.PollInterval, ask)
 		}
-		if b.Call <= 0 || b.Again <= 0 || b.Pause <= 0 || b.AskEvery <= 0 {
+		if b.CallTimeout <= 0 || b.RetryDelay <= 0 || b.RejectedBackoff <= 0 || b.PollInterval <= 0 {
 			t.Errorf("a time of none would be a loop without a pause: %+v", b)
 		}
 	})
@@ -53,7 +53,7 @@
 
 // TestNoGrace takes the shortest that is known where the settings give none.
 func TestNoGrace(t *testing.T) {
-	if got, want := Of(true, time.Second, 0), Of(true, time.Second, usualGrace); got != want {
+	if got, want := BoundFor(true, time.Second, 0), BoundFor(true, time.Second, defaultGrace); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
