--- a/internal/zonefailover/evacuate_test.go
+++ b/internal/zonefailover/evacuate_test.go
@@ -11,13 +11,13 @@
 )
 
 // scene is three zones of four servers and four members each, of which the words say who finds what silent, and two of each zone look at others.
-func scene(silent func(memberZone string, member int, serverZone string, server int) bool) Scene {
-	s := Scene{Zones: map[string]string{}, Members: 12, Decided: map[string]State{}}
+func scene(silent func(memberZone string, member int, serverZone string, server int) bool) Snapshot {
+	s := Snapshot{MemberZones: map[string]string{}, FleetSize: 12, States: map[string]State{}}
 	zones := []string{"a", "b", "c"}
 	for _, z := range zones {
 		for i := range 4 {
-			s.Servers = append(s.Servers, Server{fmt.Sprint(z, i), z})
-			s.Zones[fmt.Sprint("m", z, i)] = z
+			s.Endpoints = append(s.Endpoints, Endpoint{fmt.Sprint(z, i), z})
+			s.MemberZones[fmt.Sprint("m", z, i)] = z
 		}
 	}
 	for _, mz := range zones {
@@ -25,7 +25,7 @@
 			for _, sz := range zones {
 				for i := range 4 {
 					if silent(mz, m, sz, i) {
-						s.Words = append(s.Words, Word{fmt.Sprint("m", mz, m), fmt.Sprint(sz, i)})
+						s.Unreachable = append(s.Unreachable, UnreachableReport{fmt.Sprint("m", mz, m), fmt.Sprint(sz, i)})
 					}
 				}
 				if m > 0 && m < 3 && mz != sz {
@@ -35,7 +35,7 @@
 							got++
 						}
 					}
-					s.Looks = append(s.Looks, Look{fmt.Sprint("m", mz, m), sz, got == 3, got == 0})
+					s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{fmt.Sprint("m", mz, m), sz, got == 3, got == 0})
 				}
 			}
 		}
@@ -47,60 +47,60 @@
 func TestIsItTheZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		silent func(string, int, string, int) bool
-		change func(*Scene)
+		change func(*Snapshot)
 		want   Cause
 	}{
-		"all is well":                {func(string, int, string, int) bool { return false }, nil, Well},
-		"the zone is down":           {func(_ string, _ int, z string, _ int) bool { return z == "b" }, nil, Down},
-		"to those outside":           {func(m string, _ int, z string, _ int) bool { return z == "b" && m != "b" }, nil, Down},
-		"three of four servers":      {func(_ string, _ int, z string, i int) bool { return z == "b" && i < 3 }, nil, Down},
-		"half of its servers":        {func(_ string, _ int, z string, i int) bool { return z == "b" && i < 2 }, nil, Well},
-		"the way from one zone":      {func(m string, _ int, z string, _ int) bool { return z == "b" && m == "a" }, nil, OneSide},
-		"one member is cut off":      {func(m string, i int, _ string, _ int) bool { return m == "a" && i == 0 }, nil, Well},
-		"a whole zone is cut off":    {func(m string, _ int, z string, _ int) bool { return m == "a" && z != "a" }, nil, OneSide},
-		"a release in all zones":     {func(_ string, _ int, _ string, i int) bool { return i < 3 }, nil, AllAlike},
-		"two zones at once":          {func(_ string, _ int, z string, _ int) bool { return z != "a" }, nil, AllAlike},
-		"most members are not there": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) { s.Members = 24 }, Minority},
-		"another zone is left": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) {
-			s.Decided["c"] = State{Step: 0}
-		}, NotEnough},
-		"nobody has looked yet": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) { s.Looks = nil }, Unlooked},
-		"one has looked":        {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) { s.Looks = []Look{{"ma1", "b", false, true}} }, Unlooked},
-		"only members in it have looked": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) {
-			s.Looks = []Look{{"mb1", "b", false, true}, {"mb2", "b", false, true}, {"mb3", "b", false, true}}
-		}, Unlooked},
-		"words of chance: those that look get answers": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) {
-			s.Looks = []Look{{"ma1", "b", true, false}, {"mc1", "b", false, false}, {"mc2", "b", false, true}}
-		}, Partly},
-		"one of four still reaches a server": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Scene) {
-			s.Looks = append(s.Looks[:0:0], Look{"ma1", "b", false, true}, Look{"ma2", "b", false, true}, Look{"mc1", "b", false, true}, Look{"mc2", "b", false, false})
-		}, Down},
-		"those in it see it well, and all others do not": {func(m string, _ int, z string, _ int) bool { return z == "b" && m != "b" }, func(s *Scene) {
-			s.Looks = append(s.Looks, Look{"mb1", "b", true, false}, Look{"mb2", "b", true, false}, Look{"mb3", "b", true, false})
-		}, Down},
-		"grey to members of two zones": {func(string, int, string, int) bool { return false }, func(s *Scene) {
-			s.Greys = []GreyWord{{"ma0", "b"}, {"mc1", "b"}}
-		}, GreyZone},
-		"grey to one zone only": {func(string, int, string, int) bool { return false }, func(s *Scene) {
-			s.Greys = []GreyWord{{"ma0", "b"}, {"ma1", "b"}, {"ma2", "b"}}
-		}, Well},
-		"grey to too few": {func(string, int, string, int) bool { return false }, func(s *Scene) {
-			s.Greys = []GreyWord{{"ma0", "b"}, {"mb1", "b"}, {"mb2", "b"}}
-		}, Well},
-		"two zones grey alike": {func(string, int, string, int) bool { return false }, func(s *Scene) {
-			s.Greys = []GreyWord{{"ma0", "b"}, {"mc1", "b"}, {"mb0", "a"}, {"mc1", "a"}}
-		}, AllAlike},
-		"grey, and another is left": {func(string, int, string, int) bool { return false }, func(s *Scene) {
-			s.Greys, s.Decided["c"] = []GreyWord{{"ma0", "b"}, {"mc1", "b"}}, State{Step: 0}
-		}, NotEnough},
-		"a liar from its own zone": {func(m string, i int, z string, _ int) bool { return m == "b" && i == 0 && z == "b" }, nil, OneSide},
+		"all is well":                {func(string, int, string, int) bool { return false }, nil, CauseHealthy},
+		"the zone is down":           {func(_ string, _ int, z string, _ int) bool { return z == "b" }, nil, CauseDown},
+		"to those outside":           {func(m string, _ int, z string, _ int) bool { return z == "b" && m != "b" }, nil, CauseDown},
+		"three of four servers":      {func(_ string, _ int, z string, i int) bool { return z == "b" && i < 3 }, nil, CauseDown},
+		"half of its servers":        {func(_ string, _ int, z string, i int) bool { return z == "b" && i < 2 }, nil, CauseHealthy},
+		"the way from one zone":      {func(m string, _ int, z string, _ int) bool { return z == "b" && m == "a" }, nil, CausePathBroken},
+		"one member is cut off":      {func(m string, i int, _ string, _ int) bool { return m == "a" && i == 0 }, nil, CauseHealthy},
+		"a whole zone is cut off":    {func(m string, _ int, z string, _ int) bool { return m == "a" && z != "a" }, nil, CausePathBroken},
+		"a release in all zones":     {func(_ string, _ int, _ string, i int) bool { return i < 3 }, nil, CauseFailingEverywhere},
+		"two zones at once":          {func(_ string, _ int, z string, _ int) bool { return z != "a" }, nil, CauseFailingEverywhere},
+		"most members are not there": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) { s.FleetSize = 24 }, CauseMinorityPartition},
+		"another zone is left": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) {
+			s.States["c"] = State{Step: 0}
+		}, CauseInsufficientCapacity},
+		"nobody has looked yet": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) { s.ZoneChecks = nil }, CauseAwaitingHealthQuorum},
+		"one has looked":        {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) { s.ZoneChecks = []ZoneCheck{{"ma1", "b", false, true}} }, CauseAwaitingHealthQuorum},
+		"only members in it have looked": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) {
+			s.ZoneChecks = []ZoneCheck{{"mb1", "b", false, true}, {"mb2", "b", false, true}, {"mb3", "b", false, true}}
+		}, CauseAwaitingHealthQuorum},
+		"words of chance: those that look get answers": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) {
+			s.ZoneChecks = []ZoneCheck{{"ma1", "b", true, false}, {"mc1", "b", false, false}, {"mc2", "b", false, true}}
+		}, CausePartiallyReachable},
+		"one of four still reaches a server": {func(_ string, _ int, z string, _ int) bool { return z == "b" }, func(s *Snapshot) {
+			s.ZoneChecks = append(s.ZoneChecks[:0:0], ZoneCheck{"ma1", "b", false, true}, ZoneCheck{"ma2", "b", false, true}, ZoneCheck{"mc1", "b", false, true}, ZoneCheck{"mc2", "b", false, false})
+		}, CauseDown},
+		"those in it see it well, and all others do not": {func(m string, _ int, z string, _ int) bool { return z == "b" && m != "b" }, func(s *Snapshot) {
+			s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{"mb1", "b", true, false}, ZoneCheck{"mb2", "b", true, false}, ZoneCheck{"mb3", "b", true, false})
+		}, CauseDown},
+		"grey to members of two zones": {func(string, int, string, int) bool { return false }, func(s *Snapshot) {
+			s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"mc1", "b"}}
+		}, CauseGrayFailure},
+		"grey to one zone only": {func(string, int, string, int) bool { return false }, func(s *Snapshot) {
+			s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"ma1", "b"}, {"ma2", "b"}}
+		}, CauseHealthy},
+		"grey to too few": {func(string, int, string, int) bool { return false }, func(s *Snapshot) {
+			s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"mb1", "b"}, {"mb2", "b"}}
+		}, CauseHealthy},
+		"two zones grey alike": {func(string, int, string, int) bool { return false }, func(s *Snapshot) {
+			s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"mc1", "b"}, {"mb0", "a"}, {"mc1", "a"}}
+		}, CauseFailingEverywhere},
+		"grey, and another is left": {func(string, int, string, int) bool { return false }, func(s *Snapshot) {
+			s.GrayFailures, s.States["c"] = []GrayFailureReport{{"ma0", "b"}, {"mc1", "b"}}, State{Step: 0}
+		}, CauseInsufficientCapacity},
+		"a liar from its own zone": {func(m string, i int, z string, _ int) bool { return m == "b" && i == 0 && z == "b" }, nil, CausePathBroken},
 	} {
 		s := scene(c.silent)
 		if c.change != nil {
 			c.change(&s)
 		}
-		r := Usual()
-		r.Grey = true
+		r := DefaultRules()
+		r.GrayFailures = true
 		if got := r.Judge(s)["b"]; got != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
@@ -109,41 +109,41 @@
 
 // TestReturn: a zone that was left is returned to step by step, each looked at; a step that hurts goes back, and the next return begins later.
 func TestReturn(t *testing.T) {
-	r := Usual()
-	k := NewKeeper(r)
+	r := DefaultRules()
+	k := NewController(r)
 	s := scene(func(_ string, _ int, z string, _ int) bool { return z == "b" })
-	down := s.Words
+	down := s.Unreachable
 	now := time.Duration(0)
-	next := func() *Change {
+	next := func() *Transition {
 		c, _ := k.Next(now, s)
 		if c != nil {
-			s.Decided[c.Zone] = c.State
+			s.States[c.Zone] = c.State
 		}
 		return c
 	}
 	if c := next(); c == nil || c.Zone != "b" || c.State.Step != 0 {
 		t.Fatalf("%+v", c)
 	}
-	s.Words, s.Looks = nil, nil // nobody sends there any more
+	s.Unreachable, s.ZoneChecks = nil, nil // nobody sends there any more
 	next()
 	now += time.Minute
 	if c := next(); c != nil {
 		t.Fatalf("nobody has looked, and it returns: %+v", c)
 	}
-	s.Looks = []Look{{"ma0", "b", true, false}}
+	s.ZoneChecks = []ZoneCheck{{"ma0", "b", true, false}}
 	if c := next(); c != nil {
 		t.Fatalf("one has looked: %+v", c)
 	}
-	s.Looks = append(s.Looks, Look{"mc0", "b", true, false}, Look{"mc1", "b", false, true})
+	s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{"mc0", "b", true, false}, ZoneCheck{"mc1", "b", false, true})
 	if c := next(); c != nil {
 		t.Fatalf("one gets no answer: %+v", c)
 	}
-	s.Looks[2].Answers = true
-	s.Words = down
+	s.ZoneChecks[2].AllHealthy = true
+	s.Unreachable = down
 	if c := next(); c != nil {
 		t.Fatalf("words of before still stand: %+v", c)
 	}
-	s.Words = nil
+	s.Unreachable = nil
 	for step := 1; step <= 3; step++ {
 		if c := next(); c == nil || c.State.Step != step {
 			t.Fatalf("step %d: %+v", step, c)
@@ -151,24 +151,24 @@
 		if c := next(); c != nil {
 			t.Fatalf("the next step at once: %+v", c)
 		}
-		now += r.Step
+		now += r.StepDuration
 	}
-	s.Words = down // it hurts, at a half
-	if c := next(); c == nil || c.State.Step != 1 || c.State.Falls != 1 {
+	s.Unreachable = down // it hurts, at a half
+	if c := next(); c == nil || c.State.Step != 1 || c.State.Relapses != 1 {
 		t.Fatalf("%+v", c)
 	}
-	if c := next(); c == nil || c.State.Step != 0 || c.State.Falls != 2 {
+	if c := next(); c == nil || c.State.Step != 0 || c.State.Relapses != 2 {
 		t.Fatalf("%+v", c)
 	}
-	s.Words = nil
+	s.Unreachable = nil
 	began := now
 	for c := next(); c == nil; c = next() {
 		now += 100 * time.Millisecond
 	}
-	if now-began < 4*r.Hold {
-		t.Errorf("it returns %v after its second fall, and is to be left for %v", now-began, 4*r.Hold)
+	if now-began < 4*r.HoldDown {
+		t.Errorf("it returns %v after its second fall, and is to be left for %v", now-began, 4*r.HoldDown)
 	}
-	s.Decided["b"] = State{Step: 0, Pinned: true}
+	s.States["b"] = State{Step: 0, Manual: true}
 	now += time.Hour
 	if c := next(); c != nil {
 		t.Errorf("an operator has pinned it: %+v", c)
@@ -180,19 +180,19 @@
 func TestParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "servers")
-		var list []Server
+		var list []Endpoint
 		for i := range n {
-			list = append(list, Server{fmt.Sprint("s", i), "z"})
+			list = append(list, Endpoint{fmt.Sprint("s", i), "z"})
 		}
-		list = append(list, Server{"other", "y"})
+		list = append(list, Endpoint{"other", "y"})
 		before := n + 1
-		for step := 0; step <= Steps; step++ {
-			avoided := Avoided(list, map[string]State{"z": {Step: step}})
+		for step := 0; step <= FullStep; step++ {
+			avoided := ExcludedEndpoints(list, map[string]State{"z": {Step: step}})
 			if avoided["other"] {
 				t.Fatal("a server of another zone")
 			}
 			used := n - len(avoided)
-			if step == 0 && used != 0 || step > 0 && used == 0 || step == Steps && used != n || len(avoided) > before || float64(used) > Part(step)*float64(n)+1 {
+			if step == 0 && used != 0 || step > 0 && used == 0 || step == FullStep && used != n || len(avoided) > before || float64(used) > RampFraction(step)*float64(n)+1 {
 				t.Fatalf("step %d of %d servers: %d used", step, n, used)
 			}
 			before = len(avoided)
@@ -203,33 +203,33 @@
 // TestNeverTooMany: for whatever is seen, in whatever order, no more is left than the rules say, and never the last zone.
 func TestNeverTooMany(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := NewKeeper(Usual())
+		k := NewController(DefaultRules())
 		s := scene(func(string, int, string, int) bool { return false })
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "later"))
-			s.Words, s.Looks = nil, nil
-			for _, x := range s.Servers {
-				for m := range s.Zones {
+			s.Unreachable, s.ZoneChecks = nil, nil
+			for _, x := range s.Endpoints {
+				for m := range s.MemberZones {
 					if rapid.IntRange(0, 2).Draw(t, "silent") == 0 {
-						s.Words = append(s.Words, Word{m, x.Name})
+						s.Unreachable = append(s.Unreachable, UnreachableReport{m, x.Name})
 					}
 				}
 			}
-			for m := range s.Zones {
-				s.Looks = append(s.Looks, Look{m, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "of"), rapid.Bool().Draw(t, "answers"), rapid.Bool().Draw(t, "silent too")})
+			for m := range s.MemberZones {
+				s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{m, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "of"), rapid.Bool().Draw(t, "answers"), rapid.Bool().Draw(t, "silent too")})
 			}
 			if c, _ := k.Next(now, s); c != nil {
-				s.Decided[c.Zone] = c.State
+				s.States[c.Zone] = c.State
 			}
 			used := 0
-			for _, x := range s.Servers {
-				if d, is := s.Decided[x.Zone]; !is || d.Step == Steps {
+			for _, x := range s.Endpoints {
+				if d, is := s.States[x.Zone]; !is || d.Step == FullStep {
 					used++
 				}
 			}
-			if float64(used) < Usual().Least*float64(len(s.Servers)) {
-				t.Fatalf("%d of %d servers are wholly in use", used, len(s.Servers))
+			if float64(used) < DefaultRules().MinRemainingCapacity*float64(len(s.Endpoints)) {
+				t.Fatalf("%d of %d servers are wholly in use", used, len(s.Endpoints))
 			}
 		}
 	})
@@ -238,10 +238,10 @@
 func TestStateText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{
-			Step: rapid.IntRange(0, Steps).Draw(t, "step"), Pinned: rapid.Bool().Draw(t, "pinned"), Falls: rapid.IntRange(0, 9).Draw(t, "falls"),
-			Why: rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "why"),
+			Step: rapid.IntRange(0, FullStep).Draw(t, "step"), Manual: rapid.Bool().Draw(t, "pinned"), Relapses: rapid.IntRange(0, 9).Draw(t, "falls"),
+			Reason: rapid.StringMatching(`[a-z ]{0,20}`).Draw(t, "why"),
 		}
-		s.Cold = s.Step == Steps && rapid.Bool().Draw(t, "cold")
+		s.WarmingUp = s.Step == FullStep && rapid.Bool().Draw(t, "cold")
 		if got, err := Decode(s.Encode()); err != nil || got != s {
 			t.Fatalf("%+v, %v", got, err)
 		}
@@ -255,23 +255,23 @@
 
 // TestStepBetween: a step that was decided and undone by an operator between two looks of the one who decides begins the hold anew.
 func TestStepBetween(t *testing.T) {
-	r := Usual()
-	k := NewKeeper(r)
-	s := Scene{
-		Servers: []Server{{"a1", "a"}, {"b1", "b"}, {"c1", "c"}}, Zones: map[string]string{"p": "a", "q": "b", "s": "c"}, Members: 3,
-		Looks: []Look{{"p", "b", true, false}, {"q", "b", true, false}}, Decided: map[string]State{"b": {}}, Epochs: map[string]uint64{"b": 1},
+	r := DefaultRules()
+	k := NewController(r)
+	s := Snapshot{
+		Endpoints: []Endpoint{{"a1", "a"}, {"b1", "b"}, {"c1", "c"}}, MemberZones: map[string]string{"p": "a", "q": "b", "s": "c"}, FleetSize: 3,
+		ZoneChecks: []ZoneCheck{{"p", "b", true, false}, {"q", "b", true, false}}, States: map[string]State{"b": {}}, Revisions: map[string]uint64{"b": 1},
 	}
 	if c, _ := k.Next(0, s); c != nil {
 		t.Fatalf("%+v at once", c)
 	}
-	if c, _ := k.Next(r.Hold, s); c == nil || c.State.Step != 1 {
+	if c, _ := k.Next(r.HoldDown, s); c == nil || c.State.Step != 1 {
 		t.Fatalf("%+v after the hold", c)
 	}
-	s.Epochs = map[string]uint64{"b": 3} // its step was decided as 2, and an operator's word as 3
-	if c, _ := k.Next(r.Hold+1, s); c != nil {
+	s.Revisions = map[string]uint64{"b": 3} // its step was decided as 2, and an operator's word as 3
+	if c, _ := k.Next(r.HoldDown+1, s); c != nil {
 		t.Errorf("%+v at once after an operator's word", c)
 	}
-	if c, _ := k.Next(2*r.Hold+1, s); c == nil {
+	if c, _ := k.Next(2*r.HoldDown+1, s); c == nil {
 		t.Error("never again")
 	}
 }
@@ -279,32 +279,32 @@
 // TestWarmAgain: after its last step a zone counts as returned to only once its servers have had the time to warm up: a process that starts before
 // has to be told. That is no step: a zone that is left again soon after has not been well meanwhile.
 func TestWarmAgain(t *testing.T) {
-	r := Usual()
-	r.Warm = 8 * time.Second
-	k := NewKeeper(r)
-	s := Scene{
-		Servers: []Server{{"a1", "a"}, {"b1", "b"}, {"c1", "c"}}, Zones: map[string]string{"p": "a", "q": "b", "s": "c"}, Members: 3,
-		Looks: []Look{{"p", "b", true, false}, {"s", "b", true, false}}, Decided: map[string]State{"b": {Step: Steps - 1, Falls: 1}}, Epochs: map[string]uint64{"b": 1},
+	r := DefaultRules()
+	r.WarmUp = 8 * time.Second
+	k := NewController(r)
+	s := Snapshot{
+		Endpoints: []Endpoint{{"a1", "a"}, {"b1", "b"}, {"c1", "c"}}, MemberZones: map[string]string{"p": "a", "q": "b", "s": "c"}, FleetSize: 3,
+		ZoneChecks: []ZoneCheck{{"p", "b", true, false}, {"s", "b", true, false}}, States: map[string]State{"b": {Step: FullStep - 1, Relapses: 1}}, Revisions: map[string]uint64{"b": 1},
 	}
 	now := time.Duration(0)
-	next := func(later time.Duration) *Change {
+	next := func(later time.Duration) *Transition {
 		now += later
 		c, _ := k.Next(now, s)
 		if c != nil {
-			s.Decided[c.Zone] = c.State
-			s.Epochs[c.Zone]++
+			s.States[c.Zone] = c.State
+			s.Revisions[c.Zone]++
 		}
 		return c
 	}
 	next(0)
-	if c := next(r.Step); c == nil || c.State.Step != Steps || !c.State.Cold || !c.State.Returning() {
+	if c := next(r.StepDuration); c == nil || c.State.Step != FullStep || !c.State.WarmingUp || !c.State.Recovering() {
 		t.Fatalf("the last step: %+v", c)
 	}
 	next(0)
-	if c := next(r.Warm - 1); c != nil {
+	if c := next(r.WarmUp - 1); c != nil {
 		t.Fatalf("too soon: %+v", c)
 	}
-	if c := next(1); c == nil || c.State.Step != Steps || c.State.Cold || c.State.Returning() || c.State.Falls != 1 {
+	if c := next(1); c == nil || c.State.Step != FullStep || c.State.WarmingUp || c.State.Recovering() || c.State.Relapses != 1 {
 		t.Fatalf("warm: %+v", c)
 	}
 	next(0)
@@ -312,21 +312,21 @@
 		t.Fatalf("and once more: %+v", c)
 	}
 	now -= time.Hour // as soon after its last step as counts as a relapse, and longer after it was warm than before
-	now += r.Hold<<2 + relapseTime - r.Warm - 1
+	now += r.HoldDown<<2 + relapseWindow - r.WarmUp - 1
 	for _, member := range []string{"p", "q", "s"} {
-		s.Words = append(s.Words, Word{member, "b1"})
+		s.Unreachable = append(s.Unreachable, UnreachableReport{member, "b1"})
 	}
-	s.Looks = []Look{{"p", "b", false, true}, {"s", "b", false, true}}
-	if c := next(0); c == nil || c.State.Step != 0 || c.State.Falls != 2 || c.State.Cold {
+	s.ZoneChecks = []ZoneCheck{{"p", "b", false, true}, {"s", "b", false, true}}
+	if c := next(0); c == nil || c.State.Step != 0 || c.State.Relapses != 2 || c.State.WarmingUp {
 		t.Errorf("left again: %+v", c)
 	}
 	// One whose decider is lost while its servers are cold is warm later, and never sooner.
-	s.Words, s.Looks, s.Decided["b"] = nil, nil, State{Step: Steps, Cold: true}
-	k = NewKeeper(r)
+	s.Unreachable, s.ZoneChecks, s.States["b"] = nil, nil, State{Step: FullStep, WarmingUp: true}
+	k = NewController(r)
 	if c := next(time.Hour); c != nil {
 		t.Errorf("a new decider takes it for warm at once: %+v", c)
 	}
-	if c := next(r.Warm); c == nil || c.State.Cold {
+	if c := next(r.WarmUp); c == nil || c.State.WarmingUp {
 		t.Errorf("it is never warm: %+v", c)
 	}
 }
--- a/internal/zonefailover/form_test.go
+++ b/internal/zonefailover/form_test.go
@@ -24,8 +24,8 @@
 		}
 		return goldentest.Form{Name: name, Written: string(text), Read: read, Value: s}
 	}
-	full := State{Step: Steps, Pinned: true, Falls: 3, Cold: true, Why: "an operator"}
-	pinned, returning := State{Pinned: true, Why: "an operator"}, State{Step: 2, Falls: 1, Why: "a step was borne"}
+	full := State{Step: FullStep, Manual: true, Relapses: 3, WarmingUp: true, Reason: "an operator"}
+	pinned, returning := State{Manual: true, Reason: "an operator"}, State{Step: 2, Relapses: 1, Reason: "a step was borne"}
 	goldentest.CheckForms(t, "states.golden", []goldentest.Form{
 		{Name: "full", Written: full.Encode(), Read: func(text string) (any, error) { return Decode(text) }, Value: full, Full: true},
 		inText("pinned", pinned), inText("returning", returning), inJSON("full as JSON", full), inJSON("least as JSON", State{}),
@@ -33,7 +33,7 @@
 	if got := (State{}).Encode(); got != "0 false 0 " {
 		t.Errorf("the least state is written %q", got)
 	}
-	if old, err := Decode("1 false 2"); err != nil || old != (State{Step: 1, Falls: 2}) { // without a reason, which is also read
+	if old, err := Decode("1 false 2"); err != nil || old != (State{Step: 1, Relapses: 2}) { // without a reason, which is also read
 		t.Errorf("got %+v, %v", old, err)
 	}
 }
@@ -44,15 +44,15 @@
 		name  string
 		cause Cause
 	}{
-		{"well", Well}, {"minority", Minority}, {"one side", OneSide}, {"all alike", AllAlike}, {"not enough", NotEnough}, {"not looked at", Unlooked},
-		{"partly", Partly}, {"grey", GreyZone}, {"down", Down},
+		{"well", CauseHealthy}, {"minority", CauseMinorityPartition}, {"one side", CausePathBroken}, {"all alike", CauseFailingEverywhere}, {"not enough", CauseInsufficientCapacity}, {"not looked at", CauseAwaitingHealthQuorum},
+		{"partly", CausePartiallyReachable}, {"grey", CauseGrayFailure}, {"down", CauseDown},
 	}
 	var forms []goldentest.Form
 	for _, c := range causes {
 		forms = append(forms, goldentest.Form{Name: c.name, Written: string(c.cause)})
 	}
 	goldentest.CheckForms(t, "causes.golden", forms)
-	if Steps != 4 || len(parts) != Steps+1 || coldMark != "c" {
-		t.Errorf("steps %d, parts %v, mark %q", Steps, parts, coldMark)
+	if FullStep != 4 || len(recoveryRamp) != FullStep+1 || warmingUpMark != "c" {
+		t.Errorf("steps %d, parts %v, mark %q", FullStep, recoveryRamp, warmingUpMark)
 	}
 }
--- a/internal/zonefailover/grey_test.go
+++ b/internal/zonefailover/grey_test.go
@@ -29,19 +29,19 @@
 		"too few":           {map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 1, 20 * ms}}, nil},
 		"no other zone":     {map[string]rate{"b": {8, 0, 20 * ms}}, map[string]rate{"b": {8, 4, 20 * ms}}, nil},
 	} {
-		g := NewGrey(UsualGrey())
+		g := NewGrayDetector(DefaultGrayRules())
 		now := time.Duration(0)
-		zones := map[string]Tally{}
+		zones := map[string]AttemptCounts{}
 		play := func(rates map[string]rate, turns int) (got []string) {
 			for range turns {
 				now += 500 * ms
-				next := map[string]Tally{}
+				next := map[string]AttemptCounts{}
 				for zone, r := range rates {
 					z := zones[zone]
-					next[zone] = Tally{z.Answered + r.n - r.failed, z.Failed + r.failed, z.Delay + time.Duration(r.n-r.failed)*r.delay}
+					next[zone] = AttemptCounts{z.Succeeded + r.n - r.failed, z.Failed + r.failed, z.TotalLatency + time.Duration(r.n-r.failed)*r.delay}
 				}
 				zones = next
-				got = g.Turn(now, zones)
+				got = g.Observe(now, zones)
 			}
 			return got
 		}
@@ -63,26 +63,26 @@
 // TestGreyBounds: whatever the tallies are, nothing is said without enough attempts, and no more is kept than the window.
 func TestGreyBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGrey(UsualGrey())
-		zones := map[string]Tally{}
+		g := NewGrayDetector(DefaultGrayRules())
+		zones := map[string]AttemptCounts{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "turns") {
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
-			next := map[string]Tally{}
+			next := map[string]AttemptCounts{}
 			for _, z := range []string{"a", "b", "c"} {
 				x := zones[z]
 				answered := rapid.Int64Range(0, 5).Draw(t, "answered")
-				next[z] = Tally{x.Answered + answered, x.Failed + rapid.Int64Range(0, 3).Draw(t, "failed"), x.Delay + time.Duration(answered)*time.Duration(rapid.IntRange(0, 900).Draw(t, "delay"))*time.Millisecond}
+				next[z] = AttemptCounts{x.Succeeded + answered, x.Failed + rapid.Int64Range(0, 3).Draw(t, "failed"), x.TotalLatency + time.Duration(answered)*time.Duration(rapid.IntRange(0, 900).Draw(t, "delay"))*time.Millisecond}
 			}
 			zones = next
-			for _, z := range g.Turn(now, zones) {
-				from := g.turns[0].zones[z]
-				if n := zones[z].Answered + zones[z].Failed - from.Answered - from.Failed; n < g.rules.Least {
+			for _, z := range g.Observe(now, zones) {
+				from := g.samples[0].zones[z]
+				if n := zones[z].Succeeded + zones[z].Failed - from.Succeeded - from.Failed; n < g.rules.MinAttempts {
 					t.Fatalf("%s is grey by %d attempts", z, n)
 				}
 			}
-			if len(g.turns) > turnsKept {
-				t.Fatalf("%d turns are kept", len(g.turns))
+			if len(g.samples) > maxSamples {
+				t.Fatalf("%d turns are kept", len(g.samples))
 			}
 		}
 	})
--- a/internal/zoneview/zonal.go
+++ b/internal/zoneview/zonal.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	// Lease is that whose holder decides.
-	Lease = "zones"
-	// LookKind is that of entries which tell whether a member gets answers from a zone that is not wholly in use: "look/POOL/ZONE".
-	LookKind = "look"
-	// GreyKind is that of entries which tell that a zone fails in part to a member: "grey/POOL/ZONE".
-	GreyKind = "grey"
-	// Lookers is how many members look at a zone, at most, all together.
-	Lookers = 5
+	// LeaseName is that whose holder decides.
+	LeaseName = "zones"
+	// ZoneCheckKind is that of entries which tell whether a member gets answers from a zone that is not wholly in use: "look/POOL/ZONE".
+	ZoneCheckKind = "look"
+	// GrayFailureKind is that of entries which tell that a zone fails in part to a member: "grey/POOL/ZONE".
+	GrayFailureKind = "grey"
+	// MaxCheckers is how many members look at a zone, at most, all together.
+	MaxCheckers = 5
 
-	// LooksEach is at how many servers of a zone a member looks at once, of as many as there are.
-	LooksEach = 3
+	// EndpointsPerCheck is at how many servers of a zone a member looks at once, of as many as there are.
+	EndpointsPerCheck = 3
 
-	answers, partly, silent = "1", "p", "0"
+	allHealthy, someHealthy, noneHealthy = "1", "p", "0"
 )
 
-// LookValue is what a member writes of its look: so many servers have answered, of so many.
-func LookValue(answered, of int) []byte {
+// EncodeZoneCheck is what a member writes of its look: so many servers have answered, of so many.
+func EncodeZoneCheck(answered, of int) []byte {
 	switch {
 	case answered == 0:
-		return []byte(silent)
+		return []byte(noneHealthy)
 	case answered < of:
-		return []byte(partly)
+		return []byte(someHealthy)
 	}
-	return []byte(answers)
+	return []byte(allHealthy)
 }
 
-// Decided is what is decided of a pool's zones, and the numbers of the decisions.
-func Decided(n *gossip.Node, pool string) (states map[string]zonefailover.State, numbers map[string]uint64) {
+// ZoneStates is what is decided of a pool's zones, and the numbers of the decisions.
+func ZoneStates(n *gossip.Node, pool string) (states map[string]zonefailover.State, numbers map[string]uint64) {
 	states, numbers = map[string]zonefailover.State{}, map[string]uint64{}
-	n.Copies().Of(gossip.Council, consensus.ZoneKind+"/"+pool+"/", func(e *gossip.Entry) bool {
-		_, zone, ok := gossip.ServerOf(e.Key)
+	n.Store().ForEachOf(gossip.ConsensusOwner, consensus.ZoneKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		_, zone, ok := gossip.SplitPoolKey(e.Key)
 		if !ok {
 			return true
 		}
-		numbers[zone] = e.Seq
-		worst, any := zonefailover.State{Step: zonefailover.Steps}, false
+		numbers[zone] = e.Sequence
+		worst, any := zonefailover.State{Step: zonefailover.FullStep}, false
 		for _, v := range e.Values() { // of several contents of one version the one that uses least
-			if s, err := zonefailover.Decode(string(v)); err == nil && (!any || s.Step < worst.Step || s.Step == worst.Step && s.Cold) {
+			if s, err := zonefailover.Decode(string(v)); err == nil && (!any || s.Step < worst.Step || s.Step == worst.Step && s.WarmingUp) {
 				worst, any = s, true
 			}
 		}
@@ -64,70 +64,70 @@
 	return states, numbers
 }
 
-// Scene is what is known of a pool. members are the zones of all members, by name; list those of the servers that the pool's list names ready.
-func Scene(n *gossip.Node, members map[string]string, pool string, list map[string]string) zonefailover.Scene {
-	s := zonefailover.Scene{Zones: map[string]string{}, Members: len(members), Servers: servers(list)}
+// Snapshot is what is known of a pool. members are the zones of all members, by name; list those of the servers that the pool's list names ready.
+func Snapshot(n *gossip.Node, members map[string]string, pool string, list map[string]string) zonefailover.Snapshot {
+	s := zonefailover.Snapshot{MemberZones: map[string]string{}, FleetSize: len(members), Endpoints: sortedEndpoints(list)}
 	for name, zone := range members {
 		if n.Member(name).State == gossip.Alive {
-			s.Zones[name] = zone
+			s.MemberZones[name] = zone
 		}
 	}
-	n.Copies().All(gossip.DeadKind+"/"+pool+"/", func(e *gossip.Entry) bool {
-		if _, server, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			s.Words = append(s.Words, zonefailover.Word{Member: e.Owner, Server: server})
+	n.Store().ForEach(gossip.UnreachableKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, server, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
+			s.Unreachable = append(s.Unreachable, zonefailover.UnreachableReport{Member: e.Owner, Endpoint: server})
 		}
 		return true
 	})
-	n.Copies().All(LookKind+"/"+pool+"/", func(e *gossip.Entry) bool {
-		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			l := zonefailover.Look{Member: e.Owner, Zone: zone, Answers: true, Silent: true}
+	n.Store().ForEach(ZoneCheckKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, zone, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
+			l := zonefailover.ZoneCheck{Member: e.Owner, Zone: zone, AllHealthy: true, NoneHealthy: true}
 			for _, v := range e.Values() { // of several contents of one version none is believed that would change anything
-				l.Answers, l.Silent = l.Answers && string(v) == answers, l.Silent && string(v) == silent
+				l.AllHealthy, l.NoneHealthy = l.AllHealthy && string(v) == allHealthy, l.NoneHealthy && string(v) == noneHealthy
 			}
-			s.Looks = append(s.Looks, l)
+			s.ZoneChecks = append(s.ZoneChecks, l)
 		}
 		return true
 	})
-	n.Copies().All(GreyKind+"/"+pool+"/", func(e *gossip.Entry) bool {
-		if _, zone, ok := gossip.ServerOf(e.Key); ok && len(e.Values()) > 0 {
-			s.Greys = append(s.Greys, zonefailover.GreyWord{Member: e.Owner, Zone: zone})
+	n.Store().ForEach(GrayFailureKind+"/"+pool+"/", func(e *gossip.Entry) bool {
+		if _, zone, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
+			s.GrayFailures = append(s.GrayFailures, zonefailover.GrayFailureReport{Member: e.Owner, Zone: zone})
 		}
 		return true
 	})
-	s.Decided, s.Epochs = Decided(n, pool)
+	s.States, s.Revisions = ZoneStates(n, pool)
 	return s
 }
 
-func servers(list map[string]string) []zonefailover.Server {
-	all := make([]zonefailover.Server, 0, len(list))
+func sortedEndpoints(list map[string]string) []zonefailover.Endpoint {
+	all := make([]zonefailover.Endpoint, 0, len(list))
 	for server, zone := range list {
-		all = append(all, zonefailover.Server{Name: server, Zone: zone})
+		all = append(all, zonefailover.Endpoint{Name: server, Zone: zone})
 	}
-	slices.SortFunc(all, func(a, b zonefailover.Server) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b zonefailover.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Orders are the servers of a pool that are not in use by what is decided of their zones; of those the ones of zones that were left by themselves and not
+// Exclusions are the servers of a pool that are not in use by what is decided of their zones; of those the ones of zones that were left by themselves and not
 // by an operator; and those in use of a zone that is being returned to.
-func Orders(n *gossip.Node, pool string, list map[string]string) (avoid, returning, soft map[string]bool) {
-	states, _ := Decided(n, pool)
+func Exclusions(n *gossip.Node, pool string, list map[string]string) (avoid, returning, soft map[string]bool) {
+	states, _ := ZoneStates(n, pool)
 	if len(states) == 0 {
 		return nil, nil, nil
 	}
-	all := servers(list)
-	avoid, returning, soft = zonefailover.Avoided(all, states), map[string]bool{}, map[string]bool{}
+	all := sortedEndpoints(list)
+	avoid, returning, soft = zonefailover.ExcludedEndpoints(all, states), map[string]bool{}, map[string]bool{}
 	for _, x := range all {
-		if s, is := states[x.Zone]; is && s.Returning() && !avoid[x.Name] {
+		if s, is := states[x.Zone]; is && s.Recovering() && !avoid[x.Name] {
 			returning[x.Name] = true
-		} else if avoid[x.Name] && !s.Pinned {
+		} else if avoid[x.Name] && !s.Manual {
 			soft[x.Name] = true
 		}
 	}
 	return avoid, returning, soft
 }
 
-// looksAt reports whether a member is one of those that look at a zone: a few of those that are there to it and not in the zone, not all.
-func looksAt(n *gossip.Node, members map[string]string, name, zone string) bool {
+// isChecker reports whether a member is one of those that look at a zone: a few of those that are there to it and not in the zone, not all.
+func isChecker(n *gossip.Node, members map[string]string, name, zone string) bool {
 	rank := func(name string) uint64 {
 		h := fnv.New64a()
 		h.Write([]byte(name + "/" + zone))
@@ -147,21 +147,21 @@
 			before++
 		}
 	}
-	return before < Lookers
+	return before < MaxCheckers
 }
 
-// Looks are the zones of a pool at which a member is to look, and at which servers of each: others each turn. Those are the zones that are not wholly
+// AssignedChecks are the zones of a pool at which a member is to look, and at which servers of each: others each turn. Those are the zones that are not wholly
 // in use, and with rules those that words would have left.
-func Looks(n *gossip.Node, rules *zonefailover.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
-	states, _ := Decided(n, pool)
+func AssignedChecks(n *gossip.Node, rules *zonefailover.Rules, members map[string]string, name, pool string, list map[string]string, turn int) map[string][]string {
+	states, _ := ZoneStates(n, pool)
 	wanted := map[string]bool{}
 	for zone, s := range states {
-		if s.Step < zonefailover.Steps {
+		if s.Step < zonefailover.FullStep {
 			wanted[zone] = true
 		}
 	}
-	if rules != nil && n.Copies().Sum(gossip.DeadKind) != 0 {
-		for zone, cause := range rules.Judge(Scene(n, members, pool, list)) {
+	if rules != nil && n.Store().Digest(gossip.UnreachableKind) != 0 {
+		for zone, cause := range rules.Judge(Snapshot(n, members, pool, list)) {
 			if cause.Suspected() {
 				wanted[zone] = true
 			}
@@ -169,7 +169,7 @@
 	}
 	at := map[string][]string{}
 	for _, zone := range slices.Sorted(maps.Keys(wanted)) {
-		if !looksAt(n, members, name, zone) {
+		if !isChecker(n, members, name, zone) {
 			continue
 		}
 		var of []string
@@ -179,18 +179,18 @@
 			}
 		}
 		slices.Sort(of)
-		for i := range min(LooksEach, len(of)) {
+		for i := range min(EndpointsPerCheck, len(of)) {
 			at[zone] = append(at[zone], of[(turn+i)%len(of)])
 		}
 	}
 	return at
 }
 
-// Command is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
-func Command(n *gossip.Node, pool string, change zonefailover.Change, token uint64) consensus.OrderCommand {
-	_, numbers := Decided(n, pool)
+// ShiftCommand is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
+func ShiftCommand(n *gossip.Node, pool string, change zonefailover.Transition, token uint64) consensus.OrderCommand {
+	_, numbers := ZoneStates(n, pool)
 	c := consensus.OrderCommand{
-		Key: gossip.ServerKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
+		Key: gossip.PoolKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
 	}
 	for _, number := range numbers {
 		c.Seen = max(c.Seen, number)
--- a/internal/zoneview/zonal_test.go
+++ b/internal/zoneview/zonal_test.go
@@ -15,15 +15,15 @@
 
 // nodeOf is a process of a fleet to which the members named are there.
 func nodeOf(name string, members map[string]string, there func(string) bool) *gossip.Node {
-	cfg := gossip.Usual()
-	cfg.Name, cfg.Kinds, cfg.Decided = name, []string{gossip.DeadKind, LookKind, GreyKind}, consensus.DecidedKinds
+	cfg := gossip.DefaultConfig()
+	cfg.Name, cfg.Kinds, cfg.DecidedKinds = name, []string{gossip.UnreachableKind, ZoneCheckKind, GrayFailureKind}, consensus.DecidedKinds
 	for m := range members {
 		cfg.Members = append(cfg.Members, m)
 	}
 	n := gossip.New(0, cfg)
 	for m := range members {
 		if m != name && there(m) {
-			n.Take(time.Millisecond, m, &gossip.Message{Kind: gossip.Gossip, Members: []gossip.MemberState{{Name: m, Inc: 1 << 16}}})
+			n.Receive(time.Millisecond, m, &gossip.Message{Kind: gossip.RumorMessage, Members: []gossip.MemberState{{Name: m, Incarnation: 1 << 16}}})
 		}
 	}
 	return n
@@ -47,8 +47,8 @@
 		for name, zone := range members {
 			outside = outside || zone != "b"
 			n := nodeOf(name, members, func(string) bool { return true })
-			n.Decide("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
-			at := Looks(n, nil, members, name, "farm", list, turn)
+			n.ApplyDecision("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
+			at := AssignedChecks(n, nil, members, name, "farm", list, turn)
 			if len(at) > 1 || len(at) == 1 && at["b"] == nil {
 				t.Fatalf("%s looks at %v", name, at)
 			}
@@ -56,7 +56,7 @@
 				continue
 			}
 			looks++
-			if len(at["b"]) > LooksEach {
+			if len(at["b"]) > EndpointsPerCheck {
 				t.Fatalf("%s looks at %v", name, at)
 			}
 			for i, server := range at["b"] {
@@ -65,13 +65,13 @@
 				}
 			}
 		}
-		if looks == 0 || looks > Lookers {
+		if looks == 0 || looks > MaxCheckers {
 			t.Fatalf("%d members look", looks)
 		}
 		for name, zone := range members {
 			n := nodeOf(name, members, func(string) bool { return true })
-			n.Decide("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
-			if zone == "b" && outside && len(Looks(n, nil, members, name, "farm", list, turn)) > 0 {
+			n.ApplyDecision("zone/farm/b", 1, []byte(zonefailover.State{}.Encode()))
+			if zone == "b" && outside && len(AssignedChecks(n, nil, members, name, "farm", list, turn)) > 0 {
 				t.Fatalf("%s is in the zone, and looks at it", name)
 			}
 		}
@@ -90,8 +90,8 @@
 		states := map[string]zonefailover.State{}
 		for _, zone := range []string{"a", "b"} {
 			if rapid.Bool().Draw(t, "decided") {
-				s := zonefailover.State{Step: rapid.IntRange(0, zonefailover.Steps).Draw(t, "step"), Pinned: rapid.Bool().Draw(t, "pinned")}
-				s.Cold = s.Step == zonefailover.Steps && rapid.Bool().Draw(t, "cold")
+				s := zonefailover.State{Step: rapid.IntRange(0, zonefailover.FullStep).Draw(t, "step"), Manual: rapid.Bool().Draw(t, "pinned")}
+				s.WarmingUp = s.Step == zonefailover.FullStep && rapid.Bool().Draw(t, "cold")
 				states[zone] = s
 			}
 		}
@@ -99,9 +99,9 @@
 		for name := range members {
 			n := nodeOf(name, members, func(string) bool { return false })
 			for zone, s := range states {
-				n.Decide(gossip.ServerKey(consensus.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
+				n.ApplyDecision(gossip.PoolKey(consensus.ZoneKind, "farm", zone), 1, []byte(s.Encode()))
 			}
-			avoid, returning, soft := Orders(n, "farm", list)
+			avoid, returning, soft := Exclusions(n, "farm", list)
 			if all := fmt.Sprint(avoid, returning, soft); first == "" {
 				first = all
 			} else if all != first {
@@ -109,12 +109,12 @@
 			}
 			for server, zone := range list {
 				s, is := states[zone]
-				part := is && s.Step < zonefailover.Steps
-				back := part || s.Cold
+				part := is && s.Step < zonefailover.FullStep
+				back := part || s.WarmingUp
 				switch {
 				case avoid[server] && !part, returning[server] && (!back || avoid[server]), back && !avoid[server] && !returning[server]:
 					t.Fatalf("%s of %s at %+v: left out %v, returned to %v", server, zone, s, avoid[server], returning[server])
-				case soft[server] != (avoid[server] && !s.Pinned):
+				case soft[server] != (avoid[server] && !s.Manual):
 					t.Fatalf("%s of %s at %+v: soft %v", server, zone, s, soft[server])
 				}
 			}
@@ -126,13 +126,13 @@
 func TestCommand(t *testing.T) {
 	members := map[string]string{"p": "a"}
 	n := nodeOf("p", members, func(string) bool { return false })
-	n.Decide("zone/farm/a", 3, []byte(zonefailover.State{Step: 4}.Encode()))
-	n.Decide("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
-	n.Decide("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
-	if c := Command(n, "farm", zonefailover.Change{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.After != 3 || c.Seen != 7 || c.Token != 5 || c.Built {
+	n.ApplyDecision("zone/farm/a", 3, []byte(zonefailover.State{Step: 4}.Encode()))
+	n.ApplyDecision("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
+	n.ApplyDecision("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.After != 3 || c.Seen != 7 || c.Token != 5 || c.Built {
 		t.Errorf("%+v", c)
 	}
-	if c := Command(n, "farm", zonefailover.Change{Zone: "c"}, 5); c.After != 0 || c.Seen != 7 {
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.After != 0 || c.Seen != 7 {
 		t.Errorf("of a zone that nothing was decided of: %+v", c)
 	}
 }
@@ -141,25 +141,25 @@
 func TestScene(t *testing.T) {
 	members := map[string]string{"p": "a", "q": "b", "r": "c"}
 	n := nodeOf("p", members, func(m string) bool { return m == "q" })
-	n.Put(gossip.ServerKey(gossip.DeadKind, "farm", "s1"), nil)
-	n.Put(gossip.ServerKey(LookKind, "farm", "b"), LookValue(0, 3))
-	n.Put(gossip.ServerKey(GreyKind, "farm", "c"), nil)
-	n.Put(gossip.ServerKey(gossip.DeadKind, "farmyard", "s1"), nil)
-	s := Scene(n, members, "farm", map[string]string{"s1": "b"})
-	if len(s.Zones) != 2 || s.Zones["p"] != "a" || s.Zones["q"] != "b" || s.Members != 3 {
-		t.Errorf("%+v: only those that are there, this process among them", s.Zones)
+	n.Put(gossip.PoolKey(gossip.UnreachableKind, "farm", "s1"), nil)
+	n.Put(gossip.PoolKey(ZoneCheckKind, "farm", "b"), EncodeZoneCheck(0, 3))
+	n.Put(gossip.PoolKey(GrayFailureKind, "farm", "c"), nil)
+	n.Put(gossip.PoolKey(gossip.UnreachableKind, "farmyard", "s1"), nil)
+	s := Snapshot(n, members, "farm", map[string]string{"s1": "b"})
+	if len(s.MemberZones) != 2 || s.MemberZones["p"] != "a" || s.MemberZones["q"] != "b" || s.FleetSize != 3 {
+		t.Errorf("%+v: only those that are there, this process among them", s.MemberZones)
 	}
-	if len(s.Words) != 1 || s.Words[0] != (zonefailover.Word{Member: "p", Server: "s1"}) || len(s.Greys) != 1 || len(s.Servers) != 1 {
+	if len(s.Unreachable) != 1 || s.Unreachable[0] != (zonefailover.UnreachableReport{Member: "p", Endpoint: "s1"}) || len(s.GrayFailures) != 1 || len(s.Endpoints) != 1 {
 		t.Errorf("%+v", s)
 	}
-	if len(s.Looks) != 1 || !s.Looks[0].Silent || s.Looks[0].Answers {
-		t.Errorf("%+v", s.Looks)
+	if len(s.ZoneChecks) != 1 || !s.ZoneChecks[0].NoneHealthy || s.ZoneChecks[0].AllHealthy {
+		t.Errorf("%+v", s.ZoneChecks)
 	}
 	for _, c := range []struct {
 		answered, of int
 		want         string
-	}{{0, 3, silent}, {1, 3, partly}, {3, 3, answers}} {
-		if got := string(LookValue(c.answered, c.of)); got != c.want {
+	}{{0, 3, noneHealthy}, {1, 3, someHealthy}, {3, 3, allHealthy}} {
+		if got := string(EncodeZoneCheck(c.answered, c.of)); got != c.want {
 			t.Errorf("%d of %d: %q", c.answered, c.of, got)
 		}
 	}
