--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -230,7 +230,7 @@
 // replicaScale plays fleets of copies of several sizes.
 func (c *labCmd) replicaScale(s *streams) error {
 	cfg := gossip.DefaultConfig()
-	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind}, []string{consensus.OrderKind}
+	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind}, []string{consensus.OperatorKind}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	if !c.JSON {
 		fmt.Fprintln(w, "processes\tlost\tin step s\twrite everywhere, p50 s\tp99 s\tdead known, p50 s\tmost s\tliving held for dead\tsuspected\tB/s at rest\tB/s busy\tcaught up s\tB each\tplayed in s")
--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -145,12 +145,12 @@
 }
 
 // fleetOf is the replicated state as the process knows it.
-func fleetOf(st *fleet.Status, w *tabwriter.Writer) *consensus.Fleet {
-	if st.Council == nil || st.Council.Fleet == nil {
+func fleetOf(st *fleet.Status, w *tabwriter.Writer) *consensus.StateMachine {
+	if st.Council == nil || st.Council.StateMachine == nil {
 		fmt.Fprintf(w, "%s has no seat in the council, or has not heard of its state yet: ask another\n", st.Name)
 		return nil
 	}
-	return st.Council.Fleet
+	return st.Council.StateMachine
 }
 
 type tierMembers struct{ asking }
@@ -162,21 +162,21 @@
 			return
 		}
 		fmt.Fprintln(w, "member\tidentity\tvotes\tformer identity")
-		for _, name := range f.Names {
-			seat := f.Seats[name]
+		for _, name := range f.VoterNames {
+			seat := f.Voters[name]
 			if seat == nil {
 				fmt.Fprintf(w, "%s\tnone yet\t\t\n", name)
 				continue
 			}
 			votes := "no"
-			if slices.Contains(st.Council.Voters, seat.ID) {
+			if slices.Contains(st.Council.Voters, seat.RaftID) {
 				votes = "yes"
 			}
 			former := ""
-			if seat.Former != 0 {
-				former = fmt.Sprintf("%d, lost with its store", seat.Former)
+			if seat.ReplacedID != 0 {
+				former = fmt.Sprintf("%d, lost with its store", seat.ReplacedID)
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, seat.ID, votes, former)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, seat.RaftID, votes, former)
 		}
 	})
 }
@@ -190,11 +190,11 @@
 			return
 		}
 		fmt.Fprintln(w, "lease\tholder\ttoken\twaiting")
-		for _, name := range slices.Sorted(maps.Keys(f.Leases.Names)) {
-			e := f.Leases.Names[name]
+		for _, name := range slices.Sorted(maps.Keys(f.Leases.Leases)) {
+			e := f.Leases.Leases[name]
 			for _, h := range e.Holders {
 				holder := "?"
-				if session := f.Leases.Sessions[h.Session]; session != nil {
+				if session := f.Leases.Sessions[h.SessionID]; session != nil {
 					holder = session.Member
 				}
 				if h.Revoked {
@@ -215,10 +215,10 @@
 			return
 		}
 		fmt.Fprintln(w, "task\tslot\topen\tlast\tdone\trefused\tfailed\tunknown\tleft out")
-		for _, name := range slices.Sorted(maps.Keys(f.Slots.Tasks)) {
-			p := f.Slots.Tasks[name]
-			fmt.Fprintf(w, "%s\t%d\t%v\t%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Slot, p.Open, p.Last, p.Counts["done"], p.Counts["refused"],
-				p.Counts["failed"], p.Counts["unknown"], p.Skipped)
+		for _, name := range slices.Sorted(maps.Keys(f.Tasks.Tasks)) {
+			p := f.Tasks.Tasks[name]
+			fmt.Fprintf(w, "%s\t%d\t%v\t%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Slot, p.Open, p.LastOutcome, p.OutcomeCounts["done"], p.OutcomeCounts["refused"],
+				p.OutcomeCounts["failed"], p.OutcomeCounts["unknown"], p.Skipped)
 		}
 	})
 }
@@ -231,15 +231,15 @@
 
 func (c *tierRevoke) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Request(ctx, consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: c.Name, Token: c.Token}}})
+		r, err := o.Request(ctx, consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: c.Name, Token: c.Token}}})
 		if err != nil {
 			return err
 		}
 		if r.Lease == nil || r.Lease.Result == nil {
 			return fleet.ErrNoLeader
 		}
-		if r.Lease.Result.Why != "" {
-			return fmt.Errorf("%s: %s", c.Name, r.Lease.Result.Why)
+		if r.Lease.Result.Refusal != "" {
+			return fmt.Errorf("%s: %s", c.Name, r.Lease.Result.Refusal)
 		}
 		_, err = fmt.Fprintf(s.out, "%s is revoked, and free after one term\n", c.Name)
 		return err
@@ -404,12 +404,12 @@
 func (c *tierLift) Run(s *streams) error  { return c.order(s, "", true) }
 
 func (c *tierOrder) order(s *streams, value string, lift bool) error {
-	key := gossip.PoolKey(consensus.OrderKind, c.Pool, c.Server)
+	key := gossip.PoolKey(consensus.OperatorKind, c.Pool, c.Server)
 	if key == "" {
 		return fmt.Errorf("%w: no order can be given on the server %q of %q", errDay, c.Server, c.Pool)
 	}
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Command(ctx, consensus.OrderCommand{Key: key, Value: value, Lift: lift})
+		r, err := o.Command(ctx, consensus.DecisionCommand{Key: key, Value: value, Withdraw: lift})
 		if err != nil {
 			return err
 		}
@@ -555,7 +555,7 @@
 		if c.Force {
 			next.Reason += ", by force"
 		}
-		r, err := o.Command(ctx, consensus.OrderCommand{Key: gossip.PoolKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
+		r, err := o.Command(ctx, consensus.DecisionCommand{Key: gossip.PoolKey(consensus.ZoneKind, c.Pool, c.Zone), Value: next.Encode()})
 		if err != nil {
 			return err
 		}
@@ -603,21 +603,21 @@
 	tierReplace struct{ tierSeat }
 )
 
-func (c *tierAdd) Run(s *streams) error     { return c.change(s, consensus.Add) }
-func (c *tierRemove) Run(s *streams) error  { return c.change(s, consensus.Remove) }
-func (c *tierReplace) Run(s *streams) error { return c.change(s, consensus.Replace) }
+func (c *tierAdd) Run(s *streams) error     { return c.change(s, consensus.OpAdd) }
+func (c *tierRemove) Run(s *streams) error  { return c.change(s, consensus.OpRemove) }
+func (c *tierReplace) Run(s *streams) error { return c.change(s, consensus.OpReplace) }
 
-func (c *tierSeat) change(s *streams, op consensus.SeatOp) error {
+func (c *tierSeat) change(s *streams, op consensus.VoterOp) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Request(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: op, Name: c.Name}})
+		r, err := o.Request(ctx, consensus.Request{Voter: &consensus.VoterCommand{Op: op, Name: c.Name}})
 		if err != nil {
 			return err
 		}
-		if r.Seat == nil {
+		if r.Voter == nil {
 			return fleet.ErrNoLeader
 		}
-		if r.Seat.Why != "" {
-			return fmt.Errorf("nothing was changed: %s", r.Seat.Why)
+		if r.Voter.Refusal != "" {
+			return fmt.Errorf("nothing was changed: %s", r.Voter.Refusal)
 		}
 		_, err = fmt.Fprintf(s.out, "%s: %s; 'tier members' shows when it is carried out\n", c.Name, op)
 		return err
@@ -631,17 +631,17 @@
 
 func (c *tierTaskRun) Run(s *streams) error {
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
-		r, err := o.Request(ctx, consensus.Request{Slot: &task.Command{Op: task.Call, Task: c.Name}})
+		r, err := o.Request(ctx, consensus.Request{Task: &task.Command{Op: task.OpTrigger, Task: c.Name}})
 		if err != nil {
 			return err
 		}
-		if r.Slot == nil {
+		if r.Task == nil {
 			return fleet.ErrNoLeader
 		}
-		if r.Slot.Why != "" {
-			return fmt.Errorf("%s: %s", c.Name, r.Slot.Why)
+		if r.Task.Refusal != "" {
+			return fmt.Errorf("%s: %s", c.Name, r.Task.Refusal)
 		}
-		_, err = fmt.Fprintf(s.out, "%s: the slot after %d is done now\n", c.Name, r.Slot.State.Slot)
+		_, err = fmt.Fprintf(s.out, "%s: the slot after %d is done now\n", c.Name, r.Task.Record.Slot)
 		return err
 	})
 }
@@ -655,8 +655,8 @@
 }
 
 func (c *tierHold) Run(s *streams) error {
-	r := lease.Rules{Term: c.Term, Drift: c.Drift, Guard: 50 * time.Millisecond}
-	if err := r.Check(); err != nil {
+	r := lease.Timing{TTL: c.Term, MaxClockDrift: c.Drift, SafetyMargin: 50 * time.Millisecond}
+	if err := r.Validate(); err != nil {
 		return fmt.Errorf("%w: %w", errDay, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -31,9 +31,9 @@
 	}
 	t := s.table("tier")
 	c := &fleet.Config{Name: t.needed("name"), Secret: t.needed("secret"), Store: t.str("store", ""), Voters: t.strs("council"), Members: map[string]string{}}
-	c.Rules = lease.Rules{
-		Term: t.duration("term", 3*time.Second, 50*time.Millisecond, time.Hour), Drift: t.number("drift", 0.01, 0, 0.2),
-		Guard: t.duration("guard", 50*time.Millisecond, 0, time.Minute),
+	c.Rules = lease.Timing{
+		TTL: t.duration("term", 3*time.Second, 50*time.Millisecond, time.Hour), MaxClockDrift: t.number("drift", 0.01, 0, 0.2),
+		SafetyMargin: t.duration("guard", 50*time.Millisecond, 0, time.Minute),
 	}
 	c.Tick = t.duration("tick", 100*time.Millisecond, time.Millisecond, 10*time.Second)
 	addresses := map[string]int{}
@@ -51,7 +51,7 @@
 		if line, had := addresses[address]; had && address != "" {
 			r.bad(m.at("address"), "is %s, as that of the member in line %d", address, line)
 		}
-		if len(name) > lease.MostNameLen || name == "operator" {
+		if len(name) > lease.MaxNameLen || name == "operator" {
 			r.bad(m.at("name"), "%q can't be the name of a member", name)
 		}
 		addresses[address] = m.n.line
@@ -99,7 +99,7 @@
 			r.bad(z.n, "%v", err)
 		}
 	}
-	most := int(t.whole("tasks_at_once", 0, 0, task.MostTasks))
+	most := int(t.whole("tasks_at_once", 0, 0, task.MaxTasks))
 	t.done()
 	if c.Name != "" && c.Members[c.Name] == "" {
 		r.bad(t.at("name"), "%q is none of [[tier.members]]", c.Name)
@@ -109,8 +109,8 @@
 		r.bad(t.at("council"), "is empty: name three, five or seven members that vote")
 	case n%2 == 0:
 		r.bad(t.at("council"), "has %d members: an even number bears no more failures than one less, and is slower", n)
-	case n > consensus.MostSeats:
-		r.bad(t.at("council"), "has %d members, more than %d", n, consensus.MostSeats)
+	case n > consensus.MaxVoters:
+		r.bad(t.at("council"), "has %d members, more than %d", n, consensus.MaxVoters)
 	}
 	for i, name := range c.Voters {
 		if slices.Contains(c.Voters[:i], name) {
@@ -130,52 +130,52 @@
 	if !seated && c.Store != "" {
 		r.bad(t.at("store"), "is for members of the council, which %q is not", c.Name)
 	}
-	if err := c.Rules.Check(); err != nil {
+	if err := c.Rules.Validate(); err != nil {
 		r.bad(t.at("term"), "%v", err)
 	}
-	if c.Rules.Term < 10*c.Tick {
-		r.bad(t.at("term"), "is %v, below ten ticks of %v: each election would end all leases", c.Rules.Term, c.Tick)
+	if c.Rules.TTL < 10*c.Tick {
+		r.bad(t.at("term"), "is %v, below ten ticks of %v: each election would end all leases", c.Rules.TTL, c.Tick)
 	}
 	named := map[string]bool{}
 	for _, section := range s.tables("tasks") {
 		k := r.task(section, f.Gateway.Pools)
-		k.Drift, k.Most = c.Rules.Drift, most
+		k.MaxClockDrift, k.MaxOpen = c.Rules.MaxClockDrift, most
 		if named[k.Name] && k.Name != "" {
 			r.bad(section.at("name"), "task %q is there twice", k.Name)
 		}
 		named[k.Name] = true
 		c.Tasks = append(c.Tasks, k)
 	}
-	if len(c.Tasks) > task.MostTasks {
-		r.bad(s.at("tasks"), "are %d, more than %d", len(c.Tasks), task.MostTasks)
+	if len(c.Tasks) > task.MaxTasks {
+		r.bad(s.at("tasks"), "are %d, more than %d", len(c.Tasks), task.MaxTasks)
 	}
 	f.Tier = c
 }
 
-var missed = map[string]task.Missed{"skip": task.Skip, "once": task.Once, "each": task.Each}
+var missed = map[string]task.MissedPolicy{"skip": task.MissedSkip, "once": task.MissedRunNewest, "each": task.MissedRunEach}
 
 // task reads one task. Its class, and with it what doing it twice would do, is that of its path in its pool.
 func (r *reader) task(s *section, pools []gateway.Pool) fleet.Task {
 	k := fleet.Task{Pool: s.needed("pool"), Path: s.needed("path"), Tenant: s.str("tenant", ""), Body: s.str("body", "")}
 	k.Name = s.needed("name")
-	k.Every = s.duration("every", 24*time.Hour, 10*time.Millisecond, 366*day)
-	k.At = s.duration("at", 0, 0, day)
+	k.Interval = s.duration("every", 24*time.Hour, 10*time.Millisecond, 366*day)
+	k.Offset = s.duration("at", 0, 0, day)
 	k.Spread = s.duration("spread", 0, 0, 366*day)
 	k.Missed = missed[s.word("missed", "once", "skip", "once", "each")]
 	k.Deadline = s.duration("deadline", time.Second, time.Millisecond, time.Hour)
-	k.Tries = int(s.whole("tries", 3, 1, 100))
+	k.MaxAttempts = int(s.whole("tries", 3, 1, 100))
 	k.Method = s.word("method", http.MethodPost, http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete)
 	k.Host = s.str("host", "")
 	k.Priority = int(s.whole("priority", 0, -100, 100))
 	if s.has("budget") {
 		b := s.table("budget")
 		k.Budget = task.Budget{
-			Per: b.duration("per", 24*time.Hour, time.Second, 366*day), Requests: b.whole("requests", 0, 0, 1<<40), Time: b.duration("time", 0, 0, 366*day),
+			Period: b.duration("per", 24*time.Hour, time.Second, 366*day), MaxRequests: b.whole("requests", 0, 0, 1<<40), MaxRequestTime: b.duration("time", 0, 0, 366*day),
 		}
 		b.done()
 	}
 	s.done()
-	if len(k.Name) > lease.MostNameLen-len("task/") || strings.ContainsAny(k.Name, "\r\n/") {
+	if len(k.Name) > lease.MaxNameLen-len("task/") || strings.ContainsAny(k.Name, "\r\n/") {
 		r.bad(s.at("name"), "%q can't be the name of a task", k.Name)
 	}
 	if k.Path != "" && (!strings.HasPrefix(k.Path, "/") || strings.ContainsAny(k.Path, " \r\n")) {
@@ -215,11 +215,11 @@
 		r.known(s.at("path"), "class", class, names)
 		return k
 	}
-	k.Effect, k.Window = task.Effect(of.Idempotency), of.DedupWindow
+	k.Idempotency, k.DedupWindow = task.Idempotency(of.Idempotency), of.DedupWindow
 	if !k.Plain && (of.Idempotency == policy.Idempotent) != (k.Method == http.MethodGet) {
 		r.bad(s.at("method"), "is %s, and the class %q is %s", k.Method, class, [...]string{"safe", "keyed", "unsafe"}[of.Idempotency])
 	}
-	if err := k.Spec.Check(); err != nil {
+	if err := k.Spec.Validate(); err != nil {
 		r.bad(s.n, "%v", err)
 	}
 	return k
--- a/internal/config/tier_test.go
+++ b/internal/config/tier_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Tier == nil || len(f.Tier.Members) != 3 || len(f.Tier.Tasks) != 1 || f.Tier.Tasks[0].Window <= 0 {
+	if f.Tier == nil || len(f.Tier.Members) != 3 || len(f.Tier.Tasks) != 1 || f.Tier.Tasks[0].DedupWindow <= 0 {
 		t.Fatalf("%+v", f.Tier)
 	}
 	if again, err := Parse("f.toml", []byte(f.String())); err != nil || len(again.Tier.Tasks) != 1 {
@@ -139,14 +139,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := f.Tier.Tasks[0]; !k.Plain || k.Effect != task.Keyed || k.Window != 20*time.Second {
+	if k := f.Tier.Tasks[0]; !k.Plain || k.Idempotency != task.IdempotentByKey || k.DedupWindow != 20*time.Second {
 		t.Errorf("%+v", k)
 	}
 	f, err = Parse("f.toml", []byte(strings.Replace(text, `"/delivery-order/sweep"`, `"/else"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := f.Tier.Tasks[0]; k.Effect != task.Unsafe {
+	if k := f.Tier.Tasks[0]; k.Idempotency != task.NonIdempotent {
 		t.Errorf("what no rule takes: %+v", k)
 	}
 }
--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -27,8 +27,8 @@
 	return &m, nil
 }
 
-// FoundingSnapshot is what the disk of a fleet's first seat holds at the start.
-func FoundingSnapshot(f *Fleet) (*raftpb.Snapshot, error) {
+// BootstrapSnapshot is what the disk of a fleet's first seat holds at the start.
+func BootstrapSnapshot(f *StateMachine) (*raftpb.Snapshot, error) {
 	data, err := f.snapshot()
 	if err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	}}, nil
 }
 
-// FoundingState goes with it.
-func FoundingState() *raftpb.HardState {
+// BootstrapHardState goes with it.
+func BootstrapHardState() *raftpb.HardState {
 	one := uint64(1)
 	return &raftpb.HardState{Term: &one, Commit: &one}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -148,47 +148,47 @@
 	}
 }
 
-func exampleFleet() *Fleet {
-	leases := &lease.Machine{
-		Last: 9,
+func exampleFleet() *StateMachine {
+	leases := &lease.StateMachine{
+		LastID: 9,
 		Sessions: map[uint64]*lease.Session{
-			3: {Member: "p0", Nonce: "n0.1", Version: 4, Seq: 2, Answers: map[uint64]lease.Result{2: exampleLeaseResult()}, Holds: map[string]uint64{"task/sweep": 4}, Waits: map[string]bool{}},
-			5: {Member: "p1", Nonce: "n1.1", Superseded: true, Version: 6, Answers: map[uint64]lease.Result{}, Holds: map[string]uint64{}, Waits: map[string]bool{"task/sweep": true}},
+			3: {Member: "p0", Nonce: "n0.1", Version: 4, LastSeq: 2, Results: map[uint64]lease.Result{2: exampleLeaseResult()}, Tokens: map[string]uint64{"task/sweep": 4}, Waiting: map[string]bool{}},
+			5: {Member: "p1", Nonce: "n1.1", Superseded: true, Version: 6, Results: map[uint64]lease.Result{}, Tokens: map[string]uint64{}, Waiting: map[string]bool{"task/sweep": true}},
 		},
-		Names: map[string]*lease.Entry{
-			"task/sweep": {Limit: 1, Holders: []lease.Hold{{Session: 3, Token: 4}}, Waiters: []uint64{5}},
-			"zones":      {Limit: 2, Holders: []lease.Hold{{Session: 5, Token: 6, Revoked: true}}},
+		Leases: map[string]*lease.Lease{
+			"task/sweep": {Limit: 1, Holders: []lease.Grant{{SessionID: 3, Token: 4}}, Waiters: []uint64{5}},
+			"zones":      {Limit: 2, Holders: []lease.Grant{{SessionID: 5, Token: 6, Revoked: true}}},
 		},
 		Revoked: map[uint64]string{6: "zones"},
 	}
-	return &Fleet{
-		ID: "fleet-a", Last: 4, Names: []string{"p0", "p1"}, Volatile: true, Leases: leases, Ordered: 2, Decider: 6,
-		Seats: map[string]*Seat{"p0": {ID: 1, Store: "store-0", Voter: true}, "p1": {ID: 4, Store: "store-1", Former: 2}},
-		Orders: map[string]*Order{
+	return &StateMachine{
+		FleetID: "fleet-a", LastVoterID: 4, VoterNames: []string{"p0", "p1"}, Volatile: true, Leases: leases, LastDecision: 2, DeciderToken: 6,
+		Voters: map[string]*Voter{"p0": {RaftID: 1, StoreID: "store-0", Votes: true}, "p1": {RaftID: 4, StoreID: "store-1", ReplacedID: 2}},
+		Decisions: map[string]*Decision{
 			"order/farm/box": {Number: 1, Value: "out"},
-			"zone/farm/b":    {Number: 2, Value: "0 false 1 lost", Lifted: true, Token: 6},
+			"zone/farm/b":    {Number: 2, Value: "0 false 1 lost", Withdrawn: true, Token: 6},
 		},
-		Slots: &task.Book{Asks: 7, Tasks: map[string]*task.Page{"sweep": ptr(examplePage())}},
+		Tasks: &task.Registry{AdmissionSeq: 7, Tasks: map[string]*task.Record{"sweep": ptr(examplePage())}},
 	}
 }
 
 func exampleLeaseResult() lease.Result {
-	return lease.Result{Why: lease.Taken, Session: 3, Token: 4, Place: 1, Version: 4, Before: 3}
+	return lease.Result{Refusal: lease.RefusedHeld, SessionID: 3, Token: 4, QueuePosition: 1, Version: 4, PreviousVersion: 3}
 }
 
-func examplePage() task.Page {
-	return task.Page{
-		Rev: 11, Token: 4, Slot: 20, Open: true, By: 4, Begun: 2, Last: task.Done, Counts: map[task.Outcome]int64{task.Done: 5, task.Unknown: 1}, Skipped: 3, Called: true,
-		Waits: 6, Priority: 2, Passed: 1, Period: 8, Requests: 12, TookMs: 340,
+func examplePage() task.Record {
+	return task.Record{
+		Revision: 11, Token: 4, Slot: 20, Open: true, BegunBy: 4, Attempts: 2, LastOutcome: task.OutcomeDone, OutcomeCounts: map[task.Outcome]int64{task.OutcomeDone: 5, task.OutcomeUnknown: 1}, Skipped: 3, Triggered: true,
+		WaitingSince: 6, Priority: 2, PassedOver: 1, Period: 8, Requests: 12, TookMs: 340,
 	}
 }
 
-func exampleCommands() (lease.Command, SeatCommand, task.Command, OrderCommand) {
+func exampleCommands() (lease.Command, VoterCommand, task.Command, DecisionCommand) {
 	return lease.Command{
-			Op: lease.Acquire, Member: "p0", Nonce: "n0.1", After: 2, Session: 3, Seq: 2, Name: "task/sweep", Limit: 1, Wait: true, To: "p1", Token: 4,
-		}, SeatCommand{Op: Admit, Name: "p1", Store: "store-1", Memory: true}, task.Command{
-			Op: task.Finish, Task: "sweep", Slot: 20, Token: 4, Again: true, Outcome: task.Failed, Skipped: 3, Most: 5, Priority: 2, Period: 8, Requests: 12, TookMs: 340,
-		}, OrderCommand{Key: "zone/farm/b", Value: "0 false 1 lost", Lift: true, Token: 6, After: 1, Seen: 2, Built: true}
+			Op: lease.OpAcquire, Member: "p0", Nonce: "n0.1", KnownLastID: 2, SessionID: 3, Seq: 2, Name: "task/sweep", Limit: 1, Wait: true, To: "p1", Token: 4,
+		}, VoterCommand{Op: OpAdmit, Name: "p1", StoreID: "store-1", Volatile: true}, task.Command{
+			Op: task.OpFinish, Task: "sweep", Slot: 20, Token: 4, Rerun: true, Outcome: task.OutcomeFailed, Skipped: 3, MaxOpen: 5, Priority: 2, Period: 8, Requests: 12, TookMs: 340,
+		}, DecisionCommand{Key: "zone/farm/b", Value: "0 false 1 lost", Withdraw: true, Token: 6, BasedOn: 1, LastSeenZone: 2, Conditional: true}
 }
 
 func ptr[T any](v T) *T { return &v }
@@ -211,21 +211,21 @@
 	leaseCommand, seatCommand, slotCommand, orderCommand := exampleCommands()
 	fleet := exampleFleet()
 	cases := []goldenCase{
-		jsonCase("entry/lease", record{Term: 2, ID: 10, Lease: &leaseCommand}),
-		jsonCase("entry/seat", record{Term: 2, ID: 11, Seat: &seatCommand}),
-		jsonCase("entry/slot", record{Term: 2, ID: 12, Slot: &slotCommand}),
-		jsonCase("entry/order", record{Term: 2, ID: 13, Order: &orderCommand}),
+		jsonCase("entry/lease", proposal{Term: 2, ID: 10, Lease: &leaseCommand}),
+		jsonCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &seatCommand}),
+		jsonCase("entry/slot", proposal{Term: 2, ID: 12, Task: &slotCommand}),
+		jsonCase("entry/order", proposal{Term: 2, ID: 13, Decision: &orderCommand}),
 		{"snapshot", fleet, fleet.snapshot, func(data []byte) (any, error) { return restore(data) }},
 		jsonCase("request", Request{
-			Lease: &lease.Ask{ID: 1, Member: "p0", Session: 3, Have: 4, Command: &leaseCommand}, Seat: &seatCommand, Slot: &slotCommand, Order: &orderCommand,
-			Pages: []string{"sweep"}, State: true,
+			Lease: &lease.Request{ID: 1, Member: "p0", SessionID: 3, KnownVersion: 4, Command: &leaseCommand}, Voter: &seatCommand, Task: &slotCommand, Decision: &orderCommand,
+			TaskRecords: []string{"sweep"}, Status: true,
 		}),
 		{"response", exampleResponse(fleet), func() ([]byte, error) { return json.Marshal(exampleResponse(fleet)) }, func(data []byte) (any, error) {
 			var read Response
 			if err := json.Unmarshal(data, &read); err != nil {
 				return nil, err
 			}
-			read.State.Fleet = read.State.Fleet.Clone() // with empty maps where the form has none
+			read.Status.StateMachine = read.Status.StateMachine.Clone() // with empty maps where the form has none
 			return read, nil
 		}},
 		messageCase("message/append", &raftpb.Message{
@@ -247,7 +247,7 @@
 		{"change/replace", &raftpb.ConfState{Voters: []uint64{1, 3}, Learners: []uint64{2, 4}}},
 		{"change/remove", &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}},
 	} {
-		change := fleet.change(c.conf, func(uint64) bool { return true })
+		change := fleet.nextConfChange(c.conf, func(uint64) bool { return true })
 		cases = append(cases, goldenCase{c.name, change, func() ([]byte, error) { return proto.Marshal(change) }, func(data []byte) (any, error) {
 			read := &raftpb.ConfChangeV2{}
 			return read, proto.Unmarshal(data, read)
@@ -257,25 +257,25 @@
 	checkFields(t, cases)
 }
 
-func exampleResponse(f *Fleet) Response {
+func exampleResponse(f *StateMachine) Response {
 	return Response{
-		Elsewhere: true, Leader: "p0",
-		Lease: &lease.Answer{
-			ID: 1, Why: lease.NoSession, Last: 9, Result: ptr(exampleLeaseResult()), Listing: &lease.Listing{Version: 4, Holds: map[string]uint64{"task/sweep": 4}},
+		NotLeader: true, Leader: "p0",
+		Lease: &lease.Response{
+			ID: 1, Refusal: lease.RefusedNoSession, LastID: 9, Result: ptr(exampleLeaseResult()), Holdings: &lease.Holdings{Version: 4, Tokens: map[string]uint64{"task/sweep": 4}},
 		},
-		Seat: &SeatResult{Why: "no store", ID: 4, Fleet: "fleet-a", Voter: true}, Slot: &task.Result{Why: task.Crowded, State: examplePage()},
-		Order: &OrderResult{Why: Meanwhile, Number: 2, Now: f.Orders["zone/farm/b"]}, Decided: f.decided(), Pages: map[string]task.Page{"sweep": examplePage()},
-		State: &State{ID: 1, Role: "StateLeader", Leader: "p0", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1, 2}, Learners: []uint64{4}, Fleet: f},
+		Voter: &VoterResult{Refusal: "no store", RaftID: 4, FleetID: "fleet-a", Votes: true}, Task: &task.Result{Refusal: task.RefusedConcurrencyLimit, Record: examplePage()},
+		Decision: &DecisionResult{Refusal: RefusedConflict, Number: 2, Current: f.Decisions["zone/farm/b"]}, Digest: f.digest(), TaskRecords: map[string]task.Record{"sweep": examplePage()},
+		Status: &Status{ID: 1, Role: "StateLeader", Leader: "p0", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1, 2}, Learners: []uint64{4}, StateMachine: f},
 	}
 }
 
 // TestFoundingForm: a fleet begins with the state that earlier versions gave it.
 func TestFoundingForm(t *testing.T) {
-	snap, err := FoundingSnapshot(Founded("fleet-a", "p0", "store-0", []string{"p0", "p1"}))
+	snap, err := BootstrapSnapshot(NewStateMachine("fleet-a", "p0", "store-0", []string{"p0", "p1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	hard := FoundingState()
+	hard := BootstrapHardState()
 	checkGolden(t, "testdata/founding.golden", []goldenCase{
 		{"snapshot", snap, func() ([]byte, error) { return proto.Marshal(snap) }, func(data []byte) (any, error) {
 			read := &raftpb.Snapshot{}
@@ -291,8 +291,8 @@
 // TestStoredWords: the words that stand in entries, snapshots and keys keep their spelling.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{string(Admit), "admit"}, {string(Add), "add"}, {string(Remove), "remove"}, {string(Replace), "replace"},
-		{OrderKind, "order"}, {ZoneKind, "zone"}, {Meanwhile, "something else was decided meanwhile"},
+		{string(OpAdmit), "admit"}, {string(OpAdd), "add"}, {string(OpRemove), "remove"}, {string(OpReplace), "replace"},
+		{OperatorKind, "order"}, {ZoneKind, "zone"}, {RefusedConflict, "something else was decided meanwhile"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -38,7 +38,7 @@
 				began := time.Now()
 				all[2].mu.Lock()
 				for i := range names {
-					all[2].session.Want(fmt.Sprint("many-", i), 1)
+					all[2].session.Acquire(fmt.Sprint("many-", i), 1)
 				}
 				all[2].runDue()
 				all[2].mu.Unlock()
@@ -86,7 +86,7 @@
 			}
 			var all []*Host
 			for i := range cfgs {
-				cfgs[i].Rules.Term = 3 * time.Second
+				cfgs[i].Rules.TTL = 3 * time.Second
 				cfgs[i].Tick = 100 * time.Millisecond
 				all = append(all, start(b, cfgs[i], &servers{}))
 			}
@@ -99,7 +99,7 @@
 				eventually(b, "all have sessions", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
-					return t.session.Session() != 0
+					return t.session.SessionID() != 0
 				})
 			}
 			for range b.N {
--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -92,10 +92,10 @@
 	}
 	cfg := gossip.DefaultConfig()
 	cfg.Name, cfg.Members = t.cfg.Name, slices.Sorted(maps.Keys(t.cfg.Members))
-	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecidedKinds
+	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecisionKinds
 	cfg.GossipInterval, cfg.PingInterval, cfg.SyncInterval, cfg.DeadRetention, cfg.Fanout, cfg.CatchUpBudget = c.Gossip, c.Probe, c.Sync, c.Keep, c.Fanout, c.Budget
 	h := fnv.New64a()
-	h.Write([]byte(t.session.Start()))
+	h.Write([]byte(t.session.Incarnation()))
 	cfg.Seed = h.Sum64()
 	now := t.clock.Now()
 	k := &sharedState{
@@ -128,7 +128,7 @@
 		t.goroutines.Go(t.applyToPools)
 		t.goroutines.Go(t.watchZones)
 		if t.cfg.Zones != nil && t.cfg.Zones.Automatic != ZonesOff {
-			t.session.Want(zoneview.LeaseName, 1)
+			t.session.Acquire(zoneview.LeaseName, 1)
 		}
 	}
 	return nil
@@ -199,7 +199,7 @@
 	step, whole := k.ages(now)
 	dead, orders := 0, 0
 	k.node.Store().ForEach("", func(e *gossip.Entry) bool {
-		if len(e.Values()) > 0 && gossip.KindOf(e.Key) == consensus.OrderKind {
+		if len(e.Values()) > 0 && gossip.KindOf(e.Key) == consensus.OperatorKind {
 			orders++
 		} else if len(e.Values()) > 0 {
 			dead++
@@ -300,7 +300,7 @@
 		}
 		return next[pool]
 	}
-	k.node.Store().ForEach(consensus.OrderKind+"/", func(e *gossip.Entry) bool {
+	k.node.Store().ForEach(consensus.OperatorKind+"/", func(e *gossip.Entry) bool {
 		if pool, server, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
 			at(pool).excluded[server] = true
 		}
@@ -385,26 +385,26 @@
 }
 
 // noteDecided takes the council's word, asked for at that moment, of how far it has come: who has the same sum has all that was decided before.
-func (t *Host) noteDecided(at time.Duration, d *consensus.Decided) {
+func (t *Host) noteDecided(at time.Duration, d *consensus.DecisionDigest) {
 	k := t.shared
 	if k == nil || d == nil {
 		return
 	}
-	k.node.Store().SetFleetTag(gossip.FleetTag(d.Fleet))
-	if k.node.Store().Digest(consensus.OrderKind)+k.node.Store().Digest(consensus.ZoneKind) == d.Sum {
+	k.node.Store().SetFleetTag(gossip.FleetTag(d.FleetID))
+	if k.node.Store().Digest(consensus.OperatorKind)+k.node.Store().Digest(consensus.ZoneKind) == d.Checksum {
 		k.completeUntil = max(k.completeUntil, at)
 	}
 }
 
 // applyOperatorCommands takes over what the log here has decided. The caller has mu.
-func (t *Host) applyOperatorCommands(f *consensus.Fleet) {
+func (t *Host) applyOperatorCommands(f *consensus.StateMachine) {
 	k := t.shared
 	if k == nil || f == nil {
 		return
 	}
-	k.node.Store().SetFleetTag(gossip.FleetTag(f.ID))
-	if f.Ordered > k.commandsApplied {
-		k.commandsApplied = f.OrdersSince(k.commandsApplied, func(key string, o consensus.Order) { k.node.ApplyDecision(key, o.Number, o.Bytes()) })
+	k.node.Store().SetFleetTag(gossip.FleetTag(f.FleetID))
+	if f.LastDecision > k.commandsApplied {
+		k.commandsApplied = f.DecisionsSince(k.commandsApplied, func(key string, o consensus.Decision) { k.node.ApplyDecision(key, o.Number, o.Bytes()) })
 		t.runDue()
 	}
 }
@@ -450,7 +450,7 @@
 		s.Members[name] = k.node.Member(name).State.String()
 	}
 	s.Zones = k.zonesStatus()
-	for _, kind := range append([]string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecidedKinds...) {
+	for _, kind := range append([]string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}, consensus.DecisionKinds...) {
 		s.Sums[kind] = k.node.Store().Digest(kind)
 	}
 	for pool, kept := range k.notApplied {
--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/copies_test.go
@@ -113,7 +113,7 @@
 	return s.Copies
 }
 
-func order(t *testing.T, tr *Host, cfg Config, c consensus.OrderCommand) consensus.OrderResult {
+func order(t *testing.T, tr *Host, cfg Config, c consensus.DecisionCommand) consensus.DecisionResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -122,11 +122,11 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Request(ctx, consensus.Request{Order: &c})
-	if err != nil || r.Order == nil {
+	r, err := o.Request(ctx, consensus.Request{Decision: &c})
+	if err != nil || r.Decision == nil {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	return *r.Order
+	return *r.Decision
 }
 
 // TestSharedState: what two processes find silent a third is hinted at, and one alone is not believed; an order reaches all, also one that was
@@ -163,12 +163,12 @@
 	farms[1].sees("box", false)
 	eventually(t, "it is taken back", func() bool { return len(state(t, all[2], cfgs[2]).Hints) == 0 })
 
-	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
-	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Lift: true}); r.Why == "" {
+	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
+	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Withdraw: true}); r.Refusal == "" {
 		t.Error("an order that was not given was lifted")
 	}
 	all[2].Close()
-	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: key, Value: "patched"}); r.Why != "" || r.Number != 1 {
+	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Value: "patched"}); r.Refusal != "" || r.Number != 1 {
 		t.Errorf("%+v", r)
 	}
 	eventually(t, "those that are there carry it out", func() bool { return farms[0].avoids("box") && farms[1].avoids("box") })
@@ -179,7 +179,7 @@
 		s := state(t, all[2], cfgs[2])
 		return s.DecidedMs >= 0 && s.InStepMs >= 0
 	})
-	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Lift: true})
+	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Withdraw: true})
 	eventually(t, "it is lifted everywhere", func() bool {
 		return !farms[0].avoids("box") && !farms[1].avoids("box") && !farms[2].avoids("box")
 	})
@@ -188,7 +188,7 @@
 		f.refuse = true
 		f.mu.Unlock()
 	}
-	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key})
+	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key})
 	eventually(t, "what can't be carried out is told", func() bool { return len(state(t, all[0], cfgs[0]).Kept) == 1 })
 }
 
@@ -199,7 +199,7 @@
 	k := &sharedState{cfg: SharedStateConfig{Store: file}}
 	fresh := func() {
 		cfg := gossip.DefaultConfig()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
 		k.node = gossip.New(0, cfg)
 	}
 	fresh()
@@ -253,7 +253,7 @@
 			t.Fatal(err)
 		}
 		cfg := gossip.DefaultConfig()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
 		k := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
 		if err := k.restore(0, "p"); err != nil {
 			t.Fatal(err)
@@ -343,9 +343,9 @@
 		t.Errorf("it was returned to at once: steps %v", steps)
 	}
 	key := gossip.PoolKey(consensus.ZoneKind, "farm", "c")
-	order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
+	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
 	eventually(t, "all leave it by order", avoided(4))
-	if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, After: 1}); r.Why == "" {
+	if r := order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, BasedOn: 1}); r.Refusal == "" {
 		t.Error("a holder that has not heard of the operator's word decides against it")
 	}
 }
@@ -379,8 +379,8 @@
 			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
 		})
 		s := zonefailover.State{Step: zonefailover.FullStep, WarmingUp: cold, Reason: "a step was borne"}
-		if r := order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: s.Encode()}); r.Why != "" {
-			t.Fatal(r.Why)
+		if r := order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: s.Encode()}); r.Refusal != "" {
+			t.Fatal(r.Refusal)
 		}
 		epoch := state(t, all[0], cfgs[0]).Zones[1].Epoch
 		all[2].Close()
@@ -477,11 +477,11 @@
 		}
 	}
 	begin()
-	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
-	other := gossip.PoolKey(consensus.OrderKind, "farm", "other")
+	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
+	other := gossip.PoolKey(consensus.OperatorKind, "farm", "other")
 	for range 3 {
-		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: key, Value: "patched"})
-		order(t, all[0], cfgs[0], consensus.OrderCommand{Key: other, Value: "patched"})
+		order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: "patched"})
+		order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: other, Value: "patched"})
 	}
 	eventually(t, "all carry it out", func() bool {
 		return farms[0].avoids("box") && farms[1].avoids("box") && farms[2].avoids("box")
@@ -512,7 +512,7 @@
 			tr.Close()
 		}
 	}()
-	if r := order(t, all[1], cfgs[1], consensus.OrderCommand{Key: other, Value: "patched"}); r.Number != 1 {
+	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: other, Value: "patched"}); r.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
 	eventually(t, "what the new fleet has decided is carried out, and nothing else", func() bool {
@@ -523,7 +523,7 @@
 		}
 		return true
 	})
-	if r := order(t, all[2], cfgs[2], consensus.OrderCommand{Key: other, Lift: true}); r.Number != 2 {
+	if r := order(t, all[2], cfgs[2], consensus.DecisionCommand{Key: other, Withdraw: true}); r.Number != 2 {
 		t.Fatalf("%+v", r)
 	}
 	eventually(t, "and its word lifts it", func() bool {
@@ -543,8 +543,8 @@
 			tr.Close()
 		}
 	}()
-	key := gossip.PoolKey(consensus.OrderKind, "farm", "box")
-	order(t, all[2], cfgs[2], consensus.OrderCommand{Key: key, Value: "first"})
+	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
+	order(t, all[2], cfgs[2], consensus.DecisionCommand{Key: key, Value: "first"})
 	// The other two end: what is asked of the third now has no answer until they are back.
 	all[0].Close()
 	all[1].Close()
@@ -556,16 +556,16 @@
 	}
 	defer o.Close()
 	done := make(chan error, 1)
-	var got *consensus.OrderResult
+	var got *consensus.DecisionResult
 	go func() {
-		r, err := o.Command(ctx, consensus.OrderCommand{Key: key, Value: "second"})
+		r, err := o.Command(ctx, consensus.DecisionCommand{Key: key, Value: "second"})
 		got = r
 		done <- err
 	}()
 	eventually(t, "its session has lapsed: a term has passed", func() bool {
 		all[2].mu.Lock()
 		defer all[2].mu.Unlock()
-		return all[2].session.Until() < all[2].clock.Now()
+		return all[2].session.ValidUntil() < all[2].clock.Now()
 	})
 	all[0], all[1] = start(t, cfgs[0], newFarm()), start(t, cfgs[1], newFarm())
 	if err := <-done; err != nil {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -171,11 +171,11 @@
 }
 
 func exampleStatus() *Status {
-	page := task.Page{Rev: 11, Token: 4, Slot: 20, Last: task.Done}
+	page := task.Record{Revision: 11, Token: 4, Slot: 20, LastOutcome: task.OutcomeDone}
 	return &Status{
 		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]HeldLease{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
 		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
-		Council: &consensus.State{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Page{"sweep": page},
+		Council: &consensus.Status{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Record{"sweep": page},
 		Copies: &SharedStateStatus{
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
 			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
@@ -192,8 +192,8 @@
 		jsonCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
 		jsonCase("hello", exampleHello()),
 		jsonCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
-		jsonCase("request", rpc{Handle: 12, Request: consensus.Request{Pages: []string{"sweep"}}}),
-		jsonCase("response", rpc{Handle: 12, Response: consensus.Response{Elsewhere: true, Leader: "p1"}}),
+		jsonCase("request", rpc{Handle: 12, Request: consensus.Request{TaskRecords: []string{"sweep"}}}),
+		jsonCase("response", rpc{Handle: 12, Response: consensus.Response{NotLeader: true, Leader: "p1"}}),
 		jsonCase("status", rpc{Handle: 12, Status: exampleStatus()}),
 		jsonCase("operator", rpc{Handle: 12, Found: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
 	}
@@ -373,7 +373,7 @@
 }
 
 // writeExampleStore has the only seat of a fleet write a store: a snapshot after another was admitted, and then an entry of each kind.
-func writeExampleStore(t *testing.T, path string) *consensus.Fleet {
+func writeExampleStore(t *testing.T, path string) *consensus.StateMachine {
 	t.Helper()
 	s, err := OpenStore(path, "p0")
 	if err != nil {
@@ -381,11 +381,11 @@
 	}
 	defer s.Close()
 	s.id.Store = "store-0" // in place of the one that was drawn
-	snap, err := consensus.FoundingSnapshot(consensus.Founded("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
+	snap, err := consensus.BootstrapSnapshot(consensus.NewStateMachine("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}, true); err != nil {
+	if err := s.Save(consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}, true); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Admitted("fleet-a", 1); err != nil {
@@ -394,31 +394,31 @@
 	n := leadingNode(t, s)
 	ask := func(q consensus.Request) {
 		t.Helper()
-		n.Ask(0, 1, q)
-		if out, err := n.Work(0, s); err != nil || len(out.Replies) != 1 || out.Replies[0].Response.Elsewhere {
+		n.Submit(0, 1, q)
+		if out, err := n.Process(0, s); err != nil || len(out.Replies) != 1 || out.Replies[0].Response.NotLeader {
 			t.Fatalf("%+v: %+v, %v", q, out.Replies, err)
 		}
 	}
-	ask(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: "p1", Store: "store-1"}})
+	ask(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: "p1", StoreID: "store-1"}})
 	before, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for saved := before; saved.Snapshot.GetMetadata().GetIndex() == before.Snapshot.GetMetadata().GetIndex(); {
 		n.Tick(0) // until the change of members is carried out, which cuts the log
-		if _, err := n.Work(0, s); err != nil {
+		if _, err := n.Process(0, s); err != nil {
 			t.Fatal(err)
 		}
 		if saved, err = s.Load(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ask(consensus.Request{Lease: &lease.Ask{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.Open, Member: "p0", Nonce: "n0.1"}}})
-	ask(consensus.Request{Lease: &lease.Ask{ID: 2, Member: "p0", Session: 1, Command: &lease.Command{Op: lease.Acquire, Session: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
-	ask(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Add, Name: "p2"}})
-	ask(consensus.Request{Slot: &task.Command{Op: task.Begin, Task: "sweep", Slot: 20, Token: 2}})
-	ask(consensus.Request{Order: &consensus.OrderCommand{Key: "order/farm/box", Value: "out"}})
-	return n.Fleet().Clone()
+	ask(consensus.Request{Lease: &lease.Request{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.OpOpen, Member: "p0", Nonce: "n0.1"}}})
+	ask(consensus.Request{Lease: &lease.Request{ID: 2, Member: "p0", SessionID: 1, Command: &lease.Command{Op: lease.OpAcquire, SessionID: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
+	ask(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdd, Name: "p2"}})
+	ask(consensus.Request{Task: &task.Command{Op: task.OpBegin, Task: "sweep", Slot: 20, Token: 2}})
+	ask(consensus.Request{Decision: &consensus.DecisionCommand{Key: "order/farm/box", Value: "out"}})
+	return n.StateMachine().Clone()
 }
 
 // leadingNode is the node of a store's process, once it leads.
@@ -428,16 +428,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := consensus.New(consensus.Config{ID: s.Identity().ID, Rules: lease.Rules{Term: time.Second}, Saved: saved})
+	n, err := consensus.New(consensus.Config{ID: s.Identity().ID, LeaseTiming: lease.Timing{TTL: time.Second}, Persisted: saved})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 100 {
 		n.Tick(0)
-		if _, err := n.Work(0, s); err != nil {
+		if _, err := n.Process(0, s); err != nil {
 			t.Fatal(err)
 		}
-		if n.Leads() {
+		if n.IsLeader() {
 			return n
 		}
 	}
@@ -505,11 +505,11 @@
 		t.Fatal(err)
 	}
 	meta, entries := saved.Snapshot.GetMetadata(), saved.Entries
-	if saved.Hard.GetTerm() != 2 || saved.Hard.GetVote() != 1 || !slices.Equal(meta.GetConfState().GetLearners(), []uint64{2}) || len(entries) != 5 ||
+	if saved.HardState.GetTerm() != 2 || saved.HardState.GetVote() != 1 || !slices.Equal(meta.GetConfState().GetLearners(), []uint64{2}) || len(entries) != 5 ||
 		entries[0].GetIndex() != meta.GetIndex()+1 {
-		t.Errorf("hard %v, snapshot %v, %d entries", saved.Hard, meta, len(entries))
+		t.Errorf("hard %v, snapshot %v, %d entries", saved.HardState, meta, len(entries))
 	}
-	if got := leadingNode(t, s).Fleet().Clone(); !reflect.DeepEqual(got, fleet) {
+	if got := leadingNode(t, s).StateMachine().Clone(); !reflect.DeepEqual(got, fleet) {
 		t.Errorf("the state\n got %+v\nwant %+v", got, fleet)
 	}
 }
@@ -530,7 +530,7 @@
 	const file = "testdata/copies.kept"
 	newCopies := func(path string) *sharedState {
 		cfg := gossip.DefaultConfig()
-		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecidedKinds
+		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
 		return &sharedState{cfg: SharedStateConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
 	k := newCopies("")
@@ -569,7 +569,7 @@
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{taskLeaseName("sweep"), "task/sweep"}, {zoneview.LeaseName, "zones"}, {operatorName, "operator"},
-		{gossip.UnreachableKind, "dead"}, {zoneview.ZoneCheckKind, "look"}, {zoneview.GrayFailureKind, "grey"}, {consensus.OrderKind, "order"}, {consensus.ZoneKind, "zone"},
+		{gossip.UnreachableKind, "dead"}, {zoneview.ZoneCheckKind, "look"}, {zoneview.GrayFailureKind, "grey"}, {consensus.OperatorKind, "order"}, {consensus.ZoneKind, "zone"},
 		{gossip.PoolKey(consensus.ZoneKind, "farm", "b"), "zone/farm/b"},
 		{string(zoneview.EncodeZoneCheck(0, 3)), "0"}, {string(zoneview.EncodeZoneCheck(2, 3)), "p"}, {string(zoneview.EncodeZoneCheck(3, 3)), "1"},
 		{zonefailover.State{Step: 2, Manual: true, Relapses: 1, Reason: "lost"}.Encode(), "2 true 1 lost"},
@@ -598,9 +598,9 @@
 	}
 	var pools requestRecorder
 	tr := &Host{ctx: t.Context(), clock: clock, sender: &pools}
-	cfg := Task{Spec: task.Spec{Name: "sweep", Effect: task.Keyed}, Pool: "farm", Method: "POST", Path: "/delivery-order/sweep?all=1", Tenant: "depot", Body: "body"}
+	cfg := Task{Spec: task.Spec{Name: "sweep", Idempotency: task.IdempotentByKey}, Pool: "farm", Method: "POST", Path: "/delivery-order/sweep?all=1", Tenant: "depot", Body: "body"}
 	r := &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, time.Second, time.Second)}
-	tr.sendTaskRequest(r, task.Send{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
+	tr.sendTaskRequest(r, task.SlotRequest{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
 	q := pools.sent
 	left := q.Header.Get("X-Timeout-Ms")
 	want := &httpmsg.Request{
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -13,11 +13,11 @@
 
 // voterStore keeps what a process has promised in the council: on a disk that outlives it, or for as long as it runs.
 type voterStore interface {
-	consensus.Disk
+	consensus.Storage
 	Identity() Identity
 	Admitted(fleet string, id uint64) error // it is kept before it is used
 	Found(names []string) error
-	Load() (consensus.Saved, error)
+	Load() (consensus.PersistentState, error)
 	Syncs() int64
 	Close() error
 }
@@ -30,10 +30,10 @@
 	return &memoryStore{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
 }
 
-func (m *memoryStore) Save(consensus.Saved, bool) error { return nil }
-func (m *memoryStore) Identity() Identity               { return m.id }
-func (m *memoryStore) Syncs() int64                     { return 0 }
-func (m *memoryStore) Close() error                     { return nil }
+func (m *memoryStore) Save(consensus.PersistentState, bool) error { return nil }
+func (m *memoryStore) Identity() Identity                         { return m.id }
+func (m *memoryStore) Syncs() int64                               { return 0 }
+func (m *memoryStore) Close() error                               { return nil }
 
 func (m *memoryStore) Admitted(fleet string, id uint64) error {
 	m.id.Fleet, m.id.ID = fleet, id
@@ -44,7 +44,9 @@
 	return errors.New("a council in memory is founded at a process that runs")
 }
 
-func (m *memoryStore) Load() (consensus.Saved, error) { return consensus.Saved{}, nil }
+func (m *memoryStore) Load() (consensus.PersistentState, error) {
+	return consensus.PersistentState{}, nil
+}
 
 // bootstrap makes this process, which keeps its promises in memory and has no identity yet, the first seat of a new fleet. One that has heard
 // of a fleet refuses: two fleets of one file would each have a holder.
@@ -63,23 +65,23 @@
 	case heard != "":
 		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", heard)
 	}
-	fleet := consensus.Founded(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Voters)
+	fleet := consensus.NewStateMachine(uuid.NewString(), t.cfg.Name, m.id.Store, t.cfg.Voters)
 	fleet.Volatile = true
-	snap, err := consensus.FoundingSnapshot(fleet)
+	snap, err := consensus.BootstrapSnapshot(fleet)
 	if err != nil {
 		return err
 	}
-	s.node, err = consensus.New(consensus.Config{ID: 1, Rules: t.cfg.Rules, Saved: consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}})
+	s.node, err = consensus.New(consensus.Config{ID: 1, LeaseTiming: t.cfg.Rules, Persisted: consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}})
 	if err != nil {
 		return err
 	}
-	if err := m.Admitted(fleet.ID, 1); err != nil {
+	if err := m.Admitted(fleet.FleetID, 1); err != nil {
 		return err
 	}
 	t.mu.Lock()
-	t.fleetID = fleet.ID
+	t.fleetID = fleet.FleetID
 	t.mu.Unlock()
-	t.log.Info("a fleet was founded in memory: it ends with the majority of its council", "fleet", fleet.ID)
+	t.log.Info("a fleet was founded in memory: it ends with the majority of its council", "fleet", fleet.FleetID)
 	return nil
 }
 
@@ -118,7 +120,7 @@
 func (t *Host) startHandover(h handoverRequest) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	switch _, _, held := t.session.Holding(t.clock.Now(), h.Name); {
+	switch _, _, held := t.session.Token(t.clock.Now(), h.Name); {
 	case !held:
 		return fmt.Errorf("%q is not held by %q", h.Name, t.cfg.Name)
 	case h.To == t.cfg.Name, t.cfg.Members[h.To] == "":
@@ -139,7 +141,7 @@
 		}
 		delete(t.handovers, name)
 		t.log.Info("lease handed over", "name", name, "to", to)
-		t.session.Handover(name, to)
+		t.session.Transfer(name, to)
 	}
 }
 
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -84,7 +84,7 @@
 	defer o.conn.SetReadDeadline(time.Time{})
 	for {
 		a, err := o.request(ctx, q)
-		if err != nil || !a.Response.Elsewhere {
+		if err != nil || !a.Response.NotLeader {
 			return a.Response, err
 		}
 		select {
@@ -96,34 +96,34 @@
 }
 
 // Command gives an order, or takes it back, in a way that has no second effect: a copy of an earlier word that comes late changes nothing.
-func (o *Operator) Command(ctx context.Context, c consensus.OrderCommand) (*consensus.OrderResult, error) {
-	c.Built = true
+func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
+	c.Conditional = true
 	for {
-		r, err := o.Request(ctx, consensus.Request{Order: &c})
+		r, err := o.Request(ctx, consensus.Request{Decision: &c})
 		if err != nil {
 			return nil, err
 		}
-		if r.Order == nil {
+		if r.Decision == nil {
 			return nil, ErrNoLeader
 		}
-		if r.Order.Why == "" {
-			return r.Order, nil
+		if r.Decision.Refusal == "" {
+			return r.Decision, nil
 		}
-		next, again := c.Again(r.Order)
+		next, again := c.Rebase(r.Decision)
 		switch {
 		case again && ctx.Err() == nil:
 			c = next
-		case r.Order.Why == consensus.Meanwhile:
-			return r.Order, nil // it is in force
+		case r.Decision.Refusal == consensus.RefusedConflict:
+			return r.Decision, nil // it is in force
 		default:
-			return nil, errors.New(r.Order.Why)
+			return nil, errors.New(r.Decision.Refusal)
 		}
 	}
 }
 
 // Status asks the process what it knows itself.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
-	a, err := o.request(ctx, consensus.Request{State: true})
+	a, err := o.request(ctx, consensus.Request{Status: true})
 	if err == nil && a.Status == nil {
 		err = errors.New("the process tells no status")
 	}
@@ -133,35 +133,35 @@
 // HoldLease takes a lease for whoever calls it, as a process of the fleet would: it calls held with the token each time that it has it, and
 // returns once ctx ends, after it has given the lease up, or with an error once the lease was lost. Of limit holders there may be at
 // once; all must name the same.
-func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Rules, held func(token uint64)) error {
+func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Timing, held func(token uint64)) error {
 	clock, err := NewClock()
 	if err != nil {
 		return err
 	}
-	k := lease.NewKeeper(r, operatorName+"/"+uuid.NewString(), uuid.NewString())
-	k.Want(name, limit)
+	k := lease.NewClient(r, operatorName+"/"+uuid.NewString(), uuid.NewString())
+	k.Acquire(name, limit)
 	has := uint64(0)
 	for {
 		now := clock.Now()
 		if ctx.Err() != nil {
 			k.Close()
 		}
-		if k.Closed() || ctx.Err() != nil && k.Session() == 0 {
+		if k.Closed() || ctx.Err() != nil && k.SessionID() == 0 {
 			return nil
 		}
 		asks, at := k.Next(now)
 		for _, a := range asks {
-			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.Term)
+			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.TTL)
 			res, err := o.Request(asking, consensus.Request{Lease: &a})
 			cancel()
 			if err != nil && !errors.Is(err, ErrNoLeader) {
 				return err
 			}
 			if res.Lease != nil {
-				k.Answered(clock.Now(), *res.Lease)
+				k.HandleResponse(clock.Now(), *res.Lease)
 			}
 		}
-		token, _, ok := k.Holding(clock.Now(), name)
+		token, _, ok := k.Token(clock.Now(), name)
 		switch {
 		case has != 0 && (!ok || token != has) && ctx.Err() == nil:
 			return fmt.Errorf("the lease %q is lost", name)
@@ -169,7 +169,7 @@
 			has = token
 			held(token)
 		}
-		wait := min(clock.Real(at-clock.Now()), r.RenewEvery()/4)
+		wait := min(clock.Real(at-clock.Now()), r.KeepAliveInterval()/4)
 		if len(asks) > 0 {
 			wait = 0 // its answer may want more to be asked
 		}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -15,7 +15,7 @@
 			cfgs := fleet(b, 3)
 			var all []*Host
 			for i := range cfgs {
-				cfgs[i].Rules.Term, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
+				cfgs[i].Rules.TTL, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
 				if sharing {
 					u := gossip.DefaultConfig()
 					cfgs[i].SharedState = &SharedStateConfig{Gossip: u.GossipInterval, Probe: u.PingInterval, Sync: u.SyncInterval, Keep: u.DeadRetention, Fanout: u.Fanout, Budget: u.CatchUpBudget, Witnesses: 2}
@@ -34,7 +34,7 @@
 				eventually(b, "all have sessions", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
-					return t.session.Session() != 0
+					return t.session.SessionID() != 0
 				})
 			}
 			used := func() (time.Duration, int64) {
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	s.node, err = consensus.New(consensus.Config{ID: id.ID, Rules: t.cfg.Rules, Saved: saved})
+	s.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: t.cfg.Rules, Persisted: saved})
 	if err != nil {
 		return damaged(t.cfg.Store, err)
 	}
@@ -67,12 +67,12 @@
 // propose hands the node a request.
 func (t *Host) propose(s *voter, q consensus.Request, then func(consensus.Response)) {
 	if s.node == nil {
-		then(consensus.Response{Elsewhere: true})
+		then(consensus.Response{NotLeader: true})
 		return
 	}
 	s.lastHandle++
 	s.callbacks[s.lastHandle] = then
-	s.node.Ask(t.clock.Now(), s.lastHandle, q)
+	s.node.Submit(t.clock.Now(), s.lastHandle, q)
 }
 
 // requestAdmission asks the council for an identity.
@@ -81,29 +81,29 @@
 	if now < s.nextAdmission {
 		return
 	}
-	s.nextAdmission = now + t.cfg.Rules.RenewEvery()
-	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: t.cfg.Name, Store: t.store.Identity().Store, Memory: t.cfg.VotersInMemory}}
+	s.nextAdmission = now + t.cfg.Rules.KeepAliveInterval()
+	q := consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: t.cfg.Name, StoreID: t.store.Identity().Store, Volatile: t.cfg.VotersInMemory}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leader.Silence(now, t.cfg.Name) // no seat yet
+	t.leader.Unreachable(now, t.cfg.Name) // no seat yet
 	t.submit(&pendingRequest{request: q, onResponse: func(r consensus.Response) {
-		if r.Seat == nil {
+		if r.Voter == nil {
 			return
 		}
-		got := *r.Seat
+		got := *r.Voter
 		t.tryEnqueue(func(s *voter) { t.handleAdmission(s, got) })
 	}})
 }
 
-func (t *Host) handleAdmission(s *voter, r consensus.SeatResult) {
+func (t *Host) handleAdmission(s *voter, r consensus.VoterResult) {
 	if s.node != nil || s.err != nil {
 		return
 	}
-	if r.ID == 0 {
-		t.log.Error("the council gives this process no seat", "why", r.Why)
+	if r.RaftID == 0 {
+		t.log.Error("the council gives this process no seat", "why", r.Refusal)
 		return
 	}
-	err := t.store.Admitted(r.Fleet, r.ID)
+	err := t.store.Admitted(r.FleetID, r.RaftID)
 	if err == nil {
 		err = t.openVoter(s)
 	}
@@ -113,11 +113,11 @@
 		return
 	}
 	t.mu.Lock()
-	t.fleetID = r.Fleet
+	t.fleetID = r.FleetID
 	t.mu.Unlock()
-	if !r.Voter {
+	if !r.Votes {
 		t.log.Warn("this process' seat was that of another store: it listens and does not vote, since what the other store promised is lost; "+
-			"'sorrelrudder tier member replace' has it vote once the other is gone for good", "id", r.ID)
+			"'sorrelrudder tier member replace' has it vote once the other is gone for good", "id", r.RaftID)
 	}
 }
 
@@ -126,22 +126,22 @@
 	if s.node == nil {
 		return
 	}
-	out, err := s.node.Work(t.clock.Now(), t.store)
+	out, err := s.node.Process(t.clock.Now(), t.store)
 	if err != nil {
 		// After a failed write nobody knows what the disk holds: the file is read again, or not at all, by the next start.
 		s.node, s.err = nil, err
 		t.log.Error("this process has no part in the council until its next start", "err", err)
 		for _, then := range s.callbacks {
-			then(consensus.Response{Elsewhere: true})
+			then(consensus.Response{NotLeader: true})
 		}
 		clear(s.callbacks)
 		return
 	}
 	for _, e := range out.Events {
-		t.log.Info(e.What, e.Args...)
+		t.log.Info(e.Message, e.Args...)
 	}
 	t.mu.Lock()
-	t.applyOperatorCommands(s.node.Fleet())
+	t.applyOperatorCommands(s.node.StateMachine())
 	for _, m := range out.Messages {
 		l := t.linkTo(s.node.NameOf(m.GetTo()))
 		if l == nil {
@@ -155,9 +155,9 @@
 		l.send(kindRaft, data)
 	}
 	var wakes []*conn
-	for _, name := range out.Wakes {
+	for _, name := range out.ChangedMembers {
 		if name == t.cfg.Name {
-			t.session.Wake()
+			t.session.Refresh()
 			t.runDue()
 		} else if c := t.inbound[name]; c != nil {
 			wakes = append(wakes, c)
@@ -178,7 +178,7 @@
 }
 
 // sendTaskRequest sends the request of a slot through its pool, and notes what came of it.
-func (t *Host) sendTaskRequest(r *taskRunner, s task.Send) {
+func (t *Host) sendTaskRequest(r *taskRunner, s task.SlotRequest) {
 	deadline := t.clock.Real(s.Deadline - t.clock.Now())
 	ctx, cancel := context.WithTimeout(t.ctx, deadline)
 	defer cancel()
@@ -187,7 +187,7 @@
 		"X-Request-Id": {name}, "X-Timeout-Ms": {strconv.FormatInt(max(1, deadline.Milliseconds()), 10)},
 		"Fencing-Token": {strconv.FormatUint(s.Token, 10)}, "Task-Slot": {s.Key},
 	}
-	if r.cfg.Effect == task.Keyed {
+	if r.cfg.Idempotency == task.IdempotentByKey {
 		header.Set("Idempotency-Key", s.Key)
 	}
 	if r.cfg.Tenant != "" {
@@ -201,7 +201,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	r.core.Sent(now, outcome, now+max(a.RetryAfter, 20*time.Millisecond))
+	r.core.HandleOutcome(now, outcome, now+max(a.RetryAfter, 20*time.Millisecond))
 	t.runDue()
 }
 
@@ -211,39 +211,39 @@
 	bad, isBad := err.(httpmsg.Bad)
 	switch {
 	case isBad && bad.Refused():
-		return task.Refused
+		return task.OutcomeRejected
 	case isBad:
-		return task.Failed
+		return task.OutcomeFailed
 	case err != nil:
-		return task.Unknown
+		return task.OutcomeUnknown
 	case a.Status >= 200 && a.Status < 300:
-		return task.Done
+		return task.OutcomeDone
 	case plain && a.Header.Get("Via") != "":
-		return task.Failed
+		return task.OutcomeFailed
 	case a.Status == http.StatusServiceUnavailable, a.Status == http.StatusTooManyRequests:
-		return task.Refused
+		return task.OutcomeRejected
 	}
-	return task.Failed
+	return task.OutcomeFailed
 }
 
 // Status is what a process tells operators.
 type Status struct {
-	Name        string               `json:"name"`
-	Incarnation string               `json:"incarnation"`
-	Session     uint64               `json:"session"`
-	Superseded  bool                 `json:"superseded,omitempty"`
-	Holds       map[string]HeldLease `json:"holds,omitempty"`
-	Running     map[string]int64     `json:"running,omitempty"` // slots whose request is out, by task
-	Fleet       string               `json:"fleet,omitempty"`
-	Leader      string               `json:"leader,omitempty"`
-	LinkErrors  map[string]string    `json:"link_errors,omitempty"`
-	SentFrames  int64                `json:"sent_frames"`
-	SentBytes   int64                `json:"sent_bytes"`
-	Syncs       int64                `json:"syncs,omitempty"`   // of the store, since the start
-	Council     *consensus.State     `json:"council,omitempty"` // at those that have a seat
-	Failed      string               `json:"failed,omitempty"`
-	Tasks       map[string]task.Page `json:"tasks,omitempty"`
-	Copies      *SharedStateStatus   `json:"copies,omitempty"`
+	Name        string                 `json:"name"`
+	Incarnation string                 `json:"incarnation"`
+	Session     uint64                 `json:"session"`
+	Superseded  bool                   `json:"superseded,omitempty"`
+	Holds       map[string]HeldLease   `json:"holds,omitempty"`
+	Running     map[string]int64       `json:"running,omitempty"` // slots whose request is out, by task
+	Fleet       string                 `json:"fleet,omitempty"`
+	Leader      string                 `json:"leader,omitempty"`
+	LinkErrors  map[string]string      `json:"link_errors,omitempty"`
+	SentFrames  int64                  `json:"sent_frames"`
+	SentBytes   int64                  `json:"sent_bytes"`
+	Syncs       int64                  `json:"syncs,omitempty"`   // of the store, since the start
+	Council     *consensus.Status      `json:"council,omitempty"` // at those that have a seat
+	Failed      string                 `json:"failed,omitempty"`
+	Tasks       map[string]task.Record `json:"tasks,omitempty"`
+	Copies      *SharedStateStatus     `json:"copies,omitempty"`
 }
 
 // HeldLease is a lease that a process may act on.
@@ -257,7 +257,7 @@
 	t.mu.Lock()
 	now := t.clock.Now()
 	s := &Status{
-		Name: t.cfg.Name, Incarnation: t.session.Start(), Session: t.session.Session(), Superseded: t.session.Gone(), Holds: map[string]HeldLease{},
+		Name: t.cfg.Name, Incarnation: t.session.Incarnation(), Session: t.session.SessionID(), Superseded: t.session.Superseded(), Holds: map[string]HeldLease{},
 		Running: map[string]int64{}, Fleet: t.fleetID, Leader: t.leader.Leader(), LinkErrors: maps.Clone(t.linkErrors),
 		SentFrames: t.traffic.frames.Load(), SentBytes: t.traffic.bytes.Load(),
 	}
@@ -265,12 +265,12 @@
 		s.Syncs = t.store.Syncs()
 	}
 	for _, name := range slices.Clone(t.session.Held(now)) {
-		if token, until, ok := t.session.Holding(now, name); ok {
+		if token, until, ok := t.session.Token(now, name); ok {
 			s.Holds[name] = HeldLease{token, (until - now).Milliseconds()}
 		}
 	}
 	for name, r := range t.runners {
-		if slot := r.core.Running(); slot != 0 {
+		if slot := r.core.InFlightSlot(); slot != 0 {
 			s.Running[name] = slot
 		}
 	}
@@ -285,8 +285,8 @@
 			s.Failed = st.err.Error()
 		}
 		if st.node != nil {
-			s.Council = st.node.State()
-			s.Council.Fleet = s.Council.Fleet.Clone()
+			s.Council = st.node.Status()
+			s.Council.StateMachine = s.Council.StateMachine.Clone()
 		}
 		then(s)
 	})
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -168,11 +168,11 @@
 		return fmt.Errorf("%s: has the identity %d in the fleet %s already; nothing was changed", s.path, s.id.ID, s.id.Fleet)
 	}
 	fleet := uuid.NewString()
-	snap, err := consensus.FoundingSnapshot(consensus.Founded(fleet, s.id.Name, s.id.Store, names))
+	snap, err := consensus.BootstrapSnapshot(consensus.NewStateMachine(fleet, s.id.Name, s.id.Store, names))
 	if err != nil {
 		return err
 	}
-	if err := s.Save(consensus.Saved{Snapshot: snap, Hard: consensus.FoundingState()}, true); err != nil {
+	if err := s.Save(consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}, true); err != nil {
 		return err
 	}
 	return s.Admitted(fleet, 1)
@@ -195,8 +195,8 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// Save is the method of consensus.Disk. What need not be synced is not written: it would be learnt anew after a crash.
-func (s *Store) Save(v consensus.Saved, sync bool) error {
+// Save is the method of consensus.Storage. What need not be synced is not written: it would be learnt anew after a crash.
+func (s *Store) Save(v consensus.PersistentState, sync bool) error {
 	if err := s.fault(); err != nil {
 		return err
 	}
@@ -213,8 +213,8 @@
 			}
 			return b.Put(key, sealFile(data))
 		}
-		if v.Hard != nil {
-			if err := write(state, hardStateKey, v.Hard); err != nil {
+		if v.HardState != nil {
+			if err := write(state, hardStateKey, v.HardState); err != nil {
 				return err
 			}
 		}
@@ -223,7 +223,7 @@
 				return err
 			}
 			upTo := v.Snapshot.GetMetadata().GetIndex()
-			if v.Reset {
+			if v.ReplaceLog {
 				upTo = ^uint64(0)
 			}
 			if err := drop(entries, 0, upTo); err != nil {
@@ -260,7 +260,7 @@
 }
 
 // Load reads all that a node starts with.
-func (s *Store) Load() (v consensus.Saved, err error) {
+func (s *Store) Load() (v consensus.PersistentState, err error) {
 	err = recoverDamage(s.path, func() error {
 		v, err = s.load()
 		return err
@@ -268,7 +268,7 @@
 	return v, err
 }
 
-func (s *Store) load() (v consensus.Saved, err error) {
+func (s *Store) load() (v consensus.PersistentState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		read := func(sealed []byte, m proto.Message) error {
 			data, err := unsealFile(sealed)
@@ -279,8 +279,8 @@
 		}
 		state := tx.Bucket(stateBucket)
 		if data := state.Get(hardStateKey); data != nil {
-			v.Hard = &raftpb.HardState{}
-			if err := read(data, v.Hard); err != nil {
+			v.HardState = &raftpb.HardState{}
+			if err := read(data, v.HardState); err != nil {
 				return err
 			}
 		}
@@ -303,7 +303,7 @@
 		})
 	})
 	if err != nil {
-		return consensus.Saved{}, damaged(s.path, err)
+		return consensus.PersistentState{}, damaged(s.path, err)
 	}
 	return v, nil
 }
--- a/internal/fleet/tier.go
+++ b/internal/fleet/tier.go
@@ -32,7 +32,7 @@
 	VotersInMemory bool              // the council is in memory: with its majority all that was promised is forgotten
 	Voters         []string          // who may have a seat
 	Members        map[string]string // addresses by name
-	Rules          lease.Rules
+	Rules          lease.Timing
 	Tick           time.Duration // of the council: a leader that is silent for ten is replaced
 	Tasks          []Task
 	SharedState    *SharedStateConfig // nil: the process shares no state with others
@@ -84,14 +84,14 @@
 	timer      *time.Timer
 
 	mu                  sync.Mutex
-	session             *lease.Keeper
+	session             *lease.Client
 	runners             map[string]*taskRunner
 	links               map[string]*link
 	inbound             map[string]*conn // by the peer's name, the newest
 	conns               map[*conn]struct{}
 	pending             map[uint64]*pendingRequest
 	lastHandle          uint64
-	leader              *consensus.Guide
+	leader              *consensus.LeaderTracker
 	loggedLeases        map[string]uint64 // as it was logged
 	leaving             bool
 	loggedChanges       uint64 // keeper's changes that were told
@@ -146,9 +146,9 @@
 	}
 	t := &Host{
 		cfg: cfg, log: log.With("tier", cfg.Name), clock: clock, secret: secret, inbox: make(chan func(*voter), inboxLength),
-		session: lease.NewKeeper(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*taskRunner{}, links: map[string]*link{},
+		session: lease.NewClient(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*taskRunner{}, links: map[string]*link{},
 		inbound: map[string]*conn{}, conns: map[*conn]struct{}{}, pending: map[uint64]*pendingRequest{}, loggedLeases: map[string]uint64{}, linkErrors: map[string]string{}, handovers: map[string]string{},
-		rejectionLoggedAt: -rejectionLogInterval, leader: consensus.NewGuide(cfg.Voters, len(cfg.Name), cfg.Rules.RenewEvery()),
+		rejectionLoggedAt: -rejectionLogInterval, leader: consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.Rules.KeepAliveInterval()),
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
 	if cfg.Store != "" {
@@ -180,8 +180,8 @@
 	}
 	t.mu.Lock()
 	for _, cfg := range t.cfg.Tasks {
-		t.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, t.cfg.Rules.RenewEvery()/2, t.cfg.Rules.RenewEvery())}
-		t.session.Want(taskLeaseName(cfg.Name), 1)
+		t.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, t.cfg.Rules.KeepAliveInterval()/2, t.cfg.Rules.KeepAliveInterval())}
+		t.session.Acquire(taskLeaseName(cfg.Name), 1)
 	}
 	err := t.startSharedState(s)
 	t.timer = time.NewTimer(0)
@@ -199,7 +199,7 @@
 func (t *Host) incarnation() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.session.Start()
+	return t.session.Incarnation()
 }
 
 // Addr is where other processes connect.
@@ -227,7 +227,7 @@
 	t.mu.Unlock()
 	for time.Now().Before(until) {
 		t.mu.Lock()
-		closed := t.session.Closed() || t.session.Session() == 0
+		closed := t.session.Closed() || t.session.SessionID() == 0
 		t.mu.Unlock()
 		if closed {
 			break
@@ -237,7 +237,7 @@
 	handed := make(chan struct{})
 	t.enqueue(func(s *voter) {
 		if s.node != nil {
-			s.node.Transfer()
+			s.node.TransferLeadership()
 		}
 		close(handed)
 	})
@@ -284,7 +284,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	token, until, ok := t.session.Holding(now, name)
+	token, until, ok := t.session.Token(now, name)
 	return token, t.clock.Real(until - now), ok
 }
 
@@ -292,7 +292,7 @@
 func (t *Host) AcquireLease(name string, limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.session.Want(name, limit)
+	t.session.Acquire(name, limit)
 	t.runDue()
 }
 
@@ -300,7 +300,7 @@
 func (t *Host) ReleaseLease(name, to string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.session.Unwant(name, to)
+	t.session.Release(name, to)
 	t.runDue()
 }
 
@@ -358,16 +358,16 @@
 	asks, at := t.session.Next(now)
 	for _, a := range asks {
 		t.submit(&pendingRequest{request: consensus.Request{Lease: &a}, onResponse: func(r consensus.Response) {
-			t.noteDecided(now, r.Decided)
+			t.noteDecided(now, r.Digest)
 			if r.Lease != nil {
-				t.session.Answered(t.clock.Now(), *r.Lease)
+				t.session.HandleResponse(t.clock.Now(), *r.Lease)
 			}
 		}})
 	}
 	t.logLeaseChanges(now)
 	wall := time.Now()
 	for _, r := range t.runners {
-		token, until, _ := t.session.Holding(now, taskLeaseName(r.cfg.Name))
+		token, until, _ := t.session.Token(now, taskLeaseName(r.cfg.Name))
 		if _, passing := t.handovers[taskLeaseName(r.cfg.Name)]; (t.leaving || passing) && !r.core.Busy() {
 			continue
 		}
@@ -379,31 +379,31 @@
 		at = min(at, t.runGossip(now))
 	}
 	for handle, c := range t.pending { // those whose answer is late, or was lost
-		if !c.late && now > c.sentAt+t.cfg.Rules.RenewEvery()/2 {
+		if !c.late && now > c.sentAt+t.cfg.Rules.KeepAliveInterval()/2 {
 			c.late = true
-			t.leader.Silence(now, c.sentTo)
+			t.leader.Unreachable(now, c.sentTo)
 		}
-		if now > c.sentAt+t.cfg.Rules.Term {
+		if now > c.sentAt+t.cfg.Rules.TTL {
 			delete(t.pending, handle)
 			if c.onLost != nil {
 				c.onLost()
 			}
 		}
 	}
-	t.timer.Reset(max(time.Millisecond, min(t.clock.Real(at-now), t.cfg.Rules.Term)))
+	t.timer.Reset(max(time.Millisecond, min(t.clock.Real(at-now), t.cfg.Rules.TTL)))
 }
 
 // logLeaseChanges logs what has changed of what this process holds. The caller has mu.
 func (t *Host) logLeaseChanges(now time.Duration) {
 	// With many leases each look costs.
-	n, lapsed := t.session.Changes(), now >= t.session.Until()
+	n, lapsed := t.session.Revision(), now >= t.session.ValidUntil()
 	if n == t.loggedChanges && lapsed == t.loggedLapsed || len(t.loggedLeases) > manyLeases && now < t.leasesLoggedAt+leaseLogInterval {
 		return
 	}
 	t.loggedChanges, t.loggedLapsed, t.leasesLoggedAt = n, lapsed, now
 	held := map[string]uint64{}
 	for _, name := range t.session.Held(now) {
-		if token, _, ok := t.session.Holding(now, name); ok {
+		if token, _, ok := t.session.Token(now, name); ok {
 			held[name] = token
 		}
 	}
@@ -418,7 +418,7 @@
 		}
 	}
 	t.loggedLeases = held
-	if t.session.Gone() && !t.leaving {
+	if t.session.Superseded() && !t.leaving {
 		t.leaving = true
 		if t.shared != nil {
 			t.sendGossip(t.shared.node.Leave(now))
@@ -430,21 +430,21 @@
 // runTaskAction carries out what a task's runner wants. The caller has mu.
 func (t *Host) runTaskAction(r *taskRunner, a task.Action) {
 	switch {
-	case a.Look:
-		asked := r.core.LookedAt()
-		t.submit(&pendingRequest{request: consensus.Request{Pages: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
-			if res.Pages != nil {
-				r.core.Looked(t.clock.Now(), asked, res.Pages[r.cfg.Name])
+	case a.FetchRecord:
+		asked := r.core.FetchedAt()
+		t.submit(&pendingRequest{request: consensus.Request{TaskRecords: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
+			if res.TaskRecords != nil {
+				r.core.HandleRecord(t.clock.Now(), asked, res.TaskRecords[r.cfg.Name])
 			}
 		}})
 	case a.Command != nil:
 		c := *a.Command
-		t.submit(&pendingRequest{request: consensus.Request{Slot: &c}, onResponse: func(res consensus.Response) {
-			if res.Slot != nil {
+		t.submit(&pendingRequest{request: consensus.Request{Task: &c}, onResponse: func(res consensus.Response) {
+			if res.Task != nil {
 				now := t.clock.Now()
-				token, _, _ := t.session.Holding(now, taskLeaseName(r.cfg.Name))
-				r.core.Answered(now, c, *res.Slot, token)
-				if c.Op == task.Finish && res.Slot.Why == "" {
+				token, _, _ := t.session.Token(now, taskLeaseName(r.cfg.Name))
+				r.core.HandleResult(now, c, *res.Task, token)
+				if c.Op == task.OpFinish && res.Task.Refusal == "" {
 					t.log.Info("task slot", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
 				}
 			}
@@ -477,7 +477,7 @@
 	if to == t.cfg.Name && t.store != nil {
 		q := c.request
 		if !t.tryEnqueue(func(s *voter) { t.propose(s, q, func(r consensus.Response) { t.handleResponse(handle, r) }) }) {
-			t.leader.Silence(now, to)
+			t.leader.Unreachable(now, to)
 		}
 		return
 	}
@@ -488,7 +488,7 @@
 	}
 	l := t.linkTo(to)
 	if l == nil || !l.send(kindRequest, data) {
-		t.leader.Silence(now, to)
+		t.leader.Unreachable(now, to)
 	}
 }
 
@@ -514,8 +514,8 @@
 	if c == nil {
 		return
 	}
-	if r.Elsewhere {
-		if t.leader.Elsewhere(t.clock.Now(), c.sentTo, r.Leader) && c.forwards < maxForwards {
+	if r.NotLeader {
+		if t.leader.Redirected(t.clock.Now(), c.sentTo, r.Leader) && c.forwards < maxForwards {
 			c.forwards++
 			t.sendToLeader(handle, c)
 			return
@@ -524,7 +524,7 @@
 		c.onResponse(r)
 		return
 	}
-	t.leader.Led(c.sentTo)
+	t.leader.LeaderConfirmed(c.sentTo)
 	delete(t.pending, handle)
 	c.onResponse(r)
 	t.runDue()
@@ -546,7 +546,7 @@
 	}, t.handleFrame, func(err error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.leader.Silence(t.clock.Now(), name)
+		t.leader.Unreachable(t.clock.Now(), name)
 		if t.linkErrors[name] != err.Error() {
 			t.linkErrors[name] = err.Error()
 			t.log.Warn("the link to a member is broken", "member", name, "err", err)
@@ -686,7 +686,7 @@
 			if s.node == nil {
 				return
 			}
-			s.node.Heard(m.GetFrom(), from)
+			s.node.LearnName(m.GetFrom(), from)
 			if err := s.node.Step(t.clock.Now(), m); err != nil {
 				t.logRejectedConnection(from, err)
 			}
@@ -713,7 +713,7 @@
 		t.handleGossip(c.peer.Name, payload)
 	case kindWake:
 		t.mu.Lock()
-		t.session.Wake()
+		t.session.Refresh()
 		t.runDue()
 		t.mu.Unlock()
 	}
@@ -747,18 +747,18 @@
 		done(t.startHandover(*a.Handover))
 	case c.peer.Name == operatorName && a.Forget != "":
 		done(t.forgetEntry(a.Forget))
-	case a.Request.State:
+	case a.Request.Status:
 		t.status(func(s *Status) { answer(consensus.Response{}, s) })
 	case c.peer.Name == operatorName:
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		c := &pendingRequest{request: a.Request, onResponse: func(r consensus.Response) { t.goroutines.Go(func() { answer(r, nil) }) }}
-		if o := a.Request.Order; o != nil && o.Built { // its answer may be lost with a leader: asking again has no second effect
-			c.onLost = func() { c.onResponse(consensus.Response{Elsewhere: true}) }
+		if o := a.Request.Decision; o != nil && o.Conditional { // its answer may be lost with a leader: asking again has no second effect
+			c.onLost = func() { c.onResponse(consensus.Response{NotLeader: true}) }
 		}
 		t.submit(c)
 	case t.store == nil:
-		answer(consensus.Response{Elsewhere: true}, nil)
+		answer(consensus.Response{NotLeader: true}, nil)
 	default:
 		t.enqueue(func(s *voter) { t.propose(s, a.Request, func(r consensus.Response) { answer(r, nil) }) })
 	}
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/tier_test.go
@@ -98,7 +98,7 @@
 	for _, name := range names {
 		all = append(all, Config{
 			Name: name, Secret: secret, Store: filepath.Join(dir, name+".db"), Voters: names, Members: members, Tick: 10 * time.Millisecond,
-			Rules: lease.Rules{Term: 600 * time.Millisecond, Drift: 0.01, Guard: 10 * time.Millisecond}, Tasks: tasks,
+			Rules: lease.Timing{TTL: 600 * time.Millisecond, MaxClockDrift: 0.01, SafetyMargin: 10 * time.Millisecond}, Tasks: tasks,
 		})
 	}
 	s, err := OpenStore(all[0].Store, names[0])
@@ -133,7 +133,7 @@
 func TestThreeProcesses(t *testing.T) {
 	farm := &servers{}
 	cfgs := fleet(t, 3, Task{
-		Spec: task.Spec{Name: "sweep", Every: 20 * time.Millisecond, Missed: task.Once, Effect: task.Keyed, Window: time.Minute, Deadline: 200 * time.Millisecond, Tries: 3},
+		Spec: task.Spec{Name: "sweep", Interval: 20 * time.Millisecond, Missed: task.MissedRunNewest, Idempotency: task.IdempotentByKey, DedupWindow: time.Minute, Deadline: 200 * time.Millisecond, MaxAttempts: 3},
 		Pool: "farm", Method: "POST", Path: "/delivery-order/sweep",
 	})
 	var all []*Host
@@ -239,9 +239,9 @@
 		t.Fatal(err)
 	}
 	defer o.Close()
-	r, err := o.Request(ctx, consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: "p2"}})
-	if err != nil || r.Seat == nil || r.Seat.Why != "" {
-		t.Fatalf("%+v, %v", r.Seat, err)
+	r, err := o.Request(ctx, consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpReplace, Name: "p2"}})
+	if err != nil || r.Voter == nil || r.Voter.Refusal != "" {
+		t.Fatalf("%+v, %v", r.Voter, err)
 	}
 	eventually(t, "it votes", func() bool {
 		s := status(all[2])
@@ -323,17 +323,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	save := func(v consensus.Saved) {
+	save := func(v consensus.PersistentState) {
 		t.Helper()
 		if err := s.Save(v, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	term, commit := uint64(3), uint64(2)
-	save(consensus.Saved{Hard: &raftpb.HardState{Term: &term, Commit: &commit}, Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 2, "c"), entry(4, 2, "d")}})
-	save(consensus.Saved{Entries: []*raftpb.Entry{entry(3, 3, "C")}})
+	save(consensus.PersistentState{HardState: &raftpb.HardState{Term: &term, Commit: &commit}, Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 2, "c"), entry(4, 2, "d")}})
+	save(consensus.PersistentState{Entries: []*raftpb.Entry{entry(3, 3, "C")}})
 	snap := &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{Index: &commit, Term: &term}}
-	save(consensus.Saved{Snapshot: snap})
+	save(consensus.PersistentState{Snapshot: snap})
 	if err := s.Admitted("fleet", 7); err != nil {
 		t.Fatal(err)
 	}
@@ -352,10 +352,10 @@
 		t.Fatal(err)
 	}
 	if id := s.Identity(); id.ID != 7 || id.Fleet != "fleet" || len(v.Entries) != 1 || string(v.Entries[0].GetData()) != "C" ||
-		v.Hard.GetTerm() != 3 || !proto.Equal(v.Snapshot, snap) {
+		v.HardState.GetTerm() != 3 || !proto.Equal(v.Snapshot, snap) {
 		t.Errorf("%+v, %+v", id, v)
 	}
-	save(consensus.Saved{Snapshot: snap, Reset: true})
+	save(consensus.PersistentState{Snapshot: snap, ReplaceLog: true})
 	if v, err = s.Load(); err != nil || len(v.Entries) != 0 {
 		t.Errorf("entries of another history are left: %+v, %v", v.Entries, err)
 	}
@@ -370,7 +370,7 @@
 		t.Fatal(err)
 	}
 	mark := "a promise that is kept"
-	if err := s.Save(consensus.Saved{Entries: []*raftpb.Entry{entry(1, 1, mark)}}, true); err != nil {
+	if err := s.Save(consensus.PersistentState{Entries: []*raftpb.Entry{entry(1, 1, mark)}}, true); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -441,7 +441,7 @@
 		if err != nil {
 			return
 		}
-		n, err := consensus.New(consensus.Config{ID: 1, Rules: lease.Rules{Term: time.Second}})
+		n, err := consensus.New(consensus.Config{ID: 1, LeaseTiming: lease.Timing{TTL: time.Second}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -496,7 +496,7 @@
 		t.Errorf("a third has it, by %d", token)
 	case token := <-all[2].token:
 		t.Errorf("a third has it, by %d", token)
-	case <-time.After(2 * cfgs[0].Rules.Term):
+	case <-time.After(2 * cfgs[0].Rules.TTL):
 	}
 	all[who].end()
 	if err := <-all[who].err; err != nil {
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	token, _, held := t.session.Holding(now, zoneview.LeaseName)
+	token, _, held := t.session.Token(now, zoneview.LeaseName)
 	if !held {
 		clear(z.ramps) // whoever holds it next begins anew
 		return
@@ -89,7 +89,7 @@
 				}
 			}
 		}
-		if change == nil || z.proposalPending && now < z.proposedAt+t.cfg.Rules.RenewEvery() {
+		if change == nil || z.proposalPending && now < z.proposedAt+t.cfg.Rules.KeepAliveInterval() {
 			continue // without an answer it is asked again: After tells a late copy from a new one
 		}
 		key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
@@ -102,13 +102,13 @@
 		}
 		z.proposalPending, z.proposedAt = true, now
 		command := zoneview.ShiftCommand(k.node, pool, *change, token)
-		t.submit(&pendingRequest{request: consensus.Request{Order: &command}, onResponse: func(r consensus.Response) {
+		t.submit(&pendingRequest{request: consensus.Request{Decision: &command}, onResponse: func(r consensus.Response) {
 			z.proposalPending = false
-			if r.Order == nil || r.Order.Why != "" {
+			if r.Decision == nil || r.Decision.Refusal != "" {
 				return // it is looked at again
 			}
-			t.log.Warn("a zone is decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Relapses, "why", change.State.Reason, "epoch", r.Order.Number)
-			k.node.ApplyDecision(key, r.Order.Number, []byte(change.State.Encode()))
+			t.log.Warn("a zone is decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Relapses, "why", change.State.Reason, "epoch", r.Decision.Number)
+			k.node.ApplyDecision(key, r.Decision.Number, []byte(change.State.Encode()))
 		}})
 	}
 }
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -12,18 +12,18 @@
 
 // TestGoldenSnapshot: a snapshot is written and read as it was by earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
-	m := &Machine{
-		Last: 9,
+	m := &StateMachine{
+		LastID: 9,
 		Sessions: map[uint64]*Session{
 			3: {
-				Member: "p0", Nonce: "n0.1", Version: 4, Seq: 2, Answers: map[uint64]Result{2: {Why: Taken, Session: 3, Token: 4, Place: 1, Version: 4, Before: 3}},
-				Holds: map[string]uint64{"task/sweep": 4}, Waits: map[string]bool{},
+				Member: "p0", Nonce: "n0.1", Version: 4, LastSeq: 2, Results: map[uint64]Result{2: {Refusal: RefusedHeld, SessionID: 3, Token: 4, QueuePosition: 1, Version: 4, PreviousVersion: 3}},
+				Tokens: map[string]uint64{"task/sweep": 4}, Waiting: map[string]bool{},
 			},
-			5: {Member: "p1", Nonce: "n1.1", Superseded: true, Version: 6, Answers: map[uint64]Result{}, Holds: map[string]uint64{}, Waits: map[string]bool{"task/sweep": true}},
+			5: {Member: "p1", Nonce: "n1.1", Superseded: true, Version: 6, Results: map[uint64]Result{}, Tokens: map[string]uint64{}, Waiting: map[string]bool{"task/sweep": true}},
 		},
-		Names: map[string]*Entry{
-			"task/sweep": {Limit: 1, Holders: []Hold{{Session: 3, Token: 4}}, Waiters: []uint64{5}},
-			"zones":      {Limit: 2, Holders: []Hold{{Session: 5, Token: 6, Revoked: true}}},
+		Leases: map[string]*Lease{
+			"task/sweep": {Limit: 1, Holders: []Grant{{SessionID: 3, Token: 4}}, Waiters: []uint64{5}},
+			"zones":      {Limit: 2, Holders: []Grant{{SessionID: 5, Token: 6, Revoked: true}}},
 		},
 		Revoked: map[uint64]string{6: "zones"},
 	}
@@ -55,19 +55,19 @@
 		got  Op
 		want string
 	}{
-		{Open, "open"}, {Acquire, "acquire"}, {Release, "release"}, {Pass, "pass"}, {Close, "close"}, {Expire, "expire"}, {Revoke, "revoke"}, {Free, "free"},
+		{OpOpen, "open"}, {OpAcquire, "acquire"}, {OpRelease, "release"}, {OpTransfer, "pass"}, {OpClose, "close"}, {OpExpire, "expire"}, {OpRevoke, "revoke"}, {OpReclaim, "free"},
 	} {
 		if string(c.got) != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
 		}
 	}
 	for _, c := range []struct {
-		got  Why
+		got  Refusal
 		want string
 	}{
-		{NoSession, "no such session"}, {Superseded, "another process has the name"}, {Full, "no room"}, {Taken, "held by others"},
-		{OtherLimit, "in use with another limit"}, {NotHeld, "not held by this session"}, {NoMember, "no such member"},
-		{Forgotten, "asked too long ago"}, {Malformed, "malformed"},
+		{RefusedNoSession, "no such session"}, {RefusedSuperseded, "another process has the name"}, {RefusedLimitReached, "no room"}, {RefusedHeld, "held by others"},
+		{RefusedLimitMismatch, "in use with another limit"}, {RefusedNotHeld, "not held by this session"}, {RefusedUnknownMember, "no such member"},
+		{RefusedStale, "asked too long ago"}, {RefusedMalformed, "malformed"},
 	} {
 		if string(c.got) != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -7,405 +7,405 @@
 	"time"
 )
 
-// Ask is what a process asks the council for its session: to renew it, or to carry out a command.
-type Ask struct {
-	ID      uint64   `json:"id"` // of this asking; the answer bears it
-	Member  string   `json:"member"`
-	Session uint64   `json:"session,omitempty"`
-	Have    uint64   `json:"have,omitempty"` // Renew: the version of the listing that the asker has
-	Command *Command `json:"command,omitempty"`
+// Request is what a process asks the council for its session: to renew it, or to carry out a command.
+type Request struct {
+	ID           uint64   `json:"id"` // of this asking; the answer bears it
+	Member       string   `json:"member"`
+	SessionID    uint64   `json:"session,omitempty"`
+	KnownVersion uint64   `json:"have,omitempty"` // Renew: the version of the listing that the asker has
+	Command      *Command `json:"command,omitempty"`
 }
 
-// Answer is the council's.
-type Answer struct {
-	ID      uint64   `json:"id"`
-	Why     Why      `json:"why,omitempty"`  // of a renewal that was refused
-	Last    uint64   `json:"last,omitempty"` // of a renewal without a session: Command.After of the next Open
-	Result  *Result  `json:"result,omitempty"`
-	Listing *Listing `json:"listing,omitempty"` // of a renewal, if it differs from what the asker has
+// Response is the council's.
+type Response struct {
+	ID       uint64    `json:"id"`
+	Refusal  Refusal   `json:"why,omitempty"`  // of a renewal that was refused
+	LastID   uint64    `json:"last,omitempty"` // of a renewal without a session: Command.After of the next Open
+	Result   *Result   `json:"result,omitempty"`
+	Holdings *Holdings `json:"listing,omitempty"` // of a renewal, if it differs from what the asker has
 }
 
-// Keeper is a process' own side: it decides what to ask next, and until when the process may act. Its times are of the process'
+// Client is a process' own side: it decides what to ask next, and until when the process may act. Its times are of the process'
 // monotonic clock.
-type Keeper struct {
-	rules  Rules
-	member string
-	start  string // nonce of the process' start
-
-	session  uint64
-	opened   int    // how often a session was opened: each has another nonce
-	after    uint64 // for the next Open
-	looked   bool   // after is known
-	seq      uint64
-	until    time.Duration // the session may be relied on until then
-	version  uint64
-	holds    map[string]uint64
-	wants    map[string]want
-	queue    []string // wanted names that are to be asked for; one may be there twice
-	changes  uint64
-	passing  map[string]string // names that are to be given up, and to whom; empty: to whoever waits
-	again    map[string]int    // of those the ones that are wanted again then, and their limits
-	closing  bool
-	gone     bool // another process has the name
-	lastID   uint64
-	sent     map[uint64]asked
-	renewAt  time.Duration
-	stale    bool // what the session holds has changed in a way that was not told
-	commands map[string]*command
+type Client struct {
+	timing      Timing
+	member      string
+	incarnation string // nonce of the process' start
+
+	sessionID       uint64
+	openCount       int    // how often a session was opened: each has another nonce
+	knownLastID     uint64 // for the next Open
+	lastIDKnown     bool   // after is known
+	lastSeq         uint64
+	validUntil      time.Duration // the session may be relied on until then
+	holdingsVersion uint64
+	tokens          map[string]uint64
+	wanted          map[string]wantedLease
+	acquireQueue    []string // wanted names that are to be asked for; one may be there twice
+	revision        uint64
+	releasing       map[string]string // names that are to be given up, and to whom; empty: to whoever waits
+	reacquire       map[string]int    // of those the ones that are wanted again then, and their limits
+	closing         bool
+	superseded      bool // another process has the name
+	lastRequestID   uint64
+	inFlight        map[uint64]sentRequest
+	keepAliveAt     time.Duration
+	refreshDue      bool // what the session holds has changed in a way that was not told
+	pending         map[string]*pendingCommand
 }
 
-type want struct {
-	limit  int
-	placed bool // the council knows
+type wantedLease struct {
+	limit      int
+	registered bool // the council knows
 }
 
-// asked is an ask that was sent.
-type asked struct {
-	at   time.Duration
-	name string // of the command; empty: a renewal
-	open bool
+// sentRequest is an ask that was sent.
+type sentRequest struct {
+	sentAt    time.Duration
+	leaseName string // of the command; empty: a renewal
+	isOpen    bool
 }
 
-// command is one that is being asked, until it has its answer.
-type command struct {
+// pendingCommand is one that is being asked, until it has its answer.
+type pendingCommand struct {
 	Command
-	next time.Duration // when it is asked again
+	retryAt time.Duration // when it is asked again
 }
 
 const (
-	// mostAsked bounds the asks that are remembered: an answer to an older one is not used.
-	mostAsked = 64
-	// openName and closeName stand for commands that concern no lease; no lease has these names.
-	openName, closeName = "\x00open", "\x00close"
+	// maxInFlight bounds the asks that are remembered: an answer to an older one is not used.
+	maxInFlight = 64
+	// openKey and closeName stand for commands that concern no lease; no lease has these names.
+	openKey, closeKey = "\x00open", "\x00close"
 )
 
-// NewKeeper returns that of a process without a session. start differs at each start of any process.
-func NewKeeper(r Rules, member, start string) *Keeper {
-	return &Keeper{
-		rules: r, member: member, start: start, until: -1, holds: map[string]uint64{}, wants: map[string]want{}, passing: map[string]string{}, again: map[string]int{},
-		sent: map[uint64]asked{}, commands: map[string]*command{},
+// NewClient returns that of a process without a session. start differs at each start of any process.
+func NewClient(r Timing, member, start string) *Client {
+	return &Client{
+		timing: r, member: member, incarnation: start, validUntil: -1, tokens: map[string]uint64{}, wanted: map[string]wantedLease{}, releasing: map[string]string{}, reacquire: map[string]int{},
+		inFlight: map[uint64]sentRequest{}, pending: map[string]*pendingCommand{},
 	}
 }
 
-// Want has the process hold name, of which limit may be held at once, or wait for it.
-func (k *Keeper) Want(name string, limit int) {
-	if _, had := k.wants[name]; !had {
-		k.wants[name] = want{limit: limit}
-		k.queue = append(k.queue, name)
-		delete(k.passing, name)
-		k.changes++
+// Acquire has the process hold name, of which limit may be held at once, or wait for it.
+func (k *Client) Acquire(name string, limit int) {
+	if _, had := k.wanted[name]; !had {
+		k.wanted[name] = wantedLease{limit: limit}
+		k.acquireQueue = append(k.acquireQueue, name)
+		delete(k.releasing, name)
+		k.revision++
 	}
 }
 
-// Changes counts what may have changed Held beside the time.
-func (k *Keeper) Changes() uint64 { return k.changes }
+// Revision counts what may have changed Held beside the time.
+func (k *Client) Revision() uint64 { return k.revision }
 
-// Until is until when the session may be relied on, with all that it holds.
-func (k *Keeper) Until() time.Duration { return k.until }
+// ValidUntil is until when the session may be relied on, with all that it holds.
+func (k *Client) ValidUntil() time.Duration { return k.validUntil }
 
-// Unwant gives up name, to the member named to or, if that is empty, to whoever waits. From now on the process may not act on it: what
+// Release gives up name, to the member named to or, if that is empty, to whoever waits. From now on the process may not act on it: what
 // it does about it must have ended.
-func (k *Keeper) Unwant(name, to string) {
-	if _, had := k.wants[name]; had {
-		delete(k.wants, name)
-		k.passing[name] = to
-		k.changes++
+func (k *Client) Release(name, to string) {
+	if _, had := k.wanted[name]; had {
+		delete(k.wanted, name)
+		k.releasing[name] = to
+		k.revision++
 	}
 }
 
-// Handover gives name up to the member named to, and waits for it again behind all others. What the process does about it must have ended.
-func (k *Keeper) Handover(name, to string) {
-	w, had := k.wants[name]
-	if !had || k.holds[name] == 0 {
+// Transfer gives name up to the member named to, and waits for it again behind all others. What the process does about it must have ended.
+func (k *Client) Transfer(name, to string) {
+	w, had := k.wanted[name]
+	if !had || k.tokens[name] == 0 {
 		return
 	}
-	k.Unwant(name, to)
-	k.again[name] = w.limit
+	k.Release(name, to)
+	k.reacquire[name] = w.limit
 }
 
 // Close gives up all at once and for good. What the process does about its leases must have ended.
-func (k *Keeper) Close() {
+func (k *Client) Close() {
 	k.closing = true
-	k.changes++
-	clear(k.holds)
+	k.revision++
+	clear(k.tokens)
 }
 
 // Closed reports whether nothing is left to give up.
-func (k *Keeper) Closed() bool { return k.closing && k.session == 0 }
+func (k *Client) Closed() bool { return k.closing && k.sessionID == 0 }
 
-// Gone reports whether another process has this one's name: it gets no session any more.
-func (k *Keeper) Gone() bool { return k.gone }
+// Superseded reports whether another process has this one's name: it gets no session any more.
+func (k *Client) Superseded() bool { return k.superseded }
 
-// Start is the nonce of the process' start: its incarnation.
-func (k *Keeper) Start() string { return k.start }
+// Incarnation is the nonce of the process' start: its incarnation.
+func (k *Client) Incarnation() string { return k.incarnation }
 
-// Session is the number of the present session, 0 without one.
-func (k *Keeper) Session() uint64 { return k.session }
+// SessionID is the number of the present session, 0 without one.
+func (k *Client) SessionID() uint64 { return k.sessionID }
 
-// Holding says whether the process may act on name now, with which fencing token, and until when.
-func (k *Keeper) Holding(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
-	token = k.holds[name]
-	if _, wanted := k.wants[name]; token == 0 || !wanted || k.closing || now >= k.until {
+// Token says whether the process may act on name now, with which fencing token, and until when.
+func (k *Client) Token(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
+	token = k.tokens[name]
+	if _, wanted := k.wanted[name]; token == 0 || !wanted || k.closing || now >= k.validUntil {
 		return 0, 0, false
 	}
-	return token, k.until, true
+	return token, k.validUntil, true
 }
 
 // Held are the names that the process may act on now.
-func (k *Keeper) Held(now time.Duration) []string {
-	if now >= k.until || k.closing {
+func (k *Client) Held(now time.Duration) []string {
+	if now >= k.validUntil || k.closing {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(k.holds))
+	return slices.Sorted(maps.Keys(k.tokens))
 }
 
-// retry is how long an answer is waited for.
-func (k *Keeper) retry() time.Duration { return k.rules.RenewEvery() / 2 }
+// retryInterval is how long an answer is waited for.
+func (k *Client) retryInterval() time.Duration { return k.timing.KeepAliveInterval() / 2 }
 
 // Next returns what to ask now, and when to look again at the latest.
-func (k *Keeper) Next(now time.Duration) (asks []Ask, at time.Duration) {
-	if k.gone || k.Closed() {
-		return nil, now + k.rules.Term
+func (k *Client) Next(now time.Duration) (asks []Request, at time.Duration) {
+	if k.superseded || k.Closed() {
+		return nil, now + k.timing.TTL
 	}
 	switch {
-	case k.session == 0 && !k.looked:
+	case k.sessionID == 0 && !k.lastIDKnown:
 		// A look at the council first: Command.After is what tells a late copy of Open from a new one.
-		if now >= k.renewAt {
-			asks = append(asks, k.ask(now, asked{}, Ask{}))
-			k.renewAt = now + k.retry()
+		if now >= k.keepAliveAt {
+			asks = append(asks, k.newRequest(now, sentRequest{}, Request{}))
+			k.keepAliveAt = now + k.retryInterval()
 		}
-		return asks, k.renewAt
-	case k.session == 0:
-		k.demand(openName, Command{Op: Open, Nonce: k.nonce(), After: k.after})
+		return asks, k.keepAliveAt
+	case k.sessionID == 0:
+		k.enqueue(openKey, Command{Op: OpOpen, Nonce: k.nonce(), KnownLastID: k.knownLastID})
 	case k.closing:
-		clear(k.commands) // no other is of use any more
-		k.demand(closeName, Command{Op: Close})
+		clear(k.pending) // no other is of use any more
+		k.enqueue(closeKey, Command{Op: OpClose})
 	default:
-		for len(k.queue) > 0 {
-			name := k.queue[0]
-			if w, wanted := k.wants[name]; wanted && !w.placed && k.commands[name] == nil &&
-				!k.demand(name, Command{Op: Acquire, Name: name, Limit: w.limit, Wait: true}) {
+		for len(k.acquireQueue) > 0 {
+			name := k.acquireQueue[0]
+			if w, wanted := k.wanted[name]; wanted && !w.registered && k.pending[name] == nil &&
+				!k.enqueue(name, Command{Op: OpAcquire, Name: name, Limit: w.limit, Wait: true}) {
 				break // as much is out as may be
 			}
-			k.queue = k.queue[1:] // one that is being asked comes back with its answer
+			k.acquireQueue = k.acquireQueue[1:] // one that is being asked comes back with its answer
 		}
-		for _, name := range slices.Sorted(maps.Keys(k.passing)) {
-			to := k.passing[name]
-			if c := k.commands[name]; c != nil && c.Op == Acquire {
+		for _, name := range slices.Sorted(maps.Keys(k.releasing)) {
+			to := k.releasing[name]
+			if c := k.pending[name]; c != nil && c.Op == OpAcquire {
 				continue // its answer first: a release that overtakes it would leave the lease behind
 			}
-			op := Release
-			if to != "" && k.holds[name] != 0 {
-				op = Pass
+			op := OpRelease
+			if to != "" && k.tokens[name] != 0 {
+				op = OpTransfer
 			}
-			k.demand(name, Command{Op: op, Name: name, To: to, Token: k.holds[name]})
+			k.enqueue(name, Command{Op: op, Name: name, To: to, Token: k.tokens[name]})
 		}
-		if k.stale || now >= k.renewAt {
-			k.stale = false
-			k.renewAt = now + k.retry()
-			asks = append(asks, k.ask(now, asked{}, Ask{Have: k.version}))
+		if k.refreshDue || now >= k.keepAliveAt {
+			k.refreshDue = false
+			k.keepAliveAt = now + k.retryInterval()
+			asks = append(asks, k.newRequest(now, sentRequest{}, Request{KnownVersion: k.holdingsVersion}))
 		}
 	}
-	at = k.renewAt
-	if k.session == 0 || k.closing {
-		at = now + k.retry()
+	at = k.keepAliveAt
+	if k.sessionID == 0 || k.closing {
+		at = now + k.retryInterval()
 	}
-	names := slices.SortedFunc(maps.Keys(k.commands), func(a, b string) int {
-		return int(int64(k.commands[a].Seq - k.commands[b].Seq))
+	names := slices.SortedFunc(maps.Keys(k.pending), func(a, b string) int {
+		return int(int64(k.pending[a].Seq - k.pending[b].Seq))
 	})
 	for _, name := range names {
-		c := k.commands[name]
-		if now >= c.next {
-			c.next = now + k.retry()
+		c := k.pending[name]
+		if now >= c.retryAt {
+			c.retryAt = now + k.retryInterval()
 			copied := c.Command
-			asks = append(asks, k.ask(now, asked{name: name, open: c.Op == Open}, Ask{Command: &copied}))
+			asks = append(asks, k.newRequest(now, sentRequest{leaseName: name, isOpen: c.Op == OpOpen}, Request{Command: &copied}))
 		}
-		at = min(at, c.next)
+		at = min(at, c.retryAt)
 	}
 	return asks, at
 }
 
-func (k *Keeper) nonce() string { return k.start + "/" + strconv.Itoa(k.opened) }
+func (k *Client) nonce() string { return k.incarnation + "/" + strconv.Itoa(k.openCount) }
 
-// demand begins to ask a command, unless one is being asked for that name, whose answer has to come first. The council forgets
+// enqueue begins to ask a command, unless one is being asked for that name, whose answer has to come first. The council forgets
 // answers by number, so that the oldest that is out bounds the newest.
-func (k *Keeper) demand(name string, c Command) bool {
-	if k.commands[name] != nil {
+func (k *Client) enqueue(name string, c Command) bool {
+	if k.pending[name] != nil {
 		return false
 	}
-	for _, out := range k.commands {
-		if out.Op != Open && k.seq+1 >= out.Seq+answersKept/2 {
+	for _, out := range k.pending {
+		if out.Op != OpOpen && k.lastSeq+1 >= out.Seq+resultsKept/2 {
 			return false
 		}
 	}
-	if c.Op == Release || c.Op == Pass {
-		delete(k.holds, name) // nothing is done about it once this is asked, whatever the answer
+	if c.Op == OpRelease || c.Op == OpTransfer {
+		delete(k.tokens, name) // nothing is done about it once this is asked, whatever the answer
 	}
-	c.Member, c.Session = k.member, k.session
-	if c.Op != Open {
-		k.seq++
-		c.Seq = k.seq
+	c.Member, c.SessionID = k.member, k.sessionID
+	if c.Op != OpOpen {
+		k.lastSeq++
+		c.Seq = k.lastSeq
 	}
-	k.commands[name] = &command{Command: c}
-	k.changes++
+	k.pending[name] = &pendingCommand{Command: c}
+	k.revision++
 	return true
 }
 
-func (k *Keeper) ask(now time.Duration, what asked, a Ask) Ask {
-	k.lastID++
-	what.at = now
-	k.sent[k.lastID] = what
-	delete(k.sent, k.lastID-mostAsked)
-	a.ID, a.Member, a.Session = k.lastID, k.member, k.session
+func (k *Client) newRequest(now time.Duration, what sentRequest, a Request) Request {
+	k.lastRequestID++
+	what.sentAt = now
+	k.inFlight[k.lastRequestID] = what
+	delete(k.inFlight, k.lastRequestID-maxInFlight)
+	a.ID, a.Member, a.SessionID = k.lastRequestID, k.member, k.sessionID
 	return a
 }
 
-// Answered takes an answer. One that nobody waits for any more is not used.
-func (k *Keeper) Answered(now time.Duration, a Answer) {
-	what, known := k.sent[a.ID]
+// HandleResponse takes an answer. One that nobody waits for any more is not used.
+func (k *Client) HandleResponse(now time.Duration, a Response) {
+	what, known := k.inFlight[a.ID]
 	if !known {
 		return
 	}
-	delete(k.sent, a.ID)
+	delete(k.inFlight, a.ID)
 	switch {
-	case what.name == "":
-		k.renewed(now, what.at, a)
+	case what.leaseName == "":
+		k.handleKeepAlive(now, what.sentAt, a)
 	case a.Result != nil:
-		k.done(what, *a.Result)
+		k.handleResult(what, *a.Result)
 	}
 }
 
-func (k *Keeper) renewed(now, askedAt time.Duration, a Answer) {
-	if k.session == 0 {
-		if a.Why == NoSession {
-			k.after, k.looked = a.Last, true
+func (k *Client) handleKeepAlive(now, askedAt time.Duration, a Response) {
+	if k.sessionID == 0 {
+		if a.Refusal == RefusedNoSession {
+			k.knownLastID, k.lastIDKnown = a.LastID, true
 		}
 		return
 	}
-	switch a.Why {
+	switch a.Refusal {
 	case "":
-	case NoSession, Superseded:
-		k.lost(a.Why)
+	case RefusedNoSession, RefusedSuperseded:
+		k.loseSession(a.Refusal)
 		return
 	default:
 		return
 	}
 	// From before it was asked, not from when the answer came: the council may have reckoned from just after it was sent.
-	k.until = max(k.until, askedAt+k.rules.Budget())
-	k.renewAt = max(k.renewAt, askedAt+k.rules.RenewEvery())
-	if a.Listing != nil && a.Listing.Version >= k.version {
-		k.list(*a.Listing)
+	k.validUntil = max(k.validUntil, askedAt+k.timing.ClientTTL())
+	k.keepAliveAt = max(k.keepAliveAt, askedAt+k.timing.KeepAliveInterval())
+	if a.Holdings != nil && a.Holdings.Version >= k.holdingsVersion {
+		k.applyHoldings(*a.Holdings)
 	}
 }
 
-// list takes over what the session holds.
-func (k *Keeper) list(l Listing) {
-	k.version = l.Version
-	k.holds = made(maps.Clone(l.Holds))
-	k.changes++
-	for _, name := range slices.Sorted(maps.Keys(k.wants)) {
-		if w := k.wants[name]; w.placed && k.holds[name] == 0 {
+// applyHoldings takes over what the session holds.
+func (k *Client) applyHoldings(l Holdings) {
+	k.holdingsVersion = l.Version
+	k.tokens = nonNilMap(maps.Clone(l.Tokens))
+	k.revision++
+	for _, name := range slices.Sorted(maps.Keys(k.wanted)) {
+		if w := k.wanted[name]; w.registered && k.tokens[name] == 0 {
 			// Either it still waits, or the lease was revoked: asking again tells.
-			k.wants[name] = want{limit: w.limit}
-			k.queue = append(k.queue, name)
+			k.wanted[name] = wantedLease{limit: w.limit}
+			k.acquireQueue = append(k.acquireQueue, name)
 		}
 	}
-	for name, c := range k.commands {
-		if c.Op == Release || c.Op == Pass {
-			delete(k.holds, name)
+	for name, c := range k.pending {
+		if c.Op == OpRelease || c.Op == OpTransfer {
+			delete(k.tokens, name)
 		}
 	}
-	for name := range k.holds {
-		if w, wanted := k.wants[name]; wanted {
-			k.wants[name] = want{limit: w.limit, placed: true}
-		} else if _, passing := k.passing[name]; !passing {
-			k.passing[name] = ""
+	for name := range k.tokens {
+		if w, wanted := k.wanted[name]; wanted {
+			k.wanted[name] = wantedLease{limit: w.limit, registered: true}
+		} else if _, passing := k.releasing[name]; !passing {
+			k.releasing[name] = ""
 		}
 	}
 }
 
-// lost gives up a session that can't be renewed.
-func (k *Keeper) lost(why Why) {
-	k.session, k.version, k.until, k.seq = 0, 0, -1, 0
-	k.looked, k.renewAt = false, 0
-	k.opened++
-	clear(k.holds)
-	clear(k.commands)
-	clear(k.sent) // what is still to come concerns the old one
-	clear(k.passing)
-	for name, limit := range k.again {
-		k.wants[name] = want{limit: limit}
+// loseSession gives up a session that can't be renewed.
+func (k *Client) loseSession(why Refusal) {
+	k.sessionID, k.holdingsVersion, k.validUntil, k.lastSeq = 0, 0, -1, 0
+	k.lastIDKnown, k.keepAliveAt = false, 0
+	k.openCount++
+	clear(k.tokens)
+	clear(k.pending)
+	clear(k.inFlight) // what is still to come concerns the old one
+	clear(k.releasing)
+	for name, limit := range k.reacquire {
+		k.wanted[name] = wantedLease{limit: limit}
 	}
-	clear(k.again)
-	k.queue = slices.Sorted(maps.Keys(k.wants))
-	for _, name := range k.queue {
-		k.wants[name] = want{limit: k.wants[name].limit}
+	clear(k.reacquire)
+	k.acquireQueue = slices.Sorted(maps.Keys(k.wanted))
+	for _, name := range k.acquireQueue {
+		k.wanted[name] = wantedLease{limit: k.wanted[name].limit}
 	}
-	k.changes++
-	k.gone = why == Superseded
+	k.revision++
+	k.superseded = why == RefusedSuperseded
 }
 
-// done takes the result of a command.
-func (k *Keeper) done(what asked, r Result) {
-	c := k.commands[what.name]
-	if c == nil || what.open != (c.Op == Open) {
+// handleResult takes the result of a command.
+func (k *Client) handleResult(what sentRequest, r Result) {
+	c := k.pending[what.leaseName]
+	if c == nil || what.isOpen != (c.Op == OpOpen) {
 		return
 	}
-	delete(k.commands, what.name)
-	k.changes++
+	delete(k.pending, what.leaseName)
+	k.revision++
 	defer func() {
-		if w, wanted := k.wants[c.Name]; wanted && !w.placed {
-			k.queue = append(k.queue, c.Name)
+		if w, wanted := k.wanted[c.Name]; wanted && !w.registered {
+			k.acquireQueue = append(k.acquireQueue, c.Name)
 		}
 	}()
-	switch r.Why {
-	case NoSession, Superseded:
-		k.lost(r.Why)
+	switch r.Refusal {
+	case RefusedNoSession, RefusedSuperseded:
+		k.loseSession(r.Refusal)
 		return
 	}
 	switch c.Op {
-	case Open:
-		if r.Why != "" { // a newer session has the name: a look tells whose
-			k.looked = false
-			k.opened++
+	case OpOpen:
+		if r.Refusal != "" { // a newer session has the name: a look tells whose
+			k.lastIDKnown = false
+			k.openCount++
 			return
 		}
-		k.session, k.version, k.seq = r.Session, r.Version, 0
-		k.stale = true
+		k.sessionID, k.holdingsVersion, k.lastSeq = r.SessionID, r.Version, 0
+		k.refreshDue = true
 		return
-	case Close:
-		k.session = 0
+	case OpClose:
+		k.sessionID = 0
 		return
-	case Acquire:
-		if w, wanted := k.wants[c.Name]; wanted {
-			k.wants[c.Name] = want{limit: w.limit, placed: r.Why == "" || r.Why == OtherLimit || r.Why == Full}
+	case OpAcquire:
+		if w, wanted := k.wanted[c.Name]; wanted {
+			k.wanted[c.Name] = wantedLease{limit: w.limit, registered: r.Refusal == "" || r.Refusal == RefusedLimitMismatch || r.Refusal == RefusedLimitReached}
 		}
-	case Release, Pass:
-		if c.Op == Pass && r.Why == NoMember {
-			k.passing[c.Name] = "" // then to whoever waits
+	case OpRelease, OpTransfer:
+		if c.Op == OpTransfer && r.Refusal == RefusedUnknownMember {
+			k.releasing[c.Name] = "" // then to whoever waits
 			break
 		}
-		delete(k.passing, c.Name)
-		if limit, wanted := k.again[c.Name]; wanted {
-			delete(k.again, c.Name)
-			k.Want(c.Name, limit)
+		delete(k.releasing, c.Name)
+		if limit, wanted := k.reacquire[c.Name]; wanted {
+			delete(k.reacquire, c.Name)
+			k.Acquire(c.Name, limit)
 		}
 	}
-	if r.Version == k.version {
+	if r.Version == k.holdingsVersion {
 		return
 	}
-	if r.Before != k.version {
+	if r.PreviousVersion != k.holdingsVersion {
 		// Something has changed besides: only a whole listing tells what.
-		k.stale = true
+		k.refreshDue = true
 		return
 	}
-	k.version = r.Version
-	if c.Op == Acquire && r.Token != 0 {
-		k.holds[c.Name] = r.Token
+	k.holdingsVersion = r.Version
+	if c.Op == OpAcquire && r.Token != 0 {
+		k.tokens[c.Name] = r.Token
 	} else {
-		delete(k.holds, c.Name)
+		delete(k.tokens, c.Name)
 	}
 }
 
-// Wake has the next look renew at once: the council says that something has changed.
-func (k *Keeper) Wake() { k.stale = true }
+// Refresh has the next look renew at once: the council says that something has changed.
+func (k *Client) Refresh() { k.refreshDue = true }
--- a/internal/simulation/copies.go
+++ b/internal/simulation/copies.go
@@ -35,7 +35,7 @@
 	}
 	cfg := gossip.DefaultConfig()
 	cfg.GossipInterval, cfg.SyncInterval, cfg.DeadRetention = 150*time.Millisecond, time.Second, 4*time.Second
-	cfg.Name, cfg.Kinds, cfg.DecidedKinds, cfg.Seed = p.name, []string{copiesKind, zoneview.ZoneCheckKind}, consensus.DecidedKinds, p.w.rumours.Uint64()
+	cfg.Name, cfg.Kinds, cfg.DecidedKinds, cfg.Seed = p.name, []string{copiesKind, zoneview.ZoneCheckKind}, consensus.DecisionKinds, p.w.rumours.Uint64()
 	if slices.Contains(gossip.InjectedFaults, gossip.InjectedFault(p.w.o.Plant)) {
 		cfg.Fault = gossip.InjectedFault(p.w.o.Plant)
 	}
@@ -94,8 +94,8 @@
 		p.rep.node.Put(key, []byte{byte(p.w.rumours.IntN(3))})
 	}
 	if p.w.rumours.IntN(12) == 0 {
-		key := fmt.Sprintf("%s/%d", consensus.OrderKind, p.w.rumours.IntN(3))
-		p.call(consensus.Request{Order: &consensus.OrderCommand{Key: key, Value: p.name, Lift: p.w.rumours.IntN(2) == 0}}, func(consensus.Response) {})
+		key := fmt.Sprintf("%s/%d", consensus.OperatorKind, p.w.rumours.IntN(3))
+		p.call(consensus.Request{Decision: &consensus.DecisionCommand{Key: key, Value: p.name, Withdraw: p.w.rumours.IntN(2) == 0}}, func(consensus.Response) {})
 	}
 	p.w.watch.copies(p)
 	p.gossipLater()
@@ -104,11 +104,11 @@
 
 // takesOrders takes over what the council's log has decided.
 func (p *proc) takesOrders() {
-	if p.rep == nil || p.node == nil || p.node.Fleet() == nil {
+	if p.rep == nil || p.node == nil || p.node.StateMachine() == nil {
 		return
 	}
-	p.rep.node.Store().SetFleetTag(gossip.FleetTag(p.node.Fleet().ID))
-	p.rep.orders = p.node.Fleet().OrdersSince(p.rep.orders, func(key string, o consensus.Order) { p.rep.node.ApplyDecision(key, o.Number, o.Bytes()) })
+	p.rep.node.Store().SetFleetTag(gossip.FleetTag(p.node.StateMachine().FleetID))
+	p.rep.orders = p.node.StateMachine().DecisionsSince(p.rep.orders, func(key string, o consensus.Decision) { p.rep.node.ApplyDecision(key, o.Number, o.Bytes()) })
 	p.w.watch.copies(p)
 	p.gossipLater()
 }
@@ -142,7 +142,7 @@
 }
 
 // equalCopies says at the end what differs among the processes, of which all has been well for ten seconds.
-func (o *observer) equalCopies(decided *consensus.Fleet) {
+func (o *observer) equalCopies(decided *consensus.StateMachine) {
 	var first *proc
 	for _, p := range o.w.procs {
 		if p.rep == nil || !p.up {
@@ -175,13 +175,13 @@
 	if decided == nil || first == nil {
 		return
 	}
-	for key, order := range decided.Orders {
+	for key, order := range decided.Decisions {
 		e, ok := first.rep.node.Store().Get(gossip.ConsensusOwner, key)
-		if !ok || e.Sequence != order.Number || (len(e.Values()) > 0) == order.Lifted {
+		if !ok || e.Sequence != order.Number || (len(e.Values()) > 0) == order.Withdrawn {
 			o.w.breaks("%s: the council has decided %+v, and copies hold %+v", key, order, e)
 		}
 	}
-	o.w.counts["orders"] += float64(decided.Ordered)
+	o.w.counts["orders"] += float64(decided.LastDecision)
 }
 
 func copiesSource(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 6)) }
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -53,10 +53,10 @@
 	for _, n := range o.names {
 		holders := 0
 		for i, p := range w.procs {
-			if !p.up || clocks[i] >= p.keeper.Until() {
+			if !p.up || clocks[i] >= p.keeper.ValidUntil() {
 				continue
 			}
-			token, _, ok := p.keeper.Holding(clocks[i], n.name)
+			token, _, ok := p.keeper.Token(clocks[i], n.name)
 			if !ok {
 				continue
 			}
@@ -108,10 +108,10 @@
 }
 
 // did is told when a server has a slot's request: it drops repeats of a key for as long as the window says.
-func (o *observer) did(s task.Send) {
+func (o *observer) did(s task.SlotRequest) {
 	w := o.w
-	if w.spec.Effect == task.Keyed {
-		if at, had := o.keys[s.Key]; had && w.now < at+w.spec.Window {
+	if w.spec.Idempotency == task.IdempotentByKey {
+		if at, had := o.keys[s.Key]; had && w.now < at+w.spec.DedupWindow {
 			return
 		}
 		o.keys[s.Key] = w.now
@@ -119,7 +119,7 @@
 	w.note("slot %d is done", s.Slot)
 	o.ran[s.Slot] = append(o.ran[s.Slot], w.now)
 	w.counts["slots_done"]++
-	if n := len(o.ran[s.Slot]); n > 1 && w.spec.Effect != task.Safe {
+	if n := len(o.ran[s.Slot]); n > 1 && w.spec.Idempotency != task.Idempotent {
 		w.breaks("slot %d was done %d times", s.Slot, n)
 	}
 }
@@ -133,17 +133,17 @@
 		if p.node == nil {
 			continue
 		}
-		if s := p.node.State(); s.Applied >= most {
+		if s := p.node.Status(); s.Applied >= most {
 			most = s.Applied
 		}
 	}
-	book := task.Page{}
-	var decided *consensus.Fleet
+	book := task.Record{}
+	var decided *consensus.StateMachine
 	for _, p := range w.procs {
-		if p.node == nil || p.node.State().Applied != most {
+		if p.node == nil || p.node.Status().Applied != most {
 			continue
 		}
-		f := p.node.Fleet()
+		f := p.node.StateMachine()
 		data, err := json.Marshal(f)
 		if err != nil {
 			w.breaks("%v", err)
@@ -152,7 +152,7 @@
 			w.breaks("two copies of the state differ at %d", most)
 		}
 		first, decided = data, f
-		if page := f.Slots.Tasks[w.spec.Name]; page != nil {
+		if page := f.Tasks.Tasks[w.spec.Name]; page != nil {
 			book = *page
 		}
 	}
@@ -163,7 +163,7 @@
 	for _, n := range o.names {
 		holders := 0
 		for _, p := range w.procs {
-			if _, _, ok := p.keeper.Holding(p.clock(), n.name); ok {
+			if _, _, ok := p.keeper.Token(p.clock(), n.name); ok {
 				holders++
 			}
 		}
@@ -172,13 +172,13 @@
 		}
 	}
 	if idle := w.now - o.sentAt; idle > 3*time.Second {
-		w.breaks("no slot was sent in the last %v, and one is due every %v", idle, w.spec.Every)
+		w.breaks("no slot was sent in the last %v, and one is due every %v", idle, w.spec.Interval)
 	}
 	done := int64(len(o.ran))
-	if n := book.Counts[task.Done]; n > done {
+	if n := book.OutcomeCounts[task.OutcomeDone]; n > done {
 		w.breaks("%d slots are written down as done, and %d were", n, done)
 	}
-	for outcome, n := range book.Counts {
+	for outcome, n := range book.OutcomeCounts {
 		w.counts["slots_"+string(outcome)+"_told"] += float64(n)
 	}
 }
--- a/internal/simulation/proc.go
+++ b/internal/simulation/proc.go
@@ -42,12 +42,12 @@
 type disk struct {
 	w    *world
 	p    *proc
-	now  consensus.Saved // what was written
-	sure consensus.Saved // what was synced
-	old  consensus.Saved // an older copy
+	now  consensus.PersistentState // what was written
+	sure consensus.PersistentState // what was synced
+	old  consensus.PersistentState // an older copy
 }
 
-func (d *disk) Save(s consensus.Saved, sync bool) error {
+func (d *disk) Save(s consensus.PersistentState, sync bool) error {
 	if d.w.syncFails[d.p.i] && sync {
 		delete(d.w.syncFails, d.p.i)
 		return errDisk
@@ -55,12 +55,12 @@
 	if !sync { // as the program's store does: it would be learnt anew
 		return nil
 	}
-	if s.Hard != nil {
-		d.now.Hard = s.Hard
+	if s.HardState != nil {
+		d.now.HardState = s.HardState
 	}
 	if s.Snapshot != nil {
 		d.now.Snapshot = s.Snapshot
-		if s.Reset {
+		if s.ReplaceLog {
 			d.now.Entries = nil
 		} else if len(d.now.Entries) > 0 {
 			first := d.now.Entries[0].GetIndex()
@@ -103,10 +103,10 @@
 	node  *consensus.Node
 	led   bool
 
-	keeper  *lease.Keeper
+	keeper  *lease.Client
 	runner  *task.Runner
 	looks   int
-	guide   *consensus.Guide
+	guide   *consensus.LeaderTracker
 	asks    map[uint64]*call
 	lastAsk uint64
 	nextAct map[string]time.Duration
@@ -129,11 +129,11 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("p%d", i)
 		}
-		s, err := consensus.FoundingSnapshot(consensus.Founded("fleet", p.name, p.store(), names))
+		s, err := consensus.BootstrapSnapshot(consensus.NewStateMachine("fleet", p.name, p.store(), names))
 		if err != nil {
 			panic(err)
 		}
-		p.disk.Save(consensus.Saved{Snapshot: s, Hard: consensus.FoundingState()}, true)
+		p.disk.Save(consensus.PersistentState{Snapshot: s, HardState: consensus.BootstrapHardState()}, true)
 		p.disk.sure = p.disk.now
 	}
 	return p
@@ -164,22 +164,22 @@
 	p.asks, p.nextAct = map[uint64]*call{}, map[string]time.Duration{}
 	kept := rules
 	if p.w.o.Plant == Margin {
-		kept.Term = kept.Term * 3 / 2
+		kept.TTL = kept.TTL * 3 / 2
 	}
-	p.keeper = lease.NewKeeper(kept, p.name, fmt.Sprintf("start-%d", p.started))
+	p.keeper = lease.NewClient(kept, p.name, fmt.Sprintf("start-%d", p.started))
 	p.runner = task.NewRunner(p.w.spec, 200*time.Millisecond, 500*time.Millisecond)
 	for _, n := range p.w.names {
-		p.keeper.Want(n.name, n.limit)
+		p.keeper.Acquire(n.name, n.limit)
 	}
-	p.keeper.Want("task/t", 1)
+	p.keeper.Acquire("task/t", 1)
 	if p.w.o.Zones {
-		p.keeper.Want(zoneview.LeaseName, 1)
+		p.keeper.Acquire(zoneview.LeaseName, 1)
 	}
 	names := make([]string, p.w.voters)
 	for i := range names {
 		names[i] = p.w.procs[i].name
 	}
-	p.guide = consensus.NewGuide(names, p.w.own.IntN(p.w.voters), rules.RenewEvery())
+	p.guide = consensus.NewLeaderTracker(names, p.w.own.IntN(p.w.voters), rules.KeepAliveInterval())
 	p.sit()
 	p.shares()
 	p.soon(time.Duration(p.w.own.IntN(50))*time.Millisecond, p.beat)
@@ -199,7 +199,7 @@
 	if p.disk.sure.Snapshot != nil {
 		p.disk.old = p.disk.sure
 	}
-	n, err := consensus.New(consensus.Config{ID: p.id, Rules: rules, Saved: p.disk.sure, SnapshotEvery: 64, Lax: p.w.o.Plant == Lax})
+	n, err := consensus.New(consensus.Config{ID: p.id, LeaseTiming: rules, Persisted: p.disk.sure, SnapshotEntries: 64, ClockBasedReads: p.w.o.Plant == Lax})
 	if err != nil {
 		p.w.breaks("%s does not start: %v", p.name, err)
 		return
@@ -222,7 +222,7 @@
 	}
 	p.keeper.Close()
 	if p.node != nil {
-		p.node.Transfer()
+		p.node.TransferLeadership()
 	}
 	p.work()
 	p.keep()
@@ -272,10 +272,10 @@
 	if p.w.own.IntN(4) > 0 { // so that a council is whole before the first fault, but for chances that no run meets
 		return
 	}
-	p.call(consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Admit, Name: p.name, Store: p.store()}}, func(r consensus.Response) {
-		if r.Seat != nil && r.Seat.ID != 0 && p.id == 0 {
-			p.id, p.fleet = r.Seat.ID, r.Seat.Fleet
-			p.w.note("%s has the identity %d, votes %v", p.name, p.id, r.Seat.Voter)
+	p.call(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: p.name, StoreID: p.store()}}, func(r consensus.Response) {
+		if r.Voter != nil && r.Voter.RaftID != 0 && p.id == 0 {
+			p.id, p.fleet = r.Voter.RaftID, r.Voter.FleetID
+			p.w.note("%s has the identity %d, votes %v", p.name, p.id, r.Voter.Votes)
 			p.sit()
 		}
 	})
@@ -286,7 +286,7 @@
 	if p.node == nil {
 		return
 	}
-	out, err := p.node.Work(p.councilClock(), p.disk)
+	out, err := p.node.Process(p.councilClock(), p.disk)
 	if err != nil {
 		p.w.note("%s: %v", p.name, err)
 		if !errors.Is(err, errDisk) {
@@ -296,14 +296,14 @@
 		p.w.after(700*time.Millisecond, p.start)
 		return
 	}
-	if p.node.Leads() && !p.led && p.w.o.Plant == Hurry {
-		p.offset += 2 * rules.Term // as if the term had passed
+	if p.node.IsLeader() && !p.led && p.w.o.Plant == Hurry {
+		p.offset += 2 * rules.TTL // as if the term had passed
 	}
-	p.led = p.node.Leads()
-	p.w.watch.decides(p.node.Fleet())
+	p.led = p.node.IsLeader()
+	p.w.watch.decides(p.node.StateMachine())
 	p.takesOrders()
 	for _, e := range out.Events {
-		p.w.note("%s: %s %v", p.name, e.What, e.Args)
+		p.w.note("%s: %s %v", p.name, e.Message, e.Args)
 	}
 	for _, m := range out.Messages {
 		to := p.w.byName(p.node.NameOf(m.GetTo()))
@@ -320,10 +320,10 @@
 	for _, r := range out.Replies {
 		p.answer(r)
 	}
-	for _, name := range out.Wakes {
+	for _, name := range out.ChangedMembers {
 		if to := p.w.byName(name); to != nil {
 			p.w.carry(p, to, "wake", func() {
-				to.keeper.Wake()
+				to.keeper.Refresh()
 				to.keep()
 			})
 		}
@@ -345,7 +345,7 @@
 	}
 	m, err := consensus.DecodeMessage(data)
 	if err == nil {
-		p.node.Heard(id, from.name)
+		p.node.LearnName(id, from.name)
 		err = p.node.Step(p.councilClock(), m)
 	}
 	if err != nil && !errors.Is(err, raft.ErrStepLocalMsg) {
@@ -371,9 +371,9 @@
 	p.asks[handle] = c
 	delete(p.asks, handle-64)
 	p.pass(handle, c)
-	p.soon(rules.RenewEvery()/2, func() {
+	p.soon(rules.KeepAliveInterval()/2, func() {
 		if p.asks[handle] == c {
-			p.guide.Silence(p.clock(), c.to)
+			p.guide.Unreachable(p.clock(), c.to)
 		}
 	})
 }
@@ -383,10 +383,10 @@
 	to := p.w.byName(c.to)
 	p.w.carry(p, to, "ask", func() {
 		if to.node == nil {
-			p.w.carry(to, p, "elsewhere", func() { p.answered(handle, consensus.Response{Elsewhere: true}) })
+			p.w.carry(to, p, "elsewhere", func() { p.answered(handle, consensus.Response{NotLeader: true}) })
 			return
 		}
-		to.node.Ask(to.councilClock(), handle, c.q)
+		to.node.Submit(to.councilClock(), handle, c.q)
 		to.work()
 	})
 }
@@ -402,8 +402,8 @@
 	if c == nil {
 		return
 	}
-	if r.Elsewhere {
-		if p.guide.Elsewhere(p.clock(), c.to, r.Leader) && c.hops < 3 {
+	if r.NotLeader {
+		if p.guide.Redirected(p.clock(), c.to, r.Leader) && c.hops < 3 {
 			c.hops++
 			p.pass(handle, c)
 			return
@@ -411,7 +411,7 @@
 		delete(p.asks, handle)
 		return
 	}
-	p.guide.Led(c.to)
+	p.guide.LeaderConfirmed(c.to)
 	delete(p.asks, handle)
 	c.then(r)
 }
@@ -423,14 +423,14 @@
 	for _, a := range asks {
 		began := p.w.now
 		if a.Command != nil {
-			if id := (firstAsk{p.i, a.Session, a.Command.Seq}); p.w.o.Ops && p.w.asked[id] == 0 {
+			if id := (firstAsk{p.i, a.SessionID, a.Command.Seq}); p.w.o.Ops && p.w.asked[id] == 0 {
 				p.w.asked[id] = began
 			}
 		}
 		p.call(consensus.Request{Lease: &a}, func(r consensus.Response) {
 			if r.Lease != nil {
 				p.w.remember(p.i, a, *r.Lease, began)
-				p.keeper.Answered(p.clock(), *r.Lease)
+				p.keeper.HandleResponse(p.clock(), *r.Lease)
 				p.keep()
 			}
 		})
@@ -441,7 +441,7 @@
 	for _, n := range p.w.names {
 		p.act(n)
 	}
-	token, until, _ := p.keeper.Holding(now, "task/t")
+	token, until, _ := p.keeper.Token(now, "task/t")
 	act, next := p.runner.Next(now, p.wall(), token, until)
 	p.run(act)
 	at = min(at, next)
@@ -467,7 +467,7 @@
 // the look and the act.
 func (p *proc) act(n leaseName) {
 	now := p.clock()
-	token, _, ok := p.keeper.Holding(now, n.name)
+	token, _, ok := p.keeper.Token(now, n.name)
 	if !ok || now < p.nextAct[n.name] {
 		return
 	}
@@ -482,22 +482,22 @@
 // run carries out what the task's runner wants.
 func (p *proc) run(a task.Action) {
 	switch {
-	case a.Look:
-		asked := p.runner.LookedAt()
-		p.call(consensus.Request{Pages: []string{p.w.spec.Name}}, func(r consensus.Response) {
-			if r.Pages != nil {
-				p.runner.Looked(p.clock(), asked, r.Pages[p.w.spec.Name])
+	case a.FetchRecord:
+		asked := p.runner.FetchedAt()
+		p.call(consensus.Request{TaskRecords: []string{p.w.spec.Name}}, func(r consensus.Response) {
+			if r.TaskRecords != nil {
+				p.runner.HandleRecord(p.clock(), asked, r.TaskRecords[p.w.spec.Name])
 				p.keep()
 			}
 		})
 	case a.Command != nil:
 		c := *a.Command
 		p.w.note("%s asks: %s slot %d by %d %s", p.name, c.Op, c.Slot, c.Token, c.Outcome)
-		p.call(consensus.Request{Slot: &c}, func(r consensus.Response) {
-			if r.Slot != nil {
-				p.w.note("%s hears of %s slot %d: %s", p.name, c.Op, c.Slot, r.Slot.Why)
-				token, _, _ := p.keeper.Holding(p.clock(), "task/t")
-				p.runner.Answered(p.clock(), c, *r.Slot, token)
+		p.call(consensus.Request{Task: &c}, func(r consensus.Response) {
+			if r.Task != nil {
+				p.w.note("%s hears of %s slot %d: %s", p.name, c.Op, c.Slot, r.Task.Refusal)
+				token, _, _ := p.keeper.Token(p.clock(), "task/t")
+				p.runner.HandleResult(p.clock(), c, *r.Task, token)
 				p.keep()
 			}
 		})
@@ -507,7 +507,7 @@
 }
 
 // send sends the request of a slot to a server that does it, refuses it or loses the answer.
-func (p *proc) send(s task.Send) {
+func (p *proc) send(s task.SlotRequest) {
 	w := p.w
 	w.watch.sent()
 	w.note("%s sends slot %d by %d, attempt %d", p.name, s.Slot, s.Token, s.Attempt)
@@ -515,34 +515,34 @@
 	took := time.Duration(5+w.net.IntN(60)) * time.Millisecond
 	back := func(o task.Outcome, after time.Duration) {
 		p.soon(after, func() {
-			p.runner.Sent(p.clock(), o, p.clock()+20*time.Millisecond)
+			p.runner.HandleOutcome(p.clock(), o, p.clock()+20*time.Millisecond)
 			p.keep()
 		})
 	}
 	limit := time.Duration(float64(s.Deadline-p.clock()) / p.rate)
 	if w.o.Plant == EarlyFinish {
-		back(task.Done, 0)
+		back(task.OutcomeDone, 0)
 	}
 	switch {
 	case draw < 10: // lost on the way: nobody knows
-		back(task.Unknown, limit)
+		back(task.OutcomeUnknown, limit)
 	case draw < 20:
-		back(task.Refused, took)
+		back(task.OutcomeRejected, took)
 	case draw < 30 || took >= limit: // done, and the answer is lost
 		w.after(took, func() { w.watch.did(s) })
-		back(task.Unknown, limit)
+		back(task.OutcomeUnknown, limit)
 	default:
 		w.after(took, func() { w.watch.did(s) })
-		back(task.Done, took+time.Millisecond)
+		back(task.OutcomeDone, took+time.Millisecond)
 	}
 }
 
 // operate has an operator ask for something until it is done.
 func (w *world) operate(f Fault) {
 	p := w.procs[f.P%len(w.procs)]
-	q := consensus.Request{Seat: &consensus.SeatCommand{Op: consensus.Replace, Name: p.name}}
+	q := consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpReplace, Name: p.name}}
 	if f.Kind == Revoke {
-		q = consensus.Request{Lease: &lease.Ask{Command: &lease.Command{Op: lease.Revoke, Name: w.names[f.Q%len(w.names)].name}}}
+		q = consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: w.names[f.Q%len(w.names)].name}}}
 	}
 	w.asks(func() consensus.Request { return q }, func(consensus.Response) bool { return true })
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -24,7 +24,7 @@
 	mostEvents = 2_000_000
 )
 
-var rules = lease.Rules{Term: 1500 * time.Millisecond, Drift: drift, Guard: 10 * time.Millisecond}
+var rules = lease.Timing{TTL: 1500 * time.Millisecond, MaxClockDrift: drift, SafetyMargin: 10 * time.Millisecond}
 
 // event is something that happens.
 type event struct {
@@ -87,13 +87,13 @@
 }
 
 // remember keeps an operation. One that was asked several times began with the first of them.
-func (w *world) remember(process int, q lease.Ask, a lease.Answer, began time.Duration) {
+func (w *world) remember(process int, q lease.Request, a lease.Response, began time.Duration) {
 	switch {
 	case !w.o.Ops:
-	case q.Command == nil && a.Why == "":
-		w.ops = append(w.ops, Op{Process: process, Began: began, Ended: w.now, Last: a.Last})
-	case q.Command != nil && q.Command.Op == lease.Acquire && a.Result != nil && a.Result.Token != 0 && a.Result.Before != a.Result.Version:
-		id := firstAsk{process, q.Session, q.Command.Seq}
+	case q.Command == nil && a.Refusal == "":
+		w.ops = append(w.ops, Op{Process: process, Began: began, Ended: w.now, Last: a.LastID})
+	case q.Command != nil && q.Command.Op == lease.OpAcquire && a.Result != nil && a.Result.Token != 0 && a.Result.PreviousVersion != a.Result.Version:
+		id := firstAsk{process, q.SessionID, q.Command.Seq}
 		if first, had := w.asked[id]; had {
 			began = first
 		}
@@ -148,8 +148,8 @@
 	processes := w.voters + 2 + made.IntN(3)
 	w.names = []leaseName{{"one", 1}, {"two", 2}}
 	w.spec = task.Spec{
-		Name: "t", Every: 400 * time.Millisecond, Missed: []task.Missed{task.Skip, task.Once, task.Each}[made.IntN(3)],
-		Effect: task.Effect(made.IntN(3)), Window: 4 * time.Second, Deadline: 300 * time.Millisecond, Tries: 2, Drift: drift,
+		Name: "t", Interval: 400 * time.Millisecond, Missed: []task.MissedPolicy{task.MissedSkip, task.MissedRunNewest, task.MissedRunEach}[made.IntN(3)],
+		Idempotency: task.Idempotency(made.IntN(3)), DedupWindow: 4 * time.Second, Deadline: 300 * time.Millisecond, MaxAttempts: 2, MaxClockDrift: drift,
 	}
 	if o.Zones {
 		w.field = newField()
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -171,17 +171,17 @@
 
 // order has an operator decide of a zone.
 func (w *world) order(zone int, s zonefailover.State) {
-	c := consensus.OrderCommand{Key: gossip.PoolKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Built: w.o.Plant != Repeats}
+	c := consensus.DecisionCommand{Key: gossip.PoolKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Conditional: w.o.Plant != Repeats}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
 	w.asks(func() consensus.Request {
 		ask := c
-		return consensus.Request{Order: &ask}
+		return consensus.Request{Decision: &ask}
 	}, func(r consensus.Response) (done bool) {
-		if r.Order == nil || w.words[zone] != word {
+		if r.Decision == nil || w.words[zone] != word {
 			return true
 		}
-		next, again := c.Again(r.Order)
+		next, again := c.Rebase(r.Decision)
 		c = next
 		return !again
 	})
@@ -268,8 +268,8 @@
 // decidesZones is what the holder of the lease does.
 func (p *proc) decidesZones(now time.Duration) {
 	z, n := p.rep.zoner, p.rep.node
-	token, _, held := p.keeper.Holding(now, zoneview.LeaseName)
-	alone := p.w.o.Plant == Minority && !held && p.keeper.Session() != 0 && now >= p.keeper.Until()
+	token, _, held := p.keeper.Token(now, zoneview.LeaseName)
+	alone := p.w.o.Plant == Minority && !held && p.keeper.SessionID() != 0 && now >= p.keeper.ValidUntil()
 	if (!held || p.leaving) && !alone {
 		z.keeper, z.asking = nil, -1
 		return
@@ -297,7 +297,7 @@
 		scene.FleetSize = len(scene.MemberZones)
 	}
 	change, _ := z.keeper.Next(now, scene)
-	if change == nil || z.asking >= 0 && p.clock() < z.asking+rules.RenewEvery() {
+	if change == nil || z.asking >= 0 && p.clock() < z.asking+rules.KeepAliveInterval() {
 		return
 	}
 	if p.w.o.Plant == NoRetire && change.State.Relapses > scene.States[change.Zone].Relapses {
@@ -305,14 +305,14 @@
 	}
 	c := zoneview.ShiftCommand(n, zonePool, *change, token)
 	if alone {
-		n.ApplyDecision(c.Key, c.After+1, []byte(c.Value))
+		n.ApplyDecision(c.Key, c.BasedOn+1, []byte(c.Value))
 		return
 	}
 	z.asking = p.clock()
-	p.call(consensus.Request{Order: &c}, func(r consensus.Response) {
+	p.call(consensus.Request{Decision: &c}, func(r consensus.Response) {
 		z.asking = -1
-		if r.Order != nil && r.Order.Why == "" && p.rep != nil && p.rep.node == n {
-			n.ApplyDecision(c.Key, r.Order.Number, []byte(c.Value))
+		if r.Decision != nil && r.Decision.Refusal == "" && p.rep != nil && p.rep.node == n {
+			n.ApplyDecision(c.Key, r.Decision.Number, []byte(c.Value))
 			p.w.watch.copies(p)
 			p.gossipLater()
 		}
@@ -328,14 +328,14 @@
 }
 
 // decides looks at what is new in the log.
-func (o *observer) decides(f *consensus.Fleet) {
+func (o *observer) decides(f *consensus.StateMachine) {
 	z := o.zones
-	if z == nil || f == nil || f.Ordered <= z.number {
+	if z == nil || f == nil || f.LastDecision <= z.number {
 		return
 	}
 	whole := true
 	next := z.number
-	f.OrdersSince(z.number, func(key string, d consensus.Order) {
+	f.DecisionsSince(z.number, func(key string, d consensus.Decision) {
 		whole = whole && d.Number == next+1 // else something between has been overwritten in one piece
 		next = d.Number
 		z.values[d.Number] = key + " " + d.Value
@@ -350,11 +350,11 @@
 		}
 		o.judge(int(name[0]-'a'), s, d, whole)
 	})
-	z.number = f.Ordered
+	z.number = f.LastDecision
 }
 
 // judge says whether a decision may be one.
-func (o *observer) judge(zone int, s zonefailover.State, d consensus.Order, whole bool) {
+func (o *observer) judge(zone int, s zonefailover.State, d consensus.Decision, whole bool) {
 	z, w := o.zones, o.w
 	was, at := z.states[zone], z.at[zone]
 	z.states[zone], z.at[zone] = s, w.now
@@ -375,7 +375,7 @@
 		w.breaks("zone %s goes from step %d to %d", zoneName(zone), was.Step, s.Step)
 	case was.Step == zonefailover.FullStep && w.now > w.field.last[zone]+believed && !w.field.is[zone]:
 		w.breaks("zone %s is left, and was well to all but one zone for %v", zoneName(zone), w.now-w.field.last[zone])
-	case forward && w.field.is[zone] && (w.now > w.field.since[zone]+heardOf || w.now > w.field.since[zone]+soon && w.calm(w.field.since[zone]-rules.Term)):
+	case forward && w.field.is[zone] && (w.now > w.field.since[zone]+heardOf || w.now > w.field.since[zone]+soon && w.calm(w.field.since[zone]-rules.TTL)):
 		w.breaks("zone %s is returned to, to step %d, and has been down for %v", zoneName(zone), s.Step, w.now-w.field.since[zone])
 	}
 	usual := (&world{}).zoneRules()
@@ -444,7 +444,7 @@
 		for other := range zones {
 			alike = alike || other != zone && w.now <= w.field.last[other]+soon+believed
 		}
-		if !alike && s.Step > 0 && s.Step < zonefailover.FullStep && !s.Manual && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.Term) {
+		if !alike && s.Step > 0 && s.Step < zonefailover.FullStep && !s.Manual && w.field.is[zone] && w.now > w.field.since[zone]+soon && w.now > o.zones.at[zone]+soon && w.calm(w.now-soon-rules.TTL) {
 			w.breaks("zone %s has been down for %v and is still used at step %d", zoneName(zone), w.now-w.field.since[zone], s.Step)
 		}
 	}
--- a/internal/task/book.go
+++ b/internal/task/book.go
@@ -11,27 +11,27 @@
 
 // Bounds of the book.
 const (
-	MostTasks   = 4096
-	mostNameLen = 128
+	MaxTasks   = 4096
+	maxNameLen = 128
 )
 
 // Outcome is what became of a slot.
 type Outcome string
 
 const (
-	Done    Outcome = "done"
-	Refused Outcome = "refused" // it has surely not run
-	Failed  Outcome = "failed"  // a server has answered that it failed
-	Unknown Outcome = "unknown" // it may have run, and nobody knows
+	OutcomeDone     Outcome = "done"
+	OutcomeRejected Outcome = "refused" // it has surely not run
+	OutcomeFailed   Outcome = "failed"  // a server has answered that it failed
+	OutcomeUnknown  Outcome = "unknown" // it may have run, and nobody knows
 )
 
 // Op is what a command does to the book.
 type Op string
 
 const (
-	Begin  Op = "begin"
-	Finish Op = "finish"
-	Call   Op = "call" // an operator has the next slot done now
+	OpBegin   Op = "begin"
+	OpFinish  Op = "finish"
+	OpTrigger Op = "call" // an operator has the next slot done now
 )
 
 // Command changes the book. It comes out of the council's log.
@@ -40,11 +40,11 @@
 	Task    string  `json:"task"`
 	Slot    int64   `json:"slot"`
 	Token   uint64  `json:"token"`           // fencing token of the task's lease
-	Again   bool    `json:"again,omitempty"` // Begin: one that another has begun may be begun again: a repeat does no harm
+	Rerun   bool    `json:"again,omitempty"` // Begin: one that another has begun may be begun again: a repeat does no harm
 	Outcome Outcome `json:"outcome,omitempty"`
 	Skipped int64   `json:"skipped,omitempty"` // Begin: slots before this one that are left out
 
-	Most     int `json:"most,omitempty"`     // Begin: how many slots of all tasks may be open at once over the fleet; 0: no bound
+	MaxOpen  int `json:"most,omitempty"`     // Begin: how many slots of all tasks may be open at once over the fleet; 0: no bound
 	Priority int `json:"priority,omitempty"` // Begin: of those that wait for room the largest goes first
 
 	// Finish: what the slot has cost, and in which period of the task's budget.
@@ -56,41 +56,41 @@
 // Result is what became of a command; Why is empty if it was done. A command may be asked again: it has the same result until
 // something newer has happened to the task.
 type Result struct {
-	Why   Why  `json:"why,omitempty"`
-	State Page `json:"state"`
+	Refusal Refusal `json:"why,omitempty"`
+	Record  Record  `json:"state"`
 }
 
-// Why says why a command was refused.
-type Why string
+// Refusal says why a command was refused.
+type Refusal string
 
 const (
-	Fenced    Why = "a newer holder has the task"
-	Taken     Why = "the slot was begun before"
-	Running   Why = "another slot is not finished"
-	NotBegun  Why = "the slot is not begun"
-	Crowded   Why = "as many tasks are being done as may be at once"
-	Full      Why = "too many tasks"
-	Malformed Why = "malformed"
+	RefusedFenced           Refusal = "a newer holder has the task"
+	RefusedAlreadyBegun     Refusal = "the slot was begun before"
+	RefusedOtherSlotOpen    Refusal = "another slot is not finished"
+	RefusedNotBegun         Refusal = "the slot is not begun"
+	RefusedConcurrencyLimit Refusal = "as many tasks are being done as may be at once"
+	RefusedTooManyTasks     Refusal = "too many tasks"
+	RefusedMalformed        Refusal = "malformed"
 )
 
-// Page is what the book has of one task.
-type Page struct {
-	Rev     uint64            `json:"rev"`   // grows with each change: of two pages the one with the larger is the newer
-	Token   uint64            `json:"token"` // the largest that has written here
-	Slot    int64             `json:"slot"`  // the newest that was begun
-	Open    bool              `json:"open"`  // it is not finished
-	By      uint64            `json:"by"`    // the token that has begun it, the last time
-	Begun   int               `json:"begun"` // how often it was begun
-	Last    Outcome           `json:"last,omitempty"`
-	Counts  map[Outcome]int64 `json:"counts,omitempty"`
-	Skipped int64             `json:"skipped,omitempty"`
-	Called  bool              `json:"called,omitempty"` // an operator wants the next slot now
+// Record is what the book has of one task.
+type Record struct {
+	Revision      uint64            `json:"rev"`   // grows with each change: of two pages the one with the larger is the newer
+	Token         uint64            `json:"token"` // the largest that has written here
+	Slot          int64             `json:"slot"`  // the newest that was begun
+	Open          bool              `json:"open"`  // it is not finished
+	BegunBy       uint64            `json:"by"`    // the token that has begun it, the last time
+	Attempts      int               `json:"begun"` // how often it was begun
+	LastOutcome   Outcome           `json:"last,omitempty"`
+	OutcomeCounts map[Outcome]int64 `json:"counts,omitempty"`
+	Skipped       int64             `json:"skipped,omitempty"`
+	Triggered     bool              `json:"called,omitempty"` // an operator wants the next slot now
 
 	// While a slot waits for room among the tasks that are being done: since which of the book's asks (0: none waits), how much it
 	// matters, and how often others were sent away for it since it asked last.
-	Waits    uint64 `json:"waits,omitempty"`
-	Priority int    `json:"priority,omitempty"`
-	Passed   int    `json:"passed,omitempty"`
+	WaitingSince uint64 `json:"waits,omitempty"`
+	Priority     int    `json:"priority,omitempty"`
+	PassedOver   int    `json:"passed,omitempty"`
 
 	// What the task has cost in the newest period of its budget that is known.
 	Period   int64 `json:"period,omitempty"`
@@ -98,22 +98,22 @@
 	TookMs   int64 `json:"took_ms,omitempty"`
 }
 
-// staleAsks is for how many rounds of asking others give way to one that waits and does not ask any more: its holder has died, or its
+// staleWaiterRounds is for how many rounds of asking others give way to one that waits and does not ask any more: its holder has died, or its
 // slot is not due any more. The book has no clock; all that wait ask about equally often.
-const staleAsks = 8
+const staleWaiterRounds = 8
 
-// Book is the replicated state.
-type Book struct {
-	Tasks map[string]*Page `json:"tasks"`
-	Asks  uint64           `json:"asks,omitempty"` // for room, so far
+// Registry is the replicated state.
+type Registry struct {
+	Tasks        map[string]*Record `json:"tasks"`
+	AdmissionSeq uint64             `json:"asks,omitempty"` // for room, so far
 }
 
-// NewBook returns an empty one.
-func NewBook() *Book { return &Book{Tasks: map[string]*Page{}} }
+// NewRegistry returns an empty one.
+func NewRegistry() *Registry { return &Registry{Tasks: map[string]*Record{}} }
 
 // Restore reads a book as encoding/json writes it.
-func Restore(data []byte) (*Book, error) {
-	b := NewBook()
+func Restore(data []byte) (*Registry, error) {
+	b := NewRegistry()
 	if err := json.Unmarshal(data, b); err != nil {
 		return nil, fmt.Errorf("task: snapshot: %w", err)
 	}
@@ -121,90 +121,90 @@
 		return nil, errors.New("task: snapshot: no tasks in it")
 	}
 	for name, p := range b.Tasks {
-		if p == nil || p.Open && p.By == 0 {
+		if p == nil || p.Open && p.BegunBy == 0 {
 			return nil, fmt.Errorf("task: snapshot: %q is not whole", name)
 		}
-		if p.Counts == nil {
-			p.Counts = map[Outcome]int64{}
+		if p.OutcomeCounts == nil {
+			p.OutcomeCounts = map[Outcome]int64{}
 		}
 	}
 	return b, nil
 }
 
-// Page returns a copy of what the book has of a task; the zero value if nothing.
-func (b *Book) Page(task string) Page {
+// Record returns a copy of what the book has of a task; the zero value if nothing.
+func (b *Registry) Record(task string) Record {
 	p := b.Tasks[task]
 	if p == nil {
-		return Page{}
+		return Record{}
 	}
 	c := *p
-	c.Counts = nil
+	c.OutcomeCounts = nil
 	return c
 }
 
 // Apply carries out a command.
-func (b *Book) Apply(c Command) Result {
+func (b *Registry) Apply(c Command) Result {
 	why := b.apply(c)
-	return Result{why, b.Page(c.Task)}
+	return Result{why, b.Record(c.Task)}
 }
 
-func (b *Book) apply(c Command) Why {
-	if c.Op == Call {
+func (b *Registry) apply(c Command) Refusal {
+	if c.Op == OpTrigger {
 		p := b.Tasks[c.Task]
 		if p == nil {
-			return NotBegun
+			return RefusedNotBegun
 		}
-		p.Called = true
-		p.Rev++
+		p.Triggered = true
+		p.Revision++
 		return ""
 	}
-	if c.Task == "" || len(c.Task) > mostNameLen || c.Token == 0 || c.Slot <= 0 {
-		return Malformed
+	if c.Task == "" || len(c.Task) > maxNameLen || c.Token == 0 || c.Slot <= 0 {
+		return RefusedMalformed
 	}
 	p := b.Tasks[c.Task]
 	if p == nil {
-		if c.Op != Begin {
-			return NotBegun
+		if c.Op != OpBegin {
+			return RefusedNotBegun
 		}
-		if len(b.Tasks) >= MostTasks {
-			return Full
+		if len(b.Tasks) >= MaxTasks {
+			return RefusedTooManyTasks
 		}
-		p = &Page{Counts: map[Outcome]int64{}}
+		p = &Record{OutcomeCounts: map[Outcome]int64{}}
 		b.Tasks[c.Task] = p
 	}
 	if c.Token < p.Token {
-		return Fenced
+		return RefusedFenced
 	}
 	switch c.Op {
-	case Begin:
+	case OpBegin:
 		switch {
-		case p.Open && p.Slot == c.Slot && p.By == c.Token: // asked again: its answer was lost, and the asker waits for it
+		case p.Open && p.Slot == c.Slot && p.BegunBy == c.Token: // asked again: its answer was lost, and the asker waits for it
 		case p.Open && p.Slot != c.Slot:
-			return Running
-		case p.Open && !c.Again, !p.Open && c.Slot <= p.Slot:
-			return Taken
+			return RefusedOtherSlotOpen
+		case p.Open && !c.Rerun, !p.Open && c.Slot <= p.Slot:
+			return RefusedAlreadyBegun
 		case p.Open:
-			p.By = c.Token
-			p.Begun++
-		case !b.room(c, p):
-			return Crowded
+			p.BegunBy = c.Token
+			p.Attempts++
+		case !b.admit(c, p):
+			return RefusedConcurrencyLimit
 		default:
-			p.Slot, p.Open, p.By, p.Begun = c.Slot, true, c.Token, 1
+			p.Slot, p.Open, p.BegunBy, p.Attempts = c.Slot, true, c.Token, 1
 			p.Skipped += max(0, c.Skipped)
-			p.Called = false
+			p.Triggered = false
 		}
-	case Finish:
+	case OpFinish:
 		switch c.Outcome {
-		case Done, Refused, Failed, Unknown:
+		case OutcomeDone, OutcomeRejected, OutcomeFailed, OutcomeUnknown:
 		default:
-			return Malformed
+			return RefusedMalformed
 		}
 		if p.Slot != c.Slot {
-			return NotBegun
+			return RefusedNotBegun
 		}
 		if p.Open {
-			p.Open, p.Last = false, c.Outcome
-			p.Counts[c.Outcome]++
+			p.Open, p.LastOutcome = false, c.Outcome
+			p.OutcomeCounts[c.Outcome]++
 			if c.Period > p.Period { // a clock that is behind spends of the period that is known
 				p.Period, p.Requests, p.TookMs = c.Period, 0, 0
 			}
@@ -212,27 +212,27 @@
 			p.TookMs += max(0, c.TookMs)
 		}
 	default:
-		return Malformed
+		return RefusedMalformed
 	}
 	p.Token = c.Token
-	p.Rev++
+	p.Revision++
 	return ""
 }
 
-// room says whether a slot may be begun beside those that are open over the whole fleet. Of those that wait the one that matters most
+// admit says whether a slot may be begun beside those that are open over the whole fleet. Of those that wait the one that matters most
 // goes first, then the one that has waited longest. What a dead holder left open counts until somebody has taken it up.
-func (b *Book) room(c Command, p *Page) bool {
-	if c.Most <= 0 {
-		p.Waits, p.Passed = 0, 0
+func (b *Registry) admit(c Command, p *Record) bool {
+	if c.MaxOpen <= 0 {
+		p.WaitingSince, p.PassedOver = 0, 0
 		return true
 	}
-	b.Asks++
-	p.Passed, p.Priority = 0, c.Priority
-	if p.Waits == 0 {
-		p.Waits = b.Asks
+	b.AdmissionSeq++
+	p.PassedOver, p.Priority = 0, c.Priority
+	if p.WaitingSince == 0 {
+		p.WaitingSince = b.AdmissionSeq
 	}
 	open, waiting := 0, 0
-	var ahead []*Page
+	var ahead []*Record
 	for _, other := range b.Tasks {
 		if other == p {
 			continue
@@ -240,20 +240,20 @@
 		if other.Open {
 			open++
 		}
-		if other.Waits != 0 {
+		if other.WaitingSince != 0 {
 			waiting++
-			if other.Priority > p.Priority || other.Priority == p.Priority && other.Waits < p.Waits {
+			if other.Priority > p.Priority || other.Priority == p.Priority && other.WaitingSince < p.WaitingSince {
 				ahead = append(ahead, other)
 			}
 		}
 	}
-	if open >= c.Most {
+	if open >= c.MaxOpen {
 		return false
 	}
-	free := c.Most - open
+	free := c.MaxOpen - open
 	for _, other := range ahead {
-		if other.Passed++; other.Passed > staleAsks*(waiting+1) {
-			other.Waits, other.Passed = 0, 0
+		if other.PassedOver++; other.PassedOver > staleWaiterRounds*(waiting+1) {
+			other.WaitingSince, other.PassedOver = 0, 0
 			continue
 		}
 		free--
@@ -261,6 +261,6 @@
 	if free <= 0 {
 		return false
 	}
-	p.Waits, p.Passed = 0, 0
+	p.WaitingSince, p.PassedOver = 0, 0
 	return true
 }
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -14,9 +14,9 @@
 
 // TestGoldenSnapshot: the book is written and read as it was by earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
-	b := &Book{Asks: 7, Tasks: map[string]*Page{"sweep": {
-		Rev: 11, Token: 4, Slot: 20, Open: true, By: 4, Begun: 2, Last: Done, Counts: map[Outcome]int64{Done: 5, Unknown: 1}, Skipped: 3, Called: true,
-		Waits: 6, Priority: 2, Passed: 1, Period: 8, Requests: 12, TookMs: 340,
+	b := &Registry{AdmissionSeq: 7, Tasks: map[string]*Record{"sweep": {
+		Revision: 11, Token: 4, Slot: 20, Open: true, BegunBy: 4, Attempts: 2, LastOutcome: OutcomeDone, OutcomeCounts: map[Outcome]int64{OutcomeDone: 5, OutcomeUnknown: 1}, Skipped: 3, Triggered: true,
+		WaitingSince: 6, Priority: 2, PassedOver: 1, Period: 8, Requests: 12, TookMs: 340,
 	}}}
 	const file = "testdata/snapshot.golden"
 	got, err := json.Marshal(b)
@@ -43,11 +43,11 @@
 // TestStoredWords: the words that stand in entries, snapshots and messages keep their spelling.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
-		{string(Begin), "begin"}, {string(Finish), "finish"}, {string(Call), "call"},
-		{string(Done), "done"}, {string(Refused), "refused"}, {string(Failed), "failed"}, {string(Unknown), "unknown"},
-		{string(Fenced), "a newer holder has the task"}, {string(Taken), "the slot was begun before"}, {string(Running), "another slot is not finished"},
-		{string(NotBegun), "the slot is not begun"}, {string(Crowded), "as many tasks are being done as may be at once"},
-		{string(Full), "too many tasks"}, {string(Malformed), "malformed"},
+		{string(OpBegin), "begin"}, {string(OpFinish), "finish"}, {string(OpTrigger), "call"},
+		{string(OutcomeDone), "done"}, {string(OutcomeRejected), "refused"}, {string(OutcomeFailed), "failed"}, {string(OutcomeUnknown), "unknown"},
+		{string(RefusedFenced), "a newer holder has the task"}, {string(RefusedAlreadyBegun), "the slot was begun before"}, {string(RefusedOtherSlotOpen), "another slot is not finished"},
+		{string(RefusedNotBegun), "the slot is not begun"}, {string(RefusedConcurrencyLimit), "as many tasks are being done as may be at once"},
+		{string(RefusedTooManyTasks), "too many tasks"}, {string(RefusedMalformed), "malformed"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
@@ -57,11 +57,11 @@
 
 // TestSlotNumbers: two versions give one moment the same slot, which is stored, and a slot the same idempotency key, which servers remember.
 func TestSlotNumbers(t *testing.T) {
-	s := Spec{Name: "sweep", Every: time.Hour, At: 10 * time.Minute, Spread: 30 * time.Minute, Budget: Budget{Per: 24 * time.Hour}}
+	s := Spec{Name: "sweep", Interval: time.Hour, Offset: 10 * time.Minute, Spread: 30 * time.Minute, Budget: Budget{Period: 24 * time.Hour}}
 	wall := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	slot, due := s.Slot(wall)
+	slot, due := s.SlotAt(wall)
 	const wantSlot, wantDue, wantPeriod = 492323, "2026-03-01T11:37:30.847526115Z", 20513
-	if got := due.UTC().Format(time.RFC3339Nano); slot != wantSlot || got != wantDue || s.Budget.period(wall) != wantPeriod || s.Key(slot) != "sweep-492323" {
-		t.Errorf("slot %d, due %s, period %d, key %s", slot, got, s.Budget.period(wall), s.Key(slot))
+	if got := due.UTC().Format(time.RFC3339Nano); slot != wantSlot || got != wantDue || s.Budget.periodAt(wall) != wantPeriod || s.IdempotencyKey(slot) != "sweep-492323" {
+		t.Errorf("slot %d, due %s, period %d, key %s", slot, got, s.Budget.periodAt(wall), s.IdempotencyKey(slot))
 	}
 }
--- a/internal/task/task_test.go
+++ b/internal/task/task_test.go
@@ -13,26 +13,26 @@
 // grow, and an older token changes nothing after a newer.
 func TestBook(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewRegistry()
 		begun := map[int64]int{}
 		var newest uint64
 		var last int64
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			c := Command{
-				Op: rapid.SampledFrom([]Op{Begin, Begin, Finish, Call}).Draw(t, "op"), Task: "t", Slot: rapid.Int64Range(0, 5).Draw(t, "slot"),
-				Token: rapid.Uint64Range(0, 4).Draw(t, "token"), Again: rapid.Bool().Draw(t, "again"),
-				Outcome: rapid.SampledFrom([]Outcome{Done, Unknown, "odd"}).Draw(t, "outcome"),
+				Op: rapid.SampledFrom([]Op{OpBegin, OpBegin, OpFinish, OpTrigger}).Draw(t, "op"), Task: "t", Slot: rapid.Int64Range(0, 5).Draw(t, "slot"),
+				Token: rapid.Uint64Range(0, 4).Draw(t, "token"), Rerun: rapid.Bool().Draw(t, "again"),
+				Outcome: rapid.SampledFrom([]Outcome{OutcomeDone, OutcomeUnknown, "odd"}).Draw(t, "outcome"),
 			}
-			before := b.Page("t")
+			before := b.Record("t")
 			r := b.Apply(c)
-			after := r.State
-			if r.Why != "" {
+			after := r.Record
+			if r.Refusal != "" {
 				if before.Slot != after.Slot || before.Open != after.Open || before.Token != after.Token {
-					t.Fatalf("%+v was refused (%s), and changed %+v to %+v", c, r.Why, before, after)
+					t.Fatalf("%+v was refused (%s), and changed %+v to %+v", c, r.Refusal, before, after)
 				}
 				continue
 			}
-			if c.Op == Call {
+			if c.Op == OpTrigger {
 				continue
 			}
 			if c.Token < newest {
@@ -43,8 +43,8 @@
 				t.Fatalf("%+v: slot %d after %d", c, after.Slot, last)
 			}
 			last = after.Slot
-			if c.Op == Begin && !(before.Open && before.Slot == c.Slot && before.By == c.Token) {
-				if begun[c.Slot]++; begun[c.Slot] > 1 && !c.Again {
+			if c.Op == OpBegin && !(before.Open && before.Slot == c.Slot && before.BegunBy == c.Token) {
+				if begun[c.Slot]++; begun[c.Slot] > 1 && !c.Rerun {
 					t.Fatalf("%+v: the slot was begun before", c)
 				}
 			}
@@ -52,29 +52,29 @@
 	})
 }
 
-func spec(e Effect, m Missed) Spec {
-	return Spec{Name: "t", Every: time.Second, Missed: m, Effect: e, Window: 10 * time.Second, Deadline: 300 * time.Millisecond, Tries: 2}
+func spec(e Idempotency, m MissedPolicy) Spec {
+	return Spec{Name: "t", Interval: time.Second, Missed: m, Idempotency: e, DedupWindow: 10 * time.Second, Deadline: 300 * time.Millisecond, MaxAttempts: 2}
 }
 
 // TestSlotOfTheDead: what becomes of a slot whose process died is a matter of its effect, and of what this process knows of its age.
 func TestSlotOfTheDead(t *testing.T) {
-	page := Page{Token: 1, Slot: 5, Open: true, By: 1, Begun: 1}
+	page := Record{Token: 1, Slot: 5, Open: true, BegunBy: 1, Attempts: 1}
 	wall := time.Unix(6, 0)
 	for name, c := range map[string]struct {
-		effect   Effect
+		effect   Idempotency
 		unopened time.Duration
 		again    bool
 	}{
-		"safe":                        {Safe, -1, true},
-		"unsafe":                      {Unsafe, time.Millisecond, false},
-		"keyed, young":                {Keyed, 2 * time.Second, true},
-		"keyed, its key forgotten":    {Keyed, 9800 * time.Millisecond, false},
-		"keyed, of an age not known":  {Keyed, -1, false},
-		"keyed, just within the time": {Keyed, 9699 * time.Millisecond, true},
+		"safe":                        {Idempotent, -1, true},
+		"unsafe":                      {NonIdempotent, time.Millisecond, false},
+		"keyed, young":                {IdempotentByKey, 2 * time.Second, true},
+		"keyed, its key forgotten":    {IdempotentByKey, 9800 * time.Millisecond, false},
+		"keyed, of an age not known":  {IdempotentByKey, -1, false},
+		"keyed, just within the time": {IdempotentByKey, 9699 * time.Millisecond, true},
 	} {
-		s := spec(c.effect, Once)
+		s := spec(c.effect, MissedRunNewest)
 		step := s.Next(page, 2, wall, c.unopened)
-		if c.again != (step.Begin == 5 && step.Again) || c.again == (step.Finish == 5) {
+		if c.again != (step.Begin == 5 && step.Rerun) || c.again == (step.Abandon == 5) {
 			t.Errorf("%s: %+v", name, step)
 		}
 	}
@@ -83,28 +83,28 @@
 // TestMissed: what is done about slots that were due while nobody could do them.
 func TestMissed(t *testing.T) {
 	for name, c := range map[string]struct {
-		missed  Missed
-		page    Page
+		missed  MissedPolicy
+		page    Record
 		wall    time.Time
 		begin   int64
 		skipped int64
 	}{
-		"skip, in time":      {Skip, Page{Slot: 3}, time.Unix(9, 1e8), 9, 5},
-		"skip, too late":     {Skip, Page{Slot: 3}, time.Unix(9, 5e8), 0, 0},
-		"once, too late":     {Once, Page{Slot: 3}, time.Unix(9, 5e8), 9, 5},
-		"each":               {Each, Page{Slot: 3}, time.Unix(9, 5e8), 4, 0},
-		"each, far behind":   {Each, Page{Slot: 3}, time.Unix(1000, 0), 901, 897},
-		"the first ever":     {Each, Page{}, time.Unix(9, 5e8), 9, 0},
-		"done":               {Each, Page{Slot: 9}, time.Unix(9, 5e8), 0, 0},
-		"a clock behind":     {Each, Page{Slot: 12}, time.Unix(9, 5e8), 0, 0},
-		"called by somebody": {Skip, Page{Slot: 9, Called: true}, time.Unix(9, 9e8), 10, 0},
+		"skip, in time":      {MissedSkip, Record{Slot: 3}, time.Unix(9, 1e8), 9, 5},
+		"skip, too late":     {MissedSkip, Record{Slot: 3}, time.Unix(9, 5e8), 0, 0},
+		"once, too late":     {MissedRunNewest, Record{Slot: 3}, time.Unix(9, 5e8), 9, 5},
+		"each":               {MissedRunEach, Record{Slot: 3}, time.Unix(9, 5e8), 4, 0},
+		"each, far behind":   {MissedRunEach, Record{Slot: 3}, time.Unix(1000, 0), 901, 897},
+		"the first ever":     {MissedRunEach, Record{}, time.Unix(9, 5e8), 9, 0},
+		"done":               {MissedRunEach, Record{Slot: 9}, time.Unix(9, 5e8), 0, 0},
+		"a clock behind":     {MissedRunEach, Record{Slot: 12}, time.Unix(9, 5e8), 0, 0},
+		"called by somebody": {MissedSkip, Record{Slot: 9, Triggered: true}, time.Unix(9, 9e8), 10, 0},
 	} {
-		s := spec(Safe, c.missed)
+		s := spec(Idempotent, c.missed)
 		step := s.Next(c.page, 1, c.wall, -1)
 		if step.Begin != c.begin || step.Skipped != c.skipped {
 			t.Errorf("%s: %+v", name, step)
 		}
-		if step.Begin == 0 && !step.Until.After(c.wall) {
+		if step.Begin == 0 && !step.WaitUntil.After(c.wall) {
 			t.Errorf("%s: nothing to do, and nothing to wait for: %+v", name, step)
 		}
 	}
@@ -120,8 +120,8 @@
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
-		s := spec(Effect(rapid.IntRange(0, 2).Draw(t, "effect")), Once)
+		b := NewRegistry()
+		s := spec(Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), MissedRunNewest)
 		r := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 		var token uint64 = 1
 		until := 5 * time.Second
@@ -130,36 +130,36 @@
 			if now > until || rapid.IntRange(0, 60).Draw(t, "another") == 37 {
 				// Another process has the lease for a while, and does a slot.
 				token++
-				p := b.Page("t")
+				p := b.Record("t")
 				if p.Open {
-					b.Apply(Command{Op: Finish, Task: "t", Slot: p.Slot, Token: token, Outcome: Unknown})
+					b.Apply(Command{Op: OpFinish, Task: "t", Slot: p.Slot, Token: token, Outcome: OutcomeUnknown})
 				}
-				b.Apply(Command{Op: Begin, Task: "t", Slot: b.Page("t").Slot + 1, Token: token})
+				b.Apply(Command{Op: OpBegin, Task: "t", Slot: b.Record("t").Slot + 1, Token: token})
 				token++
 				until = now + 3*time.Second
 			}
 			a, _ := r.Next(now, time.Unix(1000, 0).Add(now), token, until)
 			lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
 			switch {
-			case a.Look && !lost:
-				r.Looked(now, r.LookedAt(), b.Page("t"))
+			case a.FetchRecord && !lost:
+				r.HandleRecord(now, r.FetchedAt(), b.Record("t"))
 			case a.Command != nil:
 				res := b.Apply(*a.Command)
 				if !lost {
-					r.Answered(now, *a.Command, res, token)
+					r.HandleResult(now, *a.Command, res, token)
 				}
 			case a.Send != nil:
-				p := b.Page("t")
-				if p.Slot == a.Send.Slot && (!p.Open || p.By != a.Send.Token) || a.Send.Deadline > until {
+				p := b.Record("t")
+				if p.Slot == a.Send.Slot && (!p.Open || p.BegunBy != a.Send.Token) || a.Send.Deadline > until {
 					t.Fatalf("%+v goes out, and the book has %+v, until %v", a.Send, p, until)
 				}
-				outcome := rapid.SampledFrom([]Outcome{Done, Refused, Failed, Unknown}).Draw(t, "outcome")
-				if outcome != Refused {
-					if sends[a.Send.Slot]++; sends[a.Send.Slot] > 1 && s.Effect == Unsafe {
+				outcome := rapid.SampledFrom([]Outcome{OutcomeDone, OutcomeRejected, OutcomeFailed, OutcomeUnknown}).Draw(t, "outcome")
+				if outcome != OutcomeRejected {
+					if sends[a.Send.Slot]++; sends[a.Send.Slot] > 1 && s.Idempotency == NonIdempotent {
 						t.Fatalf("the unsafe slot %d may have run %d times", a.Send.Slot, sends[a.Send.Slot])
 					}
 				}
-				r.Sent(now, outcome, now+20*time.Millisecond)
+				r.HandleOutcome(now, outcome, now+20*time.Millisecond)
 			}
 		}
 		sent += len(sends)
@@ -169,37 +169,37 @@
 // TestKeyForgottenWhileAsking: that a key is fresh is looked at as the request goes out, and not only as its slot was begun (found by
 // tier-explore, seed 2540).
 func TestKeyForgottenWhileAsking(t *testing.T) {
-	s := spec(Keyed, Once)
+	s := spec(IdempotentByKey, MissedRunNewest)
 	r := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 	wall := time.Unix(1000, 0)
 	r.Next(0, wall, 0, 0)
-	r.Looked(0, 0, Page{Token: 1, Slot: 999, By: 1})
+	r.HandleRecord(0, 0, Record{Token: 1, Slot: 999, BegunBy: 1})
 	r.Next(400*time.Millisecond, wall, 0, 0)
-	open := Page{Token: 1, Slot: 1000, Open: true, By: 1, Begun: 1}
-	r.Looked(400*time.Millisecond, 400*time.Millisecond, open)
+	open := Record{Token: 1, Slot: 1000, Open: true, BegunBy: 1, Attempts: 1}
+	r.HandleRecord(400*time.Millisecond, 400*time.Millisecond, open)
 	r.Next(500*time.Millisecond, wall, 2, time.Hour)
-	r.Looked(500*time.Millisecond, 500*time.Millisecond, open)
+	r.HandleRecord(500*time.Millisecond, 500*time.Millisecond, open)
 	a, _ := r.Next(600*time.Millisecond, wall, 2, time.Hour)
-	if a.Command == nil || !a.Command.Again {
+	if a.Command == nil || !a.Command.Rerun {
 		t.Fatalf("%+v", a)
 	}
 	begun := open
-	begun.By, begun.Begun, begun.Token = 2, 2, 2
-	r.Answered(s.Window, *a.Command, Result{State: begun}, 2) // the answer takes as long as the servers remember
-	if a, _ := r.Next(s.Window, wall, 2, time.Hour); a.Send != nil || a.Command == nil || a.Command.Outcome != Unknown {
+	begun.BegunBy, begun.Attempts, begun.Token = 2, 2, 2
+	r.HandleResult(s.DedupWindow, *a.Command, Result{Record: begun}, 2) // the answer takes as long as the servers remember
+	if a, _ := r.Next(s.DedupWindow, wall, 2, time.Hour); a.Send != nil || a.Command == nil || a.Command.Outcome != OutcomeUnknown {
 		t.Errorf("%+v", a)
 	}
 }
 
 // begun is a runner whose Begin was decided, and the command.
-func begun(t *testing.T, b *Book, e Effect) (*Runner, Command) {
+func begun(t *testing.T, b *Registry, e Idempotency) (*Runner, Command) {
 	t.Helper()
-	r := NewRunner(spec(e, Once), 100*time.Millisecond, 300*time.Millisecond)
+	r := NewRunner(spec(e, MissedRunNewest), 100*time.Millisecond, 300*time.Millisecond)
 	wall := time.Unix(1000, 0)
 	r.Next(0, wall, 1, time.Hour)
-	r.Looked(0, 0, b.Page("t"))
+	r.HandleRecord(0, 0, b.Record("t"))
 	a, _ := r.Next(0, wall, 1, time.Hour)
-	if a.Command == nil || a.Command.Op != Begin {
+	if a.Command == nil || a.Command.Op != OpBegin {
 		t.Fatalf("%+v", a)
 	}
 	return r, *a.Command
@@ -208,47 +208,47 @@
 // TestAnswerWhileLapsed: the answer to a Begin comes while the lease has lapsed, and the same token is in force again later: the slot goes
 // out then, once, and the task does not stand still (found by tier-explore, 15 of 168 seeds).
 func TestAnswerWhileLapsed(t *testing.T) {
-	b := NewBook()
-	r, c := begun(t, b, Unsafe)
-	r.Answered(time.Second, c, b.Apply(c), 0)
+	b := NewRegistry()
+	r, c := begun(t, b, NonIdempotent)
+	r.HandleResult(time.Second, c, b.Apply(c), 0)
 	wall := time.Unix(1001, 0)
 	r.Next(time.Second, wall, 0, 0)
 	sent := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		a, _ := r.Next(now, wall, 1, time.Hour)
-		if a.Look {
-			r.Looked(now, now, b.Page("t"))
+		if a.FetchRecord {
+			r.HandleRecord(now, now, b.Record("t"))
 		}
 		if a.Send != nil {
 			if a.Send.Slot != c.Slot {
 				break
 			}
 			sent++
-			r.Sent(now, Done, now)
+			r.HandleOutcome(now, OutcomeDone, now)
 		}
 		if a.Command != nil {
-			r.Answered(now, *a.Command, b.Apply(*a.Command), 1)
+			r.HandleResult(now, *a.Command, b.Apply(*a.Command), 1)
 		}
 	}
-	if sent != 1 || b.Page("t").Slot == c.Slot && b.Page("t").Open {
-		t.Errorf("sent %d times, %+v", sent, b.Page("t"))
+	if sent != 1 || b.Record("t").Slot == c.Slot && b.Record("t").Open {
+		t.Errorf("sent %d times, %+v", sent, b.Record("t"))
 	}
 }
 
 // TestOvertakenPage: a page that was read before a slot was finished, and comes after its finish was answered, does not have it sent again.
 func TestOvertakenPage(t *testing.T) {
-	b := NewBook()
-	r, c := begun(t, b, Unsafe)
-	r.Answered(0, c, b.Apply(c), 1)
+	b := NewRegistry()
+	r, c := begun(t, b, NonIdempotent)
+	r.HandleResult(0, c, b.Apply(c), 1)
 	wall := time.Unix(1000, 5e8)
 	if a, _ := r.Next(0, wall, 1, time.Hour); a.Send == nil {
 		t.Fatalf("%+v", a)
 	}
-	r.Sent(0, Done, 0)
-	stale := b.Page("t")
+	r.HandleOutcome(0, OutcomeDone, 0)
+	stale := b.Record("t")
 	a, _ := r.Next(time.Millisecond, wall, 1, time.Hour)
-	r.Answered(2*time.Millisecond, *a.Command, b.Apply(*a.Command), 1)
-	r.Looked(4*time.Millisecond, 3*time.Millisecond, stale)
+	r.HandleResult(2*time.Millisecond, *a.Command, b.Apply(*a.Command), 1)
+	r.HandleRecord(4*time.Millisecond, 3*time.Millisecond, stale)
 	if a, _ := r.Next(5*time.Millisecond, wall, 1, time.Hour); a.Send != nil {
 		t.Errorf("sent again: %+v", a.Send)
 	}
@@ -256,15 +256,15 @@
 
 func TestSpecCheck(t *testing.T) {
 	for name, change := range map[string]func(*Spec){
-		"no name": func(s *Spec) { s.Name = "" }, "too often": func(s *Spec) { s.Every = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
-		"spread beyond": func(s *Spec) { s.Spread = 2 * time.Second }, "at beyond a day": func(s *Spec) { s.At = 25 * time.Hour },
-		"window within the deadline": func(s *Spec) { s.Effect, s.Window = Keyed, s.Deadline },
+		"no name": func(s *Spec) { s.Name = "" }, "too often": func(s *Spec) { s.Interval = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
+		"spread beyond": func(s *Spec) { s.Spread = 2 * time.Second }, "at beyond a day": func(s *Spec) { s.Offset = 25 * time.Hour },
+		"window within the deadline": func(s *Spec) { s.Idempotency, s.DedupWindow = IdempotentByKey, s.Deadline },
 	} {
-		s := spec(Safe, Once)
-		if err := s.Check(); err != nil {
+		s := spec(Idempotent, MissedRunNewest)
+		if err := s.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		if change(&s); s.Check() == nil {
+		if change(&s); s.Validate() == nil {
 			t.Errorf("%s: not found", name)
 		}
 	}
@@ -276,7 +276,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks = 5
 		most := rapid.IntRange(1, 3).Draw(t, "most")
-		b := NewBook()
+		b := NewRegistry()
 		name := func(i int) string { return string(rune('a' + i)) }
 		open := map[int]bool{}
 		slots := map[int]int64{}
@@ -287,7 +287,7 @@
 				switch {
 				case open[i]:
 					if rapid.Bool().Draw(t, "ends") {
-						b.Apply(Command{Op: Finish, Task: name(i), Slot: slots[i], Token: 1, Outcome: Done})
+						b.Apply(Command{Op: OpFinish, Task: name(i), Slot: slots[i], Token: 1, Outcome: OutcomeDone})
 						delete(open, i)
 					}
 				case i != dead || round == 0:
@@ -296,13 +296,13 @@
 			}
 			for _, i := range asked {
 				slot := slots[i] + 1
-				r := b.Apply(Command{Op: Begin, Task: name(i), Slot: slot, Token: 1, Most: most, Priority: i})
-				switch r.Why {
+				r := b.Apply(Command{Op: OpBegin, Task: name(i), Slot: slot, Token: 1, MaxOpen: most, Priority: i})
+				switch r.Refusal {
 				case "":
 					open[i], slots[i] = true, slot
-				case Crowded:
+				case RefusedConcurrencyLimit:
 				default:
-					t.Fatalf("%s", r.Why)
+					t.Fatalf("%s", r.Refusal)
 				}
 			}
 			n := 0
@@ -330,12 +330,12 @@
 
 // TestPriority: with room for one, and all waiting, the one that matters most goes first, then the one that has waited longest.
 func TestPriority(t *testing.T) {
-	b := NewBook()
-	begin := func(task string, priority int) Why {
-		return b.Apply(Command{Op: Begin, Task: task, Slot: 1, Token: 1, Most: 1, Priority: priority}).Why
+	b := NewRegistry()
+	begin := func(task string, priority int) Refusal {
+		return b.Apply(Command{Op: OpBegin, Task: task, Slot: 1, Token: 1, MaxOpen: 1, Priority: priority}).Refusal
 	}
 	end := func(task string) {
-		b.Apply(Command{Op: Finish, Task: task, Slot: 1, Token: 1, Outcome: Done})
+		b.Apply(Command{Op: OpFinish, Task: task, Slot: 1, Token: 1, Outcome: OutcomeDone})
 	}
 	if why := begin("first", 0); why != "" {
 		t.Fatal(why)
@@ -344,7 +344,7 @@
 		task     string
 		priority int
 	}{{"low", 0}, {"old", 5}, {"new", 5}} {
-		if why := begin(c.task, c.priority); why != Crowded {
+		if why := begin(c.task, c.priority); why != RefusedConcurrencyLimit {
 			t.Fatalf("%s: %q", c.task, why)
 		}
 	}
@@ -354,7 +354,7 @@
 			task     string
 			priority int
 		}{{"low", 0}, {"new", 5}, {"old", 5}} {
-			if b.Page(c.task).Slot == 1 {
+			if b.Record(c.task).Slot == 1 {
 				continue
 			}
 			why := begin(c.task, c.priority)
@@ -372,25 +372,25 @@
 // TestBudget: what is spent stays spent over a change of the holder, a slot of the dead counts as all that it may have cost, and the next
 // period begins anew.
 func TestBudget(t *testing.T) {
-	s := spec(Keyed, Once)
-	s.Budget = Budget{Per: 10 * time.Second, Requests: 3}
-	if err := s.Check(); err != nil {
+	s := spec(IdempotentByKey, MissedRunNewest)
+	s.Budget = Budget{Period: 10 * time.Second, MaxRequests: 3}
+	if err := s.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	b := NewBook()
+	b := NewRegistry()
 	wall := time.Unix(1000, 0)
 	play := func(r *Runner, token uint64, from, to time.Duration) (sent int) {
 		for now := from; now < to; now += 20 * time.Millisecond {
 			for range 4 {
 				a, _ := r.Next(now, wall.Add(now), token, time.Hour)
 				switch {
-				case a.Look:
-					r.Looked(now, now, b.Page("t"))
+				case a.FetchRecord:
+					r.HandleRecord(now, now, b.Record("t"))
 				case a.Command != nil:
-					r.Answered(now, *a.Command, b.Apply(*a.Command), token)
+					r.HandleResult(now, *a.Command, b.Apply(*a.Command), token)
 				case a.Send != nil:
 					sent++
-					r.Sent(now+10*time.Millisecond, Done, now)
+					r.HandleOutcome(now+10*time.Millisecond, OutcomeDone, now)
 				}
 			}
 		}
@@ -401,16 +401,16 @@
 		t.Fatalf("%d were sent in two seconds", n)
 	}
 	second := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
-	if n := play(second, 2, 2*time.Second, 10*time.Second); n != 1 || !second.Spent() {
-		t.Fatalf("%d were sent of the one that was left; spent: %v", n, second.Spent())
+	if n := play(second, 2, 2*time.Second, 10*time.Second); n != 1 || !second.BudgetExhausted() {
+		t.Fatalf("%d were sent of the one that was left; spent: %v", n, second.BudgetExhausted())
 	}
 	// In the next period one slot is begun and its holder dies: it may have sent as often as it may.
-	b.Apply(Command{Op: Begin, Task: "t", Slot: b.Page("t").Slot + 1, Token: 3})
+	b.Apply(Command{Op: OpBegin, Task: "t", Slot: b.Record("t").Slot + 1, Token: 3})
 	third := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 	if n := play(third, 4, 10*time.Second, 12*time.Second); n != 1 {
 		t.Fatalf("%d were sent after two tries of the dead", n)
 	}
-	if p := b.Page("t"); p.Requests != 3 || p.Period != 101 {
+	if p := b.Record("t"); p.Requests != 3 || p.Period != 101 {
 		t.Fatalf("%+v", p)
 	}
 }
--- a/internal/zoneview/zonal.go
+++ b/internal/zoneview/zonal.go
@@ -187,13 +187,13 @@
 }
 
 // ShiftCommand is what the holder of the lease asks the council for a change, under its token and building on what it knows to be decided.
-func ShiftCommand(n *gossip.Node, pool string, change zonefailover.Transition, token uint64) consensus.OrderCommand {
+func ShiftCommand(n *gossip.Node, pool string, change zonefailover.Transition, token uint64) consensus.DecisionCommand {
 	_, numbers := ZoneStates(n, pool)
-	c := consensus.OrderCommand{
-		Key: gossip.PoolKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, After: numbers[change.Zone],
+	c := consensus.DecisionCommand{
+		Key: gossip.PoolKey(consensus.ZoneKind, pool, change.Zone), Value: change.State.Encode(), Token: token, BasedOn: numbers[change.Zone],
 	}
 	for _, number := range numbers {
-		c.Seen = max(c.Seen, number)
+		c.LastSeenZone = max(c.LastSeenZone, number)
 	}
 	return c
 }
--- a/internal/zoneview/zonal_test.go
+++ b/internal/zoneview/zonal_test.go
@@ -16,7 +16,7 @@
 // nodeOf is a process of a fleet to which the members named are there.
 func nodeOf(name string, members map[string]string, there func(string) bool) *gossip.Node {
 	cfg := gossip.DefaultConfig()
-	cfg.Name, cfg.Kinds, cfg.DecidedKinds = name, []string{gossip.UnreachableKind, ZoneCheckKind, GrayFailureKind}, consensus.DecidedKinds
+	cfg.Name, cfg.Kinds, cfg.DecidedKinds = name, []string{gossip.UnreachableKind, ZoneCheckKind, GrayFailureKind}, consensus.DecisionKinds
 	for m := range members {
 		cfg.Members = append(cfg.Members, m)
 	}
@@ -129,10 +129,10 @@
 	n.ApplyDecision("zone/farm/a", 3, []byte(zonefailover.State{Step: 4}.Encode()))
 	n.ApplyDecision("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
 	n.ApplyDecision("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
-	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.After != 3 || c.Seen != 7 || c.Token != 5 || c.Built {
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.BasedOn != 3 || c.LastSeenZone != 7 || c.Token != 5 || c.Conditional {
 		t.Errorf("%+v", c)
 	}
-	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.After != 0 || c.Seen != 7 {
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.BasedOn != 0 || c.LastSeenZone != 7 {
 		t.Errorf("of a zone that nothing was decided of: %+v", c)
 	}
 }
