--- a/internal/config/opfile.go
+++ b/internal/config/opfile.go
@@ -186,21 +186,21 @@
 	}
 	seen := map[string]bool{}
 	for _, e := range servers {
-		entry := discovery.Entry{
-			Host: e.needed("name"), Dial: e.needed("address"), Site: e.str("zone", ""), Health: "active",
-			Block: int(e.whole("cell", 0, 0, mostCount)), Share: e.number("weight", 1, 0, 1000),
+		entry := discovery.Endpoint{
+			ID: e.needed("name"), Address: e.needed("address"), Zone: e.str("zone", ""), Health: "active",
+			Cell: int(e.whole("cell", 0, 0, mostCount)), Weight: e.number("weight", 1, 0, 1000),
 		}
 		if e.word("state", "ready", "ready", "draining") == "draining" {
 			entry.Health = "leaving"
 		}
 		e.done()
-		if entry.Dial != "" {
-			r.address(e.at("address"), entry.Dial, false)
+		if entry.Address != "" {
+			r.address(e.at("address"), entry.Address, false)
 		}
-		if seen[entry.Host] {
-			r.bad(e.at("name"), "server %q is there twice", entry.Host)
+		if seen[entry.ID] {
+			r.bad(e.at("name"), "server %q is there twice", entry.ID)
 		}
-		seen[entry.Host] = true
+		seen[entry.ID] = true
 		p.Servers = append(p.Servers, entry)
 	}
 
@@ -240,8 +240,8 @@
 
 	reports := s.table("reports")
 	c.InlineLoadReports = reports.word("via", "answers", "answers", "probes") == "answers"
-	if p.Settings.Fields = reports.strs("fields"); !reports.has("fields") {
-		p.Settings.Fields = []string{"inflight", "queue", "util"}
+	if p.Settings.LoadReportFields = reports.strs("fields"); !reports.has("fields") {
+		p.Settings.LoadReportFields = []string{"inflight", "queue", "util"}
 		reports.print("fields", `["inflight", "queue", "util"]`, true)
 	}
 	reports.done()
--- a/internal/discovery/form_test.go
+++ b/internal/discovery/form_test.go
@@ -31,11 +31,11 @@
 // TestListForm holds the keys of a list and the words for the states of servers.
 func TestListForm(t *testing.T) {
 	text := readGolden(t, "testdata/list.json")
-	want := &List{Seq: seq(41), Whole: true, Hosts: []Entry{
-		{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001},
-		{Host: "s2", Dial: "127.0.0.1:9002", Site: "east", Block: 5, Class: "small", Health: "leaving", Share: 0.25, BornMs: 1700000000002},
+	want := &EndpointList{Version: seq(41), Complete: true, Endpoints: []Endpoint{
+		{ID: "s1", Address: "127.0.0.1:9001", Zone: "west", Cell: 4, MachineType: "large", Health: "active", Weight: 0.5, StartedMs: 1700000000001},
+		{ID: "s2", Address: "127.0.0.1:9002", Zone: "east", Cell: 5, MachineType: "small", Health: "leaving", Weight: 0.25, StartedMs: 1700000000002},
 	}}
-	if got, err := ParseList(text); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := ParseEndpointList(text); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
 	}
 	var list struct{ Hosts []map[string]any }
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	keys := []string{"block", "born_ms", "class", "dial", "health", "host", "share", "site"}
-	if got := slices.Sorted(maps.Keys(list.Hosts[0])); !slices.Equal(got, keys) || reflect.TypeFor[Entry]().NumField() != len(keys) {
+	if got := slices.Sorted(maps.Keys(list.Hosts[0])); !slices.Equal(got, keys) || reflect.TypeFor[Endpoint]().NumField() != len(keys) {
 		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Entry", got, keys)
 	}
 	states := map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed}
@@ -73,23 +73,23 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+string(messages))
 		}
 	}()
-	var got []*List
-	err = ask(ln.Addr().String()).Watch(context.Background(), 41, func(l *List) { got = append(got, l) })
+	var got []*EndpointList
+	err = ask(ln.Addr().String()).Watch(context.Background(), 41, func(l *EndpointList) { got = append(got, l) })
 	if !errors.Is(err, io.EOF) {
 		t.Fatalf("the watch ended with %v", err)
 	}
 	if call, want := <-asked, "GET /v1/servers?follow=1&since=41 "+ln.Addr().String(); call != want {
 		t.Errorf("asked %s, want %s", call, want)
 	}
-	want := []*List{
-		{Seq: seq(42), Whole: true, Hosts: []Entry{
-			{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001},
+	want := []*EndpointList{
+		{Version: seq(42), Complete: true, Endpoints: []Endpoint{
+			{ID: "s1", Address: "127.0.0.1:9001", Zone: "west", Cell: 4, MachineType: "large", Health: "active", Weight: 0.5, StartedMs: 1700000000001},
 		}},
-		{Seq: seq(43), Hosts: []Entry{
-			{Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "leaving", Share: 0.5, BornMs: 1700000000001},
+		{Version: seq(43), Endpoints: []Endpoint{
+			{ID: "s1", Address: "127.0.0.1:9001", Zone: "west", Cell: 4, MachineType: "large", Health: "leaving", Weight: 0.5, StartedMs: 1700000000001},
 		}},
-		{Seq: seq(44), Hosts: []Entry{{Host: "s1", Health: "left"}, {Host: "s2", Dial: "127.0.0.1:9002", Health: "active"}}},
-		{Seq: seq(45), Whole: true, Hosts: []Entry{}},
+		{Version: seq(44), Endpoints: []Endpoint{{ID: "s1", Health: "left"}, {ID: "s2", Address: "127.0.0.1:9002", Health: "active"}}},
+		{Version: seq(45), Complete: true, Endpoints: []Endpoint{}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf(" got %+v\nwant %+v", got, want)
--- a/internal/discovery/source_test.go
+++ b/internal/discovery/source_test.go
@@ -24,11 +24,11 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // ask is discovery at addr, on the platform's terms.
-func ask(addr string) Discovery {
-	return Discovery{Addr: addr, Bound: staleness.BoundFor(false, 10*time.Second, 2*time.Second)}
+func ask(addr string) Client {
+	return Client{Address: addr, Staleness: staleness.BoundFor(false, 10*time.Second, 2*time.Second)}
 }
 
-func next(t *testing.T, lists <-chan *List) *List {
+func next(t *testing.T, lists <-chan *EndpointList) *EndpointList {
 	t.Helper()
 	select {
 	case l := <-lists:
@@ -39,11 +39,11 @@
 	}
 }
 
-func watch(t *testing.T, s Source) (lists <-chan *List, ended <-chan error) {
+func watch(t *testing.T, s Source) (lists <-chan *EndpointList, ended <-chan error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	told, end := make(chan *List, 10), make(chan error, 1)
-	go func() { end <- s.Watch(ctx, 0, func(l *List) { told <- l }) }()
+	told, end := make(chan *EndpointList, 10), make(chan error, 1)
+	go func() { end <- s.Watch(ctx, 0, func(l *EndpointList) { told <- l }) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
@@ -56,14 +56,14 @@
 }
 
 func TestStatic(t *testing.T) {
-	s := NewStatic([]Entry{{Host: "a"}})
+	s := NewStatic([]Endpoint{{ID: "a"}})
 	lists, _ := watch(t, s)
-	if l := next(t, lists); !l.Whole || len(l.Hosts) != 1 || l.Hosts[0].Host != "a" {
+	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "a" {
 		t.Errorf("%+v", l)
 	}
-	before := *s.List().Seq
-	s.Set([]Entry{{Host: "b"}, {Host: "c"}})
-	if l := next(t, lists); !l.Whole || len(l.Hosts) != 2 || *l.Seq <= before {
+	before := *s.List().Version
+	s.Set([]Endpoint{{ID: "b"}, {ID: "c"}})
+	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 2 || *l.Version <= before {
 		t.Errorf("%+v", l)
 	}
 }
@@ -74,11 +74,11 @@
 		t.Fatal(err)
 	}
 	lists, _ := watch(t, ask(d.Addr()))
-	if l := next(t, lists); !l.Whole || len(l.Hosts) != 1 {
+	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
 	d.Set(fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "leaving"})
-	if l := next(t, lists); l.Whole || l.Hosts[0].Health != "leaving" {
+	if l := next(t, lists); l.Complete || l.Endpoints[0].Health != "leaving" {
 		t.Errorf("%+v", l)
 	}
 	d.Close()
@@ -92,9 +92,9 @@
 		"no version":     func(w io.Writer) { fmt.Fprintln(w, `{"whole":true,"hosts":[]}`) },
 		"no state":       func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","dial":"b","health":"fine"}]}`) },
 		"no address":     func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","health":"active"}]}`) },
-		"an endless one": func(w io.Writer) { io.WriteString(w, strings.Repeat("x", mostMessage+10)) },
+		"an endless one": func(w io.Writer) { io.WriteString(w, strings.Repeat("x", maxMessageBytes+10)) },
 		"an endless text in one": func(w io.Writer) {
-			io.WriteString(w, `{"seq":1,"pad":"`+strings.Repeat("x", mostMessage+10))
+			io.WriteString(w, `{"seq":1,"pad":"`+strings.Repeat("x", maxMessageBytes+10))
 		},
 		"the end": func(io.Writer) {},
 	} {
@@ -106,7 +106,7 @@
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) })}
 			go server.Serve(ln)
 			defer server.Close()
-			err = ask(ln.Addr().String()).Watch(context.Background(), 0, func(l *List) { t.Errorf("took over %+v", l) })
+			err = ask(ln.Addr().String()).Watch(context.Background(), 0, func(l *EndpointList) { t.Errorf("took over %+v", l) })
 			if err == nil || errors.Is(err, context.Canceled) {
 				t.Errorf("ended with %v", err)
 			}
@@ -114,21 +114,21 @@
 	}
 }
 
-// FuzzParseList guards against a panic and against entries that cannot be used.
-func FuzzParseList(f *testing.F) {
+// FuzzParseEndpointList guards against a panic and against entries that cannot be used.
+func FuzzParseEndpointList(f *testing.F) {
 	f.Add(`{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"active","share":1,"born_ms":5}]}`)
 	f.Add(`{"seq":42,"hosts":[{"host":"a","health":"left"}]}`)
 	f.Add(`{"hosts":null}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := ParseList([]byte(text))
+		l, err := ParseEndpointList([]byte(text))
 		if err != nil {
 			return
 		}
-		if l.Seq == nil {
+		if l.Version == nil {
 			t.Fatal("a list without a version")
 		}
-		for _, e := range l.Hosts {
-			if _, ok := States[e.Health]; !ok || e.Host == "" || e.Dial == "" && e.Health != "left" {
+		for _, e := range l.Endpoints {
+			if _, ok := States[e.Health]; !ok || e.ID == "" || e.Address == "" && e.Health != "left" {
 				t.Fatalf("an entry of no use: %+v", e)
 			}
 		}
@@ -174,7 +174,7 @@
 	})
 	lists, _ := watch(t, ask(addr))
 	for i, want := range []struct{ seq, hosts int64 }{{1, 1}, {2, 1}, {3, 0}} {
-		if l := next(t, lists); *l.Seq != want.seq || int64(len(l.Hosts)) != want.hosts {
+		if l := next(t, lists); *l.Version != want.seq || int64(len(l.Endpoints)) != want.hosts {
 			t.Errorf("message %d: %+v, want %+v", i, l, want)
 		}
 	}
@@ -221,9 +221,9 @@
 			})
 			defer close(over)
 			lists := 0
-			err := Discovery{Addr: addr, Bound: bound}.Watch(context.Background(), 0, func(*List) { lists++ })
-			if !errors.Is(err, ErrSilent) || !strings.Contains(err.Error(), addr) {
-				t.Errorf("ended with %v, want %v with the address", err, ErrSilent)
+			err := Client{Address: addr, Staleness: bound}.Watch(context.Background(), 0, func(*EndpointList) { lists++ })
+			if !errors.Is(err, ErrSilenceTimeout) || !strings.Contains(err.Error(), addr) {
+				t.Errorf("ended with %v, want %v with the address", err, ErrSilenceTimeout)
 			}
 			if lists != script.lists {
 				t.Errorf("told %d lists, want %d", lists, script.lists)
@@ -241,7 +241,7 @@
 			io.WriteString(c, list)
 		})
 		lists := 0
-		if err := (Discovery{Addr: addr, Bound: bound}).Watch(context.Background(), 0, func(*List) { lists++ }); !errors.Is(err, io.EOF) {
+		if err := (Client{Address: addr, Staleness: bound}).Watch(context.Background(), 0, func(*EndpointList) { lists++ }); !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %v, want the end", err)
 		}
 		if lists != 2 {
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -276,7 +276,7 @@
 	tick := time.NewTicker(endedLook)
 	defer tick.Stop()
 	for {
-		if process.Ended(c) {
+		if process.PeerClosed(c) {
 			return true
 		}
 		select {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -206,7 +206,7 @@
 }
 
 // left reports whether the client has closed.
-func (c *clientConn) left() bool { return c.reader.left.Load() || process.Ended(c.Conn) }
+func (c *clientConn) left() bool { return c.reader.left.Load() || process.PeerClosed(c.Conn) }
 
 // still is for how long nothing has come on c.
 func (c *clientConn) still() time.Duration { return time.Since(started) - time.Duration(c.read.Load()) }
@@ -226,7 +226,7 @@
 func NewWith(h Handler, d *process.Descriptors, log *slog.Logger, o Options) *Server {
 	return &Server{
 		handler: h, descriptors: d, log: log, options: o, conns: map[*clientConn]struct{}{}, ports: map[net.Listener]*port{},
-		idle: map[Owner]*[idleKinds]lists.List{}, origin: time.Now(), rule: keepalive.New(d.Clients()),
+		idle: map[Owner]*[idleKinds]lists.List{}, origin: time.Now(), rule: keepalive.New(d.MaxClients()),
 	}
 }
 
@@ -279,7 +279,7 @@
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
 		c.held = s.handler.Hold(0)
-		s.rule.Resize(s.descriptors.Clients())
+		s.rule.Resize(s.descriptors.MaxClients())
 		s.rule.Opened(s.now())
 		s.rule.Assign(0)
 		if s.rule.ShouldEvictAhead(s.now()) { // the next need not wait until one has closed
@@ -457,7 +457,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leave(c)
-	if s.closing(c) && c.reader.r.Buffered() == 0 && process.Quiet(c.Conn) {
+	if s.closing(c) && c.reader.r.Buffered() == 0 && process.NothingToRead(c.Conn) {
 		return false
 	}
 	s.setQuiet(c)
@@ -482,7 +482,7 @@
 				break
 			}
 			c := e.Value.(*clientConn)
-			if !s.rule.Expired(o, c.kind(), time.Since(c.since)) || !process.Quiet(c.Conn) {
+			if !s.rule.Expired(o, c.kind(), time.Since(c.since)) || !process.NothingToRead(c.Conn) {
 				break
 			}
 			s.dismiss(c)
@@ -494,7 +494,7 @@
 // the wait, or after c was dismissed.
 func (s *Server) await(c *clientConn) bool {
 	err := c.reader.await()
-	come := err == nil || errors.Is(err, os.ErrDeadlineExceeded) && !process.Quiet(c.Conn)
+	come := err == nil || errors.Is(err, os.ErrDeadlineExceeded) && !process.NothingToRead(c.Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leave(c)
@@ -647,7 +647,7 @@
 	longest, looked := slowTime, 0
 	for e := s.quiet[reading].Front(); e != nil && looked < mostSlowLook; e = e.Next() {
 		looked++
-		if c := e.Value.(*clientConn); c.still() >= longest && process.Quiet(c.Conn) {
+		if c := e.Value.(*clientConn); c.still() >= longest && process.NothingToRead(c.Conn) {
 			stillest, longest = c, c.still()
 		}
 	}
@@ -679,7 +679,7 @@
 		if time.Since(c.since) < least {
 			return false
 		}
-		if !process.Quiet(c.Conn) { // a request has come, or the end, and its goroutine is about to see it
+		if !process.NothingToRead(c.Conn) { // a request has come, or the end, and its goroutine is about to see it
 			continue
 		}
 		s.dismiss(c)
@@ -907,7 +907,7 @@
 	s.mu.Lock()
 	c.uses++
 	last = last || s.closing(c)
-	if !last && !s.rest(c) && c.reader.r.Buffered() == 0 && process.Quiet(c.Conn) { // else the next request is there already
+	if !last && !s.rest(c) && c.reader.r.Buffered() == 0 && process.NothingToRead(c.Conn) { // else the next request is there already
 		last = true
 	}
 	s.mu.Unlock()
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -102,7 +102,7 @@
 	t.Helper()
 	d := process.NewDescriptors(descriptors)
 	s := New(h, d, slog.New(slog.DiscardHandler))
-	d.OnClients(s.Evict)
+	d.SetClientEvictor(s.Evict)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 // must not hold them for as long as a request may take.
 func TestSlowHeadsGiveWay(t *testing.T) {
 	s := start(t, 64, nil)
-	most := int(process.ClientMost(64))
+	most := int(process.MaxClientDescriptors(64))
 	var slow []*client
 	begin := func() {
 		c := s.dial(t)
@@ -393,7 +393,7 @@
 	for name, silent := range map[string]int{"alone": 0, "beside silent ones": 500} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 384, nil)
-			places := int(process.ClientMost(384))
+			places := int(process.MaxClientDescriptors(384))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			var dialing sync.WaitGroup
@@ -472,7 +472,7 @@
 
 func (c *lateConn) Read(p []byte) (int, error) {
 	if c.late.Swap(false) {
-		for process.Quiet(c.TCPConn) {
+		for process.NothingToRead(c.TCPConn) {
 			time.Sleep(time.Millisecond)
 		}
 		return 0, os.ErrDeadlineExceeded
@@ -512,7 +512,7 @@
 		all = append(all, c)
 	}
 	s.descriptors.Resize(96)
-	places := int(process.ClientMost(96))
+	places := int(process.MaxClientDescriptors(96))
 	waitFor(t, "connections to go", func() bool { return s.Connections() <= places })
 	for _, c := range all {
 		if resp, _ := c.ask(t, get("h", "b")); resp.StatusCode != 200 { // closed: it connects anew
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -75,9 +75,9 @@
 				name := fmt.Sprint("pool", i)
 				cfg.Pools = append(cfg.Pools, Pool{
 					Name: name, Settings: testSettings(), Limits: Limits{Weight: 1}, Seed: 1,
-					Servers: []discovery.Entry{
-						{Host: "a", Dial: addr, Health: "active", Share: 1}, {Host: "b", Dial: addr, Health: "active", Share: 1},
-						{Host: "c", Dial: addr, Health: "active", Share: 1},
+					Servers: []discovery.Endpoint{
+						{ID: "a", Address: addr, Health: "active", Weight: 1}, {ID: "b", Address: addr, Health: "active", Weight: 1},
+						{ID: "c", Address: addr, Health: "active", Weight: 1},
 					},
 				})
 				cfg.Routes = append(cfg.Routes, route.Route{Name: name, Hosts: []string{name + ".example.org"}, Path: "/", Pool: name})
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -63,12 +63,12 @@
 type Pool struct {
 	Name      string
 	Settings  settings.Settings
-	Discovery string            // address
-	Servers   []discovery.Entry // if there is no discovery
-	Known     *discovery.List   // what was last known of discovery's list, or nil
+	Discovery string                  // address
+	Servers   []discovery.Endpoint    // if there is no discovery
+	Known     *discovery.EndpointList // what was last known of discovery's list, or nil
 	Seed      uint64
 	Limits    Limits
-	Dialect   pool.Dialect // how its clients and servers speak; nil: the platform's protocol
+	Dialect   pool.BackendProtocol // how its clients and servers speak; nil: the platform's protocol
 }
 
 // Limits is what a pool may have of the process. Of each resource, half is kept for the pools by their weights; the rest
@@ -169,7 +169,7 @@
 		}
 		return quota.Claim{Reserved: min(int64(float64(total)*part), most), Limit: most}
 	}
-	clients := process.ClientMost(c.usable())
+	clients := process.MaxClientDescriptors(c.usable())
 	conns := claim(clients, 0)
 	if len(c.Pools) == 1 { // nobody is to be kept from it
 		conns.Reserved = 0
@@ -179,7 +179,7 @@
 			OpenRequests: claim(clients, p.Limits.Open), BodyBytes: claim(c.bodies(), p.Limits.Bodies),
 			Rate: p.Limits.Rate, Burst: p.Limits.Burst, WaitForServers: p.Limits.Hold,
 		},
-		descriptors: claim(process.ForUpstreams(c.usable()), p.Limits.Descriptors),
+		descriptors: claim(process.MinUpstreamDescriptors(c.usable()), p.Limits.Descriptors),
 		conns:       conns,
 	}
 }
@@ -189,7 +189,7 @@
 func (c *Config) freshClaim() quota.Claim {
 	most := quota.Claim{Limit: quota.Unlimited}
 	if len(c.Pools) > 1 {
-		most.Reserved = int64(float64(process.ClientMost(c.usable())) * freshShare)
+		most.Reserved = int64(float64(process.MaxClientDescriptors(c.usable())) * freshShare)
 	}
 	return most
 }
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -34,7 +34,7 @@
 	// Offered tells of each request of the pool's clients.
 	Offered(class string)
 	// Cross answers a request that the pool has refused, once. It returns soon after ctx ends.
-	Cross(ctx context.Context, h *pool.Handover)
+	Cross(ctx context.Context, h *pool.RejectedRequest)
 }
 
 func (g *Gateway) crosses(pool string) bool {
@@ -42,12 +42,12 @@
 }
 
 // AdmitForeign is for the requests that another site hands over, to a pool by its name. They go no further than that.
-func (g *Gateway) AdmitForeign(q *httpmsg.Request, name string, f pool.Foreign) (downstream.Admission, downstream.Owner, error) {
+func (g *Gateway) AdmitForeign(q *httpmsg.Request, name string, f pool.ForwardedAttributes) (downstream.Admission, downstream.Owner, error) {
 	m := g.table.Load().pools[name]
 	if m == nil {
 		return nil, 0, httpmsg.Bad{Status: http.StatusNotFound, Text: "no such pool"}
 	}
-	ask, err := m.pool.LegalForeign(q, f)
+	ask, err := m.pool.ParseForwardedRequest(q, f)
 	a, owner, err := g.admit(m, q, ask, err)
 	if err != nil {
 		return nil, owner, err
@@ -78,11 +78,11 @@
 	key := g.lastKey
 	g.applying.Unlock()
 	up := upstream.New(cfg.Settings.Config, g.descriptors.Pool(key))
-	up.DialWith(dial)
-	g.descriptors.Set(key, besideClaim, up.Evict)
+	up.SetDialer(dial)
+	g.descriptors.Register(key, besideClaim, up.EvictIdle)
 	p, err := pool.New(cfg, up, log)
 	if err != nil {
-		g.descriptors.Drop(key)
+		g.descriptors.Unregister(key)
 		return nil, fmt.Errorf("pool %q: %w", cfg.Name, err)
 	}
 	return p, nil
@@ -102,7 +102,7 @@
 	if yields {
 		return httpmsg.Answer{}, httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is taken by clients"}
 	}
-	ask, err := m.pool.Legal(q, q.Path)
+	ask, err := m.pool.ParseRequest(q, q.Path)
 	a, _, err := g.admit(m, q, ask, err)
 	if err != nil {
 		return httpmsg.Answer{}, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,11 +132,11 @@
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	g.speech = sp
 	g.server = downstream.NewWith((*handler)(g), g.descriptors, log, downstream.Options{Streams: sp.Streams})
-	g.descriptors.OnClients(g.server.Evict)
+	g.descriptors.SetClientEvictor(g.server.Evict)
 	if x != nil {
 		g.extension = x
 		g.foreign = downstream.NewWith(x.Handler(g), g.descriptors, log, downstream.Options{Identify: x.Identify, Steady: true})
-		g.descriptors.OnClients(func() bool { return g.server.Evict() || g.foreign.Evict() })
+		g.descriptors.SetClientEvictor(func() bool { return g.server.Evict() || g.foreign.Evict() })
 	}
 	g.table.Store(&table{})
 	if err := g.apply(cfg, false); err != nil {
@@ -291,7 +291,7 @@
 	cl.admission.Forwardable = g.crosses(p.Name)
 	// Its parts are set before it starts, as it may probe at once; of what is taken by others it may find little left
 	// until resize.
-	g.descriptors.Set(m.key, cl.descriptors, up.Evict)
+	g.descriptors.Register(m.key, cl.descriptors, up.EvictIdle)
 	g.shares.Lock()
 	g.admission.Set(g.now(), m.key, cl.admission)
 	g.conns.Set(m.key, cl.conns)
@@ -299,15 +299,15 @@
 	g.shares.Unlock()
 	known := p.Known
 	if old != nil {
-		known = old.pool.Known()
+		known = old.pool.EndpointList()
 	}
 	cfg := pool.Config{
-		Name: p.Name, Settings: p.Settings, Dialect: p.Dialect, Known: known, Seed: p.Seed, Ready: func(n int) {
+		Name: p.Name, Settings: p.Settings, Protocol: p.Dialect, CachedList: known, Seed: p.Seed, OnReadyCount: func(n int) {
 			g.shares.Lock()
 			defer g.shares.Unlock()
 			g.admission.SetReady(m.key, n)
 		},
-		FiguresEvery: c.FiguresEvery, Counts: &g.counts, Serves: func() bool {
+		StatsInterval: c.FiguresEvery, Metrics: &g.counts, AcceptsRequests: func() bool {
 			g.shares.Lock()
 			defer g.shares.Unlock()
 			return g.admission.CanServe(m.key)
@@ -315,13 +315,13 @@
 	}
 	if g.extension != nil {
 		if m.crossing = g.extension.Crossing(p.Name); m.crossing != nil {
-			cfg.Elsewhere = m.crossing.Cross
+			cfg.ForwardRejected = m.crossing.Cross
 		}
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
-	cfg.Silent = func(server string, is bool) {
+	cfg.OnUnreachable = func(server string, is bool) {
 		if f := g.silent.Load(); f != nil {
 			(*f)(p.Name, server, is)
 		}
@@ -330,7 +330,7 @@
 		cfg.Source = p.discovery()
 	} else {
 		m.static = discovery.NewStatic(p.Servers)
-		cfg.Source, cfg.Known = m.static, m.static.List()
+		cfg.Source, cfg.CachedList = m.static, m.static.List()
 	}
 	log := g.log
 	if len(c.Pools) > 1 {
@@ -342,14 +342,14 @@
 		return nil, err
 	}
 	if o := g.avoided[p.Name]; len(o.servers) > 0 {
-		m.pool.Avoid(o.servers, o.returning, o.soft)
+		m.pool.SetExcluded(o.servers, o.returning, o.soft)
 	}
 	return m, nil
 }
 
 // discovery is where the list of p comes from.
 func (p *Pool) discovery() discovery.Source {
-	return discovery.Discovery{Addr: p.Discovery, Bound: p.Settings.ListBound()}
+	return discovery.Client{Address: p.Discovery, Staleness: p.Settings.ListStaleness()}
 }
 
 // setSource takes over where the list of a pool that stays comes from.
@@ -373,14 +373,14 @@
 	g.descriptors.Resize(c.usable())
 	g.shares.Lock()
 	defer g.shares.Unlock()
-	clients := process.ClientMost(c.usable())
+	clients := process.MaxClientDescriptors(c.usable())
 	g.admission.Resize(clients, c.bodies())
 	g.conns.Resize(clients)
 	g.conns.Set(nobody, c.freshClaim())
 	for _, p := range c.Pools {
 		m, cl := t.pools[p.Name], c.claims(p)
 		cl.admission.Forwardable = g.crosses(p.Name)
-		g.descriptors.Claim(m.key, cl.descriptors)
+		g.descriptors.SetClaim(m.key, cl.descriptors)
 		g.admission.Set(g.now(), m.key, cl.admission)
 		g.conns.Set(m.key, cl.conns)
 		g.pacer.Set(m.key, p.Limits.Weight)
@@ -389,7 +389,7 @@
 
 // drop ends all claims of a pool. What it still holds is given back as it ends.
 func (g *Gateway) drop(m *member) {
-	g.descriptors.Drop(m.key)
+	g.descriptors.Unregister(m.key)
 	g.shares.Lock()
 	defer g.shares.Unlock()
 	g.admission.Remove(m.key)
@@ -405,14 +405,14 @@
 	g.pacer.Remove(m.key)
 	g.retired[m] = struct{}{}
 	g.shares.Unlock()
-	g.descriptors.Claim(m.key, quota.Claim{Limit: quota.Unlimited})
+	g.descriptors.SetClaim(m.key, quota.Claim{Limit: quota.Unlimited})
 	g.log.Info("pool drains", "pool", m.cfg.Name, "load", m.pool.String())
 	g.leaving.Go(func() {
-		ctx, cancel := context.WithTimeout(g.ctx, m.pool.Longest()+drainSlack)
+		ctx, cancel := context.WithTimeout(g.ctx, m.pool.MaxDeadline()+drainSlack)
 		defer cancel()
 		err := g.awaitEmpty(ctx, m)
 		m.pool.Close()
-		g.descriptors.Drop(m.key)
+		g.descriptors.Unregister(m.key)
 		g.log.Info("pool removed", "pool", m.cfg.Name, "err", err)
 		g.shares.Lock()
 		defer g.shares.Unlock()
@@ -425,7 +425,7 @@
 	tick := time.NewTicker(drainLook)
 	defer tick.Stop()
 	for {
-		requests, _, _ := m.pool.Load()
+		requests, _, _ := m.pool.Counts()
 		g.shares.Lock()
 		admitted := g.admission.OpenRequests(m.key)
 		g.shares.Unlock()
@@ -554,7 +554,7 @@
 	g.stopped = true
 	longest := time.Duration(0)
 	for _, m := range g.owing() {
-		longest = max(longest, m.pool.Longest())
+		longest = max(longest, m.pool.MaxDeadline())
 	}
 	if g.cfg.DrainMost > 0 {
 		longest = min(longest, g.cfg.DrainMost)
@@ -563,7 +563,7 @@
 	defer cancel()
 	defer time.AfterFunc(drainWindow+longest, func() {
 		for _, m := range g.owing() {
-			m.pool.GiveUp()
+			m.pool.AbortRequests()
 		}
 	}).Stop()
 	// Answers close their connections from here on, and idle ones are closed: a request that crosses that
@@ -686,7 +686,7 @@
 	g.shares.Unlock()
 	l := Load{Draining: draining, Clients: g.server.Connections(), Goroutines: runtime.NumGoroutine()}
 	for _, m := range g.table.Load().pools {
-		r, t, s := m.pool.Load()
+		r, t, s := m.pool.Counts()
 		l.Pools, l.Requests, l.Timers, l.Servers = l.Pools+1, l.Requests+r, l.Timers+t, l.Servers+s
 	}
 	return l
@@ -701,7 +701,7 @@
 		return errors.New("the process takes no clients yet")
 	}
 	for name, m := range g.table.Load().pools {
-		if serves, _ := m.pool.Ready(); !serves {
+		if serves, _ := m.pool.Readiness(); !serves {
 			return fmt.Errorf("pool %q has no ready server", name)
 		}
 	}
@@ -711,14 +711,14 @@
 // Hurry has all pools ask for their lists at once.
 func (g *Gateway) Hurry() {
 	for _, m := range g.table.Load().pools {
-		m.pool.Hurry()
+		m.pool.PollNow()
 	}
 }
 
 // Told reports whether the sources of all pools have told their lists.
 func (g *Gateway) Told() bool {
 	for _, m := range g.table.Load().pools {
-		if _, told := m.pool.Ready(); !told {
+		if _, told := m.pool.Readiness(); !told {
 			return false
 		}
 	}
@@ -729,8 +729,8 @@
 func (g *Gateway) Figures() admin.Figures {
 	f := admin.Figures{Results: g.counts.Classes(), Forwards: g.counts.Forwards()}
 	for _, m := range g.table.Load().pools {
-		p := m.pool.Figures()
-		f.Outstanding, f.Discovered, f.Ejected = f.Outstanding+p.Outstanding, f.Discovered+p.Listed, f.Ejected+p.Avoided
+		p := m.pool.Stats()
+		f.Outstanding, f.Discovered, f.Ejected = f.Outstanding+p.Outstanding, f.Discovered+p.Endpoints, f.Ejected+p.Ejected
 	}
 	return f
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 10 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, LateWeightFraction: 1}
 	}
 	return settings.Settings{
-		Fields: []string{"queue", "inflight"},
+		LoadReportFields: []string{"queue", "inflight"},
 		Config: policy.Config{
 			InstanceCount: 1, MaxAttempts: 3, HealthChecksAllowed: true, CancellationAllowed: true, RetryAfterHonored: true, MaxRetryAfter: 2 * time.Second,
 			DialTimeout: 2 * time.Second, ConnIdle: time.Minute, TimerResolution: time.Millisecond, PollInterval: 10 * time.Second,
@@ -72,11 +72,11 @@
 	return b
 }
 
-func listed(boxes ...*fake.Box) []discovery.Entry {
-	all := []discovery.Entry{}
+func listed(boxes ...*fake.Box) []discovery.Endpoint {
+	all := []discovery.Endpoint{}
 	for _, b := range boxes {
 		e := b.Entry()
-		all = append(all, discovery.Entry{Host: e.Host, Dial: e.Dial, Health: e.Health, Share: 1})
+		all = append(all, discovery.Endpoint{ID: e.Host, Address: e.Dial, Health: e.Health, Weight: 1})
 	}
 	return all
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	ask, err := m.pool.Legal(q, rest)
+	ask, err := m.pool.ParseRequest(q, rest)
 	a, owner, err := g.admit(m, q, ask, err)
 	if err != nil {
 		return nil, owner, err
@@ -55,7 +55,7 @@
 }
 
 // admit asks the limits of pool m about a request that is legal there unless err is set.
-func (g *Gateway) admit(m *member, q *httpmsg.Request, ask pool.Ask, err error) (*admission, downstream.Owner, error) {
+func (g *Gateway) admit(m *member, q *httpmsg.Request, ask pool.ParsedRequest, err error) (*admission, downstream.Owner, error) {
 	owner := downstream.Owner(m.key)
 	room := q.Length
 	if room < 0 || room > httpmsg.MostBody { // so much of a long one is held
@@ -128,7 +128,7 @@
 	g    *Gateway
 	m    *member
 	q    *httpmsg.Request
-	ask  pool.Ask
+	ask  pool.ParsedRequest
 	room int64
 
 	foreign bool
@@ -146,7 +146,7 @@
 	if a.m.crossing != nil && !a.foreign {
 		a.m.crossing.Offered(a.ask.Class())
 	}
-	x, err := a.m.pool.Take(a.q, a.ask, a.Release)
+	x, err := a.m.pool.Submit(a.q, a.ask, a.Release)
 	if err != nil {
 		a.Release()
 		if bad := (httpmsg.Bad{}); errors.As(err, &bad) {
--- a/internal/gateway/hearsay.go
+++ b/internal/gateway/hearsay.go
@@ -13,7 +13,7 @@
 // Hint has a pool's module hear that a server does not answer others.
 func (g *Gateway) Hint(pool, server string) {
 	if m := g.table.Load().pools[pool]; m != nil {
-		m.pool.Hint(server)
+		m.pool.HintUnreachable(server)
 	}
 }
 
@@ -31,7 +31,7 @@
 	}
 	g.avoided[pool] = orders{servers, returning, soft}
 	if m := g.table.Load().pools[pool]; m != nil {
-		return m.pool.Avoid(servers, returning, soft)
+		return m.pool.SetExcluded(servers, returning, soft)
 	}
 	return true
 }
@@ -46,7 +46,7 @@
 		return nil
 	}
 	zones := map[string]string{}
-	for _, s := range m.pool.Servers() {
+	for _, s := range m.pool.ReadyEndpoints() {
 		zones[s.Name] = s.Zone
 	}
 	return zones
@@ -55,12 +55,12 @@
 // Outcomes are what became of a pool's attempts, by zone; see pool.Pool.Outcomes.
 func (g *Gateway) Outcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration)) {
 	if m := g.table.Load().pools[pool]; m != nil {
-		m.pool.Outcomes(f)
+		m.pool.ZoneOutcomes(f)
 	}
 }
 
 // Look asks a server of a pool whether it answers.
 func (g *Gateway) Look(pool, server string) bool {
 	m := g.table.Load().pools[pool]
-	return m != nil && m.pool.Look(server)
+	return m != nil && m.pool.CheckEndpoint(server)
 }
--- a/internal/gateway/learnt.go
+++ b/internal/gateway/learnt.go
@@ -8,15 +8,15 @@
 // Learnt is what a process has learnt of clients and servers, for one that takes its place with the same pools. It is a help
 // and no truth: whatever is missing or wrong in it is learnt anew.
 type Learnt struct {
-	Clients keepalive.History      `json:"Clients"` // by pool, in the order of their keys
-	Pools   map[string]pool.Learnt `json:"Pools"`
+	Clients keepalive.History            `json:"Clients"` // by pool, in the order of their keys
+	Pools   map[string]pool.LearnedState `json:"Pools"`
 }
 
 // Learnt returns what has been learnt so far.
 func (g *Gateway) Learnt() Learnt {
-	l := Learnt{Clients: g.server.Learnt(), Pools: map[string]pool.Learnt{}}
+	l := Learnt{Clients: g.server.Learnt(), Pools: map[string]pool.LearnedState{}}
 	for name, m := range g.table.Load().pools {
-		l.Pools[name] = m.pool.Learnt()
+		l.Pools[name] = m.pool.ExportLearnedState()
 	}
 	return l
 }
@@ -26,7 +26,7 @@
 	g.server.Adopt(l.Clients)
 	for name, m := range g.table.Load().pools {
 		if of, known := l.Pools[name]; known {
-			m.pool.Adopt(of)
+			m.pool.ImportLearnedState(of)
 		}
 	}
 }
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -63,7 +63,7 @@
 	Via        string // by which name this process is known
 }
 
-// Dialect is a pool.Service.
+// Dialect is a pool.EndToEndProtocol.
 type Dialect struct {
 	cfg   Config
 	rules []classify.Rule // of the classes
@@ -105,10 +105,10 @@
 	return c.Rule.Class, c.Effect
 }
 
-// Ask is the method of pool.Service. It also makes the head of q what goes on to servers.
-func (d *Dialect) Ask(q *httpmsg.Request, _ string) (pool.Said, error) {
-	bad := func(status int, text string) (pool.Said, error) {
-		return pool.Said{}, httpmsg.Bad{Status: status, Text: text}
+// ParseRequest is the method of pool.EndToEndProtocol. It also makes the head of q what goes on to servers.
+func (d *Dialect) ParseRequest(q *httpmsg.Request, _ string) (pool.RequestAttributes, error) {
+	bad := func(status int, text string) (pool.RequestAttributes, error) {
+		return pool.RequestAttributes{}, httpmsg.Bad{Status: status, Text: text}
 	}
 	switch {
 	case q.Method == http.MethodConnect || q.Method == http.MethodTrace:
@@ -119,10 +119,10 @@
 	path, _, _ := strings.Cut(q.URI, "?")
 	i, m := d.Find(q.Method, q.Host, path, q.Header)
 	c := &d.cfg.Classes[i]
-	said := pool.Said{Timeout: c.Deadline, Name: uuid.Must(uuid.NewV7()).String()}
+	said := pool.RequestAttributes{Timeout: c.Deadline, ID: uuid.Must(uuid.NewV7()).String()}
 	name, effect := c.of(q.Header)
-	said.Event.Class = name
-	said.Safe = effect == policy.Idempotent
+	said.PolicyRequest.Class = name
+	said.Idempotent = effect == policy.Idempotent
 	value := func(s Source) string {
 		if s.Name != "" {
 			return m.Value(s.Name)
@@ -132,11 +132,11 @@
 		}
 		return ""
 	}
-	said.Event.Tenant, said.Event.Key = value(c.Tenant), value(c.Key)
+	said.PolicyRequest.Tenant, said.PolicyRequest.Key = value(c.Tenant), value(c.Key)
 	if p, ok := d.patience(q.Header); ok {
 		said.Timeout = p
 	}
-	d.address(q, said.Name)
+	d.address(q, said.ID)
 	return said, nil
 }
 
@@ -235,8 +235,8 @@
 	return false
 }
 
-// Extra is the method of pool.Dialect: a trace that came goes on with a span of its own for each attempt.
-func (d *Dialect) Extra(_ *policy.Request, h http.Header, _ time.Duration) []upstream.Field {
+// ExtraFields is the method of pool.BackendProtocol: a trace that came goes on with a span of its own for each attempt.
+func (d *Dialect) ExtraFields(_ *policy.Request, h http.Header, _ time.Duration) []upstream.Field {
 	parent := h.Get("Traceparent")
 	if !isTrace(parent) {
 		return nil
@@ -262,8 +262,8 @@
 	return true
 }
 
-// Read is the method of pool.Dialect.
-func (d *Dialect) Read(status int, h http.Header) (policy.Status, *policy.LoadReport) {
+// ClassifyResponse is the method of pool.BackendProtocol.
+func (d *Dialect) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
 	var load *policy.LoadReport
 	if d.cfg.ORCA {
 		load = parseORCA(h)
@@ -277,8 +277,8 @@
 	return policy.StatusOK, load
 }
 
-// ProbeTarget is the method of pool.Dialect.
-func (d *Dialect) ProbeTarget() string { return d.cfg.Check }
+// HealthCheckTarget is the method of pool.BackendProtocol.
+func (d *Dialect) HealthCheckTarget() string { return d.cfg.Check }
 
-// Pass is the method of pool.Service: the fields of an answer as its client has them.
-func (d *Dialect) Pass(h http.Header) { h.Add("Via", "1.1 "+d.cfg.Via) }
+// RewriteResponseHeader is the method of pool.EndToEndProtocol: the fields of an answer as its client has them.
+func (d *Dialect) RewriteResponseHeader(h http.Header) { h.Add("Via", "1.1 "+d.cfg.Via) }
--- a/internal/httpservice/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -68,23 +68,23 @@
 		"no number":     {request("GET", "/items/7", "X-Timeout-Ms", "-3", "Grpc-Timeout", "99x"), "read", true, time.Second, "", "7"},
 		"endless":       {request("GET", "/items/7", "X-Timeout-Ms", "999999999999999"), "read", true, time.Second, "", "7"},
 	} {
-		said, err := d.Ask(c.q, "")
-		if err != nil || said.Event.Class != c.class || said.Safe != c.safe || said.Timeout != c.timeout || said.Event.Tenant != c.tenant || said.Event.Key != c.key_ {
+		said, err := d.ParseRequest(c.q, "")
+		if err != nil || said.PolicyRequest.Class != c.class || said.Idempotent != c.safe || said.Timeout != c.timeout || said.PolicyRequest.Tenant != c.tenant || said.PolicyRequest.Key != c.key_ {
 			t.Errorf("%s: %+v, %v", name, said, err)
 		}
-		if c.q.Header.Get("X-Request-Id") == "" || said.Name == "" {
+		if c.q.Header.Get("X-Request-Id") == "" || said.ID == "" {
 			t.Errorf("%s: no id", name)
 		}
 	}
-	a, _ := d.Ask(request("GET", "/items/1", "X-Request-Id", "mine"), "")
-	b, _ := d.Ask(request("GET", "/items/1", "X-Request-Id", "mine"), "")
-	if a.Name == b.Name {
+	a, _ := d.ParseRequest(request("GET", "/items/1", "X-Request-Id", "mine"), "")
+	b, _ := d.ParseRequest(request("GET", "/items/1", "X-Request-Id", "mine"), "")
+	if a.ID == b.ID {
 		t.Error("a client's id tells requests apart")
 	}
 	for _, q := range []*httpmsg.Request{
 		request("TRACE", "/"), request("CONNECT", "/"), request("GET", "/chat", "Connection", "keep-alive, Upgrade", "Upgrade", "websocket"),
 	} {
-		_, err := d.Ask(q, "")
+		_, err := d.ParseRequest(q, "")
 		if bad, ok := err.(httpmsg.Bad); !ok || bad.Status != 501 {
 			t.Errorf("%s %v: %v", q.Method, q.Header, err)
 		}
@@ -101,7 +101,7 @@
 		"drop":    {Drop, "", "", ""},
 	} {
 		q := request("GET", "/", "X-Forwarded-For", "10.0.0.1", "Forwarded", "for=10.0.0.1", "X-Forwarded-Proto", "https", "Via", "1.0 old")
-		if _, err := dialect(t, func(cfg *Config) { cfg.Forwarding = c.way }).Ask(q, ""); err != nil {
+		if _, err := dialect(t, func(cfg *Config) { cfg.Forwarding = c.way }).ParseRequest(q, ""); err != nil {
 			t.Fatal(err)
 		}
 		h := q.Header
@@ -119,14 +119,14 @@
 	d := dialect(t, nil)
 	seen := map[string]bool{parent: true}
 	for range 3 {
-		extra := d.Extra(nil, http.Header{"Traceparent": {parent}}, 0)
+		extra := d.ExtraFields(nil, http.Header{"Traceparent": {parent}}, 0)
 		if len(extra) != 1 || extra[0].Value[:36] != parent[:36] || extra[0].Value[52:] != "-01" || seen[extra[0].Value] || !isTrace(extra[0].Value) {
 			t.Fatalf("%+v", extra)
 		}
 		seen[extra[0].Value] = true
 	}
 	for _, bad := range []string{"", "00-x", strings.ToUpper(parent), "01" + parent[2:], parent + "0"} {
-		if extra := d.Extra(nil, http.Header{"Traceparent": {bad}}, 0); extra != nil {
+		if extra := d.ExtraFields(nil, http.Header{"Traceparent": {bad}}, 0); extra != nil {
 			t.Errorf("%q: %+v", bad, extra)
 		}
 	}
@@ -138,7 +138,7 @@
 	for status, want := range map[int]policy.Status{
 		200: policy.StatusOK, 204: policy.StatusOK, 301: policy.StatusOK, 404: policy.StatusOK, 500: policy.StatusOK, 502: policy.StatusApplicationError, 503: policy.StatusApplicationError, 429: policy.StatusOverloaded,
 	} {
-		if got, _ := d.Read(status, http.Header{}); got != want {
+		if got, _ := d.ClassifyResponse(status, http.Header{}); got != want {
 			t.Errorf("%d: %v, want %v", status, got, want)
 		}
 	}
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -22,46 +22,46 @@
 	"sorrelrudder/policy"
 )
 
-// crossing is a pool before two servers whose connections come up when the test says so.
-type crossing struct {
+// attemptScenario is a pool before two servers whose connections come up when the test says so.
+type attemptScenario struct {
 	*Pool
-	src   scripted
-	dials chan heldDial
+	src   scriptedSource
+	dials chan pendingDial
 	sent  chan string // the addresses to which requests have come
-	hosts [2]discovery.Entry
+	hosts [2]discovery.Endpoint
 }
 
-// heldDial is a connection that waits for the test to let it come up.
-type heldDial struct {
+// pendingDial is a connection that waits for the test to let it come up.
+type pendingDial struct {
 	addr string
 	up   chan struct{}
 }
 
-// startCrossing starts one. With no answer a server resets the connection once it has a request.
-func startCrossing(t *testing.T, class policy.Class, answer string) *crossing {
+// startAttemptScenario starts one. With no answer a server resets the connection once it has a request.
+func startAttemptScenario(t *testing.T, class policy.Class, answer string) *attemptScenario {
 	t.Helper()
-	x := &crossing{
-		src:   scripted{make(chan *discovery.List), make(chan struct{}, 1)},
-		dials: make(chan heldDial, 16), sent: make(chan string, 16),
+	x := &attemptScenario{
+		src:   scriptedSource{make(chan *discovery.EndpointList), make(chan struct{}, 1)},
+		dials: make(chan pendingDial, 16), sent: make(chan string, 16),
 	}
 	for i := range x.hosts {
-		x.hosts[i] = discovery.Entry{Host: string(rune('a' + i)), Dial: serveOnce(t, answer, x.sent), Health: "active"}
+		x.hosts[i] = discovery.Endpoint{ID: string(rune('a' + i)), Address: serveOnce(t, answer, x.sent), Health: "active"}
 	}
 	cfg := policy.Config{
 		InstanceCount: 1, MaxAttempts: 2, PollInterval: 8 * time.Millisecond, TimerResolution: time.Millisecond, DialTimeout: time.Millisecond,
 		Classes: []policy.Class{class},
 	}
 	descriptors := process.NewDescriptors(64)
-	descriptors.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
+	descriptors.Register(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
 	up := upstream.New(cfg, descriptors.Pool(1))
-	up.DialWith(func(_ context.Context, addr string) (net.Conn, error) { // it comes up however late that is
-		h := heldDial{addr, make(chan struct{})}
+	up.SetDialer(func(_ context.Context, addr string) (net.Conn, error) { // it comes up however late that is
+		h := pendingDial{addr, make(chan struct{})}
 		x.dials <- h
 		<-h.up
 		return net.Dial("tcp", addr)
 	})
 	var err error
-	x.Pool, err = New(Config{Settings: settings.Settings{Config: cfg}, Source: x.src, Known: x.list(1)}, up, slog.New(slog.DiscardHandler))
+	x.Pool, err = New(Config{Settings: settings.Settings{Config: cfg}, Source: x.src, CachedList: x.list(1)}, up, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,14 +70,14 @@
 }
 
 // list is that of both servers as they stand.
-func (x *crossing) list(seq int64) *discovery.List {
-	return &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{x.hosts[0], x.hosts[1]}}
+func (x *attemptScenario) list(seq int64) *discovery.EndpointList {
+	return &discovery.EndpointList{Version: &seq, Complete: true, Endpoints: []discovery.Endpoint{x.hosts[0], x.hosts[1]}}
 }
 
 // change has the list tell of another state of the server at addr.
-func (x *crossing) change(addr string, change func(*discovery.Entry)) {
+func (x *attemptScenario) change(addr string, change func(*discovery.Endpoint)) {
 	for i := range x.hosts {
-		if x.hosts[i].Dial == addr {
+		if x.hosts[i].Address == addr {
 			change(&x.hosts[i])
 		}
 	}
@@ -85,10 +85,10 @@
 	<-x.src.took
 }
 
-func (x *crossing) take(t *testing.T, q policy.Request, timeout time.Duration, left func() bool) *Exchange {
+func (x *attemptScenario) take(t *testing.T, q policy.Request, timeout time.Duration, left func() bool) *Exchange {
 	t.Helper()
-	e, err := x.Take(&httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, Left: left},
-		Ask{event: q, timeout: timeout, name: "r"}, func() {})
+	e, err := x.Submit(&httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, Left: left},
+		ParsedRequest{policyRequest: q, timeout: timeout, requestID: "r"}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,12 +150,12 @@
 // TestToldWhileConnecting guards against a request that is sent to a server which the list has said to drain, or to have gone, or
 // to be another process by now, while the connection to it came up: another server gets it.
 func TestToldWhileConnecting(t *testing.T) {
-	for name, change := range map[string]func(*discovery.Entry){
-		"drains":    func(e *discovery.Entry) { e.Health = "leaving" },
-		"restarted": func(e *discovery.Entry) { e.BornMs = time.Now().UnixMilli() },
+	for name, change := range map[string]func(*discovery.Endpoint){
+		"drains":    func(e *discovery.Endpoint) { e.Health = "leaving" },
+		"restarted": func(e *discovery.Endpoint) { e.StartedMs = time.Now().UnixMilli() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := startCrossing(t, safeClass, fine)
+			x := startAttemptScenario(t, safeClass, fine)
 			e := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
 			first := wait(t, "the first attempt", x.dials)
 			x.change(first.addr, change)
@@ -176,7 +176,7 @@
 func TestLeftWhileConnecting(t *testing.T) {
 	for name, attempt := range map[string]int{"first": 1, "further": 2} {
 		t.Run(name, func(t *testing.T) {
-			x := startCrossing(t, safeClass, "")
+			x := startAttemptScenario(t, safeClass, "")
 			var left atomic.Bool
 			e := x.take(t, policy.Request{Class: "c"}, time.Minute, left.Load)
 			for i := range attempt {
@@ -202,7 +202,7 @@
 // since its connection came up late.
 func TestWindowWhileConnecting(t *testing.T) {
 	const window = 150 * time.Millisecond
-	x := startCrossing(t, policy.Class{Name: "c", Idempotency: policy.IdempotentByKey, DedupWindow: window, PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}, "")
+	x := startAttemptScenario(t, policy.Class{Name: "c", Idempotency: policy.IdempotentByKey, DedupWindow: window, PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}, "")
 	e := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
 	close(wait(t, "the first attempt", x.dials).up)
 	wait(t, "the request", x.sent) // it may have run: the connection is reset
@@ -221,7 +221,7 @@
 // TestDeadlineWhileConnecting guards against a request that is written after its time: what it does then is of use to nobody.
 func TestDeadlineWhileConnecting(t *testing.T) {
 	const patience = 100 * time.Millisecond
-	x := startCrossing(t, safeClass, fine)
+	x := startAttemptScenario(t, safeClass, fine)
 	e := x.take(t, policy.Request{Class: "c"}, patience, nil)
 	first := wait(t, "the first attempt", x.dials)
 	wait(t, "the answer", e.Answer())
@@ -233,16 +233,16 @@
 }
 
 // awaitEmpty returns once all requests have ended and their attempts are back.
-func (x *crossing) awaitEmpty(t *testing.T) {
+func (x *attemptScenario) awaitEmpty(t *testing.T) {
 	t.Helper()
 	x.awaitRequests(t, 0)
 }
 
 // awaitRequests returns once so many of them are left at most.
-func (x *crossing) awaitRequests(t *testing.T, most int) {
+func (x *attemptScenario) awaitRequests(t *testing.T, most int) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		n, _, _ := x.Load()
+		n, _, _ := x.Counts()
 		if n <= most {
 			return
 		}
@@ -255,24 +255,24 @@
 // TestGiveUp guards against requests without an answer at the end of the process: what an attempt was begun for
 // has failed, and nothing more is taken or sent.
 func TestGiveUp(t *testing.T) {
-	x := startCrossing(t, safeClass, "HTTP/1.1 100 Continue\r\n\r\n") // and nothing more
+	x := startAttemptScenario(t, safeClass, "HTTP/1.1 100 Continue\r\n\r\n") // and nothing more
 	ran := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
 	close(wait(t, "the first attempt", x.dials).up)
 	wait(t, "the request", x.sent)
 	q := &httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"s"}}}
-	connects, err := x.Take(q, Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: "s"}, func() {})
+	connects, err := x.Submit(q, ParsedRequest{policyRequest: policy.Request{Class: "c"}, timeout: time.Minute, requestID: "s"}, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := wait(t, "another request's attempt", x.dials)
-	x.GiveUp()
+	x.AbortRequests()
 	for name, e := range map[string]*Exchange{"sent": ran, "that connects": connects} {
 		if a := wait(t, "the answer", e.Answer()); a.Status != http.StatusBadGateway {
 			t.Errorf("the one %s was answered %d", name, a.Status)
 		}
 	}
 	var bad httpmsg.Bad
-	if _, err := x.Take(q, Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: "u"}, func() {}); !errors.As(err, &bad) || bad.Status != http.StatusServiceUnavailable {
+	if _, err := x.Submit(q, ParsedRequest{policyRequest: policy.Request{Class: "c"}, timeout: time.Minute, requestID: "u"}, func() {}); !errors.As(err, &bad) || bad.Status != http.StatusServiceUnavailable {
 		t.Errorf("a further one was taken, or turned away with %v", err)
 	}
 	close(d.up)
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -48,12 +48,12 @@
 		Classes: []policy.Class{safeClass},
 	}
 	descriptors := process.NewDescriptors(64)
-	descriptors.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
+	descriptors.Register(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
 	seq := int64(1)
 	p, err := New(Config{
-		Settings: settings.Settings{Config: cfg, Fields: []string{"queue", "inflight", "latency_ms", "eps"}},
-		Source:   scripted{make(chan *discovery.List), make(chan struct{}, 1)},
-		Known:    &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{{Host: "a", Dial: ln.Addr().String(), Health: "active"}}},
+		Settings:   settings.Settings{Config: cfg, LoadReportFields: []string{"queue", "inflight", "latency_ms", "eps"}},
+		Source:     scriptedSource{make(chan *discovery.EndpointList), make(chan struct{}, 1)},
+		CachedList: &discovery.EndpointList{Version: &seq, Complete: true, Endpoints: []discovery.Endpoint{{ID: "a", Address: ln.Addr().String(), Health: "active"}}},
 	}, upstream.New(cfg, descriptors.Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 			p.mu.Lock()
 			to := p.peers["a"]
 			p.mu.Unlock()
-			status, load := p.probe(to)
+			status, load := p.healthCheck(to)
 			if status != c.status || !reflect.DeepEqual(load, c.load) {
 				t.Errorf("got %v, %+v, want %v, %+v", status, load, c.status, c.load)
 			}
@@ -115,8 +115,8 @@
 		t.Run(name, func(t *testing.T) {
 			p, _ := startPlatformPool(t, httpAnswer(200, c.field, "ok"), c.inline)
 			for _, id := range []string{"r1", "r2"} {
-				e, err := p.Take(&httpmsg.Request{Method: "GET", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {id}}},
-					Ask{event: policy.Request{Class: "c"}, timeout: time.Minute, name: id}, func() {})
+				e, err := p.Submit(&httpmsg.Request{Method: "GET", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {id}}},
+					ParsedRequest{policyRequest: policy.Request{Class: "c"}, timeout: time.Minute, requestID: id}, func() {})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -124,7 +124,7 @@
 					t.Fatalf("answered %d", a.Status)
 				}
 			}
-			if queue := p.Learnt().DelayModel[0]; (queue > 0) != c.told {
+			if queue := p.ExportLearnedState().DelayModel[0]; (queue > 0) != c.told {
 				t.Errorf("mean queue %v; a load was told: %v", queue, c.told)
 			}
 		})
@@ -142,7 +142,7 @@
 		{500, "X-Not-Processed", "1", false}, {429, "X-Not-Processed", "1", false}, {200, "X-Not-Processed", "1", false},
 		{503, "X-Not-Processed", "true", false}, {503, "X-Not-Processed", "0", false}, {503, "X-Processed", "1", false},
 	} {
-		if got := turnedAway(&http.Response{StatusCode: c.status, Header: http.Header{c.field: {c.value}}}); got != c.want {
+		if got := provesNotExecuted(&http.Response{StatusCode: c.status, Header: http.Header{c.field: {c.value}}}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
--- a/internal/pool/hearsay.go
+++ b/internal/pool/hearsay.go
@@ -7,50 +7,50 @@
 	"sorrelrudder/policy"
 )
 
-// notice tells of a server that has not answered this pool, and of one that answers again. A time-out may be the load or chance: what comes of
+// noteReachability tells of a server that has not answered this pool, and of one that answers again. A time-out may be the load or chance: what comes of
 // it is for those to say who hear it of several.
-func (p *Pool) notice(id policy.EndpointID, status policy.Status) {
-	if p.silent == nil {
+func (p *Pool) noteReachability(id policy.EndpointID, status policy.Status) {
+	if p.onUnreachable == nil {
 		return
 	}
 	switch status {
 	case policy.StatusConnectFailed, policy.StatusTimeout, policy.StatusReset: // told again while it lasts: what is not found out anew is forgotten
-		p.said[id] = true
-		p.silent(string(id), true)
+		p.reportedUnreachable[id] = true
+		p.onUnreachable(string(id), true)
 	case policy.StatusOK:
-		p.unsay(id)
+		p.clearUnreachable(id)
 	}
 }
 
-// unsay takes back what was told of a server, which answers again, has restarted or is gone.
-func (p *Pool) unsay(id policy.EndpointID) {
-	if p.said[id] {
-		delete(p.said, id)
-		p.silent(string(id), false)
+// clearUnreachable takes back what was told of a server, which answers again, has restarted or is gone.
+func (p *Pool) clearUnreachable(id policy.EndpointID) {
+	if p.reportedUnreachable[id] {
+		delete(p.reportedUnreachable, id)
+		p.onUnreachable(string(id), false)
 	}
 }
 
-// outcomes count what became of attempts at the servers of a zone.
-type outcomes struct {
+// zoneOutcome count what became of attempts at the servers of a zone.
+type zoneOutcome struct {
 	answered, failed int64
 	delay            time.Duration
 }
 
-// count counts an attempt that has ended. One that was called off, since another was quicker, has taken as long at least.
-func (p *Pool) count(zone string, status policy.Status, took time.Duration) {
-	if p.silent == nil || zone == "" {
+// countOutcome counts an attempt that has ended. One that was called off, since another was quicker, has taken as long at least.
+func (p *Pool) countOutcome(zone string, status policy.Status, took time.Duration) {
+	if p.onUnreachable == nil || zone == "" {
 		return
 	}
-	o := p.outcomes[zone]
+	o := p.zoneOutcomes[zone]
 	if o == nil {
-		if p.outcomes == nil {
-			p.outcomes = map[string]*outcomes{}
+		if p.zoneOutcomes == nil {
+			p.zoneOutcomes = map[string]*zoneOutcome{}
 		}
-		if len(p.outcomes) >= mostZones {
+		if len(p.zoneOutcomes) >= maxZones {
 			return
 		}
-		o = &outcomes{}
-		p.outcomes[zone] = o
+		o = &zoneOutcome{}
+		p.zoneOutcomes[zone] = o
 	}
 	switch status {
 	case policy.StatusOK, policy.StatusCanceled:
@@ -61,93 +61,93 @@
 	}
 }
 
-// mostZones bounds the zones that are counted: a list may name ever new ones.
-const mostZones = 64
+// maxZones bounds the zones that are counted: a list may name ever new ones.
+const maxZones = 64
 
-// Outcomes calls f with what became of attempts at each zone's servers since the start: answers, with the sum of their delays, and failures.
-func (p *Pool) Outcomes(f func(zone string, answered, failed int64, delay time.Duration)) {
+// ZoneOutcomes calls f with what became of attempts at each zone's servers since the start: answers, with the sum of their delays, and failures.
+func (p *Pool) ZoneOutcomes(f func(zone string, answered, failed int64, delay time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for zone, o := range p.outcomes {
+	for zone, o := range p.zoneOutcomes {
 		f(zone, o.answered, o.failed, o.delay)
 	}
 }
 
-// Hint has the module hear that a server does not answer others. It only ever makes it careful: see policy.Balancer.Hint.
-func (p *Pool) Hint(server string) {
-	p.event(func(now policy.Time) { p.balancer.HandleUnreachableHint(now, policy.EndpointID(server)) })
+// HintUnreachable has the module hear that a server does not answer others. It only ever makes it careful: see policy.Balancer.Hint.
+func (p *Pool) HintUnreachable(server string) {
+	p.runEvent(func(now policy.Time) { p.balancer.HandleUnreachableHint(now, policy.EndpointID(server)) })
 }
 
-// anotherStart is no start that a list names.
-const anotherStart = -1
+// otherStartMs is no start that a list names.
+const otherStartMs = -1
 
-// Avoid has the servers named take nothing new, though the list names them ready, as if it said that they drain, until another call leaves
+// SetExcluded has the servers named take nothing new, though the list names them ready, as if it said that they drain, until another call leaves
 // them out. It does so with none of them, and returns false, where no ready server would be left. One that was avoided and is not any more, and
 // those of returning, which the fleet has just begun to use again, count as started then, since nobody has sent them anything for a while: no list
 // need say so, and all processes together would else push them over. Those of soft are used again once the list names another start of theirs: it has
 // seen them since, and what is known to be cold is paced by the module.
-func (p *Pool) Avoid(servers, returning, soft map[string]bool) (done bool) {
-	p.event(func(now policy.Time) {
+func (p *Pool) SetExcluded(servers, returning, soft map[string]bool) (done bool) {
+	p.runEvent(func(now policy.Time) {
 		left := 0
-		for id, e := range p.entries {
+		for id, e := range p.endpoints {
 			if discovery.States[e.Health] == policy.Ready && !servers[string(id)] {
 				left++
 			}
 		}
-		if done = left > 0 || len(p.entries) == 0; !done {
+		if done = left > 0 || len(p.endpoints) == 0; !done {
 			servers, returning, soft = nil, nil, nil
 		}
-		before := p.avoided
+		before := p.excluded
 		used := map[policy.EndpointID]bool{} // also of those that are avoided: they have started again
-		for id, e := range p.entries {
-			used[id] = p.listed(e).State == policy.Ready
+		for id, e := range p.endpoints {
+			used[id] = p.policyEndpoint(e).State == policy.Ready
 		}
-		p.avoided, p.soft = servers, soft
-		for id := range p.leftBorn {
+		p.excluded, p.softExcluded = servers, soft
+		for id := range p.startMsAtExclusion {
 			if !servers[id] {
-				delete(p.leftBorn, id)
+				delete(p.startMsAtExclusion, id)
 			}
 		}
 		leftZones := map[string]bool{} // zones of which some were avoided already
 		for id := range before {
-			if e, there := p.entries[policy.EndpointID(id)]; there {
-				leftZones[e.Site] = true
+			if e, there := p.endpoints[policy.EndpointID(id)]; there {
+				leftZones[e.Zone] = true
 			}
 		}
 		for id := range servers {
-			if _, had := p.leftBorn[id]; had {
+			if _, had := p.startMsAtExclusion[id]; had {
 				continue
 			}
-			if p.leftBorn == nil {
-				p.leftBorn = map[string]int64{}
+			if p.startMsAtExclusion == nil {
+				p.startMsAtExclusion = map[string]int64{}
 			}
-			e, there := p.entries[policy.EndpointID(id)]
-			if p.leftBorn[id] = e.BornMs; there && e.BornMs != 0 && leftZones[e.Site] && !p.met[policy.EndpointID(id)] {
-				p.leftBorn[id] = anotherStart // the list has named it since its zone was left
+			e, there := p.endpoints[policy.EndpointID(id)]
+			if p.startMsAtExclusion[id] = e.StartedMs; there && e.StartedMs != 0 && leftZones[e.Zone] && !p.listedAtLastOrder[policy.EndpointID(id)] {
+				p.startMsAtExclusion[id] = otherStartMs // the list has named it since its zone was left
 			}
 		}
-		p.met = map[policy.EndpointID]bool{}
-		for id := range p.entries {
-			p.met[id] = true
+		p.listedAtLastOrder = map[policy.EndpointID]bool{}
+		for id := range p.endpoints {
+			p.listedAtLastOrder[id] = true
 		}
 		var changed []policy.Endpoint
-		for id, e := range p.entries {
-			_, had := p.returned[string(id)]
+		for id, e := range p.endpoints {
+			_, had := p.returnedAt[string(id)]
 			since, back := policy.Time(0), false // 0: as the list has it
 			switch {
 			case servers[string(id)]:
-				delete(p.returned, string(id))
+				delete(p.returnedAt, string(id))
 			case before[string(id)]:
 				if back = !used[id]; back {
 					since = max(now, 1)
 				}
-				p.setReturned(string(id), since)
+				p.setReturnedAt(string(id), since)
 			case returning[string(id)] && !had:
 				back = true
-				p.setReturned(string(id), max(now, 1))
+				p.setReturnedAt(string(id), max(now, 1))
 			}
 			if back || before[string(id)] != servers[string(id)] {
-				changed = append(changed, p.listed(e))
+				changed = append(changed, p.policyEndpoint(e))
 			}
 		}
 		if len(changed) > 0 {
@@ -157,49 +157,49 @@
 	return done
 }
 
-// setReturned notes since when a server is used again. The caller holds mu.
-func (p *Pool) setReturned(id string, since policy.Time) {
+// setReturnedAt notes since when a server is used again. The caller holds mu.
+func (p *Pool) setReturnedAt(id string, since policy.Time) {
 	if p.settings.Config.SlowStartDuration <= 0 {
 		return
 	}
-	if p.returned == nil {
-		p.returned = map[string]policy.Time{}
+	if p.returnedAt == nil {
+		p.returnedAt = map[string]policy.Time{}
 	}
-	p.returned[id] = since
+	p.returnedAt[id] = since
 }
 
-// listed is what the module is told of an entry of the list.
-func (p *Pool) listed(e discovery.Entry) policy.Endpoint {
+// policyEndpoint is what the module is told of an entry of the list.
+func (p *Pool) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	s := policy.Endpoint{
-		ID: policy.EndpointID(e.Host), State: discovery.States[e.Health], Zone: e.Site, Cell: e.Block, Weight: e.Share, Kind: e.Class, Started: p.started(e.BornMs),
+		ID: policy.EndpointID(e.ID), State: discovery.States[e.Health], Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Kind: e.MachineType, Started: p.startTime(e.StartedMs),
 	}
-	if s.State == policy.Ready && p.avoided[e.Host] && !(p.soft[e.Host] && e.BornMs != p.leftBorn[e.Host]) {
+	if s.State == policy.Ready && p.excluded[e.ID] && !(p.softExcluded[e.ID] && e.StartedMs != p.startMsAtExclusion[e.ID]) {
 		s.State = policy.Draining
 	}
-	if at := p.returned[e.Host]; at > max(0, s.Started) {
+	if at := p.returnedAt[e.ID]; at > max(0, s.Started) {
 		s.Started = at
 	}
 	return s
 }
 
-// Listed is a server that the list names ready.
-type Listed struct{ Name, Zone string }
+// ReadyEndpoint is a server that the list names ready.
+type ReadyEndpoint struct{ Name, Zone string }
 
-// Servers are those that the list names ready, whether they are avoided or not, in no order.
-func (p *Pool) Servers() []Listed {
+// ReadyEndpoints are those that the list names ready, whether they are avoided or not, in no order.
+func (p *Pool) ReadyEndpoints() []ReadyEndpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make([]Listed, 0, len(p.entries))
-	for _, e := range p.entries {
+	all := make([]ReadyEndpoint, 0, len(p.endpoints))
+	for _, e := range p.endpoints {
 		if discovery.States[e.Health] == policy.Ready {
-			all = append(all, Listed{e.Host, e.Site})
+			all = append(all, ReadyEndpoint{e.ID, e.Zone})
 		}
 	}
 	return all
 }
 
-// Look asks a server that is avoided whether it answers, as a probe does. The module hears nothing of it.
-func (p *Pool) Look(server string) bool {
+// CheckEndpoint asks a server that is avoided whether it answers, as a probe does. The module hears nothing of it.
+func (p *Pool) CheckEndpoint(server string) bool {
 	p.mu.Lock()
 	to := p.peers[policy.EndpointID(server)]
 	closed := p.closed
@@ -207,6 +207,6 @@
 	if to == nil || closed {
 		return false
 	}
-	status, _ := p.probe(to)
+	status, _ := p.healthCheck(to)
 	return status == policy.StatusOK
 }
--- a/internal/pool/ids.go
+++ b/internal/pool/ids.go
@@ -6,30 +6,32 @@
 	"sorrelrudder/policy"
 )
 
-// mostClosedIDs bounds the ids that are remembered after their requests have ended.
-const mostClosedIDs = 4096
+// maxClosedIDs bounds the ids that are remembered after their requests have ended.
+const maxClosedIDs = 4096
 
-// openIDs holds the ids of the requests that are open, and of those that ended lately. An upstream takes a second
+// requestIDSet holds the ids of the requests that are open, and of those that ended lately. An upstream takes a second
 // request with the id of one that it has for a repeat of it, so that the client who uses the id of another's request
 // would run that one twice. A client that repeats an id of its own in that time is turned away too; the protocol asks
 // for a new one with every request.
-type openIDs struct {
-	keep   time.Duration // how long the id of an ended request is remembered
-	ids    map[string]bool
-	closed []closedID // oldest first
+type requestIDSet struct {
+	retention time.Duration // how long the id of an ended request is remembered
+	ids       map[string]bool
+	closed    []closedID // oldest first
 }
 
 type closedID struct {
-	id string
-	at policy.Time
+	id       string
+	closedAt policy.Time
 }
 
-func newOpenIDs(keep time.Duration) openIDs { return openIDs{keep: keep, ids: map[string]bool{}} }
+func newRequestIDSet(keep time.Duration) requestIDSet {
+	return requestIDSet{retention: keep, ids: map[string]bool{}}
+}
 
 // open notes the id of a new request, and reports whether it was free.
-func (o *openIDs) open(now policy.Time, id string) bool {
+func (o *requestIDSet) open(now policy.Time, id string) bool {
 	n := 0
-	for n < len(o.closed) && (now-o.closed[n].at > o.keep || len(o.closed)-n > mostClosedIDs) {
+	for n < len(o.closed) && (now-o.closed[n].closedAt > o.retention || len(o.closed)-n > maxClosedIDs) {
 		delete(o.ids, o.closed[n].id)
 		n++
 	}
@@ -42,4 +44,6 @@
 }
 
 // close notes that the request of id has ended.
-func (o *openIDs) close(now policy.Time, id string) { o.closed = append(o.closed, closedID{id, now}) }
+func (o *requestIDSet) close(now policy.Time, id string) {
+	o.closed = append(o.closed, closedID{id, now})
+}
--- a/internal/pool/outdated_test.go
+++ b/internal/pool/outdated_test.go
@@ -14,13 +14,13 @@
 	"sorrelrudder/policy"
 )
 
-// scripted is a source that tells one message a call.
-type scripted struct {
-	calls chan *discovery.List
+// scriptedSource is a source that tells one message a call.
+type scriptedSource struct {
+	calls chan *discovery.EndpointList
 	took  chan struct{}
 }
 
-func (s scripted) Watch(ctx context.Context, _ int64, tell func(*discovery.List)) error {
+func (s scriptedSource) Watch(ctx context.Context, _ int64, tell func(*discovery.EndpointList)) error {
 	select {
 	case l := <-s.calls:
 		tell(l)
@@ -31,10 +31,10 @@
 	}
 }
 
-func listed(seq int64, whole bool, hosts ...string) *discovery.List {
-	l := &discovery.List{Seq: &seq, Whole: whole}
+func endpointList(seq int64, whole bool, hosts ...string) *discovery.EndpointList {
+	l := &discovery.EndpointList{Version: &seq, Complete: whole}
 	for _, h := range hosts {
-		l.Hosts = append(l.Hosts, discovery.Entry{Host: h, Dial: "127.0.0.1:1", Health: "active"})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{ID: h, Address: "127.0.0.1:1", Health: "active"})
 	}
 	return l
 }
@@ -45,8 +45,8 @@
 		InstanceCount: 1, MaxAttempts: 1, PollInterval: 8 * time.Millisecond, TimerResolution: time.Millisecond,
 		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
-	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(10, true, "a")},
+	src := scriptedSource{make(chan *discovery.EndpointList), make(chan struct{}, 1)}
+	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, CachedList: endpointList(10, true, "a")},
 		upstream.New(cfg, process.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 		names := ""
 		for _, h := range []string{"a", "b", "c", "d"} {
 			p.mu.Lock()
-			if _, is := p.entries[policy.EndpointID(h)]; is {
+			if _, is := p.endpoints[policy.EndpointID(h)]; is {
 				names += h
 			}
 			p.mu.Unlock()
@@ -64,18 +64,18 @@
 		return names
 	}
 	for i, c := range []struct {
-		tell *discovery.List
+		tell *discovery.EndpointList
 		want string
 	}{
-		{listed(9, true, "b"), "a"},
-		{listed(11, true, "a", "c"), "ac"},
-		{listed(10, false, "b"), "ac"},
-		{listed(11, false, "d"), "acd"},
-		{listed(3, true, "b"), "acd"},
-		{listed(3, true, "b"), "acd"},
-		{listed(4, false, "b"), "acd"},
-		{listed(4, true, "b"), "b"}, // it counts anew
-		{listed(5, true, "c"), "c"},
+		{endpointList(9, true, "b"), "a"},
+		{endpointList(11, true, "a", "c"), "ac"},
+		{endpointList(10, false, "b"), "ac"},
+		{endpointList(11, false, "d"), "acd"},
+		{endpointList(3, true, "b"), "acd"},
+		{endpointList(3, true, "b"), "acd"},
+		{endpointList(4, false, "b"), "acd"},
+		{endpointList(4, true, "b"), "b"}, // it counts anew
+		{endpointList(5, true, "c"), "c"},
 	} {
 		src.calls <- c.tell
 		<-src.took
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -19,12 +19,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestOpenIDs holds the ids of open requests against what they promise, over any order of requests: none is taken twice while
+// TestRequestIDSet holds the ids of open requests against what they promise, over any order of requests: none is taken twice while
 // it is open or has just ended, each can be used again at last, and what is remembered stays bounded.
-func TestOpenIDs(t *testing.T) {
+func TestRequestIDSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const keep = 10 * time.Second
-		ids := newOpenIDs(keep)
+		ids := newRequestIDSet(keep)
 		open, ended := map[string]bool{}, map[string]time.Duration{}
 		now := time.Duration(0)
 		name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "id")) })
@@ -56,22 +56,22 @@
 	})
 }
 
-func TestOpenIDsBounded(t *testing.T) {
-	ids := newOpenIDs(time.Hour)
-	for i := range 3 * mostClosedIDs {
+func TestRequestIDSetBounded(t *testing.T) {
+	ids := newRequestIDSet(time.Hour)
+	for i := range 3 * maxClosedIDs {
 		id := fmt.Sprint(i)
 		if !ids.open(0, id) {
 			t.Fatal(id)
 		}
 		ids.close(0, id)
 	}
-	if len(ids.ids) > mostClosedIDs+1 {
-		t.Errorf("%d ids are remembered, at most %d may be", len(ids.ids), mostClosedIDs+1)
+	if len(ids.ids) > maxClosedIDs+1 {
+		t.Errorf("%d ids are remembered, at most %d may be", len(ids.ids), maxClosedIDs+1)
 	}
 }
 
-func TestLegal(t *testing.T) {
-	p := &Pool{longest: 5 * time.Second, effects: map[string]policy.Idempotency{
+func TestParseRequest(t *testing.T) {
+	p := &Pool{maxDeadline: 5 * time.Second, idempotency: map[string]policy.Idempotency{
 		"check": policy.Idempotent, "order": policy.IdempotentByKey, "book": policy.NonIdempotent,
 	}}
 	header := func(more ...string) http.Header {
@@ -97,40 +97,40 @@
 		"method of unsafe": {"GET", "/book", header(), 405},
 		"PUT":              {"PUT", "/book", header(), 405},
 		"no id":            {"GET", "/check", header("X-Request-Id", ""), 400},
-		"long id":          {"GET", "/check", header("X-Request-Id", strings.Repeat("i", mostID+1)), 400},
+		"long id":          {"GET", "/check", header("X-Request-Id", strings.Repeat("i", maxRequestIDBytes+1)), 400},
 		"no time":          {"GET", "/check", header("X-Timeout-Ms", "0"), 400},
 		"negative time":    {"GET", "/check", header("X-Timeout-Ms", "-1"), 400},
 		"endless time":     {"GET", "/check", header("X-Timeout-Ms", "99999999999999999999"), 400},
 	} {
-		ask, err := p.Legal(&httpmsg.Request{Method: c.method, Header: c.header}, c.path)
+		ask, err := p.ParseRequest(&httpmsg.Request{Method: c.method, Header: c.header}, c.path)
 		bad, _ := err.(httpmsg.Bad)
 		if bad.Status != c.status || (err == nil) != (c.status == 0) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if err == nil && (ask.timeout != 300*time.Millisecond || ask.safe != (c.method == "GET")) {
+		if err == nil && (ask.timeout != 300*time.Millisecond || ask.idempotent != (c.method == "GET")) {
 			t.Errorf("%s: %+v", name, ask)
 		}
 	}
-	ask, err := p.Legal(&httpmsg.Request{Method: "GET", Header: header(
+	ask, err := p.ParseRequest(&httpmsg.Request{Method: "GET", Header: header(
 		"X-Timeout-Ms", "60000", "X-Tenant-Id", "t", "X-Retried", "1", "X-Cost", "1500")}, "/check/of/7")
 	want := policy.Request{Class: "check", Key: "7", Tenant: "t", IsRetry: true, ExpectedWork: 1500 * time.Microsecond}
-	if err != nil || !reflect.DeepEqual(ask.event, want) || ask.timeout != p.longest {
+	if err != nil || !reflect.DeepEqual(ask.policyRequest, want) || ask.timeout != p.maxDeadline {
 		t.Errorf("got %+v, %v", ask, err)
 	}
 }
 
-// FuzzParseLoad guards against a panic and against figures that are none.
-func FuzzParseLoad(f *testing.F) {
+// FuzzParseLoadReport guards against a panic and against figures that are none.
+func FuzzParseLoadReport(f *testing.F) {
 	for _, text := range []string{"TEXT inflight=7, queue=2, util=0.61", "queue=2", "queue=-1", "queue=NaN, inflight=1e300", "=,=", "TEXT "} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		l := parseLoad(text, []string{"queue", "inflight"})
+		l := parseLoadReport(text, []string{"queue", "inflight"})
 		if l == nil {
 			return
 		}
 		for _, v := range []float64{l.Queue, l.InFlight} {
-			if !(v == -1 || v >= 0 && v <= mostLoad) {
+			if !(v == -1 || v >= 0 && v <= maxLoadFigure) {
 				t.Fatalf("%q gives %+v", text, l)
 			}
 		}
--- a/internal/pool/returned_test.go
+++ b/internal/pool/returned_test.go
@@ -19,8 +19,8 @@
 		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Minute, TimerResolution: time.Millisecond, SlowStartDuration: time.Minute, SlowStartMinCapacity: 0.1,
 		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
-	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, Known: listed(1, true, "a", "b", "c")},
+	src := scriptedSource{make(chan *discovery.EndpointList), make(chan struct{}, 1)}
+	p, err := New(Config{Settings: settings.Settings{Config: cfg}, Source: src, CachedList: endpointList(1, true, "a", "b", "c")},
 		upstream.New(cfg, process.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 	told := func(host string) policy.Endpoint {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.listed(p.entries[policy.EndpointID(host)])
+		return p.policyEndpoint(p.endpoints[policy.EndpointID(host)])
 	}
 	only := func(names ...string) map[string]bool {
 		all := map[string]bool{}
@@ -38,15 +38,15 @@
 		}
 		return all
 	}
-	if !p.Avoid(only("b"), nil, nil) || told("b").State != policy.Draining || told("b").Started != 0 {
+	if !p.SetExcluded(only("b"), nil, nil) || told("b").State != policy.Draining || told("b").Started != 0 {
 		t.Fatalf("%+v", told("b"))
 	}
-	if !p.Avoid(nil, nil, nil) || told("b").State != policy.Ready || told("b").Started == 0 || told("a").Started != 0 {
+	if !p.SetExcluded(nil, nil, nil) || told("b").State != policy.Ready || told("b").Started == 0 || told("a").Started != 0 {
 		t.Fatalf("%+v, %+v", told("a"), told("b"))
 	}
 	since := told("b").Started
 	peer := p.peers["b"]
-	src.calls <- listed(2, true, "a", "b", "c")
+	src.calls <- endpointList(2, true, "a", "b", "c")
 	<-src.took
 	if got := told("b"); got.Started != since {
 		t.Errorf("after a list %+v, not since %v", got, since)
@@ -56,21 +56,21 @@
 		t.Error("it is taken for another process")
 	}
 	p.mu.Unlock()
-	if p.Avoid(only("b"), only("c"), nil); told("c").Started == 0 || told("a").Started != 0 {
+	if p.SetExcluded(only("b"), only("c"), nil); told("c").Started == 0 || told("a").Started != 0 {
 		t.Errorf("of a zone that is returned to: %+v", told("c"))
 	}
 	first := told("c").Started
-	if p.Avoid(nil, only("b", "c"), nil); told("c").Started != first || told("b").Started < since {
+	if p.SetExcluded(nil, only("b", "c"), nil); told("c").Started != first || told("b").Started < since {
 		t.Errorf("%+v, %+v", told("b"), told("c"))
 	}
-	if p.Avoid(only("a", "b", "c"), nil, nil); told("c").State != policy.Ready {
+	if p.SetExcluded(only("a", "b", "c"), nil, nil); told("c").State != policy.Ready {
 		t.Error("no server is left")
 	}
 	// One that the fleet has left by itself is used as soon as the list names another start of it; one that an operator avoids is not.
-	p.Avoid(only("b", "c"), nil, only("b"))
-	l := listed(3, true, "a", "b", "c")
-	l.Hosts[2].BornMs = 77
-	l.Hosts[1].BornMs = time.Now().Add(time.Second).UnixMilli()
+	p.SetExcluded(only("b", "c"), nil, only("b"))
+	l := endpointList(3, true, "a", "b", "c")
+	l.Endpoints[2].StartedMs = 77
+	l.Endpoints[1].StartedMs = time.Now().Add(time.Second).UnixMilli()
 	src.calls <- l
 	<-src.took
 	if got := told("b"); got.Started <= since || got.State != policy.Ready {
@@ -80,12 +80,12 @@
 		t.Errorf("avoided by an operator, and told as %+v", got)
 	}
 	// As the return goes on it stays what the list has made of it: each step would else hold it back anew.
-	want := p.started(l.Hosts[1].BornMs)
+	want := p.startTime(l.Endpoints[1].StartedMs)
 	for p.now() <= want {
 		time.Sleep(time.Millisecond)
 	}
 	for range 2 {
-		p.Avoid(only("c"), only("b"), nil)
+		p.SetExcluded(only("c"), only("b"), nil)
 		if got := told("b").Started; got != want {
 			t.Errorf("as its zone is returned to it counts as started at %v, want %v, as the list says", got, want)
 		}
--- a/internal/pool/staleness_test.go
+++ b/internal/pool/staleness_test.go
@@ -66,9 +66,9 @@
 }
 
 // startAsking starts a pool that asks discovery at addr, and knows the list given.
-func startAsking(t *testing.T, cfg settings.Settings, addr string, known *discovery.List) *Pool {
+func startAsking(t *testing.T, cfg settings.Settings, addr string, known *discovery.EndpointList) *Pool {
 	t.Helper()
-	p, err := New(Config{Settings: cfg, Source: discovery.Discovery{Addr: addr, Bound: cfg.ListBound()}, Known: known},
+	p, err := New(Config{Settings: cfg, Source: discovery.Client{Address: addr, Staleness: cfg.ListStaleness()}, CachedList: known},
 		upstream.New(cfg.Config, process.NewDescriptors(64).Pool(1)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 		startAsking(t, cfg, addr, nil)
 		first := nextCall(t, calls)
 		first.answer(t, oneServer)
-		time.Sleep(steadyWatch + 100*time.Millisecond) // it has to have stood so long; more makes no difference
+		time.Sleep(minStableWatch + 100*time.Millisecond) // it has to have stood so long; more makes no difference
 		first.Conn.(*net.TCPConn).SetLinger(0)
 		first.Close()
 		within(t, "reset", time.Now(), nextCall(t, calls).at, staleness.BoundFor(false, 0, cfg.DrainGrace).RetryDelay+busy)
@@ -149,7 +149,7 @@
 		next, moved := startDiscovery(t)
 		began := time.Now()
 		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
-		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
+		p.SetSource(discovery.Client{Address: next, Staleness: bound})
 		nextCall(t, moved).answer(t, oneServer)
 		within(t, "since it moved", began, time.Now(), bound.RetryDelay+busy)
 		if len(calls) > 0 {
@@ -166,7 +166,7 @@
 		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
 		began := time.Now()
 		first.Close() // the old watch ends in the same instant
-		p.SetSource(discovery.Discovery{Addr: next, Bound: bound})
+		p.SetSource(discovery.Client{Address: next, Staleness: bound})
 		mute := nextCall(t, moved)
 		within(t, "since it moved", began, mute.at, bound.RetryDelay+busy)
 		within(t, "never answered", mute.at, nextCall(t, moved).at, bound.AfterUnansweredCall()+busy)
@@ -182,7 +182,7 @@
 		}
 		reserved.Close() // nobody is there yet
 		bound := staleness.BoundFor(false, cfg.Config.PollInterval, cfg.DrainGrace)
-		p.SetSource(discovery.Discovery{Addr: reserved.Addr().String(), Bound: bound})
+		p.SetSource(discovery.Client{Address: reserved.Addr().String(), Staleness: bound})
 		time.Sleep(4 * bound.RejectedBackoff) // some calls are refused meanwhile; more makes no difference
 		back, err := net.Listen("tcp", reserved.Addr().String())
 		if err != nil {
@@ -204,7 +204,7 @@
 		pushed.Config.EndpointsPushed, pushed.DrainGrace = true, 2*time.Second
 		addr, calls := startDiscovery(t)
 		began := time.Now()
-		startAsking(t, pushed, addr, listed(1, true, "a"))
+		startAsking(t, pushed, addr, endpointList(1, true, "a"))
 		first := nextCall(t, calls)
 		within(t, "since the start", began, first.at, pushed.DrainGrace/2+busy)
 		for range 3 { // it answers the first call that finds discovery up again
@@ -220,7 +220,7 @@
 func TestNothingKnown(t *testing.T) {
 	addr, calls := startDiscovery(t)
 	began := time.Now()
-	startAsking(t, settings.Settings{Config: fleetConfig(300)}, addr, listed(1, true))
+	startAsking(t, settings.Settings{Config: fleetConfig(300)}, addr, endpointList(1, true))
 	if took := nextCall(t, calls).at.Sub(began); took > 1500*time.Millisecond {
 		t.Errorf("asked after %v", took)
 	}
@@ -232,9 +232,9 @@
 	told := 0
 	p.log = slog.New(countingHandler{Handler: slog.DiscardHandler, n: &told})
 	for range 3 {
-		p.warn(errors.New("noise"))
+		p.logWatchEnd(errors.New("noise"))
 	}
-	p.warn(errors.New("another"))
+	p.logWatchEnd(errors.New("another"))
 	if told != 2 {
 		t.Errorf("told %d times, want 2", told)
 	}
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -9,19 +9,19 @@
 	"sorrelrudder/policy"
 )
 
-// tallied are the ends of attempts that are counted by kind.
-var tallied = map[policy.Status]statslog.Count{
+// attemptStats are the ends of attempts that are counted by kind.
+var attemptStats = map[policy.Status]statslog.Count{
 	policy.StatusConnectFailed: statslog.Unreached, policy.StatusTimeout: statslog.TimedOut, policy.StatusApplicationError: statslog.Erred,
 	policy.StatusOverloaded: statslog.TurnedAway, policy.StatusReset: statslog.Broken,
 }
 
-// endOf is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
-func (p *Pool) endOf(r *request, o metrics.Outcome) statslog.Count {
+// requestStat is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
+func (p *Pool) requestStat(r *request, o metrics.Outcome) statslog.Count {
 	switch o {
 	case metrics.Declined:
 		return statslog.Refused
 	case metrics.Succeeded:
-		if aim := p.aims[r.event.Class]; p.tells && aim > 0 && p.now()-r.taken > aim {
+		if aim := p.latencyObjectives[r.policyRequest.Class]; p.statsLogged && aim > 0 && p.now()-r.acceptedAt > aim {
 			return statslog.Late
 		}
 		return statslog.InAim
@@ -29,14 +29,14 @@
 	return statslog.Failed
 }
 
-// warming reports whether a server started less than the ramp time ago.
-func (p *Pool) warming(now policy.Time, server policy.EndpointID) bool {
+// warmingUp reports whether a server started less than the ramp time ago.
+func (p *Pool) warmingUp(now policy.Time, server policy.EndpointID) bool {
 	to := p.peers[server]
 	return to != nil && to.Started() != 0 && now-to.Started() < p.settings.Config.SlowStartDuration
 }
 
-// tellFigures has the log told, until the pool ends, what the pool saw and did. A spell in which nothing happened is not told.
-func (p *Pool) tellFigures(every time.Duration) {
+// logStats has the log told, until the pool ends, what the pool saw and did. A spell in which nothing happened is not told.
+func (p *Pool) logStats(every time.Duration) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	dialled := int64(0)
@@ -47,21 +47,21 @@
 		case <-tick.C:
 		}
 		p.mu.Lock()
-		row := p.tally
-		p.tally = statslog.Row{}
+		row := p.stats
+		p.stats = statslog.Row{}
 		now := p.now()
 		seen := p.balancer.Summarize(now)
 		row.Usual, row.Short, row.Avoided, row.Open = seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints, len(p.requests)
-		for id, e := range p.entries {
+		for id, e := range p.endpoints {
 			if discovery.States[e.Health] == policy.Ready {
 				row.Listed++
-				if p.warming(now, id) {
+				if p.warmingUp(now, id) {
 					row.Warming++
 				}
 			}
 		}
 		p.mu.Unlock()
-		d := p.up.Dialled()
+		d := p.conns.DialCount()
 		row.Add(statslog.Dials, int(d-dialled))
 		dialled = d
 		if !row.Empty() {
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -13,10 +13,10 @@
 	"sorrelrudder/policy"
 )
 
-// lines hands on what is logged.
-type lines chan string
+// logLines hands on what is logged.
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	select {
 	case l <- string(p):
 	default: // nobody reads any more
@@ -30,18 +30,18 @@
 		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Millisecond, TimerResolution: time.Millisecond, SlowStartDuration: time.Hour,
 		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
 	}
-	src := scripted{make(chan *discovery.List), make(chan struct{}, 1)}
-	out := make(lines, 100)
-	known := listed(1, true, "a", "b")
-	known.Hosts[1].BornMs = time.Now().UnixMilli()
+	src := scriptedSource{make(chan *discovery.EndpointList), make(chan struct{}, 1)}
+	out := make(logLines, 100)
+	known := endpointList(1, true, "a", "b")
+	known.Endpoints[1].StartedMs = time.Now().UnixMilli()
 	p, err := New(Config{
-		Settings: settings.Settings{Config: cfg}, Source: src, Known: known, FiguresEvery: 20 * time.Millisecond,
+		Settings: settings.Settings{Config: cfg}, Source: src, CachedList: known, StatsInterval: 20 * time.Millisecond,
 	}, upstream.New(cfg, process.NewDescriptors(64).Pool(1)), slog.New(slog.NewTextHandler(out, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	src.calls <- listed(2, true, "a", "b") // one call has come, and ends
+	src.calls <- endpointList(2, true, "a", "b") // one call has come, and ends
 	<-src.took
 	var sum statslog.Row
 	for sum.N[statslog.CallsFailed] == 0 || sum.N[statslog.Calls] < 2 {
--- a/internal/process/company_test.go
+++ b/internal/process/company_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// TestCompany guards against counting oneself or those that have ended, by whatever way, and against missing one that lives.
-func TestCompany(t *testing.T) {
+// TestSiblingGroup guards against counting oneself or those that have ended, by whatever way, and against missing one that lives.
+func TestSiblingGroup(t *testing.T) {
 	dir := t.TempDir()
-	join := func() *Company {
+	join := func() *SiblingGroup {
 		t.Helper()
-		c, err := JoinCompany(dir)
+		c, err := JoinSiblingGroup(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
-	count := func(c *Company, want int) {
+	count := func(c *SiblingGroup, want int) {
 		t.Helper()
 		if n, err := c.Others(); err != nil || n != want {
 			t.Errorf("%d others, %v, want %d", n, err, want)
@@ -40,7 +40,7 @@
 	if left, _ := os.ReadDir(dir); len(left) > 0 {
 		t.Errorf("%d files are left", len(left))
 	}
-	if _, err := JoinCompany(filepath.Join(dir, "missing")); err == nil {
+	if _, err := JoinSiblingGroup(filepath.Join(dir, "missing")); err == nil {
 		t.Error("joined in a folder that is not there")
 	}
 }
--- a/internal/process/proc_test.go
+++ b/internal/process/proc_test.go
@@ -19,9 +19,9 @@
 // TestWaiters guards against a waiter that is not woken when a descriptor is given back, and against counting wrongly while
 // many take and give.
 func TestWaiters(t *testing.T) {
-	d := NewDescriptors(SpareDescriptors + 4)
+	d := NewDescriptors(ReservedDescriptors + 4)
 	for k := range quota.PoolID(3) {
-		d.Set(k+1, quota.Claim{Reserved: 1, Limit: quota.Unlimited}, func() bool { return false })
+		d.Register(k+1, quota.Claim{Reserved: 1, Limit: quota.Unlimited}, func() bool { return false })
 	}
 	var all sync.WaitGroup
 	for i := range 24 {
@@ -44,7 +44,7 @@
 		})
 	}
 	all.Wait()
-	if n := d.pot.TotalUsed(); n != 0 {
+	if n := d.budget.TotalUsed(); n != 0 {
 		t.Errorf("%d are still in use", n)
 	}
 }
@@ -52,7 +52,7 @@
 // TestEvictOrder guards against taking a connection of a pool within its part while another has more than its own, and of
 // others' where a pool is at its own limit.
 func TestEvictOrder(t *testing.T) {
-	d := NewDescriptors(SpareDescriptors + 10)
+	d := NewDescriptors(ReservedDescriptors + 10)
 	var evicted []string
 	ctx := context.Background()
 	var held []func()
@@ -68,12 +68,12 @@
 	evict := func(name string, k quota.PoolID) func() bool {
 		return func() bool {
 			evicted = append(evicted, name)
-			d.give(k) // as a connection that closes
+			d.release(k) // as a connection that closes
 			return true
 		}
 	}
-	d.Set(1, quota.Claim{Reserved: 2, Limit: quota.Unlimited}, evict("big", 1))
-	d.Set(2, quota.Claim{Reserved: 2, Limit: 3}, evict("small", 2))
+	d.Register(1, quota.Claim{Reserved: 2, Limit: quota.Unlimited}, evict("big", 1))
+	d.Register(2, quota.Claim{Reserved: 2, Limit: 3}, evict("small", 2))
 	take(1, 8)
 	take(2, 2)
 	take(2, 1) // all are taken: the big one gives way
@@ -93,8 +93,8 @@
 func TestClientsLeaveRoom(t *testing.T) {
 	const limit = 64
 	d := NewDescriptors(limit)
-	d.Set(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
-	for range ClientMost(limit) {
+	d.Register(1, quota.Claim{Limit: quota.Unlimited}, func() bool { return false })
+	for range MaxClientDescriptors(limit) {
 		if _, err := d.AcquireClient(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -104,7 +104,7 @@
 	if _, err := d.AcquireClient(ctx); err == nil {
 		t.Error("clients took more than their part")
 	}
-	for range ForUpstreams(limit) {
+	for range MinUpstreamDescriptors(limit) {
 		if _, err := d.Pool(1).Acquire(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -112,14 +112,14 @@
 	if !d.Pool(1).Scarce() {
 		t.Error("all are taken, and not scarce")
 	}
-	d.Drop(1)
+	d.Unregister(1)
 	d.Resize(2 * limit)
 	if _, err := d.AcquireClient(context.Background()); err != nil {
 		t.Errorf("with more descriptors: %v", err)
 	}
 }
 
-func TestQuiet(t *testing.T) {
+func TestNothingToRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -134,12 +134,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !Quiet(near) {
+	if !NothingToRead(near) {
 		t.Error("a connection on which nothing came is not quiet")
 	}
 	loud := func(what string) {
 		t.Helper()
-		for end := time.Now().Add(patience); Quiet(near); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); NothingToRead(near); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("quiet after %s", what)
 			}
@@ -148,7 +148,7 @@
 	far.Write([]byte("x"))
 	loud("a byte came")
 	near.Read(make([]byte, 1))
-	if !Quiet(near) {
+	if !NothingToRead(near) {
 		t.Error("not quiet once the byte was read")
 	}
 	far.Close()
@@ -156,13 +156,13 @@
 	pipe, other := net.Pipe()
 	defer other.Close()
 	defer pipe.Close()
-	if Quiet(pipe) {
+	if NothingToRead(pipe) {
 		t.Error("what cannot be looked at must not count as quiet")
 	}
 }
 
-// TestEnded guards against taking a client for one that is still there because bytes stand before its end.
-func TestEnded(t *testing.T) {
+// TestPeerClosed guards against taking a client for one that is still there because bytes stand before its end.
+func TestPeerClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -182,17 +182,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if Ended(near) {
+		if PeerClosed(near) {
 			t.Errorf("%s: ended before it was", name)
 		}
 		far.Write([]byte("x"))
-		for end := time.Now().Add(patience); Quiet(near) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); NothingToRead(near) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
-		if Ended(near) {
+		if PeerClosed(near) {
 			t.Errorf("%s: ended when a byte had come", name)
 		}
 		end(far.(*net.TCPConn))
-		for end := time.Now().Add(patience); !Ended(near); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); !PeerClosed(near); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s: never seen to end", name)
 			}
@@ -202,7 +202,7 @@
 	pipe, other := net.Pipe()
 	defer other.Close()
 	defer pipe.Close()
-	if Ended(pipe) {
+	if PeerClosed(pipe) {
 		t.Error("what cannot be looked at must not count as ended")
 	}
 }
--- a/internal/process/quiet.go
+++ b/internal/process/quiet.go
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet reports whether nothing is there to be read from c, neither bytes nor the end.
-func Quiet(c net.Conn) bool {
+// NothingToRead reports whether nothing is there to be read from c, neither bytes nor the end.
+func NothingToRead(c net.Conn) bool {
 	quiet := false
-	look(c, func(_, _ int, err error) { quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK })
+	peek(c, func(_, _ int, err error) { quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK })
 	return quiet
 }
 
-// Ended reports whether the other side has ended its sending on c or reset it, as far as that can be seen: also behind bytes that
+// PeerClosed reports whether the other side has ended its sending on c or reset it, as far as that can be seen: also behind bytes that
 // are still to be read.
-func Ended(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	ended := false
-	look(c, func(fd, n int, err error) {
+	peek(c, func(fd, n int, err error) {
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EWOULDBLOCK || err == syscall.EINTR:
 		case err != nil || n == 0:
@@ -37,8 +37,8 @@
 	tcpCloseWait = 8
 )
 
-// look gives f what can be read of c now, without reading it. It does not call f if c cannot be looked at.
-func look(c net.Conn, f func(fd, n int, err error)) {
+// peek gives f what can be read of c now, without reading it. It does not call f if c cannot be looked at.
+func peek(c net.Conn, f func(fd, n int, err error)) {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS: what it has decrypted is for its reader to know
 		c = t.NetConn()
 	}
--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -31,8 +31,8 @@
 			PollInterval: 1017 * time.Microsecond, ResponseGrace: 1019 * time.Microsecond, SlowStartMinCapacity: 0.75, SlowStartDuration: 1020 * time.Microsecond,
 			HealthCheckCost: 0.04, ConnectionCost: 0.01, HandshakeCost: 0.03, CrossZoneCost: 0.02,
 		},
-		Fields:     []string{"queue", "latency_ms"},
-		DrainGrace: 1018 * time.Microsecond,
+		LoadReportFields: []string{"queue", "latency_ms"},
+		DrainGrace:       1018 * time.Microsecond,
 	}
 }
 
@@ -66,14 +66,14 @@
 		{"RetryAfter", `"RetryAfter": true`, `"RetryAfter": false`, func(s *Settings) { s.Config.RetryAfterHonored = false }},
 		{"WarmKeys", `"WarmKeys": true`, `"WarmKeys": false`, func(s *Settings) { s.Config.KeyAffinity = false }},
 		{"no AskEveryUs", `"AskEveryUs": 1017, `, ``, func(s *Settings) {
-			s.Config.PollInterval, s.Assumed = 10*time.Second, []string{"Safety.AskEveryUs: 10s"}
+			s.Config.PollInterval, s.Assumptions = 10*time.Second, []string{"Safety.AskEveryUs: 10s"}
 		}},
 		{"no DrainGraceUs", `"DrainGraceUs": 1018, `, ``, func(s *Settings) {
-			s.DrainGrace, s.Assumed = 0, []string{"Safety.DrainGraceUs: the shortest that is known"}
+			s.DrainGrace, s.Assumptions = 0, []string{"Safety.DrainGraceUs: the shortest that is known"}
 		}},
 		{"no KeyTtlUs", `"KeyTtlUs": 1010, `, ``, func(s *Settings) {
 			s.Config.Classes[1].DedupWindow = 0
-			s.Assumed = []string{`RequestClasses "order": KeyTtlUs: none, so that nothing is repeated that may have run`}
+			s.Assumptions = []string{`RequestClasses "order": KeyTtlUs: none, so that nothing is repeated that may have run`}
 		}},
 	} {
 		if c.old != "" && strings.Count(string(full), c.old) != 1 {
@@ -90,12 +90,12 @@
 
 // TestLoadFieldForm holds the names of the fields of a load report.
 func TestLoadFieldForm(t *testing.T) {
-	got := NoLoad()
+	got := EmptyLoadReport()
 	if want := (policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}); got != want {
 		t.Errorf("no report: %+v, want %+v", got, want)
 	}
 	for i, field := range []string{"queue", "inflight", "latency_ms", "eps", "unknown"} {
-		Set(&got, field, float64(i))
+		SetLoadField(&got, field, float64(i))
 	}
 	if want := (policy.LoadReport{Queue: 0, InFlight: 1, Latency: 2, ErrorRate: 3}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,10 +14,10 @@
 
 // Settings is what a host needs of the settings object.
 type Settings struct {
-	Config     policy.Config
-	Fields     []string      // names of the values in a load report, in their order
-	DrainGrace time.Duration // how long sends to a server may go on that drains or is gone; 0: not told
-	Assumed    []string      // what the settings leave out that the rules rest on, and what is taken for it
+	Config           policy.Config
+	LoadReportFields []string      // names of the values in a load report, in their order
+	DrainGrace       time.Duration // how long sends to a server may go on that drains or is gone; 0: not told
+	Assumptions      []string      // what the settings leave out that the rules rest on, and what is taken for it
 }
 
 // object mirrors the keys that the module uses; others are skipped.
@@ -55,11 +55,11 @@
 	}
 }
 
-var effects = map[string]policy.Idempotency{
+var idempotencyByName = map[string]policy.Idempotency{
 	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentByKey, "non_idempotent": policy.NonIdempotent,
 }
 
-var groups = map[string]policy.DedupScope{
+var dedupScopeByName = map[string]policy.DedupScope{
 	"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
@@ -86,51 +86,51 @@
 	}
 	for _, c := range s.RequestClasses {
 		cfg.Classes = append(cfg.Classes, policy.Class{
-			Name: c.Name, Idempotency: effects[c.Effect], DedupScope: groups[c.Group], DedupWindow: Micros(c.KeyTtlUs),
+			Name: c.Name, Idempotency: idempotencyByName[c.Effect], DedupScope: dedupScopeByName[c.Group], DedupWindow: Micros(c.KeyTtlUs),
 			LatencyObjective: Micros(c.AimUs), Deadline: Micros(c.DeadlineUs), PriorityWeight: c.Worth, LateWeightFraction: c.LateShare,
 		})
 	}
 	for _, t := range s.Tenants {
 		cfg.Tenants = append(cfg.Tenants, policy.Tenant{Name: t.Name, RateQuota: t.AllowancePerS})
 	}
-	out := Settings{Config: cfg, Fields: s.Telemetry.Fields, DrainGrace: Micros(s.Safety.DrainGraceUs)}
-	out.assume()
+	out := Settings{Config: cfg, LoadReportFields: s.Telemetry.Fields, DrainGrace: Micros(s.Safety.DrainGraceUs)}
+	out.applyDefaults()
 	return out, nil
 }
 
 const (
-	// usualAskEvery is taken where the settings do not say for how long a list may be held on to.
-	usualAskEvery = 10 * time.Second
-	// mostTime bounds the times of the settings: beyond it a slip in the unit is likelier than a deployment.
-	mostTime = time.Hour
+	// defaultPollInterval is taken where the settings do not say for how long a list may be held on to.
+	defaultPollInterval = 10 * time.Second
+	// maxDuration bounds the times of the settings: beyond it a slip in the unit is likelier than a deployment.
+	maxDuration = time.Hour
 )
 
-// assume takes what is safe under the rules for what the settings leave out.
-func (s *Settings) assume() {
+// applyDefaults takes what is safe under the rules for what the settings leave out.
+func (s *Settings) applyDefaults() {
 	if s.Config.PollInterval == 0 {
-		s.Config.PollInterval = usualAskEvery
-		s.Assumed = append(s.Assumed, fmt.Sprintf("Safety.AskEveryUs: %v", usualAskEvery))
+		s.Config.PollInterval = defaultPollInterval
+		s.Assumptions = append(s.Assumptions, fmt.Sprintf("Safety.AskEveryUs: %v", defaultPollInterval))
 	}
 	if s.DrainGrace == 0 {
-		s.Assumed = append(s.Assumed, "Safety.DrainGraceUs: the shortest that is known")
+		s.Assumptions = append(s.Assumptions, "Safety.DrainGraceUs: the shortest that is known")
 	}
 	for _, c := range s.Config.Classes {
 		if c.Idempotency == policy.IdempotentByKey && c.DedupWindow == 0 {
-			s.Assumed = append(s.Assumed, fmt.Sprintf("RequestClasses %q: KeyTtlUs: none, so that nothing is repeated that may have run", c.Name))
+			s.Assumptions = append(s.Assumptions, fmt.Sprintf("RequestClasses %q: KeyTtlUs: none, so that nothing is repeated that may have run", c.Name))
 		}
 	}
 }
 
-// ListBound is how old the list of servers may get by these settings.
-func (s *Settings) ListBound() staleness.Bound {
+// ListStaleness is how old the list of servers may get by these settings.
+func (s *Settings) ListStaleness() staleness.Bound {
 	return staleness.BoundFor(s.Config.EndpointsPushed, s.Config.PollInterval, s.DrainGrace)
 }
 
 // validate guards against what the module would reject or misread, by the names that the operators use.
 func (s *object) validate() error {
 	for _, c := range s.RequestClasses {
-		_, effect := effects[c.Effect]
-		_, group := groups[c.Group]
+		_, effect := idempotencyByName[c.Effect]
+		_, group := dedupScopeByName[c.Group]
 		switch {
 		case !effect:
 			return fmt.Errorf("RequestClasses %q: Effect is %q", c.Name, c.Effect)
@@ -172,21 +172,21 @@
 		if d.value < 0 {
 			return fmt.Errorf("%s is %d, below 0", d.key, d.value)
 		}
-		if d.value > mostTime.Microseconds() {
+		if d.value > maxDuration.Microseconds() {
 			return fmt.Errorf("%s is %d, above an hour", d.key, d.value)
 		}
 	}
 	return nil
 }
 
-// NoLoad returns a report in which nothing is reported.
-func NoLoad() policy.LoadReport {
+// EmptyLoadReport returns a report in which nothing is reported.
+func EmptyLoadReport() policy.LoadReport {
 	return policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
 }
 
-// Set notes the value that a report gives under a field's name. Fields that the module has no use for are
+// SetLoadField notes the value that a report gives under a field's name. Fields that the module has no use for are
 // skipped.
-func Set(l *policy.LoadReport, field string, value float64) {
+func SetLoadField(l *policy.LoadReport, field string, value float64) {
 	switch field {
 	case "queue":
 		l.Queue = value
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 // assumed to the safe side and told, what cannot be is an error that names key and value.
 func TestTimesOfTheRules(t *testing.T) {
 	s, err := Parse([]byte(whole))
-	if err != nil || s.DrainGrace != 300*time.Millisecond || s.Config.PollInterval != 2*time.Second || len(s.Assumed) > 0 {
+	if err != nil || s.DrainGrace != 300*time.Millisecond || s.Config.PollInterval != 2*time.Second || len(s.Assumptions) > 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for text, want := range map[string]string{
@@ -22,8 +22,8 @@
 		`"KeyTtlUs":400000`:     "KeyTtlUs",
 	} {
 		s, err := Parse([]byte(strings.Replace(whole, text, `"Unused":0`, 1)))
-		if err != nil || len(s.Assumed) != 1 || !strings.Contains(s.Assumed[0], want) || s.Config.PollInterval <= 0 {
-			t.Errorf("without %s: %q, %v", want, s.Assumed, err)
+		if err != nil || len(s.Assumptions) != 1 || !strings.Contains(s.Assumptions[0], want) || s.Config.PollInterval <= 0 {
+			t.Errorf("without %s: %q, %v", want, s.Assumptions, err)
 		}
 		key, _, _ := strings.Cut(text, ":")
 		for _, value := range []string{"-1", "999999999999"} {
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -18,26 +18,26 @@
 
 // Config is what one sidecar is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string // address of discovery
-	filed     string // what the file says of it, whatever the environment does
-	Seed      uint64
-	MemoryMB  int // the sidecar is killed over it
-	Sockets   int // descriptors that the process may hold
-	Known     *discovery.List
-	Settings  settings.Settings
-	Admin     string        // address of the operators' door; empty: none
-	Figures   time.Duration // how often the log is told what it saw and did; 0: never
-	FD        int           // above 0: the descriptor of the listening socket, which the platform holds
-	beside    int           // other processes of this sidecar that are alive
-	Shared    string        // the folder that it shares with the process whose place it takes, where the platform holds the socket
+	Name            string
+	Listen          string // where clients connect
+	Discovery       string // address of discovery
+	discoveryInFile string // what the file says of it, whatever the environment does
+	Seed            uint64
+	MemoryMB        int // the sidecar is killed over it
+	MaxDescriptors  int // descriptors that the process may hold
+	CachedList      *discovery.EndpointList
+	Settings        settings.Settings
+	AdminAddress    string        // address of the operators' door; empty: none
+	StatsInterval   time.Duration // how often the log is told what it saw and did; 0: never
+	ListenerFD      int           // above 0: the descriptor of the listening socket, which the platform holds
+	siblings        int           // other processes of this sidecar that are alive
+	SharedDir       string        // the folder that it shares with the process whose place it takes, where the platform holds the socket
 }
 
 // The limits taken where the configuration gives none.
 const (
-	usualMemoryMB = 128
-	usualSockets  = 1024
+	defaultMemoryMB       = 128
+	defaultMaxDescriptors = 1024
 )
 
 // LoadConfig reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN have precedence over
@@ -69,10 +69,10 @@
 	}
 	c := Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery,
-		Admin: file.Admin, filed: file.Discovery, MemoryMB: usualMemoryMB, Sockets: usualSockets,
+		AdminAddress: file.Admin, discoveryInFile: file.Discovery, MemoryMB: defaultMemoryMB, MaxDescriptors: defaultMaxDescriptors,
 	}
 	for name, value := range map[string]*string{
-		"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen, "GW_DISCOVERY": &c.Discovery, "GW_ADMIN": &c.Admin,
+		"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen, "GW_DISCOVERY": &c.Discovery, "GW_ADMIN": &c.AdminAddress,
 	} {
 		if v := getenv(name); v != "" {
 			*value = v
@@ -82,7 +82,7 @@
 		c.MemoryMB = int(min(file.Limits.MemoryMB, math.MaxInt32))
 	}
 	if file.Limits.Sockets != 0 {
-		c.Sockets = file.Limits.Sockets
+		c.MaxDescriptors = file.Limits.Sockets
 	}
 	switch {
 	case c.Listen == "":
@@ -91,8 +91,8 @@
 		return Config{}, errors.New("discovery is not set")
 	case c.MemoryMB < gateway.LeastMemoryMB:
 		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, gateway.LeastMemoryMB)
-	case c.Sockets < gateway.LeastDescriptors:
-		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.Sockets, gateway.LeastDescriptors)
+	case c.MaxDescriptors < gateway.LeastDescriptors:
+		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.MaxDescriptors, gateway.LeastDescriptors)
 	case len(file.Settings) == 0:
 		return Config{}, errors.New("settings is not set")
 	}
@@ -102,19 +102,19 @@
 		}
 	}
 	if v := getenv("GW_FIGURES_EVERY"); v != "" {
-		if c.Figures, err = time.ParseDuration(v); err != nil || c.Figures < gateway.LeastFiguresEvery {
+		if c.StatsInterval, err = time.ParseDuration(v); err != nil || c.StatsInterval < gateway.LeastFiguresEvery {
 			return Config{}, fmt.Errorf("GW_FIGURES_EVERY is %q, no time of %v or more", v, gateway.LeastFiguresEvery)
 		}
 	}
 	if v := getenv("GW_FD"); v != "" {
-		if c.FD, err = strconv.Atoi(v); err != nil || c.FD <= 2 {
+		if c.ListenerFD, err = strconv.Atoi(v); err != nil || c.ListenerFD <= 2 {
 			return Config{}, fmt.Errorf("GW_FD is %q, not a descriptor above 2", v)
 		}
-		c.Shared = getenv("TMPDIR")
+		c.SharedDir = getenv("TMPDIR")
 		c.Seed ^= uint64(os.Getpid()) << 32 // both processes of an upgrade are given the same
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = discovery.ParseList(file.Known); err != nil {
+		if c.CachedList, err = discovery.ParseEndpointList(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -27,10 +27,10 @@
 func fullConfig() Config {
 	seq := int64(41)
 	return Config{
-		Name: "sidecar-a", Listen: "127.0.0.1:8001", Discovery: "127.0.0.1:8002", filed: "127.0.0.1:8002", Seed: 0xf00d,
-		Admin: "127.0.0.1:8003", MemoryMB: 96, Sockets: 512,
-		Known: &discovery.List{Seq: &seq, Whole: true, Hosts: []discovery.Entry{{
-			Host: "s1", Dial: "127.0.0.1:9001", Site: "west", Block: 4, Class: "large", Health: "active", Share: 0.5, BornMs: 1700000000001,
+		Name: "sidecar-a", Listen: "127.0.0.1:8001", Discovery: "127.0.0.1:8002", discoveryInFile: "127.0.0.1:8002", Seed: 0xf00d,
+		AdminAddress: "127.0.0.1:8003", MemoryMB: 96, MaxDescriptors: 512,
+		CachedList: &discovery.EndpointList{Version: &seq, Complete: true, Endpoints: []discovery.Endpoint{{
+			ID: "s1", Address: "127.0.0.1:9001", Zone: "west", Cell: 4, MachineType: "large", Health: "active", Weight: 0.5, StartedMs: 1700000000001,
 		}}},
 		Settings: settings.Settings{
 			Config:     policy.Config{InstanceCount: 1, MaxAttempts: 3, PollInterval: 2 * time.Second},
@@ -59,17 +59,17 @@
 		{"file", "", nil, func(*Config) {}},
 		{"no name", "name", nil, func(c *Config) { c.Name = "" }},
 		{"no seed", "seed", nil, func(c *Config) { c.Seed = 0 }},
-		{"no admin", "admin", nil, func(c *Config) { c.Admin = "" }},
-		{"no limits", "limits", nil, func(c *Config) { c.MemoryMB, c.Sockets = 128, 1024 }},
-		{"no known", "known", nil, func(c *Config) { c.Known = nil }},
+		{"no admin", "admin", nil, func(c *Config) { c.AdminAddress = "" }},
+		{"no limits", "limits", nil, func(c *Config) { c.MemoryMB, c.MaxDescriptors = 128, 1024 }},
+		{"no known", "known", nil, func(c *Config) { c.CachedList = nil }},
 		{"GW_NAME", "name", map[string]string{"GW_NAME": "b"}, func(c *Config) { c.Name = "b" }},
 		{"GW_LISTEN", "listen", map[string]string{"GW_LISTEN": "h:1"}, func(c *Config) { c.Listen = "h:1" }},
 		{"GW_DISCOVERY", "", map[string]string{"GW_DISCOVERY": "h:2"}, func(c *Config) { c.Discovery = "h:2" }},
-		{"GW_DISCOVERY alone", "discovery", map[string]string{"GW_DISCOVERY": "h:2"}, func(c *Config) { c.Discovery, c.filed = "h:2", "" }},
-		{"GW_ADMIN", "admin", map[string]string{"GW_ADMIN": "h:3"}, func(c *Config) { c.Admin = "h:3" }},
-		{"GW_FIGURES_EVERY", "", map[string]string{"GW_FIGURES_EVERY": "7s"}, func(c *Config) { c.Figures = 7 * time.Second }},
+		{"GW_DISCOVERY alone", "discovery", map[string]string{"GW_DISCOVERY": "h:2"}, func(c *Config) { c.Discovery, c.discoveryInFile = "h:2", "" }},
+		{"GW_ADMIN", "admin", map[string]string{"GW_ADMIN": "h:3"}, func(c *Config) { c.AdminAddress = "h:3" }},
+		{"GW_FIGURES_EVERY", "", map[string]string{"GW_FIGURES_EVERY": "7s"}, func(c *Config) { c.StatsInterval = 7 * time.Second }},
 		{"GW_FD", "", map[string]string{"GW_FD": "5", "TMPDIR": "/shared"}, func(c *Config) {
-			c.FD, c.Shared, c.Seed = 5, "/shared", 0xf00d^pid
+			c.ListenerFD, c.SharedDir, c.Seed = 5, "/shared", 0xf00d^pid
 		}},
 		{"TMPDIR alone", "", map[string]string{"TMPDIR": "/shared"}, func(*Config) {}},
 	} {
@@ -100,15 +100,15 @@
 // TestHandOverForm holds what a process leaves for its successor, which may be of another version: the file's name, and its
 // content both ways.
 func TestHandOverForm(t *testing.T) {
-	if learntFile != "sorrelrudder-learnt.json" {
-		t.Errorf("the file is named %s", learntFile)
+	if learnedStateFile != "sorrelrudder-learnt.json" {
+		t.Errorf("the file is named %s", learnedStateFile)
 	}
 	value := gateway.Learnt{
 		Clients: keepalive.History{
 			1: {{Waited: []float64{1.5, 2.5}, Used: []float64{3, 4}}, {Waited: []float64{5.5}, Used: []float64{6}}},
 			2: {{Waited: []float64{7.5}, Used: []float64{8}}},
 		},
-		Pools: map[string]pool.Learnt{poolName: {
+		Pools: map[string]pool.LearnedState{poolName: {
 			LearnedState: policy.LearnedState{
 				DelayModel: [4]float64{0.5, 1.25, 2.75, 3.125}, ProbeContention: 0.625, HedgeWinRate: 0.375,
 				Endpoints: map[policy.EndpointID]policy.LearnedEndpoint{
@@ -117,7 +117,7 @@
 				},
 				ClientTimeouts: map[string]time.Duration{"check": 21 * time.Millisecond, "order": 22 * time.Millisecond},
 			},
-			Born: map[policy.EndpointID]int64{"s1": 1700000000001, "s2": 1700000000002},
+			StartedMs: map[policy.EndpointID]int64{"s1": 1700000000001, "s2": 1700000000002},
 		}},
 	}
 	const path = "testdata/learnt.json"
@@ -149,7 +149,7 @@
 // each holds one locked under such a name.
 func TestCompanyForm(t *testing.T) {
 	dir := t.TempDir()
-	company, err := process.JoinCompany(dir)
+	company, err := process.JoinSiblingGroup(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -19,8 +19,8 @@
 	cfg Config
 }
 
-// drainMost is the longest deadline after which the platform kills a process that was told to end, if settings give a longer one.
-const drainMost = 3 * time.Second
+// maxDrainTime is the longest deadline after which the platform kills a process that was told to end, if settings give a longer one.
+const maxDrainTime = 3 * time.Second
 
 // poolName is the name of the only pool.
 const poolName = "platform"
@@ -28,12 +28,12 @@
 // gatewayConfig is cfg as the process takes it. Requests wait in the module for the platform's first list.
 func (c *Config) gatewayConfig() gateway.Config {
 	return gateway.Config{
-		Name: c.Name, MemoryMB: max(c.MemoryMB/c.processes(), gateway.LeastMemoryMB), Admin: c.Admin, FiguresEvery: c.Figures,
-		DrainMost:   drainMost,
-		Descriptors: max(c.Sockets/c.processes(), gateway.LeastDescriptors),
-		Listeners:   []gateway.Listener{{Name: c.Name, Address: c.Listen, FD: c.FD}},
+		Name: c.Name, MemoryMB: max(c.MemoryMB/c.processCount(), gateway.LeastMemoryMB), Admin: c.AdminAddress, FiguresEvery: c.StatsInterval,
+		DrainMost:   maxDrainTime,
+		Descriptors: max(c.MaxDescriptors/c.processCount(), gateway.LeastDescriptors),
+		Listeners:   []gateway.Listener{{Name: c.Name, Address: c.Listen, FD: c.ListenerFD}},
 		Pools: []gateway.Pool{{
-			Name: poolName, Settings: c.Settings, Discovery: c.Discovery, Known: c.Known, Seed: c.Seed,
+			Name: poolName, Settings: c.Settings, Discovery: c.Discovery, Known: c.CachedList, Seed: c.Seed,
 			Limits: gateway.Limits{Weight: 1, Hold: true},
 		}},
 	}
@@ -41,7 +41,7 @@
 
 // New makes a sidecar. It opens no socket for clients.
 func New(cfg Config, log *slog.Logger) (*Sidecar, error) {
-	for _, what := range cfg.Settings.Assumed {
+	for _, what := range cfg.Settings.Assumptions {
 		log.Warn("the settings leave out", "what", what)
 	}
 	g, err := gateway.New(cfg.gatewayConfig(), log)
@@ -57,10 +57,10 @@
 func (s *Sidecar) Reload(next Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if next.filed != s.cfg.filed && next.filed != "" {
-		s.log.Info("discovery has moved", "from", s.cfg.Discovery, "to", next.filed)
+	if next.discoveryInFile != s.cfg.discoveryInFile && next.discoveryInFile != "" {
+		s.log.Info("discovery has moved", "from", s.cfg.Discovery, "to", next.discoveryInFile)
 		moved := s.cfg
-		moved.Discovery, moved.filed = next.filed, next.filed
+		moved.Discovery, moved.discoveryInFile = next.discoveryInFile, next.discoveryInFile
 		if err := s.Apply(moved.gatewayConfig()); err != nil {
 			s.log.Error("reload: the running configuration stays in force", "err", err)
 			return
@@ -69,8 +69,8 @@
 	}
 	for what, changed := range map[string]bool{
 		"name": next.Name != s.cfg.Name, "listen": next.Listen != s.cfg.Listen,
-		"limits":   next.MemoryMB != s.cfg.MemoryMB || next.Sockets != s.cfg.Sockets,
-		"admin":    next.Admin != s.cfg.Admin,
+		"limits":   next.MemoryMB != s.cfg.MemoryMB || next.MaxDescriptors != s.cfg.MaxDescriptors,
+		"admin":    next.AdminAddress != s.cfg.AdminAddress,
 		"settings": !reflect.DeepEqual(next.Settings, s.cfg.Settings),
 	} {
 		if changed {
@@ -82,7 +82,7 @@
 
 // Run serves until ctx ends, and then drains. It returns once all that was taken is answered.
 func (s *Sidecar) Run(ctx context.Context) error {
-	if err := s.open(ctx); err != nil {
+	if err := s.start(ctx); err != nil {
 		s.Close()
 		return err
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -763,7 +763,7 @@
 	const sockets = 64
 	s := start(t, config(t, "127.0.0.1:1", sockets, listOf(t, u)))
 	var busy []*client
-	for i := range int(process.ClientMost(sockets)) { // as many as clients may hold
+	for i := range int(process.MaxClientDescriptors(sockets)) { // as many as clients may hold
 		var c *client
 		waitFor(t, "a request to be taken", func() bool {
 			if c == nil { // also where one that had just come was closed to make room before it was read: it comes again
--- a/internal/sidecar/succession.go
+++ b/internal/sidecar/succession.go
@@ -13,53 +13,53 @@
 )
 
 const (
-	// lookEvery is how often a process looks whether another one has come to take its place, or has ended, and leaves it what
+	// siblingPollInterval is how often a process looks whether another one has come to take its place, or has ended, and leaves it what
 	// it has learnt.
-	lookEvery = 200 * time.Millisecond
-	// firstList is how long a process that takes another's place waits for discovery's list before it takes clients with the
+	siblingPollInterval = 200 * time.Millisecond
+	// firstListTimeout is how long a process that takes another's place waits for discovery's list before it takes clients with the
 	// list that it was given: until then the other one serves them.
-	firstList = 2 * time.Second
-	// readyLook is how often it looks.
-	readyLook = 5 * time.Millisecond
-	// heapShare is the part of the memory that the runtime may use: the rest is for stacks, code and the kernel.
-	heapShare = 0.75
+	firstListTimeout = 2 * time.Second
+	// firstListPollInterval is how often it looks.
+	firstListPollInterval = 5 * time.Millisecond
+	// heapFraction is the part of the memory that the runtime may use: the rest is for stacks, code and the kernel.
+	heapFraction = 0.75
 )
 
-// processes is how many processes the sidecar's limits are for.
-func (c *Config) processes() int { return 1 + c.beside }
+// processCount is how many processes the sidecar's limits are for.
+func (c *Config) processCount() int { return 1 + c.siblings }
 
-// open makes the sidecar take clients. Where the platform holds the listening socket another process may be serving them: both
+// start makes the sidecar take clients. Where the platform holds the listening socket another process may be serving them: both
 // count as one sidecar, and so each takes its part of the limits from the first moment on.
-func (s *Sidecar) open(ctx context.Context) error {
+func (s *Sidecar) start(ctx context.Context) error {
 	s.limitHeap()
-	if s.cfg.Shared == "" {
+	if s.cfg.SharedDir == "" {
 		return s.Listen()
 	}
-	company, err := process.JoinCompany(s.cfg.Shared)
+	company, err := process.JoinSiblingGroup(s.cfg.SharedDir)
 	if err != nil { // it can serve all the same, and the other one cannot know of it either
 		s.log.Warn("the processes of this sidecar do not know of each other", "err", err)
 		return s.Listen()
 	}
-	s.share(company)
-	if s.processes() > 1 {
+	s.updateLimits(company)
+	if s.processCount() > 1 {
 		s.log.Info("takes the place of another process")
 		if err := s.OpenDoor(); err != nil {
 			company.Leave()
 			return err
 		}
 		s.Hurry()
-		s.awaitList(ctx)
-		s.adopt()
+		s.awaitFirstList(ctx)
+		s.readLearnedState()
 	}
-	go s.follow(ctx, company)
+	go s.followSiblings(ctx, company)
 	return s.Listen()
 }
 
-// awaitList returns once discovery has told the list, or it has had its time.
-func (s *Sidecar) awaitList(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, firstList)
+// awaitFirstList returns once discovery has told the list, or it has had its time.
+func (s *Sidecar) awaitFirstList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, firstListTimeout)
 	defer cancel()
-	tick := time.NewTicker(readyLook)
+	tick := time.NewTicker(firstListPollInterval)
 	defer tick.Stop()
 	for !s.Told() {
 		select {
@@ -70,16 +70,16 @@
 	}
 }
 
-// follow keeps to this process's part of the limits until ctx ends, and a little longer: what it still holds then counts too.
-func (s *Sidecar) follow(ctx context.Context, company *process.Company) {
+// followSiblings keeps to this process's part of the limits until ctx ends, and a little longer: what it still holds then counts too.
+func (s *Sidecar) followSiblings(ctx context.Context, company *process.SiblingGroup) {
 	defer company.Leave()
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(siblingPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			s.share(company)
-			s.leaveLearnt()
+			s.updateLimits(company)
+			s.writeLearnedState()
 		case <-ctx.Done():
 			<-s.Ended()
 			return
@@ -87,15 +87,15 @@
 	}
 }
 
-// learntFile is what each process leaves for the one that takes its place.
-const learntFile = "sorrelrudder-learnt.json"
+// learnedStateFile is what each process leaves for the one that takes its place.
+const learnedStateFile = "sorrelrudder-learnt.json"
 
-// mostLearntAge is how old it may be.
-const mostLearntAge = 5 * time.Second
+// maxLearnedStateAge is how old it may be.
+const maxLearnedStateAge = 5 * time.Second
 
-// leaveLearnt writes down what has been learnt. It replaces the file whole, so that nobody reads a part of it.
-func (s *Sidecar) leaveLearnt() {
-	path := filepath.Join(s.cfg.Shared, learntFile)
+// writeLearnedState writes down what has been learnt. It replaces the file whole, so that nobody reads a part of it.
+func (s *Sidecar) writeLearnedState() {
+	path := filepath.Join(s.cfg.SharedDir, learnedStateFile)
 	text, err := json.Marshal(s.Learnt())
 	if err == nil {
 		if err = os.WriteFile(path+".new", text, 0o600); err == nil {
@@ -107,11 +107,11 @@
 	}
 }
 
-// adopt takes over what the other process has learnt, if it has left that lately.
-func (s *Sidecar) adopt() {
-	path := filepath.Join(s.cfg.Shared, learntFile)
+// readLearnedState takes over what the other process has learnt, if it has left that lately.
+func (s *Sidecar) readLearnedState() {
+	path := filepath.Join(s.cfg.SharedDir, learnedStateFile)
 	info, err := os.Stat(path)
-	if err != nil || time.Since(info.ModTime()) > mostLearntAge {
+	if err != nil || time.Since(info.ModTime()) > maxLearnedStateAge {
 		return
 	}
 	text, err := os.ReadFile(path)
@@ -126,8 +126,8 @@
 	s.Adopt(l)
 }
 
-// share takes over this process's part of the limits, if that has changed.
-func (s *Sidecar) share(company *process.Company) {
+// updateLimits takes over this process's part of the limits, if that has changed.
+func (s *Sidecar) updateLimits(company *process.SiblingGroup) {
 	others, err := company.Others()
 	if err != nil {
 		s.log.Warn("cannot tell whether there is another process", "err", err)
@@ -135,28 +135,28 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if others == s.cfg.beside {
+	if others == s.cfg.siblings {
 		return
 	}
 	next := s.cfg
-	next.beside = others
+	next.siblings = others
 	if err := s.Apply(next.gatewayConfig()); err != nil {
 		s.log.Warn("limits stay as they were", "err", err)
 		return
 	}
-	s.log.Info("shares its limits", "processes", next.processes())
+	s.log.Info("shares its limits", "processes", next.processCount())
 	s.cfg = next
 	s.limitHeap()
 }
 
-// processes is how many share the limits now.
-func (s *Sidecar) processes() int {
+// processCount is how many share the limits now.
+func (s *Sidecar) processCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cfg.processes()
+	return s.cfg.processCount()
 }
 
 // limitHeap guards against being killed for memory.
 func (s *Sidecar) limitHeap() {
-	debug.SetMemoryLimit(int64(heapShare * float64(s.cfg.MemoryMB<<20/s.cfg.processes())))
+	debug.SetMemoryLimit(int64(heapFraction * float64(s.cfg.MemoryMB<<20/s.cfg.processCount())))
 }
--- a/internal/sidecar/succession_test.go
+++ b/internal/sidecar/succession_test.go
@@ -141,18 +141,18 @@
 	}
 	more("answers of the first process")
 	waitFor(t, "what the first process has learnt", func() bool {
-		_, err := os.Stat(filepath.Join(dir, learntFile))
+		_, err := os.Stat(filepath.Join(dir, learnedStateFile))
 		return err == nil
 	})
 	next := startHeld(t, ln, dir, getenv)
 	waitFor(t, "the second process", func() bool { return next.Ready() == nil })
 	for _, s := range []*running{old, next} {
-		waitFor(t, "its part of the limits", func() bool { return s.processes() == 2 })
+		waitFor(t, "its part of the limits", func() bool { return s.processCount() == 2 })
 	}
 	more("answers of both")
 	old.end()
 	<-old.ended
-	waitFor(t, "the whole of the limits", func() bool { return next.processes() == 1 })
+	waitFor(t, "the whole of the limits", func() bool { return next.processCount() == 1 })
 	more("answers of the second process")
 	stop.Store(true)
 	clients.Wait()
@@ -185,7 +185,7 @@
 		}
 		defer held.Close()
 		dir := t.TempDir()
-		other, err := process.JoinCompany(dir)
+		other, err := process.JoinSiblingGroup(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -210,15 +210,15 @@
 	}
 }
 
-// TestLearntSpoilt guards against a start that fails for what another process has left.
-func TestLearntSpoilt(t *testing.T) {
+// TestCorruptLearnedState guards against a start that fails for what another process has left.
+func TestCorruptLearnedState(t *testing.T) {
 	dir := t.TempDir()
-	s := &Sidecar{cfg: Config{Shared: dir}, log: slog.New(slog.DiscardHandler)}
+	s := &Sidecar{cfg: Config{SharedDir: dir}, log: slog.New(slog.DiscardHandler)}
 	for _, text := range []string{"", "{", `{"Pools":{"platform":{"Servers":7}}}`, `{"Clients":{"x":1}}`} {
-		if err := os.WriteFile(filepath.Join(dir, learntFile), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, learnedStateFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.adopt() // would panic if it used any of it: there is no gateway
+		s.readLearnedState() // would panic if it used any of it: there is no gateway
 	}
 }
 
@@ -235,8 +235,8 @@
 		if (err == nil) != ok {
 			t.Errorf("GW_FD %q: %v", fd, err)
 		}
-		if err == nil && fd == "5" && c.FD != 5 {
-			t.Errorf("GW_FD 5 is taken as %d", c.FD)
+		if err == nil && fd == "5" && c.ListenerFD != 5 {
+			t.Errorf("GW_FD 5 is taken as %d", c.ListenerFD)
 		}
 	}
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &instance{balancer: b, fields: s.Fields}, nil
+	return &instance{balancer: b, fields: s.LoadReportFields}, nil
 }
 
 type instance struct {
@@ -276,9 +276,9 @@
 	if len(row) == 0 {
 		return nil
 	}
-	l := settings.NoLoad()
+	l := settings.EmptyLoadReport()
 	for k, v := range row[:min(len(row), len(i.fields))] {
-		settings.Set(&l, i.fields[k], v)
+		settings.SetLoadField(&l, i.fields[k], v)
 	}
 	return &l
 }
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -65,7 +65,7 @@
 	class := func(name string, e policy.Idempotency) policy.Class {
 		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 2 * time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}
 	}
-	return settings.Settings{Fields: []string{"inflight", "queue"}, Config: policy.Config{
+	return settings.Settings{LoadReportFields: []string{"inflight", "queue"}, Config: policy.Config{
 		InstanceCount: 1, Zone: zone, MaxAttempts: 3, CancellationAllowed: true, HealthChecksAllowed: true, RetryAfterHonored: true, MaxRetryAfter: time.Second,
 		DialTimeout: time.Second, ConnIdle: 5 * time.Second, TimerResolution: time.Millisecond, InlineLoadReports: true, PollInterval: 10 * time.Second,
 		SlowStartMinCapacity: 1, HealthCheckCost: 0.05, Classes: []policy.Class{class("check", policy.Idempotent), class("order", policy.IdempotentByKey), class("order-here", policy.IdempotentByKey), class("book", policy.NonIdempotent)},
@@ -97,10 +97,10 @@
 	if s.bridge, err = New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
-	var hosts []discovery.Entry
+	var hosts []discovery.Endpoint
 	for _, b := range boxes {
 		e := b.Entry()
-		hosts = append(hosts, discovery.Entry{Host: e.Host, Dial: e.Dial, Site: name, Health: "active", Share: 1})
+		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Dial, Zone: name, Health: "active", Weight: 1})
 	}
 	gcfg := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -94,7 +94,7 @@
 	cfg.ConnectionCost, cfg.HandshakeCost, cfg.CrossZoneCost = 0, 0, 0
 	dial := c.bridge.dial(peer)
 	c.list = discovery.NewStatic(nil)
-	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.list, Known: c.list.List(), Dialect: c, Seed: uint64(time.Now().UnixNano())}
+	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.list, CachedList: c.list.List(), Protocol: c, Seed: uint64(time.Now().UnixNano())}
 	pc.Settings = c.cfg.Settings
 	pc.Settings.Config = cfg
 	var err error
@@ -247,7 +247,7 @@
 	default:
 		if ch.From == spillover.Open || ch.From == spillover.Draining {
 			c.list.Set(nil)
-			c.far.Break(farMember)
+			c.far.AbortAttempts(farMember)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	born := c.born
 	c.announced = c.bridge.now()
 	c.mu.Unlock()
-	c.list.Set([]discovery.Entry{{Host: farMember, Dial: c.peer.Address, Site: c.peer.zone(), Block: 0, Health: health, Share: 1, BornMs: born}})
+	c.list.Set([]discovery.Endpoint{{ID: farMember, Address: c.peer.Address, Zone: c.peer.zone(), Cell: 0, Health: health, Weight: 1, StartedMs: born}})
 }
 
 func (c *crossing) drain() {
@@ -286,35 +286,35 @@
 }
 
 // Cross is the method of gateway.Crossing.
-func (c *crossing) Cross(ctx context.Context, h *pool.Handover) {
+func (c *crossing) Cross(ctx context.Context, h *pool.RejectedRequest) {
 	now := c.bridge.now()
 	c.mu.Lock()
 	c.grant.RecordLocalRejected(now)
 	rtt, crosses := c.rtt, false
 	if c.far != nil {
-		c.spill.RecordRejected(now, h.Event.Class)
-		crosses = time.Until(h.Until) > rtt+backSlack && spillover.MayForward(c.rules(h.Event.Class), h.Prior, c.most, rtt) && c.spill.TryForward(now, h.Event.Class)
+		c.spill.RecordRejected(now, h.PolicyRequest.Class)
+		crosses = time.Until(h.Deadline) > rtt+backSlack && spillover.MayForward(c.rules(h.PolicyRequest.Class), h.PriorAttempts, c.most, rtt) && c.spill.TryForward(now, h.PolicyRequest.Class)
 	}
 	c.mu.Unlock()
 	if !crosses {
-		h.Answer(h.Refusal)
+		h.Respond(h.Rejection)
 		return
 	}
 	select {
 	case c.kick <- struct{}{}:
 	default:
 	}
-	ans := h.Refusal
-	x, err := c.far.TakeOver(h, time.Until(h.Until), len(h.Prior)+1)
+	ans := h.Rejection
+	x, err := c.far.SubmitRejected(h, time.Until(h.Deadline), len(h.PriorAttempts)+1)
 	if err == nil {
 		select {
 		case ans = <-x.Answer():
-		case <-h.Left():
+		case <-h.ClientGone():
 			x.Withdraw()
 		case <-ctx.Done():
 			x.Withdraw()
 		}
-		if spent, _ := x.Account(); spent == 0 && ans.Status == http.StatusServiceUnavailable {
+		if spent, _ := x.AttemptSummary(); spent == 0 && ans.Status == http.StatusServiceUnavailable {
 			c.unstick()
 		}
 	}
@@ -322,9 +322,9 @@
 	c.spill.RecordReturn(c.bridge.now(), false, 0)
 	c.mu.Unlock()
 	if ans.Status == http.StatusServiceUnavailable {
-		ans = h.Refusal // as true as before, and when to come back is better known here
+		ans = h.Rejection // as true as before, and when to come back is better known here
 	}
-	h.Answer(ans)
+	h.Respond(ans)
 }
 
 // unstick announces the far site anew where the module has sent it nothing although it grants room: what it thinks of the only
@@ -346,11 +346,11 @@
 	}
 }
 
-// ProbeTarget is the method of pool.Dialect.
-func (c *crossing) ProbeTarget() string { return hopTarget }
+// HealthCheckTarget is the method of pool.BackendProtocol.
+func (c *crossing) HealthCheckTarget() string { return hopTarget }
 
-// Extra is the method of pool.Dialect.
-func (c *crossing) Extra(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
+// ExtraFields is the method of pool.BackendProtocol.
+func (c *crossing) ExtraFields(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
 	now := c.bridge.now()
 	c.mu.Lock()
 	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.TimeToStall(now)
@@ -372,8 +372,8 @@
 	return []upstream.Field{{Name: siteheader.RequestField, Value: text}}
 }
 
-// Read is the method of pool.Dialect.
-func (c *crossing) Read(status int, h http.Header) (policy.Status, *policy.LoadReport) {
+// ClassifyResponse is the method of pool.BackendProtocol.
+func (c *crossing) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
 	a, err := siteheader.ParseAnswer(h.Values(siteheader.AnswerField), c.most)
 	now := c.bridge.now()
 	c.mu.Lock()
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -61,7 +61,7 @@
 		Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true,
 		PriorAttempts: []policy.PriorAttempt{{Zone: "a", DedupRemaining: 9 * time.Second}, {NotExecuted: true}},
 	}
-	fields := c.Extra(q, nil, 400*time.Millisecond)
+	fields := c.ExtraFields(q, nil, 400*time.Millisecond)
 	if len(fields) != 1 || fields[0].Name != "Sorrel-Hop" {
 		t.Fatalf("fields %+v", fields)
 	}
@@ -87,7 +87,7 @@
 	}
 	for _, x := range answered {
 		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=" + x.how + ", spent=1, room=7, stamp=5"}}
-		if got, _ := c.Read(x.status, h); got != x.want {
+		if got, _ := c.ClassifyResponse(x.status, h); got != x.want {
 			t.Errorf("%d with %s is taken for %v, want %v", x.status, x.how, got, x.want)
 		}
 	}
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -70,17 +70,17 @@
 	}
 	r.Left -= late
 	q.Header.Del(siteheader.RequestField)
-	f := pool.Foreign{Timeout: r.Left, Event: policy.Request{
+	f := pool.ForwardedAttributes{Timeout: r.Left, PolicyRequest: policy.Request{
 		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.Cost, IsRetry: r.Retry, MaxAttempts: r.Used + r.May,
 	}}
 	if len(r.Ran) > r.Used {
 		return nil, 0, h.bad(http.StatusBadRequest, "more groups may have run it than attempts were made")
 	}
 	for _, p := range r.Ran {
-		f.Event.PriorAttempts = append(f.Event.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.For})
+		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.For})
 	}
-	for len(f.Event.PriorAttempts) < r.Used {
-		f.Event.PriorAttempts = append(f.Event.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
+	for len(f.PolicyRequest.PriorAttempts) < r.Used {
+		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
 	a, owner, err := h.g.AdmitForeign(q, r.Pool, f)
 	if err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,27 +23,27 @@
 )
 
 const (
-	// answerTime is how long the head of an answer may take from its first byte to its last, and AnswerPause how long its body may
+	// responseHeadTimeout is how long the head of an answer may take from its first byte to its last, and AnswerPause how long its body may
 	// stand still. They guard against answers that stop half way or never end, while the connection stays open: without
 	// them each would cost all the time that the request has.
-	answerTime  = 250 * time.Millisecond
-	AnswerPause = 300 * time.Millisecond
-	// sendPause is how long a server may take none of a long body.
-	sendPause = 5 * time.Second
-	// pieceSize is how much of a long body is passed on at a time.
-	pieceSize = 32 << 10
-	// mostHead bounds the head of an upstream's answer: one that never ends must not fill the memory.
-	mostHead = 16 << 10
-	// mostInterim bounds the 1xx answers before the final one.
-	mostInterim = 5
-	// idleShare is the part of the idle limit after which an idle connection is closed: the upstream closes it
+	responseHeadTimeout = 250 * time.Millisecond
+	BodyStallTimeout    = 300 * time.Millisecond
+	// bodySendTimeout is how long a server may take none of a long body.
+	bodySendTimeout = 5 * time.Second
+	// streamBufferBytes is how much of a long body is passed on at a time.
+	streamBufferBytes = 32 << 10
+	// maxHeadBytes bounds the head of an upstream's answer: one that never ends must not fill the memory.
+	maxHeadBytes = 16 << 10
+	// maxInterimResponses bounds the 1xx answers before the final one.
+	maxInterimResponses = 5
+	// idleLimitFraction is the part of the idle limit after which an idle connection is closed: the upstream closes it
 	// at the limit, and a request that crosses that close is lost to a reset.
-	idleShare = 0.6
-	// settleTime is how long a connection should have been idle before it is used again: what an upstream sends
+	idleLimitFraction = 0.6
+	// minIdleBeforeReuse is how long a connection should have been idle before it is used again: what an upstream sends
 	// behind its answer shows by then. A younger one is used only if the alternative is to dial.
-	settleTime = 5 * time.Millisecond
-	// connBuffer is the size of a connection's two buffers: most heads and answers fit.
-	connBuffer = 4 << 10
+	minIdleBeforeReuse = 5 * time.Millisecond
+	// connBufferBytes is the size of a connection's two buffers: most heads and answers fit.
+	connBufferBytes = 4 << 10
 )
 
 // Descriptors is what the connections of a pool take up.
@@ -52,17 +52,17 @@
 	Scarce() bool // idle connections should not be kept
 }
 
-// Conns holds the connections to upstreams. They carry one request at a time.
-type Conns struct {
+// ConnPool holds the connections to upstreams. They carry one request at a time.
+type ConnPool struct {
 	descriptors Descriptors
 	dialTimeout time.Duration
-	idleFor     time.Duration // how long a connection is kept idle
+	idleTimeout time.Duration // how long a connection is kept idle
 	dial        func(ctx context.Context, addr string) (net.Conn, error)
 
-	dialled atomic.Int64 // connections opened or tried
+	dialCount atomic.Int64 // connections opened or tried
 
-	mu    sync.Mutex
-	inUse map[*Peer]struct{} // those with idle connections
+	mu            sync.Mutex
+	peersWithIdle map[*Peer]struct{} // those with idle connections
 }
 
 // NewPeer returns the process of a server that listens at addr and started then.
@@ -86,26 +86,26 @@
 // Conn is a connection to an upstream.
 type Conn struct {
 	net.Conn
-	peer     *Peer
-	release  func() // of its descriptor
-	r        *bufio.Reader
-	w        *bufio.Writer
-	budget   int       // bytes that may still be read of the present answer
-	deadline time.Time // of the present exchange
-	begun    bool      // the answer's first byte has come
-	since    time.Time
+	peer          *Peer
+	release       func() // of its descriptor
+	reader        *bufio.Reader
+	writer        *bufio.Writer
+	readBudget    int       // bytes that may still be read of the present answer
+	deadline      time.Time // of the present exchange
+	responseBegun bool      // the answer's first byte has come
+	idleSince     time.Time
 }
 
 // Read guards against answers without end, be it in bytes or in time.
 func (c *Conn) Read(p []byte) (int, error) {
-	if c.budget <= 0 {
+	if c.readBudget <= 0 {
 		return 0, errors.New("the answer is too long")
 	}
-	n, err := c.Conn.Read(p[:min(len(p), c.budget)])
-	c.budget -= n
-	if n > 0 && !c.begun {
-		c.begun = true
-		c.SetReadDeadline(earlier(c.deadline, time.Now().Add(answerTime)))
+	n, err := c.Conn.Read(p[:min(len(p), c.readBudget)])
+	c.readBudget -= n
+	if n > 0 && !c.responseBegun {
+		c.responseBegun = true
+		c.SetReadDeadline(earlier(c.deadline, time.Now().Add(responseHeadTimeout)))
 	}
 	return n, err
 }
@@ -117,18 +117,18 @@
 }
 
 // New returns the connections of a pool that has the settings cfg.
-func New(cfg policy.Config, s Descriptors) *Conns {
-	return &Conns{
-		descriptors: s, dialTimeout: cfg.DialTimeout, idleFor: idleTime(cfg),
-		inUse: map[*Peer]struct{}{}, dial: dialTCP,
+func New(cfg policy.Config, s Descriptors) *ConnPool {
+	return &ConnPool{
+		descriptors: s, dialTimeout: cfg.DialTimeout, idleTimeout: idleTimeoutFor(cfg),
+		peersWithIdle: map[*Peer]struct{}{}, dial: dialTCP,
 	}
 }
 
-// idleTime is how long a connection is kept idle. Where held ones have a price, one costs ConnectionTariff/100 of a server's share and
+// idleTimeoutFor is how long a connection is kept idle. Where held ones have a price, one costs ConnectionTariff/100 of a server's share and
 // a handshake HandshakeTariff of a request's: they balance after 100 x HandshakeTariff/ConnectionTariff requests of a server, each
 // taken to hold it for no longer than the shortest aim.
-func idleTime(cfg policy.Config) time.Duration {
-	most := time.Duration(float64(cfg.ConnIdle) * idleShare)
+func idleTimeoutFor(cfg policy.Config) time.Duration {
+	most := time.Duration(float64(cfg.ConnIdle) * idleLimitFraction)
 	for _, c := range cfg.Classes {
 		if cfg.ConnectionCost > 0 {
 			most = min(most, time.Duration(100*cfg.HandshakeCost/cfg.ConnectionCost*float64(c.LatencyObjective)))
@@ -142,17 +142,17 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Dialled is how many connections have been opened, or tried.
-func (u *Conns) Dialled() int64 { return u.dialled.Load() }
+// DialCount is how many connections have been opened, or tried.
+func (u *ConnPool) DialCount() int64 { return u.dialCount.Load() }
 
-// DialWith makes dial what opens connections, before any is.
-func (u *Conns) DialWith(dial func(ctx context.Context, addr string) (net.Conn, error)) {
+// SetDialer makes dial what opens connections, before any is.
+func (u *ConnPool) SetDialer(dial func(ctx context.Context, addr string) (net.Conn, error)) {
 	u.dial = dial
 }
 
-// reuse returns an idle connection to p, or nil. One on which the upstream has closed, or has said something unasked,
+// takeIdle returns an idle connection to p, or nil. One on which the upstream has closed, or has said something unasked,
 // is of no use: what is written to it would end as a reset, or be answered with what was meant for another.
-func (u *Conns) reuse(p *Peer) *Conn {
+func (u *ConnPool) takeIdle(p *Peer) *Conn {
 	for {
 		u.mu.Lock()
 		n := len(p.idle)
@@ -161,16 +161,16 @@
 			return nil
 		}
 		i := n - 1
-		for i > 0 && time.Since(p.idle[i].since) < settleTime {
+		for i > 0 && time.Since(p.idle[i].idleSince) < minIdleBeforeReuse {
 			i--
 		}
-		if time.Since(p.idle[i].since) < settleTime {
+		if time.Since(p.idle[i].idleSince) < minIdleBeforeReuse {
 			i = 0
 		}
 		c := p.idle[i]
 		u.setIdle(p, slices.Delete(p.idle, i, i+1))
 		u.mu.Unlock()
-		if time.Since(c.since) < u.idleFor && c.quiet() {
+		if time.Since(c.idleSince) < u.idleTimeout && c.nothingToRead() {
 			return c
 		}
 		c.Close()
@@ -178,26 +178,26 @@
 }
 
 // setIdle replaces the idle connections of p.
-func (u *Conns) setIdle(p *Peer, idle []*Conn) {
+func (u *ConnPool) setIdle(p *Peer, idle []*Conn) {
 	p.idle = idle
 	if len(idle) > 0 {
-		u.inUse[p] = struct{}{}
+		u.peersWithIdle[p] = struct{}{}
 	} else {
-		delete(u.inUse, p)
+		delete(u.peersWithIdle, p)
 	}
 }
 
-// quiet reports whether nothing is there to be read from the upstream, neither bytes nor the end.
-func (c *Conn) quiet() bool { return c.r.Buffered() == 0 && process.Quiet(c.Conn) }
+// nothingToRead reports whether nothing is there to be read from the upstream, neither bytes nor the end.
+func (c *Conn) nothingToRead() bool { return c.reader.Buffered() == 0 && process.NothingToRead(c.Conn) }
 
-// Keep makes c idle, unless something came with the answer that is not part of it. What comes later shows when it is used
+// PutIdle makes c idle, unless something came with the answer that is not part of it. What comes later shows when it is used
 // again.
-func (u *Conns) Keep(c *Conn) {
-	if u.idleFor <= 0 || u.descriptors.Scarce() || c.r.Buffered() > 0 {
+func (u *ConnPool) PutIdle(c *Conn) {
+	if u.idleTimeout <= 0 || u.descriptors.Scarce() || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	u.mu.Lock()
 	kept := !c.peer.retired
 	if kept {
@@ -209,8 +209,8 @@
 	}
 }
 
-// HangUp closes the idle connections to p.
-func (u *Conns) HangUp(p *Peer) {
+// CloseIdle closes the idle connections to p.
+func (u *ConnPool) CloseIdle(p *Peer) {
 	u.mu.Lock()
 	idle := p.idle
 	u.setIdle(p, nil)
@@ -221,18 +221,18 @@
 }
 
 // Retire makes p keep no connection any more.
-func (u *Conns) Retire(p *Peer) {
+func (u *ConnPool) Retire(p *Peer) {
 	u.mu.Lock()
 	p.retired = true
 	u.mu.Unlock()
-	u.HangUp(p)
+	u.CloseIdle(p)
 }
 
-// Evict closes an idle connection, and reports whether there was one.
-func (u *Conns) Evict() bool {
+// EvictIdle closes an idle connection, and reports whether there was one.
+func (u *ConnPool) EvictIdle() bool {
 	var c *Conn
 	u.mu.Lock()
-	for p := range u.inUse {
+	for p := range u.peersWithIdle {
 		c = p.idle[0]
 		u.setIdle(p, p.idle[1:])
 		break
@@ -245,13 +245,13 @@
 	return true
 }
 
-// closeIdle closes the connections that have been idle for idleFor.
-func (u *Conns) closeIdle() {
+// closeExpired closes the connections that have been idle for idleFor.
+func (u *ConnPool) closeExpired() {
 	var old []*Conn
 	u.mu.Lock()
-	for p := range u.inUse {
+	for p := range u.peersWithIdle {
 		n := 0
-		for n < len(p.idle) && time.Since(p.idle[n].since) >= u.idleFor {
+		for n < len(p.idle) && time.Since(p.idle[n].idleSince) >= u.idleTimeout {
 			n++
 		}
 		old = append(old, p.idle[:n]...)
@@ -263,54 +263,54 @@
 	}
 }
 
-// Sweep closes idle connections in time until ctx ends.
-func (u *Conns) Sweep(ctx context.Context) {
-	if u.idleFor <= 0 {
+// SweepIdle closes idle connections in time until ctx ends.
+func (u *ConnPool) SweepIdle(ctx context.Context) {
+	if u.idleTimeout <= 0 {
 		return
 	}
-	tick := time.NewTicker(max(u.idleFor/4, 10*time.Millisecond))
+	tick := time.NewTicker(max(u.idleTimeout/4, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			u.closeIdle()
+			u.closeExpired()
 		}
 	}
 }
 
-// NoDescriptor wraps what kept this sidecar from opening a connection at all. It says nothing of the upstream.
-type NoDescriptor struct{ Err error }
+// NoDescriptorError wraps what kept this sidecar from opening a connection at all. It says nothing of the upstream.
+type NoDescriptorError struct{ Err error }
 
-func (e NoDescriptor) Error() string { return e.Err.Error() }
+func (e NoDescriptorError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
-func (e NoDescriptor) Unwrap() error { return e.Err }
+func (e NoDescriptorError) Unwrap() error { return e.Err }
 
 // Connect returns an idle connection to p, or dials one.
-func (u *Conns) Connect(ctx context.Context, p *Peer, deadline time.Time) (*Conn, error) {
-	c := u.reuse(p)
+func (u *ConnPool) Connect(ctx context.Context, p *Peer, deadline time.Time) (*Conn, error) {
+	c := u.takeIdle(p)
 	if c == nil {
 		ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(u.dialTimeout)))
 		defer cancel()
 		release, err := u.descriptors.Acquire(ctx)
 		if err != nil {
-			return nil, NoDescriptor{Err: err}
+			return nil, NoDescriptorError{Err: err}
 		}
-		u.dialled.Add(1)
+		u.dialCount.Add(1)
 		nc, err := u.dial(ctx, p.addr)
 		if err != nil {
 			release()
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-				err = NoDescriptor{Err: err}
+				err = NoDescriptorError{Err: err}
 			}
 			return nil, err
 		}
 		c = &Conn{Conn: nc, peer: p, release: release}
-		c.r, c.w = bufio.NewReaderSize(c, connBuffer), bufio.NewWriterSize(nc, connBuffer)
+		c.reader, c.writer = bufio.NewReaderSize(c, connBufferBytes), bufio.NewWriterSize(nc, connBufferBytes)
 	}
-	c.deadline, c.begun = deadline, false
+	c.deadline, c.responseBegun = deadline, false
 	c.SetDeadline(deadline)
 	return c, nil
 }
@@ -322,22 +322,22 @@
 	return b
 }
 
-// NotWritten wraps what broke an exchange before its last byte was written: it has never run.
-type NotWritten struct{ Err error }
+// NotWrittenError wraps what broke an exchange before its last byte was written: it has never run.
+type NotWrittenError struct{ Err error }
 
-func (e NotWritten) Error() string { return e.Err.Error() }
+func (e NotWrittenError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
-func (e NotWritten) Unwrap() error { return e.Err }
+func (e NotWrittenError) Unwrap() error { return e.Err }
 
 // Request is what a server is sent.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header // as it was read of a client, so that no name or value holds a line's end
 	TimeoutMs            int64       // in place of the header's; 0: none
-	Extra                []Field     // beside Header, and in place of fields of the same names there
+	ExtraFields          []Field     // beside Header, and in place of fields of the same names there
 	Body                 []byte
-	Rest                 httpmsg.Rest // what follows Body, which SendRest sends; nil: nothing
+	StreamedBody         httpmsg.Rest // what follows Body, which SendRest sends; nil: nothing
 }
 
 // Field is a field of a head.
@@ -353,7 +353,7 @@
 	w.WriteString("\r\n")
 	for name, values := range q.Header {
 		if name == "Host" || name == "Content-Length" || name == "X-Timeout-Ms" ||
-			slices.ContainsFunc(q.Extra, func(f Field) bool { return f.Name == name }) {
+			slices.ContainsFunc(q.ExtraFields, func(f Field) bool { return f.Name == name }) {
 			continue
 		}
 		for _, v := range values {
@@ -369,15 +369,15 @@
 		w.Write(strconv.AppendInt(digits[:0], q.TimeoutMs, 10))
 		w.WriteString("\r\n")
 	}
-	for _, f := range q.Extra {
+	for _, f := range q.ExtraFields {
 		w.WriteString(f.Name)
 		w.WriteString(": ")
 		w.WriteString(f.Value)
 		w.WriteString("\r\n")
 	}
 	length := int64(len(q.Body))
-	if q.Rest != nil {
-		length = q.Rest.Length()
+	if q.StreamedBody != nil {
+		length = q.StreamedBody.Length()
 	}
 	switch {
 	case length < 0:
@@ -407,56 +407,56 @@
 
 // Send writes a request whole. The error is a NotWritten.
 func (c *Conn) Send(q *Request) error {
-	if err := q.write(c.w); err != nil {
-		return NotWritten{Err: err}
+	if err := q.write(c.writer); err != nil {
+		return NotWrittenError{Err: err}
 	}
 	return nil
 }
 
-// RestBroken wraps what broke off the body of a request on the side that it comes from. The request has never run.
-type RestBroken struct{ Err error }
+// RequestBodyError wraps what broke off the body of a request on the side that it comes from. The request has never run.
+type RequestBodyError struct{ Err error }
 
-func (e RestBroken) Error() string { return e.Err.Error() }
+func (e RequestBodyError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
-func (e RestBroken) Unwrap() error { return e.Err }
+func (e RequestBodyError) Unwrap() error { return e.Err }
 
-// ErrEarly is that a server has said something before the last byte of a request was written.
-var ErrEarly = errors.New("the server answers before the request is whole")
+// ErrEarlyResponse is that a server has said something before the last byte of a request was written.
+var ErrEarlyResponse = errors.New("the server answers before the request is whole")
 
-// pieces are of pieceSize bytes.
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+// streamBuffers are of pieceSize bytes.
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// SendRest writes the rest of the request that was sent last, as it comes and however long that takes, and gives its answer
+// SendStreamedBody writes the rest of the request that was sent last, as it comes and however long that takes, and gives its answer
 // until deadline from then on. The error is a NotWritten or a RestBroken.
-func (c *Conn) SendRest(rest httpmsg.Rest, deadline func() time.Time) error {
-	buffer := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buffer)
+func (c *Conn) SendStreamedBody(rest httpmsg.Rest, deadline func() time.Time) error {
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
 	c.SetDeadline(time.Time{})
 	chunked := rest.Length() < 0
 	for {
 		n, err := rest.Read(buffer[:])
 		if err != nil && err != io.EOF {
-			return RestBroken{Err: err}
+			return RequestBodyError{Err: err}
 		}
 		if n > 0 && chunked {
-			c.w.Write(strconv.AppendInt(nil, int64(n), 16))
-			c.w.WriteString("\r\n")
+			c.writer.Write(strconv.AppendInt(nil, int64(n), 16))
+			c.writer.WriteString("\r\n")
 		}
-		c.w.Write(buffer[:n])
+		c.writer.Write(buffer[:n])
 		if n > 0 && chunked {
-			c.w.WriteString("\r\n")
+			c.writer.WriteString("\r\n")
 		}
 		if err == io.EOF && chunked {
-			c.w.WriteString("0\r\n\r\n")
+			c.writer.WriteString("0\r\n\r\n")
 		}
-		if c.w.Buffered() > 0 || n > 0 {
-			if !c.quiet() {
-				return NotWritten{Err: ErrEarly}
+		if c.writer.Buffered() > 0 || n > 0 {
+			if !c.nothingToRead() {
+				return NotWrittenError{Err: ErrEarlyResponse}
 			}
-			c.SetWriteDeadline(time.Now().Add(sendPause))
-			if err := c.w.Flush(); err != nil {
-				return NotWritten{Err: err}
+			c.SetWriteDeadline(time.Now().Add(bodySendTimeout))
+			if err := c.writer.Flush(); err != nil {
+				return NotWrittenError{Err: err}
 			}
 		}
 		if err == io.EOF {
@@ -469,29 +469,29 @@
 
 // Body reads the body of an answer as it comes.
 type Body struct {
-	c       *Conn
-	resp    *http.Response
-	chunked bool
+	conn     *Conn
+	response *http.Response
+	chunked  bool
 }
 
 // Body returns that of resp, the head of which was received last.
 func (c *Conn) Body(resp *http.Response) *Body {
-	c.budget = 2 * httpmsg.MostLong // chunks have some bytes beside the body's
+	c.readBudget = 2 * httpmsg.MostLong // chunks have some bytes beside the body's
 	return &Body{c, resp, len(resp.TransferEncoding) > 0}
 }
 
 // Read waits for one byte at most, and for no longer than pause or until deadline, where there is one: the reader of chunks
 // would wait for the whole of p.
 func (b *Body) Read(p []byte, pause time.Duration, deadline time.Time) (int, error) {
-	c := b.c
-	if c.r.Buffered() == 0 {
+	c := b.conn
+	if c.reader.Buffered() == 0 {
 		until := time.Now().Add(pause)
 		if !deadline.IsZero() {
 			until = earlier(deadline, until)
 		}
 		c.SetReadDeadline(until)
 		if b.chunked {
-			if _, err := c.r.Peek(1); err == io.EOF {
+			if _, err := c.reader.Peek(1); err == io.EOF {
 				return 0, io.ErrUnexpectedEOF // the last chunk is still to come
 			} else if err != nil {
 				return 0, err
@@ -499,27 +499,27 @@
 		}
 	}
 	if b.chunked {
-		p = p[:min(len(p), c.r.Buffered())]
+		p = p[:min(len(p), c.reader.Buffered())]
 	}
-	return b.resp.Body.Read(p)
+	return b.response.Body.Read(p)
 }
 
 // Receive reads the head of the answer to q, which was sent last.
 func (c *Conn) Receive(q *Request) (*http.Response, error) {
-	c.budget = mostHead
+	c.readBudget = maxHeadBytes
 	var asked *http.Request
 	if q.Method == http.MethodHead { // its answer has no body, whatever it says
 		asked = &http.Request{Method: q.Method}
 	}
-	for range mostInterim {
-		resp, err := http.ReadResponse(c.r, asked)
+	for range maxInterimResponses {
+		resp, err := http.ReadResponse(c.reader, asked)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
-		if c.begun = c.r.Buffered() > 0; !c.begun { // the final answer is still to begin, and may take its time
+		if c.responseBegun = c.reader.Buffered() > 0; !c.responseBegun { // the final answer is still to begin, and may take its time
 			c.SetReadDeadline(c.deadline)
 		}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -39,7 +39,7 @@
 		"dear to hold":    {5, 0.05, 200 * time.Millisecond},
 		"free handshakes": {5, 0, 0},
 	} {
-		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, none{}).idleFor
+		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, none{}).idleTimeout
 		if got != c.want {
 			t.Errorf("%s: held for %v, want %v", name, got, c.want)
 		}
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := up.Connect(ctx, NewPeer("127.0.0.1:1", 0), time.Now().Add(time.Minute))
-	var want NoDescriptor
+	var want NoDescriptorError
 	if !errors.As(err, &want) {
 		t.Errorf("got %v, want NoDescriptor", err)
 	}
