--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -119,7 +119,7 @@
 // count reads the logs, and returns a row for each spell in which a process told something.
 func (c *fleetCmd) count(files []string) ([]fleetRow, error) {
 	type seen struct {
-		row       statslog.Row
+		row       statslog.IntervalStats
 		processes map[string]bool
 		shared    *sharedRow
 	}
@@ -128,7 +128,7 @@
 	type line struct {
 		at   time.Time
 		file string
-		row  statslog.Row
+		row  statslog.IntervalStats
 		text string // of shared state
 	}
 	var lines []line
@@ -184,11 +184,11 @@
 		each := float64(len(x.processes))
 		r := fleetRow{
 			At: (time.Duration(n) * c.Every).Seconds(), Processes: len(x.processes), Counts: map[string]int{},
-			UsualMs: float64(x.row.Usual) / float64(time.Millisecond), Short: x.row.Short,
-			Shared: x.shared, Listed: float64(x.row.Listed) / each, Warming: float64(x.row.Warming) / each, Avoided: float64(x.row.Avoided) / each,
+			UsualMs: float64(x.row.TypicalDelay) / float64(time.Millisecond), Short: x.row.CapacityShortage,
+			Shared: x.shared, Listed: float64(x.row.ReadyEndpoints) / each, Warming: float64(x.row.WarmingEndpoints) / each, Avoided: float64(x.row.EjectedEndpoints) / each,
 		}
-		for _, k := range statslog.Counts() {
-			r.Counts[k.String()] = x.row.N[k]
+		for _, k := range statslog.Counters() {
+			r.Counts[k.String()] = x.row.Counters[k]
 		}
 		rows = append(rows, r)
 	}
@@ -199,14 +199,14 @@
 func printFleet(w io.Writer, rows []fleetRow) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "s\tprocs\t")
-	for _, k := range statslog.Counts() {
+	for _, k := range statslog.Counters() {
 		fmt.Fprintf(t, "%s\t", k)
 	}
 	fmt.Fprintln(t, "usual\tshort\tlisted\twarming\tavoided\t")
 	sum := map[string]int{}
 	for _, r := range rows {
 		fmt.Fprintf(t, "%g\t%d\t", r.At, r.Processes)
-		for _, k := range statslog.Counts() {
+		for _, k := range statslog.Counters() {
 			fmt.Fprintf(t, "%d\t", r.Counts[k.String()])
 			sum[k.String()] += r.Counts[k.String()]
 		}
@@ -214,7 +214,7 @@
 	}
 	most := slices.MaxFunc(rows, func(a, b fleetRow) int { return cmp.Compare(a.Processes, b.Processes) })
 	fmt.Fprintf(t, "all\t%d\t", most.Processes)
-	for _, k := range statslog.Counts() {
+	for _, k := range statslog.Counters() {
 		fmt.Fprintf(t, "%d\t", sum[k.String()])
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t")
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -162,9 +162,9 @@
 
 // start makes the process of a file, and opens its listeners and links.
 func start(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
-	speech := gateway.Speech{Streams: h2.Protocol{Log: log}, Secure: secureWith(log)}
+	speech := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: secureWith(log)}
 	if f.Bridge == nil {
-		g, err := gateway.NewSpeaking(f.Gateway, log, nil, speech)
+		g, err := gateway.NewWithProtocols(f.Gateway, log, nil, speech)
 		if err != nil {
 			return nil, err
 		}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g, err := gateway.NewSpeaking(f.Gateway, log, b, speech)
+	g, err := gateway.NewWithProtocols(f.Gateway, log, b, speech)
 	if err != nil {
 		b.Close()
 		return nil, err
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -66,7 +66,7 @@
 		cancel()
 		<-ended
 	})
-	return g.Addr("farm").String()
+	return g.ListenerAddr("farm").String()
 }
 
 // echoService answers with what its path asks for and keeps the last request's fields.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	// MostCallers bounds the connections that are open at once, and so the descriptors that the door takes beside its
+	// MaxConnections bounds the connections that are open at once, and so the descriptors that the door takes beside its
 	// listener. One more makes the oldest close: a call takes no time, so that the oldest is one that completes none.
-	MostCallers = 6
-	// callTime bounds a connection: a caller who completes no call by then is not going to.
-	callTime = 2 * time.Second
-	// mostHead bounds the head of a call.
-	mostHead = 4 << 10
+	MaxConnections = 6
+	// connectionTimeout bounds a connection: a caller who completes no call by then is not going to.
+	connectionTimeout = 2 * time.Second
+	// maxHeaderBytes bounds the head of a call.
+	maxHeaderBytes = 4 << 10
 )
 
-// Figures are what GET /_vars tells.
-type Figures struct {
-	Results     map[string]metrics.Class `json:"results"`
-	Forwards    int64                    `json:"forwards"`    // attempts written whole to servers
-	Outstanding int                      `json:"outstanding"` // requests taken and not yet ended
-	Discovered  int                      `json:"discovered"`  // servers on the list
-	Ejected     int                      `json:"ejected"`     // those of them that are avoided now
+// Vars are what GET /_vars tells.
+type Vars struct {
+	Results     map[string]metrics.ClassCounts `json:"results"`
+	Forwards    int64                          `json:"forwards"`    // attempts written whole to servers
+	Outstanding int                            `json:"outstanding"` // requests taken and not yet ended
+	Discovered  int                            `json:"discovered"`  // servers on the list
+	Ejected     int                            `json:"ejected"`     // those of them that are avoided now
 }
 
 // Process is what the door tells of.
 type Process interface {
 	// Ready reports whether the process can serve, and why not.
 	Ready() error
-	// Figures returns what is counted now.
-	Figures() Figures
+	// Vars returns what is counted now.
+	Vars() Vars
 }
 
-// Door is the operators' listener.
-type Door struct {
-	ln     *bounded
-	server *http.Server
-	ended  chan struct{}
+// Server is the operators' listener.
+type Server struct {
+	listener *limitedListener
+	http     *http.Server
+	done     chan struct{}
 }
 
-// Open opens the door at an address. It ends with Close.
-func Open(address string, p Process, log *slog.Logger) (*Door, error) {
+// Listen opens the door at an address. It ends with Close.
+func Listen(address string, p Process, log *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
@@ -67,18 +67,18 @@
 	})
 	mux.HandleFunc("GET /_vars", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		if err := json.NewEncoder(w).Encode(p.Figures()); err != nil {
+		if err := json.NewEncoder(w).Encode(p.Vars()); err != nil {
 			log.Warn("admin", "err", err) // the caller has gone
 		}
 	})
-	d := &Door{ln: &bounded{Listener: ln}, ended: make(chan struct{}), server: &http.Server{
-		Handler: mux, ReadTimeout: callTime, WriteTimeout: callTime, MaxHeaderBytes: mostHead,
+	d := &Server{listener: &limitedListener{Listener: ln}, done: make(chan struct{}), http: &http.Server{
+		Handler: mux, ReadTimeout: connectionTimeout, WriteTimeout: connectionTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}}
-	d.server.SetKeepAlivesEnabled(false)
+	d.http.SetKeepAlivesEnabled(false)
 	go func() {
-		defer close(d.ended)
-		if err := d.server.Serve(d.ln); !errors.Is(err, http.ErrServerClosed) {
+		defer close(d.done)
+		if err := d.http.Serve(d.listener); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("admin: the door has closed", "err", err)
 		}
 	}()
@@ -86,41 +86,41 @@
 }
 
 // Addr is where the door is.
-func (d *Door) Addr() net.Addr { return d.ln.Addr() }
+func (d *Server) Addr() net.Addr { return d.listener.Addr() }
 
 // Close closes the door once the calls that are being answered have been, or with ctx.
-func (d *Door) Close(ctx context.Context) {
-	if d.server.Shutdown(ctx) != nil {
-		d.server.Close()
+func (d *Server) Close(ctx context.Context) {
+	if d.http.Shutdown(ctx) != nil {
+		d.http.Close()
 	}
-	<-d.ended
+	<-d.done
 }
 
-// bounded is a listener with at most MostCallers connections.
-type bounded struct {
+// limitedListener is a listener with at most MostCallers connections.
+type limitedListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open []*caller // oldest first
+	mu          sync.Mutex
+	connections []*limitedConn // oldest first
 }
 
-// caller is one of them.
-type caller struct {
+// limitedConn is one of them.
+type limitedConn struct {
 	net.Conn
-	of *bounded
+	listener *limitedListener
 }
 
 // Accept is the method of net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitedListener) Accept() (net.Conn, error) {
 	nc, err := b.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{nc, b}
+	c := &limitedConn{nc, b}
 	b.mu.Lock()
-	b.open = append(b.open, c)
-	var oldest *caller
-	if len(b.open) > MostCallers {
-		oldest = b.open[0]
+	b.connections = append(b.connections, c)
+	var oldest *limitedConn
+	if len(b.connections) > MaxConnections {
+		oldest = b.connections[0]
 	}
 	b.mu.Unlock()
 	if oldest != nil {
@@ -130,12 +130,12 @@
 }
 
 // Close is the method of net.Conn.
-func (c *caller) Close() error {
-	b := c.of
+func (c *limitedConn) Close() error {
+	b := c.listener
 	b.mu.Lock()
-	for i, o := range b.open {
+	for i, o := range b.connections {
 		if o == c {
-			b.open = append(b.open[:i], b.open[i+1:]...)
+			b.connections = append(b.connections[:i], b.connections[i+1:]...)
 			break
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -29,14 +29,14 @@
 	return nil
 }
 
-func (p *process) Figures() Figures {
-	return Figures{Results: map[string]metrics.Class{"order": {Succeeded: 812}}, Forwards: 820, Outstanding: 14, Discovered: 3, Ejected: 1}
+func (p *process) Vars() Vars {
+	return Vars{Results: map[string]metrics.ClassCounts{"order": {Succeeded: 812}}, Forwards: 820, Outstanding: 14, Discovered: 3, Ejected: 1}
 }
 
 func open(t *testing.T) (*process, string) {
 	t.Helper()
 	p := &process{}
-	d, err := Open("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
+	d, err := Listen("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 // TestSilentCallers guards against callers who complete no call and hold the door shut for the others.
 func TestSilentCallers(t *testing.T) {
 	_, addr := open(t)
-	for i := range 4 * MostCallers {
+	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/admin/form_test.go
+++ b/internal/admin/form_test.go
@@ -17,16 +17,16 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // told is a process with the figures given.
-type told Figures
+type told Vars
 
-func (f told) Ready() error     { return errors.New("unused") }
-func (f told) Figures() Figures { return Figures(f) }
+func (f told) Ready() error { return errors.New("unused") }
+func (f told) Vars() Vars   { return Vars(f) }
 
 // TestVarsForm holds what GET /_vars tells.
 func TestVarsForm(t *testing.T) {
-	value := Figures{
-		Results: map[string]metrics.Class{
-			"check": {Succeeded: 101, Declined: 102, Aborted: 103}, "order": {Succeeded: 104, Declined: 105, Aborted: 106},
+	value := Vars{
+		Results: map[string]metrics.ClassCounts{
+			"check": {Succeeded: 101, Rejected: 102, Failed: 103}, "order": {Succeeded: 104, Rejected: 105, Failed: 106},
 		},
 		Forwards: 107, Outstanding: 108, Discovered: 109, Ejected: 110,
 	}
@@ -35,7 +35,7 @@
 			t.Errorf("%s is not in the example", field.Name)
 		}
 	}
-	door, err := Open("127.0.0.1:0", told(value), slog.New(slog.DiscardHandler))
+	door, err := Listen("127.0.0.1:0", told(value), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	if !bytes.Equal([]byte(body), golden) {
 		t.Errorf("told as\n%swant\n%s", body, golden)
 	}
-	var got Figures
+	var got Vars
 	if err := json.Unmarshal(golden, &got); err != nil || !reflect.DeepEqual(got, value) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, got, value)
 	}
--- a/internal/config/opfile.go
+++ b/internal/config/opfile.go
@@ -62,7 +62,7 @@
 	if len(r.errs) > 0 {
 		return nil, r.errs.sorted()
 	}
-	if err := f.Gateway.Check(); err != nil { // what it finds should have been found above, by its line
+	if err := f.Gateway.Validate(); err != nil { // what it finds should have been found above, by its line
 		return nil, Errors{{file, 1, "", err.Error()}}
 	}
 	return f, nil
@@ -85,9 +85,9 @@
 	c := &f.Gateway
 	process := s.table("process")
 	c.Name = process.str("name", "sorrelrudder")
-	c.MemoryMB = int(process.size("memory", 192<<20, gateway.LeastMemoryMB<<20, 1<<40) >> 20)
-	c.FiguresEvery = process.duration("figures_every", 0, 0, time.Hour)
-	c.Descriptors = int(process.whole("descriptors", 1024, gateway.LeastDescriptors, mostCount))
+	c.MemoryMB = int(process.size("memory", 192<<20, gateway.MinMemoryMB<<20, 1<<40) >> 20)
+	c.StatsInterval = process.duration("figures_every", 0, 0, time.Hour)
+	c.Descriptors = int(process.whole("descriptors", 1024, gateway.MinDescriptors, mostCount))
 	f.Cores = int(process.whole("cores", 1, 1, 256))
 	process.done()
 
@@ -114,7 +114,7 @@
 			r.bad(l.at("name"), "is %q, as that of the listener in line %d", name, other.n.line)
 		}
 		taken[name] = l
-		c.Listeners = append(c.Listeners, gateway.Listener{Name: name, Address: address, Foreign: foreign, TLS: tls, Plain: plain})
+		c.Listeners = append(c.Listeners, gateway.Listener{Name: name, Address: address, InterSite: foreign, TLS: tls, H2C: plain})
 	}
 
 	f.site(r)
@@ -133,7 +133,7 @@
 	f.tier(r)
 	s.done()
 	if len(r.errs) == 0 {
-		if err := c.Check(); err != nil {
+		if err := c.Validate(); err != nil {
 			r.bad(process.n, "%v", err)
 		}
 	}
@@ -201,19 +201,19 @@
 			r.bad(e.at("name"), "server %q is there twice", entry.ID)
 		}
 		seen[entry.ID] = true
-		p.Servers = append(p.Servers, entry)
+		p.StaticEndpoints = append(p.StaticEndpoints, entry)
 	}
 
 	limits := s.table("limits")
 	p.Limits.Rate = limits.number("rate", 0, 0, 1e9)
 	p.Limits.Burst = limits.number("burst", math.Max(1, math.Ceil(p.Limits.Rate/10)), 1, 1e9)
-	p.Limits.Open = limits.whole("open", 0, 0, mostCount)
-	p.Limits.Bodies = limits.size("bodies", 0, 0, 1<<40)
-	if p.Limits.Bodies > 0 && p.Limits.Bodies < httpmsg.MostBody {
-		r.bad(limits.at("bodies"), "is below %s, the longest body: such a request would always be refused", formatSize(httpmsg.MostBody))
+	p.Limits.OpenRequests = limits.whole("open", 0, 0, mostCount)
+	p.Limits.BodyBytes = limits.size("bodies", 0, 0, 1<<40)
+	if p.Limits.BodyBytes > 0 && p.Limits.BodyBytes < httpmsg.MaxBufferedBodyBytes {
+		r.bad(limits.at("bodies"), "is below %s, the longest body: such a request would always be refused", formatSize(httpmsg.MaxBufferedBodyBytes))
 	}
 	p.Limits.Descriptors = limits.whole("descriptors", 0, 0, mostCount)
-	p.Limits.Hold = limits.boolean("wait_for_servers", false)
+	p.Limits.QueueWithoutEndpoints = limits.boolean("wait_for_servers", false)
 	limits.done()
 
 	attempts := s.table("attempts")
--- a/internal/config/opfile_test.go
+++ b/internal/config/opfile_test.go
@@ -31,7 +31,7 @@
 	g := f.Gateway
 	p := g.Pools[0]
 	c := p.Settings.Config
-	if g.MemoryMB != 192 || g.Descriptors != 1024 || f.Cores != 1 || p.Name != "orders" || p.Limits.Weight != 1 || p.Limits.Hold ||
+	if g.MemoryMB != 192 || g.Descriptors != 1024 || f.Cores != 1 || p.Name != "orders" || p.Limits.Weight != 1 || p.Limits.QueueWithoutEndpoints ||
 		c.MaxAttempts != 3 || !c.RetryAfterHonored || !c.InlineLoadReports || c.Classes[0].Idempotency != policy.IdempotentByKey || c.Classes[0].DedupWindow != 30*time.Second {
 		t.Errorf("the defaults are not as written: %+v", g)
 	}
@@ -245,7 +245,7 @@
 		t.Fatal(err)
 	}
 	b := f.Bridge
-	if b == nil || b.Site != "a" || len(b.Peers) != 1 || b.Pools["farm"].To != "b" || len(b.Pools["farm"].Reaches) != 1 || !f.Gateway.Listeners[1].Foreign {
+	if b == nil || b.Site != "a" || len(b.Peers) != 1 || b.Pools["farm"].To != "b" || len(b.Pools["farm"].Reaches) != 1 || !f.Gateway.Listeners[1].InterSite {
 		t.Errorf("%+v", b)
 	}
 	if err := b.Check(); err != nil {
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -71,7 +71,7 @@
 			Keep: k.duration("keep", 30*time.Second, time.Second, 24*time.Hour), Witnesses: int(k.whole("witnesses", 2, 1, 100)),
 			Budget: float64(k.whole("catch_up_bytes", 1<<20, 4<<10, 1<<30)), Store: k.str("store", ""),
 		}
-		c.SharedState.Figures = f.Gateway.FiguresEvery
+		c.SharedState.Figures = f.Gateway.StatsInterval
 		k.done()
 		if c.SharedState.Probe < 2*c.SharedState.Gossip {
 			r.bad(k.at("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", c.SharedState.Probe, c.SharedState.Gossip)
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -19,9 +19,9 @@
 	}
 	s := l.table("tls")
 	t.HTTP2 = s.boolean("http2", true)
-	t.Authorities = s.str("authorities", "")
-	t.Needed = s.word("clients", "ask", "ask", "need") == "need"
-	if t.Needed && t.Authorities == "" {
+	t.ClientCAFile = s.str("authorities", "")
+	t.RequireClientCert = s.word("clients", "ask", "ask", "need") == "need"
+	if t.RequireClientCert && t.ClientCAFile == "" {
 		r.bad(s.at("clients"), "needs authorities: whose certificates would be right")
 	}
 	var pairs []string
@@ -30,7 +30,7 @@
 		c.done()
 	}
 	s.done()
-	t.Pairs = strings.Join(pairs, "\n")
+	t.KeyPairs = strings.Join(pairs, "\n")
 	if len(pairs) == 0 {
 		r.bad(s.at("certificates"), "is missing: there would be nothing to show")
 		return t, plain
@@ -50,11 +50,11 @@
 
 // CertificatesOf are the files of a listener's TLS.
 func CertificatesOf(t gateway.TLS) tlsfiles.Config {
-	c := tlsfiles.Config{Authorities: t.Authorities, Needed: t.Needed, Protocols: []string{"http/1.1"}}
+	c := tlsfiles.Config{Authorities: t.ClientCAFile, Needed: t.RequireClientCert, Protocols: []string{"http/1.1"}}
 	if t.HTTP2 {
 		c.Protocols = []string{"h2", "http/1.1"}
 	}
-	for line := range strings.SplitSeq(t.Pairs, "\n") {
+	for line := range strings.SplitSeq(t.KeyPairs, "\n") {
 		certificate, key, _ := strings.Cut(line, "\t")
 		c.Pairs = append(c.Pairs, tlsfiles.Pair{Certificate: certificate, Key: key})
 	}
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// bodyPause is how long a body may stand still.
-	bodyPause = time.Second
-	// leastRate is how many bytes a second a body must bring on the whole, beyond bodyGrace: half of what the slowest client
+	// bodyReadTimeout is how long a body may stand still.
+	bodyReadTimeout = time.Second
+	// minBodyBytesPerSecond is how many bytes a second a body must bring on the whole, beyond bodyGrace: half of what the slowest client
 	// sends. It guards against clients that hold a connection, a server and a descriptor with a byte now and then.
-	leastRate = 32 << 10
-	bodyGrace = 1500 * time.Millisecond
-	// mostTrailer bounds what follows a chunked body.
-	mostTrailer = 1 << 10
+	minBodyBytesPerSecond = 32 << 10
+	bodyRateGrace         = 1500 * time.Millisecond
+	// maxTrailerBytes bounds what follows a chunked body.
+	maxTrailerBytes = 1 << 10
 )
 
 // bodyReader reads the body of one request as it comes. Its errors but io.EOF are as those of requestReader.read.
 type bodyReader struct {
-	r      *requestReader
-	c      net.Conn
-	length int64     // -1: chunked
-	chunks io.Reader // of a chunked one
-	total  int64     // bytes read
-	from   time.Time
-	ended  bool
+	requests  *requestReader
+	conn      net.Conn
+	length    int64     // -1: chunked
+	chunks    io.Reader // of a chunked one
+	bytesRead int64     // bytes read
+	started   time.Time
+	ended     bool
 }
 
 func newBodyReader(r *requestReader, c net.Conn, q *clientRequest) *bodyReader {
-	b := &bodyReader{r: r, c: c, length: q.Length, from: time.Now()}
+	b := &bodyReader{requests: r, conn: c, length: q.Length, started: time.Now()}
 	if q.chunked {
-		b.length, b.chunks = -1, httputil.NewChunkedReader(r.r)
+		b.length, b.chunks = -1, httputil.NewChunkedReader(r.buffered)
 	}
 	return b
 }
 
-// Length is the method of httpmsg.Rest.
+// Length is the method of httpmsg.BodyStream.
 func (b *bodyReader) Length() int64 { return b.length }
 
-// Read is the method of httpmsg.Rest. It waits for one byte at most: of a chunk that comes slowly the reader of chunks would
+// Read is the method of httpmsg.BodyStream. It waits for one byte at most: of a chunk that comes slowly the reader of chunks would
 // wait for the whole.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.ended {
@@ -56,51 +56,51 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if b.r.r.Buffered() == 0 {
+	if b.requests.buffered.Buffered() == 0 {
 		now := time.Now()
-		if now.Sub(b.from) > bodyGrace+time.Duration(b.total)*time.Second/leastRate {
-			return 0, errSlow
+		if now.Sub(b.started) > bodyRateGrace+time.Duration(b.bytesRead)*time.Second/minBodyBytesPerSecond {
+			return 0, errRequestTimeout
 		}
-		b.c.SetReadDeadline(now.Add(bodyPause))
+		b.conn.SetReadDeadline(now.Add(bodyReadTimeout))
 	}
 	n, err := b.read(p)
-	b.total += int64(n)
+	b.bytesRead += int64(n)
 	switch {
-	case b.total > httpmsg.MostLong:
-		return 0, errBodyLong
+	case b.bytesRead > httpmsg.MaxBodyBytes:
+		return 0, errBodyTooLong
 	case err == io.EOF && b.ended, err == nil:
 		return n, err
 	}
-	return n, readError(err, errBody)
+	return n, readError(err, errMalformedBody)
 }
 
 func (b *bodyReader) read(p []byte) (int, error) {
 	if b.chunks == nil {
-		n, err := b.r.r.Read(p[:min(int64(len(p)), b.length-b.total)])
-		b.ended = b.total+int64(n) == b.length
+		n, err := b.requests.buffered.Read(p[:min(int64(len(p)), b.length-b.bytesRead)])
+		b.ended = b.bytesRead+int64(n) == b.length
 		if n > 0 {
 			err = nil
 		}
 		return n, err
 	}
-	if _, err := b.r.r.Peek(1); err != nil {
+	if _, err := b.requests.buffered.Peek(1); err != nil {
 		return 0, err
 	}
-	n, err := b.chunks.Read(p[:min(len(p), b.r.r.Buffered())])
+	n, err := b.chunks.Read(p[:min(len(p), b.requests.buffered.Buffered())])
 	if err != io.EOF {
 		return n, err
 	}
-	if err := b.trailer(); err != nil {
+	if err := b.skipTrailer(); err != nil {
 		return n, err
 	}
 	b.ended = true
 	return n, io.EOF
 }
 
-// trailer reads over what follows the last chunk.
-func (b *bodyReader) trailer() error {
-	for left := mostTrailer; ; {
-		line, err := b.r.r.ReadSlice('\n')
+// skipTrailer reads over what follows the last chunk.
+func (b *bodyReader) skipTrailer() error {
+	for left := maxTrailerBytes; ; {
+		line, err := b.requests.buffered.ReadSlice('\n')
 		if err != nil {
 			return err
 		}
@@ -126,10 +126,10 @@
 
 func newUpload(b *bodyReader) *upload { return &upload{bodyReader: b, done: make(chan struct{})} }
 
-// errStopped is what is read of an upload whose request has its answer.
-var errStopped = errors.New("the request has its answer")
+// errResponseSent is what is read of an upload whose request has its answer.
+var errResponseSent = errors.New("the request has its answer")
 
-// Read is the method of httpmsg.Rest.
+// Read is the method of httpmsg.BodyStream.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -137,20 +137,20 @@
 		return 0, u.err
 	}
 	if u.stopping.Load() {
-		return 0, u.end(errStopped)
+		return 0, u.finish(errResponseSent)
 	}
 	n, err := u.bodyReader.Read(p)
 	if err != nil && err != io.EOF && u.stopping.Load() {
-		err = errStopped
+		err = errResponseSent
 	}
 	if err != nil {
-		return n, u.end(err)
+		return n, u.finish(err)
 	}
 	return n, nil
 }
 
-// end notes how the upload ended. The caller holds mu.
-func (u *upload) end(err error) error {
+// finish notes how the upload ended. The caller holds mu.
+func (u *upload) finish(err error) error {
 	if err != io.EOF {
 		err = fmt.Errorf("the rest of a body: %w", err)
 	}
@@ -164,7 +164,7 @@
 	u.stopping.Store(true)
 	// Read sets its deadline before it looks at stopping again, or sees it set; so a wait that began before ends here.
 	for {
-		u.c.SetReadDeadline(time.Unix(1, 0))
+		u.conn.SetReadDeadline(time.Unix(1, 0))
 		if u.mu.TryLock() {
 			break
 		}
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -29,18 +29,18 @@
 // echoHandler answers each request with its id, from the pool that the first letter of its host names.
 type echoHandler struct {
 	mu    sync.Mutex
-	conns map[Owner]int
+	conns map[PoolID]int
 }
 
-func (h *echoHandler) Admit(q *httpmsg.Request) (Admission, Owner, error) {
-	o := Owner(q.Host[0])
+func (h *echoHandler) Admit(q *httpmsg.Request) (AdmittedRequest, PoolID, error) {
+	o := PoolID(q.Host[0])
 	if strings.HasPrefix(q.Path, "/full") {
-		return nil, o, httpmsg.Bad{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
+		return nil, o, httpmsg.RejectionError{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
 	}
 	return echoAdmission{q}, o, nil
 }
-func (h *echoHandler) Pause(Owner, int) time.Duration { return 0 }
-func (h *echoHandler) Hold(o Owner) bool {
+func (h *echoHandler) ReadDelay(PoolID, int) time.Duration { return 0 }
+func (h *echoHandler) AcquireConnection(o PoolID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if o == 'x' {
@@ -49,12 +49,12 @@
 	h.conns[o]++
 	return true
 }
-func (h *echoHandler) Drop(o Owner) {
+func (h *echoHandler) ReleaseConnection(o PoolID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conns[o]--
 }
-func (h *echoHandler) Excess(o Owner) int64 {
+func (h *echoHandler) ConnectionExcess(o PoolID) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return int64(h.conns[o])
@@ -62,11 +62,11 @@
 
 type echoAdmission struct{ q *httpmsg.Request }
 
-func (a echoAdmission) Take(body []byte, rest httpmsg.Rest) (Exchange, error) {
+func (a echoAdmission) Dispatch(body []byte, rest httpmsg.BodyStream) (Exchange, error) {
 	if rest != nil {
 		all, err := io.ReadAll(rest)
 		if err != nil {
-			return nil, httpmsg.Bad{Status: 400, Text: err.Error()}
+			return nil, httpmsg.RejectionError{Status: 400, Text: err.Error()}
 		}
 		body = append(body, all...)
 	}
@@ -76,12 +76,12 @@
 
 type echoExchange string
 
-func (e echoExchange) Answer() <-chan httpmsg.Answer {
-	c := make(chan httpmsg.Answer, 1)
-	c <- httpmsg.Answer{Status: 200, Body: []byte(e)}
+func (e echoExchange) Response() <-chan httpmsg.Response {
+	c := make(chan httpmsg.Response, 1)
+	c <- httpmsg.Response{Status: 200, Body: []byte(e)}
 	return c
 }
-func (echoExchange) Withdraw() bool { return false }
+func (echoExchange) Cancel() bool { return false }
 
 // running is a server on a loopback socket.
 type running struct {
@@ -92,7 +92,7 @@
 
 func start(t *testing.T, descriptors int, wrap func(net.Listener) net.Listener) *running {
 	t.Helper()
-	h := &echoHandler{conns: map[Owner]int{}}
+	h := &echoHandler{conns: map[PoolID]int{}}
 	r := startWith(t, h, descriptors, wrap)
 	r.handler = h
 	return r
@@ -101,7 +101,7 @@
 func startWith(t *testing.T, h Handler, descriptors int, wrap func(net.Listener) net.Listener) *running {
 	t.Helper()
 	d := process.NewDescriptors(descriptors)
-	s := New(h, d, slog.New(slog.DiscardHandler))
+	s := NewServer(h, d, slog.New(slog.DiscardHandler))
 	d.SetClientEvictor(s.Evict)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,13 +122,13 @@
 		ln.Close()
 		<-ended
 		s.Wait(ctx)
-		s.done.Wait()
+		s.connGoroutines.Wait()
 	})
 	return &running{s, nil, ln.Addr().String()}
 }
 
 // idleOf counts the idle connections of an owner. The caller holds mu.
-func (s *Server) idleOf(o Owner) (n int) {
+func (s *Server) idleOf(o PoolID) (n int) {
 	if of := s.idle[o]; of != nil {
 		for i := range of {
 			n += of[i].Len()
@@ -253,12 +253,12 @@
 		begin()
 	}
 	waitFor(t, "all descriptors of clients to be held by slow heads", func() bool {
-		if s.Connections() < most { // on a busy machine the first of them have made room before the last has come
+		if s.ConnectionCount() < most { // on a busy machine the first of them have made room before the last has come
 			begin()
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.quiet[reading].Len() >= most-1
+		return s.waiting[readingConns].Len() >= most-1
 	})
 	waitFor(t, "an answer beside slow heads", func() bool {
 		// A connection that has just come may have to make room before its request is seen; a client then connects anew.
@@ -274,7 +274,7 @@
 // TestEvictionGoesByExcess guards against taking the connection of a pool that holds few for one that holds many.
 func TestEvictionGoesByExcess(t *testing.T) {
 	s := start(t, 256, nil)
-	idle := func(o Owner, n int) { // one after the other: the order in which they come to rest is that of their answers
+	idle := func(o PoolID, n int) { // one after the other: the order in which they come to rest is that of their answers
 		t.Helper()
 		waitFor(t, "all to be idle", func() bool {
 			s.mu.Lock()
@@ -303,7 +303,7 @@
 	if resp, _ := meters.ask(t, get("meters", "n")); resp.StatusCode != 200 {
 		t.Error("the pool with one connection lost it")
 	}
-	waitFor(t, "the count to go down", func() bool { return s.handler.Excess('o') == 1 })
+	waitFor(t, "the count to go down", func() bool { return s.handler.ConnectionExcess('o') == 1 })
 }
 
 // TestRefusedUnread guards against holding memory, or another's answer, for the body of a request that is refused by its
@@ -337,7 +337,7 @@
 	if resp.StatusCode != 429 || !resp.Close {
 		t.Errorf("got %d, close %v, want 429 that closes", resp.StatusCode, resp.Close)
 	}
-	waitFor(t, "the connections to be gone", func() bool { return s.Connections() == 0 })
+	waitFor(t, "the connections to be gone", func() bool { return s.ConnectionCount() == 0 })
 }
 
 // TestDrainOneListener guards against closing what came in elsewhere.
@@ -376,13 +376,13 @@
 }
 
 // unused teaches the rule that connections of an owner are not used again.
-func (r *running) unused(o Owner) {
+func (r *running) unused(o PoolID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 2000 {
 		for k := keepalive.NoRequest; k <= keepalive.SeveralRequests; k++ {
-			w := r.rule.BeginIdle(r.now(), o, k)
-			r.rule.EndIdle(o, k, w, keepalive.MaxIdle, false)
+			w := r.idleRule.BeginIdle(r.now(), o, k)
+			r.idleRule.EndIdle(o, k, w, keepalive.MaxIdle, false)
 		}
 	}
 }
@@ -513,7 +513,7 @@
 	}
 	s.descriptors.Resize(96)
 	places := int(process.MaxClientDescriptors(96))
-	waitFor(t, "connections to go", func() bool { return s.Connections() <= places })
+	waitFor(t, "connections to go", func() bool { return s.ConnectionCount() <= places })
 	for _, c := range all {
 		if resp, _ := c.ask(t, get("h", "b")); resp.StatusCode != 200 { // closed: it connects anew
 			c = s.dial(t)
@@ -530,7 +530,7 @@
 	took chan heldExchange
 }
 
-func (h *heldHandler) Admit(q *httpmsg.Request) (Admission, Owner, error) {
+func (h *heldHandler) Admit(q *httpmsg.Request) (AdmittedRequest, PoolID, error) {
 	return heldAdmission{h, q}, 'h', nil
 }
 
@@ -539,8 +539,8 @@
 	q *httpmsg.Request
 }
 
-func (a heldAdmission) Take([]byte, httpmsg.Rest) (Exchange, error) {
-	x := heldExchange{a.q, make(chan httpmsg.Answer, 1), make(chan struct{}, 1)}
+func (a heldAdmission) Dispatch([]byte, httpmsg.BodyStream) (Exchange, error) {
+	x := heldExchange{a.q, make(chan httpmsg.Response, 1), make(chan struct{}, 1)}
 	a.h.took <- x
 	return x, nil
 }
@@ -548,12 +548,12 @@
 
 type heldExchange struct {
 	q         *httpmsg.Request
-	answer    chan httpmsg.Answer
+	answer    chan httpmsg.Response
 	withdrawn chan struct{}
 }
 
-func (x heldExchange) Answer() <-chan httpmsg.Answer { return x.answer }
-func (x heldExchange) Withdraw() bool {
+func (x heldExchange) Response() <-chan httpmsg.Response { return x.answer }
+func (x heldExchange) Cancel() bool {
 	x.withdrawn <- struct{}{}
 	return true
 }
@@ -567,16 +567,16 @@
 		"another request with it":    {q + q, ""},
 		"another request later":      {q, q},
 		"several, piece after piece": {q + q, q + q + q},
-		"more than is held, with it": {q + strings.Repeat(q, 2*clientBuffer/len(q)), ""},
-		"more than is held, later":   {q, strings.Repeat(q, 2*clientBuffer/len(q))},
+		"more than is held, with it": {q + strings.Repeat(q, 2*readBufferBytes/len(q)), ""},
+		"more than is held, later":   {q, strings.Repeat(q, 2*readBufferBytes/len(q))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &heldHandler{echoHandler{conns: map[Owner]int{}}, make(chan heldExchange, 8)}
+			h := &heldHandler{echoHandler{conns: map[PoolID]int{}}, make(chan heldExchange, 8)}
 			r := startWith(t, h, 64, nil)
 			client := r.dial(t)
 			io.WriteString(client, c.first)
 			x := <-h.took
-			if x.q.Left() {
+			if x.q.ClientGone() {
 				t.Error("has left before it did")
 			}
 			io.WriteString(client, c.then)
@@ -584,10 +584,10 @@
 			select {
 			case <-x.withdrawn:
 			case <-time.After(patience):
-				x.answer <- httpmsg.Answer{Status: 200} // or the server would not end
+				x.answer <- httpmsg.Response{Status: 200} // or the server would not end
 				t.Fatal("it was not seen to leave")
 			}
-			if !x.q.Left() {
+			if !x.q.ClientGone() {
 				t.Error("who asks is not told that it has left")
 			}
 		})
@@ -609,7 +609,7 @@
 			s := start(t, 64, nil)
 			client := s.dial(t)
 			// More than a reader takes at once, so that some of it stands in the kernel as the connection ends.
-			more := strings.Repeat(c.then, (3*clientBuffer)/max(1, len(c.then)))
+			more := strings.Repeat(c.then, (3*readBufferBytes)/max(1, len(c.then)))
 			io.WriteString(client, c.first+more)
 			resp, _ := client.ask(t, "")
 			if resp.StatusCode == 0 {
@@ -625,23 +625,25 @@
 // restHandler answers each request with the first of a long answer, whose rest never ends by itself.
 type restHandler struct{ echoHandler }
 
-func (h *restHandler) Admit(*httpmsg.Request) (Admission, Owner, error) {
+func (h *restHandler) Admit(*httpmsg.Request) (AdmittedRequest, PoolID, error) {
 	return restAdmission{}, 'r', nil
 }
 
 type restAdmission struct{}
 
-func (restAdmission) Take([]byte, httpmsg.Rest) (Exchange, error) { return restExchange{}, nil }
-func (restAdmission) Release()                                    {}
+func (restAdmission) Dispatch([]byte, httpmsg.BodyStream) (Exchange, error) {
+	return restExchange{}, nil
+}
+func (restAdmission) Release() {}
 
 type restExchange struct{}
 
-func (restExchange) Answer() <-chan httpmsg.Answer {
-	c := make(chan httpmsg.Answer, 1)
-	c <- httpmsg.Answer{Status: 200, Body: []byte("first"), Rest: &endlessRest{closed: make(chan struct{})}}
+func (restExchange) Response() <-chan httpmsg.Response {
+	c := make(chan httpmsg.Response, 1)
+	c <- httpmsg.Response{Status: 200, Body: []byte("first"), Remainder: &endlessRest{closed: make(chan struct{})}}
 	return c
 }
-func (restExchange) Withdraw() bool { return false }
+func (restExchange) Cancel() bool { return false }
 
 // endlessRest brings a byte now and then.
 type endlessRest struct{ closed chan struct{} }
@@ -659,7 +661,7 @@
 func TestEndUnderALongAnswer(t *testing.T) {
 	for _, version := range []string{"1.0", "1.1"} {
 		t.Run("HTTP/"+version, func(t *testing.T) {
-			s := startWith(t, &restHandler{echoHandler{conns: map[Owner]int{}}}, 64, nil)
+			s := startWith(t, &restHandler{echoHandler{conns: map[PoolID]int{}}}, 64, nil)
 			client := s.dial(t)
 			io.WriteString(client, "GET /c HTTP/"+version+"\r\nHost: h\r\nX-Request-Id: 1\r\n\r\n")
 			resp, err := http.ReadResponse(client.r, nil)
--- a/internal/downstream/streams.go
+++ b/internal/downstream/streams.go
@@ -13,8 +13,8 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Protocol serves connections that carry several requests at once. The front keeps the connections and answers the requests.
-type Protocol interface {
+// MultiplexedProtocol serves connections that carry several requests at once. The front keeps the connections and answers the requests.
+type MultiplexedProtocol interface {
 	// Name is that of the protocol in a TLS handshake.
 	Name() string
 	// Serve serves c until it ends. What has been read of it is in first. Its requests go to h, each in a goroutine of its own;
@@ -22,138 +22,138 @@
 	Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler)
 }
 
-// handshakeTime is how long a TLS handshake may take.
-const handshakeTime = 5 * time.Second
+// handshakeTimeout is how long a TLS handshake may take.
+const handshakeTimeout = 5 * time.Second
 
-// streamed is a connection on which requests run side by side.
-type streamed struct {
-	s *Server
-	c *clientConn
+// multiplexedConn is a connection on which requests run side by side.
+type multiplexedConn struct {
+	server *Server
+	conn   *clientConn
 
-	mu    sync.Mutex
-	owned bool
+	mu        sync.Mutex
+	poolKnown bool
 }
 
-// serveStreams hands c over to a protocol until it ends.
-func (s *Server) serveStreams(c *clientConn, p Protocol, first []byte) {
+// serveMultiplexed hands c over to a protocol until it ends.
+func (s *Server) serveMultiplexed(c *clientConn, p MultiplexedProtocol, first []byte) {
 	s.mu.Lock()
-	s.leave(c)
-	s.rested(c, time.Since(c.since), true)
-	c.drain = make(chan struct{})
-	drain := c.drain
+	s.removeFromList(c)
+	s.recordIdleOutcome(c, time.Since(c.listedSince), true)
+	c.drainSignal = make(chan struct{})
+	drain := c.drainSignal
 	c.SetDeadline(time.Time{})
-	if s.draining || c.port.draining {
-		s.endStreams(c)
+	if s.draining || c.listener.draining {
+		s.drainMultiplexed(c)
 	} else {
-		s.setPlace(c, &s.quiet[streams])
+		s.addToList(c, &s.waiting[multiplexedConns])
 	}
 	s.mu.Unlock()
 	p.Serve(c.Conn, first, drain, func(active bool) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.leave(c)
-		if !active && c.drain != nil {
-			s.setPlace(c, &s.quiet[streams])
+		s.removeFromList(c)
+		if !active && c.drainSignal != nil {
+			s.addToList(c, &s.waiting[multiplexedConns])
 		}
-	}, &streamed{s: s, c: c})
+	}, &multiplexedConn{server: s, conn: c})
 	s.mu.Lock()
-	s.endStreams(c)
+	s.drainMultiplexed(c)
 	s.mu.Unlock()
 }
 
-// endStreams makes a connection take no further requests. The caller holds mu.
-func (s *Server) endStreams(c *clientConn) {
-	if c.drain != nil {
-		close(c.drain)
-		c.drain = nil
+// drainMultiplexed makes a connection take no further requests. The caller holds mu.
+func (s *Server) drainMultiplexed(c *clientConn) {
+	if c.drainSignal != nil {
+		close(c.drainSignal)
+		c.drainSignal = nil
 	}
 }
 
 // ServeHTTP answers one request of a connection.
-func (v *streamed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q, err := request(r, v.c.RemoteAddr())
+func (v *multiplexedConn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	q, err := newStreamRequest(r, v.conn.RemoteAddr())
 	if err != nil {
-		v.write(w, r, err.(httpmsg.Bad).Answer())
+		v.writeResponse(w, r, err.(httpmsg.RejectionError).Response())
 		return
 	}
-	q.Secure, q.Left = v.c.port.TLS != nil, func() bool { return r.Context().Err() != nil }
-	adm, owner, err := v.s.handler.Admit(q)
-	v.own(owner)
+	q.Secure, q.ClientGone = v.conn.listener.TLS != nil, func() bool { return r.Context().Err() != nil }
+	adm, owner, err := v.server.handler.Admit(q)
+	v.setPool(owner)
 	if err != nil {
-		v.refuse(w, r, err)
+		v.writeRejection(w, r, err)
 		return
 	}
-	body := &streamBody{r: r, control: http.NewResponseController(w), length: q.Length, from: time.Now()}
-	first, rest, err := body.first()
+	body := &streamBody{request: r, control: http.NewResponseController(w), length: q.Length, started: time.Now()}
+	first, rest, err := body.readFirst()
 	if err != nil {
 		adm.Release()
-		v.refuse(w, r, err)
+		v.writeRejection(w, r, err)
 		return
 	}
 	var x Exchange
 	if rest {
-		x, err = adm.Take(first, body)
+		x, err = adm.Dispatch(first, body)
 	} else {
-		x, err = adm.Take(first, nil)
+		x, err = adm.Dispatch(first, nil)
 	}
 	if err != nil {
-		v.refuse(w, r, err)
+		v.writeRejection(w, r, err)
 		return
 	}
 	select {
-	case ans := <-x.Answer():
-		v.write(w, r, ans)
+	case ans := <-x.Response():
+		v.writeResponse(w, r, ans)
 	case <-r.Context().Done():
-		if !x.Withdraw() {
-			drop(<-x.Answer())
+		if !x.Cancel() {
+			discard(<-x.Response())
 		}
 	}
 }
 
-// own notes whose connection it is, by its first request.
-func (v *streamed) own(o Owner) {
+// setPool notes whose connection it is, by its first request.
+func (v *multiplexedConn) setPool(o PoolID) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.owned {
-		v.owned = true
-		v.s.setOwner(v.c, o)
+	if !v.poolKnown {
+		v.poolKnown = true
+		v.server.setPool(v.conn, o)
 	}
 }
 
-// request is r as a pool has it. The error is a httpmsg.Bad.
-func request(r *http.Request, from net.Addr) (*httpmsg.Request, error) {
+// newStreamRequest is r as a pool has it. The error is a httpmsg.RejectionError.
+func newStreamRequest(r *http.Request, from net.Addr) (*httpmsg.Request, error) {
 	for _, once := range []string{"X-Request-Id", "X-Timeout-Ms", "Idempotency-Key"} {
 		if len(r.Header[once]) > 1 {
-			return nil, httpmsg.Bad{Status: http.StatusBadRequest, Text: "more than one " + once}
+			return nil, httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "more than one " + once}
 		}
 	}
 	q := &httpmsg.Request{
-		Method: r.Method, URI: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: r.Header, Length: r.ContentLength, Remote: from,
+		Method: r.Method, URI: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: r.Header, Length: r.ContentLength, RemoteAddr: from,
 	}
 	switch {
 	case !strings.HasPrefix(q.URI, "/"):
-		return nil, errTarget
+		return nil, errInvalidTarget
 	case q.Host == "":
-		return nil, errHost
-	case q.Length > httpmsg.MostLong:
-		return nil, errBodyLong
+		return nil, errMissingHost
+	case q.Length > httpmsg.MaxBodyBytes:
+		return nil, errBodyTooLong
 	case r.Body == nil || r.Body == http.NoBody:
 		q.Length = 0
 	}
 	return q, nil
 }
 
-// refuse answers a request that is not taken. A client that has left is told nothing.
-func (v *streamed) refuse(w http.ResponseWriter, r *http.Request, err error) {
-	var bad httpmsg.Bad
+// writeRejection answers a request that is not taken. A client that has left is told nothing.
+func (v *multiplexedConn) writeRejection(w http.ResponseWriter, r *http.Request, err error) {
+	var bad httpmsg.RejectionError
 	if !errors.As(err, &bad) {
 		panic(http.ErrAbortHandler)
 	}
-	v.write(w, r, bad.Answer())
+	v.writeResponse(w, r, bad.Response())
 }
 
-// write writes an answer. One that breaks off resets its stream, so that its client can tell.
-func (v *streamed) write(w http.ResponseWriter, r *http.Request, ans httpmsg.Answer) {
+// writeResponse writes an answer. One that breaks off resets its stream, so that its client can tell.
+func (v *multiplexedConn) writeResponse(w http.ResponseWriter, r *http.Request, ans httpmsg.Response) {
 	control := http.NewResponseController(w)
 	for name, values := range ans.Header {
 		w.Header()[name] = values
@@ -163,8 +163,8 @@
 	}
 	length := int64(len(ans.Body))
 	switch {
-	case ans.Rest != nil:
-		length = ans.Rest.Length()
+	case ans.Remainder != nil:
+		length = ans.Remainder.Length()
 	case r.Method == http.MethodHead && length == 0:
 		length = ans.Length
 	}
@@ -178,32 +178,32 @@
 	if _, dated := w.Header()["Date"]; !dated {
 		w.Header()["Date"] = nil
 	}
-	control.SetWriteDeadline(time.Now().Add(writeTime))
+	control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(ans.Status)
 	if r.Method == http.MethodHead || bare {
-		drop(ans)
+		discard(ans)
 		return
 	}
 	_, err := w.Write(ans.Body)
-	if ans.Rest != nil {
+	if ans.Remainder != nil {
 		if err == nil {
-			err = copyStream(w, control, ans.Rest)
+			err = copyRemainder(w, control, ans.Remainder)
 		}
-		ans.Rest.Close(err == nil)
+		ans.Remainder.Close(err == nil)
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// copyStream passes on the rest of a long answer as it comes.
-func copyStream(w http.ResponseWriter, control *http.ResponseController, rest httpmsg.Stream) error {
-	buffer := copyBuffers.Get().(*[copyBuffer]byte)
+// copyRemainder passes on the rest of a long answer as it comes.
+func copyRemainder(w http.ResponseWriter, control *http.ResponseController, rest httpmsg.ResponseStream) error {
+	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
 	for {
 		n, err := rest.Read(buffer[:])
 		if n > 0 {
-			control.SetWriteDeadline(time.Now().Add(longWriteTime))
+			control.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 			if _, err := w.Write(buffer[:n]); err != nil {
 				return err
 			}
@@ -222,49 +222,49 @@
 
 // streamBody is the body of one of several requests on a connection, under the same limits as on a connection of its own.
 type streamBody struct {
-	r       *http.Request
-	control *http.ResponseController
-	length  int64 // -1: not told
-	from    time.Time
-	total   int64
+	request   *http.Request
+	control   *http.ResponseController
+	length    int64 // -1: not told
+	started   time.Time
+	bytesRead int64
 }
 
-// Length is the method of httpmsg.Rest.
+// Length is the method of httpmsg.BodyStream.
 func (b *streamBody) Length() int64 { return b.length }
 
-// first reads the body, or the first of a long one, and reports whether more follows.
-func (b *streamBody) first() (body []byte, rest bool, err error) {
+// readFirst reads the body, or the first of a long one, and reports whether more follows.
+func (b *streamBody) readFirst() (body []byte, rest bool, err error) {
 	if b.length == 0 {
 		return nil, false, nil
 	}
-	body, err = io.ReadAll(io.LimitReader(b, httpmsg.MostBody))
+	body, err = io.ReadAll(io.LimitReader(b, httpmsg.MaxBufferedBodyBytes))
 	if err != nil {
 		return nil, false, err
 	}
-	return body, len(body) == httpmsg.MostBody && b.total != b.length, nil
+	return body, len(body) == httpmsg.MaxBufferedBodyBytes && b.bytesRead != b.length, nil
 }
 
-// Read is the method of httpmsg.Rest.
+// Read is the method of httpmsg.BodyStream.
 func (b *streamBody) Read(p []byte) (int, error) {
 	now := time.Now()
-	if now.Sub(b.from) > bodyGrace+time.Duration(b.total)*time.Second/leastRate {
-		return 0, errSlow
+	if now.Sub(b.started) > bodyRateGrace+time.Duration(b.bytesRead)*time.Second/minBodyBytesPerSecond {
+		return 0, errRequestTimeout
 	}
-	b.control.SetReadDeadline(now.Add(bodyPause))
-	n, err := b.r.Body.Read(p)
-	b.total += int64(n)
+	b.control.SetReadDeadline(now.Add(bodyReadTimeout))
+	n, err := b.request.Body.Read(p)
+	b.bytesRead += int64(n)
 	switch {
-	case b.total > httpmsg.MostLong:
-		return 0, errBodyLong
+	case b.bytesRead > httpmsg.MaxBodyBytes:
+		return 0, errBodyTooLong
 	case err == nil || err == io.EOF:
 		return n, err
-	case b.r.Context().Err() != nil:
-		return n, errGone
-	case time.Since(now) >= bodyPause:
-		return n, errSlow
+	case b.request.Context().Err() != nil:
+		return n, errClientGone
+	case time.Since(now) >= bodyReadTimeout:
+		return n, errRequestTimeout
 	}
-	return n, errBody
+	return n, errMalformedBody
 }
 
-// errGone is that a client has reset its stream or left.
-var errGone = errors.New("the client has left")
+// errClientGone is that a client has reset its stream or left.
+var errClientGone = errors.New("the client has left")
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -585,9 +585,9 @@
 // requestRecorder keeps the request that it is given.
 type requestRecorder struct{ sent *httpmsg.Request }
 
-func (r *requestRecorder) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Answer, error) {
+func (r *requestRecorder) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Response, error) {
 	r.sent = q
-	return httpmsg.Answer{Status: http.StatusOK}, nil
+	return httpmsg.Response{Status: http.StatusOK}, nil
 }
 
 // TestSlotRequest: servers are sent what earlier versions sent them for a slot, keys and tokens above all.
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -207,10 +207,10 @@
 
 // outcomeOf is what an answer says of a slot: a refusal promises that nothing has run, a failure promises nothing. The refusal of a server
 // that speaks plain HTTP promises nothing either; its answer bears the mark of having been passed on, and this process' own does not.
-func outcomeOf(a httpmsg.Answer, err error, plain bool) task.Outcome {
-	bad, isBad := err.(httpmsg.Bad)
+func outcomeOf(a httpmsg.Response, err error, plain bool) task.Outcome {
+	bad, isBad := err.(httpmsg.RejectionError)
 	switch {
-	case isBad && bad.Refused():
+	case isBad && bad.Retryable():
 		return task.OutcomeRejected
 	case isBad:
 		return task.OutcomeFailed
--- a/internal/fleet/tier.go
+++ b/internal/fleet/tier.go
@@ -50,7 +50,7 @@
 
 // Sender sends a request through the process' pools, under the four rules.
 type Sender interface {
-	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Answer, error)
+	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Response, error)
 }
 
 const (
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/tier_test.go
@@ -45,11 +45,11 @@
 	seen []string
 }
 
-func (s *servers) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Answer, error) {
+func (s *servers) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, q.Header.Get("Idempotency-Key"))
-	return httpmsg.Answer{Status: 200}, nil
+	return httpmsg.Response{Status: 200}, nil
 }
 
 func (s *servers) count() int {
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// drainWindow is how long new connections may go on coming after SIGTERM, and some more.
-	drainWindow = 500 * time.Millisecond
-	// backlogQuiet is how long no connection may come before the backlog counts as empty.
-	backlogQuiet = 50 * time.Millisecond
+	// acceptWindow is how long new connections may go on coming after SIGTERM, and some more.
+	acceptWindow = 500 * time.Millisecond
+	// backlogIdleTimeout is how long no connection may come before the backlog counts as empty.
+	backlogIdleTimeout = 50 * time.Millisecond
 )
 
-// backlog is a listener that can be drained: it goes on accepting until a time, and then until no more
+// drainableListener is a listener that can be drained: it goes on accepting until a time, and then until no more
 // connections wait. Closing it at once would reset those that the kernel has accepted.
-type backlog struct {
+type drainableListener struct {
 	*net.TCPListener
 	inherited bool // others hold the socket too: what waits there is for them
 	mu        sync.Mutex
@@ -25,7 +25,7 @@
 }
 
 // drain starts the draining; Accept fails once the backlog is empty after until, or at once where others accept there.
-func (b *backlog) drain(until time.Time) {
+func (b *drainableListener) drain(until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.inherited {
@@ -33,14 +33,14 @@
 		return
 	}
 	b.until = until
-	b.SetDeadline(until.Add(backlogQuiet))
+	b.SetDeadline(until.Add(backlogIdleTimeout))
 }
 
 // Accept is the method of net.Listener.
-func (b *backlog) Accept() (net.Conn, error) {
+func (b *drainableListener) Accept() (net.Conn, error) {
 	b.mu.Lock()
 	if now := time.Now(); !b.until.IsZero() && now.After(b.until) {
-		b.SetDeadline(now.Add(backlogQuiet))
+		b.SetDeadline(now.Add(backlogIdleTimeout))
 	}
 	b.mu.Unlock()
 	c, err := b.TCPListener.Accept()
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -75,7 +75,7 @@
 				name := fmt.Sprint("pool", i)
 				cfg.Pools = append(cfg.Pools, Pool{
 					Name: name, Settings: testSettings(), Limits: Limits{Weight: 1}, Seed: 1,
-					Servers: []discovery.Endpoint{
+					StaticEndpoints: []discovery.Endpoint{
 						{ID: "a", Address: addr, Health: "active", Weight: 1}, {ID: "b", Address: addr, Health: "active", Weight: 1},
 						{ID: "c", Address: addr, Health: "active", Weight: 1},
 					},
@@ -101,7 +101,7 @@
 				<-ended
 			}()
 			resting := (heap() - before) / float64(n)
-			c, err := net.Dial("tcp", g.Addr("farm").String())
+			c, err := net.Dial("tcp", g.ListenerAddr("farm").String())
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -23,87 +23,87 @@
 	Name        string
 	MemoryMB    int // the process is killed over it
 	Descriptors int // that the process may hold
-	// DrainMost bounds how long what was taken may take to end after SIGTERM, beyond the window for new connections; 0: as long as
+	// MaxDrain bounds how long what was taken may take to end after SIGTERM, beyond the window for new connections; 0: as long as
 	// the longest deadline. What has no answer then is given up.
-	DrainMost time.Duration
-	Listeners []Listener
-	Pools     []Pool
-	Routes    []route.Route // none: all requests are for the only pool
-	Admin     string        // address of the operators' door; empty: none. Read at the start only
-
-	// FiguresEvery is how often the log is told what each pool saw and did; 0: never. Read as a pool starts.
-	FiguresEvery time.Duration
+	MaxDrain     time.Duration
+	Listeners    []Listener
+	Pools        []Pool
+	Routes       []route.Route // none: all requests are for the only pool
+	AdminAddress string        // address of the operators' door; empty: none. Read at the start only
+
+	// StatsInterval is how often the log is told what each pool saw and did; 0: never. Read as a pool starts.
+	StatsInterval time.Duration
 }
 
 // Listener is where clients connect.
 type Listener struct {
 	Name, Address string
 	FD            int  // above 0: the descriptor of a listening socket that the process has inherited, in place of an address
-	Foreign       bool // other sites connect here, see Extension
+	InterSite     bool // other sites connect here, see Extension
 	TLS           TLS
-	Plain         bool // HTTP/2 without TLS, for clients that begin with it
+	H2C           bool // HTTP/2 without TLS, for clients that begin with it
 }
 
 // TLS is what a listener shows and asks for. It is comparable: another one is another listener.
 type TLS struct {
-	Pairs       string // files of certificates and their keys, one "CERTIFICATE\tKEY" a line; empty: no TLS
-	Authorities string // file; empty: clients show none
-	Needed      bool   // clients must
-	HTTP2       bool
+	KeyPairs          string // files of certificates and their keys, one "CERTIFICATE\tKEY" a line; empty: no TLS
+	ClientCAFile      string // file; empty: clients show none
+	RequireClientCert bool   // clients must
+	HTTP2             bool
 }
 
-// Speech is what the process can speak at its listeners beside HTTP/1.1 without TLS. The zero value is nothing more.
-type Speech struct {
-	Streams downstream.Protocol
-	// Secure makes what a listener needs for its TLS. It holds until ctx ends.
-	Secure func(ctx context.Context, t TLS) (*tls.Config, error)
+// ListenerProtocols is what the process can speak at its listeners beside HTTP/1.1 without TLS. The zero value is nothing more.
+type ListenerProtocols struct {
+	Multiplexed downstream.MultiplexedProtocol
+	// TLSConfig makes what a listener needs for its TLS. It holds until ctx ends.
+	TLSConfig func(ctx context.Context, t TLS) (*tls.Config, error)
 }
 
 // Pool is what the process is told of one pool. It has either a discovery or a list of its own.
 type Pool struct {
-	Name      string
-	Settings  settings.Settings
-	Discovery string                  // address
-	Servers   []discovery.Endpoint    // if there is no discovery
-	Known     *discovery.EndpointList // what was last known of discovery's list, or nil
-	Seed      uint64
-	Limits    Limits
-	Dialect   pool.BackendProtocol // how its clients and servers speak; nil: the platform's protocol
+	Name            string
+	Settings        settings.Settings
+	Discovery       string                  // address
+	StaticEndpoints []discovery.Endpoint    // if there is no discovery
+	CachedList      *discovery.EndpointList // what was last known of discovery's list, or nil
+	Seed            uint64
+	Limits          Limits
+	Dialect         pool.BackendProtocol // how its clients and servers speak; nil: the platform's protocol
 }
 
 // Limits is what a pool may have of the process. Of each resource, half is kept for the pools by their weights; the rest
 // goes to who asks first.
 type Limits struct {
-	Weight      float64 // of this pool beside the others, above 0
-	Rate        float64 // requests a second; 0: no limit
-	Burst       float64 // requests at once beyond the rate
-	Open        int64   // requests open at once; 0: no limit but the whole
-	Bodies      int64   // bytes of bodies of open requests; 0: no limit but the whole
-	Descriptors int64   // connections to servers; 0: no limit but the whole
-	Hold        bool    // requests wait in the module while the list names no server, rather than be refused
+	Weight                float64 // of this pool beside the others, above 0
+	Rate                  float64 // requests a second; 0: no limit
+	Burst                 float64 // requests at once beyond the rate
+	OpenRequests          int64   // requests open at once; 0: no limit but the whole
+	BodyBytes             int64   // bytes of bodies of open requests; 0: no limit but the whole
+	Descriptors           int64   // connections to servers; 0: no limit but the whole
+	QueueWithoutEndpoints bool    // requests wait in the module while the list names no server, rather than be refused
 }
 
 const (
-	// LeastMemoryMB and LeastDescriptors are the least that a process can work with.
-	LeastMemoryMB    = 24
-	LeastDescriptors = 64
-	// LeastFiguresEvery bounds how often the log is told figures.
-	LeastFiguresEvery = 100 * time.Millisecond
-	// keptShare is the part of each resource that is kept for the pools by their weights.
-	keptShare = 0.5
-	// freshShare is the part of the clients' descriptors that is kept for connections that have brought no request yet.
-	freshShare = 0.25
-	// bodyShare is the part of the memory that bodies may take: they are held as long as an attempt may need them, beside
+	// MinMemoryMB and LeastDescriptors are the least that a process can work with.
+	MinMemoryMB    = 24
+	MinDescriptors = 64
+	// MinStatsInterval bounds how often the log is told figures.
+	MinStatsInterval = 100 * time.Millisecond
+	// reservedShare is the part of each resource that is kept for the pools by their weights.
+	reservedShare = 0.5
+	// unassignedShare is the part of the clients' descriptors that is kept for connections that have brought no request yet.
+	unassignedShare = 0.25
+	// bodyMemoryShare is the part of the memory that bodies may take: they are held as long as an attempt may need them, beside
 	// answers of the same size, buffers and what is not collected yet.
-	bodyShare = 1.0 / 8
+	bodyMemoryShare = 1.0 / 8
 )
 
-// usable is how many descriptors are left for connections of clients and to servers: each discovery and each listener
+// usableDescriptors is how many descriptors are left for connections of clients and to servers: each discovery and each listener
 // beyond the first takes one, and the operators' door some.
-func (c *Config) usable() int {
+func (c *Config) usableDescriptors() int {
 	n := c.Descriptors - max(0, len(c.Listeners)-1)
-	if c.Admin != "" {
-		n -= 1 + admin.MostCallers
+	if c.AdminAddress != "" {
+		n -= 1 + admin.MaxConnections
 	}
 	watched := 0
 	for _, p := range c.Pools {
@@ -114,17 +114,17 @@
 	return n - max(0, watched-1)
 }
 
-// Check returns all that keeps c from being used, and cannot be seen by looking at one key alone.
-func (c *Config) Check() error {
+// Validate returns all that keeps c from being used, and cannot be seen by looking at one key alone.
+func (c *Config) Validate() error {
 	var errs []error
-	if c.MemoryMB < LeastMemoryMB {
-		errs = append(errs, fmt.Errorf("the memory is %d MB, below %d", c.MemoryMB, LeastMemoryMB))
+	if c.MemoryMB < MinMemoryMB {
+		errs = append(errs, fmt.Errorf("the memory is %d MB, below %d", c.MemoryMB, MinMemoryMB))
 	}
-	if c.FiguresEvery != 0 && c.FiguresEvery < LeastFiguresEvery {
-		errs = append(errs, fmt.Errorf("figures every %v, more often than every %v", c.FiguresEvery, LeastFiguresEvery))
+	if c.StatsInterval != 0 && c.StatsInterval < MinStatsInterval {
+		errs = append(errs, fmt.Errorf("figures every %v, more often than every %v", c.StatsInterval, MinStatsInterval))
 	}
-	if n := c.usable(); n < LeastDescriptors {
-		errs = append(errs, fmt.Errorf("%d descriptors are left for connections beside listeners and discoveries, below %d", n, LeastDescriptors))
+	if n := c.usableDescriptors(); n < MinDescriptors {
+		errs = append(errs, fmt.Errorf("%d descriptors are left for connections beside listeners and discoveries, below %d", n, MinDescriptors))
 	}
 	if len(c.Pools) == 0 {
 		errs = append(errs, errors.New("there is no pool"))
@@ -150,51 +150,51 @@
 	return errors.Join(errs...)
 }
 
-// claims are what one pool may have, as share counts it.
-type claims struct {
-	admission          quota.Limits
-	descriptors, conns quota.Claim
+// poolQuotas are what one pool may have, as share counts it.
+type poolQuotas struct {
+	admission                quota.Limits
+	descriptors, connections quota.Claim
 }
 
-// claims shares what the process has between its pools.
-func (c *Config) claims(p Pool) claims {
+// quotasFor shares what the process has between its pools.
+func (c *Config) quotasFor(p Pool) poolQuotas {
 	sum := 0.0
 	for _, q := range c.Pools {
 		sum += q.Limits.Weight
 	}
-	part := p.Limits.Weight / sum * keptShare
+	part := p.Limits.Weight / sum * reservedShare
 	claim := func(total, most int64) quota.Claim {
 		if most == 0 {
 			most = quota.Unlimited
 		}
 		return quota.Claim{Reserved: min(int64(float64(total)*part), most), Limit: most}
 	}
-	clients := process.MaxClientDescriptors(c.usable())
+	clients := process.MaxClientDescriptors(c.usableDescriptors())
 	conns := claim(clients, 0)
 	if len(c.Pools) == 1 { // nobody is to be kept from it
 		conns.Reserved = 0
 	}
-	return claims{
+	return poolQuotas{
 		admission: quota.Limits{
-			OpenRequests: claim(clients, p.Limits.Open), BodyBytes: claim(c.bodies(), p.Limits.Bodies),
-			Rate: p.Limits.Rate, Burst: p.Limits.Burst, WaitForServers: p.Limits.Hold,
+			OpenRequests: claim(clients, p.Limits.OpenRequests), BodyBytes: claim(c.bodyMemory(), p.Limits.BodyBytes),
+			Rate: p.Limits.Rate, Burst: p.Limits.Burst, WaitForServers: p.Limits.QueueWithoutEndpoints,
 		},
-		descriptors: claim(process.MinUpstreamDescriptors(c.usable()), p.Limits.Descriptors),
-		conns:       conns,
+		descriptors: claim(process.MinUpstreamDescriptors(c.usableDescriptors()), p.Limits.Descriptors),
+		connections: conns,
 	}
 }
 
-// freshClaim is what connections may have of which it is not known yet for which pool they are: those of all pools begin as
+// unassignedClaim is what connections may have of which it is not known yet for which pool they are: those of all pools begin as
 // such, so that a part is kept for them.
-func (c *Config) freshClaim() quota.Claim {
+func (c *Config) unassignedClaim() quota.Claim {
 	most := quota.Claim{Limit: quota.Unlimited}
 	if len(c.Pools) > 1 {
-		most.Reserved = int64(float64(process.MaxClientDescriptors(c.usable())) * freshShare)
+		most.Reserved = int64(float64(process.MaxClientDescriptors(c.usableDescriptors())) * unassignedShare)
 	}
 	return most
 }
 
-// bodies is how many bytes of bodies the process may hold.
-func (c *Config) bodies() int64 {
-	return max(httpmsg.MostBody, int64(float64(c.MemoryMB<<20)*bodyShare))
+// bodyMemory is how many bytes of bodies the process may hold.
+func (c *Config) bodyMemory() int64 {
+	return max(httpmsg.MaxBufferedBodyBytes, int64(float64(c.MemoryMB<<20)*bodyMemoryShare))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,112 +33,112 @@
 )
 
 const (
-	// drainSlack is what the last answers may take beyond the longest deadline.
-	drainSlack = 150 * time.Millisecond
-	// severalAcceptors is how many accept connections at each listener of several pools: a flood of one keeps them waiting
+	// drainGrace is what the last answers may take beyond the longest deadline.
+	drainGrace = 150 * time.Millisecond
+	// multiPoolAcceptors is how many accept connections at each listener of several pools: a flood of one keeps them waiting
 	// for descriptors. Each holds one.
-	severalAcceptors = 4
-	// yieldWindow is how long idle connections stay open for one more request where another process takes the new ones: most
+	multiPoolAcceptors = 4
+	// idleHandoverWindow is how long idle connections stay open for one more request where another process takes the new ones: most
 	// clients ask again within it, and are told with their answer that it is the last on that connection.
-	yieldWindow = time.Second
-	// doorTime is how long calls of operators may take once all else has ended.
-	doorTime = 100 * time.Millisecond
-	// drainLook is how often a pool that drains is looked at.
-	drainLook = 5 * time.Millisecond
-	// lagEvery is how often the lateness of the process is measured while several pools share its processor.
-	lagEvery = 5 * time.Millisecond
+	idleHandoverWindow = time.Second
+	// adminCloseTimeout is how long calls of operators may take once all else has ended.
+	adminCloseTimeout = 100 * time.Millisecond
+	// drainPollInterval is how often a pool that drains is looked at.
+	drainPollInterval = 5 * time.Millisecond
+	// lagInterval is how often the lateness of the process is measured while several pools share its processor.
+	lagInterval = 5 * time.Millisecond
 )
 
 // Gateway is one process.
 type Gateway struct {
-	log         *slog.Logger
-	origin      time.Time
-	descriptors *process.Descriptors
-	server      *downstream.Server
-	extension   Extension // nil: none
-	speech      Speech
-	foreign     *downstream.Server // of the listeners of other sites; nil without an extension
-	table       atomic.Pointer[table]
-	counts      metrics.Counts // of all pools, also those that have gone
-	listens     atomic.Bool
-	draining    atomic.Bool
-	door        *admin.Door   // nil: none
-	several     chan struct{} // closed once there has been more than one pool
-
-	ctx     context.Context // ends with Run
-	stop    context.CancelFunc
-	leaving sync.WaitGroup // pools that are drained and closed
-
-	applying  sync.Mutex // one configuration at a time
-	cfg       Config
-	listeners map[Listener]*listening
-	lastKey   quota.PoolID
-	stopped   bool
-	avoided   map[string]orders // servers that take nothing new, by order, by pool
-	silent    atomic.Pointer[func(pool, server string, is bool)]
+	log           *slog.Logger
+	clockStart    time.Time
+	descriptors   *process.Descriptors
+	server        *downstream.Server
+	extension     Extension // nil: none
+	protocols     ListenerProtocols
+	siteServer    *downstream.Server // of the listeners of other sites; nil without an extension
+	table         atomic.Pointer[routingTable]
+	counters      metrics.RequestCounters // of all pools, also those that have gone
+	listening     atomic.Bool
+	draining      atomic.Bool
+	adminServer   *admin.Server // nil: none
+	multiplePools chan struct{} // closed once there has been more than one pool
+
+	ctx        context.Context // ends with Run
+	stop       context.CancelFunc
+	drainTasks sync.WaitGroup // pools that are drained and closed
+
+	configMu       sync.Mutex // one configuration at a time
+	cfg            Config
+	listeners      map[Listener]*openListener
+	lastPoolKey    quota.PoolID
+	stopped        bool
+	exclusions     map[string]exclusionSet // servers that take nothing new, by order, by pool
+	onUnresponsive atomic.Pointer[func(pool, server string, is bool)]
 
 	// What the pools share. No method of a pool is called under shares: pools call back.
-	shares    sync.Mutex
-	admission *quota.Admission
-	pacer     *quota.Pacer
-	conns     quota.Budget         // connections of clients; those that have brought no request are nobody's
-	retired   map[*member]struct{} // by a reload, and not yet gone
+	quotaMu     sync.Mutex
+	admission   *quota.Admission
+	pacer       *quota.Pacer
+	connections quota.Budget               // connections of clients; those that have brought no request are nobody's
+	retired     map[*poolInstance]struct{} // by a reload, and not yet gone
 }
 
-// nobody owns the connections that have brought no request yet. No pool has this key.
-const nobody quota.PoolID = 0
+// unassignedPool owns the connections that have brought no request yet. No pool has this key.
+const unassignedPool quota.PoolID = 0
 
-// table is how requests find their pool. It is replaced whole.
-type table struct {
+// routingTable is how requests find their pool. It is replaced whole.
+type routingTable struct {
 	routes *route.Table // nil: all requests are for only
-	only   *member
-	pools  map[string]*member
+	only   *poolInstance
+	pools  map[string]*poolInstance
 }
 
-// member is a pool of the process.
-type member struct {
+// poolInstance is a pool of the process.
+type poolInstance struct {
 	key    quota.PoolID
-	module policy.Config // what its clients may be told
+	policy policy.Config // what its clients may be told
 	cfg    Pool          // Gateway.applying
 	pool   *pool.Pool
 	static *discovery.Static // nil if there is a discovery
 
-	crossing Crossing // nil: its requests go nowhere else
+	spillover Spillover // nil: its requests go nowhere else
 }
 
-// listening is an open listener.
-type listening struct {
-	*backlog
-	served net.Listener // what the server knows it as
-	ended  chan error   // of its accepting
-	port   downstream.Port
+// openListener is an open listener.
+type openListener struct {
+	*drainableListener
+	served     net.Listener // what the server knows it as
+	acceptDone chan error   // of its accepting
+	port       downstream.ListenerOptions
 }
 
 // New makes a gateway of cfg. It opens no socket for clients; its pools begin to ask for their lists.
-func New(cfg Config, log *slog.Logger) (*Gateway, error) { return NewWith(cfg, log, nil) }
+func New(cfg Config, log *slog.Logger) (*Gateway, error) { return NewWithExtension(cfg, log, nil) }
 
-// NewWith makes a gateway with an extension, which may be nil.
-func NewWith(cfg Config, log *slog.Logger, x Extension) (*Gateway, error) {
-	return NewSpeaking(cfg, log, x, Speech{})
+// NewWithExtension makes a gateway with an extension, which may be nil.
+func NewWithExtension(cfg Config, log *slog.Logger, x Extension) (*Gateway, error) {
+	return NewWithProtocols(cfg, log, x, ListenerProtocols{})
 }
 
-// NewSpeaking makes one that speaks more at its listeners.
-func NewSpeaking(cfg Config, log *slog.Logger, x Extension, sp Speech) (*Gateway, error) {
+// NewWithProtocols makes one that speaks more at its listeners.
+func NewWithProtocols(cfg Config, log *slog.Logger, x Extension, sp ListenerProtocols) (*Gateway, error) {
 	g := &Gateway{
-		log: log, origin: time.Now().Add(-time.Hour), descriptors: process.NewDescriptors(cfg.Descriptors),
-		several: make(chan struct{}), listeners: map[Listener]*listening{}, retired: map[*member]struct{}{},
-		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), conns: quota.NewBudget(0),
+		log: log, clockStart: time.Now().Add(-time.Hour), descriptors: process.NewDescriptors(cfg.Descriptors),
+		multiplePools: make(chan struct{}), listeners: map[Listener]*openListener{}, retired: map[*poolInstance]struct{}{},
+		admission: quota.NewAdmission(0, 0), pacer: quota.NewPacer(), connections: quota.NewBudget(0),
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
-	g.speech = sp
-	g.server = downstream.NewWith((*handler)(g), g.descriptors, log, downstream.Options{Streams: sp.Streams})
+	g.protocols = sp
+	g.server = downstream.NewServerWithOptions((*handler)(g), g.descriptors, log, downstream.Options{Multiplexed: sp.Multiplexed})
 	g.descriptors.SetClientEvictor(g.server.Evict)
 	if x != nil {
 		g.extension = x
-		g.foreign = downstream.NewWith(x.Handler(g), g.descriptors, log, downstream.Options{Identify: x.Identify, Steady: true})
-		g.descriptors.SetClientEvictor(func() bool { return g.server.Evict() || g.foreign.Evict() })
+		g.siteServer = downstream.NewServerWithOptions(x.Handler(g), g.descriptors, log, downstream.Options{PeerName: x.PeerName, LongLived: true})
+		g.descriptors.SetClientEvictor(func() bool { return g.server.Evict() || g.siteServer.Evict() })
 	}
-	g.table.Store(&table{})
+	g.table.Store(&routingTable{})
 	if err := g.apply(cfg, false); err != nil {
 		g.Close()
 		return nil, err
@@ -146,44 +146,44 @@
 	return g, nil
 }
 
-// OpenDoor opens the operators' door, if there is to be one, before the process takes clients.
-func (g *Gateway) OpenDoor() (err error) {
-	g.applying.Lock()
-	defer g.applying.Unlock()
-	if g.cfg.Admin != "" && g.door == nil {
-		g.door, err = admin.Open(g.cfg.Admin, g, g.log)
+// StartAdmin opens the operators' door, if there is to be one, before the process takes clients.
+func (g *Gateway) StartAdmin() (err error) {
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
+	if g.cfg.AdminAddress != "" && g.adminServer == nil {
+		g.adminServer, err = admin.Listen(g.cfg.AdminAddress, g, g.log)
 	}
 	return err
 }
 
-// Door is where the operators' door is, or nil.
-func (g *Gateway) Door() net.Addr {
-	if g.door == nil {
+// AdminAddr is where the operators' door is, or nil.
+func (g *Gateway) AdminAddr() net.Addr {
+	if g.adminServer == nil {
 		return nil
 	}
-	return g.door.Addr()
+	return g.adminServer.Addr()
 }
 
 // Listen opens the listeners, and the door if it is not open yet.
 func (g *Gateway) Listen() error {
-	if err := g.OpenDoor(); err != nil {
+	if err := g.StartAdmin(); err != nil {
 		return err
 	}
-	g.applying.Lock()
-	defer g.applying.Unlock()
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	opened, err := g.openListeners(g.cfg.Listeners)
 	if err != nil {
 		return err
 	}
-	g.serve(opened)
-	g.listens.Store(true)
+	g.startAccepting(opened)
+	g.listening.Store(true)
 	return nil
 }
 
-// Addr is where the listener of that name listens, or nil.
-func (g *Gateway) Addr(name string) net.Addr {
-	g.applying.Lock()
-	defer g.applying.Unlock()
+// ListenerAddr is where the listener of that name listens, or nil.
+func (g *Gateway) ListenerAddr(name string) net.Addr {
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	for l, ln := range g.listeners {
 		if l.Name == name {
 			return ln.Addr()
@@ -197,26 +197,26 @@
 // knows its list; where only its limits, its list or the source of that have changed, the instance stays. With an error all
 // that ran before runs on unchanged.
 func (g *Gateway) Apply(next Config) error {
-	return g.apply(next, g.listens.Load())
+	return g.apply(next, g.listening.Load())
 }
 
 func (g *Gateway) apply(next Config, listen bool) error {
-	g.applying.Lock()
-	defer g.applying.Unlock()
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	if g.stopped {
 		return errors.New("the process is ending")
 	}
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		return err
 	}
-	if g.extension == nil && slices.ContainsFunc(next.Listeners, func(l Listener) bool { return l.Foreign }) {
+	if g.extension == nil && slices.ContainsFunc(next.Listeners, func(l Listener) bool { return l.InterSite }) {
 		return errors.New("a listener for other sites, which this process was not started with")
 	}
 	routes, problems := route.New(next.Routes)
 	if len(problems) > 0 {
 		return problems[0]
 	}
-	var opened map[Listener]*listening
+	var opened map[Listener]*openListener
 	if listen {
 		var err error
 		if opened, err = g.openListeners(next.Listeners); err != nil {
@@ -224,18 +224,18 @@
 		}
 	}
 	before := g.table.Load()
-	now := &table{pools: map[string]*member{}}
+	now := &routingTable{pools: map[string]*poolInstance{}}
 	if len(next.Routes) > 0 {
 		now.routes = routes
 	}
-	var fresh []*member
+	var fresh []*poolInstance
 	for _, p := range next.Pools {
 		m := before.pools[p.Name]
 		if m == nil || !reflect.DeepEqual(m.cfg.Settings, p.Settings) || !reflect.DeepEqual(m.cfg.Dialect, p.Dialect) {
 			var err error
-			if m, err = g.newMember(next, p, m); err != nil {
+			if m, err = g.startPool(next, p, m); err != nil {
 				for _, m := range fresh {
-					g.drop(m)
+					g.dropQuotas(m)
 					m.pool.Close()
 				}
 				for _, ln := range opened {
@@ -249,7 +249,7 @@
 		now.only = m
 	}
 	// Nothing fails from here on.
-	g.resize(next, now)
+	g.assignQuotas(next, now)
 	for _, p := range next.Pools {
 		if m := now.pools[p.Name]; !slices.Contains(fresh, m) {
 			m.setSource(p)
@@ -259,14 +259,14 @@
 	g.table.Store(now)
 	for name, m := range before.pools {
 		if now.pools[name] != m {
-			g.retire(m)
+			g.retirePool(m)
 		}
 	}
 	if len(now.pools) > 1 {
 		select {
-		case <-g.several:
+		case <-g.multiplePools:
 		default:
-			close(g.several)
+			close(g.multiplePools)
 		}
 	}
 	if listen {
@@ -276,60 +276,60 @@
 				g.closeListener(l, ln)
 			}
 		}
-		g.serve(opened)
+		g.startAccepting(opened)
 	}
 	g.cfg = next
 	return nil
 }
 
-// newMember starts a pool, which takes the place of old if there is one.
-func (g *Gateway) newMember(c Config, p Pool, old *member) (*member, error) {
-	g.lastKey++
-	m := &member{key: g.lastKey, module: p.Settings.Config, cfg: p}
+// startPool starts a pool, which takes the place of old if there is one.
+func (g *Gateway) startPool(c Config, p Pool, old *poolInstance) (*poolInstance, error) {
+	g.lastPoolKey++
+	m := &poolInstance{key: g.lastPoolKey, policy: p.Settings.Config, cfg: p}
 	up := upstream.New(p.Settings.Config, g.descriptors.Pool(m.key))
-	cl := c.claims(p)
-	cl.admission.Forwardable = g.crosses(p.Name)
+	cl := c.quotasFor(p)
+	cl.admission.Forwardable = g.hasSpillover(p.Name)
 	// Its parts are set before it starts, as it may probe at once; of what is taken by others it may find little left
 	// until resize.
 	g.descriptors.Register(m.key, cl.descriptors, up.EvictIdle)
-	g.shares.Lock()
+	g.quotaMu.Lock()
 	g.admission.Set(g.now(), m.key, cl.admission)
-	g.conns.Set(m.key, cl.conns)
+	g.connections.Set(m.key, cl.connections)
 	g.pacer.Set(m.key, p.Limits.Weight)
-	g.shares.Unlock()
-	known := p.Known
+	g.quotaMu.Unlock()
+	known := p.CachedList
 	if old != nil {
 		known = old.pool.EndpointList()
 	}
 	cfg := pool.Config{
 		Name: p.Name, Settings: p.Settings, Protocol: p.Dialect, CachedList: known, Seed: p.Seed, OnReadyCount: func(n int) {
-			g.shares.Lock()
-			defer g.shares.Unlock()
+			g.quotaMu.Lock()
+			defer g.quotaMu.Unlock()
 			g.admission.SetReady(m.key, n)
 		},
-		StatsInterval: c.FiguresEvery, Metrics: &g.counts, AcceptsRequests: func() bool {
-			g.shares.Lock()
-			defer g.shares.Unlock()
+		StatsInterval: c.StatsInterval, Metrics: &g.counters, AcceptsRequests: func() bool {
+			g.quotaMu.Lock()
+			defer g.quotaMu.Unlock()
 			return g.admission.CanServe(m.key)
 		},
 	}
 	if g.extension != nil {
-		if m.crossing = g.extension.Crossing(p.Name); m.crossing != nil {
-			cfg.ForwardRejected = m.crossing.Cross
+		if m.spillover = g.extension.Spillover(p.Name); m.spillover != nil {
+			cfg.ForwardRejected = m.spillover.Forward
 		}
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
 	cfg.OnUnreachable = func(server string, is bool) {
-		if f := g.silent.Load(); f != nil {
+		if f := g.onUnresponsive.Load(); f != nil {
 			(*f)(p.Name, server, is)
 		}
 	}
 	if p.Discovery != "" {
-		cfg.Source = p.discovery()
+		cfg.Source = p.discoverySource()
 	} else {
-		m.static = discovery.NewStatic(p.Servers)
+		m.static = discovery.NewStatic(p.StaticEndpoints)
 		cfg.Source, cfg.CachedList = m.static, m.static.List()
 	}
 	log := g.log
@@ -338,97 +338,97 @@
 	}
 	var err error
 	if m.pool, err = pool.New(cfg, up, log); err != nil {
-		g.drop(m)
+		g.dropQuotas(m)
 		return nil, err
 	}
-	if o := g.avoided[p.Name]; len(o.servers) > 0 {
-		m.pool.SetExcluded(o.servers, o.returning, o.soft)
+	if o := g.exclusions[p.Name]; len(o.excluded) > 0 {
+		m.pool.SetExcluded(o.excluded, o.returning, o.soft)
 	}
 	return m, nil
 }
 
-// discovery is where the list of p comes from.
-func (p *Pool) discovery() discovery.Source {
+// discoverySource is where the list of p comes from.
+func (p *Pool) discoverySource() discovery.Source {
 	return discovery.Client{Address: p.Discovery, Staleness: p.Settings.ListStaleness()}
 }
 
 // setSource takes over where the list of a pool that stays comes from.
-func (m *member) setSource(p Pool) {
+func (m *poolInstance) setSource(p Pool) {
 	switch {
 	case p.Discovery != "":
 		if p.Discovery != m.cfg.Discovery {
 			m.static = nil
-			m.pool.SetSource(p.discovery())
+			m.pool.SetSource(p.discoverySource())
 		}
 	case m.static == nil:
-		m.static = discovery.NewStatic(p.Servers)
+		m.static = discovery.NewStatic(p.StaticEndpoints)
 		m.pool.SetSource(m.static)
-	case !reflect.DeepEqual(p.Servers, m.cfg.Servers):
-		m.static.Set(p.Servers)
+	case !reflect.DeepEqual(p.StaticEndpoints, m.cfg.StaticEndpoints):
+		m.static.Set(p.StaticEndpoints)
 	}
 }
 
-// resize gives all pools of t their parts of what the process has.
-func (g *Gateway) resize(c Config, t *table) {
-	g.descriptors.Resize(c.usable())
-	g.shares.Lock()
-	defer g.shares.Unlock()
-	clients := process.MaxClientDescriptors(c.usable())
-	g.admission.Resize(clients, c.bodies())
-	g.conns.Resize(clients)
-	g.conns.Set(nobody, c.freshClaim())
+// assignQuotas gives all pools of t their parts of what the process has.
+func (g *Gateway) assignQuotas(c Config, t *routingTable) {
+	g.descriptors.Resize(c.usableDescriptors())
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
+	clients := process.MaxClientDescriptors(c.usableDescriptors())
+	g.admission.Resize(clients, c.bodyMemory())
+	g.connections.Resize(clients)
+	g.connections.Set(unassignedPool, c.unassignedClaim())
 	for _, p := range c.Pools {
-		m, cl := t.pools[p.Name], c.claims(p)
-		cl.admission.Forwardable = g.crosses(p.Name)
+		m, cl := t.pools[p.Name], c.quotasFor(p)
+		cl.admission.Forwardable = g.hasSpillover(p.Name)
 		g.descriptors.SetClaim(m.key, cl.descriptors)
 		g.admission.Set(g.now(), m.key, cl.admission)
-		g.conns.Set(m.key, cl.conns)
+		g.connections.Set(m.key, cl.connections)
 		g.pacer.Set(m.key, p.Limits.Weight)
 	}
 }
 
-// drop ends all claims of a pool. What it still holds is given back as it ends.
-func (g *Gateway) drop(m *member) {
+// dropQuotas ends all claims of a pool. What it still holds is given back as it ends.
+func (g *Gateway) dropQuotas(m *poolInstance) {
 	g.descriptors.Unregister(m.key)
-	g.shares.Lock()
-	defer g.shares.Unlock()
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
 	g.admission.Remove(m.key)
-	g.conns.Remove(m.key)
+	g.connections.Remove(m.key)
 	g.pacer.Remove(m.key)
 }
 
-// retire ends a pool once what it took is answered. Its requests may go on to open connections, within what is left over.
-func (g *Gateway) retire(m *member) {
-	g.shares.Lock()
+// retirePool ends a pool once what it took is answered. Its requests may go on to open connections, within what is left over.
+func (g *Gateway) retirePool(m *poolInstance) {
+	g.quotaMu.Lock()
 	g.admission.Remove(m.key)
-	g.conns.Remove(m.key)
+	g.connections.Remove(m.key)
 	g.pacer.Remove(m.key)
 	g.retired[m] = struct{}{}
-	g.shares.Unlock()
+	g.quotaMu.Unlock()
 	g.descriptors.SetClaim(m.key, quota.Claim{Limit: quota.Unlimited})
 	g.log.Info("pool drains", "pool", m.cfg.Name, "load", m.pool.String())
-	g.leaving.Go(func() {
-		ctx, cancel := context.WithTimeout(g.ctx, m.pool.MaxDeadline()+drainSlack)
+	g.drainTasks.Go(func() {
+		ctx, cancel := context.WithTimeout(g.ctx, m.pool.MaxDeadline()+drainGrace)
 		defer cancel()
-		err := g.awaitEmpty(ctx, m)
+		err := g.awaitDrained(ctx, m)
 		m.pool.Close()
 		g.descriptors.Unregister(m.key)
 		g.log.Info("pool removed", "pool", m.cfg.Name, "err", err)
-		g.shares.Lock()
-		defer g.shares.Unlock()
+		g.quotaMu.Lock()
+		defer g.quotaMu.Unlock()
 		delete(g.retired, m)
 	})
 }
 
-// awaitEmpty returns once pool m, to which nothing new is led, has neither a request nor one whose body is still to come.
-func (g *Gateway) awaitEmpty(ctx context.Context, m *member) error {
-	tick := time.NewTicker(drainLook)
+// awaitDrained returns once pool m, to which nothing new is led, has neither a request nor one whose body is still to come.
+func (g *Gateway) awaitDrained(ctx context.Context, m *poolInstance) error {
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		requests, _, _ := m.pool.Counts()
-		g.shares.Lock()
+		g.quotaMu.Lock()
 		admitted := g.admission.OpenRequests(m.key)
-		g.shares.Unlock()
+		g.quotaMu.Unlock()
 		if requests == 0 && admitted == 0 {
 			return nil
 		}
@@ -440,17 +440,17 @@
 	}
 }
 
-// secure makes what listener l is to speak.
-func (g *Gateway) secure(l Listener, at *listening) error {
-	at.port.Plain = l.Plain
+// configureTLS makes what listener l is to speak.
+func (g *Gateway) configureTLS(l Listener, at *openListener) error {
+	at.port.H2C = l.H2C
 	if l.TLS == (TLS{}) {
 		return nil
 	}
-	if g.speech.Secure == nil {
+	if g.protocols.TLSConfig == nil {
 		return errors.New("this process speaks no TLS")
 	}
 	var err error
-	at.port.TLS, err = g.speech.Secure(g.ctx, l.TLS)
+	at.port.TLS, err = g.protocols.TLSConfig(g.ctx, l.TLS)
 	return err
 }
 
@@ -480,8 +480,8 @@
 }
 
 // openListeners opens those of want that are not open yet.
-func (g *Gateway) openListeners(want []Listener) (map[Listener]*listening, error) {
-	opened := map[Listener]*listening{}
+func (g *Gateway) openListeners(want []Listener) (map[Listener]*openListener, error) {
+	opened := map[Listener]*openListener{}
 	for _, l := range want {
 		if g.listeners[l] != nil {
 			continue
@@ -493,121 +493,121 @@
 			}
 			return nil, fmt.Errorf("listener %q: %w", l.Name, err)
 		}
-		at := &listening{backlog: &backlog{TCPListener: ln, inherited: l.FD > 0}, ended: make(chan error, 1)}
+		at := &openListener{drainableListener: &drainableListener{TCPListener: ln, inherited: l.FD > 0}, acceptDone: make(chan error, 1)}
 		at.served = at
-		if err := g.secure(l, at); err != nil {
+		if err := g.configureTLS(l, at); err != nil {
 			ln.Close()
 			for _, ln := range opened {
 				ln.Close()
 			}
 			return nil, fmt.Errorf("listener %q: %w", l.Name, err)
 		}
-		if l.Foreign {
-			at.served = g.extension.Wrap(at)
+		if l.InterSite {
+			at.served = g.extension.WrapListener(at)
 		}
 		opened[l] = at
 	}
 	return opened, nil
 }
 
-// serve accepts connections at listeners.
-func (g *Gateway) serve(opened map[Listener]*listening) {
+// startAccepting accepts connections at listeners.
+func (g *Gateway) startAccepting(opened map[Listener]*openListener) {
 	acceptors := 1
 	if len(g.cfg.Pools) > 1 {
-		acceptors = severalAcceptors
+		acceptors = multiPoolAcceptors
 	}
 	for l, ln := range opened {
 		g.listeners[l] = ln
 		g.log.Info("ready", "name", g.cfg.Name, "listen", ln.Addr().String(), "listener", l.Name, "load", g.String())
-		server := g.serverOf(l)
-		go func() { ln.ended <- server.ServeAt(g.ctx, ln.served, acceptors, ln.port) }()
+		server := g.serverFor(l)
+		go func() { ln.acceptDone <- server.ServeWithOptions(g.ctx, ln.served, acceptors, ln.port) }()
 	}
 }
 
-// serverOf is who has the connections of a listener.
-func (g *Gateway) serverOf(l Listener) *downstream.Server {
-	if l.Foreign {
-		return g.foreign
+// serverFor is who has the connections of a listener.
+func (g *Gateway) serverFor(l Listener) *downstream.Server {
+	if l.InterSite {
+		return g.siteServer
 	}
 	return g.server
 }
 
 // closeListener drains a listener and the connections that came in there.
-func (g *Gateway) closeListener(l Listener, ln *listening) {
-	ln.drain(time.Now().Add(drainWindow))
-	g.leaving.Go(func() {
-		<-ln.ended
+func (g *Gateway) closeListener(l Listener, ln *openListener) {
+	ln.drain(time.Now().Add(acceptWindow))
+	g.drainTasks.Go(func() {
+		<-ln.acceptDone
 		ln.Close()
-		g.serverOf(l).DrainListener(ln.served)
+		g.serverFor(l).DrainListener(ln.served)
 		g.log.Info("listener closed", "listener", l.Name)
 	})
 }
 
 // Run serves until ctx ends, and then drains. It returns once all that was taken is answered. Listen comes before it.
 func (g *Gateway) Run(ctx context.Context) error {
-	go g.measureLag()
+	go g.measureSchedulingLag()
 	defer g.Close()
 	<-ctx.Done()
 	g.draining.Store(true)
 	g.log.Info("draining", "load", g.String())
-	g.applying.Lock()
+	g.configMu.Lock()
 	g.stopped = true
 	longest := time.Duration(0)
-	for _, m := range g.owing() {
+	for _, m := range g.servingPools() {
 		longest = max(longest, m.pool.MaxDeadline())
 	}
-	if g.cfg.DrainMost > 0 {
-		longest = min(longest, g.cfg.DrainMost)
+	if g.cfg.MaxDrain > 0 {
+		longest = min(longest, g.cfg.MaxDrain)
 	}
-	end, cancel := context.WithTimeout(context.Background(), drainWindow+longest+drainSlack)
+	end, cancel := context.WithTimeout(context.Background(), acceptWindow+longest+drainGrace)
 	defer cancel()
-	defer time.AfterFunc(drainWindow+longest, func() {
-		for _, m := range g.owing() {
+	defer time.AfterFunc(acceptWindow+longest, func() {
+		for _, m := range g.servingPools() {
 			m.pool.AbortRequests()
 		}
 	}).Stop()
 	// Answers close their connections from here on, and idle ones are closed: a request that crosses that
 	// comes again on a new connection, which is still accepted.
-	if g.yields() {
-		g.server.Yield()
-		time.AfterFunc(yieldWindow, g.server.Drain)
+	if g.inheritsListener() {
+		g.server.CloseAfterResponse()
+		time.AfterFunc(idleHandoverWindow, g.server.Drain)
 	} else {
 		g.server.Drain()
 	}
 	if g.extension != nil {
 		g.extension.Drain()
-		g.foreign.Drain()
+		g.siteServer.Drain()
 	}
-	until := time.Now().Add(drainWindow)
+	until := time.Now().Add(acceptWindow)
 	for _, ln := range g.listeners {
 		ln.drain(until)
 	}
 	for _, ln := range g.listeners {
 		select {
-		case <-ln.ended: // the backlog is empty
+		case <-ln.acceptDone: // the backlog is empty
 		case <-end.Done():
 		}
 		ln.Close()
 	}
-	g.applying.Unlock()
+	g.configMu.Unlock()
 	err := g.server.Wait(end)
-	if g.foreign != nil {
-		err = errors.Join(err, g.foreign.Wait(end))
+	if g.siteServer != nil {
+		err = errors.Join(err, g.siteServer.Wait(end))
 	}
 	g.log.Info("drained", "load", g.String(), "err", err)
 	return nil
 }
 
-// owing is the pools that may have requests open: those in force, and those that a reload has retired.
-func (g *Gateway) owing() []*member {
-	g.shares.Lock()
-	defer g.shares.Unlock()
+// servingPools is the pools that may have requests open: those in force, and those that a reload has retired.
+func (g *Gateway) servingPools() []*poolInstance {
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
 	return slices.AppendSeq(slices.Collect(maps.Keys(g.retired)), maps.Values(g.table.Load().pools))
 }
 
-// yields reports whether clients reach another process where they reached this one, so that no connection need be closed on
+// inheritsListener reports whether clients reach another process where they reached this one, so that no connection need be closed on
 // them at once. The caller holds applying.
-func (g *Gateway) yields() bool {
+func (g *Gateway) inheritsListener() bool {
 	for l := range g.listeners {
 		if l.FD > 0 {
 			return true
@@ -616,13 +616,13 @@
 	return false
 }
 
-// Ended is closed once the process has ended what it had.
-func (g *Gateway) Ended() <-chan struct{} { return g.ctx.Done() }
+// Done is closed once the process has ended what it had.
+func (g *Gateway) Done() <-chan struct{} { return g.ctx.Done() }
 
 // Close ends all at once. It is for a gateway that does not run, or has run.
 func (g *Gateway) Close() {
-	g.applying.Lock()
-	defer g.applying.Unlock()
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	g.stopped = true
 	g.stop()
 	for l, ln := range g.listeners {
@@ -633,61 +633,61 @@
 	for _, m := range t.pools {
 		m.pool.Close()
 	}
-	g.leaving.Wait()
-	if g.door != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), doorTime)
+	g.drainTasks.Wait()
+	if g.adminServer != nil {
+		ctx, cancel := context.WithTimeout(context.Background(), adminCloseTimeout)
 		defer cancel()
-		g.door.Close(ctx)
+		g.adminServer.Close(ctx)
 	}
 	if g.extension != nil {
 		g.extension.Close()
 	}
 }
 
-// measureLag tells the pacer how late the process is, while several pools share it.
-func (g *Gateway) measureLag() {
+// measureSchedulingLag tells the pacer how late the process is, while several pools share it.
+func (g *Gateway) measureSchedulingLag() {
 	select {
-	case <-g.several:
+	case <-g.multiplePools:
 	case <-g.ctx.Done():
 		return
 	}
-	tick := time.NewTimer(lagEvery)
+	tick := time.NewTimer(lagInterval)
 	defer tick.Stop()
 	for {
-		due := time.Now().Add(lagEvery)
-		tick.Reset(lagEvery)
+		due := time.Now().Add(lagInterval)
+		tick.Reset(lagInterval)
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-tick.C:
 		}
 		lag := time.Since(due)
-		g.shares.Lock()
+		g.quotaMu.Lock()
 		g.pacer.RecordLag(lag)
-		g.shares.Unlock()
+		g.quotaMu.Unlock()
 	}
 }
 
 // now is the clock of what the pools share.
-func (g *Gateway) now() time.Duration { return time.Since(g.origin) }
+func (g *Gateway) now() time.Duration { return time.Since(g.clockStart) }
 
 // Load is what the process holds.
 type Load struct {
-	Pools, Draining           int // the latter: old ones on their way out
-	Requests, Timers, Servers int
-	Clients                   int // their connections
-	Goroutines                int
+	Pools, Draining             int // the latter: old ones on their way out
+	Requests, Timers, Endpoints int
+	Clients                     int // their connections
+	Goroutines                  int
 }
 
 // Load tells what the process holds.
 func (g *Gateway) Load() Load {
-	g.shares.Lock()
+	g.quotaMu.Lock()
 	draining := len(g.retired)
-	g.shares.Unlock()
-	l := Load{Draining: draining, Clients: g.server.Connections(), Goroutines: runtime.NumGoroutine()}
+	g.quotaMu.Unlock()
+	l := Load{Draining: draining, Clients: g.server.ConnectionCount(), Goroutines: runtime.NumGoroutine()}
 	for _, m := range g.table.Load().pools {
 		r, t, s := m.pool.Counts()
-		l.Pools, l.Requests, l.Timers, l.Servers = l.Pools+1, l.Requests+r, l.Timers+t, l.Servers+s
+		l.Pools, l.Requests, l.Timers, l.Endpoints = l.Pools+1, l.Requests+r, l.Timers+t, l.Endpoints+s
 	}
 	return l
 }
@@ -697,7 +697,7 @@
 	switch {
 	case g.draining.Load():
 		return errors.New("the process is draining")
-	case !g.listens.Load():
+	case !g.listening.Load():
 		return errors.New("the process takes no clients yet")
 	}
 	for name, m := range g.table.Load().pools {
@@ -708,15 +708,15 @@
 	return nil
 }
 
-// Hurry has all pools ask for their lists at once.
-func (g *Gateway) Hurry() {
+// RefreshEndpoints has all pools ask for their lists at once.
+func (g *Gateway) RefreshEndpoints() {
 	for _, m := range g.table.Load().pools {
 		m.pool.PollNow()
 	}
 }
 
-// Told reports whether the sources of all pools have told their lists.
-func (g *Gateway) Told() bool {
+// EndpointsKnown reports whether the sources of all pools have told their lists.
+func (g *Gateway) EndpointsKnown() bool {
 	for _, m := range g.table.Load().pools {
 		if _, told := m.pool.Readiness(); !told {
 			return false
@@ -725,9 +725,9 @@
 	return true
 }
 
-// Figures is what operators are told.
-func (g *Gateway) Figures() admin.Figures {
-	f := admin.Figures{Results: g.counts.Classes(), Forwards: g.counts.Forwards()}
+// Vars is what operators are told.
+func (g *Gateway) Vars() admin.Vars {
+	f := admin.Vars{Results: g.counters.Snapshot(), Forwards: g.counters.ForwardedAttempts()}
 	for _, m := range g.table.Load().pools {
 		p := m.pool.Stats()
 		f.Outstanding, f.Discovered, f.Ejected = f.Outstanding+p.Outstanding, f.Discovered+p.Endpoints, f.Ejected+p.Ejected
@@ -739,5 +739,5 @@
 func (g *Gateway) String() string {
 	l := g.Load()
 	return fmt.Sprintf("%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %d goroutines",
-		l.Pools, l.Draining, l.Requests, l.Timers, l.Servers, l.Clients, l.Goroutines)
+		l.Pools, l.Draining, l.Requests, l.Timers, l.Endpoints, l.Clients, l.Goroutines)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -84,7 +84,7 @@
 // pool is a pool with a list of its own, and its route by the host NAME.example.org.
 func (s *site) pool(name string, boxes ...*fake.Box) *Pool {
 	s.cfg.Pools = append(s.cfg.Pools, Pool{
-		Name: name, Settings: testSettings(), Servers: listed(boxes...), Limits: Limits{Weight: 1}, Seed: 1,
+		Name: name, Settings: testSettings(), StaticEndpoints: listed(boxes...), Limits: Limits{Weight: 1}, Seed: 1,
 	})
 	s.cfg.Routes = append(s.cfg.Routes, route.Route{Name: name, Hosts: []string{name + ".example.org"}, Path: "/", Pool: name})
 	return &s.cfg.Pools[len(s.cfg.Pools)-1]
@@ -115,7 +115,7 @@
 		g.Close()
 		s.t.Fatal(err)
 	}
-	s.g, s.addr = g, g.Addr("farm").String()
+	s.g, s.addr = g, g.ListenerAddr("farm").String()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -283,7 +283,7 @@
 		hold[i] = make(chan struct{})
 		s.pool(name, s.box(name, nil))
 	}
-	s.cfg.Pools[0].Servers = listed(s.box("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
+	s.cfg.Pools[0].StaticEndpoints = listed(s.box("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
 	s.start()
 	first := s.dial()
 	s.ledger.Sent(s.ledger.Op(fake.Safe), "same", patience)
@@ -456,9 +456,9 @@
 		waitFor(t, "its room to be taken, or an answer", func() bool {
 			c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := c.r.Peek(1)
-			s.g.shares.Lock()
+			s.g.quotaMu.Lock()
 			taken := s.g.admission.OpenRequests(1) + s.g.admission.OpenRequests(2)
-			s.g.shares.Unlock()
+			s.g.quotaMu.Unlock()
 			return err == nil || int(taken) > i-full
 		})
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
@@ -561,7 +561,7 @@
 		t.Fatalf("%d, served %d", status, moves.Served())
 	}
 	next := s.copyConfig()
-	next.Pools[0].Servers, next.Pools[1].Servers = listed(a), listed(moves)
+	next.Pools[0].StaticEndpoints, next.Pools[1].StaticEndpoints = listed(a), listed(moves)
 	if err := s.g.Apply(next); err != nil {
 		t.Fatal(err)
 	}
@@ -634,7 +634,7 @@
 	if err := s.g.Apply(next); err != nil {
 		t.Fatal(err)
 	}
-	second := &site{t: t, addr: s.g.Addr("second").String()}
+	second := &site{t: t, addr: s.g.ListenerAddr("second").String()}
 	c := second.dial()
 	if resp, _ := c.ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != 200 {
 		t.Errorf("at the second listener: %d", resp.StatusCode)
@@ -682,7 +682,7 @@
 		next.Pools[0].Settings.Config.MaxRetryAfter = time.Duration(n%3+1) * time.Second // replaces the pool
 		next.Pools[1].Limits.Weight = float64(n%4 + 1)
 		if n%2 == 0 {
-			next.Pools[0].Servers, next.Pools[1].Servers = listed(a), listed(b, c)
+			next.Pools[0].StaticEndpoints, next.Pools[1].StaticEndpoints = listed(a), listed(b, c)
 		}
 		if err := s.g.Apply(next); err != nil {
 			t.Error(err)
@@ -729,20 +729,20 @@
 	for _, n := range []int{1, 2, 10, 100} {
 		c := Config{MemoryMB: 64, Descriptors: 1024}
 		for i := range n {
-			c.Pools = append(c.Pools, Pool{Name: fmt.Sprint(i), Limits: Limits{Weight: float64(i%7 + 1), Open: int64(i % 3)}})
+			c.Pools = append(c.Pools, Pool{Name: fmt.Sprint(i), Limits: Limits{Weight: float64(i%7 + 1), OpenRequests: int64(i % 3)}})
 		}
 		var open, bodies, descriptors, conns int64
 		for _, p := range c.Pools {
-			cl := c.claims(p)
+			cl := c.quotasFor(p)
 			open += cl.admission.OpenRequests.Reserved
 			bodies += cl.admission.BodyBytes.Reserved
 			descriptors += cl.descriptors.Reserved
-			conns += cl.conns.Reserved
-			if p.Limits.Open > 0 && cl.admission.OpenRequests.Limit != p.Limits.Open {
-				t.Errorf("the most of %d became %d", p.Limits.Open, cl.admission.OpenRequests.Limit)
+			conns += cl.connections.Reserved
+			if p.Limits.OpenRequests > 0 && cl.admission.OpenRequests.Limit != p.Limits.OpenRequests {
+				t.Errorf("the most of %d became %d", p.Limits.OpenRequests, cl.admission.OpenRequests.Limit)
 			}
 		}
-		if conns+c.freshClaim().Reserved > 453 || open > 453/2 || bodies > 4<<20 || descriptors > 555/2 {
+		if conns+c.unassignedClaim().Reserved > 453 || open > 453/2 || bodies > 4<<20 || descriptors > 555/2 {
 			t.Errorf("%d pools: kept are %d open, %d bytes, %d descriptors, %d connections", n, open, bodies, descriptors, conns)
 		}
 	}
@@ -757,7 +757,7 @@
 
 func givenUp(t *testing.T, retired bool) {
 	s := newSite(t)
-	s.cfg.DrainMost = 300 * time.Millisecond
+	s.cfg.MaxDrain = 300 * time.Millisecond
 	hangs := s.box("hangs", func(c *fake.BoxConfig) { c.Cores = 100 })
 	hangs.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", hangs)
@@ -803,7 +803,7 @@
 		}
 	}
 	<-ended
-	if took, most := time.Since(began), drainWindow+s.cfg.DrainMost+drainSlack+time.Second; took > most {
+	if took, most := time.Since(began), acceptWindow+s.cfg.MaxDrain+drainGrace+time.Second; took > most {
 		t.Errorf("ended after %v, want %v at most", took, most)
 	}
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -16,11 +16,11 @@
 // handler is what a Gateway is to the connections of its clients.
 type handler Gateway
 
-// bodyWork is how many bytes of a body are as much work as a request without one.
-const bodyWork = 8 << 10
+// bodyBytesPerWorkUnit is how many bytes of a body are as much work as a request without one.
+const bodyBytesPerWorkUnit = 8 << 10
 
 // find returns the pool of a request, and its path below the route.
-func (t *table) find(q *httpmsg.Request) (*member, string, error) {
+func (t *routingTable) find(q *httpmsg.Request) (*poolInstance, string, error) {
 	if t.routes == nil {
 		return t.only, q.Path, nil
 	}
@@ -33,14 +33,14 @@
 		case errors.Is(err, route.ErrUnknownPath):
 			status = http.StatusNotFound
 		}
-		return nil, "", httpmsg.Bad{Status: status, Text: err.Error()}
+		return nil, "", httpmsg.RejectionError{Status: status, Text: err.Error()}
 	}
 	q.URI = m.Below(q.URI)
 	return t.pools[m.Pool], rest, nil
 }
 
 // Admit is the method of downstream.Handler.
-func (h *handler) Admit(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) Admit(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	g := (*Gateway)(h)
 	m, rest, err := g.table.Load().find(q)
 	if err != nil {
@@ -55,34 +55,34 @@
 }
 
 // admit asks the limits of pool m about a request that is legal there unless err is set.
-func (g *Gateway) admit(m *member, q *httpmsg.Request, ask pool.ParsedRequest, err error) (*admission, downstream.Owner, error) {
-	owner := downstream.Owner(m.key)
+func (g *Gateway) admit(m *poolInstance, q *httpmsg.Request, ask pool.ParsedRequest, err error) (*admittedRequest, downstream.PoolID, error) {
+	owner := downstream.PoolID(m.key)
 	room := q.Length
-	if room < 0 || room > httpmsg.MostBody { // so much of a long one is held
-		room = httpmsg.MostBody
+	if room < 0 || room > httpmsg.MaxBufferedBodyBytes { // so much of a long one is held
+		room = httpmsg.MaxBufferedBodyBytes
 	}
-	g.shares.Lock()
-	defer g.shares.Unlock()
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
 	now := g.now()
-	g.pacer.RecordWork(now, m.key, 1+float64(room)/bodyWork)
+	g.pacer.RecordWork(now, m.key, 1+float64(room)/bodyBytesPerWorkUnit)
 	if err != nil {
 		return nil, owner, err
 	}
 	if v := g.admission.Admit(now, m.key, room); v.Reason != quota.Admitted {
-		bad := refusal(m, v)
-		g.counts.Ended(ask.Class(), metrics.Of(bad.Status))
+		bad := rejection(m, v)
+		g.counters.RecordOutcome(ask.Class(), metrics.OutcomeOfStatus(bad.Status))
 		return nil, owner, bad
 	}
-	return &admission{g: g, m: m, q: q, ask: ask, room: room}, owner, nil
+	return &admittedRequest{gateway: g, pool: m, request: q, poolRequest: ask, reservedBytes: room}, owner, nil
 }
 
-// refusal is what a client is told whose request is not admitted.
-func refusal(m *member, v quota.Decision) httpmsg.Bad {
-	bad := httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
+// rejection is what a client is told whose request is not admitted.
+func rejection(m *poolInstance, v quota.Decision) httpmsg.RejectionError {
+	bad := httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: v.Reason.String()}
 	if v.Reason == quota.RateExceeded || v.Reason == quota.TooManyOpen {
 		bad.Status = http.StatusTooManyRequests
 	}
-	if cfg := m.module; cfg.RetryAfterHonored {
+	if cfg := m.policy; cfg.RetryAfterHonored {
 		bad.RetryAfter = v.RetryAfter
 		if cfg.MaxRetryAfter > 0 {
 			bad.RetryAfter = min(bad.RetryAfter, cfg.MaxRetryAfter)
@@ -91,75 +91,75 @@
 	return bad
 }
 
-// Pause is the method of downstream.Handler.
-func (h *handler) Pause(o downstream.Owner, refused int) time.Duration {
+// ReadDelay is the method of downstream.Handler.
+func (h *handler) ReadDelay(o downstream.PoolID, refused int) time.Duration {
 	g := (*Gateway)(h)
-	g.shares.Lock()
-	defer g.shares.Unlock()
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
 	return g.pacer.ReadDelay(g.now(), quota.PoolID(o), refused)
 }
 
-// Hold is the method of downstream.Handler.
-func (h *handler) Hold(o downstream.Owner) bool {
+// AcquireConnection is the method of downstream.Handler.
+func (h *handler) AcquireConnection(o downstream.PoolID) bool {
 	g := (*Gateway)(h)
-	g.shares.Lock()
-	defer g.shares.Unlock()
-	return g.conns.Acquire(quota.PoolID(o), 1)
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
+	return g.connections.Acquire(quota.PoolID(o), 1)
 }
 
-// Drop is the method of downstream.Handler.
-func (h *handler) Drop(o downstream.Owner) {
+// ReleaseConnection is the method of downstream.Handler.
+func (h *handler) ReleaseConnection(o downstream.PoolID) {
 	g := (*Gateway)(h)
-	g.shares.Lock()
-	defer g.shares.Unlock()
-	g.conns.Release(quota.PoolID(o), 1)
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
+	g.connections.Release(quota.PoolID(o), 1)
 }
 
-// Excess is the method of downstream.Handler.
-func (h *handler) Excess(o downstream.Owner) int64 {
+// ConnectionExcess is the method of downstream.Handler.
+func (h *handler) ConnectionExcess(o downstream.PoolID) int64 {
 	g := (*Gateway)(h)
-	g.shares.Lock()
-	defer g.shares.Unlock()
-	return g.conns.Excess(quota.PoolID(o))
+	g.quotaMu.Lock()
+	defer g.quotaMu.Unlock()
+	return g.connections.Excess(quota.PoolID(o))
 }
 
-// admission is a request that its pool's limits let in.
-type admission struct {
-	g    *Gateway
-	m    *member
-	q    *httpmsg.Request
-	ask  pool.ParsedRequest
-	room int64
+// admittedRequest is a request that its pool's limits let in.
+type admittedRequest struct {
+	gateway       *Gateway
+	pool          *poolInstance
+	request       *httpmsg.Request
+	poolRequest   pool.ParsedRequest
+	reservedBytes int64
 
-	foreign bool
+	fromSite bool
 }
 
-// Take is the method of downstream.Admission.
-func (a *admission) Take(body []byte, rest httpmsg.Rest) (downstream.Exchange, error) {
-	a.q.Body, a.q.Rest = body, rest
-	if unused := a.room - int64(len(body)); unused > 0 {
-		a.g.shares.Lock()
-		a.g.admission.ReleaseBody(a.m.key, unused)
-		a.g.shares.Unlock()
-		a.room -= unused
+// Dispatch is the method of downstream.AdmittedRequest.
+func (a *admittedRequest) Dispatch(body []byte, rest httpmsg.BodyStream) (downstream.Exchange, error) {
+	a.request.Body, a.request.Remainder = body, rest
+	if unused := a.reservedBytes - int64(len(body)); unused > 0 {
+		a.gateway.quotaMu.Lock()
+		a.gateway.admission.ReleaseBody(a.pool.key, unused)
+		a.gateway.quotaMu.Unlock()
+		a.reservedBytes -= unused
 	}
-	if a.m.crossing != nil && !a.foreign {
-		a.m.crossing.Offered(a.ask.Class())
+	if a.pool.spillover != nil && !a.fromSite {
+		a.pool.spillover.RecordRequest(a.poolRequest.Class())
 	}
-	x, err := a.m.pool.Submit(a.q, a.ask, a.Release)
+	x, err := a.pool.pool.Submit(a.request, a.poolRequest, a.Release)
 	if err != nil {
 		a.Release()
-		if bad := (httpmsg.Bad{}); errors.As(err, &bad) {
-			a.g.counts.Ended(a.ask.Class(), metrics.Of(bad.Status))
+		if bad := (httpmsg.RejectionError{}); errors.As(err, &bad) {
+			a.gateway.counters.RecordOutcome(a.poolRequest.Class(), metrics.OutcomeOfStatus(bad.Status))
 		}
 		return nil, err
 	}
 	return x, nil
 }
 
-// Release is the method of downstream.Admission.
-func (a *admission) Release() {
-	a.g.shares.Lock()
-	defer a.g.shares.Unlock()
-	a.g.admission.Release(a.m.key, a.room)
+// Release is the method of downstream.AdmittedRequest.
+func (a *admittedRequest) Release() {
+	a.gateway.quotaMu.Lock()
+	defer a.gateway.quotaMu.Unlock()
+	a.gateway.admission.Release(a.pool.key, a.reservedBytes)
 }
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -35,13 +35,13 @@
 	windowStream = 64 << 10
 )
 
-// Protocol is a downstream.Protocol.
+// Protocol is a downstream.MultiplexedProtocol.
 type Protocol struct{ Log *slog.Logger }
 
-// Name is the method of downstream.Protocol.
+// Name is the method of downstream.MultiplexedProtocol.
 func (Protocol) Name() string { return http2.NextProtoTLS }
 
-// Serve is the method of downstream.Protocol.
+// Serve is the method of downstream.MultiplexedProtocol.
 func (p Protocol) Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler) {
 	count := &counted{Handler: h, active: active}
 	base := &http.Server{Handler: count, MaxHeaderBytes: mostHead, ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)}
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -108,7 +108,7 @@
 // ParseRequest is the method of pool.EndToEndProtocol. It also makes the head of q what goes on to servers.
 func (d *Dialect) ParseRequest(q *httpmsg.Request, _ string) (pool.RequestAttributes, error) {
 	bad := func(status int, text string) (pool.RequestAttributes, error) {
-		return pool.RequestAttributes{}, httpmsg.Bad{Status: status, Text: text}
+		return pool.RequestAttributes{}, httpmsg.RejectionError{Status: status, Text: text}
 	}
 	switch {
 	case q.Method == http.MethodConnect || q.Method == http.MethodTrace:
@@ -177,7 +177,7 @@
 		scheme = "https"
 	}
 	client := ""
-	if tcp, ok := q.Remote.(*net.TCPAddr); ok {
+	if tcp, ok := q.RemoteAddr.(*net.TCPAddr); ok {
 		addr := tcp.AddrPort().Addr().Unmap()
 		client = addr.String()
 	}
--- a/internal/httpservice/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -41,7 +41,7 @@
 }
 
 func request(method, uri string, fields ...string) *httpmsg.Request {
-	q := &httpmsg.Request{Method: method, URI: uri, Host: "shop.example.org:80", Header: http.Header{}, Remote: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 7}}
+	q := &httpmsg.Request{Method: method, URI: uri, Host: "shop.example.org:80", Header: http.Header{}, RemoteAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 7}}
 	for i := 0; i < len(fields); i += 2 {
 		q.Header.Add(fields[i], fields[i+1])
 	}
@@ -85,7 +85,7 @@
 		request("TRACE", "/"), request("CONNECT", "/"), request("GET", "/chat", "Connection", "keep-alive, Upgrade", "Upgrade", "websocket"),
 	} {
 		_, err := d.ParseRequest(q, "")
-		if bad, ok := err.(httpmsg.Bad); !ok || bad.Status != 501 {
+		if bad, ok := err.(httpmsg.RejectionError); !ok || bad.Status != 501 {
 			t.Errorf("%s %v: %v", q.Method, q.Header, err)
 		}
 	}
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -14,89 +14,89 @@
 // The outcomes.
 const (
 	Succeeded Outcome = iota // served
-	Declined                 // refused: asking again is harmless
-	Aborted                  // failed
-	outcomes
+	Rejected                 // refused: asking again is harmless
+	Failed                   // failed
+	outcomeCount
 )
 
-// Of is the outcome that an HTTP status tells a client, by the platform's protocol.
-func Of(status int) Outcome {
+// OutcomeOfStatus is the outcome that an HTTP status tells a client, by the platform's protocol.
+func OutcomeOfStatus(status int) Outcome {
 	switch status {
 	case 200:
 		return Succeeded
 	case 429, 503:
-		return Declined
+		return Rejected
 	}
-	return Aborted
+	return Failed
 }
 
-// Class is what became of the requests of one class since the process started.
-type Class struct {
+// ClassCounts is what became of the requests of one class since the process started.
+type ClassCounts struct {
 	Succeeded int64 `json:"succeeded"`
-	Declined  int64 `json:"declined"`
-	Aborted   int64 `json:"aborted"`
+	Rejected  int64 `json:"declined"`
+	Failed    int64 `json:"aborted"`
 }
 
-// mostClasses bounds the classes that are counted where the settings name none: clients could name one with each request.
-const mostClasses = 256
+// maxClasses bounds the classes that are counted where the settings name none: clients could name one with each request.
+const maxClasses = 256
 
-// Counts are those of one process. It is safe for concurrent use; the zero value counts nothing yet.
-type Counts struct {
-	forwards atomic.Int64
+// RequestCounters are those of one process. It is safe for concurrent use; the zero value counts nothing yet.
+type RequestCounters struct {
+	forwardedAttempts atomic.Int64
 
 	mu      sync.Mutex
-	classes map[string]*Class
+	classes map[string]*ClassCounts
 }
 
-// Name makes a class appear with its figures at 0.
-func (c *Counts) Name(class string) {
+// Register makes a class appear with its figures at 0.
+func (c *RequestCounters) Register(class string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.of(class)
+	c.countsOf(class)
 }
 
-// of returns the figures of a class, or nil where there are too many. The caller holds mu.
-func (c *Counts) of(class string) *Class {
+// countsOf returns the figures of a class, or nil where there are too many. The caller holds mu.
+func (c *RequestCounters) countsOf(class string) *ClassCounts {
 	k := c.classes[class]
-	if k == nil && len(c.classes) < mostClasses {
+	if k == nil && len(c.classes) < maxClasses {
 		if c.classes == nil {
-			c.classes = map[string]*Class{}
+			c.classes = map[string]*ClassCounts{}
 		}
-		k = &Class{}
+		k = &ClassCounts{}
 		c.classes[class] = k
 	}
 	return k
 }
 
-// Ended counts a request of a class that had its final answer.
-func (c *Counts) Ended(class string, o Outcome) {
+// RecordOutcome counts a request of a class that had its final answer.
+func (c *RequestCounters) RecordOutcome(class string, o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.of(class)
+	k := c.countsOf(class)
 	if k == nil {
 		return
 	}
 	switch o {
 	case Succeeded:
 		k.Succeeded++
-	case Declined:
-		k.Declined++
+	case Rejected:
+		k.Rejected++
 	default:
-		k.Aborted++
+		k.Failed++
 	}
 }
 
-// Forwarded counts an attempt whose last byte was written to a server.
-func (c *Counts) Forwarded() { c.forwards.Add(1) }
+// RecordForwardedAttempt counts an attempt whose last byte was written to a server.
+func (c *RequestCounters) RecordForwardedAttempt() { c.forwardedAttempts.Add(1) }
 
-// Forwards is how many such attempts there were.
-func (c *Counts) Forwards() int64 { return c.forwards.Load() }
+// ForwardedAttempts is how many such attempts there were.
+func (c *RequestCounters) ForwardedAttempts() int64 { return c.forwardedAttempts.Load() }
 
-// Classes returns a copy of all figures, by class.
-func (c *Counts) Classes() map[string]Class {
+// Snapshot returns a copy of all figures, by class.
+func (c *RequestCounters) Snapshot() map[string]ClassCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make(map[string]Class, len(c.classes))
+	all := make(map[string]ClassCounts, len(c.classes))
 	for name, k := range maps.All(c.classes) {
 		all[name] = *k
 	}
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -13,32 +13,32 @@
 // what was handed out before does not change.
 func TestCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Counts
-		want := map[string]Class{}
+		var c RequestCounters
+		want := map[string]ClassCounts{}
 		forwards := int64(0)
 		class := rapid.SampledFrom([]string{"check", "order", "book"})
 		t.Repeat(map[string]func(*rapid.T){
 			"ended": func(t *rapid.T) {
 				name, status := class.Draw(t, "class"), rapid.SampledFrom([]int{200, 429, 503, 502, 504, 409}).Draw(t, "status")
-				c.Ended(name, Of(status))
+				c.RecordOutcome(name, OutcomeOfStatus(status))
 				k := want[name]
 				switch status {
 				case 200:
 					k.Succeeded++
 				case 429, 503:
-					k.Declined++
+					k.Rejected++
 				default:
-					k.Aborted++
+					k.Failed++
 				}
 				want[name] = k
 			},
 			"forwarded": func(t *rapid.T) {
-				c.Forwarded()
+				c.RecordForwardedAttempt()
 				forwards++
 			},
 			"": func(t *rapid.T) {
-				got := c.Classes()
-				if n := c.Forwards(); n != forwards {
+				got := c.Snapshot()
+				if n := c.ForwardedAttempts(); n != forwards {
 					t.Fatalf("%d forwards, want %d", n, forwards)
 				}
 				for name, k := range want {
@@ -53,14 +53,14 @@
 
 // TestBounded guards against clients that name a new class with each request.
 func TestBounded(t *testing.T) {
-	var c Counts
-	c.Name("order")
-	for i := range 2 * mostClasses {
-		c.Ended(fmt.Sprint(i), Aborted)
+	var c RequestCounters
+	c.Register("order")
+	for i := range 2 * maxClasses {
+		c.RecordOutcome(fmt.Sprint(i), Failed)
 	}
-	c.Ended("order", Succeeded)
-	all := c.Classes()
-	if len(all) > mostClasses || all["order"].Succeeded != 1 {
+	c.RecordOutcome("order", Succeeded)
+	all := c.Snapshot()
+	if len(all) > maxClasses || all["order"].Succeeded != 1 {
 		t.Errorf("%d classes, %+v", len(all), all["order"])
 	}
 }
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if !a.setInterrupt(cancel) {
-		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Answer{})
+		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Response{})
 		return
 	}
 	c, err := p.conns.Connect(ctx, to, a.deadline)
@@ -87,13 +87,13 @@
 	}
 	if !a.setInterrupt(func() { c.Close() }) {
 		c.Close()
-		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Answer{})
+		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Response{})
 		return
 	}
 	q := p.upstreamRequest(a)
 	if !p.mayBegin(a, to) {
 		c.Close()
-		p.completeAttempt(a, policy.StatusNotSent, nil, httpmsg.Answer{})
+		p.completeAttempt(a, policy.StatusNotSent, nil, httpmsg.Response{})
 		return
 	}
 	var resp *http.Response
@@ -101,7 +101,7 @@
 		err = p.sendStreamedBody(a, c, q)
 	}
 	if err == nil {
-		p.metrics.Forwarded()
+		p.metrics.RecordForwardedAttempt()
 		resp, err = c.Receive(q)
 	}
 	if errors.Is(err, upstream.ErrEarlyResponse) {
@@ -114,7 +114,7 @@
 			resp.Close = true
 		case provesNotExecuted(early):
 			c.Close()
-			p.completeAttempt(a, policy.StatusOverloaded, nil, httpmsg.Answer{})
+			p.completeAttempt(a, policy.StatusOverloaded, nil, httpmsg.Response{})
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 			}
 			_, err := io.CopyN(io.Discard, resp.Body, maxErrorBodyBytes)
 			p.releaseConn(a, c, resp, err == io.EOF)
-			p.completeAttempt(a, status, load, httpmsg.Answer{})
+			p.completeAttempt(a, status, load, httpmsg.Response{})
 			return
 		}
 	} else if text := resp.Header.Get("X-Server-Load"); text != "" && p.settings.Config.InlineLoadReports {
@@ -146,7 +146,7 @@
 		}
 		_, err := io.CopyN(io.Discard, resp.Body, maxErrorBodyBytes)
 		p.releaseConn(a, c, resp, err == io.EOF)
-		p.completeAttempt(a, status, load, httpmsg.Answer{})
+		p.completeAttempt(a, status, load, httpmsg.Response{})
 		return
 	}
 	p.passResponse(a, c, resp, load)
@@ -164,7 +164,7 @@
 		case r.ended:
 		case left: // whoever waits for the answer is let go, and finds the client gone
 			p.balancer.HandleClientGone(now, r.id, p)
-			p.finish(r, httpmsg.Answer{Status: http.StatusBadGateway})
+			p.finish(r, httpmsg.Response{Status: http.StatusBadGateway})
 		default:
 			e, listed := p.endpoints[a.endpoint]
 			may = listed && p.peers[a.endpoint] == to && p.policyEndpoint(e).State == policy.Ready &&
@@ -220,10 +220,10 @@
 		return err
 	}
 	// The client has left, or sends what cannot be used. Nothing has run.
-	ans := httpmsg.Answer{Status: http.StatusBadRequest}
-	var bad httpmsg.Bad
+	ans := httpmsg.Response{Status: http.StatusBadRequest}
+	var bad httpmsg.RejectionError
 	if errors.As(err, &bad) {
-		ans = bad.Answer()
+		ans = bad.Response()
 	}
 	p.runEvent(func(now policy.Time) {
 		if !r.ended {
@@ -242,12 +242,12 @@
 		ans := p.responseFrom(resp, body)
 		p.runEvent(func(policy.Time) { a.request.lastFailure = &ans })
 	}
-	p.completeAttempt(a, status, load, httpmsg.Answer{})
+	p.completeAttempt(a, status, load, httpmsg.Response{})
 }
 
 // responseFrom is what the client is told of an answer.
-func (p *Pool) responseFrom(resp *http.Response, body []byte) httpmsg.Answer {
-	ans := httpmsg.Answer{Status: resp.StatusCode, Header: httpmsg.Forwarded(resp.Header), Body: body, Length: resp.ContentLength}
+func (p *Pool) responseFrom(resp *http.Response, body []byte) httpmsg.Response {
+	ans := httpmsg.Response{Status: resp.StatusCode, Header: httpmsg.RemoveHopByHopHeaders(resp.Header), Body: body, Length: resp.ContentLength}
 	if p.endToEnd != nil {
 		p.endToEnd.RewriteResponseHeader(ans.Header)
 	}
@@ -270,11 +270,11 @@
 		p.completeAttempt(a, policy.StatusOK, load, ans)
 		return
 	}
-	ans.Rest = &responseStream{pool: p, attempt: a, conn: c, response: resp, body: from, bytesRead: int64(len(body))}
+	ans.Remainder = &responseStream{pool: p, attempt: a, conn: c, response: resp, body: from, bytesRead: int64(len(body))}
 	switch {
 	case !a.setInterrupt(func() { c.Close() }):
 		c.Close()
-		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Answer{})
+		p.completeAttempt(a, policy.StatusCanceled, nil, httpmsg.Response{})
 	case !p.completeAttempt(a, policy.StatusOK, load, ans): // another attempt has answered, or the client has left
 		c.Close()
 	}
@@ -288,7 +288,7 @@
 // head promises.
 func readFirst(resp *http.Response, from *upstream.Body, deadline time.Time) (body []byte, whole bool, err error) {
 	length := resp.ContentLength
-	if length > httpmsg.MostLong {
+	if length > httpmsg.MaxBodyBytes {
 		return nil, false, fmt.Errorf("an answer of %d bytes", length)
 	}
 	if 0 <= length && length <= smallBodyBytes {
@@ -307,14 +307,14 @@
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := from.Read(body[len(body):min(cap(body), httpmsg.MostBody)], upstream.BodyStallTimeout, deadline)
+		n, err := from.Read(body[len(body):min(cap(body), httpmsg.MaxBufferedBodyBytes)], upstream.BodyStallTimeout, deadline)
 		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF:
 			return body, true, nil
 		case err != nil:
 			return nil, false, err
-		case len(body) == httpmsg.MostBody || length > httpmsg.MostBody && n > 0:
+		case len(body) == httpmsg.MaxBufferedBodyBytes || length > httpmsg.MaxBufferedBodyBytes && n > 0:
 			return body, false, nil
 		case length < 0 && len(body) > 0 && time.Since(began) > unknownLengthWait:
 			return body, false, nil
@@ -335,19 +335,19 @@
 	bytesRead int64
 }
 
-// Length is the method of httpmsg.Rest.
+// Length is the method of httpmsg.BodyStream.
 func (s *responseStream) Length() int64 { return s.response.ContentLength }
 
-// Read is the method of httpmsg.Rest.
+// Read is the method of httpmsg.BodyStream.
 func (s *responseStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p, streamStallTimeout, time.Time{})
-	if s.bytesRead += int64(n); s.bytesRead > httpmsg.MostLong {
+	if s.bytesRead += int64(n); s.bytesRead > httpmsg.MaxBodyBytes {
 		return 0, errors.New("the answer is too long")
 	}
 	return n, err
 }
 
-// Close is the method of httpmsg.Stream.
+// Close is the method of httpmsg.ResponseStream.
 func (s *responseStream) Close(whole bool) {
 	s.pool.releaseConn(s.attempt, s.conn, s.response, whole)
 	s.pool.runEvent(func(policy.Time) { s.pool.finishStream(s.attempt.request, whole) })
@@ -378,7 +378,7 @@
 		status = policy.StatusTimeout
 	}
 	p.log.Debug("attempt", "request", a.request.xRequestID, "upstream", a.endpoint, "status", status, "err", err)
-	p.completeAttempt(a, status, nil, httpmsg.Answer{})
+	p.completeAttempt(a, status, nil, httpmsg.Response{})
 }
 
 // upstreamRequest is what the server is sent of a.
--- a/internal/pool/away.go
+++ b/internal/pool/away.go
@@ -16,7 +16,7 @@
 	ID            string                // its id
 	PolicyRequest policy.Request        // as the module was told, Prior without the attempts made here
 	Deadline      time.Time             // so long the client waits
-	Rejection     httpmsg.Answer        // what it is to be answered if it is served nowhere else
+	Rejection     httpmsg.Response      // what it is to be answered if it is served nowhere else
 	PriorAttempts []policy.PriorAttempt // all attempts so far
 
 	pool       *Pool
@@ -28,33 +28,33 @@
 func (h *RejectedRequest) ClientGone() <-chan struct{} { return h.clientGone }
 
 // Respond gives the request its final answer. After the client has left it does nothing.
-func (h *RejectedRequest) Respond(a httpmsg.Answer) {
+func (h *RejectedRequest) Respond(a httpmsg.Response) {
 	taken := false
 	h.pool.runEvent(func(policy.Time) {
 		if h.request.forwarding != h {
 			return
 		}
 		h.request.forwarding, taken = nil, true
-		h.pool.respond(h.request, a, metrics.Of(a.Status))
-		if a.Rest != nil { // who has served it has the rest
+		h.pool.respond(h.request, a, metrics.OutcomeOfStatus(a.Status))
+		if a.Remainder != nil { // who has served it has the rest
 			h.pool.finishStream(h.request, true)
 		}
 		h.pool.removeFinished(h.request)
 	})
-	if !taken && a.Rest != nil {
-		a.Rest.Close(false)
+	if !taken && a.Remainder != nil {
+		a.Remainder.Close(false)
 	}
 }
 
 // reject ends r with a refusal, or hands it over.
-func (p *Pool) reject(r *request, refusal httpmsg.Answer) {
+func (p *Pool) reject(r *request, refusal httpmsg.Response) {
 	if p.forwardRejected == nil || p.closed || r == nil || r.ended || r.forwarded || r.streamedBody != nil { // a long body cannot be read twice
 		p.finish(r, refusal)
 		return
 	}
 	now := p.now()
 	h := &RejectedRequest{
-		Message: httpmsg.Request{Method: r.method, URI: r.uri, Host: r.host, Header: r.header.Clone(), Body: r.body, Left: r.clientGone},
+		Message: httpmsg.Request{Method: r.method, URI: r.uri, Host: r.host, Header: r.header.Clone(), Body: r.body, ClientGone: r.clientGone},
 		ID:      r.xRequestID, PolicyRequest: r.policyRequest, Deadline: p.clockOrigin.Add(r.policyRequest.Expires), Rejection: refusal, pool: p, request: r, clientGone: make(chan struct{}),
 	}
 	if h.Message.Header == nil {
@@ -81,7 +81,7 @@
 func (p *Pool) ParseForwardedRequest(q *httpmsg.Request, f ForwardedAttributes) (ParsedRequest, error) {
 	ask := ParsedRequest{policyRequest: f.PolicyRequest, forwarded: true, requestID: q.Header.Get("X-Request-Id")}
 	bad := func(status int, text string) (ParsedRequest, error) {
-		return ParsedRequest{}, httpmsg.Bad{Status: status, Text: text}
+		return ParsedRequest{}, httpmsg.RejectionError{Status: status, Text: text}
 	}
 	if ask.requestID == "" || len(ask.requestID) > maxRequestIDBytes {
 		return bad(http.StatusBadRequest, "no usable X-Request-ID")
--- a/internal/pool/begins_test.go
+++ b/internal/pool/begins_test.go
@@ -87,7 +87,7 @@
 
 func (x *attemptScenario) take(t *testing.T, q policy.Request, timeout time.Duration, left func() bool) *Exchange {
 	t.Helper()
-	e, err := x.Submit(&httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, Left: left},
+	e, err := x.Submit(&httpmsg.Request{Method: "POST", URI: "/c", Host: "h", Header: http.Header{"X-Request-Id": {"r"}}, ClientGone: left},
 		ParsedRequest{policyRequest: q, timeout: timeout, requestID: "r"}, func() {})
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 			close(first.up)
 			second := wait(t, "another attempt", x.dials)
 			close(second.up)
-			if a := wait(t, "the answer", e.Answer()); a.Status != http.StatusOK {
+			if a := wait(t, "the answer", e.Response()); a.Status != http.StatusOK {
 				t.Errorf("answered %d", a.Status)
 			}
 			if to := wait(t, "the request", x.sent); to != second.addr || len(x.sent) > 0 {
@@ -189,7 +189,7 @@
 					wait(t, "the request", x.sent)
 				}
 			}
-			wait(t, "the answer", e.Answer())
+			wait(t, "the answer", e.Response())
 			x.awaitEmpty(t)
 			if len(x.sent)+len(x.dials) > 0 {
 				t.Errorf("%d attempts more were sent, %d begun", len(x.sent), len(x.dials))
@@ -209,7 +209,7 @@
 	second := wait(t, "its repeat", x.dials)
 	time.Sleep(window) // more makes no difference
 	close(second.up)
-	if a := wait(t, "the answer", e.Answer()); a.Status == http.StatusOK {
+	if a := wait(t, "the answer", e.Response()); a.Status == http.StatusOK {
 		t.Errorf("answered %d", a.Status)
 	}
 	x.awaitEmpty(t)
@@ -224,7 +224,7 @@
 	x := startAttemptScenario(t, safeClass, fine)
 	e := x.take(t, policy.Request{Class: "c"}, patience, nil)
 	first := wait(t, "the first attempt", x.dials)
-	wait(t, "the answer", e.Answer())
+	wait(t, "the answer", e.Response())
 	close(first.up)
 	x.awaitEmpty(t)
 	if len(x.sent) > 0 {
@@ -267,11 +267,11 @@
 	d := wait(t, "another request's attempt", x.dials)
 	x.AbortRequests()
 	for name, e := range map[string]*Exchange{"sent": ran, "that connects": connects} {
-		if a := wait(t, "the answer", e.Answer()); a.Status != http.StatusBadGateway {
+		if a := wait(t, "the answer", e.Response()); a.Status != http.StatusBadGateway {
 			t.Errorf("the one %s was answered %d", name, a.Status)
 		}
 	}
-	var bad httpmsg.Bad
+	var bad httpmsg.RejectionError
 	if _, err := x.Submit(q, ParsedRequest{policyRequest: policy.Request{Class: "c"}, timeout: time.Minute, requestID: "u"}, func() {}); !errors.As(err, &bad) || bad.Status != http.StatusServiceUnavailable {
 		t.Errorf("a further one was taken, or turned away with %v", err)
 	}
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -120,7 +120,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if a := wait(t, "an answer", e.Answer()); a.Status != 200 {
+				if a := wait(t, "an answer", e.Response()); a.Status != 200 {
 					t.Fatalf("answered %d", a.Status)
 				}
 			}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -47,7 +47,7 @@
 	// its own, which ends soon after the context that it is given.
 	ForwardRejected func(context.Context, *RejectedRequest)
 	// Metrics is told how requests end and of each attempt written whole; nil: nobody asks.
-	Metrics *metrics.Counts
+	Metrics *metrics.RequestCounters
 	// OnUnreachable is told of each server that has not answered an attempt or a probe, each time, and once it answers again; nil: nobody asks. It
 	// is called under the pool's lock, and must not call the pool.
 	OnUnreachable func(server string, is bool)
@@ -69,7 +69,7 @@
 // they are, those included that Read tells as failures, once no further attempt is made.
 type EndToEndProtocol interface {
 	BackendProtocol
-	// ParseRequest reads what a request says of itself, and makes its fields what goes on. The error is a httpmsg.Bad.
+	// ParseRequest reads what a request says of itself, and makes its fields what goes on. The error is a httpmsg.RejectionError.
 	ParseRequest(q *httpmsg.Request, path string) (RequestAttributes, error)
 	// RewriteResponseHeader makes the fields of an answer what goes on.
 	RewriteResponseHeader(h http.Header)
@@ -100,7 +100,7 @@
 	acceptsRequests   func() bool
 	protocol          BackendProtocol
 	endToEnd          EndToEndProtocol // the same, if it is one
-	metrics           *metrics.Counts
+	metrics           *metrics.RequestCounters
 	forwardRejected   func(context.Context, *RejectedRequest)
 	goroutines        sync.WaitGroup // goroutines; added to under mu while not closed
 
@@ -122,10 +122,10 @@
 	wakeup               *time.Timer // fires when the first timer is due
 	wakeupAt             policy.Time // zero: not set
 	deferred             []func(now policy.Time)
-	closed               bool         // nothing more is to happen
-	requestsAborted      bool         // nothing more is taken
-	stats                statslog.Row // what happened since the log was told; counted whether it is or not
-	statsLogged          bool         // it is
+	closed               bool                   // nothing more is to happen
+	requestsAborted      bool                   // nothing more is taken
+	stats                statslog.IntervalStats // what happened since the log was told; counted whether it is or not
+	statsLogged          bool                   // it is
 	onUnreachable        func(server string, is bool)
 	reportedUnreachable  map[policy.EndpointID]bool // that silent was told of
 	zoneOutcomes         map[string]*zoneOutcome    // by zone, where silent asks; nil: nobody does
@@ -145,20 +145,20 @@
 	host             string
 	header           http.Header
 	body             []byte
-	streamedBody     httpmsg.Rest  // what follows body; nil: nothing
-	timeout          time.Duration // how long the client waits once all of it is sent
-	releaseBody      func()        // gives the room of body back
-	clientGone       func() bool   // whether its client has left; nil: nobody can tell
-	response         chan httpmsg.Answer
+	streamedBody     httpmsg.BodyStream // what follows body; nil: nothing
+	timeout          time.Duration      // how long the client waits once all of it is sent
+	releaseBody      func()             // gives the room of body back
+	clientGone       func() bool        // whether its client has left; nil: nobody can tell
+	response         chan httpmsg.Response
 	policyRequest    policy.Request // as the module was told
 	acceptedAt       policy.Time
 	forwarded        bool // handed over by another site: it goes no further
 	attempts         []*attempt
 	attemptsInFlight int
 	ended            bool
-	forwarding       *RejectedRequest // not nil: it ended here and is elsewhere; its answer is still to come
-	lastFailure      *httpmsg.Answer  // of a Service: the last failing answer of a server
-	streaming        bool             // it has the first of a long answer; the rest is on its way
+	forwarding       *RejectedRequest  // not nil: it ended here and is elsewhere; its answer is still to come
+	lastFailure      *httpmsg.Response // of a Service: the last failing answer of a server
+	streaming        bool              // it has the first of a long answer; the rest is on its way
 }
 
 // New starts a pool whose connections are up. It ends with Close.
@@ -177,14 +177,14 @@
 		settings: cfg.Settings, log: log, ctx: ctx, cancel: stop, clockOrigin: origin, clockOriginMs: origin.UnixMilli(), conns: up,
 		source: cfg.Source, balancer: b, requests: map[policy.RequestID]*request{}, onReadyCount: cfg.OnReadyCount, acceptsRequests: cfg.AcceptsRequests,
 		onUnreachable: cfg.OnUnreachable, reportedUnreachable: map[policy.EndpointID]bool{},
-		protocol: cfg.Protocol, forwardRejected: cfg.ForwardRejected, metrics: cmp.Or(cfg.Metrics, &metrics.Counts{}),
+		protocol: cfg.Protocol, forwardRejected: cfg.ForwardRejected, metrics: cmp.Or(cfg.Metrics, &metrics.RequestCounters{}),
 		peers: map[policy.EndpointID]*upstream.Peer{}, endpoints: map[policy.EndpointID]discovery.Endpoint{},
 		idempotency: map[string]policy.Idempotency{}, dedupWindows: map[string]time.Duration{}, latencyObjectives: map[string]time.Duration{},
 	}
 	p.endToEnd, _ = cfg.Protocol.(EndToEndProtocol)
 	for _, c := range cfg.Settings.Config.Classes {
 		p.idempotency[c.Name], p.dedupWindows[c.Name], p.latencyObjectives[c.Name] = c.Idempotency, c.DedupWindow, c.LatencyObjective
-		p.metrics.Name(c.Name)
+		p.metrics.Register(c.Name)
 		p.maxDeadline = max(p.maxDeadline, c.Deadline)
 	}
 	if p.maxDeadline == 0 {
@@ -225,7 +225,7 @@
 		}
 		if !r.ended || r.forwarding != nil { // whoever closes a pool that is not drained still owes an answer
 			r.ended, r.forwarding = true, nil
-			p.respond(r, httpmsg.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
+			p.respond(r, httpmsg.Response{Status: http.StatusBadGateway}, metrics.Failed)
 		}
 		r.releaseBody()
 	}
@@ -248,11 +248,11 @@
 			if h := r.forwarding; h != nil {
 				r.forwarding = nil
 				close(h.clientGone)
-				p.respond(r, httpmsg.Answer{Status: http.StatusBadGateway}, metrics.Aborted)
+				p.respond(r, httpmsg.Response{Status: http.StatusBadGateway}, metrics.Failed)
 				p.removeFinished(r)
 			} else if !r.ended {
 				p.balancer.HandleClientGone(now, r.id, p)
-				p.finish(r, r.lastFailureOr(httpmsg.Answer{Status: http.StatusBadGateway}, false))
+				p.finish(r, r.lastFailureOr(httpmsg.Response{Status: http.StatusBadGateway}, false))
 			}
 		}
 	})
@@ -287,10 +287,10 @@
 }
 
 // errPoolClosed is what a request finds that comes after the pool has ended. It has run nowhere.
-var errPoolClosed = httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
+var errPoolClosed = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
 
 // errNoEndpoint is what a request finds that was admitted just before the list went empty. It has run nowhere.
-var errNoEndpoint = httpmsg.Bad{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
+var errNoEndpoint = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
 
 // submit hands a request, whose last byte has just come, to the module. It takes none whose id another has that is open.
 func (p *Pool) submit(r *request, q policy.Request, timeout time.Duration) error {
@@ -315,9 +315,9 @@
 		p.requests[r.id] = r
 		q.ID, q.Expires = r.id, now+timeout
 		r.policyRequest, r.acceptedAt = q, now
-		p.stats.Add(statslog.Taken, 1)
+		p.stats.Add(statslog.Requests, 1)
 		if !served {
-			p.reject(r, errNoEndpoint.Answer())
+			p.reject(r, errNoEndpoint.Response())
 			return
 		}
 		p.balancer.HandleRequest(now, q, p)
@@ -337,7 +337,7 @@
 			return
 		}
 		open, r.ended = true, true
-		p.stats.Add(statslog.Left, 1)
+		p.stats.Add(statslog.ClientGone, 1)
 		p.balancer.HandleClientGone(now, r.id, p)
 		p.removeFinished(r)
 	})
@@ -345,21 +345,21 @@
 }
 
 // finish gives r its final answer. It guards against a second one.
-func (p *Pool) finish(r *request, a httpmsg.Answer) {
+func (p *Pool) finish(r *request, a httpmsg.Response) {
 	if r == nil || r.ended {
 		return
 	}
 	r.ended = true
-	p.respond(r, a, metrics.Of(a.Status))
+	p.respond(r, a, metrics.OutcomeOfStatus(a.Status))
 	p.deferred = append(p.deferred, func(policy.Time) { p.removeFinished(r) })
 }
 
 // respond hands the final answer of r over, by which it ended so.
-func (p *Pool) respond(r *request, a httpmsg.Answer, o metrics.Outcome) {
-	if a.Rest != nil {
+func (p *Pool) respond(r *request, a httpmsg.Response, o metrics.Outcome) {
+	if a.Remainder != nil {
 		r.streaming = true
 	} else {
-		p.metrics.Ended(r.policyRequest.Class, o)
+		p.metrics.RecordOutcome(r.policyRequest.Class, o)
 	}
 	p.stats.Add(p.requestStat(r, o), 1)
 	r.response <- a
@@ -369,9 +369,9 @@
 func (p *Pool) finishStream(r *request, whole bool) {
 	end := metrics.Succeeded
 	if !whole {
-		end = metrics.Aborted
+		end = metrics.Failed
 	}
-	p.metrics.Ended(r.policyRequest.Class, end)
+	p.metrics.RecordOutcome(r.policyRequest.Class, end)
 	r.streaming = false
 	p.removeFinished(r)
 }
@@ -388,12 +388,12 @@
 }
 
 // completeAttempt takes the end of an attempt: with OK, ans is its answer. It reports whether that is the request's.
-func (p *Pool) completeAttempt(a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Answer) (taken bool) {
+func (p *Pool) completeAttempt(a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Response) (taken bool) {
 	p.runEvent(func(now policy.Time) { taken = p.completeAttemptLocked(now, a, status, load, ans) })
 	return taken
 }
 
-func (p *Pool) completeAttemptLocked(now policy.Time, a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Answer) (taken bool) {
+func (p *Pool) completeAttemptLocked(now policy.Time, a *attempt, status policy.Status, load *policy.LoadReport, ans httpmsg.Response) (taken bool) {
 	r := a.request
 	if a.completed { // guards against a second outcome of one attempt
 		return false
@@ -431,16 +431,16 @@
 	a.number, a.zone, a.cell = len(r.policyRequest.PriorAttempts)+len(r.attempts), e.Zone, e.Cell
 	r.attempts = append(r.attempts, a)
 	r.attemptsInFlight++
-	p.stats.Add(statslog.Sends, 1)
+	p.stats.Add(statslog.Attempts, 1)
 	if a.number > 0 {
-		p.stats.Add(statslog.Again, 1)
+		p.stats.Add(statslog.FurtherAttempts, 1)
 	}
 	if p.statsLogged && p.warmingUp(a.sentAt, server) {
-		p.stats.Add(statslog.Cold, 1)
+		p.stats.Add(statslog.SlowStartAttempts, 1)
 	}
 	to, listed := p.peers[server]
 	if r.ended || !listed || timeout <= 0 {
-		p.deferred = append(p.deferred, func(now policy.Time) { p.completeAttemptLocked(now, a, policy.StatusNotSent, nil, httpmsg.Answer{}) })
+		p.deferred = append(p.deferred, func(now policy.Time) { p.completeAttemptLocked(now, a, policy.StatusNotSent, nil, httpmsg.Response{}) })
 		return
 	}
 	p.spawn(func() { p.runAttempt(a, to) })
@@ -448,17 +448,17 @@
 
 func (p *Pool) Reject(id policy.RequestID, retryAfter time.Duration) {
 	r := p.requests[id]
-	p.reject(r, r.lastFailureOr(httpmsg.Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}, true))
+	p.reject(r, r.lastFailureOr(httpmsg.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}, true))
 }
 
 func (p *Pool) Fail(id policy.RequestID) {
 	r := p.requests[id]
-	p.finish(r, r.lastFailureOr(httpmsg.Answer{Status: http.StatusBadGateway}, false))
+	p.finish(r, r.lastFailureOr(httpmsg.Response{Status: http.StatusBadGateway}, false))
 }
 
 // lastFailureOr is what the client of r is told, whose attempts have failed: what a server has answered, or else a. An answer that
 // promises that asking again is harmless is not passed on where it is not.
-func (r *request) lastFailureOr(a httpmsg.Answer, harmless bool) httpmsg.Answer {
+func (r *request) lastFailureOr(a httpmsg.Response, harmless bool) httpmsg.Response {
 	if r == nil || r.lastFailure == nil {
 		return a
 	}
@@ -571,7 +571,7 @@
 			continue
 		}
 		p.balancer.HandleClientGone(now, r.id, p)
-		bad := errNoEndpoint.Answer()
+		bad := errNoEndpoint.Response()
 		if !p.settings.Config.RetryAfterHonored {
 			bad.RetryAfter = 0
 		}
@@ -618,7 +618,7 @@
 	ctx, cancel := context.WithCancel(p.ctx)
 	p.cancelWatch = cancel
 	since, from := p.listVersion, p.source
-	p.stats.Add(statslog.Calls, 1)
+	p.stats.Add(statslog.DiscoveryCalls, 1)
 	p.spawn(func() {
 		var old error
 		var stood policy.Time // since when it has; zero: it has told nothing
@@ -650,7 +650,7 @@
 			}
 			cancel()
 			p.cancelWatch = nil
-			p.stats.Add(statslog.CallsFailed, 1)
+			p.stats.Add(statslog.DiscoveryFailures, 1)
 			p.logWatchEnd(err)
 			kind := policy.UpdatePollFailed
 			if errors.Is(err, discovery.ErrSilenceTimeout) || stood > 0 && now-stood >= minStableWatch {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -103,7 +103,7 @@
 		"endless time":     {"GET", "/check", header("X-Timeout-Ms", "99999999999999999999"), 400},
 	} {
 		ask, err := p.ParseRequest(&httpmsg.Request{Method: c.method, Header: c.header}, c.path)
-		bad, _ := err.(httpmsg.Bad)
+		bad, _ := err.(httpmsg.RejectionError)
 		if bad.Status != c.status || (err == nil) != (c.status == 0) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/pool/probe.go
+++ b/internal/pool/probe.go
@@ -39,13 +39,13 @@
 		return
 	}
 	p.healthChecksInFlight++
-	p.stats.Add(statslog.Probes, 1)
+	p.stats.Add(statslog.HealthChecks, 1)
 	p.spawn(func() {
 		status, load := p.healthCheck(to)
 		p.runEvent(func(now policy.Time) {
 			p.healthChecksInFlight--
 			if status != policy.StatusOK {
-				p.stats.Add(statslog.ProbesLost, 1)
+				p.stats.Add(statslog.HealthChecksUnanswered, 1)
 			}
 			p.balancer.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: server, Status: status, Delay: now - sent, Load: load}, p)
 			p.noteReachability(server, status)
--- a/internal/pool/take.go
+++ b/internal/pool/take.go
@@ -17,7 +17,7 @@
 	defaultMaxDeadline = time.Minute
 )
 
-var errIDInUse = httpmsg.Bad{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
+var errIDInUse = httpmsg.RejectionError{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
 
 // ParsedRequest is what a request says of itself, as the module is told it.
 type ParsedRequest struct {
@@ -33,7 +33,7 @@
 func (a *ParsedRequest) Class() string { return a.policyRequest.Class }
 
 // ParseRequest reads what the head of a request says of itself; path is its path below what led to this pool, and its first part
-// is the class. What does not have the protocol's form is turned away here with a httpmsg.Bad, as servers would turn it
+// is the class. What does not have the protocol's form is turned away here with a httpmsg.RejectionError, as servers would turn it
 // away, or read something else in it.
 func (p *Pool) ParseRequest(q *httpmsg.Request, path string) (ParsedRequest, error) {
 	var ask ParsedRequest
@@ -42,7 +42,7 @@
 		return ParsedRequest{policyRequest: said.PolicyRequest, timeout: min(said.Timeout, p.maxDeadline), requestID: said.ID, idempotent: said.Idempotent, mayHaveBody: true}, err
 	}
 	bad := func(status int, text string) (ParsedRequest, error) {
-		return ParsedRequest{}, httpmsg.Bad{Status: status, Text: text}
+		return ParsedRequest{}, httpmsg.RejectionError{Status: status, Text: text}
 	}
 	ask.requestID = q.Header.Get("X-Request-Id")
 	if ask.requestID == "" || len(ask.requestID) > maxRequestIDBytes {
@@ -87,14 +87,14 @@
 }
 
 // Submit hands the module a request whose last byte has come. It calls free once the request's body is not needed any more,
-// and not at all if it returns an error, which is a httpmsg.Bad.
+// and not at all if it returns an error, which is a httpmsg.RejectionError.
 func (p *Pool) Submit(q *httpmsg.Request, ask ParsedRequest, free func()) (*Exchange, error) {
-	if ask.idempotent && !ask.mayHaveBody && (len(q.Body) > 0 || q.Rest != nil) {
-		return nil, httpmsg.Bad{Status: http.StatusBadRequest, Text: "a body where the class has none"}
+	if ask.idempotent && !ask.mayHaveBody && (len(q.Body) > 0 || q.Remainder != nil) {
+		return nil, httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "a body where the class has none"}
 	}
 	r := &request{
-		xRequestID: ask.requestID, forwarded: ask.forwarded, method: q.Method, uri: q.URI, host: q.Host, header: httpmsg.Forwarded(q.Header),
-		body: q.Body, streamedBody: q.Rest, releaseBody: free, clientGone: q.Left, response: make(chan httpmsg.Answer, 1),
+		xRequestID: ask.requestID, forwarded: ask.forwarded, method: q.Method, uri: q.URI, host: q.Host, header: httpmsg.RemoveHopByHopHeaders(q.Header),
+		body: q.Body, streamedBody: q.Remainder, releaseBody: free, clientGone: q.ClientGone, response: make(chan httpmsg.Response, 1),
 	}
 	if err := p.submit(r, ask.policyRequest, ask.timeout); err != nil {
 		return nil, err
@@ -102,8 +102,8 @@
 	return &Exchange{p, r}, nil
 }
 
-// Answer is where the one final answer comes.
-func (e *Exchange) Answer() <-chan httpmsg.Answer { return e.request.response }
+// Response is where the one final answer comes.
+func (e *Exchange) Response() <-chan httpmsg.Response { return e.request.response }
 
-// Withdraw tells that the client has left, and reports whether the request was still open: else its answer is there.
-func (e *Exchange) Withdraw() bool { return e.pool.cancelRequest(e.request) }
+// Cancel tells that the client has left, and reports whether the request was still open: else its answer is there.
+func (e *Exchange) Cancel() bool { return e.pool.cancelRequest(e.request) }
--- a/internal/pool/tally.go
+++ b/internal/pool/tally.go
@@ -10,21 +10,21 @@
 )
 
 // attemptStats are the ends of attempts that are counted by kind.
-var attemptStats = map[policy.Status]statslog.Count{
-	policy.StatusConnectFailed: statslog.Unreached, policy.StatusTimeout: statslog.TimedOut, policy.StatusApplicationError: statslog.Erred,
-	policy.StatusOverloaded: statslog.TurnedAway, policy.StatusReset: statslog.Broken,
+var attemptStats = map[policy.Status]statslog.Counter{
+	policy.StatusConnectFailed: statslog.ConnectFailures, policy.StatusTimeout: statslog.Timeouts, policy.StatusApplicationError: statslog.ErrorResponses,
+	policy.StatusOverloaded: statslog.OverloadRejections, policy.StatusReset: statslog.ConnectionResets,
 }
 
 // requestStat is as what the end of r counts, where that is told. A long answer counts as its first bytes come.
-func (p *Pool) requestStat(r *request, o metrics.Outcome) statslog.Count {
+func (p *Pool) requestStat(r *request, o metrics.Outcome) statslog.Counter {
 	switch o {
-	case metrics.Declined:
-		return statslog.Refused
+	case metrics.Rejected:
+		return statslog.Rejected
 	case metrics.Succeeded:
 		if aim := p.latencyObjectives[r.policyRequest.Class]; p.statsLogged && aim > 0 && p.now()-r.acceptedAt > aim {
-			return statslog.Late
+			return statslog.BeyondObjective
 		}
-		return statslog.InAim
+		return statslog.WithinObjective
 	}
 	return statslog.Failed
 }
@@ -48,15 +48,15 @@
 		}
 		p.mu.Lock()
 		row := p.stats
-		p.stats = statslog.Row{}
+		p.stats = statslog.IntervalStats{}
 		now := p.now()
 		seen := p.balancer.Summarize(now)
-		row.Usual, row.Short, row.Avoided, row.Open = seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints, len(p.requests)
+		row.TypicalDelay, row.CapacityShortage, row.EjectedEndpoints, row.OpenRequests = seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints, len(p.requests)
 		for id, e := range p.endpoints {
 			if discovery.States[e.Health] == policy.Ready {
-				row.Listed++
+				row.ReadyEndpoints++
 				if p.warmingUp(now, id) {
-					row.Warming++
+					row.WarmingEndpoints++
 				}
 			}
 		}
--- a/internal/pool/tally_test.go
+++ b/internal/pool/tally_test.go
@@ -43,12 +43,12 @@
 	defer p.Close()
 	src.calls <- endpointList(2, true, "a", "b") // one call has come, and ends
 	<-src.took
-	var sum statslog.Row
-	for sum.N[statslog.CallsFailed] == 0 || sum.N[statslog.Calls] < 2 {
+	var sum statslog.IntervalStats
+	for sum.Counters[statslog.DiscoveryFailures] == 0 || sum.Counters[statslog.DiscoveryCalls] < 2 {
 		select {
 		case line := <-out:
 			if _, _, row, ok := statslog.Parse(line); ok {
-				if row.Empty() || row.Listed != 2 {
+				if row.Empty() || row.ReadyEndpoints != 2 {
 					t.Errorf("told %s", line)
 				}
 				sum.Merge(row)
@@ -57,7 +57,7 @@
 			t.Fatalf("only %+v was told", sum)
 		}
 	}
-	if sum.N[statslog.Calls] != 2 || sum.N[statslog.CallsFailed] != 1 {
+	if sum.Counters[statslog.DiscoveryCalls] != 2 || sum.Counters[statslog.DiscoveryFailures] != 1 {
 		t.Errorf("two calls, of which one has ended, are told as %+v", sum)
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -89,10 +89,10 @@
 		return Config{}, errors.New("listen is not set")
 	case c.Discovery == "":
 		return Config{}, errors.New("discovery is not set")
-	case c.MemoryMB < gateway.LeastMemoryMB:
-		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, gateway.LeastMemoryMB)
-	case c.MaxDescriptors < gateway.LeastDescriptors:
-		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.MaxDescriptors, gateway.LeastDescriptors)
+	case c.MemoryMB < gateway.MinMemoryMB:
+		return Config{}, fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, gateway.MinMemoryMB)
+	case c.MaxDescriptors < gateway.MinDescriptors:
+		return Config{}, fmt.Errorf("limits.sockets is %d, below %d", c.MaxDescriptors, gateway.MinDescriptors)
 	case len(file.Settings) == 0:
 		return Config{}, errors.New("settings is not set")
 	}
@@ -102,8 +102,8 @@
 		}
 	}
 	if v := getenv("GW_FIGURES_EVERY"); v != "" {
-		if c.StatsInterval, err = time.ParseDuration(v); err != nil || c.StatsInterval < gateway.LeastFiguresEvery {
-			return Config{}, fmt.Errorf("GW_FIGURES_EVERY is %q, no time of %v or more", v, gateway.LeastFiguresEvery)
+		if c.StatsInterval, err = time.ParseDuration(v); err != nil || c.StatsInterval < gateway.MinStatsInterval {
+			return Config{}, fmt.Errorf("GW_FIGURES_EVERY is %q, no time of %v or more", v, gateway.MinStatsInterval)
 		}
 	}
 	if v := getenv("GW_FD"); v != "" {
--- a/internal/sidecar/deployments_test.go
+++ b/internal/sidecar/deployments_test.go
@@ -32,7 +32,7 @@
 		if status := ask(s, other, id+"-other"); status != http.StatusNotFound {
 			t.Errorf("%s at the sidecar of %s: %d, want none such", other, own, status)
 		}
-		f := s.Figures()
+		f := s.Vars()
 		if _, is := f.Results[other]; is || f.Discovered != 1 {
 			t.Errorf("the figures of %s: %+v", own, f)
 		}
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -103,7 +103,7 @@
 	if learnedStateFile != "sorrelrudder-learnt.json" {
 		t.Errorf("the file is named %s", learnedStateFile)
 	}
-	value := gateway.Learnt{
+	value := gateway.LearnedState{
 		Clients: keepalive.History{
 			1: {{Waited: []float64{1.5, 2.5}, Used: []float64{3, 4}}, {Waited: []float64{5.5}, Used: []float64{6}}},
 			2: {{Waited: []float64{7.5}, Used: []float64{8}}},
@@ -138,7 +138,7 @@
 	if !bytes.Equal(encoded, golden) {
 		t.Errorf("encoded as\n%swant\n%s", encoded, golden)
 	}
-	var decoded gateway.Learnt
+	var decoded gateway.LearnedState
 	if err := json.Unmarshal(golden, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
 		t.Errorf("%v\n got %+v\nwant %+v", err, decoded, value)
 	}
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -45,17 +45,17 @@
 		"length":     fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
 		"chunks":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, 100_000),
 		"one chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, len(long)),
-		"just long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MostBody+1, long[:httpmsg.MostBody+1]),
-		"just short": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MostBody, long[:httpmsg.MostBody]),
-		"just full":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long[:httpmsg.MostBody], 1000),
+		"just long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBodyBytes+1, long[:httpmsg.MaxBufferedBodyBytes+1]),
+		"just short": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBodyBytes, long[:httpmsg.MaxBufferedBodyBytes]),
+		"just full":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long[:httpmsg.MaxBufferedBodyBytes], 1000),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			want := long
 			if strings.HasPrefix(name, "just") {
-				want = long[:httpmsg.MostBody]
+				want = long[:httpmsg.MaxBufferedBodyBytes]
 				if name == "just long" {
-					want = long[:httpmsg.MostBody+1]
+					want = long[:httpmsg.MaxBufferedBodyBytes+1]
 				}
 			}
 			u := startUpstream(t, func(*http.Request, []byte) string { return text })
@@ -81,7 +81,7 @@
 				}
 			}
 			waitFor(t, "the figures", func() bool {
-				return s.Figures().Results["check"].Succeeded == answered && s.Figures().Outstanding == 0
+				return s.Vars().Results["check"].Succeeded == answered && s.Vars().Outstanding == 0
 			})
 			// HTTP/1.0 knows no chunks: the end of the connection is that of the answer.
 			old := s.dial(t)
@@ -126,7 +126,7 @@
 				}
 				n += k
 			}
-			if n := s.Figures().Outstanding; n != 1 {
+			if n := s.Vars().Outstanding; n != 1 {
 				t.Errorf("%d requests are outstanding, want 1", n)
 			}
 			close(more)
@@ -174,8 +174,8 @@
 					t.Error("a part of an answer seems whole")
 				}
 				waitFor(t, "the figures", func() bool {
-					f := s.Figures()
-					return f.Results["check"].Aborted == 1 && f.Results["check"].Succeeded == 0 && f.Outstanding == 0
+					f := s.Vars()
+					return f.Results["check"].Failed == 1 && f.Results["check"].Succeeded == 0 && f.Outstanding == 0
 				})
 			})
 		}
@@ -201,7 +201,7 @@
 	if err := <-ended; err == nil {
 		t.Error("the server could write it all")
 	}
-	waitFor(t, "the end of the request", func() bool { return s.Figures().Outstanding == 0 })
+	waitFor(t, "the end of the request", func() bool { return s.Vars().Outstanding == 0 })
 }
 
 // TestLongBodies guards against long bodies that reach a server otherwise than they were sent.
@@ -233,7 +233,7 @@
 			if status, body := c.ask(t, text); status != 200 || body != "a" || !bytes.Equal(got, long) {
 				t.Errorf("%d %.20q, the server had %d bytes of %d", status, body, len(got), len(long))
 			}
-			if f := s.Figures(); f.Forwards != 1 || f.Results["book"].Succeeded != 1 {
+			if f := s.Vars(); f.Forwards != 1 || f.Results["book"].Succeeded != 1 {
 				t.Errorf("%+v", f)
 			}
 			if name == "length" { // its connection goes on
@@ -253,9 +253,9 @@
 	half := post("book", "a", fmt.Sprintf("Content-Length: 1000000\r\n\r\n%s", longBody(400_000)))
 	leaves := s.dial(t)
 	io.WriteString(leaves, half)
-	waitFor(t, "the request", func() bool { return s.Figures().Outstanding == 1 })
+	waitFor(t, "the request", func() bool { return s.Vars().Outstanding == 1 })
 	leaves.Close()
-	waitFor(t, "its end", func() bool { return s.Figures().Outstanding == 0 })
+	waitFor(t, "its end", func() bool { return s.Vars().Outstanding == 0 })
 	stalls := s.dial(t)
 	if status, _ := stalls.ask(t, strings.Replace(half, "ID: a", "ID: b", 1)); status != http.StatusRequestTimeout {
 		t.Errorf("a body that stands still: %d, want %d", status, http.StatusRequestTimeout)
@@ -267,7 +267,7 @@
 	if n := u.runs.Load(); n != 0 {
 		t.Errorf("%d requests ran", n)
 	}
-	if f := s.Figures(); f.Forwards != 0 || f.Results["book"].Aborted != 3 {
+	if f := s.Vars(); f.Forwards != 0 || f.Results["book"].Failed != 3 {
 		t.Errorf("%+v", f)
 	}
 	if status, body := s.dial(t).ask(t, get("d")); status != 200 || body != "d" {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -28,13 +28,13 @@
 // gatewayConfig is cfg as the process takes it. Requests wait in the module for the platform's first list.
 func (c *Config) gatewayConfig() gateway.Config {
 	return gateway.Config{
-		Name: c.Name, MemoryMB: max(c.MemoryMB/c.processCount(), gateway.LeastMemoryMB), Admin: c.AdminAddress, FiguresEvery: c.StatsInterval,
-		DrainMost:   maxDrainTime,
-		Descriptors: max(c.MaxDescriptors/c.processCount(), gateway.LeastDescriptors),
+		Name: c.Name, MemoryMB: max(c.MemoryMB/c.processCount(), gateway.MinMemoryMB), AdminAddress: c.AdminAddress, StatsInterval: c.StatsInterval,
+		MaxDrain:    maxDrainTime,
+		Descriptors: max(c.MaxDescriptors/c.processCount(), gateway.MinDescriptors),
 		Listeners:   []gateway.Listener{{Name: c.Name, Address: c.Listen, FD: c.ListenerFD}},
 		Pools: []gateway.Pool{{
-			Name: poolName, Settings: c.Settings, Discovery: c.Discovery, Known: c.CachedList, Seed: c.Seed,
-			Limits: gateway.Limits{Weight: 1, Hold: true},
+			Name: poolName, Settings: c.Settings, Discovery: c.Discovery, CachedList: c.CachedList, Seed: c.Seed,
+			Limits: gateway.Limits{Weight: 1, QueueWithoutEndpoints: true},
 		}},
 	}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{s, s.Addr("n").String(), make(chan struct{}), cancel}
+	r := &running{s, s.ListenerAddr("n").String(), make(chan struct{}), cancel}
 	go func() {
 		defer close(r.ended)
 		s.Gateway.Run(ctx)
@@ -315,7 +315,7 @@
 func TestUsualClients(t *testing.T) {
 	u := startUpstream(t, func(q *http.Request, body []byte) string { return ok(q.URL.RequestURI() + " " + string(body)) })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-	key, long := "Idempotency-Key: k\r\n", strings.Repeat("x", httpmsg.MostBody-20)
+	key, long := "Idempotency-Key: k\r\n", strings.Repeat("x", httpmsg.MaxBufferedBodyBytes-20)
 	c := s.dial(t)
 	for i, tc := range []struct{ text, want string }{
 		{strings.Replace(get("a"), "/check", "/check/%2e%2e//7?v=7", 1), "/check/%2e%2e//7?v=7 "},
@@ -616,7 +616,7 @@
 	}
 	close(tell)
 	ended.Wait() // or the test times out
-	if n := s.Load().Servers; n != 1 {
+	if n := s.Load().Endpoints; n != 1 {
 		t.Errorf("%d upstreams are kept, want 1", n)
 	}
 }
--- a/internal/sidecar/succession.go
+++ b/internal/sidecar/succession.go
@@ -43,11 +43,11 @@
 	s.updateLimits(company)
 	if s.processCount() > 1 {
 		s.log.Info("takes the place of another process")
-		if err := s.OpenDoor(); err != nil {
+		if err := s.StartAdmin(); err != nil {
 			company.Leave()
 			return err
 		}
-		s.Hurry()
+		s.RefreshEndpoints()
 		s.awaitFirstList(ctx)
 		s.readLearnedState()
 	}
@@ -61,7 +61,7 @@
 	defer cancel()
 	tick := time.NewTicker(firstListPollInterval)
 	defer tick.Stop()
-	for !s.Told() {
+	for !s.EndpointsKnown() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -81,7 +81,7 @@
 			s.updateLimits(company)
 			s.writeLearnedState()
 		case <-ctx.Done():
-			<-s.Ended()
+			<-s.Done()
 			return
 		}
 	}
@@ -96,7 +96,7 @@
 // writeLearnedState writes down what has been learnt. It replaces the file whole, so that nobody reads a part of it.
 func (s *Sidecar) writeLearnedState() {
 	path := filepath.Join(s.cfg.SharedDir, learnedStateFile)
-	text, err := json.Marshal(s.Learnt())
+	text, err := json.Marshal(s.ExportLearnedState())
 	if err == nil {
 		if err = os.WriteFile(path+".new", text, 0o600); err == nil {
 			err = os.Rename(path+".new", path)
@@ -115,7 +115,7 @@
 		return
 	}
 	text, err := os.ReadFile(path)
-	var l gateway.Learnt
+	var l gateway.LearnedState
 	if err == nil {
 		err = json.Unmarshal(text, &l)
 	}
@@ -123,7 +123,7 @@
 		s.log.Warn("cannot use what the other process has learnt", "err", err)
 		return
 	}
-	s.Adopt(l)
+	s.ImportLearnedState(l)
 }
 
 // updateLimits takes over this process's part of the limits, if that has changed.
--- a/internal/sidecar/succession_test.go
+++ b/internal/sidecar/succession_test.go
@@ -158,9 +158,9 @@
 	clients.Wait()
 	sum := int64(0)
 	for _, s := range []*running{old, next} {
-		c := s.Figures().Results["check"]
-		if c.Succeeded == 0 || c.Declined != 0 || c.Aborted != 0 || s.Figures().Forwards < c.Succeeded {
-			t.Errorf("figures: %+v", s.Figures())
+		c := s.Vars().Results["check"]
+		if c.Succeeded == 0 || c.Rejected != 0 || c.Failed != 0 || s.Vars().Forwards < c.Succeeded {
+			t.Errorf("figures: %+v", s.Vars())
 		}
 		sum += c.Succeeded
 	}
@@ -202,7 +202,7 @@
 		}
 		next := startHeld(t, held.(*net.TCPListener), dir, getenv)
 		waitFor(t, "the second process", func() bool { return next.Ready() == nil })
-		if !next.Told() {
+		if !next.EndpointsKnown() {
 			t.Error("it is ready, and has not heard from discovery")
 		}
 		next.end()
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -53,9 +53,9 @@
 }
 
 // eventForm is a batch of one event to one instance, as one line.
-func eventForm(name string, e event, full bool) goldentest.Form {
+func eventForm(name string, e message, full bool) goldentest.Form {
 	at := int64(20000)
-	b := batch{AtTimeUs: &at, Groups: []group{{Sidecar: "sidecar/0", Msgs: []event{e}}}}
+	b := messageBatch{TimeUs: &at, Groups: []messageGroup{{Instance: "sidecar/0", Messages: []message{e}}}}
 	text, err := json.Marshal(b)
 	if err != nil {
 		panic(err)
@@ -70,7 +70,7 @@
 		panic(err)
 	}
 	read := func(text string) (any, error) {
-		var b batch
+		var b messageBatch
 		err := json.Unmarshal([]byte(text), &b)
 		return b, err
 	}
@@ -80,34 +80,34 @@
 // session is one of every event, and of each value of every enumeration, in an order in which an instance can take them.
 func session() []goldentest.Form {
 	const server = "10.0.0.1:80"
-	lines := []entry{
-		{LastStartUs: 5, CapacityHint: 1.5, Lifecycle: "on", Az: "a", Upstream: server, UnitGroup: 3, GenerationHw: "gen7"},
-		{Lifecycle: "fading", Az: "a", Upstream: "10.0.0.2:80", CapacityHint: 1}, {Lifecycle: "off", Az: "b", Upstream: "10.0.0.3:80"},
+	lines := []endpoint{
+		{StartedUs: 5, Weight: 1.5, State: "on", Zone: "a", ID: server, Cell: 3, MachineType: "gen7"},
+		{State: "fading", Zone: "a", ID: "10.0.0.2:80", Weight: 1}, {State: "off", Zone: "b", ID: "10.0.0.3:80"},
 	}
 	all := []goldentest.Form{
-		eventForm("open", event{Cmd: "OpenInstance", Salt: 1<<63 | 7, Settings: json.RawMessage(sessionSettings)}, false),
-		eventForm("list", event{Cmd: "Pool", Page: 2, Lines: lines}, false),
+		eventForm("open", message{Command: "OpenInstance", Seed: 1<<63 | 7, Settings: json.RawMessage(sessionSettings)}, false),
+		eventForm("list", message{Command: "Pool", ListNumber: 2, Endpoints: lines}, false),
 	}
-	for _, how := range slices.Sorted(maps.Keys(kinds)) {
-		all = append(all, eventForm("list that is "+how, event{Cmd: "BackendsChanged", How: how, Page: 2}, false))
+	for _, how := range slices.Sorted(maps.Keys(updateKindByName)) {
+		all = append(all, eventForm("list that is "+how, message{Command: "BackendsChanged", UpdateKind: how, ListNumber: 2}, false))
 	}
-	for i, outcome := range slices.Sorted(maps.Keys(statuses)) {
+	for i, outcome := range slices.Sorted(maps.Keys(statusByName)) {
 		corr := uint64(i + 1)
-		demand := event{Cmd: "Demand", Corr: corr, CostUs: 900, ExpiresUs: 400020, IsRetry: true, Item: "91f0", Project: "acme", Type: "q"}
-		report := event{Cmd: "ReportBack", Corr: corr, Terminal: true, Disposition: outcome, DelaySeenUs: 7000, Upstream: server, Metrics: []float64{2, 7.5}}
+		demand := message{Command: "Demand", RequestID: corr, ExpectedWorkUs: 900, ExpiresUs: 400020, IsRetry: true, Key: "91f0", Tenant: "acme", Class: "q"}
+		report := message{Command: "ReportBack", RequestID: corr, RequestEnded: true, Status: outcome, DelayUs: 7000, Endpoint: server, LoadReport: []float64{2, 7.5}}
 		all = append(all, eventForm("request", demand, false), eventForm("outcome "+outcome, report, false))
 	}
-	for _, outcome := range slices.Sorted(maps.Keys(statuses)) {
-		e := event{Cmd: "HealthResult", Disposition: outcome, DelaySeenUs: 600, Upstream: server, Metrics: []float64{3, 8.5}}
+	for _, outcome := range slices.Sorted(maps.Keys(statusByName)) {
+		e := message{Command: "HealthResult", Status: outcome, DelayUs: 600, Endpoint: server, LoadReport: []float64{3, 8.5}}
 		all = append(all, eventForm("probe "+outcome, e, false))
 	}
 	return append(all,
-		eventForm("request that streams", event{Cmd: "Demand", Corr: 1 << 52, Type: "q", ExpiresUs: 500000}, false),
-		eventForm("first part of an answer", event{Cmd: "Opened", Corr: 1 << 52, Shot: 1}, false),
-		eventForm("request withdrawn", event{Cmd: "Withdrawn", Corr: 1 << 52}, false),
-		eventForm("timer", event{Cmd: "DeadlineHit", Ctx: "watch"}, false),
-		eventForm("note of a neighbour", event{Cmd: "Memo"}, false),
-		eventForm("end", event{Cmd: "Halt"}, false),
+		eventForm("request that streams", message{Command: "Demand", RequestID: 1 << 52, Class: "q", ExpiresUs: 500000}, false),
+		eventForm("first part of an answer", message{Command: "Opened", RequestID: 1 << 52, Attempt: 1}, false),
+		eventForm("request withdrawn", message{Command: "Withdrawn", RequestID: 1 << 52}, false),
+		eventForm("timer", message{Command: "DeadlineHit", TimerToken: "watch"}, false),
+		eventForm("note of a neighbour", message{Command: "Memo"}, false),
+		eventForm("end", message{Command: "Halt"}, false),
 	)
 }
 
@@ -118,11 +118,11 @@
 
 // TestEventForm pins every event that comes in.
 func TestEventForm(t *testing.T) {
-	full := event{
-		Cmd: "Demand", Salt: 1, Settings: json.RawMessage(`{"GroupSize":1}`), Page: 2,
-		Lines: []entry{{LastStartUs: 5, CapacityHint: 1.5, Lifecycle: "on", Az: "a", Upstream: "10.0.0.1:80", UnitGroup: 3, GenerationHw: "gen7"}},
-		How:   "patch", Corr: 1<<63 | 1, CostUs: 900, ExpiresUs: 400020, IsRetry: true, Item: "91f0", Project: "acme", Type: "q", Shot: 1,
-		Terminal: true, Disposition: "delivered", DelaySeenUs: 7000, Upstream: "10.0.0.1:80", Metrics: []float64{2.5}, Ctx: "watch",
+	full := message{
+		Command: "Demand", Seed: 1, Settings: json.RawMessage(`{"GroupSize":1}`), ListNumber: 2,
+		Endpoints:  []endpoint{{StartedUs: 5, Weight: 1.5, State: "on", Zone: "a", ID: "10.0.0.1:80", Cell: 3, MachineType: "gen7"}},
+		UpdateKind: "patch", RequestID: 1<<63 | 1, ExpectedWorkUs: 900, ExpiresUs: 400020, IsRetry: true, Key: "91f0", Tenant: "acme", Class: "q", Attempt: 1,
+		RequestEnded: true, Status: "delivered", DelayUs: 7000, Endpoint: "10.0.0.1:80", LoadReport: []float64{2.5}, TimerToken: "watch",
 	}
 	goldentest.CheckForms(t, "events.golden", append([]goldentest.Form{eventForm("all fields", full, true)}, session()...))
 }
@@ -133,7 +133,7 @@
 	var forms []goldentest.Form
 	h := &host{instances: map[string]*instance{}}
 	for _, f := range session() {
-		out, err := h.batch([]byte(f.Written))
+		out, err := h.handleBatch([]byte(f.Written))
 		if err != nil {
 			t.Fatalf("%s: %v", f.Written, err)
 		}
@@ -144,8 +144,8 @@
 		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * policy.Time(time.Microsecond)},
 		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
 	}
-	if !reflect.DeepEqual(h.pages[2], want) {
-		t.Errorf("the list is %+v, want %+v", h.pages[2], want)
+	if !reflect.DeepEqual(h.endpointLists[2], want) {
+		t.Errorf("the list is %+v, want %+v", h.endpointLists[2], want)
 	}
 }
 
@@ -155,13 +155,13 @@
 	add := func(name string, act func(*instance)) {
 		i := &instance{}
 		act(i)
-		value := reply{Groups: []orders{{Sidecar: "sidecar/0", Orders: i.orders}}}
+		value := actionBatch{Groups: []actionGroup{{Instance: "sidecar/0", Actions: i.actions}}}
 		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		read := func(text string) (any, error) {
-			var r reply
+			var r actionBatch
 			err := json.Unmarshal([]byte(text), &r)
 			return r, err
 		}
@@ -180,26 +180,26 @@
 	add("watch no more", func(i *instance) { i.WatchEndpoints(false) })
 	add("log", func(i *instance) { i.Log("hello") })
 	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
-	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
+	got, err := h.dispatch(0, "sidecar/0", &message{Command: "Demand"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got[0].Text, _, _ = strings.Cut(got[0].Text, ":")
-	add("fault", func(i *instance) { i.orders = got })
+	add("fault", func(i *instance) { i.actions = got })
 	goldentest.CheckForms(t, "orders.golden", forms)
 }
 
 // TestWords pins what each word of the simulator means, and that there are no others.
 func TestWords(t *testing.T) {
-	checkWords(t, "outcome", statuses, map[string]policy.Status{
+	checkWords(t, "outcome", statusByName, map[string]policy.Status{
 		"delivered": policy.StatusOK, "app_error": policy.StatusApplicationError, "shed": policy.StatusOverloaded, "expired": policy.StatusTimeout,
 		"dial_failed": policy.StatusConnectFailed, "dropped": policy.StatusReset, "revoked": policy.StatusCanceled, "unused": policy.StatusNotSent,
 	})
-	checkWords(t, "state", states, map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed})
-	checkWords(t, "list", kinds, map[string]policy.UpdateKind{
+	checkWords(t, "state", stateByName, map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed})
+	checkWords(t, "list", updateKindByName, map[string]policy.UpdateKind{
 		"patch": policy.UpdateDelta, "whole": policy.UpdateFull, "stale_copy": policy.UpdateCached, "broken": policy.UpdatePollFailed,
 	})
-	events := slices.Sorted(maps.Keys(known))
+	events := slices.Sorted(maps.Keys(instanceCommands))
 	if got := fmt.Sprint(events); got != "[BackendsChanged DeadlineHit Demand Halt HealthResult Memo Opened ReportBack Withdrawn]" {
 		t.Errorf("events %s", got)
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -87,8 +87,8 @@
 
 func TestPanicBecomesFault(t *testing.T) {
 	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
-	got, err := h.dispatch(0, "sidecar/0", &event{Cmd: "Demand"})
-	if err != nil || len(got) != 1 || got[0].Cmd != "Fault" || !strings.Contains(got[0].Text, "Demand") {
+	got, err := h.dispatch(0, "sidecar/0", &message{Command: "Demand"})
+	if err != nil || len(got) != 1 || got[0].Command != "Fault" || !strings.Contains(got[0].Text, "Demand") {
 		t.Errorf("got %+v, %v; want a Fault that names the event", got, err)
 	}
 }
@@ -103,7 +103,7 @@
 	i.CheckHealth("10.0.0.1:80")
 	i.WatchEndpoints(false)
 	i.Log("hello")
-	text, err := json.Marshal(i.orders)
+	text, err := json.Marshal(i.actions)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,8 +129,8 @@
 		{[]string{"inflight", "util"}, []float64{4, 0.5}, &policy.LoadReport{Queue: -1, InFlight: 4, Latency: -1, ErrorRate: -1}},
 	}
 	for _, tt := range tests {
-		i := &instance{fields: tt.fields}
-		if got := i.load(tt.row); !reflect.DeepEqual(got, tt.want) {
+		i := &instance{loadFields: tt.fields}
+		if got := i.parseLoad(tt.row); !reflect.DeepEqual(got, tt.want) {
 			t.Errorf("load(%v) of %v = %+v, want %+v", tt.row, tt.fields, got, tt.want)
 		}
 	}
--- a/internal/sitelink/bridge.go
+++ b/internal/sitelink/bridge.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// Crossing is the method of gateway.Extension.
-func (b *Bridge) Crossing(pool string) gateway.Crossing {
+// Spillover is the method of gateway.Extension.
+func (b *Bridge) Spillover(pool string) gateway.Spillover {
 	if c := b.pools[pool]; c != nil {
 		return c
 	}
@@ -148,8 +148,8 @@
 // Handler is the method of gateway.Extension.
 func (b *Bridge) Handler(g *gateway.Gateway) downstream.Handler { return &handler{b, g} }
 
-// Identify is the method of gateway.Extension: the name of the peer at the other end, or "?".
-func (b *Bridge) Identify(c net.Conn) string {
+// PeerName is the method of gateway.Extension: the name of the peer at the other end, or "?".
+func (b *Bridge) PeerName(c net.Conn) string {
 	if t, ok := c.(*tls.Conn); ok {
 		chains := t.ConnectionState().VerifiedChains
 		if len(chains) == 0 || len(chains[0]) == 0 {
@@ -175,8 +175,8 @@
 	return "?"
 }
 
-// Wrap is the method of gateway.Extension.
-func (b *Bridge) Wrap(ln net.Listener) net.Listener {
+// WrapListener is the method of gateway.Extension.
+func (b *Bridge) WrapListener(ln net.Listener) net.Listener {
 	if b.server == nil {
 		return ln
 	}
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -58,7 +58,7 @@
 	stop   context.CancelFunc
 }
 
-func (s *site) addr(listener string) string { return s.gw.Addr(listener).String() }
+func (s *site) addr(listener string) string { return s.gw.ListenerAddr(listener).String() }
 
 // farm are the classes of the tests' pool, with an aim so far off that nothing is refused for being late.
 func farm(zone string) settings.Settings {
@@ -104,10 +104,10 @@
 	}
 	gcfg := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
-		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: hopAt, Foreign: true}},
-		Pools:     []gateway.Pool{{Name: "farm", Settings: set, Servers: hosts, Limits: gateway.Limits{Weight: 1}}},
+		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: hopAt, InterSite: true}},
+		Pools:     []gateway.Pool{{Name: "farm", Settings: set, StaticEndpoints: hosts, Limits: gateway.Limits{Weight: 1}}},
 	}
-	if s.gw, err = gateway.NewWith(gcfg, log, s.bridge); err != nil {
+	if s.gw, err = gateway.NewWithExtension(gcfg, log, s.bridge); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.bridge.Start(s.gw); err != nil {
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -98,7 +98,7 @@
 	pc.Settings = c.cfg.Settings
 	pc.Settings.Config = cfg
 	var err error
-	if c.far, err = g.Beside(pc, dial, c.log); err != nil {
+	if c.far, err = g.NewAuxiliaryPool(pc, dial, c.log); err != nil {
 		return err
 	}
 	c.client = &http.Client{Transport: &http.Transport{
@@ -222,7 +222,7 @@
 		return siteheader.Answer{}, 0, err
 	}
 	defer resp.Body.Close()
-	if _, err := io.CopyN(io.Discard, resp.Body, httpmsg.MostBody); !errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, resp.Body, httpmsg.MaxBufferedBodyBytes); !errors.Is(err, io.EOF) {
 		return siteheader.Answer{}, 0, fmt.Errorf("a probe's answer: %w", err)
 	}
 	a, err := siteheader.ParseAnswer(resp.Header.Values(siteheader.AnswerField), 0)
@@ -274,8 +274,8 @@
 	c.changed(ch, nil)
 }
 
-// Offered is the method of gateway.Crossing.
-func (c *crossing) Offered(class string) {
+// RecordRequest is the method of gateway.Spillover.
+func (c *crossing) RecordRequest(class string) {
 	now := c.bridge.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,8 +285,8 @@
 	}
 }
 
-// Cross is the method of gateway.Crossing.
-func (c *crossing) Cross(ctx context.Context, h *pool.RejectedRequest) {
+// Forward is the method of gateway.Spillover.
+func (c *crossing) Forward(ctx context.Context, h *pool.RejectedRequest) {
 	now := c.bridge.now()
 	c.mu.Lock()
 	c.grant.RecordLocalRejected(now)
@@ -308,11 +308,11 @@
 	x, err := c.far.SubmitRejected(h, time.Until(h.Deadline), len(h.PriorAttempts)+1)
 	if err == nil {
 		select {
-		case ans = <-x.Answer():
+		case ans = <-x.Response():
 		case <-h.ClientGone():
-			x.Withdraw()
+			x.Cancel()
 		case <-ctx.Done():
-			x.Withdraw()
+			x.Cancel()
 		}
 		if spent, _ := x.AttemptSummary(); spent == 0 && ans.Status == http.StatusServiceUnavailable {
 			c.unstick()
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -103,7 +103,7 @@
 	var forms []goldentest.Form
 	refuse := func(name, peer, path string, header http.Header) {
 		_, _, err := h.Admit(&httpmsg.Request{Method: http.MethodGet, Path: path, Peer: peer, Header: header})
-		bad, ok := err.(httpmsg.Bad)
+		bad, ok := err.(httpmsg.RejectionError)
 		if !ok {
 			t.Fatalf("%s: %v is no refusal", name, err)
 		}
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -30,12 +30,12 @@
 }
 
 // bad turns a request away of which nothing has run.
-func (h *handler) bad(status int, text string) httpmsg.Bad {
-	return httpmsg.Bad{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
+func (h *handler) bad(status int, text string) httpmsg.RejectionError {
+	return httpmsg.RejectionError{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
 }
 
 // Admit is the method of downstream.Handler.
-func (h *handler) Admit(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) Admit(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	if h.b.peer(q.Peer) == nil {
 		return nil, 0, h.bad(http.StatusForbidden, "not a peer of this site")
 	}
@@ -82,20 +82,20 @@
 	for len(f.PolicyRequest.PriorAttempts) < r.Used {
 		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
-	a, owner, err := h.g.AdmitForeign(q, r.Pool, f)
+	a, owner, err := h.g.AdmitFromSite(q, r.Pool, f)
 	if err != nil {
-		var why httpmsg.Bad
+		var why httpmsg.RejectionError
 		if !errors.As(err, &why) {
 			return nil, owner, err
 		}
 		why.Header = h.b.field(siteheader.Answer{How: siteheader.Refused, Room: c.room()})
 		return nil, owner, why
 	}
-	return &admission{Admission: a, c: c}, owner, nil
+	return &admission{AdmittedRequest: a, c: c}, owner, nil
 }
 
 // probed answers a probe with the room of the pool that it asks about.
-func (h *handler) probed(q *httpmsg.Request) (downstream.Admission, downstream.Owner, error) {
+func (h *handler) probed(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	c := h.b.pools[q.Header.Get(poolField)]
 	if c == nil && q.Header.Get(poolField) != "" {
 		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
@@ -104,20 +104,20 @@
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
 	}
 	a := siteheader.Answer{How: siteheader.Served}
-	if c != nil && h.g.Serves(c.name) {
+	if c != nil && h.g.HasReadyEndpoint(c.name) {
 		a.Room = c.room()
 	}
-	return told{httpmsg.Answer{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
+	return told{httpmsg.Response{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
 }
 
 // told is a request whose answer is known.
-type told struct{ a httpmsg.Answer }
+type told struct{ a httpmsg.Response }
 
-func (t told) Take([]byte, httpmsg.Rest) (downstream.Exchange, error) { return t, nil }
-func (told) Release()                                                 {}
-func (told) Withdraw() bool                                           { return false }
-func (t told) Answer() <-chan httpmsg.Answer {
-	c := make(chan httpmsg.Answer, 1)
+func (t told) Dispatch([]byte, httpmsg.BodyStream) (downstream.Exchange, error) { return t, nil }
+func (told) Release()                                                           {}
+func (told) Cancel() bool                                                       { return false }
+func (t told) Response() <-chan httpmsg.Response {
+	c := make(chan httpmsg.Response, 1)
 	c <- t.a
 	return c
 }
@@ -132,15 +132,15 @@
 
 // admission is a foreign request that the pool's limits let in.
 type admission struct {
-	downstream.Admission
+	downstream.AdmittedRequest
 	c *crossing
 }
 
-// Take is the method of downstream.Admission.
-func (a *admission) Take(body []byte, rest httpmsg.Rest) (downstream.Exchange, error) {
-	x, err := a.Admission.Take(body, rest)
+// Dispatch is the method of downstream.AdmittedRequest.
+func (a *admission) Dispatch(body []byte, rest httpmsg.BodyStream) (downstream.Exchange, error) {
+	x, err := a.AdmittedRequest.Dispatch(body, rest)
 	if err != nil {
-		var why httpmsg.Bad
+		var why httpmsg.RejectionError
 		if errors.As(err, &why) {
 			why.Header = a.c.bridge.field(siteheader.Answer{How: siteheader.Refused, Room: a.c.room()})
 			return nil, why
@@ -157,15 +157,15 @@
 type exchange struct {
 	downstream.Exchange
 	c      *crossing
-	answer chan httpmsg.Answer
+	answer chan httpmsg.Response
 	left   chan struct{}
 }
 
 func newExchange(c *crossing, x downstream.Exchange) *exchange {
-	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Answer, 1), left: make(chan struct{})}
+	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Response, 1), left: make(chan struct{})}
 	c.bridge.work.Go(func() {
 		select {
-		case ans := <-x.Answer():
+		case ans := <-x.Response():
 			e.answer <- e.mark(ans)
 		case <-e.left:
 			e.back(false)
@@ -183,7 +183,7 @@
 }
 
 // mark adds the field of the hop to an answer.
-func (e *exchange) mark(ans httpmsg.Answer) httpmsg.Answer {
+func (e *exchange) mark(ans httpmsg.Response) httpmsg.Response {
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
 	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
 	ran := true
@@ -211,26 +211,26 @@
 	return ans
 }
 
-// Answer is the method of downstream.Exchange.
-func (e *exchange) Answer() <-chan httpmsg.Answer { return e.answer }
+// Response is the method of downstream.Exchange.
+func (e *exchange) Response() <-chan httpmsg.Response { return e.answer }
 
-// Withdraw is the method of downstream.Exchange.
-func (e *exchange) Withdraw() bool {
-	if !e.Exchange.Withdraw() {
+// Cancel is the method of downstream.Exchange.
+func (e *exchange) Cancel() bool {
+	if !e.Exchange.Cancel() {
 		return false
 	}
 	close(e.left)
 	return true
 }
 
-// Pause is the method of downstream.Handler: peers are not paced, their room is.
-func (*handler) Pause(downstream.Owner, int) time.Duration { return 0 }
+// ReadDelay is the method of downstream.Handler: peers are not paced, their room is.
+func (*handler) ReadDelay(downstream.PoolID, int) time.Duration { return 0 }
 
-// Hold is the method of downstream.Handler.
-func (*handler) Hold(downstream.Owner) bool { return true }
+// AcquireConnection is the method of downstream.Handler.
+func (*handler) AcquireConnection(downstream.PoolID) bool { return true }
 
-// Drop is the method of downstream.Handler.
-func (*handler) Drop(downstream.Owner) {}
+// ReleaseConnection is the method of downstream.Handler.
+func (*handler) ReleaseConnection(downstream.PoolID) {}
 
-// Excess is the method of downstream.Handler.
-func (*handler) Excess(downstream.Owner) int64 { return 0 }
+// ConnectionExcess is the method of downstream.Handler.
+func (*handler) ConnectionExcess(downstream.PoolID) int64 { return 0 }
--- a/internal/statslog/form_test.go
+++ b/internal/statslog/form_test.go
@@ -14,12 +14,12 @@
 
 // TestLineForm holds the log line of a full Row both ways: 'sorrelrudder fleet' reads the logs of older versions too.
 func TestLineForm(t *testing.T) {
-	at, row := time.Date(2026, 1, 2, 3, 4, 5, 678e6, time.UTC), Row{
-		N: [...]int{
-			Taken: 101, InAim: 102, Late: 103, Refused: 104, Failed: 105, Left: 106, Sends: 107, Cold: 108, Again: 109, Unreached: 110,
-			TimedOut: 111, Erred: 112, TurnedAway: 113, Broken: 114, Probes: 115, ProbesLost: 116, Dials: 117, Calls: 118, CallsFailed: 119,
+	at, row := time.Date(2026, 1, 2, 3, 4, 5, 678e6, time.UTC), IntervalStats{
+		Counters: [...]int{
+			Requests: 101, WithinObjective: 102, BeyondObjective: 103, Rejected: 104, Failed: 105, ClientGone: 106, Attempts: 107, SlowStartAttempts: 108, FurtherAttempts: 109, ConnectFailures: 110,
+			Timeouts: 111, ErrorResponses: 112, OverloadRejections: 113, ConnectionResets: 114, HealthChecks: 115, HealthChecksUnanswered: 116, Dials: 117, DiscoveryCalls: 118, DiscoveryFailures: 119,
 		},
-		Listed: 120, Warming: 121, Avoided: 122, Open: 123, Usual: 1250 * time.Millisecond, Short: 0.25,
+		ReadyEndpoints: 120, WarmingEndpoints: 121, EjectedEndpoints: 122, OpenRequests: 123, TypicalDelay: 1250 * time.Millisecond, CapacityShortage: 0.25,
 	}
 	var written bytes.Buffer
 	record := slog.NewRecord(at, slog.LevelInfo, Message, 0)
@@ -44,9 +44,9 @@
 	if !ok || !gotAt.Equal(at) || pool != "orders" || got != row {
 		t.Errorf("%v, %v, pool %q\n got %+v\nwant %+v", ok, gotAt, pool, got, row)
 	}
-	for count, n := range row.N {
+	for count, n := range row.Counters {
 		if n == 0 {
-			t.Errorf("%v is not in the example", Count(count))
+			t.Errorf("%v is not in the example", Counter(count))
 		}
 	}
 }
--- a/internal/statslog/tally_test.go
+++ b/internal/statslog/tally_test.go
@@ -14,13 +14,13 @@
 // What is written is read back as it was, also with a prefix and with fields of a later version.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var r Row
-		for i := range r.N {
-			r.N[i] = rapid.IntRange(0, 1e6).Draw(t, names[i])
+		var r IntervalStats
+		for i := range r.Counters {
+			r.Counters[i] = rapid.IntRange(0, 1e6).Draw(t, counterNames[i])
 		}
-		r.Listed, r.Warming, r.Avoided, r.Open = rapid.IntRange(0, 99).Draw(t, "listed"), rapid.IntRange(0, 99).Draw(t, "warming"), 3, 4
-		r.Usual = time.Duration(rapid.IntRange(0, 1e5).Draw(t, "usual")) * time.Millisecond
-		r.Short = float64(rapid.IntRange(0, 100).Draw(t, "short")) / 100
+		r.ReadyEndpoints, r.WarmingEndpoints, r.EjectedEndpoints, r.OpenRequests = rapid.IntRange(0, 99).Draw(t, "listed"), rapid.IntRange(0, 99).Draw(t, "warming"), 3, 4
+		r.TypicalDelay = time.Duration(rapid.IntRange(0, 1e5).Draw(t, "usual")) * time.Millisecond
+		r.CapacityShortage = float64(rapid.IntRange(0, 100).Draw(t, "short")) / 100
 		var out bytes.Buffer
 		slog.New(slog.NewTextHandler(&out, nil)).With("pool", "orders").Info(Message, append(r.Attrs(), "later", 7)...)
 		at, pool, got, ok := Parse("1.203 " + out.String())
@@ -42,17 +42,17 @@
 }
 
 func TestMergeWeighsByTaken(t *testing.T) {
-	a := Row{Usual: 100 * time.Millisecond, Listed: 2}
-	a.Add(Taken, 1)
-	b := Row{Usual: 200 * time.Millisecond, Short: 1, Listed: 3}
-	b.Add(Taken, 3)
+	a := IntervalStats{TypicalDelay: 100 * time.Millisecond, ReadyEndpoints: 2}
+	a.Add(Requests, 1)
+	b := IntervalStats{TypicalDelay: 200 * time.Millisecond, CapacityShortage: 1, ReadyEndpoints: 3}
+	b.Add(Requests, 3)
 	a.Merge(b)
-	if a.N[Taken] != 4 || a.Listed != 5 || a.Usual != 175*time.Millisecond || a.Short != 0.75 {
+	if a.Counters[Requests] != 4 || a.ReadyEndpoints != 5 || a.TypicalDelay != 175*time.Millisecond || a.CapacityShortage != 0.75 {
 		t.Errorf("%+v", a)
 	}
-	var none Row
-	none.Merge(Row{})
-	if !none.Empty() || none.Usual != 0 {
+	var none IntervalStats
+	none.Merge(IntervalStats{})
+	if !none.Empty() || none.TypicalDelay != 0 {
 		t.Errorf("%+v", none)
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -337,7 +337,7 @@
 	TimeoutMs            int64       // in place of the header's; 0: none
 	ExtraFields          []Field     // beside Header, and in place of fields of the same names there
 	Body                 []byte
-	StreamedBody         httpmsg.Rest // what follows Body, which SendRest sends; nil: nothing
+	StreamedBody         httpmsg.BodyStream // what follows Body, which SendRest sends; nil: nothing
 }
 
 // Field is a field of a head.
@@ -429,7 +429,7 @@
 
 // SendStreamedBody writes the rest of the request that was sent last, as it comes and however long that takes, and gives its answer
 // until deadline from then on. The error is a NotWritten or a RestBroken.
-func (c *Conn) SendStreamedBody(rest httpmsg.Rest, deadline func() time.Time) error {
+func (c *Conn) SendStreamedBody(rest httpmsg.BodyStream, deadline func() time.Time) error {
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
 	c.SetDeadline(time.Time{})
@@ -476,7 +476,7 @@
 
 // Body returns that of resp, the head of which was received last.
 func (c *Conn) Body(resp *http.Response) *Body {
-	c.readBudget = 2 * httpmsg.MostLong // chunks have some bytes beside the body's
+	c.readBudget = 2 * httpmsg.MaxBodyBytes // chunks have some bytes beside the body's
 	return &Body{c, resp, len(resp.TransferEncoding) > 0}
 }
 
