--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -28,13 +28,13 @@
 
 // Pools is what shared state is about: the process' own pools.
 type Pools interface {
-	OnSilent(f func(pool, server string, is bool))
-	Hint(pool, server string)
-	Avoid(pool string, servers, returning, soft map[string]bool) (done bool)
+	OnUnreachable(f func(pool, server string, is bool))
+	HintUnreachable(pool, server string)
+	ExcludeEndpoints(pool string, servers, returning, soft map[string]bool) (done bool)
 	PoolNames() []string
-	Servers(pool string) (zones map[string]string) // by the server's name
-	Look(pool, server string) (answers bool)
-	Outcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration)) // by zone, since the start
+	EndpointZones(pool string) (zones map[string]string) // by the server's name
+	CheckEndpoint(pool, server string) (answers bool)
+	OutcomesByZone(pool string, f func(zone string, answered, failed int64, delay time.Duration)) // by zone, since the start
 }
 
 const (
@@ -112,7 +112,7 @@
 	}
 	k.pools, _ = s.(Pools)
 	if k.pools != nil {
-		k.pools.OnSilent(func(pool, server string, is bool) { // under a pool's lock: it must not wait
+		k.pools.OnUnreachable(func(pool, server string, is bool) { // under a pool's lock: it must not wait
 			select {
 			case k.observations <- observation{pool, server, is}:
 			default:
@@ -277,7 +277,7 @@
 		t.applyExclusions(due)
 		for _, key := range slices.Sorted(maps.Keys(hints)) {
 			if pool, server, ok := gossip.SplitPoolKey(key); ok {
-				k.pools.Hint(pool, server)
+				k.pools.HintUnreachable(pool, server)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 func (t *Host) applyExclusions(due map[string]exclusions) {
 	k := t.shared
 	for _, pool := range slices.Sorted(maps.Keys(due)) {
-		done := k.pools.Avoid(pool, due[pool].excluded, due[pool].recovering, due[pool].untilRestart)
+		done := k.pools.ExcludeEndpoints(pool, due[pool].excluded, due[pool].recovering, due[pool].untilRestart)
 		t.mu.Lock()
 		for server := range due[pool].excluded {
 			k.evidence.Record(t.clock.Now(), k.node, gossip.PoolKey(gossip.UnreachableKind, pool, server), false)
