--- a/internal/fleet/copies.go
+++ b/internal/fleet/copies.go
@@ -28,13 +28,13 @@
 
 // Pools is what shared state is about: the process' own pools.
 type Pools interface {
-	OnUnreachable(f func(pool, server string, is bool))
+	OnUnresponsive(f func(pool, server string, is bool))
 	HintUnreachable(pool, server string)
 	ExcludeEndpoints(pool string, servers, returning, soft map[string]bool) (done bool)
 	PoolNames() []string
-	EndpointZones(pool string) (zones map[string]string) // by the server's name
-	CheckEndpoint(pool, server string) (answers bool)
-	OutcomesByZone(pool string, f func(zone string, answered, failed int64, delay time.Duration)) // by zone, since the start
+	ReadyEndpoints(pool string) (zones map[string]string) // by the server's name
+	CheckHealth(pool, server string) (answers bool)
+	AttemptOutcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration)) // by zone, since the start
 }
 
 const (
@@ -112,7 +112,7 @@
 	}
 	k.pools, _ = s.(Pools)
 	if k.pools != nil {
-		k.pools.OnUnreachable(func(pool, server string, is bool) { // under a pool's lock: it must not wait
+		k.pools.OnUnresponsive(func(pool, server string, is bool) { // under a pool's lock: it must not wait
 			select {
 			case k.observations <- observation{pool, server, is}:
 			default:
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -135,9 +135,9 @@
 	lists := map[string]map[string]string{}
 	tallies := map[string]map[string]zonefailover.AttemptCounts{}
 	for _, pool := range k.pools.PoolNames() {
-		lists[pool] = k.pools.EndpointZones(pool)
+		lists[pool] = k.pools.ReadyEndpoints(pool)
 		tallies[pool] = map[string]zonefailover.AttemptCounts{}
-		k.pools.OutcomesByZone(pool, func(zone string, answered, failed int64, delay time.Duration) {
+		k.pools.AttemptOutcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
 			tallies[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: delay}
 		})
 	}
@@ -173,7 +173,7 @@
 		var all sync.WaitGroup
 		for _, server := range l.servers {
 			all.Go(func() {
-				if k.pools.CheckEndpoint(l.pool, server) {
+				if k.pools.CheckHealth(l.pool, server) {
 					answered.Add(1)
 				}
 			})
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -69,6 +69,9 @@
 	rules []classify.Rule // of the classes
 }
 
+// A pool finds out by a type assertion at run time that its protocol is an EndToEndProtocol.
+var _ pool.EndToEndProtocol = (*Dialect)(nil)
+
 // New returns the dialect of a pool.
 func New(cfg Config) *Dialect {
 	d := &Dialect{cfg: cfg}
