--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/copies_test.go
@@ -31,19 +31,21 @@
 
 func newFarm() *farmPools { return &farmPools{hints: map[string]int{}} }
 
-func (f *farmPools) OnSilent(s func(pool, server string, is bool)) {
+var _ Pools = (*farmPools)(nil)
+
+func (f *farmPools) OnUnresponsive(s func(pool, server string, is bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silent = s
 }
 
-func (f *farmPools) Hint(pool, server string) {
+func (f *farmPools) HintUnreachable(pool, server string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hints[pool+"/"+server]++
 }
 
-func (f *farmPools) Avoid(_ string, servers, returning, _ map[string]bool) bool {
+func (f *farmPools) ExcludeEndpoints(_ string, servers, returning, _ map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.avoid, f.back = maps.Clone(servers), maps.Clone(returning)
@@ -52,19 +54,19 @@
 
 func (f *farmPools) PoolNames() []string { return []string{"farm"} }
 
-func (f *farmPools) Servers(string) map[string]string {
+func (f *farmPools) ReadyEndpoints(string) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.zones)
 }
 
-func (f *farmPools) Look(_, server string) bool {
+func (f *farmPools) CheckHealth(_, server string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.down[f.zones[server]]
 }
 
-func (f *farmPools) Outcomes(string, func(string, int64, int64, time.Duration)) {}
+func (f *farmPools) AttemptOutcomes(string, func(string, int64, int64, time.Duration)) {}
 
 func (f *farmPools) sees(server string, silent bool) {
 	f.mu.Lock()
