--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -33,8 +33,9 @@
 	healthCheckCredit  float64       // probes that the traffic so far has paid for
 	lastRequestAt      Time          // the latest request
 	requestInterval    time.Duration // smoothed: from one request to the next
-	hedgeCredit        float64       // second copies that the traffic so far, and copies that answered first, have paid for
-	hedgeWinRate       float64       // smoothed: share of second copies that answered first
+	hedges             hedgeBudget
+	slowStart          slowStart
+	retries            retryPolicy
 
 	latency      latencyModel // of answers by the reported queue
 	machineTypes map[string]*machineType
@@ -54,6 +55,10 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		classes: map[string]*classState{}, endpoints: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, machineTypes: map[string]*machineType{},
 		threshold: math.Inf(1), healthCheckCredit: sampleSize, contention: 1, requestInterval: trafficFreshness,
+		slowStart: slowStart{minCapacity: cfg.SlowStartMinCapacity, duration: cfg.SlowStartDuration},
+		retries: retryPolicy{
+			maxAttempts: cfg.MaxAttempts, hedgingAllowed: cfg.HedgingAllowed, dedupMargin: cfg.DialTimeout + cfg.TimerResolution,
+		},
 	}
 	for _, c := range cfg.Classes {
 		b.classes[c.Name] = &classState{Class: c}
@@ -177,7 +182,7 @@
 	}
 	a.endpoint.recordContact(now, o.Status)
 	if o.Status == StatusOK && (r.inFlight > 0) {
-		b.recordHedgeOutcome(o.Attempt > 0)
+		b.hedges.recordOutcome(o.Attempt > 0)
 	}
 	r.ended = r.ended || o.RequestEnded
 	if o.Status == StatusOK || o.Status == StatusTimeout && !own {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -32,6 +32,9 @@
 	ejectedUntil         Time
 }
 
+// hasQueue reports whether requests wait at s by its latest load report.
+func (s *endpoint) hasQueue() bool { return s.reportedQueue >= 1 }
+
 // recordSend notes that an attempt or a probe is about to go to s.
 func (s *endpoint) recordSend(now Time) {
 	if s.inFlight+s.healthChecksInFlight == 0 {
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -1,42 +1,76 @@
 package policy
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 const (
-	// hedgeBudgetRatio is the part of requests that may have a second copy sent while the first is out, and mostHedges how
-	// many of them may come at once. What the copies cost must stay small where all are slow.
+	// hedgeBudgetRatio is how many hedged requests each request pays for: they must cost little where all endpoints are slow.
 	hedgeBudgetRatio = 0.03
-	maxHedgeCredit   = 10
-	// earlyHedgeWinRate is the share of second copies that must answer first for them to be sent as soon as an answer is slow.
+	// maxHedgeCredit is how many hedged requests may be sent in a burst.
+	maxHedgeCredit = 10
+	// earlyHedgeWinRate is the share of hedged requests answered first from which they are sent as soon as a response is slow.
 	earlyHedgeWinRate = 0.5
-	// timerLatenessTicks is how many ticks a timer may come late.
+	// timerLatenessTicks is how late a timer may fire, in ticks of Config.TimerResolution.
 	timerLatenessTicks = 4
+	// slowResponseFactor makes a response slow that takes longer than this many times its expected latency.
+	slowResponseFactor = 2
 )
 
-// hedgeRequest sends a second copy of r, whose answer is slow, where it can be expected in time and nothing waits. It guards
-// against servers that are silent, paused or stuck, whatever the reason; it might do harm where all are slow alike, and
-// so is bounded by a share of the traffic and kept from queues.
+// hedgeBudget bounds hedged requests: a share of the traffic pays for some, and each that is answered first pays for another.
+// Where some endpoints swallow requests, hedging thus goes on for as long as it helps; where all are slow alike, so that the
+// first attempt wins, it stays within its share.
+type hedgeBudget struct {
+	credit  float64 // hedged requests that may be sent now
+	winRate float64 // smoothed share of hedged requests that were answered before the first attempt
+}
+
+// earn credits the share of one request.
+func (h *hedgeBudget) earn() { h.credit = min(h.credit+hedgeBudgetRatio, maxHedgeCredit) }
+
+// recordOutcome notes whether, of two attempts in flight at once, the hedged request was answered first.
+func (h *hedgeBudget) recordOutcome(won bool) {
+	h.winRate *= 1 - smoothingWeight
+	if won {
+		h.credit, h.winRate = min(h.credit+1, maxHedgeCredit), h.winRate+smoothingWeight
+	}
+}
+
+// delay returns how long after the first attempt a hedged request is due: as soon as the response is slow where hedging wins
+// often, else at the last moment at which it can meet the objective, since most slow responses still come.
+func (h *hedgeBudget) delay(expected, untilObjective, timerResolution time.Duration) time.Duration {
+	wait := max(timerResolution, slowResponseFactor*expected)
+	if h.winRate < earlyHedgeWinRate {
+		wait = max(wait, untilObjective-expected-timerLatenessTicks*timerResolution)
+	}
+	return wait
+}
+
+// scheduleHedge sets the timer for a hedged request after the first attempt of r, at e.
+func (b *Balancer) scheduleHedge(now Time, r *request, e *endpoint, act Actions) {
+	wait := b.hedges.delay(b.expectedLatency(now, e), r.objectiveDeadline-now, b.cfg.TimerResolution)
+	if b.cfg.HedgingAllowed && r.class.Idempotency != NonIdempotent && !r.StreamedBody && now+wait < r.objectiveDeadline {
+		act.SetTimer(wait, hedgeTimerPrefix+timerToken(r.ID))
+	}
+}
+
+// hedgeRequest sends a hedged request for r, whose response is slow, if the budget pays for it and an endpoint can be expected
+// to answer in time. An attempt at an endpoint that has gone unresponsive is hedged whatever the budget and the queues.
 func (b *Balancer) hedgeRequest(now Time, r *request, act Actions) {
 	if r.ended || r.responseStarted || r.inFlight != 1 {
 		return
 	}
-	silent := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight && b.isUnresponsive(now, a.endpoint) })
-	idle := slices.DeleteFunc(b.activeSubset(now), func(s *endpoint) bool {
-		return !silent && s.reportedQueue >= 1 || now+b.expectedLatency(now, s) > r.objectiveDeadline || b.capacityFraction(now, s) < 1
-	})
-	if b.hedgeCredit < 1 && !silent || b.pickEndpoint(now, r, idle) == nil {
+	unresponsive := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.inFlight && b.isUnresponsive(now, a.endpoint) })
+	if b.hedges.credit < 1 && !unresponsive {
 		return
 	}
-	b.hedgeCredit--
-	b.startAttempt(now, r, idle, act)
-}
-
-// recordHedgeOutcome notes whether, of two attempts that were out together, the second answered first. Such a copy pays for a further
-// one: where some servers swallow requests, copies go on for as long as they win, and where all are slow alike, so that
-// the first answers first, they stay within their share of the traffic.
-func (b *Balancer) recordHedgeOutcome(won bool) {
-	b.hedgeWinRate *= 1 - smoothingWeight
-	if won {
-		b.hedgeCredit, b.hedgeWinRate = min(b.hedgeCredit+1, maxHedgeCredit), b.hedgeWinRate+smoothingWeight
+	candidates := slices.DeleteFunc(b.activeSubset(now), func(e *endpoint) bool {
+		return !unresponsive && e.hasQueue() || b.missesObjective(now, r, e) || !b.slowStart.isWarm(now, e)
+	})
+	if b.pickEndpoint(now, r, candidates) == nil {
+		return
 	}
+	b.hedges.credit--
+	b.startAttempt(now, r, candidates, act)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -11,8 +11,6 @@
 	// unresponsiveFactor times the usual delay of answers without any word from a server, while something of this sidecar's is
 	// out there, make it silent.
 	unresponsiveFactor = 3
-	// slowResponseFactor times the delay expected of it makes an answer slow.
-	slowResponseFactor = 2
 )
 
 // recordFailure notes evidence against a server: it is left out of the ready set for a while that grows
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -200,7 +200,7 @@
 		if share := float64(sent) / requests; share > tc.want+0.03 || share < tc.want*0.8-0.03 {
 			t.Errorf("%s: cold server got a share of %.3f, want about %.3f", tc.name, share, tc.want)
 		}
-		if w := b.capacityFraction(now+cfg.SlowStartDuration, cold); w != 1 {
+		if w := b.slowStart.capacityFraction(now+cfg.SlowStartDuration, cold); w != 1 {
 			t.Errorf("warmth after the ramp = %v, want 1", w)
 		}
 	}
@@ -719,7 +719,7 @@
 func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
 	s := b.endpoints[server]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
-	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: b.capacityFraction(now, s) < 1}}
+	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
 	r.inFlight = 1
 	s.inFlight++
 	b.requests[id] = r
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,7 @@
 	var marked, safe, all, late []*endpoint
 	for _, s := range set {
 		tried := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == s })
-		if tried || !b.attemptAllowed(now, r, s) || !b.admitsWarming(now, r, s) {
+		if tried || !b.attemptAllowed(now, r, s) || !b.slowStart.admits(now, r, s) {
 			continue
 		}
 		if b.missesObjective(now, r, s) {
@@ -55,21 +55,15 @@
 		s = c
 	}
 	s.marked = false
-	a := attempt{endpoint: s, zone: s.Zone, cell: s.Cell, sentAt: now, inFlight: true, queueAtSend: b.expectedQueue(s), expectedLatency: b.expectedLatency(now, s), warmingUp: b.capacityFraction(now, s) < 1}
+	a := attempt{endpoint: s, zone: s.Zone, cell: s.Cell, sentAt: now, inFlight: true, queueAtSend: b.expectedQueue(s), expectedLatency: b.expectedLatency(now, s), warmingUp: !b.slowStart.isWarm(now, s)}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	s.recordSend(now)
 	s.inFlight++
 	if len(r.attempts) == 1 {
 		b.earnHealthChecks(1 - arrivalCreditShare)
-		b.hedgeCredit = min(b.hedgeCredit+hedgeBudgetRatio, maxHedgeCredit)
-		wait := max(b.cfg.TimerResolution, slowResponseFactor*b.expectedLatency(now, s))
-		if b.hedgeWinRate < earlyHedgeWinRate { // at the last moment, as most that are slow still answer; timers come a little late
-			wait = max(wait, r.objectiveDeadline-now-b.expectedLatency(now, s)-timerLatenessTicks*b.cfg.TimerResolution)
-		}
-		if b.cfg.HedgingAllowed && r.class.Idempotency != NonIdempotent && !r.StreamedBody && now+wait < r.objectiveDeadline {
-			act.SetTimer(wait, hedgeTimerPrefix+timerToken(r.ID))
-		}
+		b.hedges.earn()
+		b.scheduleHedge(now, r, s, act)
 	}
 	act.StartAttempt(r.ID, s.ID, r.finalDeadline-now)
 	return true
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,61 +1,79 @@
 package policy
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
 const (
-	// slowStartMaxShare bounds how much more than its part of an even load a cold server is sent.
+	// slowStartMaxShare caps the traffic of a warming endpoint, as a multiple of its capacity's part of an even load: together
+	// the warming endpoints take over what few warm ones cannot, and none is overloaded by it.
 	slowStartMaxShare = 1.4
-	// warmCapacityFraction is the least share of its capacity from which on a server is one like others: most are warm by then, and its queue
-	// tells. A cold one falls over at a multiple of what it can do (2.5 on the platform); none is sent 1.75 times what it does warm.
+	// warmCapacityFraction is the capacity, as a fraction of full, from which an endpoint counts as warm: it has at least that
+	// much, and its load reports tell the rest. An endpoint picked like the others from then on gets at most 1/0.7 of its load.
 	warmCapacityFraction = 0.7
 )
 
-// capacityFraction is the least share of its capacity that s has at now, or 1 from nearWarm on.
-func (b *Balancer) capacityFraction(now Time, s *endpoint) float64 {
-	w := b.cfg.SlowStartMinCapacity + (1-b.cfg.SlowStartMinCapacity)*float64(max(0, now-s.Started))/float64(max(b.cfg.SlowStartDuration, 1))
-	if s.Started == 0 || w >= warmCapacityFraction {
+// slowStart is the rule for endpoints that have just started: their capacity grows from minCapacity to full over duration, and
+// until they are warm they get only a share of the traffic. A new endpoint's queue is empty, so that sampling alone would choose
+// it again and again and overload it.
+type slowStart struct {
+	minCapacity float64 // capacity at the start, as a fraction of full
+	duration    time.Duration
+}
+
+// capacityFraction returns the least capacity that e has at now, as a fraction of full: 0 to 1. It is 1 for a warm endpoint.
+func (s slowStart) capacityFraction(now Time, e *endpoint) float64 {
+	fraction := s.minCapacity + (1-s.minCapacity)*float64(max(0, now-e.Started))/float64(max(s.duration, 1))
+	if e.Started == 0 || fraction >= warmCapacityFraction {
 		return 1
 	}
-	return w
+	return fraction
+}
+
+// isWarm reports whether e takes part in the subset like any other endpoint.
+func (s slowStart) isWarm(now Time, e *endpoint) bool { return s.capacityFraction(now, e) == 1 }
+
+// warmingShare returns the traffic to send to the warming endpoint e, as a multiple of the fair share of a warm one: its
+// capacity, raised by what all ready endpoints together lack.
+func (s slowStart) warmingShare(now Time, e *endpoint, ready []*endpoint) float64 {
+	total, warm := 0.0, 0 // capacity of all, in warm endpoints
+	for _, other := range ready {
+		fraction := s.capacityFraction(now, other)
+		total += fraction
+		if fraction == 1 {
+			warm++
+		}
+	}
+	if warm < minSubsetSize {
+		return s.lastResortShare(now, e)
+	}
+	return s.capacityFraction(now, e) * min(slowStartMaxShare, float64(len(ready))/total)
 }
 
-// warmingShare is the part that s, which is cold, gets where no warm one is to be had: its least capacity, less where its kind is slow. With
-// the same part for all, 80 sidecars before servers that were all cold pushed the smallest over.
-func (b *Balancer) warmingShare(now Time, s *endpoint) float64 {
-	return b.capacityFraction(now, s) / max(s.machineType.slowness, 1)
+// lastResortShare returns the share of traffic for the warming endpoint e where too few warm ones are left to relieve it: its
+// capacity, less where its machine type is slow.
+func (s slowStart) lastResortShare(now Time, e *endpoint) float64 {
+	return s.capacityFraction(now, e) / max(e.machineType.slowness, 1)
 }
 
-// admitsWarming lets a request have a cold server for its first attempt only, and only a share of requests: that
-// of its least capacity. All picks for a request agree, so that asking twice does not double the share.
-func (b *Balancer) admitsWarming(now Time, r *request, s *endpoint) bool {
-	w := b.warmingShare(now, s)
-	return b.capacityFraction(now, s) == 1 || len(r.attempts) == 0 && float64(rendezvousHash(s.ID, uint64(r.ID))) < w*math.MaxUint64
+// admits reports whether r may be sent to e as far as slow start goes: to a warming endpoint go first attempts only, and of
+// those the last resort's share. The choice is a hash of both, so that asking again for the same request does not raise the share.
+func (s slowStart) admits(now Time, r *request, e *endpoint) bool {
+	share := s.lastResortShare(now, e)
+	return s.isWarm(now, e) || len(r.attempts) == 0 && float64(rendezvousHash(e.ID, uint64(r.ID))) < share*math.MaxUint64
 }
 
-// drawWarming draws a place of the ready set, and returns the server there if it is cold, in proportion to
-// the least capacity it can have. An empty queue would make every probe round choose it; this way it
-// gets that part of what this sidecar sends a warm one, whatever its reports, and however many wait.
+// drawWarming draws an endpoint of the subset and returns it if it is warming up and its share says that this request is for
+// it; nil otherwise. The share thus holds whatever the endpoint reports and however many requests wait.
 func (b *Balancer) drawWarming(now Time) *endpoint {
-	s := b.readyEndpoints[b.rng.IntN(b.subsetSize)]
-	w := b.capacityFraction(now, s)
-	if w == 1 || b.isEjected(now, s) || b.isUnresponsive(now, s) || s.reportedQueue >= 1 {
+	e := b.readyEndpoints[b.rng.IntN(b.subsetSize)]
+	if b.slowStart.isWarm(now, e) || b.isEjected(now, e) || b.isUnresponsive(now, e) || e.hasQueue() {
 		return nil
 	}
-	able, warm := 0.0, 0 // of what all could do warm
-	for _, t := range b.readyEndpoints {
-		x := b.capacityFraction(now, t)
-		able += x
-		if x == 1 {
-			warm++
-		}
-	}
-	if warm < minSubsetSize { // none is spared by it
-		w = b.warmingShare(now, s)
-	} else {
-		w *= min(slowStartMaxShare, float64(len(b.readyEndpoints))/able)
-	}
-	if b.rng.Float64() >= w {
+	share := b.slowStart.warmingShare(now, e, b.readyEndpoints)
+	if b.rng.Float64() >= share {
 		return nil
 	}
-	return s
+	return e
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -101,7 +101,7 @@
 func (b *Balancer) activeSubset(now Time) []*endpoint {
 	set := make([]*endpoint, 0, b.subsetSize)
 	for _, s := range b.readyEndpoints {
-		if len(set) < b.subsetSize && !b.isEjected(now, s) && !b.isUnresponsive(now, s) && b.capacityFraction(now, s) == 1 {
+		if len(set) < b.subsetSize && !b.isEjected(now, s) && !b.isUnresponsive(now, s) && b.slowStart.isWarm(now, s) {
 			set = append(set, s)
 		}
 	}
