--- a/policy/admission.go
+++ b/policy/admission.go
@@ -51,14 +51,12 @@
 			continue
 		}
 		r.sampleReplies++
-		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && (!told || b.exceedsLimit(now, r, s)) && b.healthCheckCredit >= sampleSize {
+		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && (!told || b.exceedsLimit(now, r, s)) && b.healthChecks.paysForRound() {
 			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the own zone is full: look abroad
 			continue
 		}
 		if told && !b.exceedsLimit(now, r, s) {
-			// The first reply of its own round is the request's threshold, and so its mark. Waiting for a
-			// mark under the threshold of another request's round would refuse what could be served.
-			b.threshold, s.marked, s.markedAt = s.reportedQueue, true, now
+			b.jbt.admitSample(now, s)
 			b.queued = slices.Delete(b.queued, i, i+1)
 			r.queuedUntil = 0
 			b.startAttempt(now, r, []*endpoint{s}, act)
@@ -90,7 +88,7 @@
 // pessimisticLatency is the delay of s to reckon with: answers scatter about what is expected, so that where many wait, half of those
 // let in at the very limit would come late and cost as much. Too much of it turns away what would be in time.
 func (b *Balancer) pessimisticLatency(now Time, s *endpoint, strict float64) time.Duration {
-	return time.Duration(min((1+strict*sheddingLatencyMargin*b.contention*b.contention)*float64(b.expectedLatency(now, s)), float64(time.Hour)))
+	return time.Duration(min((1+strict*sheddingLatencyMargin*b.healthChecks.contention*b.healthChecks.contention)*float64(b.expectedLatency(now, s)), float64(time.Hour)))
 }
 
 // retryAfter is how long the client of a refused request had better wait: until the queue by which it could first be
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -25,17 +25,13 @@
 	subsetSize     int         // how many of them make up the ready set
 	requests       map[RequestID]*request
 
-	threshold          float64       // shortest queue reported so far in the last probe round
-	awaitingFirstReply bool          // no reply of that round has come
-	queued             []*request    // in order of arrival: requests waiting for a mark
-	markLifetime       time.Duration // marks older than this have gone stale
-	contention         float64       // share of probes that found a request waiting
-	healthCheckCredit  float64       // probes that the traffic so far has paid for
-	lastRequestAt      Time          // the latest request
-	requestInterval    time.Duration // smoothed: from one request to the next
-	hedges             hedgeBudget
-	slowStart          slowStart
-	retries            retryPolicy
+	queued       []*request // in order of arrival: requests waiting for a mark
+	jbt          joinBelowThreshold
+	healthChecks healthCheckBudget
+	hedges       hedgeBudget
+	slowStart    slowStart
+	retries      retryPolicy
+	outliers     outlierPolicy
 
 	latency      latencyModel // of answers by the reported queue
 	machineTypes map[string]*machineType
@@ -54,7 +50,7 @@
 	b := &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		classes: map[string]*classState{}, endpoints: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, machineTypes: map[string]*machineType{},
-		threshold: math.Inf(1), healthCheckCredit: sampleSize, contention: 1, requestInterval: trafficFreshness,
+		jbt: newJoinBelowThreshold(cfg.Classes), healthChecks: newHealthCheckBudget(cfg.HealthCheckCost), outliers: newOutlierPolicy(cfg),
 		slowStart: slowStart{minCapacity: cfg.SlowStartMinCapacity, duration: cfg.SlowStartDuration},
 		retries: retryPolicy{
 			maxAttempts: cfg.MaxAttempts, hedgingAllowed: cfg.HedgingAllowed, dedupMargin: cfg.DialTimeout + cfg.TimerResolution,
@@ -63,9 +59,6 @@
 	for _, c := range cfg.Classes {
 		b.classes[c.Name] = &classState{Class: c}
 		b.maxPriorityDensity = max(b.maxPriorityDensity, c.PriorityWeight/c.LatencyObjective.Seconds())
-		if b.markLifetime == 0 || c.LatencyObjective < b.markLifetime {
-			b.markLifetime = c.LatencyObjective
-		}
 	}
 	return b, nil
 }
@@ -82,8 +75,7 @@
 		r.attempts = append(r.attempts, attempt{zone: p.Zone, cell: p.Cell, notExecuted: p.NotExecuted, sentAt: now + p.DedupRemaining - c.DedupWindow})
 	}
 	b.requests[q.ID] = r
-	b.requestInterval += time.Duration(smoothingWeight * float64(min(now-b.lastRequestAt, 4*trafficFreshness)-b.requestInterval))
-	b.lastRequestAt = now
+	b.healthChecks.recordRequest(now)
 	r.startedAt, r.timerResolution = c.estimateStart(now, q, b.cfg.TimerResolution), b.cfg.TimerResolution
 	r.setDeadlines()
 	// Under overload what is worth less for its time gives way first, by standing less of a queue.
@@ -100,20 +92,18 @@
 		return
 	}
 	act.SetTimer(r.finalDeadline-now, timerToken(q.ID))
-	b.earnHealthChecks(arrivalCreditShare)
-	for _, s := range b.readyEndpoints { // those whose ejection would be over by the clock are asked whether it is
-		if s.ejectedUntil <= now && b.isEjected(now, s) && s.healthChecksInFlight == 0 {
-			b.checkHealth(now, s, act)
-		}
-	}
+	b.healthChecks.earn(arrivalCreditShare)
+	b.checkEjected(now, act)
 	set := b.activeSubset(now)
-	if !b.cfg.HealthChecksAllowed || b.healthCheckCredit < sampleSize || len(set) == 0 {
+	if !b.cfg.HealthChecksAllowed || !b.healthChecks.paysForRound() || len(set) == 0 {
 		// Work that nobody awaits any more keeps queues long for all.
 		b.admitOrReject(now, r, set, act)
 		return
 	}
 	r.sampled = b.startSamplingRound(now, r, set, act)
-	good := func(s *endpoint) bool { return b.isMarked(now, s) && !b.exceedsLimit(now, r, s) && !b.cfg.KeyAffinity }
+	good := func(s *endpoint) bool {
+		return b.jbt.isMarked(now, s) && !b.exceedsLimit(now, r, s) && !b.cfg.KeyAffinity
+	}
 	if slices.ContainsFunc(set, good) {
 		b.startAttempt(now, r, set, act)
 		return
@@ -144,14 +134,9 @@
 		b.handleSampleReply(now, s, false, act)
 		return
 	}
-	b.contention += smoothingWeight * (min(q, 1) - b.contention)
-	if b.awaitingFirstReply || q < b.threshold {
-		b.awaitingFirstReply, b.threshold = false, q
-		for _, t := range b.readyEndpoints {
-			t.marked = t.marked && t.reportedQueue <= b.threshold
-		}
-	}
-	b.recordLoadReport(now, s, p.Load)
+	b.healthChecks.recordQueue(q)
+	b.jbt.recordSample(q, b.readyEndpoints)
+	b.jbt.recordLoadReport(now, s, p.Load)
 	b.handleSampleReply(now, s, true, act)
 }
 
@@ -166,7 +151,7 @@
 		} else if !own {
 			b.recordFailure(now, s, o.Status, b.isUnresponsive(now, s))
 		}
-		b.recordLoadReport(now, s, o.Load)
+		b.jbt.recordLoadReport(now, s, o.Load)
 	}
 	if !known {
 		return
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -25,7 +25,7 @@
 // ExportLearnedState returns what has been learnt so far.
 func (b *Balancer) ExportLearnedState(now Time) LearnedState {
 	l := LearnedState{
-		DelayModel: [4]float64{b.latency.meanQueue, b.latency.meanLatency, b.latency.queueVariance, b.latency.covariance}, ProbeContention: b.contention, HedgeWinRate: b.hedges.winRate,
+		DelayModel: [4]float64{b.latency.meanQueue, b.latency.meanLatency, b.latency.queueVariance, b.latency.covariance}, ProbeContention: b.healthChecks.contention, HedgeWinRate: b.hedges.winRate,
 		Endpoints: map[EndpointID]LearnedEndpoint{}, ClientTimeouts: map[string]time.Duration{},
 	}
 	for id, s := range b.endpoints {
@@ -42,7 +42,7 @@
 // ImportLearnedState takes over what another Balancer has learnt, of the servers that are on the list and have not restarted since.
 func (b *Balancer) ImportLearnedState(now Time, l LearnedState) {
 	b.latency = latencyModel{l.DelayModel[0], l.DelayModel[1], l.DelayModel[2], l.DelayModel[3]}
-	b.contention, b.hedges.winRate = l.ProbeContention, l.HedgeWinRate
+	b.healthChecks.contention, b.hedges.winRate = l.ProbeContention, l.HedgeWinRate
 	for id, t := range l.Endpoints {
 		if s := b.endpoints[id]; s != nil && s.Started == t.Started {
 			s.slowness, s.slownessSamples, s.responseInterval, s.consecutiveFailures = t.Slowness, t.Samples, t.ResponseInterval, t.ConsecutiveFailures
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -86,15 +86,15 @@
 	b.queued = nil
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s1", Load: &LoadReport{Queue: 5}}, rec)
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s2", Load: &LoadReport{Queue: 3}}, rec)
-	if b.threshold != 3 {
-		t.Errorf("threshold = %v, want 3, the shortest of the round", b.threshold)
+	if b.jbt.threshold != 3 {
+		t.Errorf("threshold = %v, want 3, the shortest of the round", b.jbt.threshold)
 	}
 	for id, want := range map[EndpointID]bool{"s0": false, "s1": false, "s2": true, "s3": false} {
 		if got := b.endpoints[id].marked; got != want {
 			t.Errorf("%s marked = %v, want %v", id, got, want)
 		}
 	}
-	b.healthCheckCredit = -10 // no further round
+	b.healthChecks.credit = -10 // no further round
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 s2"}) {
 		t.Errorf("sent %v, want the marked s2", got)
@@ -215,11 +215,11 @@
 	if s.marked || slices.Contains(b.activeSubset(0), s) {
 		t.Error("a server that erred is still marked or in the ready set")
 	}
-	b.cfg.HealthChecksAllowed = false
+	b.outliers.readmitByHealthCheck = false
 	if !slices.Contains(b.activeSubset(baseEjectionTime), s) {
 		t.Error("the ejection does not end")
 	}
-	b.cfg.HealthChecksAllowed = true
+	b.outliers.readmitByHealthCheck = true
 	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
 		b.recordFailure(0, b.endpoints[id], StatusConnectFailed, false)
 	}
@@ -236,7 +236,7 @@
 	now := Time(time.Hour)
 	s := b.readyEndpoints[0]
 	b.recordFailure(now, s, StatusConnectFailed, false)
-	b.healthCheckCredit = -1000 // no rounds
+	b.healthChecks.credit = -1000 // no rounds
 	id := RequestID(0)
 	ask := func() (sent, probes int) {
 		id++
@@ -329,7 +329,7 @@
 func TestHastyTimeout(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
-	b.contention = 0
+	b.healthChecks.contention = 0
 	s := b.readyEndpoints[0]
 	s.hasReport = true
 	ask := func(id RequestID, at Time) {
@@ -340,9 +340,9 @@
 	want, expected := *s, b.expectedLatency(0, s)
 	ask(1, 0)
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Delay: 50 * time.Millisecond, RequestEnded: true}, rec)
-	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.contention != 0 || b.expectedLatency(0, s) != expected {
+	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
 		t.Errorf("a short time-out left queue %v, %d failures, busy %v and a delay of %v; want nothing but a delay of %v",
-			s.reportedQueue, s.consecutiveFailures, b.contention, b.expectedLatency(0, s), expected)
+			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
 	}
 	ask(2, 0)
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Delay: time.Second, RequestEnded: true}, rec)
@@ -357,7 +357,7 @@
 	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
 	b, _ := start(t, cfg, 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
-	b.contention = 0
+	b.healthChecks.contention = 0
 	r := &request{latencyLimit: 90 * time.Millisecond}
 	if got := b.retryAfter(0, r); got != 10*time.Millisecond {
 		t.Errorf("told to come back after %v, want the 10ms by which the queue is over the limit", got)
@@ -388,7 +388,7 @@
 		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, probed)
 	}
 	b.latency.observe(0, float64(time.Second/10))
-	b.healthCheckCredit = sampleSize
+	b.healthChecks.credit = sampleSize
 	for _, s := range b.readyEndpoints {
 		s.reportedQueue, s.hasReport, s.marked = 1000, true, false
 	}
@@ -455,7 +455,7 @@
 	b.latency.observe(0, float64(time.Second))
 	now, sent := time.Second, 0
 	for id := RequestID(1); id <= 50; id++ {
-		b.healthCheckCredit = 0
+		b.healthChecks.credit = 0
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
 		for _, line := range rec.take("send") {
 			var server EndpointID
@@ -602,8 +602,8 @@
 		t.Errorf("%d probes in wait, %d with all idle: want some, a quarter at most", waiting, calm)
 	}
 	b.HandleAttemptResult(0, AttemptResult{ID: 999, Endpoint: "s0", Status: StatusApplicationError}, rec)
-	if b.contention != 1 {
-		t.Errorf("busy %v after a failure, want 1", b.contention)
+	if b.healthChecks.contention != 1 {
+		t.Errorf("busy %v after a failure, want 1", b.healthChecks.contention)
 	}
 }
 
@@ -689,7 +689,7 @@
 	const each = 100
 	for i := range 2 * each {
 		b, rec := start(t, cfg, 5)
-		b.healthCheckCredit = -10 // no probe: the figures are as they are
+		b.healthChecks.credit = -10 // no probe: the figures are as they are
 		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
 		for id, s := range b.endpoints {
 			s.hasReport, s.reportedQueue = true, 9 // some 860 ms, and to be feared late
@@ -697,7 +697,7 @@
 				s.reportedQueue = 6 // some 590 ms
 			}
 		}
-		b.contention = 1
+		b.healthChecks.contention = 1
 		for range 100 {
 			b.capacity.record(time.Second, false)
 		}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		safe = append(safe, s)
-		if b.isMarked(now, s) {
+		if b.jbt.isMarked(now, s) {
 			marked = append(marked, s)
 		}
 	}
@@ -61,7 +61,7 @@
 	s.recordSend(now)
 	s.inFlight++
 	if len(r.attempts) == 1 {
-		b.earnHealthChecks(1 - arrivalCreditShare)
+		b.healthChecks.earn(1 - arrivalCreditShare)
 		b.hedges.earn()
 		b.scheduleHedge(now, r, s, act)
 	}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -105,7 +105,7 @@
 			set = append(set, s)
 		}
 	}
-	if len(set) == 0 || 2*b.countEjected(now) > len(b.readyEndpoints) {
+	if len(set) == 0 || b.tooManyEjected(now) {
 		set = append(set[:0], b.readyEndpoints[:b.subsetSize]...)
 	}
 	return set
