--- a/policy/admission.go
+++ b/policy/admission.go
@@ -88,7 +88,7 @@
 // pessimisticLatency is the delay of s to reckon with: answers scatter about what is expected, so that where many wait, half of those
 // let in at the very limit would come late and cost as much. Too much of it turns away what would be in time.
 func (b *Balancer) pessimisticLatency(now Time, s *endpoint, strict float64) time.Duration {
-	return time.Duration(min((1+strict*sheddingLatencyMargin*b.healthChecks.contention*b.healthChecks.contention)*float64(b.expectedLatency(now, s)), float64(time.Hour)))
+	return time.Duration(min((1+strict*sheddingLatencyMargin*b.healthChecks.contention*b.healthChecks.contention)*float64(b.expectedLatency(now, s)), float64(maxExpectedLatency)))
 }
 
 // retryAfter is how long the client of a refused request had better wait: until the queue by which it could first be
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,21 +9,14 @@
 	"time"
 )
 
-const (
-	// smoothingWeight is the weight of a new sample in moving averages: about the last ten count.
-	smoothingWeight = 0.1
-)
-
 // Balancer decides for one sidecar. It is not safe for concurrent use.
 type Balancer struct {
-	cfg            Config
-	rng            *rand.Rand
-	classes        map[string]*classState
-	endpoints      map[EndpointID]*endpoint
-	readyEndpoints []*endpoint // ready servers in this sidecar's order of preference
-	localZoneOnly  bool        // the ready set is of the own zone
-	subsetSize     int         // how many of them make up the ready set
-	requests       map[RequestID]*request
+	cfg       Config
+	rng       *rand.Rand
+	classes   map[string]*classState
+	endpoints map[EndpointID]*endpoint
+	endpointOrder
+	requests map[RequestID]*request
 
 	queued       []*request // in order of arrival: requests waiting for a mark
 	jbt          joinBelowThreshold
@@ -34,12 +27,12 @@
 	outliers     outlierPolicy
 
 	latency      latencyModel // of answers by the reported queue
-	machineTypes map[string]*machineType
+	machineTypes machineTypes
 
 	capacity           capacityEstimator // whether the set had room for the requests of late
 	maxPriorityDensity float64           // highest worth of a class for each second of its aim
-	watching           bool
-	watchFailures      int
+	poll               endpointPoll
+	subsetRule         subsetRule
 }
 
 // New returns a Balancer for cfg; seed feeds its private random numbers.
@@ -49,8 +42,8 @@
 	}
 	b := &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		classes: map[string]*classState{}, endpoints: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, machineTypes: map[string]*machineType{},
-		jbt: newJoinBelowThreshold(cfg.Classes), healthChecks: newHealthCheckBudget(cfg.HealthCheckCost), outliers: newOutlierPolicy(cfg),
+		classes: map[string]*classState{}, endpoints: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, machineTypes: machineTypes{},
+		jbt: newJoinBelowThreshold(cfg.Classes), healthChecks: newHealthCheckBudget(cfg.HealthCheckCost), outliers: newOutlierPolicy(cfg), poll: newEndpointPoll(cfg), subsetRule: newSubsetRule(cfg),
 		slowStart: slowStart{minCapacity: cfg.SlowStartMinCapacity, duration: cfg.SlowStartDuration},
 		retries: retryPolicy{
 			maxAttempts: cfg.MaxAttempts, hedgingAllowed: cfg.HedgingAllowed, dedupMargin: cfg.DialTimeout + cfg.TimerResolution,
@@ -232,9 +225,9 @@
 
 // HandleTimer takes a timer that has fallen due.
 func (b *Balancer) HandleTimer(now Time, tok string, act Actions) {
-	if tok == "watch" {
-		if !b.watching {
-			b.watching = true
+	if tok == watchToken {
+		if !b.poll.watching {
+			b.poll.watching = true
 			act.WatchEndpoints(true)
 		}
 		return
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -7,104 +7,182 @@
 	"time"
 )
 
-// pollRetrySlot is the part of a pause between calls to the list service that each sidecar of the group is given, and firstTurn that of
-// the time for first calls, which may wait: so long does a slow service work on a call, and one that it refuses is owed sooner.
-const pollRetrySlot, firstPollSlot = 50 * time.Millisecond, 300 * time.Millisecond
+const (
+	// pollRetrySlot is the part of a pause between calls to the list service that each instance of the group is given: so long a
+	// slow service may work on a call.
+	pollRetrySlot = 50 * time.Millisecond
+	// firstPollSlot is that part before an instance's first call, which may wait: it has a cached list.
+	firstPollSlot = 300 * time.Millisecond
+	// pollRetryDivisor of Config.PollInterval is the longest first pause after a failed call.
+	pollRetryDivisor = 8
+	// maxPollDoublings is how many times the pause doubles with further failures.
+	maxPollDoublings = 3
+	// watchReopenDivisor of Config.PollInterval is the longest delay of the call after a watch was lost.
+	watchReopenDivisor = 16
+	// firstPollTenths of Config.PollInterval may pass until the first call, so that its answer comes within the interval.
+	firstPollTenths = 6
+	// watchToken is the token of the timer for the next call to the list service.
+	watchToken = "watch"
+)
 
+// endpoint is an entry of the endpoint list and what this instance knows of it.
 type endpoint struct {
 	Endpoint
-	reportedQueue        float64 // latest reported queue
-	hasReport            bool
-	marked               bool
-	markedAt             Time
-	consecutiveFailures  int // failures in a row
-	lastSuccess          Time
-	inFlight             int     // own attempts that are out
-	healthChecksInFlight int     // that are out
-	silentSince          Time    // since when something is out without a word from it
-	slowness             float64 // smoothed: delay of its answers over that expected
-	slownessSamples      int     // that tell it, as far as they count
-	machineType          *machineType
-	hashKey              uint64  // by which byHash sorts
-	responseInterval     float64 // smoothed: time from one answer to own attempts to the next, while some are out
-	lastResponse         Time    // of the last answer
-	newestAnswered       Time    // when the latest attempt was sent that it has answered
-	ejectedUntil         Time
+	hashKey uint64 // by which sortByHash sorts
+
+	// Load, by its reports.
+	reportedQueue float64 // latest, in requests; infinite after a rejection or time-out
+	hasReport     bool
+	marked        bool // its report was at or below the threshold, and nothing was sent since
+	markedAt      Time
+
+	// What is in flight from this instance.
+	inFlight             int // attempts
+	healthChecksInFlight int
+	silentSince          Time // when something was in flight and nothing came back
+
+	// Failures.
+	consecutiveFailures int
+	lastSuccess         Time
+	ejectedUntil        Time // zero: not ejected
+
+	// Latency.
+	machineType      *machineType
+	slowness         float64 // smoothed ratio of its latencies to those predicted
+	slownessSamples  int     // responses that tell it, as far as they count
+	responseInterval float64 // smoothed, in nanoseconds: between responses while attempts are in flight
+	lastResponse     Time
+	newestAnswered   Time // when the latest attempt was sent that was answered
 }
 
-// hasQueue reports whether requests wait at s by its latest load report.
-func (s *endpoint) hasQueue() bool { return s.reportedQueue >= 1 }
+// hasQueue reports whether requests wait at e by its latest load report.
+func (e *endpoint) hasQueue() bool { return e.reportedQueue >= 1 }
 
-// recordSend notes that an attempt or a probe is about to go to s.
-func (s *endpoint) recordSend(now Time) {
-	if s.inFlight+s.healthChecksInFlight == 0 {
-		s.silentSince = now
+// recordSend notes that an attempt or a health check is about to be sent to e.
+func (e *endpoint) recordSend(now Time) {
+	if e.inFlight+e.healthChecksInFlight == 0 {
+		e.silentSince = now
 	}
 }
 
-// recordContact notes the end of an attempt or a probe, if it tells that s is there.
-func (s *endpoint) recordContact(now Time, st Status) {
-	switch st {
+// recordContact notes the end of an attempt or a health check, which ends the silence of e if it comes from there.
+func (e *endpoint) recordContact(now Time, status Status) {
+	switch status {
 	case StatusTimeout, StatusConnectFailed, StatusCanceled, StatusNotSent:
 	default:
-		s.silentSince = now
+		e.silentSince = now
+	}
+}
+
+// endpointPoll decides how long to wait before calls to the list service. All instances of a group lose it at once; their calls
+// are spread so that they do not swamp it for good when it comes back. Its durations are the longest: the caller draws a jitter.
+type endpointPoll struct {
+	instanceCount  int
+	interval       time.Duration // Config.PollInterval
+	maxBackoff     time.Duration // 0: interval
+	reopenMaxDelay time.Duration // 0: interval
+	watching       bool
+	failures       int // in a row
+}
+
+// newEndpointPoll returns the state of an instance that does not watch the list yet.
+func newEndpointPoll(cfg Config) endpointPoll {
+	return endpointPoll{
+		instanceCount: cfg.InstanceCount, interval: cfg.PollInterval,
+		maxBackoff: cfg.PollMaxBackoff, reopenMaxDelay: cfg.WatchReopenMaxDelay,
 	}
 }
 
-// UpdateEndpoints takes a message about the server list.
+// recordFailure notes a failed call and returns the backoff: half to one and a half times it may pass until the next call.
+func (p *endpointPoll) recordFailure() time.Duration {
+	p.watching = false
+	p.failures++
+	backoff := p.spread(p.interval/pollRetryDivisor) << min(p.failures, maxPollDoublings)
+	return min(backoff, cmp.Or(p.maxBackoff*2/3, p.interval)) // one and a half times two thirds is the most
+}
+
+// recordLoss notes that the watch was lost and returns within which time to call again.
+func (p *endpointPoll) recordLoss() time.Duration {
+	p.watching, p.failures = false, 0
+	return min(p.spread(p.interval/watchReopenDivisor), cmp.Or(p.reopenMaxDelay, p.interval))
+}
+
+// firstDelay returns within which time an instance that has a cached list calls for the first time.
+func (p *endpointPoll) firstDelay() time.Duration {
+	return min(p.interval*firstPollTenths/10, time.Duration(p.instanceCount)*firstPollSlot)
+}
+
+// spread returns the time over which the calls of the group are spread: most, or less where the group is small.
+func (p *endpointPoll) spread(most time.Duration) time.Duration {
+	return min(most, time.Duration(p.instanceCount)*pollRetrySlot)
+}
+
+// UpdateEndpoints takes a message about the endpoint list.
 func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, entries []Endpoint, act Actions) {
-	if kind == UpdatePollFailed {
-		// A failed call is retried after a growing, jittered pause: a thousand sidecars
-		// that ask again at once would swamp the list service for good.
-		b.watching = false
-		b.watchFailures++
-		pause := min(b.pollSpread(b.cfg.PollInterval/8)<<min(b.watchFailures, 3), cmp.Or(b.cfg.PollMaxBackoff*2/3, b.cfg.PollInterval))
-		act.SetTimer(pause/2+b.jitter(pause), "watch")
+	switch kind {
+	case UpdatePollFailed:
+		backoff := b.poll.recordFailure()
+		act.SetTimer(backoff/2+b.jitter(backoff), watchToken)
 		return
-	}
-	if kind == UpdateWatchLost {
-		b.watching, b.watchFailures = false, 0
-		act.SetTimer(b.jitter(min(b.pollSpread(b.cfg.PollInterval/16), cmp.Or(b.cfg.WatchReopenMaxDelay, b.cfg.PollInterval))), "watch")
+	case UpdateWatchLost:
+		act.SetTimer(b.jitter(b.poll.recordLoss()), watchToken)
 		return
 	}
+	b.applyEntries(kind, entries)
+	b.orderEndpoints()
+	if kind == UpdateCached && !b.cfg.EndpointsPushed && !b.poll.watching {
+		act.SetTimer(b.jitter(b.poll.firstDelay()), watchToken)
+	} else if b.poll.watching {
+		b.poll.failures = 0
+	}
+	b.startUnsent(now, act)
+}
+
+// applyEntries brings the endpoints up to date. One that has restarted is a new one.
+func (b *Balancer) applyEntries(kind UpdateKind, entries []Endpoint) {
 	if kind != UpdateDelta {
-		for _, s := range b.endpoints {
-			s.State = Removed
+		for _, e := range b.endpoints {
+			e.State = Removed
 		}
 	}
-	for _, e := range entries {
-		s := b.endpoints[e.ID]
-		if s == nil || e.Started != s.Started { // a restarted process owes nothing to its past
-			s = &endpoint{slowness: 1}
-			b.endpoints[e.ID] = s
+	for _, entry := range entries {
+		e := b.endpoints[entry.ID]
+		if e == nil || entry.Started != e.Started {
+			e = &endpoint{slowness: 1}
+			b.endpoints[entry.ID] = e
 		}
-		s.Endpoint, s.machineType = e, b.machineTypeOf(e.Kind)
+		e.Endpoint, e.machineType = entry, b.machineTypes.get(entry.Kind)
 	}
-	b.rebuildSubset()
-	for id, s := range b.endpoints { // ids come and go for ever; attempts keep hold of theirs
-		if s.State == Removed {
-			delete(b.endpoints, id)
+}
+
+// orderEndpoints computes the subset anew, and drops removed endpoints, whose attempts in flight keep hold of them.
+func (b *Balancer) orderEndpoints() {
+	var ready []*endpoint
+	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
+		e := b.endpoints[id]
+		e.marked = e.marked && e.State == Ready
+		if e.State == Ready {
+			ready = append(ready, e)
 		}
 	}
-	if kind == UpdateCached && !b.cfg.EndpointsPushed && !b.watching {
-		act.SetTimer(b.jitter(min(b.cfg.PollInterval*6/10, time.Duration(b.cfg.InstanceCount)*firstPollSlot)), "watch")
-	} else if b.watching {
-		b.watchFailures = 0
+	b.endpointOrder = b.subsetRule.order(ready)
+	for id, e := range b.endpoints {
+		if e.State == Removed {
+			delete(b.endpoints, id)
+		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.requests)) { // requests held for want of a server
+}
+
+// startUnsent starts the requests that arrived while the list named no endpoint, in the order of their IDs.
+func (b *Balancer) startUnsent(now Time, act Actions) {
+	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		if r := b.requests[id]; !r.ended && len(r.attempts) == 0 && r.queuedUntil == 0 {
 			b.startAttempt(now, r, b.activeSubset(now), act)
 		}
 	}
 }
 
-// pollSpread is the pause over which this group's calls to the list service are spread: most, which is as much as the rules
-// give, or less where the group is too small to swamp the service.
-func (b *Balancer) pollSpread(most time.Duration) time.Duration {
-	return min(most, time.Duration(b.cfg.InstanceCount)*pollRetrySlot)
-}
-
-// jitter draws a time below d.
-func (b *Balancer) jitter(d time.Duration) time.Duration {
-	return time.Duration(b.rng.Float64() * float64(d))
+// jitter draws a duration below limit.
+func (b *Balancer) jitter(limit time.Duration) time.Duration {
+	return time.Duration(b.rng.Float64() * float64(limit))
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -5,132 +5,153 @@
 	"time"
 )
 
-// assumedConcurrency is how many requests a server works on at once, which is not told, until the
-// answers have taught the slope: two is the least that has any.
-const assumedConcurrency = 2
-
 const (
-	// machineTypeSamples is how many answers of a server tell as much of it as those of all of its kind, and mostKinds how many
-	// kinds of machines are told apart: lists could name one for each server.
+	// smoothingWeight is the weight of a new sample in moving averages: about the latest ten count.
+	smoothingWeight = 0.1
+	// assumedConcurrency is how many requests an endpoint is taken to work on at once until latencies tell more: the least that
+	// makes latency grow slower than the queue.
+	assumedConcurrency = 2
+	// minPredictionDivisor keeps predictions at or above the mean latency over it, however steep the line.
+	minPredictionDivisor = 4
+	// maxSlownessSample bounds what one response tells of an endpoint's slowness, as a ratio.
+	maxSlownessSample = 10
+	// maxSlownessSamples is the count from which an endpoint's slowness is a moving average.
+	maxSlownessSamples = 1 / smoothingWeight
+	// machineTypeSamples is how many responses of an endpoint weigh as much as what is known of its machine type.
 	machineTypeSamples = 3
-	maxMachineTypes    = 64
+	// maxMachineTypes bounds the machine types told apart: a list could name one for each endpoint.
+	maxMachineTypes = 64
+	// maxExpectedLatency stands for an endless wait where a duration is needed.
+	maxExpectedLatency = time.Hour
 )
 
-// latencyModel is a running least-squares line of the delay of answers by the queue that the server had
-// reported when they were sent. Stale figures flatten the line by themselves, and so count for less.
+// latencyModel is a running least-squares line of response latency by the queue at the endpoint when the request was sent, over
+// all endpoints. Latencies are in nanoseconds, queues in requests. Out-of-date queues flatten the line, and so count for less.
 type latencyModel struct {
 	meanQueue, meanLatency, queueVariance, covariance float64
 }
 
-// observe takes one answer.
-func (m *latencyModel) observe(queue, delay float64) {
+// observe takes one response.
+func (m *latencyModel) observe(queue, latency float64) {
 	if math.IsInf(queue, 1) {
 		return
 	}
 	if m.meanLatency == 0 {
-		m.meanQueue, m.meanLatency = queue, delay
+		m.meanQueue, m.meanLatency = queue, latency
 	}
-	dq, dd := queue-m.meanQueue, delay-m.meanLatency
-	m.meanQueue += smoothingWeight * dq
-	m.meanLatency += smoothingWeight * dd
-	m.queueVariance = (1 - smoothingWeight) * (m.queueVariance + smoothingWeight*dq*dq)
-	m.covariance = (1 - smoothingWeight) * (m.covariance + smoothingWeight*dq*dd)
+	queueDelta, latencyDelta := queue-m.meanQueue, latency-m.meanLatency
+	m.meanQueue += smoothingWeight * queueDelta
+	m.meanLatency += smoothingWeight * latencyDelta
+	m.queueVariance = (1 - smoothingWeight) * (m.queueVariance + smoothingWeight*queueDelta*queueDelta)
+	m.covariance = (1 - smoothingWeight) * (m.covariance + smoothingWeight*queueDelta*latencyDelta)
 }
 
-// predict is the delay to expect at a reported queue. Until queues have varied by a request or so the
-// slope is that of assumedCores.
+// predict returns the latency to expect at a queue. Until queues have varied by a request or so, the slope is that of an endpoint
+// of assumedConcurrency.
 func (m *latencyModel) predict(queue float64) float64 {
 	if math.IsInf(queue, 1) {
 		return queue // also where the line is flat: zero times infinity is no number
 	}
-	prior := m.meanLatency / (1 + m.meanQueue/assumedConcurrency) / assumedConcurrency
-	slope := max(0, (m.covariance+prior)/(m.queueVariance+1))
-	return max(m.meanLatency+slope*(queue-m.meanQueue), m.meanLatency/4)
+	priorSlope := m.meanLatency / (1 + m.meanQueue/assumedConcurrency) / assumedConcurrency
+	slope := max(0, (m.covariance+priorSlope)/(m.queueVariance+1))
+	return max(m.meanLatency+slope*(queue-m.meanQueue), m.meanLatency/minPredictionDivisor)
+}
+
+// machineType is what endpoints on one type of machine have in common.
+type machineType struct {
+	slowness float64 // smoothed ratio of their latencies to those predicted
 }
 
-// machineType is what servers of one kind have in common.
-type machineType struct{ slowness float64 }
+// machineTypes holds the machine types by the name that the endpoint list gives them.
+type machineTypes map[string]*machineType
 
-// machineTypeOf is what the machines of that name have in common.
-func (b *Balancer) machineTypeOf(name string) *machineType {
-	k := b.machineTypes[name]
-	if k == nil {
-		k = &machineType{slowness: 1}
-		if len(b.machineTypes) < maxMachineTypes {
-			b.machineTypes[name] = k
+// get returns the type of that name, which is new if none is known. Beyond maxMachineTypes new ones are not kept.
+func (m machineTypes) get(name string) *machineType {
+	known := m[name]
+	if known == nil {
+		known = &machineType{slowness: 1}
+		if len(m) < maxMachineTypes {
+			m[name] = known
 		}
 	}
-	return k
+	return known
 }
 
-// effectiveSlowness is how much slower than expected the answers of s are: its own so far, and those of its kind of machine where
-// there are few. Without them a sidecar that meets most servers seldom would take each for an even one for as long as it is
-// there, and crowd the slow ones.
-func (s *endpoint) effectiveSlowness() float64 {
-	n := float64(s.slownessSamples)
-	return (n*s.slowness + machineTypeSamples*s.machineType.slowness) / (n + machineTypeSamples)
+// recordSample takes the ratio of a latency to the predicted one.
+func (m *machineType) recordSample(ratio float64) {
+	m.slowness += smoothingWeight / 2 * (ratio - m.slowness)
 }
 
-// expectedLatency is the delay to expect of an answer of s: the common line of delay by requests standing there, times how much
-// slower than it s has been, and at least what its own pace tells. The line is learnt of all servers alike, and goes flat
-// where the quick ones are given more and so hold more; the pace guards against heaping requests on one of them then.
-func (b *Balancer) expectedLatency(now Time, s *endpoint) time.Duration {
-	line := min(b.latency.predict(b.expectedQueue(s))*s.effectiveSlowness(), float64(time.Hour))
-	return max(time.Duration(line), s.paceLatency(now))
+// recordSlowness takes the ratio of a latency of e to the predicted one.
+func (e *endpoint) recordSlowness(ratio float64) {
+	e.slownessSamples = min(e.slownessSamples+1, maxSlownessSamples)
+	e.slowness += max(smoothingWeight, 1/float64(e.slownessSamples)) * (ratio - e.slowness)
 }
 
-// expectedQueue is how many requests a further one at s would stand among, as far as this sidecar can tell: those that the
-// latest report told waiting and its own that are out. At a sidecar with much traffic a report is old after a few sends;
-// at one with little the sum is the report. Marks and threshold go by the report alone.
-func (b *Balancer) expectedQueue(s *endpoint) float64 {
-	if !s.hasReport {
-		return max(b.latency.meanQueue, float64(s.inFlight))
-	}
-	return s.reportedQueue + float64(s.inFlight)
+// effectiveSlowness returns the ratio of latencies of e to those predicted: its own, and that of its machine type where it has
+// answered little. An instance that seldom meets an endpoint would otherwise take a slow one for average, and crowd it.
+func (e *endpoint) effectiveSlowness() float64 {
+	samples := float64(e.slownessSamples)
+	return (samples*e.slowness + machineTypeSamples*e.machineType.slowness) / (samples + machineTypeSamples)
 }
 
-// recordLatency learns from the delay of an attempt. A cold server tells of itself alone: where many are cold at once the line of all
-// would have warm ones taken for slow, and full, and refuse what they could serve.
-func (b *Balancer) recordLatency(a *attempt, delay float64) {
-	at := b.latency.predict(a.queueAtSend)
-	if s := a.endpoint; at > 0 {
-		ratio := min(delay/at, 10)
-		if !a.warmingUp {
-			s.machineType.slowness += smoothingWeight / 2 * (ratio - s.machineType.slowness)
-		}
-		s.slownessSamples = min(s.slownessSamples+1, 1/smoothingWeight)
-		s.slowness += max(smoothingWeight, 1/float64(s.slownessSamples)) * (ratio - s.slowness)
-	}
-	if !a.warmingUp {
-		b.latency.observe(a.queueAtSend, delay/a.endpoint.effectiveSlowness())
+// recordResponse notes a response to an attempt sent at sentAt, for the pace of e: the interval between responses to this
+// instance while attempts are in flight. With fewer in flight than e works on at once, the interval is not all that it can do.
+func (e *endpoint) recordResponse(now, sentAt Time) {
+	busyFrom := max(e.lastResponse, sentAt) // others in flight may hang for reasons of their own
+	sample := float64(now-busyFrom) * float64(min(e.inFlight, assumedConcurrency)) / assumedConcurrency
+	if e.responseInterval == 0 {
+		e.responseInterval = sample
 	}
+	e.responseInterval += smoothingWeight * (sample - e.responseInterval)
+	e.lastResponse, e.newestAnswered = now, max(e.newestAnswered, sentAt)
 }
 
-// recordResponse notes an answer to an attempt that is out since sent. What else is out may hang for reasons of its own, so that
-// the server worked on this one from then on at the earliest. While fewer are out than a server works on at once, the time
-// from one answer to the next is not all that it could do.
-func (s *endpoint) recordResponse(now, sent Time) {
-	sample := float64(now-max(s.lastResponse, sent)) * float64(min(s.inFlight, assumedConcurrency)) / assumedConcurrency
-	if s.responseInterval == 0 {
-		s.responseInterval = sample
+// paceLatency returns when another attempt at e would be answered at its pace, after those of this instance that are in flight.
+// If e has been silent for longer than a response takes, the silence counts instead.
+func (e *endpoint) paceLatency(now Time) time.Duration {
+	interval := time.Duration(e.responseInterval)
+	if e.inFlight == 0 {
+		return interval
 	}
-	s.responseInterval += smoothingWeight * (sample - s.responseInterval)
-	s.lastResponse, s.newestAnswered = now, max(s.newestAnswered, sent)
+	return time.Duration(float64(e.inFlight)*e.responseInterval) + max(interval, now-e.silentSince)
 }
 
-// paceLatency is when a further attempt at s would be answered by the pace at which this sidecar's own have been: those that are
-// out come first, whatever others send there. Where s has said nothing for longer than that takes, the time since counts.
-func (s *endpoint) paceLatency(now Time) time.Duration {
-	if s.inFlight == 0 {
-		return time.Duration(s.responseInterval)
+// isIdle reports whether no request waits at e, by its load report and by this instance's own attempts in flight. By the report
+// alone an instance with much traffic would heap requests on e until the next one.
+func (e *endpoint) isIdle() bool {
+	return e.hasReport && e.reportedQueue < 1 && e.inFlight < assumedConcurrency
+}
+
+// expectedQueue returns how many requests another one at e would queue with: those of the latest load report and this instance's
+// own in flight, since a report is out of date after a few sends. Marks and threshold go by the report alone.
+func (b *Balancer) expectedQueue(e *endpoint) float64 {
+	if !e.hasReport {
+		return max(b.latency.meanQueue, float64(e.inFlight))
 	}
-	return time.Duration(float64(s.inFlight)*s.responseInterval) + max(time.Duration(s.responseInterval), now-s.silentSince)
+	return e.reportedQueue + float64(e.inFlight)
+}
+
+// expectedLatency returns the latency to expect of an attempt at e: the line's prediction times the slowness of e, and at
+// least what its pace tells. The line goes flat where fast endpoints get more and so hold more; the pace then keeps requests
+// from heaping on one of them.
+func (b *Balancer) expectedLatency(now Time, e *endpoint) time.Duration {
+	predicted := min(b.latency.predict(b.expectedQueue(e))*e.effectiveSlowness(), float64(maxExpectedLatency))
+	return max(time.Duration(predicted), e.paceLatency(now))
 }
 
-// isIdle reports whether nothing waits at s as far as this sidecar can tell: by the latest report, and by its own requests
-// that are out there. The report alone would have a sidecar with much traffic heap requests on a server until the next
-// one, and under overload fill it with what comes late. Where all are slow at little traffic it still tells idle, since
-// what is out comes back.
-func (s *endpoint) isIdle() bool {
-	return s.hasReport && s.reportedQueue < 1 && s.inFlight < assumedConcurrency
+// recordLatency learns from the latency of an attempt, in nanoseconds. A warming endpoint tells of itself alone: where many warm
+// up at once, the line of all would make warm ones look slow and have requests rejected that could be served.
+func (b *Balancer) recordLatency(a *attempt, latency float64) {
+	predicted := b.latency.predict(a.queueAtSend)
+	if predicted > 0 {
+		ratio := min(latency/predicted, maxSlownessSample)
+		if !a.warmingUp {
+			a.endpoint.machineType.recordSample(ratio)
+		}
+		a.endpoint.recordSlowness(ratio)
+	}
+	if !a.warmingUp {
+		b.latency.observe(a.queueAtSend, latency/a.endpoint.effectiveSlowness())
+	}
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -3,126 +3,169 @@
 import (
 	"cmp"
 	"hash/fnv"
-	"maps"
 	"math"
 	"slices"
 )
 
 const (
-	// maxSubsetSize keeps each member's figures fresh: more members than this see too few of a sidecar's
-	// own requests and probes.
+	// maxSubsetSize bounds the endpoints of a subset: with more of them an instance has too few requests for each, and knows too
+	// little of any.
 	maxSubsetSize = 5
-	// minSubsetSize keeps a choice and two spares when one member fails.
+	// minSubsetSize leaves a choice and a spare when one endpoint fails.
 	minSubsetSize = 3
-	// connectionBudgetPoints is what held connections may cost in points; with the tariff it sizes the ready set.
+	// connectionBudgetPoints is what open connections may cost, in points of the result.
 	connectionBudgetPoints = 0.02
-	// localZoneFactor is how many times its part of the set the own zone has where leaving it has a price, up to all but one. Queues even
-	// out what is left uneven; a zone with few servers must not be crowded by its own sidecars.
+	// connectionsPerCost is for how many open connections at each endpoint Config.ConnectionCost is charged.
+	connectionsPerCost = 100
+	// localZoneFactor is how many times its even part of a subset the own zone has where crossing zones costs something. Load
+	// reports even out the rest, and a zone with few endpoints is not crowded by its own instances.
 	localZoneFactor = 2.4
-	// minDealtSubsets is in how many sets a server must be for these to be dealt, dealtMore how many times its part it may be in, and
-	// mostDealt the most sidecars for which that is worth the work.
-	minDealtSubsets   = 5
-	dealtOverfill     = 1.2
+	// minDealtSubsets is in how many subsets an endpoint must be for these to be dealt.
+	minDealtSubsets = 5
+	// dealtOverfill bounds the subsets that an endpoint is dealt into, as a multiple of its even part.
+	dealtOverfill = 1.2
+	// maxDealtInstances bounds the work of dealing, which goes through all instances.
 	maxDealtInstances = 200
 )
 
-// rebuildSubset orders the ready servers. A ready set starts at a place given by the sidecar's number and
-// goes on in steps that differ between neighbours: every server gets equally many sidecars, and the
-// load of one that fails spreads over many. The spares after it follow by rendezvous hashing. Where each server is in many sets
-// they are dealt: by places, one server that goes moves half of all members, and everyone connects and learns anew at once.
-func (b *Balancer) rebuildSubset() {
-	pool := b.readyEndpoints[:0]
-	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
-		s := b.endpoints[id]
-		s.marked = s.marked && s.State == Ready
-		if s.State == Ready {
-			pool = append(pool, s)
-		}
-	}
-	sortByHash(pool, 0)
-	// Where leaving the zone has a price, the set holds more of the own zone than its part, and nothing else where it costs more than
-	// the probes to find a server there.
-	abroad := func(s *endpoint) bool { return s.Zone != b.cfg.Zone && b.cfg.CrossZoneCost > 0 }
-	near := slices.DeleteFunc(slices.Clone(pool), abroad)
-	far := slices.DeleteFunc(slices.Clone(pool), func(s *endpoint) bool { return !abroad(s) })
-	b.localZoneOnly = len(near) >= minSubsetSize && b.cfg.CrossZoneCost > sampleSize*b.cfg.HealthCheckCost
-	if b.localZoneOnly {
-		far = nil
+// subsetRule decides which endpoints this instance sends to (deterministic subsetting): connections cost something, and an
+// instance must have enough requests for each of its endpoints to know it. Every instance computes its own subset from the same
+// list, so that endpoints are in about equally many.
+type subsetRule struct {
+	instanceIndex, instanceCount                   int
+	zone                                           string
+	connectionCost, crossZoneCost, healthCheckCost float64
+}
+
+// newSubsetRule returns the rule for cfg.
+func newSubsetRule(cfg Config) subsetRule {
+	return subsetRule{
+		instanceIndex: cfg.InstanceIndex, instanceCount: cfg.InstanceCount, zone: cfg.Zone,
+		connectionCost: cfg.ConnectionCost, crossZoneCost: cfg.CrossZoneCost, healthCheckCost: cfg.HealthCheckCost,
 	}
-	b.subsetSize = min(len(near)+len(far), maxSubsetSize)
-	if b.cfg.ConnectionCost > 0 {
-		perSidecar := 100 * connectionBudgetPoints / b.cfg.ConnectionCost * float64(len(pool)) / float64(b.cfg.InstanceCount)
-		b.subsetSize = min(b.subsetSize, max(minSubsetSize, int(perSidecar)))
+}
+
+// endpointOrder is the ready endpoints in one instance's order of preference.
+type endpointOrder struct {
+	readyEndpoints []*endpoint // the subset, then the spares by rendezvous hashing
+	subsetSize     int         // how many of them make the subset
+	localZoneOnly  bool        // the subset is of the own zone by choice
+}
+
+// order sorts the ready endpoints, given in any fixed order.
+func (r subsetRule) order(ready []*endpoint) endpointOrder {
+	sortByHash(ready, 0)
+	local := slices.DeleteFunc(slices.Clone(ready), r.isRemote)
+	remote := slices.DeleteFunc(slices.Clone(ready), func(e *endpoint) bool { return !r.isRemote(e) })
+	// No other zone is looked at where crossing costs more than the health checks that find an endpoint at home.
+	localZoneOnly := len(local) >= minSubsetSize && r.crossZoneCost > sampleSize*r.healthCheckCost
+	if localZoneOnly {
+		remote = nil
 	}
-	home := int(math.Round(localZoneFactor * float64(b.subsetSize*len(near)) / float64(max(1, len(near)+len(far)))))
-	home = max(b.subsetSize-len(far), min(home, b.subsetSize-1, len(near)))
-	ordered := b.selectSubset(b.selectSubset(nil, near, home), far, b.subsetSize-home)
-	b.subsetSize = len(ordered) // all but always as many as before
-	sortByHash(pool, uint64(b.cfg.InstanceIndex)<<32)
-	for _, s := range pool {
-		if !slices.Contains(ordered[:b.subsetSize], s) {
-			ordered = append(ordered, s)
+	size := r.size(len(local)+len(remote), len(ready))
+	localSize := r.localSize(size, len(local), len(remote))
+	ordered := append(r.choose(local, localSize), r.choose(remote, size-localSize)...)
+	size = len(ordered) // dealing may give out fewer
+	sortByHash(ready, uint64(r.instanceIndex)<<32)
+	for _, e := range ready {
+		if !slices.Contains(ordered[:size], e) {
+			ordered = append(ordered, e)
 		}
 	}
-	b.readyEndpoints = ordered
+	return endpointOrder{readyEndpoints: ordered, subsetSize: size, localZoneOnly: localZoneOnly}
 }
 
-// selectSubset adds k servers of list to set. A deal gives each sidecar its part in turn, as rendezvous hashing puts the servers, but none to
-// many more than its part of the sets. Else they are by places.
-func (b *Balancer) selectSubset(set, list []*endpoint, k int) []*endpoint {
-	n, before := len(list), len(set)
-	if b.cfg.InstanceCount > maxDealtInstances || b.cfg.InstanceCount*k < minDealtSubsets*n {
-		step := 1 + b.cfg.InstanceIndex%max(1, (n-1)/max(1, k-1))
-		for j := range k {
-			set = append(set, list[(b.cfg.InstanceIndex*n/b.cfg.InstanceCount+j*step)%n])
-		}
-		return set
+// isRemote reports whether sending to e crosses zones at a cost.
+func (r subsetRule) isRemote(e *endpoint) bool { return e.Zone != r.zone && r.crossZoneCost > 0 }
+
+// size returns how many endpoints the subset has of those eligible, given how many are ready in all.
+func (r subsetRule) size(eligible, ready int) int {
+	size := min(eligible, maxSubsetSize)
+	if r.connectionCost > 0 {
+		affordable := connectionsPerCost * connectionBudgetPoints / r.connectionCost * float64(ready) / float64(r.instanceCount)
+		size = min(size, max(minSubsetSize, int(affordable)))
 	}
-	left := make(map[*endpoint]int, n)
-	for _, s := range list {
-		left[s] = int(math.Ceil(dealtOverfill * float64(b.cfg.InstanceCount*k) / float64(n)))
+	return size
+}
+
+// localSize returns how many endpoints of a subset are of the own zone: more than its even part, but not all while there are
+// remote ones.
+func (r subsetRule) localSize(size, local, remote int) int {
+	preferred := int(math.Round(localZoneFactor * float64(size*local) / float64(max(1, local+remote))))
+	return max(size-remote, min(preferred, size-1, local))
+}
+
+// choose returns this instance's count endpoints of list. Where each endpoint is in many subsets these are dealt, since then an
+// endpoint that goes moves few others; by stride it would move half of all, each to be connected and learnt anew.
+func (r subsetRule) choose(list []*endpoint, count int) []*endpoint {
+	if r.instanceCount > maxDealtInstances || r.instanceCount*count < minDealtSubsets*len(list) {
+		return r.chooseByStride(list, count)
+	}
+	return r.chooseByDealing(list, count)
+}
+
+// chooseByStride begins at a place given by the instance's number and goes on in steps that differ between neighbors: every
+// endpoint is in equally many subsets, and the load of one that fails spreads over many others.
+func (r subsetRule) chooseByStride(list []*endpoint, count int) []*endpoint {
+	n := len(list)
+	stride := 1 + r.instanceIndex%max(1, (n-1)/max(1, count-1))
+	chosen := make([]*endpoint, 0, count)
+	for i := range count {
+		chosen = append(chosen, list[(r.instanceIndex*n/r.instanceCount+i*stride)%n])
+	}
+	return chosen
+}
+
+// chooseByDealing gives each instance in turn the endpoints that rendezvous hashing puts first for it, and no endpoint to many
+// more instances than its even part.
+func (r subsetRule) chooseByDealing(list []*endpoint, count int) []*endpoint {
+	left := make(map[*endpoint]int, len(list)) // subsets that an endpoint may still be dealt into
+	for _, e := range list {
+		left[e] = int(math.Ceil(dealtOverfill * float64(r.instanceCount*count) / float64(len(list))))
 	}
-	for o := range b.cfg.InstanceIndex + 1 {
-		sortByHash(list, uint64(o)<<32)
-		set = set[:before]
-		for _, s := range list {
-			if len(set) < before+k && left[s] > 0 {
-				left[s]--
-				set = append(set, s)
+	var chosen []*endpoint
+	for instance := range r.instanceIndex + 1 {
+		sortByHash(list, uint64(instance)<<32)
+		chosen = chosen[:0]
+		for _, e := range list {
+			if len(chosen) < count && left[e] > 0 {
+				left[e]--
+				chosen = append(chosen, e)
 			}
 		}
 	}
-	return set
+	return chosen
 }
 
-// activeSubset returns the ready set: the first servers in order of preference that are not ejected. When
-// more than half of all are ejected the evidence is against the network or the load, not
-// against servers, and ejections are ignored.
+// activeSubset returns the endpoints to send to now: the first in order of preference that are neither ejected nor unresponsive
+// nor warming up. If there are none, or too many are ejected, it is the subset whatever is known of it.
 func (b *Balancer) activeSubset(now Time) []*endpoint {
-	set := make([]*endpoint, 0, b.subsetSize)
-	for _, s := range b.readyEndpoints {
-		if len(set) < b.subsetSize && !b.isEjected(now, s) && !b.isUnresponsive(now, s) && b.slowStart.isWarm(now, s) {
-			set = append(set, s)
+	active := make([]*endpoint, 0, b.subsetSize)
+	for _, e := range b.readyEndpoints {
+		if len(active) < b.subsetSize && !b.isEjected(now, e) && !b.isUnresponsive(now, e) && b.slowStart.isWarm(now, e) {
+			active = append(active, e)
 		}
 	}
-	if len(set) == 0 || b.tooManyEjected(now) {
-		set = append(set[:0], b.readyEndpoints[:b.subsetSize]...)
+	if len(active) == 0 || b.tooManyEjected(now) {
+		active = append(active[:0], b.readyEndpoints[:b.subsetSize]...)
 	}
-	return set
+	return active
 }
 
-// sortByHash sorts servers by a hash of their ID and salt.
+// sortByHash sorts endpoints by a hash of their ID and salt.
 func sortByHash(list []*endpoint, salt uint64) {
-	for _, s := range list {
-		s.hashKey = rendezvousHash(s.ID, salt)
+	for _, e := range list {
+		e.hashKey = rendezvousHash(e.ID, salt)
 	}
 	slices.SortFunc(list, func(x, y *endpoint) int { return cmp.Or(cmp.Compare(x.hashKey, y.hashKey), cmp.Compare(x.ID, y.ID)) })
 }
 
+// rendezvousHash returns a hash of id and salt whose bits all depend on both.
 func rendezvousHash(id EndpointID, salt uint64) uint64 {
+	const goldenRatio, mix = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9 // as in splitmix64
 	h := fnv.New64a()
-	h.Write([]byte(id))
-	x := h.Sum64() ^ salt*0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	_, _ = h.Write([]byte(id)) // never fails
+	x := h.Sum64() ^ salt*goldenRatio
+	x = (x ^ x>>30) * mix
 	return x ^ x>>31
 }
