--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,197 +3,210 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
-// Balancer decides for one sidecar. It is not safe for concurrent use.
+// Balancer decides for one instance. It takes the events, in order of time, and calls the rules; each rule is in a file of its own.
+// It is not safe for concurrent use.
 type Balancer struct {
-	cfg       Config
-	rng       *rand.Rand
-	classes   map[string]*classState
-	endpoints map[EndpointID]*endpoint
-	endpointOrder
-	requests map[RequestID]*request
+	cfg Config
+	rng *rand.Rand
 
-	queued       []*request // in order of arrival: requests waiting for a mark
-	jbt          joinBelowThreshold
-	healthChecks healthCheckBudget
-	hedges       hedgeBudget
-	slowStart    slowStart
-	retries      retryPolicy
-	outliers     outlierPolicy
+	endpoints     map[EndpointID]*endpoint
+	endpointOrder                        // of those that are ready
+	requests      map[RequestID]*request // not ended, or with attempts in flight
+	queued        []*request             // in order of arrival: those that wait for a sample
+	classes       map[string]*classState
 
-	latency      latencyModel // of answers by the reported queue
-	machineTypes machineTypes
-
-	capacity           capacityEstimator // whether the set had room for the requests of late
-	maxPriorityDensity float64           // highest worth of a class for each second of its aim
+	// The rules, and what they have learned.
 	poll               endpointPoll
 	subsetRule         subsetRule
+	jbt                joinBelowThreshold
+	healthChecks       healthCheckBudget
+	hedges             hedgeBudget
+	retries            retryPolicy
+	outliers           outlierPolicy
+	slowStart          slowStart
+	latency            latencyModel
+	machineTypes       machineTypes
+	capacity           capacityEstimator
+	maxPriorityDensity float64 // of all classes
 }
 
-// New returns a Balancer for cfg; seed feeds its private random numbers.
+// New returns a Balancer for cfg. Equal seeds and events give equal actions. The error wraps ErrInvalidConfig.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
+	const stream = 0x9e3779b97f4a7c15 // any constant
 	b := &Balancer{
-		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		classes: map[string]*classState{}, endpoints: map[EndpointID]*endpoint{}, requests: map[RequestID]*request{}, machineTypes: machineTypes{},
-		jbt: newJoinBelowThreshold(cfg.Classes), healthChecks: newHealthCheckBudget(cfg.HealthCheckCost), outliers: newOutlierPolicy(cfg), poll: newEndpointPoll(cfg), subsetRule: newSubsetRule(cfg),
-		slowStart: slowStart{minCapacity: cfg.SlowStartMinCapacity, duration: cfg.SlowStartDuration},
-		retries: retryPolicy{
-			maxAttempts: cfg.MaxAttempts, hedgingAllowed: cfg.HedgingAllowed, dedupMargin: cfg.DialTimeout + cfg.TimerResolution,
-		},
+		cfg:                cfg,
+		rng:                rand.New(rand.NewPCG(seed, stream)),
+		endpoints:          map[EndpointID]*endpoint{},
+		requests:           map[RequestID]*request{},
+		classes:            map[string]*classState{},
+		poll:               newEndpointPoll(cfg),
+		subsetRule:         newSubsetRule(cfg),
+		jbt:                newJoinBelowThreshold(cfg.Classes),
+		healthChecks:       newHealthCheckBudget(cfg.HealthCheckCost),
+		retries:            newRetryPolicy(cfg),
+		outliers:           newOutlierPolicy(cfg),
+		slowStart:          slowStart{minCapacity: cfg.SlowStartMinCapacity, duration: cfg.SlowStartDuration},
+		machineTypes:       machineTypes{},
+		maxPriorityDensity: highestPriorityDensity(cfg.Classes),
 	}
 	for _, c := range cfg.Classes {
 		b.classes[c.Name] = &classState{Class: c}
-		b.maxPriorityDensity = max(b.maxPriorityDensity, c.PriorityWeight/c.LatencyObjective.Seconds())
 	}
 	return b, nil
 }
 
-// HandleRequest takes a client's request.
+// HandleRequest takes a client's request: it is sent to an endpoint, waits for a sample of loads, or is rejected or failed.
 func (b *Balancer) HandleRequest(now Time, q Request, act Actions) {
-	c := b.classes[q.Class]
-	if c == nil { // unknown: assume the worst of a repeat and the best of a late answer
-		left := q.Expires - now
-		c = &classState{Class: Class{Name: q.Class, Idempotency: NonIdempotent, LatencyObjective: left, Deadline: left}}
-	}
-	r := &request{Request: q, class: c}
-	for _, p := range q.PriorAttempts {
-		r.attempts = append(r.attempts, attempt{zone: p.Zone, cell: p.Cell, notExecuted: p.NotExecuted, sentAt: now + p.DedupRemaining - c.DedupWindow})
-	}
-	b.requests[q.ID] = r
+	r := b.addRequest(now, q)
 	b.healthChecks.recordRequest(now)
-	r.startedAt, r.timerResolution = c.estimateStart(now, q, b.cfg.TimerResolution), b.cfg.TimerResolution
+	r.startedAt = r.class.estimateStart(now, q, b.cfg.TimerResolution)
 	r.setDeadlines()
-	// Under overload what is worth less for its time gives way first, by standing less of a queue.
-	bare := b.latency.predict(0)
-	strict := b.capacity.shortage(now)
-	// What is worth most is refused only where it would be late: the band is for those that make room for it.
-	scale := math.Pow(c.PriorityWeight/c.LatencyObjective.Seconds()/max(b.maxPriorityDensity, 1e-9), strict)
-	if scale < 1 {
-		scale *= 1 - strict*rejectionBand*b.rng.Float64()
-	}
-	r.latencyLimit = time.Duration(bare + (float64(r.objectiveDeadline-now)-bare)*scale)
-	if r.finalDeadline <= now+b.cfg.TimerResolution { // nobody gains from the work
-		b.finishRequest(now, r, false, act)
+	r.latencyLimit = b.latencyLimit(now, r)
+	if r.finalDeadline <= now+b.cfg.TimerResolution {
+		b.finishRequest(now, r, endedDeadline, act)
 		return
 	}
 	act.SetTimer(r.finalDeadline-now, timerToken(q.ID))
 	b.healthChecks.earn(arrivalCreditShare)
 	b.checkEjected(now, act)
-	set := b.activeSubset(now)
-	if !b.cfg.HealthChecksAllowed || !b.healthChecks.paysForRound() || len(set) == 0 {
-		// Work that nobody awaits any more keeps queues long for all.
-		b.admitOrReject(now, r, set, act)
+	active := b.activeSubset(now)
+	if !b.cfg.HealthChecksAllowed || !b.healthChecks.paysForRound() || len(active) == 0 {
+		b.admitOrReject(now, r, active, act)
 		return
 	}
-	r.sampled = b.startSamplingRound(now, r, set, act)
-	good := func(s *endpoint) bool {
-		return b.jbt.isMarked(now, s) && !b.exceedsLimit(now, r, s) && !b.cfg.KeyAffinity
-	}
-	if slices.ContainsFunc(set, good) {
-		b.startAttempt(now, r, set, act)
+	r.sampled = b.startSamplingRound(now, r, active, act)
+	if b.hasMarkFor(now, r, active) {
+		b.startAttempt(now, r, active, act)
 		return
 	}
-	// Only stale figures: the request waits for the first reply of its round, or else is refused.
-	r.queuedUntil = now + (r.finalDeadline-now)/queueWaitDivisor
-	b.queued = append(b.queued, r)
-	act.SetTimer(r.queuedUntil-now, timerToken(q.ID))
+	b.enqueue(now, r, act)
 }
 
-// HandleHealthCheck takes the result of a probe.
-func (b *Balancer) HandleHealthCheck(now Time, p HealthCheckResult, act Actions) {
-	s := b.endpoints[p.Endpoint]
-	if s == nil {
+// addRequest notes a request with the attempts made elsewhere. Of an unknown class the worst is assumed of a repeat, and that a
+// late response is of use.
+func (b *Balancer) addRequest(now Time, q Request) *request {
+	c := b.classes[q.Class]
+	if c == nil {
+		left := q.Expires - now
+		c = &classState{Class: Class{Name: q.Class, Idempotency: NonIdempotent, LatencyObjective: left, Deadline: left}}
+	}
+	r := &request{Request: q, class: c, timerResolution: b.cfg.TimerResolution}
+	for _, p := range q.PriorAttempts {
+		sentAt := now + p.DedupRemaining - c.DedupWindow
+		r.attempts = append(r.attempts, attempt{zone: p.Zone, cell: p.Cell, notExecuted: p.NotExecuted, sentAt: sentAt})
+	}
+	b.requests[q.ID] = r
+	return r
+}
+
+// HandleHealthCheck takes the result of a health check.
+func (b *Balancer) HandleHealthCheck(now Time, result HealthCheckResult, act Actions) {
+	e := b.endpoints[result.Endpoint]
+	if e == nil {
 		return
 	}
-	s.healthChecksInFlight = max(0, s.healthChecksInFlight-1)
-	silent := b.isUnresponsive(now, s)
-	s.recordContact(now, p.Status)
-	if p.Status != StatusOK {
-		b.recordFailure(now, s, p.Status, silent)
-		b.handleSampleReply(now, s, false, act)
+	e.healthChecksInFlight = max(0, e.healthChecksInFlight-1)
+	unresponsive := b.isUnresponsive(now, e)
+	e.recordContact(now, result.Status)
+	if result.Status != StatusOK {
+		b.recordFailure(now, e, result.Status, unresponsive)
+		b.handleSampleReply(now, e, false, act)
 		return
 	}
-	s.recordSuccess(now, s.ejectedUntil == 0)
-	q := reportedQueueLength(p.Load)
-	if q < 0 {
-		b.handleSampleReply(now, s, false, act)
+	e.recordSuccess(now, e.ejectedUntil == 0)
+	queue := reportedQueueLength(result.Load)
+	if queue < 0 {
+		b.handleSampleReply(now, e, false, act)
 		return
 	}
-	b.healthChecks.recordQueue(q)
-	b.jbt.recordSample(q, b.readyEndpoints)
-	b.jbt.recordLoadReport(now, s, p.Load)
-	b.handleSampleReply(now, s, true, act)
+	b.healthChecks.recordQueue(queue)
+	b.jbt.recordSample(queue, b.readyEndpoints)
+	b.jbt.recordLoadReport(now, e, result.Load)
+	b.handleSampleReply(now, e, true, act)
 }
 
-// HandleAttemptResult takes the end of an attempt.
-func (b *Balancer) HandleAttemptResult(now Time, o AttemptResult, act Actions) {
-	r := b.requests[o.ID]
-	known := r != nil && o.Attempt >= 0 && o.Attempt < len(r.attempts) && r.attempts[o.Attempt].inFlight
-	own := known && o.Status == StatusTimeout && r.attempts[o.Attempt].timeoutInconclusive(now)
-	if s := b.endpoints[o.Endpoint]; s != nil {
-		if o.Status == StatusOK {
-			s.recordSuccess(now, true)
-		} else if !own {
-			b.recordFailure(now, s, o.Status, b.isUnresponsive(now, s))
-		}
-		b.jbt.recordLoadReport(now, s, o.Load)
-	}
-	if !known {
+// HandleAttemptResult takes the end of an attempt: it tells something of the endpoint, and the request is answered, retried,
+// rejected or failed.
+func (b *Balancer) HandleAttemptResult(now Time, result AttemptResult, act Actions) {
+	r := b.requests[result.ID]
+	a := r.attemptInFlight(result.Attempt)
+	inconclusive := a != nil && result.Status == StatusTimeout && a.timeoutInconclusive(now)
+	b.recordResult(now, result, inconclusive)
+	if a == nil {
 		return
 	}
-	a := &r.attempts[o.Attempt]
-	a.inFlight, a.notExecuted = false, o.Status.NotExecuted()
-	r.inFlight--
-	if (o.Status == StatusOK || o.Status == StatusApplicationError) && !r.bodyInTransfer {
-		a.endpoint.recordResponse(now, a.sentAt)
-	}
-	if !r.bodyInTransfer {
-		a.endpoint.inFlight--
-	}
-	a.endpoint.recordContact(now, o.Status)
-	if o.Status == StatusOK && (r.inFlight > 0) {
-		b.hedges.recordOutcome(o.Attempt > 0)
+	b.endAttempt(now, r, a, result.Status)
+	if result.Status == StatusOK && r.inFlight > 0 {
+		b.hedges.recordOutcome(result.Attempt > 0)
 	}
-	r.ended = r.ended || o.RequestEnded
-	if o.Status == StatusOK || o.Status == StatusTimeout && !own {
-		b.recordLatency(a, float64(o.Delay))
+	if result.Status == StatusOK || result.Status == StatusTimeout && !inconclusive {
+		b.recordLatency(a, float64(result.Delay))
 	}
-	switch {
-	case r.ended:
+	r.ended = r.ended || result.RequestEnded
+	if r.ended {
 		b.cancelAttempts(r, act)
 		b.release(r)
-	case r.inFlight == 0 && !b.startAttempt(now, r, b.activeSubset(now), act):
-		b.finishRequest(now, r, true, act)
+		return
+	}
+	if r.inFlight == 0 && !b.startAttempt(now, r, b.activeSubset(now), act) {
+		b.finishRequest(now, r, endedAttemptsFailed, act)
+	}
+}
+
+// recordResult notes what the end of an attempt tells of its endpoint's health and load.
+func (b *Balancer) recordResult(now Time, result AttemptResult, inconclusive bool) {
+	e := b.endpoints[result.Endpoint]
+	if e == nil {
+		return
+	}
+	if result.Status == StatusOK {
+		e.recordSuccess(now, true)
+	} else if !inconclusive {
+		b.recordFailure(now, e, result.Status, b.isUnresponsive(now, e))
+	}
+	b.jbt.recordLoadReport(now, e, result.Load)
+}
+
+// endAttempt takes an attempt of r out of flight. While a body was being sent, the attempt did not count as in flight at its
+// endpoint, and its end tells nothing of the endpoint's pace.
+func (b *Balancer) endAttempt(now Time, r *request, a *attempt, status Status) {
+	a.inFlight, a.notExecuted = false, status.NotExecuted()
+	r.inFlight--
+	if !r.bodyInTransfer {
+		if status == StatusOK || status == StatusApplicationError {
+			a.endpoint.recordResponse(now, a.sentAt)
+		}
+		a.endpoint.inFlight--
 	}
+	a.endpoint.recordContact(now, status)
 }
 
-// HandleResponseStarted notes that the answer of r has begun.
-func (b *Balancer) HandleResponseStarted(now Time, id RequestID, attempt int, act Actions) {
+// HandleResponseStarted notes that part of a response has reached the client: the request is not retried from here on.
+func (b *Balancer) HandleResponseStarted(_ Time, id RequestID, _ int, _ Actions) {
 	if r := b.requests[id]; r != nil {
 		r.responseStarted = true
 	}
 }
 
-// HandleBodyStarted notes that the body of r, which is long, begins to be used up by its only attempt that is out. From here on the
-// client's pace counts, which tells nothing of the server, until Uploaded.
-func (b *Balancer) HandleBodyStarted(now Time, id RequestID, attempt int) {
+// HandleBodyStarted notes that a streamed body begins to be sent by its only attempt in flight. Until HandleBodyFinished the
+// client's pace counts, which tells nothing of the endpoint.
+func (b *Balancer) HandleBodyStarted(_ Time, id RequestID, number int) {
 	r := b.requests[id]
-	if r == nil || r.ended || r.bodyConsumed || attempt >= len(r.attempts) || !r.attempts[attempt].inFlight {
+	a := r.attemptInFlight(number)
+	if a == nil || r.ended || r.bodyConsumed {
 		return
 	}
 	r.bodyConsumed, r.bodyInTransfer, r.finalDeadline = true, true, math.MaxInt64
-	r.attempts[attempt].endpoint.inFlight--
+	a.endpoint.inFlight--
 }
 
-// HandleBodyFinished notes that the last byte of r is written, and that its client waits until expires. All times count from here.
+// HandleBodyFinished notes that a streamed body was sent, and that its client waits until expires. All times count from now.
 func (b *Balancer) HandleBodyFinished(now Time, id RequestID, expires Time, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.bodyInTransfer {
@@ -213,49 +226,49 @@
 }
 
 // HandleClientGone notes that the client has left.
-func (b *Balancer) HandleClientGone(now Time, id RequestID, act Actions) {
-	if r := b.requests[id]; r != nil && !r.ended {
-		r.ended = true
-		r.class.addUnanswered(r)
-		b.queued = slices.DeleteFunc(b.queued, func(h *request) bool { return h == r })
-		b.cancelAttempts(r, act)
-		b.release(r)
+func (b *Balancer) HandleClientGone(_ Time, id RequestID, act Actions) {
+	r := b.requests[id]
+	if r == nil || r.ended {
+		return
 	}
+	r.ended = true
+	r.class.addUnanswered(r)
+	b.dequeue(r)
+	b.cancelAttempts(r, act)
+	b.release(r)
 }
 
-// HandleTimer takes a timer that has fallen due.
-func (b *Balancer) HandleTimer(now Time, tok string, act Actions) {
-	if tok == watchToken {
+// HandleTimer takes a timer of SetTimer that has fired. Timers are never stopped: one whose cause is gone does nothing.
+func (b *Balancer) HandleTimer(now Time, token string, act Actions) {
+	if token == watchToken {
 		if !b.poll.watching {
 			b.poll.watching = true
 			act.WatchEndpoints(true)
 		}
 		return
 	}
-	digits, hedge := strings.CutPrefix(tok, hedgeTimerPrefix)
-	id, _ := strconv.ParseUint(digits, 36, 64)
-	r := b.requests[RequestID(id)]
+	id, hedge := parseTimerToken(token)
+	r := b.requests[id]
 	switch {
-	case r != nil && hedge:
-		b.hedgeRequest(now, r, act)
 	case r == nil || r.ended || r.responseStarted:
+	case hedge:
+		b.hedgeRequest(now, r, act)
 	case now >= r.finalDeadline:
-		b.finishRequest(now, r, false, act)
+		b.finishRequest(now, r, endedDeadline, act)
 	case r.queuedUntil > 0 && now >= r.queuedUntil:
 		b.resolveQueued(now, r, act)
 	}
 }
 
-// finishRequest gives the final answer: a refusal where it is true and a retry could help, else a failure.
-func (b *Balancer) finishRequest(now Time, r *request, retry bool, act Actions) {
+// finishRequest ends r without a response: rejected where a retry could help and is harmless, else failed.
+func (b *Balancer) finishRequest(now Time, r *request, reason endReason, act Actions) {
 	b.cancelAttempts(r, act)
 	r.ended = true
 	r.class.addUnanswered(r)
 	if r.queuedUntil > 0 {
-		r.queuedUntil = 0
-		b.queued = slices.DeleteFunc(b.queued, func(h *request) bool { return h == r })
+		b.dequeue(r)
 	}
-	if retry && rejectionSafe(r) {
+	if reason.retryHelps() && rejectionSafe(r) {
 		act.Reject(r.ID, b.retryAfter(now, r))
 	} else {
 		act.Fail(r.ID)
@@ -263,30 +276,35 @@
 	b.release(r)
 }
 
+// cancelAttempts cancels the attempts of r in flight, where the site allows it.
 func (b *Balancer) cancelAttempts(r *request, act Actions) {
-	for i, a := range r.attempts {
-		if a.inFlight && b.cfg.CancellationAllowed && !a.canceled {
-			r.attempts[i].canceled = true
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.inFlight && b.cfg.CancellationAllowed && !a.canceled {
+			a.canceled = true
 			act.CancelAttempt(r.ID, i)
 		}
 	}
 }
 
-// release drops an ended request once all its attempts are back.
+// release drops an ended request once no attempt is in flight.
 func (b *Balancer) release(r *request) {
 	if r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
 
-// Summary is how a Balancer sees its servers at one moment, for operators.
+// Summary is how a Balancer sees its endpoints at one moment, for operators.
 type Summary struct {
-	TypicalLatency   time.Duration // the usual delay of answers
-	CapacityShortage float64       // how short of room its servers are: 0, there is room for all, to 1
-	EjectedEndpoints int           // servers left out after failures
+	TypicalLatency   time.Duration // the usual latency of responses
+	CapacityShortage float64       // from 0, there is capacity for all requests, to 1
+	EjectedEndpoints int           // get no traffic after failures
 }
 
-// Summarize tells how things look.
+// Summarize returns the state at now.
 func (b *Balancer) Summarize(now Time) Summary {
-	return Summary{TypicalLatency: time.Duration(b.latency.meanLatency), CapacityShortage: b.capacity.shortage(now), EjectedEndpoints: b.EjectedCount(now)}
+	return Summary{
+		TypicalLatency:   time.Duration(b.latency.meanLatency),
+		CapacityShortage: b.capacity.shortage(now),
+		EjectedEndpoints: b.EjectedCount(now),
+	}
 }
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -5,56 +5,86 @@
 	"time"
 )
 
-// minTimeoutVotes tells that the usual time of a try is known.
-const minTimeoutVotes = 2
-
-// startTolerance is how far from the end of its client's patience less the deadline a request may have begun: what passes
-// between the client's clock and this one, and the rounding of what it tells.
-const startTolerance = 10 * time.Millisecond
-
-// maxUnanswered bounds the requests that are owed: under a flood of refusals the oldest are given up.
-const maxUnanswered = 1024
+const (
+	// minTimeoutVotes is the lead from which the usual client timeout of a class counts as known.
+	minTimeoutVotes = 2
+	// maxTimeoutVotes bounds the lead, so that a change of the timeout is noticed.
+	maxTimeoutVotes = 4 * minTimeoutVotes
+	// timeoutToleranceTicks is how far client timeouts may lie apart and count as equal, in ticks of Config.TimerResolution.
+	timeoutToleranceTicks = 2
+	// startTolerance is how far an estimated start may be off: what passes between the client's clock and this one.
+	startTolerance = 10 * time.Millisecond
+	// maxUnanswered bounds the requests remembered as unanswered; the oldest are dropped.
+	maxUnanswered = 1024
+)
 
+// classState is a class and what is known of its clients' retries. Few clients mark their retries as such, but a retry counts
+// against the latency objective from the first try on.
 type classState struct {
 	Class
-	usualTimeout time.Duration // the time that clients give most tries; the last one gets all that is left
-	timeoutVotes int           // by how many the tries of the usual time lead
-	unanswered   []*request    // ended unanswered while their clients go on: a try of each may follow
+	usualTimeout time.Duration // that clients give most tries; the last try of a request gets all that is left of the deadline
+	timeoutVotes int           // lead of the usual timeout in a majority vote (Boyer and Moore)
+	unanswered   []*request    // ended without a response: their clients may retry
 }
 
-// estimateStart estimates when the request began of which q is a try, as few clients mark their retries. A last
-// try, which gets all the time that is left of the deadline rather than the usual, tells it exactly, if a request that is
-// owed began then: a client may as well be of little patience, and its request new.
-// Another is taken for a retry of a request owed to the same tenant, with the same key and expected work, if one could
-// come now. Where neither key nor work is told nothing is taken for a retry: at a sidecar with much traffic some request
-// is always owed, and new ones taken for its retries would be refused as late, be owed in turn, and so on for ever.
-func (c *classState) estimateStart(now Time, q Request, tick time.Duration) Time {
-	left := q.Expires - now
-	near := (left - c.usualTimeout).Abs() <= 2*tick
+// estimateStart estimates when the client first sent the request of which q is a try; now if q seems to be the first.
+func (c *classState) estimateStart(now Time, q Request, timerResolution time.Duration) Time {
+	tolerance := timeoutToleranceTicks * timerResolution
+	timeout := q.Expires - now
+	usual := (timeout - c.usualTimeout).Abs() <= tolerance
 	known := c.timeoutVotes >= minTimeoutVotes
-	switch { // the majority vote of Boyer and Moore
-	case near:
-		c.timeoutVotes = min(c.timeoutVotes+1, 4*minTimeoutVotes)
+	c.voteTimeout(timeout, usual)
+	c.unanswered = slices.DeleteFunc(c.unanswered, func(r *request) bool { return now > r.startedAt+c.Deadline })
+	if r := c.takeRetried(q, tolerance); r != nil {
+		return r.startedAt
+	}
+	if known && !usual {
+		return c.startOfLastTry(now, q, timerResolution)
+	}
+	return now
+}
+
+// voteTimeout takes a client timeout as a vote for the usual one, or against it.
+func (c *classState) voteTimeout(timeout time.Duration, usual bool) {
+	switch {
+	case usual:
+		c.timeoutVotes = min(c.timeoutVotes+1, maxTimeoutVotes)
 	case c.timeoutVotes == 0:
-		c.usualTimeout, c.timeoutVotes = left, 1
+		c.usualTimeout, c.timeoutVotes = timeout, 1
 	default:
 		c.timeoutVotes--
 	}
-	c.unanswered = slices.DeleteFunc(c.unanswered, func(r *request) bool { return now > r.startedAt+c.Deadline })
+}
+
+// takeRetried returns the unanswered request of which q is a retry: one of the same tenant, key and expected work, that a retry
+// could be of now. Without key and expected work nothing counts as a retry: with much traffic some request is always
+// unanswered, and new ones taken for its retries would be rejected as late, be unanswered in turn, and so on for ever.
+func (c *classState) takeRetried(q Request, tolerance time.Duration) *request {
+	if q.Key == "" && q.ExpectedWork <= 0 {
+		return nil
+	}
 	for i, r := range c.unanswered {
-		if r.Tenant == q.Tenant && r.Key == q.Key && r.ExpectedWork == q.ExpectedWork && (q.Key != "" || q.ExpectedWork > 0) && q.Expires <= r.startedAt+c.Deadline+2*tick {
+		same := r.Tenant == q.Tenant && r.Key == q.Key && r.ExpectedWork == q.ExpectedWork
+		if same && q.Expires <= r.startedAt+c.Deadline+tolerance {
 			c.unanswered = slices.Delete(c.unanswered, i, i+1)
-			return r.startedAt
+			return r
 		}
 	}
-	first := min(now, max(now, q.Expires)-c.Deadline)
-	if known && !near && slices.ContainsFunc(c.unanswered, func(r *request) bool { return (r.startedAt - first).Abs() <= startTolerance+tick }) {
-		return first
+	return nil
+}
+
+// startOfLastTry estimates the start by the unusual timeout of q: that of a last try ends with the deadline, which tells the start
+// if an unanswered request started then. Otherwise the client just has another timeout, and its request is new.
+func (c *classState) startOfLastTry(now Time, q Request, timerResolution time.Duration) Time {
+	start := min(now, max(now, q.Expires)-c.Deadline)
+	startedThen := func(r *request) bool { return (r.startedAt - start).Abs() <= startTolerance+timerResolution }
+	if slices.ContainsFunc(c.unanswered, startedThen) {
+		return start
 	}
 	return now
 }
 
-// addUnanswered notes that r ended unanswered while its client goes on.
+// addUnanswered notes that r ended without a response while its client may retry.
 func (c *classState) addUnanswered(r *request) {
 	if len(c.unanswered) >= maxUnanswered {
 		c.unanswered = slices.Delete(c.unanswered, 0, 1)
--- a/policy/config.go
+++ b/policy/config.go
@@ -76,21 +76,24 @@
 	HealthCheckCost, ConnectionCost, HandshakeCost, CrossZoneCost float64
 }
 
+// ErrInvalidConfig is the error of New for a Config that is out of range.
+var ErrInvalidConfig = errors.New("policy: invalid config")
+
 // validate reports what in cfg is out of range.
 func (cfg Config) validate() error {
 	switch {
 	case cfg.InstanceCount < 1 || cfg.InstanceIndex < 0 || cfg.InstanceIndex >= cfg.InstanceCount:
-		return fmt.Errorf("policy: ordinal %d outside a group of %d", cfg.InstanceIndex, cfg.InstanceCount)
+		return fmt.Errorf("%w: instance %d outside a group of %d", ErrInvalidConfig, cfg.InstanceIndex, cfg.InstanceCount)
 	case cfg.MaxAttempts < 1:
-		return errors.New("policy: MaxAttempts below 1")
+		return fmt.Errorf("%w: MaxAttempts below 1", ErrInvalidConfig)
 	case !(cfg.SlowStartMinCapacity >= 0 && cfg.SlowStartMinCapacity <= 1) || cfg.SlowStartDuration < 0:
-		return errors.New("policy: ColdFrom outside 0..1 or negative Ramp")
+		return fmt.Errorf("%w: SlowStartMinCapacity outside 0..1 or negative SlowStartDuration", ErrInvalidConfig)
 	case cfg.TimerResolution < 0 || cfg.PollInterval < 0 || cfg.ResponseGrace < 0 || cfg.DialTimeout < 0:
-		return errors.New("policy: negative time in Config")
+		return fmt.Errorf("%w: negative duration", ErrInvalidConfig)
 	}
 	for _, c := range cfg.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective || c.PriorityWeight < 0 || c.DedupWindow < 0 {
-			return fmt.Errorf("policy: class %q: aim, deadline, worth or window out of range", c.Name)
+			return fmt.Errorf("%w: class %q: LatencyObjective, Deadline, PriorityWeight or DedupWindow out of range", ErrInvalidConfig, c.Name)
 		}
 	}
 	return nil
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -3,4 +3,3 @@
 // time, and the Balancer answers by calling methods of Actions. It starts no
 // goroutines and reads no clock, so equal events give equal actions.
 package policy
-
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -52,6 +52,13 @@
 	dedupMargin    time.Duration // before the end of a dedup window: the longest from the decision to the repeat's arrival
 }
 
+// newRetryPolicy returns the policy for cfg.
+func newRetryPolicy(cfg Config) retryPolicy {
+	return retryPolicy{
+		maxAttempts: cfg.MaxAttempts, hedgingAllowed: cfg.HedgingAllowed, dedupMargin: cfg.DialTimeout + cfg.TimerResolution,
+	}
+}
+
 // attemptDenied is the only judge of whether the rules allow an attempt of r at e now, be it the first, a retry or a hedged
 // request. Whether the attempt would be of use is another question.
 func (p retryPolicy) attemptDenied(now Time, r *request, e *endpoint) AttemptDenial {
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -64,6 +64,14 @@
 	return e.marked && now-e.markedAt <= j.markLifetime
 }
 
+// hasMarkFor reports whether r can be sent at once by marks alone: an endpoint of the active subset is marked and within the
+// limit. Where keys have affinity, a mark tells nothing of the key's own endpoints.
+func (b *Balancer) hasMarkFor(now Time, r *request, active []*endpoint) bool {
+	return slices.ContainsFunc(active, func(e *endpoint) bool {
+		return b.jbt.isMarked(now, e) && !b.exceedsLimit(now, r, e) && !b.cfg.KeyAffinity
+	})
+}
+
 // reportedQueueLength returns the queue that JBT-d goes by, in requests: all that an endpoint holds, if it reports that, since one
 // that works on many requests at once is slow long before any of them waits. It is negative if l reports neither.
 func reportedQueueLength(l *LoadReport) float64 {
