--- a/policy/config.go
+++ b/policy/config.go
@@ -6,77 +6,81 @@
 	"time"
 )
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency says what a repeat of a request does.
 type Idempotency int
 
-// The effects.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated freely
-	IdempotentByKey                    // repeats are dropped within a group for a while
-	NonIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // no harm
+	IdempotentByKey                    // it is dropped, within a scope and a window of time
+	NonIdempotent                      // it is executed again: never allowed
 )
 
-// DedupScope says which servers drop the repeats of a keyed request.
+// DedupScope says which endpoints drop repeats of a request with an idempotency key.
 type DedupScope int
 
-// The groups.
+// The dedup scopes.
 const (
-	DedupEverywhere DedupScope = iota // every server
-	DedupZone                         // the servers of the zone that got it first
-	DedupCell                         // the servers of the cell that got it first
+	DedupEverywhere DedupScope = iota // all
+	DedupZone                         // those of the zone that got it first
+	DedupCell                         // those of the cell that got it first
 )
 
-// Class describes one class of requests.
+// Class describes a class of requests.
 type Class struct {
 	Name               string
 	Idempotency        Idempotency
-	DedupScope         DedupScope    // for Keyed
-	DedupWindow        time.Duration // for Keyed: how long repeats are dropped
-	LatencyObjective   time.Duration // answers within it have the full worth
-	Deadline           time.Duration // the client's patience over all its tries
+	DedupScope         DedupScope    // of IdempotentByKey
+	DedupWindow        time.Duration // of IdempotentByKey: how long repeats are dropped
+	LatencyObjective   time.Duration // a response within it has the full priority weight
+	Deadline           time.Duration // of the client, over all its tries
 	PriorityWeight     float64
-	LateWeightFraction float64 // share of the worth left after Aim
+	LateWeightFraction float64 // share of the weight that a response after the objective has; 0: late responses are of no use
 }
 
-// Tenant describes one tenant's allowance over all sidecars.
+// Tenant describes a tenant's quota over all instances.
 type Tenant struct {
 	Name      string
 	RateQuota float64 // requests a second
 }
 
-// Config is what a sidecar is told at start.
+// Config is what an instance is told at its start.
 type Config struct {
-	InstanceIndex, InstanceCount int // this sidecar's number among its peers
+	InstanceIndex, InstanceCount int // this instance's number in its group, from 0
 	Zone                         string
 	Classes                      []Class
 	Tenants                      []Tenant
-	OverQuotaWeight              float64 // worth of traffic beyond a tenant's allowance
+	OverQuotaWeight              float64 // weight of requests beyond a tenant's quota
 
-	EndpointsPushed     bool // the server list arrives unasked
+	EndpointsPushed     bool // the endpoint list comes without a watch
 	HealthChecksAllowed bool
 	CancellationAllowed bool
-	HedgingAllowed      bool // a request may have two attempts out at once
-	RetryAfterHonored   bool // clients heed the delay given with a refusal
-	MaxAttempts         int
+	HedgingAllowed      bool // a request may have two attempts in flight
+	RetryAfterHonored   bool // clients wait as Reject tells them
+	MaxAttempts         int  // of one request
 	MaxRetryAfter       time.Duration
 	DialTimeout         time.Duration
-	ConnIdle            time.Duration
-	TimerResolution     time.Duration // least time between two events
+	ConnIdle            time.Duration // a connection is closed after it
+	TimerResolution     time.Duration // least time between two events of the host
 
-	InlineLoadReports bool // answers carry load reports; otherwise only probes do
-	KeyAffinity       bool // a server does less work for a key that it met lately
+	InlineLoadReports bool // responses carry load reports; otherwise only health checks do
+	KeyAffinity       bool // an endpoint does less work for a key that it met lately
 
-	PollInterval         time.Duration // without news this long, the list counts as told
-	PollMaxBackoff       time.Duration // most from a failed call for the list to the next; 0: as AskEvery allows
-	WatchReopenMaxDelay  time.Duration // most from the loss of the list to the call; 0: as AskEvery allows
-	ResponseGrace        time.Duration
-	SlowStartMinCapacity float64       // least share of capacity at a server's start
-	SlowStartDuration    time.Duration // a server is warm after it
+	PollInterval         time.Duration // an endpoint list older than this is out of date
+	PollMaxBackoff       time.Duration // from a failed call for the list to the next; 0: PollInterval
+	WatchReopenMaxDelay  time.Duration // from the loss of a watch to the call; 0: PollInterval
+	ResponseGrace        time.Duration // a client is answered within it after Request.Expires
+	SlowStartMinCapacity float64       // capacity of an endpoint at its start, as a fraction of full
+	SlowStartDuration    time.Duration // it has its full capacity after it
 
-	HealthCheckCost, ConnectionCost, HandshakeCost, CrossZoneCost float64
+	// Costs, in points of the result.
+	HealthCheckCost float64 // of one health check for each request
+	ConnectionCost  float64 // of 100 open connections at each endpoint
+	HandshakeCost   float64 // of one new connection for each request
+	CrossZoneCost   float64 // of each attempt in another zone, as a fraction of all requests
 }
 
-// ErrInvalidConfig is the error of New for a Config that is out of range.
+// ErrInvalidConfig is wrapped by the error of New for a Config that is out of range.
 var ErrInvalidConfig = errors.New("policy: invalid config")
 
 // validate reports what in cfg is out of range.
--- a/policy/events.go
+++ b/policy/events.go
@@ -5,107 +5,105 @@
 // Time is an instant on the host's monotonic clock; its origin means nothing.
 type Time = time.Duration
 
-// EndpointID names a server. Only equality, order and hash of it are used.
+// EndpointID names an endpoint. Only equality, order and hash of it are used.
 type EndpointID string
 
 // RequestID names a request; the host never uses one twice.
 type RequestID uint64
 
-// PriorAttempt is an attempt that was made elsewhere before its request came here. It counts as one of this request's.
-type PriorAttempt struct {
-	Zone           string
-	Cell           int
-	NotExecuted    bool          // proven never to have run
-	DedupRemaining time.Duration // if it may have: a repeat is dropped for so long yet, as its request comes
-}
-
-// Request is a client's request.
-type Request struct {
-	ID            RequestID
-	Class         string
-	Tenant        string
-	Key           string
-	ExpectedWork  time.Duration // rough expected work; zero: unknown
-	IsRetry       bool
-	Expires       Time // the client gives this try up
-	PriorAttempts []PriorAttempt
-	MaxAttempts   int // attempts at most, Prior included; 0: as many as Config allows
-	// Long: its body is passed on as it comes. Expires is for its first attempt to begin; Uploading tells when its body begins
-	// to be used up, so that no further attempt can be made, and Uploaded when its last byte is written.
-	StreamedBody bool
-}
-
-// EndpointState is what the list says of a server.
+// EndpointState is what the endpoint list says of an endpoint.
 type EndpointState int
 
-// The server states.
+// The endpoint states.
 const (
-	Ready EndpointState = iota
-	Draining
+	Ready    EndpointState = iota
+	Draining               // finishes what it has, takes nothing new
 	Removed
 )
 
-// Endpoint is an entry of the server list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID      EndpointID
 	State   EndpointState
 	Zone    string
 	Cell    int
 	Weight  float64
-	Kind    string // of machine, as the list names it; empty: not told
-	Started Time   // zero: long ago
+	Kind    string // machine type, by the list's name; empty: not known
+	Started Time   // of the process; zero: long ago
 }
 
-// UpdateKind says how a list update is to be read.
+// UpdateKind says how an update of the endpoint list is to be read.
 type UpdateKind int
 
-// The list kinds.
+// The kinds of updates.
 const (
 	UpdateDelta      UpdateKind = iota // changed entries only
-	UpdateFull                         // everything; absent servers are gone
-	UpdateCached                       // everything, perhaps out of date
-	UpdatePollFailed                   // a call failed or the subscription broke
-	UpdateWatchLost                    // the list may be out of date, and can be had: its subscription ended, or it has moved
+	UpdateFull                         // all entries; absent endpoints were removed
+	UpdateCached                       // all entries, perhaps out of date
+	UpdatePollFailed                   // no entries: a call to the list service failed, or the watch broke
+	UpdateWatchLost                    // no entries: the watch ended or moved, and a new one can be had at once
 )
 
-// Status says how an attempt or a probe ended.
+// PriorAttempt is an attempt made before the request came here, such as at another site. It counts as one of the request's.
+type PriorAttempt struct {
+	Zone           string
+	Cell           int
+	NotExecuted    bool          // proven
+	DedupRemaining time.Duration // if it may have been executed: for how long from now on repeats are dropped
+}
+
+// Request is a client's request.
+type Request struct {
+	ID            RequestID
+	Class         string // a name of Config.Classes; others count as not idempotent
+	Tenant        string
+	Key           string        // idempotency or affinity key; may be empty
+	ExpectedWork  time.Duration // rough; zero: unknown
+	IsRetry       bool          // marked so by the client
+	Expires       Time          // the client gives up; for a streamed body: its first attempt must begin by then
+	PriorAttempts []PriorAttempt
+	MaxAttempts   int  // including PriorAttempts; 0: Config.MaxAttempts alone counts
+	StreamedBody  bool // the body is passed on as it comes; the host calls HandleBodyStarted and HandleBodyFinished
+}
+
+// Status says how an attempt or a health check ended.
 type Status int
 
-// The statuses. NotRun tells which prove that nothing was executed.
+// The statuses. NotExecuted tells which prove that nothing was executed.
 const (
-	StatusOK Status = iota
-	StatusApplicationError
-	StatusOverloaded
+	StatusOK               Status = iota
+	StatusApplicationError        // the endpoint answered with a failure of its own
+	StatusOverloaded              // the endpoint rejected it unexecuted
 	StatusTimeout
 	StatusConnectFailed
-	StatusReset
+	StatusReset // the connection broke in between
 	StatusCanceled
 	StatusNotSent
 )
 
-// LoadReport is a server's report; negative fields were not reported.
+// LoadReport is an endpoint's report of its load; negative fields were not reported.
 type LoadReport struct {
-	Queue     float64 // requests that wait
-	InFlight  float64 // requests that it holds in all
-	Latency   float64 // recent service time in milliseconds
+	Queue     float64 // requests waiting
+	InFlight  float64 // requests waiting or worked on
+	Latency   float64 // recent service time, in milliseconds
 	ErrorRate float64 // errors a second
 }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult is the end of an attempt.
 type AttemptResult struct {
 	ID           RequestID
-	Attempt      int
+	Attempt      int // number, as counted by Actions.StartAttempt
 	Endpoint     EndpointID
 	Status       Status
-	Delay        time.Duration
-	RequestEnded bool // the request has ended
-	Load         *LoadReport
+	Delay        time.Duration // from its start
+	RequestEnded bool          // the client has its answer: nothing more is to be done for the request
+	Load         *LoadReport   // nil: none
 }
 
-// HealthCheckResult is the end of one probe.
+// HealthCheckResult is the end of a health check.
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Status   Status
-	Delay    time.Duration
-	Load     *LoadReport
+	Delay    time.Duration // from its start
+	Load     *LoadReport   // nil: none
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,58 +2,72 @@
 
 import "time"
 
-// LearnedState is what a Balancer has learnt of its servers and clients, for the process that takes this one's place, which may be of
-// another version: the tags are the stored form.
+// LearnedState is what a Balancer has learned of its endpoints and clients, for the process that takes this one's place, which may
+// be of another version: the tags are the stored form.
 type LearnedState struct {
-	DelayModel      [4]float64                     `json:"Line"` // of the delay by queue: means of both, variance, covariance
-	ProbeContention float64                        `json:"Busy"`
+	DelayModel      [4]float64                     `json:"Line"` // of latency by queue: both means, variance of the queue, covariance
+	ProbeContention float64                        `json:"Busy"` // share of health checks that found a queue
 	HedgeWinRate    float64                        `json:"CopyWins"`
 	Endpoints       map[EndpointID]LearnedEndpoint `json:"Servers"`
-	ClientTimeouts  map[string]time.Duration       `json:"Patience"` // by class: the time that clients give most tries
+	ClientTimeouts  map[string]time.Duration       `json:"Patience"` // usual ones, by class
 }
 
-// LearnedEndpoint is what it has learnt of one.
+// LearnedEndpoint is what was learned of one endpoint.
 type LearnedEndpoint struct {
-	Started             Time          `json:"Started"` // as the list tells it, on the clock of who asks
-	Slowness            float64       `json:"Slowness"`
-	Samples             int           `json:"Answers"` // that tell it
-	ResponseInterval    float64       `json:"Gap"`
-	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not
+	Started             Time          `json:"Started"`    // as the endpoint list tells it, on the clock of this process
+	Slowness            float64       `json:"Slowness"`   // ratio of its latencies to those predicted
+	Samples             int           `json:"Answers"`    // responses that tell the slowness
+	ResponseInterval    float64       `json:"Gap"`        // in nanoseconds
+	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not ejected
 	ConsecutiveFailures int           `json:"Fails"`
 }
 
-// ExportLearnedState returns what has been learnt so far.
+// ExportLearnedState returns what has been learned so far.
 func (b *Balancer) ExportLearnedState(now Time) LearnedState {
-	l := LearnedState{
-		DelayModel: [4]float64{b.latency.meanQueue, b.latency.meanLatency, b.latency.queueVariance, b.latency.covariance}, ProbeContention: b.healthChecks.contention, HedgeWinRate: b.hedges.winRate,
-		Endpoints: map[EndpointID]LearnedEndpoint{}, ClientTimeouts: map[string]time.Duration{},
+	state := LearnedState{
+		DelayModel:      [4]float64{b.latency.meanQueue, b.latency.meanLatency, b.latency.queueVariance, b.latency.covariance},
+		ProbeContention: b.healthChecks.contention,
+		HedgeWinRate:    b.hedges.winRate,
+		Endpoints:       map[EndpointID]LearnedEndpoint{},
+		ClientTimeouts:  map[string]time.Duration{},
 	}
-	for id, s := range b.endpoints {
-		l.Endpoints[id] = LearnedEndpoint{s.Started, s.slowness, s.slownessSamples, s.responseInterval, max(0, s.ejectedUntil-now), s.consecutiveFailures}
+	for id, e := range b.endpoints {
+		state.Endpoints[id] = LearnedEndpoint{
+			Started: e.Started, Slowness: e.slowness, Samples: e.slownessSamples, ResponseInterval: e.responseInterval,
+			EjectedFor: max(0, e.ejectedUntil-now), ConsecutiveFailures: e.consecutiveFailures,
+		}
 	}
 	for name, c := range b.classes {
 		if c.timeoutVotes >= minTimeoutVotes {
-			l.ClientTimeouts[name] = c.usualTimeout
+			state.ClientTimeouts[name] = c.usualTimeout
 		}
 	}
-	return l
+	return state
 }
 
-// ImportLearnedState takes over what another Balancer has learnt, of the servers that are on the list and have not restarted since.
-func (b *Balancer) ImportLearnedState(now Time, l LearnedState) {
-	b.latency = latencyModel{l.DelayModel[0], l.DelayModel[1], l.DelayModel[2], l.DelayModel[3]}
-	b.healthChecks.contention, b.hedges.winRate = l.ProbeContention, l.HedgeWinRate
-	for id, t := range l.Endpoints {
-		if s := b.endpoints[id]; s != nil && s.Started == t.Started {
-			s.slowness, s.slownessSamples, s.responseInterval, s.consecutiveFailures = t.Slowness, t.Samples, t.ResponseInterval, t.ConsecutiveFailures
-			if t.EjectedFor > 0 {
-				s.ejectedUntil = now + t.EjectedFor
-			}
+// ImportLearnedState takes over what another Balancer has learned, of endpoints that are on the list and have not restarted since.
+func (b *Balancer) ImportLearnedState(now Time, state LearnedState) {
+	line := state.DelayModel
+	b.latency = latencyModel{meanQueue: line[0], meanLatency: line[1], queueVariance: line[2], covariance: line[3]}
+	b.healthChecks.contention, b.hedges.winRate = state.ProbeContention, state.HedgeWinRate
+	for id, learned := range state.Endpoints {
+		if e := b.endpoints[id]; e != nil && e.Started == learned.Started {
+			e.importLearned(now, learned)
 		}
 	}
-	for name, usual := range l.ClientTimeouts {
+	for name, usual := range state.ClientTimeouts {
 		if c := b.classes[name]; c != nil {
 			c.usualTimeout, c.timeoutVotes = usual, minTimeoutVotes
 		}
 	}
 }
+
+// importLearned takes over what was learned of e.
+func (e *endpoint) importLearned(now Time, learned LearnedEndpoint) {
+	e.slowness, e.slownessSamples = learned.Slowness, learned.Samples
+	e.responseInterval = learned.ResponseInterval
+	e.consecutiveFailures = learned.ConsecutiveFailures
+	if learned.EjectedFor > 0 {
+		e.ejectedUntil = now + learned.EjectedFor
+	}
+}
