--- /dev/null
+++ b/policy/learned_test.go
@@ -0,0 +1,40 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// TestAdopt guards against a process that begins with no idea of its servers where the one before knew, and against taking
+// one that has restarted for what it was.
+func TestAdopt(t *testing.T) {
+	cfg := Config{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}
+	list := []Endpoint{{ID: "a"}, {ID: "b", Started: 5}, {ID: "c"}}
+	balancer := func() *Balancer {
+		b, err := New(cfg, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.UpdateEndpoints(time.Hour, UpdateFull, list, new(recorder))
+		return b
+	}
+	old := balancer()
+	old.latency = latencyModel{1, 2e7, 3, 4}
+	old.endpoints["a"].slowness, old.endpoints["b"].slowness = 3, 4
+	old.endpoints["a"].ejectedUntil = time.Hour + 2*time.Second
+	l := old.ExportLearnedState(time.Hour)
+	restarted := l.Endpoints["b"]
+	restarted.Started = 4
+	l.Endpoints["b"] = restarted
+	next := balancer()
+	next.ImportLearnedState(2*time.Hour, l)
+	if next.latency != old.latency || next.endpoints["a"].slowness != 3 || next.endpoints["b"].slowness != 1 {
+		t.Errorf("%+v, %v, %v", next.latency, next.endpoints["a"].slowness, next.endpoints["b"].slowness)
+	}
+	if n := next.EjectedCount(2*time.Hour + time.Second); n != 1 {
+		t.Errorf("%d servers are avoided, want 1", n)
+	}
+	if n := next.EjectedCount(2*time.Hour + 3*time.Second); n != 0 {
+		t.Errorf("%d servers are avoided when that is over", n)
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestRefuseAndSendLegality(t *testing.T) {
+	tests := []struct {
+		class     string
+		first     Status
+		again     []EndpointID // servers that may get the second attempt
+		refusable bool
+	}{
+		{"safe", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"keyed", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"zonal", StatusApplicationError, []EndpointID{"s0", "s2"}, false},
+		{"cellular", StatusReset, []EndpointID{"s0", "s1"}, false},
+		{"cellular", StatusOverloaded, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"unsafe", StatusApplicationError, nil, false},
+		{"unsafe", StatusConnectFailed, []EndpointID{"s0", "s1", "s2", "s3"}, true},
+		{"unknown", StatusTimeout, nil, false},
+	}
+	for _, tt := range tests {
+		b, _ := start(t, testConfig(), 4)
+		c := b.classes[tt.class]
+		if c == nil {
+			c = &classState{Class: Class{Idempotency: NonIdempotent}}
+		}
+		s := b.endpoints["s0"]
+		r := &request{Request: Request{Expires: time.Second}, class: c}
+		r.attempts = []attempt{{endpoint: s, zone: s.Zone, cell: s.Cell, notExecuted: tt.first.NotExecuted()}}
+		var again []EndpointID
+		for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
+			if b.attemptAllowed(0, r, b.endpoints[id]) {
+				again = append(again, id)
+			}
+		}
+		if !slices.Equal(again, tt.again) {
+			t.Errorf("%s after %v may go to %v, want %v", tt.class, tt.first, again, tt.again)
+		}
+		if got := rejectionSafe(r); got != tt.refusable {
+			t.Errorf("%s after %v: mayRefuse = %v, want %v", tt.class, tt.first, got, tt.refusable)
+		}
+	}
+}
+
+func TestNoSecondCopyWhereForbidden(t *testing.T) {
+	cfg := testConfig()
+	for _, may := range []bool{true, false} {
+		cfg.HedgingAllowed = may
+		b, _ := start(t, cfg, 2)
+		s := b.endpoints["s0"]
+		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
+		r.attempts = []attempt{{endpoint: s, inFlight: true}}
+		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != may {
+			t.Errorf("MayDuplicate %v: maySend = %v", may, got)
+		}
+	}
+}
--- a/policy/sets_test.go
+++ b/policy/subset_test.go
@@ -2,9 +2,50 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
+	"slices"
 	"testing"
+	"time"
 )
 
+// TestReadySetsAreBalanced guards against connections from every sidecar to every server, and
+// against sets that fall on some servers more than on others.
+func TestReadySetsAreBalanced(t *testing.T) {
+	cfg := testConfig()
+	cfg.InstanceCount, cfg.ConnectionCost = 600, 0.08
+	count := map[EndpointID]int{}
+	for i := range cfg.InstanceCount {
+		cfg.InstanceIndex = i
+		b, _ := start(t, cfg, 40)
+		for _, s := range b.activeSubset(0) {
+			count[s.ID]++
+		}
+	}
+	want := cfg.InstanceCount * minSubsetSize / 40
+	for id, n := range count {
+		if n < want*9/10 || n > want*11/10 {
+			t.Errorf("%s is in %d ready sets, want about %d", id, n, want)
+		}
+	}
+}
+
+// The order in which a list names its servers means nothing: sets and connections stay as they are.
+func TestOrderOfTheListMeansNothing(t *testing.T) {
+	b, rec := start(t, testConfig(), 40)
+	var list []Endpoint
+	for _, s := range b.endpoints {
+		list = append(list, s.Endpoint)
+	}
+	before := slices.Clone(b.readyEndpoints)
+	for seed := range uint64(5) {
+		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+		b.UpdateEndpoints(time.Second, UpdateFull, list, rec)
+		if !slices.Equal(before, b.readyEndpoints) {
+			t.Fatal("the ready servers changed with the order of the list")
+		}
+	}
+}
+
 // Each server is in about equally many sets of 80 sidecars before 60 servers, also as one goes and as 36 are replaced; how far sets
 // move is told.
 func TestSetsOfManySidecars(t *testing.T) {
--- /dev/null
+++ b/policy/support_test.go
@@ -0,0 +1,86 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// recorder is an Actions that notes each action as a line of text.
+type recorder struct{ lines []string }
+
+func (r *recorder) note(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
+
+func (r *recorder) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
+	r.note("send %d %s", id, s)
+}
+
+func (r *recorder) Reject(id RequestID, d time.Duration) { r.note("refuse %d", id) }
+
+func (r *recorder) Fail(id RequestID) { r.note("fail %d", id) }
+
+func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.note("cancel %d %d", id, attempt) }
+
+func (r *recorder) SetTimer(d time.Duration, token string) { r.note("timer %v %s", d, token) }
+
+func (r *recorder) CheckHealth(s EndpointID) { r.note("probe %s", s) }
+
+func (r *recorder) WatchEndpoints(on bool) { r.note("watch %v", on) }
+
+func (r *recorder) Log(text string) { r.note("log %s", text) }
+
+// take returns the lines that start with prefix and clears all.
+func (r *recorder) take(prefix string) []string {
+	got := slices.DeleteFunc(r.lines, func(l string) bool { return !strings.HasPrefix(l, prefix) })
+	r.lines = nil
+	return got
+}
+
+func testConfig() Config {
+	const s = time.Second
+	return Config{
+		InstanceCount: 1, Zone: "a", HealthChecksAllowed: true, CancellationAllowed: true, HedgingAllowed: true, MaxAttempts: 3,
+		DialTimeout: 100 * time.Millisecond, TimerResolution: 5 * time.Millisecond, PollInterval: 10 * time.Second,
+		ResponseGrace: 20 * time.Millisecond, SlowStartMinCapacity: 0.3, SlowStartDuration: 8 * time.Second, HealthCheckCost: 0.01,
+		Classes: []Class{
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentByKey, DedupWindow: s / 3, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "zonal", Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: s / 3, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "cellular", Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: s, LatencyObjective: s, Deadline: 2 * s},
+			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		},
+	}
+}
+
+// start returns a balancer that knows n servers s0, s1, ... in zones a and b and cells of two.
+func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
+	t.Helper()
+	b, err := New(cfg, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var list []Endpoint
+	for i := range n {
+		id := EndpointID(fmt.Sprint("s", i))
+		list = append(list, Endpoint{ID: id, Zone: string(rune('a' + i%2)), Cell: i / 2})
+	}
+	rec := &recorder{}
+	b.UpdateEndpoints(0, UpdateCached, list, rec)
+	rec.take("")
+	return b, rec
+}
+
+// answer has b send a request, and server answer it after delay.
+func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
+	s := b.endpoints[server]
+	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
+	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
+	r.inFlight = 1
+	s.inFlight++
+	b.requests[id] = r
+	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Delay: delay, RequestEnded: true}, rec)
+}
