--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -158,7 +158,7 @@
 				return err
 			}
 			if res.Lease != nil {
-				k.HandleResponse(clock.Now(), *res.Lease)
+				k.HandleResponse(*res.Lease)
 			}
 		}
 		token, _, ok := k.Token(clock.Now(), name)
--- a/internal/fleet/tier.go
+++ b/internal/fleet/tier.go
@@ -360,7 +360,7 @@
 		t.submit(&pendingRequest{request: consensus.Request{Lease: &a}, onResponse: func(r consensus.Response) {
 			t.noteDecided(now, r.Digest)
 			if r.Lease != nil {
-				t.session.HandleResponse(t.clock.Now(), *r.Lease)
+				t.session.HandleResponse(*r.Lease)
 			}
 		}})
 	}
@@ -434,7 +434,7 @@
 		asked := r.core.FetchedAt()
 		t.submit(&pendingRequest{request: consensus.Request{TaskRecords: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
 			if res.TaskRecords != nil {
-				r.core.HandleRecord(t.clock.Now(), asked, res.TaskRecords[r.cfg.Name])
+				r.core.HandleRecord(asked, res.TaskRecords[r.cfg.Name])
 			}
 		}})
 	case a.Command != nil:
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -261,7 +261,7 @@
 }
 
 // HandleResponse takes an answer. One that nobody waits for any more is not used.
-func (k *Client) HandleResponse(now time.Duration, a Response) {
+func (k *Client) HandleResponse(a Response) {
 	what, known := k.inFlight[a.ID]
 	if !known {
 		return
@@ -269,13 +269,13 @@
 	delete(k.inFlight, a.ID)
 	switch {
 	case what.leaseName == "":
-		k.handleKeepAlive(now, what.sentAt, a)
+		k.handleKeepAlive(what.sentAt, a)
 	case a.Result != nil:
 		k.handleResult(what, *a.Result)
 	}
 }
 
-func (k *Client) handleKeepAlive(now, askedAt time.Duration, a Response) {
+func (k *Client) handleKeepAlive(askedAt time.Duration, a Response) {
 	if k.sessionID == 0 {
 		if a.Refusal == RefusedNoSession {
 			k.knownLastID, k.lastIDKnown = a.LastID, true
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -266,11 +266,11 @@
 	k := NewClient(r, "a", "start")
 	k.Acquire("x", 1)
 	look := ask(t, k, 0, "")
-	k.HandleResponse(0, Response{ID: look.ID, Refusal: RefusedNoSession, LastID: m.LastID})
+	k.HandleResponse(Response{ID: look.ID, Refusal: RefusedNoSession, LastID: m.LastID})
 	for _, op := range []Op{OpOpen, OpAcquire} {
 		a := ask(t, k, 0, op)
 		res := m.Apply(*a.Command)
-		k.HandleResponse(0, Response{ID: a.ID, Result: &res})
+		k.HandleResponse(Response{ID: a.ID, Result: &res})
 	}
 	return k, m
 }
@@ -285,12 +285,12 @@
 	renewal := ask(t, k, time.Second, "")
 	listing, _ := m.HoldingsOf(k.SessionID(), 0)
 	answer := Response{ID: renewal.ID, Holdings: &listing}
-	k.HandleResponse(9*time.Second, answer)
+	k.HandleResponse(answer)
 	_, until, ok := k.Token(9*time.Second, "x")
 	if !ok || until != time.Second+r.ClientTTL() {
 		t.Errorf("until %v, asked at 1 s with a budget of %v", until, r.ClientTTL())
 	}
-	k.HandleResponse(20*time.Second, answer) // a late copy
+	k.HandleResponse(answer) // a late copy
 	if _, _, ok := k.Token(20*time.Second, "x"); ok {
 		t.Error("a late copy of the answer has it act again")
 	}
@@ -301,7 +301,7 @@
 	k, m := holding(t, Timing{TTL: 10 * time.Second})
 	renewal := ask(t, k, 0, "")
 	listing, _ := m.HoldingsOf(k.SessionID(), 0)
-	k.HandleResponse(0, Response{ID: renewal.ID, Holdings: &listing})
+	k.HandleResponse(Response{ID: renewal.ID, Holdings: &listing})
 	if _, _, ok := k.Token(0, "x"); !ok {
 		t.Fatal("not held")
 	}
@@ -313,12 +313,12 @@
 	}
 	k.Refresh()
 	again := ask(t, k, 0, "")
-	k.HandleResponse(0, Response{ID: again.ID, Holdings: &Holdings{Version: listing.Version + 1, Tokens: listing.Tokens}})
+	k.HandleResponse(Response{ID: again.ID, Holdings: &Holdings{Version: listing.Version + 1, Tokens: listing.Tokens}})
 	if _, _, ok := k.Token(0, "x"); ok {
 		t.Fatal("a listing from before the release has it act")
 	}
 	res := m.Apply(*release.Command)
-	k.HandleResponse(0, Response{ID: release.ID, Result: &res})
+	k.HandleResponse(Response{ID: release.ID, Result: &res})
 	if a := ask(t, k, 0, OpAcquire); a.Command.Name != "x" {
 		t.Errorf("%+v", a)
 	}
@@ -330,7 +330,7 @@
 	m.Apply(Command{Op: OpRevoke, Name: "x"})
 	a := ask(t, k, 0, "")
 	listing, _ := m.HoldingsOf(k.SessionID(), 0)
-	k.HandleResponse(0, Response{ID: a.ID, Holdings: &listing})
+	k.HandleResponse(Response{ID: a.ID, Holdings: &listing})
 	if _, _, ok := k.Token(0, "x"); ok {
 		t.Error("it acts on a revoked lease")
 	}
@@ -343,7 +343,7 @@
 	listing, _ := m.HoldingsOf(k.SessionID(), 0)
 	k.Close()
 	ask(t, k, 0, OpClose)
-	k.HandleResponse(0, Response{ID: a.ID, Holdings: &listing})
+	k.HandleResponse(Response{ID: a.ID, Holdings: &listing})
 	if _, _, ok := k.Token(0, "x"); ok || len(k.Held(0)) > 0 {
 		t.Error("it acts on what it has given up")
 	}
@@ -353,7 +353,7 @@
 func TestSuperseded(t *testing.T) {
 	k, _ := holding(t, Timing{TTL: 10 * time.Second})
 	a := ask(t, k, 0, "")
-	k.HandleResponse(0, Response{ID: a.ID, Refusal: RefusedSuperseded})
+	k.HandleResponse(Response{ID: a.ID, Refusal: RefusedSuperseded})
 	if asks, _ := k.Next(time.Minute); len(asks) != 0 || !k.Superseded() {
 		t.Errorf("%+v", asks)
 	}
--- a/internal/simulation/proc.go
+++ b/internal/simulation/proc.go
@@ -430,7 +430,7 @@
 		p.call(consensus.Request{Lease: &a}, func(r consensus.Response) {
 			if r.Lease != nil {
 				p.w.remember(p.i, a, *r.Lease, began)
-				p.keeper.HandleResponse(p.clock(), *r.Lease)
+				p.keeper.HandleResponse(*r.Lease)
 				p.keep()
 			}
 		})
@@ -486,7 +486,7 @@
 		asked := p.runner.FetchedAt()
 		p.call(consensus.Request{TaskRecords: []string{p.w.spec.Name}}, func(r consensus.Response) {
 			if r.TaskRecords != nil {
-				p.runner.HandleRecord(p.clock(), asked, r.TaskRecords[p.w.spec.Name])
+				p.runner.HandleRecord(asked, r.TaskRecords[p.w.spec.Name])
 				p.keep()
 			}
 		})
--- a/internal/task/runner.go
+++ b/internal/task/runner.go
@@ -201,7 +201,7 @@
 }
 
 // HandleRecord takes a page that was asked for at askedAt.
-func (r *Runner) HandleRecord(now, askedAt time.Duration, p Record) {
+func (r *Runner) HandleRecord(askedAt time.Duration, p Record) {
 	if askedAt < r.recordAskedAt {
 		return // a newer one is known
 	}
--- a/internal/task/task_test.go
+++ b/internal/task/task_test.go
@@ -142,7 +142,7 @@
 			lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
 			switch {
 			case a.FetchRecord && !lost:
-				r.HandleRecord(now, r.FetchedAt(), b.Record("t"))
+				r.HandleRecord(r.FetchedAt(), b.Record("t"))
 			case a.Command != nil:
 				res := b.Apply(*a.Command)
 				if !lost {
@@ -173,12 +173,12 @@
 	r := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 	wall := time.Unix(1000, 0)
 	r.Next(0, wall, 0, 0)
-	r.HandleRecord(0, 0, Record{Token: 1, Slot: 999, BegunBy: 1})
+	r.HandleRecord(0, Record{Token: 1, Slot: 999, BegunBy: 1})
 	r.Next(400*time.Millisecond, wall, 0, 0)
 	open := Record{Token: 1, Slot: 1000, Open: true, BegunBy: 1, Attempts: 1}
-	r.HandleRecord(400*time.Millisecond, 400*time.Millisecond, open)
+	r.HandleRecord(400*time.Millisecond, open)
 	r.Next(500*time.Millisecond, wall, 2, time.Hour)
-	r.HandleRecord(500*time.Millisecond, 500*time.Millisecond, open)
+	r.HandleRecord(500*time.Millisecond, open)
 	a, _ := r.Next(600*time.Millisecond, wall, 2, time.Hour)
 	if a.Command == nil || !a.Command.Rerun {
 		t.Fatalf("%+v", a)
@@ -197,7 +197,7 @@
 	r := NewRunner(spec(e, MissedRunNewest), 100*time.Millisecond, 300*time.Millisecond)
 	wall := time.Unix(1000, 0)
 	r.Next(0, wall, 1, time.Hour)
-	r.HandleRecord(0, 0, b.Record("t"))
+	r.HandleRecord(0, b.Record("t"))
 	a, _ := r.Next(0, wall, 1, time.Hour)
 	if a.Command == nil || a.Command.Op != OpBegin {
 		t.Fatalf("%+v", a)
@@ -217,7 +217,7 @@
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		a, _ := r.Next(now, wall, 1, time.Hour)
 		if a.FetchRecord {
-			r.HandleRecord(now, now, b.Record("t"))
+			r.HandleRecord(now, b.Record("t"))
 		}
 		if a.Send != nil {
 			if a.Send.Slot != c.Slot {
@@ -248,7 +248,7 @@
 	stale := b.Record("t")
 	a, _ := r.Next(time.Millisecond, wall, 1, time.Hour)
 	r.HandleResult(2*time.Millisecond, *a.Command, b.Apply(*a.Command), 1)
-	r.HandleRecord(4*time.Millisecond, 3*time.Millisecond, stale)
+	r.HandleRecord(3*time.Millisecond, stale)
 	if a, _ := r.Next(5*time.Millisecond, wall, 1, time.Hour); a.Send != nil {
 		t.Errorf("sent again: %+v", a.Send)
 	}
@@ -385,7 +385,7 @@
 				a, _ := r.Next(now, wall.Add(now), token, time.Hour)
 				switch {
 				case a.FetchRecord:
-					r.HandleRecord(now, now, b.Record("t"))
+					r.HandleRecord(now, b.Record("t"))
 				case a.Command != nil:
 					r.HandleResult(now, *a.Command, b.Apply(*a.Command), token)
 				case a.Send != nil:
