--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -99,56 +99,65 @@
 	return reflect.DeepEqual(a, b)
 }
 
+// fieldForms notes the exported fields of the project's structs in the examples: whether any example sets them, and whether they have a tag.
+type fieldForms struct{ set, untagged map[string]bool }
+
+func (f *fieldForms) walk(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if !v.IsNil() {
+			f.walk(v.Elem())
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			f.walk(v.Index(i))
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			f.walk(v.MapIndex(key))
+		}
+	case reflect.Struct:
+		f.walkStruct(v)
+	}
+}
+
+func (f *fieldForms) walkStruct(v reflect.Value) {
+	if !strings.HasPrefix(v.Type().PkgPath(), "sorrelrudder/") {
+		return
+	}
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		if !field.IsExported() {
+			continue
+		}
+		name := v.Type().String() + "." + field.Name
+		f.set[name] = f.set[name] || !v.Field(i).IsZero()
+		if field.Tag.Get("json") == "" {
+			f.untagged[name] = true
+		}
+		f.walk(v.Field(i))
+	}
+}
+
 // checkFields fails for each exported field of the project's structs that no case sets, so that its form is not
 // checked, or that has no tag, so that its form changes with its name.
 func checkFields(t *testing.T, cases []goldenCase) {
 	t.Helper()
-	set, untagged := map[string]bool{}, map[string]bool{}
-	var walk func(v reflect.Value)
-	walk = func(v reflect.Value) {
-		switch v.Kind() {
-		case reflect.Pointer, reflect.Interface:
-			if !v.IsNil() {
-				walk(v.Elem())
-			}
-		case reflect.Slice:
-			for i := range v.Len() {
-				walk(v.Index(i))
-			}
-		case reflect.Map:
-			for _, key := range v.MapKeys() {
-				walk(v.MapIndex(key))
-			}
-		case reflect.Struct:
-			if !strings.HasPrefix(v.Type().PkgPath(), "sorrelrudder/") {
-				return
-			}
-			for i := range v.NumField() {
-				if f := v.Type().Field(i); f.IsExported() {
-					name := v.Type().String() + "." + f.Name
-					set[name] = set[name] || !v.Field(i).IsZero()
-					if f.Tag.Get("json") == "" {
-						untagged[name] = true
-					}
-					walk(v.Field(i))
-				}
-			}
-		}
-	}
+	forms := fieldForms{set: map[string]bool{}, untagged: map[string]bool{}}
 	for _, c := range cases {
-		walk(reflect.ValueOf(c.value))
+		forms.walk(reflect.ValueOf(c.value))
 	}
-	for _, name := range slices.Sorted(maps.Keys(set)) {
-		if !set[name] {
+	for _, name := range slices.Sorted(maps.Keys(forms.set)) {
+		if !forms.set[name] {
 			t.Errorf("%s is not set in any example", name)
 		}
-		if untagged[name] {
+		if forms.untagged[name] {
 			t.Errorf("%s has no json tag: its form would change with its name", name)
 		}
 	}
 }
 
-func exampleFleet() *StateMachine {
+func exampleStateMachine() *StateMachine {
 	leases := &lease.StateMachine{
 		LastID: 9,
 		Sessions: map[uint64]*lease.Session{
@@ -209,7 +218,7 @@
 // TestGoldenForms: what goes into the log, into snapshots and to other processes is written and read as it was by earlier versions.
 func TestGoldenForms(t *testing.T) {
 	leaseCommand, seatCommand, slotCommand, orderCommand := exampleCommands()
-	fleet := exampleFleet()
+	fleet := exampleStateMachine()
 	cases := []goldenCase{
 		jsonCase("entry/lease", proposal{Term: 2, ID: 10, Lease: &leaseCommand}),
 		jsonCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &seatCommand}),
@@ -292,7 +301,7 @@
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(OpAdmit), "admit"}, {string(OpAdd), "add"}, {string(OpRemove), "remove"}, {string(OpReplace), "replace"},
-		{OperatorKind, "order"}, {ZoneKind, "zone"}, {RefusedConflict, "something else was decided meanwhile"},
+		{OperatorKind, "order"}, {ZoneKind, "zone"}, {string(RefusedConflict), "something else was decided meanwhile"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
--- /dev/null
+++ b/internal/consensus/process.go
@@ -0,0 +1,165 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// Output is what a node wants done, in the order of the fields. What had to be durable before is written.
+type Output struct {
+	Messages       []*raftpb.Message
+	Replies        []Reply
+	ChangedMembers []string // members whose leases have changed without a command of their own
+	Events         []Event
+}
+
+// Reply is the answer to the request that was submitted with Handle.
+type Reply struct {
+	Handle   uint64
+	Response Response
+}
+
+// Event is a line for the log: a constant message, and keys and values.
+type Event struct {
+	Message string
+	Args    []any
+}
+
+func (n *Node) event(message string, args ...any) {
+	n.output.Events = append(n.output.Events, Event{message, args})
+}
+
+// Process carries out all that has come up since the last call and returns what is to be sent. An error, which is then returned by every
+// later call, ends this node's part.
+func (n *Node) Process(now time.Duration, storage Storage) (out Output, err error) {
+	defer func() {
+		if n.fatalErr != nil {
+			out, err = Output{}, n.fatalErr
+		}
+	}()
+	defer n.recoverPanic()
+	n.now = now
+	if n.fatalErr != nil {
+		return Output{}, n.fatalErr
+	}
+	n.runLeaderDuties()
+	for n.rawNode.HasReady() {
+		if err := n.processReady(storage); err != nil {
+			n.fatalErr = err
+			return Output{}, err
+		}
+		n.runLeaderDuties()
+	}
+	out = n.output
+	n.output = Output{}
+	return out, nil
+}
+
+// runLeaderDuties confirms keepalives and reads, proposes the end of what has expired, and changes the configuration.
+func (n *Node) runLeaderDuties() {
+	if n.lessor == nil {
+		return
+	}
+	n.startReads()
+	for _, c := range n.lessor.DueCommands(n.now, n.machine.Leases) {
+		if !n.propose(pendingRequest{}, proposal{Lease: &c}) {
+			n.lessor.ProposalFailed(c)
+		}
+	}
+	if n.ticksSinceConfChange > uint64(n.cfg.ElectionTicks) {
+		n.proposeConfChange()
+	}
+}
+
+// processReady carries out one batch of the raft library, in the order that it demands: first what has to be durable, then the messages,
+// then what is committed.
+func (n *Node) processReady(storage Storage) error {
+	rd := n.rawNode.Ready()
+	if err := save(rd, storage); err != nil {
+		return err
+	}
+	if err := n.adopt(rd); err != nil {
+		return err
+	}
+	if rd.SoftState != nil {
+		n.updateLeadership(*rd.SoftState)
+	}
+	n.queueMessages(rd.Messages)
+	n.confirmReads(rd.ReadStates)
+	for _, e := range rd.CommittedEntries {
+		if err := n.applyEntry(e); err != nil {
+			return err
+		}
+	}
+	n.serveReads()
+	n.rawNode.Advance(rd)
+	return n.maybeSnapshot(storage)
+}
+
+// save makes durable what a batch promises.
+func save(rd raft.Ready, storage Storage) error {
+	s := PersistentState{HardState: rd.HardState, Entries: rd.Entries}
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		s.Snapshot, s.ReplaceLog = rd.Snapshot, true
+	}
+	if s.HardState == nil && s.Snapshot == nil && len(s.Entries) == 0 {
+		return nil
+	}
+	if err := storage.Save(s, rd.MustSync || s.Snapshot != nil); err != nil {
+		return fmt.Errorf("%w: %w", ErrStorage, err)
+	}
+	return nil
+}
+
+// adopt takes over the snapshot, the hard state and the entries of a batch.
+func (n *Node) adopt(rd raft.Ready) error {
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		if err := n.raftLog.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+			return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
+		}
+		if err := n.restoreSnapshot(rd.Snapshot); err != nil {
+			return err
+		}
+		n.event("the council's state taken over", "index", n.appliedIndex)
+	}
+	if rd.HardState != nil {
+		if err := n.raftLog.SetHardState(rd.HardState); err != nil {
+			return fmt.Errorf("%w: %w", ErrInvalidLog, err)
+		}
+		if term := rd.GetTerm(); term != n.term {
+			n.term = term
+			n.stepDown()
+		}
+	}
+	if err := n.raftLog.Append(rd.Entries); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidLog, err)
+	}
+	return nil
+}
+
+// queueMessages adds messages to the output and starts the timers of snapshots.
+func (n *Node) queueMessages(messages []*raftpb.Message) {
+	for _, m := range messages {
+		if m.GetType() == raftpb.MsgSnap {
+			n.snapshotTicks[m.GetTo()] = 0
+		}
+	}
+	n.output.Messages = append(n.output.Messages, messages...)
+}
+
+// updateLeadership notes who leads now.
+func (n *Node) updateLeadership(s raft.SoftState) {
+	if s.RaftState != raft.StateLeader {
+		n.stepDown()
+	}
+	if s.Lead != n.leaderID && s.Lead != 0 {
+		n.event("the council has a leader", "leader", n.NameOf(s.Lead), "id", s.Lead, "term", n.term)
+	} else if s.Lead == 0 && n.leaderID != 0 {
+		n.event("the council has no leader that this process knows of", "term", n.term)
+	}
+	n.leaderID, n.role = s.Lead, s.RaftState
+}
--- /dev/null
+++ b/internal/consensus/raft_logger.go
@@ -0,0 +1,20 @@
+package consensus
+
+import "fmt"
+
+// raftLogger drops what the raft library logs. Where the library gives up it panics, since nothing safe can be done then;
+// Node.recoverPanic turns that into ErrRaft.
+type raftLogger struct{}
+
+func (raftLogger) Debug(...any)              {}
+func (raftLogger) Debugf(string, ...any)     {}
+func (raftLogger) Error(...any)              {}
+func (raftLogger) Errorf(string, ...any)     {}
+func (raftLogger) Info(...any)               {}
+func (raftLogger) Infof(string, ...any)      {}
+func (raftLogger) Warning(...any)            {}
+func (raftLogger) Warningf(string, ...any)   {}
+func (raftLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- /dev/null
+++ b/internal/consensus/snapshot_test.go
@@ -0,0 +1,29 @@
+package consensus
+
+import (
+	"errors"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// FuzzRestore: what comes as a snapshot is refused or can be worked with.
+func FuzzRestore(f *testing.F) {
+	data, err := NewStateMachine("fleet", "a", "s", []string{"a", "b", "c"}).snapshot()
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(data)
+	f.Add([]byte(`{"id":"x","seats":{"a":null}}`))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		m, err := restore(data)
+		if err != nil {
+			if !errors.Is(err, ErrInvalidSnapshot) {
+				t.Errorf("refused with %v", err)
+			}
+			return
+		}
+		m.applyVoter(VoterCommand{Op: OpAdmit, Name: "b", StoreID: "s"})
+		m.nextConfChange(&raftpb.ConfState{Voters: []uint64{1}}, alwaysCaughtUp)
+	})
+}
--- /dev/null
+++ b/internal/consensus/voter.go
@@ -0,0 +1,166 @@
+package consensus
+
+import (
+	"slices"
+
+	"sorrelrudder/internal/lease"
+)
+
+// MaxVoters bounds the voters of a fleet: with more of them a larger majority has to write each command to stable storage.
+const MaxVoters = 9
+
+// Voter is a member that votes, or is to vote. Its raft ID belongs to one store: a member that returns with another store gets another.
+type Voter struct {
+	RaftID  uint64 `json:"id"`
+	StoreID string `json:"store"`
+	Votes   bool   `json:"voter"` // it is to vote as soon as it has caught up
+	// ReplacedID is the raft ID that the member had with a store that is lost. It still counts as a voter, since what it has promised is
+	// not known. 0: none.
+	ReplacedID uint64 `json:"former,omitempty"`
+}
+
+// VoterOp is the operation of a [VoterCommand]. Its values are stored in the replicated log.
+type VoterOp string
+
+// Operations on voters.
+const (
+	OpAdmit   VoterOp = "admit"   // a member with a store that is not known asks for a raft ID
+	OpAdd     VoterOp = "add"     // an operator lets a member become a voter
+	OpRemove  VoterOp = "remove"  // an operator takes a member out of the voters
+	OpReplace VoterOp = "replace" // an operator confirms that a member's former store is lost: its new raft ID votes instead
+)
+
+// VoterCommand changes the voters.
+type VoterCommand struct {
+	Op      VoterOp `json:"op"`
+	Name    string  `json:"name"`
+	StoreID string  `json:"store,omitempty"`
+	// Volatile tells that the store ends with its process (OpAdmit).
+	Volatile bool `json:"memory,omitempty"`
+}
+
+// VoterResult is the outcome of a [VoterCommand].
+type VoterResult struct {
+	Refusal Refusal `json:"why,omitempty"` // empty: it was applied
+	RaftID  uint64  `json:"id,omitempty"`
+	FleetID string  `json:"fleet,omitempty"`
+	Votes   bool    `json:"voter,omitempty"`
+}
+
+func (m *StateMachine) applyVoter(c VoterCommand) VoterResult {
+	switch c.Op {
+	case OpAdmit:
+		return m.admitVoter(c)
+	case OpAdd:
+		return m.addVoter(c.Name)
+	case OpRemove:
+		return m.removeVoter(c.Name)
+	case OpReplace:
+		return m.replaceVoter(c.Name)
+	}
+	return VoterResult{Refusal: refusedMalformed}
+}
+
+// admitVoter gives a raft ID to a member's store.
+func (m *StateMachine) admitVoter(c VoterCommand) VoterResult {
+	v := m.Voters[c.Name]
+	switch {
+	case !slices.Contains(m.VoterNames, c.Name):
+		return VoterResult{Refusal: refusef("%q has no seat in the council", c.Name)}
+	case c.StoreID == "":
+		return VoterResult{Refusal: "no store"}
+	case c.Volatile && !m.Volatile:
+		return VoterResult{Refusal: "this council is on disk: one without a disk does not vote"}
+	case v == nil:
+		m.LastVoterID++
+		m.Voters[c.Name] = &Voter{RaftID: m.LastVoterID, StoreID: c.StoreID, Votes: true}
+	case v.StoreID != c.StoreID:
+		m.Voters[c.Name] = m.replacement(v, c)
+	}
+	v = m.Voters[c.Name]
+	return VoterResult{RaftID: v.RaftID, FleetID: m.FleetID, Votes: v.Votes}
+}
+
+// replacement is the voter for a member that returns with another store. It does not vote until an operator confirms that the former
+// store is lost, since what that one has promised is not known here.
+func (m *StateMachine) replacement(former *Voter, c VoterCommand) *Voter {
+	m.LastVoterID++
+	v := &Voter{RaftID: m.LastVoterID, StoreID: c.StoreID, ReplacedID: former.ReplacedID}
+	if former.Votes {
+		v.ReplacedID = former.RaftID
+	}
+	if m.Volatile && c.Volatile {
+		// The former process has ended, and its promises with it. The new ID votes once a majority, in which the former one counts as
+		// silent, has put it in its place.
+		v.Votes, v.ReplacedID = true, 0
+	}
+	return v
+}
+
+func (m *StateMachine) addVoter(name string) VoterResult {
+	switch {
+	case slices.Contains(m.VoterNames, name):
+		return VoterResult{Refusal: refusef("%q has a seat", name)}
+	case len(m.VoterNames) >= MaxVoters:
+		return VoterResult{Refusal: refusef("%d have seats, and more would slow each other down", len(m.VoterNames))}
+	case name == "" || len(name) > lease.MaxNameLen:
+		return VoterResult{Refusal: "no name"}
+	}
+	m.VoterNames = append(m.VoterNames, name)
+	return VoterResult{}
+}
+
+// removeVoter takes a member out, unless nobody would vote without it.
+func (m *StateMachine) removeVoter(name string) VoterResult {
+	if !slices.Contains(m.VoterNames, name) {
+		return VoterResult{Refusal: refusef("%q has no seat", name)}
+	}
+	v := m.Voters[name]
+	delete(m.Voters, name)
+	if len(m.votingIDs()) == 0 {
+		if v != nil {
+			m.Voters[name] = v
+		}
+		return VoterResult{Refusal: refusef("without %q nobody would vote", name)}
+	}
+	m.VoterNames = slices.DeleteFunc(m.VoterNames, func(n string) bool { return n == name })
+	return VoterResult{}
+}
+
+// replaceVoter lets the new raft ID of a member vote in place of its former one.
+func (m *StateMachine) replaceVoter(name string) VoterResult {
+	v := m.Voters[name]
+	if v == nil {
+		return VoterResult{Refusal: refusef("%q has not come with a store", name)}
+	}
+	if v.Votes {
+		return VoterResult{Refusal: refusef("%q votes already", name)}
+	}
+	v.Votes, v.ReplacedID = true, 0
+	return VoterResult{RaftID: v.RaftID, Votes: true}
+}
+
+// votingIDs are the raft IDs that are to vote, sorted.
+func (m *StateMachine) votingIDs() []uint64 {
+	var ids []uint64
+	for _, v := range m.Voters {
+		switch {
+		case v.Votes:
+			ids = append(ids, v.RaftID)
+		case v.ReplacedID != 0:
+			ids = append(ids, v.ReplacedID)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// voterName is the member with a raft ID, now or with a former store; empty if there is none.
+func (m *StateMachine) voterName(id uint64) string {
+	for name, v := range m.Voters {
+		if id != 0 && (v.RaftID == id || v.ReplacedID == id) {
+			return name
+		}
+	}
+	return ""
+}
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -116,7 +116,7 @@
 		case r.Decision.Refusal == consensus.RefusedConflict:
 			return r.Decision, nil // it is in force
 		default:
-			return nil, errors.New(r.Decision.Refusal)
+			return nil, r.Decision.Refusal.Err()
 		}
 	}
 }
--- a/internal/lease/snapshot.go
+++ b/internal/lease/snapshot.go
@@ -7,14 +7,17 @@
 	"slices"
 )
 
+// ErrInvalidSnapshot is wrapped by the errors of [Restore].
+var ErrInvalidSnapshot = errors.New("lease: snapshot")
+
 // Snapshot returns the whole state in its stored form; equal states have equal bytes.
 func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(m) }
 
-// Restore reads what Snapshot wrote. It fails for data that breaks an invariant of [StateMachine].
+// Restore reads what Snapshot wrote. It fails with ErrInvalidSnapshot for data that breaks an invariant of [StateMachine].
 func Restore(data []byte) (*StateMachine, error) {
 	m := NewStateMachine()
 	if err := json.Unmarshal(data, m); err != nil {
-		return nil, fmt.Errorf("lease: snapshot: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	return m, m.validate()
 }
@@ -22,7 +25,7 @@
 // validate checks all that Apply takes for granted, and replaces the nil maps of sessions.
 func (m *StateMachine) validate() error {
 	if m.Sessions == nil || m.Leases == nil || m.Revoked == nil {
-		return errors.New("lease: snapshot: sessions, names or revocations are missing")
+		return fmt.Errorf("%w: sessions, names or revocations are missing", ErrInvalidSnapshot)
 	}
 	for id, s := range m.Sessions {
 		if err := m.validateSession(id, s); err != nil {
@@ -39,13 +42,13 @@
 
 func (m *StateMachine) validateSession(id uint64, s *Session) error {
 	if s == nil || id > m.LastID || s.Results == nil && s.LastSeq > 0 {
-		return fmt.Errorf("lease: snapshot: session %d is not whole", id)
+		return fmt.Errorf("%w: session %d is not whole", ErrInvalidSnapshot, id)
 	}
 	s.Results, s.Tokens, s.Waiting = nonNilMap(s.Results), nonNilMap(s.Tokens), nonNilMap(s.Waiting)
 	for name, token := range s.Tokens {
 		l := m.Leases[name]
 		if l == nil || !slices.ContainsFunc(l.Holders, func(g Grant) bool { return g.Token == token && g.SessionID == id }) {
-			return fmt.Errorf("lease: snapshot: session %d holds %q, which does not know of it", id, name)
+			return fmt.Errorf("%w: session %d holds %q, which does not know of it", ErrInvalidSnapshot, id, name)
 		}
 	}
 	return nil
@@ -53,16 +56,16 @@
 
 func (m *StateMachine) validateLease(name string, l *Lease) error {
 	if l == nil {
-		return fmt.Errorf("lease: snapshot: name %q is not whole", name)
+		return fmt.Errorf("%w: name %q is not whole", ErrInvalidSnapshot, name)
 	}
 	for _, g := range l.Holders {
 		if m.Sessions[g.SessionID] == nil || g.Token > m.LastID || g.Revoked != (m.Revoked[g.Token] == name) {
-			return fmt.Errorf("lease: snapshot: a holder of %q is not whole", name)
+			return fmt.Errorf("%w: a holder of %q is not whole", ErrInvalidSnapshot, name)
 		}
 	}
 	for _, id := range l.Waiters {
 		if m.Sessions[id] == nil || !m.Sessions[id].Waiting[name] {
-			return fmt.Errorf("lease: snapshot: one that waits for %q is not whole", name)
+			return fmt.Errorf("%w: one that waits for %q is not whole", ErrInvalidSnapshot, name)
 		}
 	}
 	return nil
--- a/internal/lease/snapshot_test.go
+++ b/internal/lease/snapshot_test.go
@@ -1,6 +1,7 @@
 package lease
 
 import (
+	"errors"
 	"testing"
 )
 
@@ -15,9 +16,12 @@
 	}
 	f.Add(data)
 	f.Add([]byte(`{"sessions":{},"names":{"x":null},"revoked":{}}`))
-	f.Fuzz(func(_ *testing.T, data []byte) {
+	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := Restore(data)
 		if err != nil {
+			if !errors.Is(err, ErrInvalidSnapshot) {
+				t.Errorf("refused with %v", err)
+			}
 			return
 		}
 		for _, c := range []Command{
