--- a/internal/fleet/operate.go
+++ b/internal/fleet/operate.go
@@ -116,7 +116,7 @@
 		case r.Decision.Refusal == consensus.RefusedConflict:
 			return r.Decision, nil // it is in force
 		default:
-			return nil, errors.New(r.Decision.Refusal)
+			return nil, r.Decision.Refusal.Err()
 		}
 	}
 }
@@ -158,7 +158,7 @@
 				return err
 			}
 			if res.Lease != nil {
-				k.HandleResponse(clock.Now(), *res.Lease)
+				k.HandleResponse(*res.Lease)
 			}
 		}
 		token, _, ok := k.Token(clock.Now(), name)
