--- a/internal/zonefailover/grey_test.go
+++ b/internal/zonefailover/gray_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestGrey: what is a zone that fails in part to a member, and what is not.
-func TestGrey(t *testing.T) {
+// TestGrayDetector checks what a gray failure is to a member, and what is not.
+func TestGrayDetector(t *testing.T) {
 	ms := time.Millisecond
 	type rate struct {
 		n      int64 // each half second
@@ -29,11 +29,11 @@
 		"too few":           {map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 1, 20 * ms}}, nil},
 		"no other zone":     {map[string]rate{"b": {8, 0, 20 * ms}}, map[string]rate{"b": {8, 4, 20 * ms}}, nil},
 	} {
-		g := NewGrayDetector(DefaultGrayRules())
+		detector := NewGrayDetector(DefaultGrayRules())
 		now := time.Duration(0)
 		zones := map[string]AttemptCounts{}
-		play := func(rates map[string]rate, turns int) (got []string) {
-			for range turns {
+		play := func(rates map[string]rate, samples int) (got []string) {
+			for range samples {
 				now += 500 * ms
 				next := map[string]AttemptCounts{}
 				for zone, r := range rates {
@@ -41,7 +41,7 @@
 					next[zone] = AttemptCounts{z.Succeeded + r.n - r.failed, z.Failed + r.failed, z.TotalLatency + time.Duration(r.n-r.failed)*r.delay}
 				}
 				zones = next
-				got = g.Observe(now, zones)
+				got = detector.Observe(now, zones)
 			}
 			return got
 		}
@@ -60,13 +60,13 @@
 	}
 }
 
-// TestGreyBounds: whatever the tallies are, nothing is said without enough attempts, and no more is kept than the window.
-func TestGreyBounds(t *testing.T) {
+// TestGrayDetectorBounds checks for any counts that no zone is gray without enough attempts, and that no more is kept than the window.
+func TestGrayDetectorBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewGrayDetector(DefaultGrayRules())
+		detector := NewGrayDetector(DefaultGrayRules())
 		zones := map[string]AttemptCounts{}
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 200).Draw(t, "turns") {
+		for range rapid.IntRange(1, 200).Draw(t, "samples") {
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
 			next := map[string]AttemptCounts{}
 			for _, z := range []string{"a", "b", "c"} {
@@ -75,14 +75,14 @@
 				next[z] = AttemptCounts{x.Succeeded + answered, x.Failed + rapid.Int64Range(0, 3).Draw(t, "failed"), x.TotalLatency + time.Duration(answered)*time.Duration(rapid.IntRange(0, 900).Draw(t, "delay"))*time.Millisecond}
 			}
 			zones = next
-			for _, z := range g.Observe(now, zones) {
-				from := g.samples[0].zones[z]
-				if n := zones[z].Succeeded + zones[z].Failed - from.Succeeded - from.Failed; n < g.rules.MinAttempts {
-					t.Fatalf("%s is grey by %d attempts", z, n)
+			for _, z := range detector.Observe(now, zones) {
+				from := detector.samples[0].zones[z]
+				if n := zones[z].Succeeded + zones[z].Failed - from.Succeeded - from.Failed; n < detector.rules.MinAttempts {
+					t.Fatalf("%s is gray by %d attempts", z, n)
 				}
 			}
-			if len(g.samples) > maxSamples {
-				t.Fatalf("%d turns are kept", len(g.samples))
+			if len(detector.samples) > maxSamples {
+				t.Fatalf("%d samples are kept", len(detector.samples))
 			}
 		}
 	})
--- /dev/null
+++ b/internal/zonefailover/state.go
@@ -0,0 +1,60 @@
+package zonefailover
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// ErrInvalidState is returned by Decode for text that is no encoded State.
+var ErrInvalidState = errors.New("zonefailover: not a state of a zone")
+
+// State is the decided state of one zone.
+type State struct {
+	Step      int    `json:"step"`             // of the recovery ramp: 0 after a shift, FullStep wholly in service
+	Manual    bool   `json:"pinned,omitempty"` // set by an operator: the controller leaves the zone alone
+	Relapses  int    `json:"falls,omitempty"`  // shifts and steps back in a row, without a healthy spell between
+	WarmingUp bool   `json:"cold,omitempty"`   // at FullStep, and its endpoints may still be warming up
+	Reason    string `json:"Why"`              // why the state was decided, for operators
+}
+
+// Recovering reports whether endpoints in service may be warming up although no endpoint list says so: the zone received
+// little or no traffic until recently.
+func (s State) Recovering() bool { return s.Step < FullStep || s.WarmingUp }
+
+// warmingUpMark follows the step of an encoded state that is WarmingUp. A version that does not know the mark ignores the whole
+// state.
+const warmingUpMark = "c"
+
+// Encode returns the state in the form of the consensus log.
+func (s State) Encode() string {
+	mark := ""
+	if s.WarmingUp {
+		mark = warmingUpMark
+	}
+	return fmt.Sprintf("%d%s %t %d %s", s.Step, mark, s.Manual, s.Relapses, s.Reason)
+}
+
+// Decode parses what Encode returned. The reason may be missing. It returns ErrInvalidState for anything else.
+func Decode(text string) (State, error) {
+	fields := strings.SplitN(text, " ", 4)
+	if len(fields) < 3 {
+		return State{}, fmt.Errorf("%w: %q", ErrInvalidState, text)
+	}
+	stepText, warmingUp := strings.CutSuffix(fields[0], warmingUpMark)
+	step, stepErr := strconv.Atoi(stepText)
+	manual, manualErr := strconv.ParseBool(fields[1])
+	relapses, relapsesErr := strconv.Atoi(fields[2])
+	if err := errors.Join(stepErr, manualErr, relapsesErr); err != nil {
+		return State{}, fmt.Errorf("%w: %q", ErrInvalidState, text)
+	}
+	if step < 0 || step > FullStep || relapses < 0 || warmingUp && step < FullStep {
+		return State{}, fmt.Errorf("%w: %q", ErrInvalidState, text)
+	}
+	state := State{Step: step, Manual: manual, Relapses: relapses, WarmingUp: warmingUp}
+	if len(fields) == 4 {
+		state.Reason = fields[3]
+	}
+	return state, nil
+}
