--- a/internal/gossip/form_test.go
+++ b/internal/gossip/form_test.go
@@ -63,8 +63,8 @@
 		messageForm("gossip", &Message{Kind: RumorMessage, Members: []MemberState{{Name: "fleet-2", Incarnation: 1 << incarnationRandomBits, State: Dead}}}, false),
 		messageForm("sync", &Message{Kind: SyncMessage, Seq: 3, Ranges: []RangeDigest{{Kind: membersKind, Digest: 5}, {Kind: "dead"}}}, false),
 	})
-	if _, err := Decode([]byte{2, PingMessage, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("a message of format 2: %v, want ErrFormat", err)
+	if _, err := Decode([]byte{2, byte(PingMessage), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}); !errors.Is(err, ErrUnsupportedFormat) {
+		t.Errorf("a message of format 2: %v, want ErrUnsupportedFormat", err)
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // TestNumbers pins the numbers and names that are sent or kept.
 func TestNumbers(t *testing.T) {
-	for i, kind := range []uint8{PingMessage, AckMessage, PingRequestMessage, NackMessage, RumorMessage, SyncMessage} {
+	for i, kind := range []MessageKind{PingMessage, AckMessage, PingRequestMessage, NackMessage, RumorMessage, SyncMessage} {
 		if int(kind) != i+1 {
 			t.Errorf("kind of message %d is %d", i+1, kind)
 		}
--- /dev/null
+++ b/internal/gossip/membership.go
@@ -0,0 +1,207 @@
+package gossip
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// State is the state of a member, as one process sees it. Its value is sent.
+type State uint8
+
+// The states, in the order in which they override each other within one incarnation.
+const (
+	Alive   State = 0
+	Suspect State = 1 // it did not respond, and may refute the suspicion
+	Dead    State = 2 // it did not refute the suspicion in time
+	Left    State = 3 // it has left by itself
+	Unknown State = 4 // nothing was heard of it yet; never sent
+)
+
+// String names a state.
+func (s State) String() string {
+	if s > Unknown {
+		return "?"
+	}
+	return [...]string{"alive", "suspect", "dead", "left", "unheard of"}[s]
+}
+
+// MemberState is the news of a member. Of two the one with the larger incarnation counts, then the one with more refutations,
+// then the one with the larger state: incarnation and refutations together are SWIM's incarnation number.
+type MemberState struct {
+	Name        string
+	Incarnation uint64 // see Version
+	Refutations uint32 // suspicions that the member has refuted in this incarnation
+	State       State
+	SuspectedBy string // who suspects it, if it is Suspect
+}
+
+func (s MemberState) compare(t MemberState) int {
+	return cmp.Or(cmp.Compare(s.Incarnation, t.Incarnation), cmp.Compare(s.Refutations, t.Refutations), cmp.Compare(s.State, t.State))
+}
+
+// version orders the news of a member as that of an entry.
+func (s MemberState) version() Version {
+	return Version{s.Incarnation, uint64(s.Refutations)<<8 | uint64(s.State)}
+}
+
+func (s MemberState) digest() uint64 {
+	v := s.version()
+	return mix64(mix64(v.Incarnation)+v.Sequence) ^ mix64(uint64(leafIndex(s.Name, ""))+uint64(len(s.Name)))
+}
+
+// size is about how many bytes the state takes in a message.
+func (s MemberState) size() int { return recordOverhead + len(s.Name) + len(s.SuspectedBy) }
+
+// member is what a process knows of another.
+type member struct {
+	MemberState
+	stateSince  time.Duration
+	suspectedBy map[string]bool // who suspects it independently
+	load        uint16          // in its newest message
+	busyUntil   time.Duration   // until then it is not asked to help this process to catch up
+}
+
+// Member returns the state of a member, this process included.
+func (n *Node) Member(name string) MemberState {
+	if name == n.cfg.Name {
+		return n.ownState()
+	}
+	if m := n.members[name]; m != nil {
+		return m.MemberState
+	}
+	return MemberState{Name: name, State: Unknown}
+}
+
+// Count is how many other members are in a state.
+func (n *Node) Count(s State) int { return n.stateCounts[s] }
+
+// TakeEvents returns the changes of other members' states since the last call.
+func (n *Node) TakeEvents() []MemberEvent {
+	events := n.events
+	n.events = nil
+	return events
+}
+
+// ownState is the news of this process.
+func (n *Node) ownState() MemberState {
+	s := MemberState{Name: n.cfg.Name, Incarnation: n.self.incarnation, Refutations: n.self.refutations}
+	if n.self.left {
+		s.State = Left
+	}
+	return s
+}
+
+// presentMembers is how many members, this process included, are not known to be gone.
+func (n *Node) presentMembers() int { return n.stateCounts[Alive] + n.stateCounts[Suspect] + 1 }
+
+// logFleetSize is the decimal logarithm of the number of members that may be present, at least 1.
+func (n *Node) logFleetSize() float64 { return max(1, math.Log10(float64(n.presentMembers()+1))) }
+
+// applyMemberState takes in the news of a member.
+func (n *Node) applyMemberState(now time.Duration, s MemberState) {
+	if s.Name == n.cfg.Name {
+		n.applyOwnState(now, s)
+		return
+	}
+	m := n.members[s.Name]
+	switch {
+	case m == nil || s.State > Left:
+		n.store.Counts.Unknown++
+	case s.State == Suspect && m.State == Suspect && s.Incarnation == m.Incarnation && s.Refutations == m.Refutations:
+		m.confirmSuspicion(s.SuspectedBy)
+	case m.State == Unknown || s.compare(m.MemberState) > 0:
+		n.setMemberState(now, m, s)
+	}
+}
+
+// confirmSuspicion notes one more who suspects the member, as far as that shortens its time to refute.
+func (m *member) confirmSuspicion(by string) {
+	if by == "" || m.suspectedBy[by] || len(m.suspectedBy) > maxConfirmations {
+		return
+	}
+	m.suspectedBy[by] = true
+	m.SuspectedBy = by
+}
+
+func (n *Node) setMemberState(now time.Duration, m *member, s MemberState) {
+	n.stateCounts[m.State]--
+	n.stateCounts[s.State]++
+	if m.State != s.State {
+		n.events = append(n.events, MemberEvent{s.Name, m.State, s.State})
+	}
+	if m.State != Unknown {
+		n.memberDigests.remove(m.Name, "", m.digest())
+	}
+	n.memberDigests.add(s.Name, "", s.digest())
+	delete(n.unhealthy, s.Name)
+	if s.State == Suspect || s.State == Dead {
+		n.unhealthy[s.Name] = struct{}{}
+	}
+	m.MemberState, m.stateSince, m.suspectedBy = s, now, nil
+	switch s.State {
+	case Suspect:
+		m.suspectedBy = map[string]bool{s.SuspectedBy: true}
+	case Left: // its entries leave with it
+		n.applyOwnerState(OwnerState{s.Name, s.Incarnation, s.Incarnation})
+	case Dead:
+		n.Stats.Deaths++
+	}
+	n.applyOwnerState(OwnerState{Name: s.Name, Incarnation: s.Incarnation})
+	n.rumors.add(rumorKey{member: s.Name})
+}
+
+// applyOwnState takes in what others say of this process: it refutes a suspicion, and begins another incarnation above one of
+// its name that it does not know, of an earlier start or of another process with its name.
+func (n *Node) applyOwnState(now time.Duration, s MemberState) {
+	switch {
+	case n.self.left:
+	case s.Incarnation > n.self.incarnation:
+		n.reincarnate(now, s.Incarnation)
+	case s.Incarnation == n.self.incarnation && s.State != Alive && s.Refutations >= n.self.refutations:
+		n.self.refutations = s.Refutations + 1
+		n.updateOwnDigest()
+		n.adjustHealth(1) // somebody had no response in time
+		n.Stats.Refutations++
+		n.rumors.add(rumorKey{member: n.cfg.Name})
+	}
+}
+
+// updateOwnDigest keeps the digest tree of the members up to date with this process' own state.
+func (n *Node) updateOwnDigest() {
+	if n.self.digest != 0 {
+		n.memberDigests.remove(n.cfg.Name, "", n.self.digest)
+	}
+	n.self.digest = n.ownState().digest()
+	n.memberDigests.add(n.cfg.Name, "", n.self.digest)
+}
+
+// drawsPerMember is how often per wanted member a random one is tried before all are looked at.
+const drawsPerMember = 8
+
+// randomMembers draws up to count other members that match.
+func (n *Node) randomMembers(count int, matches func(*member) bool) []string {
+	var drawn []string
+	for try := 0; try < drawsPerMember*count && len(drawn) < count; try++ {
+		m := n.members[n.peers[n.rng.IntN(len(n.peers))]]
+		if matches(m) && !slices.Contains(drawn, m.Name) {
+			drawn = append(drawn, m.Name)
+		}
+	}
+	if len(drawn) == count {
+		return drawn
+	}
+	var rest []string
+	for _, name := range n.peers {
+		if matches(n.members[name]) && !slices.Contains(drawn, name) {
+			rest = append(rest, name)
+		}
+	}
+	n.shuffle(rest)
+	return append(drawn, rest[:min(len(rest), count-len(drawn))]...)
+}
+
+func (n *Node) shuffle(names []string) {
+	n.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+}
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -386,7 +386,7 @@
 		if i >= 20 {
 			w.start(name)
 		}
-		w.up[name].cfg.CatchUpBudget, w.up[name].catchUpBudget = budget, 0
+		w.up[name].cfg.CatchUpBudget, w.up[name].catchUp.budget = budget, 0
 	}
 	before := map[string]int{}
 	for _, name := range names {
--- a/internal/gossip/replica_test.go
+++ b/internal/gossip/store_test.go
@@ -190,8 +190,8 @@
 			m.Entries = append(m.Entries, e)
 			m.Members = append(m.Members, MemberState{e.Owner, e.Incarnation, 3, Suspect, "b"})
 			m.Owners = append(m.Owners, OwnerState{e.Owner, e.Incarnation, e.Sequence})
-			m.Ranges = append(m.Ranges, RangeDigest{"dead", 1, 3, e.digest()})
-			m.Leaves = append(m.Leaves, LeafDigest{"dead", 200, true, []EntryDigest{{e.Owner, e.Key, e.Version, e.digest()}}})
+			m.Ranges = append(m.Ranges, RangeDigest{"dead", 1, 3, e.Digest()})
+			m.Leaves = append(m.Leaves, LeafDigest{"dead", 200, true, []EntryDigest{{e.Owner, e.Key, e.Version, e.Digest()}}})
 		}
 		data := m.Encode()
 		got, err := Decode(data)
@@ -204,7 +204,7 @@
 			}
 		}
 	})
-	if _, err := Decode([]byte{formatVersion + 1, SyncMessage, 0}); !errors.Is(err, ErrUnsupportedFormat) {
+	if _, err := Decode([]byte{formatVersion + 1, byte(SyncMessage), 0}); !errors.Is(err, ErrUnsupportedFormat) {
 		t.Errorf("a newer format: %v", err)
 	}
 }
