--- a/internal/gossip/form_test.go
+++ b/internal/gossip/form_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// keptMessage is what a process keeps for its next start.
+// keptMessage is what a process saves for its next start.
 func keptMessage() *Message {
 	m := fullMessage()
 	return &Message{Kind: SyncMessage, Target: "fleet-1", Owners: []OwnerState{{Name: "fleet-1", Incarnation: 4<<incarnationRandomBits | 3}}, Entries: m.Entries}
@@ -51,7 +51,7 @@
 	return goldentest.Form{Name: name, Written: hex.EncodeToString(m.Encode()), Read: read, Value: m, Full: full}
 }
 
-// TestMessageForm pins the bytes of messages between members, and of what one keeps for its next start.
+// TestMessageForm pins the bytes of messages between members, and of what one saves for its next start.
 func TestMessageForm(t *testing.T) {
 	goldentest.CheckForms(t, "messages.golden", []goldentest.Form{
 		messageForm("full", fullMessage(), true),
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestKeptForm: what an earlier start has kept is there again, and the process goes on above its own incarnation.
+// TestKeptForm: what an earlier start has saved is there again, and the process goes on above its own incarnation.
 func TestKeptForm(t *testing.T) {
 	m := keptMessage()
 	cfg := DefaultConfig()
@@ -85,14 +85,14 @@
 	}
 }
 
-// TestEntryForm pins what a process and the council write into entries: owner, key, number and contents.
+// TestEntryForm pins what a process and consensus write into entries: owner, key, version and siblings.
 func TestEntryForm(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "fleet-1", []string{"fleet-1"}, []string{UnreachableKind, "look"}, []string{"zone"}
 	n := New(0, cfg)
-	evidence := NewFailureReports(1)
+	reports := NewFailureReports(1)
 	server := PoolKey(UnreachableKind, "orders", "10.0.0.1:80")
-	evidence.Record(time.Second, n, server, true)
+	reports.Record(time.Second, n, server, true)
 	n.Put("look/orders/a", []byte("1"))
 	n.Put("look/orders/b", nil)
 	n.Delete("look/orders/b")
@@ -147,7 +147,7 @@
 	return goldentest.Form{Name: name, Written: string(text), Read: read, Value: value, Full: true}
 }
 
-// TestCountsForm pins what a process tells of its copies as JSON.
+// TestCountsForm pins the statistics as JSON.
 func TestCountsForm(t *testing.T) {
 	goldentest.CheckForms(t, "counts.golden", []goldentest.Form{
 		jsonForm("figures", Stats{Suspicions: 1, Refutations: 2, Deaths: 3, Syncs: 4, SyncsEqual: 5, CatchUpBytes: 6, CatchUpRejected: 7}),
@@ -155,7 +155,7 @@
 	})
 }
 
-// TestNumbers pins the numbers and names that are sent or kept.
+// TestNumbers pins the numbers and names that are sent or saved.
 func TestNumbers(t *testing.T) {
 	for i, kind := range []MessageKind{PingMessage, AckMessage, PingRequestMessage, NackMessage, RumorMessage, SyncMessage} {
 		if int(kind) != i+1 {
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"reflect"
 	"slices"
 	"testing"
-	"time"
 
 	"pgregory.net/rapid"
 
@@ -20,8 +18,8 @@
 
 func content(v string) []byte { return append([]byte{valueMark}, v...) }
 
-// drawn is an entry that some process could send, right or not.
-func drawn(t *rapid.T) Entry {
+// drawEntry draws an entry that some process could send, correct or not.
+func drawEntry(t *rapid.T) Entry {
 	e := Entry{
 		Owner: rapid.SampledFrom([]string{"a", "b", ConsensusOwner}).Draw(t, "owner"),
 		Key:   rapid.SampledFrom([]string{"dead/x", "dead/y", "order/x"}).Draw(t, "key"),
@@ -37,78 +35,90 @@
 	return e
 }
 
-type told struct {
+// update is an entry or an owner's state.
+type update struct {
 	entry *Entry
 	owner *OwnerState
 }
 
-func drawTold(t *rapid.T) told {
+func drawUpdate(t *rapid.T) update {
 	if rapid.IntRange(0, 5).Draw(t, "what") == 0 {
-		return told{owner: &OwnerState{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "of"), rapid.Uint64Range(0, 3).Draw(t, "inc"), rapid.Uint64Range(0, 2).Draw(t, "gone")}}
+		return update{owner: &OwnerState{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "of"), rapid.Uint64Range(0, 3).Draw(t, "inc"), rapid.Uint64Range(0, 2).Draw(t, "gone")}}
 	}
-	e := drawn(t)
-	return told{entry: &e}
+	e := drawEntry(t)
+	return update{entry: &e}
 }
 
-func (c *Store) hear(x told) {
-	if x.owner != nil {
-		c.ApplyOwnerState(*x.owner)
+func (s *Store) apply(u update) {
+	if u.owner != nil {
+		s.ApplyOwnerState(*u.owner)
 	} else {
-		c.Merge(*x.entry)
+		s.Merge(*u.entry)
 	}
 }
 
-func (c *Store) all() (all []Entry) {
-	c.ForEach("", func(e *Entry) bool { all = append(all, *e); return true })
+func (s *Store) all() (all []Entry) {
+	s.ForEach("", func(e *Entry) bool { all = append(all, *e); return true })
 	return all
 }
 
-// TestMergeIsALattice: whatever is told, in whatever order, how often, and whether it comes through another's copies: all hold the same; and
-// what one holds of a key never becomes older.
+// TestMergeIsALattice checks that replicas are equal after the same entries in any order, repeated, or by way of other replicas,
+// and that no entry is replaced by an older one.
 func TestMergeIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heard := rapid.SliceOfN(rapid.Custom(drawTold), 1, 25).Draw(t, "heard")
+		updates := rapid.SliceOfN(rapid.Custom(drawUpdate), 1, 25).Draw(t, "updates")
 		one := NewStore(kinds, decided, anyone, NoFault)
 		newest := map[EntryID]Version{}
-		for _, x := range heard {
-			one.hear(x)
-			for _, e := range one.all() {
-				at := EntryID{e.Owner, e.Key}
-				if e.Compare(newest[at]) < 0 {
-					t.Fatalf("%v went back from %v to %v", at, newest[at], e.Version)
-				}
-				newest[at] = e.Version
-				if inc, gone := one.Incarnation(e.Owner); e.Incarnation != inc || e.Incarnation <= gone {
-					t.Fatalf("%+v is held, and incarnation %d is in force, %d given up", e, inc, gone)
-				}
-			}
+		for _, u := range updates {
+			one.apply(u)
+			checkNewest(t, one, newest)
 		}
 		other := NewStore(kinds, decided, anyone, NoFault)
-		for _, i := range rapid.Permutation(indices(len(heard))).Draw(t, "order") {
-			other.hear(heard[i])
-			other.hear(heard[i])
+		for _, i := range rapid.Permutation(indices(len(updates))).Draw(t, "order") {
+			other.apply(updates[i])
+			other.apply(updates[i])
 		}
-		// A third hears of all by way of the two.
 		third := NewStore(kinds, decided, anyone, NoFault)
-		for _, c := range []*Store{other, one} {
-			for name, o := range c.owners {
-				third.ApplyOwnerState(OwnerState{name, o.incarnation, o.reaped})
-			}
-			for _, e := range c.all() {
-				third.Merge(e)
-			}
+		third.applyAll(other)
+		third.applyAll(one)
+		checkEqual(t, one, other)
+		checkEqual(t, one, third)
+	})
+}
+
+// checkNewest checks that no entry is older than the newest so far, nor of an incarnation that does not count any more.
+func checkNewest(t *rapid.T, s *Store, newest map[EntryID]Version) {
+	for _, e := range s.all() {
+		id := EntryID{e.Owner, e.Key}
+		if e.Compare(newest[id]) < 0 {
+			t.Fatalf("%v went back from %v to %v", id, newest[id], e.Version)
 		}
-		for _, c := range []*Store{other, third} {
-			if !reflect.DeepEqual(one.all(), c.all()) {
-				t.Fatalf("%+v\n%+v", one.all(), c.all())
-			}
-			for _, kind := range c.kinds {
-				if one.Digest(kind) != c.Digest(kind) {
-					t.Fatalf("equal copies of %s have unequal sums", kind)
-				}
-			}
+		newest[id] = e.Version
+		if incarnation, reaped := s.Incarnation(e.Owner); e.Incarnation != incarnation || e.Incarnation <= reaped {
+			t.Fatalf("%+v is there, and incarnation %d is the newest, %d reaped", e, incarnation, reaped)
 		}
-	})
+	}
+}
+
+// applyAll merges all that another replica has.
+func (s *Store) applyAll(other *Store) {
+	for name, owner := range other.owners {
+		s.ApplyOwnerState(OwnerState{name, owner.incarnation, owner.reaped})
+	}
+	for _, e := range other.all() {
+		s.Merge(e)
+	}
+}
+
+func checkEqual(t *rapid.T, a, b *Store) {
+	if !reflect.DeepEqual(a.all(), b.all()) {
+		t.Fatalf("%+v\n%+v", a.all(), b.all())
+	}
+	for _, kind := range b.kinds {
+		if a.Digest(kind) != b.Digest(kind) {
+			t.Fatalf("equal replicas of %s have unequal digests", kind)
+		}
+	}
 }
 
 func indices(n int) []int {
@@ -119,11 +129,11 @@
 	return all
 }
 
-// TestMostKeys: of an owner with too many keys all copies keep the same, in whatever order they hear of them.
-func TestMostKeys(t *testing.T) {
+// TestMaxKeysPerOwner checks that of an owner with too many keys all replicas keep the same ones, in whatever order they arrive.
+func TestMaxKeysPerOwner(t *testing.T) {
 	a, b := NewStore(kinds, nil, anyone, NoFault), NewStore(kinds, nil, anyone, NoFault)
 	entry := func(i int) Entry {
-		return Entry{Owner: "liar", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Siblings: [][]byte{content("")}}
+		return Entry{Owner: "member", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Siblings: [][]byte{content("")}}
 	}
 	for i := range 3 * MaxKeysPerOwner {
 		a.Merge(entry(i))
@@ -134,38 +144,40 @@
 	}
 }
 
-// TestRefused: what is of no known kind or owner, what members say of what only the council decides, and what can't be is kept out and counted.
-func TestRefused(t *testing.T) {
+// TestRejectedEntries checks that what is malformed, of an unknown kind or owner, or written by members under a key that only
+// consensus decides, is rejected and counted.
+func TestRejectedEntries(t *testing.T) {
 	c := NewStore(kinds, decided, func(o string) bool { return o == "a" }, NoFault)
 	ok := Entry{"a", "dead/x", Version{1, 1}, [][]byte{content("")}}
 	for name, change := range map[string]func(*Entry){
-		"kind":            func(e *Entry) { e.Key = "weather/x" },
-		"owner":           func(e *Entry) { e.Owner = "stranger" },
-		"not the council": func(e *Entry) { e.Key = "order/x" },
-		"the council":     func(e *Entry) { e.Owner = ConsensusOwner },
-		"no kind":         func(e *Entry) { e.Key = "dead" },
-		"no version":      func(e *Entry) { e.Sequence = 0 },
-		"no incarnation":  func(e *Entry) { e.Incarnation = 0 },
-		"no content":      func(e *Entry) { e.Siblings = nil },
-		"order":           func(e *Entry) { e.Siblings = [][]byte{content("b"), content("a")} },
-		"long key":        func(e *Entry) { e.Key = "dead/" + string(make([]byte, MaxKeyBytes)) },
-		"long value":      func(e *Entry) { e.Siblings = [][]byte{make([]byte, MaxValueBytes+2)} },
-		"odd":             func(e *Entry) { e.Siblings = [][]byte{{7}} },
+		"kind":           func(e *Entry) { e.Key = "weather/x" },
+		"owner":          func(e *Entry) { e.Owner = "stranger" },
+		"not consensus":  func(e *Entry) { e.Key = "order/x" },
+		"consensus":      func(e *Entry) { e.Owner = ConsensusOwner },
+		"no kind":        func(e *Entry) { e.Key = "dead" },
+		"no version":     func(e *Entry) { e.Sequence = 0 },
+		"no incarnation": func(e *Entry) { e.Incarnation = 0 },
+		"no content":     func(e *Entry) { e.Siblings = nil },
+		"order":          func(e *Entry) { e.Siblings = [][]byte{content("b"), content("a")} },
+		"long key":       func(e *Entry) { e.Key = "dead/" + string(make([]byte, MaxKeyBytes)) },
+		"long value":     func(e *Entry) { e.Siblings = [][]byte{make([]byte, MaxValueBytes+2)} },
+		"odd":            func(e *Entry) { e.Siblings = [][]byte{{7}} },
 	} {
 		e := ok
 		change(&e)
 		before := c.Counts
 		if c.Merge(e) || c.Counts == before || len(c.all()) > 0 {
-			t.Errorf("%s: taken, or not counted", name)
+			t.Errorf("%s: merged, or not counted", name)
 		}
 	}
 	if !c.Merge(ok) || c.Merge(ok) {
-		t.Error("a right one is not taken once")
+		t.Error("a valid one is not merged once")
 	}
 }
 
-// TestDiffer: two contents of one version are both kept, whoever comes first, told, and outlive no newer version.
-func TestDiffer(t *testing.T) {
+// TestSiblings checks that different values of one version are both kept, whichever comes first, and counted, and that a newer version
+// replaces both.
+func TestSiblings(t *testing.T) {
 	c := NewStore(kinds, nil, anyone, NoFault)
 	e := Entry{"a", "dead/x", Version{1, 2}, [][]byte{content("up")}}
 	c.Merge(e)
@@ -181,50 +193,3 @@
 		t.Errorf("%+v", c.all())
 	}
 }
-
-func TestMessage(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &Message{Kind: SyncMessage, Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.StringN(0, 5, 20).Draw(t, "target"), Load: 7, Busy: rapid.Bool().Draw(t, "busy")}
-		for range rapid.IntRange(0, 4).Draw(t, "n") {
-			e := drawn(t)
-			m.Entries = append(m.Entries, e)
-			m.Members = append(m.Members, MemberState{e.Owner, e.Incarnation, 3, Suspect, "b"})
-			m.Owners = append(m.Owners, OwnerState{e.Owner, e.Incarnation, e.Sequence})
-			m.Ranges = append(m.Ranges, RangeDigest{"dead", 1, 3, e.Digest()})
-			m.Leaves = append(m.Leaves, LeafDigest{"dead", 200, true, []EntryDigest{{e.Owner, e.Key, e.Version, e.Digest()}}})
-		}
-		data := m.Encode()
-		got, err := Decode(data)
-		if err != nil || !reflect.DeepEqual(m, got) {
-			t.Fatalf("%v\n%+v\n%+v", err, m, got)
-		}
-		if cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut"); cut < len(data) {
-			if _, err := Decode(data[:cut]); err == nil {
-				t.Fatalf("%d of %d bytes were read", cut, len(data))
-			}
-		}
-	})
-	if _, err := Decode([]byte{formatVersion + 1, byte(SyncMessage), 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("a newer format: %v", err)
-	}
-}
-
-// FuzzMessage: whatever comes from a peer is taken or refused, in bounded memory; what is taken can be told on.
-func FuzzMessage(f *testing.F) {
-	m := &Message{Kind: SyncMessage, Seq: 1, Ranges: []RangeDigest{{"dead", 0, 0, 5}, {membersKind, 2, 255, 5}}, Members: []MemberState{{"b", 9 << incarnationRandomBits, 0, Dead, ""}, {"a", 8 << incarnationRandomBits, 0, Dead, "b"}},
-		Owners: []OwnerState{{"b", 1, 1}}, Leaves: []LeafDigest{{"dead", 3, true, []EntryDigest{{"b", "dead/x", Version{1, 1}, 4}}}},
-		Entries: []Entry{{"b", "dead/x", Version{1, 1}, [][]byte{content("")}}}}
-	f.Add(m.Encode())
-	f.Fuzz(func(t *testing.T, data []byte) {
-		got, err := Decode(data)
-		if err != nil {
-			return
-		}
-		n := New(0, config("a", 3, 1))
-		for _, out := range append(n.Receive(time.Second, "b", got), n.Tick(2*time.Second)...) {
-			if _, err := Decode(out.Message.Encode()); err != nil {
-				t.Fatalf("what goes out can't be read: %v", err)
-			}
-		}
-	})
-}
