--- a/internal/zoneview/form_test.go
+++ b/internal/zoneview/form_test.go
@@ -11,10 +11,10 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// TestEntryForm pins what members and the council write of zones, key and contents, and that the scene is read from exactly that.
+// TestEntryForm pins what members and consensus write of zones, key and value, and that the snapshot is read from exactly that.
 func TestEntryForm(t *testing.T) {
 	members := map[string]string{"p": "a"}
-	n := nodeOf("p", members, func(string) bool { return true })
+	n := newNode("p", members, func(string) bool { return true })
 	decided := zonefailover.State{Step: 1, Relapses: 2, Reason: "down"}
 	n.Put(gossip.PoolKey(gossip.UnreachableKind, "orders", "10.0.0.1:80"), nil)
 	n.Put(gossip.PoolKey(GrayFailureKind, "orders", "a"), nil)
@@ -39,13 +39,13 @@
 		States:       map[string]zonefailover.State{"b": decided}, Revisions: map[string]uint64{"b": 8},
 	}
 	if got := Snapshot(n, members, "orders", map[string]string{"10.0.0.1:80": "a"}); !reflect.DeepEqual(got, want) {
-		t.Errorf("the scene is %+v\nwant %+v", got, want)
+		t.Errorf("the snapshot is %+v\nwant %+v", got, want)
 	}
 }
 
 // TestCommandForm pins what the holder of the lease asks the council, and under which name it holds the lease.
 func TestCommandForm(t *testing.T) {
-	n := nodeOf("p", map[string]string{"p": "a"}, func(string) bool { return true })
+	n := newNode("p", map[string]string{"p": "a"}, func(string) bool { return true })
 	n.ApplyDecision("zone/orders/a", 5, []byte("4 false 0 "))
 	n.ApplyDecision("zone/orders/b", 9, []byte("0 false 0 "))
 	got := ShiftCommand(n, "orders", zonefailover.Transition{Zone: "a", State: zonefailover.State{Step: 3, Relapses: 1, Reason: "a step was borne"}}, 77)
@@ -64,7 +64,7 @@
 	var lookers []string
 	for i := range 12 {
 		name := fmt.Sprint("p", i)
-		n := nodeOf(name, members, func(string) bool { return true })
+		n := newNode(name, members, func(string) bool { return true })
 		if isChecker(n, members, name, "b") {
 			lookers = append(lookers, name)
 		}
