--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Limits bounds one pool.
+// Limits bound one pool.
 type Limits struct {
-	OpenRequests   Claim   // requests open at once
-	BodyBytes      Claim   // bytes of the bodies of requests that are open
+	OpenRequests   Claim
+	BodyBytes      Claim   // of the bodies of open requests
 	Rate           float64 // requests a second, over any length of time; 0: no limit
-	Burst          float64 // requests that may come at once above that, at least 1
-	Forwardable    bool    // requests that find no server may be served elsewhere
-	WaitForServers bool    // requests may wait in the module for a first server, as on the platform at a start
+	Burst          float64 // requests that may come at once above the rate, at least 1
+	Forwardable    bool    // requests that find no ready server may be forwarded to another site
+	WaitForServers bool    // requests may wait for the first ready server, as when the process starts
 }
 
 // Reason says why a request was not admitted.
@@ -22,10 +22,10 @@
 const (
 	Admitted           Reason = iota
 	RateExceeded              // the pool's requests come faster than its limit
-	TooManyOpen               // too many of its requests are open
-	BodyMemoryExceeded        // no memory left for its bodies
-	NoReadyServer             // its list names no ready server
-	PoolRemoved               // the pool is on its way out
+	TooManyOpen               // too many requests are open
+	BodyMemoryExceeded        // no memory is left for the body
+	NoReadyServer             // the pool's endpoint list names no ready server
+	PoolRemoved               // the pool is being removed
 )
 
 // String is the reason in words for the client and the log.
@@ -34,85 +34,90 @@
 		"no room for the body", "the pool has no ready server", "the pool is being removed"}[r]
 }
 
-// Decision is what becomes of a request that asks to be admitted. One that is not has run nowhere, so that asking again is
-// harmless.
+// Decision is the answer to a request for admission. A request that is rejected has run nowhere, so that a retry is safe.
 type Decision struct {
 	Reason     Reason
-	RetryAfter time.Duration // 0 if admitted
+	RetryAfter time.Duration // 0 if it was admitted
 }
 
 const (
-	// overloadRetryAfter is when one that found too many open had better come back: answers take about as long.
+	// overloadRetryAfter is when a request that found too many open may retry: about as long as a request takes.
 	overloadRetryAfter = 100 * time.Millisecond
-	// noServerRetryAfter is when one that found no server had better come back: lists come every second or so.
+	// noServerRetryAfter is when a request that found no ready server may retry: endpoint lists change every second or so.
 	noServerRetryAfter = time.Second
+	// maxRateRetryAfter bounds when a request that exceeded the rate may retry.
+	maxRateRetryAfter = 60 * time.Second
+	// crowdedFraction is the fraction of a pool's reserve, or of its burst, of which clients leave less to the process' own work
+	// when the pool counts as crowded.
+	crowdedFraction = 0.5
 )
 
-// Admission decides which requests the pools take. It is not safe for concurrent use.
+// Admission decides which requests the pools admit. It is not safe for concurrent use.
 type Admission struct {
 	open, bodies Budget
 	pools        map[PoolID]*poolState
 }
 
+// poolState is a pool's limits, and its token bucket.
 type poolState struct {
 	limits       Limits
 	tokens       float64
-	tokensAt     time.Duration // of tokens
-	readyServers int           // servers
+	tokensAt     time.Duration
+	readyServers int
 }
 
-// NewAdmission returns an Admission for a process that may hold so many requests open, and so many bytes of bodies.
-func NewAdmission(open, bodies int64) *Admission {
-	return &Admission{open: NewBudget(open), bodies: NewBudget(bodies), pools: map[PoolID]*poolState{}}
+// NewAdmission returns an Admission for a process with so many open requests and bytes of bodies at most.
+func NewAdmission(openRequests, bodyBytes int64) *Admission {
+	return &Admission{open: NewBudget(openRequests), bodies: NewBudget(bodyBytes), pools: map[PoolID]*poolState{}}
 }
 
-// Resize changes what the process may hold.
-func (a *Admission) Resize(open, bodies int64) {
-	a.open.Resize(open)
-	a.bodies.Resize(bodies)
+// Resize changes what the process may have.
+func (a *Admission) Resize(openRequests, bodyBytes int64) {
+	a.open.Resize(openRequests)
+	a.bodies.Resize(bodyBytes)
 }
 
-// Set adds pool k, or changes its limits. Tokens that it has are kept, so that a reload is no new burst.
-func (a *Admission) Set(now time.Duration, k PoolID, l Limits) {
-	l.Burst = max(1, l.Burst)
-	p := a.pools[k]
+// Set adds a pool, or changes its limits. Its tokens are kept, so that a reload is no new burst.
+func (a *Admission) Set(now time.Duration, pool PoolID, limits Limits) {
+	limits.Burst = max(1, limits.Burst)
+	p := a.pools[pool]
 	if p == nil {
-		p = &poolState{tokens: l.Burst, tokensAt: now}
-		a.pools[k] = p
+		p = &poolState{tokens: limits.Burst, tokensAt: now}
+		a.pools[pool] = p
 	} else {
 		p.refill(now)
 		if p.limits.Rate == 0 {
-			p.tokens = l.Burst
+			p.tokens = limits.Burst
 		}
 	}
-	p.limits = l
-	p.tokens = min(p.tokens, l.Burst)
-	a.open.Set(k, l.OpenRequests)
-	a.bodies.Set(k, l.BodyBytes)
+	p.limits = limits
+	p.tokens = min(p.tokens, limits.Burst)
+	a.open.Set(pool, limits.OpenRequests)
+	a.bodies.Set(pool, limits.BodyBytes)
 }
 
-// Remove removes pool k: it is admitted nothing more.
-func (a *Admission) Remove(k PoolID) {
-	delete(a.pools, k)
-	a.open.Remove(k)
-	a.bodies.Remove(k)
+// Remove removes a pool: its requests are rejected from now on, and those that are open are still to be released.
+func (a *Admission) Remove(pool PoolID) {
+	delete(a.pools, pool)
+	a.open.Remove(pool)
+	a.bodies.Remove(pool)
 }
 
-// SetReady notes how many ready servers the list of pool k names.
-func (a *Admission) SetReady(k PoolID, servers int) {
-	if p := a.pools[k]; p != nil {
+// SetReady notes how many ready servers a pool's endpoint list names.
+func (a *Admission) SetReady(pool PoolID, servers int) {
+	if p := a.pools[pool]; p != nil {
 		p.readyServers = servers
 	}
 }
 
-// CanServe reports whether a request of pool k that has not been sent may go on waiting. One that is leaving still serves what
-// it took.
-func (a *Admission) CanServe(k PoolID) bool {
-	p := a.pools[k]
+// CanServe reports whether a request of a pool that has not been sent may go on waiting. A pool that was removed still serves
+// what it admitted.
+func (a *Admission) CanServe(pool PoolID) bool {
+	p := a.pools[pool]
 	return p == nil || p.readyServers > 0 || p.limits.WaitForServers
 }
 
-// refill adds the tokens of the time gone by.
+// refill adds the tokens of the time since the last refill.
 func (p *poolState) refill(now time.Duration) {
 	if now > p.tokensAt {
 		p.tokens = min(p.limits.Burst, p.tokens+(now-p.tokensAt).Seconds()*p.limits.Rate)
@@ -120,58 +125,61 @@
 	}
 }
 
-// Admit decides on a request for pool k with a body of so many bytes. If it is admitted, Done must follow.
-func (a *Admission) Admit(now time.Duration, k PoolID, body int64) Decision {
-	p := a.pools[k]
+// tokenWait is how long it takes until there is a token, in whole milliseconds.
+func (p *poolState) tokenWait() time.Duration {
+	seconds := min((1-p.tokens)/p.limits.Rate, maxRateRetryAfter.Seconds())
+	return time.Duration(math.Ceil(seconds*1000)) * time.Millisecond
+}
+
+// Admit decides on a request for a pool with a body of so many bytes. If it is admitted, Release must follow.
+func (a *Admission) Admit(now time.Duration, pool PoolID, bodyBytes int64) Decision {
+	p := a.pools[pool]
 	if p == nil {
 		return Decision{PoolRemoved, overloadRetryAfter}
 	}
-	if !a.CanServe(k) && !p.limits.Forwardable {
+	if !a.CanServe(pool) && !p.limits.Forwardable {
 		return Decision{NoReadyServer, noServerRetryAfter}
 	}
-	if p.limits.Rate > 0 {
+	limited := p.limits.Rate > 0
+	if limited {
 		if p.refill(now); p.tokens < 1 {
-			wait := (1 - p.tokens) / p.limits.Rate
-			return Decision{RateExceeded, time.Duration(math.Ceil(min(wait, 60)*1000)) * time.Millisecond}
+			return Decision{RateExceeded, p.tokenWait()}
 		}
 	}
-	if !a.open.Acquire(k, 1) {
+	if !a.open.Acquire(pool, 1) {
 		return Decision{TooManyOpen, overloadRetryAfter}
 	}
-	if !a.bodies.Acquire(k, body) {
-		a.open.Release(k, 1)
+	if !a.bodies.Acquire(pool, bodyBytes) {
+		a.open.Release(pool, 1)
 		return Decision{BodyMemoryExceeded, overloadRetryAfter}
 	}
-	if p.limits.Rate > 0 {
+	if limited {
 		p.tokens--
 	}
 	return Decision{}
 }
 
-// Release gives back what an admitted request held.
-func (a *Admission) Release(k PoolID, body int64) {
-	a.open.Release(k, 1)
-	a.bodies.Release(k, body)
+// Release gives back what an admitted request had, its body's bytes included as far as ReleaseBody has not.
+func (a *Admission) Release(pool PoolID, bodyBytes int64) {
+	a.open.Release(pool, 1)
+	a.bodies.Release(pool, bodyBytes)
 }
 
-// ReleaseBody gives back a part of what an admitted request holds, as its body turned out shorter.
-func (a *Admission) ReleaseBody(k PoolID, unused int64) { a.bodies.Release(k, unused) }
-
-// crowdedShare is the part of what is kept for a pool that its clients leave to the process' own work.
-const crowdedShare = 0.5
+// ReleaseBody gives back a part of an admitted request's bytes, as its body turned out shorter.
+func (a *Admission) ReleaseBody(pool PoolID, unused int64) { a.bodies.Release(pool, unused) }
 
-// Crowded reports whether clients take so much of pool k that the process' own work had better wait: half of the requests that are
-// kept for it are open, or it has fewer than one token of its rate in two.
-func (a *Admission) Crowded(k PoolID) bool {
-	p := a.pools[k]
+// Crowded reports whether clients use so much of a pool that the process' own work is to wait: half of the requests reserved for
+// it are open, or it has fewer than half of the tokens of its burst.
+func (a *Admission) Crowded(pool PoolID) bool {
+	p := a.pools[pool]
 	if p == nil {
 		return true
 	}
-	if least := p.limits.OpenRequests.Reserved; least > 0 && float64(a.open.Used(k)) >= crowdedShare*float64(least) {
+	if reserved := p.limits.OpenRequests.Reserved; reserved > 0 && float64(a.open.Used(pool)) >= crowdedFraction*float64(reserved) {
 		return true
 	}
-	return p.limits.Rate > 0 && p.tokens < crowdedShare*p.limits.Burst
+	return p.limits.Rate > 0 && p.tokens < crowdedFraction*p.limits.Burst
 }
 
-// OpenRequests is how many requests of pool k are open.
-func (a *Admission) OpenRequests(k PoolID) int64 { return a.open.Used(k) }
+// OpenRequests is how many requests of a pool are open.
+func (a *Admission) OpenRequests(pool PoolID) int64 { return a.open.Used(pool) }
