--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -164,7 +164,7 @@
 func start(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
 	speech := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: secureWith(log)}
 	if f.Bridge == nil {
-		g, err := gateway.NewWithProtocols(f.Gateway, log, nil, speech)
+		g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Protocols: speech})
 		if err != nil {
 			return nil, err
 		}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g, err := gateway.NewWithProtocols(f.Gateway, log, b, speech)
+	g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Extension: b, Protocols: speech})
 	if err != nil {
 		b.Close()
 		return nil, err
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -2,127 +2,64 @@
 
 import (
 	"context"
-	"fmt"
-	"log/slog"
 	"net"
 	"net/http"
 
 	"sorrelrudder/internal/downstream"
 	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/pool"
-	"sorrelrudder/internal/quota"
-	"sorrelrudder/internal/upstream"
 )
 
-// Extension is what a product adds to the process: where requests go that a pool's own servers do not serve, and who
-// hands requests over. The sidecar has none, and links none.
+// errNoSuchPool rejects a request for a pool that is not configured.
+var errNoSuchPool = httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such pool"}
+
+// Extension connects the process with other sites: where requests go that a pool's own servers do not serve, and who
+// receives those of other sites. The sidecar has none, and links none. Its methods are called from many goroutines at once.
 type Extension interface {
-	// Spillover is where the refused requests of a pool may go; nil: nowhere. It is asked whenever an instance of the pool starts.
+	// Spillover returns where the rejected requests of a pool go; nil: nowhere. It is called for each instance of the pool.
 	Spillover(pool string) Spillover
-	// Handler has the requests that come in at foreign listeners of g.
+	// Handler returns the handler of the requests that come in at inter-site listeners of g.
 	Handler(g *Gateway) downstream.Handler
-	// PeerName and Wrap are for the connections there and the listeners themselves.
+	// PeerName returns the name of the site at the other end of a connection, once its first request has come.
 	PeerName(net.Conn) string
+	// WrapListener wraps an inter-site listener.
 	WrapListener(net.Listener) net.Listener
-	// Drain tells that the process takes nothing new soon, Close that it has ended.
+	// Drain is called once as the process begins to shut down.
 	Drain()
+	// Close is called once all else has ended.
 	Close()
 }
 
-// Spillover is where requests may go that a pool refuses. Its methods are called from many goroutines at once.
+// Spillover takes requests that a pool rejects. Its methods are called from many goroutines at once.
 type Spillover interface {
-	// RecordRequest tells of each request of the pool's clients.
+	// RecordRequest is called for each request of the pool's own clients.
 	RecordRequest(class string)
-	// Forward answers a request that the pool has refused, once. It returns soon after ctx ends.
-	Forward(ctx context.Context, h *pool.RejectedRequest)
+	// Forward answers a request that the pool has rejected, once. It returns soon after ctx ends.
+	Forward(ctx context.Context, r *pool.RejectedRequest)
 }
 
+// hasSpillover reports whether the rejected requests of a pool may go elsewhere.
 func (g *Gateway) hasSpillover(pool string) bool {
 	return g.extension != nil && g.extension.Spillover(pool) != nil
 }
 
-// AdmitFromSite is for the requests that another site hands over, to a pool by its name. They go no further than that.
-func (g *Gateway) AdmitFromSite(q *httpmsg.Request, name string, f pool.ForwardedAttributes) (downstream.AdmittedRequest, downstream.PoolID, error) {
-	m := g.table.Load().pools[name]
-	if m == nil {
-		return nil, 0, httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such pool"}
+// AdmitFromSite admits a request that another site has forwarded to the pool of that name. It is not forwarded any
+// further. The error is a httpmsg.RejectionError.
+func (g *Gateway) AdmitFromSite(r *httpmsg.Request, name string, f pool.ForwardedAttributes) (downstream.AdmittedRequest, downstream.PoolID, error) {
+	p := g.table.Load().pools[name]
+	if p == nil {
+		return nil, downstream.PoolID(unassignedPool), errNoSuchPool
 	}
-	ask, err := m.pool.ParseForwardedRequest(q, f)
-	a, owner, err := g.admit(m, q, ask, err)
-	if err != nil {
-		return nil, owner, err
+	parsed, err := p.pool.ParseForwardedRequest(r, f)
+	a, id, err := g.admit(p, r, parsed, err)
+	if a != nil {
+		a.fromSite = true
 	}
-	a.fromSite = true
-	return a, owner, nil
+	return asAdmitted(a, id, err)
 }
 
-// HasReadyEndpoint reports whether the pool of that name has a ready server, as far as its list tells.
+// HasReadyEndpoint reports whether the list of the pool of that name has a ready server.
 func (g *Gateway) HasReadyEndpoint(name string) bool {
-	m := g.table.Load().pools[name]
-	if m == nil {
-		return false
-	}
-	g.quotaMu.Lock()
-	defer g.quotaMu.Unlock()
-	return g.admission.CanServe(m.key)
-}
-
-// auxiliaryClaim is what pools beside those of the configuration may have of the descriptors.
-var auxiliaryClaim = quota.Claim{Limit: quota.Unlimited}
-
-// NewAuxiliaryPool starts a pool beside those of the configuration, such as one whose servers are at another site. Its descriptors are
-// of the common rest. The caller closes it.
-func (g *Gateway) NewAuxiliaryPool(cfg pool.Config, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) (*pool.Pool, error) {
-	g.configMu.Lock()
-	g.lastPoolKey++
-	key := g.lastPoolKey
-	g.configMu.Unlock()
-	up := upstream.New(cfg.Settings.Config, g.descriptors.Pool(key))
-	up.SetDialer(dial)
-	g.descriptors.Register(key, auxiliaryClaim, up.EvictIdle)
-	p, err := pool.New(cfg, up, log)
-	if err != nil {
-		g.descriptors.Unregister(key)
-		return nil, fmt.Errorf("pool %q: %w", cfg.Name, err)
-	}
-	return p, nil
-}
-
-// Do sends a request of this process' own through a pool and its decision module, and returns the one answer. An error is a
-// httpmsg.RejectionError, before any server could have had the request, or that of ctx: then it may have run. Work of the process' own gives way to
-// that of clients: while the pool is short, it is refused.
-func (g *Gateway) Do(ctx context.Context, name string, q *httpmsg.Request) (httpmsg.Response, error) {
-	m := g.table.Load().pools[name]
-	if m == nil {
-		return httpmsg.Response{}, httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such pool"}
-	}
-	g.quotaMu.Lock()
-	yields := g.admission.Crowded(m.key)
-	g.quotaMu.Unlock()
-	if yields {
-		return httpmsg.Response{}, httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool is taken by clients"}
-	}
-	ask, err := m.pool.ParseRequest(q, q.Path)
-	a, _, err := g.admit(m, q, ask, err)
-	if err != nil {
-		return httpmsg.Response{}, err
-	}
-	x, err := a.Dispatch(q.Body, nil)
-	if err != nil {
-		return httpmsg.Response{}, err
-	}
-	var answer httpmsg.Response
-	select {
-	case answer = <-x.Response():
-	case <-ctx.Done():
-		if x.Cancel() {
-			return httpmsg.Response{}, ctx.Err()
-		}
-		answer = <-x.Response() // it was there already
-	}
-	if answer.Remainder != nil { // nobody here reads a long answer
-		answer.Remainder.Close(false)
-		answer.Remainder = nil
-	}
-	return answer, nil
+	p := g.table.Load().pools[name]
+	return p != nil && g.quotas.canServe(p.id)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -456,9 +456,9 @@
 		waitFor(t, "its room to be taken, or an answer", func() bool {
 			c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := c.r.Peek(1)
-			s.g.quotaMu.Lock()
-			taken := s.g.admission.OpenRequests(1) + s.g.admission.OpenRequests(2)
-			s.g.quotaMu.Unlock()
+			s.g.quotas.mu.Lock()
+			taken := s.g.quotas.admission.OpenRequests(1) + s.g.quotas.admission.OpenRequests(2)
+			s.g.quotas.mu.Unlock()
 			return err == nil || int(taken) > i-full
 		})
 		c.SetReadDeadline(time.Now().Add(time.Millisecond))
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -107,7 +107,7 @@
 		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: hopAt, InterSite: true}},
 		Pools:     []gateway.Pool{{Name: "farm", Settings: set, StaticEndpoints: hosts, Limits: gateway.Limits{Weight: 1}}},
 	}
-	if s.gw, err = gateway.NewWithExtension(gcfg, log, s.bridge); err != nil {
+	if s.gw, err = gateway.NewWithOptions(gcfg, log, gateway.Options{Extension: s.bridge}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.bridge.Start(s.gw); err != nil {
