--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -39,7 +39,9 @@
 					if err != nil {
 						return
 					}
-					io.Copy(io.Discard, q.Body)
+					if _, err := io.Copy(io.Discard, q.Body); err != nil {
+						return
+					}
 					if _, err := c.Write(answer); err != nil {
 						return
 					}
@@ -60,28 +62,36 @@
 
 func cpu() time.Duration {
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		panic(err)
+	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// benchConfig is a configuration of n pools, each with three endpoints at addr.
+func benchConfig(n int, addr string) Config {
+	cfg := Config{Name: "bench", MemoryMB: 512, Descriptors: 4096, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}}}
+	for i := range n {
+		name := fmt.Sprint("pool", i)
+		cfg.Pools = append(cfg.Pools, Pool{
+			Name: name, Settings: testSettings(), Limits: Limits{Weight: 1}, Seed: 1,
+			StaticEndpoints: []discovery.Endpoint{
+				{ID: "a", Address: addr, Health: "active", Weight: 1}, {ID: "b", Address: addr, Health: "active", Weight: 1},
+				{ID: "c", Address: addr, Health: "active", Weight: 1},
+			},
+		})
+		cfg.Routes = append(cfg.Routes, route.Route{Name: name, Hosts: []string{name + ".example.org"}, Path: "/", Pool: name})
+	}
+	return cfg
+}
+
 // BenchmarkPools gives what a pool takes at rest, and the processor time of a request with that many pools, the client and
 // the server in the same process included.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
 			addr := instantServer(b)
-			cfg := Config{Name: "bench", MemoryMB: 512, Descriptors: 4096, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}}}
-			for i := range n {
-				name := fmt.Sprint("pool", i)
-				cfg.Pools = append(cfg.Pools, Pool{
-					Name: name, Settings: testSettings(), Limits: Limits{Weight: 1}, Seed: 1,
-					StaticEndpoints: []discovery.Endpoint{
-						{ID: "a", Address: addr, Health: "active", Weight: 1}, {ID: "b", Address: addr, Health: "active", Weight: 1},
-						{ID: "c", Address: addr, Health: "active", Weight: 1},
-					},
-				})
-				cfg.Routes = append(cfg.Routes, route.Route{Name: name, Hosts: []string{name + ".example.org"}, Path: "/", Pool: name})
-			}
+			cfg := benchConfig(n, addr)
 			before := heap()
 			g, err := New(cfg, slog.New(slog.DiscardHandler))
 			if err != nil {
@@ -94,7 +104,9 @@
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				g.Run(ctx)
+				if err := g.Run(ctx); err != nil {
+					b.Error(err)
+				}
 			}()
 			defer func() {
 				cancel()
@@ -115,8 +127,10 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if io.Copy(io.Discard, resp.Body); resp.StatusCode != 200 {
-					b.Fatalf("status %d", resp.StatusCode)
+				_, err = io.Copy(io.Discard, resp.Body)
+				resp.Body.Close()
+				if err != nil || resp.StatusCode != http.StatusOK {
+					b.Fatalf("status %d, %v", resp.StatusCode, err)
 				}
 			}
 			for range 200 {
--- /dev/null
+++ b/internal/gateway/routing_test.go
@@ -0,0 +1,123 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelrudder/internal/fake"
+	"sorrelrudder/internal/route"
+)
+
+// TestOneConnectionSeveralPools guards against taking a connection for one pool's: requests of several come on it in turn,
+// and pipelined ones are answered in their order.
+func TestOneConnectionSeveralPools(t *testing.T) {
+	s := newSite(t)
+	a, b := s.box("a", nil), s.box("b", nil)
+	s.pool("orders", a)
+	s.pool("meters", b)
+	s.start()
+	c := s.dial()
+	for i := range 6 {
+		host := []string{"orders.example.org", "meters.example.org"}[i%2]
+		if resp, _ := c.ask(t, s.get(host, "/check/x")); resp.StatusCode != http.StatusOK {
+			t.Fatalf("%s: %d", host, resp.StatusCode)
+		}
+	}
+	if a.Served() != 3 || b.Served() != 3 {
+		t.Errorf("the boxes served %d and %d, want 3 each", a.Served(), b.Served())
+	}
+	var text strings.Builder
+	for i := range 5 {
+		text.WriteString(s.sent("GET", []string{"orders", "meters"}[i%2]+".example.org", "/check/x", fmt.Sprint("pipelined", i), ""))
+	}
+	c.write(text.String())
+	for i := range 5 {
+		resp, body := c.ask(t, "")
+		if want := fake.Made("check", fmt.Sprint("pipelined", i), ""); resp.StatusCode != http.StatusOK || body != want {
+			t.Fatalf("answer %d: %d %q, want %q", i, resp.StatusCode, body, want)
+		}
+	}
+}
+
+// TestHost guards against requests that go astray by the form of their Host.
+func TestHost(t *testing.T) {
+	s := newSite(t)
+	box := s.box("a", nil)
+	s.pool("orders", box)
+	s.pool("meters", box)
+	s.cfg.Routes[1].Path = "/v1"
+	s.cfg.Routes = append(s.cfg.Routes, route.Route{Name: "six", Hosts: []string{"[::1]"}, Path: "/", Pool: "orders"})
+	s.start()
+	n := 0
+	for name, c := range map[string]struct {
+		head string
+		want int
+	}{
+		"plain":         {"Host: orders.example.org\r\n", 200},
+		"port":          {"Host: orders.example.org:8080\r\n", 200},
+		"upper case":    {"Host: ORDERS.Example.Org\r\n", 200},
+		"trailing dot":  {"Host: orders.example.org.\r\n", 200},
+		"IPv6":          {"Host: [0:0::1]:80\r\n", 200},
+		"unknown":       {"Host: other.example.org\r\n", 421},
+		"unknown IPv6":  {"Host: [::2]\r\n", 421},
+		"none":          {"", 400},
+		"empty":         {"Host: \r\n", 400},
+		"two":           {"Host: orders.example.org\r\nHost: orders.example.org\r\n", 400},
+		"unreadable":    {"Host: a b\r\n", 400},
+		"unknown path":  {"Host: meters.example.org\r\n", 404},
+		"bad port":      {"Host: orders.example.org:port\r\n", 400},
+		"IPv6, no ends": {"Host: ::1\r\n", 400},
+	} {
+		n++
+		id := fmt.Sprint("host", n)
+		s.ledger.Sent(s.ledger.Op(fake.Safe), id, patience)
+		resp, _ := s.dial().ask(t, fmt.Sprintf("GET /check HTTP/1.1\r\n%sX-Request-ID: %s\r\nX-Timeout-Ms: 1000\r\n\r\n", c.head, id))
+		if resp.StatusCode != c.want {
+			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.want)
+		}
+	}
+	if resp, _ := s.dial().ask(t, s.get("meters.example.org", "/v1/../check")); resp.StatusCode != http.StatusBadRequest {
+		t.Errorf("dot segments: %d, want 400", resp.StatusCode)
+	}
+}
+
+// TestStripPath guards against what the boxes would not know.
+func TestStripPath(t *testing.T) {
+	s := newSite(t)
+	s.pool("orders", s.box("a", nil))
+	s.cfg.Routes[0].Path, s.cfg.Routes[0].Strip = "/farm/v1", true
+	s.start()
+	resp, body := s.dial().ask(t, s.sent("POST", "orders.example.org", "/farm/v1/order/7?x=1", "strip", "Idempotency-Key: k\r\nContent-Length: 0\r\n"))
+	if want := fake.Made("order", "", "k"); resp.StatusCode != http.StatusOK || body != want {
+		t.Errorf("got %d %q, want %q", resp.StatusCode, body, want)
+	}
+}
+
+// TestSameIDInTwoPools guards against taking a request for a repeat of another pool's.
+func TestSameIDInTwoPools(t *testing.T) {
+	s := newSite(t)
+	var hold [2]chan struct{}
+	for i, name := range []string{"orders", "meters"} {
+		hold[i] = make(chan struct{})
+		s.pool(name, s.box(name, nil))
+	}
+	s.cfg.Pools[0].StaticEndpoints = endpointsOf(s.box("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
+	s.start()
+	first := s.dial()
+	s.ledger.Sent(s.ledger.Op(fake.Safe), "same", patience)
+	text := "GET /check HTTP/1.1\r\nHost: %s.example.org\r\nX-Request-ID: same\r\nX-Timeout-Ms: 10000\r\n\r\n"
+	fmt.Fprintf(first, text, "orders")
+	waitFor(t, "the first to be open", func() bool { return s.g.Load().Requests == 1 })
+	if resp, _ := s.dial().ask(t, fmt.Sprintf(text, "meters")); resp.StatusCode != http.StatusOK {
+		t.Errorf("the same id in another pool: %d", resp.StatusCode)
+	}
+	if resp, _ := s.dial().ask(t, fmt.Sprintf(text, "orders")); resp.StatusCode != http.StatusConflict {
+		t.Errorf("the same id in the same pool: %d", resp.StatusCode)
+	}
+	if resp, body := first.ask(t, ""); resp.StatusCode != http.StatusOK || !strings.Contains(body, "same") {
+		t.Errorf("the first: %d %q", resp.StatusCode, body)
+	}
+}
