--- /dev/null
+++ b/internal/downstream/accept.go
@@ -0,0 +1,77 @@
+package downstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"time"
+)
+
+// Serve is ServeWithOptions for a listener that speaks HTTP/1.1 alone.
+func (s *Server) Serve(ctx context.Context, ln net.Listener, acceptors int) error {
+	return s.ServeWithOptions(ctx, ln, acceptors, ListenerOptions{})
+}
+
+// ServeWithOptions serves the connections that come at a listener until it is closed or ctx ends, and returns the error of
+// that. The connections live on. While no descriptor is free they wait in the kernel's backlog. The acceptors, goroutines
+// that accept side by side, are so many that others accept while one waits for a descriptor.
+func (s *Server) ServeWithOptions(ctx context.Context, ln net.Listener, acceptors int, o ListenerOptions) error {
+	listener := &serverListener{ListenerOptions: o}
+	s.mu.Lock()
+	s.listeners[ln] = listener
+	s.mu.Unlock()
+	ended := make(chan error, acceptors)
+	for range acceptors {
+		go func() { ended <- s.acceptAll(ctx, ln, listener) }()
+	}
+	var err error
+	for range acceptors {
+		err = <-ended
+	}
+	return err
+}
+
+// acceptAll accepts connections until the listener is closed or ctx ends.
+func (s *Server) acceptAll(ctx context.Context, ln net.Listener, listener *serverListener) error {
+	for {
+		release, err := s.descriptors.AcquireClient(ctx)
+		if err != nil {
+			return err
+		}
+		conn, err := ln.Accept()
+		switch {
+		case err == nil:
+			c := newClientConn(conn, listener, release)
+			s.register(c)
+			go s.serveConn(c)
+			continue
+		case errors.Is(err, net.ErrClosed):
+			release()
+			return err
+		}
+		release()
+		s.log.Warn("accepting a connection failed", "err", err)
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(acceptRetryDelay):
+		}
+	}
+}
+
+// register adds a new connection, which waits for its first request from now on.
+func (s *Server) register(c *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns[c] = struct{}{}
+	c.counted = s.handler.AcquireConnection(0)
+	s.idlePolicy.Resize(s.descriptors.MaxClients())
+	s.idlePolicy.Opened(s.now())
+	s.idlePolicy.Assign(0)
+	if s.idlePolicy.ShouldEvictAhead(s.now()) { // the next need not wait for a descriptor then
+		s.evictLocked()
+	}
+	s.beginIdle(c)
+	s.startWaiting(c)
+	s.goroutines.Add(1)
+}
--- /dev/null
+++ b/internal/downstream/multiplexed.go
@@ -0,0 +1,157 @@
+package downstream
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"sorrelrudder/internal/httpmsg"
+)
+
+// MultiplexedProtocol serves connections that carry several requests at once. The server keeps the connections, and answers
+// the requests.
+type MultiplexedProtocol interface {
+	// Name returns the protocol's name in a TLS handshake (ALPN).
+	Name() string
+	// Serve serves c until it ends; first is what has been read of it already. It calls h for each request, in a goroutine
+	// for each, and active as the number of open requests rises from 0 and falls to 0. Once drain is closed it takes no
+	// further requests.
+	Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler)
+}
+
+// errClientGone is the error of reading a body whose client has canceled the request or closed the connection.
+var errClientGone = errors.New("the client has left")
+
+// serveMultiplexed serves c by a multiplexed protocol to its end.
+func (s *Server) serveMultiplexed(c *clientConn, p MultiplexedProtocol, first []byte) {
+	drain := s.startMultiplexed(c)
+	active := func(active bool) { s.setMultiplexedActive(c, active) }
+	p.Serve(c.Conn, first, drain, active, &multiplexedConn{server: s, conn: c})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.drainMultiplexed(c)
+}
+
+// startMultiplexed makes c a multiplexed connection without open requests, and returns the channel that drains it.
+func (s *Server) startMultiplexed(c *clientConn) <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeFromList(c)
+	s.endIdle(c, time.Since(c.listedSince), true)
+	c.drainSignal = make(chan struct{})
+	drain := c.drainSignal
+	c.SetDeadline(time.Time{})
+	if s.draining || c.listener.draining {
+		s.drainMultiplexed(c)
+	} else {
+		s.addToList(c, &s.waiting[multiplexedConns])
+	}
+	return drain
+}
+
+// setMultiplexedActive notes whether c has open requests. Without, it may be evicted.
+func (s *Server) setMultiplexedActive(c *clientConn, active bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeFromList(c)
+	if !active && c.drainSignal != nil {
+		s.addToList(c, &s.waiting[multiplexedConns])
+	}
+}
+
+// drainMultiplexed makes a connection take no further requests. The caller holds mu.
+func (s *Server) drainMultiplexed(c *clientConn) {
+	if c.drainSignal != nil {
+		close(c.drainSignal)
+		c.drainSignal = nil
+	}
+}
+
+// multiplexedConn is the http.Handler for the requests of one multiplexed connection.
+type multiplexedConn struct {
+	server *Server
+	conn   *clientConn
+
+	mu        sync.Mutex // guards poolKnown, and is held while the pool is set. It comes before Server.mu.
+	poolKnown bool
+}
+
+// ServeHTTP implements http.Handler.
+func (m *multiplexedConn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	request, err := newStreamRequest(r, m.conn.RemoteAddr())
+	if err != nil {
+		writeStreamRejection(w, r, err)
+		return
+	}
+	request.Secure = m.conn.listener.TLS != nil
+	request.ClientGone = func() bool { return r.Context().Err() != nil }
+	admitted, id, err := m.server.handler.Admit(request)
+	m.setPool(id)
+	if err != nil {
+		writeStreamRejection(w, r, err)
+		return
+	}
+	x, err := dispatchStream(w, r, request, admitted)
+	if err != nil {
+		writeStreamRejection(w, r, err)
+		return
+	}
+	select {
+	case resp := <-x.Response():
+		writeStreamResponse(w, r, resp)
+	case <-r.Context().Done():
+		if !x.Cancel() {
+			discard(<-x.Response())
+		}
+	}
+}
+
+// dispatchStream reads the body of a request, or the first of a long one, and dispatches the request.
+func dispatchStream(w http.ResponseWriter, r *http.Request, request *httpmsg.Request, admitted AdmittedRequest) (Exchange, error) {
+	body := newStreamBody(w, r, request.Length)
+	first, more, err := body.readFirst()
+	if err != nil {
+		admitted.Release()
+		return nil, err
+	}
+	if more {
+		return admitted.Dispatch(first, body)
+	}
+	return admitted.Dispatch(first, nil)
+}
+
+// setPool makes the connection that of the pool of its first request.
+func (m *multiplexedConn) setPool(id PoolID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.poolKnown {
+		m.poolKnown = true
+		m.server.setPool(m.conn, id)
+	}
+}
+
+// newStreamRequest is a request of a multiplexed connection as a Handler has it. The error is a httpmsg.RejectionError.
+func newStreamRequest(r *http.Request, from net.Addr) (*httpmsg.Request, error) {
+	for _, name := range []string{"X-Request-Id", "X-Timeout-Ms", "Idempotency-Key"} {
+		if len(r.Header[name]) > 1 {
+			return nil, repeatedField(name)
+		}
+	}
+	q := &httpmsg.Request{
+		Method: r.Method, URI: r.RequestURI, Path: r.URL.Path, Host: r.Host, Header: r.Header, Length: r.ContentLength, RemoteAddr: from,
+	}
+	switch {
+	case !strings.HasPrefix(q.URI, "/"):
+		return nil, errInvalidTarget
+	case q.Host == "":
+		return nil, errMissingHost
+	case q.Length > httpmsg.MaxBodyBytes:
+		return nil, errBodyTooLong
+	case r.Body == nil || r.Body == http.NoBody:
+		q.Length = 0
+	}
+	return q, nil
+}
--- /dev/null
+++ b/internal/downstream/multiplexed_body.go
@@ -0,0 +1,61 @@
+package downstream
+
+import (
+	"io"
+	"net/http"
+	"time"
+
+	"sorrelrudder/internal/httpmsg"
+)
+
+// streamBody is the body of a request on a multiplexed connection, under the same limits as bodyReader. It implements
+// httpmsg.BodyStream.
+type streamBody struct {
+	request  *http.Request
+	control  *http.ResponseController
+	length   int64 // -1: not known
+	progress bodyProgress
+}
+
+func newStreamBody(w http.ResponseWriter, r *http.Request, length int64) *streamBody {
+	return &streamBody{
+		request: r, control: http.NewResponseController(w), length: length, progress: bodyProgress{started: time.Now()},
+	}
+}
+
+// Length implements httpmsg.BodyStream.
+func (b *streamBody) Length() int64 { return b.length }
+
+// readFirst reads the body, or as much of a long one as is kept, and reports whether more follows.
+func (b *streamBody) readFirst() (body []byte, more bool, err error) {
+	if b.length == 0 {
+		return nil, false, nil
+	}
+	body, err = io.ReadAll(io.LimitReader(b, httpmsg.MaxBufferedBodyBytes))
+	if err != nil {
+		return nil, false, err
+	}
+	return body, len(body) == httpmsg.MaxBufferedBodyBytes && b.progress.bytes != b.length, nil
+}
+
+// Read implements httpmsg.BodyStream. Its errors but io.EOF are a httpmsg.RejectionError or errClientGone.
+func (b *streamBody) Read(p []byte) (int, error) {
+	now := time.Now()
+	if b.progress.tooSlow(now) {
+		return 0, errRequestTimeout
+	}
+	_ = b.control.SetReadDeadline(now.Add(bodyReadTimeout)) // fails only once the stream has ended, as Read then does
+	n, err := b.request.Body.Read(p)
+	b.progress.bytes += int64(n)
+	switch {
+	case b.progress.bytes > httpmsg.MaxBodyBytes:
+		return 0, errBodyTooLong
+	case err == nil, isEOF(err):
+		return n, err
+	case b.request.Context().Err() != nil:
+		return n, errClientGone
+	case time.Since(now) >= bodyReadTimeout:
+		return n, errRequestTimeout
+	}
+	return n, errMalformedBody
+}
--- /dev/null
+++ b/internal/downstream/multiplexed_response.go
@@ -0,0 +1,76 @@
+package downstream
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"sorrelrudder/internal/httpmsg"
+)
+
+// writeStreamRejection answers a request that is not dispatched. If its client has gone, it resets the stream.
+func writeStreamRejection(w http.ResponseWriter, r *http.Request, err error) {
+	var rejection httpmsg.RejectionError
+	if !errors.As(err, &rejection) {
+		panic(http.ErrAbortHandler)
+	}
+	writeStreamResponse(w, r, rejection.Response())
+}
+
+// writeStreamResponse writes a response. If it cannot be completed it resets the stream, so that its client can tell.
+func writeStreamResponse(w http.ResponseWriter, r *http.Request, resp httpmsg.Response) {
+	headRequest := r.Method == http.MethodHead
+	setStreamHeader(w.Header(), &resp, headRequest)
+	setStreamWriteDeadline(w, writeTimeout)
+	w.WriteHeader(resp.Status)
+	if headRequest || bodiless(resp.Status) {
+		discard(resp)
+		return
+	}
+	_, err := w.Write(resp.Body)
+	if resp.Remainder != nil {
+		if err == nil {
+			err = copyStreamRemainder(w, resp.Remainder)
+		}
+		resp.Remainder.Close(err == nil)
+	}
+	if err != nil {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// setStreamHeader sets the fields of a response. net/http would add a Content-Type and a Date that the server has not sent.
+func setStreamHeader(h http.Header, resp *httpmsg.Response, headRequest bool) {
+	for name, values := range resp.Header {
+		h[name] = values
+	}
+	if resp.RetryAfter > 0 {
+		h.Set("Retry-After", retryAfterSeconds(resp.RetryAfter))
+	}
+	if length := responseLength(resp, headRequest); length >= 0 && !bodiless(resp.Status) {
+		h.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	for _, name := range []string{"Content-Type", "Date"} {
+		if _, set := h[name]; !set {
+			h[name] = nil
+		}
+	}
+}
+
+// copyStreamRemainder writes the remainder of a response's body as it comes.
+func copyStreamRemainder(w http.ResponseWriter, remainder httpmsg.ResponseStream) error {
+	control := http.NewResponseController(w)
+	return copyRemainder(remainder, func(p []byte) error {
+		setStreamWriteDeadline(w, streamWriteTimeout)
+		if _, err := w.Write(p); err != nil {
+			return err
+		}
+		return control.Flush()
+	})
+}
+
+// setStreamWriteDeadline bounds the next writes. It fails only once the stream has ended, as they then do.
+func setStreamWriteDeadline(w http.ResponseWriter, timeout time.Duration) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
+}
--- a/internal/downstream/server_test.go
+++ b/internal/downstream/server_test.go
@@ -122,7 +122,7 @@
 		ln.Close()
 		<-ended
 		s.Wait(ctx)
-		s.connGoroutines.Wait()
+		s.goroutines.Wait()
 	})
 	return &running{s, nil, ln.Addr().String()}
 }
@@ -381,8 +381,8 @@
 	defer r.mu.Unlock()
 	for range 2000 {
 		for k := keepalive.NoRequest; k <= keepalive.SeveralRequests; k++ {
-			w := r.idleRule.BeginIdle(r.now(), o, k)
-			r.idleRule.EndIdle(o, k, w, keepalive.MaxIdle, false)
+			w := r.idlePolicy.BeginIdle(r.now(), o, k)
+			r.idlePolicy.EndIdle(o, k, w, keepalive.MaxIdle, false)
 		}
 	}
 }
--- /dev/null
+++ b/internal/downstream/watch.go
@@ -0,0 +1,48 @@
+package downstream
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"sorrelrudder/internal/process"
+)
+
+// watchForClose watches whether the client closes the connection while its request is open. What the client sends meanwhile
+// is read ahead as far as there is room; beyond that the socket is polled. The channel that it returns is closed when the
+// client has closed, when the connection's read deadline passes, or, if the socket is polled, once stop is closed.
+func (r *requestReader) watchForClose(c net.Conn, stop <-chan struct{}) <-chan struct{} {
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		var err error
+		for err == nil {
+			_, err = r.buffered.Peek(r.buffered.Buffered() + 1)
+		}
+		switch {
+		case errors.Is(err, bufio.ErrBufferFull):
+			r.clientClosed.Store(pollForClose(c, stop))
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			r.clientClosed.Store(true)
+		}
+	}()
+	return ended
+}
+
+// pollForClose polls c until its other side has closed, which it reports, or stop is closed.
+func pollForClose(c net.Conn, stop <-chan struct{}) (closed bool) {
+	tick := time.NewTicker(closePollInterval)
+	defer tick.Stop()
+	for {
+		if process.PeerClosed(c) {
+			return true
+		}
+		select {
+		case <-stop:
+			return false
+		case <-tick.C:
+		}
+	}
+}
