--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -126,17 +126,17 @@
 		if st.Superseded {
 			fmt.Fprintf(w, "superseded\tanother process has this name\n")
 		}
-		if st.Failed != "" {
-			fmt.Fprintf(w, "failed\t%s\n", st.Failed)
+		if st.VoterError != "" {
+			fmt.Fprintf(w, "failed\t%s\n", st.VoterError)
 		}
-		if k := st.Council; k != nil {
+		if k := st.Voter; k != nil {
 			fmt.Fprintf(w, "seat\t%d, %s, term %d, applied %d of %d\n", k.ID, k.Role, k.Term, k.Applied, k.Commit)
 		}
-		for _, name := range slices.Sorted(maps.Keys(st.Holds)) {
-			fmt.Fprintf(w, "holds\t%s by %d for %d ms\n", name, st.Holds[name].Token, st.Holds[name].LeftMs)
+		for _, name := range slices.Sorted(maps.Keys(st.HeldLeases)) {
+			fmt.Fprintf(w, "holds\t%s by %d for %d ms\n", name, st.HeldLeases[name].Token, st.HeldLeases[name].LeftMs)
 		}
-		for _, name := range slices.Sorted(maps.Keys(st.Running)) {
-			fmt.Fprintf(w, "runs\t%s, slot %d\n", name, st.Running[name])
+		for _, name := range slices.Sorted(maps.Keys(st.RunningSlots)) {
+			fmt.Fprintf(w, "runs\t%s, slot %d\n", name, st.RunningSlots[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(st.LinkErrors)) {
 			fmt.Fprintf(w, "last trouble with\t%s: %s\n", name, st.LinkErrors[name])
@@ -146,11 +146,11 @@
 
 // fleetOf is the replicated state as the process knows it.
 func fleetOf(st *fleet.Status, w *tabwriter.Writer) *consensus.StateMachine {
-	if st.Council == nil || st.Council.StateMachine == nil {
+	if st.Voter == nil || st.Voter.StateMachine == nil {
 		fmt.Fprintf(w, "%s has no seat in the council, or has not heard of its state yet: ask another\n", st.Name)
 		return nil
 	}
-	return st.Council.StateMachine
+	return st.Voter.StateMachine
 }
 
 type tierMembers struct{ asking }
@@ -169,7 +169,7 @@
 				continue
 			}
 			votes := "no"
-			if slices.Contains(st.Council.Voters, seat.RaftID) {
+			if slices.Contains(st.Voter.Voters, seat.RaftID) {
 				votes = "yes"
 			}
 			former := ""
@@ -260,7 +260,7 @@
 			st, err = o.Status(ctx)
 			return err
 		})
-		if err == nil && st.Copies == nil {
+		if err == nil && st.SharedState == nil {
 			err = fmt.Errorf("%s shares no state: [tier.copies] is missing in its file", st.Name)
 		}
 		return st, err
@@ -276,7 +276,7 @@
 		}
 		return c.diff(s, one, other)
 	}
-	k := one.Copies
+	k := one.SharedState
 	k.Entries = slices.DeleteFunc(k.Entries, func(e fleet.SharedEntryStatus) bool { return c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") })
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(k)
@@ -299,12 +299,12 @@
 	for _, key := range k.Hints {
 		fmt.Fprintf(w, "hinted at\t%s\n", key)
 	}
-	for _, pool := range k.Kept {
+	for _, pool := range k.NotApplied {
 		fmt.Fprintf(w, "not carried out\torders of pool %s: no ready server would be left\n", pool)
 	}
 	fmt.Fprintln(w, "\nowner\tkey\tversion\tvalue")
 	for _, e := range k.Entries {
-		fmt.Fprintf(w, "%s\t%s\t%d.%d\t%s\n", e.Owner, e.Key, e.Inc, e.Seq, valueOf(e))
+		fmt.Fprintf(w, "%s\t%s\t%d.%d\t%s\n", e.Owner, e.Key, e.Incarnation, e.Sequence, valueOf(e))
 	}
 	return w.Flush()
 }
@@ -324,8 +324,8 @@
 	type at struct{ owner, key string }
 	both := map[at][2]*fleet.SharedEntryStatus{}
 	for i, st := range []*fleet.Status{a, b} {
-		for n := range st.Copies.Entries {
-			e := &st.Copies.Entries[n]
+		for n := range st.SharedState.Entries {
+			e := &st.SharedState.Entries[n]
 			if c.Kind != "" && !strings.HasPrefix(e.Key, c.Kind+"/") {
 				continue
 			}
@@ -344,15 +344,15 @@
 			if e == nil {
 				return "nothing"
 			}
-			return fmt.Sprintf("%d.%d %s", e.Inc, e.Seq, valueOf(*e))
+			return fmt.Sprintf("%d.%d %s", e.Incarnation, e.Sequence, valueOf(*e))
 		}
 		rule := ""
 		switch {
 		case x == nil || y == nil:
 			rule = "what one lacks it gets, or it was given up and the other is told"
-		case x.Inc != y.Inc:
+		case x.Incarnation != y.Incarnation:
 			rule = "the newer incarnation holds"
-		case x.Seq != y.Seq:
+		case x.Sequence != y.Sequence:
 			rule = "the larger number holds"
 		case !slices.Equal(x.Values, y.Values):
 			rule = "both contents are kept, and the careful one counts"
@@ -427,19 +427,19 @@
 			return err
 		}
 		if c.JSON {
-			return json.NewEncoder(s.out).Encode(st.Copies.Zones)
+			return json.NewEncoder(s.out).Encode(st.SharedState.Zones)
 		}
 		w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "pool\tzone\tservers\tavoided here\tepoch\tstep\tfalls\twhy\tjudged")
-		for _, z := range st.Copies.Zones {
+		for _, z := range st.SharedState.Zones {
 			step := fmt.Sprintf("%d of %d", z.Step, zonefailover.FullStep)
 			if z.Pinned {
 				step += ", pinned"
 			}
-			if z.Cold {
+			if z.WarmingUp {
 				step += ", cold"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n", z.Pool, z.Zone, z.Servers, z.Avoided, z.Epoch, step, z.Falls, z.Why, z.Cause)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n", z.Pool, z.Zone, z.Endpoints, z.Excluded, z.Epoch, step, z.Relapses, z.Reason, z.Cause)
 		}
 		return w.Flush()
 	})
@@ -447,7 +447,7 @@
 
 func zonesOf(ctx context.Context, o *fleet.Operator) (*fleet.Status, error) {
 	st, err := o.Status(ctx)
-	if err == nil && st.Copies == nil {
+	if err == nil && st.SharedState == nil {
 		err = fmt.Errorf("%s shares no state: [tier.copies] is missing in its file", st.Name)
 	}
 	return st, err
@@ -462,19 +462,19 @@
 
 // plan says what leaving a zone would do, by the list of the process that is asked.
 func (c *tierZone) plan(st *fleet.Status) (of *fleet.ZoneStatus, rest int, err error) {
-	for i := range st.Copies.Zones {
-		z := &st.Copies.Zones[i]
+	for i := range st.SharedState.Zones {
+		z := &st.SharedState.Zones[i]
 		switch {
 		case z.Pool != c.Pool:
 		case z.Zone == c.Zone:
 			of = z
 		case z.Step == zonefailover.FullStep:
-			rest += z.Servers
+			rest += z.Endpoints
 		}
 	}
 	if of == nil {
 		var names []string
-		for _, z := range st.Copies.Zones {
+		for _, z := range st.SharedState.Zones {
 			names = append(names, z.Pool+" "+z.Zone)
 		}
 		return nil, 0, fmt.Errorf("no zone %q of a pool %q; there are: %s", c.Zone, c.Pool, strings.Join(names, ", "))
@@ -497,7 +497,7 @@
 		if rest == 0 {
 			return fmt.Errorf("without %s no zone of %s would be wholly in use: it can't be left", c.Zone, c.Pool)
 		}
-		_, err = fmt.Fprintf(s.out, "%d servers of %s take nothing new; the %d others have %.2f times as much each, if all are used alike\n", z.Servers, c.Zone, rest, float64(rest+z.Servers)/float64(rest))
+		_, err = fmt.Fprintf(s.out, "%d servers of %s take nothing new; the %d others have %.2f times as much each, if all are used alike\n", z.Endpoints, c.Zone, rest, float64(rest+z.Endpoints)/float64(rest))
 		return err
 	})
 }
@@ -534,7 +534,7 @@
 
 func (c *tierZoneAuto) Run(s *streams) error {
 	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
-		return zonefailover.State{Step: z.Step, Relapses: z.Falls, Reason: "left to itself"}, nil
+		return zonefailover.State{Step: z.Step, Relapses: z.Relapses, Reason: "left to itself"}, nil
 	})
 }
 
--- /dev/null
+++ b/internal/fleet/conn.go
@@ -0,0 +1,232 @@
+package fleet
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"crypto/hmac"
+	"crypto/rand"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// A frame is four bytes of length, one of its kind, what it carries and a tag that proves the secret. Frames may be lost, doubled and
+// overtake each other: what they carry is made for that. One that was changed ends the connection.
+const (
+	kindHello    = 'H'
+	kindRaft     = 'R' // a message of the council's log
+	kindRequest  = 'Q' // a request, with its handle
+	kindResponse = 'A' // its answer
+	kindWake     = 'W' // your leases have changed
+	kindGossip   = 'G' // about shared state
+	kindPing     = 'P' // is there still somebody at the other end?
+	kindPong     = 'O' // yes
+)
+
+const (
+	tagLength             = 16
+	maxHelloBytes         = 4 << 10
+	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases has some 20 MB
+	handshakeTimeout      = 2 * time.Second
+	writeTimeout          = 5 * time.Second
+	idleTimeout           = time.Minute // without a frame a connection is closed
+	linkQueueLength       = 512         // frames of a link that wait; more are dropped, as on a network
+	maxInboundConnections = 2048        // connections of others
+	// pingInterval is how often a dialler that sends asks whether the other end is still there, silence how long it waits for a word then. What
+	// goes out on a link has its answers elsewhere, so that one whose other end has vanished without a word would else swallow all for a minute.
+	pingInterval = time.Second
+	pongTimeout  = 3 * time.Second
+)
+
+var (
+	errBadTag        = errors.New("a frame without the right tag: another secret, or it was changed on the way")
+	errFrameTooLong  = errors.New("a frame is too long")
+	errUnknownMember = errors.New("no member of this fleet")
+)
+
+// hello is what both ends say first.
+type hello struct {
+	Version int    `json:"v"`
+	Name    string `json:"name"`
+	To      string `json:"to,omitempty"`
+	Fleet   string `json:"fleet,omitempty"`
+	Nonce   []byte `json:"nonce"`
+	Pong    bool   `json:"pong,omitempty"` // it answers pings
+}
+
+const helloVersion = 1
+
+// deriveKey is an HMAC of parts that cannot run into each other.
+func deriveKey(secret []byte, parts ...[]byte) []byte {
+	m := hmac.New(sha256.New, secret)
+	for _, p := range parts {
+		m.Write(binary.BigEndian.AppendUint32(nil, uint32(len(p))))
+		m.Write(p)
+	}
+	return m.Sum(nil)
+}
+
+// conn is a connection whose ends have proven the secret.
+type conn struct {
+	net.Conn
+	reader              *bufio.Reader
+	sendKey, receiveKey []byte // keys of what goes out and what comes in
+	peer                hello
+	writeMu             sync.Mutex // of writing
+	traffic             *traffic
+}
+
+// traffic counts what a process has sent to others.
+type traffic struct{ frames, bytes, gossipFrames, gossipBytes atomic.Int64 }
+
+func (c *conn) write(kind byte, payload []byte) error {
+	head := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+tagLength))
+	head = append(head, kind)
+	tag := deriveKey(c.sendKey, []byte{kind}, payload)[:tagLength]
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
+	}
+	if c.traffic != nil {
+		c.traffic.frames.Add(1)
+		c.traffic.bytes.Add(int64(len(head) + len(payload) + len(tag)))
+		if kind == kindGossip {
+			c.traffic.gossipFrames.Add(1)
+			c.traffic.gossipBytes.Add(int64(len(head) + len(payload) + len(tag)))
+		}
+	}
+	buffers := net.Buffers{head, payload, tag}
+	_, err := buffers.WriteTo(c.Conn)
+	return err
+}
+
+// read returns the next frame. Memory is taken as bytes come, not as they are announced.
+func (c *conn) read(most uint32) (kind byte, payload []byte, err error) {
+	var head [4]byte
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
+		return 0, nil, err
+	}
+	n := binary.BigEndian.Uint32(head[:])
+	if n < 1+tagLength || n > most {
+		return 0, nil, errFrameTooLong
+	}
+	var buf bytes.Buffer
+	if _, err := io.CopyN(&buf, c.reader, int64(n)); err != nil {
+		return 0, nil, err
+	}
+	all := buf.Bytes()
+	kind, payload = all[0], all[1:len(all)-tagLength]
+	if !hmac.Equal(deriveKey(c.receiveKey, []byte{kind}, payload)[:tagLength], all[len(all)-tagLength:]) {
+		return 0, nil, errBadTag
+	}
+	return kind, payload, nil
+}
+
+// sessionKeys are those of what the dialler and of what the other end says.
+func sessionKeys(secret, a, b []byte) (dialler, other []byte) {
+	return deriveKey(secret, []byte("dialler"), a, b), deriveKey(secret, []byte("other"), a, b)
+}
+
+func (c *conn) sendHello(key []byte, h hello) error {
+	data, err := json.Marshal(h)
+	if err != nil {
+		return err
+	}
+	c.sendKey = key
+	return c.write(kindHello, data)
+}
+
+func (c *conn) readHello(key []byte) (h hello, err error) {
+	c.receiveKey = key
+	kind, data, err := c.read(maxHelloBytes)
+	if err != nil {
+		return h, err
+	}
+	if kind != kindHello {
+		return h, errors.New("no hello")
+	}
+	if err := json.Unmarshal(data, &h); err != nil {
+		return h, fmt.Errorf("hello: %w", err)
+	}
+	switch {
+	case h.Version != helloVersion:
+		return h, fmt.Errorf("hello: version %d, and this program speaks %d", h.Version, helloVersion)
+	case len(h.Nonce) != sha256.Size || h.Name == "":
+		return h, errors.New("hello: not whole")
+	}
+	return h, nil
+}
+
+func nonce() []byte {
+	n := make([]byte, sha256.Size)
+	rand.Read(n) // never fails
+	return n
+}
+
+// dial connects to address, and proves the secret and has it proven.
+func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
+	defer cancel()
+	var d net.Dialer
+	raw, err := d.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
+	deadline, _ := ctx.Deadline()
+	me.Version, me.Nonce = helloVersion, nonce()
+	err = raw.SetDeadline(deadline)
+	if err == nil {
+		err = c.sendHello(deriveKey(secret, []byte("hello")), me)
+	}
+	if err == nil {
+		// The answer is proven with this dialler's nonce: nobody can have kept it from another time.
+		c.peer, err = c.readHello(deriveKey(secret, []byte("answer"), me.Nonce))
+	}
+	if err == nil && me.To != "" && c.peer.Name != me.To {
+		err = fmt.Errorf("there is %q where %q should be", c.peer.Name, me.To)
+	}
+	if err == nil {
+		err = raw.SetDeadline(time.Time{})
+	}
+	if err != nil {
+		raw.Close()
+		return nil, fmt.Errorf("%s: %w", address, err)
+	}
+	c.sendKey, c.receiveKey = sessionKeys(secret, me.Nonce, c.peer.Nonce)
+	return c, nil
+}
+
+// acceptConn is the other end of dial. The dialler has proven the secret once its first frame has been read.
+func acceptConn(raw net.Conn, secret []byte, me hello, known func(hello) error) (*conn, error) {
+	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
+	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return nil, err
+	}
+	h, err := c.readHello(deriveKey(secret, []byte("hello")))
+	if err != nil {
+		return nil, err
+	}
+	if err := known(h); err != nil {
+		return nil, err
+	}
+	c.peer = h
+	me.Version, me.Nonce, me.Pong = helloVersion, nonce(), true
+	if err := c.sendHello(deriveKey(secret, []byte("answer"), h.Nonce), me); err != nil {
+		return nil, err
+	}
+	if err := raw.SetDeadline(time.Time{}); err != nil {
+		return nil, err
+	}
+	c.receiveKey, c.sendKey = sessionKeys(secret, h.Nonce, me.Nonce)
+	return c, nil
+}
--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/copies_test.go
@@ -107,10 +107,10 @@
 	}
 	defer o.Close()
 	s, err := o.Status(ctx)
-	if err != nil || s.Copies == nil {
+	if err != nil || s.SharedState == nil {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	return s.Copies
+	return s.SharedState
 }
 
 func order(t *testing.T, tr *Host, cfg Config, c consensus.DecisionCommand) consensus.DecisionResult {
@@ -189,7 +189,7 @@
 		f.mu.Unlock()
 	}
 	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key})
-	eventually(t, "what can't be carried out is told", func() bool { return len(state(t, all[0], cfgs[0]).Kept) == 1 })
+	eventually(t, "what can't be carried out is told", func() bool { return len(state(t, all[0], cfgs[0]).NotApplied) == 1 })
 }
 
 // TestKeptCopies: what a process has kept it has at its next start; a file that is damaged, or another's, is put aside and costs nothing.
@@ -388,7 +388,7 @@
 		all[2] = start(t, cfgs[2], late)
 		heard := func() bool {
 			z := state(t, all[2], cfgs[2]).Zones
-			return len(z) == 3 && z[1].Epoch >= epoch && z[1].Cold == cold
+			return len(z) == 3 && z[1].Epoch >= epoch && z[1].WarmingUp == cold
 		}
 		eventually(t, "the one that has started to hear of it", heard)
 		counts := func() map[string]bool {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -173,15 +173,15 @@
 func exampleStatus() *Status {
 	page := task.Record{Revision: 11, Token: 4, Slot: 20, LastOutcome: task.OutcomeDone}
 	return &Status{
-		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, Holds: map[string]HeldLease{"task/sweep": {Token: 4, LeftMs: 900}}, Running: map[string]int64{"sweep": 20},
+		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, HeldLeases: map[string]HeldLease{"task/sweep": {Token: 4, LeftMs: 900}}, RunningSlots: map[string]int64{"sweep": 20},
 		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
-		Council: &consensus.Status{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, Failed: "no disk", Tasks: map[string]task.Record{"sweep": page},
-		Copies: &SharedStateStatus{
+		Voter: &consensus.Status{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, VoterError: "no disk", Tasks: map[string]task.Record{"sweep": page},
+		SharedState: &SharedStateStatus{
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
-			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Inc: 65538, Seq: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, Kept: []string{"farm"}, Hinted: 4,
-			Zones: []ZoneStatus{{Pool: "farm", Zone: "a", Servers: 3, Avoided: 1, Epoch: 5, Step: 2, Pinned: true, Cold: true, Falls: 1, Why: "lost", Cause: "dead"}},
-			Sums:  map[string]uint64{"order": 9}, Figures: gossip.Stats{Suspicions: 1, Refutations: 2, Deaths: 3, Syncs: 4, SyncsEqual: 5, CatchUpBytes: 6, CatchUpRejected: 7},
-			Refused: gossip.Counts{Unknown: 1, Invalid: 2, OverLimit: 3, Conflicts: 4, Stale: 5, ForeignFleet: 6},
+			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Incarnation: 65538, Sequence: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, NotApplied: []string{"farm"}, Hinted: 4,
+			Zones:   []ZoneStatus{{Pool: "farm", Zone: "a", Endpoints: 3, Excluded: 1, Epoch: 5, Step: 2, Pinned: true, WarmingUp: true, Relapses: 1, Reason: "lost", Cause: "dead"}},
+			Digests: map[string]uint64{"order": 9}, Stats: gossip.Stats{Suspicions: 1, Refutations: 2, Deaths: 3, Syncs: 4, SyncsEqual: 5, CatchUpBytes: 6, CatchUpRejected: 7},
+			Counts: gossip.Counts{Unknown: 1, Invalid: 2, OverLimit: 3, Conflicts: 4, Stale: 5, ForeignFleet: 6},
 		},
 	}
 }
--- a/internal/fleet/operate.go
+++ b/internal/fleet/operator.go
@@ -8,12 +8,15 @@
 	"os"
 	"time"
 
-	"github.com/google/uuid"
-
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/lease"
+
+	"github.com/google/uuid"
 )
 
+// operatorName is the member name by which operators' connections introduce themselves.
+const operatorName = "operator"
+
 // Operator asks a running process, as an operator does.
 type Operator struct {
 	conn       *conn
@@ -182,3 +185,27 @@
 		}
 	}
 }
+
+// perform has the very process that is asked do something, and says why it did not.
+func (o *Operator) perform(ctx context.Context, q rpc) error {
+	a, err := o.roundTrip(ctx, q)
+	if err == nil && a.Why != "" {
+		err = errors.New(a.Why)
+	}
+	return err
+}
+
+// Bootstrap has the process found its fleet, whose council is in memory.
+func (o *Operator) Bootstrap(ctx context.Context) error {
+	return o.perform(ctx, rpc{Found: true})
+}
+
+// Handover has the process, which holds a lease, give it to a member as soon as nothing of it is out.
+func (o *Operator) Handover(ctx context.Context, name, to string) error {
+	return o.perform(ctx, rpc{Handover: &handoverRequest{name, to}})
+}
+
+// Forget has the process take back what it says under a key.
+func (o *Operator) Forget(ctx context.Context, key string) error {
+	return o.perform(ctx, rpc{Forget: key})
+}
--- /dev/null
+++ b/internal/fleet/sharedstate_file.go
@@ -0,0 +1,100 @@
+package fleet
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"sorrelrudder/internal/gossip"
+)
+
+// snapshot is what is kept for the next start.
+func (s *sharedState) snapshot(name string) []byte {
+	m := &gossip.Message{Kind: gossip.SyncMessage, Target: name}
+	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Incarnation: s.node.Incarnation()})
+	s.node.Store().ForEach("", func(e *gossip.Entry) bool {
+		if e.Owner == name {
+			return true // what it saw itself is to be seen anew
+		}
+		m.Entries = append(m.Entries, *e)
+		return len(m.Entries) < maxSavedEntries
+	})
+	return sealFile(m.Encode())
+}
+
+const maxSavedEntries = 2000
+
+// restore takes over what the last start has kept. What is in it is old, and counts for nothing that a newer word of its owner contradicts; a file
+// that is damaged, another's or of another format is put aside, since all of it can be had from others.
+func (s *sharedState) restore(now time.Duration, name string) error {
+	if s.cfg.Store == "" {
+		return nil
+	}
+	data, err := os.ReadFile(s.cfg.Store)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	var m *gossip.Message
+	if err == nil {
+		data, err = unsealFile(data)
+	}
+	if err == nil {
+		m, err = gossip.Decode(data)
+	}
+	if err == nil && m.Target != name {
+		err = fmt.Errorf("it was kept by %q", m.Target)
+	}
+	if err != nil {
+		aside := s.cfg.Store + ".damaged"
+		if moved := os.Rename(s.cfg.Store, aside); moved != nil {
+			return fmt.Errorf("what was shared: %s: %w; and it can't be put aside: %w", s.cfg.Store, err, moved)
+		}
+		return nil
+	}
+	s.node.Restore(now, m)
+	s.loaded = len(m.Entries)
+	return nil
+}
+
+// writeFileAtomically writes a file so that a crash leaves the old one or the new one.
+func writeFileAtomically(path string, data []byte) error {
+	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
+	if err != nil {
+		return err
+	}
+	defer os.Remove(f.Name()) // gone once it has its name
+	_, err = f.Write(data)
+	if err == nil {
+		err = f.Sync()
+	}
+	if closed := f.Close(); err == nil {
+		err = closed
+	}
+	if err == nil {
+		err = os.Rename(f.Name(), path)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", strings.TrimSpace(path), err)
+	}
+	return nil
+}
+
+// sealFile puts a checksum before data: the file's own cover its structure, and not what is kept.
+func sealFile(data []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(data)), data...)
+}
+
+func unsealFile(sealed []byte) ([]byte, error) {
+	if len(sealed) < 4 {
+		return nil, errors.New("a value is missing")
+	}
+	if crc32.ChecksumIEEE(sealed[4:]) != binary.BigEndian.Uint32(sealed) {
+		return nil, errors.New("a checksum is wrong")
+	}
+	return sealed[4:], nil
+}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"os"
 	"runtime/debug"
 	"strings"
@@ -178,21 +177,6 @@
 	return s.Admitted(fleet, 1)
 }
 
-// sealFile puts a checksum before data: the file's own cover its structure, and not what is kept.
-func sealFile(data []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(data)), data...)
-}
-
-func unsealFile(sealed []byte) ([]byte, error) {
-	if len(sealed) < 4 {
-		return nil, errors.New("a value is missing")
-	}
-	if crc32.ChecksumIEEE(sealed[4:]) != binary.BigEndian.Uint32(sealed) {
-		return nil, errors.New("a checksum is wrong")
-	}
-	return sealed[4:], nil
-}
-
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // Save is the method of consensus.Storage. What need not be synced is not written: it would be learnt anew after a crash.
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/tier_test.go
@@ -216,8 +216,8 @@
 		}
 		return s
 	}
-	eventually(t, "three vote", func() bool { s := status(all[0]); return s.Council != nil && len(s.Council.Voters) == 3 })
-	was := status(all[2]).Council.ID
+	eventually(t, "three vote", func() bool { s := status(all[0]); return s.Voter != nil && len(s.Voter.Voters) == 3 })
+	was := status(all[2]).Voter.ID
 	if err := all[2].Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -227,10 +227,10 @@
 	all[2] = start(t, cfgs[2], &servers{})
 	eventually(t, "it listens", func() bool {
 		s := status(all[2])
-		return s.Council != nil && len(s.Council.Learners) == 1 && s.Council.Learners[0] == s.Council.ID
+		return s.Voter != nil && len(s.Voter.Learners) == 1 && s.Voter.Learners[0] == s.Voter.ID
 	})
-	if s := status(all[2]); s.Council.ID == was || len(s.Council.Voters) != 3 {
-		t.Errorf("identity %d again, or who votes has changed: %+v", s.Council.ID, s.Council)
+	if s := status(all[2]); s.Voter.ID == was || len(s.Voter.Voters) != 3 {
+		t.Errorf("identity %d again, or who votes has changed: %+v", s.Voter.ID, s.Voter)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -245,7 +245,7 @@
 	}
 	eventually(t, "it votes", func() bool {
 		s := status(all[2])
-		return len(s.Council.Learners) == 0 && len(s.Council.Voters) == 3 && s.Council.Voters[2] == s.Council.ID
+		return len(s.Voter.Learners) == 0 && len(s.Voter.Voters) == 3 && s.Voter.Voters[2] == s.Voter.ID
 	})
 }
 
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -15,286 +15,285 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// ZonesConfig is what a process is told of leaving zones.
+// ZonesConfig says how a process takes part in failing over from zones.
 type ZonesConfig struct {
-	Automatic string             // "off": operators decide; "advise": the log is told what would be; "on"
-	Rules     zonefailover.Rules //
+	Automatic string             // ZonesOff, ZonesAdvise or ZonesOn
+	Rules     zonefailover.Rules // when a zone is down, and how it recovers
 	Members   map[string]string  // zones of members, by name
 }
 
-// The words for Automatic.
+// The values of ZonesConfig.Automatic.
 const (
-	ZonesOff    = "off"
-	ZonesAdvise = "advise"
-	ZonesOn     = "on"
+	ZonesOff    = "off"    // operators decide alone
+	ZonesAdvise = "advise" // what would be decided is logged
+	ZonesOn     = "on"     // the holder of the zones' lease decides
 )
 
 const (
-	judgeInterval = 200 * time.Millisecond
-	listInterval  = 500 * time.Millisecond // between two looks at the pools' lists, and at zones that were left
+	judgeInterval     = 200 * time.Millisecond
+	checkZoneInterval = 500 * time.Millisecond
 )
 
-// zoneFailover is a process' part in leaving zones. All of it is under the tier's mu.
+// zoneFailover is the part of a process in failing over from zones. Host.mu guards all of it but checkDue.
 type zoneFailover struct {
-	cfg             *ZonesConfig // nil: nothing is decided here, and what is decided is carried out
-	ramps           map[string]*zonefailover.Controller
-	endpointZones   map[string]map[string]string // zones of servers, by pool
-	judgeAt         time.Duration
-	proposalPending bool
+	cfg           *ZonesConfig                        // nil: this process decides nothing, and carries out what is decided
+	controllers   map[string]*zonefailover.Controller // by pool; empty while this process does not hold the lease
+	endpointZones map[string]map[string]string        // zones of ready endpoints by name, by pool
+	judgeAt       time.Duration                       // next judgement
+
+	proposalPending bool // a proposal to the leader has no answer yet
 	proposedAt      time.Duration
-	advised         map[string]string // by key, as the log was told
-	causes          map[string]zonefailover.Cause
-	grey            map[string]*zonefailover.GrayDetector // by pool
-	greyKeys        map[string]bool                       // keys of grey zones that are written
-	checkDue        chan struct{}                         // a zone is to be looked at, and is not yet
+
+	loggedAdvice map[string]string             // by key
+	loggedCauses map[string]zonefailover.Cause // by pool and zone
+
+	grayDetectors map[string]*zonefailover.GrayDetector // by pool
+	grayKeys      map[string]bool                       // entries on gray failures that this process has written
+
+	checkDue chan struct{} // signals that a zone has to be checked before the next interval
 }
 
-// judgeZones has the holder of the lease decide of zones, one change at a time. The caller has mu.
-func (t *Host) judgeZones(now time.Duration) {
-	k := t.shared
-	z := &k.zones
-	if z.cfg == nil || z.cfg.Automatic == ZonesOff || now < z.judgeAt {
+func newZoneFailover(cfg *ZonesConfig) zoneFailover {
+	return zoneFailover{
+		cfg:           cfg,
+		controllers:   map[string]*zonefailover.Controller{},
+		loggedAdvice:  map[string]string{},
+		loggedCauses:  map[string]zonefailover.Cause{},
+		grayDetectors: map[string]*zonefailover.GrayDetector{},
+		grayKeys:      map[string]bool{},
+		checkDue:      make(chan struct{}, 1),
+	}
+}
+
+// enabled reports whether this process judges zones, be it for the log alone.
+func (z *zoneFailover) enabled() bool { return z.cfg != nil && z.cfg.Automatic != ZonesOff }
+
+// judgeZones has the holder of the zones' lease judge all zones, and propose one change at a time. The caller has mu.
+func (h *Host) judgeZones(now time.Duration) {
+	shared := h.shared
+	z := &shared.zones
+	if !z.enabled() || now < z.judgeAt {
 		return
 	}
 	z.judgeAt = now + judgeInterval
-	if k.pools != nil && k.node.Store().Digest(gossip.UnreachableKind) != 0 {
-		for pool := range z.endpointZones {
-			for zone := range k.zoneHealthChecks(t, pool, 0) {
-				if !k.healthCheckKeys[gossip.PoolKey(zoneview.ZoneCheckKind, pool, zone)] { // at once, and not with the next round
-					select {
-					case z.checkDue <- struct{}{}:
-					default:
-					}
-				}
-			}
-		}
-	}
-	token, _, held := t.session.Token(now, zoneview.LeaseName)
+	h.requestDueChecks()
+	token, _, held := h.session.Token(now, zoneview.LeaseName)
 	if !held {
-		clear(z.ramps) // whoever holds it next begins anew
+		clear(z.controllers) // the next holder begins anew
 		return
 	}
 	for _, pool := range slices.Sorted(maps.Keys(z.endpointZones)) {
-		if z.ramps[pool] == nil {
-			z.ramps[pool] = zonefailover.NewController(z.cfg.Rules)
-		}
-		scene := zoneview.Snapshot(k.node, z.cfg.Members, pool, z.endpointZones[pool])
-		change, causes := z.ramps[pool].Next(now, scene)
-		for zone, cause := range causes {
-			key := pool + "/" + zone
-			if z.causes[key] != cause {
-				z.causes[key] = cause
-				if cause != zonefailover.CauseHealthy {
-					t.log.Info("a zone is judged", "pool", pool, "zone", zone, "cause", string(cause), "words", len(scene.Unreachable))
-				}
-			}
+		if z.controllers[pool] == nil {
+			z.controllers[pool] = zonefailover.NewController(z.cfg.Rules)
 		}
-		if change == nil || z.proposalPending && now < z.proposedAt+t.cfg.Rules.KeepAliveInterval() {
-			continue // without an answer it is asked again: After tells a late copy from a new one
+		snapshot := zoneview.Snapshot(shared.node, z.cfg.Members, pool, z.endpointZones[pool])
+		change, causes := z.controllers[pool].Next(now, snapshot)
+		h.logZoneCauses(pool, causes, len(snapshot.Unreachable))
+		if change == nil || z.proposalPending && now < z.proposedAt+h.cfg.Rules.KeepAliveInterval() {
+			continue // a proposal without an answer is repeated: the state machine tells a late copy from a new one
 		}
-		key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
 		if z.cfg.Automatic == ZonesAdvise {
-			if z.advised[key] != change.State.Encode() {
-				z.advised[key] = change.State.Encode()
-				t.log.Warn("a zone would be decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Reason)
-			}
+			h.logZoneAdvice(pool, *change)
 			continue
 		}
-		z.proposalPending, z.proposedAt = true, now
-		command := zoneview.ShiftCommand(k.node, pool, *change, token)
-		t.submit(&pendingRequest{request: consensus.Request{Decision: &command}, onResponse: func(r consensus.Response) {
-			z.proposalPending = false
-			if r.Decision == nil || r.Decision.Refusal != "" {
-				return // it is looked at again
+		h.proposeZoneChange(now, pool, *change, token)
+	}
+}
+
+// requestDueChecks has zones checked at once that this process has to check and has not yet. The caller has mu.
+func (h *Host) requestDueChecks() {
+	shared := h.shared
+	if shared.pools == nil || shared.node.Store().Digest(gossip.UnreachableKind) == 0 {
+		return
+	}
+	for pool := range shared.zones.endpointZones {
+		for zone := range h.assignedZoneChecks(pool, 0) {
+			if !shared.healthCheckKeys[gossip.PoolKey(zoneview.ZoneCheckKind, pool, zone)] {
+				signal(shared.zones.checkDue)
 			}
-			t.log.Warn("a zone is decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Relapses, "why", change.State.Reason, "epoch", r.Decision.Number)
-			k.node.ApplyDecision(key, r.Decision.Number, []byte(change.State.Encode()))
-		}})
+		}
+	}
+}
+
+// logZoneCauses logs the causes of verdicts that have changed. The caller has mu.
+func (h *Host) logZoneCauses(pool string, causes map[string]zonefailover.Cause, reports int) {
+	logged := h.shared.zones.loggedCauses
+	for zone, cause := range causes {
+		key := pool + "/" + zone
+		if logged[key] == cause {
+			continue
+		}
+		logged[key] = cause
+		if cause != zonefailover.CauseHealthy {
+			h.log.Info("zone verdict changed", "pool", pool, "zone", zone, "cause", string(cause), "words", reports)
+		}
+	}
+}
+
+// logZoneAdvice logs once what would be decided. The caller has mu.
+func (h *Host) logZoneAdvice(pool string, change zonefailover.Transition) {
+	logged := h.shared.zones.loggedAdvice
+	key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
+	if logged[key] != change.State.Encode() {
+		logged[key] = change.State.Encode()
+		h.log.Warn("zone shift advised", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Reason)
 	}
 }
 
-// watchZones looks around again and again.
-func (t *Host) watchZones() {
-	tick := time.NewTicker(listInterval)
+// proposeZoneChange asks the leader to decide a change under the fencing token of the zones' lease. The caller has mu.
+func (h *Host) proposeZoneChange(now time.Duration, pool string, change zonefailover.Transition, token uint64) {
+	shared := h.shared
+	z := &shared.zones
+	z.proposalPending, z.proposedAt = true, now
+	command := zoneview.ShiftCommand(shared.node, pool, change, token)
+	h.submit(&pendingRequest{request: consensus.Request{Decision: &command}, onResponse: func(r consensus.Response) {
+		z.proposalPending = false
+		if r.Decision == nil || r.Decision.Refusal != "" {
+			return // the zone is judged again
+		}
+		h.log.Warn("zone shift decided", "pool", pool, "zone", change.Zone, "step", change.State.Step, "falls", change.State.Relapses,
+			"why", change.State.Reason, "epoch", r.Decision.Number)
+		key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
+		shared.node.ApplyDecision(key, r.Decision.Number, []byte(change.State.Encode()))
+	}})
+}
+
+// watchZones checks zones until the host closes.
+func (h *Host) watchZones() {
+	tick := time.NewTicker(checkZoneInterval)
 	defer tick.Stop()
 	for {
-		t.checkZoneHealth()
+		h.checkZones()
 		select {
-		case <-t.ctx.Done():
+		case <-h.ctx.Done():
 			return
 		case <-tick.C:
-		case <-t.shared.zones.checkDue:
+		case <-h.shared.zones.checkDue:
 		}
 	}
 }
 
-// checkZoneHealth takes the pools' lists, and looks at zones that are not wholly in use. It is called without
-// the tier's mu: it waits for servers.
-func (t *Host) checkZoneHealth() {
-	k := t.shared
-	lists := map[string]map[string]string{}
-	tallies := map[string]map[string]zonefailover.AttemptCounts{}
-	for _, pool := range k.pools.PoolNames() {
-		lists[pool] = k.pools.ReadyEndpoints(pool)
-		tallies[pool] = map[string]zonefailover.AttemptCounts{}
-		k.pools.AttemptOutcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
-			tallies[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: delay}
+// zoneCheck is a health check of some endpoints of a zone.
+type zoneCheck struct {
+	pool, zone string
+	endpoints  []string
+}
+
+// checkZones takes over the pools' endpoints and checks the zones that are assigned to this process. It waits for endpoints, and so is called
+// without mu.
+func (h *Host) checkZones() {
+	shared := h.shared
+	zones := map[string]map[string]string{}
+	counts := map[string]map[string]zonefailover.AttemptCounts{}
+	for _, pool := range shared.pools.PoolNames() {
+		zones[pool] = shared.pools.ReadyEndpoints(pool)
+		counts[pool] = map[string]zonefailover.AttemptCounts{}
+		shared.pools.AttemptOutcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
+			counts[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: delay}
 		})
 	}
-	type look struct {
-		pool, zone string
-		servers    []string
+	for _, check := range h.planZoneChecks(zones, counts) {
+		h.checkZone(check)
 	}
-	var looks []look
-	t.mu.Lock()
-	if !maps.EqualFunc(lists, k.zones.endpointZones, maps.Equal[map[string]string]) {
-		k.exclusionsChanged, k.evidenceChanged = true, true // servers may be new
+}
+
+// planZoneChecks notes the pools' endpoints and gray failures, and returns the checks that this process has to make now.
+func (h *Host) planZoneChecks(zones map[string]map[string]string, counts map[string]map[string]zonefailover.AttemptCounts) []zoneCheck {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	shared := h.shared
+	if !maps.EqualFunc(zones, shared.zones.endpointZones, maps.Equal[map[string]string]) {
+		shared.exclusionsChanged, shared.evidenceChanged = true, true // endpoints may be new
 	}
-	k.zones.endpointZones = lists
-	t.publishGreyZones(tallies)
+	shared.zones.endpointZones = zones
+	h.publishGrayZones(counts)
+	var checks []zoneCheck
 	wanted := map[string]bool{}
-	for _, pool := range slices.Sorted(maps.Keys(lists)) {
-		k.healthCheckRounds++
-		for zone, servers := range k.zoneHealthChecks(t, pool, k.healthCheckRounds) {
-			looks = append(looks, look{pool, zone, servers})
+	for _, pool := range slices.Sorted(maps.Keys(zones)) {
+		shared.healthCheckRounds++
+		for zone, endpoints := range h.assignedZoneChecks(pool, shared.healthCheckRounds) {
+			checks = append(checks, zoneCheck{pool, zone, endpoints})
 			wanted[gossip.PoolKey(zoneview.ZoneCheckKind, pool, zone)] = true
 		}
 	}
-	for key := range k.healthCheckKeys {
+	for key := range shared.healthCheckKeys {
 		if !wanted[key] {
-			k.node.Delete(key)
-			delete(k.healthCheckKeys, key)
+			shared.node.Delete(key)
+			delete(shared.healthCheckKeys, key)
 		}
 	}
-	t.runDue()
-	t.mu.Unlock()
-	for _, l := range looks {
-		var answered atomic.Int64
-		var all sync.WaitGroup
-		for _, server := range l.servers {
-			all.Go(func() {
-				if k.pools.CheckHealth(l.pool, server) {
-					answered.Add(1)
-				}
-			})
-		}
-		all.Wait()
-		t.mu.Lock()
-		key := gossip.PoolKey(zoneview.ZoneCheckKind, l.pool, l.zone)
-		if k.node.Put(key, zoneview.EncodeZoneCheck(int(answered.Load()), len(l.servers))) {
-			k.healthCheckKeys[key] = true
-		}
-		t.runDue()
-		t.mu.Unlock()
+	h.runDue()
+	return checks
+}
+
+// checkZone sends health checks to endpoints of a zone, waits for them, and publishes how many were answered.
+func (h *Host) checkZone(check zoneCheck) {
+	shared := h.shared
+	var answered atomic.Int64
+	var all sync.WaitGroup
+	for _, endpoint := range check.endpoints {
+		all.Go(func() {
+			if shared.pools.CheckHealth(check.pool, endpoint) {
+				answered.Add(1)
+			}
+		})
 	}
+	all.Wait()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	key := gossip.PoolKey(zoneview.ZoneCheckKind, check.pool, check.zone)
+	if shared.node.Put(key, zoneview.EncodeZoneCheck(int(answered.Load()), len(check.endpoints))) {
+		shared.healthCheckKeys[key] = true
+	}
+	h.runDue()
 }
 
-// publishGreyZones writes which zones fail in part to this process. The caller has mu.
-func (t *Host) publishGreyZones(tallies map[string]map[string]zonefailover.AttemptCounts) {
-	k, z := t.shared, &t.shared.zones
+// publishGrayZones publishes the zones in which some attempts of this process fail. The caller has mu.
+func (h *Host) publishGrayZones(counts map[string]map[string]zonefailover.AttemptCounts) {
+	shared, z := h.shared, &h.shared.zones
 	if z.cfg == nil || !z.cfg.Rules.GrayFailures {
 		return
 	}
-	now := t.clock.Now()
-	said := map[string]bool{}
-	for pool, zones := range tallies {
-		if z.grey[pool] == nil {
-			z.grey[pool] = zonefailover.NewGrayDetector(zonefailover.DefaultGrayRules())
+	now := h.clock.Now()
+	published := map[string]bool{}
+	for pool, zones := range counts {
+		if z.grayDetectors[pool] == nil {
+			z.grayDetectors[pool] = zonefailover.NewGrayDetector(zonefailover.DefaultGrayRules())
 		}
-		for _, zone := range z.grey[pool].Observe(now, zones) {
-			if key := gossip.PoolKey(zoneview.GrayFailureKind, pool, zone); key != "" && k.node.Put(key, nil) {
-				said[key] = true
+		for _, zone := range z.grayDetectors[pool].Observe(now, zones) {
+			if key := gossip.PoolKey(zoneview.GrayFailureKind, pool, zone); key != "" && shared.node.Put(key, nil) {
+				published[key] = true
 			}
 		}
 	}
-	for key := range z.greyKeys {
-		if !said[key] {
-			k.node.Delete(key)
-		}
-	}
-	z.greyKeys = said
-	for pool := range z.grey {
-		if tallies[pool] == nil {
-			delete(z.grey, pool)
+	for key := range z.grayKeys {
+		if !published[key] {
+			shared.node.Delete(key)
 		}
 	}
+	z.grayKeys = published
+	maps.DeleteFunc(z.grayDetectors, func(pool string, _ *zonefailover.GrayDetector) bool { return counts[pool] == nil })
 }
 
-// zoneHealthChecks are the zones of a pool at which this process is to look, and servers of each. The caller has mu.
-func (k *sharedState) zoneHealthChecks(t *Host, pool string, turn int) map[string][]string {
+// assignedZoneChecks returns the zones of a pool that this process has to check in this round, with the endpoints to check. The caller has mu.
+func (h *Host) assignedZoneChecks(pool string, round int) map[string][]string {
+	z := &h.shared.zones
 	var rules *zonefailover.Rules
 	members := map[string]string{}
-	if cfg := k.zones.cfg; cfg != nil {
-		members = cfg.Members
-		if cfg.Automatic != ZonesOff {
-			rules = &cfg.Rules
-		}
-	} else {
-		for name := range t.cfg.Members {
+	switch {
+	case z.enabled():
+		members, rules = z.cfg.Members, &z.cfg.Rules
+	case z.cfg != nil:
+		members = z.cfg.Members
+	default:
+		for name := range h.cfg.Members {
 			members[name] = ""
 		}
 	}
-	return zoneview.AssignedChecks(k.node, rules, members, t.cfg.Name, pool, k.zones.endpointZones[pool], turn)
-}
-
-// addZoneExclusions adds to a pool's orders those about zones that are not wholly in use.
-func (k *sharedState) addZoneExclusions(at func(pool string) exclusions) {
-	for pool, list := range k.zones.endpointZones {
-		avoid, returning, soft := zoneview.Exclusions(k.node, pool, list)
-		for server := range soft {
-			at(pool).untilRestart[server] = !at(pool).excluded[server] // an operator's word on the server itself is harder
-		}
-		if len(avoid)+len(returning) > 0 {
-			maps.Copy(at(pool).excluded, avoid)
-			maps.Copy(at(pool).recovering, returning)
-		}
-	}
-}
-
-// ZoneStatus is what a process tells of a zone.
-type ZoneStatus struct {
-	Pool    string `json:"pool"`
-	Zone    string `json:"zone"`
-	Servers int    `json:"servers"` // that the list names ready
-	Avoided int    `json:"avoided"` // of them, here, now
-	Epoch   uint64 `json:"epoch"`   // of what was decided of it last; 0: nothing was
-	Step    int    `json:"step"`    // 0: left, to 4: in use
-	Pinned  bool   `json:"pinned,omitempty"`
-	Cold    bool   `json:"cold,omitempty"` // wholly in use, and its servers may be cold
-	Falls   int    `json:"falls,omitempty"`
-	Why     string `json:"why,omitempty"`
-	Cause   string `json:"cause,omitempty"` // at the process that decides: what it is judged to be
-}
-
-// zonesStatus tells of all zones. The caller has mu.
-func (k *sharedState) zonesStatus() (all []ZoneStatus) {
-	for _, pool := range slices.Sorted(maps.Keys(k.zones.endpointZones)) {
-		states, numbers := zoneview.ZoneStates(k.node, pool)
-		count, avoided := map[string]int{}, map[string]int{}
-		for server, zone := range k.zones.endpointZones[pool] {
-			count[zone]++
-			if k.excluded[pool].excluded[server] {
-				avoided[zone]++
-			}
-		}
-		for _, zone := range slices.Sorted(maps.Keys(count)) {
-			if zone == "" {
-				continue
-			}
-			s, is := states[zone]
-			if !is {
-				s.Step = zonefailover.FullStep
-			}
-			all = append(all, ZoneStatus{
-				Pool: pool, Zone: zone, Servers: count[zone], Avoided: avoided[zone], Epoch: numbers[zone], Step: s.Step, Pinned: s.Manual, Cold: s.WarmingUp, Falls: s.Relapses,
-				Why: s.Reason, Cause: string(k.zones.causes[pool+"/"+zone]),
-			})
-		}
-	}
-	return all
+	return zoneview.AssignedChecks(h.shared.node, rules, members, h.cfg.Name, pool, z.endpointZones[pool], round)
 }
 
-// Check says what of a configuration can't be.
+// Check returns an error if the rules are out of range, or if members have no zone where zones are judged.
 func (z *ZonesConfig) Check() error {
 	if err := z.Rules.Validate(); err != nil {
 		return err
