--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -9,6 +9,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -27,79 +28,94 @@
 
 const (
 	minSecretBytes = 16
-	leaveTimeout   = 3 * time.Second // for all that Host.Leave waits for
+	leaveTimeout   = 3 * time.Second // for the tasks and the session that Host.Leave waits for
+
+	leavePollInterval = 5 * time.Millisecond
+	transferTimeout   = time.Second // for the consensus goroutine to take the transfer of leadership
 )
 
-// Config is what a process is told of its fleet.
+// Config is the part of a process in its fleet.
 type Config struct {
-	Name           string
-	Secret         string            // file
-	Store          string            // file; empty: this process has no seat, or keeps what it promises in memory
-	VotersInMemory bool              // the council is in memory: with its majority all that was promised is forgotten
-	Voters         []string          // who may have a seat
+	Name           string            // of this process
+	Secret         string            // file with the secret that all members share
+	Store          string            // file of the voter; empty: the process has no vote, or VotersInMemory is set
+	VotersInMemory bool              // voters keep their state in memory: it is lost with a majority of them
+	Voters         []string          // names of the members that may vote
 	Members        map[string]string // addresses by name
 	Rules          lease.Timing
-	Tick           time.Duration // of the council: a leader that is silent for ten is replaced
+	Tick           time.Duration // of raft; a leader that is silent for ten ticks is replaced
 	Tasks          []Task
-	SharedState    *SharedStateConfig // nil: the process shares no state with others
-	Zones          *ZonesConfig       // nil: no zone is left by itself
+	SharedState    *SharedStateConfig // nil: the process shares no state
+	Zones          *ZonesConfig       // nil: no zone is failed over from automatically
 }
 
-// Task is work that is done once for the whole fleet.
+// Task is a task that is done once for the whole fleet, by a request to one of the process' pools.
 type Task struct {
 	task.Spec
 	Pool, Method, Path, Tenant, Body string
 
-	Plain bool   // the pool speaks plain HTTP
-	Host  string // whom its servers are asked for; empty: the pool's name
+	Plain bool   // the pool speaks ordinary HTTP, see package httpservice
+	Host  string // of the request; empty: the pool's name
 }
 
-// Sender sends a request through the process' pools, under the four rules.
+// Sender sends a request through one of the process' pools, which balance and retry it like those of clients.
 type Sender interface {
 	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Response, error)
 }
 
-// Host is one process' part.
+// Host is the part of a process in its fleet. Its methods are safe for concurrent use.
+//
+// Three goroutines carry it, besides those of connections and task requests: runTimers does what is due, runConsensus owns the voter,
+// acceptConnections the listener. mu is never held while a pool, the store or a connection is waited for.
 type Host struct {
 	cfg      Config
 	log      *slog.Logger
 	clock    *Clock
 	secret   []byte
-	store    voterStore // nil: no seat
+	store    voterStore // nil: the process has no vote
 	listener net.Listener
 	sender   Sender
-	fleetID  string // of the store, once it is known
 	traffic  traffic
 
 	ctx        context.Context
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
-	inbox      chan func(*voter)
-	timer      *time.Timer
-
-	mu                  sync.Mutex
-	session             *lease.Client
-	runners             map[string]*taskRunner
-	links               map[string]*link
-	inbound             map[string]*conn // by the peer's name, the newest
-	conns               map[*conn]struct{}
-	pending             map[uint64]*pendingRequest
-	lastHandle          uint64
-	leader              *consensus.LeaderTracker
-	loggedLeases        map[string]uint64 // as it was logged
-	leaving             bool
-	loggedChanges       uint64 // keeper's changes that were told
-	loggedLapsed        bool   // the session had, then
+	inbox      chan func(*voter) // work for the consensus goroutine
+	timer      *time.Timer       // runs runDue
+
+	// mu guards the fields below and all of shared but its channels.
+	mu      sync.Mutex
+	leaving bool
+	fleetID string // that this process is admitted to; empty: not yet
+	shared  *sharedState
+
+	// Leases and tasks.
+	session   *lease.Client
+	runners   map[string]*taskRunner // by task
+	handovers map[string]string      // members that get a lease once its task has nothing in flight
+
+	// Requests to the leader.
+	leader     *consensus.LeaderTracker
+	pending    map[uint64]*pendingRequest // by handle
+	lastHandle uint64
+
+	// Connections.
+	links       map[string]*link // to members, by name
+	inbound     map[string]*conn // from members, by name: the newest
+	conns       map[*conn]struct{}
+	linkErrors  map[string]string // by member, as last logged
+	peerFleetID string            // that a member said it is of
+
+	// What the log was told last.
+	loggedLeases        map[string]uint64 // tokens by name
+	loggedChanges       uint64            // revision of the session
+	loggedLapsed        bool              // the session had expired
 	leasesLoggedAt      time.Duration
-	rejectedConnections int // connections turned away since that was logged
+	rejectedConnections int // since rejectionLoggedAt
 	rejectionLoggedAt   time.Duration
-	linkErrors          map[string]string
-	shared              *sharedState      // nil: none
-	peerFleetID         string            // a fleet that a member is of
-	handovers           map[string]string // leases that go to a member once nothing of them is out
 }
 
-// New makes the part of a process. It opens its store and its listener, and does nothing yet.
+// New opens the store and the listener of a process. Nothing runs before Start.
 func New(cfg Config, log *slog.Logger) (*Host, error) {
 	secret, err := os.ReadFile(cfg.Secret)
 	if err != nil {
@@ -112,58 +128,90 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Host{
-		cfg: cfg, log: log.With("tier", cfg.Name), clock: clock, secret: secret, inbox: make(chan func(*voter), inboxLength),
-		session: lease.NewClient(cfg.Rules, cfg.Name, uuid.NewString()), runners: map[string]*taskRunner{}, links: map[string]*link{},
-		inbound: map[string]*conn{}, conns: map[*conn]struct{}{}, pending: map[uint64]*pendingRequest{}, loggedLeases: map[string]uint64{}, linkErrors: map[string]string{}, handovers: map[string]string{},
-		rejectionLoggedAt: -rejectionLogInterval, leader: consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.Rules.KeepAliveInterval()),
+	h := &Host{
+		cfg:    cfg,
+		log:    log.With("tier", cfg.Name),
+		clock:  clock,
+		secret: secret,
+		inbox:  make(chan func(*voter), inboxLength),
+
+		session:   lease.NewClient(cfg.Rules, cfg.Name, uuid.NewString()),
+		runners:   map[string]*taskRunner{},
+		handovers: map[string]string{},
+
+		leader:  consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.Rules.KeepAliveInterval()),
+		pending: map[uint64]*pendingRequest{},
+
+		links:      map[string]*link{},
+		inbound:    map[string]*conn{},
+		conns:      map[*conn]struct{}{},
+		linkErrors: map[string]string{},
+
+		loggedLeases:      map[string]uint64{},
+		rejectionLoggedAt: -rejectionLogInterval,
 	}
-	t.ctx, t.stop = context.WithCancel(context.Background())
-	if cfg.Store != "" {
-		store, err := OpenStore(cfg.Store, cfg.Name)
-		if err != nil {
-			return nil, err
-		}
-		t.store, t.fleetID = store, store.Identity().Fleet
-	} else if cfg.VotersInMemory && slices.Contains(cfg.Voters, cfg.Name) {
-		t.store = newMemory(cfg.Name)
+	h.ctx, h.stop = context.WithCancel(context.Background())
+	if err := h.openStore(); err != nil {
+		return nil, err
 	}
-	if t.listener, err = net.Listen("tcp", cfg.Members[cfg.Name]); err != nil {
-		if t.store != nil {
-			t.store.Close()
+	if h.listener, err = net.Listen("tcp", cfg.Members[cfg.Name]); err != nil {
+		if h.store != nil {
+			err = errors.Join(err, h.store.Close())
 		}
 		return nil, fmt.Errorf("the tier's address: %w", err)
 	}
-	return t, nil
+	return h, nil
 }
 
-// Start begins to take part. Requests of tasks go through s.
-func (h *Host) Start(s Sender) error {
-	h.sender = s
-	st := &voter{callbacks: map[uint64]func(consensus.Response){}}
-	if h.store != nil {
-		if err := h.openVoter(st); err != nil {
+// openStore opens the store of a process that may vote.
+func (h *Host) openStore() error {
+	switch {
+	case h.cfg.Store != "":
+		store, err := OpenStore(h.cfg.Store, h.cfg.Name)
+		if err != nil {
 			return err
 		}
+		h.store, h.fleetID = store, store.Identity().Fleet
+	case h.cfg.VotersInMemory && slices.Contains(h.cfg.Voters, h.cfg.Name):
+		h.store = newMemory(h.cfg.Name)
 	}
-	h.mu.Lock()
-	for _, cfg := range h.cfg.Tasks {
-		h.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, h.cfg.Rules.KeepAliveInterval()/2, h.cfg.Rules.KeepAliveInterval())}
-		h.session.Acquire(taskLeaseName(cfg.Name), 1)
+	return nil
+}
+
+// Start begins to take part in the fleet. Requests of tasks are sent by sender; if it is also a Pools, shared state is about its pools.
+func (h *Host) Start(sender Sender) error {
+	h.sender = sender
+	v := &voter{callbacks: map[uint64]func(consensus.Response){}}
+	if h.store != nil {
+		if err := h.openVoter(v); err != nil {
+			return err
+		}
 	}
-	err := h.startSharedState(s)
-	h.timer = time.NewTimer(0)
-	h.mu.Unlock()
-	if err != nil {
+	if err := h.startDue(sender); err != nil {
 		return err
 	}
 	h.goroutines.Go(h.acceptConnections)
-	h.goroutines.Go(func() { h.runConsensus(st) })
+	h.goroutines.Go(func() { h.runConsensus(v) })
 	h.goroutines.Go(h.runTimers)
-	h.log.Info("the tier is up", "address", h.listener.Addr().String(), "incarnation", h.incarnation(), "seat", h.store != nil, "fleet", h.fleetID)
+	h.log.Info("fleet member started", "address", h.listener.Addr().String(), "incarnation", h.incarnation(), "seat", h.store != nil, "fleet", h.fleetID)
 	return nil
 }
 
+// startDue makes what runDue looks after.
+func (h *Host) startDue(sender Sender) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	interval := h.cfg.Rules.KeepAliveInterval()
+	for _, cfg := range h.cfg.Tasks {
+		h.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, interval/2, interval)}
+		h.session.Acquire(taskLeaseName(cfg.Name), 1)
+	}
+	err := h.startSharedState(sender)
+	h.timer = time.NewTimer(0)
+	return err
+}
+
+// incarnation names this start of the process among all of the same name.
 func (h *Host) incarnation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,48 +221,67 @@
 // Addr is where other processes connect.
 func (h *Host) Addr() string { return h.listener.Addr().String() }
 
-// Leave gives up in order what this process holds, and hands on the council's lead: nobody has to wait for a term. It returns once
-// that has been heard, or soon. What is out for tasks is waited for first.
+// Leave gives up the leases of this process in order and transfers the leadership of the consensus group, so that nobody has to wait for a
+// lease to expire. It first waits for requests of tasks that are in flight, and returns once all is done, after some seconds at most. Close
+// comes after it.
 func (h *Host) Leave() {
-	until := time.Now().Add(leaveTimeout)
+	ctx, cancel := context.WithTimeout(h.ctx, leaveTimeout)
+	defer cancel()
 	h.mu.Lock()
 	h.leaving = true
 	if h.shared != nil {
 		h.sendGossip(h.shared.node.Leave(h.clock.Now()))
 	}
 	h.mu.Unlock()
-	for time.Now().Before(until) && h.hasRunningTasks() {
-		time.Sleep(5 * time.Millisecond)
-	}
+	pollUntil(ctx, func() bool { return !h.hasRunningTasks() })
 	h.mu.Lock()
 	h.session.Close()
 	h.runDue()
 	h.mu.Unlock()
-	for time.Now().Before(until) {
-		h.mu.Lock()
-		closed := h.session.Closed() || h.session.SessionID() == 0
-		h.mu.Unlock()
-		if closed {
-			break
+	pollUntil(ctx, h.sessionClosed)
+	h.transferLeadership()
+}
+
+// sessionClosed reports whether this process has no session any more.
+func (h *Host) sessionClosed() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.session.Closed() || h.session.SessionID() == 0
+}
+
+// pollUntil returns once done reports true, or ctx ends.
+func pollUntil(ctx context.Context, done func() bool) {
+	tick := time.NewTicker(leavePollInterval)
+	defer tick.Stop()
+	for ctx.Err() == nil && !done() {
+		select {
+		case <-ctx.Done():
+		case <-tick.C:
 		}
-		time.Sleep(5 * time.Millisecond)
 	}
-	handed := make(chan struct{})
-	h.enqueue(func(s *voter) {
-		if s.node != nil {
-			s.node.TransferLeadership()
+}
+
+// transferLeadership has another voter lead, if this one does, and gives it the time to ask for votes.
+func (h *Host) transferLeadership() {
+	transferred := make(chan struct{})
+	h.enqueue(func(v *voter) {
+		if v.node != nil {
+			v.node.TransferLeadership()
 		}
-		close(handed)
+		close(transferred)
 	})
 	select {
-	case <-handed:
-		time.Sleep(2 * h.cfg.Tick) // the successor asks for votes
+	case <-transferred:
+		select {
+		case <-time.After(2 * h.cfg.Tick):
+		case <-h.ctx.Done():
+		}
 	case <-h.ctx.Done():
-	case <-time.After(time.Second):
+	case <-time.After(transferTimeout):
 	}
 }
 
-// Close ends at once.
+// Close ends all connections and goroutines at once and closes the store.
 func (h *Host) Close() error {
 	h.stop()
 	h.listener.Close()
@@ -233,17 +300,17 @@
 	return nil
 }
 
-// runTimers looks at what is to be asked and done, whenever that is due.
+// runTimers does what is due, until the host closes.
 func (h *Host) runTimers() {
-	var nudge chan struct{}
+	var observed chan struct{}
 	if h.shared != nil {
-		nudge = h.shared.observed
+		observed = h.shared.observed
 	}
 	for {
 		select {
 		case <-h.ctx.Done():
 			return
-		case <-nudge:
+		case <-observed:
 			h.scheduleObservations()
 			continue
 		case <-h.timer.C:
@@ -254,47 +321,19 @@
 	}
 }
 
-// runDue does what is due for the leases and the tasks. The caller has mu.
+// runDue does what is due for leases, tasks, shared state and pending requests, and sets the timer for the next time. The caller has mu.
 func (h *Host) runDue() {
 	if h.timer == nil || h.ctx.Err() != nil {
 		return
 	}
 	now := h.clock.Now()
 	h.finishHandovers()
-	asks, at := h.session.Next(now)
-	for _, a := range asks {
-		h.submit(&pendingRequest{request: consensus.Request{Lease: &a}, onResponse: func(r consensus.Response) {
-			h.noteDecisionDigest(now, r.Digest)
-			if r.Lease != nil {
-				h.session.HandleResponse(h.clock.Now(), *r.Lease)
-			}
-		}})
-	}
+	at := h.renewLeases(now)
 	h.logLeaseChanges(now)
-	wall := time.Now()
-	for _, r := range h.runners {
-		token, until, _ := h.session.Token(now, taskLeaseName(r.cfg.Name))
-		if _, passing := h.handovers[taskLeaseName(r.cfg.Name)]; (h.leaving || passing) && !r.core.Busy() {
-			continue
-		}
-		act, next := r.core.Next(now, wall, token, until)
-		h.runTaskAction(r, act)
-		at = min(at, next)
-	}
+	at = min(at, h.runTasks(now))
 	if h.shared != nil {
 		at = min(at, h.runGossip(now))
 	}
-	for handle, c := range h.pending { // those whose answer is late, or was lost
-		if !c.late && now > c.sentAt+h.cfg.Rules.KeepAliveInterval()/2 {
-			c.late = true
-			h.leader.Unreachable(now, c.sentTo)
-		}
-		if now > c.sentAt+h.cfg.Rules.TTL {
-			delete(h.pending, handle)
-			if c.onLost != nil {
-				c.onLost()
-			}
-		}
-	}
+	h.expirePending(now)
 	h.timer.Reset(max(time.Millisecond, min(h.clock.Real(at-now), h.cfg.Rules.TTL)))
 }
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -7,6 +7,8 @@
 	"maps"
 	"slices"
 	"time"
+
+	"sorrelrudder/internal/consensus"
 )
 
 const (
@@ -15,7 +17,7 @@
 	leaseLogInterval = 200 * time.Millisecond
 )
 
-// HeldLease says whether this process may act on a lease now, with which fencing token, and for how long at most.
+// HeldLease reports whether this process may act on a lease now, its fencing token, and for how long at most.
 func (h *Host) HeldLease(name string) (token uint64, left time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -27,7 +29,7 @@
 // ErrLeaseNotHeld is returned for a lease that this process may not act on now.
 var ErrLeaseNotHeld = errors.New("the lease is not held by this process")
 
-// AcquireLease has this process hold a lease, of which limit may be held at once over the fleet, or wait for it.
+// AcquireLease has this process acquire a lease, which limit members may hold at once, or wait for it, until ReleaseLease.
 func (h *Host) AcquireLease(name string, limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +37,7 @@
 	h.runDue()
 }
 
-// ReleaseLease gives a lease up, to a member or, with an empty name, to whoever waits. What is done under it must have ended.
+// ReleaseLease releases a lease, to the member named to or, if that is empty, to the next that waits. Work under the lease must have ended.
 func (h *Host) ReleaseLease(name, to string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +69,7 @@
 	return ctx, cancel, token, nil
 }
 
-// logLeaseChanges logs what has changed of what this process holds. The caller has mu.
+// logLeaseChanges logs the leases that this process has got or lost since the last call. The caller has mu.
 func (h *Host) logLeaseChanges(now time.Duration) {
 	n, lapsed := h.session.Revision(), now >= h.session.ValidUntil()
 	if n == h.loggedChanges && lapsed == h.loggedLapsed || len(h.loggedLeases) > manyLeases && now < h.leasesLoggedAt+leaseLogInterval {
@@ -87,6 +89,20 @@
 	}
 }
 
+// renewLeases sends what the session has to ask of the leader, and returns when it is due again. The caller has mu.
+func (h *Host) renewLeases(now time.Duration) time.Duration {
+	requests, at := h.session.Next(now)
+	for _, r := range requests {
+		h.submit(&pendingRequest{request: consensus.Request{Lease: &r}, onResponse: func(r consensus.Response) {
+			h.noteDecisionDigest(now, r.Digest)
+			if r.Lease != nil {
+				h.session.HandleResponse(h.clock.Now(), *r.Lease)
+			}
+		}})
+	}
+	return at
+}
+
 // heldTokens returns the fencing tokens of the leases that this process may act on, by name. The caller has mu.
 func (h *Host) heldTokens(now time.Duration) map[string]uint64 {
 	tokens := map[string]uint64{}
@@ -107,17 +123,17 @@
 	}
 }
 
-// taskLeaseName is the lease whose holder does a task.
+// taskLeaseName is the name of the lease whose holder does a task.
 func taskLeaseName(task string) string { return "task/" + task }
 
-// handoverRequest is a lease that is to go to a member.
+// handoverRequest asks the holder of a lease to hand it over to a member.
 type handoverRequest struct {
 	Name string `json:"name"`
 	To   string `json:"to"`
 }
 
-// startHandover begins to give a lease to a member: its task begins no further slot, and once what is out has ended the lease goes. This
-// process waits for it again then, behind all others.
+// startHandover begins to hand a lease over to a member: its task starts no further slot, and once nothing of it is in flight the lease is
+// transferred. This process then waits for it again, behind all others.
 func (h *Host) startHandover(request handoverRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +162,7 @@
 	}
 }
 
-// runnerForLease is the runner of the task that a lease is for, nil if it is for none. The caller has mu.
+// runnerForLease returns the runner of the task that a lease is for, nil if it is for none. The caller has mu.
 func (h *Host) runnerForLease(lease string) *taskRunner {
 	for _, r := range h.runners {
 		if taskLeaseName(r.cfg.Name) == lease {
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -12,88 +12,109 @@
 	maxForwards        = 3    // times that one request is sent on to another member
 )
 
-// pendingRequest is a request of this process to the council.
+// pendingRequest is a request of this process to the leader. Its functions are called under Host.mu.
 type pendingRequest struct {
 	request    consensus.Request
-	onResponse func(consensus.Response) // called under mu
+	onResponse func(consensus.Response)
+	onLost     func() // no response is waited for any more; nil: whoever wants one asks again
 	forwards   int
 	sentAt     time.Duration
-	sentTo     string // whom it went to last
-	late       bool   // it was not answered in time
-	onLost     func() // called under mu once no answer is waited for any more; nil: it is asked again by itself
+	sentTo     string
+	late       bool // the member it was sent to counts as unreachable since
 }
 
-// rpc is a request as it goes over a link, and its answer.
+// rpc is a request between processes, or its response.
 type rpc struct {
 	Handle   uint64             `json:"handle"`
 	Request  consensus.Request  `json:"request,omitzero"`
 	Response consensus.Response `json:"response,omitzero"`
 	Status   *Status            `json:"status,omitempty"`
 
-	// Of operators, to this very process; Why says what became of it.
+	// Requests of operators to this very process, and the error of one.
 	Found    bool             `json:"found,omitempty"`
 	Handover *handoverRequest `json:"handover,omitempty"`
 	Forget   string           `json:"forget,omitempty"`
 	Why      string           `json:"why,omitempty"`
 }
 
-// submit asks the council, by whom this process takes for its leader. The caller has mu.
-func (h *Host) submit(c *pendingRequest) {
+// submit sends a request to the leader. One too many is lost at once. The caller has mu.
+func (h *Host) submit(p *pendingRequest) {
 	if len(h.pending) >= maxPendingRequests {
-		if c.onLost != nil {
-			c.onLost()
+		if p.onLost != nil {
+			p.onLost()
 		}
-		return // it is asked again
+		return
 	}
 	h.lastHandle++
-	c.sentAt = h.clock.Now()
-	h.pending[h.lastHandle] = c
-	h.sendToLeader(h.lastHandle, c)
+	p.sentAt = h.clock.Now()
+	h.pending[h.lastHandle] = p
+	h.sendToLeader(h.lastHandle, p)
 }
 
-// sendToLeader sends a request to whom this process takes for the leader. The caller has mu.
-func (h *Host) sendToLeader(handle uint64, c *pendingRequest) {
+// sendToLeader sends a request to the member that this process takes for the leader. The caller has mu.
+func (h *Host) sendToLeader(handle uint64, p *pendingRequest) {
 	now := h.clock.Now()
 	to := h.leader.Pick(now)
-	c.sentTo = to
+	p.sentTo = to
+	if !h.sendRequest(handle, to, p.request) {
+		h.leader.Unreachable(now, to)
+	}
+}
+
+// sendRequest reports whether a request was queued, for this process' own voter or for a member. The caller has mu.
+func (h *Host) sendRequest(handle uint64, to string, request consensus.Request) bool {
 	if to == h.cfg.Name && h.store != nil {
-		q := c.request
-		if !h.tryEnqueue(func(s *voter) { h.propose(s, q, func(r consensus.Response) { h.handleResponse(handle, r) }) }) {
-			h.leader.Unreachable(now, to)
-		}
-		return
+		return h.tryEnqueue(func(v *voter) {
+			h.propose(v, request, func(r consensus.Response) { h.handleResponse(handle, r) })
+		})
 	}
-	data, err := json.Marshal(rpc{Handle: handle, Request: c.request})
+	data, err := json.Marshal(rpc{Handle: handle, Request: request})
 	if err != nil {
-		h.log.Error("a request that can't be written", "err", err)
-		return
+		h.log.Error("encoding a request failed", "err", err)
+		return true // it says nothing about the member
 	}
 	l := h.linkTo(to)
-	if l == nil || !l.send(kindRequest, data) {
-		h.leader.Unreachable(now, to)
-	}
+	return l != nil && l.send(kindRequest, data)
 }
 
-// handleResponse takes an answer of the council. One who does not lead says who may: the same request goes there, a few times.
+// handleResponse takes the response to a request of this process. A member that does not lead may name the leader: the request is forwarded
+// there, up to maxForwards times.
 func (h *Host) handleResponse(handle uint64, r consensus.Response) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.pending[handle]
-	if c == nil {
+	p := h.pending[handle]
+	if p == nil {
 		return
 	}
 	if r.NotLeader {
-		if h.leader.Redirected(h.clock.Now(), c.sentTo, r.Leader) && c.forwards < maxForwards {
-			c.forwards++
-			h.sendToLeader(handle, c)
+		if h.leader.Redirected(h.clock.Now(), p.sentTo, r.Leader) && p.forwards < maxForwards {
+			p.forwards++
+			h.sendToLeader(handle, p)
 			return
 		}
 		delete(h.pending, handle)
-		c.onResponse(r)
+		p.onResponse(r)
 		return
 	}
-	h.leader.LeaderConfirmed(c.sentTo)
+	h.leader.LeaderConfirmed(p.sentTo)
 	delete(h.pending, handle)
-	c.onResponse(r)
+	p.onResponse(r)
 	h.runDue()
 }
+
+// expirePending takes members whose responses are late for unreachable, and gives up requests that are older than a lease. The caller has mu.
+func (h *Host) expirePending(now time.Duration) {
+	for handle, p := range h.pending {
+		if !p.late && now > p.sentAt+h.cfg.Rules.KeepAliveInterval()/2 {
+			p.late = true
+			h.leader.Unreachable(now, p.sentTo)
+		}
+		if now <= p.sentAt+h.cfg.Rules.TTL {
+			continue
+		}
+		delete(h.pending, handle)
+		if p.onLost != nil {
+			p.onLost()
+		}
+	}
+}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -20,10 +20,11 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// diskFaultsVariable names the laboratory's setting: a file that says what is wrong with the disk: "fail" at the next sync, "full", or "slow 50ms".
+// diskFaultsVariable is an environment variable for end-to-end tests. It names a file that says what is wrong with the disk: "fail" (the
+// next sync), "full" or "slow DURATION".
 const diskFaultsVariable = "SORRELRUDDER_LAB_DISK"
 
-// Identity is who a store belongs to.
+// Identity says whose store it is.
 type Identity struct {
 	Format int    `json:"format"`
 	Name   string `json:"name"`            // of the process
@@ -32,7 +33,13 @@
 	ID     uint64 `json:"id,omitempty"`
 }
 
-const storeFormat = 1
+const (
+	storeFormat    = 1
+	indexKeyLength = 8          // bytes of a key of the log
+	maxIndex       = ^uint64(0) // of an entry
+	openTimeout    = 2 * time.Second
+	maxSlowDisk    = time.Minute // that an end-to-end test may ask for
+)
 
 var (
 	identityBucket = []byte("identity")
@@ -43,32 +50,33 @@
 	snapshotKey    = []byte("snapshot")
 )
 
-// Store keeps what a process has promised in the council. It is the disk of a consensus.Node.
+// Store keeps the persistent state of a voter in a file. It is the consensus.Storage of a voter that is not in memory. It is not safe for
+// concurrent use, but for Identity and Syncs.
 type Store struct {
 	db     *bbolt.DB
 	path   string
 	id     Identity
-	faults string // file of the laboratory's, or empty
+	faults string // file with faults to inject; empty: none
 	syncs  atomic.Int64
 }
 
-// ErrStoreDamaged is a store that can't be trusted. Nothing of it is deleted.
+// ErrStoreDamaged is wrapped by errors on a store whose contents cannot be trusted. Nothing of it is deleted.
 var ErrStoreDamaged = errors.New("the store is damaged")
 
-// recoverDamage reads a file that may be anything: one that ends too early faults where it is mapped, and one whose pages point astray
-// panics. Either is a damaged store, and no reason to end without a word.
+// recoverDamage turns a fault or panic of read into ErrStoreDamaged: a file that is too short faults where it is mapped, and one whose pages
+// point outside it makes bbolt panic.
 func recoverDamage(path string, read func() error) (err error) {
 	was := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(was)
 	defer func() {
 		if r := recover(); r != nil {
-			err = damaged(path, fmt.Errorf("reading it: %v", r))
+			err = storeDamagedError(path, fmt.Errorf("reading it: %v", r))
 		}
 	}()
 	return read()
 }
 
-// OpenStore opens the store of the process of that name, and makes it where there is none.
+// OpenStore opens the store of the process of that name, and creates it if there is none. The error is ErrStoreDamaged if it cannot be read.
 func OpenStore(path, name string) (s *Store, err error) {
 	err = recoverDamage(path, func() error {
 		s, err = openStore(path, name)
@@ -81,38 +89,21 @@
 }
 
 func openStore(path, name string) (*Store, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second, FreelistType: bbolt.FreelistMapType})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, FreelistType: bbolt.FreelistMapType})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
 		return nil, fmt.Errorf("%s: another process has this store open", path)
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
-		return nil, damaged(path, err)
+		return nil, storeDamagedError(path, err)
 	case err != nil:
 		return nil, fmt.Errorf("the store: %w", err)
 	}
 	s := &Store{db: db, path: path, faults: os.Getenv(diskFaultsVariable)}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(identityBucket)
-		if b == nil {
-			for _, name := range [][]byte{identityBucket, stateBucket, entryBucket} {
-				if _, err := tx.CreateBucket(name); err != nil {
-					return err
-				}
-			}
-			s.id = Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}
-			return s.put(tx)
-		}
-		data, err := unsealFile(b.Get(identityKey))
-		if err == nil {
-			err = json.Unmarshal(data, &s.id)
-		}
-		if err != nil {
-			return damaged(path, err)
+		if tx.Bucket(identityBucket) == nil {
+			return s.create(tx, name)
 		}
-		if tx.Bucket(stateBucket) == nil || tx.Bucket(entryBucket) == nil {
-			return damaged(path, errors.New("a part is missing"))
-		}
-		return nil
+		return s.readIdentity(tx)
 	})
 	switch {
 	case err != nil:
@@ -128,21 +119,47 @@
 	return s, nil
 }
 
-func damaged(path string, err error) error {
+// create makes the buckets of a new store and draws its identity.
+func (s *Store) create(tx *bbolt.Tx, name string) error {
+	for _, bucket := range [][]byte{identityBucket, stateBucket, entryBucket} {
+		if _, err := tx.CreateBucket(bucket); err != nil {
+			return err
+		}
+	}
+	s.id = Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}
+	return s.putIdentity(tx)
+}
+
+func (s *Store) readIdentity(tx *bbolt.Tx) error {
+	data, err := unsealFile(tx.Bucket(identityBucket).Get(identityKey))
+	if err == nil {
+		err = json.Unmarshal(data, &s.id)
+	}
+	if err != nil {
+		return storeDamagedError(s.path, err)
+	}
+	if tx.Bucket(stateBucket) == nil || tx.Bucket(entryBucket) == nil {
+		return storeDamagedError(s.path, errors.New("a part is missing"))
+	}
+	return nil
+}
+
+// storeDamagedError says what an operator can do about a damaged store.
+func storeDamagedError(path string, err error) error {
 	return fmt.Errorf("%s: %w: %w; put it aside (don't delete it before the council stands) and start again: the process comes back "+
 		"as one that listens, and 'sorrelrudder tier member replace' has it vote", path, ErrStoreDamaged, err)
 }
 
-// Identity is whose store it is.
+// Identity returns whose store it is.
 func (s *Store) Identity() Identity { return s.id }
 
-// Syncs counts the writes that were synced, since it was opened.
+// Syncs returns the number of synced writes since the store was opened.
 func (s *Store) Syncs() int64 { return s.syncs.Load() }
 
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-func (s *Store) put(tx *bbolt.Tx) error {
+func (s *Store) putIdentity(tx *bbolt.Tx) error {
 	data, err := json.Marshal(s.id)
 	if err != nil {
 		return err
@@ -150,18 +167,18 @@
 	return tx.Bucket(identityBucket).Put(identityKey, sealFile(data))
 }
 
-// Admitted notes the identity that the council has given. It is on the disk before it is used.
+// Admitted saves the identity that the consensus group has given, before it is used.
 func (s *Store) Admitted(fleet string, id uint64) error {
 	was := s.id
 	s.id.Fleet, s.id.ID = fleet, id
-	if err := s.db.Update(s.put); err != nil {
+	if err := s.db.Update(s.putIdentity); err != nil {
 		s.id = was
 		return fmt.Errorf("the store: %w", err)
 	}
 	return nil
 }
 
-// Found makes an empty store the first seat of a new fleet.
+// Found makes an empty store that of the first voter of a new fleet.
 func (s *Store) Found(names []string) error {
 	if s.id.ID != 0 {
 		return fmt.Errorf("%s: has the identity %d in the fleet %s already; nothing was changed", s.path, s.id.ID, s.id.Fleet)
@@ -174,66 +191,85 @@
 	if err := s.Save(consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}, true); err != nil {
 		return err
 	}
-	return s.Admitted(fleet, 1)
+	return s.Admitted(fleet, firstVoterID)
 }
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// Save is the method of consensus.Storage. What need not be synced is not written: it would be learnt anew after a crash.
+// Save is the method of consensus.Storage. What need not be synced is not written: after a crash the node learns it again.
 func (s *Store) Save(v consensus.PersistentState, sync bool) error {
-	if err := s.fault(); err != nil {
+	if err := s.injectFault(); err != nil {
 		return err
 	}
 	if !sync {
 		return nil
 	}
 	s.syncs.Add(1)
-	err := s.db.Update(func(tx *bbolt.Tx) error {
-		state, entries := tx.Bucket(stateBucket), tx.Bucket(entryBucket)
-		write := func(b *bbolt.Bucket, key []byte, m proto.Message) error {
-			data, err := proto.Marshal(m)
-			if err != nil {
-				return err
-			}
-			return b.Put(key, sealFile(data))
-		}
-		if v.HardState != nil {
-			if err := write(state, hardStateKey, v.HardState); err != nil {
-				return err
-			}
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return saveState(tx, v) }); err != nil {
+		return fmt.Errorf("%s: %w", s.path, err)
+	}
+	return nil
+}
+
+// saveState writes what has changed of the hard state, the snapshot and the log.
+func saveState(tx *bbolt.Tx, v consensus.PersistentState) error {
+	state, entries := tx.Bucket(stateBucket), tx.Bucket(entryBucket)
+	if v.HardState != nil {
+		if err := putMessage(state, hardStateKey, v.HardState); err != nil {
+			return err
 		}
-		if v.Snapshot != nil {
-			if err := write(state, snapshotKey, v.Snapshot); err != nil {
-				return err
-			}
-			upTo := v.Snapshot.GetMetadata().GetIndex()
-			if v.ReplaceLog {
-				upTo = ^uint64(0)
-			}
-			if err := drop(entries, 0, upTo); err != nil {
-				return err
-			}
+	}
+	if v.Snapshot != nil {
+		if err := putMessage(state, snapshotKey, v.Snapshot); err != nil {
+			return err
 		}
-		if len(v.Entries) > 0 {
-			if err := drop(entries, v.Entries[0].GetIndex(), ^uint64(0)); err != nil {
-				return err
-			}
+		last := v.Snapshot.GetMetadata().GetIndex()
+		if v.ReplaceLog {
+			last = maxIndex
 		}
-		for _, e := range v.Entries {
-			if err := write(entries, indexKey(e.GetIndex()), e); err != nil {
-				return err
-			}
+		if err := deleteEntries(entries, 0, last); err != nil {
+			return err
 		}
+	}
+	return saveEntries(entries, v.Entries)
+}
+
+// saveEntries writes new entries in place of all from the first of them on.
+func saveEntries(b *bbolt.Bucket, entries []*raftpb.Entry) error {
+	if len(entries) == 0 {
 		return nil
-	})
-	if err != nil {
-		return fmt.Errorf("%s: %w", s.path, err)
+	}
+	if err := deleteEntries(b, entries[0].GetIndex(), maxIndex); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := putMessage(b, indexKey(e.GetIndex()), e); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-// drop deletes the entries from first to last.
-func drop(b *bbolt.Bucket, first, last uint64) error {
+// putMessage writes a message with its checksum.
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	data, err := proto.Marshal(m)
+	if err != nil {
+		return err
+	}
+	return b.Put(key, sealFile(data))
+}
+
+// readMessage reads a message that putMessage has written.
+func readMessage(sealed []byte, m proto.Message) error {
+	data, err := unsealFile(sealed)
+	if err != nil {
+		return err
+	}
+	return proto.Unmarshal(data, m)
+}
+
+// deleteEntries deletes the entries from first to last.
+func deleteEntries(b *bbolt.Bucket, first, last uint64) error {
 	c := b.Cursor()
 	for k, _ := c.Seek(indexKey(first)); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = c.Seek(indexKey(first)) {
 		if err := c.Delete(); err != nil {
@@ -243,7 +279,7 @@
 	return nil
 }
 
-// Load reads all that a node starts with.
+// Load returns all that was saved. The error is ErrStoreDamaged if it cannot be read.
 func (s *Store) Load() (v consensus.PersistentState, err error) {
 	err = recoverDamage(s.path, func() error {
 		v, err = s.load()
@@ -254,46 +290,46 @@
 
 func (s *Store) load() (v consensus.PersistentState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		read := func(sealed []byte, m proto.Message) error {
-			data, err := unsealFile(sealed)
-			if err == nil {
-				err = proto.Unmarshal(data, m)
-			}
-			return err
-		}
-		state := tx.Bucket(stateBucket)
-		if data := state.Get(hardStateKey); data != nil {
-			v.HardState = &raftpb.HardState{}
-			if err := read(data, v.HardState); err != nil {
-				return err
-			}
-		}
-		if data := state.Get(snapshotKey); data != nil {
-			v.Snapshot = &raftpb.Snapshot{}
-			if err := read(data, v.Snapshot); err != nil {
-				return err
-			}
-		}
-		return tx.Bucket(entryBucket).ForEach(func(k, data []byte) error {
-			e := &raftpb.Entry{}
-			if err := read(data, e); err != nil {
-				return err
-			}
-			if len(k) != 8 || e.GetIndex() != binary.BigEndian.Uint64(k) {
-				return fmt.Errorf("an entry %d stands where another belongs", e.GetIndex())
-			}
-			v.Entries = append(v.Entries, e)
-			return nil
-		})
+		v, err = loadState(tx)
+		return err
 	})
 	if err != nil {
-		return consensus.PersistentState{}, damaged(s.path, err)
+		return consensus.PersistentState{}, storeDamagedError(s.path, err)
 	}
 	return v, nil
 }
 
-// fault does what the laboratory wants to be wrong with the disk.
-func (s *Store) fault() error {
+// loadState reads the hard state, the snapshot and the log.
+func loadState(tx *bbolt.Tx) (v consensus.PersistentState, err error) {
+	state := tx.Bucket(stateBucket)
+	if data := state.Get(hardStateKey); data != nil {
+		v.HardState = &raftpb.HardState{}
+		if err := readMessage(data, v.HardState); err != nil {
+			return v, err
+		}
+	}
+	if data := state.Get(snapshotKey); data != nil {
+		v.Snapshot = &raftpb.Snapshot{}
+		if err := readMessage(data, v.Snapshot); err != nil {
+			return v, err
+		}
+	}
+	err = tx.Bucket(entryBucket).ForEach(func(key, data []byte) error {
+		e := &raftpb.Entry{}
+		if err := readMessage(data, e); err != nil {
+			return err
+		}
+		if len(key) != indexKeyLength || e.GetIndex() != binary.BigEndian.Uint64(key) {
+			return fmt.Errorf("an entry %d stands where another belongs", e.GetIndex())
+		}
+		v.Entries = append(v.Entries, e)
+		return nil
+	})
+	return v, err
+}
+
+// injectFault does what an end-to-end test wants to be wrong with the disk.
+func (s *Store) injectFault() error {
 	if s.faults == "" {
 		return nil
 	}
@@ -309,7 +345,7 @@
 	case "full":
 		return errors.New("the laboratory has the disk full")
 	case "slow":
-		if d, err := time.ParseDuration(more); err == nil && d < time.Minute {
+		if d, err := time.ParseDuration(more); err == nil && d < maxSlowDisk {
 			time.Sleep(d)
 		}
 	}
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"context"
+	"errors"
+	"math"
 	"net/http"
 	"strconv"
 	"strings"
@@ -13,12 +15,16 @@
 	"sorrelrudder/internal/task"
 )
 
+// minRetryPause is the least time before a slot that was rejected is tried again.
+const minRetryPause = 20 * time.Millisecond
+
+// taskRunner is a task with the state machine that works on its slots. Host.mu guards it.
 type taskRunner struct {
-	cfg       Task
-	core      *task.Runner
-	notBefore time.Duration // not to be asked before
+	cfg  Task
+	core *task.Runner
 }
 
+// hasRunningTasks reports whether a request of a task is in flight.
 func (h *Host) hasRunningTasks() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -30,78 +36,122 @@
 	return false
 }
 
+// runTasks does what is due for tasks, and returns when that is to be called again at the latest. The caller has mu.
+func (h *Host) runTasks(now time.Duration) time.Duration {
+	at := time.Duration(math.MaxInt64)
+	wall := time.Now()
+	for _, r := range h.runners {
+		name := taskLeaseName(r.cfg.Name)
+		token, until, _ := h.session.Token(now, name)
+		_, handingOver := h.handovers[name]
+		if (h.leaving || handingOver) && !r.core.Busy() {
+			continue // no further slot is started
+		}
+		action, next := r.core.Next(now, wall, token, until)
+		h.runTaskAction(r, action)
+		at = min(at, next)
+	}
+	return at
+}
+
 // runTaskAction carries out what a task's runner wants. The caller has mu.
 func (h *Host) runTaskAction(r *taskRunner, a task.Action) {
 	switch {
 	case a.FetchRecord:
-		asked := r.core.FetchedAt()
-		h.submit(&pendingRequest{request: consensus.Request{TaskRecords: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
-			if res.TaskRecords != nil {
-				r.core.HandleRecord(h.clock.Now(), asked, res.TaskRecords[r.cfg.Name])
-			}
-		}})
+		h.fetchTaskRecord(r)
 	case a.Command != nil:
-		c := *a.Command
-		h.submit(&pendingRequest{request: consensus.Request{Task: &c}, onResponse: func(res consensus.Response) {
-			if res.Task != nil {
-				now := h.clock.Now()
-				token, _, _ := h.session.Token(now, taskLeaseName(r.cfg.Name))
-				r.core.HandleResult(now, c, *res.Task, token)
-				if c.Op == task.OpFinish && res.Task.Refusal == "" {
-					h.log.Info("task slot", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
-				}
-			}
-		}})
+		h.submitTaskCommand(r, *a.Command)
 	case a.Send != nil:
-		s := *a.Send
-		h.goroutines.Go(func() { h.sendTaskRequest(r, s) })
+		request := *a.Send
+		h.goroutines.Go(func() { h.sendTaskRequest(r, request) })
 	}
 }
 
-// sendTaskRequest sends the request of a slot through its pool, and notes what came of it.
+// fetchTaskRecord asks the leader for what is recorded of a task's slots. The caller has mu.
+func (h *Host) fetchTaskRecord(r *taskRunner) {
+	at := r.core.FetchedAt()
+	h.submit(&pendingRequest{request: consensus.Request{TaskRecords: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
+		if res.TaskRecords != nil {
+			r.core.HandleRecord(h.clock.Now(), at, res.TaskRecords[r.cfg.Name])
+		}
+	}})
+}
+
+// submitTaskCommand asks the leader to record the start or the end of a slot. The caller has mu.
+func (h *Host) submitTaskCommand(r *taskRunner, c task.Command) {
+	h.submit(&pendingRequest{request: consensus.Request{Task: &c}, onResponse: func(res consensus.Response) {
+		if res.Task == nil {
+			return
+		}
+		now := h.clock.Now()
+		token, _, _ := h.session.Token(now, taskLeaseName(r.cfg.Name))
+		r.core.HandleResult(now, c, *res.Task, token)
+		if c.Op == task.OpFinish && res.Task.Refusal == "" {
+			h.log.Info("task slot", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
+		}
+	}})
+}
+
+// sendTaskRequest sends the request of a slot through its pool and reports its outcome to the runner.
 func (h *Host) sendTaskRequest(r *taskRunner, s task.SlotRequest) {
-	deadline := h.clock.Real(s.Deadline - h.clock.Now())
-	ctx, cancel := context.WithTimeout(h.ctx, deadline)
+	timeout := h.clock.Real(s.Deadline - h.clock.Now())
+	ctx, cancel := context.WithTimeout(h.ctx, timeout)
 	defer cancel()
-	name := s.Key + "-" + strconv.FormatUint(s.Token, 10) + "-" + strconv.Itoa(s.Attempt)
+	response, err := h.sender.Do(ctx, r.cfg.Pool, taskHTTPRequest(&r.cfg, s, timeout))
+	outcome := outcomeOf(response, err, r.cfg.Plain)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.clock.Now()
+	r.core.HandleOutcome(now, outcome, now+max(response.RetryAfter, minRetryPause))
+	h.runDue()
+}
+
+// taskHTTPRequest is the request of a slot, whose headers carry the slot's key and the fencing token.
+func taskHTTPRequest(cfg *Task, s task.SlotRequest, timeout time.Duration) *httpmsg.Request {
+	token := strconv.FormatUint(s.Token, 10)
 	header := http.Header{
-		"X-Request-Id": {name}, "X-Timeout-Ms": {strconv.FormatInt(max(1, deadline.Milliseconds()), 10)},
-		"Fencing-Token": {strconv.FormatUint(s.Token, 10)}, "Task-Slot": {s.Key},
+		"X-Request-Id":  {s.Key + "-" + token + "-" + strconv.Itoa(s.Attempt)},
+		"X-Timeout-Ms":  {strconv.FormatInt(max(1, timeout.Milliseconds()), 10)},
+		"Fencing-Token": {token},
+		"Task-Slot":     {s.Key},
 	}
-	if r.cfg.Idempotency == task.IdempotentByKey {
+	if cfg.Idempotency == task.IdempotentByKey {
 		header.Set("Idempotency-Key", s.Key)
 	}
-	if r.cfg.Tenant != "" {
-		header.Set("X-Tenant-Id", r.cfg.Tenant)
+	if cfg.Tenant != "" {
+		header.Set("X-Tenant-Id", cfg.Tenant)
+	}
+	path, _, _ := strings.Cut(cfg.Path, "?")
+	return &httpmsg.Request{
+		Method: cfg.Method,
+		URI:    cfg.Path,
+		Path:   path,
+		Host:   cmp.Or(cfg.Host, cfg.Pool),
+		Header: header,
+		Length: int64(len(cfg.Body)),
+		Body:   []byte(cfg.Body),
 	}
-	path, _, _ := strings.Cut(r.cfg.Path, "?")
-	a, err := h.sender.Do(ctx, r.cfg.Pool, &httpmsg.Request{
-		Method: r.cfg.Method, URI: r.cfg.Path, Path: path, Host: cmp.Or(r.cfg.Host, r.cfg.Pool), Header: header, Length: int64(len(r.cfg.Body)), Body: []byte(r.cfg.Body),
-	})
-	outcome := outcomeOf(a, err, r.cfg.Plain)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	now := h.clock.Now()
-	r.core.HandleOutcome(now, outcome, now+max(a.RetryAfter, 20*time.Millisecond))
-	h.runDue()
 }
 
-// outcomeOf is what an answer says of a slot: a refusal promises that nothing has run, a failure promises nothing. The refusal of a server
-// that speaks plain HTTP promises nothing either; its answer bears the mark of having been passed on, and this process' own does not.
-func outcomeOf(a httpmsg.Response, err error, plain bool) task.Outcome {
-	bad, isBad := err.(httpmsg.RejectionError)
+// viaHeader is in responses that an ordinary HTTP server has given, and not in this process' own.
+const viaHeader = "Via"
+
+// outcomeOf says what a response tells about a slot. A rejection promises that nothing has run; a failure promises nothing. The 503 of a
+// server that speaks ordinary HTTP promises nothing either.
+func outcomeOf(response httpmsg.Response, err error, plain bool) task.Outcome {
+	var rejection httpmsg.RejectionError
 	switch {
-	case isBad && bad.Retryable():
+	case errors.As(err, &rejection) && rejection.Retryable():
 		return task.OutcomeRejected
-	case isBad:
+	case errors.As(err, &rejection):
 		return task.OutcomeFailed
 	case err != nil:
 		return task.OutcomeUnknown
-	case a.Status >= 200 && a.Status < 300:
+	case response.Status >= 200 && response.Status < 300:
 		return task.OutcomeDone
-	case plain && a.Header.Get("Via") != "":
+	case plain && response.Header.Get(viaHeader) != "":
 		return task.OutcomeFailed
-	case a.Status == http.StatusServiceUnavailable, a.Status == http.StatusTooManyRequests:
+	case response.Status == http.StatusServiceUnavailable, response.Status == http.StatusTooManyRequests:
 		return task.OutcomeRejected
 	}
 	return task.OutcomeFailed
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -11,30 +11,36 @@
 	"github.com/google/uuid"
 )
 
-// inboxLength bounds the work that waits for the consensus goroutine.
-const inboxLength = 1024
+const (
+	inboxLength  = 1024 // functions that wait for the consensus goroutine
+	firstVoterID = 1    // raft's id of the voter that founds a fleet
+)
 
-// voter is this process' part in the council. Only the council's goroutine has it.
+// voter is this process' vote in the consensus group. Only the consensus goroutine touches it.
 type voter struct {
-	node          *consensus.Node
+	node          *consensus.Node // nil: not admitted yet, or stopped
 	callbacks     map[uint64]func(consensus.Response)
 	lastHandle    uint64
 	nextAdmission time.Duration
-	err           error
+	err           error // why it has stopped
 }
 
-// voterStore keeps what a process has promised in the council: on a disk that outlives it, or for as long as it runs.
+// voterStore keeps the persistent state of a voter: on disk, or in memory for as long as the process runs.
 type voterStore interface {
 	consensus.Storage
 	Identity() Identity
-	Admitted(fleet string, id uint64) error // it is kept before it is used
+	// Admitted saves the identity that the consensus group has given, before it is used.
+	Admitted(fleet string, id uint64) error
+	// Found makes an empty store the first voter's of a new fleet.
 	Found(names []string) error
+	// Load returns what was saved.
 	Load() (consensus.PersistentState, error)
+	// Syncs counts the writes that were synced since the start.
 	Syncs() int64
 	Close() error
 }
 
-// enqueue has the council's goroutine do something; it waits for room.
+// enqueue has the consensus goroutine call f; it waits for room in the inbox.
 func (h *Host) enqueue(f func(*voter)) {
 	select {
 	case h.inbox <- f:
@@ -42,6 +48,7 @@
 	}
 }
 
+// tryEnqueue is enqueue without waiting. It reports whether there was room.
 func (h *Host) tryEnqueue(f func(*voter)) bool {
 	select {
 	case h.inbox <- f:
@@ -51,32 +58,32 @@
 	}
 }
 
-// openVoter begins to take part in the council, if the store has an identity there.
-func (h *Host) openVoter(s *voter) error {
+// openVoter starts the raft node, if the store has an identity in the consensus group.
+func (h *Host) openVoter(v *voter) error {
 	id := h.store.Identity()
 	if id.ID == 0 {
-		found := "tier init"
+		command := "tier init"
 		if h.cfg.VotersInMemory {
-			found = "tier found"
+			command = "tier found"
 		}
-		h.log.Warn("this process' store has no identity: it asks the council for one, and votes only once it is admitted "+
-			"('sorrelrudder "+found+"' founds a fleet, once)", "store", cmp.Or(h.cfg.Store, "in memory"))
+		h.log.Warn("the store has no identity yet: asking the consensus group for admission; a new fleet is founded once by an operator's command",
+			"store", cmp.Or(h.cfg.Store, "in memory"), "command", "sorrelrudder "+command)
 		return nil
 	}
 	saved, err := h.store.Load()
 	if err != nil {
 		return err
 	}
-	s.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: h.cfg.Rules, Persisted: saved})
+	v.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: h.cfg.Rules, Persisted: saved})
 	if err != nil {
-		return damaged(h.cfg.Store, err)
+		return storeDamagedError(h.cfg.Store, err)
 	}
-	h.log.Info("a seat in the council", "id", id.ID, "fleet", id.Fleet)
+	h.log.Info("joined the consensus group", "id", id.ID, "fleet", id.Fleet)
 	return nil
 }
 
-// runConsensus has the council's node work until the end.
-func (h *Host) runConsensus(s *voter) {
+// runConsensus drives the voter until the host closes.
+func (h *Host) runConsensus(v *voter) {
 	tick := time.NewTicker(h.cfg.Tick)
 	defer tick.Stop()
 	for {
@@ -84,168 +91,185 @@
 		case <-h.ctx.Done():
 			return
 		case <-tick.C:
-			if s.node != nil {
-				s.node.Tick(h.clock.Now())
-			} else if h.store != nil && s.err == nil {
-				h.requestAdmission(s)
-			}
+			h.tickVoter(v)
 		case f := <-h.inbox:
-			f(s)
-			// All that has come meanwhile shares one sync.
-			for n := len(h.inbox); n > 0; n-- {
-				(<-h.inbox)(s)
+			f(v)
+			for n := len(h.inbox); n > 0; n-- { // what has come meanwhile shares one sync of the store
+				(<-h.inbox)(v)
 			}
 		}
-		h.processReady(s)
+		h.processReady(v)
+	}
+}
+
+func (h *Host) tickVoter(v *voter) {
+	switch {
+	case v.node != nil:
+		v.node.Tick(h.clock.Now())
+	case h.store != nil && v.err == nil:
+		h.requestAdmission(v)
 	}
 }
 
-// propose hands the node a request.
-func (h *Host) propose(s *voter, q consensus.Request, then func(consensus.Response)) {
-	if s.node == nil {
-		then(consensus.Response{NotLeader: true})
+// propose hands a request to the raft node; onResponse is called from the consensus goroutine.
+func (h *Host) propose(v *voter, request consensus.Request, onResponse func(consensus.Response)) {
+	if v.node == nil {
+		onResponse(consensus.Response{NotLeader: true})
 		return
 	}
-	s.lastHandle++
-	s.callbacks[s.lastHandle] = then
-	s.node.Submit(h.clock.Now(), s.lastHandle, q)
+	v.lastHandle++
+	v.callbacks[v.lastHandle] = onResponse
+	v.node.Submit(h.clock.Now(), v.lastHandle, request)
 }
 
-// requestAdmission asks the council for an identity.
-func (h *Host) requestAdmission(s *voter) {
+// requestAdmission asks the leader for an identity in the consensus group, once in a keepalive interval.
+func (h *Host) requestAdmission(v *voter) {
 	now := h.clock.Now()
-	if now < s.nextAdmission {
+	if now < v.nextAdmission {
 		return
 	}
-	s.nextAdmission = now + h.cfg.Rules.KeepAliveInterval()
-	q := consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: h.cfg.Name, StoreID: h.store.Identity().Store, Volatile: h.cfg.VotersInMemory}}
+	v.nextAdmission = now + h.cfg.Rules.KeepAliveInterval()
+	request := consensus.Request{Voter: &consensus.VoterCommand{
+		Op: consensus.OpAdmit, Name: h.cfg.Name, StoreID: h.store.Identity().Store, Volatile: h.cfg.VotersInMemory,
+	}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leader.Unreachable(now, h.cfg.Name) // no seat yet
-	h.submit(&pendingRequest{request: q, onResponse: func(r consensus.Response) {
+	h.leader.Unreachable(now, h.cfg.Name) // this process does not lead before it is admitted
+	h.submit(&pendingRequest{request: request, onResponse: func(r consensus.Response) {
 		if r.Voter == nil {
 			return
 		}
-		got := *r.Voter
-		h.tryEnqueue(func(s *voter) { h.handleAdmission(s, got) })
+		result := *r.Voter
+		h.tryEnqueue(func(v *voter) { h.handleAdmission(v, result) })
 	}})
 }
 
-func (h *Host) handleAdmission(s *voter, r consensus.VoterResult) {
-	if s.node != nil || s.err != nil {
+// handleAdmission takes the identity that the consensus group gives, and starts the raft node.
+func (h *Host) handleAdmission(v *voter, result consensus.VoterResult) {
+	if v.node != nil || v.err != nil {
 		return
 	}
-	if r.RaftID == 0 {
-		h.log.Error("the council gives this process no seat", "why", r.Refusal)
+	if result.RaftID == 0 {
+		h.log.Error("the consensus group refuses admission", "why", result.Refusal)
 		return
 	}
-	err := h.store.Admitted(r.FleetID, r.RaftID)
+	err := h.store.Admitted(result.FleetID, result.RaftID)
 	if err == nil {
-		err = h.openVoter(s)
+		err = h.openVoter(v)
 	}
 	if err != nil {
-		s.err = err
-		h.log.Error("no part in the council", "err", err)
+		v.err = err
+		h.log.Error("joining the consensus group failed", "err", err)
 		return
 	}
 	h.mu.Lock()
-	h.fleetID = r.FleetID
+	h.fleetID = result.FleetID
 	h.mu.Unlock()
-	if !r.Votes {
-		h.log.Warn("this process' seat was that of another store: it listens and does not vote, since what the other store promised is lost; "+
-			"'sorrelrudder tier member replace' has it vote once the other is gone for good", "id", r.RaftID)
+	if !result.Votes {
+		h.log.Warn("admitted as a learner: another store had this voter's identity, and what it promised is lost; "+
+			"'sorrelrudder tier member replace' lets this one vote once the other is gone for good", "id", result.RaftID)
 	}
 }
 
-// processReady carries out what the node wants.
-func (h *Host) processReady(s *voter) {
-	if s.node == nil {
+// processReady saves, sends and reports what the raft node has ready.
+func (h *Host) processReady(v *voter) {
+	if v.node == nil {
 		return
 	}
-	out, err := s.node.Process(h.clock.Now(), h.store)
+	out, err := v.node.Process(h.clock.Now(), h.store)
 	if err != nil {
-		// After a failed write nobody knows what the disk holds: the file is read again, or not at all, by the next start.
-		s.node, s.err = nil, err
-		h.log.Error("this process has no part in the council until its next start", "err", err)
-		for _, then := range s.callbacks {
-			then(consensus.Response{NotLeader: true})
-		}
-		clear(s.callbacks)
+		h.stopVoter(v, err)
 		return
 	}
 	for _, e := range out.Events {
 		h.log.Info(e.Message, e.Args...)
 	}
+	changed := h.publishOutput(v, out)
+	for _, r := range out.Replies {
+		if onResponse := v.callbacks[r.Handle]; onResponse != nil {
+			delete(v.callbacks, r.Handle)
+			onResponse(r.Response)
+		}
+	}
+	for _, c := range changed {
+		if c.write(kindWake, nil) != nil {
+			c.Close()
+		}
+	}
+}
+
+// stopVoter ends the voter's part: after a failed write it is unknown what the store holds, and only the next start reads it again.
+func (h *Host) stopVoter(v *voter, err error) {
+	v.node, v.err = nil, err
+	h.log.Error("the voter has stopped until the next start", "err", err)
+	for _, onResponse := range v.callbacks {
+		onResponse(consensus.Response{NotLeader: true})
+	}
+	clear(v.callbacks)
+}
+
+// publishOutput applies decisions, sends raft messages, and returns connections to members whose leases have changed.
+func (h *Host) publishOutput(v *voter, out consensus.Output) (changed []*conn) {
 	h.mu.Lock()
-	h.applyDecisions(s.node.StateMachine())
+	defer h.mu.Unlock()
+	h.applyDecisions(v.node.StateMachine())
 	for _, m := range out.Messages {
-		l := h.linkTo(s.node.NameOf(m.GetTo()))
+		l := h.linkTo(v.node.NameOf(m.GetTo()))
 		if l == nil {
 			continue
 		}
 		data, err := consensus.EncodeMessage(m)
 		if err != nil {
-			h.log.Error("a message that can't be written", "err", err)
+			h.log.Error("encoding a raft message failed", "err", err)
 			continue
 		}
 		l.send(kindRaft, data)
 	}
-	var wakes []*conn
 	for _, name := range out.ChangedMembers {
 		if name == h.cfg.Name {
 			h.session.Refresh()
 			h.runDue()
 		} else if c := h.inbound[name]; c != nil {
-			wakes = append(wakes, c)
-		}
-	}
-	h.mu.Unlock()
-	for _, r := range out.Replies {
-		if then := s.callbacks[r.Handle]; then != nil {
-			delete(s.callbacks, r.Handle)
-			then(r.Response)
-		}
-	}
-	for _, c := range wakes {
-		if c.write(kindWake, nil) != nil {
-			c.Close()
+			changed = append(changed, c)
 		}
 	}
+	return changed
 }
 
-// bootstrap makes this process, which keeps its promises in memory and has no identity yet, the first seat of a new fleet. One that has heard
-// of a fleet refuses: two fleets of one file would each have a holder.
-func (h *Host) bootstrap(s *voter) error {
-	m, ok := h.store.(*memoryStore)
+// bootstrap makes this process the first voter of a new fleet whose voters are in memory. It refuses if a fleet is known already: with two
+// fleets of one configuration, each would grant the same leases.
+func (h *Host) bootstrap(v *voter) error {
+	store, inMemory := h.store.(*memoryStore)
 	h.mu.Lock()
-	heard := cmp.Or(h.fleetID, h.peerFleetID)
+	known := cmp.Or(h.fleetID, h.peerFleetID)
 	h.mu.Unlock()
 	switch {
 	case h.store == nil:
 		return fmt.Errorf("%q is not in the council", h.cfg.Name)
-	case !ok:
+	case !inMemory:
 		return errors.New("the council is on disk: 'tier init FILE' founds it")
-	case s.node != nil || m.id.ID != 0:
-		return fmt.Errorf("%q has the identity %d in the fleet %s already; nothing was changed", h.cfg.Name, m.id.ID, m.id.Fleet)
-	case heard != "":
-		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", heard)
-	}
-	fleet := consensus.NewStateMachine(uuid.NewString(), h.cfg.Name, m.id.Store, h.cfg.Voters)
-	fleet.Volatile = true
-	snap, err := consensus.BootstrapSnapshot(fleet)
+	case v.node != nil || store.id.ID != 0:
+		return fmt.Errorf("%q has the identity %d in the fleet %s already; nothing was changed", h.cfg.Name, store.id.ID, store.id.Fleet)
+	case known != "":
+		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", known)
+	}
+	machine := consensus.NewStateMachine(uuid.NewString(), h.cfg.Name, store.id.Store, h.cfg.Voters)
+	machine.Volatile = true
+	snapshot, err := consensus.BootstrapSnapshot(machine)
 	if err != nil {
 		return err
 	}
-	s.node, err = consensus.New(consensus.Config{ID: 1, LeaseTiming: h.cfg.Rules, Persisted: consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}})
+	initial := consensus.PersistentState{Snapshot: snapshot, HardState: consensus.BootstrapHardState()}
+	v.node, err = consensus.New(consensus.Config{ID: firstVoterID, LeaseTiming: h.cfg.Rules, Persisted: initial})
 	if err != nil {
 		return err
 	}
-	if err := m.Admitted(fleet.FleetID, 1); err != nil {
+	if err := store.Admitted(machine.FleetID, firstVoterID); err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.fleetID = fleet.FleetID
+	h.fleetID = machine.FleetID
 	h.mu.Unlock()
-	h.log.Info("a fleet was founded in memory: it ends with the majority of its council", "fleet", fleet.FleetID)
+	h.log.Info("founded a fleet in memory: it ends with a majority of its voters", "fleet", machine.FleetID)
 	return nil
 }
