--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -9,17 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// clockFaultsVariable names the laboratory's setting: how fast this process' clock runs beside the true one. Nobody else sets it.
+// clockFaultsVariable is an environment variable for end-to-end tests: the rate of this process' clock against the true one.
 const clockFaultsVariable = "SORRELRUDDER_LAB_CLOCK"
 
-// Clock reads a clock that no one sets and that goes on while the machine is suspended, which that of package time does not: a holder
-// whose machine slept must find its time gone.
+// Clock is a monotonic clock that also advances while the machine is suspended, which that of package time does not: after a suspension the
+// leases of a process must have expired. It is safe for concurrent use.
 type Clock struct {
 	origin int64
 	rate   float64
 }
 
-// NewClock returns one that begins now.
+// NewClock returns a clock whose origin is now. The error says that the machine has no such clock.
 func NewClock() (*Clock, error) {
 	c := &Clock{rate: 1}
 	if text := os.Getenv(clockFaultsVariable); text != "" {
@@ -37,7 +37,7 @@
 	return c, nil
 }
 
-// Now is the time since the clock began.
+// Now returns the time since NewClock.
 func (c *Clock) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -46,5 +46,5 @@
 	return time.Duration(float64(ts.Nano()-c.origin) * c.rate)
 }
 
-// Real is how long d of this clock takes.
+// Real returns how long d of this clock takes in real time.
 func (c *Clock) Real(d time.Duration) time.Duration { return time.Duration(float64(d) / c.rate) }
--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -18,32 +18,27 @@
 	"time"
 )
 
-// A frame is four bytes of length, one of its kind, what it carries and a tag that proves the secret. Frames may be lost, doubled and
-// overtake each other: what they carry is made for that. One that was changed ends the connection.
+// A frame is four bytes of length, a byte for its kind, a payload, and a tag that proves that the sender knows the secret. Frames may be lost,
+// duplicated and reordered: their payloads are made for that. One that was altered ends the connection.
 const (
 	kindHello    = 'H'
-	kindRaft     = 'R' // a message of the council's log
-	kindRequest  = 'Q' // a request, with its handle
-	kindResponse = 'A' // its answer
-	kindWake     = 'W' // your leases have changed
-	kindGossip   = 'G' // about shared state
-	kindPing     = 'P' // is there still somebody at the other end?
-	kindPong     = 'O' // yes
+	kindRaft     = 'R' // a message of raft
+	kindRequest  = 'Q' // an rpc
+	kindResponse = 'A' // its response
+	kindWake     = 'W' // the receiver's leases have changed
+	kindGossip   = 'G' // shared state
+	kindPing     = 'P'
+	kindPong     = 'O'
 )
 
 const (
-	tagLength             = 16
+	tagLength             = 16 // bytes
 	maxHelloBytes         = 4 << 10
-	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases has some 20 MB
+	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases takes some 20 MB
 	handshakeTimeout      = 2 * time.Second
 	writeTimeout          = 5 * time.Second
 	idleTimeout           = time.Minute // without a frame a connection is closed
-	linkQueueLength       = 512         // frames of a link that wait; more are dropped, as on a network
-	maxInboundConnections = 2048        // connections of others
-	// pingInterval is how often a dialler that sends asks whether the other end is still there, silence how long it waits for a word then. What
-	// goes out on a link has its answers elsewhere, so that one whose other end has vanished without a word would else swallow all for a minute.
-	pingInterval = time.Second
-	pongTimeout  = 3 * time.Second
+	maxInboundConnections = 2048
 )
 
 var (
@@ -52,7 +47,7 @@
 	errUnknownMember = errors.New("no member of this fleet")
 )
 
-// hello is what both ends say first.
+// hello is the first frame of both ends.
 type hello struct {
 	Version int    `json:"v"`
 	Name    string `json:"name"`
@@ -64,7 +59,7 @@
 
 const helloVersion = 1
 
-// deriveKey is an HMAC of parts that cannot run into each other.
+// deriveKey is an HMAC of the parts, each with its length.
 func deriveKey(secret []byte, parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	for _, p := range parts {
@@ -74,17 +69,17 @@
 	return m.Sum(nil)
 }
 
-// conn is a connection whose ends have proven the secret.
+// conn is a connection whose ends have proven that they know the secret. write may be called concurrently, read may not.
 type conn struct {
 	net.Conn
 	reader              *bufio.Reader
-	sendKey, receiveKey []byte // keys of what goes out and what comes in
+	sendKey, receiveKey []byte
 	peer                hello
-	writeMu             sync.Mutex // of writing
+	writeMu             sync.Mutex // held while a frame is written
 	traffic             *traffic
 }
 
-// traffic counts what a process has sent to others.
+// traffic counts what a process has sent to others since its start.
 type traffic struct{ frames, bytes, gossipFrames, gossipBytes atomic.Int64 }
 
 func (c *conn) write(kind byte, payload []byte) error {
@@ -109,14 +104,15 @@
 	return err
 }
 
-// read returns the next frame. Memory is taken as bytes come, not as they are announced.
-func (c *conn) read(most uint32) (kind byte, payload []byte, err error) {
+// read returns the next frame of at most limit bytes. Memory is allocated as bytes arrive, not as the header announces. The errors
+// errFrameTooLong and errBadTag mean a peer that does not keep to the protocol.
+func (c *conn) read(limit uint32) (kind byte, payload []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n < 1+tagLength || n > most {
+	if n < 1+tagLength || n > limit {
 		return 0, nil, errFrameTooLong
 	}
 	var buf bytes.Buffer
@@ -131,7 +127,7 @@
 	return kind, payload, nil
 }
 
-// sessionKeys are those of what the dialler and of what the other end says.
+// sessionKeys returns the keys for frames of the dialing and of the accepting end.
 func sessionKeys(secret, a, b []byte) (dialler, other []byte) {
 	return deriveKey(secret, []byte("dialler"), a, b), deriveKey(secret, []byte("other"), a, b)
 }
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -12,10 +12,14 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// rejectionLogInterval is the least time between two log lines on rejected connections.
-const rejectionLogInterval = time.Second
+const (
+	rejectionLogInterval = time.Second // least time between two log lines on rejected connections
+	acceptRetryPause     = 20 * time.Millisecond
+)
+
+var errTooManyConnections = errors.New("too many connections")
 
-// linkTo is the way to a member, nil if there is none of that name. The caller has mu.
+// linkTo returns the link to a member, made at its first use; nil if there is no other member of that name. The caller has mu.
 func (h *Host) linkTo(name string) *link {
 	if l := h.links[name]; l != nil {
 		return l
@@ -24,88 +28,79 @@
 	if address == "" || name == h.cfg.Name || h.ctx.Err() != nil {
 		return nil
 	}
-	l := newLink(address, h.secret, func() hello {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return hello{Name: h.cfg.Name, To: name, Fleet: h.fleetID}
-	}, h.handleFrame, func(err error) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.leader.Unreachable(h.clock.Now(), name)
-		if h.linkErrors[name] != err.Error() {
-			h.linkErrors[name] = err.Error()
-			h.log.Warn("the link to a member is broken", "member", name, "err", err)
-		}
-	})
+	l := newLink(address, h.secret, func() hello { return h.helloTo(name) }, h.handleFrame, func(err error) { h.handleLinkError(name, err) })
 	l.traffic, l.onHello = &h.traffic, h.notePeerFleet
 	h.links[name] = l
 	h.goroutines.Go(func() { l.run(h.ctx) })
 	return l
 }
 
-// notePeerFleet notes of which fleet a member is.
+// helloTo is how this process introduces itself to a member.
+func (h *Host) helloTo(name string) hello {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return hello{Name: h.cfg.Name, To: name, Fleet: h.fleetID}
+}
+
+// handleLinkError takes a member whose link is broken for unreachable, and logs each new error.
+func (h *Host) handleLinkError(name string, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leader.Unreachable(h.clock.Now(), name)
+	if h.linkErrors[name] != err.Error() {
+		h.linkErrors[name] = err.Error()
+		h.log.Warn("the link to a member is broken", "member", name, "err", err)
+	}
+}
+
+// notePeerFleet notes which fleet a member says it is of.
 func (h *Host) notePeerFleet(peer hello) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peerFleetID = cmp.Or(peer.Fleet, h.peerFleetID)
 }
 
-// acceptConnections takes the connections of others.
+// acceptConnections serves connections of members and operators until the host closes.
 func (h *Host) acceptConnections() {
-	room := make(chan struct{}, maxInboundConnections)
+	slots := make(chan struct{}, maxInboundConnections)
 	for {
 		raw, err := h.listener.Accept()
 		if err != nil {
-			if h.ctx.Err() != nil {
-				return
-			}
 			select {
 			case <-h.ctx.Done():
 				return
-			case <-time.After(20 * time.Millisecond): // out of descriptors, say
+			case <-time.After(acceptRetryPause): // the process may be out of descriptors
 			}
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			raw.Close()
-			h.logRejectedConnection("", errors.New("too many connections"))
+			h.logRejectedConnection("", errTooManyConnections)
 			continue
 		}
 		h.goroutines.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			h.serveConnection(raw)
 		})
 	}
 }
 
+// serveConnection checks who has connected and handles frames until the connection breaks.
 func (h *Host) serveConnection(raw net.Conn) {
 	defer raw.Close()
 	stop := context.AfterFunc(h.ctx, func() { raw.Close() })
 	defer stop()
-	h.mu.Lock()
-	me := hello{Name: h.cfg.Name, Fleet: h.fleetID}
-	h.mu.Unlock()
-	c, err := acceptConn(raw, h.secret, me, func(peer hello) error { return h.checkPeer(me, peer) })
+	local := h.helloTo("")
+	c, err := acceptConn(raw, h.secret, local, func(peer hello) error { return h.checkPeer(local, peer) })
 	if err != nil {
 		h.logRejectedConnection(raw.RemoteAddr().String(), err)
 		return
 	}
 	c.traffic = &h.traffic
-	h.mu.Lock()
-	h.peerFleetID = cmp.Or(c.peer.Fleet, h.peerFleetID)
-	h.conns[c] = struct{}{}
-	h.inbound[c.peer.Name] = c
-	h.mu.Unlock()
-	defer func() {
-		h.mu.Lock()
-		delete(h.conns, c)
-		if h.inbound[c.peer.Name] == c {
-			delete(h.inbound, c.peer.Name)
-		}
-		h.mu.Unlock()
-	}()
+	h.addConnection(c)
+	defer h.removeConnection(c)
 	for {
 		c.SetReadDeadline(time.Now().Add(2 * idleTimeout))
 		kind, payload, err := c.read(maxFrameBytes)
@@ -119,6 +114,23 @@
 	}
 }
 
+func (h *Host) addConnection(c *conn) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.peerFleetID = cmp.Or(c.peer.Fleet, h.peerFleetID)
+	h.conns[c] = struct{}{}
+	h.inbound[c.peer.Name] = c
+}
+
+func (h *Host) removeConnection(c *conn) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.conns, c)
+	if h.inbound[c.peer.Name] == c {
+		delete(h.inbound, c.peer.Name)
+	}
+}
+
 // checkPeer returns an error unless peer is an operator or a member of this fleet that means to talk to this process.
 func (h *Host) checkPeer(local, peer hello) error {
 	switch {
@@ -132,50 +144,33 @@
 	return nil
 }
 
-// logRejectedConnection logs connections that are turned away, once a second at most.
+// logRejectedConnection logs a connection or message that is rejected, at most once in rejectionLogInterval, with the count since.
 func (h *Host) logRejectedConnection(from string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rejectedConnections++
 	if now := h.clock.Now(); now >= h.rejectionLoggedAt+rejectionLogInterval {
-		h.log.Warn("a connection to the tier was turned away", "from", from, "err", err, "count", h.rejectedConnections)
+		h.log.Warn("rejected a connection of the fleet", "from", from, "err", err, "count", h.rejectedConnections)
 		h.rejectedConnections, h.rejectionLoggedAt = 0, now
 	}
 }
 
-// handleFrame takes a frame.
+// handleFrame handles a frame of a peer.
 func (h *Host) handleFrame(c *conn, kind byte, payload []byte) {
+	var err error
 	switch kind {
 	case kindRaft:
-		m, err := consensus.DecodeMessage(payload)
-		if err != nil {
-			h.logRejectedConnection(c.peer.Name, err)
-			return
-		}
-		from := c.peer.Name
-		h.enqueue(func(s *voter) {
-			if s.node == nil {
-				return
-			}
-			s.node.LearnName(m.GetFrom(), from)
-			if err := s.node.Step(h.clock.Now(), m); err != nil {
-				h.logRejectedConnection(from, err)
-			}
-		})
+		err = h.handleRaftMessage(c.peer.Name, payload)
 	case kindRequest:
-		var a rpc
-		if err := json.Unmarshal(payload, &a); err != nil {
-			h.logRejectedConnection(c.peer.Name, err)
-			return
+		var request rpc
+		if err = json.Unmarshal(payload, &request); err == nil {
+			h.serveRequest(c, request)
 		}
-		h.serveRequest(c, a)
 	case kindResponse:
-		var a rpc
-		if err := json.Unmarshal(payload, &a); err != nil {
-			h.logRejectedConnection(c.peer.Name, err)
-			return
+		var response rpc
+		if err = json.Unmarshal(payload, &response); err == nil {
+			h.handleResponse(response.Handle, response.Response)
 		}
-		h.handleResponse(a.Handle, a.Response)
 	case kindPing:
 		if c.write(kindPong, nil) != nil {
 			c.Close()
@@ -188,49 +183,25 @@
 		h.runDue()
 		h.mu.Unlock()
 	}
+	if err != nil {
+		h.logRejectedConnection(c.peer.Name, err)
+	}
 }
 
-// serveRequest answers a request of another process, or of an operator: of those it finds out itself who can answer.
-func (h *Host) serveRequest(c *conn, a rpc) {
-	say := func(b rpc) {
-		b.Handle = a.Handle
-		data, err := json.Marshal(b)
-		if err != nil {
-			h.log.Error("an answer that can't be written", "err", err)
-			return
-		}
-		if err := c.write(kindResponse, data); err != nil {
-			c.Close()
-		}
+// handleRaftMessage hands a message to the raft node.
+func (h *Host) handleRaftMessage(from string, payload []byte) error {
+	m, err := consensus.DecodeMessage(payload)
+	if err != nil {
+		return err
 	}
-	answer := func(r consensus.Response, s *Status) { say(rpc{Response: r, Status: s}) }
-	done := func(err error) {
-		if err != nil {
-			say(rpc{Why: err.Error()})
+	h.enqueue(func(v *voter) {
+		if v.node == nil {
 			return
 		}
-		say(rpc{})
-	}
-	switch {
-	case c.peer.Name == operatorName && a.Found:
-		h.enqueue(func(s *voter) { done(h.bootstrap(s)) })
-	case c.peer.Name == operatorName && a.Handover != nil:
-		done(h.startHandover(*a.Handover))
-	case c.peer.Name == operatorName && a.Forget != "":
-		done(h.forgetEntry(a.Forget))
-	case a.Request.Status:
-		h.status(func(s *Status) { answer(consensus.Response{}, s) })
-	case c.peer.Name == operatorName:
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		c := &pendingRequest{request: a.Request, onResponse: func(r consensus.Response) { h.goroutines.Go(func() { answer(r, nil) }) }}
-		if o := a.Request.Decision; o != nil && o.Conditional { // its answer may be lost with a leader: asking again has no second effect
-			c.onLost = func() { c.onResponse(consensus.Response{NotLeader: true}) }
+		v.node.LearnName(m.GetFrom(), from)
+		if err := v.node.Step(h.clock.Now(), m); err != nil {
+			h.logRejectedConnection(from, err)
 		}
-		h.submit(c)
-	case h.store == nil:
-		answer(consensus.Response{NotLeader: true}, nil)
-	default:
-		h.enqueue(func(s *voter) { h.propose(s, a.Request, func(r consensus.Response) { answer(r, nil) }) })
-	}
+	})
+	return nil
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -19,6 +19,7 @@
 	"path/filepath"
 	"reflect"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -459,7 +460,7 @@
 			return b.ForEach(func(k, v []byte) error {
 				name := string(k)
 				if string(bucket) == "entries" {
-					name = fmt.Sprint(binary.BigEndian.Uint64(k))
+					name = strconv.FormatUint(binary.BigEndian.Uint64(k), 10)
 				}
 				all[string(bucket)+"/"+name] = fmt.Sprintf("%q", v)
 				return nil
--- a/internal/fleet/tier_test.go
+++ b/internal/fleet/host_test.go
@@ -445,7 +445,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Step(0, m)
+		if err := n.Step(0, m); err != nil {
+			return // refused: the fuzzer looks for panics
+		}
 	})
 }
 
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -7,30 +7,49 @@
 	"time"
 )
 
-// frame is what a link sends.
+const (
+	linkQueueLength = 512 // frames that wait; further ones are dropped
+	minDialBackoff  = 20 * time.Millisecond
+	maxDialBackoff  = time.Second
+	pingInterval    = time.Second
+	pongTimeout     = 3 * time.Second
+)
+
+// frame is a message on a link.
 type frame struct {
 	kind    byte
 	payload []byte
 }
 
-// link is the way to one member: a connection that is made when there is something to send, and made again after a while when it
-// breaks. What can't be sent is dropped: whoever wants an answer asks again.
+// link carries frames to one member over a connection that is dialed when there is something to send, and again after a backoff when it
+// breaks. Frames that cannot be sent are dropped: whoever wants an answer asks again.
 type link struct {
 	address string
 	secret  []byte
-	local   func() hello
-	queue   chan frame
-	onFrame func(*conn, byte, []byte)
-	onError func(error) // of a connection that could not be made or broke
-	onHello func(hello) // what the other end said of itself
 	traffic *traffic
+	queue   chan frame
+	local   func() hello // how this process introduces itself
+
+	// Called from the link's goroutines, never concurrently with themselves but for onFrame.
+	onHello func(hello)
+	onFrame func(c *conn, kind byte, payload []byte)
+	onError func(error) // the connection could not be made, or broke while it was written
 }
 
-func newLink(address string, secret []byte, me func() hello, take func(*conn, byte, []byte), told func(error)) *link {
-	return &link{address: address, secret: secret, local: me, queue: make(chan frame, linkQueueLength), onFrame: take, onError: told, onHello: func(hello) {}}
+// newLink returns a link that does nothing before run.
+func newLink(address string, secret []byte, local func() hello, onFrame func(*conn, byte, []byte), onError func(error)) *link {
+	return &link{
+		address: address,
+		secret:  secret,
+		queue:   make(chan frame, linkQueueLength),
+		local:   local,
+		onHello: func(hello) {},
+		onFrame: onFrame,
+		onError: onError,
+	}
 }
 
-// send queues a frame, and reports whether there was room.
+// send queues a frame and reports whether there was room.
 func (l *link) send(kind byte, payload []byte) bool {
 	select {
 	case l.queue <- frame{kind, payload}:
@@ -40,15 +59,15 @@
 	}
 }
 
-// run carries frames until ctx ends.
+// run sends frames until ctx ends.
 func (l *link) run(ctx context.Context) {
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	for {
-		var f frame
+		var first frame
 		select {
 		case <-ctx.Done():
 			return
-		case f = <-l.queue:
+		case first = <-l.queue:
 		}
 		c, err := dial(ctx, l.address, l.secret, l.local())
 		if err != nil {
@@ -56,20 +75,20 @@
 				return
 			}
 			l.onError(err)
-			pause = min(max(2*pause, 20*time.Millisecond), time.Second)
-			if !l.drainFor(ctx, jitter(pause)) {
+			backoff = min(max(2*backoff, minDialBackoff), maxDialBackoff)
+			if !l.drainFor(ctx, jitter(backoff)) {
 				return
 			}
 			continue
 		}
-		pause = 0
+		backoff = 0
 		c.traffic = l.traffic
 		l.onHello(c.peer)
-		l.serve(ctx, c, f)
+		l.serve(ctx, c, first)
 	}
 }
 
-// drainFor drops what is to be sent for a while: it would be old when there is a connection again.
+// drainFor drops what is queued for a while: it would be stale once there is a connection again. It reports false if ctx ended.
 func (l *link) drainFor(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -84,58 +103,70 @@
 	}
 }
 
-// serve uses a connection until it breaks.
+// serve sends and receives on a connection until it breaks or ctx ends.
 func (l *link) serve(ctx context.Context, c *conn, first frame) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	broken := make(chan struct{})
-	var heard atomic.Int64
+	var received atomic.Int64 // frames
 	go func() {
 		defer close(broken)
 		defer c.Close()
-		for {
-			c.SetReadDeadline(time.Now().Add(idleTimeout))
-			kind, payload, err := c.read(maxFrameBytes)
-			if err != nil {
-				return
-			}
-			heard.Add(1)
-			l.onFrame(c, kind, payload)
-		}
+		l.receive(c, &received)
 	}()
 	defer func() { <-broken }()
 	defer c.Close()
-	ping := time.NewTicker(pingInterval)
-	defer ping.Stop()
-	sent := true                  // something, since the last ping
-	waits, had := false, int64(0) // for a word, since when so much was heard
 	if err := c.write(first.kind, first.payload); err != nil {
 		l.onError(err)
 		return
 	}
+	l.sendQueued(c, broken, &received)
+}
+
+// receive handles frames until the connection breaks.
+func (l *link) receive(c *conn, received *atomic.Int64) {
+	for {
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		kind, payload, err := c.read(maxFrameBytes)
+		if err != nil {
+			return
+		}
+		received.Add(1)
+		l.onFrame(c, kind, payload)
+	}
+}
+
+// sendQueued writes queued frames, and a ping in each interval in which something was sent, until the connection breaks. The peer has
+// pongTimeout to answer a ping with any frame: the responses to what a link carries may come on other connections, so that a peer that has
+// vanished would not be noticed otherwise.
+func (l *link) sendQueued(c *conn, broken <-chan struct{}, received *atomic.Int64) {
+	ping := time.NewTicker(pingInterval)
+	defer ping.Stop()
+	sentSincePing := true
+	awaitingPong, receivedAtPing := false, int64(0)
 	for {
-		var f frame
+		var next frame
 		select {
 		case <-broken:
 			return
-		case f = <-l.queue:
-			sent = true
+		case next = <-l.queue:
+			sentSincePing = true
 		case <-ping.C:
-			if !sent || !c.peer.Pong {
+			if !sentSincePing || !c.peer.Pong {
 				continue
 			}
-			sent, f = false, frame{kind: kindPing}
-			if n := heard.Load(); !waits || n != had { // a further ping must not put off the end of the first
-				waits, had = true, n
+			sentSincePing, next = false, frame{kind: kindPing}
+			if n := received.Load(); !awaitingPong || n != receivedAtPing { // a further ping must not extend the time to answer the first
+				awaitingPong, receivedAtPing = true, n
 				c.SetReadDeadline(time.Now().Add(pongTimeout))
 			}
 		}
-		if err := c.write(f.kind, f.payload); err != nil {
+		if err := c.write(next.kind, next.payload); err != nil {
 			l.onError(err)
 			return
 		}
 	}
 }
 
-// jitter keeps processes that lost each other at one moment from all coming back at one moment.
+// jitter draws between 0.5 and 1.5 times d, so that processes that lost a peer at once do not return at once.
 func jitter(d time.Duration) time.Duration { return d/2 + mrand.N(d) }
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -8,8 +8,8 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// memoryStore keeps a process' promises for as long as it runs. The next start has another store, and so another identity: it can't break what
-// this one has promised, since it never votes in its place.
+// memoryStore is the store of a voter in memory. The next start of the process has another store and so another identity: it never votes in
+// this one's place, and cannot break what it has promised.
 type memoryStore struct{ id Identity }
 
 func newMemory(name string) *memoryStore {
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -17,13 +17,13 @@
 // operatorName is the member name by which operators' connections introduce themselves.
 const operatorName = "operator"
 
-// Operator asks a running process, as an operator does.
+// Operator is an operator's connection to a running process of a fleet. It is not safe for concurrent use.
 type Operator struct {
 	conn       *conn
 	lastHandle uint64
 }
 
-// Connect connects to the process at address.
+// Connect connects to the process at address and proves the secret that the file holds.
 func Connect(ctx context.Context, address, secretFile string) (*Operator, error) {
 	secret, err := os.ReadFile(secretFile)
 	if err != nil {
@@ -39,10 +39,12 @@
 // Close closes the connection.
 func (o *Operator) Close() error { return o.conn.Close() }
 
+// request sends a request and returns the response, once.
 func (o *Operator) request(ctx context.Context, q consensus.Request) (rpc, error) {
 	return o.roundTrip(ctx, rpc{Request: q})
 }
 
+// roundTrip sends q and waits for its response until ctx ends.
 func (o *Operator) roundTrip(ctx context.Context, q rpc) (rpc, error) {
 	o.lastHandle++
 	q.Handle = o.lastHandle
@@ -76,13 +78,13 @@
 	}
 }
 
-// ErrNoLeader is what a process says that reaches no leader of the council.
+// ErrNoLeader means that the process that was asked reaches no leader of the consensus group.
 var ErrNoLeader = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
 
-// retryPause is between two tries of an operator's request while the council elects a leader.
+// retryPause is the time between two attempts at an operator's request while a leader is elected.
 const retryPause = 100 * time.Millisecond
 
-// Request asks the council, by the process' own ways, until ctx ends: while a leader is elected there is nobody to answer.
+// Request has the process send a request to the leader, and repeats it until ctx ends while there is none. The error is ErrNoLeader then.
 func (o *Operator) Request(ctx context.Context, q consensus.Request) (consensus.Response, error) {
 	defer o.conn.SetReadDeadline(time.Time{})
 	for {
@@ -98,7 +100,8 @@
 	}
 }
 
-// Command gives an order, or takes it back, in a way that has no second effect: a copy of an earlier word that comes late changes nothing.
+// Command gives or withdraws an operator's decision. It is conditional on what was decided before, so that a copy that arrives late changes
+// nothing. The error is ErrNoLeader, or says why the decision is refused.
 func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
 	c.Conditional = true
 	for {
@@ -124,7 +127,7 @@
 	}
 }
 
-// Status asks the process what it knows itself.
+// Status returns what the process knows, without asking others.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
 	a, err := o.request(ctx, consensus.Request{Status: true})
 	if err == nil && a.Status == nil {
@@ -133,48 +136,36 @@
 	return a.Status, err
 }
 
-// HoldLease takes a lease for whoever calls it, as a process of the fleet would: it calls held with the token each time that it has it, and
-// returns once ctx ends, after it has given the lease up, or with an error once the lease was lost. Of limit holders there may be at
-// once; all must name the same.
+// ErrLeaseLost is wrapped by the error of HoldLease once the lease is held no longer.
+var ErrLeaseLost = errors.New("is lost")
+
+// HoldLease acquires a lease in a session of its own, calls held with the fencing token once it has it, and renews it until ctx ends; then it
+// releases the lease and returns nil. The error wraps ErrLeaseLost if the lease was lost before. At most limit holders have it at once; all
+// must name the same limit.
 func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Timing, held func(token uint64)) error {
 	clock, err := NewClock()
 	if err != nil {
 		return err
 	}
-	k := lease.NewClient(r, operatorName+"/"+uuid.NewString(), uuid.NewString())
-	k.Acquire(name, limit)
-	has := uint64(0)
+	holder := &operatorLease{
+		operator: o,
+		clock:    clock,
+		timing:   r,
+		name:     name,
+		session:  lease.NewClient(r, operatorName+"/"+uuid.NewString(), uuid.NewString()),
+		onHeld:   held,
+	}
+	holder.session.Acquire(name, limit)
 	for {
-		now := clock.Now()
 		if ctx.Err() != nil {
-			k.Close()
+			holder.session.Close()
 		}
-		if k.Closed() || ctx.Err() != nil && k.SessionID() == 0 {
+		if holder.session.Closed() || ctx.Err() != nil && holder.session.SessionID() == 0 {
 			return nil
 		}
-		asks, at := k.Next(now)
-		for _, a := range asks {
-			asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.TTL)
-			res, err := o.Request(asking, consensus.Request{Lease: &a})
-			cancel()
-			if err != nil && !errors.Is(err, ErrNoLeader) {
-				return err
-			}
-			if res.Lease != nil {
-				k.HandleResponse(clock.Now(), *res.Lease)
-			}
-		}
-		token, _, ok := k.Token(clock.Now(), name)
-		switch {
-		case has != 0 && (!ok || token != has) && ctx.Err() == nil:
-			return fmt.Errorf("the lease %q is lost", name)
-		case ok && has == 0:
-			has = token
-			held(token)
-		}
-		wait := min(clock.Real(at-clock.Now()), r.KeepAliveInterval()/4)
-		if len(asks) > 0 {
-			wait = 0 // its answer may want more to be asked
+		wait, err := holder.renew(ctx)
+		if err != nil {
+			return err
 		}
 		select {
 		case <-time.After(max(wait, time.Millisecond)):
@@ -186,7 +177,54 @@
 	}
 }
 
-// perform has the very process that is asked do something, and says why it did not.
+// operatorLease is a lease that an operator holds.
+type operatorLease struct {
+	operator *Operator
+	clock    *Clock
+	timing   lease.Timing
+	name     string
+	session  *lease.Client
+	onHeld   func(token uint64)
+	token    uint64 // 0: not held yet
+}
+
+// renew sends what the session has to ask, and returns how long to wait before the next time.
+func (l *operatorLease) renew(ctx context.Context) (time.Duration, error) {
+	requests, at := l.session.Next(l.clock.Now())
+	for _, request := range requests {
+		if err := l.send(ctx, request); err != nil {
+			return 0, err
+		}
+	}
+	token, _, held := l.session.Token(l.clock.Now(), l.name)
+	switch {
+	case l.token != 0 && (!held || token != l.token) && ctx.Err() == nil:
+		return 0, fmt.Errorf("the lease %q %w", l.name, ErrLeaseLost)
+	case held && l.token == 0:
+		l.token = token
+		l.onHeld(token)
+	}
+	if len(requests) > 0 {
+		return 0, nil // the responses may have more to be asked
+	}
+	return min(l.clock.Real(at-l.clock.Now()), l.timing.KeepAliveInterval()/4), nil
+}
+
+// send sends one request of the session, also after ctx has ended: the lease has to be released. Without a leader it is lost.
+func (l *operatorLease) send(ctx context.Context, request lease.Request) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.timing.TTL)
+	defer cancel()
+	response, err := l.operator.Request(ctx, consensus.Request{Lease: &request})
+	if err != nil && !errors.Is(err, ErrNoLeader) {
+		return err
+	}
+	if response.Lease != nil {
+		l.session.HandleResponse(l.clock.Now(), *response.Lease)
+	}
+	return nil
+}
+
+// perform has the process itself do something, and returns its error.
 func (o *Operator) perform(ctx context.Context, q rpc) error {
 	a, err := o.roundTrip(ctx, q)
 	if err == nil && a.Why != "" {
@@ -195,17 +233,17 @@
 	return err
 }
 
-// Bootstrap has the process found its fleet, whose council is in memory.
+// Bootstrap has the process found its fleet, whose voters are in memory.
 func (o *Operator) Bootstrap(ctx context.Context) error {
 	return o.perform(ctx, rpc{Found: true})
 }
 
-// Handover has the process, which holds a lease, give it to a member as soon as nothing of it is out.
+// Handover has the process hand over a lease that it holds, as soon as nothing of its task is in flight.
 func (o *Operator) Handover(ctx context.Context, name, to string) error {
 	return o.perform(ctx, rpc{Handover: &handoverRequest{name, to}})
 }
 
-// Forget has the process take back what it says under a key.
+// Forget has the process withdraw the entry that it has written under a key.
 func (o *Operator) Forget(ctx context.Context, key string) error {
 	return o.perform(ctx, rpc{Forget: key})
 }
--- /dev/null
+++ b/internal/fleet/server.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"encoding/json"
+
+	"sorrelrudder/internal/consensus"
+)
+
+// serveRequest answers a request of another process or of an operator. This process finds the leader for an operator; other processes do so
+// themselves.
+func (h *Host) serveRequest(c *conn, request rpc) {
+	operator := c.peer.Name == operatorName
+	respond := func(r consensus.Response) { h.respond(c, rpc{Handle: request.Handle, Response: r}) }
+	switch {
+	case operator && request.Found:
+		h.enqueue(func(v *voter) { h.respondDone(c, request.Handle, h.bootstrap(v)) })
+	case operator && request.Handover != nil:
+		h.respondDone(c, request.Handle, h.startHandover(*request.Handover))
+	case operator && request.Forget != "":
+		h.respondDone(c, request.Handle, h.forgetEntry(request.Forget))
+	case request.Request.Status:
+		h.status(func(s *Status) { h.respond(c, rpc{Handle: request.Handle, Status: s}) })
+	case operator:
+		h.submitForOperator(request.Request, respond)
+	case h.store == nil:
+		respond(consensus.Response{NotLeader: true})
+	default:
+		h.enqueue(func(v *voter) { h.propose(v, request.Request, respond) })
+	}
+}
+
+// submitForOperator sends an operator's request to the leader.
+func (h *Host) submitForOperator(request consensus.Request, respond func(consensus.Response)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	p := &pendingRequest{request: request}
+	p.onResponse = func(r consensus.Response) { h.goroutines.Go(func() { respond(r) }) } // a connection is not written under mu
+	if d := request.Decision; d != nil && d.Conditional {
+		// The response may have been lost with a leader: a conditional decision can be asked for again.
+		p.onLost = func() { p.onResponse(consensus.Response{NotLeader: true}) }
+	}
+	h.submit(p)
+}
+
+// respondDone answers with the error of an operator's request, or with none.
+func (h *Host) respondDone(c *conn, handle uint64, err error) {
+	response := rpc{Handle: handle}
+	if err != nil {
+		response.Why = err.Error()
+	}
+	h.respond(c, response)
+}
+
+// respond writes a response; a connection that cannot be written is closed.
+func (h *Host) respond(c *conn, response rpc) {
+	data, err := json.Marshal(response)
+	if err != nil {
+		h.log.Error("encoding a response failed", "err", err)
+		return
+	}
+	if err := c.write(kindResponse, data); err != nil {
+		c.Close()
+	}
+}
--- a/internal/fleet/sharedstate_file.go
+++ b/internal/fleet/sharedstate_file.go
@@ -13,13 +13,16 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// snapshot is what is kept for the next start.
+// maxSavedEntries bounds the entries that are kept for the next start.
+const maxSavedEntries = 2000
+
+// snapshot encodes the state for the next start of member name. Its own entries are left out: it has to observe them anew.
 func (s *sharedState) snapshot(name string) []byte {
 	m := &gossip.Message{Kind: gossip.SyncMessage, Target: name}
 	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Incarnation: s.node.Incarnation()})
 	s.node.Store().ForEach("", func(e *gossip.Entry) bool {
 		if e.Owner == name {
-			return true // what it saw itself is to be seen anew
+			return true
 		}
 		m.Entries = append(m.Entries, *e)
 		return len(m.Entries) < maxSavedEntries
@@ -27,10 +30,8 @@
 	return sealFile(m.Encode())
 }
 
-const maxSavedEntries = 2000
-
-// restore takes over what the last start has kept. What is in it is old, and counts for nothing that a newer word of its owner contradicts; a file
-// that is damaged, another's or of another format is put aside, since all of it can be had from others.
+// restore takes over what the last start of member name has saved. Newer entries of their owners replace it. A file that is damaged, another
+// member's or of another format is renamed, since other members have all of it.
 func (s *sharedState) restore(now time.Duration, name string) error {
 	if s.cfg.Store == "" {
 		return nil
@@ -61,13 +62,13 @@
 	return nil
 }
 
-// writeFileAtomically writes a file so that a crash leaves the old one or the new one.
+// writeFileAtomically replaces a file: after a crash there is the old one or the new one.
 func writeFileAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // gone once it has its name
+	defer os.Remove(f.Name()) // fails once the file is renamed
 	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
@@ -84,17 +85,21 @@
 	return nil
 }
 
-// sealFile puts a checksum before data: the file's own cover its structure, and not what is kept.
+// checksumLength is the length of a checksum in bytes.
+const checksumLength = 4
+
+// sealFile prefixes data with its checksum.
 func sealFile(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(data)), data...)
 }
 
+// unsealFile checks and removes the checksum of sealFile.
 func unsealFile(sealed []byte) ([]byte, error) {
-	if len(sealed) < 4 {
+	if len(sealed) < checksumLength {
 		return nil, errors.New("a value is missing")
 	}
-	if crc32.ChecksumIEEE(sealed[4:]) != binary.BigEndian.Uint32(sealed) {
+	if crc32.ChecksumIEEE(sealed[checksumLength:]) != binary.BigEndian.Uint32(sealed) {
 		return nil, errors.New("a checksum is wrong")
 	}
-	return sealed[4:], nil
+	return sealed[checksumLength:], nil
 }
--- a/internal/fleet/sharedstate_log.go
+++ b/internal/fleet/sharedstate_log.go
@@ -7,37 +7,47 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// SharedStateLogMessage is the message of the log's line on shared state. 'sorrelrudder fleet' counts it over all processes.
+// SharedStateLogMessage is the message of the log line with the statistics of shared state, which 'sorrelrudder fleet' reads.
 const SharedStateLogMessage = "shared state"
 
-// logSharedState tells the log what has become of the shared state. The caller has mu.
+// logSharedState logs the statistics of the shared state since the last such line. The caller has mu.
 func (h *Host) logSharedState(now time.Duration) {
 	shared := h.shared
 	frames, bytes := h.traffic.gossipFrames.Load(), h.traffic.gossipBytes.Load()
-	step, whole := shared.ages(now)
-	dead, orders := 0, 0
-	shared.node.Store().ForEach("", func(e *gossip.Entry) bool {
-		if len(e.Values()) > 0 && gossip.KindOf(e.Key) == consensus.OperatorKind {
-			orders++
-		} else if len(e.Values()) > 0 {
-			dead++
+	inStep, decided := shared.ages(now)
+	reports, decisions := shared.countEntries()
+	h.log.Info(SharedStateLogMessage,
+		"frames", frames-shared.loggedFrames, "bytes", bytes-shared.loggedBytes,
+		"in_step_ms", inStep, "decided_ms", decided,
+		"alive", shared.node.Count(gossip.Alive)+1, "suspect", shared.node.Count(gossip.Suspect), "gone", shared.node.Count(gossip.Dead),
+		"dead", reports, "orders", decisions, "hinted", shared.hinted, "differ", shared.node.Store().Counts.Conflicts)
+	shared.loggedFrames, shared.loggedBytes, shared.loggedAt = frames, bytes, now
+}
+
+// countEntries counts the entries that are not deleted: decisions of operators, and all others.
+func (s *sharedState) countEntries() (reports, decisions int) {
+	s.node.Store().ForEach("", func(e *gossip.Entry) bool {
+		switch {
+		case len(e.Values()) == 0:
+		case gossip.KindOf(e.Key) == consensus.OperatorKind:
+			decisions++
+		default:
+			reports++
 		}
 		return true
 	})
-	h.log.Info(SharedStateLogMessage, "frames", frames-shared.loggedFrames, "bytes", bytes-shared.loggedBytes, "in_step_ms", step, "decided_ms", whole, "alive", shared.node.Count(gossip.Alive)+1,
-		"suspect", shared.node.Count(gossip.Suspect), "gone", shared.node.Count(gossip.Dead), "dead", dead, "orders", orders, "hinted", shared.hinted, "differ", shared.node.Store().Counts.Conflicts)
-	shared.loggedFrames, shared.loggedBytes, shared.loggedAt = frames, bytes, now
+	return reports, decisions
 }
 
-// ages are how many milliseconds ago the copies were seen to equal another's, and as of how long ago all that was decided is here; -1: neither
-// is known since the start.
-func (s *sharedState) ages(now time.Duration) (step, whole int64) {
-	step, whole = -1, -1
+// ages returns, in milliseconds, how long ago the state was seen to equal another member's, and the age of the newest moment up to which all
+// decisions are known here; -1 if that is not known since the start.
+func (s *sharedState) ages(now time.Duration) (inStep, decided int64) {
+	inStep, decided = -1, -1
 	if ago, ok := s.node.InSync(now); ok {
-		step = ago.Milliseconds()
+		inStep = ago.Milliseconds()
 	}
 	if s.completeUntil >= 0 {
-		whole = (now - s.completeUntil).Milliseconds()
+		decided = (now - s.completeUntil).Milliseconds()
 	}
-	return step, whole
+	return inStep, decided
 }
--- a/internal/fleet/copies_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -87,8 +87,9 @@
 	return f.avoid[server]
 }
 
-func sharing(t *testing.T, n int) []Config {
-	cfgs := fleet(t, n)
+func sharing(t *testing.T) []Config {
+	t.Helper()
+	cfgs := fleet(t, 3)
 	for i := range cfgs {
 		cfgs[i].SharedState = &SharedStateConfig{
 			Gossip: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Sync: 200 * time.Millisecond, Keep: time.Second, Fanout: 2, Witnesses: 2, Budget: 1 << 20,
@@ -134,7 +135,7 @@
 // TestSharedState: what two processes find silent a third is hinted at, and one alone is not believed; an order reaches all, also one that was
 // away when it was given; what is taken back, or lifted, counts no more.
 func TestSharedState(t *testing.T) {
-	cfgs := sharing(t, 3)
+	cfgs := sharing(t)
 	farms := []*farmPools{newFarm(), newFarm(), newFarm()}
 	var all []*Host
 	for i, cfg := range cfgs {
@@ -266,7 +267,7 @@
 // TestZoneLeft: a zone whose servers are silent to members of two zones is left by all, once, by what one decides; it is returned to step by step
 // once it answers, and an operator's word holds against that.
 func TestZoneLeft(t *testing.T) {
-	cfgs := sharing(t, 3)
+	cfgs := sharing(t)
 	zones := map[string]string{}
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
@@ -355,7 +356,7 @@
 // TestStartedWhileAZoneIsCold guards against a process that starts after the last step of a return and takes the zone's servers for warm,
 // where no list tells their start: it has not seen the zone left. Once the fleet has decided that they are warm, it does.
 func TestStartedWhileAZoneIsCold(t *testing.T) {
-	cfgs := sharing(t, 3)
+	cfgs := sharing(t)
 	zones := map[string]string{}
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
@@ -438,7 +439,9 @@
 						got <- n
 					}
 					if kind == kindPing && n > 1 { // the first connection is one whose end has vanished
-						c.write(kindPong, nil)
+						if c.write(kindPong, nil) != nil {
+							return
+						}
 					}
 				}
 			})
@@ -468,7 +471,7 @@
 // TestFoundedAnew: the disks of the council are lost and the fleet is founded anew, as the operators' page has it, so that its decisions are
 // numbered from 1 again. What the processes have kept of the former fleet's, of larger numbers, must not outweigh them.
 func TestFoundedAnew(t *testing.T) {
-	cfgs := sharing(t, 3)
+	cfgs := sharing(t)
 	var farms []*farmPools
 	var all []*Host
 	begin := func() {
@@ -535,7 +538,7 @@
 
 // TestOrderWithoutAnswer: an operator's order whose answer is lost with the council's leader is asked again, and done once.
 func TestOrderWithoutAnswer(t *testing.T) {
-	cfgs := sharing(t, 3)
+	cfgs := sharing(t)
 	var all []*Host
 	for _, cfg := range cfgs {
 		all = append(all, start(t, cfg, newFarm()))
