--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -1,261 +1,55 @@
 package fleet
 
 import (
-	"bufio"
-	"bytes"
 	"context"
-	"crypto/hmac"
-	"crypto/rand"
-	"crypto/sha256"
-	"encoding/binary"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
 	mrand "math/rand/v2"
-	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// A frame is four bytes of length, one of its kind, what it carries and a tag that proves the secret. Frames may be lost, doubled and
-// overtake each other: what they carry is made for that. One that was changed ends the connection.
 const (
-	kindHello    = 'H'
-	kindRaft     = 'R' // a message of the council's log
-	kindRequest  = 'Q' // a request, with its handle
-	kindResponse = 'A' // its answer
-	kindWake     = 'W' // your leases have changed
-	kindGossip   = 'G' // about shared state
-	kindPing     = 'P' // is there still somebody at the other end?
-	kindPong     = 'O' // yes
+	linkQueueLength = 512 // frames that wait; further ones are dropped
+	minDialBackoff  = 20 * time.Millisecond
+	maxDialBackoff  = time.Second
+	pingInterval    = time.Second
+	pongTimeout     = 3 * time.Second
 )
 
-const (
-	tagLength             = 16
-	maxHelloBytes         = 4 << 10
-	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases has some 20 MB
-	handshakeTimeout      = 2 * time.Second
-	writeTimeout          = 5 * time.Second
-	idleTimeout           = time.Minute // without a frame a connection is closed
-	linkQueueLength       = 512         // frames of a link that wait; more are dropped, as on a network
-	maxInboundConnections = 2048        // connections of others
-	// pingInterval is how often a dialler that sends asks whether the other end is still there, silence how long it waits for a word then. What
-	// goes out on a link has its answers elsewhere, so that one whose other end has vanished without a word would else swallow all for a minute.
-	pingInterval = time.Second
-	pongTimeout  = 3 * time.Second
-)
-
-var (
-	errBadTag        = errors.New("a frame without the right tag: another secret, or it was changed on the way")
-	errFrameTooLong  = errors.New("a frame is too long")
-	errUnknownMember = errors.New("no member of this fleet")
-)
-
-// hello is what both ends say first.
-type hello struct {
-	Version int    `json:"v"`
-	Name    string `json:"name"`
-	To      string `json:"to,omitempty"`
-	Fleet   string `json:"fleet,omitempty"`
-	Nonce   []byte `json:"nonce"`
-	Pong    bool   `json:"pong,omitempty"` // it answers pings
-}
-
-const helloVersion = 1
-
-// deriveKey is an HMAC of parts that cannot run into each other.
-func deriveKey(secret []byte, parts ...[]byte) []byte {
-	m := hmac.New(sha256.New, secret)
-	for _, p := range parts {
-		m.Write(binary.BigEndian.AppendUint32(nil, uint32(len(p))))
-		m.Write(p)
-	}
-	return m.Sum(nil)
-}
-
-// conn is a connection whose ends have proven the secret.
-type conn struct {
-	net.Conn
-	reader              *bufio.Reader
-	sendKey, receiveKey []byte // keys of what goes out and what comes in
-	peer                hello
-	writeMu             sync.Mutex // of writing
-	traffic             *traffic
-}
-
-// traffic counts what a process has sent to others.
-type traffic struct{ frames, bytes, gossipFrames, gossipBytes atomic.Int64 }
-
-func (c *conn) write(kind byte, payload []byte) error {
-	head := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+tagLength))
-	head = append(head, kind)
-	tag := deriveKey(c.sendKey, []byte{kind}, payload)[:tagLength]
-	c.writeMu.Lock()
-	defer c.writeMu.Unlock()
-	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return err
-	}
-	if c.traffic != nil {
-		c.traffic.frames.Add(1)
-		c.traffic.bytes.Add(int64(len(head) + len(payload) + len(tag)))
-		if kind == kindGossip {
-			c.traffic.gossipFrames.Add(1)
-			c.traffic.gossipBytes.Add(int64(len(head) + len(payload) + len(tag)))
-		}
-	}
-	buffers := net.Buffers{head, payload, tag}
-	_, err := buffers.WriteTo(c.Conn)
-	return err
-}
-
-// read returns the next frame. Memory is taken as bytes come, not as they are announced.
-func (c *conn) read(most uint32) (kind byte, payload []byte, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
-		return 0, nil, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < 1+tagLength || n > most {
-		return 0, nil, errFrameTooLong
-	}
-	var buf bytes.Buffer
-	if _, err := io.CopyN(&buf, c.reader, int64(n)); err != nil {
-		return 0, nil, err
-	}
-	all := buf.Bytes()
-	kind, payload = all[0], all[1:len(all)-tagLength]
-	if !hmac.Equal(deriveKey(c.receiveKey, []byte{kind}, payload)[:tagLength], all[len(all)-tagLength:]) {
-		return 0, nil, errBadTag
-	}
-	return kind, payload, nil
-}
-
-// sessionKeys are those of what the dialler and of what the other end says.
-func sessionKeys(secret, a, b []byte) (dialler, other []byte) {
-	return deriveKey(secret, []byte("dialler"), a, b), deriveKey(secret, []byte("other"), a, b)
-}
-
-func (c *conn) sendHello(key []byte, h hello) error {
-	data, err := json.Marshal(h)
-	if err != nil {
-		return err
-	}
-	c.sendKey = key
-	return c.write(kindHello, data)
-}
-
-func (c *conn) readHello(key []byte) (h hello, err error) {
-	c.receiveKey = key
-	kind, data, err := c.read(maxHelloBytes)
-	if err != nil {
-		return h, err
-	}
-	if kind != kindHello {
-		return h, errors.New("no hello")
-	}
-	if err := json.Unmarshal(data, &h); err != nil {
-		return h, fmt.Errorf("hello: %w", err)
-	}
-	switch {
-	case h.Version != helloVersion:
-		return h, fmt.Errorf("hello: version %d, and this program speaks %d", h.Version, helloVersion)
-	case len(h.Nonce) != sha256.Size || h.Name == "":
-		return h, errors.New("hello: not whole")
-	}
-	return h, nil
-}
-
-func nonce() []byte {
-	n := make([]byte, sha256.Size)
-	rand.Read(n) // never fails
-	return n
-}
-
-// dial connects to address, and proves the secret and has it proven.
-func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
-	defer cancel()
-	var d net.Dialer
-	raw, err := d.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
-	deadline, _ := ctx.Deadline()
-	me.Version, me.Nonce = helloVersion, nonce()
-	err = raw.SetDeadline(deadline)
-	if err == nil {
-		err = c.sendHello(deriveKey(secret, []byte("hello")), me)
-	}
-	if err == nil {
-		// The answer is proven with this dialler's nonce: nobody can have kept it from another time.
-		c.peer, err = c.readHello(deriveKey(secret, []byte("answer"), me.Nonce))
-	}
-	if err == nil && me.To != "" && c.peer.Name != me.To {
-		err = fmt.Errorf("there is %q where %q should be", c.peer.Name, me.To)
-	}
-	if err == nil {
-		err = raw.SetDeadline(time.Time{})
-	}
-	if err != nil {
-		raw.Close()
-		return nil, fmt.Errorf("%s: %w", address, err)
-	}
-	c.sendKey, c.receiveKey = sessionKeys(secret, me.Nonce, c.peer.Nonce)
-	return c, nil
-}
-
-// acceptConn is the other end of dial. The dialler has proven the secret once its first frame has been read.
-func acceptConn(raw net.Conn, secret []byte, me hello, known func(hello) error) (*conn, error) {
-	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
-	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return nil, err
-	}
-	h, err := c.readHello(deriveKey(secret, []byte("hello")))
-	if err != nil {
-		return nil, err
-	}
-	if err := known(h); err != nil {
-		return nil, err
-	}
-	c.peer = h
-	me.Version, me.Nonce, me.Pong = helloVersion, nonce(), true
-	if err := c.sendHello(deriveKey(secret, []byte("answer"), h.Nonce), me); err != nil {
-		return nil, err
-	}
-	if err := raw.SetDeadline(time.Time{}); err != nil {
-		return nil, err
-	}
-	c.receiveKey, c.sendKey = sessionKeys(secret, h.Nonce, me.Nonce)
-	return c, nil
-}
-
-// frame is what a link sends.
+// frame is a message on a link.
 type frame struct {
 	kind    byte
 	payload []byte
 }
 
-// link is the way to one member: a connection that is made when there is something to send, and made again after a while when it
-// breaks. What can't be sent is dropped: whoever wants an answer asks again.
+// link carries frames to one member over a connection that is dialed when there is something to send, and again after a backoff when it
+// breaks. Frames that cannot be sent are dropped: whoever wants an answer asks again.
 type link struct {
 	address string
 	secret  []byte
-	local   func() hello
-	queue   chan frame
-	onFrame func(*conn, byte, []byte)
-	onError func(error) // of a connection that could not be made or broke
-	onHello func(hello) // what the other end said of itself
 	traffic *traffic
+	queue   chan frame
+	local   func() hello // how this process introduces itself
+
+	// Called from the link's goroutines, never concurrently with themselves but for onFrame.
+	onHello func(hello)
+	onFrame func(c *conn, kind byte, payload []byte)
+	onError func(error) // the connection could not be made, or broke while it was written
 }
 
-func newLink(address string, secret []byte, me func() hello, take func(*conn, byte, []byte), told func(error)) *link {
-	return &link{address: address, secret: secret, local: me, queue: make(chan frame, linkQueueLength), onFrame: take, onError: told, onHello: func(hello) {}}
+// newLink returns a link that does nothing before run.
+func newLink(address string, secret []byte, local func() hello, onFrame func(*conn, byte, []byte), onError func(error)) *link {
+	return &link{
+		address: address,
+		secret:  secret,
+		queue:   make(chan frame, linkQueueLength),
+		local:   local,
+		onHello: func(hello) {},
+		onFrame: onFrame,
+		onError: onError,
+	}
 }
 
-// send queues a frame, and reports whether there was room.
+// send queues a frame and reports whether there was room.
 func (l *link) send(kind byte, payload []byte) bool {
 	select {
 	case l.queue <- frame{kind, payload}:
@@ -265,15 +59,15 @@
 	}
 }
 
-// run carries frames until ctx ends.
+// run sends frames until ctx ends.
 func (l *link) run(ctx context.Context) {
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	for {
-		var f frame
+		var first frame
 		select {
 		case <-ctx.Done():
 			return
-		case f = <-l.queue:
+		case first = <-l.queue:
 		}
 		c, err := dial(ctx, l.address, l.secret, l.local())
 		if err != nil {
@@ -281,20 +75,20 @@
 				return
 			}
 			l.onError(err)
-			pause = min(max(2*pause, 20*time.Millisecond), time.Second)
-			if !l.drainFor(ctx, jitter(pause)) {
+			backoff = min(max(2*backoff, minDialBackoff), maxDialBackoff)
+			if !l.drainFor(ctx, jitter(backoff)) {
 				return
 			}
 			continue
 		}
-		pause = 0
+		backoff = 0
 		c.traffic = l.traffic
 		l.onHello(c.peer)
-		l.serve(ctx, c, f)
+		l.serve(ctx, c, first)
 	}
 }
 
-// drainFor drops what is to be sent for a while: it would be old when there is a connection again.
+// drainFor drops what is queued for a while: it would be stale once there is a connection again. It reports false if ctx ended.
 func (l *link) drainFor(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -309,58 +103,70 @@
 	}
 }
 
-// serve uses a connection until it breaks.
+// serve sends and receives on a connection until it breaks or ctx ends.
 func (l *link) serve(ctx context.Context, c *conn, first frame) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	broken := make(chan struct{})
-	var heard atomic.Int64
+	var received atomic.Int64 // frames
 	go func() {
 		defer close(broken)
 		defer c.Close()
-		for {
-			c.SetReadDeadline(time.Now().Add(idleTimeout))
-			kind, payload, err := c.read(maxFrameBytes)
-			if err != nil {
-				return
-			}
-			heard.Add(1)
-			l.onFrame(c, kind, payload)
-		}
+		l.receive(c, &received)
 	}()
 	defer func() { <-broken }()
 	defer c.Close()
-	ping := time.NewTicker(pingInterval)
-	defer ping.Stop()
-	sent := true                  // something, since the last ping
-	waits, had := false, int64(0) // for a word, since when so much was heard
 	if err := c.write(first.kind, first.payload); err != nil {
 		l.onError(err)
 		return
 	}
+	l.sendQueued(c, broken, &received)
+}
+
+// receive handles frames until the connection breaks.
+func (l *link) receive(c *conn, received *atomic.Int64) {
+	for {
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		kind, payload, err := c.read(maxFrameBytes)
+		if err != nil {
+			return
+		}
+		received.Add(1)
+		l.onFrame(c, kind, payload)
+	}
+}
+
+// sendQueued writes queued frames, and a ping in each interval in which something was sent, until the connection breaks. The peer has
+// pongTimeout to answer a ping with any frame: the responses to what a link carries may come on other connections, so that a peer that has
+// vanished would not be noticed otherwise.
+func (l *link) sendQueued(c *conn, broken <-chan struct{}, received *atomic.Int64) {
+	ping := time.NewTicker(pingInterval)
+	defer ping.Stop()
+	sentSincePing := true
+	awaitingPong, receivedAtPing := false, int64(0)
 	for {
-		var f frame
+		var next frame
 		select {
 		case <-broken:
 			return
-		case f = <-l.queue:
-			sent = true
+		case next = <-l.queue:
+			sentSincePing = true
 		case <-ping.C:
-			if !sent || !c.peer.Pong {
+			if !sentSincePing || !c.peer.Pong {
 				continue
 			}
-			sent, f = false, frame{kind: kindPing}
-			if n := heard.Load(); !waits || n != had { // a further ping must not put off the end of the first
-				waits, had = true, n
+			sentSincePing, next = false, frame{kind: kindPing}
+			if n := received.Load(); !awaitingPong || n != receivedAtPing { // a further ping must not extend the time to answer the first
+				awaitingPong, receivedAtPing = true, n
 				c.SetReadDeadline(time.Now().Add(pongTimeout))
 			}
 		}
-		if err := c.write(f.kind, f.payload); err != nil {
+		if err := c.write(next.kind, next.payload); err != nil {
 			l.onError(err)
 			return
 		}
 	}
 }
 
-// jitter keeps processes that lost each other at one moment from all coming back at one moment.
+// jitter draws between 0.5 and 1.5 times d, so that processes that lost a peer at once do not return at once.
 func jitter(d time.Duration) time.Duration { return d/2 + mrand.N(d) }
--- /dev/null
+++ b/internal/fleet/operator.go
@@ -0,0 +1,249 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/lease"
+
+	"github.com/google/uuid"
+)
+
+// operatorName is the member name by which operators' connections introduce themselves.
+const operatorName = "operator"
+
+// Operator is an operator's connection to a running process of a fleet. It is not safe for concurrent use.
+type Operator struct {
+	conn       *conn
+	lastHandle uint64
+}
+
+// Connect connects to the process at address and proves the secret that the file holds.
+func Connect(ctx context.Context, address, secretFile string) (*Operator, error) {
+	secret, err := os.ReadFile(secretFile)
+	if err != nil {
+		return nil, fmt.Errorf("the tier's secret: %w", err)
+	}
+	c, err := dial(ctx, address, secret, hello{Name: operatorName})
+	if err != nil {
+		return nil, err
+	}
+	return &Operator{conn: c}, nil
+}
+
+// Close closes the connection.
+func (o *Operator) Close() error { return o.conn.Close() }
+
+// request sends a request and returns the response, once.
+func (o *Operator) request(ctx context.Context, q consensus.Request) (rpc, error) {
+	return o.roundTrip(ctx, rpc{Request: q})
+}
+
+// roundTrip sends q and waits for its response until ctx ends.
+func (o *Operator) roundTrip(ctx context.Context, q rpc) (rpc, error) {
+	o.lastHandle++
+	q.Handle = o.lastHandle
+	data, err := json.Marshal(q)
+	if err != nil {
+		return rpc{}, err
+	}
+	stop := context.AfterFunc(ctx, func() { o.conn.SetReadDeadline(time.Now()) })
+	defer stop()
+	if err := o.conn.write(kindRequest, data); err != nil {
+		return rpc{}, err
+	}
+	for {
+		kind, payload, err := o.conn.read(maxFrameBytes)
+		if err != nil {
+			if ctx.Err() != nil {
+				err = ctx.Err()
+			}
+			return rpc{}, fmt.Errorf("no answer of the process: %w", err)
+		}
+		var a rpc
+		if kind != kindResponse {
+			continue
+		}
+		if err := json.Unmarshal(payload, &a); err != nil {
+			return rpc{}, err
+		}
+		if a.Handle == o.lastHandle {
+			return a, nil
+		}
+	}
+}
+
+// ErrNoLeader means that the process that was asked reaches no leader of the consensus group.
+var ErrNoLeader = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
+
+// retryPause is the time between two attempts at an operator's request while a leader is elected.
+const retryPause = 100 * time.Millisecond
+
+// Request has the process send a request to the leader, and repeats it until ctx ends while there is none. The error is ErrNoLeader then.
+func (o *Operator) Request(ctx context.Context, q consensus.Request) (consensus.Response, error) {
+	defer o.conn.SetReadDeadline(time.Time{})
+	for {
+		a, err := o.request(ctx, q)
+		if err != nil || !a.Response.NotLeader {
+			return a.Response, err
+		}
+		select {
+		case <-ctx.Done():
+			return a.Response, ErrNoLeader
+		case <-time.After(retryPause):
+		}
+	}
+}
+
+// Command gives or withdraws an operator's decision. It is conditional on what was decided before, so that a copy that arrives late changes
+// nothing. The error is ErrNoLeader, or says why the decision is refused.
+func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
+	c.Conditional = true
+	for {
+		r, err := o.Request(ctx, consensus.Request{Decision: &c})
+		if err != nil {
+			return nil, err
+		}
+		if r.Decision == nil {
+			return nil, ErrNoLeader
+		}
+		if r.Decision.Refusal == "" {
+			return r.Decision, nil
+		}
+		next, again := c.Rebase(r.Decision)
+		switch {
+		case again && ctx.Err() == nil:
+			c = next
+		case r.Decision.Refusal == consensus.RefusedConflict:
+			return r.Decision, nil // it is in force
+		default:
+			return nil, r.Decision.Refusal.Err()
+		}
+	}
+}
+
+// Status returns what the process knows, without asking others.
+func (o *Operator) Status(ctx context.Context) (*Status, error) {
+	a, err := o.request(ctx, consensus.Request{Status: true})
+	if err == nil && a.Status == nil {
+		err = errors.New("the process tells no status")
+	}
+	return a.Status, err
+}
+
+// ErrLeaseLost is wrapped by the error of HoldLease once the lease is held no longer.
+var ErrLeaseLost = errors.New("is lost")
+
+// HoldLease acquires a lease in a session of its own, calls held with the fencing token once it has it, and renews it until ctx ends; then it
+// releases the lease and returns nil. The error wraps ErrLeaseLost if the lease was lost before. At most limit holders have it at once; all
+// must name the same limit.
+func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Timing, held func(token uint64)) error {
+	clock, err := NewClock()
+	if err != nil {
+		return err
+	}
+	holder := &operatorLease{
+		operator: o,
+		clock:    clock,
+		timing:   r,
+		name:     name,
+		session:  lease.NewClient(r, operatorName+"/"+uuid.NewString(), uuid.NewString()),
+		onHeld:   held,
+	}
+	holder.session.Acquire(name, limit)
+	for {
+		if ctx.Err() != nil {
+			holder.session.Close()
+		}
+		if holder.session.Closed() || ctx.Err() != nil && holder.session.SessionID() == 0 {
+			return nil
+		}
+		wait, err := holder.renew(ctx)
+		if err != nil {
+			return err
+		}
+		select {
+		case <-time.After(max(wait, time.Millisecond)):
+		case <-ctx.Done():
+			if wait > 0 {
+				time.Sleep(time.Millisecond)
+			}
+		}
+	}
+}
+
+// operatorLease is a lease that an operator holds.
+type operatorLease struct {
+	operator *Operator
+	clock    *Clock
+	timing   lease.Timing
+	name     string
+	session  *lease.Client
+	onHeld   func(token uint64)
+	token    uint64 // 0: not held yet
+}
+
+// renew sends what the session has to ask, and returns how long to wait before the next time.
+func (l *operatorLease) renew(ctx context.Context) (time.Duration, error) {
+	requests, at := l.session.Next(l.clock.Now())
+	for _, request := range requests {
+		if err := l.send(ctx, request); err != nil {
+			return 0, err
+		}
+	}
+	token, _, held := l.session.Token(l.clock.Now(), l.name)
+	switch {
+	case l.token != 0 && (!held || token != l.token) && ctx.Err() == nil:
+		return 0, fmt.Errorf("the lease %q %w", l.name, ErrLeaseLost)
+	case held && l.token == 0:
+		l.token = token
+		l.onHeld(token)
+	}
+	if len(requests) > 0 {
+		return 0, nil // the responses may have more to be asked
+	}
+	return min(l.clock.Real(at-l.clock.Now()), l.timing.KeepAliveInterval()/4), nil
+}
+
+// send sends one request of the session, also after ctx has ended: the lease has to be released. Without a leader it is lost.
+func (l *operatorLease) send(ctx context.Context, request lease.Request) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.timing.TTL)
+	defer cancel()
+	response, err := l.operator.Request(ctx, consensus.Request{Lease: &request})
+	if err != nil && !errors.Is(err, ErrNoLeader) {
+		return err
+	}
+	if response.Lease != nil {
+		l.session.HandleResponse(*response.Lease)
+	}
+	return nil
+}
+
+// perform has the process itself do something, and returns its error.
+func (o *Operator) perform(ctx context.Context, q rpc) error {
+	a, err := o.roundTrip(ctx, q)
+	if err == nil && a.Why != "" {
+		err = errors.New(a.Why)
+	}
+	return err
+}
+
+// Bootstrap has the process found its fleet, whose voters are in memory.
+func (o *Operator) Bootstrap(ctx context.Context) error {
+	return o.perform(ctx, rpc{Found: true})
+}
+
+// Handover has the process hand over a lease that it holds, as soon as nothing of its task is in flight.
+func (o *Operator) Handover(ctx context.Context, name, to string) error {
+	return o.perform(ctx, rpc{Handover: &handoverRequest{name, to}})
+}
+
+// Forget has the process withdraw the entry that it has written under a key.
+func (o *Operator) Forget(ctx context.Context, key string) error {
+	return o.perform(ctx, rpc{Forget: key})
+}
--- /dev/null
+++ b/internal/fleet/voter.go
@@ -0,0 +1,275 @@
+package fleet
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"time"
+
+	"sorrelrudder/internal/consensus"
+
+	"github.com/google/uuid"
+)
+
+const (
+	inboxLength  = 1024 // functions that wait for the consensus goroutine
+	firstVoterID = 1    // raft's id of the voter that founds a fleet
+)
+
+// voter is this process' vote in the consensus group. Only the consensus goroutine touches it.
+type voter struct {
+	node          *consensus.Node // nil: not admitted yet, or stopped
+	callbacks     map[uint64]func(consensus.Response)
+	lastHandle    uint64
+	nextAdmission time.Duration
+	err           error // why it has stopped
+}
+
+// voterStore keeps the persistent state of a voter: on disk, or in memory for as long as the process runs.
+type voterStore interface {
+	consensus.Storage
+	Identity() Identity
+	// Admitted saves the identity that the consensus group has given, before it is used.
+	Admitted(fleet string, id uint64) error
+	// Found makes an empty store the first voter's of a new fleet.
+	Found(names []string) error
+	// Load returns what was saved.
+	Load() (consensus.PersistentState, error)
+	// Syncs counts the writes that were synced since the start.
+	Syncs() int64
+	Close() error
+}
+
+// enqueue has the consensus goroutine call f; it waits for room in the inbox.
+func (h *Host) enqueue(f func(*voter)) {
+	select {
+	case h.inbox <- f:
+	case <-h.ctx.Done():
+	}
+}
+
+// tryEnqueue is enqueue without waiting. It reports whether there was room.
+func (h *Host) tryEnqueue(f func(*voter)) bool {
+	select {
+	case h.inbox <- f:
+		return true
+	default:
+		return false
+	}
+}
+
+// openVoter starts the raft node, if the store has an identity in the consensus group.
+func (h *Host) openVoter(v *voter) error {
+	id := h.store.Identity()
+	if id.ID == 0 {
+		command := "tier init"
+		if h.cfg.VotersInMemory {
+			command = "tier found"
+		}
+		h.log.Warn("the store has no identity yet: asking the consensus group for admission; a new fleet is founded once by an operator's command",
+			"store", cmp.Or(h.cfg.Store, "in memory"), "command", "sorrelrudder "+command)
+		return nil
+	}
+	saved, err := h.store.Load()
+	if err != nil {
+		return err
+	}
+	v.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: h.cfg.Rules, Persisted: saved})
+	if err != nil {
+		return storeDamagedError(h.cfg.Store, err)
+	}
+	h.log.Info("joined the consensus group", "id", id.ID, "fleet", id.Fleet)
+	return nil
+}
+
+// runConsensus drives the voter until the host closes.
+func (h *Host) runConsensus(v *voter) {
+	tick := time.NewTicker(h.cfg.Tick)
+	defer tick.Stop()
+	for {
+		select {
+		case <-h.ctx.Done():
+			return
+		case <-tick.C:
+			h.tickVoter(v)
+		case f := <-h.inbox:
+			f(v)
+			for n := len(h.inbox); n > 0; n-- { // what has come meanwhile shares one sync of the store
+				(<-h.inbox)(v)
+			}
+		}
+		h.processReady(v)
+	}
+}
+
+func (h *Host) tickVoter(v *voter) {
+	switch {
+	case v.node != nil:
+		v.node.Tick(h.clock.Now())
+	case h.store != nil && v.err == nil:
+		h.requestAdmission(v)
+	}
+}
+
+// propose hands a request to the raft node; onResponse is called from the consensus goroutine.
+func (h *Host) propose(v *voter, request consensus.Request, onResponse func(consensus.Response)) {
+	if v.node == nil {
+		onResponse(consensus.Response{NotLeader: true})
+		return
+	}
+	v.lastHandle++
+	v.callbacks[v.lastHandle] = onResponse
+	v.node.Submit(h.clock.Now(), v.lastHandle, request)
+}
+
+// requestAdmission asks the leader for an identity in the consensus group, once in a keepalive interval.
+func (h *Host) requestAdmission(v *voter) {
+	now := h.clock.Now()
+	if now < v.nextAdmission {
+		return
+	}
+	v.nextAdmission = now + h.cfg.Rules.KeepAliveInterval()
+	request := consensus.Request{Voter: &consensus.VoterCommand{
+		Op: consensus.OpAdmit, Name: h.cfg.Name, StoreID: h.store.Identity().Store, Volatile: h.cfg.VotersInMemory,
+	}}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leader.Unreachable(now, h.cfg.Name) // this process does not lead before it is admitted
+	h.submit(&pendingRequest{request: request, onResponse: func(r consensus.Response) {
+		if r.Voter == nil {
+			return
+		}
+		result := *r.Voter
+		h.tryEnqueue(func(v *voter) { h.handleAdmission(v, result) })
+	}})
+}
+
+// handleAdmission takes the identity that the consensus group gives, and starts the raft node.
+func (h *Host) handleAdmission(v *voter, result consensus.VoterResult) {
+	if v.node != nil || v.err != nil {
+		return
+	}
+	if result.RaftID == 0 {
+		h.log.Error("the consensus group refuses admission", "why", result.Refusal)
+		return
+	}
+	err := h.store.Admitted(result.FleetID, result.RaftID)
+	if err == nil {
+		err = h.openVoter(v)
+	}
+	if err != nil {
+		v.err = err
+		h.log.Error("joining the consensus group failed", "err", err)
+		return
+	}
+	h.mu.Lock()
+	h.fleetID = result.FleetID
+	h.mu.Unlock()
+	if !result.Votes {
+		h.log.Warn("admitted as a learner: another store had this voter's identity, and what it promised is lost; "+
+			"'sorrelrudder tier member replace' lets this one vote once the other is gone for good", "id", result.RaftID)
+	}
+}
+
+// processReady saves, sends and reports what the raft node has ready.
+func (h *Host) processReady(v *voter) {
+	if v.node == nil {
+		return
+	}
+	out, err := v.node.Process(h.clock.Now(), h.store)
+	if err != nil {
+		h.stopVoter(v, err)
+		return
+	}
+	for _, e := range out.Events {
+		h.log.Info(e.Message, e.Args...)
+	}
+	changed := h.publishOutput(v, out)
+	for _, r := range out.Replies {
+		if onResponse := v.callbacks[r.Handle]; onResponse != nil {
+			delete(v.callbacks, r.Handle)
+			onResponse(r.Response)
+		}
+	}
+	for _, c := range changed {
+		if c.write(kindWake, nil) != nil {
+			c.Close()
+		}
+	}
+}
+
+// stopVoter ends the voter's part: after a failed write it is unknown what the store holds, and only the next start reads it again.
+func (h *Host) stopVoter(v *voter, err error) {
+	v.node, v.err = nil, err
+	h.log.Error("the voter has stopped until the next start", "err", err)
+	for _, onResponse := range v.callbacks {
+		onResponse(consensus.Response{NotLeader: true})
+	}
+	clear(v.callbacks)
+}
+
+// publishOutput applies decisions, sends raft messages, and returns connections to members whose leases have changed.
+func (h *Host) publishOutput(v *voter, out consensus.Output) (changed []*conn) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.applyDecisions(v.node.StateMachine())
+	for _, m := range out.Messages {
+		l := h.linkTo(v.node.NameOf(m.GetTo()))
+		if l == nil {
+			continue
+		}
+		data, err := consensus.EncodeMessage(m)
+		if err != nil {
+			h.log.Error("encoding a raft message failed", "err", err)
+			continue
+		}
+		l.send(kindRaft, data)
+	}
+	for _, name := range out.ChangedMembers {
+		if name == h.cfg.Name {
+			h.session.Refresh()
+			h.runDue()
+		} else if c := h.inbound[name]; c != nil {
+			changed = append(changed, c)
+		}
+	}
+	return changed
+}
+
+// bootstrap makes this process the first voter of a new fleet whose voters are in memory. It refuses if a fleet is known already: with two
+// fleets of one configuration, each would grant the same leases.
+func (h *Host) bootstrap(v *voter) error {
+	store, inMemory := h.store.(*memoryStore)
+	h.mu.Lock()
+	known := cmp.Or(h.fleetID, h.peerFleetID)
+	h.mu.Unlock()
+	switch {
+	case h.store == nil:
+		return fmt.Errorf("%q is not in the council", h.cfg.Name)
+	case !inMemory:
+		return errors.New("the council is on disk: 'tier init FILE' founds it")
+	case v.node != nil || store.id.ID != 0:
+		return fmt.Errorf("%q has the identity %d in the fleet %s already; nothing was changed", h.cfg.Name, store.id.ID, store.id.Fleet)
+	case known != "":
+		return fmt.Errorf("a member is of the fleet %s: as long as one runs that knows it, no other is founded; nothing was changed", known)
+	}
+	machine := consensus.NewStateMachine(uuid.NewString(), h.cfg.Name, store.id.Store, h.cfg.Voters)
+	machine.Volatile = true
+	snapshot, err := consensus.BootstrapSnapshot(machine)
+	if err != nil {
+		return err
+	}
+	initial := consensus.PersistentState{Snapshot: snapshot, HardState: consensus.BootstrapHardState()}
+	v.node, err = consensus.New(consensus.Config{ID: firstVoterID, LeaseTiming: h.cfg.Rules, Persisted: initial})
+	if err != nil {
+		return err
+	}
+	if err := store.Admitted(machine.FleetID, firstVoterID); err != nil {
+		return err
+	}
+	h.mu.Lock()
+	h.fleetID = machine.FleetID
+	h.mu.Unlock()
+	h.log.Info("founded a fleet in memory: it ends with a majority of its voters", "fleet", machine.FleetID)
+	return nil
+}
