--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestComeBack guards against clients that ask again at once while nothing has changed.
-func TestComeBack(t *testing.T) {
+// TestRetryAfter guards against clients that retry at once while nothing has changed.
+func TestRetryAfter(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
 	b, _ := start(t, cfg, 4)
@@ -17,32 +17,32 @@
 	b.healthChecks.contention = 0
 	r := &request{latencyLimit: 90 * time.Millisecond}
 	if got := b.retryAfter(0, r); got != 10*time.Millisecond {
-		t.Errorf("told to come back after %v, want the 10ms by which the queue is over the limit", got)
+		t.Errorf("retry after %v, want the 10ms by which the queue is over the limit", got)
 	}
 	r.latencyLimit = -time.Hour
 	if got := b.retryAfter(0, r); got != cfg.MaxRetryAfter {
-		t.Errorf("told to come back after %v, want no more than %v", got, cfg.MaxRetryAfter)
+		t.Errorf("retry after %v, want no more than %v", got, cfg.MaxRetryAfter)
 	}
 }
 
-// TestHeldRequest guards against refusing what nothing tells to be late, where probes are lost, and against sending into
-// queues that are known to be long, or waiting on once all replies are in.
-func TestHeldRequest(t *testing.T) {
+// TestRequestWaitsForSample guards against rejecting what nothing shows to be late, where health checks are lost, against sending
+// into queues that are known to be long, and against waiting on once all replies are in.
+func TestRequestWaitsForSample(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); len(got) != 0 {
-		t.Fatalf("sent %v on no figures at all", got)
+		t.Fatalf("sent %v with no load known", got)
 	}
 	b.HandleTimer(b.requests[1].queuedUntil, timerToken(1), rec)
 	if got := rec.take("send"); len(got) != 1 {
-		t.Errorf("sent %v after patience, want request 1 to be sent", got)
+		t.Errorf("sent %v after the wait, want request 1 to be sent", got)
 	}
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
-	probed := b.requests[2].sampled[0].ID
+	sampled := b.requests[2].sampled[0].ID
 	rec.take("")
-	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: probed, Load: &LoadReport{Queue: 1}}, rec)
-	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 " + string(probed)}) {
-		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, probed)
+	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: sampled, Load: &LoadReport{Queue: 1}}, rec)
+	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 " + string(sampled)}) {
+		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, sampled)
 	}
 	b.latency.observe(0, float64(time.Second/10))
 	b.healthChecks.credit = sampleSize
@@ -53,19 +53,19 @@
 	for _, s := range b.requests[3].sampled {
 		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{Queue: 1000}}, rec)
 	}
-	if got := rec.take("refuse"); !slices.Equal(got, []string{"refuse 3"}) {
-		t.Errorf("got %v, want a refusal with the last reply", got)
+	if got := rec.take("reject"); !slices.Equal(got, []string{"reject 3"}) {
+		t.Errorf("got %v, want a rejection with the last reply", got)
 	}
 }
 
-// TestSlowSpellEnds guards against refusing for good: after a spell of slow answers nothing but further answers can tell
-// that it is over, and there are none while all are refused.
-func TestSlowSpellEnds(t *testing.T) {
+// TestIdleEndpointIsNeverOverLimit guards against rejecting for good: after a spell of slow responses only further ones can tell that it
+// is over, and there are none while all requests are rejected.
+func TestIdleEndpointIsNeverOverLimit(t *testing.T) {
 	cfg := testConfig()
-	cfg.HealthCheckCost = 1 // few probes
+	cfg.HealthCheckCost = 1 // few health checks
 	b, rec := start(t, cfg, 4)
 	for _, s := range b.readyEndpoints {
-		s.hasReport = true // that nothing waits
+		s.hasReport = true // of no queue
 	}
 	b.latency.observe(0, float64(time.Second))
 	now, sent := time.Second, 0
@@ -74,19 +74,21 @@
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
 		for _, line := range rec.take("send") {
 			var server EndpointID
-			fmt.Sscanf(line, "send %d %s", &id, &server)
+			if _, err := fmt.Sscanf(line, "send %d %s", &id, &server); err != nil {
+				t.Fatal(err)
+			}
 			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: server, Status: StatusOK, Delay: time.Second, RequestEnded: true}, rec)
 			sent++
 		}
 		now += 10 * time.Millisecond
 	}
 	if sent < 50 {
-		t.Errorf("sent %d of 50 where no queue was reported and nothing was out", sent)
+		t.Errorf("sent %d of 50 where no queue was reported and nothing was in flight", sent)
 	}
 }
 
-// TestWorthlessTryIsFailedAtOnce guards against work for a retry of a request whose aim has passed.
-func TestWorthlessTryIsFailedAtOnce(t *testing.T) {
+// TestRetryAfterObjectiveFailsAtOnce guards against work for a retry of a request whose latency objective has passed.
+func TestRetryAfterObjectiveFailsAtOnce(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", ExpectedWork: 7, Expires: 500 * time.Millisecond}, rec)
 	b.HandleTimer(b.requests[1].finalDeadline, timerToken(1), rec)
@@ -96,9 +98,9 @@
 	}
 }
 
-// Under a shortage what is worth most goes to the one server that has room, whichever was drawn first, and is not refused below
-// its aim by chance. Seen to fail with one draw for all classes, and with the random band for all.
-func TestMostWorthTakesTheRoomThatIsLeft(t *testing.T) {
+// TestTopPriorityTakesTheCapacityLeft: under a shortage the highest priority goes to the one endpoint with capacity, whichever was
+// drawn first, and is not rejected at random below its objective. Seen to fail with one draw and with the random band for all classes.
+func TestTopPriorityTakesTheCapacityLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
 		{Name: "order", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 10},
@@ -108,10 +110,10 @@
 	const each = 100
 	for i := range 2 * each {
 		b, rec := start(t, cfg, 5)
-		b.healthChecks.credit = -10 // no probe: the figures are as they are
+		b.healthChecks.credit = -10 // no health check: loads stay as they are
 		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
 		for id, s := range b.endpoints {
-			s.hasReport, s.reportedQueue = true, 9 // some 860 ms, and to be feared late
+			s.hasReport, s.reportedQueue = true, 9 // some 860 ms, and with the margin late
 			if id == "s3" {
 				s.reportedQueue = 6 // some 590 ms
 			}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -33,7 +33,7 @@
 	actions := &discard{}
 	balancer.UpdateEndpoints(0, UpdateFull, list, actions)
 	load := &LoadReport{Queue: 0, InFlight: 1, Latency: 20, ErrorRate: 0}
-	now := Time(time.Minute)
+	now := time.Minute
 	id := RequestID(0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/policy/clienttimeout_test.go
+++ b/policy/clienttimeout_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestBegan guards against work for a client's later try whose aim has passed, and against taking first
-// tries for late ones because the last try of a request gets longer.
-func TestBegan(t *testing.T) {
+// TestEstimateStart guards against work for a client's retry whose latency objective has passed, and against taking first tries for
+// retries because the last try of a request gets longer.
+func TestEstimateStart(t *testing.T) {
 	const ms = time.Millisecond
 	usual := []Request{{Expires: 400 * ms}, {Expires: 400 * ms}}
 	owed := &request{Request: Request{Tenant: "t", Key: "k"}, startedAt: 100 * ms}
@@ -42,7 +42,7 @@
 		}
 		c.unanswered = tc.owed
 		if got := c.estimateStart(tc.now, tc.q, 5*ms); got != tc.want {
-			t.Errorf("%s: began %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: started %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,34 +7,15 @@
 	"time"
 )
 
-// TestFirstCallsAreTaken guards against a group that starts at once and whose first calls a slow list service refuses: each that it
-// does is owed an answer sooner than one not yet made, and no service has the room for all of those again. It takes one call of each
-// in eight seconds here, the longest that the platform's discovery does, and refuses what would wait for two.
-func TestFirstCallsAreTaken(t *testing.T) {
+// TestFirstPollsAreSpread guards against a group that starts at once and whose first calls a slow list service rejects: a rejected call must be
+// repeated within its bound, sooner than a first one must be made. The service here works eight seconds on the calls of the group,
+// and rejects what would wait for more than two.
+func TestFirstPollsAreSpread(t *testing.T) {
 	const all, patience = 8 * time.Second, 2 * time.Second
 	for _, size := range []int{20, 30, 60, 300} {
 		cfg := testConfig()
 		cfg.InstanceCount = size
-		var calls []time.Duration
-		for i := range size {
-			cfg.InstanceIndex = i
-			b, err := New(cfg, uint64(i)+1)
-			if err != nil {
-				t.Fatal(err)
-			}
-			rec := &recorder{}
-			b.UpdateEndpoints(0, UpdateCached, []Endpoint{{ID: "s"}}, rec)
-			for _, line := range rec.take("timer ") {
-				var wait, token string
-				if fmt.Sscan(line, new(string), &wait, &token); token == "watch" {
-					d, err := time.ParseDuration(wait)
-					if err != nil {
-						t.Fatal(err)
-					}
-					calls = append(calls, d)
-				}
-			}
-		}
+		calls := firstPollDelays(t, cfg)
 		if len(calls) != size {
 			t.Fatalf("%d first calls of %d", len(calls), size)
 		}
@@ -49,7 +30,37 @@
 			latest = max(latest, free)
 		}
 		if refused > size/5 || latest > cfg.PollInterval {
-			t.Errorf("%d sidecars: %d first calls are refused, the last is answered after %v", size, refused, latest)
+			t.Errorf("%d instances: %d first calls are rejected, the last is answered after %v", size, refused, latest)
+		}
+	}
+}
+
+// firstPollDelays returns when each instance of a group calls the list service first, after a cached list.
+func firstPollDelays(t *testing.T, cfg Config) []time.Duration {
+	t.Helper()
+	var delays []time.Duration
+	for i := range cfg.InstanceCount {
+		cfg.InstanceIndex = i
+		b, err := New(cfg, uint64(i)+1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		rec := &recorder{}
+		b.UpdateEndpoints(0, UpdateCached, []Endpoint{{ID: "s"}}, rec)
+		for _, line := range rec.take("timer ") {
+			var wait, token string
+			if _, err := fmt.Sscan(line, new(string), &wait, &token); err != nil {
+				t.Fatal(err)
+			}
+			if token != watchToken {
+				continue
+			}
+			d, err := time.ParseDuration(wait)
+			if err != nil {
+				t.Fatal(err)
+			}
+			delays = append(delays, d)
 		}
 	}
+	return delays
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -13,10 +13,10 @@
 func (printer) StartAttempt(id policy.RequestID, s policy.EndpointID, d time.Duration) {
 	fmt.Println("send", id, "to", s, "within", d)
 }
-func (printer) Reject(id policy.RequestID, d time.Duration)    { fmt.Println("refuse", id) }
+func (printer) Reject(id policy.RequestID, _ time.Duration)    { fmt.Println("refuse", id) }
 func (printer) Fail(id policy.RequestID)                       { fmt.Println("fail", id) }
 func (printer) CancelAttempt(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
-func (printer) SetTimer(d time.Duration, token string)         {}
+func (printer) SetTimer(time.Duration, string)                 {}
 func (printer) CheckHealth(s policy.EndpointID)                { fmt.Println("probe", s) }
 func (printer) WatchEndpoints(on bool)                         { fmt.Println("watch", on) }
 func (printer) Log(text string)                                { fmt.Println(text) }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestPace guards against heaping requests on a server that reports an empty queue because the line of delay by requests
-// standing, learnt of quick and slow servers alike, is flat.
-func TestPace(t *testing.T) {
+// TestPaceLatency guards against heaping requests on an endpoint that reports no queue, because the line of latency by queue, learned of
+// fast and slow endpoints alike, is flat.
+func TestPaceLatency(t *testing.T) {
 	const ms = time.Millisecond
 	b, rec := start(t, testConfig(), 4)
 	s := b.readyEndpoints[0]
@@ -35,20 +35,20 @@
 		t.Error("it counts as idle")
 	}
 	if got := b.expectedLatency(time.Second+500*ms, s); got < 600*ms {
-		t.Errorf("after half a second without an answer %v is expected", got)
+		t.Errorf("after half a second without a response %v is expected", got)
 	}
 }
 
-// What the answers of some machines tell is taken for all of their kind until those have answered themselves. Seen to fail with
-// each server on its own: one that is new counted as an even one, as in a sidecar that meets each seldom it is for long.
-func TestSlownessIsSharedByKind(t *testing.T) {
+// TestSlownessIsSharedByMachineType: what responses tell of an endpoint counts for all of its machine type until those have answered
+// themselves. Seen to fail with each endpoint on its own: a new one counted as average.
+func TestSlownessIsSharedByMachineType(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	var list []Endpoint
 	for i := range 12 {
 		list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Kind: []string{"quick", "slow"}[i%2]})
 	}
 	b.UpdateEndpoints(0, UpdateFull, list[:10], rec)
-	now := Time(time.Hour)
+	now := time.Hour
 	for i := range 300 {
 		now += 50 * time.Millisecond
 		answer(b, rec, now, RequestID(i+1), EndpointID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
@@ -56,19 +56,19 @@
 	b.UpdateEndpoints(now, UpdateFull, list, rec) // s10 and s11 are new
 	quick, slow := b.expectedLatency(now, b.endpoints["s10"]), b.expectedLatency(now, b.endpoints["s11"])
 	if slow < 2*quick {
-		t.Errorf("a new server of the slow kind is expected to take %v, one of the quick kind %v", slow, quick)
+		t.Errorf("a new endpoint of the slow type is expected to take %v, one of the fast type %v", slow, quick)
 	}
 	for i := range 30 { // an odd one of its kind
 		now += 50 * time.Millisecond
 		answer(b, rec, now, RequestID(1000+i), "s11", 40*time.Millisecond)
 	}
 	if own := b.expectedLatency(now, b.endpoints["s11"]); own > slow*2/3 {
-		t.Errorf("after 30 answers of its own it is still expected to take %v of %v", own, slow)
+		t.Errorf("after 30 responses of its own it is still expected to take %v of %v", own, slow)
 	}
 }
 
-// A list that names a kind for each server must not be remembered for ever.
-func TestKindsAreBounded(t *testing.T) {
+// TestMachineTypesAreBounded guards against memory without bound where a list names a machine type for each endpoint.
+func TestMachineTypesAreBounded(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	for i := range 10 * maxMachineTypes {
 		id := EndpointID(fmt.Sprint("s", i))
@@ -76,6 +76,6 @@
 		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
 	if len(b.machineTypes) > maxMachineTypes {
-		t.Errorf("%d kinds are kept", len(b.machineTypes))
+		t.Errorf("%d machine types are kept", len(b.machineTypes))
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestAdopt guards against a process that begins with no idea of its servers where the one before knew, and against taking
+// TestImportLearnedState guards against a process that knows nothing of its endpoints although the one before did, and against taking
 // one that has restarted for what it was.
-func TestAdopt(t *testing.T) {
+func TestImportLearnedState(t *testing.T) {
 	cfg := Config{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}
 	list := []Endpoint{{ID: "a"}, {ID: "b", Started: 5}, {ID: "c"}}
 	balancer := func() *Balancer {
@@ -32,9 +32,9 @@
 		t.Errorf("%+v, %v, %v", next.latency, next.endpoints["a"].slowness, next.endpoints["b"].slowness)
 	}
 	if n := next.EjectedCount(2*time.Hour + time.Second); n != 1 {
-		t.Errorf("%d servers are avoided, want 1", n)
+		t.Errorf("%d endpoints are ejected, want 1", n)
 	}
 	if n := next.EjectedCount(2*time.Hour + 3*time.Second); n != 0 {
-		t.Errorf("%d servers are avoided when that is over", n)
+		t.Errorf("%d endpoints are ejected when that is over", n)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestFailingServerIsLeftOut guards against a server that errs at once and so keeps a short queue.
-func TestFailingServerIsLeftOut(t *testing.T) {
+// TestFailingEndpointIsEjected guards against an endpoint that fails at once and so keeps a short queue.
+func TestFailingEndpointIsEjected(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	s := b.endpoints["s0"]
 	s.marked = true
 	b.recordFailure(0, s, StatusApplicationError, false)
 	if s.marked || slices.Contains(b.activeSubset(0), s) {
-		t.Error("a server that erred is still marked or in the ready set")
+		t.Error("an endpoint that failed is still marked or in the subset")
 	}
 	b.outliers.readmitByHealthCheck = false
 	if !slices.Contains(b.activeSubset(baseEjectionTime), s) {
@@ -26,51 +26,51 @@
 		b.recordFailure(0, b.endpoints[id], StatusConnectFailed, false)
 	}
 	if got := b.activeSubset(0); len(got) != b.subsetSize {
-		t.Errorf("with all ejected the ready set has %d servers, want %d", len(got), b.subsetSize)
+		t.Errorf("with all ejected the subset has %d endpoints, want %d", len(got), b.subsetSize)
 	}
 	rec.take("")
 }
 
-// Where probes are to be had one of them finds out whether an ejection is over, and no client's request does. Seen to fail where the
-// time alone ended it: each sidecar's requests found a dead server out after half a second, one, two, and so on.
-func TestEjectionEndsWithAProbe(t *testing.T) {
+// TestEjectionEndsWithHealthCheck: where health checks are allowed, one of them finds out whether an endpoint is back, and no client's
+// request does. Seen to fail where time alone ended ejections: each instance's requests found a dead endpoint out again and again.
+func TestEjectionEndsWithHealthCheck(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	now := Time(time.Hour)
+	now := time.Hour
 	s := b.readyEndpoints[0]
 	b.recordFailure(now, s, StatusConnectFailed, false)
 	b.healthChecks.credit = -1000 // no rounds
 	id := RequestID(0)
-	ask := func() (sent, probes int) {
+	ask := func() (sent, checks int) {
 		id++
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 		for _, l := range rec.take("") {
 			if l == fmt.Sprintf("send %d %s", id, s.ID) {
 				sent++
 			}
-			if l == fmt.Sprintf("probe %s", s.ID) {
-				probes++
+			if l == fmt.Sprintf("check %s", s.ID) {
+				checks++
 			}
 		}
-		return sent, probes
+		return sent, checks
 	}
-	if sent, probes := ask(); sent+probes > 0 {
-		t.Errorf("%d sends and %d probes before the time is over", sent, probes)
+	if sent, checks := ask(); sent+checks > 0 {
+		t.Errorf("%d attempts and %d health checks before the time is over", sent, checks)
 	}
 	for round := range 3 {
 		now = s.ejectedUntil
 		asked := 0
 		for range 20 {
-			sent, probes := ask()
-			if asked += probes; sent > 0 {
-				t.Fatalf("round %d: a client's request finds out whether the server is back", round)
+			sent, checks := ask()
+			if asked += checks; sent > 0 {
+				t.Fatalf("round %d: a client's request finds out whether the endpoint is back", round)
 			}
 		}
 		if asked != 1 {
-			t.Fatalf("round %d: %d probes instead of one", round, asked)
+			t.Fatalf("round %d: %d health checks instead of one", round, asked)
 		}
 		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Status: StatusTimeout}, rec)
 		if want := now + baseEjectionTime<<(round+1); s.ejectedUntil != want {
-			t.Errorf("round %d: left out until %v, want %v", round, s.ejectedUntil, want)
+			t.Errorf("round %d: ejected until %v, want %v", round, s.ejectedUntil, want)
 		}
 	}
 	now = s.ejectedUntil
@@ -78,16 +78,16 @@
 	fails := s.consecutiveFailures
 	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
 	if !slices.Contains(b.activeSubset(now), s) || b.EjectedCount(now) != 0 {
-		t.Error("left out although it has answered a probe")
+		t.Error("ejected although a health check has succeeded")
 	}
 	if s.consecutiveFailures != fails {
-		t.Error("a probe alone has its failures forgotten: a server that fails each request would be met twice as often")
+		t.Error("a health check alone resets the failures: an endpoint that fails each request would be tried twice as often")
 	}
 }
 
-// TestSilentServer guards against sending to a machine that has vanished: nothing ends the attempts there until their
+// TestUnresponsiveEndpointIsAvoided guards against sending to a machine that has vanished: nothing ends the attempts there until their
 // time is up, and the list tells of it much later.
-func TestSilentServer(t *testing.T) {
+func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.latency.observe(0, float64(10*time.Millisecond))
 	s := b.readyEndpoints[0]
@@ -98,14 +98,14 @@
 		b.startAttempt(0, r, []*endpoint{s}, rec)
 	}
 	if !slices.Contains(b.activeSubset(20*time.Millisecond), s) {
-		t.Error("left alone although no more than the usual time has passed")
+		t.Error("avoided although no more than the usual time has passed")
 	}
 	if slices.Contains(b.activeSubset(40*time.Millisecond), s) {
-		t.Error("still in the ready set after a long silence")
+		t.Error("still in the subset after a long silence")
 	}
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	if !slices.Contains(b.activeSubset(60*time.Millisecond), s) {
-		t.Error("left alone although it has answered")
+		t.Error("avoided although it has answered")
 	}
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout}, rec)
 	if s.ejectedUntil <= time.Second {
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestHastyTimeout guards against believing a server full, failing or fast because a client waited less than it takes.
-func TestHastyTimeout(t *testing.T) {
+// TestShortClientTimeoutIsInconclusive guards against taking an endpoint for overloaded, failing or fast because a
+// client waited less than a response takes.
+func TestShortClientTimeoutIsInconclusive(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
 	b.healthChecks.contention = 0
@@ -129,7 +130,7 @@
 	ask(1, 0)
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Delay: 50 * time.Millisecond, RequestEnded: true}, rec)
 	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
-		t.Errorf("a short time-out left queue %v, %d failures, busy %v and a delay of %v; want nothing but a delay of %v",
+		t.Errorf("a short time-out left queue %v, %d failures, contention %v and an expected latency of %v; want nothing but a latency of %v",
 			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
 	}
 	ask(2, 0)
@@ -139,16 +140,16 @@
 	}
 }
 
-// TestHint: hearsay leaves a server out until a probe of the sidecar's own is answered, and counts as no failure; what names all servers takes
-// a third of them at most; one that the list does not name, or that drains, is not touched.
-func TestHint(t *testing.T) {
+// TestUnreachableHint: a hint ejects an endpoint until a health check of this instance succeeds, and counts as no failure; hints of all
+// endpoints eject a third of them at most; one that is not on the list, or drains, is not touched.
+func TestUnreachableHint(t *testing.T) {
 	b, rec := start(t, testConfig(), 9)
 	b.endpoints["s0"].State = Draining
 	for _, id := range []EndpointID{"s0", "nobody", "s3"} {
 		b.HandleUnreachableHint(time.Second, id)
 	}
 	if len(b.endpoints) != 9 || b.endpoints["s0"].ejectedUntil != 0 {
-		t.Error("a server that is not on the list, or drains, was touched")
+		t.Error("an endpoint that is not on the list, or drains, was touched")
 	}
 	s := b.endpoints["s3"]
 	if !b.isEjected(time.Second, s) || s.consecutiveFailures != 0 || s.marked {
@@ -161,21 +162,21 @@
 		t.Error("time alone ends it")
 	}
 	if b.HandleHealthCheck(2*time.Second, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); b.isEjected(2*time.Second, s) {
-		t.Error("an answered probe does not end it")
+		t.Error("a health check does not end it")
 	}
 	if b.HandleUnreachableHint(2*time.Second+baseEjectionTime-1, "s3"); b.isEjected(2*time.Second+baseEjectionTime-1, s) {
-		t.Error("hearsay is believed against an answer of late")
+		t.Error("a hint is believed against a response of late")
 	}
 	for i := range 9 {
 		b.HandleUnreachableHint(3*time.Second, EndpointID(fmt.Sprint("s", i)))
 	}
 	if n := b.countEjected(3 * time.Second); n != 3 {
-		t.Errorf("a liar takes %d of 9 servers", n)
+		t.Errorf("false hints eject %d of 9 endpoints", n)
 	}
 	cfg := testConfig()
 	cfg.HealthChecksAllowed = false // nothing would find out that it is not so
 	b, _ = start(t, cfg, 9)
 	if b.HandleUnreachableHint(0, "s3"); b.endpoints["s3"].ejectedUntil != 0 {
-		t.Error("hearsay is believed where no probe can prove it wrong")
+		t.Error("a hint is believed where no health check can prove it wrong")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-func TestRefuseAndSendLegality(t *testing.T) {
+// TestRetryAndRejectionRules: where a second attempt may go after a first one, by class, and whether the request may be rejected.
+func TestRetryAndRejectionRules(t *testing.T) {
 	tests := []struct {
-		class     string
-		first     Status
-		again     []EndpointID // servers that may get the second attempt
-		refusable bool
+		class      string
+		first      Status
+		again      []EndpointID // endpoints that may get the second attempt
+		rejectable bool
 	}{
 		{"safe", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
 		{"keyed", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
@@ -41,13 +42,14 @@
 		if !slices.Equal(again, tt.again) {
 			t.Errorf("%s after %v may go to %v, want %v", tt.class, tt.first, again, tt.again)
 		}
-		if got := rejectionSafe(r); got != tt.refusable {
-			t.Errorf("%s after %v: mayRefuse = %v, want %v", tt.class, tt.first, got, tt.refusable)
+		if got := rejectionSafe(r); got != tt.rejectable {
+			t.Errorf("%s after %v: rejectionSafe = %v, want %v", tt.class, tt.first, got, tt.rejectable)
 		}
 	}
 }
 
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+// TestNoHedgingWhereForbidden: no second attempt while one is in flight.
+func TestNoHedgingWhereForbidden(t *testing.T) {
 	cfg := testConfig()
 	for _, may := range []bool{true, false} {
 		cfg.HedgingAllowed = may
@@ -56,7 +58,7 @@
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
 		r.attempts = []attempt{{endpoint: s, inFlight: true}}
 		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != may {
-			t.Errorf("MayDuplicate %v: maySend = %v", may, got)
+			t.Errorf("HedgingAllowed %v: attemptAllowed = %v", may, got)
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// TestColdServerIsSentItsShare guards against pushing over a server that has just started: its queue is
-// short because it is new, so marks and probe rounds would choose it.
-func TestColdServerIsSentItsShare(t *testing.T) {
+// TestWarmingEndpointGetsItsShare guards against overloading an endpoint that has just started: its queue is short because it is
+// new, so that marks and sampling rounds would choose it.
+func TestWarmingEndpointGetsItsShare(t *testing.T) {
 	cfg := testConfig()
 	now := time.Minute
 	tests := []struct {
-		name    string
-		allCold bool
-		want    float64 // share of requests that s0 is sent
+		name       string
+		allWarming bool
+		want       float64 // share of requests that s0 is sent
 	}{
 		{"one of two", false, cfg.SlowStartMinCapacity / 2},
-		{"both", true, cfg.SlowStartMinCapacity}, // at most; the rest is refused or goes to the other
+		{"both", true, cfg.SlowStartMinCapacity}, // at most; the rest is rejected or goes to the other
 	}
 	for _, tc := range tests {
 		b, rec := start(t, cfg, 2)
-		cold := b.endpoints["s0"]
-		cold.Started = now
-		if tc.allCold {
+		warming := b.endpoints["s0"]
+		warming.Started = now
+		if tc.allWarming {
 			b.endpoints["s1"].Started = now
 		}
 		const requests = 4000
@@ -37,41 +37,42 @@
 				class:   b.classes["safe"], objectiveDeadline: now + time.Second, finalDeadline: now + time.Second,
 			}
 			b.startAttempt(now, r, b.activeSubset(now), rec)
-			if n := len(r.attempts); n > 0 && r.attempts[0].endpoint == cold {
+			if n := len(r.attempts); n > 0 && r.attempts[0].endpoint == warming {
 				sent++
 			}
 			again := b.startAttempt(now, r, b.activeSubset(now), rec)
-			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].endpoint == cold {
-				t.Fatalf("%s: a further attempt went to a cold server", tc.name)
+			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].endpoint == warming {
+				t.Fatalf("%s: a retry went to a warming endpoint", tc.name)
 			}
 		}
 		if share := float64(sent) / requests; share > tc.want+0.03 || share < tc.want*0.8-0.03 {
-			t.Errorf("%s: cold server got a share of %.3f, want about %.3f", tc.name, share, tc.want)
+			t.Errorf("%s: warming endpoint got a share of %.3f, want about %.3f", tc.name, share, tc.want)
 		}
-		if w := b.slowStart.capacityFraction(now+cfg.SlowStartDuration, cold); w != 1 {
-			t.Errorf("warmth after the ramp = %v, want 1", w)
+		if w := b.slowStart.capacityFraction(now+cfg.SlowStartDuration, warming); w != 1 {
+			t.Errorf("capacity after slow start = %v, want 1", w)
 		}
 	}
 }
 
-// A server is one like others before the last moment at which it must be warm, and not in its first seconds. Seen to fail: while
-// most were replaced, what the few old ones had no room for was refused, and new ones answered sooner than those.
-func TestNearlyWarmServerIsOneLikeOthers(t *testing.T) {
+// TestEndpointIsWarmBeforeFullCapacity: an endpoint counts as warm some time before the end of slow start, and not at its begin. Seen to
+// fail: while most endpoints were replaced, requests were rejected for want of capacity of the few old ones.
+func TestEndpointIsWarmBeforeFullCapacity(t *testing.T) {
 	cfg := testConfig()
 	b, rec := start(t, cfg, 2)
-	now := Time(time.Hour)
+	now := time.Hour
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "new", Started: now}}, rec)
 	for at, want := range map[time.Duration]bool{0: false, cfg.SlowStartDuration / 2: false, cfg.SlowStartDuration * 3 / 5: true, cfg.SlowStartDuration: true} {
 		if got := slices.Contains(b.activeSubset(now+at), b.endpoints["new"]); got != want {
-			t.Errorf("%v after its start: in the set %v, want %v", at, got, want)
+			t.Errorf("%v after its start: in the subset %v, want %v", at, got, want)
 		}
 	}
 }
 
-// Cold servers tell of themselves alone. Seen to fail with one line for all: with many cold at once warm ones are taken for slow.
-func TestColdServersTeachOfThemselvesAlone(t *testing.T) {
+// TestWarmingEndpointsDoNotSkewLatency: warming endpoints tell of themselves alone. Seen to fail with one model for all: with many
+// warming at once, warm ones were taken for slow.
+func TestWarmingEndpointsDoNotSkewLatency(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
-	now := Time(time.Hour)
+	now := time.Hour
 	id := RequestID(0)
 	for range 50 {
 		now += 50 * time.Millisecond
@@ -86,9 +87,9 @@
 		answer(b, rec, now, id, "s9", 400*time.Millisecond)
 	}
 	if after := b.expectedLatency(now, b.endpoints["s1"]); after > before*11/10 {
-		t.Errorf("answers of a cold server make a warm one expected to take %v instead of %v", after, before)
+		t.Errorf("responses of a warming endpoint make a warm one expected to take %v instead of %v", after, before)
 	}
-	if cold := b.expectedLatency(now, b.endpoints["s9"]); cold < 4*before {
-		t.Errorf("the cold one is expected to take %v", cold)
+	if warming := b.expectedLatency(now, b.endpoints["s9"]); warming < 4*before {
+		t.Errorf("the warming one is expected to take %v", warming)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestReadySetsAreBalanced guards against connections from every sidecar to every server, and
-// against sets that fall on some servers more than on others.
-func TestReadySetsAreBalanced(t *testing.T) {
+// TestSubsetsAreBalanced guards against connections from every instance to every endpoint, and against subsets that fall on some
+// endpoints more than on others.
+func TestSubsetsAreBalanced(t *testing.T) {
 	cfg := testConfig()
 	cfg.InstanceCount, cfg.ConnectionCost = 600, 0.08
 	count := map[EndpointID]int{}
@@ -24,13 +24,13 @@
 	want := cfg.InstanceCount * minSubsetSize / 40
 	for id, n := range count {
 		if n < want*9/10 || n > want*11/10 {
-			t.Errorf("%s is in %d ready sets, want about %d", id, n, want)
+			t.Errorf("%s is in %d subsets, want about %d", id, n, want)
 		}
 	}
 }
 
-// The order in which a list names its servers means nothing: sets and connections stay as they are.
-func TestOrderOfTheListMeansNothing(t *testing.T) {
+// TestListOrderDoesNotChangeTheSubset: the order of the list means nothing; subsets and connections stay as they are.
+func TestListOrderDoesNotChangeTheSubset(t *testing.T) {
 	b, rec := start(t, testConfig(), 40)
 	var list []Endpoint
 	for _, s := range b.endpoints {
@@ -41,14 +41,14 @@
 		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		b.UpdateEndpoints(time.Second, UpdateFull, list, rec)
 		if !slices.Equal(before, b.readyEndpoints) {
-			t.Fatal("the ready servers changed with the order of the list")
+			t.Fatal("the order of endpoints changed with the order of the list")
 		}
 	}
 }
 
-// Each server is in about equally many sets of 80 sidecars before 60 servers, also as one goes and as 36 are replaced; how far sets
-// move is told.
-func TestSetsOfManySidecars(t *testing.T) {
+// TestSubsetsOfManyInstances: each of 60 endpoints is in about equally many subsets of 80 instances, also as one goes and as 36 are
+// replaced. It logs how far subsets change.
+func TestSubsetsOfManyInstances(t *testing.T) {
 	list := func(n int, skip func(i int) bool) []Endpoint {
 		var all []Endpoint
 		for i := range n {
@@ -82,9 +82,9 @@
 		return all, most, least
 	}
 	before, most, least := sets(list(60, func(int) bool { return false }))
-	t.Logf("60 servers: in %d to %d sets of 80", least, most)
+	t.Logf("60 endpoints: in %d to %d subsets of 80", least, most)
 	if least == 0 || most > 5*least {
-		t.Errorf("60 servers are in %d to %d sets of 80", least, most)
+		t.Errorf("60 endpoints are in %d to %d subsets of 80", least, most)
 	}
 	for name, c := range map[string]struct {
 		servers []Endpoint
@@ -103,16 +103,16 @@
 				}
 			}
 		}
-		t.Logf("%s: %.2f of the members are others (must: %.2f); servers are in %d to %d sets", name, float64(moved)/float64(all), c.must, least, most)
+		t.Logf("%s: %.2f of the members changed (at least: %.2f); endpoints are in %d to %d subsets", name, float64(moved)/float64(all), c.must, least, most)
 		if least == 0 || most > 5*least {
-			t.Errorf("%s: servers are in %d to %d sets of 80", name, least, most)
+			t.Errorf("%s: servers are in %d to %d subsets of 80", name, least, most)
 		}
 	}
 }
 
-// Where leaving the zone has a price most of a set is of the own zone, servers are in about equally many sets all the same, and a small
-// zone is not crowded. Seen to fail with sets that ignore zones: half of each is abroad.
-func TestSetsHoldMoreOfTheOwnZone(t *testing.T) {
+// TestSubsetsPreferTheOwnZone: where crossing zones costs something most of a subset is of the own zone, endpoints are in about equally
+// many subsets all the same, and a small zone is not crowded. Seen to fail with subsets that ignore zones.
+func TestSubsetsPreferTheOwnZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		sidecars, servers, inA int // of the servers
 		least, most            float64
@@ -150,12 +150,12 @@
 			most, least = max(most, met[s.ID]), min(least, met[s.ID])
 		}
 		share := float64(own) / float64(members)
-		t.Logf("%s: %.2f of the members of sidecars in zone a are there; servers are in %d to %d sets", name, share, least, most)
+		t.Logf("%s: %.2f of the members of instances in zone a are there; endpoints are in %d to %d subsets", name, share, least, most)
 		if share < c.least || share > c.most {
 			t.Errorf("%s: %.2f of the members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
 		}
 		if mean := c.sidecars * maxSubsetSize / c.servers; least == 0 || most > 2*mean+1 {
-			t.Errorf("%s: servers are in %d to %d sets, in the mean in %d", name, least, most, mean)
+			t.Errorf("%s: endpoints are in %d to %d subsets, in the mean in %d", name, least, most, mean)
 		}
 	}
 }
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -15,11 +15,11 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
+func (r *recorder) StartAttempt(id RequestID, s EndpointID, _ time.Duration) {
 	r.note("send %d %s", id, s)
 }
 
-func (r *recorder) Reject(id RequestID, d time.Duration) { r.note("refuse %d", id) }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.note("reject %d", id) }
 
 func (r *recorder) Fail(id RequestID) { r.note("fail %d", id) }
 
@@ -27,7 +27,7 @@
 
 func (r *recorder) SetTimer(d time.Duration, token string) { r.note("timer %v %s", d, token) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.note("probe %s", s) }
+func (r *recorder) CheckHealth(s EndpointID) { r.note("check %s", s) }
 
 func (r *recorder) WatchEndpoints(on bool) { r.note("watch %v", on) }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// start returns a balancer that knows n servers s0, s1, ... in zones a and b and cells of two.
+// start returns a balancer that knows n endpoints s0, s1, ... in zones a and b and cells of two.
 func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
@@ -74,7 +74,7 @@
 	return b, rec
 }
 
-// answer has b send a request, and server answer it after delay.
+// answer has b send a request to an endpoint that answers it after delay.
 func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
 	s := b.endpoints[server]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
--- a/policy/threshold_test.go
+++ b/policy/threshold_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-func TestThresholdMarksAndSpending(t *testing.T) {
+// TestThresholdMarksAndMarkSpending: the shortest queue of a round is the threshold, and an attempt takes the mark that it went by.
+func TestThresholdMarksAndMarkSpending(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
-	var probes []string
+	var checks []string
 	for _, l := range rec.lines {
-		if l[:5] == "probe" {
-			probes = append(probes, l[6:])
+		if l[:5] == "check" {
+			checks = append(checks, l[6:])
 		}
 	}
-	if len(probes) != sampleSize {
-		t.Fatalf("probes = %v, want %d of them", probes, sampleSize)
+	if len(checks) != sampleSize {
+		t.Fatalf("health checks = %v, want %d of them", checks, sampleSize)
 	}
 	b.endpoints["s0"].marked, b.endpoints["s0"].reportedQueue = true, 9
 	rec.take("")
@@ -37,25 +38,25 @@
 		t.Errorf("sent %v, want the marked s2", got)
 	}
 	if b.endpoints["s2"].marked {
-		t.Error("the send did not spend its mark")
+		t.Error("the attempt did not take its mark")
 	}
 }
 
-// TestWarmKeysHaveHomes guards against spreading a key over servers that each have to learn it anew.
-func TestWarmKeysHaveHomes(t *testing.T) {
-	for _, warm := range []bool{false, true} {
+// TestKeyAffinitySamplesTheKeysEndpoints guards against spreading a key over endpoints that each have to learn it anew.
+func TestKeyAffinitySamplesTheKeysEndpoints(t *testing.T) {
+	for _, affinity := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.KeyAffinity = warm
+		cfg.KeyAffinity = affinity
 		b, rec := start(t, cfg, 12)
-		probed := map[string]bool{}
+		checked := map[string]bool{}
 		for id := range RequestID(20) {
 			b.HandleRequest(0, Request{ID: id + 1, Class: "safe", Key: "k", Expires: time.Second}, rec)
-			for _, p := range rec.take("probe") {
-				probed[p] = true
+			for _, p := range rec.take("check") {
+				checked[p] = true
 			}
 		}
-		if homes := len(probed) == sampleSize; homes != warm {
-			t.Errorf("warm keys %v: rounds for one key asked %d servers", warm, len(probed))
+		if same := len(checked) == sampleSize; same != affinity {
+			t.Errorf("key affinity %v: rounds for one key sampled %d endpoints", affinity, len(checked))
 		}
 	}
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 )
@@ -260,12 +261,12 @@
 // TestActionTrace holds that the module decides as it did when the golden file was written, to the draw: equal events from an
 // equal seed give an equal sequence of actions.
 func TestActionTrace(t *testing.T) {
-	got := ""
+	var got strings.Builder
 	for i, cfg := range traceConfigs() {
 		for seed := range uint64(4) {
 			for _, calm := range []bool{false, true} {
 				hash, actions := trace(t, cfg, seed+1, 4000, calm)
-				got += fmt.Sprintf("config %d seed %d calm %v: %016x after %d actions\n", i, seed+1, calm, hash, actions)
+				fmt.Fprintf(&got, "config %d seed %d calm %v: %016x after %d actions\n", i, seed+1, calm, hash, actions)
 			}
 		}
 	}
@@ -274,7 +275,7 @@
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(got.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -282,7 +283,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got != string(want) {
-		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got, want)
+	if got.String() != string(want) {
+		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got.String(), want)
 	}
 }
