--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -135,3 +135,20 @@
 		t.Errorf("of %d each, served %v", each, served)
 	}
 }
+
+// TestCapacityShortage: with nothing known a shortage is assumed; requests with capacity prove that there is none, until they fade.
+func TestCapacityShortage(t *testing.T) {
+	var c capacityEstimator
+	if got := c.shortage(0); got != 1 {
+		t.Errorf("shortage %v with nothing known, want 1", got)
+	}
+	for range 200 {
+		c.record(time.Second, true)
+	}
+	if got := c.shortage(time.Second); got != 0 || !c.provenSufficient() {
+		t.Errorf("shortage %v after 200 requests with capacity", got)
+	}
+	if got := c.shortage(time.Second + 20*capacityMemory); got != 1 || c.provenSufficient() {
+		t.Errorf("shortage %v long after, want 1", got)
+	}
+}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -64,3 +64,20 @@
 	}
 	return delays
 }
+
+// TestPollBackoff: the backoff doubles with further failures up to its bound, and one and a half times it keeps the configured one.
+func TestPollBackoff(t *testing.T) {
+	p := newEndpointPoll(Config{InstanceCount: 1000, PollInterval: 8 * time.Second, PollMaxBackoff: 3 * time.Second})
+	for i, want := range []time.Duration{2 * time.Second, 2 * time.Second} {
+		if got := p.recordFailure(); got != want {
+			t.Errorf("failure %d: backoff %v, want %v", i+1, got, want)
+		}
+	}
+	p.maxBackoff = 0
+	if got := p.recordFailure(); got != 8*time.Second {
+		t.Errorf("backoff %v without a bound, want the poll interval", got)
+	}
+	if got := p.recordLoss(); got != 500*time.Millisecond || p.failures != 0 {
+		t.Errorf("after a loss: %v and %d failures, want 500ms and none", got, p.failures)
+	}
+}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -180,3 +180,41 @@
 		t.Error("a hint is believed where no health check can prove it wrong")
 	}
 }
+
+// TestEjectionTimeDoubles: each further failure in a row doubles the ejection, up to the policy's longest.
+func TestEjectionTimeDoubles(t *testing.T) {
+	policy := outlierPolicy{maxEjection: 3 * time.Second}
+	for failures, want := range map[int]time.Duration{
+		1: baseEjectionTime, 2: 2 * baseEjectionTime, 3: 4 * baseEjectionTime, 4: 3 * time.Second, 1000: 3 * time.Second,
+	} {
+		if got := policy.ejectionTime(failures); got != want {
+			t.Errorf("after %d failures: %v, want %v", failures, got, want)
+		}
+	}
+}
+
+// TestFailuresThatMayBeLoad: rejections never eject an endpoint; time-outs do if it was unresponsive, or fails several times in a row with
+// no success of late.
+func TestFailuresThatMayBeLoad(t *testing.T) {
+	now := time.Minute
+	for _, tt := range []struct {
+		status       Status
+		unresponsive bool
+		failures     int
+		lastSuccess  Time
+		ejected      bool
+	}{
+		{StatusOverloaded, true, 10, 0, false},
+		{StatusConnectFailed, false, 0, now, true},
+		{StatusTimeout, true, 0, now, true},
+		{StatusTimeout, false, 0, 0, false},
+		{StatusTimeout, false, minTimeoutFailures - 1, now - minTimeSinceSuccess, true},
+		{StatusTimeout, false, minTimeoutFailures - 1, now - minTimeSinceSuccess + 1, false},
+	} {
+		e := &endpoint{consecutiveFailures: tt.failures, lastSuccess: tt.lastSuccess}
+		outlierPolicy{maxEjection: time.Second}.recordFailure(now, e, tt.status, tt.unresponsive)
+		if got := e.ejectedUntil > 0; got != tt.ejected {
+			t.Errorf("%+v: ejected %v", tt, got)
+		}
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -62,3 +62,48 @@
 		}
 	}
 }
+
+// TestAttemptDenialReasons: each rule is named when it is the one that is broken.
+func TestAttemptDenialReasons(t *testing.T) {
+	policy := retryPolicy{maxAttempts: 3, dedupMargin: 10 * time.Millisecond}
+	sent := attempt{zone: "a", cell: 1, sentAt: 0}
+	keyed := Class{Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 100 * time.Millisecond}
+	tests := []struct {
+		change func(r *request, e *endpoint)
+		want   AttemptDenial
+	}{
+		{func(*request, *endpoint) {}, AttemptAllowed},
+		{func(r *request, _ *endpoint) { r.ended = true }, DeniedRequestEnded},
+		{func(r *request, _ *endpoint) { r.responseStarted = true }, DeniedResponseStarted},
+		{func(r *request, _ *endpoint) { r.bodyConsumed = true }, DeniedBodyConsumed},
+		{func(_ *request, e *endpoint) { e.State = Draining }, DeniedEndpointNotReady},
+		{func(_ *request, e *endpoint) { e.State = Removed }, DeniedEndpointNotReady},
+		{func(r *request, _ *endpoint) { r.Expires = 50 * time.Millisecond }, DeniedDeadline},
+		{func(r *request, _ *endpoint) { r.attempts = []attempt{sent, sent, sent} }, DeniedAttemptsExhausted},
+		{func(r *request, _ *endpoint) { r.MaxAttempts = 1 }, DeniedAttemptsExhausted},
+		{func(r *request, _ *endpoint) { r.inFlight = 1 }, DeniedHedgingForbidden},
+		{func(r *request, _ *endpoint) { r.class.Idempotency = NonIdempotent }, DeniedNotIdempotent},
+		{func(r *request, _ *endpoint) { r.attempts[0].sentAt = -40 * time.Millisecond }, DeniedDedupWindowExpired},
+		{func(_ *request, e *endpoint) { e.Zone = "b" }, DeniedOutsideDedupScope},
+		{func(r *request, e *endpoint) { r.class.DedupScope, e.Cell = DedupCell, 2 }, DeniedOutsideDedupScope},
+	}
+	for i, tt := range tests {
+		r := &request{Request: Request{Expires: time.Second}, class: &classState{Class: keyed}, attempts: []attempt{sent}}
+		e := &endpoint{Endpoint: Endpoint{Zone: "a", Cell: 1}}
+		tt.change(r, e)
+		if got := policy.attemptDenied(50*time.Millisecond, r, e); got != tt.want {
+			t.Errorf("case %d: %v, want %v", i, got, tt.want)
+		}
+	}
+}
+
+// TestAttemptDenialNames: every reason has a name of its own.
+func TestAttemptDenialNames(t *testing.T) {
+	names := map[string]bool{}
+	for d := AttemptAllowed; d <= DeniedOutsideDedupScope; d++ {
+		names[d.String()] = true
+	}
+	if len(names) != int(DeniedOutsideDedupScope)+1 || names[""] || names[AttemptDenial(-1).String()] {
+		t.Errorf("names %v", names)
+	}
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"slices"
 	"testing"
 	"time"
@@ -93,3 +94,33 @@
 		t.Errorf("the warming one is expected to take %v", warming)
 	}
 }
+
+// TestWarmingShare: a warming endpoint gets its capacity's part of the traffic, raised by what all lack up to slowStartMaxShare; with too
+// few warm ones its capacity alone counts, less if its machine type is slow.
+func TestWarmingShare(t *testing.T) {
+	rule := slowStart{minCapacity: 0.2, duration: 10 * time.Second}
+	now := time.Hour
+	fleet := func(warm, warming int) (ready []*endpoint, last *endpoint) {
+		for range warm {
+			ready = append(ready, &endpoint{machineType: &machineType{slowness: 1}})
+		}
+		for range warming {
+			last = &endpoint{Endpoint: Endpoint{Started: now}, machineType: &machineType{slowness: 2}}
+			ready = append(ready, last)
+		}
+		return ready, last
+	}
+	for _, tt := range []struct {
+		warm, warming int
+		want          float64
+	}{
+		{9, 1, 0.2 * 10 / 9.2},
+		{3, 7, 0.2 * slowStartMaxShare},
+		{minSubsetSize - 1, 1, 0.1},
+	} {
+		ready, e := fleet(tt.warm, tt.warming)
+		if got := rule.warmingShare(now, e, ready); math.Abs(got-tt.want) > 1e-9 {
+			t.Errorf("%d warm, %d warming: share %v, want %v", tt.warm, tt.warming, got, tt.want)
+		}
+	}
+}
