--- /dev/null
+++ b/policy/hedgetrace_test.go
@@ -0,0 +1,142 @@
+package policy
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// hedgePlayer gives a Balancer random events of a fleet where some endpoints answer late, so that many hedged requests win, queues are
+// short, and the list service fails at times. TestActionTrace sees little of these.
+type hedgePlayer struct {
+	*hasher
+	b    *Balancer
+	rng  *rand.Rand
+	last RequestID
+	won  int // responses to later attempts than the first
+}
+
+// hedgeTraceConfig switches on what the player is for, and gives classes different priorities.
+func hedgeTraceConfig(cfg Config) Config {
+	cfg.PollMaxBackoff, cfg.WatchReopenMaxDelay = 1500*time.Millisecond, 40*time.Millisecond
+	for i := range cfg.Classes {
+		cfg.Classes[i].PriorityWeight, cfg.Classes[i].LateWeightFraction = float64(i+1), 0.3*float64(i%2)
+	}
+	return cfg
+}
+
+// hedgeTrace plays a few thousand events and returns the hash of all actions and of what was learned.
+func hedgeTrace(t *testing.T, cfg Config, seed uint64) (hash uint64, won int) {
+	t.Helper()
+	b, err := New(cfg, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &hedgePlayer{hasher: &hasher{counts: map[RequestID]int{}}, b: b, rng: rand.New(rand.NewPCG(seed, 5))}
+	_, list := randomList(p.rng, 0)
+	for i := range list {
+		list[i].Started, list[i].State = 0, Ready
+	}
+	b.UpdateEndpoints(0, UpdateCached, list, p)
+	for range 4000 {
+		p.now += Time(p.rng.Int64N(int64(6 * time.Millisecond)))
+		p.event()
+		p.note("%v", b.Summarize(p.now))
+	}
+	learned, err := json.Marshal(b.ExportLearnedState(p.now))
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.note("%s", learned)
+	return p.hash, p.won
+}
+
+// event gives the balancer one random event.
+func (p *hedgePlayer) event() {
+	switch dice := p.rng.IntN(1000); {
+	case dice < 250:
+		p.last++
+		p.b.HandleRequest(p.now, p.request(p.last), p)
+	case dice < 650:
+		p.endNewestAttempt()
+	case dice < 800:
+		if id, ok := takeAny(p.rng, &p.probes); ok {
+			p.b.HandleHealthCheck(p.now, HealthCheckResult{Endpoint: id, Load: &LoadReport{Queue: float64(p.rng.IntN(10) / 9)}}, p)
+		}
+	case dice < 995:
+		playTimers(p.b, p.hasher)
+	default:
+		kind := []UpdateKind{UpdatePollFailed, UpdateWatchLost, UpdateDelta}[p.rng.IntN(3)]
+		_, list := randomList(p.rng, p.now)
+		if kind == UpdateDelta {
+			list = list[:min(1, len(list))]
+		}
+		p.b.UpdateEndpoints(p.now, kind, list, p)
+	}
+}
+
+// request draws a request; most may be hedged.
+func (p *hedgePlayer) request(id RequestID) Request {
+	r := randomRequest(p.rng, p.now, id)
+	if p.rng.IntN(4) == 0 {
+		return r
+	}
+	r.Class, r.Expires = []string{"safe", "keyed", "zonal"}[p.rng.IntN(3)], p.now+time.Second
+	r.PriorAttempts, r.StreamedBody, r.MaxAttempts = nil, false, 0
+	return r
+}
+
+// endNewestAttempt ends the newest attempt that can be answered by now: later ones than the first, as a rule, of requests to slow endpoints.
+func (p *hedgePlayer) endNewestAttempt() {
+	slow := []EndpointID{"s1", "s2", "s5"}
+	for i, a := range slices.Backward(p.attempts) {
+		age := p.now - a.sent
+		if age < 8*time.Millisecond || age < 800*time.Millisecond && slices.Contains(slow, a.server) {
+			continue
+		}
+		p.attempts = slices.Delete(p.attempts, i, i+1)
+		if a.attempt > 0 {
+			p.won++
+		}
+		status := StatusOK
+		if p.rng.IntN(30) == 0 {
+			status = Status(p.rng.IntN(8))
+		}
+		load := &LoadReport{Queue: float64(p.rng.IntN(10) / 9), InFlight: float64(p.rng.IntN(10) / 8)}
+		p.b.HandleAttemptResult(p.now, AttemptResult{
+			ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Delay: age, RequestEnded: status == StatusOK, Load: load,
+		}, p)
+		return
+	}
+}
+
+// TestHedgeTrace holds, as TestActionTrace does, that the module decides as it did when the golden file was written, here where hedged
+// requests win and the list service fails.
+func TestHedgeTrace(t *testing.T) {
+	var got strings.Builder
+	for i, cfg := range traceConfigs() {
+		for seed := range uint64(10) {
+			hash, won := hedgeTrace(t, hedgeTraceConfig(cfg), seed)
+			fmt.Fprintf(&got, "config %d seed %d: %016x, %d later attempts answered\n", i, seed, hash, won)
+		}
+	}
+	file := filepath.Join("testdata", "hedges.golden")
+	if *update {
+		if err := os.WriteFile(file, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got.String(), want)
+	}
+}
