--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-func TestRefuseAndSendLegality(t *testing.T) {
+// TestRetryAndRejectionRules: where a second attempt may go after a first one, by class, and whether the request may be rejected.
+func TestRetryAndRejectionRules(t *testing.T) {
 	tests := []struct {
-		class     string
-		first     Status
-		again     []EndpointID // servers that may get the second attempt
-		refusable bool
+		class      string
+		first      Status
+		again      []EndpointID // endpoints that may get the second attempt
+		rejectable bool
 	}{
 		{"safe", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
 		{"keyed", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
@@ -41,13 +42,14 @@
 		if !slices.Equal(again, tt.again) {
 			t.Errorf("%s after %v may go to %v, want %v", tt.class, tt.first, again, tt.again)
 		}
-		if got := rejectionSafe(r); got != tt.refusable {
-			t.Errorf("%s after %v: mayRefuse = %v, want %v", tt.class, tt.first, got, tt.refusable)
+		if got := rejectionSafe(r); got != tt.rejectable {
+			t.Errorf("%s after %v: rejectionSafe = %v, want %v", tt.class, tt.first, got, tt.rejectable)
 		}
 	}
 }
 
-func TestNoSecondCopyWhereForbidden(t *testing.T) {
+// TestNoHedgingWhereForbidden: no second attempt while one is in flight.
+func TestNoHedgingWhereForbidden(t *testing.T) {
 	cfg := testConfig()
 	for _, may := range []bool{true, false} {
 		cfg.HedgingAllowed = may
@@ -56,7 +58,52 @@
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
 		r.attempts = []attempt{{endpoint: s, inFlight: true}}
 		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != may {
-			t.Errorf("MayDuplicate %v: maySend = %v", may, got)
+			t.Errorf("HedgingAllowed %v: attemptAllowed = %v", may, got)
 		}
 	}
 }
+
+// TestAttemptDenialReasons: each rule is named when it is the one that is broken.
+func TestAttemptDenialReasons(t *testing.T) {
+	policy := retryPolicy{maxAttempts: 3, dedupMargin: 10 * time.Millisecond}
+	sent := attempt{zone: "a", cell: 1, sentAt: 0}
+	keyed := Class{Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 100 * time.Millisecond}
+	tests := []struct {
+		change func(r *request, e *endpoint)
+		want   AttemptDenial
+	}{
+		{func(*request, *endpoint) {}, AttemptAllowed},
+		{func(r *request, _ *endpoint) { r.ended = true }, DeniedRequestEnded},
+		{func(r *request, _ *endpoint) { r.responseStarted = true }, DeniedResponseStarted},
+		{func(r *request, _ *endpoint) { r.bodyConsumed = true }, DeniedBodyConsumed},
+		{func(_ *request, e *endpoint) { e.State = Draining }, DeniedEndpointNotReady},
+		{func(_ *request, e *endpoint) { e.State = Removed }, DeniedEndpointNotReady},
+		{func(r *request, _ *endpoint) { r.Expires = 50 * time.Millisecond }, DeniedDeadline},
+		{func(r *request, _ *endpoint) { r.attempts = []attempt{sent, sent, sent} }, DeniedAttemptsExhausted},
+		{func(r *request, _ *endpoint) { r.MaxAttempts = 1 }, DeniedAttemptsExhausted},
+		{func(r *request, _ *endpoint) { r.inFlight = 1 }, DeniedHedgingForbidden},
+		{func(r *request, _ *endpoint) { r.class.Idempotency = NonIdempotent }, DeniedNotIdempotent},
+		{func(r *request, _ *endpoint) { r.attempts[0].sentAt = -40 * time.Millisecond }, DeniedDedupWindowExpired},
+		{func(_ *request, e *endpoint) { e.Zone = "b" }, DeniedOutsideDedupScope},
+		{func(r *request, e *endpoint) { r.class.DedupScope, e.Cell = DedupCell, 2 }, DeniedOutsideDedupScope},
+	}
+	for i, tt := range tests {
+		r := &request{Request: Request{Expires: time.Second}, class: &classState{Class: keyed}, attempts: []attempt{sent}}
+		e := &endpoint{Endpoint: Endpoint{Zone: "a", Cell: 1}}
+		tt.change(r, e)
+		if got := policy.attemptDenied(50*time.Millisecond, r, e); got != tt.want {
+			t.Errorf("case %d: %v, want %v", i, got, tt.want)
+		}
+	}
+}
+
+// TestAttemptDenialNames: every reason has a name of its own.
+func TestAttemptDenialNames(t *testing.T) {
+	names := map[string]bool{}
+	for d := AttemptAllowed; d <= DeniedOutsideDedupScope; d++ {
+		names[d.String()] = true
+	}
+	if len(names) != int(DeniedOutsideDedupScope)+1 || names[""] || names[AttemptDenial(-1).String()] {
+		t.Errorf("names %v", names)
+	}
+}
