--- /dev/null
+++ b/internal/task/schedule_test.go
@@ -0,0 +1,82 @@
+package task
+
+import (
+	"testing"
+	"time"
+)
+
+// testSpec is a task of one slot a second.
+func testSpec(e Idempotency, m MissedPolicy) Spec {
+	return Spec{Name: "t", Interval: time.Second, Missed: m, Idempotency: e, DedupWindow: 10 * time.Second, Deadline: 300 * time.Millisecond, MaxAttempts: 2}
+}
+
+// TestSlotOfDeadProcess: what becomes of a slot whose process died depends on its idempotency, and on what this process knows of its age.
+func TestSlotOfDeadProcess(t *testing.T) {
+	record := Record{Token: 1, Slot: 5, Open: true, BegunBy: 1, Attempts: 1}
+	wall := time.Unix(6, 0)
+	for name, c := range map[string]struct {
+		idempotency Idempotency
+		notBegunFor time.Duration
+		rerun       bool
+	}{
+		"idempotent":                  {Idempotent, -1, true},
+		"not idempotent":              {NonIdempotent, time.Millisecond, false},
+		"keyed, young":                {IdempotentByKey, 2 * time.Second, true},
+		"keyed, its key forgotten":    {IdempotentByKey, 9800 * time.Millisecond, false},
+		"keyed, of an age not known":  {IdempotentByKey, -1, false},
+		"keyed, just within the time": {IdempotentByKey, 9699 * time.Millisecond, true},
+	} {
+		s := testSpec(c.idempotency, MissedRunNewest)
+		step := s.Next(record, 2, wall, c.notBegunFor)
+		if c.rerun != (step.Begin == 5 && step.Rerun) || c.rerun == (step.Abandon == 5) {
+			t.Errorf("%s: %+v", name, step)
+		}
+	}
+}
+
+// TestMissed: what is done about slots that were due while nobody could do them.
+func TestMissed(t *testing.T) {
+	for name, c := range map[string]struct {
+		missed  MissedPolicy
+		record  Record
+		wall    time.Time
+		begin   int64
+		skipped int64
+	}{
+		"skip, in time":    {MissedSkip, Record{Slot: 3}, time.Unix(9, 1e8), 9, 5},
+		"skip, too late":   {MissedSkip, Record{Slot: 3}, time.Unix(9, 5e8), 0, 0},
+		"once, too late":   {MissedRunNewest, Record{Slot: 3}, time.Unix(9, 5e8), 9, 5},
+		"each":             {MissedRunEach, Record{Slot: 3}, time.Unix(9, 5e8), 4, 0},
+		"each, far behind": {MissedRunEach, Record{Slot: 3}, time.Unix(1000, 0), 901, 897},
+		"the first ever":   {MissedRunEach, Record{}, time.Unix(9, 5e8), 9, 0},
+		"done":             {MissedRunEach, Record{Slot: 9}, time.Unix(9, 5e8), 0, 0},
+		"a clock behind":   {MissedRunEach, Record{Slot: 12}, time.Unix(9, 5e8), 0, 0},
+		"triggered":        {MissedSkip, Record{Slot: 9, Triggered: true}, time.Unix(9, 9e8), 10, 0},
+	} {
+		s := testSpec(Idempotent, c.missed)
+		step := s.Next(c.record, 1, c.wall, -1)
+		if step.Begin != c.begin || step.Skipped != c.skipped {
+			t.Errorf("%s: %+v", name, step)
+		}
+		if step.Begin == 0 && !step.WaitUntil.After(c.wall) {
+			t.Errorf("%s: nothing to do, and nothing to wait for: %+v", name, step)
+		}
+	}
+}
+
+// TestSpecValidate: each value that can't be used is refused.
+func TestSpecValidate(t *testing.T) {
+	for name, change := range map[string]func(*Spec){
+		"no name": func(s *Spec) { s.Name = "" }, "too often": func(s *Spec) { s.Interval = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
+		"spread beyond": func(s *Spec) { s.Spread = 2 * time.Second }, "at beyond a day": func(s *Spec) { s.Offset = 25 * time.Hour },
+		"window within the deadline": func(s *Spec) { s.Idempotency, s.DedupWindow = IdempotentByKey, s.Deadline },
+	} {
+		s := testSpec(Idempotent, MissedRunNewest)
+		if err := s.Validate(); err != nil {
+			t.Fatal(err)
+		}
+		if change(&s); s.Validate() == nil {
+			t.Errorf("%s: not found", name)
+		}
+	}
+}
