--- a/internal/spillover/grant.go
+++ b/internal/spillover/grant.go
@@ -2,30 +2,37 @@
 
 import "time"
 
-// GrantConfig is what the operator says of the room that a site grants.
+// GrantConfig are the parameters of the capacity that a site grants to others.
 type GrantConfig struct {
-	Window  time.Duration // over which its own state is judged, above 0
-	Initial int           // granted at the start
-	Max     int           // granted at most
-	// MaxRejectedRatio is the part of its own requests that a site may turn down in a window and still count as having room, 0 to 1.
+	Window  time.Duration // over which the site's own state is judged, above 0
+	Initial int           // requests granted at the start
+	Max     int           // requests granted at most
+	// MaxRejectedRatio is the fraction of its own requests that a site may reject in a window and still count as having capacity,
+	// 0 to 1.
 	MaxRejectedRatio float64
 }
 
-// Grant decides how many requests of other sites a site takes at once. It is doubled in each window in which the site turned
-// nothing down and the room was used, and halved in each in which it did: a site that is short itself soon takes nothing, and
-// asks for little again once it is not. Above half of what was too much last it grows by a quarter (the slow start and the
-// avoidance of congestion of TCP). It is not safe for concurrent use.
+const (
+	// maxIdleWindows is how many windows in a row are judged one by one when nothing has happened for long.
+	maxIdleWindows = 8
+	// congestionAvoidanceDivisor: above the slow start threshold the grant grows by its size over this.
+	congestionAvoidanceDivisor = 4
+)
+
+// Grant decides how many requests of other sites a site takes at once. As in TCP's slow start and congestion avoidance, the grant
+// is doubled in each window in which it was used and the site rejected nothing, halved in each in which it did, and above half of
+// what was last too much it grows by a quarter. A site that is short of capacity itself soon takes nothing, and asks for little
+// again once it is not. It is not safe for concurrent use.
 type Grant struct {
 	cfg                GrantConfig
-	size               float64
-	slowStartThreshold float64 // from here on it grows by a quarter; 0: nothing was too much yet
+	size               float64 // requests
+	slowStartThreshold float64 // the size from which it grows by a quarter; 0: nothing was too much yet
 	windowStart        time.Duration
-	localRequests      int // requests of the site's own clients in the window
-	localRejected      int // of them turned down
-	remoteRequests     int // foreign ones
-	remoteRejected     int // of them turned down
-	maxInFlight        int // out at once
-	inFlight           int
+
+	localRequests, localRejected   int // of the site's own clients in the window
+	remoteRequests, remoteRejected int // of other sites in the window
+	maxInFlight                    int // of other sites' requests in the window
+	inFlight                       int // other sites' requests
 }
 
 // NewGrant returns what a site grants at its start.
@@ -33,60 +40,75 @@
 	return &Grant{cfg: cfg, size: float64(min(cfg.Initial, cfg.Max))}
 }
 
-// RecordLocal notes a request of the site's own clients, and Short that one was turned down.
-func (g *Grant) RecordLocal(now time.Duration) { g.advance(now); g.localRequests++ }
+// RecordLocal notes a request of the site's own clients.
+func (g *Grant) RecordLocal(now time.Duration) {
+	g.advanceWindow(now)
+	g.localRequests++
+}
 
-// RecordLocalRejected notes that one of them was turned down.
-func (g *Grant) RecordLocalRejected(now time.Duration) { g.advance(now); g.localRejected++ }
+// RecordLocalRejected notes that one of them was rejected.
+func (g *Grant) RecordLocalRejected(now time.Duration) {
+	g.advanceWindow(now)
+	g.localRejected++
+}
 
-// RecordRemote notes that a foreign request has come. Back must follow.
+// RecordRemote notes that a request of another site has come. RecordRemoteDone must follow.
 func (g *Grant) RecordRemote(now time.Duration) {
-	g.advance(now)
+	g.advanceWindow(now)
 	g.remoteRequests++
 	g.inFlight++
 	g.maxInFlight = max(g.maxInFlight, g.inFlight)
 }
 
-// RecordRemoteDone notes that one has its answer, and whether that was a refusal.
-func (g *Grant) RecordRemoteDone(now time.Duration, refused bool) {
-	g.advance(now)
+// RecordRemoteDone notes that one has its response, and whether it was rejected.
+func (g *Grant) RecordRemoteDone(now time.Duration, rejected bool) {
+	g.advanceWindow(now)
 	g.inFlight = max(0, g.inFlight-1)
-	if refused {
+	if rejected {
 		g.remoteRejected++
 	}
 }
 
-// Available is how many more foreign requests may come now, beside those that are out.
+// Available is how many more requests of other sites may come now, beside those in flight.
 func (g *Grant) Available(now time.Duration) int {
-	g.advance(now)
+	g.advanceWindow(now)
 	return max(0, int(g.size)-g.inFlight)
 }
 
-func (g *Grant) advance(now time.Duration) {
+// advanceWindow closes the windows that are over.
+func (g *Grant) advanceWindow(now time.Duration) {
 	for n := 0; now-g.windowStart >= g.cfg.Window; n++ {
-		if n > 8 { // nothing has happened for long: the windows are all alike
+		if n > maxIdleWindows {
 			g.windowStart = now
 			break
 		}
 		g.windowStart += g.cfg.Window
-		shortOwn := g.localRequests > 0 && float64(g.localRejected) > g.cfg.MaxRejectedRatio*float64(g.localRequests)
-		switch {
-		case shortOwn || g.remoteRejected > 0 && 2*g.remoteRejected >= g.remoteRequests:
-			g.size /= 2
-			g.slowStartThreshold = g.size
-			if g.size < 1 {
-				g.size = 0
-			}
-		case g.remoteRejected > 0: // about as much as can be taken
-		case g.size < 1:
-			g.size = 1 // one shows whether there is room again
-		case 2*g.maxInFlight >= int(g.size):
-			more := g.size
-			if g.slowStartThreshold > 0 && g.size >= g.slowStartThreshold {
-				more = max(1, g.size/4)
-			}
-			g.size = min(float64(g.cfg.Max), g.size+more)
+		g.resize()
+		g.localRequests, g.localRejected, g.remoteRequests, g.remoteRejected = 0, 0, 0, 0
+		g.maxInFlight = g.inFlight
+	}
+}
+
+// resize sets the size by the window that is over.
+func (g *Grant) resize() {
+	shortOfCapacity := g.localRequests > 0 && float64(g.localRejected) > g.cfg.MaxRejectedRatio*float64(g.localRequests)
+	mostRemoteRejected := g.remoteRejected > 0 && 2*g.remoteRejected >= g.remoteRequests
+	wasUsed := 2*g.maxInFlight >= int(g.size)
+	switch {
+	case shortOfCapacity || mostRemoteRejected:
+		g.size /= 2
+		g.slowStartThreshold = g.size
+		if g.size < 1 {
+			g.size = 0
+		}
+	case g.remoteRejected > 0: // about as much as the site can take
+	case g.size < 1:
+		g.size = 1 // one request shows whether there is capacity again
+	case wasUsed:
+		growth := g.size
+		if g.slowStartThreshold > 0 && g.size >= g.slowStartThreshold {
+			growth = max(1, g.size/congestionAvoidanceDivisor)
 		}
-		g.localRequests, g.localRejected, g.remoteRequests, g.remoteRejected, g.maxInFlight = 0, 0, 0, 0, g.inFlight
+		g.size = min(float64(g.cfg.Max), g.size+growth)
 	}
 }
