--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -50,7 +50,7 @@
 	return n.store.digests[kind]
 }
 
-// rangeDigest is the digest of a range that peers are told.
+// rangeDigest is the digest of a range that is sent to peers.
 func (n *Node) rangeDigest(kind string, level uint8, index int) uint64 {
 	if kind == membersKind {
 		return n.memberDigests.rangeDigest(level, index)
@@ -268,8 +268,8 @@
 // compareEntry compares an entry of the sender's with the one here, sends the latter if the sender lacks it, and returns the
 // version and digest here and whether the sender's is wanted.
 func (n *Node) compareEntry(kind string, id EntryID, theirs EntryDigest, reply *syncReply) (version Version, digest uint64, want bool) {
-	version, digest, held := n.localVersion(kind, id)
-	if held {
+	version, digest, present := n.localVersion(kind, id)
+	if present {
 		order := version.Compare(theirs.Version)
 		switch {
 		case order > 0:
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -127,7 +127,7 @@
 	return int(mix64(hash.Sum64()) % leafCount)
 }
 
-// FleetTag tells the decisions of one fleet from another's by the fleet's identity, drawn when it was founded. It is never 0.
+// FleetTag stands for a fleet, by the identity that was drawn when it was founded, in the versions of its decisions. It is never 0.
 func FleetTag(fleetID string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(fleetID))
--- a/internal/gossip/failuredetector.go
+++ b/internal/gossip/failuredetector.go
@@ -10,8 +10,8 @@
 // Failure detection as in SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, in turn; if it does not
 // respond, others ping it on this process' behalf; if they hear nothing either, it is suspected, and dead unless it refutes the
 // suspicion in time. Of Lifeguard (Dadgar, Phillips, Currey 2018): a process that has signs of being slow itself takes more
-// time before it suspects others (local health), a suspicion lasts the longer the fewer share it, and a ping tells a suspected
-// member so first.
+// time before it suspects others (local health), a suspicion lasts the longer the fewer share it, and a suspected member
+// learns so from the ping.
 const (
 	// indirectPingCount is how many others are asked to ping a member that does not respond.
 	indirectPingCount = 3
@@ -109,7 +109,7 @@
 			n.adjustHealth(-1)
 			return
 		}
-		n.adjustHealth(1 + ping.missingNacks) // helpers that are silent, too: it may be this process that is cut off
+		n.adjustHealth(1 + ping.missingNacks) // helpers that do not respond either: it may be this process that is cut off
 		n.suspect(now, n.members[ping.target])
 	}
 }
@@ -142,7 +142,7 @@
 	n.send(target, &Message{Kind: PingMessage, Seq: n.lastSeq, Members: n.pingUpdates(target)})
 }
 
-// expireIndirectPings tells the requesters of those without a response so.
+// expireIndirectPings sends a Nack for each indirect ping without a response in time.
 func (n *Node) expireIndirectPings(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.detector.indirectPings)) {
 		if ping := n.detector.indirectPings[seq]; now >= ping.deadline {
@@ -168,7 +168,7 @@
 	}
 }
 
-// pingUpdates are the states that go with a ping or its ack: a member that is suspected hears so first of all.
+// pingUpdates are the states that go with a ping or its ack; a member that is suspected can refute at once.
 func (n *Node) pingUpdates(to string) []MemberState {
 	updates := []MemberState{n.ownState()}
 	if m := n.members[to]; m != nil && m.State != Unknown && m.State != Alive {
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -16,7 +16,7 @@
 	Suspect State = 1 // it did not respond, and may refute the suspicion
 	Dead    State = 2 // it did not refute the suspicion in time
 	Left    State = 3 // it has left by itself
-	Unknown State = 4 // nothing was heard of it yet; never sent
+	Unknown State = 4 // no news of it was received yet; never sent
 )
 
 // String names a state.
@@ -177,7 +177,7 @@
 	n.memberDigests.add(n.cfg.Name, "", n.self.digest)
 }
 
-// drawsPerMember is how often per wanted member a random one is tried before all are looked at.
+// drawsPerMember is how many random members are tried for each that is wanted, before all are searched.
 const drawsPerMember = 8
 
 // randomMembers draws up to count other members that match.
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -29,7 +29,7 @@
 	Leaves  []LeafDigest
 }
 
-// isEmpty reports whether a Sync message tells and asks nothing.
+// isEmpty reports whether a Sync message carries nothing.
 func (m *Message) isEmpty() bool {
 	return len(m.Owners)+len(m.Members)+len(m.Entries)+len(m.Ranges)+len(m.Leaves) == 0
 }
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -128,11 +128,11 @@
 			continue
 		}
 		w.bytes[o.To] += len(o.Message.Encode())
-		copies := 1
+		deliveries := 1
 		if w.twice {
-			copies = 2
+			deliveries = 2
 		}
-		for range copies {
+		for range deliveries {
 			d := ms + time.Duration(w.rng.Int64N(int64(w.late+ms)))
 			w.after(d, func() {
 				if to := w.up[o.To]; to != nil {
--- a/internal/gossip/ownentries.go
+++ b/internal/gossip/ownentries.go
@@ -96,7 +96,7 @@
 		}
 		n.startIncarnation(n.self.reincarnatedAt, ordinalAfter(n.self.incarnation)) // forgets tombstones
 	}
-	if held := n.self.values[key]; held != nil && string(held) == string(value) {
+	if current := n.self.values[key]; current != nil && string(current) == string(value) {
 		return true
 	}
 	n.self.values[key] = append([]byte{}, value...)
@@ -138,7 +138,7 @@
 	}
 }
 
-// Leave says that the process ends, and returns the messages that tell so; its entries leave with it. Afterwards the node does
+// Leave ends the process' part, and returns the messages that say so; its entries leave with it. Afterwards the node does
 // nothing more.
 func (n *Node) Leave(now time.Duration) []Envelope {
 	n.self.left = true
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -43,7 +43,7 @@
 	ForeignFleet int `json:"Foreign"` // decisions of another fleet
 }
 
-// NewStore returns an empty store. Members write kinds, and consensus decides decidedKinds; isMember tells the names of members.
+// NewStore returns an empty store. Members write kinds, and consensus decides decidedKinds; isMember knows the names of members.
 func NewStore(kinds, decidedKinds []string, isMember func(owner string) bool, fault InjectedFault) *Store {
 	s := &Store{
 		kinds:        slices.Sorted(slices.Values(slices.Concat(kinds, decidedKinds))),
@@ -169,8 +169,8 @@
 		s.ApplyOwnerState(OwnerState{e.Owner, e.Incarnation, 0})
 	}
 	tree := s.digests[KindOf(e.Key)]
-	if held := owner.entries[e.Key]; held != nil {
-		merged, news := s.combine(held, e)
+	if current := owner.entries[e.Key]; current != nil {
+		merged, news := s.combine(current, e)
 		if !news {
 			s.Counts.Stale++
 			return false
@@ -178,7 +178,7 @@
 		if len(merged.Siblings) > 1 {
 			s.Counts.Conflicts++
 		}
-		tree.remove(e.Owner, e.Key, held.Digest())
+		tree.remove(e.Owner, e.Key, current.Digest())
 		e = merged
 	}
 	s.changed = append(s.changed, EntryID{e.Owner, e.Key})
@@ -207,13 +207,13 @@
 	return true
 }
 
-// combine returns the merge of an entry that is held and one with the same ID, and whether it differs from the one held.
-func (s *Store) combine(held *Entry, e Entry) (merged Entry, news bool) {
+// combine returns the merge of the entry that is here and a received one with the same ID, and whether it differs from the former.
+func (s *Store) combine(current *Entry, e Entry) (merged Entry, news bool) {
 	if s.fault == FaultLastArrivalWins {
-		return e, e.Compare(held.Version) != 0 || len(e.Siblings) != len(held.Siblings) || e.Digest() != held.Digest()
+		return e, e.Compare(current.Version) != 0 || len(e.Siblings) != len(current.Siblings) || e.Digest() != current.Digest()
 	}
-	merged = mergeEntries(*held, e)
-	return merged, merged.Compare(held.Version) != 0 || len(merged.Siblings) != len(held.Siblings)
+	merged = mergeEntries(*current, e)
+	return merged, merged.Compare(current.Version) != 0 || len(merged.Siblings) != len(current.Siblings)
 }
 
 // dropExcessKey drops the last key of a member that has too many, so that all replicas keep the same ones, and reports whether
@@ -275,17 +275,17 @@
 // Digest is the digest of all entries of a kind that is known here: equal replicas have equal ones.
 func (s *Store) Digest(kind string) uint64 { return s.digests[kind].root }
 
-// skippedLeaves is the part of the leaves that FaultSkipDigestRanges leaves out: each so-manieth.
-const skippedLeaves = 3
+// skippedLeafInterval: FaultSkipDigestRanges leaves out one leaf in so many.
+const skippedLeafInterval = 3
 
-// rangeDigest is the digest of a range that peers are told.
+// rangeDigest is the digest of a range that is sent to peers.
 func (s *Store) rangeDigest(kind string, level uint8, index int) uint64 {
 	tree := s.digests[kind]
 	digest := tree.rangeDigest(level, index)
 	if s.fault == FaultSkipDigestRanges {
 		first, end := rangeLeaves(level, index)
 		for leaf := first; leaf < end; leaf++ {
-			if leaf%skippedLeaves == 0 {
+			if leaf%skippedLeafInterval == 0 {
 				digest -= tree.leaves[leaf]
 			}
 		}
--- a/internal/keepalive/gittins.go
+++ b/internal/keepalive/gittins.go
@@ -8,8 +8,8 @@
 const (
 	// ageBuckets is how many buckets of age there are: the first of 1 ms, each further one twice as long, the last up to MaxIdle.
 	ageBuckets = 12
-	// priorWeight is how many connections' worth of waiting is assumed at the start, used at priorRate: so little that what is
-	// observed soon counts for more.
+	// priorWeight is how many connections are assumed at the start to have waited, and been used at priorRate: so few that what
+	// is observed soon counts for more.
 	priorWeight = 1
 	// priorRate is in uses a second.
 	priorRate = 0.25
@@ -141,7 +141,7 @@
 	return waited
 }
 
-// maxWait is the age from which a connection is not worth the price.
+// maxWait is the age from which the index is below the price.
 func (s *kindStats) maxWait(price float64) time.Duration {
 	for i, index := range s.index {
 		if index < price {
--- a/internal/keepalive/policy.go
+++ b/internal/keepalive/policy.go
@@ -1,6 +1,6 @@
 // Package keepalive decides how long an idle connection of a client is kept: not at all, so that its response says
-// `Connection: close`, for a while, or for MaxIdle. It is pure: it knows neither sockets nor clocks, and is told what the
-// connections do. It knows the pool that a connection was used for by an ID only.
+// `Connection: close`, for a while, or for MaxIdle. It is pure: it knows neither sockets nor clocks. It
+// knows the pool that a connection was used for by an ID only.
 //
 // An idle connection takes a place, here and at its client, which may have a limit of its own. Its value is the rate at which such
 // connections are used again: the Gittins index of its kind and age, the most uses for each second of waiting that any further
@@ -34,8 +34,8 @@
 	MaxIdle = 2 * time.Second
 	// minFirstRequestWait is how long a new connection may always wait for its first request: the client has just asked for it.
 	minFirstRequestWait = 100 * time.Millisecond
-	// exploreInterval: of the connections that are not worth a place each so-manieth is kept all the same, as nothing else would
-	// show that clients begin to use theirs again.
+	// exploreInterval: one in so many of the connections whose index is below the price is kept all the same, as nothing else
+	// would show that clients begin to use theirs again.
 	exploreInterval = 16
 	// maxExploreShare is the fraction of all places that those may take.
 	maxExploreShare = 1.0 / 16
@@ -52,7 +52,7 @@
 	capacity   int64 // places
 	open       int64 // connections
 	exploring  int64 // connections that are kept to explore
-	skipped    int   // connections not worth a place since the last that explores
+	skipped    int   // connections below the price since the last that explores
 	pools      map[PoolID]*poolHistory
 	arrivals   rate // of new connections
 	lastWaitID uint64
@@ -105,7 +105,7 @@
 	return h
 }
 
-// price is the rate of use, a second, from which a connection is worth its place.
+// price is the index, in uses a second, from which a connection is kept.
 func (p *IdlePolicy) price() float64 {
 	return min(1, float64(p.open)/float64(p.capacity)) / MaxIdle.Seconds()
 }
@@ -113,7 +113,7 @@
 // Wait is how long an idle connection may wait. It is passed back to EndIdle.
 type Wait struct {
 	Max     time.Duration // 0: the connection is closed with its response
-	Explore bool          // it is not worth its place, and kept to see whether it is used
+	Explore bool          // its index is below the price, and it is kept to see whether it is used
 	id      uint64
 }
 
@@ -138,7 +138,7 @@
 	return wait
 }
 
-// mayExplore counts a connection that is not worth a place, and reports whether it is kept to explore.
+// mayExplore counts a connection whose index is below the price, and reports whether it is kept to explore.
 func (p *IdlePolicy) mayExplore() bool {
 	p.skipped++
 	if p.skipped < exploreInterval || float64(p.exploring+1) > max(1, maxExploreShare*float64(p.capacity)) {
@@ -160,8 +160,8 @@
 	stats.record(after, used)
 }
 
-// Expired reports whether a connection that waits, and has for so long, is not worth its place any more by what has been learned
-// since it began. Connections that explore are not to be asked about.
+// Expired reports whether the index of a connection that waits, and has for so long, has fallen below the price by what was
+// learned since it began. Connections that explore are not to be asked about.
 func (p *IdlePolicy) Expired(pool PoolID, kind Kind, age time.Duration) bool {
 	if kind == NoRequest && age < minFirstRequestWait {
 		return false
--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -28,7 +28,7 @@
 	PoolRemoved               // the pool is being removed
 )
 
-// String is the reason in words for the client and the log.
+// String is the reason as text for the client and the log.
 func (r Reason) String() string {
 	return [...]string{"admitted", "over the pool's rate", "too many requests open in the pool",
 		"no room for the body", "the pool has no ready server", "the pool is being removed"}[r]
--- a/internal/spillover/window.go
+++ b/internal/spillover/window.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// RecordRejected notes that the local site rejects, after all, a request that RecordLocal was told it would not reject. A site
+// RecordRejected notes that the local site rejects a request after all, which was passed to RecordLocal as not rejected. A site
 // that has lost its servers is found to be short of capacity before the window is over.
 func (l *Link) RecordRejected(now time.Duration, class string) {
 	l.advanceWindow(now)
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,5 +1,5 @@
-// Package staleness decides how old a pool's endpoint list may get: how long a watch may be silent, how long a call to discovery
-// may take, and how long a backoff may last, so that a change is received before the platform's rules take the process for
+// Package staleness decides how old a pool's endpoint list may get: how long a watch may send nothing, how long a call to
+// discovery may take, and how long a backoff may last, so that a change is received before the platform's rules take the process for
 // notified of it. It reads no clock.
 package staleness
 
@@ -89,7 +89,7 @@
 // The methods below are the longest times that each way of missing a change takes until the call that brings it. What is left of
 // NotifiedAfter and the grace is for the response.
 
-// AfterSilence is from the moment in which a watch fell silent, which was just after a message.
+// AfterSilence is from the moment in which a watch broke without a sign, which was just after a message.
 func (b Bound) AfterSilence() time.Duration { return b.WatchTimeout + b.RetryDelay }
 
 // AfterUnansweredCall is from the moment in which discovery could be reached again, just after a call that gets no response.
--- a/internal/zonefailover/controller.go
+++ b/internal/zonefailover/controller.go
@@ -66,14 +66,15 @@
 	return next, causes
 }
 
-// track notes a zone's state, and since when it is in it. The revision tells of a step that came and went between two calls:
-// other processes have acted on it. The end of the warm-up is no new step.
+// track notes a zone's state, and since when it has had it. A change of the revision alone means that another state came and
+// went between two calls, and other processes have acted on it; but the end of the warm-up is no new step.
 func (c *Controller) track(now time.Duration, zone string, state State, revision uint64) {
 	last, known := c.zones[zone]
 	warmedUp := known && last.state.WarmingUp && !state.WarmingUp && last.state.Step == state.Step
-	entered := !known || last.state.Step != state.Step || last.state.Relapses != state.Relapses || last.revision != revision && !warmedUp
+	sameState := known && last.state.Step == state.Step && last.state.Relapses == state.Relapses
+	sameRevision := last.revision == revision || warmedUp
 	since := last.since
-	if entered {
+	if !sameState || !sameRevision {
 		since = now
 	}
 	c.zones[zone] = trackedZone{state: state, revision: revision, since: since}
--- a/internal/zonefailover/controller_test.go
+++ b/internal/zonefailover/controller_test.go
@@ -158,7 +158,7 @@
 }
 
 // TestWarmUp checks that a zone counts as recovering after its last step until its endpoints have had the time to warm up: a
-// process that starts before has to be told. The end of the warm-up is no step: a zone that is left again soon after has not
+// process that starts before that must know. The end of the warm-up is no step: a zone that is left again soon after has not
 // been healthy meanwhile.
 func TestWarmUp(t *testing.T) {
 	rules := DefaultRules()
--- a/internal/zonefailover/gray_test.go
+++ b/internal/zonefailover/gray_test.go
@@ -8,53 +8,68 @@
 	"pgregory.net/rapid"
 )
 
+// zoneLoad is a member's attempts at a zone between two observations.
+type zoneLoad struct {
+	attempts, failed int64
+	latency          time.Duration
+}
+
+// grayPlayer plays loads to a detector, one observation each half second.
+type grayPlayer struct {
+	detector *GrayDetector
+	now      time.Duration
+	counts   map[string]AttemptCounts
+}
+
+// play returns what the last of some observations found.
+func (p *grayPlayer) play(loads map[string]zoneLoad, observations int) (gray []string) {
+	for range observations {
+		p.now += 500 * time.Millisecond
+		next := map[string]AttemptCounts{}
+		for zone, load := range loads {
+			count, succeeded := p.counts[zone], load.attempts-load.failed
+			next[zone] = AttemptCounts{
+				Succeeded:    count.Succeeded + succeeded,
+				Failed:       count.Failed + load.failed,
+				TotalLatency: count.TotalLatency + time.Duration(succeeded)*load.latency,
+			}
+		}
+		p.counts = next
+		gray = p.detector.Observe(p.now, next)
+	}
+	return gray
+}
+
 // TestGrayDetector checks what a gray failure is to a member, and what is not.
 func TestGrayDetector(t *testing.T) {
-	ms := time.Millisecond
-	type rate struct {
-		n      int64 // each half second
-		failed int64
-		delay  time.Duration
+	load := func(attempts, failed, latencyMS int64) zoneLoad {
+		return zoneLoad{attempts, failed, time.Duration(latencyMS) * time.Millisecond}
 	}
+	usual := map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 20)}
 	for name, c := range map[string]struct {
-		before, after map[string]rate
+		before, after map[string]zoneLoad
 		want          []string
 	}{
-		"well":              {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, nil},
-		"one in eight":      {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 1, 20 * ms}}, []string{"b"}},
-		"all fail alike":    {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, map[string]rate{"a": {8, 1, 20 * ms}, "b": {8, 1, 20 * ms}}, nil},
-		"slow by ten":       {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 200 * ms}}, []string{"b"}},
-		"far by nature":     {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 200 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 200 * ms}}, nil},
-		"all slow, of load": {map[string]rate{"a": {8, 0, 20 * ms}, "b": {8, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 120 * ms}, "b": {8, 0, 200 * ms}}, nil},
-		"too few":           {map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 0, 20 * ms}}, map[string]rate{"a": {8, 0, 20 * ms}, "b": {1, 1, 20 * ms}}, nil},
-		"no other zone":     {map[string]rate{"b": {8, 0, 20 * ms}}, map[string]rate{"b": {8, 4, 20 * ms}}, nil},
+		"healthy":                  {usual, usual, nil},
+		"one in eight fails":       {usual, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 1, 20)}, []string{"b"}},
+		"all fail alike":           {usual, map[string]zoneLoad{"a": load(8, 1, 20), "b": load(8, 1, 20)}, nil},
+		"ten times slower":         {usual, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, []string{"b"}},
+		"distant":                  {map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, nil},
+		"all slow because of load": {usual, map[string]zoneLoad{"a": load(8, 0, 120), "b": load(8, 0, 200)}, nil},
+		"too few attempts":         {map[string]zoneLoad{"a": load(8, 0, 20), "b": load(1, 0, 20)}, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(1, 1, 20)}, nil},
+		"no other zone to compare": {map[string]zoneLoad{"b": load(8, 0, 20)}, map[string]zoneLoad{"b": load(8, 4, 20)}, nil},
 	} {
-		detector := NewGrayDetector(DefaultGrayRules())
-		now := time.Duration(0)
-		zones := map[string]AttemptCounts{}
-		play := func(rates map[string]rate, samples int) (got []string) {
-			for range samples {
-				now += 500 * ms
-				next := map[string]AttemptCounts{}
-				for zone, r := range rates {
-					z := zones[zone]
-					next[zone] = AttemptCounts{z.Succeeded + r.n - r.failed, z.Failed + r.failed, z.TotalLatency + time.Duration(r.n-r.failed)*r.delay}
-				}
-				zones = next
-				got = detector.Observe(now, zones)
-			}
-			return got
-		}
-		if got := play(c.before, 20); len(got) > 0 {
+		player := &grayPlayer{detector: NewGrayDetector(DefaultGrayRules())}
+		if got := player.play(c.before, 20); len(got) > 0 {
 			t.Errorf("%s: %v before anything happens", name, got)
 		}
-		if got := play(c.after, 9); !slices.Equal(got, c.want) {
+		if got := player.play(c.after, 9); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if got := play(c.after, 200); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v after long, want %v: what is far from usual has become it", name, got, c.want)
+		if got := player.play(c.after, 200); !slices.Equal(got, c.want) {
+			t.Errorf("%s: %v after long, want %v: a failure has become the baseline", name, got, c.want)
 		}
-		if got := play(c.before, 20); len(got) > 0 {
+		if got := player.play(c.before, 20); len(got) > 0 {
 			t.Errorf("%s: still %v once all is as before", name, got)
 		}
 	}
@@ -64,21 +79,23 @@
 func TestGrayDetectorBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		detector := NewGrayDetector(DefaultGrayRules())
-		zones := map[string]AttemptCounts{}
+		counts := map[string]AttemptCounts{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "samples") {
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms")) * time.Millisecond
 			next := map[string]AttemptCounts{}
-			for _, z := range []string{"a", "b", "c"} {
-				x := zones[z]
-				answered := rapid.Int64Range(0, 5).Draw(t, "answered")
-				next[z] = AttemptCounts{x.Succeeded + answered, x.Failed + rapid.Int64Range(0, 3).Draw(t, "failed"), x.TotalLatency + time.Duration(answered)*time.Duration(rapid.IntRange(0, 900).Draw(t, "delay"))*time.Millisecond}
+			for _, zone := range []string{"a", "b", "c"} {
+				count := counts[zone]
+				succeeded := rapid.Int64Range(0, 5).Draw(t, "succeeded")
+				failed := rapid.Int64Range(0, 3).Draw(t, "failed")
+				latency := time.Duration(rapid.IntRange(0, 900).Draw(t, "latency")) * time.Millisecond
+				next[zone] = AttemptCounts{count.Succeeded + succeeded, count.Failed + failed, count.TotalLatency + time.Duration(succeeded)*latency}
 			}
-			zones = next
-			for _, z := range detector.Observe(now, zones) {
-				from := detector.samples[0].zones[z]
-				if n := zones[z].Succeeded + zones[z].Failed - from.Succeeded - from.Failed; n < detector.rules.MinAttempts {
-					t.Fatalf("%s is gray by %d attempts", z, n)
+			counts = next
+			for _, zone := range detector.Observe(now, counts) {
+				count, oldest := counts[zone], detector.samples[0].zones[zone]
+				if attempts := count.Succeeded + count.Failed - oldest.Succeeded - oldest.Failed; attempts < detector.rules.MinAttempts {
+					t.Fatalf("%s is gray by %d attempts", zone, attempts)
 				}
 			}
 			if len(detector.samples) > maxSamples {
--- a/internal/zonefailover/reports.go
+++ b/internal/zonefailover/reports.go
@@ -36,8 +36,8 @@
 	return reports
 }
 
-// isolatedMembers are the members that report most endpoints, and some of each of several zones: their reports are about
-// their own connection. If most alive members look isolated, the endpoints are at fault, and no member counts as isolated.
+// isolatedMembers are the members that report most of all endpoints, and some of each zone, where there are several: their
+// reports are about their own connection. If most alive members look isolated, the endpoints are at fault, and no member counts as isolated.
 func (r Rules) isolatedMembers(s Snapshot, index endpointIndex, reports setsByKey) stringSet {
 	isolated := stringSet{}
 	if len(index.byZone) < 2 {
--- a/internal/zonefailover/rules.go
+++ b/internal/zonefailover/rules.go
@@ -3,7 +3,7 @@
 // them. The package has no I/O and no clock: what members report about endpoints goes in, with the time of the caller's own
 // monotonic clock, and a transition of one zone comes out.
 //
-// A failing zone is told from a failing observer in steps (see Rules.Judge). A member that reaches hardly any endpoint of any
+// A failing zone and a failing observer are distinguished in steps (see Rules.Judge). A member that reaches hardly any endpoint of any
 // zone is isolated, and its reports are about itself. A zone is down if most of its endpoints are unreachable to members of
 // more than one zone while most endpoints of the others are reachable. If only members of one zone report it, the path between
 // the two zones is broken. If endpoints of all zones are unreachable alike, the cause is a release or overload, and a shift
--- a/internal/zonefailover/verdict_test.go
+++ b/internal/zonefailover/verdict_test.go
@@ -146,7 +146,7 @@
 	}, nil, CausePathBroken},
 }
 
-// TestJudge tells the failure of a zone from what only looks like it.
+// TestJudge distinguishes the failure of a zone from what only resembles it.
 func TestJudge(t *testing.T) {
 	for name, c := range judgeCases {
 		s := newSnapshot(c.unreachable)
