--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -157,7 +157,7 @@
 		n, err := from.Read(body[len(body):min(cap(body), httpmsg.MaxBufferedBodyBytes)], upstream.BodyStallTimeout, deadline)
 		body = body[:len(body)+n]
 		switch {
-		case errors.Is(err, io.EOF):
+		case err == io.EOF: //nolint:errorlint // a wrapped EOF is a body that broke off, not its end
 			return body, true, nil
 		case err != nil:
 			return nil, false, err
--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,116 @@
+package upstream
+
+import (
+	"bufio"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"sorrelrudder/internal/httpmsg"
+)
+
+// Request is what an endpoint is sent.
+type Request struct {
+	Method, Target, Host string
+	Header               http.Header        // as it was read of a client, so that no name or value holds a line's end
+	TimeoutMs            int64              // in place of the header's X-Timeout-Ms; 0: none
+	ExtraFields          []Field            // beside Header, and in place of fields of the same names there
+	Body                 []byte             // the whole body, or its first part
+	StreamedBody         httpmsg.BodyStream // what follows Body, and is sent by SendStreamedBody; nil: nothing
+}
+
+// Field is a header field.
+type Field struct{ Name, Value string }
+
+// write writes q and flushes w. It is not left to http.Request.Write, which needs a copy of the header and a sorted one.
+func (q *Request) write(w *bufio.Writer) error {
+	if _, err := w.Write(q.appendHead(w.AvailableBuffer())); err != nil {
+		return err
+	}
+	if _, err := w.Write(q.Body); err != nil {
+		return err
+	}
+	if q.chunked() {
+		if _, err := w.WriteString("\r\n"); err != nil {
+			return err
+		}
+	}
+	return w.Flush()
+}
+
+// chunked reports whether the body is sent in chunks, of which Body is the first.
+func (q *Request) chunked() bool { return q.contentLength() < 0 }
+
+// contentLength returns the length of the whole body; below 0: it is not known.
+func (q *Request) contentLength() int64 {
+	if q.StreamedBody != nil {
+		return q.StreamedBody.Length()
+	}
+	return int64(len(q.Body))
+}
+
+// appendHead appends the head of q to b, and the size of the first chunk if the body is sent in chunks.
+func (q *Request) appendHead(b []byte) []byte {
+	b = append(b, q.Method...)
+	b = append(b, ' ')
+	b = append(b, q.Target...)
+	b = append(b, " HTTP/1.1\r\n"...)
+	b = appendField(b, "Host", q.Host)
+	for name, values := range q.Header {
+		if q.replaces(name) {
+			continue
+		}
+		for _, v := range values {
+			b = appendField(b, name, v)
+		}
+	}
+	if q.TimeoutMs > 0 {
+		b = appendNumberField(b, "X-Timeout-Ms", q.TimeoutMs)
+	}
+	for _, f := range q.ExtraFields {
+		b = appendField(b, f.Name, f.Value)
+	}
+	return q.appendFraming(b)
+}
+
+// replaces reports whether a field of Header is not sent, since the request has its own.
+func (q *Request) replaces(name string) bool {
+	switch name {
+	case "Host", "Content-Length", "X-Timeout-Ms":
+		return true
+	}
+	return slices.ContainsFunc(q.ExtraFields, func(f Field) bool { return f.Name == name })
+}
+
+// appendFraming appends the field that says how long the body is, and the end of the head.
+func (q *Request) appendFraming(b []byte) []byte {
+	length := q.contentLength()
+	switch {
+	case length < 0:
+		b = append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
+		b = strconv.AppendInt(b, int64(len(q.Body)), 16)
+		return append(b, "\r\n"...)
+	case length > 0 || hasBody(q.Method):
+		b = appendNumberField(b, "Content-Length", length)
+	}
+	return append(b, "\r\n"...)
+}
+
+// hasBody reports whether requests of a method have a body, if an empty one.
+func hasBody(method string) bool {
+	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
+}
+
+func appendField(b []byte, name, value string) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
+
+func appendNumberField(b []byte, name string, value int64) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = strconv.AppendInt(b, value, 10)
+	return append(b, "\r\n"...)
+}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,17 +17,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// none is a process without a free descriptor.
-type none struct{}
+// noDescriptors is a process without a free descriptor.
+type noDescriptors struct{}
 
-func (none) Acquire(ctx context.Context) (func(), error) {
+func (noDescriptors) Acquire(ctx context.Context) (func(), error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (none) Scarce() bool { return true }
+func (noDescriptors) Scarce() bool { return true }
 
-// Where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
+// TestHeldConnectionsAreWeighed: where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
 func TestHeldConnectionsAreWeighed(t *testing.T) {
 	classes := []policy.Class{{LatencyObjective: time.Second}, {LatencyObjective: 200 * time.Millisecond}}
 	for name, c := range map[string]struct {
@@ -39,7 +39,7 @@
 		"dear to hold":    {5, 0.05, 200 * time.Millisecond},
 		"free handshakes": {5, 0, 0},
 	} {
-		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, none{}).idleTimeout
+		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, noDescriptors{}).idleTimeout
 		if got != c.want {
 			t.Errorf("%s: held for %v, want %v", name, got, c.want)
 		}
@@ -48,13 +48,13 @@
 
 // TestDescriptorShortageBlamesNobody guards against ejecting servers because this process has no descriptor left.
 func TestDescriptorShortageBlamesNobody(t *testing.T) {
-	up := New(policy.Config{DialTimeout: time.Second}, none{})
+	up := New(policy.Config{DialTimeout: time.Second}, noDescriptors{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := up.Connect(ctx, NewPeer("127.0.0.1:1", 0), time.Now().Add(time.Minute))
 	var want NoDescriptorError
 	if !errors.As(err, &want) {
-		t.Errorf("got %v, want NoDescriptor", err)
+		t.Errorf("got %v, want NoDescriptorError", err)
 	}
 }
 
