--- a/internal/discovery/source_test.go
+++ b/internal/discovery/client_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-func watch(t *testing.T, s Source) (lists <-chan *EndpointList, ended <-chan error) {
+// watch watches a source until the test ends, and returns what it receives.
+func watch(t *testing.T, s Source) (lists <-chan *EndpointList) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	told, end := make(chan *EndpointList, 10), make(chan error, 1)
@@ -47,17 +48,21 @@
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case <-end:
+		case err := <-end:
+			if err == nil {
+				t.Error("the watch ended without an error")
+			}
 		case <-time.After(patience):
 			t.Error("the watch did not end")
 		}
 	})
-	return told, end
+	return told
 }
 
+// TestStatic: a list is sent at once, and again each time it is replaced.
 func TestStatic(t *testing.T) {
 	s := NewStatic([]Endpoint{{ID: "a"}})
-	lists, _ := watch(t, s)
+	lists := watch(t, s)
 	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "a" {
 		t.Errorf("%+v", l)
 	}
@@ -68,12 +73,13 @@
 	}
 }
 
+// TestDiscovery: the complete list is sent first, and then what changes.
 func TestDiscovery(t *testing.T) {
 	d, err := fake.StartDiscovery(nil, fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "active"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	lists, _ := watch(t, ask(d.Addr()))
+	lists := watch(t, ask(d.Addr()))
 	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
@@ -87,14 +93,15 @@
 // TestBadDiscovery guards against taking over a part of a list that cannot be read, and against waiting for ever.
 func TestBadDiscovery(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer){
-		"an error":       func(w io.Writer) { w.(http.ResponseWriter).WriteHeader(503) },
-		"noise":          func(w io.Writer) { fmt.Fprintln(w, "{noise") },
-		"no version":     func(w io.Writer) { fmt.Fprintln(w, `{"whole":true,"hosts":[]}`) },
-		"no state":       func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","dial":"b","health":"fine"}]}`) },
-		"no address":     func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","health":"active"}]}`) },
-		"an endless one": func(w io.Writer) { io.WriteString(w, strings.Repeat("x", maxMessageBytes+10)) },
+		"an error":   func(w io.Writer) { w.(http.ResponseWriter).WriteHeader(503) },
+		"noise":      func(w io.Writer) { fmt.Fprintln(w, "{noise") },
+		"no version": func(w io.Writer) { fmt.Fprintln(w, `{"whole":true,"hosts":[]}`) },
+		"no state":   func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","dial":"b","health":"fine"}]}`) },
+		"no address": func(w io.Writer) { fmt.Fprintln(w, `{"seq":1,"hosts":[{"host":"a","health":"active"}]}`) },
+		// The client may hang up before it has read them, which is no fault.
+		"an endless one": func(w io.Writer) { _, _ = io.WriteString(w, strings.Repeat("x", maxMessageBytes+10)) },
 		"an endless text in one": func(w io.Writer) {
-			io.WriteString(w, `{"seq":1,"pad":"`+strings.Repeat("x", maxMessageBytes+10))
+			_, _ = io.WriteString(w, `{"seq":1,"pad":"`+strings.Repeat("x", maxMessageBytes+10))
 		},
 		"the end": func(io.Writer) {},
 	} {
@@ -104,7 +111,7 @@
 				t.Fatal(err)
 			}
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) })}
-			go server.Serve(ln)
+			go func() { _ = server.Serve(ln) }() // until it is closed
 			defer server.Close()
 			err = ask(ln.Addr().String()).Watch(context.Background(), 0, func(l *EndpointList) { t.Errorf("took over %+v", l) })
 			if err == nil || errors.Is(err, context.Canceled) {
@@ -128,7 +135,7 @@
 			t.Fatal("a list without a version")
 		}
 		for _, e := range l.Endpoints {
-			if _, ok := States[e.Health]; !ok || e.ID == "" || e.Address == "" && e.Health != "left" {
+			if _, ok := endpointStates[e.Health]; !ok || e.ID == "" || e.Address == "" && e.Health != "left" {
 				t.Fatalf("an entry of no use: %+v", e)
 			}
 		}
@@ -164,15 +171,23 @@
 	return ln.Addr().String()
 }
 
+// write writes a part of a script to the client, which is expected to read it.
+func write(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Error(err)
+	}
+}
+
 // TestIndentedLists guards against taking a list that stands on several lines for one that can't be read.
 func TestIndentedLists(t *testing.T) {
 	release := make(chan struct{})
 	addr := scriptedDiscovery(t, func(c net.Conn) {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n{\n  \"seq\": 1,\n  \"whole\": true,\n  \"hosts\": [\n    {\"host\": \"a\",\n     \"dial\": \"127.0.0.1:1\",\n     \"health\": \"active\"}\n  ]\n}\n\n\n")
-		io.WriteString(c, "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"a\",\"dial\":\"127.0.0.1:1\",\"health\":\"leaving\"}]}{\n\"seq\":3,\n\n\"hosts\":[]}\n")
+		write(t, c, "HTTP/1.1 200 OK\r\n\r\n{\n  \"seq\": 1,\n  \"whole\": true,\n  \"hosts\": [\n    {\"host\": \"a\",\n     \"dial\": \"127.0.0.1:1\",\n     \"health\": \"active\"}\n  ]\n}\n\n\n")
+		write(t, c, "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"a\",\"dial\":\"127.0.0.1:1\",\"health\":\"leaving\"}]}{\n\"seq\":3,\n\n\"hosts\":[]}\n")
 		<-release
 	})
-	lists, _ := watch(t, ask(addr))
+	lists := watch(t, ask(addr))
 	for i, want := range []struct{ seq, hosts int64 }{{1, 1}, {2, 1}, {3, 0}} {
 		if l := next(t, lists); *l.Version != want.seq || int64(len(l.Endpoints)) != want.hosts {
 			t.Errorf("message %d: %+v, want %+v", i, l, want)
@@ -204,7 +219,7 @@
 			t.Parallel()
 			over := make(chan struct{})
 			addr := scriptedDiscovery(t, func(c net.Conn) {
-				io.WriteString(c, script.text)
+				write(t, c, script.text)
 				tick := time.NewTicker(50 * time.Millisecond)
 				defer tick.Stop()
 				for {
@@ -233,12 +248,12 @@
 	t.Run("not with empty lines", func(t *testing.T) {
 		t.Parallel()
 		addr := scriptedDiscovery(t, func(c net.Conn) {
-			io.WriteString(c, head+list)
+			write(t, c, head+list)
 			for range 20 { // each well within the silence, all together far beyond it
 				time.Sleep(50 * time.Millisecond)
-				io.WriteString(c, "\n")
+				write(t, c, "\n")
 			}
-			io.WriteString(c, list)
+			write(t, c, list)
 		})
 		lists := 0
 		if err := (Client{Address: addr, Staleness: bound}).Watch(context.Background(), 0, func(*EndpointList) { lists++ }); !errors.Is(err, io.EOF) {
--- a/internal/discovery/form_test.go
+++ b/internal/discovery/form_test.go
@@ -47,8 +47,8 @@
 		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Entry", got, keys)
 	}
 	states := map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed}
-	if !maps.Equal(States, states) {
-		t.Errorf("states %v, want %v", States, states)
+	if !maps.Equal(endpointStates, states) {
+		t.Errorf("states %v, want %v", endpointStates, states)
 	}
 }
 
@@ -70,7 +70,7 @@
 		defer c.Close()
 		if q, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			asked <- q.Method + " " + q.RequestURI + " " + q.Host
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+string(messages))
+			write(t, c, "HTTP/1.1 200 OK\r\n\r\n"+string(messages))
 		}
 	}()
 	var got []*EndpointList
