--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -15,7 +15,6 @@
 	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/metrics"
 	"sorrelrudder/internal/settings"
-	"sorrelrudder/internal/staleness"
 	"sorrelrudder/internal/statslog"
 	"sorrelrudder/internal/upstream"
 	"sorrelrudder/policy"
@@ -93,8 +92,7 @@
 
 // New starts a pool that uses the connections given, as an owner. It ends with Close. The error is that of the settings.
 func New(cfg Config, conns *upstream.ConnPool, log *slog.Logger) (*Pool, error) {
-	bound := cfg.Settings.ListStaleness()
-	balancer, err := newBalancer(cfg, bound)
+	balancer, err := newBalancer(cfg)
 	if err != nil {
 		return nil, err
 	}
@@ -103,13 +101,14 @@
 	if p.statsLogged {
 		p.goroutines.Go(func() { p.logStats(cfg.StatsInterval) })
 	}
+	pollAtOnce := cfg.Settings.ListStaleness().PollAtOnce()
 	cached := cfg.CachedList
 	if cached == nil {
 		cached = &discovery.EndpointList{Version: new(int64)}
 	}
 	p.runEvent(func(now policy.Time) {
 		p.updateEndpoints(now, policy.UpdateCached, cached)
-		if len(p.peers) == 0 || bound.PollAtOnce() { // the cached list has no endpoint to send to, or must not be used for long
+		if len(p.peers) == 0 || pollAtOnce { // the cached list has no endpoint to send to, or must not be used for long
 			p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 		}
 	})
@@ -117,8 +116,9 @@
 }
 
 // newBalancer returns the decision module of a pool.
-func newBalancer(cfg Config, bound staleness.Bound) (*policy.Balancer, error) {
+func newBalancer(cfg Config) (*policy.Balancer, error) {
 	config := cfg.Settings.Config
+	bound := cfg.Settings.ListStaleness()
 	config.EndpointsPushed = false // the platform's agent, to which lists are pushed, must be polled too
 	config.PollInterval = bound.PollInterval
 	config.PollMaxBackoff = bound.RejectedBackoff
