--- /dev/null
+++ b/internal/downstream/harness_test.go
@@ -0,0 +1,201 @@
+package downstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"sorrelrudder/internal/httpmsg"
+	"sorrelrudder/internal/process"
+)
+
+const patience = 20 * time.Second
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// echoHandler answers each request with its id, from the pool that the first letter of its host names.
+type echoHandler struct {
+	mu    sync.Mutex
+	conns map[PoolID]int
+}
+
+func (h *echoHandler) Admit(q *httpmsg.Request) (AdmittedRequest, PoolID, error) {
+	o := PoolID(q.Host[0])
+	if strings.HasPrefix(q.Path, "/full") {
+		return nil, o, httpmsg.RejectionError{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
+	}
+	return echoRequest{q}, o, nil
+}
+
+func (h *echoHandler) ReadDelay(PoolID, int) time.Duration { return 0 }
+
+func (h *echoHandler) AcquireConnection(o PoolID) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if o == 'x' {
+		return false
+	}
+	h.conns[o]++
+	return true
+}
+
+func (h *echoHandler) ReleaseConnection(o PoolID) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.conns[o]--
+}
+
+func (h *echoHandler) ConnectionExcess(o PoolID) int64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return int64(h.conns[o])
+}
+
+type echoRequest struct{ q *httpmsg.Request }
+
+func (a echoRequest) Dispatch(body []byte, rest httpmsg.BodyStream) (Exchange, error) {
+	if rest != nil {
+		all, err := io.ReadAll(rest)
+		if err != nil {
+			return nil, httpmsg.RejectionError{Status: 400, Text: err.Error()}
+		}
+		body = append(body, all...)
+	}
+	return echoExchange(a.q.Header.Get("X-Request-Id") + string(body)), nil
+}
+
+func (echoRequest) Release() {}
+
+type echoExchange string
+
+func (e echoExchange) Response() <-chan httpmsg.Response {
+	c := make(chan httpmsg.Response, 1)
+	c <- httpmsg.Response{Status: 200, Body: []byte(e)}
+	return c
+}
+
+func (echoExchange) Cancel() bool { return false }
+
+// running is a server on a loopback socket.
+type running struct {
+	*Server
+	handler *echoHandler
+	addr    string
+}
+
+func start(t *testing.T, descriptors int, wrap func(net.Listener) net.Listener) *running {
+	t.Helper()
+	h := &echoHandler{conns: map[PoolID]int{}}
+	r := startWith(t, h, descriptors, wrap)
+	r.handler = h
+	return r
+}
+
+func startWith(t *testing.T, h Handler, descriptors int, wrap func(net.Listener) net.Listener) *running {
+	t.Helper()
+	d := process.NewDescriptors(descriptors)
+	s := NewServer(h, d, slog.New(slog.DiscardHandler))
+	d.SetClientEvictor(s.Evict)
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	at := ln
+	if wrap != nil {
+		at = wrap(ln)
+	}
+	go func() {
+		defer close(ended)
+		_ = s.Serve(ctx, at, 2) // it ends with the listener
+	}()
+	t.Cleanup(func() {
+		cancel()
+		ln.Close()
+		<-ended
+		_ = s.Wait(ctx) // closes what is left
+		s.goroutines.Wait()
+	})
+	return &running{s, nil, ln.Addr().String()}
+}
+
+// idleCount counts the idle connections of an owner. The caller holds mu.
+func (s *Server) idleCount(o PoolID) (n int) {
+	if of := s.idle[o]; of != nil {
+		for i := range of {
+			n += of[i].Len()
+		}
+	}
+	return n
+}
+
+type client struct {
+	net.Conn
+	r *bufio.Reader
+}
+
+func (r *running) dial(t *testing.T) *client {
+	t.Helper()
+	c, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(patience))
+	return &client{c, bufio.NewReader(c)}
+}
+
+// response is what a client needs of a response whose body has been read. Status 0: the connection was closed instead.
+type response struct {
+	StatusCode int
+	Header     http.Header
+	Close      bool
+}
+
+// write writes a request. Where the server has closed the connection, reading the response tells.
+func (c *client) write(text string) { _, _ = io.WriteString(c, text) }
+
+// ask writes text, which may be empty, and reads a response with its body.
+func (c *client) ask(t *testing.T, text string) (response, string) {
+	t.Helper()
+	c.write(text)
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		t.Logf("no answer: %v", err)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Fatal(err)
+		}
+		return response{}, ""
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return response{resp.StatusCode, resp.Header, resp.Close}, string(body)
+}
+
+func get(host, id string) string {
+	return "GET /check HTTP/1.1\r\nHost: " + host + "\r\nX-Request-ID: " + id + "\r\n\r\n"
+}
+
+func waitFor(t *testing.T, what string, f func() bool) {
+	t.Helper()
+	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
--- /dev/null
+++ b/internal/downstream/response_test.go
@@ -0,0 +1,32 @@
+package downstream
+
+import (
+	"net/http"
+	"testing"
+
+	"sorrelrudder/internal/httpmsg"
+)
+
+// TestFrameResponse holds how the end of a response is told, by what its client understands.
+func TestFrameResponse(t *testing.T) {
+	unknown := &endlessStream{}
+	for name, c := range map[string]struct {
+		http10, head bool
+		resp         httpmsg.Response
+		want         responseFraming
+	}{
+		"with a body":         {resp: httpmsg.Response{Status: 200, Body: []byte("abc")}, want: responseFraming{length: 3, hasBody: true, tellsLength: true}},
+		"without":             {resp: httpmsg.Response{Status: 200}, want: responseFraming{hasBody: true, tellsLength: true}},
+		"status 204":          {resp: httpmsg.Response{Status: http.StatusNoContent}, want: responseFraming{}},
+		"HEAD, length known":  {head: true, resp: httpmsg.Response{Status: 200, Length: 7}, want: responseFraming{length: 7, tellsLength: true}},
+		"HEAD, not known":     {head: true, resp: httpmsg.Response{Status: 200, Length: -1}, want: responseFraming{length: -1}},
+		"streamed, HTTP/1.1":  {resp: httpmsg.Response{Status: 200, Remainder: unknown}, want: responseFraming{length: -1, hasBody: true, chunked: true}},
+		"streamed, HTTP/1.0":  {http10: true, resp: httpmsg.Response{Status: 200, Remainder: unknown}, want: responseFraming{length: -1, hasBody: true, closeDelimited: true}},
+		"HEAD of a streamed":  {head: true, resp: httpmsg.Response{Status: 200, Remainder: unknown}, want: responseFraming{length: -1}},
+		"status 304, length ": {resp: httpmsg.Response{Status: http.StatusNotModified, Length: 9}, want: responseFraming{}},
+	} {
+		if got := frameResponse(&clientConn{http10: c.http10, headRequest: c.head}, &c.resp); got != c.want {
+			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+		}
+	}
+}
