--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -4,8 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -126,17 +124,5 @@
 			fmt.Fprintf(&got, "config %d seed %d: %016x, %d later attempts answered\n", i, seed, hash, won)
 		}
 	}
-	file := filepath.Join("testdata", "hedges.golden")
-	if *update {
-		if err := os.WriteFile(file, []byte(got.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
-		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got.String(), want)
-	}
+	compareGolden(t, "hedges.golden", got.String())
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -270,12 +270,18 @@
 			}
 		}
 	}
-	file := filepath.Join("testdata", "actions.golden")
+	compareGolden(t, "actions.golden", got.String())
+}
+
+// compareGolden compares got with a golden file of testdata.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", name)
 	if *update {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(file, []byte(got.String()), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -283,7 +289,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.String() != string(want) {
-		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got.String(), want)
+	if got != string(want) {
+		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got, want)
 	}
 }
