--- a/internal/zonefailover/ramp.go
+++ b/internal/zonefailover/ramp.go
@@ -11,8 +11,8 @@
 // recoveryRamp is the fraction of a zone's endpoints in service at each step.
 var recoveryRamp = []float64{0, 0.1, 0.25, 0.5, 1}
 
-// RampFraction is the fraction of a zone's endpoints in service at a step, 0 to 1.
-func RampFraction(step int) float64 { return recoveryRamp[min(max(step, 0), FullStep)] }
+// rampFraction is the fraction of a zone's endpoints in service at a step, 0 to 1.
+func rampFraction(step int) float64 { return recoveryRamp[min(max(step, 0), FullStep)] }
 
 // inService reports whether the endpoint of a rank, from 0, among a zone's is in service at a step. A step includes the
 // endpoints of the one before, and all steps but 0 have one at least.
@@ -20,7 +20,7 @@
 	if step >= FullStep || step > 0 && rank == 0 {
 		return true
 	}
-	return float64(rank) < RampFraction(step)*float64(zoneSize)
+	return float64(rank) < rampFraction(step)*float64(zoneSize)
 }
 
 // ExcludedEndpoints returns the names of the endpoints that are out of service by the states of their zones. It depends on
--- a/internal/zonefailover/ramp_test.go
+++ b/internal/zonefailover/ramp_test.go
@@ -35,7 +35,7 @@
 			switch {
 			case step == 0 && used != 0, step > 0 && used == 0, step == FullStep && used != size:
 				t.Fatalf("step %d of %d endpoints: %d in service", step, size, used)
-			case float64(used) > RampFraction(step)*float64(size)+1:
+			case float64(used) > rampFraction(step)*float64(size)+1:
 				t.Fatalf("step %d of %d endpoints: %d in service, above its fraction", step, size, used)
 			}
 			before = excluded
