--- a/internal/process/descriptors.go
+++ b/internal/process/descriptors.go
@@ -1,11 +1,12 @@
-// Package process holds what one process has once and its pools share: its descriptors, and how a socket is looked at without
-// reading from it. How much of it each pool may have is decided by package share; this package carries that out. It
-// knows nothing of requests or servers.
+// Package process holds what one process has once and its pools share: its file descriptors, what it knows of sibling processes, and a
+// look at a socket without reading from it. How many descriptors each pool may have is decided by package quota; this package carries
+// that out. It knows nothing of requests or endpoints.
 package process
 
 import (
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"slices"
 	"sync"
@@ -16,33 +17,37 @@
 )
 
 const (
-	// ReservedDescriptors are not counted: the listener, discovery, the log, the runtime's poller.
+	// ReservedDescriptors are not counted: those of the listener, discovery, the log and the runtime's poller.
 	ReservedDescriptors = 16
-	// clientFraction is the part of the descriptors that clients may hold: more than the third that those with requests
-	// need, since others connect too. The rest is always left for upstreams, so that requests which were taken can
-	// be answered, and for their further attempts and probes.
+	// clientFraction is the part of the descriptors that clients may hold. It is more than a third, which those with requests need,
+	// since others connect too; the rest is left for upstreams, so that accepted requests, their retries and health checks go on.
 	clientFraction = 0.45
 	// scarceFraction is the part in use from which idle connections are not kept.
 	scarceFraction = 0.9
 	// evictionRetryInterval is how often one that waits for a descriptor looks for idle connections to close.
 	evictionRetryInterval = 10 * time.Millisecond
-	// clientKey is the key under which the clients' connections are counted; no pool has it.
+	// clientKey counts the clients' connections; no pool has it.
 	clientKey quota.PoolID = 0
 )
 
-// Descriptors counts the descriptors of connections. Near the limit idle connections make room: those to
-// upstreams first, those of the pool that has most beyond its part before others, then those of clients. Beyond it work
-// waits.
+// ErrNoDescriptor is that no descriptor was free in time.
+var ErrNoDescriptor = errors.New("no free descriptor")
+
+// Descriptors counts the file descriptors of connections. Near the limit idle connections make room: those to upstreams first, of the
+// pool that exceeds its quota by most before others, and then those of clients. At the limit Acquire waits. Its methods may be called
+// from any goroutine.
 type Descriptors struct {
-	waiting atomic.Int32
-	inUse   atomic.Int64
-	total   atomic.Int64
+	waiting atomic.Int32 // callers that wait for a descriptor
+	// inUse and total are written under mu, and read without it.
+	inUse atomic.Int64
+	total atomic.Int64
 
+	// mu guards the fields below. No evict function is called under it.
 	mu          sync.Mutex
 	budget      quota.Budget
-	freed       chan struct{}                // closed, and made anew, when one is given back while others wait
+	freed       chan struct{}                // closed, and made anew, when a descriptor is released while others wait
 	evictPool   map[quota.PoolID]func() bool // each closes an idle connection and reports whether there was one
-	evictClient func() bool                  // the same of clients
+	evictClient func() bool                  // the same for clients; nil: there are none
 }
 
 // NewDescriptors returns the descriptors of a process that may hold limit.
@@ -52,7 +57,7 @@
 	return d
 }
 
-// Resize makes limit what the process may hold.
+// Resize sets how many descriptors the process may hold.
 func (d *Descriptors) Resize(limit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,29 +67,29 @@
 	d.total.Store(n)
 }
 
-// MaxClientDescriptors is how many descriptors clients may hold where the process may hold limit.
+// MaxClientDescriptors returns how many descriptors clients may hold where the process may hold limit.
 func MaxClientDescriptors(limit int) int64 {
 	return max(1, int64(float64(limit-ReservedDescriptors)*clientFraction))
 }
 
-// MaxClients is how many descriptors clients may hold now.
+// MaxClients returns how many descriptors clients may hold now.
 func (d *Descriptors) MaxClients() int64 {
 	return MaxClientDescriptors(int(d.total.Load()) + ReservedDescriptors)
 }
 
-// MinUpstreamDescriptors is how many of limit are left for connections to upstreams whatever clients hold.
+// MinUpstreamDescriptors returns how many of limit are left for connections to upstreams whatever clients hold.
 func MinUpstreamDescriptors(limit int) int64 {
 	return max(0, int64(limit-ReservedDescriptors)-MaxClientDescriptors(limit))
 }
 
-// SetClientEvictor makes evict what closes an idle connection of a client.
+// SetClientEvictor sets the function that closes an idle connection of a client and reports whether there was one.
 func (d *Descriptors) SetClientEvictor(evict func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.evictClient = evict
 }
 
-// Register gives a pool its claim on descriptors, and evict is what closes an idle one of its connections.
+// Register adds a pool with its claim; evict closes an idle one of its connections and reports whether there was one.
 func (d *Descriptors) Register(k quota.PoolID, c quota.Claim, evict func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +97,14 @@
 	d.evictPool[k] = evict
 }
 
-// Unregister ends the claim of a pool that opens no connection any more.
+// SetClaim changes the claim of a pool.
+func (d *Descriptors) SetClaim(k quota.PoolID, c quota.Claim) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.budget.Set(k, c)
+}
+
+// Unregister removes a pool that opens no connection any more.
 func (d *Descriptors) Unregister(k quota.PoolID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,16 +112,18 @@
 	delete(d.evictPool, k)
 }
 
-// Pool is the part of the descriptors that one pool has.
-func (d *Descriptors) Pool(k quota.PoolID) *PoolDescriptors { return &PoolDescriptors{d, k} }
+// Pool returns the descriptors of one pool.
+func (d *Descriptors) Pool(k quota.PoolID) *PoolDescriptors {
+	return &PoolDescriptors{descriptors: d, key: k}
+}
 
-// PoolDescriptors is what a pool has of the process's descriptors.
+// PoolDescriptors are a pool's descriptors. It implements upstream.Descriptors.
 type PoolDescriptors struct {
 	descriptors *Descriptors
 	key         quota.PoolID
 }
 
-// Acquire takes a descriptor, and returns the function that gives it back.
+// Acquire takes a descriptor, and returns the function that releases it. It waits until ctx ends; the error is then an ErrNoDescriptor.
 func (p *PoolDescriptors) Acquire(ctx context.Context) (release func(), err error) {
 	return p.descriptors.acquire(ctx, p.key)
 }
@@ -121,7 +135,7 @@
 	return d.waiting.Load() > 0 && used > int64(scarceFraction*float64(total)) || used >= total
 }
 
-// AcquireClient takes a descriptor for a client's connection.
+// AcquireClient is Acquire for a client's connection.
 func (d *Descriptors) AcquireClient(ctx context.Context) (release func(), err error) {
 	return d.acquire(ctx, clientKey)
 }
@@ -159,17 +173,11 @@
 	d.waiting.Add(1)
 	defer d.waiting.Add(-1)
 	for {
-		d.mu.Lock()
-		freed := d.freed
-		d.mu.Unlock()
-		if d.tryAcquire(k) { // one given back before freed was read wakes nobody
+		freed := d.freedChannel()
+		if d.tryAcquire(k) { // one released before freed was read wakes nobody
 			return nil
 		}
-		for _, e := range d.evictionOrder(k) {
-			if e() {
-				break
-			}
-		}
+		d.evictFor(k)
 		if d.tryAcquire(k) {
 			return nil
 		}
@@ -179,47 +187,56 @@
 			retry.Stop()
 		case <-ctx.Done():
 			retry.Stop()
-			return fmt.Errorf("no free descriptor: %w", ctx.Err())
+			return fmt.Errorf("%w: %w", ErrNoDescriptor, ctx.Err())
 		case <-retry.C:
 		}
 	}
 }
 
-// evictionOrder are those who may make room for pool k, in order: where it has all that it may have itself, only it.
-func (d *Descriptors) evictionOrder(k quota.PoolID) []func() bool {
+// freedChannel returns the channel that is closed when the next descriptor is released.
+func (d *Descriptors) freedChannel() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if k == clientKey {
-		if d.budget.Used(clientKey) >= d.MaxClients() {
-			return only(d.evictClient)
+	return d.freed
+}
+
+// evictFor closes an idle connection to make room for pool k, if there is one.
+func (d *Descriptors) evictFor(k quota.PoolID) {
+	for _, evict := range d.evictionOrder(k) {
+		if evict() {
+			return
 		}
-	} else if d.budget.AtLimit(k) {
-		return only(d.evictPool[k])
+	}
+}
+
+// evictionOrder returns the functions that may make room for pool k, in order: where it has reached its own limit, only its own.
+func (d *Descriptors) evictionOrder(k quota.PoolID) []func() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch {
+	case k == clientKey && d.budget.Used(clientKey) >= d.MaxClients():
+		return appendEvictor(nil, d.evictClient)
+	case k != clientKey && d.budget.AtLimit(k):
+		return appendEvictor(nil, d.evictPool[k])
 	}
 	keys := make([]quota.PoolID, 0, len(d.evictPool))
-	for k := range d.evictPool {
-		keys = append(keys, k)
+	for key := range d.evictPool {
+		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b quota.PoolID) int {
 		return cmp.Or(cmp.Compare(d.budget.Excess(b), d.budget.Excess(a)), cmp.Compare(a, b))
 	})
-	all := make([]func() bool, 0, len(keys)+1)
-	for _, k := range keys {
-		all = append(all, d.evictPool[k])
+	order := make([]func() bool, 0, len(keys)+1)
+	for _, key := range keys {
+		order = append(order, d.evictPool[key])
 	}
-	return append(all, only(d.evictClient)...)
+	return appendEvictor(order, d.evictClient)
 }
 
-func only(f func() bool) []func() bool {
-	if f == nil {
-		return nil
+// appendEvictor appends evict, if there is one.
+func appendEvictor(order []func() bool, evict func() bool) []func() bool {
+	if evict == nil {
+		return order
 	}
-	return []func() bool{f}
-}
-
-// SetClaim changes what a pool may have.
-func (d *Descriptors) SetClaim(k quota.PoolID, c quota.Claim) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.budget.Set(k, c)
+	return append(order, evict)
 }
