--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,37 +22,70 @@
 
 // object mirrors the keys that the module uses; others are skipped.
 type object struct {
-	GroupSize, Ordinal int
-	Zone               string
-	MembershipMode     string
-	OverShareWorth     float64
-	TickUs             int64
-	Limits             struct {
-		Cancelling, MayDuplicate, Probes, RetryAfter bool
-		ConnIdleUs, DialTimeoutUs, MaxRetryAfterUs   int64
-		SendCap                                      int
-	}
-	RequestClasses []struct {
-		Name, Effect, Group         string
-		AimUs, DeadlineUs, KeyTtlUs int64
-		Worth, LateShare            float64
-	}
-	Safety struct {
-		AskEveryUs, DrainGraceUs, GraceToAnswerUs, RampTimeUs int64
-		ColdFrom                                              float64
-	}
-	FamilyInfo struct{ WarmKeys bool }
-	Tariffs    struct {
-		Connection, CrossZone, Handshake, Probe float64
-	}
-	Telemetry struct {
-		Fields []string
-		Via    string
-	}
-	Tenants []struct {
-		Name          string
-		AllowancePerS float64
-	}
+	GroupSize      int            `json:"GroupSize"`
+	Ordinal        int            `json:"Ordinal"`
+	Zone           string         `json:"Zone"`
+	MembershipMode string         `json:"MembershipMode"`
+	OverShareWorth float64        `json:"OverShareWorth"`
+	TickUs         int64          `json:"TickUs"`
+	Limits         limits         `json:"Limits"`
+	RequestClasses []requestClass `json:"RequestClasses"`
+	Safety         safety         `json:"Safety"`
+	FamilyInfo     familyInfo     `json:"FamilyInfo"`
+	Tariffs        tariffs        `json:"Tariffs"`
+	Telemetry      telemetry      `json:"Telemetry"`
+	Tenants        []tenant       `json:"Tenants"`
+}
+
+type limits struct {
+	Cancelling      bool  `json:"Cancelling"`
+	MayDuplicate    bool  `json:"MayDuplicate"`
+	Probes          bool  `json:"Probes"`
+	RetryAfter      bool  `json:"RetryAfter"`
+	ConnIdleUs      int64 `json:"ConnIdleUs"`
+	DialTimeoutUs   int64 `json:"DialTimeoutUs"`
+	MaxRetryAfterUs int64 `json:"MaxRetryAfterUs"`
+	SendCap         int   `json:"SendCap"`
+}
+
+type requestClass struct {
+	Name       string  `json:"Name"`
+	Effect     string  `json:"Effect"`
+	Group      string  `json:"Group"`
+	AimUs      int64   `json:"AimUs"`
+	DeadlineUs int64   `json:"DeadlineUs"`
+	KeyTtlUs   int64   `json:"KeyTtlUs"`
+	Worth      float64 `json:"Worth"`
+	LateShare  float64 `json:"LateShare"`
+}
+
+type safety struct {
+	AskEveryUs      int64   `json:"AskEveryUs"`
+	DrainGraceUs    int64   `json:"DrainGraceUs"`
+	GraceToAnswerUs int64   `json:"GraceToAnswerUs"`
+	RampTimeUs      int64   `json:"RampTimeUs"`
+	ColdFrom        float64 `json:"ColdFrom"`
+}
+
+type familyInfo struct {
+	WarmKeys bool `json:"WarmKeys"`
+}
+
+type tariffs struct {
+	Connection float64 `json:"Connection"`
+	CrossZone  float64 `json:"CrossZone"`
+	Handshake  float64 `json:"Handshake"`
+	Probe      float64 `json:"Probe"`
+}
+
+type telemetry struct {
+	Fields []string `json:"Fields"`
+	Via    string   `json:"Via"`
+}
+
+type tenant struct {
+	Name          string  `json:"Name"`
+	AllowancePerS float64 `json:"AllowancePerS"`
 }
 
 var idempotencyByName = map[string]policy.Idempotency{
