--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -56,12 +56,15 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: h\r\n\r\n")
+	if _, err := io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
 	r := bufio.NewReader(c)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -94,8 +97,8 @@
 	}
 }
 
-// TestSilentCallers guards against callers who complete no call and hold the door shut for the others.
-func TestSilentCallers(t *testing.T) {
+// TestSilentClients guards against clients that complete no request and keep the others out.
+func TestSilentClients(t *testing.T) {
 	_, addr := open(t)
 	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
@@ -104,10 +107,10 @@
 		}
 		defer c.Close()
 		if i%2 == 0 {
-			io.WriteString(c, "GET /_va")
+			_, _ = io.WriteString(c, "GET /_va") // it may have been closed for a later one
 		}
 	}
 	if status, _ := call(t, addr, "GET", "/_ready"); status != 200 {
-		t.Errorf("beside silent callers: %d", status)
+		t.Errorf("beside silent clients: %d", status)
 	}
 }
--- a/internal/admin/form_test.go
+++ b/internal/admin/form_test.go
@@ -16,13 +16,13 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// told is a process with the figures given.
-type told Vars
+// fixedVars is a process with these metrics.
+type fixedVars Vars
 
-func (f told) Ready() error { return errors.New("unused") }
-func (f told) Vars() Vars   { return Vars(f) }
+func (f fixedVars) Ready() error { return errors.New("unused") }
+func (f fixedVars) Vars() Vars   { return Vars(f) }
 
-// TestVarsForm holds what GET /_vars tells.
+// TestVarsForm holds the response to GET /_vars.
 func TestVarsForm(t *testing.T) {
 	value := Vars{
 		Results: map[string]metrics.ClassCounts{
@@ -35,12 +35,12 @@
 			t.Errorf("%s is not in the example", field.Name)
 		}
 	}
-	door, err := Listen("127.0.0.1:0", told(value), slog.New(slog.DiscardHandler))
+	server, err := Listen("127.0.0.1:0", fixedVars(value), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close(context.Background())
-	_, body := call(t, door.Addr().String(), "GET", "/_vars")
+	defer server.Close(context.Background())
+	_, body := call(t, server.Addr().String(), "GET", "/_vars")
 	const path = "testdata/vars.json"
 	if *update {
 		if err := os.WriteFile(path, []byte(body), 0o644); err != nil {
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal([]byte(body), golden) {
-		t.Errorf("told as\n%swant\n%s", body, golden)
+		t.Errorf("written as\n%swant\n%s", body, golden)
 	}
 	var got Vars
 	if err := json.Unmarshal(golden, &got); err != nil || !reflect.DeepEqual(got, value) {
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,7 +1,7 @@
 package metrics
 
 import (
-	"fmt"
+	"strconv"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -9,9 +9,9 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// TestCounts holds the figures against a plain account of the same events: each request counts once, under its own class, and
+// TestRequestCounters holds the counts against a plain account of the same events: each request counts once, under its own class, and
 // what was handed out before does not change.
-func TestCounts(t *testing.T) {
+func TestRequestCounters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c RequestCounters
 		want := map[string]ClassCounts{}
@@ -32,7 +32,7 @@
 				}
 				want[name] = k
 			},
-			"forwarded": func(t *rapid.T) {
+			"forwarded": func(*rapid.T) {
 				c.RecordForwardedAttempt()
 				forwards++
 			},
@@ -56,7 +56,7 @@
 	var c RequestCounters
 	c.Register("order")
 	for i := range 2 * maxClasses {
-		c.RecordOutcome(fmt.Sprint(i), Failed)
+		c.RecordOutcome(strconv.Itoa(i), Failed)
 	}
 	c.RecordOutcome("order", Succeeded)
 	all := c.Snapshot()
