--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -141,7 +141,7 @@
 	}
 	goldentest.CheckForms(t, "session.golden", forms)
 	want := []policy.Endpoint{
-		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * policy.Time(time.Microsecond)},
+		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * time.Microsecond},
 		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
 	}
 	if !reflect.DeepEqual(h.endpointLists[2], want) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestOrderForm pins every action that goes out.
-func TestOrderForm(t *testing.T) {
+// TestActionForm pins every action that goes out.
+func TestActionForm(t *testing.T) {
 	var forms []goldentest.Form
 	add := func(name string, act func(*instance)) {
 		i := &instance{}
@@ -199,7 +199,7 @@
 	checkWords(t, "list", updateKindByName, map[string]policy.UpdateKind{
 		"patch": policy.UpdateDelta, "whole": policy.UpdateFull, "stale_copy": policy.UpdateCached, "broken": policy.UpdatePollFailed,
 	})
-	events := slices.Sorted(maps.Keys(instanceCommands))
+	events := slices.Sorted(maps.Keys(instanceHandlers))
 	if got := fmt.Sprint(events); got != "[BackendsChanged DeadlineHit Demand Halt HealthResult Memo Opened ReportBack Withdrawn]" {
 		t.Errorf("events %s", got)
 	}
--- /dev/null
+++ b/internal/simwire/message.go
@@ -0,0 +1,134 @@
+package simwire
+
+import (
+	"encoding/json"
+
+	"sorrelrudder/policy"
+)
+
+// command is the kind of a message or of an action.
+type command string
+
+// Messages of the simulator.
+const (
+	commandOpen              command = "OpenInstance"
+	commandClose             command = "Halt"
+	commandEndpointList      command = "Pool" // a list, for messages of updates to refer to
+	commandEndpointUpdate    command = "BackendsChanged"
+	commandRequest           command = "Demand"
+	commandResponseStarted   command = "Opened"
+	commandAttemptResult     command = "ReportBack"
+	commandClientGone        command = "Withdrawn"
+	commandTimer             command = "DeadlineHit"
+	commandHealthCheckResult command = "HealthResult"
+	commandNote              command = "Memo" // of another process; it is ignored
+)
+
+// Actions of the instances.
+const (
+	commandStartAttempt   command = "Route"
+	commandReject         command = "OverloadReply"
+	commandFail           command = "Lose"
+	commandCancelAttempt  command = "DropAttempt"
+	commandSetTimer       command = "SetTimer"
+	commandCheckHealth    command = "Ping"
+	commandWatchEndpoints command = "KeepInformed"
+	commandLog            command = "JournalLine"
+	commandPanic          command = "Fault"
+)
+
+// messageBatch is one line from the simulator: what happens at one time.
+type messageBatch struct {
+	TimeUs *int64         `json:"AtTimeUs"`
+	Groups []messageGroup `json:"groups"`
+}
+
+// messageGroup is the messages to one instance.
+type messageGroup struct {
+	Instance string    `json:"Sidecar"`
+	Messages []message `json:"msgs"`
+}
+
+// message holds the fields of all messages; Command says which are set.
+type message struct {
+	Command        command         `json:"cmd"`
+	Seed           uint64          `json:"Salt"`
+	Settings       json.RawMessage `json:"Settings"`
+	ListNumber     int             `json:"Page"`
+	Endpoints      []endpoint      `json:"Lines"`
+	UpdateKind     string          `json:"How"`
+	RequestID      uint64          `json:"Corr"`
+	ExpectedWorkUs int64           `json:"CostUs"`
+	ExpiresUs      int64           `json:"ExpiresUs"`
+	IsRetry        bool            `json:"IsRetry"`
+	Key            string          `json:"Item"`
+	Tenant         any             `json:"Project"` // a name, or 0 at sites without tenants
+	Class          string          `json:"Type"`
+	Attempt        int             `json:"Shot"`
+	RequestEnded   bool            `json:"Terminal"`
+	Status         string          `json:"Disposition"`
+	DelayUs        int64           `json:"DelaySeenUs"`
+	Endpoint       string          `json:"Upstream"`
+	LoadReport     []float64       `json:"Metrics"`
+	TimerToken     string          `json:"Ctx"`
+}
+
+// endpoint is an entry of an endpoint list.
+type endpoint struct {
+	StartedUs   int64   `json:"LastStartUs"`
+	Weight      float64 `json:"CapacityHint"`
+	State       string  `json:"Lifecycle"`
+	Zone        string  `json:"Az"`
+	ID          string  `json:"Upstream"`
+	Cell        int     `json:"UnitGroup"`
+	MachineType string  `json:"GenerationHw"`
+}
+
+// actionBatch is the line that answers a messageBatch.
+type actionBatch struct {
+	Groups []actionGroup `json:"groups"`
+}
+
+// actionGroup is the actions of one instance.
+type actionGroup struct {
+	Instance string   `json:"Sidecar"`
+	Actions  []action `json:"orders"`
+}
+
+// action holds the fields of all actions. Pointers are fields whose zero value is written too.
+type action struct {
+	Command      command           `json:"cmd"`
+	RequestID    *policy.RequestID `json:"Corr,omitempty"`
+	Endpoint     policy.EndpointID `json:"Upstream,omitzero"`
+	TimeoutUs    int64             `json:"MaxWaitUs,omitzero"`
+	RetryAfterUs int64             `json:"StayAwayUs,omitzero"`
+	Attempt      *int              `json:"Shot,omitempty"`
+	AfterUs      *int64            `json:"AfterUs,omitempty"`
+	TimerToken   string            `json:"Ctx,omitzero"`
+	Active       *bool             `json:"Active,omitempty"`
+	Text         string            `json:"Text,omitzero"`
+}
+
+var statusByName = map[string]policy.Status{
+	"delivered":   policy.StatusOK,
+	"app_error":   policy.StatusApplicationError,
+	"shed":        policy.StatusOverloaded,
+	"expired":     policy.StatusTimeout,
+	"dial_failed": policy.StatusConnectFailed,
+	"dropped":     policy.StatusReset,
+	"revoked":     policy.StatusCanceled,
+	"unused":      policy.StatusNotSent,
+}
+
+var stateByName = map[string]policy.EndpointState{
+	"on":     policy.Ready,
+	"fading": policy.Draining,
+	"off":    policy.Removed,
+}
+
+var updateKindByName = map[string]policy.UpdateKind{
+	"patch":      policy.UpdateDelta,
+	"whole":      policy.UpdateFull,
+	"stale_copy": policy.UpdateCached,
+	"broken":     policy.UpdatePollFailed,
+}
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestOrdersRoundTrip(t *testing.T) {
+func TestActionForms(t *testing.T) {
 	i := &instance{}
 	i.StartAttempt(5, "10.0.0.1:80", 80*time.Millisecond)
 	i.Reject(5, time.Second)
@@ -113,7 +113,7 @@
 		`{"cmd":"Ping","Upstream":"10.0.0.1:80"},` +
 		`{"cmd":"KeepInformed","Active":false},{"cmd":"JournalLine","Text":"hello"}]`
 	if string(text) != want {
-		t.Errorf("orders = %s\nwant     %s", text, want)
+		t.Errorf("actions = %s\nwant      %s", text, want)
 	}
 }
 
