--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,6 @@
-// Command sidecar is one real sidecar: it takes a client application's requests, and sends each to the
-// upstream that the decision module picks.
+// Command sidecar is a proxy beside one client application: it takes the application's requests, and sends each to the
+// endpoint that the policy picks. SIGHUP makes it read its configuration again; SIGTERM and an interrupt shut it down
+// gracefully.
 package main
 
 import (
@@ -22,7 +23,7 @@
 }
 
 func run() error {
-	// Caught from the first moment on: left alone, they would end the process at once.
+	// Signals are caught before all else: a signal that is not would end the process at once.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -32,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	// The process has one core at most: more threads that run Go code would only take turns on it.
+	// The platform gives the process one core: more threads that run Go code would take turns on it.
 	runtime.GOMAXPROCS(1)
 
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -40,13 +41,13 @@
 	if err != nil {
 		return err
 	}
-	go follow(ctx, reload, s, log)
+	go reloadOnSignal(ctx, reload, s, log)
 	return s.Run(ctx)
 }
 
-// follow reloads the configuration at each signal until ctx ends. One that cannot be used leaves the present one in
+// reloadOnSignal reloads the configuration at each signal until ctx ends. One that is invalid leaves the present one in
 // force.
-func follow(ctx context.Context, reload <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
+func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -27,7 +27,9 @@
 	}
 	asked := func(ln net.Listener) {
 		t.Helper()
-		ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+		if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience)); err != nil {
+			t.Fatal(err)
+		}
 		c, err := ln.Accept()
 		if err != nil {
 			t.Fatalf("discovery was not asked: %v", err)
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -70,7 +71,7 @@
 		p.ended <- p.cmd.Wait()
 	}()
 	t.Cleanup(func() {
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill() // it may have ended
 		read.Wait()
 		if t.Failed() {
 			t.Log(strings.Join(lines, "\n"))
@@ -121,15 +122,25 @@
 		ids <- q.Header.Get("X-Request-Id")
 		select {
 		case <-release:
-			io.WriteString(w, q.Header.Get("X-Request-Id"))
+			_, _ = io.WriteString(w, q.Header.Get("X-Request-Id")) // the other side may have gone
 		case <-q.Context().Done():
 		}
 	})}
-	go server.Serve(ln)
+	go serveHTTP(t, server, ln)
 	t.Cleanup(func() { server.Close() })
 	return ln.Addr().String(), ids
 }
 
+// serveHTTP serves until the server is closed.
+func serveHTTP(t *testing.T, s *http.Server, ln net.Listener) {
+	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		t.Error(err)
+	}
+}
+
+// send writes to a connection. Where the process has closed it, reading the response tells.
+func send(c io.Writer, text string) { _, _ = io.WriteString(c, text) }
+
 // configText is a configuration with one class, whose list names the servers.
 func configText(t *testing.T, discovery string, sockets int, servers ...string) string {
 	t.Helper()
@@ -168,6 +179,7 @@
 	if err != nil {
 		return 0, ""
 	}
+	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, ""
@@ -193,7 +205,9 @@
 	}()
 	f := wait(t, "the configuration to be read", opened)
 	p.signal(t, syscall.SIGTERM)
-	io.WriteString(f, configText(t, "127.0.0.1:1", 256))
+	if _, err := io.WriteString(f, configText(t, "127.0.0.1:1", 256)); err != nil {
+		t.Error(err)
+	}
 	f.Close()
 	p.endsInOrder(t)
 }
@@ -223,10 +237,10 @@
 			addr := p.ready(t)
 			open, resting, slow := dial(t, addr), dial(t, addr), dial(t, addr)
 			half := len(get("slow")) / 2
-			io.WriteString(slow, get("slow")[:half])
-			io.WriteString(open, get("open"))
+			send(slow, get("slow")[:half])
+			send(open, get("open"))
 			wait(t, "the request", came)
-			io.WriteString(resting, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+			send(resting, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
 			write("127.0.0.1:2") // what a reload finds
 			for _, s := range signals {
 				p.signal(t, s)
@@ -236,9 +250,9 @@
 				t.Errorf("a resting connection ended with %v", err)
 			}
 			during := dial(t, addr)
-			io.WriteString(during, get("during"))
+			send(during, get("during"))
 			wait(t, "the other request", came)
-			io.WriteString(slow, get("slow")[half:])
+			send(slow, get("slow")[half:])
 			wait(t, "the request that had half come", came)
 			close(release)
 			for id, c := range map[string]net.Conn{"open": open, "during": during, "slow": slow} {
@@ -273,11 +287,11 @@
 	var idle []net.Conn
 	for range 2 * sockets {
 		c := dial(t, addr)
-		io.WriteString(c, "GET /check")
+		send(c, "GET /check")
 		idle = append(idle, c)
 	}
 	waiting := dial(t, addr)
-	io.WriteString(waiting, get("waits"))
+	send(waiting, get("waits"))
 	ln, err := net.Listen("tcp", discovery)
 	if err != nil {
 		t.Fatal(err)
@@ -287,12 +301,12 @@
 		w.(http.Flusher).Flush()
 		<-q.Context().Done()
 	})}
-	go back.Serve(ln)
+	go serveHTTP(t, back, ln)
 	t.Cleanup(func() { back.Close() })
 	status, body := answerOn(t, waiting)
 	for tries := 0; status == 0 && tries < 100; tries++ { // closed to make room before it was read: it comes again
 		c := dial(t, addr)
-		io.WriteString(c, get("again"+strconv.Itoa(tries)))
+		send(c, get("again"+strconv.Itoa(tries)))
 		status, body = answerOn(t, c)
 	}
 	if status != 200 {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module and speaks the
-// simulator's wire on standard input and output.
+// Command simadapter runs instances of the policy for the simulator, whose line protocol it speaks on standard input and
+// output. It exits with status 1 on malformed input.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
