--- a/internal/downstream/exchange_test.go
+++ b/internal/downstream/exchange_test.go
@@ -10,8 +10,8 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// TestRejectedUnread guards against holding memory, or another's answer, for the body of a request that is refused by its
-// head: the refusal goes out before the body has come, and the connection can be used again after it.
+// TestRejectedUnread guards against holding memory, or another's answer, for the body of a request that is rejected by its
+// header: the rejection goes out before the body has come, and the connection can be used again after it.
 func TestRejectedUnread(t *testing.T) {
 	s := start(t, 256, nil)
 	c := s.dial(t)
@@ -20,7 +20,7 @@
 		t.Fatalf("got %d, Retry-After %q, want 429 and 1.5", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if resp, body := c.ask(t, "abcde"+get("h", "next")); resp.StatusCode != http.StatusOK || body != "next" {
-		t.Errorf("got %d %q after the refused body", resp.StatusCode, body)
+		t.Errorf("got %d %q after the rejected body", resp.StatusCode, body)
 	}
 	resp, _ = c.ask(t, "POST /full HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
 	if resp.StatusCode != http.StatusTooManyRequests || !resp.Close {
@@ -29,7 +29,7 @@
 }
 
 // TestPoolWithoutQuota guards against keeping connections of a pool that has all it may: its answers close them, also those that
-// refuse a body unread, which must still reach the client.
+// reject a body unread, which must still reach the client.
 func TestPoolWithoutQuota(t *testing.T) {
 	s := start(t, 256, nil)
 	resp, body := s.dial(t).ask(t, get("x", "a"))
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -131,7 +131,7 @@
 	return &running{s, nil, ln.Addr().String()}
 }
 
-// idleCount counts the idle connections of an owner. The caller holds mu.
+// idleCount counts the idle connections of a pool. The caller holds mu.
 func (s *Server) idleCount(o PoolID) (n int) {
 	if of := s.idle[o]; of != nil {
 		for i := range of {
--- a/internal/downstream/idle_test.go
+++ b/internal/downstream/idle_test.go
@@ -12,7 +12,7 @@
 	"sorrelrudder/internal/process"
 )
 
-// teachNeverReused teaches the rule that connections of an owner are not used again.
+// teachNeverReused teaches the idle policy that connections of a pool are not used again.
 func (r *running) teachNeverReused(o PoolID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -7,7 +7,7 @@
 )
 
 // exclusionSet is the arguments of pool.Pool.SetExcluded.
-type exclusionSet struct{ excluded, returning, soft map[string]bool }
+type exclusionSet struct{ excluded, returning, untilRestart map[string]bool }
 
 // RefreshEndpoints makes all pools poll their sources at once.
 func (g *Gateway) RefreshEndpoints() {
@@ -42,17 +42,17 @@
 	return zones
 }
 
-// ExcludeEndpoints has a pool, and each instance that replaces it, send nothing new to the servers named until the next
+// ExcludeEndpoints has a pool, and each instance that replaces it, send nothing new to the servers in excluded until the next
 // call names others; see pool.Pool.SetExcluded. It returns false if no ready server would be left: then none is excluded.
-func (g *Gateway) ExcludeEndpoints(pool string, servers, returning, soft map[string]bool) bool {
+func (g *Gateway) ExcludeEndpoints(pool string, excluded, returning, untilRestart map[string]bool) bool {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
 	if g.exclusions == nil {
 		g.exclusions = map[string]exclusionSet{}
 	}
-	g.exclusions[pool] = exclusionSet{servers, returning, soft}
+	g.exclusions[pool] = exclusionSet{excluded, returning, untilRestart}
 	if p := g.table.Load().pools[pool]; p != nil {
-		return p.pool.SetExcluded(servers, returning, soft)
+		return p.pool.SetExcluded(excluded, returning, untilRestart)
 	}
 	return true
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -15,8 +15,8 @@
 // TestEmptyList guards against holding requests of a pool that has no server, and against its neighbours noticing; it serves
 // again when there is one. Its list goes empty, and another's discovery is dead from the start.
 func TestEmptyList(t *testing.T) {
-	s := newSite(t)
-	a, b := s.box("a", nil), s.box("b", nil)
+	s := newTestbed(t)
+	a, b := s.backend("a", nil), s.backend("b", nil)
 	disco, err := fake.StartDiscovery(s.ledger, a.Entry())
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 	waitFor(t, "the first list", func() bool { return ask("orders").StatusCode == http.StatusOK })
 	disco.Set()
-	waitFor(t, "the empty list to be refused at once", func() bool { return isRetryableRejection(ask("orders")) })
+	waitFor(t, "the empty list to have requests rejected at once", func() bool { return isRetryableRejection(ask("orders")) })
 	if resp := ask("channels"); !isRetryableRejection(resp) {
 		t.Errorf("without any discovery: %d", resp.StatusCode)
 	}
@@ -54,15 +54,15 @@
 }
 
 // TestListEmptiesUnderLoad guards against requests that are taken just before the list goes empty and then wait for their time
-// to be up: all that was never sent is refused at once.
+// to be up: all that was never sent is rejected at once.
 func TestListEmptiesUnderLoad(t *testing.T) {
-	s := newSite(t)
+	s := newTestbed(t)
 	disco, err := fake.StartDiscovery(s.ledger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(disco.Close)
-	box := s.box("a", nil)
+	backend := s.backend("a", nil)
 	s.pool("orders").Discovery = disco.Addr()
 	s.start()
 	var slowest atomic.Int64
@@ -84,12 +84,12 @@
 		})
 	}
 	for range 15 {
-		disco.Set(box.Entry())
+		disco.Set(backend.Entry())
 		served := statuses[200].Load()
 		waitFor(t, "some to be served", func() bool { return statuses[200].Load() > served+20 })
-		refused := statuses[503].Load()
+		rejections := statuses[503].Load()
 		disco.Set()
-		waitFor(t, "some to be refused", func() bool { return statuses[503].Load() > refused+5 })
+		waitFor(t, "some to be rejected", func() bool { return statuses[503].Load() > rejections+5 })
 	}
 	cancel()
 	all.Wait()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// site is boxes for some pools, and a gateway for them.
-type site struct {
+// testbed is backends for some pools, and a gateway for them.
+type testbed struct {
 	t      *testing.T
 	ledger *fake.Ledger
 	cfg    Config
@@ -56,14 +56,14 @@
 	end    func() // as SIGTERM does, and returns once the process has ended
 }
 
-func newSite(t *testing.T) *site {
-	return &site{t: t, ledger: fake.NewLedger(), cfg: Config{
+func newTestbed(t *testing.T) *testbed {
+	return &testbed{t: t, ledger: fake.NewLedger(), cfg: Config{
 		Name: "test", MemoryMB: 64, Descriptors: 256, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}},
 	}}
 }
 
-// box starts a box that needs no time.
-func (s *site) box(name string, change func(*fake.BoxConfig)) *fake.Box {
+// backend starts a backend that needs no time.
+func (s *testbed) backend(name string, change func(*fake.BoxConfig)) *fake.Box {
 	s.t.Helper()
 	cfg := fake.BoxConfig{Name: name, Cores: 8, Queue: 100, Effects: effects, Ledger: s.ledger}
 	if change != nil {
@@ -77,9 +77,9 @@
 	return b
 }
 
-func endpointsOf(boxes ...*fake.Box) []discovery.Endpoint {
+func endpointsOf(backends ...*fake.Box) []discovery.Endpoint {
 	all := []discovery.Endpoint{}
-	for _, b := range boxes {
+	for _, b := range backends {
 		e := b.Entry()
 		all = append(all, discovery.Endpoint{ID: e.Host, Address: e.Dial, Health: e.Health, Weight: 1})
 	}
@@ -87,16 +87,16 @@
 }
 
 // pool is a pool with a list of its own, and its route by the host NAME.example.org.
-func (s *site) pool(name string, boxes ...*fake.Box) *Pool {
+func (s *testbed) pool(name string, backends ...*fake.Box) *Pool {
 	s.cfg.Pools = append(s.cfg.Pools, Pool{
-		Name: name, Settings: testSettings(), StaticEndpoints: endpointsOf(boxes...), Limits: Limits{Weight: 1}, Seed: 1,
+		Name: name, Settings: testSettings(), StaticEndpoints: endpointsOf(backends...), Limits: Limits{Weight: 1}, Seed: 1,
 	})
 	s.cfg.Routes = append(s.cfg.Routes, route.Route{Name: name, Hosts: []string{name + ".example.org"}, Path: "/", Pool: name})
 	return &s.cfg.Pools[len(s.cfg.Pools)-1]
 }
 
 // copyConfig is a configuration that may be changed while s.cfg is in force.
-func (s *site) copyConfig() Config {
+func (s *testbed) copyConfig() Config {
 	c := s.cfg
 	c.Pools = append([]Pool{}, c.Pools...)
 	c.Routes = append([]route.Route{}, c.Routes...)
@@ -104,7 +104,7 @@
 	return c
 }
 
-func (s *site) start() {
+func (s *testbed) start() {
 	s.t.Helper()
 	g, err := New(s.cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -135,7 +135,7 @@
 	r *bufio.Reader
 }
 
-func (s *site) dial() *client {
+func (s *testbed) dial() *client {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
@@ -177,13 +177,13 @@
 var lastID atomic.Int64
 
 // sent notes a request in the ledger and returns its text.
-func (s *site) sent(method, host, path, id, more string) string {
+func (s *testbed) sent(method, host, path, id, more string) string {
 	effect := effects[strings.Split(path, "/")[1]]
 	s.ledger.Sent(s.ledger.Op(effect), id, patience)
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 10000\r\n%s\r\n", method, path, host, id, more)
 }
 
-func (s *site) get(host, path string) string {
+func (s *testbed) get(host, path string) string {
 	return s.sent("GET", host, path, fmt.Sprint("id", lastID.Add(1)), "")
 }
 
@@ -201,7 +201,7 @@
 	return (resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable) && resp.Header.Get("Retry-After") != ""
 }
 
-func (s *site) checkEffects() {
+func (s *testbed) checkEffects() {
 	s.t.Helper()
 	for _, b := range s.ledger.Check(fake.UsualSlack).Broken {
 		// These tests don't note answers, so that only what concerns effects is looked at.
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if x := g.exclusions[cfg.Name]; len(x.excluded) > 0 {
-		p.pool.SetExcluded(x.excluded, x.returning, x.soft)
+		p.pool.SetExcluded(x.excluded, x.returning, x.untilRestart)
 	}
 	return p, nil
 }
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -33,7 +33,7 @@
 	clockStart time.Time
 
 	// mu guards the fields below. It comes after the locks of pool.Pool and downstream.Server, which call in here: no
-	// method of either is called while it is held.
+	// method of either is called while it is held. The lock of process.Descriptors comes after it.
 	mu          sync.Mutex
 	admission   *quota.Admission
 	pacer       *quota.Pacer
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -14,11 +14,11 @@
 // TestOpenLimit guards against one pool's open requests taking what is kept for another's, and against anything but an
 // answer at once for what is beyond.
 func TestOpenLimit(t *testing.T) {
-	s := newSite(t)
-	stuck := s.box("stuck", nil)
+	s := newTestbed(t)
+	stuck := s.backend("stuck", nil)
 	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", stuck)
-	s.pool("meters", s.box("b", nil))
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	// Of the clients' descriptors half is kept for the pools, a quarter for each; a flood of one may not go beyond the rest.
 	most := 108
@@ -68,10 +68,10 @@
 
 // TestBodiesLimit guards against one pool's bodies, which come slowly and are long, taking the memory kept for another's.
 func TestBodiesLimit(t *testing.T) {
-	s := newSite(t)
+	s := newTestbed(t)
 	s.cfg.MemoryMB = 24 // 3 MiB of bodies, so 48 of the longest
-	s.pool("orders", s.box("a", nil))
-	s.pool("meters", s.box("b", nil))
+	s.pool("orders", s.backend("a", nil))
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	full := 0
 	for i := range 60 {
@@ -105,11 +105,11 @@
 	}
 }
 
-// TestRateLimit guards against letting a pool have more than its limit, and against refusing without saying when to return.
+// TestRateLimit guards against letting a pool have more than its limit, and against rejecting without saying when to return.
 func TestRateLimit(t *testing.T) {
-	s := newSite(t)
-	s.pool("orders", s.box("a", nil)).Limits = Limits{Weight: 1, Rate: 0.01, Burst: 3}
-	s.pool("meters", s.box("b", nil))
+	s := newTestbed(t)
+	s.pool("orders", s.backend("a", nil)).Limits = Limits{Weight: 1, Rate: 0.01, Burst: 3}
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	c := s.dial()
 	for i := range 6 {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -13,14 +13,14 @@
 )
 
 // TestRemovedPool guards against losing what a pool had taken when it is removed: requests in flight, and one whose retry
-// is still to come, are answered by its boxes; new ones find no route.
+// is still to come, are answered by its backends; new ones find no route.
 func TestRemovedPool(t *testing.T) {
-	s := newSite(t)
-	failing, good := s.box("failing", nil), s.box("good", func(c *fake.BoxConfig) { c.Service = 200 * time.Millisecond })
+	s := newTestbed(t)
+	failing, good := s.backend("failing", nil), s.backend("good", func(c *fake.BoxConfig) { c.Service = 200 * time.Millisecond })
 	// The first attempt is refused its connection only after a while, so that the retry comes after the removal.
 	failing.SetFault(fake.Fault{Kind: fake.Error, Share: 1, Delay: 300 * time.Millisecond})
 	s.pool("orders", failing, good)
-	s.pool("meters", s.box("b", nil))
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	var conns []*client
 	for range 8 {
@@ -49,10 +49,10 @@
 	s.checkEffects()
 }
 
-// TestBoxChangesPool guards against using a box, or its connections, in the pool that it has left.
-func TestBoxChangesPool(t *testing.T) {
-	s := newSite(t)
-	a, b, moves := s.box("a", nil), s.box("b", nil), s.box("moves", nil)
+// TestBackendChangesPool guards against using a backend, or its connections, in the pool that it has left.
+func TestBackendChangesPool(t *testing.T) {
+	s := newTestbed(t)
+	a, b, moves := s.backend("a", nil), s.backend("b", nil), s.backend("moves", nil)
 	s.pool("orders", moves)
 	s.pool("meters", b)
 	s.start()
@@ -76,16 +76,16 @@
 		}
 	}
 	if moves.Served() != served {
-		t.Errorf("the pool that the box left sent it %d more", moves.Served()-served)
+		t.Errorf("the pool that the backend left sent it %d more", moves.Served()-served)
 	}
 	waitFor(t, "the other pool to use it", func() bool { return ask("meters") == 200 && moves.Served() > served })
 }
 
 // TestBadReload guards against taking over a part of what cannot be used.
 func TestBadReload(t *testing.T) {
-	s := newSite(t)
-	s.pool("orders", s.box("a", nil))
-	s.pool("meters", s.box("b", nil))
+	s := newTestbed(t)
+	s.pool("orders", s.backend("a", nil))
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,8 +125,8 @@
 
 // TestListenersChange guards against closing what came in at a listener that stays, and for one that is added under load.
 func TestListenersChange(t *testing.T) {
-	s := newSite(t)
-	s.pool("orders", s.box("a", nil))
+	s := newTestbed(t)
+	s.pool("orders", s.backend("a", nil))
 	s.start()
 	stays := s.dial()
 	if resp, _ := stays.ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
@@ -137,7 +137,7 @@
 	if err := s.g.Apply(next); err != nil {
 		t.Fatal(err)
 	}
-	second := &site{t: t, addr: s.g.ListenerAddr("second").String()}
+	second := &testbed{t: t, addr: s.g.ListenerAddr("second").String()}
 	c := second.dial()
 	if resp, _ := c.ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
 		t.Errorf("at the second listener: %d", resp.StatusCode)
@@ -156,11 +156,11 @@
 }
 
 // TestManyReloads guards against losing or doubling anything while configurations follow each other ten times a second and
-// faster: pools are replaced, boxes move, limits change.
+// faster: pools are replaced, backends move, limits change.
 func TestManyReloads(t *testing.T) {
-	s := newSite(t)
+	s := newTestbed(t)
 	slow := func(c *fake.BoxConfig) { c.Service = 5 * time.Millisecond }
-	a, b, c := s.box("a", slow), s.box("b", slow), s.box("c", slow)
+	a, b, c := s.backend("a", slow), s.backend("b", slow), s.backend("c", slow)
 	s.pool("orders", a, b)
 	s.pool("meters", c)
 	s.start()
--- a/internal/gateway/routing_test.go
+++ b/internal/gateway/routing_test.go
@@ -14,8 +14,8 @@
 // TestOneConnectionSeveralPools guards against taking a connection for one pool's: requests of several come on it in turn,
 // and pipelined ones are answered in their order.
 func TestOneConnectionSeveralPools(t *testing.T) {
-	s := newSite(t)
-	a, b := s.box("a", nil), s.box("b", nil)
+	s := newTestbed(t)
+	a, b := s.backend("a", nil), s.backend("b", nil)
 	s.pool("orders", a)
 	s.pool("meters", b)
 	s.start()
@@ -27,7 +27,7 @@
 		}
 	}
 	if a.Served() != 3 || b.Served() != 3 {
-		t.Errorf("the boxes served %d and %d, want 3 each", a.Served(), b.Served())
+		t.Errorf("the backends served %d and %d, want 3 each", a.Served(), b.Served())
 	}
 	var text strings.Builder
 	for i := range 5 {
@@ -44,10 +44,10 @@
 
 // TestHost guards against requests that go astray by the form of their Host.
 func TestHost(t *testing.T) {
-	s := newSite(t)
-	box := s.box("a", nil)
-	s.pool("orders", box)
-	s.pool("meters", box)
+	s := newTestbed(t)
+	backend := s.backend("a", nil)
+	s.pool("orders", backend)
+	s.pool("meters", backend)
 	s.cfg.Routes[1].Path = "/v1"
 	s.cfg.Routes = append(s.cfg.Routes, route.Route{Name: "six", Hosts: []string{"[::1]"}, Path: "/", Pool: "orders"})
 	s.start()
@@ -84,10 +84,10 @@
 	}
 }
 
-// TestStripPath guards against what the boxes would not know.
+// TestStripPath guards against what the backends would not know.
 func TestStripPath(t *testing.T) {
-	s := newSite(t)
-	s.pool("orders", s.box("a", nil))
+	s := newTestbed(t)
+	s.pool("orders", s.backend("a", nil))
 	s.cfg.Routes[0].Path, s.cfg.Routes[0].Strip = "/farm/v1", true
 	s.start()
 	resp, body := s.dial().ask(t, s.sent("POST", "orders.example.org", "/farm/v1/order/7?x=1", "strip", "Idempotency-Key: k\r\nContent-Length: 0\r\n"))
@@ -98,13 +98,13 @@
 
 // TestSameIDInTwoPools guards against taking a request for a repeat of another pool's.
 func TestSameIDInTwoPools(t *testing.T) {
-	s := newSite(t)
+	s := newTestbed(t)
 	var hold [2]chan struct{}
 	for i, name := range []string{"orders", "meters"} {
 		hold[i] = make(chan struct{})
-		s.pool(name, s.box(name, nil))
+		s.pool(name, s.backend(name, nil))
 	}
-	s.cfg.Pools[0].StaticEndpoints = endpointsOf(s.box("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
+	s.cfg.Pools[0].StaticEndpoints = endpointsOf(s.backend("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
 	s.start()
 	first := s.dial()
 	s.ledger.Sent(s.ledger.Op(fake.Safe), "same", patience)
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -11,8 +11,8 @@
 
 // TestCloseAnswers guards against leaving a client without an answer where a pool ends before its requests have.
 func TestCloseAnswers(t *testing.T) {
-	s := newSite(t)
-	stuck := s.box("stuck", nil)
+	s := newTestbed(t)
+	stuck := s.backend("stuck", nil)
 	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", stuck)
 	s.start()
@@ -36,12 +36,12 @@
 }
 
 func testAborted(t *testing.T, retired bool) {
-	s := newSite(t)
+	s := newTestbed(t)
 	s.cfg.MaxDrain = 300 * time.Millisecond
-	hangs := s.box("hangs", func(c *fake.BoxConfig) { c.Cores = 100 })
+	hangs := s.backend("hangs", func(c *fake.BoxConfig) { c.Cores = 100 })
 	hangs.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
 	s.pool("orders", hangs)
-	s.pool("meters", s.box("b", nil))
+	s.pool("meters", s.backend("b", nil))
 	s.start()
 	type answered struct {
 		status int
