--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -16,9 +16,10 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// mostRuns bounds the runs of one call.
-const mostRuns = 10000
+// maxRuns bounds the runs of one call.
+const maxRuns = 10000
 
+// emulateCmd plays days in virtual time.
 type emulateCmd struct {
 	File string `arg:"" help:"The day's file, such as deploy/day.toml."`
 	Runs int    `default:"5" help:"Runs, each with the next seed; the figures are their means."`
@@ -49,14 +50,14 @@
 			h.Zones, h.ZoneRules = true, zonefailover.DefaultRules()
 			h.ZoneRules.StepDuration, h.ZoneRules.HoldDown = c.ZoneStep, c.ZoneHold
 			if err := h.ZoneRules.Validate(); err != nil {
-				return h, fmt.Errorf("%w: %w", errDay, err)
+				return h, fmt.Errorf("%w: %w", errUsage, err)
 			}
 		default:
-			return h, fmt.Errorf("%w: --share %s: there are dead, room, learn, list and zones", errDay, kind)
+			return h, fmt.Errorf("%w: --share %s: there are dead, room, learn, list and zones", errUsage, kind)
 		}
 	}
 	if c.Lag <= 0 {
-		return h, fmt.Errorf("%w: --lag %v: nobody knows it sooner than it is learnt", errDay, c.Lag)
+		return h, fmt.Errorf("%w: --lag %v: nobody knows it sooner than it is learnt", errUsage, c.Lag)
 	}
 	return h, nil
 }
@@ -65,10 +66,10 @@
 func (c *emulateCmd) Run(s *streams) error {
 	day, err := scenario.LoadScaled(c.File, c.Scale)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errDay, err)
+		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	if c.Runs < 1 || c.Runs > mostRuns {
-		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errDay, c.Runs, mostRuns)
+	if c.Runs < 1 || c.Runs > maxRuns {
+		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errUsage, c.Runs, maxRuns)
 	}
 	hearsay, err := c.hearsay()
 	if err != nil {
@@ -123,7 +124,7 @@
 			d.Seed += uint64(i)
 			w, err := emulator.New(d)
 			if err != nil {
-				errs[i] = fmt.Errorf("%w: %w", errDay, err)
+				errs[i] = fmt.Errorf("%w: %w", errUsage, err)
 				return
 			}
 			results[i] = w.Run()
@@ -133,14 +134,14 @@
 	return results, errors.Join(errs...)
 }
 
-// worstSpan is how many seconds the worst part of a day lasts that is told.
-const worstSpan = 3
+// worstSeconds is how many seconds the worst part of a day lasts that is told.
+const worstSeconds = 3
 
-// pairOf is what a run came to, as far as pairs are compared by it.
-func pairOf(r *emulator.Result) (share, worst, lost, refused float64) {
+// pairFigures is what a run came to, as far as pairs are compared by it.
+func pairFigures(r *emulator.Result) (share, worst, lost, refused float64) {
 	worst = 1
-	for at := 2; at+worstSpan <= len(r.Seconds)-1; at++ {
-		if s := r.Span(at, at+worstSpan); s.Requests > 0 {
+	for at := 2; at+worstSeconds <= len(r.Seconds)-1; at++ {
+		if s := r.Span(at, at+worstSeconds); s.Requests > 0 {
 			worst = min(worst, s.Share())
 		}
 	}
@@ -150,15 +151,15 @@
 
 // printPairs prints what sharing gains, in pairs of equal seeds: the mean of the differences and its standard error.
 func (c *emulateCmd) printPairs(s *streams, without, with []*emulator.Result) error {
-	names := [4]string{"worth served", fmt.Sprintf("worst %d s", worstSpan), "sends lost", "tries refused"}
+	names := [4]string{"worth served", fmt.Sprintf("worst %d s", worstSeconds), "sends lost", "tries refused"}
 	var base, diff, squares [4]float64
 	breaks := 0
 	n := float64(len(with))
 	rows := make([][4]float64, len(with))
 	for i := range with {
 		a, b := [4]float64{}, [4]float64{}
-		a[0], a[1], a[2], a[3] = pairOf(without[i])
-		b[0], b[1], b[2], b[3] = pairOf(with[i])
+		a[0], a[1], a[2], a[3] = pairFigures(without[i])
+		b[0], b[1], b[2], b[3] = pairFigures(with[i])
 		breaks += with[i].Breaks
 		for k := range a {
 			base[k] += a[k] / n
--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// exploreBatch is how many seeds a worker plays in one process.
+	// exploreBatch is the number of seeds that a worker plays in one process.
 	exploreBatch = 100
-	// shrinkRuns bounds the runs that a failing one is shrunk by.
+	// shrinkRuns bounds the runs in which a failing one is reduced to fewer faults.
 	shrinkRuns = 300
 )
 
-// workerCmd plays some seeds and prints an outcome a line. Runs take the library's randomness from one variable of the process, so
-// that each core has a process of its own.
+// workerCmd plays some seeds and prints the outcome of each as a line of JSON. It is a process of its own for each core, since raft draws from
+// one random source of the process, which a run replaces.
 type workerCmd struct {
 	First uint64 `arg:""`
 	Count uint64 `arg:""`
@@ -71,79 +71,117 @@
 	Hash      uint64               `json:"hash"` // over all runs in the order of their seeds
 }
 
-// tierExplore plays fleets in virtual time on all cores.
+// tierExplore plays fleets in virtual time, in worker processes on all cores.
 func (c *labCmd) tierExplore(ctx context.Context, s *streams, self string) error {
 	if c.Plant != "" && !slices.Contains(simulation.Plants, simulation.Plant(c.Plant)) {
-		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errDay, c.Plant, simulation.Plants)
+		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errUsage, c.Plant, simulation.Plants)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
 	}
-	r := exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []simulation.Outcome{}, Counts: map[string]float64{}}
-	began := time.Now()
-	next := make(chan [2]uint64)
+	e := exploration{
+		report: exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []simulation.Outcome{}, Counts: map[string]float64{}},
+		began:  time.Now(),
+		seeds:  c.Seeds,
+		hashes: map[uint64]uint64{},
+	}
+	if f, ok := s.err.(*os.File); ok && isTerminal(f) {
+		e.progress = f
+	}
+	if err := c.playBatches(ctx, self, &e); err != nil {
+		return err
+	}
+	r := e.finish()
+	if err := c.tellExplored(s, r); err != nil {
+		return err
+	}
+	if !r.Pass {
+		return errScenario
+	}
+	return nil
+}
+
+// playBatches plays all seeds, batch by batch, and returns the first error of a worker.
+func (c *labCmd) playBatches(ctx context.Context, self string, e *exploration) error {
+	plant := simulation.Plant(c.Plant)
+	zones := c.Zones || plant.OfZones()
+	copies := c.Copies || c.Zones || plant.OfCopies()
+	batches := make(chan [2]uint64)
 	go func() {
-		defer close(next)
+		defer close(batches)
 		for first := c.Seed; first < c.Seed+c.Seeds; first += exploreBatch {
 			select {
-			case next <- [2]uint64{first, min(exploreBatch, c.Seed+c.Seeds-first)}:
+			case batches <- [2]uint64{first, min(exploreBatch, c.Seed+c.Seeds-first)}:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	var mu sync.Mutex
-	hashes := map[uint64]uint64{}
-	var failed error
+	workers := max(1, c.Workers)
+	failures := make(chan error, workers)
 	var all sync.WaitGroup
-	for range max(1, c.Workers) {
+	for range workers {
 		all.Go(func() {
-			for batch := range next {
-				err := exploreBatchIn(ctx, self, batch, c.Plant, c.Copies || c.Zones || simulation.Plant(c.Plant).OfCopies(), c.Zones || simulation.Plant(c.Plant).OfZones(), func(o simulation.Outcome) {
-					mu.Lock()
-					defer mu.Unlock()
-					r.Seeds++
-					hashes[o.Seed] = o.Hash
-					for k, v := range o.Counts {
-						r.Counts[k] += v
-					}
-					if o.Broken != "" {
-						r.Broken = append(r.Broken, o)
-					}
-					if f, ok := s.err.(*os.File); ok && isTerminal(f) && r.Seeds%10 == 0 {
-						fmt.Fprintf(f, "\r%d of %d seeds, %d broken, %.0f a minute", r.Seeds, c.Seeds, len(r.Broken), float64(r.Seeds)/time.Since(began).Minutes())
-					}
-				})
-				if err != nil && ctx.Err() == nil {
-					mu.Lock()
-					failed = err
-					mu.Unlock()
+			for batch := range batches {
+				if err := exploreInWorker(ctx, self, batch, c.Plant, copies, zones, e.add); err != nil && ctx.Err() == nil {
+					failures <- err
 					return
 				}
 			}
 		})
 	}
 	all.Wait()
-	if failed != nil {
-		return failed
+	close(failures)
+	return <-failures
+}
+
+// exploration collects the outcomes of runs.
+type exploration struct {
+	seeds    uint64
+	began    time.Time
+	progress *os.File // a terminal; nil: none
+
+	mu     sync.Mutex // guards the fields below
+	report exploreReport
+	hashes map[uint64]uint64 // by seed
+}
+
+// add takes the outcome of a run. It is safe for concurrent use.
+func (e *exploration) add(o simulation.Outcome) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	r := &e.report
+	r.Seeds++
+	e.hashes[o.Seed] = o.Hash
+	for name, n := range o.Counts {
+		r.Counts[name] += n
 	}
-	for _, seed := range slices.Sorted(maps.Keys(hashes)) {
-		r.Hash = r.Hash*1099511628211 ^ hashes[seed]
+	if o.Broken != "" {
+		r.Broken = append(r.Broken, o)
 	}
-	r.Seconds = time.Since(began).Seconds()
-	r.PerMinute = float64(r.Seeds) / time.Since(began).Minutes()
-	slices.SortFunc(r.Broken, func(a, b simulation.Outcome) int { return int(int64(a.Seed - b.Seed)) })
-	r.Pass = len(r.Broken) == 0 && r.Seeds > 0
-	if err := c.tellExplored(s, &r); err != nil {
-		return err
+	if e.progress != nil && r.Seeds%10 == 0 {
+		fmt.Fprintf(e.progress, "\r%d of %d seeds, %d broken, %.0f a minute", r.Seeds, e.seeds, len(r.Broken), float64(r.Seeds)/time.Since(e.began).Minutes())
 	}
-	if !r.Pass {
-		return errScenario
+}
+
+// finish returns the report over all runs.
+func (e *exploration) finish() *exploreReport {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	r := &e.report
+	const prime = 1099511628211 // of the 64-bit FNV hash
+	for _, seed := range slices.Sorted(maps.Keys(e.hashes)) {
+		r.Hash = r.Hash*prime ^ e.hashes[seed]
 	}
-	return nil
+	r.Seconds = time.Since(e.began).Seconds()
+	r.PerMinute = float64(r.Seeds) / time.Since(e.began).Minutes()
+	slices.SortFunc(r.Broken, func(a, b simulation.Outcome) int { return int(int64(a.Seed - b.Seed)) })
+	r.Pass = len(r.Broken) == 0 && r.Seeds > 0
+	return r
 }
 
-func exploreBatchIn(ctx context.Context, self string, batch [2]uint64, plant string, copies, zones bool, each func(simulation.Outcome)) error {
+// exploreInWorker plays a batch of seeds in a process of its own and calls each with the outcomes.
+func exploreInWorker(ctx context.Context, self string, batch [2]uint64, plant string, copies, zones bool, each func(simulation.Outcome)) error {
 	args := []string{"explore-worker", strconv.FormatUint(batch[0], 10), strconv.FormatUint(batch[1], 10)}
 	if plant != "" {
 		args = append(args, plant)
@@ -164,7 +202,7 @@
 		return err
 	}
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		var o simulation.Outcome
 		if err := json.Unmarshal(lines.Bytes(), &o); err == nil {
@@ -174,9 +212,13 @@
 	return cmd.Wait()
 }
 
+// maxSavedRuns bounds the broken runs that are saved to files.
+const maxSavedRuns = 20
+
+// tellExplored saves broken runs, and prints the report.
 func (c *labCmd) tellExplored(s *streams, r *exploreReport) error {
 	for i, o := range r.Broken {
-		if i == 20 {
+		if i == maxSavedRuns {
 			break
 		}
 		name := filepath.Join(os.TempDir(), fmt.Sprintf("tier-explore-%d.json", o.Seed))
@@ -199,7 +241,7 @@
 	return nil
 }
 
-// replay plays one saved run, as a time line.
+// replay plays a saved run and prints its time line.
 func (c *labCmd) replay(s *streams) error {
 	text, err := os.ReadFile(c.Replay)
 	if err != nil {
@@ -207,7 +249,7 @@
 	}
 	var o simulation.Outcome
 	if err := json.Unmarshal(text, &o); err != nil {
-		return fmt.Errorf("%w: %s: %w", errDay, c.Replay, err)
+		return fmt.Errorf("%w: %s: %w", errUsage, c.Replay, err)
 	}
 	if o.Faults == nil {
 		o.Faults = []simulation.Fault{}
@@ -224,8 +266,8 @@
 	return err
 }
 
-// mostScale bounds a fleet of copies: each process holds what is known of every other.
-const mostScale = 5000
+// maxScale bounds a fleet of copies: each process holds what is known of every other.
+const maxScale = 5000
 
 // replicaScale plays fleets of copies of several sizes.
 func (c *labCmd) replicaScale(s *streams) error {
@@ -237,8 +279,8 @@
 	}
 	for _, size := range c.Sizes {
 		for _, loss := range c.Loss {
-			if size < 2 || size > mostScale || !(loss >= 0 && loss < 1) {
-				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errDay, size, loss, mostScale)
+			if size < 2 || size > maxScale || !(loss >= 0 && loss < 1) {
+				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errUsage, size, loss, maxScale)
 			}
 			r := simulation.Scale(simulation.ScaleOptions{
 				Seed: c.Seed, Size: size, Loss: loss, Writes: 10, Killed: 2, Length: 10 * time.Second, Wake: time.Second, Start: cfg, Restart: max(1, min(100, size/10)),
--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -20,9 +20,10 @@
 	"sorrelrudder/internal/statslog"
 )
 
-// mostLogLine bounds a line of a log; a longer one ends the reading of that file.
-const mostLogLine = 1 << 20
+// maxLogLineBytes bounds a line of a log; a longer one ends the reading of that file.
+const maxLogLineBytes = 1 << 20
 
+// fleetCmd counts the statistics in the logs of many processes by intervals.
 type fleetCmd struct {
 	Logs  []string      `arg:"" help:"Logs of processes that tell their figures, or folders of them."`
 	Every time.Duration `default:"1s" help:"Length of a row."`
@@ -30,32 +31,32 @@
 	JSON  bool          `name:"json" help:"Print as JSON, one object a row."`
 }
 
-// fleetRow is what a fleet did in one spell.
-type fleetRow struct {
-	At        float64        `json:"at_s"` // since the first line of all
-	Processes int            `json:"processes"`
-	Counts    map[string]int `json:"counts"`
-	UsualMs   float64        `json:"usual_ms"`
-	Short     float64        `json:"short"`
-	Listed    float64        `json:"listed_each"`
-	Warming   float64        `json:"warming_each"`
-	Avoided   float64        `json:"avoided_each"`
-	Shared    *sharedRow     `json:"shared,omitempty"` // nil: no process shares state
+// fleetInterval is what a fleet did in one interval.
+type fleetInterval struct {
+	At        float64            `json:"at_s"` // since the first line
+	Processes int                `json:"processes"`
+	Counts    map[string]int     `json:"counts"`
+	UsualMs   float64            `json:"usual_ms"`
+	Short     float64            `json:"short"`
+	Listed    float64            `json:"listed_each"`
+	Warming   float64            `json:"warming_each"`
+	Avoided   float64            `json:"avoided_each"`
+	Shared    *sharedStateCounts `json:"shared,omitempty"` // nil: no process shares state
 }
 
-// sharedRow is what the state that processes share came to in a spell: sums over all, and the oldest.
-type sharedRow struct {
+// sharedStateCounts are the statistics of shared state in an interval, over all processes.
+type sharedStateCounts struct {
 	Frames  int64 `json:"frames"`
 	Bytes   int64 `json:"bytes"`
-	InStep  int64 `json:"most_in_step_ms"` // ago, that of the process whose copies were seen equal to another's longest ago; -1: never
-	Decided int64 `json:"most_decided_ms"` // the same of all that was decided
-	Lost    int64 `json:"fewest_alive"`    // members that are alive, to the process that holds the fewest for it
-	Dead    int64 `json:"most_dead"`       // words that a server is dead, at the process that holds most
-	Differ  int64 `json:"differ"`          // contents of one version that differed, since the starts
+	InStep  int64 `json:"most_in_step_ms"` // age of the oldest copy of a process that was seen equal to another's; -1: never
+	Decided int64 `json:"most_decided_ms"` // the same of the decisions known
+	Lost    int64 `json:"fewest_alive"`    // live members as seen by the process that sees the fewest
+	Dead    int64 `json:"most_dead"`       // reports of unreachable endpoints at the process that holds most
+	Differ  int64 `json:"differ"`          // conflicting contents of one version, since the starts
 }
 
-// add counts a line of one process.
-func (r *sharedRow) add(line string) {
+// add adds a log line of one process.
+func (r *sharedStateCounts) add(line string) {
 	field := func(key string) int64 {
 		n, err := strconv.ParseInt(e2e.Field(line, key), 10, 64)
 		if err != nil {
@@ -79,7 +80,7 @@
 	r.Differ += field("differ")
 }
 
-// Run counts over all logs, by spell.
+// Run reads all logs and prints a row for each interval.
 func (c *fleetCmd) Run(s *streams) error {
 	if c.Every < time.Millisecond {
 		return fmt.Errorf("--every %v: less than a millisecond", c.Every)
@@ -116,87 +117,115 @@
 	return printFleet(s.out, rows)
 }
 
-// count reads the logs, and returns a row for each spell in which a process told something.
-func (c *fleetCmd) count(files []string) ([]fleetRow, error) {
-	type seen struct {
-		row       statslog.IntervalStats
-		processes map[string]bool
-		shared    *sharedRow
-	}
-	spells := map[int64]*seen{}
-	var first time.Time
-	type line struct {
-		at   time.Time
-		file string
-		row  statslog.IntervalStats
-		text string // of shared state
-	}
-	var lines []line
+// fleetLine is a line of statistics in a log: of a pool, or of shared state.
+type fleetLine struct {
+	at     time.Time
+	file   string
+	pool   statslog.IntervalStats
+	shared string // the line's text; empty: it is of a pool
+}
+
+// count reads the logs and returns the intervals in which a process told something.
+func (c *fleetCmd) count(files []string) ([]fleetInterval, error) {
+	var lines []fleetLine
 	for _, name := range files {
-		f, err := os.Open(name)
+		of, err := c.readLog(name)
 		if err != nil {
 			return nil, err
 		}
-		text := bufio.NewScanner(f)
-		text.Buffer(nil, mostLogLine)
-		for text.Scan() {
-			if e2e.Field(text.Text(), "msg") == fleet.SharedStateLogMessage {
-				if at, err := time.Parse(time.RFC3339Nano, e2e.Field(text.Text(), "time")); err == nil {
-					lines = append(lines, line{at: at, file: name, text: text.Text()})
-					if first.IsZero() || at.Before(first) {
-						first = at
-					}
-				}
-				continue
-			}
-			at, pool, row, ok := statslog.Parse(text.Text())
-			if !ok || c.Pool != "" && pool != c.Pool {
-				continue
-			}
-			if first.IsZero() || at.Before(first) {
-				first = at
-			}
-			lines = append(lines, line{at: at, file: name, row: row})
-		}
-		f.Close()
-		if err := text.Err(); err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
+		lines = append(lines, of...)
 	}
+	if len(lines) == 0 {
+		return nil, nil
+	}
+	first := slices.MinFunc(lines, func(x, y fleetLine) int { return x.at.Compare(y.at) }).at
+	intervals := map[int64]*fleetSums{}
 	for _, l := range lines {
 		n := int64(l.at.Sub(first) / c.Every)
-		if spells[n] == nil {
-			spells[n] = &seen{processes: map[string]bool{}}
+		if intervals[n] == nil {
+			intervals[n] = &fleetSums{processes: map[string]bool{}}
 		}
-		spells[n].processes[l.file] = true
-		if l.text != "" {
-			if spells[n].shared == nil {
-				spells[n].shared = &sharedRow{}
-			}
-			spells[n].shared.add(l.text)
-			continue
-		}
-		spells[n].row.Merge(l.row)
-	}
-	var rows []fleetRow
-	for _, n := range slices.Sorted(maps.Keys(spells)) {
-		x := spells[n]
-		each := float64(len(x.processes))
-		r := fleetRow{
-			At: (time.Duration(n) * c.Every).Seconds(), Processes: len(x.processes), Counts: map[string]int{},
-			UsualMs: float64(x.row.TypicalDelay) / float64(time.Millisecond), Short: x.row.CapacityShortage,
-			Shared: x.shared, Listed: float64(x.row.ReadyEndpoints) / each, Warming: float64(x.row.WarmingEndpoints) / each, Avoided: float64(x.row.EjectedEndpoints) / each,
-		}
-		for _, k := range statslog.Counters() {
-			r.Counts[k.String()] = x.row.Counters[k]
-		}
-		rows = append(rows, r)
+		intervals[n].add(l)
+	}
+	var rows []fleetInterval
+	for _, n := range slices.Sorted(maps.Keys(intervals)) {
+		rows = append(rows, intervals[n].row(time.Duration(n)*c.Every))
 	}
 	return rows, nil
 }
 
+// readLog returns the lines of statistics in a log.
+func (c *fleetCmd) readLog(name string) ([]fleetLine, error) {
+	f, err := os.Open(name)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	var lines []fleetLine
+	text := bufio.NewScanner(f)
+	text.Buffer(nil, maxLogLineBytes)
+	for text.Scan() {
+		if l, ok := c.parseLine(text.Text()); ok {
+			l.file = name
+			lines = append(lines, l)
+		}
+	}
+	if err := text.Err(); err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	return lines, nil
+}
+
+// parseLine reports whether a line has statistics that are to be counted.
+func (c *fleetCmd) parseLine(text string) (fleetLine, bool) {
+	if e2e.Field(text, "msg") == fleet.SharedStateLogMessage {
+		at, err := time.Parse(time.RFC3339Nano, e2e.Field(text, "time"))
+		return fleetLine{at: at, shared: text}, err == nil
+	}
+	at, pool, stats, ok := statslog.Parse(text)
+	return fleetLine{at: at, pool: stats}, ok && (c.Pool == "" || pool == c.Pool)
+}
+
+// fleetSums adds up the lines of an interval.
+type fleetSums struct {
+	pools     statslog.IntervalStats
+	shared    *sharedStateCounts // nil: no process shares state
+	processes map[string]bool    // by log
+}
+
+func (f *fleetSums) add(l fleetLine) {
+	f.processes[l.file] = true
+	if l.shared == "" {
+		f.pools.Merge(l.pool)
+		return
+	}
+	if f.shared == nil {
+		f.shared = &sharedStateCounts{}
+	}
+	f.shared.add(l.shared)
+}
+
+func (f *fleetSums) row(at time.Duration) fleetInterval {
+	processes := float64(len(f.processes))
+	row := fleetInterval{
+		At:        at.Seconds(),
+		Processes: len(f.processes),
+		Counts:    map[string]int{},
+		UsualMs:   float64(f.pools.TypicalDelay) / float64(time.Millisecond),
+		Short:     f.pools.CapacityShortage,
+		Listed:    float64(f.pools.ReadyEndpoints) / processes,
+		Warming:   float64(f.pools.WarmingEndpoints) / processes,
+		Avoided:   float64(f.pools.EjectedEndpoints) / processes,
+		Shared:    f.shared,
+	}
+	for _, counter := range statslog.Counters() {
+		row.Counts[counter.String()] = f.pools.Counters[counter]
+	}
+	return row
+}
+
 // printFleet prints a table, with a last row for the whole time.
-func printFleet(w io.Writer, rows []fleetRow) error {
+func printFleet(w io.Writer, rows []fleetInterval) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "s\tprocs\t")
 	for _, k := range statslog.Counters() {
@@ -212,13 +241,13 @@
 		}
 		fmt.Fprintf(t, "%.0fms\t%.2f\t%.1f\t%.1f\t%.1f\t\n", r.UsualMs, r.Short, r.Listed, r.Warming, r.Avoided)
 	}
-	most := slices.MaxFunc(rows, func(a, b fleetRow) int { return cmp.Compare(a.Processes, b.Processes) })
+	most := slices.MaxFunc(rows, func(a, b fleetInterval) int { return cmp.Compare(a.Processes, b.Processes) })
 	fmt.Fprintf(t, "all\t%d\t", most.Processes)
 	for _, k := range statslog.Counters() {
 		fmt.Fprintf(t, "%d\t", sum[k.String()])
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t")
-	if err := t.Flush(); err != nil || !slices.ContainsFunc(rows, func(r fleetRow) bool { return r.Shared != nil }) {
+	if err := t.Flush(); err != nil || !slices.ContainsFunc(rows, func(r fleetInterval) bool { return r.Shared != nil }) {
 		return err
 	}
 	fmt.Fprintln(w, "\nshared state; the last four are of the process that is worst off")
--- a/cmd/sorrelrudder/h2_test.go
+++ b/cmd/sorrelrudder/h2_test.go
@@ -347,7 +347,7 @@
 	if err := os.WriteFile(a.File("shop.key"), []byte("no key"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(3 * lookEvery / 2) // it is looked at; nothing is to change
+	time.Sleep(3 * certificateCheckInterval / 2) // it is looked at; nothing is to change
 	if n := serial(a.client(t, addr), "shop.example.org"); n != 4 {
 		t.Errorf("after a key that does not match, %d is shown", n)
 	}
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -2,30 +2,18 @@
 package main
 
 import (
-	"context"
-	"crypto/tls"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
-	"os/signal"
-	"reflect"
 	"runtime"
 	"runtime/debug"
 	"strconv"
-	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
 
 	"sorrelrudder/internal/config"
 	"sorrelrudder/internal/e2e"
-	"sorrelrudder/internal/fleet"
-	"sorrelrudder/internal/gateway"
-	"sorrelrudder/internal/h2"
-	"sorrelrudder/internal/sitelink"
-	"sorrelrudder/internal/tlsfiles"
 )
 
 // The exit codes.
@@ -34,6 +22,7 @@
 	exitUsage  = 2 // the command line or the file is wrong
 )
 
+// cli is the command line.
 type cli struct {
 	Run     runCmd     `cmd:"" help:"Run a gateway from an operator's file. SIGHUP reads the file again, SIGTERM drains and ends."`
 	Check   checkCmd   `cmd:"" help:"Check an operator's file: every error with file, line and key; exit 2 if there is any."`
@@ -47,14 +36,15 @@
 	Proxy   proxyCmd   `cmd:"" hidden:"" help:"The plain reverse proxy that 'lab cost' compares with."`
 }
 
-// errDay is what is wrong with a day's file or how it is to be played.
-var errDay = errors.New("emulate")
+// errUsage is wrapped by errors on arguments that the command line's syntax cannot tell, and on day files. The program ends with exitUsage.
+var errUsage = errors.New("emulate")
 
+// streams are where commands print.
 type streams struct{ out, err io.Writer }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run carries out a command line, and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	var c cli
 	exited := -1
@@ -84,7 +74,7 @@
 	case errors.As(err, &bad):
 		fmt.Fprintln(stderr, bad)
 		return exitUsage
-	case errors.Is(err, errDay):
+	case errors.Is(err, errUsage):
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
 		return exitUsage
 	case errors.Is(err, errScenario):
@@ -97,156 +87,13 @@
 	return exitFailed
 }
 
-type runCmd struct {
-	File string `arg:"" help:"The operator's file."`
-}
-
-func (c *runCmd) Run(s *streams) error {
-	// Caught from the first moment on: left alone, it would end the process.
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	defer signal.Stop(reload)
-	f, err := config.Load(c.File)
-	if err != nil {
-		return err
-	}
-	limit(f)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	log := slog.New(slog.NewTextHandler(s.err, nil))
-	g, err := start(f, log)
-	if err != nil {
-		return err
-	}
-	running := ctx
-	if f.Tier != nil {
-		t, err := startTier(*f.Tier, g, log)
-		if err != nil {
-			g.Close()
-			return err
-		}
-		defer t.Close()
-		// What this process holds is given up before it takes no more requests: tasks that are out end first.
-		left, end := context.WithCancel(context.Background())
-		defer end()
-		running = left
-		go func() {
-			<-ctx.Done()
-			t.Leave()
-			end()
-		}()
-	}
-	followed := make(chan struct{})
-	go func() {
-		defer close(followed)
-		follow(ctx, reload, c.File, f, g, log)
-	}()
-	err = g.Run(running)
-	stop()
-	<-followed
-	return err
-}
-
-// startTier has the process take part in its fleet.
-func startTier(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Host, error) {
-	t, err := fleet.New(cfg, log)
-	if err != nil {
-		return nil, err
-	}
-	if err := t.Start(g); err != nil {
-		t.Close()
-		return nil, err
-	}
-	return t, nil
-}
-
-// start makes the process of a file, and opens its listeners and links.
-func start(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
-	speech := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: secureWith(log)}
-	if f.Bridge == nil {
-		g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Protocols: speech})
-		if err != nil {
-			return nil, err
-		}
-		return g, closeUnless(g, g.Listen())
-	}
-	b, err := sitelink.New(*f.Bridge, log)
-	if err != nil {
-		return nil, err
-	}
-	g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Extension: b, Protocols: speech})
-	if err != nil {
-		b.Close()
-		return nil, err
-	}
-	if err := closeUnless(g, b.Start(g)); err != nil {
-		return nil, err
-	}
-	return g, closeUnless(g, g.Listen())
-}
-
-// lookEvery is how often the files of certificates are looked at.
-const lookEvery = time.Second
-
-// secureWith makes the TLS of listeners from files, which are read again when they change.
-func secureWith(log *slog.Logger) func(context.Context, gateway.TLS) (*tls.Config, error) {
-	return func(ctx context.Context, t gateway.TLS) (*tls.Config, error) {
-		s, err := tlsfiles.Load(config.CertificatesOf(t), log)
-		if err != nil {
-			return nil, err
-		}
-		go s.Watch(ctx, lookEvery)
-		return s.Config(), nil
-	}
-}
-
-// closeUnless closes g if there was an error, which it returns.
-func closeUnless(g *gateway.Gateway, err error) error {
-	if err != nil {
-		g.Close()
-	}
-	return err
-}
-
-// limit keeps the process to what the file gives it.
-func limit(f *config.File) {
-	runtime.GOMAXPROCS(f.Cores)
-	// Guards against being killed for memory: the rest is for stacks of the runtime, code and the kernel.
-	debug.SetMemoryLimit(int64(f.Gateway.MemoryMB) << 20 / 4 * 3)
-}
-
-// follow reads the file again at each signal until ctx ends. One that cannot be used leaves the present one in force.
-func follow(ctx context.Context, reload <-chan os.Signal, file string, first *config.File, g *gateway.Gateway, log *slog.Logger) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-reload:
-		}
-		f, err := config.Load(file)
-		if err == nil {
-			err = g.Apply(f.Gateway)
-		}
-		if err == nil && !reflect.DeepEqual(f.Bridge, first.Bridge) {
-			log.Warn("what the file says of sites, peers and spilling has changed, and waits for the next start")
-		}
-		if err == nil && !reflect.DeepEqual(f.Tier, first.Tier) {
-			log.Warn("what the file says of the tier and its tasks has changed, and waits for the next start")
-		}
-		if err != nil {
-			log.Error("reload: the running configuration stays in force", "err", err)
-			continue
-		}
-		limit(f)
-		log.Info("reloaded", "file", file, "load", g.String())
-	}
-}
-
+// checkCmd checks an operator's file.
 type checkCmd struct {
 	File  string `arg:"" help:"The operator's file."`
 	Print bool   `help:"Write the file out with all defaults."`
 }
 
+// Run implements the command.
 func (c *checkCmd) Run(s *streams) error {
 	f, err := config.Load(c.File)
 	if err != nil {
@@ -264,77 +111,10 @@
 	return err
 }
 
-type labCmd struct {
-	Scenario string        `arg:"" optional:"" default:"list" help:"The scenario to play; 'list' lists them."`
-	Seed     uint64        `default:"1" help:"What the day is drawn from."`
-	Duration time.Duration `help:"How long the load lasts; 0 for the scenario's usual time."`
-	JSON     bool          `help:"Print one JSON object in place of the table."`
-	Faults   string        `help:"Do the faults of this file to a fleet in place of drawn ones; --json prints them as it wants them."`
-	Seeds    uint64        `default:"1000" help:"tier-explore: how many seeds, from --seed on."`
-	Workers  int           `default:"${cores}" help:"tier-explore: how many processes play them."`
-	Plant    string        `help:"tier-explore: a mistake to plant, which it has to find."`
-	Copies   bool          `help:"tier-explore: the processes also share state, and what must not be of that is looked for too."`
-	Zones    bool          `help:"tier-explore: and leave zones of servers that fail, and return to them."`
-	Sizes    []int         `default:"10,60,300" help:"replica-scale: processes of each fleet."`
-	Loss     []float64     `default:"0,0.1,0.3" help:"replica-scale: shares of all messages that are lost."`
-	Replay   string        `help:"tier-explore: play this saved run, as a time line; -v with each message."`
-	Verbose  bool          `short:"v" help:"Show the program's log."`
-}
-
-// errScenario is a scenario that ran and did not pass. Its report says why.
-var errScenario = errors.New("the scenario did not pass")
-
-func (c *labCmd) Run(s *streams) error {
-	if c.Scenario == "list" {
-		for _, sc := range e2e.List() {
-			fmt.Fprintf(s.out, "%-16s %6s  %s\n", sc.Name, sc.Duration, sc.Summary)
-		}
-		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "tier-explore", "", "fleets in virtual time under drawn faults, thousands of seeds; see --seeds, --plant, --copies, --zones, --replay")
-		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "replica-scale", "", "shared state in virtual time: how soon all have what one writes, what it costs, how the dead are missed; see --sizes, --loss")
-		return nil
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	if c.Scenario == "tier-explore" {
-		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-		defer stop()
-		return c.tierExplore(ctx, s, self)
-	}
-	if c.Scenario == "replica-scale" {
-		return c.replicaScale(s)
-	}
-	o := e2e.Options{Seed: c.Seed, Duration: c.Duration, Program: []string{self}, Faults: c.Faults}
-	if c.Verbose {
-		o.Log = s.err
-	} else if f, ok := s.err.(*os.File); ok && isTerminal(f) {
-		o.Progress = f
-	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	r, err := e2e.Play(ctx, c.Scenario, o)
-	if err != nil {
-		return err
-	}
-	if c.JSON {
-		err = r.WriteJSON(s.out)
-	} else {
-		err = r.WriteTable(s.out)
-	}
-	if err == nil && !r.Pass {
-		return errScenario
-	}
-	return err
-}
-
-func isTerminal(f *os.File) bool {
-	info, err := f.Stat()
-	return err == nil && info.Mode()&os.ModeCharDevice != 0
-}
-
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run implements the command.
 func (versionCmd) Run(s *streams) error {
 	version, revision := "(devel)", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := start(f, slog.New(slog.DiscardHandler))
+	g, err := startGateway(f, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sorrelrudder/proxy.go
+++ b/cmd/sorrelrudder/proxy.go
@@ -21,6 +21,7 @@
 	Servers []string `arg:"" help:"Where the servers listen."`
 }
 
+// Run implements the command.
 func (c *proxyCmd) Run(s *streams) error {
 	runtime.GOMAXPROCS(1)
 	log := slog.New(slog.NewTextHandler(s.err, nil))
--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -12,6 +12,7 @@
 	"sorrelrudder/internal/route"
 )
 
+// routeCmd says which route and class take a request.
 type routeCmd struct {
 	File   string   `arg:"" help:"The operator's file."`
 	Method string   `arg:"" help:"The request's method."`
--- /dev/null
+++ b/cmd/sorrelrudder/run.go
@@ -0,0 +1,168 @@
+package main
+
+import (
+	"context"
+	"crypto/tls"
+	"log/slog"
+	"os"
+	"os/signal"
+	"reflect"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+	"time"
+
+	"sorrelrudder/internal/config"
+	"sorrelrudder/internal/fleet"
+	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/h2"
+	"sorrelrudder/internal/sitelink"
+	"sorrelrudder/internal/tlsfiles"
+)
+
+// runCmd runs a gateway.
+type runCmd struct {
+	File string `arg:"" help:"The operator's file."`
+}
+
+// Run implements the command.
+func (c *runCmd) Run(s *streams) error {
+	// Caught from the first moment on: left alone, it would end the process.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	defer signal.Stop(reload)
+	f, err := config.Load(c.File)
+	if err != nil {
+		return err
+	}
+	applyLimits(f)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	log := slog.New(slog.NewTextHandler(s.err, nil))
+	g, err := startGateway(f, log)
+	if err != nil {
+		return err
+	}
+	running := ctx
+	if f.Tier != nil {
+		t, err := startFleetHost(*f.Tier, g, log)
+		if err != nil {
+			g.Close()
+			return err
+		}
+		defer t.Close()
+		// What this process holds is given up before it takes no more requests: tasks that are out end first.
+		left, end := context.WithCancel(context.Background())
+		defer end()
+		running = left
+		go func() {
+			<-ctx.Done()
+			t.Leave()
+			end()
+		}()
+	}
+	followed := make(chan struct{})
+	go func() {
+		defer close(followed)
+		reloadOnSignal(ctx, reload, c.File, f, g, log)
+	}()
+	err = g.Run(running)
+	stop()
+	<-followed
+	return err
+}
+
+// startFleetHost starts the part of the process in its fleet.
+func startFleetHost(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Host, error) {
+	t, err := fleet.New(cfg, log)
+	if err != nil {
+		return nil, err
+	}
+	if err := t.Start(g); err != nil {
+		t.Close()
+		return nil, err
+	}
+	return t, nil
+}
+
+// startGateway makes the gateway of a file and opens its listeners and links.
+func startGateway(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
+	protocols := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: tlsConfigWith(log)}
+	if f.Bridge == nil {
+		g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Protocols: protocols})
+		if err != nil {
+			return nil, err
+		}
+		return g, closeOnError(g, g.Listen())
+	}
+	b, err := sitelink.New(*f.Bridge, log)
+	if err != nil {
+		return nil, err
+	}
+	g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Extension: b, Protocols: protocols})
+	if err != nil {
+		b.Close()
+		return nil, err
+	}
+	if err := closeOnError(g, b.Start(g)); err != nil {
+		return nil, err
+	}
+	return g, closeOnError(g, g.Listen())
+}
+
+// certificateCheckInterval is the time between two checks of the certificates' files.
+const certificateCheckInterval = time.Second
+
+// tlsConfigWith returns the TLS configuration of listeners from files, which are read again when they change.
+func tlsConfigWith(log *slog.Logger) func(context.Context, gateway.TLS) (*tls.Config, error) {
+	return func(ctx context.Context, t gateway.TLS) (*tls.Config, error) {
+		s, err := tlsfiles.Load(config.CertificatesOf(t), log)
+		if err != nil {
+			return nil, err
+		}
+		go s.Watch(ctx, certificateCheckInterval)
+		return s.Config(), nil
+	}
+}
+
+// closeOnError closes g if there was an error, which it returns.
+func closeOnError(g *gateway.Gateway, err error) error {
+	if err != nil {
+		g.Close()
+	}
+	return err
+}
+
+// applyLimits keeps the process to the cores and the memory of the file.
+func applyLimits(f *config.File) {
+	runtime.GOMAXPROCS(f.Cores)
+	// The last quarter is for the runtime, the code and the kernel.
+	debug.SetMemoryLimit(int64(f.Gateway.MemoryMB) << 20 / 4 * 3)
+}
+
+// reloadOnSignal applies the file anew at each signal until ctx ends. A file with errors leaves the running configuration in force.
+func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, file string, first *config.File, g *gateway.Gateway, log *slog.Logger) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-reload:
+		}
+		f, err := config.Load(file)
+		if err == nil {
+			err = g.Apply(f.Gateway)
+		}
+		if err == nil && !reflect.DeepEqual(f.Bridge, first.Bridge) {
+			log.Warn("what the file says of sites, peers and spilling has changed, and waits for the next start")
+		}
+		if err == nil && !reflect.DeepEqual(f.Tier, first.Tier) {
+			log.Warn("what the file says of the tier and its tasks has changed, and waits for the next start")
+		}
+		if err != nil {
+			log.Error("reload: the running configuration stays in force", "err", err)
+			continue
+		}
+		applyLimits(f)
+		log.Info("reloaded", "file", file, "load", g.String())
+	}
+}
