--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -301,7 +301,7 @@
 		}
 		in.w.watch.outcome(a, st)
 		defer in.tells(now, a.s, st)
-		in.b.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.s.id), Status: st, Delay: now - a.sent, RequestEnded: t.ended}, in)
+		in.b.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.s.id), Status: st, Latency: now - a.sent, RequestEnded: t.ended}, in)
 		in.forget(t)
 	})
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -315,7 +315,7 @@
 }
 
 func (s *server) entry(state policy.EndpointState) policy.Endpoint {
-	return policy.Endpoint{ID: policy.EndpointID(s.id), State: state, Zone: s.zone, Cell: s.cell, Kind: s.kind.Name, Weight: 1, Started: s.started}
+	return policy.Endpoint{ID: policy.EndpointID(s.id), State: state, Zone: s.zone, Cell: s.cell, MachineType: s.kind.Name, Weight: 1, Started: s.started}
 }
 
 // change notes a change of the list, which is told later.
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -94,7 +94,7 @@
 	}
 	delay := now - a.sentAt
 	p.balancer.HandleAttemptResult(now, policy.AttemptResult{
-		ID: r.id, Attempt: a.number, Endpoint: a.endpoint, Status: status, Delay: delay, RequestEnded: r.ended, Load: load,
+		ID: r.id, Attempt: a.number, Endpoint: a.endpoint, Status: status, Latency: delay, RequestEnded: r.ended, Load: load,
 	}, p)
 	p.reachability.note(a.endpoint, status)
 	p.zoneOutcomes.add(a.zone, status, delay)
--- a/internal/pool/endpoints.go
+++ b/internal/pool/endpoints.go
@@ -59,7 +59,7 @@
 // used again counts as started then. The caller holds mu.
 func (p *Pool) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	endpoint := policy.Endpoint{
-		ID: policy.EndpointID(e.ID), State: e.State(), Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Kind: e.MachineType,
+		ID: policy.EndpointID(e.ID), State: e.State(), Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, MachineType: e.MachineType,
 		Started: p.clock.startTime(e.StartedMs),
 	}
 	if endpoint.State == policy.Ready && p.exclusion.excludes(e) {
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -124,7 +124,7 @@
 					t.Fatalf("answered %d", a.Status)
 				}
 			}
-			if queue := p.ExportLearnedState().DelayModel[0]; (queue > 0) != c.told {
+			if queue := p.ExportLearnedState().LatencyModel[0]; (queue > 0) != c.told {
 				t.Errorf("mean queue %v; a load was told: %v", queue, c.told)
 			}
 		})
--- a/internal/pool/healthcheck.go
+++ b/internal/pool/healthcheck.go
@@ -42,7 +42,7 @@
 				p.stats.Add(statslog.HealthChecksUnanswered, 1)
 			}
 			p.balancer.HandleHealthCheck(now, policy.HealthCheckResult{
-				Endpoint: endpoint, Status: status, Delay: now - sentAt, Load: load,
+				Endpoint: endpoint, Status: status, Latency: now - sentAt, Load: load,
 			}, p)
 			p.reachability.note(endpoint, status)
 		})
--- a/internal/pool/learned_state.go
+++ b/internal/pool/learned_state.go
@@ -29,7 +29,7 @@
 // usable reports whether the state can have been learned: what is stored in a file may be anything.
 func (s *LearnedState) usable() bool {
 	const maxFigure = maxLoadFigure * maxLoadFigure
-	figures := append([]float64{s.ProbeContention, s.HedgeWinRate}, s.DelayModel[:]...)
+	figures := append([]float64{s.HealthCheckContention, s.HedgeWinRate}, s.LatencyModel[:]...)
 	for _, e := range s.Endpoints {
 		figures = append(figures, e.Slowness, e.ResponseInterval, float64(e.EjectedFor))
 	}
@@ -38,7 +38,7 @@
 			return false
 		}
 	}
-	return s.DelayModel[1] >= 0 && s.DelayModel[2] >= 0 && s.ProbeContention >= 0 && s.ProbeContention <= 1
+	return s.LatencyModel[1] >= 0 && s.LatencyModel[2] >= 0 && s.HealthCheckContention >= 0 && s.HealthCheckContention <= 1
 }
 
 // ImportLearnedState takes over what another process has learned of the endpoints on the list. A state that cannot have been learned
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -110,10 +110,10 @@
 		},
 		Pools: map[string]pool.LearnedState{poolName: {
 			LearnedState: policy.LearnedState{
-				DelayModel: [4]float64{0.5, 1.25, 2.75, 3.125}, ProbeContention: 0.625, HedgeWinRate: 0.375,
+				LatencyModel: [4]float64{0.5, 1.25, 2.75, 3.125}, HealthCheckContention: 0.625, HedgeWinRate: 0.375,
 				Endpoints: map[policy.EndpointID]policy.LearnedEndpoint{
-					"s1": {Started: 11 * time.Millisecond, Slowness: 1.75, Samples: 12, ResponseInterval: 13.5, EjectedFor: 14 * time.Second, ConsecutiveFailures: 15},
-					"s2": {Started: -16 * time.Millisecond, Slowness: 0.875, Samples: 17, ResponseInterval: 18.5, EjectedFor: 19 * time.Second, ConsecutiveFailures: 20},
+					"s1": {Started: 11 * time.Millisecond, Slowness: 1.75, SlownessSamples: 12, ResponseInterval: 13.5, EjectedFor: 14 * time.Second, ConsecutiveFailures: 15},
+					"s2": {Started: -16 * time.Millisecond, Slowness: 0.875, SlownessSamples: 17, ResponseInterval: 18.5, EjectedFor: 19 * time.Second, ConsecutiveFailures: 20},
 				},
 				ClientTimeouts: map[string]time.Duration{"check": 21 * time.Millisecond, "order": 22 * time.Millisecond},
 			},
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -141,7 +141,7 @@
 	}
 	goldentest.CheckForms(t, "session.golden", forms)
 	want := []policy.Endpoint{
-		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, Kind: "gen7", Started: 5 * time.Microsecond},
+		{ID: "10.0.0.1:80", State: policy.Ready, Zone: "a", Cell: 3, Weight: 1.5, MachineType: "gen7", Started: 5 * time.Microsecond},
 		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
 	}
 	if !reflect.DeepEqual(h.endpointLists[2], want) {
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -100,7 +100,7 @@
 		Attempt:      m.Attempt,
 		Endpoint:     policy.EndpointID(m.Endpoint),
 		Status:       status,
-		Delay:        settings.Micros(m.DelayUs),
+		Latency:      settings.Micros(m.DelayUs),
 		RequestEnded: m.RequestEnded,
 		Load:         i.parseLoad(m.LoadReport),
 	}, i)
@@ -115,7 +115,7 @@
 	i.balancer.HandleHealthCheck(now, policy.HealthCheckResult{
 		Endpoint: policy.EndpointID(m.Endpoint),
 		Status:   status,
-		Delay:    settings.Micros(m.DelayUs),
+		Latency:  settings.Micros(m.DelayUs),
 		Load:     i.parseLoad(m.LoadReport),
 	}, i)
 	return nil
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -138,13 +138,13 @@
 			return fmt.Errorf("unknown state %q of %s", e.State, e.ID)
 		}
 		list[i] = policy.Endpoint{
-			ID:      policy.EndpointID(e.ID),
-			State:   state,
-			Zone:    e.Zone,
-			Cell:    e.Cell,
-			Weight:  e.Weight,
-			Kind:    e.MachineType,
-			Started: settings.Micros(e.StartedUs),
+			ID:          policy.EndpointID(e.ID),
+			State:       state,
+			Zone:        e.Zone,
+			Cell:        e.Cell,
+			Weight:      e.Weight,
+			MachineType: e.MachineType,
+			Started:     settings.Micros(e.StartedUs),
 		}
 	}
 	h.endpointLists[m.ListNumber] = list
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -77,7 +77,7 @@
 			if _, err := fmt.Sscanf(line, "send %d %s", &id, &server); err != nil {
 				t.Fatal(err)
 			}
-			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: server, Status: StatusOK, Delay: time.Second, RequestEnded: true}, rec)
+			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: server, Status: StatusOK, Latency: time.Second, RequestEnded: true}, rec)
 			sent++
 		}
 		now += 10 * time.Millisecond
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -146,7 +146,7 @@
 		b.hedges.recordOutcome(result.Attempt > 0)
 	}
 	if result.Status == StatusOK || result.Status == StatusTimeout && !inconclusive {
-		b.recordLatency(a, float64(result.Delay))
+		b.recordLatency(a, float64(result.Latency))
 	}
 	r.ended = r.ended || result.RequestEnded
 	if r.ended {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -41,7 +41,7 @@
 		now += time.Millisecond
 		balancer.HandleRequest(now, Request{ID: id, Class: "safe", Key: "k", Expires: now + time.Second}, actions)
 		balancer.HandleAttemptResult(now, AttemptResult{
-			ID: id, Endpoint: actions.endpoint, Status: StatusOK, Delay: 20 * time.Millisecond, RequestEnded: true, Load: load,
+			ID: id, Endpoint: actions.endpoint, Status: StatusOK, Latency: 20 * time.Millisecond, RequestEnded: true, Load: load,
 		}, actions)
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -151,7 +151,7 @@
 			e = &endpoint{slowness: 1}
 			b.endpoints[entry.ID] = e
 		}
-		e.Endpoint, e.machineType = entry, b.machineTypes.get(entry.Kind)
+		e.Endpoint, e.machineType = entry, b.machineTypes.get(entry.MachineType)
 	}
 }
 
--- a/policy/events.go
+++ b/policy/events.go
@@ -23,13 +23,13 @@
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	ID      EndpointID
-	State   EndpointState
-	Zone    string
-	Cell    int
-	Weight  float64
-	Kind    string // machine type, by the list's name; empty: not known
-	Started Time   // of the process; zero: long ago
+	ID          EndpointID
+	State       EndpointState
+	Zone        string
+	Cell        int
+	Weight      float64
+	MachineType string // machine type, by the list's name; empty: not known
+	Started     Time   // of the process; zero: long ago
 }
 
 // UpdateKind says how an update of the endpoint list is to be read.
@@ -95,7 +95,7 @@
 	Attempt      int // number, as counted by Actions.StartAttempt
 	Endpoint     EndpointID
 	Status       Status
-	Delay        time.Duration // from its start
+	Latency      time.Duration // from its start
 	RequestEnded bool          // the client has its answer: nothing more is to be done for the request
 	Load         *LoadReport   // nil: none
 }
@@ -104,6 +104,6 @@
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Status   Status
-	Delay    time.Duration // from its start
+	Latency  time.Duration // from its start
 	Load     *LoadReport   // nil: none
 }
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -60,7 +60,7 @@
 			}
 			for _, l := range rec.take("send") {
 				s := EndpointID(l[strings.LastIndexByte(l, ' ')+1:])
-				b.HandleAttemptResult(now+10*time.Millisecond, AttemptResult{ID: id, Endpoint: s, Delay: 10 * time.Millisecond, RequestEnded: true}, rec)
+				b.HandleAttemptResult(now+10*time.Millisecond, AttemptResult{ID: id, Endpoint: s, Latency: 10 * time.Millisecond, RequestEnded: true}, rec)
 			}
 		}
 		return float64(checks) / requests
--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -108,7 +108,7 @@
 		}
 		load := &LoadReport{Queue: float64(p.rng.IntN(10) / 9), InFlight: float64(p.rng.IntN(10) / 8)}
 		p.b.HandleAttemptResult(p.now, AttemptResult{
-			ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Delay: age, RequestEnded: status == StatusOK, Load: load,
+			ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Latency: age, RequestEnded: status == StatusOK, Load: load,
 		}, p)
 		return
 	}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -45,7 +45,7 @@
 	b, rec := start(t, testConfig(), 0)
 	var list []Endpoint
 	for i := range 12 {
-		list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Kind: []string{"quick", "slow"}[i%2]})
+		list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), MachineType: []string{"quick", "slow"}[i%2]})
 	}
 	b.UpdateEndpoints(0, UpdateFull, list[:10], rec)
 	now := time.Hour
@@ -72,7 +72,7 @@
 	b, rec := start(t, testConfig(), 0)
 	for i := range 10 * maxMachineTypes {
 		id := EndpointID(fmt.Sprint("s", i))
-		b.UpdateEndpoints(0, UpdateFull, []Endpoint{{ID: id, Kind: string(id)}}, rec)
+		b.UpdateEndpoints(0, UpdateFull, []Endpoint{{ID: id, MachineType: string(id)}}, rec)
 		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
 	if len(b.machineTypes) > maxMachineTypes {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -128,13 +128,13 @@
 	}
 	want, expected := *s, b.expectedLatency(0, s)
 	ask(1, 0)
-	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Delay: 50 * time.Millisecond, RequestEnded: true}, rec)
+	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Latency: 50 * time.Millisecond, RequestEnded: true}, rec)
 	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
 		t.Errorf("a short time-out left queue %v, %d failures, contention %v and an expected latency of %v; want nothing but a latency of %v",
 			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
 	}
 	ask(2, 0)
-	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Delay: time.Second, RequestEnded: true}, rec)
+	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Latency: time.Second, RequestEnded: true}, rec)
 	if s.consecutiveFailures == 0 {
 		t.Error("a long time-out left no trace")
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -117,7 +117,7 @@
 		r.ended = true
 	}
 	p.b.HandleAttemptResult(p.now, AttemptResult{
-		ID: r.ID, Attempt: i, Endpoint: a.server.ID, Status: status, Delay: p.now - a.sent,
+		ID: r.ID, Attempt: i, Endpoint: a.server.ID, Status: status, Latency: p.now - a.sent,
 		RequestEnded: r.ended, Load: p.randomLoad(),
 	}, p.checker)
 }
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -82,5 +82,5 @@
 	r.inFlight = 1
 	s.inFlight++
 	b.requests[id] = r
-	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Delay: delay, RequestEnded: true}, rec)
+	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Latency: delay, RequestEnded: true}, rec)
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -117,7 +117,7 @@
 		if kind == UpdateDelta && rng.IntN(4) > 0 {
 			continue
 		}
-		s := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, Kind: fmt.Sprint("k", i%3), Weight: 1}
+		s := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, MachineType: fmt.Sprint("k", i%3), Weight: 1}
 		if rng.IntN(5) == 0 {
 			s.State = EndpointState(rng.IntN(3))
 		}
@@ -242,7 +242,7 @@
 		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
 	b.HandleAttemptResult(h.now, AttemptResult{
-		ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Delay: h.now - a.sent, RequestEnded: status == StatusOK, Load: randomLoad(rng),
+		ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Latency: h.now - a.sent, RequestEnded: status == StatusOK, Load: randomLoad(rng),
 	}, h)
 }
 
@@ -255,7 +255,7 @@
 	if rng.IntN(8) == 0 {
 		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
-	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: s, Status: status, Delay: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
+	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: s, Status: status, Latency: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
 }
 
 // TestActionTrace holds that the module decides as it did when the golden file was written, to the draw: equal events from an
