--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -10,28 +10,45 @@
 	"sorrelrudder/internal/gateway"
 )
 
-// Sidecar is one real sidecar of the platform: a gateway with one pool.
+const (
+	// maxDrainTime bounds the draining even if settings give longer deadlines: the platform kills a process that was told to end.
+	maxDrainTime = 3 * time.Second
+	// poolName is the name of the only pool.
+	poolName = "platform"
+)
+
+// Sidecar is one sidecar: a gateway with one pool.
 type Sidecar struct {
 	*gateway.Gateway
 	log *slog.Logger
 
+	// mu guards cfg, but for SharedDir, which does not change. The gateway's Apply is called under it.
 	mu  sync.Mutex
 	cfg Config
 }
 
-// maxDrainTime is the longest deadline after which the platform kills a process that was told to end, if settings give a longer one.
-const maxDrainTime = 3 * time.Second
-
-// poolName is the name of the only pool.
-const poolName = "platform"
+// New returns a sidecar that has opened no socket for clients.
+func New(cfg Config, log *slog.Logger) (*Sidecar, error) {
+	for _, what := range cfg.Settings.Assumptions {
+		log.Warn("settings incomplete, default assumed", "what", what)
+	}
+	g, err := gateway.New(cfg.gatewayConfig(), log)
+	if err != nil {
+		return nil, err
+	}
+	return &Sidecar{Gateway: g, cfg: cfg, log: log}, nil
+}
 
-// gatewayConfig is cfg as the process takes it. Requests wait in the module for the platform's first list.
+// gatewayConfig returns the configuration of the gateway: this process's part of the limits. Requests wait for the first list.
 func (c *Config) gatewayConfig() gateway.Config {
 	return gateway.Config{
-		Name: c.Name, MemoryMB: max(c.MemoryMB/c.processCount(), gateway.MinMemoryMB), AdminAddress: c.AdminAddress, StatsInterval: c.StatsInterval,
-		MaxDrain:    maxDrainTime,
-		Descriptors: max(c.MaxDescriptors/c.processCount(), gateway.MinDescriptors),
-		Listeners:   []gateway.Listener{{Name: c.Name, Address: c.Listen, FD: c.ListenerFD}},
+		Name:          c.Name,
+		AdminAddress:  c.AdminAddress,
+		StatsInterval: c.StatsInterval,
+		MaxDrain:      maxDrainTime,
+		MemoryMB:      max(c.MemoryMB/c.processCount(), gateway.MinMemoryMB),
+		Descriptors:   max(c.MaxDescriptors/c.processCount(), gateway.MinDescriptors),
+		Listeners:     []gateway.Listener{{Name: c.Name, Address: c.Listen, FD: c.ListenerFD}},
 		Pools: []gateway.Pool{{
 			Name: poolName, Settings: c.Settings, Discovery: c.Discovery, CachedList: c.CachedList, Seed: c.Seed,
 			Limits: gateway.Limits{Weight: 1, QueueWithoutEndpoints: true},
@@ -39,48 +56,60 @@
 	}
 }
 
-// New makes a sidecar. It opens no socket for clients.
-func New(cfg Config, log *slog.Logger) (*Sidecar, error) {
-	for _, what := range cfg.Settings.Assumptions {
-		log.Warn("the settings leave out", "what", what)
-	}
-	g, err := gateway.New(cfg.gatewayConfig(), log)
-	if err != nil {
-		return nil, err
-	}
-	return &Sidecar{Gateway: g, cfg: cfg, log: log}, nil
-}
+// processCount returns how many processes share the sidecar's limits.
+func (c *Config) processCount() int { return 1 + c.siblings }
 
-// Reload takes over a configuration that has replaced the one in force. Discovery may move under load; the environment
-// is the same as at the start, so that where the file names another address than it did, the file is right. What else
-// has changed waits for the next start, and the log says so: the platform tells it to a new process.
+// Reload takes over a configuration that has replaced the one in force. Only discovery's address may change under load; the environment
+// is the same as at the start, so that the file is right where it names another address than it did. What else has changed waits for
+// the next start, and is logged: the platform tells it to a new process.
 func (s *Sidecar) Reload(next Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if next.discoveryInFile != s.cfg.discoveryInFile && next.discoveryInFile != "" {
-		s.log.Info("discovery has moved", "from", s.cfg.Discovery, "to", next.discoveryInFile)
-		moved := s.cfg
-		moved.Discovery, moved.discoveryInFile = next.discoveryInFile, next.discoveryInFile
-		if err := s.Apply(moved.gatewayConfig()); err != nil {
+		if err := s.moveDiscovery(next.discoveryInFile); err != nil {
 			s.log.Error("reload: the running configuration stays in force", "err", err)
 			return
 		}
-		s.cfg = moved
 	}
-	for what, changed := range map[string]bool{
-		"name": next.Name != s.cfg.Name, "listen": next.Listen != s.cfg.Listen,
-		"limits":   next.MemoryMB != s.cfg.MemoryMB || next.MaxDescriptors != s.cfg.MaxDescriptors,
-		"admin":    next.AdminAddress != s.cfg.AdminAddress,
-		"settings": !reflect.DeepEqual(next.Settings, s.cfg.Settings),
+	for _, key := range s.cfg.unappliedChanges(&next) {
+		s.log.Warn("configuration change takes effect at the next start", "of", key)
+	}
+	s.log.Info("reloaded", "load", s.String())
+}
+
+// moveDiscovery uses the discovery service at another address. The caller holds mu.
+func (s *Sidecar) moveDiscovery(addr string) error {
+	s.log.Info("discovery address changed", "from", s.cfg.Discovery, "to", addr)
+	moved := s.cfg
+	moved.Discovery, moved.discoveryInFile = addr, addr
+	if err := s.Apply(moved.gatewayConfig()); err != nil {
+		return err
+	}
+	s.cfg = moved
+	return nil
+}
+
+// unappliedChanges returns the keys of next that differ from c and are not taken over by a reload.
+func (c *Config) unappliedChanges(next *Config) []string {
+	var keys []string
+	for _, value := range []struct {
+		key     string
+		changed bool
+	}{
+		{"name", next.Name != c.Name},
+		{"listen", next.Listen != c.Listen},
+		{"limits", next.MemoryMB != c.MemoryMB || next.MaxDescriptors != c.MaxDescriptors},
+		{"admin", next.AdminAddress != c.AdminAddress},
+		{"settings", !reflect.DeepEqual(next.Settings, c.Settings)},
 	} {
-		if changed {
-			s.log.Warn("a change takes effect at the next start only", "of", what)
+		if value.changed {
+			keys = append(keys, value.key)
 		}
 	}
-	s.log.Info("reloaded", "load", s.String())
+	return keys
 }
 
-// Run serves until ctx ends, and then drains. It returns once all that was taken is answered.
+// Run serves until ctx ends, and then drains. It returns once all requests that were accepted are answered.
 func (s *Sidecar) Run(ctx context.Context) error {
 	if err := s.start(ctx); err != nil {
 		s.Close()
