--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -161,6 +161,14 @@
 	left   chan struct{}
 }
 
+// attemptSummarizer is a downstream.Exchange that knows what was attempted for its request.
+type attemptSummarizer interface {
+	AttemptSummary() (attempts int, mayHaveExecuted bool)
+}
+
+// The exchanges of a pool are found to be attemptSummarizers by a type assertion at run time.
+var _ attemptSummarizer = (*pool.Exchange)(nil)
+
 func newExchange(c *crossing, x downstream.Exchange) *exchange {
 	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Response, 1), left: make(chan struct{})}
 	c.bridge.work.Go(func() {
@@ -187,8 +195,8 @@
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
 	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
 	ran := true
-	if x, ok := e.Exchange.(interface{ Account() (int, bool) }); ok {
-		a.Spent, ran = x.Account()
+	if x, ok := e.Exchange.(attemptSummarizer); ok {
+		a.Spent, ran = x.AttemptSummary()
 	}
 	switch {
 	case ans.Status == http.StatusOK:
