--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -161,12 +161,29 @@
 
 // Second is what happened within one second.
 type Second struct {
-	Requests, InAim, Late, Unserved  int // by the second in which the request was first asked
-	Tries, Refused, Failed           int // by that in which it happened, as the rest
-	Worth, Served                    float64
-	Sends, Cold, Again, Crossed      int // Crossed: to another zone
-	Unreached, TimedOut, Erred, Full int
-	Probes, Dials, Calls, CallsLost  int
+	// By the second in which the request was first asked.
+	Requests int `json:"Requests"`
+	InAim    int `json:"InAim"`
+	Late     int `json:"Late"`
+	Unserved int `json:"Unserved"`
+	// By the second in which it happened, as the rest.
+	Tries     int     `json:"Tries"`
+	Refused   int     `json:"Refused"`
+	Failed    int     `json:"Failed"`
+	Worth     float64 `json:"Worth"`
+	Served    float64 `json:"Served"`
+	Sends     int     `json:"Sends"`
+	Cold      int     `json:"Cold"`
+	Again     int     `json:"Again"`
+	Crossed   int     `json:"Crossed"` // to another zone
+	Unreached int     `json:"Unreached"`
+	TimedOut  int     `json:"TimedOut"`
+	Erred     int     `json:"Erred"`
+	Full      int     `json:"Full"`
+	Probes    int     `json:"Probes"`
+	Dials     int     `json:"Dials"`
+	Calls     int     `json:"Calls"`
+	CallsLost int     `json:"CallsLost"`
 }
 
 // UsualModule is the module's configuration by which days are played, but for what Day says it is the day's.
