--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -57,13 +57,13 @@
 	switch {
 	case p.Lease != nil:
 		result := n.machine.Leases.Apply(*p.Lease)
-		n.logLeaseCommand(*p.Lease, result)
+		n.leaseEvent(*p.Lease, result)
 		answer.Lease = &lease.Response{Result: &result}
 	case p.Voter != nil:
 		result := n.machine.applyVoter(*p.Voter)
 		answer.Voter = &result
 		if result.Refusal == "" {
-			n.event("a seat of the council", "op", string(p.Voter.Op), "name", p.Voter.Name, "id", result.RaftID, "votes", result.Votes)
+			n.event(EventVoterChanged, "op", string(p.Voter.Op), "name", p.Voter.Name, "id", result.RaftID, "votes", result.Votes)
 		}
 	case p.Task != nil:
 		result := n.machine.Tasks.Apply(*p.Task)
@@ -72,7 +72,7 @@
 		result := n.machine.applyDecision(*p.Decision)
 		answer.Decision = &result
 		if result.Refusal == "" {
-			n.event("an order", "key", p.Decision.Key, "value", p.Decision.Value, "lifted", p.Decision.Withdraw, "number", result.Number)
+			n.event(EventDecision, "key", p.Decision.Key, "value", p.Decision.Value, "lifted", p.Decision.Withdraw, "number", result.Number)
 		}
 	}
 	return answer
@@ -90,22 +90,3 @@
 	}
 	n.reply(pending, answer)
 }
-
-// logLeaseCommand logs the changes of sessions and leases.
-func (n *Node) logLeaseCommand(c lease.Command, r lease.Result) {
-	if r.Refusal != "" {
-		return
-	}
-	switch c.Op {
-	case lease.OpOpen:
-		n.event("a session", "member", c.Member, "session", r.SessionID)
-	case lease.OpExpire:
-		n.event("a session has ended", "session", c.SessionID)
-	case lease.OpAcquire:
-		if r.Token != 0 {
-			n.event("a lease", "name", c.Name, "member", c.Member, "token", r.Token)
-		}
-	case lease.OpTransfer, lease.OpRevoke, lease.OpReclaim:
-		n.event("a lease: "+string(c.Op), "name", c.Name, "member", c.Member, "to", c.To, "token", c.Token)
-	}
-}
--- a/internal/consensus/confchange.go
+++ b/internal/consensus/confchange.go
@@ -133,7 +133,7 @@
 	}
 	n.confState = n.rawNode.ApplyConfChange(change)
 	n.confChanged = true
-	n.event("the council's members", "voters", slices.Clone(n.confState.GetVoters()), "learners", slices.Clone(n.confState.GetLearners()),
+	n.event(EventConfigurationChanged, "voters", slices.Clone(n.confState.GetVoters()), "learners", slices.Clone(n.confState.GetLearners()),
 		"outgoing", slices.Clone(n.confState.GetVotersOutgoing()))
 	return nil
 }
--- a/internal/consensus/process.go
+++ b/internal/consensus/process.go
@@ -23,16 +23,6 @@
 	Response Response
 }
 
-// Event is a line for the log: a constant message, and keys and values.
-type Event struct {
-	Message string
-	Args    []any
-}
-
-func (n *Node) event(message string, args ...any) {
-	n.output.Events = append(n.output.Events, Event{message, args})
-}
-
 // Process carries out all that has come up since the last call and returns what is to be sent. An error, which is then returned by every
 // later call, ends this node's part.
 func (n *Node) Process(now time.Duration, storage Storage) (out Output, err error) {
@@ -124,7 +114,7 @@
 		if err := n.restoreSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		n.event("the council's state taken over", "index", n.appliedIndex)
+		n.event(EventSnapshotRestored, "index", n.appliedIndex)
 	}
 	if rd.HardState != nil {
 		if err := n.raftLog.SetHardState(rd.HardState); err != nil {
@@ -157,9 +147,9 @@
 		n.stepDown()
 	}
 	if s.Lead != n.leaderID && s.Lead != 0 {
-		n.event("the council has a leader", "leader", n.NameOf(s.Lead), "id", s.Lead, "term", n.term)
+		n.event(EventLeaderElected, "leader", n.NameOf(s.Lead), "id", s.Lead, "term", n.term)
 	} else if s.Lead == 0 && n.leaderID != 0 {
-		n.event("the council has no leader that this process knows of", "term", n.term)
+		n.event(EventLeaderUnknown, "term", n.term)
 	}
 	n.leaderID, n.role = s.Lead, s.RaftState
 }
--- a/internal/e2e/lease.go
+++ b/internal/e2e/lease.go
@@ -308,12 +308,12 @@
 	return 0
 }
 
-// leader is who leads the council by the newest word of the logs, 0 if none is known.
+// leader is the process that leads the consensus group by the newest log line, 0 if none is known.
 func (f *fleet) leader() int {
 	best, term := 0, 0
 	for _, p := range f.procs {
 		for _, line := range p.prog.Lines() {
-			if Field(line, "msg") != "the council has a leader" {
+			if Field(line, "msg") != "consensus leader elected" {
 				continue
 			}
 			var t int
--- a/internal/e2e/tier.go
+++ b/internal/e2e/tier.go
@@ -164,7 +164,7 @@
 	return f, f.await(ctx, 10*time.Second, "all seats vote", func() bool {
 		for _, p := range f.procs[:cfg.voters] {
 			if !slices.ContainsFunc(p.prog.Lines(), func(line string) bool {
-				return strings.Contains(line, "the council's members") && len(strings.Fields(strings.Trim(Field(line, "voters"), "[]"))) == cfg.voters
+				return strings.Contains(line, "consensus configuration changed") && len(strings.Fields(strings.Trim(Field(line, "voters"), "[]"))) == cfg.voters
 			}) {
 				return false
 			}
--- /dev/null
+++ b/internal/simulation/events.go
@@ -0,0 +1,19 @@
+package simulation
+
+import "sorrelrudder/internal/consensus"
+
+// eventTexts are the words of events in a time line. A run's hash is over them.
+var eventTexts = map[consensus.EventKind]string{
+	consensus.EventLeaderElected:        "the council has a leader",
+	consensus.EventLeaderUnknown:        "the council has no leader that this process knows of",
+	consensus.EventConfigurationChanged: "the council's members",
+	consensus.EventSnapshotRestored:     "the council's state taken over",
+	consensus.EventVoterChanged:         "a seat of the council",
+	consensus.EventDecision:             "an order",
+	consensus.EventSessionOpened:        "a session",
+	consensus.EventSessionExpired:       "a session has ended",
+	consensus.EventLeaseGranted:         "a lease",
+	consensus.EventLeaseTransferred:     "a lease: pass",
+	consensus.EventLeaseRevoked:         "a lease: revoke",
+	consensus.EventLeaseReclaimed:       "a lease: free",
+}
--- a/internal/simulation/proc.go
+++ b/internal/simulation/proc.go
@@ -303,7 +303,7 @@
 	p.w.watch.decides(p.node.StateMachine())
 	p.takesOrders()
 	for _, e := range out.Events {
-		p.w.note("%s: %s %v", p.name, e.Message, e.Args)
+		p.w.note("%s: %s %v", p.name, eventTexts[e.Kind], e.Args)
 	}
 	for _, m := range out.Messages {
 		to := p.w.byName(p.node.NameOf(m.GetTo()))
