--- a/cmd/sorrelrudder/run.go
+++ b/cmd/sorrelrudder/run.go
@@ -44,8 +44,8 @@
 		return err
 	}
 	running := ctx
-	if f.Tier != nil {
-		t, err := startFleetHost(*f.Tier, g, log)
+	if f.Fleet != nil {
+		t, err := startFleetHost(*f.Fleet, g, log)
 		if err != nil {
 			g.Close()
 			return err
@@ -88,14 +88,14 @@
 // startGateway makes the gateway of a file and opens its listeners and links.
 func startGateway(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
 	protocols := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: tlsConfigWith(log)}
-	if f.Bridge == nil {
+	if f.SiteLinks == nil {
 		g, err := gateway.NewWithOptions(f.Gateway, log, gateway.Options{Protocols: protocols})
 		if err != nil {
 			return nil, err
 		}
 		return g, closeOnError(g, g.Listen())
 	}
-	b, err := sitelink.New(*f.Bridge, log)
+	b, err := sitelink.New(*f.SiteLinks, log)
 	if err != nil {
 		return nil, err
 	}
@@ -152,10 +152,10 @@
 		if err == nil {
 			err = g.Apply(f.Gateway)
 		}
-		if err == nil && !reflect.DeepEqual(f.Bridge, first.Bridge) {
+		if err == nil && !reflect.DeepEqual(f.SiteLinks, first.SiteLinks) {
 			log.Warn("what the file says of sites, peers and spilling has changed, and waits for the next start")
 		}
-		if err == nil && !reflect.DeepEqual(f.Tier, first.Tier) {
+		if err == nil && !reflect.DeepEqual(f.Fleet, first.Fleet) {
 			log.Warn("what the file says of the tier and its tasks has changed, and waits for the next start")
 		}
 		if err != nil {
--- a/cmd/sorrelrudder/tier_member.go
+++ b/cmd/sorrelrudder/tier_member.go
@@ -26,18 +26,18 @@
 	if err != nil {
 		return err
 	}
-	if f.Tier == nil || f.Tier.Store == "" {
+	if f.Fleet == nil || f.Fleet.Store == "" {
 		return fmt.Errorf("%s: no member of a council: [tier] with a store is missing", c.File)
 	}
-	store, err := fleet.OpenStore(f.Tier.Store, f.Tier.Name)
+	store, err := fleet.OpenStore(f.Fleet.Store, f.Fleet.Name)
 	if err != nil {
 		return err
 	}
 	defer store.Close()
-	if err := store.Found(f.Tier.Voters); err != nil {
+	if err := store.Found(f.Fleet.Voters); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Tier.Name, strings.Join(f.Tier.Voters, ", "))
+	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
 	return err
 }
 
--- a/internal/config/opfile.go
+++ b/internal/config/opfile.go
@@ -28,10 +28,10 @@
 	Gateway gateway.Config
 	Cores   int // that may run Go code at once
 	// Warnings are what may be meant and is dangerous.
-	Warnings []string
-	Bridge   *sitelink.Config // nil: the process has no peers
-	Tier     *fleet.Config    // nil: the process knows no others
-	root     *section
+	Warnings  []string
+	SiteLinks *sitelink.Config // nil: the process has no peers
+	Fleet     *fleet.Config    // nil: the process knows no others
+	root      *section
 }
 
 // Load reads the file at path. The error is an Errors, or tells why the file cannot be read.
--- a/internal/config/opfile_test.go
+++ b/internal/config/opfile_test.go
@@ -244,15 +244,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := f.Bridge
-	if b == nil || b.Site != "a" || len(b.Peers) != 1 || b.Pools["farm"].To != "b" || len(b.Pools["farm"].Reaches) != 1 || !f.Gateway.Listeners[1].InterSite {
+	b := f.SiteLinks
+	if b == nil || b.Site != "a" || len(b.Peers) != 1 || b.Pools["farm"].Peer != "b" || len(b.Pools["farm"].SharedDedupClasses) != 1 || !f.Gateway.Listeners[1].InterSite {
 		t.Errorf("%+v", b)
 	}
-	if err := b.Check(); err != nil {
+	if err := b.Validate(); err != nil {
 		t.Error(err)
 	}
 	again, err := Parse("f.toml", []byte(f.String()))
-	if err != nil || !reflect.DeepEqual(again.Bridge, b) {
+	if err != nil || !reflect.DeepEqual(again.SiteLinks, b) {
 		t.Errorf("what --print writes is read as another file: %v\n%s", err, f)
 	}
 	for change, want := range map[[2]string]string{
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -23,7 +23,7 @@
 	b.Site = t.needed("name")
 	if t.has("tls") {
 		files := t.table("tls")
-		b.TLS = &sitelink.TLS{Certificate: files.needed("certificate"), Key: files.needed("key"), Authorities: files.needed("authorities")}
+		b.TLS = &sitelink.TLS{CertFile: files.needed("certificate"), KeyFile: files.needed("key"), CAFile: files.needed("authorities")}
 		files.done()
 	}
 	t.done()
@@ -38,13 +38,13 @@
 			if err != nil {
 				r.bad(p.at("from"), "%q is no IP address", text)
 			}
-			peer.From = append(peer.From, a.Unmap())
+			peer.SourceAddresses = append(peer.SourceAddresses, a.Unmap())
 		}
 		p.done()
 		switch {
 		case seen[peer.Name] && peer.Name != "":
 			r.bad(p.at("name"), "site %q is there twice", peer.Name)
-		case b.TLS == nil && len(peer.From) == 0:
+		case b.TLS == nil && len(peer.SourceAddresses) == 0:
 			r.bad(p.at("from"), "is missing: without [site.tls] a peer is known by the addresses that it connects from")
 		case b.TLS != nil && peer.Subject == "":
 			r.bad(p.at("subject"), "is missing: with [site.tls] a peer is known by the common name of its certificate")
@@ -52,7 +52,7 @@
 		seen[peer.Name] = true
 		b.Peers = append(b.Peers, peer)
 	}
-	f.Bridge = b
+	f.SiteLinks = b
 }
 
 // spill reads what a pool has to do with other sites, and ends the reading of its table.
@@ -67,28 +67,28 @@
 		r.bad(s.at("spill"), "is for pools that speak the platform's protocol: plain HTTP does not tell what crosses with a request")
 		return
 	}
-	if f.Bridge == nil {
+	if f.SiteLinks == nil {
 		r.bad(s.at("spill"), "needs a [site] and its peers")
 		return
 	}
 	t := s.table("spill")
-	b := sitelink.Pool{Settings: p.Settings, To: t.str("to", ""), Reaches: reaches}
-	if b.To != "" {
+	b := sitelink.Pool{Settings: p.Settings, Peer: t.str("to", ""), SharedDedupClasses: reaches}
+	if b.Peer != "" {
 		var peers []string
-		for _, p := range f.Bridge.Peers {
+		for _, p := range f.SiteLinks.Peers {
 			peers = append(peers, p.Name)
 		}
-		r.known(t.at("to"), "peer", b.To, peers)
+		r.known(t.at("to"), "peer", b.Peer, peers)
 	}
-	b.Spill = spillover.Config{
+	b.Spillover = spillover.Config{
 		Window:     t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
 		StartRatio: t.number("start", 0.02, 0, 1), StopRatio: t.number("stop", 0.005, 0, 1), MaxForwardedRatio: t.number("most_share", 1, 0, 1),
 		HealthCheckInterval:    t.duration("probe_every", 100*time.Millisecond, time.Millisecond, time.Minute),
 		MaxHealthCheckInterval: t.duration("most_probe_pause", 2*time.Second, time.Millisecond, time.Hour), HealthyThreshold: int(t.whole("probes_to_open", 3, 1, 100)),
 		StallTimeout: time.Second, // until a round trip is known
 	}
-	if b.Spill.StopRatio >= b.Spill.StartRatio {
-		r.bad(t.at("stop"), "is %v, not below start, which is %v", b.Spill.StopRatio, b.Spill.StartRatio)
+	if b.Spillover.StopRatio >= b.Spillover.StartRatio {
+		r.bad(t.at("stop"), "is %v, not below start, which is %v", b.Spillover.StopRatio, b.Spillover.StartRatio)
 	}
 	b.Grant = spillover.GrantConfig{
 		Window:  t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
@@ -96,5 +96,5 @@
 		MaxRejectedRatio: t.number("grant_short", 0.02, 0, 1),
 	}
 	t.done()
-	f.Bridge.Pools[name] = b
+	f.SiteLinks.Pools[name] = b
 }
--- a/internal/config/tier.go
+++ b/internal/config/tier.go
@@ -149,7 +149,7 @@
 	if len(c.Tasks) > task.MaxTasks {
 		r.bad(s.at("tasks"), "are %d, more than %d", len(c.Tasks), task.MaxTasks)
 	}
-	f.Tier = c
+	f.Fleet = c
 }
 
 var missed = map[string]task.MissedPolicy{"skip": task.MissedSkip, "once": task.MissedRunNewest, "each": task.MissedRunEach}
--- a/internal/config/tier_test.go
+++ b/internal/config/tier_test.go
@@ -47,10 +47,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Tier == nil || len(f.Tier.Members) != 3 || len(f.Tier.Tasks) != 1 || f.Tier.Tasks[0].DedupWindow <= 0 {
-		t.Fatalf("%+v", f.Tier)
+	if f.Fleet == nil || len(f.Fleet.Members) != 3 || len(f.Fleet.Tasks) != 1 || f.Fleet.Tasks[0].DedupWindow <= 0 {
+		t.Fatalf("%+v", f.Fleet)
 	}
-	if again, err := Parse("f.toml", []byte(f.String())); err != nil || len(again.Tier.Tasks) != 1 {
+	if again, err := Parse("f.toml", []byte(f.String())); err != nil || len(again.Fleet.Tasks) != 1 {
 		t.Errorf("what is printed reads as another: %v", err)
 	}
 }
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.Tier.Zones.Rules.WarmUp; got != 25*time.Second {
+	if got := f.Fleet.Zones.Rules.WarmUp; got != 25*time.Second {
 		t.Errorf("cold for %v", got)
 	}
 }
@@ -139,14 +139,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := f.Tier.Tasks[0]; !k.Plain || k.Idempotency != task.IdempotentByKey || k.DedupWindow != 20*time.Second {
+	if k := f.Fleet.Tasks[0]; !k.Plain || k.Idempotency != task.IdempotentByKey || k.DedupWindow != 20*time.Second {
 		t.Errorf("%+v", k)
 	}
 	f, err = Parse("f.toml", []byte(strings.Replace(text, `"/delivery-order/sweep"`, `"/else"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := f.Tier.Tasks[0]; k.Idempotency != task.NonIdempotent {
+	if k := f.Fleet.Tasks[0]; k.Idempotency != task.NonIdempotent {
 		t.Errorf("what no rule takes: %+v", k)
 	}
 }
--- a/internal/siteheader/form_test.go
+++ b/internal/siteheader/form_test.go
@@ -20,12 +20,12 @@
 	return goldentest.Form{Name: name, Written: text, Read: read, Value: q, Full: full}
 }
 
-func answerForm(name string, a Answer, full bool) goldentest.Form {
+func answerForm(name string, a Response, full bool) goldentest.Form {
 	text, err := a.String()
 	if err != nil {
 		panic(err)
 	}
-	read := func(text string) (any, error) { return ParseAnswer([]string{text}, mostAttempts) }
+	read := func(text string) (any, error) { return ParseResponse([]string{text}, mostAttempts) }
 	return goldentest.Form{Name: name, Written: text, Read: read, Value: a, Full: full}
 }
 
@@ -33,25 +33,25 @@
 func TestFieldForm(t *testing.T) {
 	const us = time.Microsecond
 	full := &Request{
-		Left: 400001 * us, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", Cost: 2500 * us, Retry: true, Used: 3, May: 2,
-		Ran: []Prior{
-			{Group{Zone: "a", Cell: 12, InCell: true}, 30 * time.Second}, {Group{Zone: "b"}, 7 * us}, {Group{}, 0},
+		TimeLeft: 400001 * us, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2500 * us, IsRetry: true, AttemptsMade: 3, AttemptsAllowed: 2,
+		Executions: []Execution{
+			{DedupGroup{Zone: "a", Cell: 12, InCell: true}, 30 * time.Second}, {DedupGroup{Zone: "b"}, 7 * us}, {DedupGroup{}, 0},
 		},
-		Origin: "near", Passed: []string{"near"}, Stamp: time.Hour, Ago: 20 * time.Millisecond, Within: 215 * time.Millisecond,
+		Origin: "near", Path: []string{"near"}, Stamp: time.Hour, StampAge: 20 * time.Millisecond, StallTimeout: 215 * time.Millisecond,
 	}
-	least := &Request{Left: us, Pool: "orders", Class: "read", May: 1, Origin: "near", Passed: []string{"near"}}
+	least := &Request{TimeLeft: us, Pool: "orders", Class: "read", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
 	goldentest.CheckForms(t, "fields.golden", []goldentest.Form{
 		requestForm("full request", full, true),
 		requestForm("least request", least, false),
-		answerForm("refused", Answer{How: Refused, Spent: 1, Room: 12, Wait: 40 * time.Millisecond, Stamp: time.Hour}, true),
-		answerForm("served", Answer{How: Served, Spent: 2, Room: 13, Stamp: time.Hour}, false),
-		answerForm("may have run", Answer{How: MayHaveRun}, false),
+		answerForm("refused", Response{Outcome: Rejected, Attempts: 1, Credits: 12, RetryAfter: 40 * time.Millisecond, Stamp: time.Hour}, true),
+		answerForm("served", Response{Outcome: Served, Attempts: 2, Credits: 13, Stamp: time.Hour}, false),
+		answerForm("may have run", Response{Outcome: MayHaveExecuted}, false),
 	})
 }
 
 // TestNames pins the names of the fields, the version and the bounds, which both sites must have alike.
 func TestNames(t *testing.T) {
-	got := []any{RequestField, AnswerField, Version, mostField, mostText, mostPrior, mostTime, mostStamp, mostCount, mostAttempts}
+	got := []any{RequestField, ResponseField, Version, mostField, mostText, mostPrior, mostTime, mostStamp, mostCount, mostAttempts}
 	want := []any{"Sorrel-Hop", "Sorrel-Hop-Answer", 1, 4096, 256, 8, 24 * time.Hour, 876000 * time.Hour, 1 << 20, 16}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/internal/siteheader/hop.go
+++ b/internal/siteheader/hop.go
@@ -15,8 +15,8 @@
 
 // The names of the fields.
 const (
-	RequestField = "Sorrel-Hop"
-	AnswerField  = "Sorrel-Hop-Answer"
+	RequestField  = "Sorrel-Hop"
+	ResponseField = "Sorrel-Hop-Answer"
 )
 
 // Version is the highest that this package knows.
@@ -37,45 +37,45 @@
 
 // The errors of reading a field.
 var (
-	ErrVersion = errors.New("hop: a version that is not known") // 505
-	ErrLoop    = errors.New("hop: a second hop")                // 508
-	ErrField   = errors.New("hop: the field cannot be read")    // 400
+	ErrVersion   = errors.New("hop: a version that is not known") // 505
+	ErrLoop      = errors.New("hop: a second hop")                // 508
+	ErrMalformed = errors.New("hop: the field cannot be read")    // 400
 )
 
 // Request is what crosses with a request.
 type Request struct {
-	Left   time.Duration // that the client still waits; above 0
-	Pool   string        // as both sites' files name it
-	Class  string
-	Tenant string
-	Key    string        // of the module, "" if there is none
-	Cost   time.Duration // rough work; 0: not known
-	Retry  bool          // the client marked it as a retry
-	Used   int           // attempts made so far
-	May    int           // further attempts that the far site may make, at least 1
-	Ran    []Prior       // groups that may have run it
-	Origin string
-	Passed []string // sites, the origin first
+	TimeLeft        time.Duration // that the client still waits; above 0
+	Pool            string        // as both sites' files name it
+	Class           string
+	Tenant          string
+	Key             string        // of the module, "" if there is none
+	ExpectedWork    time.Duration // rough work; 0: not known
+	IsRetry         bool          // the client marked it as a retry
+	AttemptsMade    int           // attempts made so far
+	AttemptsAllowed int           // further attempts that the far site may make, at least 1
+	Executions      []Execution   // groups that may have run it
+	Origin          string
+	Path            []string // sites, the origin first
 	// Stamp is the last that the receiver has given, Ago how long ago it came, and Within how long the sender waits for a word
 	// of the receiver until it gives up what is out.
-	Stamp, Ago, Within time.Duration
+	Stamp, StampAge, StallTimeout time.Duration
 }
 
-// Prior is a group that may have run a request, and how long it still drops a repeat.
-type Prior struct {
-	Group Group
-	For   time.Duration
+// Execution is a group that may have run a request, and how long it still drops a repeat.
+type Execution struct {
+	Group          DedupGroup
+	DedupRemaining time.Duration
 }
 
-// Group says who drops a repeat: all (the zero Group), the servers of a zone, or those of a cell of a zone.
-type Group struct {
+// DedupGroup says who drops a repeat: all (the zero Group), the servers of a zone, or those of a cell of a zone.
+type DedupGroup struct {
 	Zone   string
 	Cell   int // in Zone, if InCell
 	InCell bool
 }
 
 // String is the group as it crosses.
-func (g Group) String() string {
+func (g DedupGroup) String() string {
 	switch {
 	case g.Zone == "" && !g.InCell:
 		return "all"
@@ -85,49 +85,49 @@
 	return "zone:" + g.Zone
 }
 
-func parseGroup(text string) (Group, error) {
+func parseGroup(text string) (DedupGroup, error) {
 	if text == "all" {
-		return Group{}, nil
+		return DedupGroup{}, nil
 	}
 	if zone, ok := strings.CutPrefix(text, "zone:"); ok && zone != "" {
-		return Group{Zone: zone}, nil
+		return DedupGroup{Zone: zone}, nil
 	}
 	rest, ok := strings.CutPrefix(text, "cell:")
 	i := strings.LastIndexByte(rest, '/')
 	if ok && i >= 0 {
 		if n, err := strconv.ParseUint(rest[i+1:], 10, 20); err == nil {
-			return Group{Zone: rest[:i], Cell: int(n), InCell: true}, nil
+			return DedupGroup{Zone: rest[:i], Cell: int(n), InCell: true}, nil
 		}
 	}
-	return Group{}, fmt.Errorf("%w: group %.80q", ErrField, text)
+	return DedupGroup{}, fmt.Errorf("%w: group %.80q", ErrMalformed, text)
 }
 
-// Reaches reports whether a server of a zone and cell is of the group.
-func (g Group) Reaches(zone string, cell int) bool {
+// Contains reports whether a server of a zone and cell is of the group.
+func (g DedupGroup) Contains(zone string, cell int) bool {
 	return g.Zone == "" && !g.InCell || g.Zone == zone && (!g.InCell || g.Cell == cell)
 }
 
-// Late is how long a request has been on its way, from when its receiver gave the stamp, beside the time that the sender had it:
+// Delay is how long a request has been on its way, from when its receiver gave the stamp, beside the time that the sender had it:
 // a round trip, or more where the link held it up. A stamp of a clock that has begun anew tells 0.
-func (r *Request) Late(now time.Duration) time.Duration { return max(0, now-r.Stamp-r.Ago) }
+func (r *Request) Delay(now time.Duration) time.Duration { return max(0, now-r.Stamp-r.StampAge) }
 
-// How says how a request ended at the far site.
-type How string
+// Outcome says how a request ended at the far site.
+type Outcome string
 
 // The ends.
 const (
-	Served     How = "served"
-	Refused    How = "refused"      // nothing has run
-	MayHaveRun How = "may-have-run" // also what is taken of an answer that cannot be read
+	Served          Outcome = "served"
+	Rejected        Outcome = "refused"      // nothing has run
+	MayHaveExecuted Outcome = "may-have-run" // also what is taken of an answer that cannot be read
 )
 
-// Answer is what crosses with an answer.
-type Answer struct {
-	How   How
-	Spent int           // attempts made there
-	Room  int           // requests granted from now on
-	Wait  time.Duration // with Refused: until room is expected; 0: not known
-	Stamp time.Duration // of the receiver's own clock, which means nothing to others
+// Response is what crosses with an answer.
+type Response struct {
+	Outcome    Outcome
+	Attempts   int           // attempts made there
+	Credits    int           // requests granted from now on
+	RetryAfter time.Duration // with Refused: until room is expected; 0: not known
+	Stamp      time.Duration // of the receiver's own clock, which means nothing to others
 }
 
 // String is the request as its field has it. It is the inverse of ParseRequest for what that accepts.
@@ -135,7 +135,7 @@
 	d := httpsfv.NewDictionary()
 	add := func(key string, v any) { d.Add(key, httpsfv.NewItem(v)) }
 	add("v", int64(Version))
-	add("left", r.Left.Microseconds())
+	add("left", r.TimeLeft.Microseconds())
 	add("pool", r.Pool)
 	add("class", r.Class)
 	for key, v := range map[string]string{"tenant": r.Tenant, "key": r.Key} {
@@ -143,29 +143,29 @@
 			add(key, v)
 		}
 	}
-	if r.Cost > 0 {
-		add("cost", r.Cost.Microseconds())
+	if r.ExpectedWork > 0 {
+		add("cost", r.ExpectedWork.Microseconds())
 	}
-	if r.Retry {
+	if r.IsRetry {
 		add("retry", true)
 	}
-	add("used", int64(r.Used))
-	add("may", int64(r.May))
-	if len(r.Ran) > 0 {
+	add("used", int64(r.AttemptsMade))
+	add("may", int64(r.AttemptsAllowed))
+	if len(r.Executions) > 0 {
 		list := httpsfv.InnerList{Params: httpsfv.NewParams()}
-		for _, p := range r.Ran {
+		for _, p := range r.Executions {
 			item := httpsfv.NewItem(p.Group.String())
-			item.Params.Add("for", p.For.Microseconds())
+			item.Params.Add("for", p.DedupRemaining.Microseconds())
 			list.Items = append(list.Items, item)
 		}
 		d.Add("ran", list)
 	}
 	add("stamp", r.Stamp.Microseconds())
-	add("ago", r.Ago.Microseconds())
-	add("within", r.Within.Microseconds())
+	add("ago", r.StampAge.Microseconds())
+	add("within", r.StallTimeout.Microseconds())
 	add("origin", r.Origin)
 	passed := httpsfv.InnerList{Params: httpsfv.NewParams()}
-	for _, site := range r.Passed {
+	for _, site := range r.Path {
 		passed.Items = append(passed.Items, httpsfv.NewItem(site))
 	}
 	d.Add("passed", passed)
@@ -184,11 +184,11 @@
 		n += len(f)
 	}
 	if n == 0 || n > mostField {
-		return nil, fmt.Errorf("%w: %d bytes", ErrField, n)
+		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, n)
 	}
 	d, err := httpsfv.UnmarshalDictionary(field)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrField, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	r := &reader{d: d}
 	v := r.whole("v", true, mostCount)
@@ -200,7 +200,7 @@
 
 func (r *reader) bad(key, what string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s %s", ErrField, key, what)
+		r.err = fmt.Errorf("%w: %s %s", ErrMalformed, key, what)
 	}
 }
 
@@ -282,21 +282,21 @@
 		return nil, err
 	}
 	q := &Request{
-		Left: r.duration("left", true), Pool: r.text("pool", true), Class: r.text("class", true), Tenant: r.text("tenant", false), Key: r.text("key", false),
-		Cost: r.duration("cost", false), Used: int(r.whole("used", true, mostAttempts)), May: int(r.whole("may", true, mostAttempts)),
-		Origin: r.text("origin", true), Stamp: r.stamp("stamp", true), Ago: r.duration("ago", true), Within: r.duration("within", true),
+		TimeLeft: r.duration("left", true), Pool: r.text("pool", true), Class: r.text("class", true), Tenant: r.text("tenant", false), Key: r.text("key", false),
+		ExpectedWork: r.duration("cost", false), AttemptsMade: int(r.whole("used", true, mostAttempts)), AttemptsAllowed: int(r.whole("may", true, mostAttempts)),
+		Origin: r.text("origin", true), Stamp: r.stamp("stamp", true), StampAge: r.duration("ago", true), StallTimeout: r.duration("within", true),
 	}
 	switch v := r.item("retry", false).(type) {
 	case nil:
 	case bool:
-		q.Retry = v
+		q.IsRetry = v
 	default:
 		r.bad("retry", "is no boolean")
 	}
-	if r.err == nil && q.Left <= 0 {
+	if r.err == nil && q.TimeLeft <= 0 {
 		r.bad("left", "is 0")
 	}
-	if r.err == nil && q.May < 1 {
+	if r.err == nil && q.AttemptsAllowed < 1 {
 		r.bad("may", "is 0")
 	}
 	for _, item := range r.list("ran", false, mostPrior) {
@@ -311,7 +311,7 @@
 		if err != nil {
 			return nil, err
 		}
-		q.Ran = append(q.Ran, Prior{g, time.Duration(n) * time.Microsecond})
+		q.Executions = append(q.Executions, Execution{g, time.Duration(n) * time.Microsecond})
 	}
 	for _, item := range r.list("passed", true, mostPrior) {
 		site, ok := item.Value.(string)
@@ -319,51 +319,51 @@
 			r.bad("passed", "has an entry that is no site")
 			break
 		}
-		q.Passed = append(q.Passed, site)
+		q.Path = append(q.Path, site)
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	if len(q.Passed) != 1 || q.Passed[0] != q.Origin || q.Origin == self {
-		return nil, fmt.Errorf("%w: from %q by way of %q at %q", ErrLoop, q.Origin, q.Passed, self)
+	if len(q.Path) != 1 || q.Path[0] != q.Origin || q.Origin == self {
+		return nil, fmt.Errorf("%w: from %q by way of %q at %q", ErrLoop, q.Origin, q.Path, self)
 	}
 	return q, nil
 }
 
 // String is the answer as its field has it.
-func (a *Answer) String() (string, error) {
+func (a *Response) String() (string, error) {
 	d := httpsfv.NewDictionary()
 	add := func(key string, v any) { d.Add(key, httpsfv.NewItem(v)) }
 	add("v", int64(Version))
-	add("how", httpsfv.Token(a.How))
-	add("spent", int64(a.Spent))
-	add("room", int64(a.Room))
+	add("how", httpsfv.Token(a.Outcome))
+	add("spent", int64(a.Attempts))
+	add("room", int64(a.Credits))
 	add("stamp", a.Stamp.Microseconds())
-	if a.Wait > 0 {
-		add("wait", a.Wait.Microseconds())
+	if a.RetryAfter > 0 {
+		add("wait", a.RetryAfter.Microseconds())
 	}
 	return httpsfv.Marshal(d)
 }
 
-// ParseAnswer reads the field of an answer to a request that might make so many attempts. What cannot be read, or says less
+// ParseResponse reads the field of an answer to a request that might make so many attempts. What cannot be read, or says less
 // than it should, is taken for the worst: it may have run, all attempts are spent, and nothing is granted.
-func ParseAnswer(field []string, may int) (Answer, error) {
-	worst := Answer{How: MayHaveRun, Spent: may}
+func ParseResponse(field []string, may int) (Response, error) {
+	worst := Response{Outcome: MayHaveExecuted, Attempts: may}
 	r, err := newReader(field)
 	if err != nil {
 		return worst, err
 	}
-	a := Answer{Spent: int(r.whole("spent", true, mostAttempts)), Room: int(r.whole("room", true, mostCount)), Wait: r.duration("wait", false), Stamp: r.stamp("stamp", true)}
+	a := Response{Attempts: int(r.whole("spent", true, mostAttempts)), Credits: int(r.whole("room", true, mostCount)), RetryAfter: r.duration("wait", false), Stamp: r.stamp("stamp", true)}
 	word, ok := r.item("how", true).(httpsfv.Token)
-	switch a.How = How(word); a.How {
-	case Served, Refused, MayHaveRun:
+	switch a.Outcome = Outcome(word); a.Outcome {
+	case Served, Rejected, MayHaveExecuted:
 	default:
 		ok = false
 	}
 	if !ok {
 		r.bad("how", "is no word of this version")
 	}
-	if r.err == nil && a.Spent > may {
+	if r.err == nil && a.Attempts > may {
 		r.bad("spent", "is more than was allowed")
 	}
 	if r.err != nil {
--- a/internal/siteheader/hop_test.go
+++ b/internal/siteheader/hop_test.go
@@ -17,24 +17,24 @@
 	us := rapid.Map(rapid.Int64Range(1, mostTime.Microseconds()), func(n int64) time.Duration { return time.Duration(n) * time.Microsecond })
 	zone := rapid.StringMatching(`[a-z][a-z-]{0,20}`)
 	q := &Request{
-		Left: us.Draw(t, "left"), Pool: text.Draw(t, "pool"), Class: text.Draw(t, "class"), Origin: text.Draw(t, "origin"),
-		Used: rapid.IntRange(0, mostAttempts).Draw(t, "used"), May: rapid.IntRange(1, mostAttempts).Draw(t, "may"),
-		Retry: rapid.Bool().Draw(t, "retry"), Stamp: us.Draw(t, "stamp"), Ago: us.Draw(t, "ago"), Within: us.Draw(t, "within"),
+		TimeLeft: us.Draw(t, "left"), Pool: text.Draw(t, "pool"), Class: text.Draw(t, "class"), Origin: text.Draw(t, "origin"),
+		AttemptsMade: rapid.IntRange(0, mostAttempts).Draw(t, "used"), AttemptsAllowed: rapid.IntRange(1, mostAttempts).Draw(t, "may"),
+		IsRetry: rapid.Bool().Draw(t, "retry"), Stamp: us.Draw(t, "stamp"), StampAge: us.Draw(t, "ago"), StallTimeout: us.Draw(t, "within"),
 	}
 	if rapid.Bool().Draw(t, "more") {
-		q.Tenant, q.Key, q.Cost = text.Draw(t, "tenant"), text.Draw(t, "key"), us.Draw(t, "cost")
+		q.Tenant, q.Key, q.ExpectedWork = text.Draw(t, "tenant"), text.Draw(t, "key"), us.Draw(t, "cost")
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "ran") {
-		g := Group{}
+		g := DedupGroup{}
 		switch rapid.IntRange(0, 2).Draw(t, "group") {
 		case 1:
 			g.Zone = zone.Draw(t, "zone")
 		case 2:
-			g = Group{Zone: zone.Draw(t, "zone"), Cell: rapid.IntRange(0, 1000).Draw(t, "cell"), InCell: true}
+			g = DedupGroup{Zone: zone.Draw(t, "zone"), Cell: rapid.IntRange(0, 1000).Draw(t, "cell"), InCell: true}
 		}
-		q.Ran = append(q.Ran, Prior{g, us.Draw(t, "for")})
+		q.Executions = append(q.Executions, Execution{g, us.Draw(t, "for")})
 	}
-	q.Passed = []string{q.Origin}
+	q.Path = []string{q.Origin}
 	return q
 }
 
@@ -56,21 +56,21 @@
 		if _, err := ParseRequest([]string{text}, q.Origin); !errors.Is(err, ErrLoop) {
 			t.Fatalf("a request that is back where it began: %v", err)
 		}
-		q.Passed = append(q.Passed, "third")
+		q.Path = append(q.Path, "third")
 		if text, err = q.String(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ParseRequest([]string{text}, "fourth"); !errors.Is(err, ErrLoop) {
 			t.Fatalf("a second hop: %v", err)
 		}
-		a := Answer{
-			How: rapid.SampledFrom([]How{Served, Refused, MayHaveRun}).Draw(t, "how"), Spent: rapid.IntRange(0, q.May).Draw(t, "spent"),
-			Room: rapid.IntRange(0, mostCount).Draw(t, "room"), Wait: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "wait")) * time.Microsecond,
+		a := Response{
+			Outcome: rapid.SampledFrom([]Outcome{Served, Rejected, MayHaveExecuted}).Draw(t, "how"), Attempts: rapid.IntRange(0, q.AttemptsAllowed).Draw(t, "spent"),
+			Credits: rapid.IntRange(0, mostCount).Draw(t, "room"), RetryAfter: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "wait")) * time.Microsecond,
 		}
 		if text, err = a.String(); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ParseAnswer([]string{text}, q.May); err != nil || got != a {
+		if got, err := ParseResponse([]string{text}, q.AttemptsAllowed); err != nil || got != a {
 			t.Fatalf("%s: %+v, %v", text, got, err)
 		}
 	})
@@ -84,32 +84,32 @@
 		t.Fatal(err)
 	}
 	for text, want := range map[string]error{
-		"":                                       ErrField,
-		"v=1":                                    ErrField,
+		"":                                       ErrMalformed,
+		"v=1":                                    ErrMalformed,
 		"v=2":                                    ErrVersion,
-		"v=1;":                                   ErrField,
+		"v=1;":                                   ErrMalformed,
 		strings.Replace(good, "v=1", "v=2", 1):   ErrVersion,
-		strings.Replace(good, "v=1", `v="1"`, 1): ErrField,
-		strings.Replace(good, "left=400000", "left=0", 1):              ErrField,
-		strings.Replace(good, "left=400000", "left=-5", 1):             ErrField,
-		strings.Replace(good, "left=400000", "left=0.5", 1):            ErrField,
-		strings.Replace(good, "left=400000", "left=99999999999999", 1): ErrField,
-		strings.Replace(good, `pool="orders", `, "", 1):                ErrField,
-		strings.Replace(good, `class="order", `, "", 1):                ErrField,
-		strings.Replace(good, `"order"`, `""`, 1):                      ErrField,
-		strings.Replace(good, "may=2", "may=0", 1):                     ErrField,
-		strings.Replace(good, "may=2", "may=1000", 1):                  ErrField,
-		strings.Replace(good, `("a")`, `"a"`, 1):                       ErrField,
+		strings.Replace(good, "v=1", `v="1"`, 1): ErrMalformed,
+		strings.Replace(good, "left=400000", "left=0", 1):              ErrMalformed,
+		strings.Replace(good, "left=400000", "left=-5", 1):             ErrMalformed,
+		strings.Replace(good, "left=400000", "left=0.5", 1):            ErrMalformed,
+		strings.Replace(good, "left=400000", "left=99999999999999", 1): ErrMalformed,
+		strings.Replace(good, `pool="orders", `, "", 1):                ErrMalformed,
+		strings.Replace(good, `class="order", `, "", 1):                ErrMalformed,
+		strings.Replace(good, `"order"`, `""`, 1):                      ErrMalformed,
+		strings.Replace(good, "may=2", "may=0", 1):                     ErrMalformed,
+		strings.Replace(good, "may=2", "may=1000", 1):                  ErrMalformed,
+		strings.Replace(good, `("a")`, `"a"`, 1):                       ErrMalformed,
 		strings.Replace(good, `("a")`, `()`, 1):                        ErrLoop,
 		strings.Replace(good, `("a")`, `("c")`, 1):                     ErrLoop,
-		good + `, ran=("all")`:                                         ErrField,
-		good + `, ran=("none";for=5)`:                                  ErrField,
-		good + `, ran=("cell:x";for=5)`:                                ErrField,
-		good + `, ran=(7;for=5)`:                                       ErrField,
-		good + `, retry=1`:                                             ErrField,
-		good + `, tenant=("x")`:                                        ErrField,
-		good + `, key="` + strings.Repeat("k", mostText+1) + `"`:       ErrField,
-		good + `, x="` + strings.Repeat("k", mostField) + `"`:          ErrField,
+		good + `, ran=("all")`:                                         ErrMalformed,
+		good + `, ran=("none";for=5)`:                                  ErrMalformed,
+		good + `, ran=("cell:x";for=5)`:                                ErrMalformed,
+		good + `, ran=(7;for=5)`:                                       ErrMalformed,
+		good + `, retry=1`:                                             ErrMalformed,
+		good + `, tenant=("x")`:                                        ErrMalformed,
+		good + `, key="` + strings.Repeat("k", mostText+1) + `"`:       ErrMalformed,
+		good + `, x="` + strings.Repeat("k", mostField) + `"`:          ErrMalformed,
 	} {
 		if q, err := ParseRequest([]string{text}, "b"); !errors.Is(err, want) {
 			t.Errorf("%.120s: got %+v, %v, want %v", text, q, err, want)
@@ -123,7 +123,7 @@
 		"", "v=2, how=refused, spent=0, room=5", "v=1, spent=0, room=5", `v=1, how="refused", spent=0, room=5`, "v=1, how=gone, spent=0, room=5",
 		"v=1, how=refused, room=5", "v=1, how=refused, spent=3, room=5", "v=1, how=refused, spent=0", "how=refused", "v=1, how=refused, spent=0, room=-1",
 	} {
-		if a, err := ParseAnswer([]string{text}, 2); err == nil || a != (Answer{How: MayHaveRun, Spent: 2}) {
+		if a, err := ParseResponse([]string{text}, 2); err == nil || a != (Response{Outcome: MayHaveExecuted, Attempts: 2}) {
 			t.Errorf("%q: %+v, %v", text, a, err)
 		}
 	}
@@ -140,7 +140,7 @@
 		{"cell:a/1", "a", 1, true}, {"cell:a/1", "a", 2, false}, {"cell:a/1", "b", 1, false},
 	} {
 		g, err := parseGroup(c.group)
-		if err != nil || g.String() != c.group || g.Reaches(c.zone, c.cell) != c.want {
+		if err != nil || g.String() != c.group || g.Contains(c.zone, c.cell) != c.want {
 			t.Errorf("%s and %s/%d: %v, %v", c.group, c.zone, c.cell, g, err)
 		}
 	}
@@ -162,7 +162,7 @@
 				t.Fatalf("%q became %q: %+v, %+v, %v", text, again, q, back, err)
 			}
 		}
-		if a, err := ParseAnswer([]string{text}, 3); err != nil && (a.How != MayHaveRun || a.Spent != 3 || a.Room != 0) {
+		if a, err := ParseResponse([]string{text}, 3); err != nil && (a.Outcome != MayHaveExecuted || a.Attempts != 3 || a.Credits != 0) {
 			t.Fatalf("%q cannot be read and is taken for %+v", text, a)
 		}
 	})
--- a/internal/sitelink/bridge.go
+++ b/internal/sitelink/bridge.go
@@ -35,26 +35,26 @@
 
 // Peer is the gateway of another site.
 type Peer struct {
-	Name    string       // of its site
-	Address string       // of its listener for other sites
-	From    []netip.Addr // that it connects from, without TLS
-	Subject string       // the common name of its certificate, with TLS
+	Name            string       // of its site
+	Address         string       // of its listener for other sites
+	SourceAddresses []netip.Addr // that it connects from, without TLS
+	Subject         string       // the common name of its certificate, with TLS
 }
 
 // zone is the zone of the far site as a member of a list. No server of this one is of it.
 func (p *Peer) zone() string { return "site:" + p.Name }
 
 // TLS are the files of the certificate that this site shows its peers, its key, and the authorities of theirs.
-type TLS struct{ Certificate, Key, Authorities string }
+type TLS struct{ CertFile, KeyFile, CAFile string }
 
 // Pool is what a pool has to do with other sites.
 type Pool struct {
-	Settings settings.Settings
-	To       string // the site that its requests may cross to; "": none
-	Spill    spillover.Config
-	Grant    spillover.GrantConfig
-	// Reaches are the keyed classes whose repeats the servers of both sites drop together.
-	Reaches []string
+	Settings  settings.Settings
+	Peer      string // the site that its requests may cross to; "": none
+	Spillover spillover.Config
+	Grant     spillover.GrantConfig
+	// SharedDedupClasses are the keyed classes whose repeats the servers of both sites drop together.
+	SharedDedupClasses []string
 }
 
 const (
@@ -68,8 +68,8 @@
 	mostProbe = time.Second
 )
 
-// Bridge is the extension of one process.
-type Bridge struct {
+// Extension is the extension of one process.
+type Extension struct {
 	cfg    Config
 	log    *slog.Logger
 	origin time.Time
@@ -85,21 +85,21 @@
 }
 
 // New reads the certificates and returns the extension of a process. It connects to nothing yet.
-func New(cfg Config, log *slog.Logger) (*Bridge, error) {
-	b := &Bridge{cfg: cfg, log: log, origin: time.Now().Add(-time.Hour), pools: map[string]*crossing{}}
+func New(cfg Config, log *slog.Logger) (*Extension, error) {
+	b := &Extension{cfg: cfg, log: log, origin: time.Now().Add(-time.Hour), pools: map[string]*crossing{}}
 	b.ctx, b.stop = context.WithCancel(context.Background())
 	if cfg.TLS != nil {
-		cert, err := tls.LoadX509KeyPair(cfg.TLS.Certificate, cfg.TLS.Key)
+		cert, err := tls.LoadX509KeyPair(cfg.TLS.CertFile, cfg.TLS.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("the site's certificate: %w", err)
 		}
-		text, err := os.ReadFile(cfg.TLS.Authorities)
+		text, err := os.ReadFile(cfg.TLS.CAFile)
 		if err != nil {
 			return nil, fmt.Errorf("the authorities of peers: %w", err)
 		}
 		all := x509.NewCertPool()
 		if !all.AppendCertsFromPEM(text) {
-			return nil, fmt.Errorf("the authorities of peers: %s holds no certificate", cfg.TLS.Authorities)
+			return nil, fmt.Errorf("the authorities of peers: %s holds no certificate", cfg.TLS.CAFile)
 		}
 		b.server = &tls.Config{
 			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: all, ClientAuth: tls.RequireAndVerifyClientCert,
@@ -114,9 +114,9 @@
 }
 
 // now is the clock of the pure modules.
-func (b *Bridge) now() time.Duration { return time.Since(b.origin) }
+func (b *Extension) now() time.Duration { return time.Since(b.origin) }
 
-func (b *Bridge) peer(name string) *Peer {
+func (b *Extension) peer(name string) *Peer {
 	i := slices.IndexFunc(b.cfg.Peers, func(p Peer) bool { return p.Name == name })
 	if i < 0 {
 		return nil
@@ -125,12 +125,12 @@
 }
 
 // Start opens the links of g. It comes once g's pools have started.
-func (b *Bridge) Start(g *gateway.Gateway) error {
+func (b *Extension) Start(g *gateway.Gateway) error {
 	for name, c := range b.pools {
-		if c.cfg.To == "" {
+		if c.cfg.Peer == "" {
 			continue
 		}
-		if err := c.start(g, b.peer(c.cfg.To)); err != nil {
+		if err := c.start(g, b.peer(c.cfg.Peer)); err != nil {
 			return fmt.Errorf("pool %q: %w", name, err)
 		}
 	}
@@ -138,7 +138,7 @@
 }
 
 // Spillover is the method of gateway.Extension.
-func (b *Bridge) Spillover(pool string) gateway.Spillover {
+func (b *Extension) Spillover(pool string) gateway.Spillover {
 	if c := b.pools[pool]; c != nil {
 		return c
 	}
@@ -146,10 +146,10 @@
 }
 
 // Handler is the method of gateway.Extension.
-func (b *Bridge) Handler(g *gateway.Gateway) downstream.Handler { return &handler{b, g} }
+func (b *Extension) Handler(g *gateway.Gateway) downstream.Handler { return &handler{b, g} }
 
 // PeerName is the method of gateway.Extension: the name of the peer at the other end, or "?".
-func (b *Bridge) PeerName(c net.Conn) string {
+func (b *Extension) PeerName(c net.Conn) string {
 	if t, ok := c.(*tls.Conn); ok {
 		chains := t.ConnectionState().VerifiedChains
 		if len(chains) == 0 || len(chains[0]) == 0 {
@@ -168,7 +168,7 @@
 		return "?"
 	}
 	for _, p := range b.cfg.Peers {
-		if slices.Contains(p.From, from.Addr().Unmap()) {
+		if slices.Contains(p.SourceAddresses, from.Addr().Unmap()) {
 			return p.Name
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // WrapListener is the method of gateway.Extension.
-func (b *Bridge) WrapListener(ln net.Listener) net.Listener {
+func (b *Extension) WrapListener(ln net.Listener) net.Listener {
 	if b.server == nil {
 		return ln
 	}
@@ -184,7 +184,7 @@
 }
 
 // dial opens a connection to a peer.
-func (b *Bridge) dial(p *Peer) func(ctx context.Context, addr string) (net.Conn, error) {
+func (b *Extension) dial(p *Peer) func(ctx context.Context, addr string) (net.Conn, error) {
 	plain := net.Dialer{KeepAlive: -1}
 	if b.client == nil {
 		return func(ctx context.Context, addr string) (net.Conn, error) { return plain.DialContext(ctx, "tcp", addr) }
@@ -196,7 +196,7 @@
 }
 
 // Drain is the method of gateway.Extension.
-func (b *Bridge) Drain() {
+func (b *Extension) Drain() {
 	b.draining.Store(true)
 	for _, c := range b.pools {
 		c.drain()
@@ -204,7 +204,7 @@
 }
 
 // Close is the method of gateway.Extension.
-func (b *Bridge) Close() {
+func (b *Extension) Close() {
 	b.stop()
 	b.work.Wait()
 	for _, c := range b.pools {
@@ -212,8 +212,8 @@
 	}
 }
 
-// Check returns what keeps cfg from being used.
-func (cfg *Config) Check() error {
+// Validate returns what keeps cfg from being used.
+func (cfg *Config) Validate() error {
 	var errs []error
 	seen := map[string]bool{cfg.Site: true}
 	for _, p := range cfg.Peers {
@@ -221,7 +221,7 @@
 			errs = append(errs, fmt.Errorf("site %q is there twice", p.Name))
 		}
 		seen[p.Name] = true
-		if cfg.TLS == nil && len(p.From) == 0 {
+		if cfg.TLS == nil && len(p.SourceAddresses) == 0 {
 			errs = append(errs, fmt.Errorf("peer %q can be known neither by a certificate nor by an address", p.Name))
 		}
 		if cfg.TLS != nil && p.Subject == "" {
@@ -229,8 +229,8 @@
 		}
 	}
 	for name, p := range cfg.Pools {
-		if p.To != "" && (!seen[p.To] || p.To == cfg.Site) {
-			errs = append(errs, fmt.Errorf("pool %q spills to %q, which is no peer", name, p.To))
+		if p.Peer != "" && (!seen[p.Peer] || p.Peer == cfg.Site) {
+			errs = append(errs, fmt.Errorf("pool %q spills to %q, which is no peer", name, p.Peer))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -51,7 +51,7 @@
 // site is one site on loopback: a gateway of one pool, "farm", with boxes.
 type site struct {
 	name   string
-	bridge *Bridge
+	bridge *Extension
 	gw     *gateway.Gateway
 	boxes  []*fake.Box
 	ended  chan struct{}
@@ -79,17 +79,17 @@
 	set := farm(name)
 	p := Peer{Name: peer, Address: peerAt, Subject: peer}
 	if files == nil {
-		p.From = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
+		p.SourceAddresses = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
 	}
 	cfg := Config{Site: name, Peers: []Peer{p}, TLS: files, Pools: map[string]Pool{"farm": {
-		Settings: set, To: peer, Reaches: []string{"order"},
-		Spill: spillover.Config{
+		Settings: set, Peer: peer, SharedDedupClasses: []string{"order"},
+		Spillover: spillover.Config{
 			HealthCheckInterval: 20 * time.Millisecond, MaxHealthCheckInterval: 50 * time.Millisecond, HealthyThreshold: 2, StallTimeout: time.Second, Window: 20 * time.Millisecond,
 			StartRatio: 0.01, StopRatio: 0.001, MaxForwardedRatio: 1,
 		},
 		Grant: spillover.GrantConfig{Window: 50 * time.Millisecond, Initial: 16, Max: 64, MaxRejectedRatio: 0.02},
 	}}}
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
@@ -223,8 +223,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.AnswerField) != "" {
-		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.AnswerField))
+	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.ResponseField) != "" {
+		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.ResponseField))
 	}
 	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
 	return resp.StatusCode
@@ -275,7 +275,7 @@
 			t.Fatalf("got %d, and %d attempts", status, p.ledger.Arrivals(key))
 		}
 	}
-	r := siteheader.Request{Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", May: 1, Origin: "near", Passed: []string{"near"}}
+	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
 	text, err := r.String()
 	if err != nil {
 		t.Fatal(err)
@@ -493,7 +493,7 @@
 	p := startPair(t, 1, [2]*TLS{})
 	field := func(change func(*siteheader.Request)) string {
 		r := siteheader.Request{
-			Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", May: 1, Origin: "near", Passed: []string{"near"},
+			TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"},
 		}
 		change(&r)
 		text, err := r.String()
@@ -512,16 +512,18 @@
 		"version":          {strings.Replace(plain, "v=1", "v=9", 1), 505},
 		"negative time":    {strings.Replace(plain, "left=1000000", "left=-5", 1), 400},
 		"huge time":        {strings.Replace(plain, "left=1000000", "left=999999999999999", 1), 400},
-		"attempts":         {field(func(r *siteheader.Request) { r.Used = 4000 }), 400},
-		"more ran":         {field(func(r *siteheader.Request) { r.Ran = []siteheader.Prior{{For: time.Second}} }), 400},
-		"another's origin": {field(func(r *siteheader.Request) { r.Origin, r.Passed = "else", []string{"else"} }), 403},
-		"a second hop":     {field(func(r *siteheader.Request) { r.Passed = []string{"near", "else"} }), 508},
-		"a loop":           {field(func(r *siteheader.Request) { r.Origin, r.Passed = "far", []string{"far"} }), 508},
+		"attempts":         {field(func(r *siteheader.Request) { r.AttemptsMade = 4000 }), 400},
+		"more ran":         {field(func(r *siteheader.Request) { r.Executions = []siteheader.Execution{{DedupRemaining: time.Second}} }), 400},
+		"another's origin": {field(func(r *siteheader.Request) { r.Origin, r.Path = "else", []string{"else"} }), 403},
+		"a second hop":     {field(func(r *siteheader.Request) { r.Path = []string{"near", "else"} }), 508},
+		"a loop":           {field(func(r *siteheader.Request) { r.Origin, r.Path = "far", []string{"far"} }), 508},
 		"held up":          {field(func(r *siteheader.Request) { r.Stamp -= 1500 * time.Millisecond }), 503},
-		"given up":         {field(func(r *siteheader.Request) { r.Stamp, r.Within = r.Stamp-500*time.Millisecond, 400*time.Millisecond }), 503},
-		"no such pool":     {field(func(r *siteheader.Request) { r.Pool = "none" }), 404},
+		"given up": {field(func(r *siteheader.Request) {
+			r.Stamp, r.StallTimeout = r.Stamp-500*time.Millisecond, 400*time.Millisecond
+		}), 503},
+		"no such pool": {field(func(r *siteheader.Request) { r.Pool = "none" }), 404},
 		"unsafe, ran": {field(func(r *siteheader.Request) {
-			r.Class, r.Used, r.Ran = "book", 1, []siteheader.Prior{{For: time.Minute}}
+			r.Class, r.AttemptsMade, r.Executions = "book", 1, []siteheader.Execution{{DedupRemaining: time.Minute}}
 		}), 400},
 		"no attempt left": {strings.Replace(plain, "may=1", "may=0", 1), 400},
 	} {
@@ -544,7 +546,7 @@
 // TestNotAPeer guards the listener for other sites against everyone else.
 func TestNotAPeer(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
-	p.far.bridge.cfg.Peers[0].From = []netip.Addr{netip.MustParseAddr("127.9.9.9")}
+	p.far.bridge.cfg.Peers[0].SourceAddresses = []netip.Addr{netip.MustParseAddr("127.9.9.9")}
 	if status := p.ask(t, p.far.addr("sites"), "check", "x", "", time.Second); status != 403 {
 		t.Errorf("got %d", status)
 	}
@@ -611,8 +613,8 @@
 		a.t.Fatal(err)
 	}
 	return &TLS{
-		Certificate: a.write(name+".pem", "CERTIFICATE", der), Key: a.write(name+".key", "EC PRIVATE KEY", text),
-		Authorities: filepath.Join(a.dir, "ca.pem"),
+		CertFile: a.write(name+".pem", "CERTIFICATE", der), KeyFile: a.write(name+".key", "EC PRIVATE KEY", text),
+		CAFile: filepath.Join(a.dir, "ca.pem"),
 	}
 }
 
@@ -625,7 +627,7 @@
 	p.crossing(t, "book")
 	p.rules(t)
 
-	stranger, err := tls.LoadX509KeyPair(a.files("stranger").Certificate, filepath.Join(a.dir, "stranger.key"))
+	stranger, err := tls.LoadX509KeyPair(a.files("stranger").CertFile, filepath.Join(a.dir, "stranger.key"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -38,7 +38,7 @@
 // crossing is what one pool has to do with other sites: the link by which its requests leave, if any, and the room that it
 // grants to those of others.
 type crossing struct {
-	bridge  *Bridge
+	bridge  *Extension
 	name    string
 	cfg     Pool
 	classes map[string]policy.Class
@@ -61,17 +61,17 @@
 	farDrains bool
 }
 
-func newCrossing(b *Bridge, name string, p Pool) *crossing {
+func newCrossing(b *Extension, name string, p Pool) *crossing {
 	c := &crossing{
 		bridge: b, name: name, cfg: p, classes: map[string]policy.Class{}, most: p.Settings.Config.MaxAttempts,
-		log: b.log.With("pool", name, "peer", p.To), kick: make(chan struct{}, 1), grant: spillover.NewGrant(p.Grant),
+		log: b.log.With("pool", name, "peer", p.Peer), kick: make(chan struct{}, 1), grant: spillover.NewGrant(p.Grant),
 	}
 	var classes []spillover.Class
 	for _, k := range p.Settings.Config.Classes {
 		classes = append(classes, spillover.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, ServiceTime: k.LatencyObjective})
 		c.classes[k.Name] = k
 	}
-	c.spill = spillover.New(p.Spill, classes)
+	c.spill = spillover.New(p.Spillover, classes)
 	return c
 }
 
@@ -84,7 +84,7 @@
 	cfg := c.cfg.Settings.Config
 	cfg.Classes = slices.Clone(cfg.Classes)
 	for i := range cfg.Classes {
-		if k := &cfg.Classes[i]; k.Idempotency == policy.IdempotentByKey && !slices.Contains(c.cfg.Reaches, k.Name) {
+		if k := &cfg.Classes[i]; k.Idempotency == policy.IdempotentByKey && !slices.Contains(c.cfg.SharedDedupClasses, k.Name) {
 			k.DedupScope = policy.DedupZone // of this site, which the far one is not of
 		}
 	}
@@ -200,8 +200,8 @@
 				from := time.Now()
 				a, status, err := c.probe(wait)
 				results <- result{
-					ok: err == nil && a.How == siteheader.Served, drains: err == nil && a.How == siteheader.Refused && status == http.StatusServiceUnavailable,
-					room: a.Room, stamp: a.Stamp, took: time.Since(from), err: err,
+					ok: err == nil && a.Outcome == siteheader.Served, drains: err == nil && a.Outcome == siteheader.Rejected && status == http.StatusServiceUnavailable,
+					room: a.Credits, stamp: a.Stamp, took: time.Since(from), err: err,
 				}
 			})
 		}
@@ -209,24 +209,24 @@
 }
 
 // probe asks the far site for its room.
-func (c *crossing) probe(wait time.Duration) (siteheader.Answer, int, error) {
+func (c *crossing) probe(wait time.Duration) (siteheader.Response, int, error) {
 	ctx, cancel := context.WithTimeout(c.bridge.ctx, wait)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.peer.Address+hopTarget, nil)
 	if err != nil {
-		return siteheader.Answer{}, 0, err
+		return siteheader.Response{}, 0, err
 	}
 	q.Header.Set(poolField, c.name)
 	resp, err := c.client.Do(q)
 	if err != nil {
-		return siteheader.Answer{}, 0, err
+		return siteheader.Response{}, 0, err
 	}
 	defer resp.Body.Close()
 	if _, err := io.CopyN(io.Discard, resp.Body, httpmsg.MaxBufferedBodyBytes); !errors.Is(err, io.EOF) {
-		return siteheader.Answer{}, 0, fmt.Errorf("a probe's answer: %w", err)
+		return siteheader.Response{}, 0, fmt.Errorf("a probe's answer: %w", err)
 	}
-	a, err := siteheader.ParseAnswer(resp.Header.Values(siteheader.AnswerField), 0)
-	if err == nil && a.How == siteheader.Refused && resp.StatusCode != http.StatusServiceUnavailable {
+	a, err := siteheader.ParseResponse(resp.Header.Values(siteheader.ResponseField), 0)
+	if err == nil && a.Outcome == siteheader.Rejected && resp.StatusCode != http.StatusServiceUnavailable {
 		err = fmt.Errorf("the peer refuses probes with %s", resp.Status)
 	}
 	return a, resp.StatusCode, err
@@ -342,7 +342,7 @@
 func (c *crossing) rules(class string) spillover.Rules {
 	k, known := c.classes[class]
 	return spillover.Rules{
-		Idempotent: known && k.Idempotency == policy.Idempotent, HasIdempotencyKey: known && k.Idempotency == policy.IdempotentByKey, SharedDedup: slices.Contains(c.cfg.Reaches, class),
+		Idempotent: known && k.Idempotency == policy.Idempotent, HasIdempotencyKey: known && k.Idempotency == policy.IdempotentByKey, SharedDedup: slices.Contains(c.cfg.SharedDedupClasses, class),
 	}
 }
 
@@ -356,12 +356,12 @@
 	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.TimeToStall(now)
 	c.mu.Unlock()
 	r := siteheader.Request{
-		Stamp: stamp, Ago: ago, Within: min(within, left), Left: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Cost: q.ExpectedWork, Retry: q.IsRetry,
-		Used: len(q.PriorAttempts), May: max(1, c.most-len(q.PriorAttempts)), Origin: c.bridge.cfg.Site, Passed: []string{c.bridge.cfg.Site},
+		Stamp: stamp, StampAge: ago, StallTimeout: min(within, left), TimeLeft: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ExpectedWork: q.ExpectedWork, IsRetry: q.IsRetry,
+		AttemptsMade: len(q.PriorAttempts), AttemptsAllowed: max(1, c.most-len(q.PriorAttempts)), Origin: c.bridge.cfg.Site, Path: []string{c.bridge.cfg.Site},
 	}
 	for _, p := range q.PriorAttempts {
 		if !p.NotExecuted { // only of classes whose repeats are dropped at both sites alike, see spillover.MayForward
-			r.Ran = append(r.Ran, siteheader.Prior{For: p.DedupRemaining})
+			r.Executions = append(r.Executions, siteheader.Execution{DedupRemaining: p.DedupRemaining})
 		}
 	}
 	text, err := r.String()
@@ -374,19 +374,19 @@
 
 // ClassifyResponse is the method of pool.BackendProtocol.
 func (c *crossing) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
-	a, err := siteheader.ParseAnswer(h.Values(siteheader.AnswerField), c.most)
+	a, err := siteheader.ParseResponse(h.Values(siteheader.ResponseField), c.most)
 	now := c.bridge.now()
 	c.mu.Lock()
 	if err == nil {
-		c.spill.RecordGrant(now, a.Room)
+		c.spill.RecordGrant(now, a.Credits)
 		c.stamp, c.stampAt = a.Stamp, now
 	}
 	c.mu.Unlock()
 	load := &policy.LoadReport{Queue: 0, InFlight: -1, Latency: -1, ErrorRate: -1}
 	switch {
-	case err == nil && a.How == siteheader.Served && status == http.StatusOK:
+	case err == nil && a.Outcome == siteheader.Served && status == http.StatusOK:
 		return policy.StatusOK, load
-	case err == nil && a.How == siteheader.Refused:
+	case err == nil && a.Outcome == siteheader.Rejected:
 		return policy.StatusOverloaded, load
 	}
 	return policy.StatusApplicationError, load
--- a/internal/sitelink/exchange_test.go
+++ b/internal/sitelink/exchange_test.go
@@ -12,7 +12,7 @@
 // request's maximum.
 func TestAnswerCountsAttempts(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
-	r := siteheader.Request{Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", May: 1, Origin: "near", Passed: []string{"near"}}
+	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
 	text, err := r.String()
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	a, err := siteheader.ParseAnswer(resp.Header.Values(siteheader.AnswerField), 1)
-	if err != nil || a.How != siteheader.Served || a.Spent != 1 {
+	a, err := siteheader.ParseResponse(resp.Header.Values(siteheader.ResponseField), 1)
+	if err != nil || a.Outcome != siteheader.Served || a.Attempts != 1 {
 		t.Errorf("the far site answers %d with %+v, %v, want served with one attempt", resp.StatusCode, a, err)
 	}
 }
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -23,9 +23,9 @@
 
 func (f roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
 
-func formBridge(t *testing.T) *Bridge {
+func formBridge(t *testing.T) *Extension {
 	t.Helper()
-	p := Pool{Settings: farm("a"), To: "far", Reaches: []string{"order"}}
+	p := Pool{Settings: farm("a"), Peer: "far", SharedDedupClasses: []string{"order"}}
 	b, err := New(Config{Site: "near", Peers: []Peer{{Name: "far", Address: "10.9.0.1:7443"}}, Pools: map[string]Pool{"orders": p}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 		return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: q}, nil
 	})}
 	a, status, err := c.probe(time.Second)
-	if want := (siteheader.Answer{How: siteheader.Served, Room: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
+	if want := (siteheader.Response{Outcome: siteheader.Served, Credits: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
 		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
 	}
 	zone := c.peer.zone()
@@ -71,10 +71,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Ago, got.Within = 0, 0 // of the clock
+	got.StampAge, got.StallTimeout = 0, 0 // of the clock
 	want := &siteheader.Request{
-		Left: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true, Used: 2, May: 3,
-		Ran: []siteheader.Prior{{For: 9 * time.Second}}, Origin: "near", Passed: []string{"near"}, Stamp: 77 * time.Second,
+		TimeLeft: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true, AttemptsMade: 2, AttemptsAllowed: 3,
+		Executions: []siteheader.Execution{{DedupRemaining: 9 * time.Second}}, Origin: "near", Path: []string{"near"}, Stamp: 77 * time.Second,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("what crosses is %+v, want %+v", got, want)
@@ -109,8 +109,8 @@
 		if !ok {
 			t.Fatalf("%s: %v is no refusal", name, err)
 		}
-		a, err := siteheader.ParseAnswer(bad.Header.Values("Sorrel-Hop-Answer"), 2)
-		if err != nil || a.How != siteheader.Refused || a.Spent != 0 || a.Room != 0 {
+		a, err := siteheader.ParseResponse(bad.Header.Values("Sorrel-Hop-Answer"), 2)
+		if err != nil || a.Outcome != siteheader.Rejected || a.Attempts != 0 || a.Credits != 0 {
 			t.Errorf("%s is answered with %+v, %v", name, a, err)
 		}
 		forms = append(forms, goldentest.Form{Name: name, Written: strconv.Itoa(bad.Status)})
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -15,23 +15,23 @@
 
 // handler has the requests that come in at the listeners for other sites.
 type handler struct {
-	b *Bridge
+	b *Extension
 	g *gateway.Gateway
 }
 
 // field is a head with the field of a hop's answer.
-func (b *Bridge) field(a siteheader.Answer) http.Header {
+func (b *Extension) field(a siteheader.Response) http.Header {
 	a.Stamp = b.now()
 	text, err := a.String()
 	if err != nil {
 		return nil
 	}
-	return http.Header{siteheader.AnswerField: {text}}
+	return http.Header{siteheader.ResponseField: {text}}
 }
 
 // bad turns a request away of which nothing has run.
 func (h *handler) bad(status int, text string) httpmsg.RejectionError {
-	return httpmsg.RejectionError{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
+	return httpmsg.RejectionError{Status: status, Text: text, Header: h.b.field(siteheader.Response{Outcome: siteheader.Rejected})}
 }
 
 // Admit is the method of downstream.Handler.
@@ -63,23 +63,23 @@
 	if h.b.draining.Load() {
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
 	}
-	late := r.Late(h.b.now())
-	if late > r.Within || late >= r.Left {
+	late := r.Delay(h.b.now())
+	if late > r.StallTimeout || late >= r.TimeLeft {
 		// The link has held it up until its sender had given it up: it was answered there, and must not go on here.
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "it was on its way for too long")
 	}
-	r.Left -= late
+	r.TimeLeft -= late
 	q.Header.Del(siteheader.RequestField)
-	f := pool.ForwardedAttributes{Timeout: r.Left, PolicyRequest: policy.Request{
-		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.Cost, IsRetry: r.Retry, MaxAttempts: r.Used + r.May,
+	f := pool.ForwardedAttributes{Timeout: r.TimeLeft, PolicyRequest: policy.Request{
+		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.ExpectedWork, IsRetry: r.IsRetry, MaxAttempts: r.AttemptsMade + r.AttemptsAllowed,
 	}}
-	if len(r.Ran) > r.Used {
+	if len(r.Executions) > r.AttemptsMade {
 		return nil, 0, h.bad(http.StatusBadRequest, "more groups may have run it than attempts were made")
 	}
-	for _, p := range r.Ran {
-		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.For})
+	for _, p := range r.Executions {
+		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.DedupRemaining})
 	}
-	for len(f.PolicyRequest.PriorAttempts) < r.Used {
+	for len(f.PolicyRequest.PriorAttempts) < r.AttemptsMade {
 		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
 	a, owner, err := h.g.AdmitFromSite(q, r.Pool, f)
@@ -88,7 +88,7 @@
 		if !errors.As(err, &why) {
 			return nil, owner, err
 		}
-		why.Header = h.b.field(siteheader.Answer{How: siteheader.Refused, Room: c.room()})
+		why.Header = h.b.field(siteheader.Response{Outcome: siteheader.Rejected, Credits: c.room()})
 		return nil, owner, why
 	}
 	return &admission{AdmittedRequest: a, c: c}, owner, nil
@@ -103,9 +103,9 @@
 	if h.b.draining.Load() {
 		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
 	}
-	a := siteheader.Answer{How: siteheader.Served}
+	a := siteheader.Response{Outcome: siteheader.Served}
 	if c != nil && h.g.HasReadyEndpoint(c.name) {
-		a.Room = c.room()
+		a.Credits = c.room()
 	}
 	return told{httpmsg.Response{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
 }
@@ -142,7 +142,7 @@
 	if err != nil {
 		var why httpmsg.RejectionError
 		if errors.As(err, &why) {
-			why.Header = a.c.bridge.field(siteheader.Answer{How: siteheader.Refused, Room: a.c.room()})
+			why.Header = a.c.bridge.field(siteheader.Response{Outcome: siteheader.Rejected, Credits: a.c.room()})
 			return nil, why
 		}
 		return nil, err
@@ -193,20 +193,20 @@
 // mark adds the field of the hop to an answer.
 func (e *exchange) mark(ans httpmsg.Response) httpmsg.Response {
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
-	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
+	a := siteheader.Response{Outcome: siteheader.MayHaveExecuted, Credits: e.back(refused)}
 	ran := true
 	if x, ok := e.Exchange.(attemptSummarizer); ok {
-		a.Spent, ran = x.AttemptSummary()
+		a.Attempts, ran = x.AttemptSummary()
 	}
 	switch {
 	case ans.Status == http.StatusOK:
-		a.How = siteheader.Served
+		a.Outcome = siteheader.Served
 	case !ran:
-		a.How = siteheader.Refused
-		a.Wait = ans.RetryAfter
+		a.Outcome = siteheader.Rejected
+		a.RetryAfter = ans.RetryAfter
 	}
 	if e.c.bridge.draining.Load() {
-		a.Room = 0
+		a.Credits = 0
 	}
 	head := ans.Header.Clone()
 	if head == nil {
