--- a/internal/sitelink/bridge.go
+++ b/internal/sitelink/bridge.go
@@ -58,36 +58,36 @@
 }
 
 const (
-	// probeEvery is how often an open link that carries nothing is looked at, probeBusy how often one that does is.
-	probeEvery = 500 * time.Millisecond
-	probeBusy  = 50 * time.Millisecond
-	// stallBase is how long, beside two round trips, nothing may come back until a link that carries something counts as
+	// idleCheckInterval is how often an open link that carries nothing is looked at, probeBusy how often one that does is.
+	idleCheckInterval = 500 * time.Millisecond
+	busyCheckInterval = 50 * time.Millisecond
+	// baseStallTimeout is how long, beside two round trips, nothing may come back until a link that carries something counts as
 	// stalled.
-	stallBase = 200 * time.Millisecond
-	// mostProbe bounds how long a probe may take.
-	mostProbe = time.Second
+	baseStallTimeout = 200 * time.Millisecond
+	// maxCheckTimeout bounds how long a probe may take.
+	maxCheckTimeout = time.Second
 )
 
 // Extension is the extension of one process.
 type Extension struct {
-	cfg    Config
-	log    *slog.Logger
-	origin time.Time
-	server *tls.Config // nil: no TLS
-	client *tls.Config
-	ctx    context.Context
-	stop   context.CancelFunc
-	work   sync.WaitGroup
+	cfg        Config
+	log        *slog.Logger
+	origin     time.Time
+	serverTLS  *tls.Config // nil: no TLS
+	clientTLS  *tls.Config
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	draining atomic.Bool
 
-	pools map[string]*crossing
+	links map[string]*poolLink
 }
 
 // New reads the certificates and returns the extension of a process. It connects to nothing yet.
 func New(cfg Config, log *slog.Logger) (*Extension, error) {
-	b := &Extension{cfg: cfg, log: log, origin: time.Now().Add(-time.Hour), pools: map[string]*crossing{}}
-	b.ctx, b.stop = context.WithCancel(context.Background())
+	b := &Extension{cfg: cfg, log: log, origin: time.Now().Add(-time.Hour), links: map[string]*poolLink{}}
+	b.ctx, b.cancel = context.WithCancel(context.Background())
 	if cfg.TLS != nil {
 		cert, err := tls.LoadX509KeyPair(cfg.TLS.CertFile, cfg.TLS.KeyFile)
 		if err != nil {
@@ -101,14 +101,14 @@
 		if !all.AppendCertsFromPEM(text) {
 			return nil, fmt.Errorf("the authorities of peers: %s holds no certificate", cfg.TLS.CAFile)
 		}
-		b.server = &tls.Config{
+		b.serverTLS = &tls.Config{
 			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: all, ClientAuth: tls.RequireAndVerifyClientCert,
 			SessionTicketsDisabled: true, // what is sent unasked on an idle connection would have it taken for ended
 		}
-		b.client = &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: all}
+		b.clientTLS = &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: all}
 	}
 	for name, p := range cfg.Pools {
-		b.pools[name] = newCrossing(b, name, p)
+		b.links[name] = newPoolLink(b, name, p)
 	}
 	return b, nil
 }
@@ -126,7 +126,7 @@
 
 // Start opens the links of g. It comes once g's pools have started.
 func (b *Extension) Start(g *gateway.Gateway) error {
-	for name, c := range b.pools {
+	for name, c := range b.links {
 		if c.cfg.Peer == "" {
 			continue
 		}
@@ -139,7 +139,7 @@
 
 // Spillover is the method of gateway.Extension.
 func (b *Extension) Spillover(pool string) gateway.Spillover {
-	if c := b.pools[pool]; c != nil {
+	if c := b.links[pool]; c != nil {
 		return c
 	}
 	return nil
@@ -177,19 +177,19 @@
 
 // WrapListener is the method of gateway.Extension.
 func (b *Extension) WrapListener(ln net.Listener) net.Listener {
-	if b.server == nil {
+	if b.serverTLS == nil {
 		return ln
 	}
-	return tls.NewListener(ln, b.server)
+	return tls.NewListener(ln, b.serverTLS)
 }
 
 // dial opens a connection to a peer.
 func (b *Extension) dial(p *Peer) func(ctx context.Context, addr string) (net.Conn, error) {
 	plain := net.Dialer{KeepAlive: -1}
-	if b.client == nil {
+	if b.clientTLS == nil {
 		return func(ctx context.Context, addr string) (net.Conn, error) { return plain.DialContext(ctx, "tcp", addr) }
 	}
-	cfg := b.client.Clone()
+	cfg := b.clientTLS.Clone()
 	cfg.ServerName = p.Subject
 	d := tls.Dialer{NetDialer: &plain, Config: cfg}
 	return func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
@@ -198,16 +198,16 @@
 // Drain is the method of gateway.Extension.
 func (b *Extension) Drain() {
 	b.draining.Store(true)
-	for _, c := range b.pools {
+	for _, c := range b.links {
 		c.drain()
 	}
 }
 
 // Close is the method of gateway.Extension.
 func (b *Extension) Close() {
-	b.stop()
-	b.work.Wait()
-	for _, c := range b.pools {
+	b.cancel()
+	b.goroutines.Wait()
+	for _, c := range b.links {
 		c.close()
 	}
 }
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -35,13 +35,13 @@
 	"sorrelrudder/policy"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
@@ -50,18 +50,18 @@
 
 // site is one site on loopback: a gateway of one pool, "farm", with boxes.
 type site struct {
-	name   string
-	bridge *Extension
-	gw     *gateway.Gateway
-	boxes  []*fake.Box
-	ended  chan struct{}
-	stop   context.CancelFunc
+	name      string
+	extension *Extension
+	gw        *gateway.Gateway
+	backends  []*fake.Box
+	stopped   chan struct{}
+	stop      context.CancelFunc
 }
 
 func (s *site) addr(listener string) string { return s.gw.ListenerAddr(listener).String() }
 
-// farm are the classes of the tests' pool, with an aim so far off that nothing is refused for being late.
-func farm(zone string) settings.Settings {
+// testSettings are the classes of the tests' pool, with an aim so far off that nothing is refused for being late.
+func testSettings(zone string) settings.Settings {
 	class := func(name string, e policy.Idempotency) policy.Class {
 		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 2 * time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}
 	}
@@ -75,8 +75,8 @@
 // startSite starts a site whose peer is at peerAt, with a list of boxes. The link spills whatever is denied.
 func startSite(t *testing.T, name, peer, peerAt, hopAt string, boxes []*fake.Box, files *TLS) *site {
 	t.Helper()
-	s := &site{name: name, boxes: boxes, ended: make(chan struct{})}
-	set := farm(name)
+	s := &site{name: name, backends: boxes, stopped: make(chan struct{})}
+	set := testSettings(name)
 	p := Peer{Name: peer, Address: peerAt, Subject: peer}
 	if files == nil {
 		p.SourceAddresses = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
@@ -94,7 +94,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	var err error
-	if s.bridge, err = New(cfg, log); err != nil {
+	if s.extension, err = New(cfg, log); err != nil {
 		t.Fatal(err)
 	}
 	var hosts []discovery.Endpoint
@@ -107,10 +107,10 @@
 		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: hopAt, InterSite: true}},
 		Pools:     []gateway.Pool{{Name: "farm", Settings: set, StaticEndpoints: hosts, Limits: gateway.Limits{Weight: 1}}},
 	}
-	if s.gw, err = gateway.NewWithOptions(gcfg, log, gateway.Options{Extension: s.bridge}); err != nil {
+	if s.gw, err = gateway.NewWithOptions(gcfg, log, gateway.Options{Extension: s.extension}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.bridge.Start(s.gw); err != nil {
+	if err := s.extension.Start(s.gw); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.gw.Listen(); err != nil {
@@ -119,19 +119,19 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	go func() {
-		defer close(s.ended)
+		defer close(s.stopped)
 		if err := s.gw.Run(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-s.ended
+		<-s.stopped
 	})
 	return s
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,7 +143,7 @@
 
 var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "order-here": fake.Keyed, "book": fake.Unsafe}
 
-func box(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
+func startBackend(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
 	t.Helper()
 	b, err := fake.StartBox(fake.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
 	if err != nil {
@@ -157,19 +157,19 @@
 type pair struct {
 	near, far *site
 	link      *fake.Relay
-	ledger    *fake.Ledger
+	recorder  *fake.Ledger
 }
 
 func startPair(t *testing.T, nearBoxes int, files [2]*TLS) *pair {
 	t.Helper()
-	p := &pair{ledger: fake.NewLedger()}
+	p := &pair{recorder: fake.NewLedger()}
 	repeats := fake.NewRepeats(time.Minute)
 	var near, far []*fake.Box
 	for i := range nearBoxes {
-		near = append(near, box(t, fmt.Sprintf("near-%d", i), p.ledger, repeats))
+		near = append(near, startBackend(t, fmt.Sprintf("near-%d", i), p.recorder, repeats))
 	}
-	far = append(far, box(t, "far-0", p.ledger, repeats), box(t, "far-1", p.ledger, repeats))
-	hops := [2]string{free(t), free(t)}
+	far = append(far, startBackend(t, "far-0", p.recorder, repeats), startBackend(t, "far-1", p.recorder, repeats))
+	hops := [2]string{freeAddress(t), freeAddress(t)}
 	var err error
 	if p.link, err = fake.StartRelay(hops[1]); err != nil {
 		t.Fatal(err)
@@ -182,10 +182,10 @@
 }
 
 func (p *pair) state() spillover.State {
-	c := p.near.bridge.pools["farm"]
+	c := p.near.extension.links["farm"]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.spill.State()
+	return c.spillover.State()
 }
 
 func (p *pair) awaitOpen(t *testing.T) {
@@ -193,15 +193,15 @@
 	waitFor(t, "the link to open", func() bool { return p.state() == spillover.Open })
 }
 
-// ask sends one request to an address and returns its status.
-func (p *pair) ask(t *testing.T, addr, class, id, key string, timeout time.Duration, more ...string) int {
+// send sends one request to an address and returns its status.
+func (p *pair) send(t *testing.T, addr, class, id, key string, timeout time.Duration, more ...string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	method, tail := "POST", "Content-Length: 2\r\n\r\nok"
 	if class == "check" {
 		method, tail = "GET", "\r\n"
@@ -213,7 +213,7 @@
 	for _, m := range more {
 		text += m + "\r\n"
 	}
-	p.ledger.Sent(p.ledger.Op(effects[class]), id, timeout)
+	p.recorder.Sent(p.recorder.Op(effects[class]), id, timeout)
 	io.WriteString(c, text+tail)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -226,12 +226,12 @@
 	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.ResponseField) != "" {
 		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.ResponseField))
 	}
-	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
+	p.recorder.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
 	return resp.StatusCode
 }
 
-// crossing asks until one request has crossed and been served: the first ones only show that the site is short.
-func (p *pair) crossing(t *testing.T, class string) {
+// untilServed asks until one request has crossed and been served: the first ones only show that the site is short.
+func (p *pair) untilServed(t *testing.T, class string) {
 	t.Helper()
 	n := 0
 	waitFor(t, "a request to cross", func() bool {
@@ -240,85 +240,85 @@
 		if class == "order" {
 			key = fmt.Sprintf("warm-%d", n)
 		}
-		status := p.ask(t, p.near.addr("farm"), class, fmt.Sprintf("warm-%s-%d", class, n), key, time.Second)
+		status := p.send(t, p.near.addr("farm"), class, fmt.Sprintf("warm-%s-%d", class, n), key, time.Second)
 		return status == 200
 	})
 }
 
-func (p *pair) rules(t *testing.T) {
+func (p *pair) checkRecorder(t *testing.T) {
 	t.Helper()
-	for _, b := range p.ledger.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
+	for _, b := range p.recorder.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
 		t.Error(b)
 	}
 }
 
-// TestCross guards the whole: a site without a box has all classes served at the other, and what is served tells so.
-func TestCross(t *testing.T) {
+// TestForwardAllClasses guards the whole: a site without a box has all classes served at the other, and what is served tells so.
+func TestForwardAllClasses(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for _, class := range []string{"check", "order", "book"} {
-		p.crossing(t, class)
+		p.untilServed(t, class)
 	}
-	if status := p.ask(t, p.far.addr("farm"), "check", "own", "", time.Second); status != 200 {
+	if status := p.send(t, p.far.addr("farm"), "check", "own", "", time.Second); status != 200 {
 		t.Errorf("the far site's own client got %d", status)
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestKeysOfOneSite guards against a keyed request that crosses although its client's next try, with the same key, may run here:
+// TestKeyedClassOfOneSite guards against a keyed request that crosses although its client's next try, with the same key, may run here:
 // the sites do not drop its repeats together. What a peer sends of it all the same is not taken.
-func TestKeysOfOneSite(t *testing.T) {
+func TestKeyedClassOfOneSite(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "order")
+	p.untilServed(t, "order")
 	for n := range 20 {
 		key := fmt.Sprint("here-", n)
-		if status := p.ask(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.ledger.Arrivals(key) > 0 {
-			t.Fatalf("got %d, and %d attempts", status, p.ledger.Arrivals(key))
+		if status := p.send(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.recorder.Arrivals(key) > 0 {
+			t.Fatalf("got %d, and %d attempts", status, p.recorder.Arrivals(key))
 		}
 	}
-	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
+	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
 	text, err := r.String()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status := p.ask(t, p.far.addr("sites"), "order-here", "forced", "forced", time.Second, siteheader.RequestField+": "+text); status != 403 {
+	if status := p.send(t, p.far.addr("sites"), "order-here", "forced", "forced", time.Second, siteheader.RequestField+": "+text); status != 403 {
 		t.Errorf("a peer that sends it got %d", status)
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestTimeEndsOverThere guards the answer of a client whose time ends while its request is at the far site, and against an answer
+// TestDeadlineAtPeer guards the answer of a client whose time ends while its request is at the far site, and against an answer
 // that comes back later being taken for another's.
-func TestTimeEndsOverThere(t *testing.T) {
+func TestDeadlineAtPeer(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "book")
-	for _, b := range p.far.boxes {
+	p.untilServed(t, "book")
+	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 500 * time.Millisecond})
 	}
 	for n := range 5 {
 		from := time.Now()
 		id := fmt.Sprint("late-", n)
-		status := p.ask(t, p.near.addr("farm"), "book", id, "", 200*time.Millisecond)
+		status := p.send(t, p.near.addr("farm"), "book", id, "", 200*time.Millisecond)
 		if took := time.Since(from); took > 450*time.Millisecond {
 			t.Errorf("answered after %v of 200 ms", took)
 		}
-		if p.ledger.Arrivals(id) > 0 && status != 502 {
+		if p.recorder.Arrivals(id) > 0 && status != 502 {
 			t.Errorf("a booking that may have run was answered %d", status)
 		}
 	}
-	for _, b := range p.far.boxes {
+	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{})
 	}
-	p.crossing(t, "check")
-	p.rules(t)
+	p.untilServed(t, "check")
+	p.checkRecorder(t)
 }
 
 // TestLinkStalls guards against a request that is lost, or has two effects, to a link that stands still after its last byte: an
 // order may have run there, and is failed or refused at once, long before its client's time is up.
 func TestLinkStalls(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "check")
-	p.crossing(t, "book")
-	for _, b := range p.far.boxes {
+	p.untilServed(t, "check")
+	p.untilServed(t, "book")
+	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 1500 * time.Millisecond})
 	}
 	var asking sync.WaitGroup
@@ -334,17 +334,17 @@
 				crossed := make(chan struct{})
 				go func() {
 					defer close(crossed)
-					for p.ledger.Arrivals(id) == 0 && !p.ledger.IsAnswered(id) {
+					for p.recorder.Arrivals(id) == 0 && !p.recorder.IsAnswered(id) {
 						time.Sleep(time.Millisecond)
 					}
-					if p.ledger.Arrivals(id) > 0 {
+					if p.recorder.Arrivals(id) > 0 {
 						there.Done()
 					}
 				}()
 				from := time.Now()
-				status := p.ask(t, p.near.addr("farm"), class, id, key, 3*time.Second)
+				status := p.send(t, p.near.addr("farm"), class, id, key, 3*time.Second)
 				<-crossed
-				if p.ledger.Arrivals(id) == 0 && n < 1000 {
+				if p.recorder.Arrivals(id) == 0 && n < 1000 {
 					continue
 				}
 				if took := time.Since(from); took > time.Second {
@@ -361,7 +361,7 @@
 	p.link.Stall(true)
 	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the link holds these up, and delivers them later
 		asking.Go(func() {
-			status := p.ask(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
+			status := p.send(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
 			if status == 200 {
 				t.Errorf("an order that the link held up was answered %d", status)
 			}
@@ -371,49 +371,49 @@
 	if p.state() == spillover.Open {
 		t.Error("the link counts as open")
 	}
-	if status := p.ask(t, p.near.addr("farm"), "check", "after", "", time.Second); status != 503 {
+	if status := p.send(t, p.near.addr("farm"), "check", "after", "", time.Second); status != 503 {
 		t.Errorf("a request beside a stalled link got %d, want a refusal at once", status)
 	}
-	for _, b := range p.far.boxes {
+	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{})
 	}
 	p.link.Stall(false)
 	p.awaitOpen(t)
-	p.crossing(t, "order")
+	p.untilServed(t, "order")
 	for n := range 20 {
-		if p.ledger.Arrivals(fmt.Sprintf("held-%d", n)) > 0 {
+		if p.recorder.Arrivals(fmt.Sprintf("held-%d", n)) > 0 {
 			t.Errorf("held-%d went on at the far site after it had been given up here", n)
 		}
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestFarDrains guards against sending to a far gateway that is gone, and against keeping it for gone once it is back.
-func TestFarDrains(t *testing.T) {
+// TestPeerDrains guards against sending to a far gateway that is gone, and against keeping it for gone once it is back.
+func TestPeerDrains(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "check")
+	p.untilServed(t, "check")
 	p.far.stop()
 	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
-	if status := p.ask(t, p.near.addr("farm"), "order", "late", "late", time.Second); status != 503 {
+	if status := p.send(t, p.near.addr("farm"), "order", "late", "late", time.Second); status != 503 {
 		t.Errorf("got %d, want a refusal", status)
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestFarComesBack guards against a far gateway that is killed with requests in hand, and that stays forgotten once another process
+// TestPeerRestarts guards against a far gateway that is killed with requests in hand, and that stays forgotten once another process
 // stands at its address.
-func TestFarComesBack(t *testing.T) {
+func TestPeerRestarts(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "check")
+	p.untilServed(t, "check")
 	hopAt := p.far.addr("sites")
 	p.far.gw.Close() // at once, like a process that dies, but for its connections' ends
 	p.far.stop()
-	<-p.far.ended
+	<-p.far.stopped
 	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
-	p.far = startSite(t, "far", "near", free(t), hopAt, p.far.boxes, nil)
+	p.far = startSite(t, "far", "near", freeAddress(t), hopAt, p.far.backends, nil)
 	p.awaitOpen(t)
-	p.crossing(t, "book")
-	p.rules(t)
+	p.untilServed(t, "book")
+	p.checkRecorder(t)
 }
 
 // TestSilentPeer guards against a peer that accepts and never reads: nothing crosses, and clients are refused at once.
@@ -439,11 +439,11 @@
 	})
 	defer held.Wait()
 	defer ln.Close()
-	p := &pair{ledger: fake.NewLedger()}
-	p.near = startSite(t, "near", "far", ln.Addr().String(), free(t), nil, nil)
+	p := &pair{recorder: fake.NewLedger()}
+	p.near = startSite(t, "near", "far", ln.Addr().String(), freeAddress(t), nil, nil)
 	for n := range 20 {
 		from := time.Now()
-		if status := p.ask(t, p.near.addr("farm"), "check", fmt.Sprint("silent-", n), "", 3*time.Second); status != 503 {
+		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprint("silent-", n), "", 3*time.Second); status != 503 {
 			t.Fatalf("got %d, want a refusal", status)
 		}
 		if took := time.Since(from); took > time.Second {
@@ -453,11 +453,11 @@
 	if p.state() == spillover.Open {
 		t.Error("the link to a peer that says nothing counts as open")
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestHogsAtSites guards against connections that are opened and left at the listener for other sites: the peer still crosses.
-func TestHogsAtSites(t *testing.T) {
+// TestIdleConnectionsAtListener guards against connections that are opened and left at the listener for other sites: the peer still crosses.
+func TestIdleConnectionsAtListener(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for range 1000 {
 		c, err := net.Dial("tcp", p.far.addr("sites"))
@@ -466,34 +466,34 @@
 		}
 		defer c.Close()
 	}
-	p.crossing(t, "order")
-	p.rules(t)
+	p.untilServed(t, "order")
+	p.checkRecorder(t)
 }
 
-// TestNoSecondHop guards against work that is passed to and fro: a site that has no room itself refuses what came across.
-func TestNoSecondHop(t *testing.T) {
+// TestForwardedOnce guards against work that is passed to and fro: a site that has no room itself refuses what came across.
+func TestForwardedOnce(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
-	p.crossing(t, "check")
-	for _, b := range p.far.boxes {
+	p.untilServed(t, "check")
+	for _, b := range p.far.backends {
 		b.Drain(true)
 	}
 	for i := range 20 {
-		if status := p.ask(t, p.near.addr("farm"), "check", fmt.Sprintf("full-%d", i), "", time.Second); status != 503 {
+		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprintf("full-%d", i), "", time.Second); status != 503 {
 			t.Fatalf("got %d, want a refusal", status)
 		}
 	}
-	if n := p.ledger.Check(fake.UsualSlack).Arrivals; n > 200 {
+	if n := p.recorder.Check(fake.UsualSlack).Arrivals; n > 200 {
 		t.Errorf("%d attempts", n)
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
-// TestForgedFields guards against who is no peer, and against peers that lie: nothing runs, and the others go on.
-func TestForgedFields(t *testing.T) {
+// TestInvalidHeaderFields guards against who is no peer, and against peers that lie: nothing runs, and the others go on.
+func TestInvalidHeaderFields(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
 	field := func(change func(*siteheader.Request)) string {
 		r := siteheader.Request{
-			TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"},
+			TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"},
 		}
 		change(&r)
 		text, err := r.String()
@@ -531,29 +531,29 @@
 		if strings.Contains(c.field, `"book"`) {
 			class = "book"
 		}
-		status := p.ask(t, p.far.addr("sites"), class, strings.ReplaceAll(name, " ", "-"), "", time.Second, c.field)
+		status := p.send(t, p.far.addr("sites"), class, strings.ReplaceAll(name, " ", "-"), "", time.Second, c.field)
 		if status != c.want {
 			t.Errorf("%s: %d, want %d", name, status, c.want)
 		}
 	}
 	// At a listener of clients the field means nothing.
-	if status := p.ask(t, p.far.addr("farm"), "check", "client", "", time.Second, strings.Replace(plain, `"check"`, `"book"`, 1)); status != 200 {
+	if status := p.send(t, p.far.addr("farm"), "check", "client", "", time.Second, strings.Replace(plain, `"check"`, `"book"`, 1)); status != 200 {
 		t.Errorf("a client with a field of the hop got %d", status)
 	}
-	p.rules(t)
+	p.checkRecorder(t)
 }
 
 // TestNotAPeer guards the listener for other sites against everyone else.
 func TestNotAPeer(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
-	p.far.bridge.cfg.Peers[0].SourceAddresses = []netip.Addr{netip.MustParseAddr("127.9.9.9")}
-	if status := p.ask(t, p.far.addr("sites"), "check", "x", "", time.Second); status != 403 {
+	p.far.extension.cfg.Peers[0].SourceAddresses = []netip.Addr{netip.MustParseAddr("127.9.9.9")}
+	if status := p.send(t, p.far.addr("sites"), "check", "x", "", time.Second); status != 403 {
 		t.Errorf("got %d", status)
 	}
 }
 
-// authority makes certificates.
-type authority struct {
+// certificateAuthority makes certificates.
+type certificateAuthority struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
@@ -561,7 +561,7 @@
 	n    int64
 }
 
-func (a *authority) make(name string, ca bool) (der []byte, key *ecdsa.PrivateKey) {
+func (a *certificateAuthority) make(name string, ca bool) (der []byte, key *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -584,7 +584,7 @@
 	return der, key
 }
 
-func (a *authority) write(name, kind string, der []byte) string {
+func (a *certificateAuthority) write(name, kind string, der []byte) string {
 	a.t.Helper()
 	file := filepath.Join(a.dir, name)
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -593,9 +593,9 @@
 	return file
 }
 
-func newAuthority(t *testing.T) *authority {
+func newAuthority(t *testing.T) *certificateAuthority {
 	t.Helper()
-	a := &authority{t: t, dir: t.TempDir()}
+	a := &certificateAuthority{t: t, dir: t.TempDir()}
 	der, key := a.make("authority", true)
 	var err error
 	if a.cert, err = x509.ParseCertificate(der); err != nil {
@@ -606,7 +606,7 @@
 	return a
 }
 
-func (a *authority) files(name string) *TLS {
+func (a *certificateAuthority) files(name string) *TLS {
 	der, key := a.make(name, false)
 	text, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
@@ -623,9 +623,9 @@
 func TestMutualTLS(t *testing.T) {
 	a := newAuthority(t)
 	p := startPair(t, 0, [2]*TLS{a.files("near"), a.files("far")})
-	p.crossing(t, "order")
-	p.crossing(t, "book")
-	p.rules(t)
+	p.untilServed(t, "order")
+	p.untilServed(t, "book")
+	p.checkRecorder(t)
 
 	stranger, err := tls.LoadX509KeyPair(a.files("stranger").CertFile, filepath.Join(a.dir, "stranger.key"))
 	if err != nil {
@@ -639,7 +639,7 @@
 			return 0, err
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, "GET /hop HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
--- a/internal/sitelink/crossing.go
+++ b/internal/sitelink/crossing.go
@@ -23,63 +23,63 @@
 )
 
 const (
-	// hopTarget is what probes ask for.
-	hopTarget = "/hop"
-	// poolField names, on a probe, the pool that is asked about.
-	poolField = "Sorrel-Hop-Pool"
-	// hopIdle is the idle time of connections to peers. A listener for other sites keeps them for two seconds.
-	hopIdle = 2 * time.Second
-	// backSlack is what is kept of a request's time; what the ways take is reckoned with at the far site.
-	backSlack = 3 * time.Millisecond
-	// announceEvery is how often the far site is announced anew at the most, see Cross.
-	announceEvery = time.Second
+	// healthCheckTarget is what probes ask for.
+	healthCheckTarget = "/hop"
+	// healthCheckPoolField names, on a probe, the pool that is asked about.
+	healthCheckPoolField = "Sorrel-Hop-Pool"
+	// peerConnIdle is the idle time of connections to peers. A listener for other sites keeps them for two seconds.
+	peerConnIdle = 2 * time.Second
+	// returnMargin is what is kept of a request's time; what the ways take is reckoned with at the far site.
+	returnMargin = 3 * time.Millisecond
+	// minPublishInterval is how often the far site is announced anew at the most, see Cross.
+	minPublishInterval = time.Second
 )
 
-// crossing is what one pool has to do with other sites: the link by which its requests leave, if any, and the room that it
+// poolLink is what one pool has to do with other sites: the link by which its requests leave, if any, and the room that it
 // grants to those of others.
-type crossing struct {
-	bridge  *Extension
-	name    string
-	cfg     Pool
-	classes map[string]policy.Class
-	most    int // attempts of a request, over both sites
-	log     *slog.Logger
-	peer    *Peer
-	far     *pool.Pool // nil: no link
-	list    *discovery.Static
-	client  *http.Client
-	kick    chan struct{} // tells watch that something crosses
+type poolLink struct {
+	extension   *Extension
+	name        string
+	cfg         Pool
+	classes     map[string]policy.Class
+	maxAttempts int // attempts of a request, over both sites
+	log         *slog.Logger
+	peer        *Peer
+	remotePool  *pool.Pool // nil: no link
+	endpoints   *discovery.Static
+	client      *http.Client
+	forwarded   chan struct{} // tells watch that something crosses
 
-	mu        sync.Mutex
-	spill     *spillover.Link
-	grant     *spillover.Grant
-	rtt       time.Duration // smoothed
-	stamp     time.Duration // the last of the far site's
-	stampAt   time.Duration // when it came
-	born      int64         // of the far member
-	announced time.Duration
-	farDrains bool
+	mu              sync.Mutex
+	spillover       *spillover.Link
+	grant           *spillover.Grant
+	roundTrip       time.Duration // smoothed
+	peerClock       time.Duration // the last of the far site's
+	peerClockReadAt time.Duration // when it came
+	endpointStartMs int64         // of the far member
+	publishedAt     time.Duration
+	peerDraining    bool
 }
 
-func newCrossing(b *Extension, name string, p Pool) *crossing {
-	c := &crossing{
-		bridge: b, name: name, cfg: p, classes: map[string]policy.Class{}, most: p.Settings.Config.MaxAttempts,
-		log: b.log.With("pool", name, "peer", p.Peer), kick: make(chan struct{}, 1), grant: spillover.NewGrant(p.Grant),
+func newPoolLink(b *Extension, name string, p Pool) *poolLink {
+	c := &poolLink{
+		extension: b, name: name, cfg: p, classes: map[string]policy.Class{}, maxAttempts: p.Settings.Config.MaxAttempts,
+		log: b.log.With("pool", name, "peer", p.Peer), forwarded: make(chan struct{}, 1), grant: spillover.NewGrant(p.Grant),
 	}
 	var classes []spillover.Class
 	for _, k := range p.Settings.Config.Classes {
 		classes = append(classes, spillover.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, ServiceTime: k.LatencyObjective})
 		c.classes[k.Name] = k
 	}
-	c.spill = spillover.New(p.Spillover, classes)
+	c.spillover = spillover.New(p.Spillover, classes)
 	return c
 }
 
-// farMember is the far site as a member of the list.
-const farMember = "far"
+// peerEndpointID is the far site as a member of the list.
+const peerEndpointID = "far"
 
 // start opens the link to a peer.
-func (c *crossing) start(g *gateway.Gateway, peer *Peer) error {
+func (c *poolLink) start(g *gateway.Gateway, peer *Peer) error {
 	c.peer = peer
 	cfg := c.cfg.Settings.Config
 	cfg.Classes = slices.Clone(cfg.Classes)
@@ -89,35 +89,35 @@
 		}
 	}
 	cfg.MaxAttempts, cfg.HedgingAllowed, cfg.HealthChecksAllowed, cfg.CancellationAllowed = 16, false, true, true
-	cfg.InstanceCount, cfg.InstanceIndex, cfg.Zone, cfg.ConnIdle = 1, 0, peer.zone(), hopIdle
+	cfg.InstanceCount, cfg.InstanceIndex, cfg.Zone, cfg.ConnIdle = 1, 0, peer.zone(), peerConnIdle
 	cfg.SlowStartMinCapacity, cfg.SlowStartDuration, cfg.InlineLoadReports, cfg.HealthCheckCost = 1, 0, true, 1000
 	cfg.ConnectionCost, cfg.HandshakeCost, cfg.CrossZoneCost = 0, 0, 0
-	dial := c.bridge.dial(peer)
-	c.list = discovery.NewStatic(nil)
-	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.list, CachedList: c.list.List(), Protocol: c, Seed: uint64(time.Now().UnixNano())}
+	dial := c.extension.dial(peer)
+	c.endpoints = discovery.NewStatic(nil)
+	pc := pool.Config{Name: c.name + "@" + peer.Name, Source: c.endpoints, CachedList: c.endpoints.List(), Protocol: c, Seed: uint64(time.Now().UnixNano())}
 	pc.Settings = c.cfg.Settings
 	pc.Settings.Config = cfg
 	var err error
-	if c.far, err = g.NewAuxiliaryPool(pc, dial, c.log); err != nil {
+	if c.remotePool, err = g.NewAuxiliaryPool(pc, dial, c.log); err != nil {
 		return err
 	}
 	c.client = &http.Client{Transport: &http.Transport{
 		DialContext:         func(ctx context.Context, _, addr string) (net.Conn, error) { return dial(ctx, addr) },
-		MaxIdleConnsPerHost: 1, IdleConnTimeout: hopIdle / 2, DisableCompression: true,
+		MaxIdleConnsPerHost: 1, IdleConnTimeout: peerConnIdle / 2, DisableCompression: true,
 	}}
-	c.bridge.work.Go(c.watch)
+	c.extension.goroutines.Go(c.runHealthChecks)
 	return nil
 }
 
-func (c *crossing) close() {
-	if c.far != nil {
+func (c *poolLink) close() {
+	if c.remotePool != nil {
 		c.client.CloseIdleConnections()
-		c.far.Close()
+		c.remotePool.Close()
 	}
 }
 
-// watch looks after the link until the bridge ends.
-func (c *crossing) watch() {
+// runHealthChecks looks after the link until the bridge ends.
+func (c *poolLink) runHealthChecks() {
 	type result struct {
 		ok, drains bool
 		room       int
@@ -129,7 +129,7 @@
 	probing := false
 	last := time.Duration(0)
 	// A link that carries nothing is looked at rarely: each look costs a turn of the scheduler.
-	busy, rare := probeBusy/5, probeEvery/5
+	busy, rare := busyCheckInterval/5, idleCheckInterval/5
 	every := busy
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -141,64 +141,64 @@
 	}
 	for {
 		select {
-		case <-c.bridge.ctx.Done():
+		case <-c.extension.ctx.Done():
 			if probing {
 				<-results
 			}
 			return
-		case <-c.kick:
+		case <-c.forwarded:
 			pace(busy)
 		case r := <-results:
 			probing = false
 			c.mu.Lock()
-			now := c.bridge.now()
+			now := c.extension.now()
 			var changes []*spillover.Transition
 			if r.ok {
-				if c.rtt == 0 {
-					c.rtt = r.took
+				if c.roundTrip == 0 {
+					c.roundTrip = r.took
 				}
-				c.rtt += (r.took - c.rtt) / 8
-				c.stamp, c.stampAt = r.stamp, now
-				c.spill.SetStallTimeout(stallBase + 2*c.rtt)
+				c.roundTrip += (r.took - c.roundTrip) / 8
+				c.peerClock, c.peerClockReadAt = r.stamp, now
+				c.spillover.SetStallTimeout(baseStallTimeout + 2*c.roundTrip)
 			}
-			if !c.bridge.draining.Load() && r.drains != c.farDrains {
-				c.farDrains = r.drains
-				changes = append(changes, c.spill.Drain(now, r.drains))
+			if !c.extension.draining.Load() && r.drains != c.peerDraining {
+				c.peerDraining = r.drains
+				changes = append(changes, c.spillover.Drain(now, r.drains))
 			}
 			if !r.drains {
-				changes = append(changes, c.spill.RecordHealthCheck(now, r.ok, r.room))
+				changes = append(changes, c.spillover.RecordHealthCheck(now, r.ok, r.room))
 			}
 			c.mu.Unlock()
 			for _, ch := range changes {
-				c.changed(ch, r.err)
+				c.applyTransition(ch, r.err)
 			}
 		case <-tick.C:
 			c.mu.Lock()
-			now := c.bridge.now()
-			probe, ch := c.spill.Tick(now)
-			often, look := probeEvery, rare
-			if c.spill.InFlight() > 0 || c.spill.Spilling() {
-				often, look = probeBusy, busy
+			now := c.extension.now()
+			probe, ch := c.spillover.Tick(now)
+			often, look := idleCheckInterval, rare
+			if c.spillover.InFlight() > 0 || c.spillover.Spilling() {
+				often, look = busyCheckInterval, busy
 			}
-			if s := c.spill.State(); s == spillover.Open || s == spillover.Draining {
+			if s := c.spillover.State(); s == spillover.Open || s == spillover.Draining {
 				probe = now-last >= often
 			} else {
 				look = busy
 			}
-			wait := min(mostProbe, stallBase+4*c.rtt)
-			if c.rtt == 0 {
-				wait = mostProbe
+			wait := min(maxCheckTimeout, baseStallTimeout+4*c.roundTrip)
+			if c.roundTrip == 0 {
+				wait = maxCheckTimeout
 			}
 			c.mu.Unlock()
 			pace(look)
-			c.changed(ch, nil)
-			if !probe || probing || c.bridge.draining.Load() {
+			c.applyTransition(ch, nil)
+			if !probe || probing || c.extension.draining.Load() {
 				continue
 			}
 			probing, last = true, now
-			c.bridge.work.Go(func() {
+			c.extension.goroutines.Go(func() {
 				from := time.Now()
-				a, status, err := c.probe(wait)
+				a, status, err := c.checkPeer(wait)
 				results <- result{
 					ok: err == nil && a.Outcome == siteheader.Served, drains: err == nil && a.Outcome == siteheader.Rejected && status == http.StatusServiceUnavailable,
 					room: a.Credits, stamp: a.Stamp, took: time.Since(from), err: err,
@@ -208,15 +208,15 @@
 	}
 }
 
-// probe asks the far site for its room.
-func (c *crossing) probe(wait time.Duration) (siteheader.Response, int, error) {
-	ctx, cancel := context.WithTimeout(c.bridge.ctx, wait)
+// checkPeer asks the far site for its room.
+func (c *poolLink) checkPeer(wait time.Duration) (siteheader.Response, int, error) {
+	ctx, cancel := context.WithTimeout(c.extension.ctx, wait)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.peer.Address+hopTarget, nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.peer.Address+healthCheckTarget, nil)
 	if err != nil {
 		return siteheader.Response{}, 0, err
 	}
-	q.Header.Set(poolField, c.name)
+	q.Header.Set(healthCheckPoolField, c.name)
 	resp, err := c.client.Do(q)
 	if err != nil {
 		return siteheader.Response{}, 0, err
@@ -232,68 +232,68 @@
 	return a, resp.StatusCode, err
 }
 
-// changed carries out a change of the link's state: the far member comes and goes in the list, and what is out on a link that
+// applyTransition carries out a change of the link's state: the far member comes and goes in the list, and what is out on a link that
 // is no more has broken off.
-func (c *crossing) changed(ch *spillover.Transition, err error) {
+func (c *poolLink) applyTransition(ch *spillover.Transition, err error) {
 	if ch == nil {
 		return
 	}
 	c.log.Info("link", "from", ch.From.String(), "to", ch.To.String(), "cause", string(ch.Cause), "err", err)
 	switch ch.To {
 	case spillover.Open:
-		c.announce("active")
+		c.publishEndpoint("active")
 	case spillover.Draining:
-		c.announce("leaving")
+		c.publishEndpoint("leaving")
 	default:
 		if ch.From == spillover.Open || ch.From == spillover.Draining {
-			c.list.Set(nil)
-			c.far.AbortAttempts(farMember)
+			c.endpoints.Set(nil)
+			c.remotePool.AbortAttempts(peerEndpointID)
 		}
 	}
 }
 
-// announce makes the far site the only member of the list, as one that has just started: it owes nothing to its past.
-func (c *crossing) announce(health string) {
+// publishEndpoint makes the far site the only member of the list, as one that has just started: it owes nothing to its past.
+func (c *poolLink) publishEndpoint(health string) {
 	c.mu.Lock()
 	if health == "active" {
-		c.born = max(c.born+1, time.Now().UnixMilli())
+		c.endpointStartMs = max(c.endpointStartMs+1, time.Now().UnixMilli())
 	}
-	born := c.born
-	c.announced = c.bridge.now()
+	born := c.endpointStartMs
+	c.publishedAt = c.extension.now()
 	c.mu.Unlock()
-	c.list.Set([]discovery.Endpoint{{ID: farMember, Address: c.peer.Address, Zone: c.peer.zone(), Cell: 0, Health: health, Weight: 1, StartedMs: born}})
+	c.endpoints.Set([]discovery.Endpoint{{ID: peerEndpointID, Address: c.peer.Address, Zone: c.peer.zone(), Cell: 0, Health: health, Weight: 1, StartedMs: born}})
 }
 
-func (c *crossing) drain() {
-	if c.far == nil {
+func (c *poolLink) drain() {
+	if c.remotePool == nil {
 		return
 	}
 	c.mu.Lock()
-	ch := c.spill.Drain(c.bridge.now(), true)
+	ch := c.spillover.Drain(c.extension.now(), true)
 	c.mu.Unlock()
-	c.changed(ch, nil)
+	c.applyTransition(ch, nil)
 }
 
 // RecordRequest is the method of gateway.Spillover.
-func (c *crossing) RecordRequest(class string) {
-	now := c.bridge.now()
+func (c *poolLink) RecordRequest(class string) {
+	now := c.extension.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grant.RecordLocal(now)
-	if c.far != nil {
-		c.spill.RecordLocal(now, class, false)
+	if c.remotePool != nil {
+		c.spillover.RecordLocal(now, class, false)
 	}
 }
 
 // Forward is the method of gateway.Spillover.
-func (c *crossing) Forward(ctx context.Context, h *pool.RejectedRequest) {
-	now := c.bridge.now()
+func (c *poolLink) Forward(ctx context.Context, h *pool.RejectedRequest) {
+	now := c.extension.now()
 	c.mu.Lock()
 	c.grant.RecordLocalRejected(now)
-	rtt, crosses := c.rtt, false
-	if c.far != nil {
-		c.spill.RecordRejected(now, h.PolicyRequest.Class)
-		crosses = time.Until(h.Deadline) > rtt+backSlack && spillover.MayForward(c.rules(h.PolicyRequest.Class), h.PriorAttempts, c.most, rtt) && c.spill.TryForward(now, h.PolicyRequest.Class)
+	rtt, crosses := c.roundTrip, false
+	if c.remotePool != nil {
+		c.spillover.RecordRejected(now, h.PolicyRequest.Class)
+		crosses = time.Until(h.Deadline) > rtt+returnMargin && spillover.MayForward(c.forwardRules(h.PolicyRequest.Class), h.PriorAttempts, c.maxAttempts, rtt) && c.spillover.TryForward(now, h.PolicyRequest.Class)
 	}
 	c.mu.Unlock()
 	if !crosses {
@@ -301,11 +301,11 @@
 		return
 	}
 	select {
-	case c.kick <- struct{}{}:
+	case c.forwarded <- struct{}{}:
 	default:
 	}
 	ans := h.Rejection
-	x, err := c.far.SubmitRejected(h, time.Until(h.Deadline), len(h.PriorAttempts)+1)
+	x, err := c.remotePool.SubmitRejected(h, time.Until(h.Deadline), len(h.PriorAttempts)+1)
 	if err == nil {
 		select {
 		case ans = <-x.Response():
@@ -315,11 +315,11 @@
 			x.Cancel()
 		}
 		if spent, _ := x.AttemptSummary(); spent == 0 && ans.Status == http.StatusServiceUnavailable {
-			c.unstick()
+			c.republishIfUnused()
 		}
 	}
 	c.mu.Lock()
-	c.spill.RecordReturn(c.bridge.now(), false, 0)
+	c.spillover.RecordReturn(c.extension.now(), false, 0)
 	c.mu.Unlock()
 	if ans.Status == http.StatusServiceUnavailable {
 		ans = h.Rejection // as true as before, and when to come back is better known here
@@ -327,19 +327,19 @@
 	h.Respond(ans)
 }
 
-// unstick announces the far site anew where the module has sent it nothing although it grants room: what it thinks of the only
+// republishIfUnused announces the far site anew where the module has sent it nothing although it grants room: what it thinks of the only
 // member that there is could not get better by itself.
-func (c *crossing) unstick() {
+func (c *poolLink) republishIfUnused() {
 	c.mu.Lock()
-	stuck := c.spill.State() == spillover.Open && c.bridge.now()-c.announced >= announceEvery
+	stuck := c.spillover.State() == spillover.Open && c.extension.now()-c.publishedAt >= minPublishInterval
 	c.mu.Unlock()
 	if stuck {
-		c.announce("active")
+		c.publishEndpoint("active")
 	}
 }
 
-// rules are what may be done with a request of a class that may have run here.
-func (c *crossing) rules(class string) spillover.Rules {
+// forwardRules are what may be done with a request of a class that may have run here.
+func (c *poolLink) forwardRules(class string) spillover.Rules {
 	k, known := c.classes[class]
 	return spillover.Rules{
 		Idempotent: known && k.Idempotency == policy.Idempotent, HasIdempotencyKey: known && k.Idempotency == policy.IdempotentByKey, SharedDedup: slices.Contains(c.cfg.SharedDedupClasses, class),
@@ -347,17 +347,17 @@
 }
 
 // HealthCheckTarget is the method of pool.BackendProtocol.
-func (c *crossing) HealthCheckTarget() string { return hopTarget }
+func (c *poolLink) HealthCheckTarget() string { return healthCheckTarget }
 
 // ExtraFields is the method of pool.BackendProtocol.
-func (c *crossing) ExtraFields(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
-	now := c.bridge.now()
+func (c *poolLink) ExtraFields(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
+	now := c.extension.now()
 	c.mu.Lock()
-	stamp, ago, within := c.stamp, now-c.stampAt, c.spill.TimeToStall(now)
+	stamp, ago, within := c.peerClock, now-c.peerClockReadAt, c.spillover.TimeToStall(now)
 	c.mu.Unlock()
 	r := siteheader.Request{
-		Stamp: stamp, StampAge: ago, StallTimeout: min(within, left), TimeLeft: max(time.Millisecond, left-backSlack), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ExpectedWork: q.ExpectedWork, IsRetry: q.IsRetry,
-		AttemptsMade: len(q.PriorAttempts), AttemptsAllowed: max(1, c.most-len(q.PriorAttempts)), Origin: c.bridge.cfg.Site, Path: []string{c.bridge.cfg.Site},
+		Stamp: stamp, StampAge: ago, StallTimeout: min(within, left), TimeLeft: max(time.Millisecond, left-returnMargin), Pool: c.name, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ExpectedWork: q.ExpectedWork, IsRetry: q.IsRetry,
+		AttemptsMade: len(q.PriorAttempts), AttemptsAllowed: max(1, c.maxAttempts-len(q.PriorAttempts)), Origin: c.extension.cfg.Site, Path: []string{c.extension.cfg.Site},
 	}
 	for _, p := range q.PriorAttempts {
 		if !p.NotExecuted { // only of classes whose repeats are dropped at both sites alike, see spillover.MayForward
@@ -373,13 +373,13 @@
 }
 
 // ClassifyResponse is the method of pool.BackendProtocol.
-func (c *crossing) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
-	a, err := siteheader.ParseResponse(h.Values(siteheader.ResponseField), c.most)
-	now := c.bridge.now()
+func (c *poolLink) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
+	a, err := siteheader.ParseResponse(h.Values(siteheader.ResponseField), c.maxAttempts)
+	now := c.extension.now()
 	c.mu.Lock()
 	if err == nil {
-		c.spill.RecordGrant(now, a.Credits)
-		c.stamp, c.stampAt = a.Stamp, now
+		c.spillover.RecordGrant(now, a.Credits)
+		c.peerClock, c.peerClockReadAt = a.Stamp, now
 	}
 	c.mu.Unlock()
 	load := &policy.LoadReport{Queue: 0, InFlight: -1, Latency: -1, ErrorRate: -1}
--- a/internal/sitelink/exchange_test.go
+++ b/internal/sitelink/exchange_test.go
@@ -12,7 +12,7 @@
 // request's maximum.
 func TestAnswerCountsAttempts(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
-	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
+	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "check", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
 	text, err := r.String()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -23,21 +23,21 @@
 
 func (f roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
 
-func formBridge(t *testing.T) *Extension {
+func formExtension(t *testing.T) *Extension {
 	t.Helper()
-	p := Pool{Settings: farm("a"), Peer: "far", SharedDedupClasses: []string{"order"}}
+	p := Pool{Settings: testSettings("a"), Peer: "far", SharedDedupClasses: []string{"order"}}
 	b, err := New(Config{Site: "near", Peers: []Peer{{Name: "far", Address: "10.9.0.1:7443"}}, Pools: map[string]Pool{"orders": p}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.pools["orders"].peer = b.peer("far")
+	b.links["orders"].peer = b.peer("far")
 	return b
 }
 
-// TestProbeForm pins what a probe asks and which answers it takes for what.
-func TestProbeForm(t *testing.T) {
-	c := formBridge(t).pools["orders"]
+// TestHealthCheckForm pins what a probe asks and which answers it takes for what.
+func TestHealthCheckForm(t *testing.T) {
+	c := formExtension(t).links["orders"]
 	var sent bytes.Buffer
 	c.client = &http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
 		if err := q.Write(&sent); err != nil {
@@ -46,7 +46,7 @@
 		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=served, spent=0, room=7, stamp=5"}}
 		return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: q}, nil
 	})}
-	a, status, err := c.probe(time.Second)
+	a, status, err := c.checkPeer(time.Second)
 	if want := (siteheader.Response{Outcome: siteheader.Served, Credits: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
 		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
 	}
@@ -54,11 +54,11 @@
 	goldentest.CheckForms(t, "probe.golden", []goldentest.Form{{Name: "probe", Written: fmt.Sprintf("%q", sent.String())}, {Name: "zone of a peer", Written: zone}})
 }
 
-// TestCrossingForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
-func TestCrossingForm(t *testing.T) {
-	c := formBridge(t).pools["orders"]
-	c.most = 5
-	c.stamp, c.stampAt = 77*time.Second, c.bridge.now()
+// TestForwardedRequestForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
+func TestForwardedRequestForm(t *testing.T) {
+	c := formExtension(t).links["orders"]
+	c.maxAttempts = 5
+	c.peerClock, c.peerClockReadAt = 77*time.Second, c.extension.now()
 	q := &policy.Request{
 		Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true,
 		PriorAttempts: []policy.PriorAttempt{{Zone: "a", DedupRemaining: 9 * time.Second}, {NotExecuted: true}},
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestRefusalForm pins the statuses with which a receiver refuses, and that it says that nothing has run.
-func TestRefusalForm(t *testing.T) {
-	b := formBridge(t)
-	h := &handler{b: b}
+// TestRejectionForm pins the statuses with which a receiver refuses, and that it says that nothing has run.
+func TestRejectionForm(t *testing.T) {
+	b := formExtension(t)
+	h := &handler{extension: b}
 	good := `v=1, left=90000000, pool="orders", class="order", used=0, may=2, stamp=NOW, ago=0, within=80000000, origin="far", passed=("far")`
 	stamp := fmt.Sprint("stamp=", b.now().Microseconds())
 	good = strings.Replace(good, "stamp=NOW", stamp, 1)
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -15,12 +15,12 @@
 
 // handler has the requests that come in at the listeners for other sites.
 type handler struct {
-	b *Extension
-	g *gateway.Gateway
+	extension *Extension
+	gateway   *gateway.Gateway
 }
 
-// field is a head with the field of a hop's answer.
-func (b *Extension) field(a siteheader.Response) http.Header {
+// responseHeader is a head with the field of a hop's answer.
+func (b *Extension) responseHeader(a siteheader.Response) http.Header {
 	a.Stamp = b.now()
 	text, err := a.String()
 	if err != nil {
@@ -29,44 +29,44 @@
 	return http.Header{siteheader.ResponseField: {text}}
 }
 
-// bad turns a request away of which nothing has run.
-func (h *handler) bad(status int, text string) httpmsg.RejectionError {
-	return httpmsg.RejectionError{Status: status, Text: text, Header: h.b.field(siteheader.Response{Outcome: siteheader.Rejected})}
+// rejection turns a request away of which nothing has run.
+func (h *handler) rejection(status int, text string) httpmsg.RejectionError {
+	return httpmsg.RejectionError{Status: status, Text: text, Header: h.extension.responseHeader(siteheader.Response{Outcome: siteheader.Rejected})}
 }
 
 // Admit is the method of downstream.Handler.
 func (h *handler) Admit(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
-	if h.b.peer(q.Peer) == nil {
-		return nil, 0, h.bad(http.StatusForbidden, "not a peer of this site")
+	if h.extension.peer(q.Peer) == nil {
+		return nil, 0, h.rejection(http.StatusForbidden, "not a peer of this site")
 	}
-	if q.Path == hopTarget && q.Method == http.MethodGet {
-		return h.probed(q)
+	if q.Path == healthCheckTarget && q.Method == http.MethodGet {
+		return h.answerHealthCheck(q)
 	}
-	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.b.cfg.Site)
+	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.extension.cfg.Site)
 	switch {
 	case errors.Is(err, siteheader.ErrVersion):
-		return nil, 0, h.bad(http.StatusHTTPVersionNotSupported, err.Error())
+		return nil, 0, h.rejection(http.StatusHTTPVersionNotSupported, err.Error())
 	case errors.Is(err, siteheader.ErrLoop):
-		return nil, 0, h.bad(http.StatusLoopDetected, err.Error())
+		return nil, 0, h.rejection(http.StatusLoopDetected, err.Error())
 	case err != nil:
-		return nil, 0, h.bad(http.StatusBadRequest, err.Error())
+		return nil, 0, h.rejection(http.StatusBadRequest, err.Error())
 	case r.Origin != q.Peer:
-		return nil, 0, h.bad(http.StatusForbidden, "the origin is not the peer that sends it")
+		return nil, 0, h.rejection(http.StatusForbidden, "the origin is not the peer that sends it")
 	}
-	c := h.b.pools[r.Pool]
+	c := h.extension.links[r.Pool]
 	if c == nil {
-		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
+		return nil, 0, h.rejection(http.StatusNotFound, "no such pool takes requests of other sites")
 	}
-	if rules := c.rules(r.Class); rules.HasIdempotencyKey && !rules.SharedDedup {
-		return nil, 0, h.bad(http.StatusForbidden, "repeats of the class are not dropped at both sites together")
+	if rules := c.forwardRules(r.Class); rules.HasIdempotencyKey && !rules.SharedDedup {
+		return nil, 0, h.rejection(http.StatusForbidden, "repeats of the class are not dropped at both sites together")
 	}
-	if h.b.draining.Load() {
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
+	if h.extension.draining.Load() {
+		return nil, 0, h.rejection(http.StatusServiceUnavailable, "the site drains")
 	}
-	late := r.Delay(h.b.now())
+	late := r.Delay(h.extension.now())
 	if late > r.StallTimeout || late >= r.TimeLeft {
 		// The link has held it up until its sender had given it up: it was answered there, and must not go on here.
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "it was on its way for too long")
+		return nil, 0, h.rejection(http.StatusServiceUnavailable, "it was on its way for too long")
 	}
 	r.TimeLeft -= late
 	q.Header.Del(siteheader.RequestField)
@@ -74,7 +74,7 @@
 		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.ExpectedWork, IsRetry: r.IsRetry, MaxAttempts: r.AttemptsMade + r.AttemptsAllowed,
 	}}
 	if len(r.Executions) > r.AttemptsMade {
-		return nil, 0, h.bad(http.StatusBadRequest, "more groups may have run it than attempts were made")
+		return nil, 0, h.rejection(http.StatusBadRequest, "more groups may have run it than attempts were made")
 	}
 	for _, p := range r.Executions {
 		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.DedupRemaining})
@@ -82,83 +82,85 @@
 	for len(f.PolicyRequest.PriorAttempts) < r.AttemptsMade {
 		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
-	a, owner, err := h.g.AdmitFromSite(q, r.Pool, f)
+	a, owner, err := h.gateway.AdmitFromSite(q, r.Pool, f)
 	if err != nil {
 		var why httpmsg.RejectionError
 		if !errors.As(err, &why) {
 			return nil, owner, err
 		}
-		why.Header = h.b.field(siteheader.Response{Outcome: siteheader.Rejected, Credits: c.room()})
+		why.Header = h.extension.responseHeader(siteheader.Response{Outcome: siteheader.Rejected, Credits: c.availableCredits()})
 		return nil, owner, why
 	}
-	return &admission{AdmittedRequest: a, c: c}, owner, nil
+	return &admittedRequest{AdmittedRequest: a, link: c}, owner, nil
 }
 
-// probed answers a probe with the room of the pool that it asks about.
-func (h *handler) probed(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
-	c := h.b.pools[q.Header.Get(poolField)]
-	if c == nil && q.Header.Get(poolField) != "" {
-		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
+// answerHealthCheck answers a probe with the room of the pool that it asks about.
+func (h *handler) answerHealthCheck(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
+	c := h.extension.links[q.Header.Get(healthCheckPoolField)]
+	if c == nil && q.Header.Get(healthCheckPoolField) != "" {
+		return nil, 0, h.rejection(http.StatusNotFound, "no such pool takes requests of other sites")
 	}
-	if h.b.draining.Load() {
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
+	if h.extension.draining.Load() {
+		return nil, 0, h.rejection(http.StatusServiceUnavailable, "the site drains")
 	}
 	a := siteheader.Response{Outcome: siteheader.Served}
-	if c != nil && h.g.HasReadyEndpoint(c.name) {
-		a.Credits = c.room()
+	if c != nil && h.gateway.HasReadyEndpoint(c.name) {
+		a.Credits = c.availableCredits()
 	}
-	return told{httpmsg.Response{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
+	return fixedResponse{httpmsg.Response{Status: http.StatusOK, Header: h.extension.responseHeader(a)}}, 0, nil
 }
 
-// told is a request whose answer is known.
-type told struct{ a httpmsg.Response }
+// fixedResponse is a request whose answer is known.
+type fixedResponse struct{ response httpmsg.Response }
 
-func (t told) Dispatch([]byte, httpmsg.BodyStream) (downstream.Exchange, error) { return t, nil }
-func (told) Release()                                                           {}
-func (told) Cancel() bool                                                       { return false }
-func (t told) Response() <-chan httpmsg.Response {
+func (t fixedResponse) Dispatch([]byte, httpmsg.BodyStream) (downstream.Exchange, error) {
+	return t, nil
+}
+func (fixedResponse) Release()     {}
+func (fixedResponse) Cancel() bool { return false }
+func (t fixedResponse) Response() <-chan httpmsg.Response {
 	c := make(chan httpmsg.Response, 1)
-	c <- t.a
+	c <- t.response
 	return c
 }
 
-// room is what the pool grants now.
-func (c *crossing) room() int {
-	now := c.bridge.now()
+// availableCredits is what the pool grants now.
+func (c *poolLink) availableCredits() int {
+	now := c.extension.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.grant.Available(now)
 }
 
-// admission is a foreign request that the pool's limits let in.
-type admission struct {
+// admittedRequest is a foreign request that the pool's limits let in.
+type admittedRequest struct {
 	downstream.AdmittedRequest
-	c *crossing
+	link *poolLink
 }
 
 // Dispatch is the method of downstream.AdmittedRequest.
-func (a *admission) Dispatch(body []byte, rest httpmsg.BodyStream) (downstream.Exchange, error) {
+func (a *admittedRequest) Dispatch(body []byte, rest httpmsg.BodyStream) (downstream.Exchange, error) {
 	x, err := a.AdmittedRequest.Dispatch(body, rest)
 	if err != nil {
 		var why httpmsg.RejectionError
 		if errors.As(err, &why) {
-			why.Header = a.c.bridge.field(siteheader.Response{Outcome: siteheader.Rejected, Credits: a.c.room()})
+			why.Header = a.link.extension.responseHeader(siteheader.Response{Outcome: siteheader.Rejected, Credits: a.link.availableCredits()})
 			return nil, why
 		}
 		return nil, err
 	}
-	a.c.mu.Lock()
-	a.c.grant.RecordRemote(a.c.bridge.now())
-	a.c.mu.Unlock()
-	return newExchange(a.c, x), nil
+	a.link.mu.Lock()
+	a.link.grant.RecordRemote(a.link.extension.now())
+	a.link.mu.Unlock()
+	return newExchange(a.link, x), nil
 }
 
 // exchange is one that a pool has taken. Its answer is given the field of the hop.
 type exchange struct {
 	downstream.Exchange
-	c      *crossing
-	answer chan httpmsg.Response
-	left   chan struct{}
+	link       *poolLink
+	response   chan httpmsg.Response
+	clientGone chan struct{}
 }
 
 // attemptSummarizer is a downstream.Exchange that knows what was attempted for its request.
@@ -169,31 +171,31 @@
 // The exchanges of a pool are found to be attemptSummarizers by a type assertion at run time.
 var _ attemptSummarizer = (*pool.Exchange)(nil)
 
-func newExchange(c *crossing, x downstream.Exchange) *exchange {
-	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Response, 1), left: make(chan struct{})}
-	c.bridge.work.Go(func() {
+func newExchange(c *poolLink, x downstream.Exchange) *exchange {
+	e := &exchange{Exchange: x, link: c, response: make(chan httpmsg.Response, 1), clientGone: make(chan struct{})}
+	c.extension.goroutines.Go(func() {
 		select {
 		case ans := <-x.Response():
-			e.answer <- e.mark(ans)
-		case <-e.left:
-			e.back(false)
+			e.response <- e.addResponseHeader(ans)
+		case <-e.clientGone:
+			e.recordDone(false)
 		}
 	})
 	return e
 }
 
-func (e *exchange) back(refused bool) int {
-	now := e.c.bridge.now()
-	e.c.mu.Lock()
-	defer e.c.mu.Unlock()
-	e.c.grant.RecordRemoteDone(now, refused)
-	return e.c.grant.Available(now)
+func (e *exchange) recordDone(refused bool) int {
+	now := e.link.extension.now()
+	e.link.mu.Lock()
+	defer e.link.mu.Unlock()
+	e.link.grant.RecordRemoteDone(now, refused)
+	return e.link.grant.Available(now)
 }
 
-// mark adds the field of the hop to an answer.
-func (e *exchange) mark(ans httpmsg.Response) httpmsg.Response {
+// addResponseHeader adds the field of the hop to an answer.
+func (e *exchange) addResponseHeader(ans httpmsg.Response) httpmsg.Response {
 	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
-	a := siteheader.Response{Outcome: siteheader.MayHaveExecuted, Credits: e.back(refused)}
+	a := siteheader.Response{Outcome: siteheader.MayHaveExecuted, Credits: e.recordDone(refused)}
 	ran := true
 	if x, ok := e.Exchange.(attemptSummarizer); ok {
 		a.Attempts, ran = x.AttemptSummary()
@@ -205,14 +207,14 @@
 		a.Outcome = siteheader.Rejected
 		a.RetryAfter = ans.RetryAfter
 	}
-	if e.c.bridge.draining.Load() {
+	if e.link.extension.draining.Load() {
 		a.Credits = 0
 	}
 	head := ans.Header.Clone()
 	if head == nil {
 		head = http.Header{}
 	}
-	for name, values := range e.c.bridge.field(a) {
+	for name, values := range e.link.extension.responseHeader(a) {
 		head[name] = values
 	}
 	ans.Header = head
@@ -220,14 +222,14 @@
 }
 
 // Response is the method of downstream.Exchange.
-func (e *exchange) Response() <-chan httpmsg.Response { return e.answer }
+func (e *exchange) Response() <-chan httpmsg.Response { return e.response }
 
 // Cancel is the method of downstream.Exchange.
 func (e *exchange) Cancel() bool {
 	if !e.Exchange.Cancel() {
 		return false
 	}
-	close(e.left)
+	close(e.clientGone)
 	return true
 }
 
