--- a/internal/e2e/bridge.go
+++ b/internal/e2e/bridge.go
@@ -438,7 +438,7 @@
 	t.end(e, "")
 	e.crowd("", all[0])
 	e.Measure("served", all[0].With(all[1]).Share())
-	e.Measure("changes_of_the_link", float64(t.progs[0].Count("msg=link ")))
+	e.Measure("changes_of_the_link", float64(t.progs[0].Count(`msg="site link changed state"`)))
 	return nil
 }
 
--- /dev/null
+++ b/internal/sitelink/forward.go
@@ -0,0 +1,108 @@
+package sitelink
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpmsg"
+	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/spillover"
+	"sorrelrudder/policy"
+)
+
+var _ gateway.Spillover = (*poolLink)(nil)
+
+// returnMargin is kept of a request's time for its response's way back to the client. The remote site allows for the way between
+// the sites.
+const returnMargin = 3 * time.Millisecond
+
+// RecordRequest implements gateway.Spillover.
+func (l *poolLink) RecordRequest(class string) {
+	now := l.extension.now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.grant.RecordLocal(now)
+	if l.remotePool != nil {
+		l.spillover.RecordLocal(now, class, false)
+	}
+}
+
+// Forward implements gateway.Spillover: it forwards the request to the peer if it may, and otherwise passes on its rejection.
+func (l *poolLink) Forward(ctx context.Context, r *pool.RejectedRequest) {
+	if !l.tryForward(r) {
+		r.Respond(r.Rejection)
+		return
+	}
+	select {
+	case l.forwarded <- struct{}{}:
+	default:
+	}
+	response := l.submit(ctx, r)
+	l.mu.Lock()
+	l.spillover.RecordReturn(l.extension.now(), false, 0)
+	l.mu.Unlock()
+	if response.Status == http.StatusServiceUnavailable {
+		response = r.Rejection // equally true, and its Retry-After is of this site
+	}
+	r.Respond(response)
+}
+
+// tryForward records a rejected request, and reports whether it may be forwarded; if so it counts as in flight.
+func (l *poolLink) tryForward(r *pool.RejectedRequest) bool {
+	now := l.extension.now()
+	class := r.PolicyRequest.Class
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.grant.RecordLocalRejected(now)
+	if l.remotePool == nil {
+		return false
+	}
+	l.spillover.RecordRejected(now, class)
+	return time.Until(r.Deadline) > l.roundTrip+returnMargin &&
+		spillover.MayForward(l.forwardRules(class), r.PriorAttempts, l.maxAttempts, l.roundTrip) &&
+		l.spillover.TryForward(now, class)
+}
+
+// submit gives a request to the pool of the peer, and returns its response; the rejection, if the request is not taken, its client
+// leaves or ctx ends.
+func (l *poolLink) submit(ctx context.Context, r *pool.RejectedRequest) httpmsg.Response {
+	response := r.Rejection
+	x, err := l.remotePool.SubmitRejected(r, time.Until(r.Deadline), len(r.PriorAttempts)+1)
+	if err != nil {
+		return response
+	}
+	select {
+	case response = <-x.Response():
+	case <-r.ClientGone():
+		x.Cancel()
+	case <-ctx.Done():
+		x.Cancel()
+	}
+	if attempts, _ := x.AttemptSummary(); attempts == 0 && response.Status == http.StatusServiceUnavailable {
+		l.republishIfUnused()
+	}
+	return response
+}
+
+// republishIfUnused publishes the peer's endpoint anew where the decision module sends it nothing although it grants credits:
+// without attempts, what the module thinks of its only endpoint could not improve.
+func (l *poolLink) republishIfUnused() {
+	l.mu.Lock()
+	unused := l.spillover.State() == spillover.Open && l.extension.now()-l.publishedAt >= minPublishInterval
+	l.mu.Unlock()
+	if unused {
+		l.publishEndpoint(healthActive)
+	}
+}
+
+// forwardRules says how requests of a class may be repeated. It changes nothing and needs no lock.
+func (l *poolLink) forwardRules(class string) spillover.Rules {
+	c, known := l.classes[class]
+	return spillover.Rules{
+		Idempotent:        known && c.Idempotency == policy.Idempotent,
+		HasIdempotencyKey: known && c.Idempotency == policy.IdempotentByKey,
+		SharedDedup:       l.sharesDedup(class),
+	}
+}
