--- a/internal/siteheader/form_test.go
+++ b/internal/siteheader/form_test.go
@@ -20,12 +20,12 @@
 	return goldentest.Form{Name: name, Written: text, Read: read, Value: q, Full: full}
 }
 
-func answerForm(name string, a Response, full bool) goldentest.Form {
+func responseForm(name string, a Response, full bool) goldentest.Form {
 	text, err := a.String()
 	if err != nil {
 		panic(err)
 	}
-	read := func(text string) (any, error) { return ParseResponse([]string{text}, mostAttempts) }
+	read := func(text string) (any, error) { return ParseResponse([]string{text}, maxAttempts) }
 	return goldentest.Form{Name: name, Written: text, Read: read, Value: a, Full: full}
 }
 
@@ -43,15 +43,15 @@
 	goldentest.CheckForms(t, "fields.golden", []goldentest.Form{
 		requestForm("full request", full, true),
 		requestForm("least request", least, false),
-		answerForm("refused", Response{Outcome: Rejected, Attempts: 1, Credits: 12, RetryAfter: 40 * time.Millisecond, Stamp: time.Hour}, true),
-		answerForm("served", Response{Outcome: Served, Attempts: 2, Credits: 13, Stamp: time.Hour}, false),
-		answerForm("may have run", Response{Outcome: MayHaveExecuted}, false),
+		responseForm("refused", Response{Outcome: Rejected, Attempts: 1, Credits: 12, RetryAfter: 40 * time.Millisecond, Stamp: time.Hour}, true),
+		responseForm("served", Response{Outcome: Served, Attempts: 2, Credits: 13, Stamp: time.Hour}, false),
+		responseForm("may have run", Response{Outcome: MayHaveExecuted}, false),
 	})
 }
 
 // TestNames pins the names of the fields, the version and the bounds, which both sites must have alike.
 func TestNames(t *testing.T) {
-	got := []any{RequestField, ResponseField, Version, mostField, mostText, mostPrior, mostTime, mostStamp, mostCount, mostAttempts}
+	got := []any{RequestField, ResponseField, Version, maxFieldBytes, maxTextBytes, maxListItems, maxDuration, maxStamp, maxCount, maxAttempts}
 	want := []any{"Sorrel-Hop", "Sorrel-Hop-Answer", 1, 4096, 256, 8, 24 * time.Hour, 876000 * time.Hour, 1 << 20, 16}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/internal/siteheader/hop_test.go
+++ b/internal/siteheader/siteheader_test.go
@@ -14,11 +14,11 @@
 
 func drawRequest(t *rapid.T) *Request {
 	text := rapid.StringMatching(`[ -~]{1,40}`)
-	us := rapid.Map(rapid.Int64Range(1, mostTime.Microseconds()), func(n int64) time.Duration { return time.Duration(n) * time.Microsecond })
+	us := rapid.Map(rapid.Int64Range(1, maxDuration.Microseconds()), func(n int64) time.Duration { return time.Duration(n) * time.Microsecond })
 	zone := rapid.StringMatching(`[a-z][a-z-]{0,20}`)
 	q := &Request{
 		TimeLeft: us.Draw(t, "left"), Pool: text.Draw(t, "pool"), Class: text.Draw(t, "class"), Origin: text.Draw(t, "origin"),
-		AttemptsMade: rapid.IntRange(0, mostAttempts).Draw(t, "used"), AttemptsAllowed: rapid.IntRange(1, mostAttempts).Draw(t, "may"),
+		AttemptsMade: rapid.IntRange(0, maxAttempts).Draw(t, "used"), AttemptsAllowed: rapid.IntRange(1, maxAttempts).Draw(t, "may"),
 		IsRetry: rapid.Bool().Draw(t, "retry"), Stamp: us.Draw(t, "stamp"), StampAge: us.Draw(t, "ago"), StallTimeout: us.Draw(t, "within"),
 	}
 	if rapid.Bool().Draw(t, "more") {
@@ -65,7 +65,7 @@
 		}
 		a := Response{
 			Outcome: rapid.SampledFrom([]Outcome{Served, Rejected, MayHaveExecuted}).Draw(t, "how"), Attempts: rapid.IntRange(0, q.AttemptsAllowed).Draw(t, "spent"),
-			Credits: rapid.IntRange(0, mostCount).Draw(t, "room"), RetryAfter: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "wait")) * time.Microsecond,
+			Credits: rapid.IntRange(0, maxCount).Draw(t, "room"), RetryAfter: time.Duration(rapid.IntRange(0, 1e6).Draw(t, "wait")) * time.Microsecond,
 		}
 		if text, err = a.String(); err != nil {
 			t.Fatal(err)
@@ -76,40 +76,40 @@
 	})
 }
 
-const good = `v=1, left=400000, pool="orders", class="order", used=1, may=2, stamp=5, ago=1, within=200000, origin="a", passed=("a")`
+const validField = `v=1, left=400000, pool="orders", class="order", used=1, may=2, stamp=5, ago=1, within=200000, origin="a", passed=("a")`
 
-// TestBadRequests guards against taking over what a peer cannot have meant.
-func TestBadRequests(t *testing.T) {
-	if _, err := ParseRequest([]string{good}, "b"); err != nil {
+// TestInvalidRequests guards against taking over what a peer cannot have meant.
+func TestInvalidRequests(t *testing.T) {
+	if _, err := ParseRequest([]string{validField}, "b"); err != nil {
 		t.Fatal(err)
 	}
 	for text, want := range map[string]error{
-		"":                                       ErrMalformed,
-		"v=1":                                    ErrMalformed,
-		"v=2":                                    ErrVersion,
-		"v=1;":                                   ErrMalformed,
-		strings.Replace(good, "v=1", "v=2", 1):   ErrVersion,
-		strings.Replace(good, "v=1", `v="1"`, 1): ErrMalformed,
-		strings.Replace(good, "left=400000", "left=0", 1):              ErrMalformed,
-		strings.Replace(good, "left=400000", "left=-5", 1):             ErrMalformed,
-		strings.Replace(good, "left=400000", "left=0.5", 1):            ErrMalformed,
-		strings.Replace(good, "left=400000", "left=99999999999999", 1): ErrMalformed,
-		strings.Replace(good, `pool="orders", `, "", 1):                ErrMalformed,
-		strings.Replace(good, `class="order", `, "", 1):                ErrMalformed,
-		strings.Replace(good, `"order"`, `""`, 1):                      ErrMalformed,
-		strings.Replace(good, "may=2", "may=0", 1):                     ErrMalformed,
-		strings.Replace(good, "may=2", "may=1000", 1):                  ErrMalformed,
-		strings.Replace(good, `("a")`, `"a"`, 1):                       ErrMalformed,
-		strings.Replace(good, `("a")`, `()`, 1):                        ErrLoop,
-		strings.Replace(good, `("a")`, `("c")`, 1):                     ErrLoop,
-		good + `, ran=("all")`:                                         ErrMalformed,
-		good + `, ran=("none";for=5)`:                                  ErrMalformed,
-		good + `, ran=("cell:x";for=5)`:                                ErrMalformed,
-		good + `, ran=(7;for=5)`:                                       ErrMalformed,
-		good + `, retry=1`:                                             ErrMalformed,
-		good + `, tenant=("x")`:                                        ErrMalformed,
-		good + `, key="` + strings.Repeat("k", mostText+1) + `"`:       ErrMalformed,
-		good + `, x="` + strings.Repeat("k", mostField) + `"`:          ErrMalformed,
+		"":     ErrMalformed,
+		"v=1":  ErrMalformed,
+		"v=2":  ErrVersion,
+		"v=1;": ErrMalformed,
+		strings.Replace(validField, "v=1", "v=2", 1):                         ErrVersion,
+		strings.Replace(validField, "v=1", `v="1"`, 1):                       ErrMalformed,
+		strings.Replace(validField, "left=400000", "left=0", 1):              ErrMalformed,
+		strings.Replace(validField, "left=400000", "left=-5", 1):             ErrMalformed,
+		strings.Replace(validField, "left=400000", "left=0.5", 1):            ErrMalformed,
+		strings.Replace(validField, "left=400000", "left=99999999999999", 1): ErrMalformed,
+		strings.Replace(validField, `pool="orders", `, "", 1):                ErrMalformed,
+		strings.Replace(validField, `class="order", `, "", 1):                ErrMalformed,
+		strings.Replace(validField, `"order"`, `""`, 1):                      ErrMalformed,
+		strings.Replace(validField, "may=2", "may=0", 1):                     ErrMalformed,
+		strings.Replace(validField, "may=2", "may=1000", 1):                  ErrMalformed,
+		strings.Replace(validField, `("a")`, `"a"`, 1):                       ErrMalformed,
+		strings.Replace(validField, `("a")`, `()`, 1):                        ErrLoop,
+		strings.Replace(validField, `("a")`, `("c")`, 1):                     ErrLoop,
+		validField + `, ran=("all")`:                                         ErrMalformed,
+		validField + `, ran=("none";for=5)`:                                  ErrMalformed,
+		validField + `, ran=("cell:x";for=5)`:                                ErrMalformed,
+		validField + `, ran=(7;for=5)`:                                       ErrMalformed,
+		validField + `, retry=1`:                                             ErrMalformed,
+		validField + `, tenant=("x")`:                                        ErrMalformed,
+		validField + `, key="` + strings.Repeat("k", maxTextBytes+1) + `"`:   ErrMalformed,
+		validField + `, x="` + strings.Repeat("k", maxFieldBytes) + `"`:      ErrMalformed,
 	} {
 		if q, err := ParseRequest([]string{text}, "b"); !errors.Is(err, want) {
 			t.Errorf("%.120s: got %+v, %v, want %v", text, q, err, want)
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestBadAnswers guards against believing that nothing ran where the answer does not say so.
-func TestBadAnswers(t *testing.T) {
+// TestInvalidResponses guards against believing that nothing ran where the answer does not say so.
+func TestInvalidResponses(t *testing.T) {
 	for _, text := range []string{
 		"", "v=2, how=refused, spent=0, room=5", "v=1, spent=0, room=5", `v=1, how="refused", spent=0, room=5`, "v=1, how=gone, spent=0, room=5",
 		"v=1, how=refused, room=5", "v=1, how=refused, spent=3, room=5", "v=1, how=refused, spent=0", "how=refused", "v=1, how=refused, spent=0, room=-1",
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestReaches(t *testing.T) {
+func TestDedupGroupContains(t *testing.T) {
 	for _, c := range []struct {
 		group string
 		zone  string
@@ -139,7 +139,7 @@
 		{"all", "a", 1, true}, {"zone:a", "a", 1, true}, {"zone:a", "b", 1, false},
 		{"cell:a/1", "a", 1, true}, {"cell:a/1", "a", 2, false}, {"cell:a/1", "b", 1, false},
 	} {
-		g, err := parseGroup(c.group)
+		g, err := parseDedupGroup(c.group)
 		if err != nil || g.String() != c.group || g.Contains(c.zone, c.cell) != c.want {
 			t.Errorf("%s and %s/%d: %v, %v", c.group, c.zone, c.cell, g, err)
 		}
@@ -148,8 +148,8 @@
 
 // FuzzParse guards against a panic, and against accepting what is then written otherwise.
 func FuzzParse(f *testing.F) {
-	f.Add(good, "b")
-	f.Add(good+`, ran=("all";for=5 "zone:x";for=7 "cell:x/3";for=0), tenant="t", key="k", cost=9, retry`, "b")
+	f.Add(validField, "b")
+	f.Add(validField+`, ran=("all";for=5 "zone:x";for=7 "cell:x/3";for=0), tenant="t", key="k", cost=9, retry`, "b")
 	f.Add("v=1, how=served, spent=1, room=3", "")
 	f.Fuzz(func(t *testing.T, text, self string) {
 		if q, err := ParseRequest([]string{text}, self); err == nil {
--- /dev/null
+++ b/internal/sitelink/harness_test.go
@@ -0,0 +1,242 @@
+package sitelink
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"sorrelrudder/internal/discovery"
+	"sorrelrudder/internal/fake"
+	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/settings"
+	"sorrelrudder/internal/siteheader"
+	"sorrelrudder/internal/spillover"
+	"sorrelrudder/policy"
+)
+
+const testTimeout = 20 * time.Second
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+func waitFor(t *testing.T, what string, f func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
+		}
+	}
+}
+
+// site is one site on loopback: a gateway of one pool, "farm", with backends.
+type site struct {
+	name      string
+	extension *Extension
+	gw        *gateway.Gateway
+	backends  []*fake.Box
+	stopped   chan struct{}
+	stop      context.CancelFunc
+}
+
+func (s *site) addr(listener string) string { return s.gw.ListenerAddr(listener).String() }
+
+// testSettings are the classes of the tests' pool, with a latency objective so long that nothing is rejected for being late.
+func testSettings(zone string) settings.Settings {
+	class := func(name string, e policy.Idempotency) policy.Class {
+		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 2 * time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}
+	}
+	return settings.Settings{LoadReportFields: []string{"inflight", "queue"}, Config: policy.Config{
+		InstanceCount: 1, Zone: zone, MaxAttempts: 3, CancellationAllowed: true, HealthChecksAllowed: true, RetryAfterHonored: true, MaxRetryAfter: time.Second,
+		DialTimeout: time.Second, ConnIdle: 5 * time.Second, TimerResolution: time.Millisecond, InlineLoadReports: true, PollInterval: 10 * time.Second,
+		SlowStartMinCapacity: 1, HealthCheckCost: 0.05, Classes: []policy.Class{class("check", policy.Idempotent), class("order", policy.IdempotentByKey), class("order-here", policy.IdempotentByKey), class("book", policy.NonIdempotent)},
+	}}
+}
+
+// startSite starts a site whose peer is at peerAddress, with a list of backends. Its link forwards whatever is rejected.
+func startSite(t *testing.T, name, peer, peerAddress, sitesAddress string, backends []*fake.Box, files *TLS) *site {
+	t.Helper()
+	s := &site{name: name, backends: backends, stopped: make(chan struct{})}
+	set := testSettings(name)
+	p := Peer{Name: peer, Address: peerAddress, Subject: peer}
+	if files == nil {
+		p.SourceAddresses = []netip.Addr{netip.MustParseAddr("127.0.0.1")}
+	}
+	cfg := Config{Site: name, Peers: []Peer{p}, TLS: files, Pools: map[string]Pool{"farm": {
+		Settings: set, Peer: peer, SharedDedupClasses: []string{"order"},
+		Spillover: spillover.Config{
+			HealthCheckInterval: 20 * time.Millisecond, MaxHealthCheckInterval: 50 * time.Millisecond, HealthyThreshold: 2, StallTimeout: time.Second, Window: 20 * time.Millisecond,
+			StartRatio: 0.01, StopRatio: 0.001, MaxForwardedRatio: 1,
+		},
+		Grant: spillover.GrantConfig{Window: 50 * time.Millisecond, Initial: 16, Max: 64, MaxRejectedRatio: 0.02},
+	}}}
+	if err := cfg.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	log := slog.New(slog.DiscardHandler)
+	var err error
+	if s.extension, err = New(cfg, log); err != nil {
+		t.Fatal(err)
+	}
+	var hosts []discovery.Endpoint
+	for _, b := range backends {
+		e := b.Entry()
+		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Dial, Zone: name, Health: "active", Weight: 1})
+	}
+	gcfg := gateway.Config{
+		Name: name, MemoryMB: 64, Descriptors: 512,
+		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: sitesAddress, InterSite: true}},
+		Pools:     []gateway.Pool{{Name: "farm", Settings: set, StaticEndpoints: hosts, Limits: gateway.Limits{Weight: 1}}},
+	}
+	if s.gw, err = gateway.NewWithOptions(gcfg, log, gateway.Options{Extension: s.extension}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.extension.Start(s.gw); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.gw.Listen(); err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	s.stop = stop
+	go func() {
+		defer close(s.stopped)
+		if err := s.gw.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-s.stopped
+	})
+	return s
+}
+
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "order-here": fake.Keyed, "book": fake.Unsafe}
+
+func startBackend(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
+	t.Helper()
+	b, err := fake.StartBox(fake.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(b.Close)
+	return b
+}
+
+// pair is two sites with a link from the first to the second.
+type pair struct {
+	near, far *site
+	link      *fake.Relay
+	recorder  *fake.Ledger
+}
+
+func startPair(t *testing.T, nearBackends int, files [2]*TLS) *pair {
+	t.Helper()
+	p := &pair{recorder: fake.NewLedger()}
+	repeats := fake.NewRepeats(time.Minute)
+	var near, far []*fake.Box
+	for i := range nearBackends {
+		near = append(near, startBackend(t, fmt.Sprintf("near-%d", i), p.recorder, repeats))
+	}
+	far = append(far, startBackend(t, "far-0", p.recorder, repeats), startBackend(t, "far-1", p.recorder, repeats))
+	sitesAddresses := [2]string{freeAddress(t), freeAddress(t)}
+	var err error
+	if p.link, err = fake.StartRelay(sitesAddresses[1]); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.link.Close)
+	p.far = startSite(t, "far", "near", sitesAddresses[0], sitesAddresses[1], far, files[1])
+	p.near = startSite(t, "near", "far", p.link.Addr(), sitesAddresses[0], near, files[0])
+	p.awaitOpen(t)
+	return p
+}
+
+func (p *pair) state() spillover.State {
+	c := p.near.extension.links["farm"]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.spillover.State()
+}
+
+func (p *pair) awaitOpen(t *testing.T) {
+	t.Helper()
+	waitFor(t, "the link to open", func() bool { return p.state() == spillover.Open })
+}
+
+// send sends one request to an address and returns its status.
+func (p *pair) send(t *testing.T, addr, class, id, key string, timeout time.Duration, more ...string) int {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(testTimeout))
+	method, tail := "POST", "Content-Length: 2\r\n\r\nok"
+	if class == "check" {
+		method, tail = "GET", "\r\n"
+	}
+	text := fmt.Sprintf("%s /%s/%s HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n", method, class, id, id, timeout.Milliseconds())
+	if key != "" {
+		text += "Idempotency-Key: " + key + "\r\n"
+	}
+	for _, m := range more {
+		text += m + "\r\n"
+	}
+	p.recorder.Sent(p.recorder.Op(effects[class]), id, timeout)
+	io.WriteString(c, text+tail)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatalf("%s: %v", id, err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.ResponseField) != "" {
+		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.ResponseField))
+	}
+	p.recorder.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
+	return resp.StatusCode
+}
+
+// untilServed sends requests until one has been served by the peer: the first ones only show that the site lacks capacity.
+func (p *pair) untilServed(t *testing.T, class string) {
+	t.Helper()
+	n := 0
+	waitFor(t, "a request to cross", func() bool {
+		n++
+		key := ""
+		if class == "order" {
+			key = fmt.Sprintf("warm-%d", n)
+		}
+		status := p.send(t, p.near.addr("farm"), class, fmt.Sprintf("warm-%s-%d", class, n), key, time.Second)
+		return status == 200
+	})
+}
+
+func (p *pair) checkRecorder(t *testing.T) {
+	t.Helper()
+	for _, b := range p.recorder.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
+		t.Error(b)
+	}
+}
