--- a/cmd/sorrelrudder/run.go
+++ b/cmd/sorrelrudder/run.go
@@ -116,7 +116,7 @@
 // tlsConfigWith returns the TLS configuration of listeners from files, which are read again when they change.
 func tlsConfigWith(log *slog.Logger) func(context.Context, gateway.TLS) (*tls.Config, error) {
 	return func(ctx context.Context, t gateway.TLS) (*tls.Config, error) {
-		s, err := tlsfiles.Load(config.CertificatesOf(t), log)
+		s, err := tlsfiles.Load(config.CertificateConfig(t), log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/config/plain.go
+++ b/internal/config/plain.go
@@ -17,39 +17,39 @@
 	// readsClass and otherClass are the classes of a plain pool without any: what RFC 9110 calls safe, and the rest.
 	readsClass = "reads"
 	otherClass = "other"
-	// bareSuffix is added to the name of a keyed class for its requests without a key.
-	bareSuffix = " without a key"
+	// keylessSuffix is added to the name of a keyed class for its requests without a key.
+	keylessSuffix = " without a key"
 )
 
 // safeMethods are those that RFC 9110, 9.2.1, calls safe.
 var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-var forwardings = map[string]httpservice.Forwarding{"replace": httpservice.Replace, "append": httpservice.Append, "drop": httpservice.Drop}
+var forwardingModes = map[string]httpservice.Forwarding{"replace": httpservice.Replace, "append": httpservice.Append, "drop": httpservice.Drop}
 
-// plain reads what a pool of ordinary HTTP services has in place of the platform's protocol.
-func (r *reader) plain(s *section, p *gateway.Pool) httpservice.Config {
+// httpService reads what a pool of ordinary HTTP services has in place of the platform's protocol.
+func (r *reader) httpService(s *section, p *gateway.Pool) httpservice.Config {
 	t := s.table("http")
 	cfg := httpservice.Config{
-		Via: t.str("via", "sorrelrudder"), Deadlines: t.strs("deadline_from"),
-		Forwarding: forwardings[t.word("forwarded", "replace", "replace", "append", "drop")],
+		Via: t.text("via", "sorrelrudder"), Deadlines: t.texts("deadline_from"),
+		Forwarding: forwardingModes[t.choice("forwarded", "replace", "replace", "append", "drop")],
 		Failures:   r.statuses(t, "failures", http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout),
 		NotRun:     r.statuses(t, "not_run"),
-		ORCA:       t.word("load", "none", "none", "orca") == "orca",
-		Check:      t.str("check", ""),
+		ORCA:       t.choice("load", "none", "none", "orca") == "orca",
+		Check:      t.text("check", ""),
 	}
 	for i, field := range cfg.Deadlines {
 		cfg.Deadlines[i] = http.CanonicalHeaderKey(field)
 		if !slices.Contains([]string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}, cfg.Deadlines[i]) {
-			r.bad(t.at("deadline_from"), "has %q, not one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
+			r.fail(t.nodeAt("deadline_from"), "has %q, not one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
 		}
 	}
 	if cfg.Check != "" && (!strings.HasPrefix(cfg.Check, "/") || strings.ContainsAny(cfg.Check, " #")) {
-		r.bad(t.at("check"), "is %q, not a path such as /healthz", cfg.Check)
+		r.fail(t.nodeAt("check"), "is %q, not a path such as /healthz", cfg.Check)
 	}
 	if strings.ContainsAny(cfg.Via, " ,;()\"\\") {
-		r.bad(t.at("via"), "is %q, not a name of one word", cfg.Via)
+		r.fail(t.nodeAt("via"), "is %q, not a name of one word", cfg.Via)
 	}
-	t.done()
+	t.finish()
 	c := &p.Settings.Config
 	c.HealthChecksAllowed = c.HealthChecksAllowed && cfg.Check != ""
 	c.InlineLoadReports = cfg.ORCA
@@ -60,23 +60,23 @@
 func (r *reader) statuses(s *section, key string, deflt ...int) []int {
 	n := s.get(key)
 	if n == nil {
-		s.print(key, statusText(deflt), true)
+		s.record(key, statusText(deflt), true)
 		return deflt
 	}
 	if n.kind != isArray {
-		r.bad(n, "is %s, not an array of statuses", n.kind)
+		r.fail(n, "is %s, not an array of statuses", n.kind)
 		return nil
 	}
 	var all []int
 	for _, item := range n.items {
 		v, err := strconv.Atoi(item.text)
 		if item.kind != isInteger || err != nil || v < 400 || v > 599 {
-			r.bad(item, "is no status from 400 to 599")
+			r.fail(item, "is no status from 400 to 599")
 			continue
 		}
 		all = append(all, v)
 	}
-	s.print(key, statusText(all), false)
+	s.record(key, statusText(all), false)
 	return all
 }
 
@@ -88,14 +88,14 @@
 	return "[" + strings.Join(texts, ", ") + "]"
 }
 
-// plainClasses reads the classes of such a pool, and makes its dialect. The last, which takes all that no other does, is unsafe.
-func (r *reader) plainClasses(s *section, p *gateway.Pool, cfg httpservice.Config, tables []*section) {
+// httpServiceClasses reads the classes of such a pool, and makes its dialect. The last, which takes all that no other does, is unsafe.
+func (r *reader) httpServiceClasses(s *section, p *gateway.Pool, cfg httpservice.Config, tables []*section) {
 	c := &p.Settings.Config
 	names := map[string]bool{}
 	add := func(pc httpservice.Class, m policy.Class) {
 		if m.Idempotency == policy.IdempotentByKey {
 			bare := m
-			bare.Name, bare.Idempotency = m.Name+bareSuffix, policy.NonIdempotent
+			bare.Name, bare.Idempotency = m.Name+keylessSuffix, policy.NonIdempotent
 			pc.Bare = bare.Name
 			c.Classes = append(c.Classes, bare)
 		}
@@ -105,34 +105,34 @@
 		names[m.Name] = true
 	}
 	for _, t := range tables {
-		m := policy.Class{Name: t.needed("name")}
+		m := policy.Class{Name: t.requiredText("name")}
 		if names[m.Name] {
-			r.bad(t.at("name"), "class %q is there twice", m.Name)
+			r.fail(t.nodeAt("name"), "class %q is there twice", m.Name)
 		}
 		var pc httpservice.Class
 		safe := true
-		for _, text := range t.strs("match") {
+		for _, text := range t.texts("match") {
 			pattern, err := classify.ParsePattern(text)
 			if err != nil {
-				r.bad(t.at("match"), "%q: %v", text, err)
+				r.fail(t.nodeAt("match"), "%q: %v", text, err)
 				continue
 			}
 			safe = safe && slices.Contains(safeMethods, pattern.Method)
 			pc.Rule.Patterns = append(pc.Rule.Patterns, pattern)
 		}
-		for _, field := range t.strs("headers") {
+		for _, field := range t.texts("headers") {
 			pc.Rule.Fields = append(pc.Rule.Fields, http.CanonicalHeaderKey(field))
 		}
 		if len(pc.Rule.Patterns)+len(pc.Rule.Fields) == 0 && t.get("match") == nil {
-			r.bad(t.at("match"), "is missing: which requests are of the class")
+			r.fail(t.nodeAt("match"), "is missing: which requests are of the class")
 		}
-		pc.Tenant, pc.Key = r.value(t, "tenant_from"), r.value(t, "key_from")
+		pc.Tenant, pc.Key = r.valueSource(t, "tenant_from"), r.valueSource(t, "key_from")
 		effect := "unsafe"
 		if safe && len(pc.Rule.Patterns) > 0 {
 			effect = "safe"
 		}
-		r.classOf(t, &m, effect)
-		t.done()
+		r.classAttributes(t, &m, effect)
+		t.finish()
 		add(pc, m)
 	}
 	usual := policy.Class{LatencyObjective: 300 * time.Millisecond, Deadline: 15 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.3}
@@ -152,16 +152,16 @@
 	other := usual
 	other.Name, other.Idempotency = otherClass, policy.NonIdempotent
 	if names[otherClass] {
-		r.bad(s.at("classes"), "a class is named %q, which is that of all other requests", otherClass)
+		r.fail(s.nodeAt("classes"), "a class is named %q, which is that of all other requests", otherClass)
 		return
 	}
 	add(httpservice.Class{}, other)
 	p.Dialect = httpservice.New(cfg)
 }
 
-// value reads where a value is taken from: "header:NAME" or "path:NAME".
-func (r *reader) value(s *section, key string) httpservice.Source {
-	text := s.str(key, "")
+// valueSource reads where a value is taken from: "header:NAME" or "path:NAME".
+func (r *reader) valueSource(s *section, key string) httpservice.Source {
+	text := s.text(key, "")
 	if text == "" {
 		return httpservice.Source{}
 	}
@@ -171,6 +171,6 @@
 	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
 		return httpservice.Source{Name: name}
 	}
-	r.bad(s.at(key), "is %q, not header:NAME or path:NAME", text)
+	r.fail(s.nodeAt(key), "is %q, not header:NAME or path:NAME", text)
 	return httpservice.Source{}
 }
--- a/internal/config/tier_test.go
+++ b/internal/config/tier_test.go
@@ -78,7 +78,7 @@
 		"priority":           {`every = "1m"`, "every = \"1m\"\npriority = 1000", "tasks[1].priority: is 1000, outside -100 to 100"},
 		"empty budget":       {`every = "1m"`, "every = \"1m\"\n[tasks.budget]\nper = \"1h\"", "neither requests nor time"},
 		"memory, unsaid":     {`store = "a.db"`, `council_in_memory = "yes"`, "f.toml:15: tier.council_in_memory: is to be \"all promises are forgotten"},
-		"memory and store":   {"[tier]", "[tier]\ncouncil_in_memory = \"" + memoryWord + "\"", "tier.store: can't be together with council_in_memory"},
+		"memory and store":   {"[tier]", "[tier]\ncouncil_in_memory = \"" + votersInMemoryConsent + "\"", "tier.store: can't be together with council_in_memory"},
 		"host, not plain":    {`every = "1m"`, "every = \"1m\"\nhost = \"a.example\"", "tasks[1].host: means something to pools of plain HTTP only"},
 		"unknown copies key": {"[[tasks]]", "[tier.copies]\ngosip = \"1s\"\n[[tasks]]", "tier.copies.gosip: unknown key"},
 		"hasty probe":        {"[[tasks]]", "[tier.copies]\nprobe = \"100ms\"\n[[tasks]]", "tier.copies.probe: is 100ms, below two rounds"},
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -15,32 +15,32 @@
 		return t, plain
 	}
 	if plain {
-		r.bad(l.at("h2c"), "is HTTP/2 without TLS, and the listener has TLS")
+		r.fail(l.nodeAt("h2c"), "is HTTP/2 without TLS, and the listener has TLS")
 	}
 	s := l.table("tls")
 	t.HTTP2 = s.boolean("http2", true)
-	t.ClientCAFile = s.str("authorities", "")
-	t.RequireClientCert = s.word("clients", "ask", "ask", "need") == "need"
+	t.ClientCAFile = s.text("authorities", "")
+	t.RequireClientCert = s.choice("clients", "ask", "ask", "need") == "need"
 	if t.RequireClientCert && t.ClientCAFile == "" {
-		r.bad(s.at("clients"), "needs authorities: whose certificates would be right")
+		r.fail(s.nodeAt("clients"), "needs authorities: whose certificates would be right")
 	}
 	var pairs []string
 	for _, c := range s.tables("certificates") {
-		pairs = append(pairs, c.needed("certificate")+"\t"+c.needed("key"))
-		c.done()
+		pairs = append(pairs, c.requiredText("certificate")+"\t"+c.requiredText("key"))
+		c.finish()
 	}
-	s.done()
+	s.finish()
 	t.KeyPairs = strings.Join(pairs, "\n")
 	if len(pairs) == 0 {
-		r.bad(s.at("certificates"), "is missing: there would be nothing to show")
+		r.fail(s.nodeAt("certificates"), "is missing: there would be nothing to show")
 		return t, plain
 	}
 	if len(r.errs) > 0 {
 		return t, plain
 	}
-	cfg := CertificatesOf(t)
+	cfg := CertificateConfig(t)
 	if _, err := tlsfiles.Load(cfg, nil); err != nil {
-		r.bad(s.n, "%v", err)
+		r.fail(s.node, "%v", err)
 	}
 	for _, key := range cfg.Exposed() {
 		f.Warnings = append(f.Warnings, key+" is a key that others than its owner can read")
@@ -48,8 +48,8 @@
 	return t, plain
 }
 
-// CertificatesOf are the files of a listener's TLS.
-func CertificatesOf(t gateway.TLS) tlsfiles.Config {
+// CertificateConfig are the files of a listener's TLS.
+func CertificateConfig(t gateway.TLS) tlsfiles.Config {
 	c := tlsfiles.Config{Authorities: t.ClientCAFile, Needed: t.RequireClientCert, Protocols: []string{"http/1.1"}}
 	if t.HTTP2 {
 		c.Protocols = []string{"h2", "http/1.1"}
