--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -23,21 +23,21 @@
 
 func (f roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return f(q) }
 
-func formBridge(t *testing.T) *Bridge {
+func formExtension(t *testing.T) *Extension {
 	t.Helper()
-	p := Pool{Settings: farm("a"), To: "far", Reaches: []string{"order"}}
+	p := Pool{Settings: testSettings("a"), Peer: "far", SharedDedupClasses: []string{"order"}}
 	b, err := New(Config{Site: "near", Peers: []Peer{{Name: "far", Address: "10.9.0.1:7443"}}, Pools: map[string]Pool{"orders": p}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	b.pools["orders"].peer = b.peer("far")
+	b.links["orders"].peer = b.peer("far")
 	return b
 }
 
-// TestProbeForm pins what a probe asks and which answers it takes for what.
-func TestProbeForm(t *testing.T) {
-	c := formBridge(t).pools["orders"]
+// TestHealthCheckForm pins what a probe asks and which answers it takes for what.
+func TestHealthCheckForm(t *testing.T) {
+	c := formExtension(t).links["orders"]
 	var sent bytes.Buffer
 	c.client = &http.Client{Transport: roundTrip(func(q *http.Request) (*http.Response, error) {
 		if err := q.Write(&sent); err != nil {
@@ -46,19 +46,19 @@
 		h := http.Header{"Sorrel-Hop-Answer": {"v=1, how=served, spent=0, room=7, stamp=5"}}
 		return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: q}, nil
 	})}
-	a, status, err := c.probe(time.Second)
-	if want := (siteheader.Answer{How: siteheader.Served, Room: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
+	a, status, err := c.checkPeer(time.Second)
+	if want := (siteheader.Response{Outcome: siteheader.Served, Credits: 7, Stamp: 5 * time.Microsecond}); err != nil || status != http.StatusOK || a != want {
 		t.Errorf("a probe's answer is %+v, %d, %v, want %+v", a, status, err, want)
 	}
 	zone := c.peer.zone()
 	goldentest.CheckForms(t, "probe.golden", []goldentest.Form{{Name: "probe", Written: fmt.Sprintf("%q", sent.String())}, {Name: "zone of a peer", Written: zone}})
 }
 
-// TestCrossingForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
-func TestCrossingForm(t *testing.T) {
-	c := formBridge(t).pools["orders"]
-	c.most = 5
-	c.stamp, c.stampAt = 77*time.Second, c.bridge.now()
+// TestForwardedRequestForm pins which of a request's properties cross in which part of the field, and what a receiver makes of an answer.
+func TestForwardedRequestForm(t *testing.T) {
+	c := formExtension(t).links["orders"]
+	c.maxAttempts = 5
+	c.peerClock, c.peerClockReadAt = 77*time.Second, c.extension.now()
 	q := &policy.Request{
 		Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true,
 		PriorAttempts: []policy.PriorAttempt{{Zone: "a", DedupRemaining: 9 * time.Second}, {NotExecuted: true}},
@@ -71,10 +71,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.Ago, got.Within = 0, 0 // of the clock
+	got.StampAge, got.StallTimeout = 0, 0 // of the clock
 	want := &siteheader.Request{
-		Left: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", Cost: 2 * time.Millisecond, Retry: true, Used: 2, May: 3,
-		Ran: []siteheader.Prior{{For: 9 * time.Second}}, Origin: "near", Passed: []string{"near"}, Stamp: 77 * time.Second,
+		TimeLeft: 397 * time.Millisecond, Pool: "orders", Class: "order", Tenant: "acme", Key: "k-1", ExpectedWork: 2 * time.Millisecond, IsRetry: true, AttemptsMade: 2, AttemptsAllowed: 3,
+		Executions: []siteheader.Execution{{DedupRemaining: 9 * time.Second}}, Origin: "near", Path: []string{"near"}, Stamp: 77 * time.Second,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("what crosses is %+v, want %+v", got, want)
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestRefusalForm pins the statuses with which a receiver refuses, and that it says that nothing has run.
-func TestRefusalForm(t *testing.T) {
-	b := formBridge(t)
-	h := &handler{b: b}
+// TestRejectionForm pins the statuses with which a receiver refuses, and that it says that nothing has run.
+func TestRejectionForm(t *testing.T) {
+	b := formExtension(t)
+	h := &handler{extension: b}
 	good := `v=1, left=90000000, pool="orders", class="order", used=0, may=2, stamp=NOW, ago=0, within=80000000, origin="far", passed=("far")`
 	stamp := fmt.Sprint("stamp=", b.now().Microseconds())
 	good = strings.Replace(good, "stamp=NOW", stamp, 1)
@@ -109,8 +109,8 @@
 		if !ok {
 			t.Fatalf("%s: %v is no refusal", name, err)
 		}
-		a, err := siteheader.ParseAnswer(bad.Header.Values("Sorrel-Hop-Answer"), 2)
-		if err != nil || a.How != siteheader.Refused || a.Spent != 0 || a.Room != 0 {
+		a, err := siteheader.ParseResponse(bad.Header.Values("Sorrel-Hop-Answer"), 2)
+		if err != nil || a.Outcome != siteheader.Rejected || a.Attempts != 0 || a.Credits != 0 {
 			t.Errorf("%s is answered with %+v, %v", name, a, err)
 		}
 		forms = append(forms, goldentest.Form{Name: name, Written: strconv.Itoa(bad.Status)})
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -13,232 +13,160 @@
 	"sorrelrudder/policy"
 )
 
-// handler has the requests that come in at the listeners for other sites.
+// handler takes the requests that arrive at the listeners for other sites.
 type handler struct {
-	b *Bridge
-	g *gateway.Gateway
+	extension *Extension
+	gateway   *gateway.Gateway
 }
 
-// field is a head with the field of a hop's answer.
-func (b *Bridge) field(a siteheader.Answer) http.Header {
-	a.Stamp = b.now()
-	text, err := a.String()
+var _ downstream.Handler = (*handler)(nil)
+
+// responseHeader returns a header with only the field of a response between sites.
+func (e *Extension) responseHeader(r siteheader.Response) http.Header {
+	r.Stamp = e.now()
+	text, err := r.String()
 	if err != nil {
 		return nil
 	}
-	return http.Header{siteheader.AnswerField: {text}}
+	return http.Header{siteheader.ResponseField: {text}}
 }
 
-// bad turns a request away of which nothing has run.
-func (h *handler) bad(status int, text string) httpmsg.RejectionError {
-	return httpmsg.RejectionError{Status: status, Text: text, Header: h.b.field(siteheader.Answer{How: siteheader.Refused})}
+// rejection rejects a request of which nothing was executed.
+func (h *handler) rejection(status int, text string) httpmsg.RejectionError {
+	header := h.extension.responseHeader(siteheader.Response{Outcome: siteheader.Rejected})
+	return httpmsg.RejectionError{Status: status, Text: text, Header: header}
 }
 
-// Admit is the method of downstream.Handler.
+// Admit implements downstream.Handler. The error is an httpmsg.RejectionError that says that nothing was executed.
 func (h *handler) Admit(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
-	if h.b.peer(q.Peer) == nil {
-		return nil, 0, h.bad(http.StatusForbidden, "not a peer of this site")
+	if h.extension.peer(q.Peer) == nil {
+		return nil, 0, h.rejection(http.StatusForbidden, "not a peer of this site")
+	}
+	if q.Path == healthCheckTarget && q.Method == http.MethodGet {
+		return h.answerHealthCheck(q)
+	}
+	r, err := h.parseField(q)
+	if err != nil {
+		return nil, 0, err
+	}
+	l, err := h.targetLink(r)
+	if err != nil {
+		return nil, 0, err
+	}
+	delay := r.Delay(h.extension.now())
+	if delay > r.StallTimeout || delay >= r.TimeLeft {
+		// The sender has given it up and answered it by now: it must not be executed.
+		return nil, 0, h.rejection(http.StatusServiceUnavailable, "it was on its way for too long")
 	}
-	if q.Path == hopTarget && q.Method == http.MethodGet {
-		return h.probed(q)
+	r.TimeLeft -= delay
+	q.Header.Del(siteheader.RequestField)
+	if len(r.Executions) > r.AttemptsMade {
+		return nil, 0, h.rejection(http.StatusBadRequest, "more groups may have run it than attempts were made")
+	}
+	a, poolID, err := h.gateway.AdmitFromSite(q, r.Pool, forwardedAttributes(r))
+	if err != nil {
+		return nil, poolID, l.withCredits(err)
 	}
-	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.b.cfg.Site)
+	return &admittedRequest{AdmittedRequest: a, link: l}, poolID, nil
+}
+
+// parseField reads the field that crosses with a request. The error is an httpmsg.RejectionError.
+func (h *handler) parseField(q *httpmsg.Request) (*siteheader.Request, error) {
+	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.extension.cfg.Site)
 	switch {
 	case errors.Is(err, siteheader.ErrVersion):
-		return nil, 0, h.bad(http.StatusHTTPVersionNotSupported, err.Error())
+		return nil, h.rejection(http.StatusHTTPVersionNotSupported, err.Error())
 	case errors.Is(err, siteheader.ErrLoop):
-		return nil, 0, h.bad(http.StatusLoopDetected, err.Error())
+		return nil, h.rejection(http.StatusLoopDetected, err.Error())
 	case err != nil:
-		return nil, 0, h.bad(http.StatusBadRequest, err.Error())
+		return nil, h.rejection(http.StatusBadRequest, err.Error())
 	case r.Origin != q.Peer:
-		return nil, 0, h.bad(http.StatusForbidden, "the origin is not the peer that sends it")
-	}
-	c := h.b.pools[r.Pool]
-	if c == nil {
-		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
+		return nil, h.rejection(http.StatusForbidden, "the origin is not the peer that sends it")
 	}
-	if rules := c.rules(r.Class); rules.HasIdempotencyKey && !rules.SharedDedup {
-		return nil, 0, h.bad(http.StatusForbidden, "repeats of the class are not dropped at both sites together")
+	return r, nil
+}
+
+// targetLink returns the link of the pool that a request is for, if that takes it now. The error is an httpmsg.RejectionError.
+func (h *handler) targetLink(r *siteheader.Request) (*poolLink, error) {
+	l := h.extension.links[r.Pool]
+	if l == nil {
+		return nil, h.rejection(http.StatusNotFound, "no such pool takes requests of other sites")
 	}
-	if h.b.draining.Load() {
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
+	if rules := l.forwardRules(r.Class); rules.HasIdempotencyKey && !rules.SharedDedup {
+		return nil, h.rejection(http.StatusForbidden, "repeats of the class are not dropped at both sites together")
 	}
-	late := r.Late(h.b.now())
-	if late > r.Within || late >= r.Left {
-		// The link has held it up until its sender had given it up: it was answered there, and must not go on here.
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "it was on its way for too long")
+	if h.extension.draining.Load() {
+		return nil, h.rejection(http.StatusServiceUnavailable, "the site drains")
 	}
-	r.Left -= late
-	q.Header.Del(siteheader.RequestField)
-	f := pool.ForwardedAttributes{Timeout: r.Left, PolicyRequest: policy.Request{
-		Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpectedWork: r.Cost, IsRetry: r.Retry, MaxAttempts: r.Used + r.May,
+	return l, nil
+}
+
+// forwardedAttributes are the attributes of a forwarded request, as the pool reads them.
+func forwardedAttributes(r *siteheader.Request) pool.ForwardedAttributes {
+	f := pool.ForwardedAttributes{Timeout: r.TimeLeft, PolicyRequest: policy.Request{
+		Class:        r.Class,
+		Tenant:       r.Tenant,
+		Key:          r.Key,
+		ExpectedWork: r.ExpectedWork,
+		IsRetry:      r.IsRetry,
+		MaxAttempts:  r.AttemptsMade + r.AttemptsAllowed,
 	}}
-	if len(r.Ran) > r.Used {
-		return nil, 0, h.bad(http.StatusBadRequest, "more groups may have run it than attempts were made")
+	for _, e := range r.Executions {
+		prior := policy.PriorAttempt{Zone: e.Group.Zone, Cell: e.Group.Cell, DedupRemaining: e.DedupRemaining}
+		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, prior)
 	}
-	for _, p := range r.Ran {
-		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{Zone: p.Group.Zone, Cell: p.Group.Cell, DedupRemaining: p.For})
-	}
-	for len(f.PolicyRequest.PriorAttempts) < r.Used {
+	for len(f.PolicyRequest.PriorAttempts) < r.AttemptsMade {
 		f.PolicyRequest.PriorAttempts = append(f.PolicyRequest.PriorAttempts, policy.PriorAttempt{NotExecuted: true})
 	}
-	a, owner, err := h.g.AdmitFromSite(q, r.Pool, f)
-	if err != nil {
-		var why httpmsg.RejectionError
-		if !errors.As(err, &why) {
-			return nil, owner, err
-		}
-		why.Header = h.b.field(siteheader.Answer{How: siteheader.Refused, Room: c.room()})
-		return nil, owner, why
-	}
-	return &admission{AdmittedRequest: a, c: c}, owner, nil
+	return f
 }
 
-// probed answers a probe with the room of the pool that it asks about.
-func (h *handler) probed(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
-	c := h.b.pools[q.Header.Get(poolField)]
-	if c == nil && q.Header.Get(poolField) != "" {
-		return nil, 0, h.bad(http.StatusNotFound, "no such pool takes requests of other sites")
+// answerHealthCheck answers a health check with the credits of the pool that it asks about.
+func (h *handler) answerHealthCheck(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
+	name := q.Header.Get(healthCheckPoolField)
+	l := h.extension.links[name]
+	if l == nil && name != "" {
+		return nil, 0, h.rejection(http.StatusNotFound, "no such pool takes requests of other sites")
 	}
-	if h.b.draining.Load() {
-		return nil, 0, h.bad(http.StatusServiceUnavailable, "the site drains")
+	if h.extension.draining.Load() {
+		return nil, 0, h.rejection(http.StatusServiceUnavailable, "the site drains")
 	}
-	a := siteheader.Answer{How: siteheader.Served}
-	if c != nil && h.g.HasReadyEndpoint(c.name) {
-		a.Room = c.room()
+	r := siteheader.Response{Outcome: siteheader.Served}
+	if l != nil && h.gateway.HasReadyEndpoint(l.name) {
+		r.Credits = l.availableCredits()
 	}
-	return told{httpmsg.Response{Status: http.StatusOK, Header: h.b.field(a)}}, 0, nil
-}
-
-// told is a request whose answer is known.
-type told struct{ a httpmsg.Response }
-
-func (t told) Dispatch([]byte, httpmsg.BodyStream) (downstream.Exchange, error) { return t, nil }
-func (told) Release()                                                           {}
-func (told) Cancel() bool                                                       { return false }
-func (t told) Response() <-chan httpmsg.Response {
-	c := make(chan httpmsg.Response, 1)
-	c <- t.a
-	return c
+	return fixedResponse{httpmsg.Response{Status: http.StatusOK, Header: h.extension.responseHeader(r)}}, 0, nil
 }
 
-// room is what the pool grants now.
-func (c *crossing) room() int {
-	now := c.bridge.now()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.grant.Available(now)
-}
-
-// admission is a foreign request that the pool's limits let in.
-type admission struct {
-	downstream.AdmittedRequest
-	c *crossing
-}
+// ReadDelay implements downstream.Handler: peers are limited by credits, not by pacing.
+func (*handler) ReadDelay(downstream.PoolID, int) time.Duration { return 0 }
 
-// Dispatch is the method of downstream.AdmittedRequest.
-func (a *admission) Dispatch(body []byte, rest httpmsg.BodyStream) (downstream.Exchange, error) {
-	x, err := a.AdmittedRequest.Dispatch(body, rest)
-	if err != nil {
-		var why httpmsg.RejectionError
-		if errors.As(err, &why) {
-			why.Header = a.c.bridge.field(siteheader.Answer{How: siteheader.Refused, Room: a.c.room()})
-			return nil, why
-		}
-		return nil, err
-	}
-	a.c.mu.Lock()
-	a.c.grant.RecordRemote(a.c.bridge.now())
-	a.c.mu.Unlock()
-	return newExchange(a.c, x), nil
-}
+// AcquireConnection implements downstream.Handler.
+func (*handler) AcquireConnection(downstream.PoolID) bool { return true }
 
-// exchange is one that a pool has taken. Its answer is given the field of the hop.
-type exchange struct {
-	downstream.Exchange
-	c      *crossing
-	answer chan httpmsg.Response
-	left   chan struct{}
-}
+// ReleaseConnection implements downstream.Handler.
+func (*handler) ReleaseConnection(downstream.PoolID) {}
 
-// attemptSummarizer is a downstream.Exchange that knows what was attempted for its request.
-type attemptSummarizer interface {
-	AttemptSummary() (attempts int, mayHaveExecuted bool)
-}
+// ConnectionExcess implements downstream.Handler.
+func (*handler) ConnectionExcess(downstream.PoolID) int64 { return 0 }
 
-// The exchanges of a pool are found to be attemptSummarizers by a type assertion at run time.
-var _ attemptSummarizer = (*pool.Exchange)(nil)
-
-func newExchange(c *crossing, x downstream.Exchange) *exchange {
-	e := &exchange{Exchange: x, c: c, answer: make(chan httpmsg.Response, 1), left: make(chan struct{})}
-	c.bridge.work.Go(func() {
-		select {
-		case ans := <-x.Response():
-			e.answer <- e.mark(ans)
-		case <-e.left:
-			e.back(false)
-		}
-	})
-	return e
-}
+// fixedResponse is a request whose response is known at once.
+type fixedResponse struct{ response httpmsg.Response }
 
-func (e *exchange) back(refused bool) int {
-	now := e.c.bridge.now()
-	e.c.mu.Lock()
-	defer e.c.mu.Unlock()
-	e.c.grant.RecordRemoteDone(now, refused)
-	return e.c.grant.Available(now)
+// Dispatch implements downstream.AdmittedRequest.
+func (f fixedResponse) Dispatch([]byte, httpmsg.BodyStream) (downstream.Exchange, error) {
+	return f, nil
 }
 
-// mark adds the field of the hop to an answer.
-func (e *exchange) mark(ans httpmsg.Response) httpmsg.Response {
-	refused := ans.Status == http.StatusTooManyRequests || ans.Status == http.StatusServiceUnavailable
-	a := siteheader.Answer{How: siteheader.MayHaveRun, Room: e.back(refused)}
-	ran := true
-	if x, ok := e.Exchange.(attemptSummarizer); ok {
-		a.Spent, ran = x.AttemptSummary()
-	}
-	switch {
-	case ans.Status == http.StatusOK:
-		a.How = siteheader.Served
-	case !ran:
-		a.How = siteheader.Refused
-		a.Wait = ans.RetryAfter
-	}
-	if e.c.bridge.draining.Load() {
-		a.Room = 0
-	}
-	head := ans.Header.Clone()
-	if head == nil {
-		head = http.Header{}
-	}
-	for name, values := range e.c.bridge.field(a) {
-		head[name] = values
-	}
-	ans.Header = head
-	return ans
-}
+// Release implements downstream.AdmittedRequest.
+func (fixedResponse) Release() {}
 
-// Response is the method of downstream.Exchange.
-func (e *exchange) Response() <-chan httpmsg.Response { return e.answer }
+// Cancel implements downstream.Exchange.
+func (fixedResponse) Cancel() bool { return false }
 
-// Cancel is the method of downstream.Exchange.
-func (e *exchange) Cancel() bool {
-	if !e.Exchange.Cancel() {
-		return false
-	}
-	close(e.left)
-	return true
+// Response implements downstream.Exchange.
+func (f fixedResponse) Response() <-chan httpmsg.Response {
+	c := make(chan httpmsg.Response, 1)
+	c <- f.response
+	return c
 }
-
-// ReadDelay is the method of downstream.Handler: peers are not paced, their room is.
-func (*handler) ReadDelay(downstream.PoolID, int) time.Duration { return 0 }
-
-// AcquireConnection is the method of downstream.Handler.
-func (*handler) AcquireConnection(downstream.PoolID) bool { return true }
-
-// ReleaseConnection is the method of downstream.Handler.
-func (*handler) ReleaseConnection(downstream.PoolID) {}
-
-// ConnectionExcess is the method of downstream.Handler.
-func (*handler) ConnectionExcess(downstream.PoolID) int64 { return 0 }
