--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -34,20 +34,20 @@
 }
 
 // hearsay is what --share names.
-func (c *emulateCmd) hearsay() (emulator.Hearsay, error) {
-	h := emulator.Hearsay{Lag: c.Lag, Witnesses: c.Witnesses}
+func (c *emulateCmd) hearsay() (emulator.Sharing, error) {
+	h := emulator.Sharing{Delay: c.Lag, Quorum: c.Witnesses}
 	for _, kind := range c.Share {
 		switch kind {
 		case "dead":
-			h.Dead = true
+			h.Unreachable = true
 		case "room":
-			h.Room = true
+			h.LoadReports = true
 		case "learn":
-			h.Learn = true
+			h.LearnedState = true
 		case "list":
-			h.List = true
+			h.EndpointList = true
 		case "zones":
-			h.Zones, h.ZoneRules = true, zonefailover.DefaultRules()
+			h.ZoneFailover, h.ZoneRules = true, zonefailover.DefaultRules()
 			h.ZoneRules.StepDuration, h.ZoneRules.HoldDown = c.ZoneStep, c.ZoneHold
 			if err := h.ZoneRules.Validate(); err != nil {
 				return h, fmt.Errorf("%w: %w", errUsage, err)
@@ -80,7 +80,7 @@
 		return err
 	}
 	if len(c.Share) > 0 {
-		day.Hearsay = hearsay
+		day.Sharing = hearsay
 		shared, err := playRuns(day, c.Runs)
 		if err != nil {
 			return err
@@ -89,15 +89,15 @@
 	}
 	breaks := 0
 	for i, r := range results {
-		breaks += r.Breaks
-		for _, b := range r.Broken {
+		breaks += r.ViolationCount
+		for _, b := range r.Violations {
 			fmt.Fprintf(s.err, "seed %d: %s\n", day.Seed+uint64(i), b)
 		}
 	}
 	if c.JSON {
 		out := json.NewEncoder(s.out)
 		for i, r := range results {
-			if err := out.Encode(map[string]any{"seed": day.Seed + uint64(i), "worth_served": r.Total.Share(), "breaks": r.Breaks, "seconds": r.Seconds}); err != nil {
+			if err := out.Encode(map[string]any{"seed": day.Seed + uint64(i), "worth_served": r.Total.ServedFraction(), "breaks": r.ViolationCount, "seconds": r.Seconds}); err != nil {
 				return err
 			}
 		}
@@ -111,7 +111,7 @@
 }
 
 // playRuns plays a day with so many seeds, on all cores.
-func playRuns(day emulator.Day, runs int) ([]*emulator.Result, error) {
+func playRuns(day emulator.Scenario, runs int) ([]*emulator.Result, error) {
 	results := make([]*emulator.Result, runs)
 	errs := make([]error, runs)
 	var work sync.WaitGroup
@@ -141,12 +141,12 @@
 func pairFigures(r *emulator.Result) (share, worst, lost, refused float64) {
 	worst = 1
 	for at := 2; at+worstSeconds <= len(r.Seconds)-1; at++ {
-		if s := r.Span(at, at+worstSeconds); s.Requests > 0 {
-			worst = min(worst, s.Share())
+		if s := r.Sum(at, at+worstSeconds); s.Requests > 0 {
+			worst = min(worst, s.ServedFraction())
 		}
 	}
 	t := r.Total
-	return t.Share(), worst, float64(t.Unreached+t.TimedOut) / float64(max(1, t.Sends)), float64(t.Refused) / float64(max(1, t.Tries))
+	return t.ServedFraction(), worst, float64(t.ConnectFailures+t.Timeouts) / float64(max(1, t.Attempts)), float64(t.Rejected) / float64(max(1, t.ClientAttempts))
 }
 
 // printPairs prints what sharing gains, in pairs of equal seeds: the mean of the differences and its standard error.
@@ -160,7 +160,7 @@
 		a, b := [4]float64{}, [4]float64{}
 		a[0], a[1], a[2], a[3] = pairFigures(without[i])
 		b[0], b[1], b[2], b[3] = pairFigures(with[i])
-		breaks += with[i].Breaks
+		breaks += with[i].ViolationCount
 		for k := range a {
 			base[k] += a[k] / n
 			rows[i][k] = b[k] - a[k]
@@ -199,17 +199,17 @@
 	fmt.Fprintln(t, "s\tworth\trequests\taim\tlate\tunserved\ttries\trefused\tfailed\tsends\tcold\tunreached\ttimedout\terred\tprobes\tdials\tcalls\tcallslost\t")
 	n := float64(len(results))
 	for i := range results[0].Seconds {
-		var sum emulator.Second
+		var sum emulator.Counts
 		for _, r := range results {
 			sum.Add(r.Seconds[i])
 		}
-		if sum.Tries == 0 && sum.Requests == 0 {
+		if sum.ClientAttempts == 0 && sum.Requests == 0 {
 			continue
 		}
-		fmt.Fprintf(t, "%d\t%.3f\t", i, sum.Share())
+		fmt.Fprintf(t, "%d\t%.3f\t", i, sum.ServedFraction())
 		for _, x := range []int{
-			sum.Requests, sum.InAim, sum.Late, sum.Unserved, sum.Tries, sum.Refused, sum.Failed, sum.Sends, sum.Cold, sum.Unreached, sum.TimedOut,
-			sum.Erred, sum.Probes, sum.Dials, sum.Calls, sum.CallsLost,
+			sum.Requests, sum.WithinObjective, sum.Late, sum.Unserved, sum.ClientAttempts, sum.Rejected, sum.Failed, sum.Attempts, sum.WarmingAttempts, sum.ConnectFailures, sum.Timeouts,
+			sum.ApplicationErrors, sum.HealthChecks, sum.Dials, sum.WatchRequests, sum.WatchRequestsRejected,
 		} {
 			fmt.Fprintf(t, "%.0f\t", float64(x)/n)
 		}
@@ -220,10 +220,10 @@
 	}
 	mean, squares := 0.0, 0.0
 	for _, r := range results {
-		mean += r.Total.Share() / n
+		mean += r.Total.ServedFraction() / n
 	}
 	for _, r := range results {
-		squares += (r.Total.Share() - mean) * (r.Total.Share() - mean)
+		squares += (r.Total.ServedFraction() - mean) * (r.Total.ServedFraction() - mean)
 	}
 	spread := ""
 	if n > 1 { // 1.96 errors of the mean; of few runs it is too narrow
--- a/internal/emulator/cases_test.go
+++ b/internal/emulator/cases_test.go
@@ -9,11 +9,11 @@
 )
 
 // one is a day of one sidecar that asks rate times a second, beside others that ask the usual.
-func one(rate float64) Day {
+func one(rate float64) Scenario {
 	day := fleet()
-	day.Instances, day.Servers, day.Length = 40, 30, 14*time.Second
-	day.Clients.Rate = 600 + rate
-	day.Clients.Weight = func(o int, _ string) float64 {
+	day.InstanceCount, day.BackendCount, day.Duration = 40, 30, 14*time.Second
+	day.Clients.RequestsPerSecond = 600 + rate
+	day.Clients.InstanceWeight = func(o int, _ string) float64 {
 		if o == 0 {
 			return rate
 		}
@@ -23,7 +23,7 @@
 }
 
 // ownSet returns servers that the first instance of a day has chosen among, by asking it for a while.
-func ownSet(t *testing.T, day Day, n int) []int {
+func ownSet(t *testing.T, day Scenario, n int) []int {
 	t.Helper()
 	w, err := New(day)
 	if err != nil {
@@ -59,8 +59,8 @@
 	for rate, most := range map[float64]int{3: 1, 60: 4} {
 		day := one(rate)
 		dead := ownSet(t, day, 1)[0]
-		day.Discovery.Notice = time.Minute
-		day.Steps = []Step{{3 * time.Second, func(w *World) { w.CutOff(func(place int, _ string) bool { return place == dead }) }}}
+		day.Discovery.NotificationDelay = time.Minute
+		day.Events = []ScheduledEvent{{3 * time.Second, func(w *Emulation) { w.Partition(func(place int, _ string) bool { return place == dead }) }}}
 		w, err := New(day)
 		if err != nil {
 			t.Fatal(err)
@@ -73,8 +73,8 @@
 		}
 		r := w.Run()
 		t.Logf("%g a second: %d lost at the dead server", rate, lost)
-		if lost > most || r.Breaks > 0 {
-			t.Errorf("%g a second: %d lost, at most %d wanted; %v", rate, lost, most, r.Broken)
+		if lost > most || r.ViolationCount > 0 {
+			t.Errorf("%g a second: %d lost, at most %d wanted; %v", rate, lost, most, r.Violations)
 		}
 	}
 }
@@ -85,8 +85,8 @@
 	t.Parallel()
 	day := one(20)
 	set := ownSet(t, day, 5)
-	day.Discovery.Notice = time.Minute
-	day.Steps = []Step{{3 * time.Second, func(w *World) { w.CutOff(func(place int, _ string) bool { return slices.Contains(set, place) }) }}}
+	day.Discovery.NotificationDelay = time.Minute
+	day.Events = []ScheduledEvent{{3 * time.Second, func(w *Emulation) { w.Partition(func(place int, _ string) bool { return slices.Contains(set, place) }) }}}
 	w, err := New(day)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	good, bad := 0, 0
 	w.settled = func(a *attempt, st policy.Status) {
 		switch {
-		case a.try.in.ordinal != 0 || w.At() < 6*time.Second:
+		case a.try.in.ordinal != 0 || w.Elapsed() < 6*time.Second:
 		case st == policy.StatusOK:
 			good++
 		case st != policy.StatusCanceled:
@@ -102,8 +102,8 @@
 		}
 	}
 	r := w.Run()
-	if t.Logf("from three seconds on: %d answered, %d not", good, bad); good < 100 || bad > good/30 || r.Breaks > 0 {
-		t.Errorf("%d answered, %d not; %v", good, bad, r.Broken)
+	if t.Logf("from three seconds on: %d answered, %d not", good, bad); good < 100 || bad > good/30 || r.ViolationCount > 0 {
+		t.Errorf("%d answered, %d not; %v", good, bad, r.Violations)
 	}
 }
 
@@ -111,19 +111,19 @@
 func TestRefusedClientsComeBack(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Clients.Pause, day.Clients.Heed, day.Length = 0, false, 18*time.Second
-	day.Steps = []Step{
-		{3 * time.Second, func(w *World) { w.CutOff(func(place int, _ string) bool { return place%10 < 6 }) }},
-		{8 * time.Second, func(w *World) { w.Rejoin() }},
+	day.Clients.RetryDelay, day.Clients.HonorRetryAfter, day.Duration = 0, false, 18*time.Second
+	day.Events = []ScheduledEvent{
+		{3 * time.Second, func(w *Emulation) { w.Partition(func(place int, _ string) bool { return place%10 < 6 }) }},
+		{8 * time.Second, func(w *Emulation) { w.HealPartition() }},
 	}
-	day.Discovery.Notice = time.Second
+	day.Discovery.NotificationDelay = time.Second
 	r := play(t, day)
-	shock, after := r.Span(5, 8), r.Span(13, 18)
-	if shock.Refused < shock.Tries/4 {
-		t.Errorf("no shock: %d of %d refused", shock.Refused, shock.Tries)
+	shock, after := r.Sum(5, 8), r.Sum(13, 18)
+	if shock.Rejected < shock.ClientAttempts/4 {
+		t.Errorf("no shock: %d of %d refused", shock.Rejected, shock.ClientAttempts)
 	}
-	if after.Share() < 0.93 {
-		t.Errorf("share %.3f five seconds after the shock, %d of %d tries refused", after.Share(), after.Refused, after.Tries)
+	if after.ServedFraction() < 0.93 {
+		t.Errorf("share %.3f five seconds after the shock, %d of %d tries refused", after.ServedFraction(), after.Rejected, after.ClientAttempts)
 	}
 }
 
@@ -131,15 +131,15 @@
 func TestZonesOfUnevenLoad(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Clients.Weight = func(_ int, zone string) float64 {
+	day.Clients.InstanceWeight = func(_ int, zone string) float64 {
 		if zone == "a" {
 			return 1
 		}
 		return 2
 	}
 	r := play(t, day)
-	if s := r.Span(2, 20); s.Share() < 0.93 || s.Refused > s.Tries/20 {
-		t.Errorf("share %.3f, %d of %d tries refused", s.Share(), s.Refused, s.Tries)
+	if s := r.Sum(2, 20); s.ServedFraction() < 0.93 || s.Rejected > s.ClientAttempts/20 {
+		t.Errorf("share %.3f, %d of %d tries refused", s.ServedFraction(), s.Rejected, s.ClientAttempts)
 	}
 }
 
@@ -147,14 +147,14 @@
 func TestOneInEightErrs(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Steps = []Step{{0, func(w *World) {
-		for place := range day.Servers {
-			w.Fail(place, 0.125)
+	day.Events = []ScheduledEvent{{0, func(w *Emulation) {
+		for place := range day.BackendCount {
+			w.InjectErrors(place, 0.125)
 		}
 	}}}
 	r := play(t, day)
-	if s := r.Span(2, 20); s.Share() < 0.85 {
-		t.Errorf("share %.3f, %d of %d sends ended as errors", s.Share(), s.Erred, s.Sends)
+	if s := r.Sum(2, 20); s.ServedFraction() < 0.85 {
+		t.Errorf("share %.3f, %d of %d sends ended as errors", s.ServedFraction(), s.ApplicationErrors, s.Attempts)
 	}
 }
 
@@ -162,13 +162,13 @@
 func TestManyStartAtOnce(t *testing.T) {
 	t.Parallel()
 	day := large(1)
-	day.Length = 6 * time.Second
+	day.Duration = 6 * time.Second
 	r := play(t, day)
-	if s := r.Span(3, 6); s.Share() < 0.93 {
-		t.Errorf("share %.3f from three seconds on", s.Share())
+	if s := r.Sum(3, 6); s.ServedFraction() < 0.93 {
+		t.Errorf("share %.3f from three seconds on", s.ServedFraction())
 	}
-	if s := r.Total; s.Dials > 4*300*maxSet || s.Calls > 2*300 {
-		t.Errorf("%d connections and %d calls for the list", s.Dials, s.Calls)
+	if s := r.Total; s.Dials > 4*300*maxSet || s.WatchRequests > 2*300 {
+		t.Errorf("%d connections and %d calls for the list", s.Dials, s.WatchRequests)
 	}
 }
 
@@ -179,17 +179,17 @@
 // instance that says all the time that every server is dead costs next to nothing, even if nobody else has to tell.
 func TestHearsayOfTheDead(t *testing.T) {
 	t.Parallel()
-	cut := func(h Hearsay, liar bool) *Result {
+	cut := func(h Sharing, liar bool) *Result {
 		day := fleet()
-		day.Length, day.Hearsay = 12*time.Second, h
-		day.Discovery.Notice = 5 * time.Second
-		day.Steps = []Step{
-			{0, func(w *World) { w.LoseAnswers(0.005); w.ResetRequests(0.005) }},
-			{3 * time.Second, func(w *World) { w.CutOff(aFifth) }},
-			{9 * time.Second, func(w *World) { w.Rejoin() }},
+		day.Duration, day.Sharing = 12*time.Second, h
+		day.Discovery.NotificationDelay = 5 * time.Second
+		day.Events = []ScheduledEvent{
+			{0, func(w *Emulation) { w.DropResponses(0.005); w.ResetConnections(0.005) }},
+			{3 * time.Second, func(w *Emulation) { w.Partition(aFifth) }},
+			{9 * time.Second, func(w *Emulation) { w.HealPartition() }},
 		}
-		for at := 2 * time.Second; liar && at < day.Length; at += 200 * ms {
-			day.Steps = append(day.Steps, Step{at, func(w *World) {
+		for at := 2 * time.Second; liar && at < day.Duration; at += 200 * ms {
+			day.Events = append(day.Events, ScheduledEvent{at, func(w *Emulation) {
 				for _, s := range w.servers {
 					for _, in := range w.instances {
 						in.do(func(now policy.Time) { in.b.HandleUnreachableHint(now, policy.EndpointID(s.id)) })
@@ -199,15 +199,15 @@
 		}
 		return play(t, day)
 	}
-	alone := cut(Hearsay{}, false)
-	heard := cut(Hearsay{Lag: 100 * ms, Dead: true, Witnesses: 2}, false)
-	lied := cut(Hearsay{}, true)
-	lost := func(r *Result) int { return r.Total.Unreached + r.Total.TimedOut }
-	t.Logf("alone: share %.3f, %d lost; with hearsay: %.3f, %d; with a liar: %.3f", alone.Total.Share(), lost(alone), heard.Total.Share(), lost(heard), lied.Total.Share())
-	if 2*lost(heard) > lost(alone) || heard.Total.Share() < alone.Total.Share()-0.02 {
-		t.Errorf("hearsay: %d sends lost for %d, share %.3f for %.3f", lost(heard), lost(alone), heard.Total.Share(), alone.Total.Share())
+	alone := cut(Sharing{}, false)
+	heard := cut(Sharing{Delay: 100 * ms, Unreachable: true, Quorum: 2}, false)
+	lied := cut(Sharing{}, true)
+	lost := func(r *Result) int { return r.Total.ConnectFailures + r.Total.Timeouts }
+	t.Logf("alone: share %.3f, %d lost; with hearsay: %.3f, %d; with a liar: %.3f", alone.Total.ServedFraction(), lost(alone), heard.Total.ServedFraction(), lost(heard), lied.Total.ServedFraction())
+	if 2*lost(heard) > lost(alone) || heard.Total.ServedFraction() < alone.Total.ServedFraction()-0.02 {
+		t.Errorf("hearsay: %d sends lost for %d, share %.3f for %.3f", lost(heard), lost(alone), heard.Total.ServedFraction(), alone.Total.ServedFraction())
 	}
-	if lied.Total.Share() < alone.Total.Share()-0.1 {
-		t.Errorf("a liar costs %.3f of the service", alone.Total.Share()-lied.Total.Share())
+	if lied.Total.ServedFraction() < alone.Total.ServedFraction()-0.1 {
+		t.Errorf("a liar costs %.3f of the service", alone.Total.ServedFraction()-lied.Total.ServedFraction())
 	}
 }
--- a/internal/emulator/cold_test.go
+++ b/internal/emulator/cold_test.go
@@ -25,18 +25,18 @@
 				worst, work := 0.0, 0.0
 				for seed := range uint64(*coldSeeds) {
 					day := fleet()
-					day.Seed, day.Instances, day.Servers, day.Length = seed+1, size.instances, size.servers, 12*time.Second
-					day.Clients.Rate *= float64(size.servers) / 60
-					day.Clients.Spread, day.Stands, day.Tip = 3, true, cold.tip
-					day.Discovery.Calls = max(60, float64(size.instances))
-					day.Steps = []Step{{3 * time.Second, func(w *World) { w.ChillPart(cold.part) }}}
+					day.Seed, day.InstanceCount, day.BackendCount, day.Duration = seed+1, size.instances, size.servers, 12*time.Second
+					day.Clients.RequestsPerSecond *= float64(size.servers) / 60
+					day.Clients.RateSpread, day.CollapseDisabled, day.CollapseFactor = 3, true, cold.tip
+					day.Discovery.WatchesPerSecond = max(60, float64(size.instances))
+					day.Events = []ScheduledEvent{{3 * time.Second, func(w *Emulation) { w.RestartBackends(cold.part) }}}
 					w, err := New(day)
 					if err != nil {
 						t.Fatal(err)
 					}
 					r := w.Run()
-					worst, work = max(worst, r.ColdMost), max(work, r.ColdWork)
-					for _, b := range r.Broken {
+					worst, work = max(worst, r.MaxWarmingRequests), max(work, r.MaxWarmingWork)
+					for _, b := range r.Violations {
 						t.Errorf("seed %d: %s", seed+1, b)
 					}
 				}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -11,39 +11,39 @@
 const ms = time.Millisecond
 
 // fleet is a day of 80 instances before 60 servers at some six tenths of what these can do.
-func fleet() Day {
-	return Day{
-		Seed: 1, Length: 20 * time.Second, Instances: 80, Servers: 60, Start: 100 * ms,
-		Kinds: []Kind{{"big", 0.36, 3, 2}, {"small", 0.35, 2, 1.2}, {"slow", 0.29, 3, 0.8}},
-		Zones: []string{"a", "b"}, Near: ms / 2, Far: 7 * ms, Room: 300, MostConns: 400, Handshake: 2 * ms, ReportLag: 150 * ms,
-		ColdFrom: 0.35, ColdFor: 8 * time.Second, Tip: 2.5, TipFor: time.Second,
+func fleet() Scenario {
+	return Scenario{
+		Seed: 1, Duration: 20 * time.Second, InstanceCount: 80, BackendCount: 60, StartupWindow: 100 * ms,
+		MachineTypes: []MachineType{{"big", 0.36, 3, 2}, {"small", 0.35, 2, 1.2}, {"slow", 0.29, 3, 0.8}},
+		Zones:        []string{"a", "b"}, SameZoneDelay: ms / 2, CrossZoneDelay: 7 * ms, MaxQueueLength: 300, MaxConnections: 400, HandshakeDuration: 2 * ms, LoadReportAge: 150 * ms,
+		SlowStartMinCapacity: 0.35, SlowStartDuration: 8 * time.Second, CollapseFactor: 2.5, CollapseWindow: time.Second,
 		Classes: []Class{
 			{policy.Class{Name: "check", LatencyObjective: 450 * ms, Deadline: 2200 * ms, PriorityWeight: 2, LateWeightFraction: 0.2}, 0.47, 90 * ms, 1},
 			{policy.Class{Name: "order", Idempotency: policy.IdempotentByKey, DedupWindow: 1500 * ms, LatencyObjective: 450 * ms, Deadline: 1840 * ms, PriorityWeight: 10, LateWeightFraction: 0.5}, 0.34, 75 * ms, 1},
 			{policy.Class{Name: "booking", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupCell, DedupWindow: 12 * time.Second, LatencyObjective: 890 * ms, Deadline: 1840 * ms, PriorityWeight: 3, LateWeightFraction: 0.3}, 0.19, 140 * ms, 1},
 		},
-		Clients:   Clients{Rate: 1300, Spread: 1, Retries: 3, Pause: 20 * ms, TryShare: 0.5, Heed: true},
-		Discovery: Discovery{Calls: 60, Patience: 2 * time.Second, Notice: 1500 * ms},
-		Module:    UsualModule(),
+		Clients:   Clients{RequestsPerSecond: 1300, RateSpread: 1, MaxRetries: 3, RetryDelay: 20 * ms, AttemptTimeoutFraction: 0.5, HonorRetryAfter: true},
+		Discovery: Discovery{WatchesPerSecond: 60, MaxQueueDelay: 2 * time.Second, NotificationDelay: 1500 * ms},
+		Policy:    DefaultPolicy(),
 	}
 }
 
-func play(t *testing.T, day Day) *Result {
+func play(t *testing.T, day Scenario) *Result {
 	t.Helper()
 	w, err := New(day)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := w.Run()
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
-	if r.Breaks > 0 {
-		t.Errorf("%d breaches in all", r.Breaks)
+	if r.ViolationCount > 0 {
+		t.Errorf("%d breaches in all", r.ViolationCount)
 	}
 	if testing.Verbose() {
 		for i, s := range r.Seconds {
-			t.Logf("%2d share %.2f %+v", i, s.Share(), s)
+			t.Logf("%2d share %.2f %+v", i, s.ServedFraction(), s)
 		}
 	}
 	return r
@@ -52,19 +52,19 @@
 func TestCalmFleet(t *testing.T) {
 	t.Parallel()
 	r := play(t, fleet())
-	if s := r.Span(2, 20); s.Share() < 0.93 || s.Probes > s.Tries {
-		t.Errorf("share %.3f, %+v", s.Share(), s)
+	if s := r.Sum(2, 20); s.ServedFraction() < 0.93 || s.HealthChecks > s.ClientAttempts {
+		t.Errorf("share %.3f, %+v", s.ServedFraction(), s)
 	}
-	if s := r.Span(2, 20); s.Crossed > s.Sends*3/10 { // half, where sets ignore zones
-		t.Errorf("%d of %d sends leave the zone", s.Crossed, s.Sends)
+	if s := r.Sum(2, 20); s.CrossZoneAttempts > s.Attempts*3/10 { // half, where sets ignore zones
+		t.Errorf("%d of %d sends leave the zone", s.CrossZoneAttempts, s.Attempts)
 	}
 }
 
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Length = 6 * time.Second
-	day.Steps = []Step{{2 * time.Second, func(w *World) { w.Restart(func(o int) bool { return o%3 > 0 }, 500*ms) }}}
+	day.Duration = 6 * time.Second
+	day.Events = []ScheduledEvent{{2 * time.Second, func(w *Emulation) { w.RestartInstances(func(o int) bool { return o%3 > 0 }, 500*ms) }}}
 	a, b := play(t, day), play(t, day)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("one seed gave two runs")
@@ -79,31 +79,31 @@
 func TestMassStartIsToldInTheEnd(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Discovery.Calls = 8
-	day.Length = 30 * time.Second
-	day.Steps = []Step{{50 * ms, func(w *World) {
+	day.Discovery.WatchesPerSecond = 8
+	day.Duration = 30 * time.Second
+	day.Events = []ScheduledEvent{{50 * ms, func(w *Emulation) {
 		for i := range 10 { // the list that they start with is old
-			w.Replace(6*i, 500*ms)
+			w.ReplaceBackend(6*i, 500*ms)
 		}
 	}}}
 	r := play(t, day)
-	calls, lost := r.Total.Calls, r.Total.CallsLost
-	if calls > 4*day.Instances {
-		t.Errorf("%d calls for %d instances, %d lost", calls, day.Instances, lost)
+	calls, lost := r.Total.WatchRequests, r.Total.WatchRequestsRejected
+	if calls > 4*day.InstanceCount {
+		t.Errorf("%d calls for %d instances, %d lost", calls, day.InstanceCount, lost)
 	}
 	for i, s := range r.Seconds {
-		if s.Calls > 4*int(day.Discovery.Calls) {
-			t.Errorf("%d calls in second %d, of %g that can be taken", s.Calls, i, day.Discovery.Calls)
+		if s.WatchRequests > 4*int(day.Discovery.WatchesPerSecond) {
+			t.Errorf("%d calls in second %d, of %g that can be taken", s.WatchRequests, i, day.Discovery.WatchesPerSecond)
 		}
 	}
-	if s := r.Span(20, 30); s.Share() < 0.9 {
-		t.Errorf("share %.3f once all are told", s.Share())
+	if s := r.Sum(20, 30); s.ServedFraction() < 0.9 {
+		t.Errorf("share %.3f once all are told", s.ServedFraction())
 	}
 	w, _ := New(day)
 	w.Run()
 	for _, in := range w.instances {
-		if in.watcher == nil || in.watcher.off || len(in.known) != day.Servers {
-			t.Errorf("instance %d knows %d servers of %d by its watch", in.ordinal, len(in.known), day.Servers)
+		if in.watcher == nil || in.watcher.off || len(in.known) != day.BackendCount {
+			t.Errorf("instance %d knows %d servers of %d by its watch", in.ordinal, len(in.known), day.BackendCount)
 		}
 	}
 }
@@ -112,19 +112,19 @@
 func TestZoneLostAndBackCold(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Steps = []Step{
-		{5 * time.Second, func(w *World) { w.Silence(func(_ int, zone string) bool { return zone == "b" }) }},
-		{9 * time.Second, func(w *World) { w.Return() }},
+	day.Events = []ScheduledEvent{
+		{5 * time.Second, func(w *Emulation) { w.FailSilently(func(_ int, zone string) bool { return zone == "b" }) }},
+		{9 * time.Second, func(w *Emulation) { w.ReplaceSilent() }},
 	}
 	r := play(t, day)
-	if s := r.Span(6, 9); s.Share() < 0.55 {
-		t.Errorf("share %.3f while half of the servers are silent", s.Share())
+	if s := r.Sum(6, 9); s.ServedFraction() < 0.55 {
+		t.Errorf("share %.3f while half of the servers are silent", s.ServedFraction())
 	}
-	if s := r.Span(17, 20); s.Share() < 0.9 {
-		t.Errorf("share %.3f once they are back", s.Share())
+	if s := r.Sum(17, 20); s.ServedFraction() < 0.9 {
+		t.Errorf("share %.3f once they are back", s.ServedFraction())
 	}
-	if s := r.Span(7, 9); s.Unreached > s.Sends/5 {
-		t.Errorf("%d of %d sends reach nobody two seconds after the loss", s.Unreached, s.Sends)
+	if s := r.Sum(7, 9); s.ConnectFailures > s.Attempts/5 {
+		t.Errorf("%d of %d sends reach nobody two seconds after the loss", s.ConnectFailures, s.Attempts)
 	}
 }
 
@@ -141,14 +141,14 @@
 	day.Seed = seed
 	for i := range 36 {
 		place := i * 5 / 3
-		day.Steps = append(day.Steps, Step{4*time.Second + time.Duration(i)*190*ms, func(w *World) { w.Replace(place, 3*time.Second) }})
+		day.Events = append(day.Events, ScheduledEvent{4*time.Second + time.Duration(i)*190*ms, func(w *Emulation) { w.ReplaceBackend(place, 3*time.Second) }})
 	}
 	r := play(t, day)
-	if s := r.Span(4, 12); s.Share() < 0.7 || s.Cold == 0 {
-		t.Errorf("share %.3f while most are replaced, %d sends to cold ones", s.Share(), s.Cold)
+	if s := r.Sum(4, 12); s.ServedFraction() < 0.7 || s.WarmingAttempts == 0 {
+		t.Errorf("share %.3f while most are replaced, %d sends to cold ones", s.ServedFraction(), s.WarmingAttempts)
 	}
-	if s := r.Span(18, 20); s.Share() < 0.93 {
-		t.Errorf("share %.3f afterwards", s.Share())
+	if s := r.Sum(18, 20); s.ServedFraction() < 0.93 {
+		t.Errorf("share %.3f afterwards", s.ServedFraction())
 	}
 }
 
@@ -156,11 +156,11 @@
 func TestFastFailureMetSeldom(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Clients.Rate = 60
-	day.Steps = []Step{{0, func(w *World) { w.Fail(7, 1); w.Fail(22, 1) }}}
+	day.Clients.RequestsPerSecond = 60
+	day.Events = []ScheduledEvent{{0, func(w *Emulation) { w.InjectErrors(7, 1); w.InjectErrors(22, 1) }}}
 	r := play(t, day)
-	if s := r.Span(2, 20); s.Erred > s.Sends*2/60 || s.Share() < 0.95 {
-		t.Errorf("%d of %d sends ended as errors at two of 60 servers, share %.3f", s.Erred, s.Sends, s.Share())
+	if s := r.Sum(2, 20); s.ApplicationErrors > s.Attempts*2/60 || s.ServedFraction() < 0.95 {
+		t.Errorf("%d of %d sends ended as errors at two of 60 servers, share %.3f", s.ApplicationErrors, s.Attempts, s.ServedFraction())
 	}
 }
 
@@ -175,14 +175,14 @@
 func allCold(t *testing.T, seed uint64) {
 	day := fleet()
 	day.Seed = seed
-	day.Clients.Rate = 900
-	day.Steps = []Step{{3 * time.Second, func(w *World) { w.Chill() }}}
+	day.Clients.RequestsPerSecond = 900
+	day.Events = []ScheduledEvent{{3 * time.Second, func(w *Emulation) { w.RestartAllBackends() }}}
 	r := play(t, day)
-	if s := r.Span(5, 8); s.Share() < 0.4 || s.Cold == 0 {
-		t.Errorf("share %.3f while all are cold", s.Share())
+	if s := r.Sum(5, 8); s.ServedFraction() < 0.4 || s.WarmingAttempts == 0 {
+		t.Errorf("share %.3f while all are cold", s.ServedFraction())
 	}
-	if s := r.Span(16, 20); s.Share() < 0.93 {
-		t.Errorf("share %.3f once they are warm", s.Share())
+	if s := r.Sum(16, 20); s.ServedFraction() < 0.93 {
+		t.Errorf("share %.3f once they are warm", s.ServedFraction())
 	}
 }
 
@@ -190,19 +190,19 @@
 func TestFewConnections(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.MostConns = 8
+	day.MaxConnections = 8
 	r := play(t, day)
-	if s := r.Span(2, 20); s.Share() < 0.8 || s.Unreached == 0 {
-		t.Errorf("share %.3f, %d of %d sends reach nobody", s.Share(), s.Unreached, s.Sends)
+	if s := r.Sum(2, 20); s.ServedFraction() < 0.8 || s.ConnectFailures == 0 {
+		t.Errorf("share %.3f, %d of %d sends reach nobody", s.ServedFraction(), s.ConnectFailures, s.Attempts)
 	}
 }
 
 // large is a day of 300 instances before 200 servers, with the same work for each server.
-func large(seed uint64) Day {
+func large(seed uint64) Scenario {
 	day := fleet()
-	day.Seed, day.Instances, day.Servers, day.Length = seed, 300, 200, 12*time.Second
-	day.Clients.Rate *= 200.0 / 60
-	day.Discovery.Calls = 200
+	day.Seed, day.InstanceCount, day.BackendCount, day.Duration = seed, 300, 200, 12*time.Second
+	day.Clients.RequestsPerSecond *= 200.0 / 60
+	day.Discovery.WatchesPerSecond = 200
 	return day
 }
 
@@ -213,20 +213,20 @@
 func TestFifthCutOff(t *testing.T) {
 	t.Parallel()
 	day := large(1)
-	day.Discovery.Notice = 5 * time.Second
-	day.Steps = []Step{
-		{0, func(w *World) { w.LoseAnswers(0.005); w.ResetRequests(0.005) }},
-		{3 * time.Second, func(w *World) { w.CutOff(aFifth) }},
-		{9 * time.Second, func(w *World) { w.Rejoin() }},
+	day.Discovery.NotificationDelay = 5 * time.Second
+	day.Events = []ScheduledEvent{
+		{0, func(w *Emulation) { w.DropResponses(0.005); w.ResetConnections(0.005) }},
+		{3 * time.Second, func(w *Emulation) { w.Partition(aFifth) }},
+		{9 * time.Second, func(w *Emulation) { w.HealPartition() }},
 	}
 	r := play(t, day)
-	s := r.Span(5, 8)
-	t.Logf("share %.3f, %d of %d sends reach nobody, %d time out, %d of %d tries refused", s.Share(), s.Unreached, s.Sends, s.TimedOut, s.Refused, s.Tries)
-	if s.Unreached > s.Sends*3/100 || s.Share() < 0.8 {
-		t.Errorf("%d of %d sends reach nobody from second 2 on, share %.3f", s.Unreached, s.Sends, s.Share())
+	s := r.Sum(5, 8)
+	t.Logf("share %.3f, %d of %d sends reach nobody, %d time out, %d of %d tries refused", s.ServedFraction(), s.ConnectFailures, s.Attempts, s.Timeouts, s.Rejected, s.ClientAttempts)
+	if s.ConnectFailures > s.Attempts*3/100 || s.ServedFraction() < 0.8 {
+		t.Errorf("%d of %d sends reach nobody from second 2 on, share %.3f", s.ConnectFailures, s.Attempts, s.ServedFraction())
 	}
-	if s := r.Span(0, 3); s.Share() < 0.9 {
-		t.Errorf("share %.3f before", s.Share())
+	if s := r.Sum(0, 3); s.ServedFraction() < 0.9 {
+		t.Errorf("share %.3f before", s.ServedFraction())
 	}
 }
 
@@ -234,20 +234,20 @@
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	day := fleet()
-	day.Length = 12 * time.Second
+	day.Duration = 12 * time.Second
 	for i := range 30 {
-		day.Steps = append(day.Steps, Step{3*time.Second + time.Duration(i)*160*ms, func(w *World) { w.Replace(2*i, 2*time.Second) }})
+		day.Events = append(day.Events, ScheduledEvent{3*time.Second + time.Duration(i)*160*ms, func(w *Emulation) { w.ReplaceBackend(2*i, 2*time.Second) }})
 	}
 	for tenth := range 10 {
-		day.Steps = append(day.Steps, Step{2*time.Second + time.Duration(tenth)*800*ms, func(w *World) {
-			w.Restart(func(o int) bool { return o%10 == tenth }, 300*ms)
+		day.Events = append(day.Events, ScheduledEvent{2*time.Second + time.Duration(tenth)*800*ms, func(w *Emulation) {
+			w.RestartInstances(func(o int) bool { return o%10 == tenth }, 300*ms)
 		}})
 	}
 	r := play(t, day)
-	s := r.Span(4, 10)
-	t.Logf("share %.3f, %d of %d tries refused, %d late", s.Share(), s.Refused, s.Tries, s.Late)
-	if s.Share() < 0.8 || s.Cold == 0 {
-		t.Errorf("share %.3f, %d sends to cold servers", s.Share(), s.Cold)
+	s := r.Sum(4, 10)
+	t.Logf("share %.3f, %d of %d tries refused, %d late", s.ServedFraction(), s.Rejected, s.ClientAttempts, s.Late)
+	if s.ServedFraction() < 0.8 || s.WarmingAttempts == 0 {
+		t.Errorf("share %.3f, %d sends to cold servers", s.ServedFraction(), s.WarmingAttempts)
 	}
 }
 
@@ -295,9 +295,9 @@
 			}
 		},
 	} {
-		before := w.Result.Breaks
+		before := w.Result.ViolationCount
 		do()
-		if w.Result.Breaks == before {
+		if w.Result.ViolationCount == before {
 			t.Errorf("%s: not seen", name)
 		}
 	}
--- a/internal/emulator/hearsay.go
+++ b/internal/emulator/hearsay.go
@@ -19,7 +19,7 @@
 	if w.fleet != nil && s != nil {
 		w.fleet.saw(in, policy.EndpointID(s.id), st)
 	}
-	if !w.day.Hearsay.Dead || s == nil || st != policy.StatusConnectFailed && st != policy.StatusTimeout && st != policy.StatusReset {
+	if !w.day.Sharing.Unreachable || s == nil || st != policy.StatusConnectFailed && st != policy.StatusTimeout && st != policy.StatusReset {
 		return
 	}
 	id := policy.EndpointID(s.id)
@@ -27,7 +27,7 @@
 		return
 	}
 	in.said[id] = now
-	w.after(w.day.Hearsay.Lag, func() {
+	w.after(w.day.Sharing.Delay, func() {
 		if !w.enough(id, in) {
 			return
 		}
@@ -50,7 +50,7 @@
 }
 
 // enough notes a witness, and reports whether as many as are wanted have told of the server of late.
-func (w *World) enough(id policy.EndpointID, in *instance) bool {
+func (w *Emulation) enough(id policy.EndpointID, in *instance) bool {
 	kept := w.witnesses[id][:0]
 	for _, x := range w.witnesses[id] {
 		if x.in != in && x.at > w.now-sayAgain {
@@ -61,17 +61,17 @@
 		w.witnesses = map[policy.EndpointID][]witness{}
 	}
 	w.witnesses[id] = append(kept, witness{in, w.now})
-	return len(w.witnesses[id]) >= max(1, w.day.Hearsay.Witnesses)
+	return len(w.witnesses[id]) >= max(1, w.day.Sharing.Quorum)
 }
 
 // reports has the others take a report for one of their own probes', after the lag. That would be bold; it measures what room that all see
 // would be worth at most.
 func (in *instance) reports(to policy.EndpointID, st policy.Status, l *policy.LoadReport) {
 	w := in.w
-	if !w.day.Hearsay.Room || st != policy.StatusOK {
+	if !w.day.Sharing.LoadReports || st != policy.StatusOK {
 		return
 	}
-	w.after(w.day.Hearsay.Lag, func() {
+	w.after(w.day.Sharing.Delay, func() {
 		for _, other := range w.instances {
 			if other != in && other.known[to] != nil && other.known[to].zone == other.zone {
 				other.do(func(now policy.Time) {
@@ -86,7 +86,7 @@
 // of delays. Ejections are left out.
 func (in *instance) inherit() {
 	w := in.w
-	if !w.day.Hearsay.Learn || w.At() <= w.day.Start {
+	if !w.day.Sharing.LearnedState || w.Elapsed() <= w.day.StartupWindow {
 		return
 	}
 	for range 20 {
@@ -99,7 +99,7 @@
 			s.EjectedFor, s.ConsecutiveFailures = 0, 0
 			l.Endpoints[id] = s
 		}
-		w.after(w.day.Hearsay.Lag, func() { in.do(func(now policy.Time) { in.b.ImportLearnedState(now, l) }) })
+		w.after(w.day.Sharing.Delay, func() { in.do(func(now policy.Time) { in.b.ImportLearnedState(now, l) }) })
 		return
 	}
 }
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -8,7 +8,7 @@
 
 // instance is a sidecar: a host of the module.
 type instance struct {
-	w       *World
+	w       *Emulation
 	ordinal int
 	zone    string
 	b       *policy.Balancer
@@ -54,7 +54,7 @@
 	begun  bool // its last byte is with the server
 }
 
-func newInstance(w *World, ordinal int) (*instance, error) {
+func newInstance(w *Emulation, ordinal int) (*instance, error) {
 	in := &instance{
 		w: w, ordinal: ordinal, zone: w.day.Zones[ordinal%len(w.day.Zones)], seed: w.day.Seed<<16 + uint64(ordinal),
 	}
@@ -63,9 +63,9 @@
 
 // renew makes a module that knows nothing.
 func (in *instance) renew() error {
-	cfg := in.w.day.Module
-	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.ordinal, in.w.day.Instances, in.zone
-	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.w.day.ColdFrom, in.w.day.ColdFor
+	cfg := in.w.day.Policy
+	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.ordinal, in.w.day.InstanceCount, in.zone
+	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.w.day.SlowStartMinCapacity, in.w.day.SlowStartDuration
 	cfg.Classes = nil
 	for _, c := range in.w.day.Classes {
 		cfg.Classes = append(cfg.Classes, c.Class)
@@ -110,16 +110,16 @@
 			known = append(known, c.entry)
 		}
 	}
-	if in.w.day.Hearsay.List && in.w.At() > in.w.day.Start {
+	if in.w.day.Sharing.EndpointList && in.w.Elapsed() > in.w.day.StartupWindow {
 		known = in.w.list.whole()
 	}
 	in.told(policy.UpdateCached, known)
 	in.inherit()
 }
 
-// Restart kills the instances that match and starts them anew after down; clients of one that is down are told nothing and try
+// RestartInstances kills the instances that match and starts them anew after down; clients of one that is down are told nothing and try
 // again.
-func (w *World) Restart(match func(ordinal int) bool, down time.Duration) {
+func (w *Emulation) RestartInstances(match func(ordinal int) bool, down time.Duration) {
 	for _, in := range w.instances {
 		if !match(in.ordinal) || !in.up {
 			continue
@@ -193,7 +193,7 @@
 // take takes a request whose client waits so long.
 func (in *instance) take(q *root, wait time.Duration) {
 	if !in.up {
-		in.w.after(in.w.day.Near, func() { q.ended(in.w, givenUp, 0) })
+		in.w.after(in.w.day.SameZoneDelay, func() { q.ended(in.w, givenUp, 0) })
 		return
 	}
 	in.lastID++
@@ -230,7 +230,7 @@
 	t.in.w.watch.answered(t, how)
 	switch how {
 	case refused:
-		t.in.w.second().Refused++
+		t.in.w.second().Rejected++
 	case failed:
 		t.in.w.second().Failed++
 	}
@@ -243,9 +243,9 @@
 // way is the time one way between the instance and a server.
 func (in *instance) way(s *server) time.Duration {
 	if s.zone == in.zone {
-		return in.w.day.Near
+		return in.w.day.SameZoneDelay
 	}
-	return in.w.day.Far
+	return in.w.day.CrossZoneDelay
 }
 
 // connect calls then once there is a connection to s, with whether there is.
@@ -259,12 +259,12 @@
 	w.second().Dials++
 	switch way := in.way(s); {
 	case s.silent || s.fallen || s.cut:
-		w.after(w.day.Module.DialTimeout, func() { then(false) })
-	case s.gone, w.day.MostConns > 0 && s.conns >= w.day.MostConns:
+		w.after(w.day.Policy.DialTimeout, func() { then(false) })
+	case s.gone, w.day.MaxConnections > 0 && s.conns >= w.day.MaxConnections:
 		w.after(2*way, func() { then(false) })
 	default:
 		s.conns++
-		w.after(2*way+w.day.Handshake, func() { then(true) })
+		w.after(2*way+w.day.HandshakeDuration, func() { then(true) })
 	}
 }
 
@@ -279,13 +279,13 @@
 	}
 	switch st {
 	case policy.StatusConnectFailed:
-		in.w.second().Unreached++
+		in.w.second().ConnectFailures++
 	case policy.StatusTimeout:
-		in.w.second().TimedOut++
+		in.w.second().Timeouts++
 	case policy.StatusApplicationError:
-		in.w.second().Erred++
+		in.w.second().ApplicationErrors++
 	case policy.StatusOverloaded:
-		in.w.second().Full++
+		in.w.second().Overloaded++
 	}
 	if st != policy.StatusConnectFailed || a.begun {
 		if st == policy.StatusOK || st == policy.StatusApplicationError || st == policy.StatusOverloaded {
@@ -307,7 +307,7 @@
 }
 
 // back brings the answer to an attempt.
-func (a *attempt) back(w *World, st policy.Status) {
+func (a *attempt) back(w *Emulation, st policy.Status) {
 	in := a.try.in
 	if st == policy.StatusOK && w.lost > 0 && w.rng.Float64() < w.lost {
 		return
@@ -341,9 +341,9 @@
 	in.w.watch.sends(a, to)
 	t.attempts = append(t.attempts, a)
 	sec := in.w.second()
-	sec.Sends++
+	sec.Attempts++
 	if a.number > 0 {
-		sec.Again++
+		sec.Retries++
 	}
 	if s == nil {
 		a.done = true
@@ -354,10 +354,10 @@
 		return
 	}
 	if s.warmth(in.w) < 1 {
-		sec.Cold++
+		sec.WarmingAttempts++
 	}
 	if s.zone != in.zone {
-		sec.Crossed++
+		sec.CrossZoneAttempts++
 	}
 	in.w.after(timeout, func() { in.settle(a, policy.StatusTimeout) })
 	in.connect(s, func(up bool) {
@@ -408,7 +408,7 @@
 
 func (in *instance) CheckHealth(to policy.EndpointID) {
 	s := in.known[to]
-	in.w.second().Probes++
+	in.w.second().HealthChecks++
 	b := in.b
 	answer := func(st policy.Status, l *policy.LoadReport) {
 		if in.b == b {
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -18,7 +18,7 @@
 
 // observer holds the four rules, by books of its own.
 type observer struct {
-	w     *World
+	w     *Emulation
 	left  map[*instance]map[policy.EndpointID]policy.Time // since when an instance has been told that a server takes nothing new
 	tries map[*try]*book
 }
@@ -29,14 +29,14 @@
 	out     map[*attempt]bool
 }
 
-func newObserver(w *World) *observer {
+func newObserver(w *Emulation) *observer {
 	return &observer{w: w, left: map[*instance]map[policy.EndpointID]policy.Time{}, tries: map[*try]*book{}}
 }
 
 func (o *observer) breach(format string, args ...any) {
-	o.w.Result.Breaks++
-	if len(o.w.Result.Broken) < mostBroken {
-		o.w.Result.Broken = append(o.w.Result.Broken, fmt.Sprintf("%.3f s, rule ", o.w.At().Seconds())+fmt.Sprintf(format, args...))
+	o.w.Result.ViolationCount++
+	if len(o.w.Result.Violations) < mostBroken {
+		o.w.Result.Violations = append(o.w.Result.Violations, fmt.Sprintf("%.3f s, rule ", o.w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,7 +12,7 @@
 type server struct {
 	id       string
 	addr     int
-	kind     Kind
+	kind     MachineType
 	zone     string
 	cell     int
 	started  policy.Time // 0: long ago
@@ -47,12 +47,12 @@
 	told bool
 }
 
-func (w *World) newServer(id string, place int, started policy.Time) *server {
-	kind := w.day.Kinds[len(w.day.Kinds)-1]
+func (w *Emulation) newServer(id string, place int, started policy.Time) *server {
+	kind := w.day.MachineTypes[len(w.day.MachineTypes)-1]
 	// Kinds are dealt in turn, so that any run of servers has all of them.
 	sum, at := 0.0, float64(place*7919%1000)/1000
-	for _, k := range w.day.Kinds {
-		if sum += k.Share; at < sum {
+	for _, k := range w.day.MachineTypes {
+		if sum += k.Fraction; at < sum {
 			kind = k
 			break
 		}
@@ -62,15 +62,15 @@
 }
 
 // warmth is the share of its capacity that s has now.
-func (s *server) warmth(w *World) float64 {
-	if s.started == 0 || w.now-s.started >= w.day.ColdFor {
+func (s *server) warmth(w *Emulation) float64 {
+	if s.started == 0 || w.now-s.started >= w.day.SlowStartDuration {
 		return 1
 	}
-	return w.day.ColdFrom + (1-w.day.ColdFrom)*float64(w.now-s.started)/float64(w.day.ColdFor)
+	return w.day.SlowStartMinCapacity + (1-w.day.SlowStartMinCapacity)*float64(w.now-s.started)/float64(w.day.SlowStartDuration)
 }
 
 // capacity is the work it does in a second, in seconds.
-func (s *server) capacity(w *World) float64 {
+func (s *server) capacity(w *Emulation) float64 {
 	return float64(s.kind.Cores) * s.kind.Speed * s.warmth(w)
 }
 
@@ -78,10 +78,10 @@
 func (s *server) dead() bool { return s.gone || s.silent || s.fallen || s.cut }
 
 // meanWork is that of a request of the day.
-func (d *Day) meanWork() time.Duration {
+func (d *Scenario) meanWork() time.Duration {
 	work, share := 0.0, 0.0
 	for _, c := range d.Classes {
-		work, share = work+c.Share*float64(c.Work), share+c.Share
+		work, share = work+c.Fraction*float64(c.MeanWork), share+c.Fraction
 	}
 	return time.Duration(work / share)
 }
@@ -89,12 +89,12 @@
 // push notes work that has come to a cold server, and has it fall over where that is too much for too long. The largest piece is
 // left out: one heavy request is chance, which nobody who sends it could know. What comes is also counted against what may be put
 // down to chance, where over two thirds of it came from instances that had been told of the server's start.
-func (s *server) push(w *World, of time.Duration, told bool) {
-	if w.day.Tip <= 0 || s.warmth(w) == 1 {
+func (s *server) push(w *Emulation, of time.Duration, told bool) {
+	if w.day.CollapseFactor <= 0 || s.warmth(w) == 1 {
 		return
 	}
 	s.pushed = append(s.pushed, pushed{w.now, of, told})
-	s.pushed = slices.DeleteFunc(s.pushed, func(x pushed) bool { return x.at <= w.now-w.day.TipFor })
+	s.pushed = slices.DeleteFunc(s.pushed, func(x pushed) bool { return x.at <= w.now-w.day.CollapseWindow })
 	sum, known, largest := time.Duration(0), time.Duration(0), time.Duration(0)
 	for _, x := range s.pushed {
 		sum += x.of
@@ -103,8 +103,8 @@
 			known += x.of
 		}
 	}
-	bears := w.day.Tip * s.capacity(w) * w.day.TipFor.Seconds()
-	if !w.day.Stands && (sum-largest).Seconds() > bears && !s.fallen {
+	bears := w.day.CollapseFactor * s.capacity(w) * w.day.CollapseWindow.Seconds()
+	if !w.day.CollapseDisabled && (sum-largest).Seconds() > bears && !s.fallen {
 		s.fallen = true
 		w.watch.fellOver(s)
 	}
@@ -114,12 +114,12 @@
 	mean := w.day.meanWork().Seconds()
 	budget := bears / mean
 	chance := budget + 2*math.Sqrt(budget) + 2
-	w.Result.ColdMost = max(w.Result.ColdMost, float64(len(s.pushed))/chance)
-	w.Result.ColdWork = max(w.Result.ColdWork, sum.Seconds()/mean/chance)
+	w.Result.MaxWarmingRequests = max(w.Result.MaxWarmingRequests, float64(len(s.pushed))/chance)
+	w.Result.MaxWarmingWork = max(w.Result.MaxWarmingWork, sum.Seconds()/mean/chance)
 }
 
 // comes takes an attempt whose last byte has come.
-func (s *server) comes(w *World, a *attempt) {
+func (s *server) comes(w *Emulation, a *attempt) {
 	switch {
 	case s.dead():
 		return // the connection stays open and silent, or the reset is told by who ended it
@@ -129,7 +129,7 @@
 	case s.fails > 0 && w.rng.Float64() < s.fails:
 		w.after(2*time.Millisecond, func() { a.back(w, policy.StatusApplicationError) })
 		return
-	case s.busy >= s.kind.Cores && len(s.waiting) >= w.day.Room:
+	case s.busy >= s.kind.Cores && len(s.waiting) >= w.day.MaxQueueLength:
 		a.back(w, policy.StatusOverloaded)
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 // work starts what may start. Neither a time-out nor a cancel stops what waits or runs.
-func (s *server) work(w *World) {
+func (s *server) work(w *Emulation) {
 	for s.busy < s.kind.Cores && len(s.waiting) > 0 && (s.cut || !s.dead()) {
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
@@ -157,26 +157,26 @@
 }
 
 // note keeps the length of the queue for reports.
-func (s *server) note(w *World) {
-	for len(s.late) > 1 && s.late[1].at <= w.now-w.day.ReportLag {
+func (s *server) note(w *Emulation) {
+	for len(s.late) > 1 && s.late[1].at <= w.now-w.day.LoadReportAge {
 		s.late = s.late[1:]
 	}
 	s.late = append(s.late, report{w.now, len(s.waiting)})
 }
 
 // reported is the queue that a probe is told.
-func (s *server) reported(w *World) float64 {
+func (s *server) reported(w *Emulation) float64 {
 	queue := 0
 	for _, r := range s.late {
-		if r.at <= w.now-w.day.ReportLag {
+		if r.at <= w.now-w.day.LoadReportAge {
 			queue = r.queue
 		}
 	}
 	return float64(queue)
 }
 
-// Silence has servers that match say nothing from now on, nor take connections; what runs there is lost.
-func (w *World) Silence(match func(place int, zone string) bool) {
+// FailSilently has servers that match say nothing from now on, nor take connections; what runs there is lost.
+func (w *Emulation) FailSilently(match func(place int, zone string) bool) {
 	for _, s := range w.servers {
 		if !s.gone && match(s.addr, s.zone) {
 			s.silent = true
@@ -185,8 +185,8 @@
 	}
 }
 
-// Return starts the silent servers anew, cold. Every other one is a new machine with a new name.
-func (w *World) Return() {
+// ReplaceSilent starts the silent servers anew, cold. Every other one is a new machine with a new name.
+func (w *Emulation) ReplaceSilent() {
 	for i, s := range w.servers {
 		if !s.silent || s.gone {
 			continue
@@ -200,28 +200,28 @@
 	}
 }
 
-func (w *World) join(id string, place int) *server {
+func (w *Emulation) join(id string, place int) *server {
 	s := w.newServer(id, place, w.now)
 	w.servers = append(w.servers, s)
 	w.list.change(s, policy.Ready)
 	return s
 }
 
-// Replace drains a server and starts a new one, cold, under a new name; the old one ends after the grace.
-func (w *World) Replace(place int, grace time.Duration) {
+// ReplaceBackend drains a server and starts a new one, cold, under a new name; the old one ends after the grace.
+func (w *Emulation) ReplaceBackend(place int, grace time.Duration) {
 	for _, s := range w.servers {
 		if s.addr == place && !s.gone && !s.draining {
 			s.draining = true
 			w.list.change(s, policy.Draining)
-			w.after(grace, func() { w.End(s.id) })
+			w.after(grace, func() { w.StopBackend(s.id) })
 			w.join(s.id+"r", place)
 			return
 		}
 	}
 }
 
-// End ends a server's process: what is out there is reset.
-func (w *World) End(id string) {
+// StopBackend ends a server's process: what is out there is reset.
+func (w *Emulation) StopBackend(id string) {
 	for _, s := range w.servers {
 		if s.id == id && !s.gone {
 			s.gone = true
@@ -233,9 +233,9 @@
 	}
 }
 
-// CutOff has nothing pass between all instances and the servers that match: connections stay open and silent, and none comes up. The
+// Partition has nothing pass between all instances and the servers that match: connections stay open and silent, and none comes up. The
 // servers' processes run on; the list tells of them as of any change.
-func (w *World) CutOff(match func(place int, zone string) bool) {
+func (w *Emulation) Partition(match func(place int, zone string) bool) {
 	for _, s := range w.servers {
 		if !s.dead() && match(s.addr, s.zone) {
 			s.cut = true
@@ -244,8 +244,8 @@
 	}
 }
 
-// Rejoin ends what CutOff began: connections from before are reset, and the servers are as warm as they were.
-func (w *World) Rejoin() {
+// HealPartition ends what CutOff began: connections from before are reset, and the servers are as warm as they were.
+func (w *Emulation) HealPartition() {
 	for _, s := range w.servers {
 		if s.cut {
 			s.cut = false
@@ -258,14 +258,14 @@
 	}
 }
 
-// LoseAnswers has a share of the answers never arrive.
-func (w *World) LoseAnswers(share float64) { w.lost = share }
+// DropResponses has a share of the answers never arrive.
+func (w *Emulation) DropResponses(share float64) { w.lost = share }
 
-// ResetRequests has a share of the attempts end with their connection reset after they have come; they run all the same.
-func (w *World) ResetRequests(share float64) { w.resets = share }
+// ResetConnections has a share of the attempts end with their connection reset after they have come; they run all the same.
+func (w *Emulation) ResetConnections(share float64) { w.resets = share }
 
-// Fail makes a server answer a share of requests with an error at once.
-func (w *World) Fail(place int, share float64) {
+// InjectErrors makes a server answer a share of requests with an error at once.
+func (w *Emulation) InjectErrors(place int, share float64) {
 	for _, s := range w.servers {
 		if s.addr == place {
 			s.fails = share
@@ -273,11 +273,11 @@
 	}
 }
 
-// Chill starts all servers anew at once, cold, under their names.
-func (w *World) Chill() { w.ChillPart(1) }
+// RestartAllBackends starts all servers anew at once, cold, under their names.
+func (w *Emulation) RestartAllBackends() { w.RestartBackends(1) }
 
-// ChillPart is Chill of about that part of the servers, by their places.
-func (w *World) ChillPart(part float64) {
+// RestartBackends is Chill of about that part of the servers, by their places.
+func (w *Emulation) RestartBackends(part float64) {
 	for _, s := range w.servers {
 		if !s.gone && float64(s.addr*7919%1000) < 1000*part {
 			s.started = w.now
@@ -288,7 +288,7 @@
 
 // list is what discovery has to tell, and what it can.
 type list struct {
-	w        *World
+	w        *Emulation
 	seq      int
 	changes  []change
 	freeAt   policy.Time // when it has worked through the calls so far
@@ -306,7 +306,7 @@
 	off bool
 }
 
-func newList(w *World) *list {
+func newList(w *Emulation) *list {
 	l := &list{w: w}
 	for _, s := range w.servers {
 		l.changes = append(l.changes, change{0, origin, s.entry(policy.Ready)})
@@ -321,12 +321,12 @@
 // change notes a change of the list, which is told later.
 func (l *list) change(s *server, state policy.EndpointState) {
 	l.seq++
-	c := change{l.seq, l.w.now + l.w.day.Discovery.Notice, s.entry(state)}
+	c := change{l.seq, l.w.now + l.w.day.Discovery.NotificationDelay, s.entry(state)}
 	l.changes = append(l.changes, c)
-	l.w.after(l.w.day.Discovery.Notice, func() {
+	l.w.after(l.w.day.Discovery.NotificationDelay, func() {
 		for _, x := range l.watchers {
 			if !x.off {
-				l.w.after(l.w.day.Near, func() { x.in.told(policy.UpdateDelta, []policy.Endpoint{c.entry}) })
+				l.w.after(l.w.day.SameZoneDelay, func() { x.in.told(policy.UpdateDelta, []policy.Endpoint{c.entry}) })
 			}
 		}
 	})
@@ -359,12 +359,12 @@
 // call is a sidecar's call for a watch. Calls are worked through in turn.
 func (l *list) call(in *instance) *watcher {
 	x := &watcher{in: in}
-	l.w.second().Calls++
-	each := time.Duration(float64(time.Second) / l.w.day.Discovery.Calls)
+	l.w.second().WatchRequests++
+	each := time.Duration(float64(time.Second) / l.w.day.Discovery.WatchesPerSecond)
 	begin := max(l.freeAt, l.w.now)
-	if begin+each-l.w.now > l.w.day.Discovery.Patience {
-		l.w.second().CallsLost++
-		l.w.after(2*l.w.day.Near, func() {
+	if begin+each-l.w.now > l.w.day.Discovery.MaxQueueDelay {
+		l.w.second().WatchRequestsRejected++
+		l.w.after(2*l.w.day.SameZoneDelay, func() {
 			if !x.off {
 				x.off = true
 				in.lost()
@@ -373,7 +373,7 @@
 		return x
 	}
 	l.freeAt = begin + each
-	l.w.after(l.freeAt-l.w.now+l.w.day.Near, func() {
+	l.w.after(l.freeAt-l.w.now+l.w.day.SameZoneDelay, func() {
 		if !x.off {
 			l.watchers = append(l.watchers, x)
 			in.told(policy.UpdateFull, l.whole())
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -19,84 +19,84 @@
 // origin keeps the clock far from zero, which the module takes for 'never'.
 const origin policy.Time = time.Hour
 
-// Kind is a kind of machine.
-type Kind struct {
-	Name  string
-	Share float64 // of the servers
-	Cores int
-	Speed float64 // work done by a core in a second, in seconds of work
+// MachineType is a kind of machine.
+type MachineType struct {
+	Name     string
+	Fraction float64 // of the servers
+	Cores    int
+	Speed    float64 // work done by a core in a second, in seconds of work
 }
 
 // Class is a class of requests, and how clients ask it.
 type Class struct {
 	policy.Class
-	Share float64       // of the requests
-	Work  time.Duration // mean, of one core at speed 1
-	CV    float64       // of the work, which is lognormal
+	Fraction      float64       // of the requests
+	MeanWork      time.Duration // mean, of one core at speed 1
+	WorkVariation float64       // of the work, which is lognormal
 }
 
 // Clients is how clients behave.
 type Clients struct {
-	Rate     float64                                // requests a second, of all; a retry is none
-	Spread   float64                                // of the instances' rates: a request's instance is drawn by weights 1 to 1+Spread
-	Weight   func(ordinal int, zone string) float64 // the weights, where it is set
-	Retries  int                                    // of one request
-	Pause    time.Duration                          // before a retry, where nothing is told
-	TryShare float64                                // of the deadline that clients give a try
-	Heed     bool                                   // Retry-After is heeded
+	RequestsPerSecond      float64                                // requests a second, of all; a retry is none
+	RateSpread             float64                                // of the instances' rates: a request's instance is drawn by weights 1 to 1+Spread
+	InstanceWeight         func(ordinal int, zone string) float64 // the weights, where it is set
+	MaxRetries             int                                    // of one request
+	RetryDelay             time.Duration                          // before a retry, where nothing is told
+	AttemptTimeoutFraction float64                                // of the deadline that clients give a try
+	HonorRetryAfter        bool                                   // Retry-After is heeded
 }
 
 // Discovery is the service of the list.
 type Discovery struct {
-	Calls    float64       // that it works through in a second
-	Patience time.Duration // a call that would wait longer is turned away
-	Notice   time.Duration // from a change to its being told
+	WatchesPerSecond  float64       // that it works through in a second
+	MaxQueueDelay     time.Duration // a call that would wait longer is turned away
+	NotificationDelay time.Duration // from a change to its being told
 }
 
-// Step is something that happens to the world.
-type Step struct {
+// ScheduledEvent is something that happens to the world.
+type ScheduledEvent struct {
 	At time.Duration
-	Do func(*World)
+	Do func(*Emulation)
 }
 
-// Day is all that a run depends on.
-type Day struct {
-	Seed      uint64
-	Length    time.Duration
-	Instances int
-	Servers   int
-	Kinds     []Kind
-	Zones     []string
-	Near, Far time.Duration // one way within a zone, and between two
-	Room      int           // requests that may wait at a server
-	MostConns int           // that a server holds
-	Handshake time.Duration // of a new connection, beyond the way there and back
-	ReportLag time.Duration // age of the figures that a probe is told
-	ColdFrom  float64
-	ColdFor   time.Duration
-	Tip       float64 // times what a cold server can do, for TipFor: then it falls over and stays down
-	TipFor    time.Duration
-	Stands    bool // it does not fall: for counting alone
-	Classes   []Class
-	Clients   Clients
-	Discovery Discovery
-	Module    policy.Config // Ordinal, GroupSize, Zone, Classes and the cold figures are the day's
-	Steps     []Step
-	Start     time.Duration // over which the instances start
-	Hearsay   Hearsay
+// Scenario is all that a run depends on.
+type Scenario struct {
+	Seed                          uint64
+	Duration                      time.Duration
+	InstanceCount                 int
+	BackendCount                  int
+	MachineTypes                  []MachineType
+	Zones                         []string
+	SameZoneDelay, CrossZoneDelay time.Duration // one way within a zone, and between two
+	MaxQueueLength                int           // requests that may wait at a server
+	MaxConnections                int           // that a server holds
+	HandshakeDuration             time.Duration // of a new connection, beyond the way there and back
+	LoadReportAge                 time.Duration // age of the figures that a probe is told
+	SlowStartMinCapacity          float64
+	SlowStartDuration             time.Duration
+	CollapseFactor                float64 // times what a cold server can do, for TipFor: then it falls over and stays down
+	CollapseWindow                time.Duration
+	CollapseDisabled              bool // it does not fall: for counting alone
+	Classes                       []Class
+	Clients                       Clients
+	Discovery                     Discovery
+	Policy                        policy.Config // Ordinal, GroupSize, Zone, Classes and the cold figures are the day's
+	Events                        []ScheduledEvent
+	StartupWindow                 time.Duration // over which the instances start
+	Sharing                       Sharing
 }
 
-// Hearsay is what instances know of each other's state, each Lag after one has learnt it: to measure what sharing it would be worth. With a
+// Sharing is what instances know of each other's state, each Lag after one has learnt it: to measure what sharing it would be worth. With a
 // Lag of 0 nothing is shared.
-type Hearsay struct {
-	Lag       time.Duration
-	Witnesses int  // that have to tell of a server within a second, for others to believe it
-	Dead      bool // servers that one has found unreachable or silent: others leave them out until a probe of their own is answered
-	Room      bool // what one's probes are told: others take the report for one of their own
-	Learn     bool // slowness of servers and the line of delays, for one that starts
-	List      bool // the list, for one that starts
-	Zones     bool // a zone that fails is left by all by one decision, and returned to step by step
-	ZoneRules zonefailover.Rules
+type Sharing struct {
+	Delay        time.Duration
+	Quorum       int  // that have to tell of a server within a second, for others to believe it
+	Unreachable  bool // servers that one has found unreachable or silent: others leave them out until a probe of their own is answered
+	LoadReports  bool // what one's probes are told: others take the report for one of their own
+	LearnedState bool // slowness of servers and the line of delays, for one that starts
+	EndpointList bool // the list, for one that starts
+	ZoneFailover bool // a zone that fails is left by all by one decision, and returned to step by step
+	ZoneRules    zonefailover.Rules
 }
 
 // event is due at a time; those of one time come in the order in which they were asked for.
@@ -122,9 +122,9 @@
 	return x
 }
 
-// World is a day as it is played.
-type World struct {
-	day    Day
+// Emulation is a day as it is played.
+type Emulation struct {
+	day    Scenario
 	now    policy.Time
 	queue  events
 	seq    uint64
@@ -146,48 +146,48 @@
 
 // Result is what a day came to.
 type Result struct {
-	Seconds []Second // by second of the day
-	Broken  []string // rules, at most mostBroken of them
-	Breaks  int
-	Total   Second
+	Seconds        []Counts // by second of the day
+	Violations     []string // rules, at most mostBroken of them
+	ViolationCount int
+	Total          Counts
 
-	Decisions []Decision // of zones, in order
+	ZoneDecisions []ZoneDecision // of zones, in order
 
-	// ColdMost is the most that any cold server was sent within Day.TipFor, mostly by instances that had been told of its start, over
+	// MaxWarmingRequests is the most that any cold server was sent within Day.TipFor, mostly by instances that had been told of its start, over
 	// what may be put down to chance there: with N calls of mean work as its budget, N + 2 x root of N + 2. Over 1 the platform's
 	// term is broken. ColdWork is the same by the work of the calls, which scatters more.
-	ColdMost, ColdWork float64
+	MaxWarmingRequests, MaxWarmingWork float64
 }
 
-// Second is what happened within one second.
-type Second struct {
+// Counts is what happened within one second.
+type Counts struct {
 	// By the second in which the request was first asked.
-	Requests int `json:"Requests"`
-	InAim    int `json:"InAim"`
-	Late     int `json:"Late"`
-	Unserved int `json:"Unserved"`
+	Requests        int `json:"Requests"`
+	WithinObjective int `json:"InAim"`
+	Late            int `json:"Late"`
+	Unserved        int `json:"Unserved"`
 	// By the second in which it happened, as the rest.
-	Tries     int     `json:"Tries"`
-	Refused   int     `json:"Refused"`
-	Failed    int     `json:"Failed"`
-	Worth     float64 `json:"Worth"`
-	Served    float64 `json:"Served"`
-	Sends     int     `json:"Sends"`
-	Cold      int     `json:"Cold"`
-	Again     int     `json:"Again"`
-	Crossed   int     `json:"Crossed"` // to another zone
-	Unreached int     `json:"Unreached"`
-	TimedOut  int     `json:"TimedOut"`
-	Erred     int     `json:"Erred"`
-	Full      int     `json:"Full"`
-	Probes    int     `json:"Probes"`
-	Dials     int     `json:"Dials"`
-	Calls     int     `json:"Calls"`
-	CallsLost int     `json:"CallsLost"`
+	ClientAttempts        int     `json:"Tries"`
+	Rejected              int     `json:"Refused"`
+	Failed                int     `json:"Failed"`
+	RequestedWeight       float64 `json:"Worth"`
+	ServedWeight          float64 `json:"Served"`
+	Attempts              int     `json:"Sends"`
+	WarmingAttempts       int     `json:"Cold"`
+	Retries               int     `json:"Again"`
+	CrossZoneAttempts     int     `json:"Crossed"` // to another zone
+	ConnectFailures       int     `json:"Unreached"`
+	Timeouts              int     `json:"TimedOut"`
+	ApplicationErrors     int     `json:"Erred"`
+	Overloaded            int     `json:"Full"`
+	HealthChecks          int     `json:"Probes"`
+	Dials                 int     `json:"Dials"`
+	WatchRequests         int     `json:"Calls"`
+	WatchRequestsRejected int     `json:"CallsLost"`
 }
 
-// UsualModule is the module's configuration by which days are played, but for what Day says it is the day's.
-func UsualModule() policy.Config {
+// DefaultPolicy is the module's configuration by which days are played, but for what Day says it is the day's.
+func DefaultPolicy() policy.Config {
 	return policy.Config{
 		HealthChecksAllowed: true, CancellationAllowed: true, HedgingAllowed: true, RetryAfterHonored: true, MaxAttempts: 3, MaxRetryAfter: 1500 * time.Millisecond,
 		DialTimeout: 250 * time.Millisecond, ConnIdle: 5 * time.Second, TimerResolution: time.Millisecond, PollInterval: 10 * time.Second,
@@ -196,34 +196,34 @@
 }
 
 // New makes the world of a day.
-func New(day Day) (*World, error) {
+func New(day Scenario) (*Emulation, error) {
 	switch {
-	case day.Instances < 1 || day.Servers < 1 || len(day.Kinds) == 0 || len(day.Zones) == 0 || len(day.Classes) == 0:
+	case day.InstanceCount < 1 || day.BackendCount < 1 || len(day.MachineTypes) == 0 || len(day.Zones) == 0 || len(day.Classes) == 0:
 		return nil, errors.New("emulator: a day needs instances, servers, kinds, zones and classes")
-	case day.Length <= 0 || day.Clients.Rate <= 0 || day.Discovery.Calls <= 0:
+	case day.Duration <= 0 || day.Clients.RequestsPerSecond <= 0 || day.Discovery.WatchesPerSecond <= 0:
 		return nil, errors.New("emulator: a day needs a length, a rate of clients and calls that discovery can take")
 	}
-	w := &World{day: day, now: origin, rng: rand.New(rand.NewPCG(day.Seed, 1))}
-	w.Result.Seconds = make([]Second, int((day.Length+time.Second-1)/time.Second)+1)
+	w := &Emulation{day: day, now: origin, rng: rand.New(rand.NewPCG(day.Seed, 1))}
+	w.Result.Seconds = make([]Counts, int((day.Duration+time.Second-1)/time.Second)+1)
 	w.watch = newObserver(w)
-	for i := range day.Servers {
+	for i := range day.BackendCount {
 		w.servers = append(w.servers, w.newServer(fmt.Sprintf("s%03d", i), i, 0))
 	}
 	w.list = newList(w)
-	if day.Hearsay.Zones {
+	if day.Sharing.ZoneFailover {
 		w.fleet = newDecider(w)
 	}
 	weight := 0.0
-	for i := range day.Instances {
+	for i := range day.InstanceCount {
 		in, err := newInstance(w, i)
 		if err != nil {
 			return nil, err
 		}
 		w.instances = append(w.instances, in)
-		if of := day.Clients.Weight; of != nil {
+		if of := day.Clients.InstanceWeight; of != nil {
 			weight += of(i, in.zone)
 		} else {
-			weight += 1 + day.Clients.Spread*float64(i%10)/9
+			weight += 1 + day.Clients.RateSpread*float64(i%10)/9
 		}
 		w.weights = append(w.weights, weight)
 	}
@@ -231,34 +231,34 @@
 }
 
 // after has do done once d has passed.
-func (w *World) after(d time.Duration, do func()) {
+func (w *Emulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(0, d), w.seq, do})
 }
 
-// At is how far the day has come.
-func (w *World) At() time.Duration { return w.now - origin }
+// Elapsed is how far the day has come.
+func (w *Emulation) Elapsed() time.Duration { return w.now - origin }
 
 // second is that of now.
-func (w *World) second() *Second {
-	return &w.Result.Seconds[min(int(w.At()/time.Second), len(w.Result.Seconds)-1)]
+func (w *Emulation) second() *Counts {
+	return &w.Result.Seconds[min(int(w.Elapsed()/time.Second), len(w.Result.Seconds)-1)]
 }
 
 // Run plays the day, and on until all that was asked is answered.
-func (w *World) Run() *Result {
+func (w *Emulation) Run() *Result {
 	for _, in := range w.instances {
-		w.after(time.Duration(w.rng.Float64()*float64(w.day.Start)), in.start)
+		w.after(time.Duration(w.rng.Float64()*float64(w.day.StartupWindow)), in.start)
 	}
-	for _, s := range w.day.Steps {
+	for _, s := range w.day.Events {
 		w.after(s.At, func() { s.Do(w) })
 	}
-	w.after(w.day.Start, w.arrive)
-	w.after(w.day.Length, func() { w.closed = true })
+	w.after(w.day.StartupWindow, w.arrive)
+	w.after(w.day.Duration, func() { w.closed = true })
 	longest := time.Duration(0)
 	for _, c := range w.day.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	end := origin + w.day.Length + longest + 2*time.Second
+	end := origin + w.day.Duration + longest + 2*time.Second
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		w.step()
 	}
@@ -270,53 +270,53 @@
 }
 
 // step does what is due next.
-func (w *World) step() {
+func (w *Emulation) step() {
 	e := heap.Pop(&w.queue).(event)
 	w.now = e.at
 	e.do()
 }
 
 // Add adds another Second.
-func (s *Second) Add(o Second) {
-	s.Requests, s.InAim, s.Late, s.Unserved = s.Requests+o.Requests, s.InAim+o.InAim, s.Late+o.Late, s.Unserved+o.Unserved
-	s.Tries, s.Refused, s.Failed, s.Worth, s.Served = s.Tries+o.Tries, s.Refused+o.Refused, s.Failed+o.Failed, s.Worth+o.Worth, s.Served+o.Served
-	s.Sends, s.Cold, s.Again, s.Crossed = s.Sends+o.Sends, s.Cold+o.Cold, s.Again+o.Again, s.Crossed+o.Crossed
-	s.Unreached, s.TimedOut = s.Unreached+o.Unreached, s.TimedOut+o.TimedOut
-	s.Erred, s.Full, s.Probes, s.Dials, s.Calls, s.CallsLost = s.Erred+o.Erred, s.Full+o.Full, s.Probes+o.Probes, s.Dials+o.Dials, s.Calls+o.Calls, s.CallsLost+o.CallsLost
+func (s *Counts) Add(o Counts) {
+	s.Requests, s.WithinObjective, s.Late, s.Unserved = s.Requests+o.Requests, s.WithinObjective+o.WithinObjective, s.Late+o.Late, s.Unserved+o.Unserved
+	s.ClientAttempts, s.Rejected, s.Failed, s.RequestedWeight, s.ServedWeight = s.ClientAttempts+o.ClientAttempts, s.Rejected+o.Rejected, s.Failed+o.Failed, s.RequestedWeight+o.RequestedWeight, s.ServedWeight+o.ServedWeight
+	s.Attempts, s.WarmingAttempts, s.Retries, s.CrossZoneAttempts = s.Attempts+o.Attempts, s.WarmingAttempts+o.WarmingAttempts, s.Retries+o.Retries, s.CrossZoneAttempts+o.CrossZoneAttempts
+	s.ConnectFailures, s.Timeouts = s.ConnectFailures+o.ConnectFailures, s.Timeouts+o.Timeouts
+	s.ApplicationErrors, s.Overloaded, s.HealthChecks, s.Dials, s.WatchRequests, s.WatchRequestsRejected = s.ApplicationErrors+o.ApplicationErrors, s.Overloaded+o.Overloaded, s.HealthChecks+o.HealthChecks, s.Dials+o.Dials, s.WatchRequests+o.WatchRequests, s.WatchRequestsRejected+o.WatchRequestsRejected
 }
 
-// Span is the sum of the seconds from one to before another.
-func (r *Result) Span(from, to int) Second {
-	var sum Second
+// Sum is the sum of the seconds from one to before another.
+func (r *Result) Sum(from, to int) Counts {
+	var sum Counts
 	for _, s := range r.Seconds[from:min(to, len(r.Seconds))] {
 		sum.Add(s)
 	}
 	return sum
 }
 
-// Share is the worth served over that asked.
-func (s Second) Share() float64 { return s.Served / max(s.Worth, 1e-9) }
+// ServedFraction is the worth served over that asked.
+func (s Counts) ServedFraction() float64 { return s.ServedWeight / max(s.RequestedWeight, 1e-9) }
 
 // arrive lets a client ask, and the next one later.
-func (w *World) arrive() {
+func (w *Emulation) arrive() {
 	if w.closed {
 		return
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/w.day.Clients.Rate*float64(time.Second)), w.arrive)
+	w.after(time.Duration(w.rng.ExpFloat64()/w.day.Clients.RequestsPerSecond*float64(time.Second)), w.arrive)
 	x, class := w.rng.Float64(), 0
-	for class < len(w.day.Classes)-1 && x >= w.day.Classes[class].Share {
-		x -= w.day.Classes[class].Share
+	for class < len(w.day.Classes)-1 && x >= w.day.Classes[class].Fraction {
+		x -= w.day.Classes[class].Fraction
 		class++
 	}
 	c := &w.day.Classes[class]
 	at, _ := slices.BinarySearch(w.weights, w.rng.Float64()*w.weights[len(w.weights)-1])
 	q := &root{
-		class: c, in: w.instances[min(at, len(w.instances)-1)], began: w.now, left: w.day.Clients.Retries,
-		work: lognormal(w.rng, c.Work, c.CV), second: int(w.At() / time.Second),
+		class: c, in: w.instances[min(at, len(w.instances)-1)], began: w.now, left: w.day.Clients.MaxRetries,
+		work: lognormal(w.rng, c.MeanWork, c.WorkVariation), second: int(w.Elapsed() / time.Second),
 	}
 	s := &w.Result.Seconds[q.second]
 	s.Requests++
-	s.Worth += q.worth()
+	s.RequestedWeight += q.worth()
 	q.try(w)
 }
 
@@ -340,18 +340,18 @@
 func (q *root) worth() float64 { return q.class.PriorityWeight * q.work.Seconds() }
 
 // try asks once.
-func (q *root) try(w *World) {
-	wait := time.Duration(w.day.Clients.TryShare * float64(q.class.Deadline))
-	if w.day.Clients.TryShare <= 0 || q.left == 0 {
+func (q *root) try(w *Emulation) {
+	wait := time.Duration(w.day.Clients.AttemptTimeoutFraction * float64(q.class.Deadline))
+	if w.day.Clients.AttemptTimeoutFraction <= 0 || q.left == 0 {
 		wait = q.class.Deadline
 	}
 	wait = min(wait, q.began+q.class.Deadline-w.now)
-	w.second().Tries++
+	w.second().ClientAttempts++
 	q.in.take(q, wait)
 }
 
 // ended takes the final answer to a try: 0 served, 1 refused, 2 failed, 3 given up.
-func (q *root) ended(w *World, how int, retryAfter time.Duration) {
+func (q *root) ended(w *Emulation, how int, retryAfter time.Duration) {
 	if q.done {
 		return
 	}
@@ -359,15 +359,15 @@
 	switch {
 	case how == served && w.now-q.began <= q.class.LatencyObjective:
 		q.done = true
-		s.InAim++
-		s.Served += q.worth()
+		s.WithinObjective++
+		s.ServedWeight += q.worth()
 	case how == served:
 		q.done = true
 		s.Late++
-		s.Served += q.worth() * q.class.LateWeightFraction
+		s.ServedWeight += q.worth() * q.class.LateWeightFraction
 	default:
-		pause := w.day.Clients.Pause
-		if w.day.Clients.Heed && retryAfter > 0 {
+		pause := w.day.Clients.RetryDelay
+		if w.day.Clients.HonorRetryAfter && retryAfter > 0 {
 			pause = retryAfter
 		}
 		if q.left == 0 || w.now+pause >= q.began+q.class.Deadline {
--- a/internal/emulator/zones.go
+++ b/internal/emulator/zones.go
@@ -13,7 +13,7 @@
 // decider decides of zones for all instances, as the holder of a lease does in the program: on what instances have found silent, each word the lag old,
 // and with a decision that all carry out the lag after it. That it is decided once and carried out whole is the council's doing and taken for granted.
 type decider struct {
-	w      *World
+	w      *Emulation
 	keeper *zonefailover.Controller
 	words  map[int]map[policy.EndpointID]policy.Time // by instance: when it last found a server silent
 	states map[string]zonefailover.State
@@ -28,17 +28,17 @@
 	looksEach  = 3               // servers of it that each looks at
 )
 
-// Decision is what was decided of a zone, for those who read a run.
-type Decision struct {
-	At   time.Duration
-	Zone string
-	Step int
-	Why  string
+// ZoneDecision is what was decided of a zone, for those who read a run.
+type ZoneDecision struct {
+	At     time.Duration
+	Zone   string
+	Step   int
+	Reason string
 }
 
-func newDecider(w *World) *decider {
-	f := &decider{w: w, keeper: zonefailover.NewController(w.day.Hearsay.ZoneRules), words: map[int]map[policy.EndpointID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
-	w.after(w.day.Start+judgeEvery, f.judge)
+func newDecider(w *Emulation) *decider {
+	f := &decider{w: w, keeper: zonefailover.NewController(w.day.Sharing.ZoneRules), words: map[int]map[policy.EndpointID]policy.Time{}, states: map[string]zonefailover.State{}, epochs: map[string]uint64{}}
+	w.after(w.day.StartupWindow+judgeEvery, f.judge)
 	return f
 }
 
@@ -79,7 +79,7 @@
 			switch age := w.now - at; {
 			case age > wordFor:
 				delete(f.words[in.ordinal], id)
-			case age >= w.day.Hearsay.Lag:
+			case age >= w.day.Sharing.Delay:
 				s.Unreachable = append(s.Unreachable, zonefailover.UnreachableReport{Member: name, Endpoint: string(id)})
 			}
 		}
@@ -118,8 +118,8 @@
 	}
 	f.epoch++
 	f.states[change.Zone], f.epochs[change.Zone] = change.State, f.epoch
-	w.Result.Decisions = append(w.Result.Decisions, Decision{w.At(), change.Zone, change.State.Step, change.State.Reason})
-	w.after(w.day.Hearsay.Lag, func() {
+	w.Result.ZoneDecisions = append(w.Result.ZoneDecisions, ZoneDecision{w.Elapsed(), change.Zone, change.State.Step, change.State.Reason})
+	w.after(w.day.Sharing.Delay, func() {
 		for _, in := range w.instances {
 			in.follow()
 		}
--- a/internal/scenario/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -111,52 +111,52 @@
 }
 
 // The kinds of faults: what each does to the world.
-var faults = map[string]func(Fault) []emulator.Step{
-	"zone-lost": func(f Fault) []emulator.Step {
-		return once(f, func(w *emulator.World) { w.Silence(func(_ int, zone string) bool { return zone == f.Zone }) })
+var faults = map[string]func(Fault) []emulator.ScheduledEvent{
+	"zone-lost": func(f Fault) []emulator.ScheduledEvent {
+		return once(f, func(w *emulator.Emulation) { w.FailSilently(func(_ int, zone string) bool { return zone == f.Zone }) })
 	},
-	"cut-off": func(f Fault) []emulator.Step { // a zone, or a share of the servers, and back after a while
+	"cut-off": func(f Fault) []emulator.ScheduledEvent { // a zone, or a share of the servers, and back after a while
 		back := f
 		back.At += f.Over
-		off := func(w *emulator.World) {
-			w.CutOff(func(place int, zone string) bool {
+		off := func(w *emulator.Emulation) {
+			w.Partition(func(place int, zone string) bool {
 				return f.Zone != "" && zone == f.Zone || f.Zone == "" && float64(place*7919%1000) < f.Share*1000
 			})
 		}
-		return append(once(f, off), once(back, (*emulator.World).Rejoin)...)
+		return append(once(f, off), once(back, (*emulator.Emulation).HealPartition)...)
 	},
-	"lost-answers": func(f Fault) []emulator.Step {
-		return once(f, func(w *emulator.World) { w.LoseAnswers(f.Share) })
+	"lost-answers": func(f Fault) []emulator.ScheduledEvent {
+		return once(f, func(w *emulator.Emulation) { w.DropResponses(f.Share) })
 	},
-	"resets": func(f Fault) []emulator.Step {
-		return once(f, func(w *emulator.World) { w.ResetRequests(f.Share) })
+	"resets": func(f Fault) []emulator.ScheduledEvent {
+		return once(f, func(w *emulator.Emulation) { w.ResetConnections(f.Share) })
 	},
-	"zone-back": func(f Fault) []emulator.Step { return once(f, (*emulator.World).Return) },
-	"all-cold":  func(f Fault) []emulator.Step { return once(f, (*emulator.World).Chill) },
-	"fail-fast": func(f Fault) []emulator.Step {
-		return once(f, func(w *emulator.World) {
+	"zone-back": func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).ReplaceSilent) },
+	"all-cold":  func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).RestartAllBackends) },
+	"fail-fast": func(f Fault) []emulator.ScheduledEvent {
+		return once(f, func(w *emulator.Emulation) {
 			for i := range f.Servers {
-				w.Fail(i, f.Share)
+				w.InjectErrors(i, f.Share)
 			}
 		})
 	},
-	"restart": func(f Fault) []emulator.Step { // of a share of the instances
-		return once(f, func(w *emulator.World) {
-			w.Restart(func(o int) bool { return float64(o*7919%1000) < f.Share*1000 }, time.Duration(f.Over))
+	"restart": func(f Fault) []emulator.ScheduledEvent { // of a share of the instances
+		return once(f, func(w *emulator.Emulation) {
+			w.RestartInstances(func(o int) bool { return float64(o*7919%1000) < f.Share*1000 }, time.Duration(f.Over))
 		})
 	},
-	"replace": func(f Fault) []emulator.Step {
-		var all []emulator.Step
+	"replace": func(f Fault) []emulator.ScheduledEvent {
+		var all []emulator.ScheduledEvent
 		for i := range f.Servers {
 			at := time.Duration(f.At) + time.Duration(i)*time.Duration(f.Over)/time.Duration(max(f.Servers, 1))
-			all = append(all, emulator.Step{At: at, Do: func(w *emulator.World) { w.Replace(i, 3*time.Second) }})
+			all = append(all, emulator.ScheduledEvent{At: at, Do: func(w *emulator.Emulation) { w.ReplaceBackend(i, 3*time.Second) }})
 		}
 		return all
 	},
 }
 
-func once(f Fault, do func(*emulator.World)) []emulator.Step {
-	return []emulator.Step{{At: time.Duration(f.At), Do: do}}
+func once(f Fault, do func(*emulator.Emulation)) []emulator.ScheduledEvent {
+	return []emulator.ScheduledEvent{{At: time.Duration(f.At), Do: do}}
 }
 
 // Usual is a day of a middling fleet without faults.
@@ -170,32 +170,32 @@
 }
 
 // Load reads a day's file.
-func Load(path string) (emulator.Day, error) {
+func Load(path string) (emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return emulator.Day{}, err
+		return emulator.Scenario{}, err
 	}
 	return Parse(path, text)
 }
 
 // LoadScaled reads a day's file for times as many instances, servers, requests and calls.
-func LoadScaled(path string, times float64) (emulator.Day, error) {
+func LoadScaled(path string, times float64) (emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return emulator.Day{}, err
+		return emulator.Scenario{}, err
 	}
 	return parse(path, text, times)
 }
 
 // Parse reads a day's text; name is what errors call it.
-func Parse(name string, text []byte) (emulator.Day, error) { return parse(name, text, 1) }
+func Parse(name string, text []byte) (emulator.Scenario, error) { return parse(name, text, 1) }
 
-func parse(name string, text []byte, times float64) (emulator.Day, error) {
+func parse(name string, text []byte, times float64) (emulator.Scenario, error) {
 	f := Usual()
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
-		return emulator.Day{}, explain(name, err)
+		return emulator.Scenario{}, explain(name, err)
 	}
 	if times != 1 {
 		whole := func(n int) int { return int(math.Round(float64(n) * times)) }
@@ -206,7 +206,7 @@
 	}
 	day, err := f.Day()
 	if err != nil {
-		return emulator.Day{}, fmt.Errorf("%s: %w", name, err)
+		return emulator.Scenario{}, fmt.Errorf("%s: %w", name, err)
 	}
 	return day, nil
 }
@@ -231,7 +231,7 @@
 }
 
 // Day is the day that f describes; the error names every key that cannot be used.
-func (f *File) Day() (emulator.Day, error) {
+func (f *File) Day() (emulator.Scenario, error) {
 	var errs []error
 	bad := func(key, format string, args ...any) { errs = append(errs, fmt.Errorf(key+": "+format, args...)) }
 	within := func(key string, v, least, most float64) {
@@ -251,26 +251,26 @@
 	if len(f.Zones) == 0 {
 		bad("zones", "names none")
 	}
-	day := emulator.Day{
-		Seed: f.Seed, Length: time.Duration(f.Length), Instances: f.Instances, Servers: f.Servers, Zones: f.Zones, Start: 100 * time.Millisecond,
-		Near: time.Duration(f.Near), Far: time.Duration(f.Far), Room: f.Room, MostConns: f.MostConns, Handshake: 2 * time.Millisecond,
-		ReportLag: time.Duration(f.ReportLag), ColdFrom: f.ColdFrom, ColdFor: time.Duration(f.ColdFor), Tip: 2.5, TipFor: time.Second,
+	day := emulator.Scenario{
+		Seed: f.Seed, Duration: time.Duration(f.Length), InstanceCount: f.Instances, BackendCount: f.Servers, Zones: f.Zones, StartupWindow: 100 * time.Millisecond,
+		SameZoneDelay: time.Duration(f.Near), CrossZoneDelay: time.Duration(f.Far), MaxQueueLength: f.Room, MaxConnections: f.MostConns, HandshakeDuration: 2 * time.Millisecond,
+		LoadReportAge: time.Duration(f.ReportLag), SlowStartMinCapacity: f.ColdFrom, SlowStartDuration: time.Duration(f.ColdFor), CollapseFactor: 2.5, CollapseWindow: time.Second,
 		Clients: emulator.Clients{
-			Rate: f.Clients.Rate, Spread: 1, Retries: f.Clients.Retries, Pause: time.Duration(f.Clients.Pause), TryShare: 0.5, Heed: f.Clients.Heed,
+			RequestsPerSecond: f.Clients.Rate, RateSpread: 1, MaxRetries: f.Clients.Retries, RetryDelay: time.Duration(f.Clients.Pause), AttemptTimeoutFraction: 0.5, HonorRetryAfter: f.Clients.Heed,
 		},
-		Discovery: emulator.Discovery{Calls: f.Discovery.Calls, Patience: 2 * time.Second, Notice: time.Duration(f.Discovery.Notice)},
-		Module:    emulator.UsualModule(),
+		Discovery: emulator.Discovery{WatchesPerSecond: f.Discovery.Calls, MaxQueueDelay: 2 * time.Second, NotificationDelay: time.Duration(f.Discovery.Notice)},
+		Policy:    emulator.DefaultPolicy(),
 	}
-	day.Module.RetryAfterHonored = f.Clients.Heed
+	day.Policy.RetryAfterHonored = f.Clients.Heed
 	for i, k := range f.Kinds {
 		at := fmt.Sprintf("kinds[%d].", i+1)
 		within(at+"cores", float64(k.Cores), 1, 1024)
 		within(at+"speed", k.Speed, 0.001, 1000)
 		within(at+"share", k.Share, 0, 1)
-		day.Kinds = append(day.Kinds, emulator.Kind{Name: k.Name, Share: k.Share, Cores: k.Cores, Speed: k.Speed})
+		day.MachineTypes = append(day.MachineTypes, emulator.MachineType{Name: k.Name, Fraction: k.Share, Cores: k.Cores, Speed: k.Speed})
 	}
 	if len(f.Kinds) == 0 {
-		day.Kinds = []emulator.Kind{{Name: "even", Share: 1, Cores: 3, Speed: 1.2}}
+		day.MachineTypes = []emulator.MachineType{{Name: "even", Fraction: 1, Cores: 3, Speed: 1.2}}
 	}
 	effects := map[string]policy.Idempotency{"": policy.Idempotent, "safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 	groups := map[string]policy.DedupScope{"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
@@ -297,12 +297,12 @@
 			Class: policy.Class{
 				Name: c.Name, Idempotency: effect, DedupScope: group, DedupWindow: time.Duration(c.KeyTTL), LatencyObjective: time.Duration(c.Aim),
 				Deadline: time.Duration(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.Late,
-			}, Share: c.Share, Work: time.Duration(c.Work), CV: c.CV,
+			}, Fraction: c.Share, MeanWork: time.Duration(c.Work), WorkVariation: c.CV,
 		})
 	}
 	if len(f.Classes) == 0 {
 		day.Classes = []emulator.Class{{
-			Class: policy.Class{Name: "read", LatencyObjective: 450 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.3}, Share: 1, Work: 90 * time.Millisecond, CV: 1,
+			Class: policy.Class{Name: "read", LatencyObjective: 450 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeightFraction: 0.3}, Fraction: 1, MeanWork: 90 * time.Millisecond, WorkVariation: 1,
 		}}
 	}
 	for i, x := range f.Faults {
@@ -320,7 +320,7 @@
 		if (x.Kind == "zone-lost" || x.Kind == "cut-off" && x.Zone != "") && !slices.Contains(f.Zones, x.Zone) {
 			bad(at+"zone", "is %q, none of zones", x.Zone)
 		}
-		day.Steps = append(day.Steps, steps(x)...)
+		day.Events = append(day.Events, steps(x)...)
 	}
 	return day, errors.Join(errs...)
 }
--- a/internal/scenario/dayfile_test.go
+++ b/internal/scenario/dayfile_test.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := w.Run(); r.Breaks > 0 || r.Total.Share() < 0.8 || r.Total.Requests < 1000 {
-		t.Errorf("%v %+v", r.Broken, r.Total)
+	if r := w.Run(); r.ViolationCount > 0 || r.Total.ServedFraction() < 0.8 || r.Total.Requests < 1000 {
+		t.Errorf("%v %+v", r.Violations, r.Total)
 	}
 }
 
@@ -54,7 +54,7 @@
 	f.Add("servers = 3\n[[faults]]\nat = \"1s\"\nkind = \"replace\"\nservers = 2\nover = \"1s\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		day, err := Parse("d", []byte(text))
-		if err != nil || day.Instances > 50 {
+		if err != nil || day.InstanceCount > 50 {
 			return
 		}
 		if _, err := emulator.New(day); err != nil {
