--- a/internal/emulator/cases_test.go
+++ b/internal/emulator/cases_test.go
@@ -29,20 +29,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.closed = true
+	w.arrivalsClosed = true
 	in := w.instances[0]
 	in.start()
-	q := &root{class: &day.Classes[0], in: in, work: time.Microsecond}
+	q := &clientRequest{class: &day.Classes[0], instance: in, work: time.Microsecond}
 	for range 60 {
-		in.take(q, time.Second)
+		in.receive(q, time.Second)
 		for len(w.queue) > 0 && w.queue[0].at <= w.now+100*ms {
 			w.step()
 		}
 		w.now += 100 * ms
 	}
 	var all []int
-	for place, s := range w.servers {
-		if in.idle[s] > 0 {
+	for place, s := range w.backends {
+		if in.idleConnections[s] > 0 {
 			all = append(all, place)
 		}
 	}
@@ -66,8 +66,8 @@
 			t.Fatal(err)
 		}
 		lost := 0
-		w.settled = func(a *attempt, st policy.Status) {
-			if a.try.in.ordinal == 0 && a.s.cut && (st == policy.StatusConnectFailed || st == policy.StatusTimeout) {
+		w.onAttemptFinished = func(a *attempt, st policy.Status) {
+			if a.request.instance.index == 0 && a.backend.partitioned && (st == policy.StatusConnectFailed || st == policy.StatusTimeout) {
 				lost++
 			}
 		}
@@ -92,9 +92,9 @@
 		t.Fatal(err)
 	}
 	good, bad := 0, 0
-	w.settled = func(a *attempt, st policy.Status) {
+	w.onAttemptFinished = func(a *attempt, st policy.Status) {
 		switch {
-		case a.try.in.ordinal != 0 || w.Elapsed() < 6*time.Second:
+		case a.request.instance.index != 0 || w.Elapsed() < 6*time.Second:
 		case st == policy.StatusOK:
 			good++
 		case st != policy.StatusCanceled:
@@ -190,9 +190,9 @@
 		}
 		for at := 2 * time.Second; liar && at < day.Duration; at += 200 * ms {
 			day.Events = append(day.Events, ScheduledEvent{at, func(w *Emulation) {
-				for _, s := range w.servers {
+				for _, s := range w.backends {
 					for _, in := range w.instances {
-						in.do(func(now policy.Time) { in.b.HandleUnreachableHint(now, policy.EndpointID(s.id)) })
+						in.handle(func(now policy.Time) { in.balancer.HandleUnreachableHint(now, policy.EndpointID(s.id)) })
 					}
 				}
 			}})
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -102,8 +102,8 @@
 	w, _ := New(day)
 	w.Run()
 	for _, in := range w.instances {
-		if in.watcher == nil || in.watcher.off || len(in.known) != day.BackendCount {
-			t.Errorf("instance %d knows %d servers of %d by its watch", in.ordinal, len(in.known), day.BackendCount)
+		if in.watch == nil || in.watch.canceled || len(in.backends) != day.BackendCount {
+			t.Errorf("instance %d knows %d servers of %d by its watch", in.index, len(in.backends), day.BackendCount)
 		}
 	}
 }
@@ -259,39 +259,43 @@
 	}
 	in := w.instances[0]
 	in.start()
-	mk := func(class int) *try {
-		c := &w.day.Classes[class]
-		in.lastID++
-		tr := &try{root: &root{class: c, in: in}, in: in, id: in.lastID, class: c.Class, expires: w.now + time.Second}
-		in.tries[tr.id] = tr
-		w.watch.taken(tr)
+	mk := func(class int) *request {
+		c := &w.scenario.Classes[class]
+		in.lastRequest++
+		tr := &request{client: &clientRequest{class: c, instance: in}, instance: in, id: in.lastRequest, class: c.Class, expires: w.now + time.Second}
+		in.requests[tr.id] = tr
+		w.observer.requestReceived(tr)
 		return tr
 	}
-	send := func(tr *try, s *server) *attempt {
-		a := &attempt{try: tr, s: s, sent: w.now}
-		w.watch.sends(a, policy.EndpointID(s.id))
+	send := func(tr *request, s *backend) *attempt {
+		a := &attempt{request: tr, backend: s, sentAt: w.now}
+		w.observer.attemptStarted(a, policy.EndpointID(s.id))
 		tr.attempts = append(tr.attempts, a)
 		return a
 	}
 	for name, do := range map[string]func(){
-		"2 answers":     func() { tr := mk(0); w.watch.answered(tr, refused); w.watch.answered(tr, refused) },
-		"sent after":    func() { tr := mk(0); w.watch.answered(tr, refused); send(tr, w.servers[0]) },
-		"another group": func() { tr := mk(2); w.watch.runs(send(tr, w.servers[0])); send(tr, w.servers[1]) },
+		"2 answers": func() {
+			tr := mk(0)
+			w.observer.requestAnswered(tr, answerRejected)
+			w.observer.requestAnswered(tr, answerRejected)
+		},
+		"sent after":    func() { tr := mk(0); w.observer.requestAnswered(tr, answerRejected); send(tr, w.backends[0]) },
+		"another group": func() { tr := mk(2); w.observer.attemptExecuted(send(tr, w.backends[0])); send(tr, w.backends[1]) },
 		"refused though": func() {
 			tr := mk(2)
-			send(tr, w.servers[0])
-			w.watch.answered(tr, refused)
+			send(tr, w.backends[0])
+			w.observer.requestAnswered(tr, answerRejected)
 		},
 		"take nothing": func() {
-			w.watch.told(in, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
+			w.observer.endpointsUpdated(in, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
 			w.now += 2100 * ms
-			send(mk(0), w.servers[5])
+			send(mk(0), w.backends[5])
 		},
-		"too late": func() { tr := mk(0); w.now += 1100 * ms; w.watch.answered(tr, failed) },
+		"too late": func() { tr := mk(0); w.now += 1100 * ms; w.observer.requestAnswered(tr, answerFailed) },
 		"pushed over": func() {
-			s := w.join("new", 3)
+			s := w.startBackend("new", 3)
 			for range 200 {
-				s.push(w, 100*ms, true)
+				s.recordWarmingWork(w, 100*ms, true)
 			}
 		},
 	} {
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -8,321 +8,321 @@
 
 // instance is a sidecar: a host of the module.
 type instance struct {
-	w       *Emulation
-	ordinal int
-	zone    string
-	b       *policy.Balancer
-	seed    uint64
-	tries   map[policy.RequestID]*try
-	lastID  policy.RequestID
-	up      bool
-	known   map[policy.EndpointID]*server     // by the list that it was told
-	starts  map[policy.EndpointID]policy.Time // of the servers, as it was told
-	idle    map[*server]int                   // connections on which nothing is asked
-	watcher *watcher
-	after   []func()
-	inside  bool
-	said    map[policy.EndpointID]policy.Time // when it told others of a server
+	emulation       *Emulation
+	index           int
+	zone            string
+	balancer        *policy.Balancer
+	seed            uint64
+	requests        map[policy.RequestID]*request
+	lastRequest     policy.RequestID
+	up              bool
+	backends        map[policy.EndpointID]*backend    // by the list that it was told
+	notifiedStarts  map[policy.EndpointID]policy.Time // of the servers, as it was told
+	idleConnections map[*backend]int                  // connections on which nothing is asked
+	watch           *endpointWatch
+	deferred        []func()
+	handling        bool
+	lastHint        map[policy.EndpointID]policy.Time // when it told others of a server
 
 	// Where zones are decided for all.
-	list     map[policy.EndpointID]policy.Endpoint // as it was told
-	avoids   map[string]bool
-	returned map[policy.EndpointID]policy.Time
-	leftBorn map[policy.EndpointID]policy.Time // of those it avoids, as the list had their start then
+	endpointList      map[policy.EndpointID]policy.Endpoint // as it was told
+	excluded          map[string]bool
+	readmitted        map[policy.EndpointID]policy.Time
+	startWhenExcluded map[policy.EndpointID]policy.Time // of those it avoids, as the list had their start then
 }
 
-// try is a request as an instance has it.
-type try struct {
-	root     *root
-	in       *instance
-	id       policy.RequestID
-	class    policy.Class
-	expires  policy.Time
-	attempts []*attempt
-	ended    bool
-	told     bool // the client has its answer, or is gone
+// request is a request as an instance has it.
+type request struct {
+	client     *clientRequest
+	instance   *instance
+	id         policy.RequestID
+	class      policy.Class
+	expires    policy.Time
+	attempts   []*attempt
+	ended      bool
+	clientDone bool // the client has its answer, or is gone
 }
 
 // attempt is one send of a try.
 type attempt struct {
-	try    *try
-	number int
-	s      *server
-	sent   policy.Time
-	done   bool
-	ran    bool
-	begun  bool // its last byte is with the server
+	request     *request
+	number      int
+	backend     *backend
+	sentAt      policy.Time
+	finished    bool
+	executed    bool
+	transmitted bool // its last byte is with the server
 }
 
 func newInstance(w *Emulation, ordinal int) (*instance, error) {
 	in := &instance{
-		w: w, ordinal: ordinal, zone: w.day.Zones[ordinal%len(w.day.Zones)], seed: w.day.Seed<<16 + uint64(ordinal),
+		emulation: w, index: ordinal, zone: w.scenario.Zones[ordinal%len(w.scenario.Zones)], seed: w.scenario.Seed<<16 + uint64(ordinal),
 	}
-	return in, in.renew()
+	return in, in.resetState()
 }
 
-// renew makes a module that knows nothing.
-func (in *instance) renew() error {
-	cfg := in.w.day.Policy
-	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.ordinal, in.w.day.InstanceCount, in.zone
-	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.w.day.SlowStartMinCapacity, in.w.day.SlowStartDuration
+// resetState makes a module that knows nothing.
+func (in *instance) resetState() error {
+	cfg := in.emulation.scenario.Policy
+	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.index, in.emulation.scenario.InstanceCount, in.zone
+	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.emulation.scenario.SlowStartMinCapacity, in.emulation.scenario.SlowStartDuration
 	cfg.Classes = nil
-	for _, c := range in.w.day.Classes {
+	for _, c := range in.emulation.scenario.Classes {
 		cfg.Classes = append(cfg.Classes, c.Class)
 	}
 	in.seed++
 	b, err := policy.New(cfg, in.seed)
-	in.b, in.tries, in.known, in.idle, in.watcher = b, map[policy.RequestID]*try{}, map[policy.EndpointID]*server{}, map[*server]int{}, nil
-	in.said, in.starts = map[policy.EndpointID]policy.Time{}, map[policy.EndpointID]policy.Time{}
-	in.list, in.avoids, in.returned = map[policy.EndpointID]policy.Endpoint{}, nil, map[policy.EndpointID]policy.Time{}
-	in.leftBorn = map[policy.EndpointID]policy.Time{}
+	in.balancer, in.requests, in.backends, in.idleConnections, in.watch = b, map[policy.RequestID]*request{}, map[policy.EndpointID]*backend{}, map[*backend]int{}, nil
+	in.lastHint, in.notifiedStarts = map[policy.EndpointID]policy.Time{}, map[policy.EndpointID]policy.Time{}
+	in.endpointList, in.excluded, in.readmitted = map[policy.EndpointID]policy.Endpoint{}, nil, map[policy.EndpointID]policy.Time{}
+	in.startWhenExcluded = map[policy.EndpointID]policy.Time{}
 	return err
 }
 
-// do hands the module one event, and those that its actions gave rise to.
-func (in *instance) do(f func(now policy.Time)) {
+// handle hands the module one event, and those that its actions gave rise to.
+func (in *instance) handle(f func(now policy.Time)) {
 	if !in.up {
 		return
 	}
-	if in.inside {
-		in.after = append(in.after, func() { f(in.w.now) })
+	if in.handling {
+		in.deferred = append(in.deferred, func() { f(in.emulation.now) })
 		return
 	}
-	in.inside = true
-	f(in.w.now)
-	for len(in.after) > 0 {
-		next := in.after
-		in.after = nil
+	in.handling = true
+	f(in.emulation.now)
+	for len(in.deferred) > 0 {
+		next := in.deferred
+		in.deferred = nil
 		for _, g := range next {
 			g()
 		}
 	}
-	in.inside = false
+	in.handling = false
 }
 
 // start starts the process with the list as it was at the day's start, which may be old.
 func (in *instance) start() {
 	in.up = true
-	old := in.w.list.changes
+	old := in.emulation.discovery.changes
 	var known []policy.Endpoint
 	for _, c := range old {
-		if c.seq == 0 {
+		if c.revision == 0 {
 			known = append(known, c.entry)
 		}
 	}
-	if in.w.day.Sharing.EndpointList && in.w.Elapsed() > in.w.day.StartupWindow {
-		known = in.w.list.whole()
+	if in.emulation.scenario.Sharing.EndpointList && in.emulation.Elapsed() > in.emulation.scenario.StartupWindow {
+		known = in.emulation.discovery.endpoints()
 	}
-	in.told(policy.UpdateCached, known)
-	in.inherit()
+	in.receiveUpdate(policy.UpdateCached, known)
+	in.importLearnedState()
 }
 
 // RestartInstances kills the instances that match and starts them anew after down; clients of one that is down are told nothing and try
 // again.
 func (w *Emulation) RestartInstances(match func(ordinal int) bool, down time.Duration) {
 	for _, in := range w.instances {
-		if !match(in.ordinal) || !in.up {
+		if !match(in.index) || !in.up {
 			continue
 		}
 		in.up = false
-		if in.watcher != nil {
-			in.watcher.off = true
+		if in.watch != nil {
+			in.watch.canceled = true
 		}
-		for s, n := range in.idle {
-			s.conns -= n
+		for s, n := range in.idleConnections {
+			s.connections -= n
 		}
-		var open []*try
-		for id := policy.RequestID(1); id <= in.lastID; id++ {
-			if t := in.tries[id]; t != nil {
+		var open []*request
+		for id := policy.RequestID(1); id <= in.lastRequest; id++ {
+			if t := in.requests[id]; t != nil {
 				open = append(open, t)
 			}
 		}
 		for _, t := range open {
 			for _, a := range t.attempts {
-				if !a.done {
-					a.done = true
-					a.s.conns--
+				if !a.finished {
+					a.finished = true
+					a.backend.connections--
 				}
 			}
-			if !t.told {
-				t.told, t.ended = true, true
-				w.watch.forget(t)
-				t.root.ended(w, givenUp, 0)
+			if !t.clientDone {
+				t.clientDone, t.ended = true, true
+				w.observer.instanceKilled(t)
+				t.client.handleAnswer(w, answerNone, 0)
 			}
 		}
-		if err := in.renew(); err != nil {
+		if err := in.resetState(); err != nil {
 			panic(err) // the same configuration was taken at the start
 		}
 		w.after(down, in.start)
 	}
 }
 
-// told takes a message about the list.
-func (in *instance) told(kind policy.UpdateKind, entries []policy.Endpoint) {
-	in.do(func(now policy.Time) {
-		in.w.watch.told(in, kind, entries)
+// receiveUpdate takes a message about the list.
+func (in *instance) receiveUpdate(kind policy.UpdateKind, entries []policy.Endpoint) {
+	in.handle(func(now policy.Time) {
+		in.emulation.observer.endpointsUpdated(in, kind, entries)
 		if kind != policy.UpdateDelta {
-			clear(in.known)
+			clear(in.backends)
 		}
 		for _, e := range entries {
-			in.starts[e.ID] = e.Started
-			var at *server
-			for _, s := range in.w.servers {
-				if policy.EndpointID(s.id) == e.ID && (at == nil || !s.gone) {
+			in.notifiedStarts[e.ID] = e.Started
+			var at *backend
+			for _, s := range in.emulation.backends {
+				if policy.EndpointID(s.id) == e.ID && (at == nil || !s.stopped) {
 					at = s
 				}
 			}
 			if e.State == policy.Removed {
-				delete(in.known, e.ID)
+				delete(in.backends, e.ID)
 			} else {
-				in.known[e.ID] = at
+				in.backends[e.ID] = at
 			}
 		}
-		in.b.UpdateEndpoints(now, kind, in.listed(kind, entries), in)
+		in.balancer.UpdateEndpoints(now, kind, in.filterUpdate(kind, entries), in)
 	})
 }
 
-// lost takes the end of a call or of a watch.
-func (in *instance) lost() {
-	in.do(func(now policy.Time) {
-		in.watcher = nil
-		in.b.UpdateEndpoints(now, policy.UpdatePollFailed, nil, in)
+// watchFailed takes the end of a call or of a watch.
+func (in *instance) watchFailed() {
+	in.handle(func(now policy.Time) {
+		in.watch = nil
+		in.balancer.UpdateEndpoints(now, policy.UpdatePollFailed, nil, in)
 	})
 }
 
-// take takes a request whose client waits so long.
-func (in *instance) take(q *root, wait time.Duration) {
+// receive takes a request whose client waits so long.
+func (in *instance) receive(q *clientRequest, wait time.Duration) {
 	if !in.up {
-		in.w.after(in.w.day.SameZoneDelay, func() { q.ended(in.w, givenUp, 0) })
+		in.emulation.after(in.emulation.scenario.SameZoneDelay, func() { q.handleAnswer(in.emulation, answerNone, 0) })
 		return
 	}
-	in.lastID++
-	t := &try{root: q, in: in, id: in.lastID, class: q.class.Class, expires: in.w.now + wait}
-	in.tries[t.id] = t
-	in.w.watch.taken(t)
-	in.w.after(wait, func() {
-		if !t.told { // the client has left
-			t.told = true
-			q.ended(in.w, givenUp, 0)
-			in.w.watch.expired(t)
+	in.lastRequest++
+	t := &request{client: q, instance: in, id: in.lastRequest, class: q.class.Class, expires: in.emulation.now + wait}
+	in.requests[t.id] = t
+	in.emulation.observer.requestReceived(t)
+	in.emulation.after(wait, func() {
+		if !t.clientDone { // the client has left
+			t.clientDone = true
+			q.handleAnswer(in.emulation, answerNone, 0)
+			in.emulation.observer.clientTimedOut(t)
 		}
 	})
-	in.do(func(now policy.Time) {
-		in.b.HandleRequest(now, policy.Request{ID: t.id, Class: q.class.Name, Expires: t.expires, ExpectedWork: q.work}, in)
+	in.handle(func(now policy.Time) {
+		in.balancer.HandleRequest(now, policy.Request{ID: t.id, Class: q.class.Name, Expires: t.expires, ExpectedWork: q.work}, in)
 	})
 }
 
-func (in *instance) forget(t *try) {
+func (in *instance) forget(t *request) {
 	if !t.ended {
 		return
 	}
 	for _, a := range t.attempts {
-		if !a.done {
+		if !a.finished {
 			return
 		}
 	}
-	delete(in.tries, t.id)
+	delete(in.requests, t.id)
 }
 
-// end gives the client the final answer.
-func (t *try) end(how int, retryAfter time.Duration) {
+// answer gives the client the final answer.
+func (t *request) answer(how int, retryAfter time.Duration) {
 	t.ended = true
-	t.in.w.watch.answered(t, how)
+	t.instance.emulation.observer.requestAnswered(t, how)
 	switch how {
-	case refused:
-		t.in.w.second().Rejected++
-	case failed:
-		t.in.w.second().Failed++
+	case answerRejected:
+		t.instance.emulation.counts().Rejected++
+	case answerFailed:
+		t.instance.emulation.counts().Failed++
 	}
-	if !t.told {
-		t.told = true
-		t.root.ended(t.in.w, how, retryAfter)
+	if !t.clientDone {
+		t.clientDone = true
+		t.client.handleAnswer(t.instance.emulation, how, retryAfter)
 	}
 }
 
-// way is the time one way between the instance and a server.
-func (in *instance) way(s *server) time.Duration {
+// delayTo is the time one way between the instance and a server.
+func (in *instance) delayTo(s *backend) time.Duration {
 	if s.zone == in.zone {
-		return in.w.day.SameZoneDelay
+		return in.emulation.scenario.SameZoneDelay
 	}
-	return in.w.day.CrossZoneDelay
+	return in.emulation.scenario.CrossZoneDelay
 }
 
 // connect calls then once there is a connection to s, with whether there is.
-func (in *instance) connect(s *server, then func(up bool)) {
-	w := in.w
-	if in.idle[s] > 0 && !s.gone {
-		in.idle[s]--
+func (in *instance) connect(s *backend, then func(up bool)) {
+	w := in.emulation
+	if in.idleConnections[s] > 0 && !s.stopped {
+		in.idleConnections[s]--
 		w.after(0, func() { then(true) })
 		return
 	}
-	w.second().Dials++
-	switch way := in.way(s); {
-	case s.silent || s.fallen || s.cut:
-		w.after(w.day.Policy.DialTimeout, func() { then(false) })
-	case s.gone, w.day.MaxConnections > 0 && s.conns >= w.day.MaxConnections:
+	w.counts().Dials++
+	switch way := in.delayTo(s); {
+	case s.silent || s.collapsed || s.partitioned:
+		w.after(w.scenario.Policy.DialTimeout, func() { then(false) })
+	case s.stopped, w.scenario.MaxConnections > 0 && s.connections >= w.scenario.MaxConnections:
 		w.after(2*way, func() { then(false) })
 	default:
-		s.conns++
-		w.after(2*way+w.day.HandshakeDuration, func() { then(true) })
+		s.connections++
+		w.after(2*way+w.scenario.HandshakeDuration, func() { then(true) })
 	}
 }
 
-// settle tells the module the end of an attempt.
-func (in *instance) settle(a *attempt, st policy.Status) {
-	if a.done {
+// finish tells the module the end of an attempt.
+func (in *instance) finish(a *attempt, st policy.Status) {
+	if a.finished {
 		return
 	}
-	a.done = true
-	if in.w.settled != nil {
-		in.w.settled(a, st)
+	a.finished = true
+	if in.emulation.onAttemptFinished != nil {
+		in.emulation.onAttemptFinished(a, st)
 	}
 	switch st {
 	case policy.StatusConnectFailed:
-		in.w.second().ConnectFailures++
+		in.emulation.counts().ConnectFailures++
 	case policy.StatusTimeout:
-		in.w.second().Timeouts++
+		in.emulation.counts().Timeouts++
 	case policy.StatusApplicationError:
-		in.w.second().ApplicationErrors++
+		in.emulation.counts().ApplicationErrors++
 	case policy.StatusOverloaded:
-		in.w.second().Overloaded++
+		in.emulation.counts().Overloaded++
 	}
-	if st != policy.StatusConnectFailed || a.begun {
+	if st != policy.StatusConnectFailed || a.transmitted {
 		if st == policy.StatusOK || st == policy.StatusApplicationError || st == policy.StatusOverloaded {
-			in.idle[a.s]++
+			in.idleConnections[a.backend]++
 		} else {
-			a.s.conns--
+			a.backend.connections--
 		}
 	}
-	in.do(func(now policy.Time) {
-		t := a.try
+	in.handle(func(now policy.Time) {
+		t := a.request
 		if st == policy.StatusOK && !t.ended {
-			t.end(served, 0)
+			t.answer(answerServed, 0)
 		}
-		in.w.watch.outcome(a, st)
-		defer in.tells(now, a.s, st)
-		in.b.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.s.id), Status: st, Latency: now - a.sent, RequestEnded: t.ended}, in)
+		in.emulation.observer.attemptFinished(a, st)
+		defer in.shareFailure(now, a.backend, st)
+		in.balancer.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.backend.id), Status: st, Latency: now - a.sentAt, RequestEnded: t.ended}, in)
 		in.forget(t)
 	})
 }
 
-// back brings the answer to an attempt.
-func (a *attempt) back(w *Emulation, st policy.Status) {
-	in := a.try.in
-	if st == policy.StatusOK && w.lost > 0 && w.rng.Float64() < w.lost {
+// respond brings the answer to an attempt.
+func (a *attempt) respond(w *Emulation, st policy.Status) {
+	in := a.request.instance
+	if st == policy.StatusOK && w.dropFraction > 0 && w.rng.Float64() < w.dropFraction {
 		return
 	}
-	w.after(in.way(a.s), func() { in.settle(a, st) })
+	w.after(in.delayTo(a.backend), func() { in.finish(a, st) })
 }
 
-// reset breaks what the instance has with a server whose process has ended.
-func (in *instance) reset(s *server) {
-	delete(in.idle, s)
-	for id := policy.RequestID(1); id <= in.lastID; id++ {
-		if t := in.tries[id]; t != nil {
+// resetConnections breaks what the instance has with a server whose process has ended.
+func (in *instance) resetConnections(s *backend) {
+	delete(in.idleConnections, s)
+	for id := policy.RequestID(1); id <= in.lastRequest; id++ {
+		if t := in.requests[id]; t != nil {
 			for _, a := range t.attempts {
-				if a.s == s && !a.done && a.begun {
-					in.w.after(in.way(s), func() { in.settle(a, policy.StatusReset) })
+				if a.backend == s && !a.finished && a.transmitted {
+					in.emulation.after(in.delayTo(s), func() { in.finish(a, policy.StatusReset) })
 				}
 			}
 		}
@@ -332,95 +332,95 @@
 // The methods of policy.Actions.
 
 func (in *instance) StartAttempt(id policy.RequestID, to policy.EndpointID, timeout time.Duration) {
-	t, s := in.tries[id], in.known[to]
+	t, s := in.requests[id], in.backends[to]
 	if t == nil {
-		in.w.watch.breach("1: %d sent something of a request that it has not", in.ordinal)
+		in.emulation.observer.violation("1: %d sent something of a request that it has not", in.index)
 		return
 	}
-	a := &attempt{try: t, number: len(t.attempts), s: s, sent: in.w.now}
-	in.w.watch.sends(a, to)
+	a := &attempt{request: t, number: len(t.attempts), backend: s, sentAt: in.emulation.now}
+	in.emulation.observer.attemptStarted(a, to)
 	t.attempts = append(t.attempts, a)
-	sec := in.w.second()
+	sec := in.emulation.counts()
 	sec.Attempts++
 	if a.number > 0 {
 		sec.Retries++
 	}
 	if s == nil {
-		a.done = true
-		in.after = append(in.after, func() {
-			in.b.HandleAttemptResult(in.w.now, policy.AttemptResult{ID: id, Attempt: a.number, Endpoint: to, Status: policy.StatusNotSent, RequestEnded: t.ended}, in)
+		a.finished = true
+		in.deferred = append(in.deferred, func() {
+			in.balancer.HandleAttemptResult(in.emulation.now, policy.AttemptResult{ID: id, Attempt: a.number, Endpoint: to, Status: policy.StatusNotSent, RequestEnded: t.ended}, in)
 			in.forget(t)
 		})
 		return
 	}
-	if s.warmth(in.w) < 1 {
+	if s.capacityFraction(in.emulation) < 1 {
 		sec.WarmingAttempts++
 	}
 	if s.zone != in.zone {
 		sec.CrossZoneAttempts++
 	}
-	in.w.after(timeout, func() { in.settle(a, policy.StatusTimeout) })
+	in.emulation.after(timeout, func() { in.finish(a, policy.StatusTimeout) })
 	in.connect(s, func(up bool) {
 		switch {
 		case !up:
-			in.settle(a, policy.StatusConnectFailed)
-		case a.done: // given up meanwhile
-			in.idle[s]++
+			in.finish(a, policy.StatusConnectFailed)
+		case a.finished: // given up meanwhile
+			in.idleConnections[s]++
 		default:
-			a.begun = true
-			in.w.after(in.way(s), func() { s.comes(in.w, a) })
-			if in.w.resets > 0 && in.w.rng.Float64() < in.w.resets {
-				in.w.after(2*in.way(s), func() { in.settle(a, policy.StatusReset) })
+			a.transmitted = true
+			in.emulation.after(in.delayTo(s), func() { s.receive(in.emulation, a) })
+			if in.emulation.resetFraction > 0 && in.emulation.rng.Float64() < in.emulation.resetFraction {
+				in.emulation.after(2*in.delayTo(s), func() { in.finish(a, policy.StatusReset) })
 			}
 		}
 	})
 }
 
 func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
-	if t := in.tries[id]; t != nil {
-		t.end(refused, retryAfter)
-		in.after = append(in.after, func() { in.forget(t) })
+	if t := in.requests[id]; t != nil {
+		t.answer(answerRejected, retryAfter)
+		in.deferred = append(in.deferred, func() { in.forget(t) })
 	}
 }
 
 func (in *instance) Fail(id policy.RequestID) {
-	if t := in.tries[id]; t != nil {
-		t.end(failed, 0)
-		in.after = append(in.after, func() { in.forget(t) })
+	if t := in.requests[id]; t != nil {
+		t.answer(answerFailed, 0)
+		in.deferred = append(in.deferred, func() { in.forget(t) })
 	}
 }
 
 func (in *instance) CancelAttempt(id policy.RequestID, n int) {
-	if t := in.tries[id]; t != nil && n < len(t.attempts) {
+	if t := in.requests[id]; t != nil && n < len(t.attempts) {
 		a := t.attempts[n]
-		in.after = append(in.after, func() { in.settle(a, policy.StatusCanceled) })
+		in.deferred = append(in.deferred, func() { in.finish(a, policy.StatusCanceled) })
 	}
 }
 
 func (in *instance) SetTimer(after time.Duration, token string) {
-	b := in.b
-	in.w.after(after, func() {
-		if in.b == b { // else the process that asked for it has ended
-			in.do(func(now policy.Time) { b.HandleTimer(now, token, in) })
+	b := in.balancer
+	in.emulation.after(after, func() {
+		if in.balancer == b { // else the process that asked for it has ended
+			in.handle(func(now policy.Time) { b.HandleTimer(now, token, in) })
 		}
 	})
 }
 
 func (in *instance) CheckHealth(to policy.EndpointID) {
-	s := in.known[to]
-	in.w.second().HealthChecks++
-	b := in.b
+	s := in.backends[to]
+	in.emulation.counts().HealthChecks++
+	b := in.balancer
 	answer := func(st policy.Status, l *policy.LoadReport) {
-		if in.b == b {
-			in.do(func(now policy.Time) {
-				in.b.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: to, Status: st, Load: l}, in)
-				in.tells(now, s, st)
-				in.reports(to, st, l)
+		if in.balancer == b {
+			in.handle(func(now policy.Time) {
+				in.balancer.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: to, Status: st, Load: l}, in)
+				in.shareFailure(now, s, st)
+				in.shareLoadReport(to, st, l)
 			})
 		}
 	}
 	if s == nil {
-		in.after = append(in.after, func() { answer(policy.StatusNotSent, nil) })
+		in.deferred = append(in.deferred, func() { answer(policy.StatusNotSent, nil) })
 		return
 	}
 	in.connect(s, func(up bool) {
@@ -428,14 +428,14 @@
 			answer(policy.StatusConnectFailed, nil)
 			return
 		}
-		in.w.after(in.way(s), func() {
-			if s.dead() {
-				in.w.after(400*time.Millisecond, func() { s.conns--; answer(policy.StatusTimeout, nil) })
+		in.emulation.after(in.delayTo(s), func() {
+			if s.unreachable() {
+				in.emulation.after(400*time.Millisecond, func() { s.connections--; answer(policy.StatusTimeout, nil) })
 				return
 			}
-			queue := s.reported(in.w)
-			in.w.after(in.way(s), func() {
-				in.idle[s]++
+			queue := s.reportedQueueLength(in.emulation)
+			in.emulation.after(in.delayTo(s), func() {
+				in.idleConnections[s]++
 				answer(policy.StatusOK, &policy.LoadReport{Queue: queue, InFlight: -1, Latency: -1, ErrorRate: -1})
 			})
 		})
@@ -443,12 +443,12 @@
 }
 
 func (in *instance) WatchEndpoints(on bool) {
-	if in.watcher != nil {
-		in.watcher.off = true
-		in.watcher = nil
+	if in.watch != nil {
+		in.watch.canceled = true
+		in.watch = nil
 	}
 	if on {
-		in.watcher = in.w.list.call(in)
+		in.watch = in.emulation.discovery.watch(in)
 	}
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,74 +8,74 @@
 	"sorrelrudder/policy"
 )
 
-// server is one process of a server.
-type server struct {
-	id       string
-	addr     int
-	kind     MachineType
-	zone     string
-	cell     int
-	started  policy.Time // 0: long ago
-	draining bool
-	gone     bool    // its process has ended: connections are refused
-	silent   bool    // nothing comes back, and nothing comes up
-	fails    float64 // share of requests that it answers with an error at once
-	fallen   bool    // pushed over while it was cold
-	cut      bool    // off from all instances; it works on, and nothing is heard of it
-
-	busy    int
-	waiting []*job
-	conns   int
-	late    []report // of its queue, the latest last
-	pushed  []pushed // sent to it of late, while cold
+// backend is one process of a server.
+type backend struct {
+	id            string
+	place         int
+	machine       MachineType
+	zone          string
+	cell          int
+	started       policy.Time // 0: long ago
+	draining      bool
+	stopped       bool    // its process has ended: connections are refused
+	silent        bool    // nothing comes back, and nothing comes up
+	errorFraction float64 // share of requests that it answers with an error at once
+	collapsed     bool    // pushed over while it was cold
+	partitioned   bool    // off from all instances; it works on, and nothing is heard of it
+
+	busy         int
+	queue        []*job
+	connections  int
+	queueHistory []queueSample // of its queue, the latest last
+	warmingWork  []arrival     // sent to it of late, while cold
 }
 
 type job struct {
-	a    *attempt
-	work time.Duration
+	attempt *attempt
+	work    time.Duration
 }
 
-type report struct {
-	at    policy.Time
-	queue int
+type queueSample struct {
+	at     policy.Time
+	length int
 }
 
-// pushed is work that has come to a cold server, and whether who sent it had been told of its start.
-type pushed struct {
-	at   policy.Time
-	of   time.Duration
-	told bool
+// arrival is work that has come to a cold server, and whether who sent it had been told of its start.
+type arrival struct {
+	at             policy.Time
+	work           time.Duration
+	senderNotified bool
 }
 
-func (w *Emulation) newServer(id string, place int, started policy.Time) *server {
-	kind := w.day.MachineTypes[len(w.day.MachineTypes)-1]
+func (w *Emulation) newBackend(id string, place int, started policy.Time) *backend {
+	kind := w.scenario.MachineTypes[len(w.scenario.MachineTypes)-1]
 	// Kinds are dealt in turn, so that any run of servers has all of them.
 	sum, at := 0.0, float64(place*7919%1000)/1000
-	for _, k := range w.day.MachineTypes {
+	for _, k := range w.scenario.MachineTypes {
 		if sum += k.Fraction; at < sum {
 			kind = k
 			break
 		}
 	}
-	zone := w.day.Zones[place%len(w.day.Zones)]
-	return &server{id: id, addr: place, kind: kind, zone: zone, cell: place % (4 * len(w.day.Zones)), started: started}
+	zone := w.scenario.Zones[place%len(w.scenario.Zones)]
+	return &backend{id: id, place: place, machine: kind, zone: zone, cell: place % (4 * len(w.scenario.Zones)), started: started}
 }
 
-// warmth is the share of its capacity that s has now.
-func (s *server) warmth(w *Emulation) float64 {
-	if s.started == 0 || w.now-s.started >= w.day.SlowStartDuration {
+// capacityFraction is the share of its capacity that s has now.
+func (s *backend) capacityFraction(w *Emulation) float64 {
+	if s.started == 0 || w.now-s.started >= w.scenario.SlowStartDuration {
 		return 1
 	}
-	return w.day.SlowStartMinCapacity + (1-w.day.SlowStartMinCapacity)*float64(w.now-s.started)/float64(w.day.SlowStartDuration)
+	return w.scenario.SlowStartMinCapacity + (1-w.scenario.SlowStartMinCapacity)*float64(w.now-s.started)/float64(w.scenario.SlowStartDuration)
 }
 
 // capacity is the work it does in a second, in seconds.
-func (s *server) capacity(w *Emulation) float64 {
-	return float64(s.kind.Cores) * s.kind.Speed * s.warmth(w)
+func (s *backend) capacity(w *Emulation) float64 {
+	return float64(s.machine.Cores) * s.machine.Speed * s.capacityFraction(w)
 }
 
-// dead reports whether nothing comes of what is sent to s.
-func (s *server) dead() bool { return s.gone || s.silent || s.fallen || s.cut }
+// unreachable reports whether nothing comes of what is sent to s.
+func (s *backend) unreachable() bool { return s.stopped || s.silent || s.collapsed || s.partitioned }
 
 // meanWork is that of a request of the day.
 func (d *Scenario) meanWork() time.Duration {
@@ -86,90 +86,90 @@
 	return time.Duration(work / share)
 }
 
-// push notes work that has come to a cold server, and has it fall over where that is too much for too long. The largest piece is
+// recordWarmingWork notes work that has come to a cold server, and has it fall over where that is too much for too long. The largest piece is
 // left out: one heavy request is chance, which nobody who sends it could know. What comes is also counted against what may be put
 // down to chance, where over two thirds of it came from instances that had been told of the server's start.
-func (s *server) push(w *Emulation, of time.Duration, told bool) {
-	if w.day.CollapseFactor <= 0 || s.warmth(w) == 1 {
+func (s *backend) recordWarmingWork(w *Emulation, of time.Duration, told bool) {
+	if w.scenario.CollapseFactor <= 0 || s.capacityFraction(w) == 1 {
 		return
 	}
-	s.pushed = append(s.pushed, pushed{w.now, of, told})
-	s.pushed = slices.DeleteFunc(s.pushed, func(x pushed) bool { return x.at <= w.now-w.day.CollapseWindow })
+	s.warmingWork = append(s.warmingWork, arrival{w.now, of, told})
+	s.warmingWork = slices.DeleteFunc(s.warmingWork, func(x arrival) bool { return x.at <= w.now-w.scenario.CollapseWindow })
 	sum, known, largest := time.Duration(0), time.Duration(0), time.Duration(0)
-	for _, x := range s.pushed {
-		sum += x.of
-		largest = max(largest, x.of)
-		if x.told {
-			known += x.of
+	for _, x := range s.warmingWork {
+		sum += x.work
+		largest = max(largest, x.work)
+		if x.senderNotified {
+			known += x.work
 		}
 	}
-	bears := w.day.CollapseFactor * s.capacity(w) * w.day.CollapseWindow.Seconds()
-	if !w.day.CollapseDisabled && (sum-largest).Seconds() > bears && !s.fallen {
-		s.fallen = true
-		w.watch.fellOver(s)
+	bears := w.scenario.CollapseFactor * s.capacity(w) * w.scenario.CollapseWindow.Seconds()
+	if !w.scenario.CollapseDisabled && (sum-largest).Seconds() > bears && !s.collapsed {
+		s.collapsed = true
+		w.observer.backendCollapsed(s)
 	}
 	if 3*known <= 2*sum {
 		return
 	}
-	mean := w.day.meanWork().Seconds()
+	mean := w.scenario.meanWork().Seconds()
 	budget := bears / mean
 	chance := budget + 2*math.Sqrt(budget) + 2
-	w.Result.MaxWarmingRequests = max(w.Result.MaxWarmingRequests, float64(len(s.pushed))/chance)
+	w.Result.MaxWarmingRequests = max(w.Result.MaxWarmingRequests, float64(len(s.warmingWork))/chance)
 	w.Result.MaxWarmingWork = max(w.Result.MaxWarmingWork, sum.Seconds()/mean/chance)
 }
 
-// comes takes an attempt whose last byte has come.
-func (s *server) comes(w *Emulation, a *attempt) {
+// receive takes an attempt whose last byte has come.
+func (s *backend) receive(w *Emulation, a *attempt) {
 	switch {
-	case s.dead():
+	case s.unreachable():
 		return // the connection stays open and silent, or the reset is told by who ended it
 	case s.draining:
-		a.back(w, policy.StatusOverloaded)
+		a.respond(w, policy.StatusOverloaded)
 		return
-	case s.fails > 0 && w.rng.Float64() < s.fails:
-		w.after(2*time.Millisecond, func() { a.back(w, policy.StatusApplicationError) })
+	case s.errorFraction > 0 && w.rng.Float64() < s.errorFraction:
+		w.after(2*time.Millisecond, func() { a.respond(w, policy.StatusApplicationError) })
 		return
-	case s.busy >= s.kind.Cores && len(s.waiting) >= w.day.MaxQueueLength:
-		a.back(w, policy.StatusOverloaded)
+	case s.busy >= s.machine.Cores && len(s.queue) >= w.scenario.MaxQueueLength:
+		a.respond(w, policy.StatusOverloaded)
 		return
 	}
-	s.push(w, a.try.root.work, a.try.in.starts[policy.EndpointID(s.id)] == s.started)
-	s.waiting = append(s.waiting, &job{a, a.try.root.work})
-	s.work(w)
+	s.recordWarmingWork(w, a.request.client.work, a.request.instance.notifiedStarts[policy.EndpointID(s.id)] == s.started)
+	s.queue = append(s.queue, &job{a, a.request.client.work})
+	s.startJobs(w)
 }
 
-// work starts what may start. Neither a time-out nor a cancel stops what waits or runs.
-func (s *server) work(w *Emulation) {
-	for s.busy < s.kind.Cores && len(s.waiting) > 0 && (s.cut || !s.dead()) {
-		j := s.waiting[0]
-		s.waiting = s.waiting[1:]
+// startJobs starts what may start. Neither a time-out nor a cancel stops what waits or runs.
+func (s *backend) startJobs(w *Emulation) {
+	for s.busy < s.machine.Cores && len(s.queue) > 0 && (s.partitioned || !s.unreachable()) {
+		j := s.queue[0]
+		s.queue = s.queue[1:]
 		s.busy++
-		w.watch.runs(j.a)
-		w.after(time.Duration(float64(j.work)/(s.kind.Speed*s.warmth(w))), func() {
+		w.observer.attemptExecuted(j.attempt)
+		w.after(time.Duration(float64(j.work)/(s.machine.Speed*s.capacityFraction(w))), func() {
 			s.busy--
-			if !s.dead() {
-				j.a.back(w, policy.StatusOK)
+			if !s.unreachable() {
+				j.attempt.respond(w, policy.StatusOK)
 			}
-			s.work(w)
+			s.startJobs(w)
 		})
 	}
-	s.note(w)
+	s.recordQueueLength(w)
 }
 
-// note keeps the length of the queue for reports.
-func (s *server) note(w *Emulation) {
-	for len(s.late) > 1 && s.late[1].at <= w.now-w.day.LoadReportAge {
-		s.late = s.late[1:]
+// recordQueueLength keeps the length of the queue for reports.
+func (s *backend) recordQueueLength(w *Emulation) {
+	for len(s.queueHistory) > 1 && s.queueHistory[1].at <= w.now-w.scenario.LoadReportAge {
+		s.queueHistory = s.queueHistory[1:]
 	}
-	s.late = append(s.late, report{w.now, len(s.waiting)})
+	s.queueHistory = append(s.queueHistory, queueSample{w.now, len(s.queue)})
 }
 
-// reported is the queue that a probe is told.
-func (s *server) reported(w *Emulation) float64 {
+// reportedQueueLength is the queue that a probe is told.
+func (s *backend) reportedQueueLength(w *Emulation) float64 {
 	queue := 0
-	for _, r := range s.late {
-		if r.at <= w.now-w.day.LoadReportAge {
-			queue = r.queue
+	for _, r := range s.queueHistory {
+		if r.at <= w.now-w.scenario.LoadReportAge {
+			queue = r.length
 		}
 	}
 	return float64(queue)
@@ -177,44 +177,44 @@
 
 // FailSilently has servers that match say nothing from now on, nor take connections; what runs there is lost.
 func (w *Emulation) FailSilently(match func(place int, zone string) bool) {
-	for _, s := range w.servers {
-		if !s.gone && match(s.addr, s.zone) {
+	for _, s := range w.backends {
+		if !s.stopped && match(s.place, s.zone) {
 			s.silent = true
-			w.list.change(s, policy.Removed)
+			w.discovery.change(s, policy.Removed)
 		}
 	}
 }
 
 // ReplaceSilent starts the silent servers anew, cold. Every other one is a new machine with a new name.
 func (w *Emulation) ReplaceSilent() {
-	for i, s := range w.servers {
-		if !s.silent || s.gone {
+	for i, s := range w.backends {
+		if !s.silent || s.stopped {
 			continue
 		}
-		s.gone = true
+		s.stopped = true
 		id := s.id
 		if i%2 == 1 {
 			id += "n"
 		}
-		w.join(id, s.addr)
+		w.startBackend(id, s.place)
 	}
 }
 
-func (w *Emulation) join(id string, place int) *server {
-	s := w.newServer(id, place, w.now)
-	w.servers = append(w.servers, s)
-	w.list.change(s, policy.Ready)
+func (w *Emulation) startBackend(id string, place int) *backend {
+	s := w.newBackend(id, place, w.now)
+	w.backends = append(w.backends, s)
+	w.discovery.change(s, policy.Ready)
 	return s
 }
 
 // ReplaceBackend drains a server and starts a new one, cold, under a new name; the old one ends after the grace.
 func (w *Emulation) ReplaceBackend(place int, grace time.Duration) {
-	for _, s := range w.servers {
-		if s.addr == place && !s.gone && !s.draining {
+	for _, s := range w.backends {
+		if s.place == place && !s.stopped && !s.draining {
 			s.draining = true
-			w.list.change(s, policy.Draining)
+			w.discovery.change(s, policy.Draining)
 			w.after(grace, func() { w.StopBackend(s.id) })
-			w.join(s.id+"r", place)
+			w.startBackend(s.id+"r", place)
 			return
 		}
 	}
@@ -222,12 +222,12 @@
 
 // StopBackend ends a server's process: what is out there is reset.
 func (w *Emulation) StopBackend(id string) {
-	for _, s := range w.servers {
-		if s.id == id && !s.gone {
-			s.gone = true
-			w.list.change(s, policy.Removed)
+	for _, s := range w.backends {
+		if s.id == id && !s.stopped {
+			s.stopped = true
+			w.discovery.change(s, policy.Removed)
 			for _, in := range w.instances {
-				in.reset(s)
+				in.resetConnections(s)
 			}
 		}
 	}
@@ -236,39 +236,39 @@
 // Partition has nothing pass between all instances and the servers that match: connections stay open and silent, and none comes up. The
 // servers' processes run on; the list tells of them as of any change.
 func (w *Emulation) Partition(match func(place int, zone string) bool) {
-	for _, s := range w.servers {
-		if !s.dead() && match(s.addr, s.zone) {
-			s.cut = true
-			w.list.change(s, policy.Removed)
+	for _, s := range w.backends {
+		if !s.unreachable() && match(s.place, s.zone) {
+			s.partitioned = true
+			w.discovery.change(s, policy.Removed)
 		}
 	}
 }
 
 // HealPartition ends what CutOff began: connections from before are reset, and the servers are as warm as they were.
 func (w *Emulation) HealPartition() {
-	for _, s := range w.servers {
-		if s.cut {
-			s.cut = false
-			w.list.change(s, policy.Ready)
+	for _, s := range w.backends {
+		if s.partitioned {
+			s.partitioned = false
+			w.discovery.change(s, policy.Ready)
 			for _, in := range w.instances {
-				s.conns -= in.idle[s]
-				in.reset(s)
+				s.connections -= in.idleConnections[s]
+				in.resetConnections(s)
 			}
 		}
 	}
 }
 
 // DropResponses has a share of the answers never arrive.
-func (w *Emulation) DropResponses(share float64) { w.lost = share }
+func (w *Emulation) DropResponses(share float64) { w.dropFraction = share }
 
 // ResetConnections has a share of the attempts end with their connection reset after they have come; they run all the same.
-func (w *Emulation) ResetConnections(share float64) { w.resets = share }
+func (w *Emulation) ResetConnections(share float64) { w.resetFraction = share }
 
 // InjectErrors makes a server answer a share of requests with an error at once.
 func (w *Emulation) InjectErrors(place int, share float64) {
-	for _, s := range w.servers {
-		if s.addr == place {
-			s.fails = share
+	for _, s := range w.backends {
+		if s.place == place {
+			s.errorFraction = share
 		}
 	}
 }
@@ -278,66 +278,66 @@
 
 // RestartBackends is Chill of about that part of the servers, by their places.
 func (w *Emulation) RestartBackends(part float64) {
-	for _, s := range w.servers {
-		if !s.gone && float64(s.addr*7919%1000) < 1000*part {
+	for _, s := range w.backends {
+		if !s.stopped && float64(s.place*7919%1000) < 1000*part {
 			s.started = w.now
-			w.list.change(s, policy.Ready)
+			w.discovery.change(s, policy.Ready)
 		}
 	}
 }
 
-// list is what discovery has to tell, and what it can.
-type list struct {
-	w        *Emulation
-	seq      int
-	changes  []change
-	freeAt   policy.Time // when it has worked through the calls so far
-	watchers []*watcher
+// discoveryService is what discovery has to tell, and what it can.
+type discoveryService struct {
+	emulation *Emulation
+	revision  int
+	changes   []listChange
+	idleAt    policy.Time // when it has worked through the calls so far
+	watches   []*endpointWatch
 }
 
-type change struct {
-	seq   int
-	told  policy.Time // from when on it is told
-	entry policy.Endpoint
+type listChange struct {
+	revision    int
+	visibleFrom policy.Time // from when on it is told
+	entry       policy.Endpoint
 }
 
-type watcher struct {
-	in  *instance
-	off bool
+type endpointWatch struct {
+	instance *instance
+	canceled bool
 }
 
-func newList(w *Emulation) *list {
-	l := &list{w: w}
-	for _, s := range w.servers {
-		l.changes = append(l.changes, change{0, origin, s.entry(policy.Ready)})
+func newDiscoveryService(w *Emulation) *discoveryService {
+	l := &discoveryService{emulation: w}
+	for _, s := range w.backends {
+		l.changes = append(l.changes, listChange{0, origin, s.entry(policy.Ready)})
 	}
 	return l
 }
 
-func (s *server) entry(state policy.EndpointState) policy.Endpoint {
-	return policy.Endpoint{ID: policy.EndpointID(s.id), State: state, Zone: s.zone, Cell: s.cell, MachineType: s.kind.Name, Weight: 1, Started: s.started}
+func (s *backend) entry(state policy.EndpointState) policy.Endpoint {
+	return policy.Endpoint{ID: policy.EndpointID(s.id), State: state, Zone: s.zone, Cell: s.cell, MachineType: s.machine.Name, Weight: 1, Started: s.started}
 }
 
 // change notes a change of the list, which is told later.
-func (l *list) change(s *server, state policy.EndpointState) {
-	l.seq++
-	c := change{l.seq, l.w.now + l.w.day.Discovery.NotificationDelay, s.entry(state)}
+func (l *discoveryService) change(s *backend, state policy.EndpointState) {
+	l.revision++
+	c := listChange{l.revision, l.emulation.now + l.emulation.scenario.Discovery.NotificationDelay, s.entry(state)}
 	l.changes = append(l.changes, c)
-	l.w.after(l.w.day.Discovery.NotificationDelay, func() {
-		for _, x := range l.watchers {
-			if !x.off {
-				l.w.after(l.w.day.SameZoneDelay, func() { x.in.told(policy.UpdateDelta, []policy.Endpoint{c.entry}) })
+	l.emulation.after(l.emulation.scenario.Discovery.NotificationDelay, func() {
+		for _, x := range l.watches {
+			if !x.canceled {
+				l.emulation.after(l.emulation.scenario.SameZoneDelay, func() { x.instance.receiveUpdate(policy.UpdateDelta, []policy.Endpoint{c.entry}) })
 			}
 		}
 	})
 }
 
-// whole is the list as it is told now.
-func (l *list) whole() []policy.Endpoint {
+// endpoints is the list as it is told now.
+func (l *discoveryService) endpoints() []policy.Endpoint {
 	at := map[policy.EndpointID]int{}
 	var all []policy.Endpoint
 	for _, c := range l.changes {
-		if c.told > l.w.now {
+		if c.visibleFrom > l.emulation.now {
 			continue
 		}
 		if i, is := at[c.entry.ID]; is {
@@ -356,27 +356,27 @@
 	return kept
 }
 
-// call is a sidecar's call for a watch. Calls are worked through in turn.
-func (l *list) call(in *instance) *watcher {
-	x := &watcher{in: in}
-	l.w.second().WatchRequests++
-	each := time.Duration(float64(time.Second) / l.w.day.Discovery.WatchesPerSecond)
-	begin := max(l.freeAt, l.w.now)
-	if begin+each-l.w.now > l.w.day.Discovery.MaxQueueDelay {
-		l.w.second().WatchRequestsRejected++
-		l.w.after(2*l.w.day.SameZoneDelay, func() {
-			if !x.off {
-				x.off = true
-				in.lost()
+// watch is a sidecar's call for a watch. Calls are worked through in turn.
+func (l *discoveryService) watch(in *instance) *endpointWatch {
+	x := &endpointWatch{instance: in}
+	l.emulation.counts().WatchRequests++
+	each := time.Duration(float64(time.Second) / l.emulation.scenario.Discovery.WatchesPerSecond)
+	begin := max(l.idleAt, l.emulation.now)
+	if begin+each-l.emulation.now > l.emulation.scenario.Discovery.MaxQueueDelay {
+		l.emulation.counts().WatchRequestsRejected++
+		l.emulation.after(2*l.emulation.scenario.SameZoneDelay, func() {
+			if !x.canceled {
+				x.canceled = true
+				in.watchFailed()
 			}
 		})
 		return x
 	}
-	l.freeAt = begin + each
-	l.w.after(l.freeAt-l.w.now+l.w.day.SameZoneDelay, func() {
-		if !x.off {
-			l.watchers = append(l.watchers, x)
-			in.told(policy.UpdateFull, l.whole())
+	l.idleAt = begin + each
+	l.emulation.after(l.idleAt-l.emulation.now+l.emulation.scenario.SameZoneDelay, func() {
+		if !x.canceled {
+			l.watches = append(l.watches, x)
+			in.receiveUpdate(policy.UpdateFull, l.endpoints())
 		}
 	})
 	return x
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -55,8 +55,8 @@
 
 // ScheduledEvent is something that happens to the world.
 type ScheduledEvent struct {
-	At time.Duration
-	Do func(*Emulation)
+	At    time.Duration
+	Apply func(*Emulation)
 }
 
 // Scenario is all that a run depends on.
@@ -103,18 +103,18 @@
 type event struct {
 	at  policy.Time
 	seq uint64
-	do  func()
+	run func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = event{}
@@ -124,24 +124,24 @@
 
 // Emulation is a day as it is played.
 type Emulation struct {
-	day    Scenario
-	now    policy.Time
-	queue  events
-	seq    uint64
-	rng    *rand.Rand // of what happens; each instance has its own
-	closed bool       // no more clients
-	lost   float64    // share of the answers that never arrive
-	resets float64    // share of the attempts whose connection is reset once they have come
-
-	servers   []*server
-	list      *list
-	instances []*instance
-	weights   []float64 // of the instances, summed up
-	watch     *observer
-	witnesses map[policy.EndpointID][]witness
-	fleet     *decider                      // nil: nothing is decided for all
-	settled   func(*attempt, policy.Status) // where it is set, told the end of each attempt
-	Result    Result
+	scenario       Scenario
+	now            policy.Time
+	queue          eventQueue
+	seq            uint64
+	rng            *rand.Rand // of what happens; each instance has its own
+	arrivalsClosed bool       // no more clients
+	dropFraction   float64    // share of the answers that never arrive
+	resetFraction  float64    // share of the attempts whose connection is reset once they have come
+
+	backends          []*backend
+	discovery         *discoveryService
+	instances         []*instance
+	cumulativeWeights []float64 // of the instances, summed up
+	observer          *observer
+	failureReporters  map[policy.EndpointID][]failureReporter
+	zones             *zoneController               // nil: nothing is decided for all
+	onAttemptFinished func(*attempt, policy.Status) // where it is set, told the end of each attempt
+	Result            Result
 }
 
 // Result is what a day came to.
@@ -203,15 +203,15 @@
 	case day.Duration <= 0 || day.Clients.RequestsPerSecond <= 0 || day.Discovery.WatchesPerSecond <= 0:
 		return nil, errors.New("emulator: a day needs a length, a rate of clients and calls that discovery can take")
 	}
-	w := &Emulation{day: day, now: origin, rng: rand.New(rand.NewPCG(day.Seed, 1))}
+	w := &Emulation{scenario: day, now: origin, rng: rand.New(rand.NewPCG(day.Seed, 1))}
 	w.Result.Seconds = make([]Counts, int((day.Duration+time.Second-1)/time.Second)+1)
-	w.watch = newObserver(w)
+	w.observer = newObserver(w)
 	for i := range day.BackendCount {
-		w.servers = append(w.servers, w.newServer(fmt.Sprintf("s%03d", i), i, 0))
+		w.backends = append(w.backends, w.newBackend(fmt.Sprintf("s%03d", i), i, 0))
 	}
-	w.list = newList(w)
+	w.discovery = newDiscoveryService(w)
 	if day.Sharing.ZoneFailover {
-		w.fleet = newDecider(w)
+		w.zones = newZoneController(w)
 	}
 	weight := 0.0
 	for i := range day.InstanceCount {
@@ -225,7 +225,7 @@
 		} else {
 			weight += 1 + day.Clients.RateSpread*float64(i%10)/9
 		}
-		w.weights = append(w.weights, weight)
+		w.cumulativeWeights = append(w.cumulativeWeights, weight)
 	}
 	return w, nil
 }
@@ -239,30 +239,30 @@
 // Elapsed is how far the day has come.
 func (w *Emulation) Elapsed() time.Duration { return w.now - origin }
 
-// second is that of now.
-func (w *Emulation) second() *Counts {
+// counts is that of now.
+func (w *Emulation) counts() *Counts {
 	return &w.Result.Seconds[min(int(w.Elapsed()/time.Second), len(w.Result.Seconds)-1)]
 }
 
 // Run plays the day, and on until all that was asked is answered.
 func (w *Emulation) Run() *Result {
 	for _, in := range w.instances {
-		w.after(time.Duration(w.rng.Float64()*float64(w.day.StartupWindow)), in.start)
+		w.after(time.Duration(w.rng.Float64()*float64(w.scenario.StartupWindow)), in.start)
 	}
-	for _, s := range w.day.Events {
-		w.after(s.At, func() { s.Do(w) })
+	for _, s := range w.scenario.Events {
+		w.after(s.At, func() { s.Apply(w) })
 	}
-	w.after(w.day.StartupWindow, w.arrive)
-	w.after(w.day.Duration, func() { w.closed = true })
+	w.after(w.scenario.StartupWindow, w.arrive)
+	w.after(w.scenario.Duration, func() { w.arrivalsClosed = true })
 	longest := time.Duration(0)
-	for _, c := range w.day.Classes {
+	for _, c := range w.scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	end := origin + w.day.Duration + longest + 2*time.Second
+	end := origin + w.scenario.Duration + longest + 2*time.Second
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		w.step()
 	}
-	w.watch.close()
+	w.observer.finish()
 	for _, s := range w.Result.Seconds {
 		w.Result.Total.Add(s)
 	}
@@ -273,7 +273,7 @@
 func (w *Emulation) step() {
 	e := heap.Pop(&w.queue).(event)
 	w.now = e.at
-	e.do()
+	e.run()
 }
 
 // Add adds another Second.
@@ -299,25 +299,25 @@
 
 // arrive lets a client ask, and the next one later.
 func (w *Emulation) arrive() {
-	if w.closed {
+	if w.arrivalsClosed {
 		return
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/w.day.Clients.RequestsPerSecond*float64(time.Second)), w.arrive)
+	w.after(time.Duration(w.rng.ExpFloat64()/w.scenario.Clients.RequestsPerSecond*float64(time.Second)), w.arrive)
 	x, class := w.rng.Float64(), 0
-	for class < len(w.day.Classes)-1 && x >= w.day.Classes[class].Fraction {
-		x -= w.day.Classes[class].Fraction
+	for class < len(w.scenario.Classes)-1 && x >= w.scenario.Classes[class].Fraction {
+		x -= w.scenario.Classes[class].Fraction
 		class++
 	}
-	c := &w.day.Classes[class]
-	at, _ := slices.BinarySearch(w.weights, w.rng.Float64()*w.weights[len(w.weights)-1])
-	q := &root{
-		class: c, in: w.instances[min(at, len(w.instances)-1)], began: w.now, left: w.day.Clients.MaxRetries,
+	c := &w.scenario.Classes[class]
+	at, _ := slices.BinarySearch(w.cumulativeWeights, w.rng.Float64()*w.cumulativeWeights[len(w.cumulativeWeights)-1])
+	q := &clientRequest{
+		class: c, instance: w.instances[min(at, len(w.instances)-1)], startedAt: w.now, retriesLeft: w.scenario.Clients.MaxRetries,
 		work: lognormal(w.rng, c.MeanWork, c.WorkVariation), second: int(w.Elapsed() / time.Second),
 	}
 	s := &w.Result.Seconds[q.second]
 	s.Requests++
-	s.RequestedWeight += q.worth()
-	q.try(w)
+	s.RequestedWeight += q.weight()
+	q.send(w)
 }
 
 func lognormal(rng *rand.Rand, mean time.Duration, cv float64) time.Duration {
@@ -325,64 +325,64 @@
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// root is a request of a client with all its tries.
-type root struct {
-	class  *Class
-	in     *instance
-	began  policy.Time
-	left   int
-	work   time.Duration
-	second int
-	done   bool
+// clientRequest is a request of a client with all its tries.
+type clientRequest struct {
+	class       *Class
+	instance    *instance
+	startedAt   policy.Time
+	retriesLeft int
+	work        time.Duration
+	second      int
+	done        bool
 }
 
-// worth counts by work, so that a heavy request is worth more than a light one of its class.
-func (q *root) worth() float64 { return q.class.PriorityWeight * q.work.Seconds() }
+// weight counts by work, so that a heavy request is worth more than a light one of its class.
+func (q *clientRequest) weight() float64 { return q.class.PriorityWeight * q.work.Seconds() }
 
-// try asks once.
-func (q *root) try(w *Emulation) {
-	wait := time.Duration(w.day.Clients.AttemptTimeoutFraction * float64(q.class.Deadline))
-	if w.day.Clients.AttemptTimeoutFraction <= 0 || q.left == 0 {
+// send asks once.
+func (q *clientRequest) send(w *Emulation) {
+	wait := time.Duration(w.scenario.Clients.AttemptTimeoutFraction * float64(q.class.Deadline))
+	if w.scenario.Clients.AttemptTimeoutFraction <= 0 || q.retriesLeft == 0 {
 		wait = q.class.Deadline
 	}
-	wait = min(wait, q.began+q.class.Deadline-w.now)
-	w.second().ClientAttempts++
-	q.in.take(q, wait)
+	wait = min(wait, q.startedAt+q.class.Deadline-w.now)
+	w.counts().ClientAttempts++
+	q.instance.receive(q, wait)
 }
 
-// ended takes the final answer to a try: 0 served, 1 refused, 2 failed, 3 given up.
-func (q *root) ended(w *Emulation, how int, retryAfter time.Duration) {
+// handleAnswer takes the final answer to a try: 0 served, 1 refused, 2 failed, 3 given up.
+func (q *clientRequest) handleAnswer(w *Emulation, how int, retryAfter time.Duration) {
 	if q.done {
 		return
 	}
 	s := &w.Result.Seconds[q.second]
 	switch {
-	case how == served && w.now-q.began <= q.class.LatencyObjective:
+	case how == answerServed && w.now-q.startedAt <= q.class.LatencyObjective:
 		q.done = true
 		s.WithinObjective++
-		s.ServedWeight += q.worth()
-	case how == served:
+		s.ServedWeight += q.weight()
+	case how == answerServed:
 		q.done = true
 		s.Late++
-		s.ServedWeight += q.worth() * q.class.LateWeightFraction
+		s.ServedWeight += q.weight() * q.class.LateWeightFraction
 	default:
-		pause := w.day.Clients.RetryDelay
-		if w.day.Clients.HonorRetryAfter && retryAfter > 0 {
+		pause := w.scenario.Clients.RetryDelay
+		if w.scenario.Clients.HonorRetryAfter && retryAfter > 0 {
 			pause = retryAfter
 		}
-		if q.left == 0 || w.now+pause >= q.began+q.class.Deadline {
+		if q.retriesLeft == 0 || w.now+pause >= q.startedAt+q.class.Deadline {
 			q.done = true
 			s.Unserved++
 			return
 		}
-		q.left--
-		w.after(pause, func() { q.try(w) })
+		q.retriesLeft--
+		w.after(pause, func() { q.send(w) })
 	}
 }
 
 const (
-	served = iota
-	refused
-	failed
-	givenUp
+	answerServed = iota
+	answerRejected
+	answerFailed
+	answerNone
 )
--- a/internal/scenario/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -149,14 +149,14 @@
 		var all []emulator.ScheduledEvent
 		for i := range f.Servers {
 			at := time.Duration(f.At) + time.Duration(i)*time.Duration(f.Over)/time.Duration(max(f.Servers, 1))
-			all = append(all, emulator.ScheduledEvent{At: at, Do: func(w *emulator.Emulation) { w.ReplaceBackend(i, 3*time.Second) }})
+			all = append(all, emulator.ScheduledEvent{At: at, Apply: func(w *emulator.Emulation) { w.ReplaceBackend(i, 3*time.Second) }})
 		}
 		return all
 	},
 }
 
 func once(f Fault, do func(*emulator.Emulation)) []emulator.ScheduledEvent {
-	return []emulator.ScheduledEvent{{At: time.Duration(f.At), Do: do}}
+	return []emulator.ScheduledEvent{{At: time.Duration(f.At), Apply: do}}
 }
 
 // Usual is a day of a middling fleet without faults.
