--- /dev/null
+++ b/internal/emulator/actions.go
@@ -0,0 +1,91 @@
+package emulator
+
+import (
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+var _ policy.Actions = (*instance)(nil)
+
+// StartAttempt sends a request to a backend.
+func (in *instance) StartAttempt(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
+	r, target := in.requests[id], in.backends[endpoint]
+	if r == nil {
+		in.emulation.observer.unknownRequestSent(in)
+		return
+	}
+	a := &attempt{request: r, number: len(r.attempts), backend: target, sentAt: in.emulation.now}
+	in.emulation.observer.attemptStarted(a, endpoint)
+	r.attempts = append(r.attempts, a)
+	in.countAttempt(a)
+	if target == nil {
+		in.rejectUnknownEndpoint(a, endpoint)
+		return
+	}
+	in.emulation.after(timeout, func() { in.finish(a, policy.StatusTimeout) })
+	in.connect(target, func(connected bool) { in.transmit(a, connected) })
+}
+
+// rejectUnknownEndpoint ends an attempt at an endpoint that the process has no backend for.
+func (in *instance) rejectUnknownEndpoint(a *attempt, endpoint policy.EndpointID) {
+	a.finished = true
+	in.deferred = append(in.deferred, func() {
+		in.balancer.HandleAttemptResult(in.emulation.now, policy.AttemptResult{
+			ID:           a.request.id,
+			Attempt:      a.number,
+			Endpoint:     endpoint,
+			Status:       policy.StatusNotSent,
+			RequestEnded: a.request.ended,
+		}, in)
+		in.forget(a.request)
+	})
+}
+
+// Reject answers a request with a rejection.
+func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
+	in.end(id, answerRejected, retryAfter)
+}
+
+// Fail answers a request with an error.
+func (in *instance) Fail(id policy.RequestID) { in.end(id, answerFailed, 0) }
+
+// end answers a request by the balancer's decision.
+func (in *instance) end(id policy.RequestID, how answer, retryAfter time.Duration) {
+	if r := in.requests[id]; r != nil {
+		r.answer(how, retryAfter)
+		in.deferred = append(in.deferred, func() { in.forget(r) })
+	}
+}
+
+// CancelAttempt gives an attempt up. The backend works on.
+func (in *instance) CancelAttempt(id policy.RequestID, number int) {
+	if r := in.requests[id]; r != nil && number < len(r.attempts) {
+		a := r.attempts[number]
+		in.deferred = append(in.deferred, func() { in.finish(a, policy.StatusCanceled) })
+	}
+}
+
+// SetTimer schedules a timer of the balancer. It ends with the process.
+func (in *instance) SetTimer(delay time.Duration, token string) {
+	balancer := in.balancer
+	in.emulation.after(delay, func() {
+		if in.balancer == balancer {
+			in.handle(func(now policy.Time) { balancer.HandleTimer(now, token, in) })
+		}
+	})
+}
+
+// WatchEndpoints opens a watch of the endpoint list in place of the one that is open, or only closes that.
+func (in *instance) WatchEndpoints(open bool) {
+	if in.watch != nil {
+		in.watch.canceled = true
+		in.watch = nil
+	}
+	if open {
+		in.watch = in.emulation.discovery.watch(in)
+	}
+}
+
+// Log ignores the balancer's messages.
+func (in *instance) Log(string) {}
--- /dev/null
+++ b/internal/emulator/attempt.go
@@ -0,0 +1,165 @@
+package emulator
+
+import (
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// attempt is one sending of a request to a backend.
+type attempt struct {
+	request     *request
+	number      int      // from 0, within its request
+	backend     *backend // nil: the process knows none of that name
+	sentAt      policy.Time
+	transmitted bool // there was a connection, and the request was written to it
+	executed    bool // the backend has begun to work on it
+	finished    bool // the balancer has its result
+}
+
+// countAttempt counts an attempt that starts.
+func (in *instance) countAttempt(a *attempt) {
+	counts := in.emulation.counts()
+	counts.Attempts++
+	if a.number > 0 {
+		counts.Retries++
+	}
+	if a.backend == nil {
+		return
+	}
+	if a.backend.capacityFraction(in.emulation) < 1 {
+		counts.WarmingAttempts++
+	}
+	if a.backend.zone != in.zone {
+		counts.CrossZoneAttempts++
+	}
+}
+
+// delayTo returns the network delay to a backend, one way.
+func (in *instance) delayTo(target *backend) time.Duration {
+	if target.zone == in.zone {
+		return in.emulation.scenario.SameZoneDelay
+	}
+	return in.emulation.scenario.CrossZoneDelay
+}
+
+// connect takes an idle connection to a backend or opens one, and then calls done.
+func (in *instance) connect(target *backend, done func(connected bool)) {
+	e := in.emulation
+	if in.idleConnections[target] > 0 && !target.stopped {
+		in.idleConnections[target]--
+		e.after(0, func() { done(true) })
+		return
+	}
+	e.counts().Dials++
+	roundTrip := 2 * in.delayTo(target)
+	switch {
+	case target.silent || target.collapsed || target.partitioned:
+		e.after(e.scenario.Policy.DialTimeout, func() { done(false) })
+	case target.stopped, e.scenario.MaxConnections > 0 && target.connections >= e.scenario.MaxConnections:
+		e.after(roundTrip, func() { done(false) })
+	default:
+		target.connections++
+		e.after(roundTrip+e.scenario.HandshakeDuration, func() { done(true) })
+	}
+}
+
+// transmit writes the request to the connection, if there is one and the attempt is still wanted.
+func (in *instance) transmit(a *attempt, connected bool) {
+	switch {
+	case !connected:
+		in.finish(a, policy.StatusConnectFailed)
+		return
+	case a.finished:
+		in.idleConnections[a.backend]++
+		return
+	}
+	e := in.emulation
+	a.transmitted = true
+	e.after(in.delayTo(a.backend), func() { a.backend.receive(e, a) })
+	if e.resetFraction > 0 && e.rng.Float64() < e.resetFraction {
+		e.after(2*in.delayTo(a.backend), func() { in.finish(a, policy.StatusReset) })
+	}
+}
+
+// respond sends the backend's answer to the instance; it may be lost on the way.
+func (a *attempt) respond(e *Emulation, status policy.Status) {
+	in := a.request.instance
+	if status == policy.StatusOK && e.dropFraction > 0 && e.rng.Float64() < e.dropFraction {
+		return
+	}
+	e.after(in.delayTo(a.backend), func() { in.finish(a, status) })
+}
+
+// finish ends an attempt, and passes its result to the balancer. Of several results the first one counts.
+func (in *instance) finish(a *attempt, status policy.Status) {
+	if a.finished {
+		return
+	}
+	a.finished = true
+	if in.emulation.onAttemptFinished != nil {
+		in.emulation.onAttemptFinished(a, status)
+	}
+	in.countResult(status)
+	in.releaseConnection(a, status)
+	in.handle(func(now policy.Time) { in.handleResult(now, a, status) })
+}
+
+// countResult counts how an attempt ended.
+func (in *instance) countResult(status policy.Status) {
+	counts := in.emulation.counts()
+	switch status {
+	case policy.StatusConnectFailed:
+		counts.ConnectFailures++
+	case policy.StatusTimeout:
+		counts.Timeouts++
+	case policy.StatusApplicationError:
+		counts.ApplicationErrors++
+	case policy.StatusOverloaded:
+		counts.Overloaded++
+	}
+}
+
+// releaseConnection keeps the attempt's connection if the backend has answered on it, and closes it otherwise.
+func (in *instance) releaseConnection(a *attempt, status policy.Status) {
+	if status == policy.StatusConnectFailed && !a.transmitted {
+		return
+	}
+	switch status {
+	case policy.StatusOK, policy.StatusApplicationError, policy.StatusOverloaded:
+		in.idleConnections[a.backend]++
+	default:
+		a.backend.connections--
+	}
+}
+
+// handleResult answers the client of a successful attempt, and passes the result to the balancer and to the other instances.
+func (in *instance) handleResult(now policy.Time, a *attempt, status policy.Status) {
+	r := a.request
+	if status == policy.StatusOK && !r.ended {
+		r.answer(answerServed, 0)
+	}
+	in.emulation.observer.attemptFinished(a, status)
+	in.balancer.HandleAttemptResult(now, policy.AttemptResult{
+		ID:           r.id,
+		Attempt:      a.number,
+		Endpoint:     policy.EndpointID(a.backend.id),
+		Status:       status,
+		Latency:      now - a.sentAt,
+		RequestEnded: r.ended,
+	}, in)
+	in.forget(r)
+	in.shareFailure(now, a.backend, status)
+}
+
+// resetConnections breaks all connections to a backend whose process has ended or was unreachable.
+func (in *instance) resetConnections(target *backend) {
+	delete(in.idleConnections, target)
+	for _, r := range in.openRequests() {
+		for _, a := range r.attempts {
+			if a.backend == target && !a.finished && a.transmitted {
+				in.emulation.after(in.delayTo(target), func() { in.finish(a, policy.StatusReset) })
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/emulator/emulation.go
@@ -0,0 +1,115 @@
+// Package emulator runs a fleet in virtual time: instances that each drive a policy.Balancer, backends that are slow, warming up, silent,
+// failing or stopped, clients that time out and retry, and a discovery service that is late or overloaded. Equal scenarios give equal
+// runs. An observer that shares no code with the balancer checks the rules that each instance has to keep.
+//
+// An Emulation and all its parts belong to one goroutine.
+package emulator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// startTime is the clock at the start of a run. Policy takes times of zero for unset ones.
+const startTime policy.Time = time.Hour
+
+// drainDuration is how long a run goes on once the last request has reached its deadline.
+const drainDuration = 2 * time.Second
+
+// Emulation is a run of a scenario.
+type Emulation struct {
+	scenario       Scenario
+	now            policy.Time
+	queue          eventQueue
+	sequence       uint64     // of the newest event
+	rng            *rand.Rand // of the environment; each balancer has a source of its own
+	arrivalsClosed bool
+
+	dropFraction  float64 // of the responses that never arrive
+	resetFraction float64 // of the attempts whose connection is reset after transmission
+
+	backends          []*backend
+	discovery         *discoveryService
+	instances         []*instance
+	cumulativeWeights []float64 // of the instances, in order
+	observer          *observer
+	failureReporters  map[policy.EndpointID][]failureReporter
+	zones             *zoneController // nil: zones are not decided on
+	// onAttemptFinished is called at the end of each attempt, unless it is nil.
+	onAttemptFinished func(*attempt, policy.Status)
+
+	Result Result
+}
+
+// New returns a run of the scenario that has not started. The error wraps ErrInvalidScenario, or is that of policy.New.
+func New(scenario Scenario) (*Emulation, error) {
+	if err := scenario.validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalidScenario, err)
+	}
+	e := &Emulation{scenario: scenario, now: startTime, rng: rand.New(rand.NewPCG(scenario.Seed, 1))}
+	e.Result.Seconds = make([]Counts, int((scenario.Duration+time.Second-1)/time.Second)+1)
+	e.observer = newObserver(e)
+	for place := range scenario.BackendCount {
+		e.backends = append(e.backends, e.newBackend(fmt.Sprintf("s%03d", place), place, 0))
+	}
+	e.discovery = newDiscoveryService(e)
+	if scenario.Sharing.ZoneFailover {
+		e.zones = newZoneController(e)
+	}
+	if err := e.addInstances(); err != nil {
+		return nil, err
+	}
+	return e, nil
+}
+
+// addInstances makes the instances and the weights by which requests are distributed among them.
+func (e *Emulation) addInstances() error {
+	weight := 0.0
+	for index := range e.scenario.InstanceCount {
+		in, err := newInstance(e, index)
+		if err != nil {
+			return err
+		}
+		e.instances = append(e.instances, in)
+		weight += e.scenario.Clients.weightOf(index, in.zone)
+		e.cumulativeWeights = append(e.cumulativeWeights, weight)
+	}
+	return nil
+}
+
+// Run plays the scenario until every request has been answered or has reached its deadline, and returns the result. It is called once.
+func (e *Emulation) Run() *Result {
+	e.schedule()
+	end := startTime + e.scenario.Duration + e.scenario.maxDeadline() + drainDuration
+	for len(e.queue) > 0 && e.queue[0].at <= end {
+		e.step()
+	}
+	e.observer.finish()
+	for _, second := range e.Result.Seconds {
+		e.Result.Total.Add(second)
+	}
+	return &e.Result
+}
+
+// schedule adds the events that the scenario itself determines.
+func (e *Emulation) schedule() {
+	for _, in := range e.instances {
+		e.after(time.Duration(e.rng.Float64()*float64(e.scenario.StartupWindow)), in.start)
+	}
+	for _, event := range e.scenario.Events {
+		e.after(event.At, func() { event.Apply(e) })
+	}
+	e.after(e.scenario.StartupWindow, e.arrive)
+	e.after(e.scenario.Duration, func() { e.arrivalsClosed = true })
+}
+
+// Elapsed returns the time since the start.
+func (e *Emulation) Elapsed() time.Duration { return e.now - startTime }
+
+// counts returns the counts of the current second.
+func (e *Emulation) counts() *Counts {
+	return &e.Result.Seconds[min(int(e.Elapsed()/time.Second), len(e.Result.Seconds)-1)]
+}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -114,7 +114,7 @@
 	day := fleet()
 	day.Events = []ScheduledEvent{
 		{5 * time.Second, func(w *Emulation) { w.FailSilently(func(_ int, zone string) bool { return zone == "b" }) }},
-		{9 * time.Second, func(w *Emulation) { w.ReplaceSilent() }},
+		{9 * time.Second, func(w *Emulation) { w.RestoreSilent() }},
 	}
 	r := play(t, day)
 	if s := r.Sum(6, 9); s.ServedFraction() < 0.55 {
--- /dev/null
+++ b/internal/emulator/healthcheck.go
@@ -0,0 +1,65 @@
+package emulator
+
+import (
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// healthCheckTimeout is how long an instance waits for the answer to a health check.
+const healthCheckTimeout = 400 * time.Millisecond
+
+// healthCheck is a health check that an instance has started.
+type healthCheck struct {
+	instance *instance
+	balancer *policy.Balancer // that asked for it
+	endpoint policy.EndpointID
+	backend  *backend // nil: the process knows none of that name
+}
+
+// CheckHealth sends a health check to a backend.
+func (in *instance) CheckHealth(endpoint policy.EndpointID) {
+	check := &healthCheck{instance: in, balancer: in.balancer, endpoint: endpoint, backend: in.backends[endpoint]}
+	in.emulation.counts().HealthChecks++
+	if check.backend == nil {
+		in.deferred = append(in.deferred, func() { check.finish(policy.StatusNotSent, nil) })
+		return
+	}
+	in.connect(check.backend, func(connected bool) {
+		if !connected {
+			check.finish(policy.StatusConnectFailed, nil)
+			return
+		}
+		in.emulation.after(in.delayTo(check.backend), check.arrive)
+	})
+}
+
+// arrive has the backend answer the check, or not.
+func (c *healthCheck) arrive() {
+	in := c.instance
+	if c.backend.unreachable() {
+		in.emulation.after(healthCheckTimeout, func() {
+			c.backend.connections--
+			c.finish(policy.StatusTimeout, nil)
+		})
+		return
+	}
+	queue := c.backend.reportedQueueLength(in.emulation)
+	in.emulation.after(in.delayTo(c.backend), func() {
+		in.idleConnections[c.backend]++
+		c.finish(policy.StatusOK, &policy.LoadReport{Queue: queue, InFlight: -1, Latency: -1, ErrorRate: -1})
+	})
+}
+
+// finish passes the result to the balancer that asked for it, and to the other instances.
+func (c *healthCheck) finish(status policy.Status, load *policy.LoadReport) {
+	in := c.instance
+	if in.balancer != c.balancer {
+		return
+	}
+	in.handle(func(now policy.Time) {
+		in.balancer.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: c.endpoint, Status: status, Load: load}, in)
+		in.shareFailure(now, c.backend, status)
+		in.shareLoadReport(c.endpoint, status, load)
+	})
+}
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -8,153 +8,261 @@
 )
 
 const (
-	// maxViolationTexts bounds the breaches that are told word by word.
+	// maxViolationTexts bounds the violations whose texts are kept.
 	maxViolationTexts = 20
-	// drainGrace is how long something new may still go to a server of which is told that it drains or is gone.
+	// drainGrace is how long attempts may still go to an endpoint after the notification that it is draining or removed.
 	drainGrace = 2 * time.Second
-	// answerSlack is how far after its time an answer may come.
-	answerSlack = 50 * time.Millisecond
+	// answerGrace is how long after its deadline a request may still be answered.
+	answerGrace = 50 * time.Millisecond
 )
 
-// observer holds the four rules, by books of its own.
+// rule is the number of a rule that each instance has to keep.
+type rule int
+
+const (
+	// ruleOneAnswer: each request gets one answer, within its deadline, and no attempt starts after either.
+	ruleOneAnswer rule = 1
+	// ruleNoRepeat: a request that may have been executed is repeated, or rejected, only if its class allows it.
+	ruleNoRepeat rule = 2
+	// ruleDraining: no attempt goes to an endpoint that is draining or removed.
+	ruleDraining rule = 3
+	// ruleSlowStart: the instances together do not overload a backend that is warming up.
+	ruleSlowStart rule = 4
+)
+
+// observer checks the rules. It keeps its own records, and reads nothing of the balancers.
 type observer struct {
-	emulation    *Emulation
-	notAccepting map[*instance]map[policy.EndpointID]policy.Time // since when an instance has been told that a server takes nothing new
+	emulation *Emulation
+	// notAccepting has, by instance, the endpoints that it knows to be draining or removed, and since when.
+	notAccepting map[*instance]map[policy.EndpointID]policy.Time
 	requests     map[*request]*requestRecord
 }
 
-// requestRecord is what the observer knows of one try.
+// requestRecord is what the observer knows of a request.
 type requestRecord struct {
 	answers          int
-	possiblyExecuted map[*attempt]bool
+	possiblyExecuted map[*attempt]bool // by what the instance can know
 }
 
-func newObserver(w *Emulation) *observer {
-	return &observer{emulation: w, notAccepting: map[*instance]map[policy.EndpointID]policy.Time{}, requests: map[*request]*requestRecord{}}
+func newObserver(e *Emulation) *observer {
+	return &observer{
+		emulation:    e,
+		notAccepting: map[*instance]map[policy.EndpointID]policy.Time{},
+		requests:     map[*request]*requestRecord{},
+	}
 }
 
-func (o *observer) violation(format string, args ...any) {
-	o.emulation.Result.ViolationCount++
-	if len(o.emulation.Result.Violations) < maxViolationTexts {
-		o.emulation.Result.Violations = append(o.emulation.Result.Violations, fmt.Sprintf("%.3f s, rule ", o.emulation.Elapsed().Seconds())+fmt.Sprintf(format, args...))
+// violation records that a rule was broken.
+func (o *observer) violation(broken rule, format string, args ...any) {
+	result := &o.emulation.Result
+	result.ViolationCount++
+	if len(result.Violations) < maxViolationTexts {
+		text := fmt.Sprintf(format, args...)
+		result.Violations = append(result.Violations, fmt.Sprintf("%.3f s, rule %d: %s", o.emulation.Elapsed().Seconds(), broken, text))
 	}
 }
 
-// endpointsUpdated notes what an instance is told of the list.
-func (o *observer) endpointsUpdated(in *instance, kind policy.UpdateKind, entries []policy.Endpoint) {
-	left := o.notAccepting[in]
-	if left == nil {
-		left = map[policy.EndpointID]policy.Time{}
-		o.notAccepting[in] = left
+// The events that the observer is told of, in the order of a request's life.
+
+// endpointsUpdated records which endpoints an instance may no longer send to. It is called before the instance applies the update.
+func (o *observer) endpointsUpdated(in *instance, kind policy.UpdateKind, endpoints []policy.Endpoint) {
+	since := o.notAccepting[in]
+	if since == nil {
+		since = map[policy.EndpointID]policy.Time{}
+		o.notAccepting[in] = since
 	}
 	listed := map[policy.EndpointID]bool{}
-	for _, e := range entries {
-		listed[e.ID] = true
-		if e.State == policy.Ready {
-			delete(left, e.ID)
-		} else if _, is := left[e.ID]; !is {
-			left[e.ID] = o.emulation.now
+	for _, endpoint := range endpoints {
+		listed[endpoint.ID] = true
+		if endpoint.State == policy.Ready {
+			delete(since, endpoint.ID)
+		} else if _, known := since[endpoint.ID]; !known {
+			since[endpoint.ID] = o.emulation.now
 		}
 	}
-	if kind == policy.UpdateFull {
-		for id := range in.backends {
-			if _, is := left[id]; !is && !listed[id] {
-				left[id] = o.emulation.now
-			}
+	if kind != policy.UpdateFull {
+		return
+	}
+	for id := range in.backends {
+		if _, known := since[id]; !known && !listed[id] {
+			since[id] = o.emulation.now
 		}
 	}
 }
 
-func (o *observer) requestReceived(t *request) {
-	o.requests[t] = &requestRecord{possiblyExecuted: map[*attempt]bool{}}
+// requestReceived records a request that an instance has to answer.
+func (o *observer) requestReceived(r *request) {
+	o.requests[r] = &requestRecord{possiblyExecuted: map[*attempt]bool{}}
 }
 
-// instanceKilled drops a try whose process was killed: what it had in hand is left for the client to send again.
-func (o *observer) instanceKilled(t *request) { delete(o.requests, t) }
+// instanceKilled drops a request whose process was killed. Its client may retry it as if it had not been sent.
+func (o *observer) instanceKilled(r *request) { delete(o.requests, r) }
 
-// attemptStarted judges an attempt as it is sent.
-func (o *observer) attemptStarted(a *attempt, to policy.EndpointID) {
-	t := a.request
-	k := o.requests[t]
-	switch {
-	case k == nil || k.answers > 0:
-		o.violation("1: something was sent of a request that is answered (instance %d)", t.instance.index)
+// attemptStarted checks an attempt before it is added to its request's.
+func (o *observer) attemptStarted(a *attempt, endpoint policy.EndpointID) {
+	record := o.requests[a.request]
+	if !o.checkRequestOpen(a, record) {
 		return
-	case o.emulation.now >= t.expires:
-		o.violation("1: something was sent of a request whose time is up (instance %d)", t.instance.index)
 	}
-	if since, is := o.notAccepting[t.instance][to]; is && o.emulation.now > since+drainGrace {
-		o.violation("3: %s was sent something %v after it was told to take nothing", to, o.emulation.now-since)
-	}
-	for _, other := range t.attempts {
-		if maybe := other.executed || k.possiblyExecuted[other]; !maybe || a.backend == nil || other.backend == nil {
-			continue
-		}
-		switch c := t.class; {
-		case c.Idempotency == policy.NonIdempotent:
-			o.violation("2: %s was sent again though it may have run", c.Name)
-		case c.Idempotency == policy.IdempotentByKey && (c.DedupScope == policy.DedupZone && other.backend.zone != a.backend.zone || c.DedupScope == policy.DedupCell && other.backend.cell != a.backend.cell):
-			o.violation("2: %s was sent to another group though it may have run", c.Name)
-		case c.Idempotency == policy.IdempotentByKey && o.emulation.now > other.sentAt+c.DedupWindow:
-			o.violation("2: %s was sent again %v after a try that may have run", c.Name, o.emulation.now-other.sentAt)
+	o.checkStartsBeforeDeadline(a)
+	o.checkEndpointAccepts(a, endpoint)
+	for _, earlier := range a.request.attempts {
+		if earlier.executed || record.possiblyExecuted[earlier] {
+			o.checkRepeatAllowed(a, earlier)
 		}
 	}
-	k.possiblyExecuted[a] = true
+	record.possiblyExecuted[a] = true
 }
 
-// attemptExecuted notes that a server has begun an attempt.
+// attemptExecuted records that a backend has begun to work on an attempt.
 func (o *observer) attemptExecuted(a *attempt) { a.executed = true }
 
-// attemptFinished notes what an instance is told of an attempt. A server that has answered with an error, or not at all, may have run it.
-func (o *observer) attemptFinished(a *attempt, st policy.Status) {
-	if k := o.requests[a.request]; k != nil && (st == policy.StatusOverloaded || st == policy.StatusConnectFailed || st == policy.StatusNotSent) {
-		delete(k.possiblyExecuted, a)
-		if a.executed {
-			o.violation("2: the emulator itself told as not run what has run")
-		}
+// attemptFinished records what an instance learns of an attempt. After any status but these three it may have been executed.
+func (o *observer) attemptFinished(a *attempt, status policy.Status) {
+	record := o.requests[a.request]
+	if record == nil {
+		return
+	}
+	switch status {
+	case policy.StatusOverloaded, policy.StatusConnectFailed, policy.StatusNotSent:
+		delete(record.possiblyExecuted, a)
+		o.checkNotExecuted(a)
 	}
 }
 
-// requestAnswered judges a final answer.
-func (o *observer) requestAnswered(t *request, how int) {
-	k := o.requests[t]
-	if k == nil {
-		o.violation("1: an answer to a request that nobody asks (instance %d)", t.instance.index)
+// requestAnswered checks a final answer.
+func (o *observer) requestAnswered(r *request, how answer) {
+	record := o.requests[r]
+	if record == nil {
+		o.violation(ruleOneAnswer, "an answer to a request that nobody asks (instance %d)", r.instance.index)
 		return
 	}
-	if k.answers++; k.answers > 1 {
-		o.violation("1: %d answers to one request (instance %d)", k.answers, t.instance.index)
-	}
-	if o.emulation.now > t.expires+answerSlack {
-		o.violation("1: an answer %v too late (instance %d)", o.emulation.now-t.expires, t.instance.index)
-	}
-	if how == answerRejected && t.class.Idempotency != policy.Idempotent && (t.class.Idempotency != policy.IdempotentByKey || t.class.DedupScope != policy.DedupEverywhere) && len(k.possiblyExecuted) > 0 {
-		o.violation("2: %s was refused though it may have run", t.class.Name)
+	record.answers++
+	o.checkAnsweredOnce(r, record)
+	o.checkAnsweredInTime(r)
+	if how == answerRejected {
+		o.checkRejectionAllowed(r, record)
 	}
 }
 
-// clientTimedOut looks, a little after its client has left, whether a request was answered.
-func (o *observer) clientTimedOut(t *request) {
-	o.emulation.after(answerSlack, func() {
-		if k := o.requests[t]; k != nil && k.answers == 0 {
-			o.violation("1: a request was never answered (instance %d)", t.instance.index)
+// clientTimedOut checks, a little after the deadline, that a request was answered.
+func (o *observer) clientTimedOut(r *request) {
+	o.emulation.after(answerGrace, func() {
+		if record := o.requests[r]; record != nil && record.answers == 0 {
+			o.violation(ruleOneAnswer, "a request was never answered (instance %d)", r.instance.index)
 		}
 	})
 }
 
-func (o *observer) backendCollapsed(s *backend) {
-	o.violation("4: %s was pushed over while it was cold", s.id)
-}
-
-// finish judges what is left at the end.
+// finish checks, at the end of the run, that no request is left without an answer.
 func (o *observer) finish() {
-	open := 0
-	for t, k := range o.requests {
-		if k.answers == 0 && o.emulation.now > t.expires+answerSlack {
-			open++
+	unanswered := 0
+	for r, record := range o.requests {
+		if record.answers == 0 && o.emulation.now > r.expires+answerGrace {
+			unanswered++
 		}
 	}
-	if open > 0 {
-		o.violation("1: %d requests were not answered by the end", open)
+	if unanswered > 0 {
+		o.violation(ruleOneAnswer, "%d requests were not answered by the end", unanswered)
+	}
+}
+
+// The checks of ruleOneAnswer.
+
+// unknownRequestSent reports an attempt of a request that the instance does not have.
+func (o *observer) unknownRequestSent(in *instance) {
+	o.violation(ruleOneAnswer, "%d sent something of a request that it has not", in.index)
+}
+
+// checkRequestOpen checks that an attempt's request is not answered yet, and reports whether it is so.
+func (o *observer) checkRequestOpen(a *attempt, record *requestRecord) bool {
+	open := record != nil && record.answers == 0
+	if !open {
+		o.violation(ruleOneAnswer, "something was sent of a request that is answered (instance %d)", a.request.instance.index)
+	}
+	return open
+}
+
+// checkStartsBeforeDeadline checks that no attempt starts at or after the request's deadline.
+func (o *observer) checkStartsBeforeDeadline(a *attempt) {
+	if o.emulation.now >= a.request.expires {
+		o.violation(ruleOneAnswer, "something was sent of a request whose time is up (instance %d)", a.request.instance.index)
+	}
+}
+
+// checkAnsweredOnce checks that an answer is the request's first one.
+func (o *observer) checkAnsweredOnce(r *request, record *requestRecord) {
+	if record.answers > 1 {
+		o.violation(ruleOneAnswer, "%d answers to one request (instance %d)", record.answers, r.instance.index)
+	}
+}
+
+// checkAnsweredInTime checks that an answer comes by the deadline.
+func (o *observer) checkAnsweredInTime(r *request) {
+	if o.emulation.now > r.expires+answerGrace {
+		o.violation(ruleOneAnswer, "an answer %v too late (instance %d)", o.emulation.now-r.expires, r.instance.index)
+	}
+}
+
+// The checks of ruleNoRepeat.
+
+// checkRepeatAllowed checks an attempt against an earlier one that may have been executed: its class has to be idempotent, or idempotent
+// by key with the attempt in the same dedup scope and within the dedup window.
+func (o *observer) checkRepeatAllowed(a, earlier *attempt) {
+	if a.backend == nil || earlier.backend == nil {
+		return
+	}
+	class := a.request.class
+	switch {
+	case class.Idempotency == policy.NonIdempotent:
+		o.violation(ruleNoRepeat, "%s was sent again though it may have run", class.Name)
+	case class.Idempotency == policy.IdempotentByKey && !sameDedupScope(class.DedupScope, a.backend, earlier.backend):
+		o.violation(ruleNoRepeat, "%s was sent to another group though it may have run", class.Name)
+	case class.Idempotency == policy.IdempotentByKey && o.emulation.now > earlier.sentAt+class.DedupWindow:
+		o.violation(ruleNoRepeat, "%s was sent again %v after a try that may have run", class.Name, o.emulation.now-earlier.sentAt)
+	}
+}
+
+// sameDedupScope reports whether two backends drop each other's repeats of a key.
+func sameDedupScope(scope policy.DedupScope, a, b *backend) bool {
+	switch scope {
+	case policy.DedupZone:
+		return a.zone == b.zone
+	case policy.DedupCell:
+		return a.cell == b.cell
+	}
+	return true
+}
+
+// checkRejectionAllowed checks that a request that may have been executed is rejected only where the client may repeat it anywhere.
+func (o *observer) checkRejectionAllowed(r *request, record *requestRecord) {
+	repeatable := r.class.Idempotency == policy.Idempotent ||
+		r.class.Idempotency == policy.IdempotentByKey && r.class.DedupScope == policy.DedupEverywhere
+	if !repeatable && len(record.possiblyExecuted) > 0 {
+		o.violation(ruleNoRepeat, "%s was refused though it may have run", r.class.Name)
+	}
+}
+
+// checkNotExecuted checks the emulator itself: an instance that is told that an attempt was not executed has to be told the truth.
+func (o *observer) checkNotExecuted(a *attempt) {
+	if a.executed {
+		o.violation(ruleNoRepeat, "the emulator itself told as not run what has run")
 	}
 }
+
+// The check of ruleDraining.
+
+// checkEndpointAccepts checks that the instance has not known for longer than drainGrace that the endpoint is draining or removed.
+func (o *observer) checkEndpointAccepts(a *attempt, endpoint policy.EndpointID) {
+	since, known := o.notAccepting[a.request.instance][endpoint]
+	if known && o.emulation.now > since+drainGrace {
+		o.violation(ruleDraining, "%s was sent something %v after it was told to take nothing", endpoint, o.emulation.now-since)
+	}
+}
+
+// The check of ruleSlowStart.
+
+// backendCollapsed reports a backend that collapsed under its load while it was warming up.
+func (o *observer) backendCollapsed(b *backend) {
+	o.violation(ruleSlowStart, "%s was pushed over while it was cold", b.id)
+}
--- /dev/null
+++ b/internal/emulator/queue.go
@@ -0,0 +1,49 @@
+package emulator
+
+import (
+	"container/heap"
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// event is a function that is due at a time. Events of one time run in the order in which they were scheduled.
+type event struct {
+	at       policy.Time
+	sequence uint64
+	run      func()
+}
+
+// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	(*q)[last] = event{} // releases the function
+	*q = (*q)[:last]
+	return popped
+}
+
+// after schedules run after a delay; a negative delay counts as 0.
+func (e *Emulation) after(delay time.Duration, run func()) {
+	e.sequence++
+	heap.Push(&e.queue, event{e.now + max(0, delay), e.sequence, run})
+}
+
+// step sets the clock to the next event and runs it.
+func (e *Emulation) step() {
+	next := heap.Pop(&e.queue).(event)
+	e.now = next.at
+	next.run()
+}
--- /dev/null
+++ b/internal/emulator/sharing.go
@@ -0,0 +1,123 @@
+package emulator
+
+import (
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+const (
+	// hintInterval is the least time between two reports of one instance on a backend.
+	hintInterval = time.Second
+	// hintRepeats is how often the other instances are given a hint within hintInterval.
+	hintRepeats = 5
+	// learnedStateDraws bounds the draws of an instance to import learned state from.
+	learnedStateDraws = 20
+)
+
+// indicatesFailure reports whether a status says that the backend did not answer.
+func indicatesFailure(status policy.Status) bool {
+	return status == policy.StatusConnectFailed || status == policy.StatusTimeout || status == policy.StatusReset
+}
+
+// shareFailure reports the status of an attempt or a health check to the zone controller, and a backend that did not answer to the
+// other instances.
+func (in *instance) shareFailure(now policy.Time, target *backend, status policy.Status) {
+	e := in.emulation
+	if e.zones != nil && target != nil {
+		e.zones.recordOutcome(in, policy.EndpointID(target.id), status)
+	}
+	if !e.scenario.Sharing.Unreachable || target == nil || !indicatesFailure(status) {
+		return
+	}
+	endpoint := policy.EndpointID(target.id)
+	if last, reported := in.lastHint[endpoint]; reported && now < last+hintInterval {
+		return
+	}
+	in.lastHint[endpoint] = now
+	e.after(e.scenario.Sharing.Delay, func() {
+		if e.addFailureReport(endpoint, in) >= max(1, e.scenario.Sharing.Quorum) {
+			in.hintOthers(endpoint)
+		}
+	})
+}
+
+// hintOthers gives the other instances the hint that an endpoint is unreachable. It is repeated, since a balancer ignores a hint for a
+// while after an answer of its own.
+func (in *instance) hintOthers(endpoint policy.EndpointID) {
+	e := in.emulation
+	for repeat := range hintRepeats {
+		e.after(time.Duration(repeat)*hintInterval/hintRepeats, func() {
+			for _, other := range e.instances {
+				if other != in {
+					other.handle(func(now policy.Time) { other.balancer.HandleUnreachableHint(now, endpoint) })
+				}
+			}
+		})
+	}
+}
+
+// failureReporter is an instance that has reported a backend, and when.
+type failureReporter struct {
+	instance *instance
+	at       policy.Time
+}
+
+// addFailureReport adds an instance's report of an endpoint, and returns the number of instances that have reported it within
+// hintInterval.
+func (e *Emulation) addFailureReport(endpoint policy.EndpointID, in *instance) int {
+	recent := e.failureReporters[endpoint][:0]
+	for _, reporter := range e.failureReporters[endpoint] {
+		if reporter.instance != in && reporter.at > e.now-hintInterval {
+			recent = append(recent, reporter)
+		}
+	}
+	if e.failureReporters == nil {
+		e.failureReporters = map[policy.EndpointID][]failureReporter{}
+	}
+	e.failureReporters[endpoint] = append(recent, failureReporter{in, e.now})
+	return len(e.failureReporters[endpoint])
+}
+
+// shareLoadReport passes a load report to the other instances of the backend's zone, as if it came from health checks of their own. It
+// bounds from above what sharing the reports can gain.
+func (in *instance) shareLoadReport(endpoint policy.EndpointID, status policy.Status, load *policy.LoadReport) {
+	e := in.emulation
+	if !e.scenario.Sharing.LoadReports || status != policy.StatusOK {
+		return
+	}
+	e.after(e.scenario.Sharing.Delay, func() {
+		for _, other := range e.instances {
+			if other == in || other.backends[endpoint] == nil || other.backends[endpoint].zone != other.zone {
+				continue
+			}
+			other.handle(func(now policy.Time) {
+				result := policy.HealthCheckResult{Endpoint: endpoint, Status: policy.StatusOK, Load: load}
+				other.balancer.HandleHealthCheck(now, result, other)
+			})
+		}
+	})
+}
+
+// importLearnedState gives an instance that starts late the learned state of another one, without the ejections.
+func (in *instance) importLearnedState() {
+	if !in.emulation.scenario.Sharing.LearnedState || !in.startsLate() {
+		return
+	}
+	e := in.emulation
+	for range learnedStateDraws {
+		from := e.instances[e.rng.IntN(len(e.instances))]
+		if from == in || !from.up {
+			continue
+		}
+		learned := from.balancer.ExportLearnedState(e.now)
+		for id, endpoint := range learned.Endpoints {
+			endpoint.EjectedFor, endpoint.ConsecutiveFailures = 0, 0
+			learned.Endpoints[id] = endpoint
+		}
+		e.after(e.scenario.Sharing.Delay, func() {
+			in.handle(func(now policy.Time) { in.balancer.ImportLearnedState(now, learned) })
+		})
+		return
+	}
+}
--- /dev/null
+++ b/internal/emulator/warming.go
@@ -0,0 +1,72 @@
+package emulator
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"sorrelrudder/policy"
+)
+
+// arrival is work that a backend has received while it was warming up.
+type arrival struct {
+	at             policy.Time
+	work           time.Duration
+	senderNotified bool // the sender knew of the backend's start
+}
+
+// warmingLoad is what a backend that warms up has received within the collapse window.
+type warmingLoad struct {
+	work         time.Duration
+	notifiedWork time.Duration // from instances that had been notified of its start
+	largest      time.Duration
+}
+
+// recordWarmingWork records work that a backend receives. If it is warming up and has received too much, it collapses.
+func (b *backend) recordWarmingWork(e *Emulation, work time.Duration, senderNotified bool) {
+	if e.scenario.CollapseFactor <= 0 || b.capacityFraction(e) == 1 {
+		return
+	}
+	b.warmingWork = append(b.warmingWork, arrival{e.now, work, senderNotified})
+	b.warmingWork = slices.DeleteFunc(b.warmingWork, func(a arrival) bool { return a.at <= e.now-e.scenario.CollapseWindow })
+	load := b.warmingLoad()
+	limit := e.scenario.CollapseFactor * b.capacity(e) * e.scenario.CollapseWindow.Seconds()
+	b.collapseAbove(e, load, limit)
+	e.recordWarmingLoad(load, len(b.warmingWork), limit)
+}
+
+// warmingLoad sums up the recorded work.
+func (b *backend) warmingLoad() warmingLoad {
+	var load warmingLoad
+	for _, a := range b.warmingWork {
+		load.work += a.work
+		load.largest = max(load.largest, a.work)
+		if a.senderNotified {
+			load.notifiedWork += a.work
+		}
+	}
+	return load
+}
+
+// collapseAbove has the backend collapse if its load exceeds limit, in seconds of work. The largest request does not count: no sender
+// can foresee it.
+func (b *backend) collapseAbove(e *Emulation, load warmingLoad, limit float64) {
+	if e.scenario.CollapseDisabled || b.collapsed || (load.work-load.largest).Seconds() <= limit {
+		return
+	}
+	b.collapsed = true
+	e.observer.backendCollapsed(b)
+}
+
+// recordWarmingLoad raises the result's maxima to a load, as a multiple of what chance explains. Loads count only where over two thirds
+// come from instances that had been notified of the backend's start.
+func (e *Emulation) recordWarmingLoad(load warmingLoad, requests int, limit float64) {
+	if 3*load.notifiedWork <= 2*load.work {
+		return
+	}
+	meanWork := e.scenario.meanWork().Seconds()
+	budget := limit / meanWork // requests
+	explained := budget + 2*math.Sqrt(budget) + 2
+	e.Result.MaxWarmingRequests = max(e.Result.MaxWarmingRequests, float64(requests)/explained)
+	e.Result.MaxWarmingWork = max(e.Result.MaxWarmingWork, load.work.Seconds()/meanWork/explained)
+}
--- a/internal/scenario/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -131,7 +131,7 @@
 	"resets": func(f Fault) []emulator.ScheduledEvent {
 		return once(f, func(w *emulator.Emulation) { w.ResetConnections(f.Share) })
 	},
-	"zone-back": func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).ReplaceSilent) },
+	"zone-back": func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).RestoreSilent) },
 	"all-cold":  func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).RestartAllBackends) },
 	"fail-fast": func(f Fault) []emulator.ScheduledEvent {
 		return once(f, func(w *emulator.Emulation) {
