--- a/cmd/sorrelrudder/golden_test.go
+++ b/cmd/sorrelrudder/golden_test.go
@@ -187,7 +187,7 @@
 	}
 	walk("", reflect.TypeFor[scenario.File]())
 	slices.Sort(keys)
-	usual, err := toml.Marshal(scenario.Usual())
+	usual, err := toml.Marshal(scenario.Default())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/dayfile.go
+++ b/internal/scenario/dayfile.go
@@ -18,12 +18,12 @@
 	"sorrelrudder/policy"
 )
 
-// mostServers and mostInstances bound a day, mostLength its length and mostRate its requests a second.
+// maxBackends and mostInstances bound a day, mostLength its length and mostRate its requests a second.
 const (
-	mostServers   = 2000
-	mostInstances = 10000
-	mostLength    = time.Hour
-	mostRate      = 100000
+	maxBackends          = 2000
+	maxInstances         = 10000
+	maxDuration          = time.Hour
+	maxRequestsPerSecond = 100000
 )
 
 // Duration is a time as it is written.
@@ -44,111 +44,111 @@
 
 // File is a day as it is written down.
 type File struct {
-	Seed      uint64    `toml:"seed"`
-	Length    Duration  `toml:"length"`
-	Instances int       `toml:"instances"`
-	Servers   int       `toml:"servers"`
-	Zones     []string  `toml:"zones"`
-	Near      Duration  `toml:"near"`
-	Far       Duration  `toml:"far"`
-	Room      int       `toml:"room"`
-	MostConns int       `toml:"most_connections"`
-	ReportLag Duration  `toml:"report_lag"`
-	ColdFrom  float64   `toml:"cold_from"`
-	ColdFor   Duration  `toml:"cold_for"`
-	Clients   Clients   `toml:"clients"`
-	Discovery Discovery `toml:"discovery"`
-	Kinds     []Kind    `toml:"kinds"`
-	Classes   []Class   `toml:"classes"`
-	Faults    []Fault   `toml:"faults"`
+	Seed                 uint64        `toml:"seed"`
+	Duration             Duration      `toml:"length"`
+	InstanceCount        int           `toml:"instances"`
+	BackendCount         int           `toml:"servers"`
+	Zones                []string      `toml:"zones"`
+	SameZoneDelay        Duration      `toml:"near"`
+	CrossZoneDelay       Duration      `toml:"far"`
+	MaxQueueLength       int           `toml:"room"`
+	MaxConnections       int           `toml:"most_connections"`
+	LoadReportAge        Duration      `toml:"report_lag"`
+	SlowStartMinCapacity float64       `toml:"cold_from"`
+	SlowStartDuration    Duration      `toml:"cold_for"`
+	Clients              Clients       `toml:"clients"`
+	Discovery            Discovery     `toml:"discovery"`
+	MachineTypes         []MachineType `toml:"kinds"`
+	Classes              []Class       `toml:"classes"`
+	Faults               []Fault       `toml:"faults"`
 }
 
 // Clients is how clients behave.
 type Clients struct {
-	Rate    float64  `toml:"rate"`
-	Retries int      `toml:"retries"`
-	Pause   Duration `toml:"pause"`
-	Heed    bool     `toml:"heed_retry_after"`
+	RequestsPerSecond float64  `toml:"rate"`
+	MaxRetries        int      `toml:"retries"`
+	RetryDelay        Duration `toml:"pause"`
+	HonorRetryAfter   bool     `toml:"heed_retry_after"`
 }
 
 // Discovery is the service of the list.
 type Discovery struct {
-	Calls  float64  `toml:"calls"`
-	Notice Duration `toml:"notice"`
+	WatchesPerSecond  float64  `toml:"calls"`
+	NotificationDelay Duration `toml:"notice"`
 }
 
-// Kind is a kind of machine.
-type Kind struct {
-	Name  string  `toml:"name"`
-	Share float64 `toml:"share"`
-	Cores int     `toml:"cores"`
-	Speed float64 `toml:"speed"`
+// MachineType is a kind of machine.
+type MachineType struct {
+	Name     string  `toml:"name"`
+	Fraction float64 `toml:"share"`
+	Cores    int     `toml:"cores"`
+	Speed    float64 `toml:"speed"`
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name     string   `toml:"name"`
-	Effect   string   `toml:"effect"`
-	Group    string   `toml:"repeats_dropped_by"`
-	KeyTTL   Duration `toml:"repeats_dropped_for"`
-	Aim      Duration `toml:"aim"`
-	Deadline Duration `toml:"deadline"`
-	Worth    float64  `toml:"worth"`
-	Late     float64  `toml:"late_worth"`
-	Share    float64  `toml:"share"`
-	Work     Duration `toml:"work"`
-	CV       float64  `toml:"work_cv"`
+	Name               string   `toml:"name"`
+	Idempotency        string   `toml:"effect"`
+	DedupScope         string   `toml:"repeats_dropped_by"`
+	DedupWindow        Duration `toml:"repeats_dropped_for"`
+	LatencyObjective   Duration `toml:"aim"`
+	Deadline           Duration `toml:"deadline"`
+	PriorityWeight     float64  `toml:"worth"`
+	LateWeightFraction float64  `toml:"late_worth"`
+	Fraction           float64  `toml:"share"`
+	MeanWork           Duration `toml:"work"`
+	WorkVariation      float64  `toml:"work_cv"`
 }
 
 // Fault is something that happens.
 type Fault struct {
-	At      Duration `toml:"at"`
-	Kind    string   `toml:"kind"`
-	Zone    string   `toml:"zone"`
-	Servers int      `toml:"servers"`
-	Share   float64  `toml:"share"`
-	Over    Duration `toml:"over"`
+	At       Duration `toml:"at"`
+	Kind     string   `toml:"kind"`
+	Zone     string   `toml:"zone"`
+	Backends int      `toml:"servers"`
+	Fraction float64  `toml:"share"`
+	Duration Duration `toml:"over"`
 }
 
 // The kinds of faults: what each does to the world.
-var faults = map[string]func(Fault) []emulator.ScheduledEvent{
+var faultKinds = map[string]func(Fault) []emulator.ScheduledEvent{
 	"zone-lost": func(f Fault) []emulator.ScheduledEvent {
 		return once(f, func(w *emulator.Emulation) { w.FailSilently(func(_ int, zone string) bool { return zone == f.Zone }) })
 	},
 	"cut-off": func(f Fault) []emulator.ScheduledEvent { // a zone, or a share of the servers, and back after a while
 		back := f
-		back.At += f.Over
+		back.At += f.Duration
 		off := func(w *emulator.Emulation) {
 			w.Partition(func(place int, zone string) bool {
-				return f.Zone != "" && zone == f.Zone || f.Zone == "" && float64(place*7919%1000) < f.Share*1000
+				return f.Zone != "" && zone == f.Zone || f.Zone == "" && float64(place*7919%1000) < f.Fraction*1000
 			})
 		}
 		return append(once(f, off), once(back, (*emulator.Emulation).HealPartition)...)
 	},
 	"lost-answers": func(f Fault) []emulator.ScheduledEvent {
-		return once(f, func(w *emulator.Emulation) { w.DropResponses(f.Share) })
+		return once(f, func(w *emulator.Emulation) { w.DropResponses(f.Fraction) })
 	},
 	"resets": func(f Fault) []emulator.ScheduledEvent {
-		return once(f, func(w *emulator.Emulation) { w.ResetConnections(f.Share) })
+		return once(f, func(w *emulator.Emulation) { w.ResetConnections(f.Fraction) })
 	},
 	"zone-back": func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).RestoreSilent) },
 	"all-cold":  func(f Fault) []emulator.ScheduledEvent { return once(f, (*emulator.Emulation).RestartAllBackends) },
 	"fail-fast": func(f Fault) []emulator.ScheduledEvent {
 		return once(f, func(w *emulator.Emulation) {
-			for i := range f.Servers {
-				w.InjectErrors(i, f.Share)
+			for i := range f.Backends {
+				w.InjectErrors(i, f.Fraction)
 			}
 		})
 	},
 	"restart": func(f Fault) []emulator.ScheduledEvent { // of a share of the instances
 		return once(f, func(w *emulator.Emulation) {
-			w.RestartInstances(func(o int) bool { return float64(o*7919%1000) < f.Share*1000 }, time.Duration(f.Over))
+			w.RestartInstances(func(o int) bool { return float64(o*7919%1000) < f.Fraction*1000 }, time.Duration(f.Duration))
 		})
 	},
 	"replace": func(f Fault) []emulator.ScheduledEvent {
 		var all []emulator.ScheduledEvent
-		for i := range f.Servers {
-			at := time.Duration(f.At) + time.Duration(i)*time.Duration(f.Over)/time.Duration(max(f.Servers, 1))
+		for i := range f.Backends {
+			at := time.Duration(f.At) + time.Duration(i)*time.Duration(f.Duration)/time.Duration(max(f.Backends, 1))
 			all = append(all, emulator.ScheduledEvent{At: at, Apply: func(w *emulator.Emulation) { w.ReplaceBackend(i, 3*time.Second) }})
 		}
 		return all
@@ -159,13 +159,13 @@
 	return []emulator.ScheduledEvent{{At: time.Duration(f.At), Apply: do}}
 }
 
-// Usual is a day of a middling fleet without faults.
-func Usual() File {
+// Default is a day of a middling fleet without faults.
+func Default() File {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return File{
-		Seed: 1, Length: ms(20000), Instances: 20, Servers: 16, Zones: []string{"a", "b"}, Near: Duration(500 * time.Microsecond), Far: ms(7),
-		Room: 300, MostConns: 400, ReportLag: ms(150), ColdFrom: 0.35, ColdFor: ms(8000),
-		Clients: Clients{Rate: 350, Retries: 3, Pause: ms(20), Heed: true}, Discovery: Discovery{Calls: 60, Notice: ms(1500)},
+		Seed: 1, Duration: ms(20000), InstanceCount: 20, BackendCount: 16, Zones: []string{"a", "b"}, SameZoneDelay: Duration(500 * time.Microsecond), CrossZoneDelay: ms(7),
+		MaxQueueLength: 300, MaxConnections: 400, LoadReportAge: ms(150), SlowStartMinCapacity: 0.35, SlowStartDuration: ms(8000),
+		Clients: Clients{RequestsPerSecond: 350, MaxRetries: 3, RetryDelay: ms(20), HonorRetryAfter: true}, Discovery: Discovery{WatchesPerSecond: 60, NotificationDelay: ms(1500)},
 	}
 }
 
@@ -191,28 +191,28 @@
 func Parse(name string, text []byte) (emulator.Scenario, error) { return parse(name, text, 1) }
 
 func parse(name string, text []byte, times float64) (emulator.Scenario, error) {
-	f := Usual()
+	f := Default()
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
-		return emulator.Scenario{}, explain(name, err)
+		return emulator.Scenario{}, locate(name, err)
 	}
 	if times != 1 {
 		whole := func(n int) int { return int(math.Round(float64(n) * times)) }
-		f.Instances, f.Servers, f.Clients.Rate, f.Discovery.Calls = whole(f.Instances), whole(f.Servers), f.Clients.Rate*times, f.Discovery.Calls*times
+		f.InstanceCount, f.BackendCount, f.Clients.RequestsPerSecond, f.Discovery.WatchesPerSecond = whole(f.InstanceCount), whole(f.BackendCount), f.Clients.RequestsPerSecond*times, f.Discovery.WatchesPerSecond*times
 		for i := range f.Faults {
-			f.Faults[i].Servers = whole(f.Faults[i].Servers)
+			f.Faults[i].Backends = whole(f.Faults[i].Backends)
 		}
 	}
-	day, err := f.Day()
+	day, err := f.Scenario()
 	if err != nil {
 		return emulator.Scenario{}, fmt.Errorf("%s: %w", name, err)
 	}
 	return day, nil
 }
 
-// explain names line and key of an error of the reader.
-func explain(name string, err error) error {
+// locate names line and key of an error of the reader.
+func locate(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	var bad *toml.DecodeError
 	switch {
@@ -230,8 +230,8 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// Day is the day that f describes; the error names every key that cannot be used.
-func (f *File) Day() (emulator.Scenario, error) {
+// Scenario is the day that f describes; the error names every key that cannot be used.
+func (f *File) Scenario() (emulator.Scenario, error) {
 	var errs []error
 	bad := func(key, format string, args ...any) { errs = append(errs, fmt.Errorf(key+": "+format, args...)) }
 	within := func(key string, v, least, most float64) {
@@ -239,65 +239,65 @@
 			bad(key, "is %g, outside %g to %g", v, least, most)
 		}
 	}
-	within("length", time.Duration(f.Length).Seconds(), 1, mostLength.Seconds())
-	within("instances", float64(f.Instances), 1, mostInstances)
-	within("servers", float64(f.Servers), 1, mostServers)
-	within("clients.rate", f.Clients.Rate, 0.001, mostRate)
-	within("clients.retries", float64(f.Clients.Retries), 0, 10)
-	within("discovery.calls", f.Discovery.Calls, 0.1, 1e6)
-	within("cold_from", f.ColdFrom, 0.01, 1)
-	within("room", float64(f.Room), 0, 1e6)
-	within("most_connections", float64(f.MostConns), 0, 1e6)
+	within("length", time.Duration(f.Duration).Seconds(), 1, maxDuration.Seconds())
+	within("instances", float64(f.InstanceCount), 1, maxInstances)
+	within("servers", float64(f.BackendCount), 1, maxBackends)
+	within("clients.rate", f.Clients.RequestsPerSecond, 0.001, maxRequestsPerSecond)
+	within("clients.retries", float64(f.Clients.MaxRetries), 0, 10)
+	within("discovery.calls", f.Discovery.WatchesPerSecond, 0.1, 1e6)
+	within("cold_from", f.SlowStartMinCapacity, 0.01, 1)
+	within("room", float64(f.MaxQueueLength), 0, 1e6)
+	within("most_connections", float64(f.MaxConnections), 0, 1e6)
 	if len(f.Zones) == 0 {
 		bad("zones", "names none")
 	}
 	day := emulator.Scenario{
-		Seed: f.Seed, Duration: time.Duration(f.Length), InstanceCount: f.Instances, BackendCount: f.Servers, Zones: f.Zones, StartupWindow: 100 * time.Millisecond,
-		SameZoneDelay: time.Duration(f.Near), CrossZoneDelay: time.Duration(f.Far), MaxQueueLength: f.Room, MaxConnections: f.MostConns, HandshakeDuration: 2 * time.Millisecond,
-		LoadReportAge: time.Duration(f.ReportLag), SlowStartMinCapacity: f.ColdFrom, SlowStartDuration: time.Duration(f.ColdFor), CollapseFactor: 2.5, CollapseWindow: time.Second,
+		Seed: f.Seed, Duration: time.Duration(f.Duration), InstanceCount: f.InstanceCount, BackendCount: f.BackendCount, Zones: f.Zones, StartupWindow: 100 * time.Millisecond,
+		SameZoneDelay: time.Duration(f.SameZoneDelay), CrossZoneDelay: time.Duration(f.CrossZoneDelay), MaxQueueLength: f.MaxQueueLength, MaxConnections: f.MaxConnections, HandshakeDuration: 2 * time.Millisecond,
+		LoadReportAge: time.Duration(f.LoadReportAge), SlowStartMinCapacity: f.SlowStartMinCapacity, SlowStartDuration: time.Duration(f.SlowStartDuration), CollapseFactor: 2.5, CollapseWindow: time.Second,
 		Clients: emulator.Clients{
-			RequestsPerSecond: f.Clients.Rate, RateSpread: 1, MaxRetries: f.Clients.Retries, RetryDelay: time.Duration(f.Clients.Pause), AttemptTimeoutFraction: 0.5, HonorRetryAfter: f.Clients.Heed,
+			RequestsPerSecond: f.Clients.RequestsPerSecond, RateSpread: 1, MaxRetries: f.Clients.MaxRetries, RetryDelay: time.Duration(f.Clients.RetryDelay), AttemptTimeoutFraction: 0.5, HonorRetryAfter: f.Clients.HonorRetryAfter,
 		},
-		Discovery: emulator.Discovery{WatchesPerSecond: f.Discovery.Calls, MaxQueueDelay: 2 * time.Second, NotificationDelay: time.Duration(f.Discovery.Notice)},
+		Discovery: emulator.Discovery{WatchesPerSecond: f.Discovery.WatchesPerSecond, MaxQueueDelay: 2 * time.Second, NotificationDelay: time.Duration(f.Discovery.NotificationDelay)},
 		Policy:    emulator.DefaultPolicy(),
 	}
-	day.Policy.RetryAfterHonored = f.Clients.Heed
-	for i, k := range f.Kinds {
+	day.Policy.RetryAfterHonored = f.Clients.HonorRetryAfter
+	for i, k := range f.MachineTypes {
 		at := fmt.Sprintf("kinds[%d].", i+1)
 		within(at+"cores", float64(k.Cores), 1, 1024)
 		within(at+"speed", k.Speed, 0.001, 1000)
-		within(at+"share", k.Share, 0, 1)
-		day.MachineTypes = append(day.MachineTypes, emulator.MachineType{Name: k.Name, Fraction: k.Share, Cores: k.Cores, Speed: k.Speed})
+		within(at+"share", k.Fraction, 0, 1)
+		day.MachineTypes = append(day.MachineTypes, emulator.MachineType{Name: k.Name, Fraction: k.Fraction, Cores: k.Cores, Speed: k.Speed})
 	}
-	if len(f.Kinds) == 0 {
+	if len(f.MachineTypes) == 0 {
 		day.MachineTypes = []emulator.MachineType{{Name: "even", Fraction: 1, Cores: 3, Speed: 1.2}}
 	}
 	effects := map[string]policy.Idempotency{"": policy.Idempotent, "safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
 	groups := map[string]policy.DedupScope{"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
 	for i, c := range f.Classes {
 		at := fmt.Sprintf("classes[%d].", i+1)
-		effect, known := effects[c.Effect]
+		effect, known := effects[c.Idempotency]
 		if !known {
-			bad(at+"effect", "is %q, none of safe, keyed, unsafe", c.Effect)
+			bad(at+"effect", "is %q, none of safe, keyed, unsafe", c.Idempotency)
 		}
-		group, known := groups[c.Group]
+		group, known := groups[c.DedupScope]
 		if !known {
-			bad(at+"repeats_dropped_by", "is %q, none of all, zone, cell", c.Group)
+			bad(at+"repeats_dropped_by", "is %q, none of all, zone, cell", c.DedupScope)
 		}
 		if c.Name == "" {
 			bad(at+"name", "is missing")
 		}
-		within(at+"aim", time.Duration(c.Aim).Seconds(), 0.001, 60)
-		within(at+"deadline", time.Duration(c.Deadline).Seconds(), time.Duration(c.Aim).Seconds(), 60)
-		within(at+"work", time.Duration(c.Work).Seconds(), 1e-6, 60)
-		within(at+"share", c.Share, 0, 1)
-		within(at+"worth", c.Worth, 0, 1e6)
-		within(at+"work_cv", c.CV, 0, 10)
+		within(at+"aim", time.Duration(c.LatencyObjective).Seconds(), 0.001, 60)
+		within(at+"deadline", time.Duration(c.Deadline).Seconds(), time.Duration(c.LatencyObjective).Seconds(), 60)
+		within(at+"work", time.Duration(c.MeanWork).Seconds(), 1e-6, 60)
+		within(at+"share", c.Fraction, 0, 1)
+		within(at+"worth", c.PriorityWeight, 0, 1e6)
+		within(at+"work_cv", c.WorkVariation, 0, 10)
 		day.Classes = append(day.Classes, emulator.Class{
 			Class: policy.Class{
-				Name: c.Name, Idempotency: effect, DedupScope: group, DedupWindow: time.Duration(c.KeyTTL), LatencyObjective: time.Duration(c.Aim),
-				Deadline: time.Duration(c.Deadline), PriorityWeight: c.Worth, LateWeightFraction: c.Late,
-			}, Fraction: c.Share, MeanWork: time.Duration(c.Work), WorkVariation: c.CV,
+				Name: c.Name, Idempotency: effect, DedupScope: group, DedupWindow: time.Duration(c.DedupWindow), LatencyObjective: time.Duration(c.LatencyObjective),
+				Deadline: time.Duration(c.Deadline), PriorityWeight: c.PriorityWeight, LateWeightFraction: c.LateWeightFraction,
+			}, Fraction: c.Fraction, MeanWork: time.Duration(c.MeanWork), WorkVariation: c.WorkVariation,
 		})
 	}
 	if len(f.Classes) == 0 {
@@ -307,14 +307,14 @@
 	}
 	for i, x := range f.Faults {
 		at := fmt.Sprintf("faults[%d].", i+1)
-		steps, known := faults[x.Kind]
+		steps, known := faultKinds[x.Kind]
 		if !known {
-			bad(at+"kind", "is %q, none of %s", x.Kind, strings.Join(slices.Sorted(maps.Keys(faults)), ", "))
+			bad(at+"kind", "is %q, none of %s", x.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 			continue
 		}
-		within(at+"servers", float64(x.Servers), 0, float64(f.Servers))
-		within(at+"share", x.Share, 0, 1)
-		if x.At > f.Length {
+		within(at+"servers", float64(x.Backends), 0, float64(f.BackendCount))
+		within(at+"share", x.Fraction, 0, 1)
+		if x.At > f.Duration {
 			bad(at+"at", "is %v, after the day's end", time.Duration(x.At))
 		}
 		if (x.Kind == "zone-lost" || x.Kind == "cut-off" && x.Zone != "") && !slices.Contains(f.Zones, x.Zone) {
--- a/internal/scenario/dayfile_test.go
+++ b/internal/scenario/dayfile_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUsualDayPlays(t *testing.T) {
+func TestDefaultScenarioRuns(t *testing.T) {
 	day, err := Parse("d.toml", []byte("length = \"5s\"\n"))
 	if err != nil {
 		t.Fatal(err)
