--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -6,450 +6,238 @@
 	"sorrelrudder/policy"
 )
 
-// instance is a sidecar: a host of the module.
+// instance is a process that hosts a balancer. It implements policy.Actions.
 type instance struct {
-	w       *World
-	ordinal int
-	zone    string
-	b       *policy.Balancer
-	seed    uint64
-	tries   map[policy.RequestID]*try
-	lastID  policy.RequestID
-	up      bool
-	known   map[policy.EndpointID]*server     // by the list that it was told
-	starts  map[policy.EndpointID]policy.Time // of the servers, as it was told
-	idle    map[*server]int                   // connections on which nothing is asked
-	watcher *watcher
-	after   []func()
-	inside  bool
-	said    map[policy.EndpointID]policy.Time // when it told others of a server
-
-	// Where zones are decided for all.
-	list     map[policy.EndpointID]policy.Endpoint // as it was told
-	avoids   map[string]bool
-	returned map[policy.EndpointID]policy.Time
-	leftBorn map[policy.EndpointID]policy.Time // of those it avoids, as the list had their start then
-}
-
-// try is a request as an instance has it.
-type try struct {
-	root     *root
-	in       *instance
-	id       policy.RequestID
-	class    policy.Class
-	expires  policy.Time
-	attempts []*attempt
-	ended    bool
-	told     bool // the client has its answer, or is gone
-}
-
-// attempt is one send of a try.
-type attempt struct {
-	try    *try
-	number int
-	s      *server
-	sent   policy.Time
-	done   bool
-	ran    bool
-	begun  bool // its last byte is with the server
-}
-
-func newInstance(w *World, ordinal int) (*instance, error) {
+	emulation *Emulation
+	index     int
+	zone      string
+	up        bool
+	seed      uint64 // of the next balancer
+	balancer  *policy.Balancer
+
+	// The balancer is not reentrant: what its actions cause at once is deferred until the event is handled.
+	handling bool
+	deferred []func()
+
+	requests    map[policy.RequestID]*request
+	lastRequest policy.RequestID
+
+	watch           *endpointWatch                    // nil: none is open
+	backends        map[policy.EndpointID]*backend    // of the endpoint list that it was notified of
+	notifiedStarts  map[policy.EndpointID]policy.Time // of the backends
+	idleConnections map[*backend]int
+	lastHint        map[policy.EndpointID]policy.Time // when it last reported a backend to the others
+
+	exclusions exclusions
+}
+
+// request is a client's attempt, as an instance sees it.
+type request struct {
+	client     *clientRequest
+	instance   *instance
+	id         policy.RequestID
+	class      policy.Class
+	expires    policy.Time
+	attempts   []*attempt
+	ended      bool // by the balancer, or with the instance
+	clientDone bool // the client has its answer, or has timed out
+}
+
+func newInstance(e *Emulation, index int) (*instance, error) {
 	in := &instance{
-		w: w, ordinal: ordinal, zone: w.day.Zones[ordinal%len(w.day.Zones)], seed: w.day.Seed<<16 + uint64(ordinal),
+		emulation: e,
+		index:     index,
+		zone:      e.scenario.Zones[index%len(e.scenario.Zones)],
+		seed:      e.scenario.Seed<<16 + uint64(index),
 	}
-	return in, in.renew()
+	return in, in.resetState()
 }
 
-// renew makes a module that knows nothing.
-func (in *instance) renew() error {
-	cfg := in.w.day.Module
-	cfg.InstanceIndex, cfg.InstanceCount, cfg.Zone = in.ordinal, in.w.day.Instances, in.zone
-	cfg.SlowStartMinCapacity, cfg.SlowStartDuration = in.w.day.ColdFrom, in.w.day.ColdFor
-	cfg.Classes = nil
-	for _, c := range in.w.day.Classes {
-		cfg.Classes = append(cfg.Classes, c.Class)
-	}
+// resetState replaces all that the process holds in memory, its balancer included.
+func (in *instance) resetState() error {
 	in.seed++
-	b, err := policy.New(cfg, in.seed)
-	in.b, in.tries, in.known, in.idle, in.watcher = b, map[policy.RequestID]*try{}, map[policy.EndpointID]*server{}, map[*server]int{}, nil
-	in.said, in.starts = map[policy.EndpointID]policy.Time{}, map[policy.EndpointID]policy.Time{}
-	in.list, in.avoids, in.returned = map[policy.EndpointID]policy.Endpoint{}, nil, map[policy.EndpointID]policy.Time{}
-	in.leftBorn = map[policy.EndpointID]policy.Time{}
+	balancer, err := policy.New(in.config(), in.seed)
+	in.balancer = balancer
+	in.requests = map[policy.RequestID]*request{}
+	in.watch = nil
+	in.backends = map[policy.EndpointID]*backend{}
+	in.notifiedStarts = map[policy.EndpointID]policy.Time{}
+	in.idleConnections = map[*backend]int{}
+	in.lastHint = map[policy.EndpointID]policy.Time{}
+	in.exclusions = newExclusions()
 	return err
 }
 
-// do hands the module one event, and those that its actions gave rise to.
-func (in *instance) do(f func(now policy.Time)) {
-	if !in.up {
-		return
-	}
-	if in.inside {
-		in.after = append(in.after, func() { f(in.w.now) })
-		return
-	}
-	in.inside = true
-	f(in.w.now)
-	for len(in.after) > 0 {
-		next := in.after
-		in.after = nil
-		for _, g := range next {
-			g()
-		}
+// config returns the configuration of the instance's balancer.
+func (in *instance) config() policy.Config {
+	scenario := &in.emulation.scenario
+	cfg := scenario.Policy
+	cfg.InstanceIndex = in.index
+	cfg.InstanceCount = scenario.InstanceCount
+	cfg.Zone = in.zone
+	cfg.SlowStartMinCapacity = scenario.SlowStartMinCapacity
+	cfg.SlowStartDuration = scenario.SlowStartDuration
+	cfg.Classes = nil
+	for _, class := range scenario.Classes {
+		cfg.Classes = append(cfg.Classes, class.Class)
 	}
-	in.inside = false
+	return cfg
 }
 
-// start starts the process with the list as it was at the day's start, which may be old.
+// start starts the process with a cached endpoint list: that of the start of the run, unless lists are shared.
 func (in *instance) start() {
 	in.up = true
-	old := in.w.list.changes
-	var known []policy.Endpoint
-	for _, c := range old {
-		if c.seq == 0 {
-			known = append(known, c.entry)
-		}
-	}
-	if in.w.day.Hearsay.List && in.w.At() > in.w.day.Start {
-		known = in.w.list.whole()
-	}
-	in.told(policy.UpdateCached, known)
-	in.inherit()
-}
-
-// Restart kills the instances that match and starts them anew after down; clients of one that is down are told nothing and try
-// again.
-func (w *World) Restart(match func(ordinal int) bool, down time.Duration) {
-	for _, in := range w.instances {
-		if !match(in.ordinal) || !in.up {
-			continue
-		}
-		in.up = false
-		if in.watcher != nil {
-			in.watcher.off = true
-		}
-		for s, n := range in.idle {
-			s.conns -= n
-		}
-		var open []*try
-		for id := policy.RequestID(1); id <= in.lastID; id++ {
-			if t := in.tries[id]; t != nil {
-				open = append(open, t)
-			}
-		}
-		for _, t := range open {
-			for _, a := range t.attempts {
-				if !a.done {
-					a.done = true
-					a.s.conns--
-				}
-			}
-			if !t.told {
-				t.told, t.ended = true, true
-				w.watch.forget(t)
-				t.root.ended(w, givenUp, 0)
-			}
-		}
-		if err := in.renew(); err != nil {
-			panic(err) // the same configuration was taken at the start
-		}
-		w.after(down, in.start)
+	cached := in.emulation.discovery.initialEndpoints()
+	if in.emulation.scenario.Sharing.EndpointList && in.startsLate() {
+		cached = in.emulation.discovery.endpoints()
 	}
+	in.receiveUpdate(policy.UpdateCached, cached)
+	in.importLearnedState()
 }
 
-// told takes a message about the list.
-func (in *instance) told(kind policy.UpdateKind, entries []policy.Endpoint) {
-	in.do(func(now policy.Time) {
-		in.w.watch.told(in, kind, entries)
-		if kind != policy.UpdateDelta {
-			clear(in.known)
-		}
-		for _, e := range entries {
-			in.starts[e.ID] = e.Started
-			var at *server
-			for _, s := range in.w.servers {
-				if policy.EndpointID(s.id) == e.ID && (at == nil || !s.gone) {
-					at = s
-				}
-			}
-			if e.State == policy.Removed {
-				delete(in.known, e.ID)
-			} else {
-				in.known[e.ID] = at
-			}
-		}
-		in.b.UpdateEndpoints(now, kind, in.listed(kind, entries), in)
-	})
+// startsLate reports whether other instances have been running for a while.
+func (in *instance) startsLate() bool {
+	return in.emulation.Elapsed() > in.emulation.scenario.StartupWindow
 }
 
-// lost takes the end of a call or of a watch.
-func (in *instance) lost() {
-	in.do(func(now policy.Time) {
-		in.watcher = nil
-		in.b.UpdateEndpoints(now, policy.UpdatePollFailed, nil, in)
-	})
-}
-
-// take takes a request whose client waits so long.
-func (in *instance) take(q *root, wait time.Duration) {
-	if !in.up {
-		in.w.after(in.w.day.Near, func() { q.ended(in.w, givenUp, 0) })
-		return
-	}
-	in.lastID++
-	t := &try{root: q, in: in, id: in.lastID, class: q.class.Class, expires: in.w.now + wait}
-	in.tries[t.id] = t
-	in.w.watch.taken(t)
-	in.w.after(wait, func() {
-		if !t.told { // the client has left
-			t.told = true
-			q.ended(in.w, givenUp, 0)
-			in.w.watch.expired(t)
-		}
-	})
-	in.do(func(now policy.Time) {
-		in.b.HandleRequest(now, policy.Request{ID: t.id, Class: q.class.Name, Expires: t.expires, ExpectedWork: q.work}, in)
-	})
-}
-
-func (in *instance) forget(t *try) {
-	if !t.ended {
-		return
-	}
-	for _, a := range t.attempts {
-		if !a.done {
-			return
-		}
+// kill ends the process. Its clients get no answer.
+func (in *instance) kill() error {
+	in.up = false
+	if in.watch != nil {
+		in.watch.canceled = true
 	}
-	delete(in.tries, t.id)
-}
-
-// end gives the client the final answer.
-func (t *try) end(how int, retryAfter time.Duration) {
-	t.ended = true
-	t.in.w.watch.answered(t, how)
-	switch how {
-	case refused:
-		t.in.w.second().Refused++
-	case failed:
-		t.in.w.second().Failed++
+	for target, idle := range in.idleConnections {
+		target.connections -= idle
 	}
-	if !t.told {
-		t.told = true
-		t.root.ended(t.in.w, how, retryAfter)
+	for _, open := range in.openRequests() {
+		open.abandon()
 	}
+	return in.resetState()
 }
 
-// way is the time one way between the instance and a server.
-func (in *instance) way(s *server) time.Duration {
-	if s.zone == in.zone {
-		return in.w.day.Near
+// openRequests returns the requests in the order in which they came.
+func (in *instance) openRequests() []*request {
+	var open []*request
+	for id := policy.RequestID(1); id <= in.lastRequest; id++ {
+		if r := in.requests[id]; r != nil {
+			open = append(open, r)
+		}
 	}
-	return in.w.day.Far
+	return open
 }
 
-// connect calls then once there is a connection to s, with whether there is.
-func (in *instance) connect(s *server, then func(up bool)) {
-	w := in.w
-	if in.idle[s] > 0 && !s.gone {
-		in.idle[s]--
-		w.after(0, func() { then(true) })
-		return
+// abandon ends a request whose process is killed.
+func (r *request) abandon() {
+	for _, a := range r.attempts {
+		if !a.finished {
+			a.finished = true
+			a.backend.connections--
+		}
 	}
-	w.second().Dials++
-	switch way := in.way(s); {
-	case s.silent || s.fallen || s.cut:
-		w.after(w.day.Module.DialTimeout, func() { then(false) })
-	case s.gone, w.day.MostConns > 0 && s.conns >= w.day.MostConns:
-		w.after(2*way, func() { then(false) })
-	default:
-		s.conns++
-		w.after(2*way+w.day.Handshake, func() { then(true) })
+	if !r.clientDone {
+		r.clientDone, r.ended = true, true
+		r.instance.emulation.observer.instanceKilled(r)
+		r.client.handleAnswer(r.instance.emulation, answerNone, 0)
 	}
 }
 
-// settle tells the module the end of an attempt.
-func (in *instance) settle(a *attempt, st policy.Status) {
-	if a.done {
+// handle passes an event to the balancer, and then runs what its actions have deferred. It does nothing while the process is down.
+func (in *instance) handle(event func(now policy.Time)) {
+	if !in.up {
 		return
 	}
-	a.done = true
-	if in.w.settled != nil {
-		in.w.settled(a, st)
-	}
-	switch st {
-	case policy.StatusConnectFailed:
-		in.w.second().Unreached++
-	case policy.StatusTimeout:
-		in.w.second().TimedOut++
-	case policy.StatusApplicationError:
-		in.w.second().Erred++
-	case policy.StatusOverloaded:
-		in.w.second().Full++
+	if in.handling {
+		in.deferred = append(in.deferred, func() { event(in.emulation.now) })
+		return
 	}
-	if st != policy.StatusConnectFailed || a.begun {
-		if st == policy.StatusOK || st == policy.StatusApplicationError || st == policy.StatusOverloaded {
-			in.idle[a.s]++
-		} else {
-			a.s.conns--
+	in.handling = true
+	event(in.emulation.now)
+	for len(in.deferred) > 0 {
+		next := in.deferred
+		in.deferred = nil
+		for _, run := range next {
+			run()
 		}
 	}
-	in.do(func(now policy.Time) {
-		t := a.try
-		if st == policy.StatusOK && !t.ended {
-			t.end(served, 0)
-		}
-		in.w.watch.outcome(a, st)
-		defer in.tells(now, a.s, st)
-		in.b.HandleAttemptResult(now, policy.AttemptResult{ID: t.id, Attempt: a.number, Endpoint: policy.EndpointID(a.s.id), Status: st, Latency: now - a.sent, RequestEnded: t.ended}, in)
-		in.forget(t)
-	})
+	in.handling = false
 }
 
-// back brings the answer to an attempt.
-func (a *attempt) back(w *World, st policy.Status) {
-	in := a.try.in
-	if st == policy.StatusOK && w.lost > 0 && w.rng.Float64() < w.lost {
-		return
-	}
-	w.after(in.way(a.s), func() { in.settle(a, st) })
-}
-
-// reset breaks what the instance has with a server whose process has ended.
-func (in *instance) reset(s *server) {
-	delete(in.idle, s)
-	for id := policy.RequestID(1); id <= in.lastID; id++ {
-		if t := in.tries[id]; t != nil {
-			for _, a := range t.attempts {
-				if a.s == s && !a.done && a.begun {
-					in.w.after(in.way(s), func() { in.settle(a, policy.StatusReset) })
-				}
+// receiveUpdate handles an update of the endpoint list.
+func (in *instance) receiveUpdate(kind policy.UpdateKind, endpoints []policy.Endpoint) {
+	in.handle(func(now policy.Time) {
+		in.emulation.observer.endpointsUpdated(in, kind, endpoints)
+		if kind != policy.UpdateDelta {
+			clear(in.backends)
+		}
+		for _, endpoint := range endpoints {
+			in.notifiedStarts[endpoint.ID] = endpoint.Started
+			if endpoint.State == policy.Removed {
+				delete(in.backends, endpoint.ID)
+			} else {
+				in.backends[endpoint.ID] = in.emulation.backendByID(endpoint.ID)
 			}
 		}
-	}
+		in.balancer.UpdateEndpoints(now, kind, in.filterUpdate(kind, endpoints), in)
+	})
 }
 
-// The methods of policy.Actions.
+// watchFailed handles a watch request that was rejected, or the end of a watch.
+func (in *instance) watchFailed() {
+	in.handle(func(now policy.Time) {
+		in.watch = nil
+		in.balancer.UpdateEndpoints(now, policy.UpdatePollFailed, nil, in)
+	})
+}
 
-func (in *instance) StartAttempt(id policy.RequestID, to policy.EndpointID, timeout time.Duration) {
-	t, s := in.tries[id], in.known[to]
-	if t == nil {
-		in.w.watch.breach("1: %d sent something of a request that it has not", in.ordinal)
-		return
-	}
-	a := &attempt{try: t, number: len(t.attempts), s: s, sent: in.w.now}
-	in.w.watch.sends(a, to)
-	t.attempts = append(t.attempts, a)
-	sec := in.w.second()
-	sec.Sends++
-	if a.number > 0 {
-		sec.Again++
-	}
-	if s == nil {
-		a.done = true
-		in.after = append(in.after, func() {
-			in.b.HandleAttemptResult(in.w.now, policy.AttemptResult{ID: id, Attempt: a.number, Endpoint: to, Status: policy.StatusNotSent, RequestEnded: t.ended}, in)
-			in.forget(t)
-		})
+// receive handles a client's attempt that times out after timeout.
+func (in *instance) receive(client *clientRequest, timeout time.Duration) {
+	e := in.emulation
+	if !in.up {
+		e.after(e.scenario.SameZoneDelay, func() { client.handleAnswer(e, answerNone, 0) })
 		return
 	}
-	if s.warmth(in.w) < 1 {
-		sec.Cold++
-	}
-	if s.zone != in.zone {
-		sec.Crossed++
-	}
-	in.w.after(timeout, func() { in.settle(a, policy.StatusTimeout) })
-	in.connect(s, func(up bool) {
-		switch {
-		case !up:
-			in.settle(a, policy.StatusConnectFailed)
-		case a.done: // given up meanwhile
-			in.idle[s]++
-		default:
-			a.begun = true
-			in.w.after(in.way(s), func() { s.comes(in.w, a) })
-			if in.w.resets > 0 && in.w.rng.Float64() < in.w.resets {
-				in.w.after(2*in.way(s), func() { in.settle(a, policy.StatusReset) })
-			}
+	in.lastRequest++
+	r := &request{client: client, instance: in, id: in.lastRequest, class: client.class.Class, expires: e.now + timeout}
+	in.requests[r.id] = r
+	e.observer.requestReceived(r)
+	e.after(timeout, func() {
+		if !r.clientDone {
+			r.clientDone = true
+			client.handleAnswer(e, answerNone, 0)
+			e.observer.clientTimedOut(r)
 		}
 	})
+	in.handle(func(now policy.Time) {
+		in.balancer.HandleRequest(now, policy.Request{ID: r.id, Class: client.class.Name, Expires: r.expires, ExpectedWork: client.work}, in)
+	})
 }
 
-func (in *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
-	if t := in.tries[id]; t != nil {
-		t.end(refused, retryAfter)
-		in.after = append(in.after, func() { in.forget(t) })
-	}
-}
-
-func (in *instance) Fail(id policy.RequestID) {
-	if t := in.tries[id]; t != nil {
-		t.end(failed, 0)
-		in.after = append(in.after, func() { in.forget(t) })
+// answer gives the client the final answer, unless it has timed out.
+func (r *request) answer(how answer, retryAfter time.Duration) {
+	e := r.instance.emulation
+	r.ended = true
+	e.observer.requestAnswered(r, how)
+	switch how {
+	case answerRejected:
+		e.counts().Rejected++
+	case answerFailed:
+		e.counts().Failed++
 	}
-}
-
-func (in *instance) CancelAttempt(id policy.RequestID, n int) {
-	if t := in.tries[id]; t != nil && n < len(t.attempts) {
-		a := t.attempts[n]
-		in.after = append(in.after, func() { in.settle(a, policy.StatusCanceled) })
+	if !r.clientDone {
+		r.clientDone = true
+		r.client.handleAnswer(e, how, retryAfter)
 	}
 }
 
-func (in *instance) SetTimer(after time.Duration, token string) {
-	b := in.b
-	in.w.after(after, func() {
-		if in.b == b { // else the process that asked for it has ended
-			in.do(func(now policy.Time) { b.HandleTimer(now, token, in) })
-		}
-	})
-}
-
-func (in *instance) CheckHealth(to policy.EndpointID) {
-	s := in.known[to]
-	in.w.second().Probes++
-	b := in.b
-	answer := func(st policy.Status, l *policy.LoadReport) {
-		if in.b == b {
-			in.do(func(now policy.Time) {
-				in.b.HandleHealthCheck(now, policy.HealthCheckResult{Endpoint: to, Status: st, Load: l}, in)
-				in.tells(now, s, st)
-				in.reports(to, st, l)
-			})
-		}
-	}
-	if s == nil {
-		in.after = append(in.after, func() { answer(policy.StatusNotSent, nil) })
+// forget drops a request that has ended, with all its attempts.
+func (in *instance) forget(r *request) {
+	if !r.ended {
 		return
 	}
-	in.connect(s, func(up bool) {
-		if !up {
-			answer(policy.StatusConnectFailed, nil)
+	for _, a := range r.attempts {
+		if !a.finished {
 			return
 		}
-		in.w.after(in.way(s), func() {
-			if s.dead() {
-				in.w.after(400*time.Millisecond, func() { s.conns--; answer(policy.StatusTimeout, nil) })
-				return
-			}
-			queue := s.reported(in.w)
-			in.w.after(in.way(s), func() {
-				in.idle[s]++
-				answer(policy.StatusOK, &policy.LoadReport{Queue: queue, InFlight: -1, Latency: -1, ErrorRate: -1})
-			})
-		})
-	})
-}
-
-func (in *instance) WatchEndpoints(on bool) {
-	if in.watcher != nil {
-		in.watcher.off = true
-		in.watcher = nil
-	}
-	if on {
-		in.watcher = in.w.list.call(in)
 	}
+	delete(in.requests, r.id)
 }
-
-func (in *instance) Log(string) {}
