--- a/cmd/sorrelrudder/curl_test.go
+++ b/cmd/sorrelrudder/curl_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := append([]string{"-sS", "-i", "--max-time", "20", "--cacert", a.File("ca.pem"), "--noproxy", "*",
+		all := append([]string{"-sS", "-i", "--max-time", "20", "--cacert", a.Path("ca.pem"), "--noproxy", "*",
 			"--resolve", "shop.example.org:" + port + ":127.0.0.1", "-H", "X-Own: 1"}, args...)
 		all[len(all)-1] = scheme + "://shop.example.org:" + port + all[len(all)-1]
 		out, err := exec.Command("curl", all...).CombinedOutput()
--- a/cmd/sorrelrudder/h2_test.go
+++ b/cmd/sorrelrudder/h2_test.go
@@ -24,11 +24,11 @@
 )
 
 // authority issues certificates for tests.
-type authority struct{ *fake.Authority }
+type authority struct{ *fake.CertificateAuthority }
 
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
-	a, err := fake.NewAuthority(t.TempDir())
+	a, err := fake.NewCertificateAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 func (a *authority) client(t *testing.T, addr string, certs ...tls.Certificate) *http.Client {
 	t.Helper()
 	tr := &http.Transport{
-		ForceAttemptHTTP2: true, DisableCompression: true, TLSClientConfig: &tls.Config{RootCAs: a.Pool(), Certificates: certs},
+		ForceAttemptHTTP2: true, DisableCompression: true, TLSClientConfig: &tls.Config{RootCAs: a.CertPool(), Certificates: certs},
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		},
@@ -60,7 +60,7 @@
 func (a *authority) listenerTLS(more string, names ...string) string {
 	text := "[listeners.tls]\n" + more
 	for _, n := range names {
-		text += fmt.Sprintf("[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n", a.File(n+".pem"), a.File(n+".key"))
+		text += fmt.Sprintf("[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n", a.Path(n+".pem"), a.Path(n+".key"))
 	}
 	return text
 }
@@ -344,7 +344,7 @@
 	if n := serial(kept, "shop.example.org"); n != 2 {
 		t.Errorf("the open connection shows %d", n)
 	}
-	if err := os.WriteFile(a.File("shop.key"), []byte("no key"), 0o600); err != nil {
+	if err := os.WriteFile(a.Path("shop.key"), []byte("no key"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(3 * certificateCheckInterval / 2) // it is looked at; nothing is to change
@@ -352,11 +352,11 @@
 		t.Errorf("after a key that does not match, %d is shown", n)
 	}
 
-	needed := startTLS(t, a.listenerTLS(fmt.Sprintf("clients = \"need\"\nauthorities = %q\n", a.File("ca.pem")), "meters"), server.Listener.Addr().String())
+	needed := startTLS(t, a.listenerTLS(fmt.Sprintf("clients = \"need\"\nauthorities = %q\n", a.Path("ca.pem")), "meters"), server.Listener.Addr().String())
 	if _, err := a.client(t, needed).Get("https://meters.example.org/"); err == nil {
 		t.Error("served without a certificate")
 	}
-	own, err := tls.LoadX509KeyPair(a.File("meters.pem"), a.File("meters.key"))
+	own, err := tls.LoadX509KeyPair(a.Path("meters.pem"), a.Path("meters.key"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -75,7 +75,7 @@
 
 // TestDiscovery: the complete list is sent first, and then what changes.
 func TestDiscovery(t *testing.T) {
-	d, err := fake.StartDiscovery(nil, fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "active"})
+	d, err := fake.StartDiscovery(nil, fake.Endpoint{Host: "a", Address: "127.0.0.1:1", Health: "active"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	if l := next(t, lists); !l.Complete || len(l.Endpoints) != 1 {
 		t.Errorf("%+v", l)
 	}
-	d.Set(fake.Entry{Host: "a", Dial: "127.0.0.1:1", Health: "leaving"})
+	d.SetEndpoints(fake.Endpoint{Host: "a", Address: "127.0.0.1:1", Health: "leaving"})
 	if l := next(t, lists); l.Complete || l.Endpoints[0].Health != "leaving" {
 		t.Errorf("%+v", l)
 	}
--- a/internal/e2e/bridge.go
+++ b/internal/e2e/bridge.go
@@ -37,11 +37,11 @@
 
 // twoSites are two programs, each with boxes, discovery and a link to the other.
 type twoSites struct {
-	ledger *fake.Ledger
+	ledger *fake.EffectRecorder
 	names  [2]string
-	boxes  [2][]*fake.Box
+	boxes  [2][]*fake.Backend
 	discos [2]*fake.Discovery
-	links  [2]*fake.Relay // from the site to the other
+	links  [2]*fake.Proxy // from the site to the other
 	progs  [2]*Program
 }
 
@@ -93,13 +93,13 @@
 
 // startSitesOf does so with boxes of such a service time.
 func startSitesOf(ctx context.Context, e *Env, gateway bool, service time.Duration) (*twoSites, error) {
-	t := &twoSites{ledger: fake.NewLedger(), names: [2]string{"clare-pump", "giru-office"}}
-	repeats := fake.NewRepeats(time.Minute) // of both sites together
+	t := &twoSites{ledger: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
+	repeats := fake.NewDeduplicator(time.Minute) // of both sites together
 	var hops [2]string
 	for i, name := range t.names {
 		var err error
-		t.boxes[i], err = e.boxes(name, siteBoxes, t.ledger, func(c *fake.BoxConfig) {
-			c.Zone, c.Repeats, c.Cores, c.Service = name, repeats, 1, service
+		t.boxes[i], err = e.boxes(name, siteBoxes, t.ledger, func(c *fake.BackendConfig) {
+			c.Zone, c.Deduplicator, c.Cores, c.ServiceTime = name, repeats, 1, service
 			c.Seed += uint64(i) << 32
 		})
 		if err != nil {
@@ -114,11 +114,11 @@
 	}
 	for i := range t.names {
 		var err error
-		if t.links[i], err = fake.StartRelay(hops[1-i]); err != nil {
+		if t.links[i], err = fake.StartProxy(hops[1-i]); err != nil {
 			return nil, err
 		}
 		e.Defer(t.links[i].Close)
-		t.links[i].Delay(siteDelay)
+		t.links[i].SetDelay(siteDelay)
 	}
 	for i, name := range t.names {
 		at, listeners := "", 1
@@ -143,13 +143,13 @@
 }
 
 // crowds has clients at both sites ask for a while, and returns what became of them.
-func (t *twoSites) crowds(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.Crowd) {
+func (t *twoSites) crowds(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.ClientResults) {
 	var both sync.WaitGroup
 	for i, name := range t.names {
 		both.Go(func() {
 			all[i] = fake.RunClients(ctx, fake.ClientConfig{
-				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.progs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], Tries: 3,
-				Backoff: 30 * time.Millisecond, Honour: true, Classes: classes, Ledger: t.ledger, Seed: e.Seed + uint64(i)<<8,
+				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.progs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], MaxAttempts: 3,
+				Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Classes: classes, Recorder: t.ledger, Seed: e.Seed + uint64(i)<<8,
 			})
 		})
 	}
@@ -167,7 +167,7 @@
 	for _, b := range t.boxes[site][:n] {
 		b.Drain(!back)
 	}
-	t.discos[site].Set(entries(t.boxes[site])...)
+	t.discos[site].SetEndpoints(entries(t.boxes[site])...)
 }
 
 // stop stops the programs.
@@ -183,17 +183,17 @@
 func (t *twoSites) end(e *Env, prefix string) {
 	t.stop(e)
 	v := e.Rules(t.ledger)
-	e.Measure(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Tries)))
-	e.AtMost(prefix+"duplicates", float64(v.Doubled), 0)
-	e.AtMost(prefix+"amplification", float64(v.Arrivals)/float64(max(1, v.Ops)), 3)
+	e.Measure(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
+	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
+	e.AtMost(prefix+"amplification", float64(v.Arrivals)/float64(max(1, v.Operations)), 3)
 	crossed := 0
 	for i, boxes := range t.boxes {
-		crossed += t.ledger.ArrivedFrom(boxNames(boxes), t.names[1-i])
+		crossed += t.ledger.ArrivalsAt(boxNames(boxes), t.names[1-i])
 	}
-	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Ops)))
+	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Operations)))
 }
 
-func boxNames(boxes []*fake.Box) map[string]bool {
+func boxNames(boxes []*fake.Backend) map[string]bool {
 	names := map[string]bool{}
 	for _, b := range boxes {
 		names[b.Name()] = true
@@ -216,13 +216,13 @@
 		load, cancel := context.WithTimeout(ctx, e.Duration)
 		all := t.crowds(load, e, phase, [2]float64{siteRate, siteRate}, siteClasses...)
 		cancel()
-		sum := all[0].With(all[1])
+		sum := all[0].Merge(all[1])
 		for _, p := range t.progs {
 			cpu, err := p.CPU()
 			if err != nil {
 				return err
 			}
-			cost[k] += cpu.Seconds() / float64(max(1, sum.Tries))
+			cost[k] += cpu.Seconds() / float64(max(1, sum.Attempts))
 		}
 		if !gateway {
 			t.stop(e)
@@ -231,7 +231,7 @@
 		}
 		t.end(e, "")
 		e.crowd("", sum)
-		e.AtLeast("served", sum.Share(), 0.95)
+		e.AtLeast("served", sum.ServedFraction(), 0.95)
 		e.AtMost("crossed_in_calm", e.Measured("crossed_share"), 0.01)
 	}
 	e.Measure("cpu_us_a_request_alone", 1e6*cost[0])
@@ -247,8 +247,8 @@
 	if err != nil {
 		return err
 	}
-	t.links[0].Delay(0)
-	t.links[1].Delay(0)
+	t.links[0].SetDelay(0)
+	t.links[1].SetDelay(0)
 	t.lose(1, false)
 	e.Phase("all of one site's work crosses", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
@@ -267,7 +267,7 @@
 	e.Measure("crossing_costs_p50_ms", ms(all[0].Percentile(0.5)-all[1].Percentile(0.5)))
 	e.Measure("memory_early_mb", memory[0])
 	e.Measure("memory_late_mb", memory[1])
-	e.AtLeast("served", all[0].Share(), 0.8) // what is refused until the site has shown that it is short is in it
+	e.AtLeast("served", all[0].ServedFraction(), 0.8) // what is refused until the site has shown that it is short is in it
 	return nil
 }
 
@@ -285,14 +285,14 @@
 		load, cancel := context.WithTimeout(ctx, e.Duration)
 		all := t.crowds(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, siteClasses...)
 		cancel()
-		served[k] = all[0].With(all[1]).Share()
+		served[k] = all[0].Merge(all[1]).ServedFraction()
 		if gateway {
 			t.end(e, "")
 			attempts[k] = e.Measured("amplification")
 		} else {
 			t.stop(e)
 			v := e.Rules(t.ledger)
-			attempts[k] = float64(v.Arrivals) / float64(max(1, v.Ops))
+			attempts[k] = float64(v.Arrivals) / float64(max(1, v.Operations))
 		}
 	}
 	e.Measure("served_without_gateway", served[0])
@@ -332,12 +332,12 @@
 				}})
 			all := t.crowds(load, e, phase, [2]float64{siteRate, siteRate / 3}, siteClasses...)
 			cancel()
-			served[k] = all[0].With(all[1]).Share()
+			served[k] = all[0].Merge(all[1]).ServedFraction()
 			if gateway {
 				t.end(e, prefix)
 				e.crowd(prefix, all[0])
 				mu.Lock()
-				last := t.ledger.LastArrivalFrom(boxNames(t.boxes[1]), t.names[0])
+				last := t.ledger.LastArrivalAt(boxNames(t.boxes[1]), t.names[0])
 				e.AtMost(prefix+"crosses_after_the_boxes_are_back_s", max(0, last.Sub(back).Seconds()), 10)
 				mu.Unlock()
 			} else {
@@ -368,23 +368,23 @@
 		step{0.15, func() { t.lose(0.66, false) }},
 		step{0.4, func() {
 			stalled = time.Now()
-			t.links[0].Stall(true)
+			t.links[0].SetStalled(true)
 			go func() {
 				if _, err := t.progs[0].Await(load, "to=stalled", 1); err == nil {
 					noticed <- time.Since(stalled)
 				}
 			}()
 		}},
-		step{0.5, func() { t.links[0].Stall(false) }},
-		step{0.58, func() { t.links[0].StallWay(fake.Back, true) }},
-		step{0.65, func() { t.links[0].StallWay(fake.Back, false) }},
-		step{0.7, func() { t.links[0].StallOne() }},
-		step{0.8, func() { t.links[0].Reset() }},
+		step{0.5, func() { t.links[0].SetStalled(false) }},
+		step{0.58, func() { t.links[0].SetDirectionStalled(fake.FromTarget, true) }},
+		step{0.65, func() { t.links[0].SetDirectionStalled(fake.FromTarget, false) }},
+		step{0.7, func() { t.links[0].StallConnection() }},
+		step{0.8, func() { t.links[0].ResetConnections() }},
 	)
 	all := t.crowds(load, e, "stall", [2]float64{siteRate, siteRate / 3}, siteClasses...)
 	t.end(e, "")
 	e.crowd("", all[0])
-	e.AtLeast("served", all[0].With(all[1]).Share(), 0.7)
+	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.7)
 	select {
 	case after := <-noticed: // two round trips and 200 ms, and some for the look at the link and its line in the log
 		e.AtMost("stall_noticed_ms", ms(after), ms(200*time.Millisecond+4*siteDelay+60*time.Millisecond))
@@ -392,7 +392,7 @@
 		e.Broken("the stall of the link was not noticed")
 	}
 	e.Measure("stalls_noticed", float64(t.progs[0].Count("to=stalled")))
-	e.Measure("requests_failed", float64(all[0].Counts[fake.Failed]))
+	e.Measure("requests_failed", float64(all[0].Outcomes[fake.OutcomeFailed]))
 	return nil
 }
 
@@ -417,7 +417,7 @@
 	all := t.crowds(load, e, "drain", [2]float64{siteRate, siteRate / 3}, siteClasses...)
 	stopping.Wait()
 	t.end(e, "")
-	e.crowd("", all[0].With(all[1]))
+	e.crowd("", all[0].Merge(all[1]))
 	return nil
 }
 
@@ -431,13 +431,13 @@
 	defer cancel()
 	steps := []step{{0.1, func() { t.lose(0.66, false) }}}
 	for at := 0.2; at < 0.85; at += 0.1 {
-		steps = append(steps, step{at, t.links[0].Reset}, step{at + 0.03, func() { t.links[0].Stall(true) }}, step{at + 0.05, func() { t.links[0].Stall(false) }})
+		steps = append(steps, step{at, t.links[0].ResetConnections}, step{at + 0.03, func() { t.links[0].SetStalled(true) }}, step{at + 0.05, func() { t.links[0].SetStalled(false) }})
 	}
 	go script(load, e.Duration, steps...)
 	all := t.crowds(load, e, "flap", [2]float64{siteRate, siteRate / 3}, siteClasses...)
 	t.end(e, "")
 	e.crowd("", all[0])
-	e.Measure("served", all[0].With(all[1]).Share())
+	e.Measure("served", all[0].Merge(all[1]).ServedFraction())
 	e.Measure("changes_of_the_link", float64(t.progs[0].Count("msg=link ")))
 	return nil
 }
@@ -454,18 +454,18 @@
 		step{0.1, func() { t.lose(0.5, false) }},
 		step{0.3, func() {
 			for _, l := range t.links {
-				l.Stall(true)
-				l.Reset()
+				l.SetStalled(true)
+				l.ResetConnections()
 			}
 		}},
 		step{0.6, func() {
 			for _, l := range t.links {
-				l.Stall(false)
+				l.SetStalled(false)
 			}
 		}})
 	all := t.crowds(load, e, "split", [2]float64{siteRate, siteRate}, siteClasses...)
 	t.end(e, "")
-	e.crowd("", all[0].With(all[1]))
-	e.AtLeast("served", all[0].With(all[1]).Share(), 0.8)
+	e.crowd("", all[0].Merge(all[1]))
+	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.8)
 	return nil
 }
--- a/internal/e2e/carriage.go
+++ b/internal/e2e/carriage.go
@@ -33,7 +33,7 @@
 // carrier is one of the two protocols over a link of its own.
 type carrier struct {
 	name   string
-	relay  *fake.Relay
+	relay  *fake.Proxy
 	client *http.Client
 	base   string
 }
@@ -54,13 +54,13 @@
 	})}
 	go server.Serve(ln)
 	e.Defer(func() { server.Close() })
-	relay, err := fake.StartRelay(ln.Addr().String())
+	relay, err := fake.StartProxy(ln.Addr().String())
 	if err != nil {
 		return nil, err
 	}
 	e.Defer(relay.Close)
-	relay.Delay(linkDelay)
-	relay.Rate(linkRate)
+	relay.SetDelay(linkDelay)
+	relay.SetRate(linkRate)
 	transport := &http.Transport{
 		Protocols: &protocols, MaxIdleConnsPerHost: 1000, DisableCompression: true,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: 100 * time.Millisecond, PingTimeout: 100 * time.Millisecond},
@@ -156,7 +156,7 @@
 		e.Measure(c.name+"_p50_ms", ms(short.p(0.5)))
 		e.Measure(c.name+"_p99_ms", ms(short.p(0.99)))
 		e.Measure(c.name+"_cpu_us_both_sides", costs[c.name])
-		e.Measure(c.name+"_connections", float64(c.relay.Conns()))
+		e.Measure(c.name+"_connections", float64(c.relay.Connections()))
 
 		e.Phase(c.name+": long bodies beside", part)
 		var beside *carried
@@ -173,7 +173,7 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(part / 4):
-				c.relay.StallOne()
+				c.relay.StallConnection()
 			}
 		})
 		both.Wait()
--- a/internal/e2e/clients.go
+++ b/internal/e2e/clients.go
@@ -32,12 +32,12 @@
 // clientsOnce plays two phases: the clients alone, and the same beside connections that say nothing. In both a connection
 // that only asks whether the program is there tells how long a client waits from its SYN to the first byte of an answer.
 func clientsOnce(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	p, _, _, err := e.startFarm(ctx, ledger, "[process]\ndescriptors = 384\n\n")
 	if err != nil {
 		return err
 	}
-	var once, keepers *fake.Crowd
+	var once, keepers *fake.ClientResults
 	for i, silent := range []bool{false, true} {
 		name, prefix := "clients that ask once, beside keep-alive clients", ""
 		if silent {
@@ -46,16 +46,16 @@
 		e.Phase(name, e.Duration/2)
 		load, cancel := context.WithTimeout(ctx, e.Duration/2)
 		usual := fake.ClientConfig{
-			Addr: p.Addr("farm"), Host: "farm.example.org", Tries: 3, Backoff: 30 * time.Millisecond, Honour: true, Ledger: ledger,
+			Addr: p.Addr("farm"), Host: "farm.example.org", MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger,
 			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck},
 		}
 		var all sync.WaitGroup
-		var a, b *fake.Crowd
+		var a, b *fake.ClientResults
 		var waits []time.Duration
 		var opened int64
 		all.Go(func() {
 			c := usual
-			c.Name, c.Seed, c.Rate, c.Once, c.MostConns = fmt.Sprintf("once%d", i), e.Seed, onceRate, true, onceConns
+			c.Name, c.Seed, c.Rate, c.AbandonConnections, c.MaxConnections = fmt.Sprintf("once%d", i), e.Seed, onceRate, true, onceConns
 			a = fake.RunClients(load, c)
 		})
 		all.Go(func() {
@@ -65,34 +65,34 @@
 		})
 		all.Go(func() { waits = acceptTimes(load, p.Addr("farm")) })
 		if silent {
-			all.Go(func() { opened = fake.Silents(load, p.Addr("farm"), onceSilents) })
+			all.Go(func() { opened = fake.OpenIdleConnections(load, p.Addr("farm"), onceSilents) })
 		}
 		all.Wait()
 		cancel()
-		sum := a.With(b)
-		e.Measure(prefix+"served_once", a.Share())
-		e.Measure(prefix+"served_keepers", b.Share())
-		e.AtLeast(prefix+"served", sum.Share(), 0.95)
-		e.Measure(prefix+"not_sent_for_want_of_connections", float64(a.Bound))
+		sum := a.Merge(b)
+		e.Measure(prefix+"served_once", a.ServedFraction())
+		e.Measure(prefix+"served_keepers", b.ServedFraction())
+		e.AtLeast(prefix+"served", sum.ServedFraction(), 0.95)
+		e.Measure(prefix+"not_sent_for_want_of_connections", float64(a.ConnectionLimited))
 		e.AtMost(prefix+"accept_ms_p99", ms(quantile(waits, 0.99)), 50)
-		e.AtLeast(prefix+"reused_share", float64(b.Reused)/float64(max(1, b.Tries)), 0.8)
-		e.Measure(prefix+"closed_while_wanted", float64(b.Crossed))
+		e.AtLeast(prefix+"reused_share", float64(b.Reused)/float64(max(1, b.Attempts)), 0.8)
+		e.Measure(prefix+"closed_while_wanted", float64(b.ClosedBeforeReuse))
 		if silent {
 			e.Measure(prefix+"opened", float64(opened))
 		}
 		if once == nil {
 			once, keepers = a, b
 		} else {
-			once, keepers = once.With(a), keepers.With(b)
+			once, keepers = once.Merge(a), keepers.Merge(b)
 		}
 	}
 	if err := p.Stop(); err != nil {
 		e.Broken("the program ended with %v", err)
 	}
 	v := e.Rules(ledger)
-	e.Measure("answered_once", float64(v.Answered)/float64(max(1, v.Tries)))
-	e.Measure("duplicates", float64(v.Doubled))
-	e.Measure("connections_a_request", float64(once.Connections+keepers.Connections)/float64(max(1, once.Tries+keepers.Tries)))
+	e.Measure("answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
+	e.Measure("duplicates", float64(v.DuplicateEffects))
+	e.Measure("connections_a_request", float64(once.Connections+keepers.Connections)/float64(max(1, once.Attempts+keepers.Attempts)))
 	return nil
 }
 
--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -41,9 +41,9 @@
 
 // cost compares the program with a plain reverse proxy over the same boxes, in turn, so that both see the same machine.
 func cost(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger() // for its rules nothing is asked of it here: the load is too dense to keep
-	boxes, err := e.boxes("box", 3, nil, func(c *fake.BoxConfig) {
-		c.Service, c.Cores, c.Queue = 0, 64, 1000
+	ledger := fake.NewEffectRecorder() // for its rules nothing is asked of it here: the load is too dense to keep
+	boxes, err := e.boxes("box", 3, nil, func(c *fake.BackendConfig) {
+		c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000
 	})
 	if err != nil {
 		return err
--- a/internal/e2e/h2.go
+++ b/internal/e2e/h2.go
@@ -38,8 +38,8 @@
 // web is a program with a listener that speaks TLS, in front of plain boxes.
 type web struct {
 	p      *Program
-	ca     *fake.Authority
-	ledger *fake.Ledger
+	ca     *fake.CertificateAuthority
+	ledger *fake.EffectRecorder
 }
 
 func (e *Env) startWeb(ctx context.Context) (*web, error) {
@@ -48,18 +48,18 @@
 
 // startWebAs is startWeb with another table of the process.
 func (e *Env) startWebAs(ctx context.Context, process string) (*web, error) {
-	w := &web{ledger: fake.NewLedger()}
-	boxes, err := e.boxes("box", 4, w.ledger, func(c *fake.BoxConfig) { c.Reports = fake.ORCA })
+	w := &web{ledger: fake.NewEffectRecorder()}
+	boxes, err := e.boxes("box", 4, w.ledger, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
 	if err != nil {
 		return nil, err
 	}
-	if w.ca, err = fake.NewAuthority(e.Dir); err != nil {
+	if w.ca, err = fake.NewCertificateAuthority(e.Dir); err != nil {
 		return nil, err
 	}
 	if err := w.ca.Issue("farm", webHost); err != nil {
 		return nil, err
 	}
-	text := strings.Replace(plainPool(fake.ORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
+	text := strings.Replace(plainPool(fake.ReportORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
 	text = strings.Replace(text, "address = \"127.0.0.1:0\"\n", fmt.Sprintf("address = \"127.0.0.1:0\"\n[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n",
 		filepath.Join(e.Dir, "farm.pem"), filepath.Join(e.Dir, "farm.key")), 1)
 	w.p, err = e.Start(ctx, text, 1)
@@ -70,7 +70,7 @@
 func (w *web) client() (*http.Client, func()) {
 	addr := w.p.Addr("farm")
 	tr := &http.Transport{
-		ForceAttemptHTTP2: true, TLSClientConfig: &tls.Config{RootCAs: w.ca.Pool()},
+		ForceAttemptHTTP2: true, TLSClientConfig: &tls.Config{RootCAs: w.ca.CertPool()},
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		},
@@ -110,8 +110,8 @@
 
 func (w *web) ask(client *http.Client, class fake.ClassLoad, id string, n *webCounts) {
 	method, body := http.MethodGet, ""
-	if class.Effect != fake.Safe {
-		method, body = http.MethodPost, strings.Repeat("b", class.Body)
+	if class.Idempotency != fake.Idempotent {
+		method, body = http.MethodPost, strings.Repeat("b", class.BodyBytes)
 	}
 	q, err := http.NewRequest(method, fmt.Sprintf("https://%s/%s/%s", webHost, class.Name, id), strings.NewReader(body))
 	if err != nil {
@@ -121,28 +121,28 @@
 	q.Header.Set("X-Request-ID", id)
 	q.Header.Set("X-Timeout-Ms", strconv.FormatInt(class.Deadline.Milliseconds(), 10))
 	key := ""
-	if class.Effect == fake.Keyed {
+	if class.Idempotency == fake.IdempotentByKey {
 		key = id
 		q.Header.Set("Idempotency-Key", key)
 	}
 	q.GetBody = nil // its transport is not to send it again by itself
-	w.ledger.Sent(w.ledger.Op(class.Effect), id, class.Deadline)
+	w.ledger.RecordSent(w.ledger.BeginOperation(class.Idempotency), id, class.Deadline)
 	n.asked.Add(1)
 	resp, err := client.Do(q)
 	if err != nil {
-		w.ledger.Left(id)
+		w.ledger.RecordClientGone(id)
 		n.failed.Add(1)
 		return
 	}
 	text, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil {
-		w.ledger.Left(id)
+		w.ledger.RecordClientGone(id)
 		n.failed.Add(1)
 		return
 	}
-	made := strings.HasPrefix(string(text), fake.Made(class.Name, id, key))
-	w.ledger.Answered(id, resp.StatusCode, made)
+	made := strings.HasPrefix(string(text), fake.ResponseBody(class.Name, id, key))
+	w.ledger.RecordResponse(id, resp.StatusCode, made)
 	if resp.ProtoMajor == 2 {
 		n.streams.Add(1)
 	}
@@ -210,7 +210,7 @@
 	}
 	v := e.Rules(w.ledger)
 	e.AtLeast("answered_once", float64(v.Answered)/float64(max(1, asked)), 1)
-	e.AtMost("duplicates", float64(v.Doubled), 0)
+	e.AtMost("duplicates", float64(v.DuplicateEffects), 0)
 	return nil
 }
 
@@ -219,7 +219,7 @@
 func resetStreams(ctx context.Context, w *web, rate int) (n int64) {
 	pause := time.Second / time.Duration(rate)
 	for ctx.Err() == nil {
-		c, err := tls.Dial("tcp", w.p.Addr("farm"), &tls.Config{RootCAs: w.ca.Pool(), ServerName: webHost, NextProtos: []string{"h2"}})
+		c, err := tls.Dial("tcp", w.p.Addr("farm"), &tls.Config{RootCAs: w.ca.CertPool(), ServerName: webHost, NextProtos: []string{"h2"}})
 		if err != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -231,9 +231,9 @@
 		f.WriteSettings()
 		for id := uint32(1); ctx.Err() == nil; id += 2 {
 			name := fmt.Sprintf("reset-%d", n)
-			h := fake.HeadersOf("GET", webHost, "/allocation-check/"+name, name)
-			w.ledger.Sent(w.ledger.Op(fake.Safe), name, time.Second)
-			w.ledger.Left(name)
+			h := fake.EncodeRequestHeaders("GET", webHost, "/allocation-check/"+name, name)
+			w.ledger.RecordSent(w.ledger.BeginOperation(fake.Idempotent), name, time.Second)
+			w.ledger.RecordClientGone(name)
 			if f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h, EndStream: true, EndHeaders: true}) != nil ||
 				f.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
 				break
--- a/internal/e2e/idle.go
+++ b/internal/e2e/idle.go
@@ -88,7 +88,7 @@
 
 // askOnce opens a connection, asks for what no server is asked for, and leaves it open.
 func (w *web) askOnce() (*tls.Conn, error) {
-	c, err := tls.Dial("tcp", w.p.Addr("farm"), &tls.Config{RootCAs: w.ca.Pool(), ServerName: webHost, NextProtos: []string{"h2"}})
+	c, err := tls.Dial("tcp", w.p.Addr("farm"), &tls.Config{RootCAs: w.ca.CertPool(), ServerName: webHost, NextProtos: []string{"h2"}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/e2e/lab.go
+++ b/internal/e2e/lab.go
@@ -191,9 +191,9 @@
 }
 
 // Rules checks the four rules against a ledger, once all is over.
-func (e *Env) Rules(l *fake.Ledger) fake.Verdict {
-	v := l.Check(fake.UsualSlack)
-	for _, b := range v.Broken {
+func (e *Env) Rules(l *fake.EffectRecorder) fake.Verdict {
+	v := l.Check(fake.DefaultTolerance)
+	for _, b := range v.Violations {
 		e.Broken("%s", b)
 	}
 	return v
--- a/internal/e2e/lease.go
+++ b/internal/e2e/lease.go
@@ -150,7 +150,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, to)
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
 	killed.measure("killed", usualTakeover)
 	left.measure("left", time.Second)
 	f.stop()
@@ -203,7 +203,7 @@
 			return err
 		}
 	}
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed, "book": fake.Unsafe}, from, to)
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey, "book": fake.NonIdempotent}, from, to)
 	f.stop()
 	return nil
 }
@@ -246,7 +246,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, to)
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
 	t.measure("stopped", usualTakeover)
 	f.stop()
 	return nil
@@ -262,7 +262,7 @@
 		return err
 	}
 	from := time.Now()
-	cut, join := func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false }
+	cut, join := func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false }
 	part := e.Duration / 4
 	splits := []struct {
 		what string
@@ -297,7 +297,7 @@
 		}
 		pause(ctx, part/4)
 	}
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
 	f.stop()
 	return nil
 }
@@ -443,7 +443,7 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
 	f.stop()
 	return nil
 }
@@ -458,16 +458,16 @@
 	if err != nil {
 		return err
 	}
-	tasks := map[string]fake.Effect{"keyed": fake.Keyed, "unsafe": fake.Unsafe, "safe": fake.Safe}
+	tasks := map[string]fake.Idempotency{"keyed": fake.IdempotentByKey, "unsafe": fake.NonIdempotent, "safe": fake.Idempotent}
 	for name := range tasks {
 		if err := f.settle(ctx, "task/"+name); err != nil {
 			return err
 		}
 	}
 	e.Phase("answers get lost, and holders with them", e.Duration)
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.Silent, Share: 0.1})
-	f.boxes[1].SetFault(fake.Fault{Kind: fake.Reset, Share: 0.1})
-	f.boxes[2].SetFault(fake.Fault{Kind: fake.Turned, Share: 0.1})
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.1})
+	f.boxes[1].SetFault(fake.Fault{Kind: fake.FaultReset, Fraction: 0.1})
+	f.boxes[2].SetFault(fake.Fault{Kind: fake.FaultReject, Fraction: 0.1})
 	from := time.Now()
 	var all []TierFault
 	for i := range int(e.Duration / (2 * time.Second)) {
@@ -545,17 +545,17 @@
 	slices.Sort(took)
 	e.Measure("votes_again_p50_s", took[len(took)/2].Seconds())
 	e.Measure("votes_again_most_s", took[len(took)-1].Seconds())
-	f.judge(map[string]fake.Effect{"sweep": fake.Keyed}, from, time.Now())
+	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
 	f.stop()
 	return nil
 }
 
 func taskBounds(ctx context.Context, e *Env) error {
 	const atOnce, allowed = 2, 5
-	tasks, effects := "", map[string]fake.Effect{}
+	tasks, effects := "", map[string]fake.Idempotency{}
 	for i := range 6 {
 		name := fmt.Sprint("work", i)
-		effects[name] = fake.Keyed
+		effects[name] = fake.IdempotentByKey
 		more := fmt.Sprintf("method = \"POST\"\npriority = %d\n", i)
 		if i == 5 {
 			more += fmt.Sprintf("[tasks.budget]\nper = \"2s\"\nrequests = %d\n", allowed)
@@ -564,7 +564,7 @@
 	}
 	f, err := e.startFleet(ctx, fleetConfig{
 		processes: 5, voters: 3, plain: true, tasks: tasks, more: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
-		box: func(b *fake.BoxConfig) { b.Service, b.Reports = 20*time.Millisecond, fake.NoReports },
+		box: func(b *fake.BackendConfig) { b.ServiceTime, b.LoadReporting = 20*time.Millisecond, fake.ReportNone },
 	})
 	if err != nil {
 		return err
@@ -603,7 +603,7 @@
 	}
 	f.judge(effects, from, time.Now())
 	v := f.acts.Verdict(func(string) bool { return true })
-	e.AtMost("most_at_once", float64(v.AtOnce), atOnce)
+	e.AtMost("most_at_once", float64(v.MaxConcurrent), atOnce)
 	s, err := f.status(f.procs[0])
 	if err != nil {
 		return err
--- a/internal/e2e/long.go
+++ b/internal/e2e/long.go
@@ -32,17 +32,17 @@
 func longBodies(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 11))
 	text := "[process]\nmemory = \"128MiB\"\ndescriptors = 1024\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n"
-	paces := []fake.Pace{{Piece: 64 << 10}, {Rate: 8 << 20, Piece: 40_000}, {Rate: 1 << 20, Piece: 9_000}, {Rate: 400_000, Piece: 3_000}}
-	var boxes []*fake.LongBox
-	start := func(pace fake.Pace, stops int64) (*fake.LongBox, error) {
-		b, err := fake.StartLongBox(pace, stops, e.Seed)
+	paces := []fake.Pace{{MaxChunk: 64 << 10}, {BytesPerSecond: 8 << 20, MaxChunk: 40_000}, {BytesPerSecond: 1 << 20, MaxChunk: 9_000}, {BytesPerSecond: 400_000, MaxChunk: 3_000}}
+	var boxes []*fake.StreamingBackend
+	start := func(pace fake.Pace, stops int64) (*fake.StreamingBackend, error) {
+		b, err := fake.StartStreamingBackend(pace, stops, e.Seed)
 		if err == nil {
 			e.Defer(b.Close)
 			boxes = append(boxes, b)
 		}
 		return b, err
 	}
-	pool := func(name, class, effect string, boxes ...*fake.LongBox) {
+	pool := func(name, class, effect string, boxes ...*fake.StreamingBackend) {
 		text += fmt.Sprintf("\n[pools.%s]\n", name)
 		for i, b := range boxes {
 			text += fmt.Sprintf("[[pools.%s.servers]]\nname = \"%s-%d\"\naddress = %q\n", name, name, i, b.Addr())
@@ -50,7 +50,7 @@
 		text += fmt.Sprintf("[[pools.%s.classes]]\nname = %q\neffect = %q\naim = \"5s\"\ndeadline = \"20s\"\n[[routes]]\nname = %q\nhosts = [\"farm.example.org\"]\nclasses = [%q]\npool = %q\n",
 			name, class, effect, name, class, name)
 	}
-	var all []*fake.LongBox
+	var all []*fake.StreamingBackend
 	for _, p := range paces[:3] { // the slowest would take a minute for the longest
 		b, err := start(p, 0)
 		if err != nil {
@@ -93,37 +93,37 @@
 	lane := func(n int, rng *rand.Rand) {
 		for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
 			pace := paces[rng.IntN(len(paces))]
-			a := fake.LongAsk{
+			a := fake.StreamingRequest{
 				Addr: p.Addr("farm"), ID: fmt.Sprintf("long-%d-%d-%d", e.Seed, n, i), Class: "channel-report", Upload: rng.IntN(2) == 0,
-				Chunked: rng.IntN(3) == 0, Pace: pace, Timeout: 20 * time.Second, Patience: 2 * time.Minute, Seed: rng.Uint64(),
+				Chunked: rng.IntN(3) == 0, Pace: pace, Timeout: 20 * time.Second, ClientTimeout: 2 * time.Minute, Seed: rng.Uint64(),
 			}
 			if a.Upload {
 				a.Class = "meter-photo"
 			}
 			// What the slowest box takes some seconds for, and now and then as long as any may be.
 			a.Size = 70_000 + rng.Int64N(1<<20)
-			if rng.IntN(20) == 0 && pace.Rate == 0 {
+			if rng.IntN(20) == 0 && pace.BytesPerSecond == 0 {
 				a.Size = longMost
 			}
-			got := fake.AskLong(ctx, a)
+			got := fake.SendStreaming(ctx, a)
 			mu.Lock()
 			asked++
 			switch {
-			case got.Whole:
+			case got.Complete:
 				whole++
 				bytes += a.Size
 			case got.Status == 503 || got.Status == 429:
 				refused++
 			default:
 				broken++
-				e.Broken("%s of %d bytes: status %d, %v after %v", a.Class, a.Size, got.Status, got.Err, got.Took)
+				e.Broken("%s of %d bytes: status %d, %v after %v", a.Class, a.Size, got.Status, got.Err, got.Duration)
 			}
 			mu.Unlock()
 			runs := int64(0)
 			for _, b := range all {
-				runs += b.Runs(a.ID)
+				runs += b.CompletedBodies(a.ID)
 			}
-			if a.Upload && (got.Whole && runs != 1 || runs > 1) {
+			if a.Upload && (got.Complete && runs != 1 || runs > 1) {
 				mu.Lock()
 				doubled++
 				mu.Unlock()
@@ -135,17 +135,17 @@
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		lanes.Go(func() { lane(n, own) })
 	}
-	var drip, half fake.LongAnswer
+	var drip, half fake.StreamingResult
 	lanes.Go(func() {
-		drip = fake.AskLong(ctx, fake.LongAsk{
-			Addr: p.Addr("farm"), ID: "drip", Class: "meter-photo", Upload: true, Size: 100_000, Pace: fake.Pace{Rate: 1, Piece: 1},
-			Timeout: 20 * time.Second, Patience: 30 * time.Second,
+		drip = fake.SendStreaming(ctx, fake.StreamingRequest{
+			Addr: p.Addr("farm"), ID: "drip", Class: "meter-photo", Upload: true, Size: 100_000, Pace: fake.Pace{BytesPerSecond: 1, MaxChunk: 1},
+			Timeout: 20 * time.Second, ClientTimeout: 30 * time.Second,
 		})
 	})
 	lanes.Go(func() {
-		half = fake.AskLong(ctx, fake.LongAsk{
+		half = fake.SendStreaming(ctx, fake.StreamingRequest{
 			Addr: p.Addr("farm"), ID: "half", Class: "stuck-photo", Upload: true, Size: longMost, Pace: paces[0],
-			Timeout: 20 * time.Second, Patience: 30 * time.Second,
+			Timeout: 20 * time.Second, ClientTimeout: 30 * time.Second,
 		})
 	})
 	lanes.Wait()
@@ -159,7 +159,7 @@
 	}
 	wrong := int64(0)
 	for _, b := range boxes {
-		wrong += b.Wrong()
+		wrong += b.CorruptBodies()
 	}
 	e.Measure("requests", float64(asked))
 	e.Measure("megabytes", float64(bytes)/(1<<20))
@@ -170,9 +170,9 @@
 	e.AtMost("doubled", float64(doubled), 0)
 	e.AtMost("memory_mb_most", memory, longMemory)
 	e.Measure("byte_a_second_status", float64(drip.Status))
-	e.Measure("byte_a_second_s", drip.Took.Seconds())
+	e.Measure("byte_a_second_s", drip.Duration.Seconds())
 	e.Measure("stuck_box_status", float64(half.Status))
-	e.Measure("stuck_box_s", half.Took.Seconds())
+	e.Measure("stuck_box_s", half.Duration.Seconds())
 	if drip.Status != 408 {
 		e.Broken("a client that sends a byte a second was answered %d, %v", drip.Status, drip.Err)
 	}
--- a/internal/e2e/paired_test.go
+++ b/internal/e2e/paired_test.go
@@ -23,7 +23,7 @@
 	ctx := context.Background()
 	e := &Env{Seed: 1, report: &Report{Measures: map[string]float64{}, bounds: map[string]string{}}}
 	defer e.close()
-	boxes, err := e.boxes("box", 3, nil, func(c *fake.BoxConfig) { c.Service, c.Cores, c.Queue = 0, 64, 1000 })
+	boxes, err := e.boxes("box", 3, nil, func(c *fake.BackendConfig) { c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000 })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/plain.go
+++ b/internal/e2e/plain.go
@@ -28,20 +28,20 @@
 	name  string
 	fault fake.Fault
 }{
-	{"answers late", fake.Fault{Kind: fake.Slow, Share: 1, Delay: 400 * time.Millisecond}},
-	{"stands still", fake.Fault{Kind: fake.Silent, Share: 1}},
-	{"answers garbage", fake.Fault{Kind: fake.Spoilt, Share: 1}},
-	{"closes as requests come", fake.Fault{Kind: fake.Closes, Share: 0.5}},
+	{"answers late", fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 400 * time.Millisecond}},
+	{"stands still", fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1}},
+	{"answers garbage", fake.Fault{Kind: fake.FaultMalformed, Fraction: 1}},
+	{"closes as requests come", fake.Fault{Kind: fake.FaultClose, Fraction: 0.5}},
 }
 
 // plainPools is the pool of a play: by the platform's protocol, or by plain HTTP with the classes by rule.
-func plainPool(reports fake.Reports, boxes []*fake.Box) string {
+func plainPool(reports fake.LoadReporting, boxes []*fake.Backend) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
 	classes := classesTOML("farm")
-	if reports != fake.PlatformReports {
+	if reports != fake.ReportPlatform {
 		load := "none"
-		if reports == fake.ORCA {
+		if reports == fake.ReportORCA {
 			load = "orca"
 		}
 		fmt.Fprintf(&b, "protocol = \"http\"\n[pools.farm.http]\ndeadline_from = [\"X-Timeout-Ms\"]\ncheck = \"/healthz\"\nload = %q\n", load)
@@ -56,14 +56,14 @@
 }
 
 func httpPlain(ctx context.Context, e *Env) error {
-	served := map[fake.Reports]float64{}
+	served := map[fake.LoadReporting]float64{}
 	answered, tries, doubled := 0, 0, 0
 	for _, play := range []struct {
 		name    string
-		reports fake.Reports
-	}{{"platform", fake.PlatformReports}, {"orca", fake.ORCA}, {"silent", fake.NoReports}} {
-		ledger := fake.NewLedger()
-		boxes, err := e.boxes(play.name, plainBoxes, ledger, func(c *fake.BoxConfig) { c.Reports = play.reports })
+		reports fake.LoadReporting
+	}{{"platform", fake.ReportPlatform}, {"orca", fake.ReportORCA}, {"silent", fake.ReportNone}} {
+		ledger := fake.NewEffectRecorder()
+		boxes, err := e.boxes(play.name, plainBoxes, ledger, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
 		if err != nil {
 			return err
 		}
@@ -91,25 +91,25 @@
 			}
 		}()
 		crowd := fake.RunClients(load, fake.ClientConfig{
-			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: plainRate, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
+			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: plainRate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
+			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
 		})
 		cancel()
 		if err := p.Stop(); err != nil {
 			e.Broken("%s: the program ended with %v", play.name, err)
 		}
 		v := e.Rules(ledger)
-		served[play.reports] = crowd.Share()
-		answered, tries, doubled = answered+v.Answered, tries+v.Tries, doubled+v.Doubled
-		e.Measure(play.name+"_served", crowd.Share())
+		served[play.reports] = crowd.ServedFraction()
+		answered, tries, doubled = answered+v.Answered, tries+v.Attempts, doubled+v.DuplicateEffects
+		e.Measure(play.name+"_served", crowd.ServedFraction())
 		e.crowd(play.name+"_", crowd)
 	}
 	e.AtLeast("answered_once", float64(answered)/float64(max(1, tries)), 1)
 	e.AtMost("duplicates", float64(doubled), 0)
 	e.AtMost("retried_unsafely", float64(doubled), 0)
-	e.AtLeast("served", served[fake.ORCA], 0.9)
-	e.AtMost("lost_with_orca", served[fake.PlatformReports]-served[fake.ORCA], 0.02)
-	e.Measure("lost_without_reports", served[fake.PlatformReports]-served[fake.NoReports])
+	e.AtLeast("served", served[fake.ReportORCA], 0.9)
+	e.AtMost("lost_with_orca", served[fake.ReportPlatform]-served[fake.ReportORCA], 0.02)
+	e.Measure("lost_without_reports", served[fake.ReportPlatform]-served[fake.ReportNone])
 	return nil
 }
 
--- a/internal/e2e/pools.go
+++ b/internal/e2e/pools.go
@@ -46,40 +46,40 @@
 		quiet[i] = *day
 	}
 	alone, beside := quiet[0].quiet, quiet[1].quiet
-	e.Measure("quiet_operations", float64(beside.Ops()))
-	e.Measure("quiet_served_alone", alone.Share())
-	e.Measure("quiet_served_beside_flood", beside.Share())
-	e.AtMost("quiet_served_lost", alone.Share()-beside.Share(), 0.01)
+	e.Measure("quiet_operations", float64(beside.Operations()))
+	e.Measure("quiet_served_alone", alone.ServedFraction())
+	e.Measure("quiet_served_beside_flood", beside.ServedFraction())
+	e.AtMost("quiet_served_lost", alone.ServedFraction()-beside.ServedFraction(), 0.01)
 	e.Measure("quiet_p99_alone_ms", ms(alone.Percentile(0.99)))
 	e.Measure("quiet_p99_beside_flood_ms", ms(beside.Percentile(0.99)))
 	e.Measure("quiet_p99_ratio", float64(beside.Percentile(0.99))/float64(alone.Percentile(0.99)))
 	f := quiet[1].flood
-	e.Measure("flood_requests", float64(f.Tries))
-	e.Measure("flood_refused", float64(f.Status[429]+f.Status[503]))
-	e.Measure("flood_refusal_p50_ms", ms(f.RefusalPercentile(0.5)))
-	e.Measure("flood_refusal_p99_ms", ms(f.RefusalPercentile(0.99)))
-	e.Measure("flood_served_a_second", float64(f.Status[200])/e.Duration.Seconds())
+	e.Measure("flood_requests", float64(f.Attempts))
+	e.Measure("flood_refused", float64(f.Statuses[429]+f.Statuses[503]))
+	e.Measure("flood_refusal_p50_ms", ms(f.RejectionPercentile(0.5)))
+	e.Measure("flood_refusal_p99_ms", ms(f.RejectionPercentile(0.99)))
+	e.Measure("flood_served_a_second", float64(f.Statuses[200])/e.Duration.Seconds())
 	e.Measure("program_cpu_share_alone", quiet[0].cpu.Seconds()/e.Duration.Seconds())
 	e.Measure("program_cpu_share_beside_flood", quiet[1].cpu.Seconds()/e.Duration.Seconds())
 	e.Measure("quiet_connections", float64(beside.Connections))
 	e.Measure("flood_slow_heads", float64(quiet[1].heads))
 	e.Measure("flood_silent_connections", float64(quiet[1].silents))
-	if f.Status[429] == 0 {
+	if f.Statuses[429] == 0 {
 		e.Broken("the flood was never refused by its pool's limit: nothing was shown")
 	}
 	return nil
 }
 
 type poolsDay struct {
-	quiet          *fake.Crowd // of meters and channels
-	flood          *fake.Crowd
+	quiet          *fake.ClientResults // of meters and channels
+	flood          *fake.ClientResults
 	heads, silents int64
 	cpu            time.Duration // of the program
 }
 
 // playPools plays a day with a program and boxes of its own.
 func playPools(ctx context.Context, e *Env, flooded bool) (*poolsDay, error) {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	lists := map[string]string{}
 	for _, name := range []string{"orders", "meters", "channels"} {
 		boxes, err := e.boxes(name, 3, ledger, nil)
@@ -106,7 +106,7 @@
 	day := &poolsDay{}
 	addr := p.Addr("farm")
 	usual := fake.ClientConfig{
-		Addr: addr, Tries: 3, Backoff: 40 * time.Millisecond, Honour: true, Ledger: ledger, Seed: e.Seed,
+		Addr: addr, MaxAttempts: 3, Backoff: 40 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger, Seed: e.Seed,
 	}
 	var all sync.WaitGroup
 	all.Go(func() { // meters and channels are one crowd each; their sums are the quiet pools' measure
@@ -116,12 +116,12 @@
 		channels.Name, channels.Host, channels.Rate = "c", "channels.example.org", 90
 		channels.Classes = []fake.ClassLoad{allocationCheck}
 		channels.Seed++
-		var a, b *fake.Crowd
+		var a, b *fake.ClientResults
 		var both sync.WaitGroup
 		both.Go(func() { a = fake.RunClients(load, meters) })
 		both.Go(func() { b = fake.RunClients(load, channels) })
 		both.Wait()
-		day.quiet = a.With(b)
+		day.quiet = a.Merge(b)
 	})
 	all.Go(func() {
 		orders := usual
@@ -131,25 +131,25 @@
 	})
 	if flooded {
 		flood := usual
-		flood.Host, flood.Tries, flood.Honour, flood.Backoff = "orders.example.org", 3, false, 0
-		flood.MostOut = 400
+		flood.Host, flood.MaxAttempts, flood.HonorRetryAfter, flood.Backoff = "orders.example.org", 3, false, 0
+		flood.MaxInFlight = 400
 		big := deliveryOrder
-		big.Body = 60 << 10
-		var crowds [3]*fake.Crowd
+		big.BodyBytes = 60 << 10
+		var crowds [3]*fake.ClientResults
 		for i, change := range []func(*fake.ClientConfig){
 			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{allocationCheck, deliveryOrder} },
 			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{big} },
-			func(c *fake.ClientConfig) { c.Classes, c.Fresh = []fake.ClassLoad{allocationCheck}, true },
+			func(c *fake.ClientConfig) { c.Classes, c.NewConnections = []fake.ClassLoad{allocationCheck}, true },
 		} {
 			c := flood
 			c.Name, c.Seed, c.Rate = fmt.Sprintf("f%d", i), e.Seed+10+uint64(i), []float64{7, 1, 2}[i]*poolRate
 			change(&c)
 			all.Go(func() { crowds[i] = fake.RunClients(load, c) })
 		}
-		all.Go(func() { day.heads = fake.SlowHeads(load, addr, "orders.example.org", 100) })
-		all.Go(func() { day.silents = fake.Silents(load, addr, 100) })
+		all.Go(func() { day.heads = fake.OpenSlowRequests(load, addr, "orders.example.org", 100) })
+		all.Go(func() { day.silents = fake.OpenIdleConnections(load, addr, 100) })
 		all.Wait()
-		day.flood = crowds[0].With(crowds[1]).With(crowds[2])
+		day.flood = crowds[0].Merge(crowds[1]).Merge(crowds[2])
 	}
 	all.Wait()
 	cpu, err := p.CPU()
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -17,7 +17,7 @@
 
 // quickstart shows the program at work: a pool of three boxes, of which one errs for a while and one leaves.
 func quickstart(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	p, boxes, disco, err := e.startFarm(ctx, ledger, "")
 	if err != nil {
 		return err
@@ -26,16 +26,16 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	go script(load, e.Duration,
-		step{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.Error, Share: 1}) }},
+		step{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1}) }},
 		step{0.6, func() { boxes[0].SetFault(fake.Fault{}) }},
 		step{0.7, func() {
 			boxes[2].Drain(true)
-			disco.Set(entries(boxes)...)
+			disco.SetEndpoints(entries(boxes)...)
 		}},
 	)
 	crowd := fake.RunClients(load, fake.ClientConfig{
-		Name: "farm", Addr: p.Addr("farm"), Host: "farm.example.org", Rate: 150, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed,
+		Name: "farm", Addr: p.Addr("farm"), Host: "farm.example.org", Rate: 150, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
+		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
 	})
 	if err := p.Stop(); err != nil {
 		e.Broken("the program ended with %v", err)
@@ -43,13 +43,13 @@
 	v := e.Rules(ledger)
 	e.crowd("", crowd)
 	e.Measure("effects", float64(v.Effects))
-	e.Measure("effects_doubled", float64(v.Doubled))
-	e.AtLeast("served_in_time", crowd.Share(), 0.95)
+	e.Measure("effects_doubled", float64(v.DuplicateEffects))
+	e.AtLeast("served_in_time", crowd.ServedFraction(), 0.95)
 	return nil
 }
 
 // startFarm starts a program of one pool of three boxes; more is what its file says beside that.
-func (e *Env) startFarm(ctx context.Context, l *fake.Ledger, more string) (*Program, []*fake.Box, *fake.Discovery, error) {
+func (e *Env) startFarm(ctx context.Context, l *fake.EffectRecorder, more string) (*Program, []*fake.Backend, *fake.Discovery, error) {
 	boxes, err := e.boxes("box", 3, l, nil)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/e2e/reload.go
+++ b/internal/e2e/reload.go
@@ -21,10 +21,10 @@
 const reloads = 200
 
 // variant is a configuration of the reload day, drawn by the number of the reload.
-func variant(n int, boxes map[string][]*fake.Box) (text string, bad bool) {
+func variant(n int, boxes map[string][]*fake.Backend) (text string, bad bool) {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
-	pool := func(name string, all []*fake.Box, more, classes string) {
+	pool := func(name string, all []*fake.Backend, more, classes string) {
 		fmt.Fprintf(&b, "\n[pools.%s]\n%s", name, more)
 		b.WriteString(serversTOML(name, all))
 		b.WriteString(classes)
@@ -32,7 +32,7 @@
 	}
 	orders, meters := boxes["orders"], boxes["meters"]
 	if n%4 == 1 { // a box changes its pool
-		meters = append(append([]*fake.Box{}, meters...), orders[2])
+		meters = append(append([]*fake.Backend{}, meters...), orders[2])
 		orders = orders[:2]
 	}
 	limits := ""
@@ -56,10 +56,10 @@
 }
 
 func poolsReload(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
-	boxes := map[string][]*fake.Box{}
+	ledger := fake.NewEffectRecorder()
+	boxes := map[string][]*fake.Backend{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		all, err := e.boxes(name, 3, ledger, func(c *fake.BoxConfig) { c.Service = 20 * time.Millisecond })
+		all, err := e.boxes(name, 3, ledger, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
 		if err != nil {
 			return err
 		}
@@ -78,9 +78,9 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	usual := fake.ClientConfig{
-		Addr: p.Addr("farm"), Tries: 3, Backoff: 30 * time.Millisecond, Honour: true, Ledger: ledger, Seed: e.Seed,
+		Addr: p.Addr("farm"), MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger, Seed: e.Seed,
 	}
-	crowds := map[string]*fake.Crowd{}
+	crowds := map[string]*fake.ClientResults{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for name, classes := range map[string][]fake.ClassLoad{
@@ -134,17 +134,17 @@
 	v := e.Rules(ledger)
 	e.Measure("reloads", reloads)
 	e.Measure("reloads_bad", float64(bad))
-	e.Measure("operations", float64(ledger.Ops()))
-	e.Measure("requests", float64(v.Tries))
-	e.AtLeast("answered_share", float64(v.Answered)/float64(v.Tries), 1)
+	e.Measure("operations", float64(ledger.Operations()))
+	e.Measure("requests", float64(v.Attempts))
+	e.AtLeast("answered_share", float64(v.Answered)/float64(v.Attempts), 1)
 	e.Measure("effects", float64(v.Effects))
-	e.AtMost("effects_doubled", float64(v.Doubled), 0)
+	e.AtMost("effects_doubled", float64(v.DuplicateEffects), 0)
 	for _, name := range []string{"orders", "meters"} {
-		e.AtLeast(name+"_served_in_time", crowds[name].Share(), 0.95)
+		e.AtLeast(name+"_served_in_time", crowds[name].ServedFraction(), 0.95)
 		e.Measure(name+"_p99_ms", ms(crowds[name].Percentile(0.99)))
 	}
-	e.Measure("channels_unrouted", float64(crowds["channels"].Status[421]))
-	if crowds["channels"].Status[421] == 0 {
+	e.Measure("channels_unrouted", float64(crowds["channels"].Statuses[421]))
+	if crowds["channels"].Statuses[421] == 0 {
 		e.Broken("no request found its pool gone: nothing was shown")
 	}
 	e.Measure("goroutines_before", before.goroutines)
--- a/internal/e2e/replica.go
+++ b/internal/e2e/replica.go
@@ -294,28 +294,28 @@
 }
 
 // crowds has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
-func (f *fleet) crowds(ctx context.Context, name string, rate float64, ledger *fake.Ledger) *fake.Crowd {
+func (f *fleet) crowds(ctx context.Context, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
 	return f.crowdsAt(ctx, f.procs, name, rate, ledger)
 }
 
 // crowdsAt does so at some: one that is stopped answers late, which is no fault of its own.
-func (f *fleet) crowdsAt(ctx context.Context, procs []*fleetProc, name string, rate float64, ledger *fake.Ledger) *fake.Crowd {
+func (f *fleet) crowdsAt(ctx context.Context, procs []*fleetProc, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var sum *fake.Crowd
+	var sum *fake.ClientResults
 	for _, p := range procs {
 		addr := p.prog.Addr("farm")
 		all.Go(func() {
 			c := fake.RunClients(ctx, fake.ClientConfig{
-				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, Tries: 3, Backoff: 30 * time.Millisecond, Honour: true,
-				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: f.env.Seed<<8 + uint64(p.i),
+				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
+				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: f.env.Seed<<8 + uint64(p.i),
 			})
 			mu.Lock()
 			defer mu.Unlock()
 			if sum == nil {
 				sum = c
 			} else {
-				sum = sum.With(c)
+				sum = sum.Merge(c)
 			}
 		})
 	}
@@ -324,10 +324,10 @@
 }
 
 // once holds the four rules, and that each request had one answer and none a second effect.
-func (e *Env) once(ledger *fake.Ledger, prefix string) {
+func (e *Env) once(ledger *fake.EffectRecorder, prefix string) {
 	v := e.Rules(ledger)
-	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Tries)), 1)
-	e.AtMost(prefix+"duplicates", float64(v.Doubled), 0)
+	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)), 1)
+	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
 }
 
 // startShared starts a fleet whose processes share state, or not, and waits until all take part.
@@ -354,11 +354,11 @@
 		served float64
 	}
 	results := map[bool]outcome{}
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startShared(ctx, shared, fleetConfig{
 			processes: processes, voters: 3, nboxes: boxes, ledger: ledger, dealt: true,
-			box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
+			box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
@@ -366,21 +366,21 @@
 		length := e.Duration / 2
 		e.Phase("a server dies silently, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length+2*time.Second)
-		var dead *fake.Box
+		var dead *fake.Backend
 		went := make(chan struct{})
 		go func() {
 			defer close(went)
 			if pause(load, 2*time.Second) { // all have met some servers by then: one of those that are used most
-				byUse := slices.SortedFunc(slices.Values(f.boxes), func(a, b *fake.Box) int { return int(b.Served() - a.Served()) })
+				byUse := slices.SortedFunc(slices.Values(f.boxes), func(a, b *fake.Backend) int { return int(b.Served() - a.Served()) })
 				dead = byUse[int(e.Seed)%3]
 				f.note("%s dies", dead.Name())
-				dead.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+				dead.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 			}
 		}()
 		crowd := f.crowds(load, name, rate, ledger)
 		cancel()
 		<-went
-		results[shared] = outcome{dead.Lost(), crowd.Share()}
+		results[shared] = outcome{dead.LostRequests(), crowd.ServedFraction()}
 		e.crowd(name+"_", crowd)
 		if shared {
 			hinted := 0
@@ -403,11 +403,11 @@
 // replicaRush starts processes again under load, two at a time, while servers are dead that only those know which have met them.
 func replicaRush(ctx context.Context, e *Env) error {
 	const first = 3 * time.Second // of a process' life, in which it is compared
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	served := map[string]float64{}
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startShared(ctx, shared, fleetConfig{
-			processes: 10, voters: 3, nboxes: 9, ledger: ledger, box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
+			processes: 10, voters: 3, nboxes: 9, ledger: ledger, box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
@@ -418,9 +418,9 @@
 		cancel()
 		for _, b := range f.boxes[:2] {
 			f.note("%s dies", b.Name())
-			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
-		var again, others *fake.Crowd
+		var again, others *fake.ClientResults
 		most := 0.0
 		for round := range int(e.Duration / 2 / (first + time.Second)) {
 			back := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
@@ -445,8 +445,8 @@
 			for _, p := range f.procs {
 				all.Go(func() {
 					c := fake.RunClients(load, fake.ClientConfig{
-						Name: fmt.Sprint(name, round, p.name), Addr: p.prog.Addr("farm"), Host: "farm.example.org", Rate: 30, Tries: 1,
-						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Ledger: ledger, Seed: e.Seed<<16 + uint64(p.i*100+round),
+						Name: fmt.Sprint(name, round, p.name), Addr: p.prog.Addr("farm"), Host: "farm.example.org", Rate: 30, MaxAttempts: 1,
+						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed<<16 + uint64(p.i*100+round),
 					})
 					mu.Lock()
 					defer mu.Unlock()
@@ -457,7 +457,7 @@
 					if *to == nil {
 						*to = c
 					} else {
-						*to = (*to).With(c)
+						*to = (*to).Merge(c)
 					}
 				})
 			}
@@ -466,15 +466,15 @@
 		}
 		sent := int64(0)
 		for _, b := range f.boxes {
-			sent += b.Lost()
+			sent += b.LostRequests()
 		}
 		f.stop()
 		e.Measure(name+"_started_s", most)
 		e.Measure(name+"_dead_sends", float64(sent))
-		e.Measure(name+"_served_first", again.Share())
-		e.Measure(name+"_served_neighbours", others.Share())
-		e.Measure(name+"_ops_first", float64(again.Ops()))
-		served[name] = others.Share() - again.Share()
+		e.Measure(name+"_served_first", again.ServedFraction())
+		e.Measure(name+"_served_neighbours", others.ServedFraction())
+		e.Measure(name+"_ops_first", float64(again.Operations()))
+		served[name] = others.ServedFraction() - again.ServedFraction()
 	}
 	e.Measure("behind_alone", served["alone"])
 	e.AtMost("behind", served["shared"], 0.03) // of some 600 requests: 0.01 over many seeds
@@ -483,7 +483,7 @@
 }
 
 func replicaSplit(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
 	if err != nil {
 		return err
@@ -497,12 +497,12 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	followed := h.follow(load)
-	crowd := make(chan *fake.Crowd, 1)
+	crowd := make(chan *fake.ClientResults, 1)
 	go func() { crowd <- f.crowds(load, "farm", 5, ledger) }()
 	e.Phase("half and half", part)
 	f.note("split")
-	mend := f.each(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+	mend := f.each(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	pause(load, part/2)
 	if err := f.order("avoid", f.boxes[1].Name(), f.procs[0]); err != nil {
 		return err
@@ -550,7 +550,7 @@
 	}
 	h.judge()
 	e.crowd("", c)
-	e.Measure("served", c.Share())
+	e.Measure("served", c.ServedFraction())
 	e.once(ledger, "")
 	f.stop()
 	return nil
@@ -676,8 +676,10 @@
 	followed := h.follow(load)
 	e.Phase("starts of one name, orders over lossy links", e.Duration)
 	mend := f.each(func(int, int) bool { return true },
-		func(w *fake.Way) { w.Drop, w.Double, w.Jitter = 0.1, 0.1, 100*time.Millisecond },
-		func(w *fake.Way) { w.Drop, w.Double, w.Jitter = 0, 0, 0 })
+		func(w *fake.FrameFaults) {
+			w.DropFraction, w.DuplicateFraction, w.Jitter = 0.1, 0.1, 100*time.Millisecond
+		},
+		func(w *fake.FrameFaults) { w.DropFraction, w.DuplicateFraction, w.Jitter = 0, 0, 0 })
 	p := f.procs[7]
 	ordered := map[string]bool{}
 	starts := 0
@@ -733,7 +735,7 @@
 
 func replicaLiar(ctx context.Context, e *Env) error {
 	served := map[int]float64{}
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	for liars := range 3 {
 		var names []string
 		for i := range 9 {
@@ -741,7 +743,7 @@
 		}
 		f, err := e.startFleet(ctx, fleetConfig{
 			processes: 12, voters: 3, nboxes: 9, copies: usualCopies, ledger: ledger, dealt: true,
-			box: func(b *fake.BoxConfig) { b.Service = 15 * time.Millisecond },
+			box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 			lies: func(i int) string {
 				if i >= 12-liars {
 					return strings.Join(names, ",")
@@ -759,13 +761,13 @@
 		load, cancel := context.WithTimeout(ctx, e.Duration/3)
 		crowd := f.crowds(load, fmt.Sprintf("l%d", liars), 15, ledger)
 		cancel()
-		served[liars] = crowd.Share()
+		served[liars] = crowd.ServedFraction()
 		hinted := 0
 		for _, s := range f.all(f.procs) {
 			hinted += s.Hinted
 		}
 		e.Measure(fmt.Sprintf("hints_%d", liars), float64(hinted))
-		e.Measure(fmt.Sprintf("served_%d", liars), crowd.Share())
+		e.Measure(fmt.Sprintf("served_%d", liars), crowd.ServedFraction())
 		f.stop()
 		if liars == 1 && hinted > 0 {
 			e.Broken("one liar is believed: %d hints", hinted)
@@ -782,7 +784,7 @@
 
 func replicaStorm(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 43))
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
 	if err != nil {
 		return err
@@ -799,7 +801,7 @@
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	followed := h.follow(load)
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.Dead, Share: 0.5})
+	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 0.5})
 	f.play(ctx, faults)
 	f.boxes[0].SetFault(fake.Fault{})
 	cancel()
--- a/internal/e2e/tier.go
+++ b/internal/e2e/tier.go
@@ -32,7 +32,7 @@
 type fleetConfig struct {
 	processes, voters int
 	tasks             string                     // [[tasks]] of the operator's file
-	box               func(*fake.BoxConfig)      // how the boxes differ from usual ones, or nil
+	box               func(*fake.BackendConfig)  // how the boxes differ from usual ones, or nil
 	clocks            func(i int) (rate float64) // or nil
 	memory            bool                       // the council is in memory
 	plain             bool                       // the pool speaks plain HTTP
@@ -43,7 +43,7 @@
 	term              time.Duration              // 0: tierTerm
 	zone              func(i int) string         // of a process, or nil
 	dealt             bool                       // each process chooses among servers of its own
-	ledger            *fake.Ledger               // of clients, or nil
+	ledger            *fake.EffectRecorder       // of clients, or nil
 	pool              string                     // further sections of the pool
 	lies              func(i int) string         // what a process says is dead though it is not, or nil
 }
@@ -53,11 +53,11 @@
 	env    *Env
 	cfg    fleetConfig
 	dir    string // of its files
-	acts   *fake.Acts
-	boxes  []*fake.Box
+	acts   *fake.FencedResource
+	boxes  []*fake.Backend
 	secret string
 	procs  []*fleetProc
-	links  map[[2]int]*fake.FrameLink
+	links  map[[2]int]*fake.FrameProxy
 	began  time.Time
 
 	mu   sync.Mutex
@@ -96,12 +96,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{env: e, cfg: cfg, dir: dir, acts: fake.NewActs(), links: map[[2]int]*fake.FrameLink{}, secret: filepath.Join(dir, "secret")}
+	f := &fleet{env: e, cfg: cfg, dir: dir, acts: fake.NewFencedResource(), links: map[[2]int]*fake.FrameProxy{}, secret: filepath.Join(dir, "secret")}
 	if err := os.WriteFile(f.secret, []byte("a secret of the laboratory\n"), 0o600); err != nil {
 		return nil, err
 	}
-	f.boxes, err = e.boxes("box", cmp.Or(cfg.nboxes, 3), cfg.ledger, func(b *fake.BoxConfig) {
-		b.Acts, b.Service = f.acts, 5*time.Millisecond
+	f.boxes, err = e.boxes("box", cmp.Or(cfg.nboxes, 3), cfg.ledger, func(b *fake.BackendConfig) {
+		b.Resource, b.ServiceTime = f.acts, 5*time.Millisecond
 		if cfg.box != nil {
 			cfg.box(b)
 		}
@@ -128,7 +128,7 @@
 			if p == q {
 				continue
 			}
-			l, err := fake.StartFrameLink(q.addr, e.Seed<<16+uint64(p.i*256+q.i))
+			l, err := fake.StartFrameProxy(q.addr, e.Seed<<16+uint64(p.i*256+q.i))
 			if err != nil {
 				return nil, err
 			}
@@ -178,9 +178,9 @@
 // text is the operator's file of a process: the others are where its links to them begin.
 func (p *fleetProc) text() string {
 	var b strings.Builder
-	reports := fake.PlatformReports
+	reports := fake.ReportPlatform
 	if p.f.cfg.plain {
-		reports = fake.NoReports
+		reports = fake.ReportNone
 	}
 	pool := plainPool(reports, p.f.boxes)
 	if p.f.cfg.zone != nil {
@@ -480,19 +480,19 @@
 }
 
 // each changes both ways of links, and returns what undoes it.
-func (f *fleet) each(pick func(from, to int) bool, change, undo func(*fake.Way)) (mend func()) {
-	var picked []*fake.FrameLink
+func (f *fleet) each(pick func(from, to int) bool, change, undo func(*fake.FrameFaults)) (mend func()) {
+	var picked []*fake.FrameProxy
 	for pair, l := range f.links {
 		if pick(pair[0], pair[1]) {
 			picked = append(picked, l)
-			l.Change(fake.Forth, change)
-			l.Change(fake.Back, change)
+			l.Configure(fake.ToTarget, change)
+			l.Configure(fake.FromTarget, change)
 		}
 	}
 	return func() {
 		for _, l := range picked {
-			l.Change(fake.Forth, undo)
-			l.Change(fake.Back, undo)
+			l.Configure(fake.ToTarget, undo)
+			l.Configure(fake.FromTarget, undo)
 		}
 	}
 }
@@ -507,7 +507,7 @@
 		case <-time.After(t.For):
 		}
 	}
-	cut, join := func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false }
+	cut, join := func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false }
 	mend := func() {}
 	switch t.Kind {
 	case "kill":
@@ -561,25 +561,27 @@
 		if there == nil {
 			return
 		}
-		there.Change(fake.Forth, cut)
-		back.Change(fake.Back, cut)
+		there.Configure(fake.ToTarget, cut)
+		back.Configure(fake.FromTarget, cut)
 		mend = func() {
-			there.Change(fake.Forth, join)
-			back.Change(fake.Back, join)
+			there.Configure(fake.ToTarget, join)
+			back.Configure(fake.FromTarget, join)
 		}
 	case "still":
-		mend = f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.Way) { w.Still = true }, func(w *fake.Way) { w.Still = false })
+		mend = f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.FrameFaults) { w.Stalled = true }, func(w *fake.FrameFaults) { w.Stalled = false })
 	case "split":
 		side := func(i int) bool { return (i+t.P)%len(f.procs) < len(f.procs)*2/5 }
 		mend = f.each(func(a, b int) bool { return side(a) != side(b) }, cut, join)
 	case "loss":
-		mend = f.each(func(int, int) bool { return true }, func(w *fake.Way) { w.Drop = t.Share }, func(w *fake.Way) { w.Drop = 0 })
+		mend = f.each(func(int, int) bool { return true }, func(w *fake.FrameFaults) { w.DropFraction = t.Share }, func(w *fake.FrameFaults) { w.DropFraction = 0 })
 	case "storm":
 		mend = f.each(func(int, int) bool { return true },
-			func(w *fake.Way) { w.Double, w.Delay, w.Jitter = 0.1, 5*time.Millisecond, 150*time.Millisecond },
-			func(w *fake.Way) { w.Double, w.Delay, w.Jitter = 0, 0, 0 })
+			func(w *fake.FrameFaults) {
+				w.DuplicateFraction, w.Delay, w.Jitter = 0.1, 5*time.Millisecond, 150*time.Millisecond
+			},
+			func(w *fake.FrameFaults) { w.DuplicateFraction, w.Delay, w.Jitter = 0, 0, 0 })
 	case "truncate":
-		f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.Way) { w.Truncates++ }, func(*fake.Way) {})
+		f.each(func(a, b int) bool { return a == p.i || b == p.i }, func(w *fake.FrameFaults) { w.TruncateCount++ }, func(*fake.FrameFaults) {})
 		return
 	case "slowdisk":
 		if err := os.WriteFile(p.disk, []byte("slow 60ms"), 0o600); err != nil {
@@ -607,7 +609,7 @@
 
 // mendAll ends all faults, and starts what does not run.
 func (f *fleet) mendAll(ctx context.Context) error {
-	f.each(func(int, int) bool { return true }, func(w *fake.Way) { *w = fake.Way{} }, func(*fake.Way) {})
+	f.each(func(int, int) bool { return true }, func(w *fake.FrameFaults) { *w = fake.FrameFaults{} }, func(*fake.FrameFaults) {})
 	for _, p := range f.procs {
 		os.Remove(p.disk)
 		p.mu.Lock()
@@ -625,22 +627,22 @@
 }
 
 // judge notes what the resource and the logs say.
-func (f *fleet) judge(tasks map[string]fake.Effect, from, to time.Time) {
+func (f *fleet) judge(tasks map[string]fake.Idempotency, from, to time.Time) {
 	e := f.env
 	v := f.acts.Verdict(func(slot string) bool {
 		task, _, _ := strings.Cut(slot, "-")
-		return tasks[task] != fake.Safe
+		return tasks[task] != fake.Idempotent
 	})
-	if v.First != "" {
-		e.Broken("%s", v.First)
+	if v.FirstViolation != "" {
+		e.Broken("%s", v.FirstViolation)
 	}
-	e.AtMost("two_holders", float64(v.Overlapping), 0)
-	e.Measure("acts", float64(v.Acts))
-	e.Measure("acts_refused_by_token", float64(v.Refused))
-	e.Measure("tokens", float64(v.Tokens))
+	e.AtMost("two_holders", float64(v.Overlaps), 0)
+	e.Measure("acts", float64(v.Accepted))
+	e.Measure("acts_refused_by_token", float64(v.Rejected))
+	e.Measure("tokens", float64(v.DistinctTokens))
 	e.Measure("slots_done", float64(v.Slots))
-	e.AtMost("doubled_slots", float64(v.Doubled), 0)
-	if v.Acts == 0 {
+	e.AtMost("doubled_slots", float64(v.DuplicateSlots), 0)
+	if v.Accepted == 0 {
 		e.Broken("nobody acted: nothing was shown")
 	}
 	lost, done, skipped := int64(0), int64(0), int64(0)
@@ -667,11 +669,11 @@
 		e.Broken("%d slots are written down as done, and %d had an effect", done, slots)
 	}
 	for task := range tasks {
-		e.Measure("unheld_share_"+task, f.acts.Idle(task, unheldGap, from, to))
+		e.Measure("unheld_share_"+task, f.acts.IdleFraction(task, unheldGap, from, to))
 	}
 	frames, bytes := int64(0), int64(0)
 	for _, l := range f.links {
-		n, b := l.Count()
+		n, b := l.Traffic()
 		frames, bytes = frames+n, bytes+b
 	}
 	e.Measure("frames_a_second_and_process", float64(frames)/time.Since(f.began).Seconds()/float64(len(f.procs)))
--- a/internal/e2e/tiercost.go
+++ b/internal/e2e/tiercost.go
@@ -34,7 +34,7 @@
 	if err := f.settle(ctx, "task/sweep"); err != nil {
 		return err
 	}
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	text, _, _ := strings.Cut(f.procs[0].text(), "[tier]") // the same pool, and no fleet
 	alone, err := e.StartAs(ctx, "alone", text, 1)
 	if err != nil {
@@ -54,14 +54,14 @@
 		load, cancel := context.WithTimeout(ctx, part)
 		defer cancel()
 		crowd := fake.RunClients(load, fake.ClientConfig{
-			Name: fmt.Sprint("farm", crowds), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, Tries: 1, Classes: []fake.ClassLoad{allocationCheck}, Ledger: ledger, Seed: e.Seed,
+			Name: fmt.Sprint("farm", crowds), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, MaxAttempts: 1, Classes: []fake.ClassLoad{allocationCheck}, Recorder: ledger, Seed: e.Seed,
 		})
 		after, err := p.CPU()
-		if err != nil || crowd.Ops() == 0 {
+		if err != nil || crowd.Operations() == 0 {
 			return 0, 0, fmt.Errorf("no requests: %w", err)
 		}
 		length := time.Since(began).Seconds()
-		return (after - before).Seconds() / length, float64(crowd.Ops()) / length, nil
+		return (after - before).Seconds() / length, float64(crowd.Operations()) / length, nil
 	}
 	ratios := make([][]float64, len(tierRates))
 	var slopes, byTime []float64
--- a/internal/e2e/zone.go
+++ b/internal/e2e/zone.go
@@ -61,27 +61,29 @@
 )
 
 // zoneFleet starts twelve processes in three zones, with three boxes in each, which are cold at their start.
-func (e *Env) zoneFleet(ctx context.Context, ledger *fake.Ledger, zones bool, voters int) (*fleet, error) {
+func (e *Env) zoneFleet(ctx context.Context, ledger *fake.EffectRecorder, zones bool, voters int) (*fleet, error) {
 	return e.zoneFleetOf(ctx, ledger, zones, zoneProcesses, voters, "", usualBox)
 }
 
-func usualBox(b *fake.BoxConfig) { b.Service, b.Cores, b.Queue = 40*time.Millisecond, 2, 200 }
+func usualBox(b *fake.BackendConfig) {
+	b.ServiceTime, b.Cores, b.QueueLimit = 40*time.Millisecond, 2, 200
+}
 
 // zoneFleetMore is the usual one with further keys of [tier.zones], or of processes each for itself.
-func (e *Env) zoneFleetMore(ctx context.Context, ledger *fake.Ledger, zones bool, more string) (*fleet, error) {
+func (e *Env) zoneFleetMore(ctx context.Context, ledger *fake.EffectRecorder, zones bool, more string) (*fleet, error) {
 	return e.zoneFleetKeys(ctx, ledger, zones, zoneProcesses, 3, "", more, usualBox)
 }
 
-func (e *Env) zoneFleetOf(ctx context.Context, ledger *fake.Ledger, zones bool, processes, voters int, pool string, box func(*fake.BoxConfig)) (*fleet, error) {
+func (e *Env) zoneFleetOf(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool string, box func(*fake.BackendConfig)) (*fleet, error) {
 	return e.zoneFleetKeys(ctx, ledger, zones, processes, voters, pool, "", box)
 }
 
-func (e *Env) zoneFleetKeys(ctx context.Context, ledger *fake.Ledger, zones bool, processes, voters int, pool, more string, box func(*fake.BoxConfig)) (*fleet, error) {
+func (e *Env) zoneFleetKeys(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool, more string, box func(*fake.BackendConfig)) (*fleet, error) {
 	n := 0
 	cfg := fleetConfig{
 		processes: processes, voters: voters, nboxes: zoneBoxes, ledger: ledger, dealt: true, copies: usualCopies, pool: pool, plain: pool != "",
 		zone: func(i int) string { return labZones[i%3] },
-		box: func(b *fake.BoxConfig) {
+		box: func(b *fake.BackendConfig) {
 			b.Zone = labZones[n%3]
 			box(b)
 			n++
@@ -118,7 +120,7 @@
 }
 
 // inZone are the boxes of a zone.
-func (f *fleet) inZone(zone string) (all []*fake.Box) {
+func (f *fleet) inZone(zone string) (all []*fake.Backend) {
 	for _, b := range f.boxes {
 		if b.Zone() == zone {
 			all = append(all, b)
@@ -169,13 +171,13 @@
 		f.note("zone %s is lost", zone)
 		o.lost = time.Now()
 		for _, b := range f.inZone(zone) {
-			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		pause(ctx, length)
 		f.note("zone %s is back, cold", zone)
 		o.back = time.Now()
 		for _, b := range f.inZone(zone) {
-			b.Chill()
+			b.RestartSlowStart()
 			b.SetFault(fake.Fault{})
 		}
 		<-ctx.Done()
@@ -190,7 +192,7 @@
 	}
 	results := map[bool]outcome{}
 	for _, together := range []bool{false, true} {
-		ledger := fake.NewLedger()
+		ledger := fake.NewEffectRecorder()
 		f, err := e.zoneFleet(ctx, ledger, together, 3)
 		if err != nil {
 			return err
@@ -208,9 +210,9 @@
 		<-gone.over
 		sent := int64(0)
 		for _, b := range f.boxes {
-			sent += b.Lost()
+			sent += b.LostRequests()
 		}
-		results[together] = outcome{sent, crowd.Share()}
+		results[together] = outcome{sent, crowd.ServedFraction()}
 		e.crowd(name+"_", crowd)
 		if together {
 			left := f.followed(3, gone.lost)
@@ -248,10 +250,10 @@
 	const ramp = 4 * time.Second
 	served := map[bool]float64{}
 	for _, together := range []bool{false, true} {
-		ledger := fake.NewLedger()
-		f, err := e.zoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BoxConfig) {
-			b.Service, b.Cores, b.Queue = 20*time.Millisecond, 2, 200
-			b.ColdFrom, b.Ramp, b.Falls, b.Reports = 0.1, ramp, 1500*time.Millisecond, fake.NoReports
+		ledger := fake.NewEffectRecorder()
+		f, err := e.zoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BackendConfig) {
+			b.ServiceTime, b.Cores, b.QueueLimit = 20*time.Millisecond, 2, 200
+			b.SlowStartMinCapacity, b.SlowStart, b.CrashDuration, b.LoadReporting = 0.1, ramp, 1500*time.Millisecond, fake.ReportNone
 		})
 		if err != nil {
 			return err
@@ -269,9 +271,9 @@
 		<-gone.over
 		falls, most, lost, used := int64(0), 0.0, int64(0), int64(0)
 		for _, b := range f.boxes {
-			n, hot := b.Falls()
+			n, hot := b.Crashes()
 			falls, most = falls+n, max(most, hot)
-			lost += b.Lost()
+			lost += b.LostRequests()
 		}
 		for _, b := range f.inZone("b") {
 			used += b.Served()
@@ -280,7 +282,7 @@
 		e.Measure(name+"_most_cold_share", most)
 		e.Measure(name+"_served_by_zone", float64(used))
 		e.Measure(name+"_cold_overload", float64(falls))
-		served[together] = crowd.Share()
+		served[together] = crowd.ServedFraction()
 		e.crowd(name+"_", crowd)
 		if together {
 			e.AtMost("cold_overload", float64(falls), 0)
@@ -300,19 +302,19 @@
 }
 
 func zoneTorn(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.Crowd, 1)
+	crowd := make(chan *fake.ClientResults, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
-	dead := func(boxes ...*fake.Box) (mend func()) {
+	dead := func(boxes ...*fake.Backend) (mend func()) {
 		for _, b := range boxes {
-			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		return func() {
 			for _, b := range boxes {
@@ -329,33 +331,33 @@
 	pause(ctx, part)
 	mend()
 	e.Phase("members that are cut off", part)
-	mend = f.each(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
+	mend = f.each(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	pause(ctx, part)
 	mend()
 	e.Phase("errors of one in eight", part)
 	for _, b := range f.inZone("c") {
-		b.SetFault(fake.Fault{Kind: fake.Error, Share: 0.125})
+		b.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 0.125})
 	}
 	pause(ctx, part)
 	cancel()
 	c := <-crowd
 	e.AtMost("wrongly_left", float64(f.wronglyLeft()), 0)
 	e.crowd("", c)
-	e.Measure("served", c.Share())
+	e.Measure("served", c.ServedFraction())
 	f.stop()
 	e.once(ledger, "")
 	return nil
 }
 
 func zoneBlind(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.Crowd, 1)
+	crowd := make(chan *fake.ClientResults, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
 	e.Phase("no majority, and a zone goes", part)
@@ -364,7 +366,7 @@
 	f.procs[2].end()
 	at := time.Now()
 	for _, b := range f.inZone("b") {
-		b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	}
 	pause(ctx, part)
 	if n := len(f.followed(3, at)); n > 0 {
@@ -415,24 +417,24 @@
 }
 
 func zoneFlap(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	crowd := make(chan *fake.Crowd, 1)
+	crowd := make(chan *fake.ClientResults, 1)
 	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
 	e.Phase("the zone goes and comes", e.Duration)
 	at := time.Now()
 	for pause(load, 1500*time.Millisecond) {
 		for _, b := range f.inZone("b") {
-			b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		pause(load, 1500*time.Millisecond)
 		for _, b := range f.inZone("b") {
-			b.Chill()
+			b.RestartSlowStart()
 			b.SetFault(fake.Fault{})
 		}
 	}
@@ -448,11 +450,11 @@
 	e.AtMost("epochs", float64(decided), 16)
 	sent := int64(0)
 	for _, b := range f.boxes {
-		sent += b.Lost()
+		sent += b.LostRequests()
 	}
 	e.Measure("dead_sends", float64(sent))
 	e.crowd("", c)
-	e.Measure("served", c.Share())
+	e.Measure("served", c.ServedFraction())
 	f.stop()
 	e.once(ledger, "")
 	return nil
@@ -502,14 +504,14 @@
 // zoneDecider does to those that decide and follow what can be done to processes while a zone is left and returned to.
 func zoneDecider(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 51))
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.zoneFleet(ctx, ledger, true, 5)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.Crowd, 1)
+	crowd := make(chan *fake.ClientResults, 1)
 	go func() { crowd <- f.crowdsAt(load, f.procs[3:], "farm", 6, ledger) }()
 	x := &epochs{newest: map[string]uint64{}}
 	followed := make(chan struct{})
@@ -546,7 +548,7 @@
 	e.Phase("the zone of the one who decides is lost with it", e.Duration/3)
 	lost := time.Now()
 	for _, b := range f.inZone(zone) {
-		b.SetFault(fake.Fault{Kind: fake.Dead, Share: 1})
+		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	}
 	f.note("zone %s is lost, and %s is killed, which decides", zone, decider.name)
 	decider.end()
@@ -599,7 +601,7 @@
 	}
 	f.note("%s is stopped, which decides; deaf: %v", next.name, half)
 	next.prog.Signal(syscall.SIGSTOP)
-	mend := f.each(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.Way) { w.Cut = true }, func(w *fake.Way) { w.Cut = false })
+	mend := f.each(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	if err := f.await(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
 		return err
 	}
@@ -659,7 +661,7 @@
 	}
 	e.Measure("epochs", float64(len(all)))
 	e.crowd("", c)
-	e.Measure("served", c.Share())
+	e.Measure("served", c.ServedFraction())
 	f.stop()
 	e.once(ledger, "")
 	return nil
@@ -669,16 +671,16 @@
 	name  string
 	fault fake.Fault
 }{
-	{"errors", fake.Fault{Kind: fake.Error, Share: 0.125}},
-	{"lost", fake.Fault{Kind: fake.Silent, Share: 0.125}},
-	{"slow", fake.Fault{Kind: fake.Slow, Share: 1, Delay: 360 * time.Millisecond}},
-	{"half", fake.Fault{Kind: fake.Error, Share: 0.5}},
+	{"errors", fake.Fault{Kind: fake.FaultError, Fraction: 0.125}},
+	{"lost", fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.125}},
+	{"slow", fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 360 * time.Millisecond}},
+	{"half", fake.Fault{Kind: fake.FaultError, Fraction: 0.5}},
 }
 
 // zoneGrey measures what it would be worth to leave a zone that fails by half: the same load on it as each process uses it, and with it left by an
 // operator's order.
 func zoneGrey(ctx context.Context, e *Env) error {
-	ledger := fake.NewLedger()
+	ledger := fake.NewEffectRecorder()
 	f, err := e.zoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
@@ -713,7 +715,7 @@
 				run, cancel := context.WithTimeout(ctx, part/2)
 				crowd := f.crowds(run, name, load, ledger)
 				cancel()
-				served[left] = crowd.Share()
+				served[left] = crowd.ServedFraction()
 				for _, b := range f.inZone("b") {
 					b.SetFault(fake.Fault{})
 				}
@@ -752,7 +754,7 @@
 	for _, k := range greyKinds {
 		served := map[bool]float64{}
 		for _, auto := range []bool{false, true} {
-			ledger := fake.NewLedger()
+			ledger := fake.NewEffectRecorder()
 			f, err := e.zoneFleetMore(ctx, ledger, auto, "grey = true\n")
 			if err != nil {
 				return err
@@ -768,7 +770,7 @@
 			run, cancel := context.WithTimeout(ctx, 2*part)
 			crowd := f.crowds(run, k.name, load, ledger)
 			cancel()
-			served[auto] = crowd.Share()
+			served[auto] = crowd.ServedFraction()
 			if auto {
 				left := f.followed(3, at)
 				e.Measure(k.name+"_followed", float64(len(left)))
@@ -785,8 +787,8 @@
 			}
 			f.stop()
 			v := e.Rules(ledger)
-			e.AtLeast(fmt.Sprintf("%s_%v_answered_once", k.name, auto), float64(v.Answered)/float64(max(1, v.Tries)), 1)
-			e.AtMost(fmt.Sprintf("%s_%v_duplicates", k.name, auto), float64(v.Doubled), 0)
+			e.AtLeast(fmt.Sprintf("%s_%v_answered_once", k.name, auto), float64(v.Answered)/float64(max(1, v.Attempts)), 1)
+			e.AtMost(fmt.Sprintf("%s_%v_duplicates", k.name, auto), float64(v.DuplicateEffects), 0)
 		}
 		e.Measure(k.name+"_served_alone", served[false])
 		e.Measure(k.name+"_served", served[true])
--- a/internal/fake/authority.go
+++ b/internal/fake/authority.go
@@ -16,16 +16,16 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Authority issues certificates that are good for a day, as files of a folder.
-type Authority struct {
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	dir  string
-	n    int64
+// CertificateAuthority issues certificates that are good for a day, as files of a folder.
+type CertificateAuthority struct {
+	cert   *x509.Certificate
+	key    *ecdsa.PrivateKey
+	dir    string
+	serial int64
 }
 
-// NewAuthority makes one, and writes ca.pem, who trusts it.
-func NewAuthority(dir string) (*Authority, error) {
+// NewCertificateAuthority makes one, and writes ca.pem, who trusts it.
+func NewCertificateAuthority(dir string) (*CertificateAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
@@ -42,29 +42,29 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Authority{cert: cert, key: key, dir: dir, n: 1}
-	return a, a.write("ca.pem", "CERTIFICATE", der)
+	a := &CertificateAuthority{cert: cert, key: key, dir: dir, serial: 1}
+	return a, a.writePEM("ca.pem", "CERTIFICATE", der)
 }
 
-// File is one of the files that it has written.
-func (a *Authority) File(name string) string { return filepath.Join(a.dir, name) }
+// Path is one of the files that it has written.
+func (a *CertificateAuthority) Path(name string) string { return filepath.Join(a.dir, name) }
 
-// Pool is who trusts it.
-func (a *Authority) Pool() *x509.CertPool {
+// CertPool is who trusts it.
+func (a *CertificateAuthority) CertPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
 // Issue writes NAME.key and NAME.pem for a host, in this order, each whole at once: between the two they do not match.
-func (a *Authority) Issue(name, host string) error {
+func (a *CertificateAuthority) Issue(name, host string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	a.n++
+	a.serial++
 	tmpl := &x509.Certificate{
-		SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: host}, DNSNames: []string{host}, NotBefore: time.Now().Add(-time.Hour),
+		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: host}, DNSNames: []string{host}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(24 * time.Hour), ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &key.PublicKey, a.key)
@@ -75,22 +75,22 @@
 	if err != nil {
 		return err
 	}
-	if err := a.write(name+".key", "EC PRIVATE KEY", raw); err != nil {
+	if err := a.writePEM(name+".key", "EC PRIVATE KEY", raw); err != nil {
 		return err
 	}
-	return a.write(name+".pem", "CERTIFICATE", der)
+	return a.writePEM(name+".pem", "CERTIFICATE", der)
 }
 
-func (a *Authority) write(name, kind string, der []byte) error {
-	path := a.File(name)
+func (a *CertificateAuthority) writePEM(name, kind string, der []byte) error {
+	path := a.Path(name)
 	if err := os.WriteFile(path+".new", pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// HeadersOf are the fields of a request without a body as HTTP/2 writes them, for a connection on which nothing else was.
-func HeadersOf(method, host, path, id string) []byte {
+// EncodeRequestHeaders are the fields of a request without a body as HTTP/2 writes them, for a connection on which nothing else was.
+func EncodeRequestHeaders(method, host, path, id string) []byte {
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
 	e.SetMaxDynamicTableSizeLimit(0)
--- a/internal/fake/box.go
+++ b/internal/fake/box.go
@@ -20,44 +20,44 @@
 
 // The faults. All but Turned may have run.
 const (
-	NoFault FaultKind = iota
-	Error             // 500, at once
-	Turned            // 503 with X-Not-Processed: never ran
-	Slow              // answered after a further delay
-	Silent            // runs and is never answered
-	Reset             // runs, and the connection is reset
-	Spoilt            // runs, and the answer cannot be read
-	Closes            // the connection ends as the request comes; never ran, which nobody else can tell
-	Dead              // nothing runs and nothing is answered, probes neither, as of a machine that has vanished
+	FaultNone        FaultKind = iota
+	FaultError                 // 500, at once
+	FaultReject                // 503 with X-Not-Processed: never ran
+	FaultDelay                 // answered after a further delay
+	FaultUnanswered            // runs and is never answered
+	FaultReset                 // runs, and the connection is reset
+	FaultMalformed             // runs, and the answer cannot be read
+	FaultClose                 // the connection ends as the request comes; never ran, which nobody else can tell
+	FaultUnreachable           // nothing runs and nothing is answered, probes neither, as of a machine that has vanished
 )
 
-var faultWords = map[string]FaultKind{
-	"errors": Error, "turns away": Turned, "slow": Slow, "silent": Silent, "resets": Reset, "spoils": Spoilt, "closes": Closes, "dead": Dead,
+var faultKinds = map[string]FaultKind{
+	"errors": FaultError, "turns away": FaultReject, "slow": FaultDelay, "silent": FaultUnanswered, "resets": FaultReset, "spoils": FaultMalformed, "closes": FaultClose, "dead": FaultUnreachable,
 }
 
 // Fault befalls a share of the requests of a box.
 type Fault struct {
-	Kind  FaultKind
-	Share float64       // 0 to 1
-	Delay time.Duration // for Slow, and before Error
+	Kind     FaultKind
+	Fraction float64       // 0 to 1
+	Delay    time.Duration // for Slow, and before Error
 }
 
 // ParseFault reads "silent", "errors 0.5" or "slow 1 200ms".
 func ParseFault(text string) (Fault, error) {
-	for word, k := range faultWords {
+	for word, k := range faultKinds {
 		rest, ok := strings.CutPrefix(text, word)
 		if !ok {
 			continue
 		}
-		f := Fault{Kind: k, Share: 1}
+		f := Fault{Kind: k, Fraction: 1}
 		for i, part := range strings.Fields(rest) {
 			var err error
 			if i == 0 {
-				f.Share, err = strconv.ParseFloat(part, 64)
+				f.Fraction, err = strconv.ParseFloat(part, 64)
 			} else {
 				f.Delay, err = time.ParseDuration(part)
 			}
-			if err != nil || i > 1 || !(f.Share >= 0 && f.Share <= 1) || f.Delay < 0 {
+			if err != nil || i > 1 || !(f.Fraction >= 0 && f.Fraction <= 1) || f.Delay < 0 {
 				return Fault{}, fmt.Errorf("fault %q: want KIND [SHARE [DELAY]]", text)
 			}
 		}
@@ -66,217 +66,217 @@
 	return Fault{}, fmt.Errorf("fault %q: no such kind", text)
 }
 
-// Reports is how a box tells its load, and by that which protocol it speaks.
-type Reports int
+// LoadReporting is how a box tells its load, and by that which protocol it speaks.
+type LoadReporting int
 
 // The kinds.
 const (
-	PlatformReports Reports = iota // X-Server-Load; what it turns away says so
-	ORCA                           // an ordinary HTTP service with endpoint-load-metrics
-	NoReports                      // one that tells nothing
+	ReportPlatform LoadReporting = iota // X-Server-Load; what it turns away says so
+	ReportORCA                          // an ordinary HTTP service with endpoint-load-metrics
+	ReportNone                          // one that tells nothing
 )
 
-// BoxConfig is what a box is made of.
-type BoxConfig struct {
-	Name     string
-	Zone     string
-	Cell     int
-	Cores    int           // requests in work at once
-	Queue    int           // requests that may wait
-	Service  time.Duration // mean work of a request on one core, drawn evenly between a half and one and a half of it
-	ColdFrom float64       // share of its speed at its start
-	Ramp     time.Duration // until it is warm; 0: it starts warm
-	Effects  map[string]Effect
-	Repeats  *Repeats // what drops repeats of keyed requests here; may be shared by a group of boxes
-	Seed     uint64
-	Ledger   *Ledger
-	Answer   int // bytes of an answer, at least
-	Reports  Reports
-	Acts     *Acts // what requests with a fencing token act on, or nil
+// BackendConfig is what a box is made of.
+type BackendConfig struct {
+	Name                 string
+	Zone                 string
+	Cell                 int
+	Cores                int           // requests in work at once
+	QueueLimit           int           // requests that may wait
+	ServiceTime          time.Duration // mean work of a request on one core, drawn evenly between a half and one and a half of it
+	SlowStartMinCapacity float64       // share of its speed at its start
+	SlowStart            time.Duration // until it is warm; 0: it starts warm
+	Idempotency          map[string]Idempotency
+	Deduplicator         *Deduplicator // what drops repeats of keyed requests here; may be shared by a group of boxes
+	Seed                 uint64
+	Recorder             *EffectRecorder
+	MinResponseBytes     int // bytes of an answer, at least
+	LoadReporting        LoadReporting
+	Resource             *FencedResource // what requests with a fencing token act on, or nil
 	// Falls: one that is cold and is sent more within a second than it bears then answers nothing for so long, and is cold again. 0: never. It
 	// starts warm, and judges itself: the ledger does not, since no list need say when it was started.
-	Falls time.Duration
+	CrashDuration time.Duration
 }
 
-// Box is a stand-in for a server that does work. It listens on a loopback address.
-type Box struct {
-	cfg    BoxConfig
-	ln     net.Listener
-	born   atomic.Int64 // in Unix nanoseconds
-	slots  chan struct{}
-	queued atomic.Int64
-	inWork atomic.Int64
-	served atomic.Int64
-	lost   atomic.Int64 // while it was dead
-	conns  atomic.Int64
-	fault  atomic.Pointer[Fault]
-	drains atomic.Bool
-	falls  atomic.Int64
-	down   atomic.Int64 // it has fallen until then, in Unix nanoseconds
-
-	mu   sync.Mutex
-	came []time.Time // requests of the last second, while it was cold
-	hot  float64     // the most of them beside what it bore
-	rng  *rand.Rand
-	open map[net.Conn]struct{}
-	shut bool
-	done sync.WaitGroup
+// Backend is a stand-in for a server that does work. It listens on a loopback address.
+type Backend struct {
+	cfg          BackendConfig
+	listener     net.Listener
+	started      atomic.Int64 // in Unix nanoseconds
+	cores        chan struct{}
+	queued       atomic.Int64
+	running      atomic.Int64
+	served       atomic.Int64
+	lostRequests atomic.Int64 // while it was dead
+	connCount    atomic.Int64
+	fault        atomic.Pointer[Fault]
+	draining     atomic.Bool
+	crashes      atomic.Int64
+	crashedUntil atomic.Int64 // it has fallen until then, in Unix nanoseconds
+
+	mu             sync.Mutex
+	recentArrivals []time.Time // requests of the last second, while it was cold
+	peakLoad       float64     // the most of them beside what it bore
+	rng            *rand.Rand
+	openConns      map[net.Conn]struct{}
+	closed         bool
+	goroutines     sync.WaitGroup
 }
 
-// StartBox starts a box at a free port.
-func StartBox(cfg BoxConfig) (*Box, error) {
+// StartBackend starts a box at a free port.
+func StartBackend(cfg BackendConfig) (*Backend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return startBoxAt(cfg, ln), nil
+	return startBackendAt(cfg, ln), nil
 }
 
-func startBoxAt(cfg BoxConfig, ln net.Listener) *Box {
+func startBackendAt(cfg BackendConfig, ln net.Listener) *Backend {
 	if cfg.Cores < 1 {
 		cfg.Cores = 1
 	}
-	if cfg.Repeats == nil {
-		cfg.Repeats = NewRepeats(time.Minute)
+	if cfg.Deduplicator == nil {
+		cfg.Deduplicator = NewDeduplicator(time.Minute)
 	}
-	b := &Box{
-		cfg: cfg, ln: ln, slots: make(chan struct{}, cfg.Cores),
-		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), open: map[net.Conn]struct{}{},
+	b := &Backend{
+		cfg: cfg, listener: ln, cores: make(chan struct{}, cfg.Cores),
+		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), openConns: map[net.Conn]struct{}{},
 	}
 	b.fault.Store(&Fault{})
-	if cfg.Falls > 0 {
-		b.born.Store(time.Now().Add(-cfg.Ramp).UnixNano())
+	if cfg.CrashDuration > 0 {
+		b.started.Store(time.Now().Add(-cfg.SlowStart).UnixNano())
 	} else {
-		b.Chill()
+		b.RestartSlowStart()
 	}
-	b.done.Go(b.accept)
+	b.goroutines.Go(b.accept)
 	return b
 }
 
 // Name is the box's name.
-func (b *Box) Name() string { return b.cfg.Name }
+func (b *Backend) Name() string { return b.cfg.Name }
 
 // Zone is where it stands.
-func (b *Box) Zone() string { return b.cfg.Zone }
+func (b *Backend) Zone() string { return b.cfg.Zone }
 
 // Addr is where the box listens.
-func (b *Box) Addr() string { return b.ln.Addr().String() }
+func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// Entry is what a list says of the box.
-func (b *Box) Entry() Entry {
-	e := Entry{Host: b.cfg.Name, Dial: b.Addr(), Site: b.cfg.Zone, Block: b.cfg.Cell, Health: "active", Share: 1}
-	if b.cfg.Ramp > 0 {
-		e.BornMs = b.born.Load() / int64(time.Millisecond)
+// Endpoint is what a list says of the box.
+func (b *Backend) Endpoint() Endpoint {
+	e := Endpoint{Host: b.cfg.Name, Address: b.Addr(), Zone: b.cfg.Zone, Cell: b.cfg.Cell, Health: "active", Weight: 1}
+	if b.cfg.SlowStart > 0 {
+		e.StartMs = b.started.Load() / int64(time.Millisecond)
 	}
-	if b.drains.Load() {
+	if b.draining.Load() {
 		e.Health = "leaving"
 	}
 	return e
 }
 
 // SetFault makes f befall requests from now on.
-func (b *Box) SetFault(f Fault) { b.fault.Store(&f) }
+func (b *Backend) SetFault(f Fault) { b.fault.Store(&f) }
 
 // Drain makes the box turn new requests away, as one that is about to end does.
-func (b *Box) Drain(on bool) { b.drains.Store(on) }
+func (b *Backend) Drain(on bool) { b.draining.Store(on) }
 
-// Chill has it be as cold as at its start.
-func (b *Box) Chill() {
+// RestartSlowStart has it be as cold as at its start.
+func (b *Backend) RestartSlowStart() {
 	cfg := b.cfg
-	b.born.Store(time.Now().UnixNano())
-	if cfg.Ramp > 0 && cfg.Ledger != nil && cfg.Falls == 0 {
-		full := float64(cfg.Cores) / cfg.Service.Seconds()
-		cfg.Ledger.Born(cfg.Name, time.Second, func(age, window time.Duration) float64 {
-			share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*float64(age+window)/float64(cfg.Ramp))
+	b.started.Store(time.Now().UnixNano())
+	if cfg.SlowStart > 0 && cfg.Recorder != nil && cfg.CrashDuration == 0 {
+		full := float64(cfg.Cores) / cfg.ServiceTime.Seconds()
+		cfg.Recorder.RecordSlowStart(cfg.Name, time.Second, func(age, window time.Duration) float64 {
+			share := min(1, cfg.SlowStartMinCapacity+(1-cfg.SlowStartMinCapacity)*float64(age+window)/float64(cfg.SlowStart))
 			return 2.5*full*share*window.Seconds() + 5
 		})
 	}
 }
 
-// share is the part of its speed that the box has at an age.
-func (b *Box) share(age time.Duration) float64 {
-	return min(1, b.cfg.ColdFrom+(1-b.cfg.ColdFrom)*float64(age)/float64(b.cfg.Ramp))
+// capacityFraction is the part of its speed that the box has at an age.
+func (b *Backend) capacityFraction(age time.Duration) float64 {
+	return min(1, b.cfg.SlowStartMinCapacity+(1-b.cfg.SlowStartMinCapacity)*float64(age)/float64(b.cfg.SlowStart))
 }
 
-// burden notes a request, and has the box fall if it is cold and they were too many: N + 3 root of N + 3 in a second, N being what it does then.
-func (b *Box) burden() {
+// recordLoad notes a request, and has the box fall if it is cold and they were too many: N + 3 root of N + 3 in a second, N being what it does then.
+func (b *Backend) recordLoad() {
 	now := time.Now()
-	age := now.Sub(time.Unix(0, b.born.Load()))
-	if b.cfg.Ramp <= 0 || b.fault.Load().Kind == Dead || now.UnixNano() < b.down.Load() {
+	age := now.Sub(time.Unix(0, b.started.Load()))
+	if b.cfg.SlowStart <= 0 || b.fault.Load().Kind == FaultUnreachable || now.UnixNano() < b.crashedUntil.Load() {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.came = append(b.came, now)
-	for len(b.came) > 0 && now.Sub(b.came[0]) > time.Second {
-		b.came = b.came[1:]
+	b.recentArrivals = append(b.recentArrivals, now)
+	for len(b.recentArrivals) > 0 && now.Sub(b.recentArrivals[0]) > time.Second {
+		b.recentArrivals = b.recentArrivals[1:]
 	}
-	if age >= b.cfg.Ramp {
+	if age >= b.cfg.SlowStart {
 		return
 	}
-	n := float64(b.cfg.Cores) / b.cfg.Service.Seconds() * b.share(age)
+	n := float64(b.cfg.Cores) / b.cfg.ServiceTime.Seconds() * b.capacityFraction(age)
 	bears := n + 3*math.Sqrt(n) + 3
-	b.hot = max(b.hot, float64(len(b.came))/bears)
-	if float64(len(b.came)) <= bears {
+	b.peakLoad = max(b.peakLoad, float64(len(b.recentArrivals))/bears)
+	if float64(len(b.recentArrivals)) <= bears {
 		return
 	}
-	b.falls.Add(1)
-	b.came = nil
-	b.down.Store(now.Add(b.cfg.Falls).UnixNano())
-	b.born.Store(now.Add(b.cfg.Falls).UnixNano())
+	b.crashes.Add(1)
+	b.recentArrivals = nil
+	b.crashedUntil.Store(now.Add(b.cfg.CrashDuration).UnixNano())
+	b.started.Store(now.Add(b.cfg.CrashDuration).UnixNano())
 }
 
-// Falls is how often the box was pushed over while it was cold; most the largest share of what it bore then that it was ever sent.
-func (b *Box) Falls() (n int64, most float64) {
+// Crashes is how often the box was pushed over while it was cold; most the largest share of what it bore then that it was ever sent.
+func (b *Backend) Crashes() (n int64, most float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.falls.Load(), b.hot
+	return b.crashes.Load(), b.peakLoad
 }
 
-// Lost is how many requests have come while the box was dead.
-func (b *Box) Lost() int64 { return b.lost.Load() }
+// LostRequests is how many requests have come while the box was dead.
+func (b *Backend) LostRequests() int64 { return b.lostRequests.Load() }
 
 // Served is how many requests the box has answered with 200.
-func (b *Box) Served() int64 { return b.served.Load() }
+func (b *Backend) Served() int64 { return b.served.Load() }
 
-// Conns is how many connections the box holds.
-func (b *Box) Conns() int64 { return b.conns.Load() }
+// Connections is how many connections the box holds.
+func (b *Backend) Connections() int64 { return b.connCount.Load() }
 
 // Close ends the box like a process that dies: its connections are reset and new ones are refused.
-func (b *Box) Close() {
+func (b *Backend) Close() {
 	b.mu.Lock()
-	b.shut = true
-	b.ln.Close()
-	for c := range b.open {
+	b.closed = true
+	b.listener.Close()
+	for c := range b.openConns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		c.Close()
 	}
 	b.mu.Unlock()
-	b.done.Wait()
+	b.goroutines.Wait()
 }
 
-func (b *Box) accept() {
+func (b *Backend) accept() {
 	for {
-		c, err := b.ln.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
 		b.mu.Lock()
-		if b.shut {
+		if b.closed {
 			b.mu.Unlock()
 			c.Close()
 			return
 		}
-		b.open[c] = struct{}{}
-		b.conns.Add(1)
-		b.done.Go(func() {
+		b.openConns[c] = struct{}{}
+		b.connCount.Add(1)
+		b.goroutines.Go(func() {
 			defer func() {
 				c.Close()
-				b.conns.Add(-1)
+				b.connCount.Add(-1)
 				b.mu.Lock()
-				delete(b.open, c)
+				delete(b.openConns, c)
 				b.mu.Unlock()
 			}()
 			b.serve(c)
@@ -285,29 +285,29 @@
 	}
 }
 
-// mostBody bounds the body of a request.
-const mostBody = 1 << 20
+// maxBodyBytes bounds the body of a request.
+const maxBodyBytes = 1 << 20
 
-func (b *Box) serve(c net.Conn) {
+func (b *Backend) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
 		q, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(q.Body, mostBody+1))
-		if err != nil || len(body) > mostBody {
+		body, err := io.ReadAll(io.LimitReader(q.Body, maxBodyBytes+1))
+		if err != nil || len(body) > maxBodyBytes {
 			return
 		}
 		work := q.URL.Path != "/load" && q.URL.Path != "/healthz"
-		if work && b.cfg.Falls > 0 {
-			b.burden()
+		if work && b.cfg.CrashDuration > 0 {
+			b.recordLoad()
 		}
-		if b.fault.Load().Kind == Dead || time.Now().UnixNano() < b.down.Load() {
+		if b.fault.Load().Kind == FaultUnreachable || time.Now().UnixNano() < b.crashedUntil.Load() {
 			if work {
-				b.lost.Add(1)
-				if b.cfg.Ledger != nil {
-					b.cfg.Ledger.Arrived(b.cfg.Name, q.Header.Get("X-Request-Id"))
+				b.lostRequests.Add(1)
+				if b.cfg.Recorder != nil {
+					b.cfg.Recorder.RecordArrival(b.cfg.Name, q.Header.Get("X-Request-Id"))
 				}
 			}
 			io.Copy(io.Discard, c)
@@ -316,12 +316,12 @@
 		var text string
 		switch q.URL.Path {
 		case "/healthz":
-			text = b.answer(200, "", "")
+			text = b.response(200, "", "")
 		case "/load":
-			text = b.answer(200, "", b.load())
+			text = b.response(200, "", b.loadReport())
 		default:
 			var open bool
-			if text, open = b.work(c, q); !open {
+			if text, open = b.handle(c, q); !open {
 				return
 			}
 		}
@@ -332,90 +332,90 @@
 	}
 }
 
-// load is the box's report of its load.
-func (b *Box) load() string {
-	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", b.inWork.Load()+b.queued.Load(), b.queued.Load(),
-		float64(b.inWork.Load())/float64(b.cfg.Cores))
+// loadReport is the box's report of its load.
+func (b *Backend) loadReport() string {
+	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", b.running.Load()+b.queued.Load(), b.queued.Load(),
+		float64(b.running.Load())/float64(b.cfg.Cores))
 }
 
-func (b *Box) answer(status int, more, body string) string {
+func (b *Backend) response(status int, more, body string) string {
 	load := ""
-	switch b.cfg.Reports {
-	case PlatformReports:
-		load = "X-Server-Load: " + b.load() + "\r\n"
-	case ORCA:
+	switch b.cfg.LoadReporting {
+	case ReportPlatform:
+		load = "X-Server-Load: " + b.loadReport() + "\r\n"
+	case ReportORCA:
 		load = fmt.Sprintf("endpoint-load-metrics: TEXT named_metrics.inflight=%d, named_metrics.queue=%d\r\n",
-			b.inWork.Load()+b.queued.Load(), b.queued.Load())
+			b.running.Load()+b.queued.Load(), b.queued.Load())
 	}
-	if b.cfg.Reports != PlatformReports {
+	if b.cfg.LoadReporting != ReportPlatform {
 		more = ""
 	}
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), load, more, len(body), body)
 }
 
-const notProcessed = "X-Not-Processed: 1\r\n"
+const notProcessedHeader = "X-Not-Processed: 1\r\n"
 
-// work does what a request asks for. Without an open connection nothing is to be written.
-func (b *Box) work(c net.Conn, q *http.Request) (text string, open bool) {
+// handle does what a request asks for. Without an open connection nothing is to be written.
+func (b *Backend) handle(c net.Conn, q *http.Request) (text string, open bool) {
 	id := q.Header.Get("X-Request-Id")
-	if b.cfg.Ledger != nil {
-		b.cfg.Ledger.Arrived(b.cfg.Name, id)
+	if b.cfg.Recorder != nil {
+		b.cfg.Recorder.RecordArrival(b.cfg.Name, id)
 	}
 	if id == "" {
-		return b.answer(404, "", ""), true
+		return b.response(404, "", ""), true
 	}
-	f, draw := b.draw()
-	if b.drains.Load() || f.Kind == Turned {
-		return b.answer(503, notProcessed, ""), true
+	f, draw := b.drawFault()
+	if b.draining.Load() || f.Kind == FaultReject {
+		return b.response(503, notProcessedHeader, ""), true
 	}
-	if f.Kind == Closes {
+	if f.Kind == FaultClose {
 		return "", false
 	}
-	if f.Kind == Error {
+	if f.Kind == FaultError {
 		time.Sleep(f.Delay)
-		return b.answer(500, "", ""), true
+		return b.response(500, "", ""), true
 	}
-	if b.queued.Add(1) > int64(b.cfg.Queue)+int64(b.cfg.Cores)-b.inWork.Load() {
+	if b.queued.Add(1) > int64(b.cfg.QueueLimit)+int64(b.cfg.Cores)-b.running.Load() {
 		b.queued.Add(-1)
-		return b.answer(503, notProcessed, ""), true
+		return b.response(503, notProcessedHeader, ""), true
 	}
-	b.slots <- struct{}{}
+	b.cores <- struct{}{}
 	b.queued.Add(-1)
-	b.inWork.Add(1)
+	b.running.Add(1)
 	end := func() {}
-	if b.cfg.Acts != nil {
-		end = b.cfg.Acts.begin(q)
+	if b.cfg.Resource != nil {
+		end = b.cfg.Resource.begin(q)
 	}
 	made := ""
 	if end != nil {
-		made = b.run(q, id, draw)
+		made = b.execute(q, id, draw)
 		end()
 	}
-	b.inWork.Add(-1)
-	<-b.slots
+	b.running.Add(-1)
+	<-b.cores
 	if end == nil {
-		return b.answer(409, "", ""), true
+		return b.response(409, "", ""), true
 	}
 	switch f.Kind {
-	case Slow:
+	case FaultDelay:
 		time.Sleep(f.Delay)
-	case Silent:
+	case FaultUnanswered:
 		io.Copy(io.Discard, c) // until the other side has enough
 		return "", false
-	case Reset:
+	case FaultReset:
 		if tcp, ok := c.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		return "", false
-	case Spoilt:
+	case FaultMalformed:
 		return "\x07\x13\x82 no answer\r\n\r\n", true
 	}
 	b.served.Add(1)
-	return b.answer(200, "", pad(made, b.cfg.Answer)), true
+	return b.response(200, "", pad(made, b.cfg.MinResponseBytes)), true
 }
 
-// Made is the body of the answer to a request; what is there beyond is of no account.
-func Made(class, id, key string) string {
+// ResponseBody is the body of the answer to a request; what is there beyond is of no account.
+func ResponseBody(class, id, key string) string {
 	if key != "" {
 		id = "key " + key
 	}
@@ -429,78 +429,78 @@
 	return s
 }
 
-// run does the work of a request and has its effect, unless it is a repeat that is dropped. It returns what it made.
-func (b *Box) run(q *http.Request, id string, draw float64) string {
+// execute does the work of a request and has its effect, unless it is a repeat that is dropped. It returns what it made.
+func (b *Backend) execute(q *http.Request, id string, draw float64) string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(q.URL.Path, "/"), "/")
 	key := q.Header.Get("Idempotency-Key")
-	effect := b.cfg.Effects[class]
+	effect := b.cfg.Idempotency[class]
 	work := func() {
 		share := 1.0
-		if b.cfg.Ramp > 0 {
-			share = b.share(time.Since(time.Unix(0, b.born.Load())))
+		if b.cfg.SlowStart > 0 {
+			share = b.capacityFraction(time.Since(time.Unix(0, b.started.Load())))
 		}
-		time.Sleep(time.Duration((0.5 + draw) * float64(b.cfg.Service) / max(share, 0.01)))
-		if b.cfg.Ledger != nil && effect != Safe {
-			b.cfg.Ledger.Effect(id)
+		time.Sleep(time.Duration((0.5 + draw) * float64(b.cfg.ServiceTime) / max(share, 0.01)))
+		if b.cfg.Recorder != nil && effect != Idempotent {
+			b.cfg.Recorder.RecordEffect(id)
 		}
-		if b.cfg.Acts != nil {
-			b.cfg.Acts.effect(q)
+		if b.cfg.Resource != nil {
+			b.cfg.Resource.recordEffect(q)
 		}
 	}
-	if effect == Keyed && key != "" {
-		b.cfg.Repeats.Once(class+" "+key, work)
-		return Made(class, id, key)
+	if effect == IdempotentByKey && key != "" {
+		b.cfg.Deduplicator.Do(class+" "+key, work)
+		return ResponseBody(class, id, key)
 	}
 	work()
-	return Made(class, id, "")
+	return ResponseBody(class, id, "")
 }
 
-// draw draws what befalls a request, and how much work it is.
-func (b *Box) draw() (Fault, float64) {
+// drawFault draws what befalls a request, and how much work it is.
+func (b *Backend) drawFault() (Fault, float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := *b.fault.Load()
 	hit, draw := b.rng.Float64(), b.rng.Float64()
-	if hit >= f.Share {
+	if hit >= f.Fraction {
 		f = Fault{}
 	}
 	return f, draw
 }
 
-// Repeats drops the repeats of keyed requests for the boxes of a group, for a while. A repeat that comes while the first
+// Deduplicator drops the repeats of keyed requests for the boxes of a group, for a while. A repeat that comes while the first
 // still runs waits for it.
-type Repeats struct {
+type Deduplicator struct {
 	window time.Duration
 	mu     sync.Mutex
-	keys   map[string]*repeat
-	oldest []string
+	keys   map[string]*dedupEntry
+	order  []string
 }
 
-type repeat struct {
-	at   time.Time
-	done chan struct{}
+type dedupEntry struct {
+	started time.Time
+	done    chan struct{}
 }
 
-// NewRepeats returns what drops repeats for window.
-func NewRepeats(window time.Duration) *Repeats {
-	return &Repeats{window: window, keys: map[string]*repeat{}}
+// NewDeduplicator returns what drops repeats for window.
+func NewDeduplicator(window time.Duration) *Deduplicator {
+	return &Deduplicator{window: window, keys: map[string]*dedupEntry{}}
 }
 
-// Once calls f unless a call for the same key was made within the window, and returns when that has ended.
-func (r *Repeats) Once(key string, f func()) {
+// Do calls f unless a call for the same key was made within the window, and returns when that has ended.
+func (r *Deduplicator) Do(key string, f func()) {
 	r.mu.Lock()
-	for len(r.oldest) > 0 && time.Since(r.keys[r.oldest[0]].at) > r.window {
-		delete(r.keys, r.oldest[0])
-		r.oldest = r.oldest[1:]
+	for len(r.order) > 0 && time.Since(r.keys[r.order[0]].started) > r.window {
+		delete(r.keys, r.order[0])
+		r.order = r.order[1:]
 	}
 	if k := r.keys[key]; k != nil {
 		r.mu.Unlock()
 		<-k.done
 		return
 	}
-	k := &repeat{time.Now(), make(chan struct{})}
+	k := &dedupEntry{time.Now(), make(chan struct{})}
 	r.keys[key] = k
-	r.oldest = append(r.oldest, key)
+	r.order = append(r.order, key)
 	r.mu.Unlock()
 	f()
 	close(k.done)
--- a/internal/fake/clients.go
+++ b/internal/fake/clients.go
@@ -19,33 +19,33 @@
 
 // ClassLoad is a class of requests that clients send.
 type ClassLoad struct {
-	Name     string
-	Effect   Effect
-	Share    float64 // of the operations, beside the others'
-	Aim      time.Duration
-	Deadline time.Duration // a client's patience over all its tries
-	Worth    float64
-	Body     int // bytes, of a class that is not safe
+	Name             string
+	Idempotency      Idempotency
+	Weight           float64 // of the operations, beside the others'
+	LatencyObjective time.Duration
+	Deadline         time.Duration // a client's patience over all its tries
+	PriorityWeight   float64
+	BodyBytes        int // bytes, of a class that is not safe
 }
 
 // ClientConfig is what a crowd of clients is made of.
 type ClientConfig struct {
-	Name      string // of the crowd: its ids begin with it
-	Addr      string // where the program listens
-	Host      string
-	Prefix    string // of all paths, without a slash at its end
-	Tenant    string
-	Classes   []ClassLoad
-	Rate      float64 // operations a second, drawn ahead; they don't wait for answers
-	Tries     int     // of an operation, at the most
-	Backoff   time.Duration
-	Honour    bool // a refused client waits as long as Retry-After says
-	Fresh     bool // a new connection for each try
-	Once      bool // a new connection for each try, kept open and never used again until the program closes it
-	MostConns int  // connections open at once; a try that needs one more is not sent; 0: no bound
-	MostOut   int  // operations out at once; one beyond it is not begun and counts as not served
-	Ledger    *Ledger
-	Seed      uint64
+	Name               string // of the crowd: its ids begin with it
+	Addr               string // where the program listens
+	Host               string
+	Prefix             string // of all paths, without a slash at its end
+	Tenant             string
+	Classes            []ClassLoad
+	Rate               float64 // operations a second, drawn ahead; they don't wait for answers
+	MaxAttempts        int     // of an operation, at the most
+	Backoff            time.Duration
+	HonorRetryAfter    bool // a refused client waits as long as Retry-After says
+	NewConnections     bool // a new connection for each try
+	AbandonConnections bool // a new connection for each try, kept open and never used again until the program closes it
+	MaxConnections     int  // connections open at once; a try that needs one more is not sent; 0: no bound
+	MaxInFlight        int  // operations out at once; one beyond it is not begun and counts as not served
+	Recorder           *EffectRecorder
+	Seed               uint64
 }
 
 // Outcome is how an operation ended for its client.
@@ -53,56 +53,56 @@
 
 // The outcomes.
 const (
-	Served  Outcome = iota
-	Late            // served after its aim
-	Refused         // the last try was refused
-	Failed          // the last try failed
-	Unsent          // never sent, as too many were out
-	outcomes
+	OutcomeServed   Outcome = iota
+	OutcomeLate             // served after its aim
+	OutcomeRejected         // the last try was refused
+	OutcomeFailed           // the last try failed
+	OutcomeUnsent           // never sent, as too many were out
+	outcomeCount
 )
 
 func (o Outcome) String() string {
 	return [...]string{"served", "late", "refused", "failed", "unsent"}[o]
 }
 
-// Crowd is what became of the operations of clients.
-type Crowd struct {
-	mu          sync.Mutex
-	Counts      [outcomes]int
-	Tries       int
-	Connections int             // that were opened
-	Reused      int             // tries that went out on a connection used before
-	Crossed     int             // of them, those that found it closed by the program, and were sent once more
-	Bound       int             // tries not sent for want of a connection of the clients' own
-	Status      map[int]int     // of all tries
-	Latencies   []time.Duration // of the operations that were served, from their first try on
-	Refusals    []time.Duration // from a try to its refusal
-	Asked       float64         // worth of all operations
-	Won         float64         // worth of those answered within their aim
+// ClientResults is what became of the operations of clients.
+type ClientResults struct {
+	mu                 sync.Mutex
+	Outcomes           [outcomeCount]int
+	Attempts           int
+	Connections        int             // that were opened
+	Reused             int             // tries that went out on a connection used before
+	ClosedBeforeReuse  int             // of them, those that found it closed by the program, and were sent once more
+	ConnectionLimited  int             // tries not sent for want of a connection of the clients' own
+	Statuses           map[int]int     // of all tries
+	Latencies          []time.Duration // of the operations that were served, from their first try on
+	RejectionLatencies []time.Duration // from a try to its refusal
+	OfferedWeight      float64         // worth of all operations
+	ServedWeight       float64         // worth of those answered within their aim
 }
 
-// Share is the part of the worth asked that was answered within its aim.
-func (c *Crowd) Share() float64 {
+// ServedFraction is the part of the worth asked that was answered within its aim.
+func (c *ClientResults) ServedFraction() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Asked == 0 {
+	if c.OfferedWeight == 0 {
 		return 0
 	}
-	return c.Won / c.Asked
+	return c.ServedWeight / c.OfferedWeight
 }
 
 // Percentile is the latency below which such a part of the served operations lies; 0 if none was served.
-func (c *Crowd) Percentile(p float64) time.Duration {
+func (c *ClientResults) Percentile(p float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return percentile(c.Latencies, p)
 }
 
-// RefusalPercentile is the same of refusals.
-func (c *Crowd) RefusalPercentile(p float64) time.Duration {
+// RejectionPercentile is the same of refusals.
+func (c *ClientResults) RejectionPercentile(p float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return percentile(c.Refusals, p)
+	return percentile(c.RejectionLatencies, p)
 }
 
 func percentile(all []time.Duration, p float64) time.Duration {
@@ -113,37 +113,37 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// Ops is how many operations there were.
-func (c *Crowd) Ops() int {
+// Operations is how many operations there were.
+func (c *ClientResults) Operations() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, k := range c.Counts {
+	for _, k := range c.Outcomes {
 		n += k
 	}
 	return n
 }
 
-// crowd sends operations.
-type crowd struct {
-	cfg    ClientConfig
-	sum    float64 // of the classes' shares
-	lastID atomic.Int64
-	out    *Crowd
+// loadGenerator sends operations.
+type loadGenerator struct {
+	cfg       ClientConfig
+	weightSum float64 // of the classes' shares
+	lastID    atomic.Int64
+	results   *ClientResults
 
-	mu   sync.Mutex
-	idle []*clientConn
-	kept map[*clientConn]struct{} // asked once on
+	mu        sync.Mutex
+	idle      []*clientConn
+	abandoned map[*clientConn]struct{} // asked once on
 
-	conns    atomic.Int64   // open
-	watching sync.WaitGroup // for the end of those that are kept
+	connCount        atomic.Int64   // open
+	abandonedReaders sync.WaitGroup // for the end of those that are kept
 }
 
 type clientConn struct {
 	net.Conn
-	r     *bufio.Reader
-	used  bool
-	close func() // once
+	reader *bufio.Reader
+	reused bool
+	close  func() // once
 }
 
 func (c *clientConn) Close() error {
@@ -153,16 +153,16 @@
 }
 
 // RunClients has clients send operations until ctx ends, and returns once the last has ended.
-func RunClients(ctx context.Context, cfg ClientConfig) *Crowd {
-	c := &crowd{cfg: cfg, out: &Crowd{Status: map[int]int{}}, kept: map[*clientConn]struct{}{}}
-	if c.cfg.Tries < 1 {
-		c.cfg.Tries = 1
+func RunClients(ctx context.Context, cfg ClientConfig) *ClientResults {
+	c := &loadGenerator{cfg: cfg, results: &ClientResults{Statuses: map[int]int{}}, abandoned: map[*clientConn]struct{}{}}
+	if c.cfg.MaxAttempts < 1 {
+		c.cfg.MaxAttempts = 1
 	}
-	if c.cfg.MostOut < 1 {
-		c.cfg.MostOut = 10000
+	if c.cfg.MaxInFlight < 1 {
+		c.cfg.MaxInFlight = 10000
 	}
 	for _, k := range cfg.Classes {
-		c.sum += k.Share
+		c.weightSum += k.Weight
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var ops sync.WaitGroup
@@ -179,127 +179,127 @@
 				conn.Close()
 			}
 			c.mu.Lock()
-			for conn := range c.kept {
+			for conn := range c.abandoned {
 				conn.Close()
 			}
 			c.mu.Unlock()
-			c.watching.Wait()
-			return c.out
+			c.abandonedReaders.Wait()
+			return c.results
 		case <-wait.C:
 		}
-		class, seed := c.pick(rng), rng.Uint64()
-		if int(out.Load()) >= c.cfg.MostOut {
-			c.out.note(class, Unsent, 0)
+		class, seed := c.pickClass(rng), rng.Uint64()
+		if int(out.Load()) >= c.cfg.MaxInFlight {
+			c.results.record(class, OutcomeUnsent, 0)
 			continue
 		}
 		out.Add(1)
 		ops.Go(func() {
 			defer out.Add(-1)
-			c.operate(class, rand.New(rand.NewPCG(seed, 3)))
+			c.runOperation(class, rand.New(rand.NewPCG(seed, 3)))
 		})
 	}
 }
 
-func (c *crowd) pick(rng *rand.Rand) *ClassLoad {
-	at := rng.Float64() * c.sum
+func (c *loadGenerator) pickClass(rng *rand.Rand) *ClassLoad {
+	at := rng.Float64() * c.weightSum
 	for i := range c.cfg.Classes {
-		if at -= c.cfg.Classes[i].Share; at < 0 {
+		if at -= c.cfg.Classes[i].Weight; at < 0 {
 			return &c.cfg.Classes[i]
 		}
 	}
 	return &c.cfg.Classes[len(c.cfg.Classes)-1]
 }
 
-func (c *Crowd) note(class *ClassLoad, how Outcome, after time.Duration) {
+func (c *ClientResults) record(class *ClassLoad, how Outcome, after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Asked += class.Worth
-	if how == Served {
-		c.Won += class.Worth
+	c.OfferedWeight += class.PriorityWeight
+	if how == OutcomeServed {
+		c.ServedWeight += class.PriorityWeight
 	}
-	if how == Served || how == Late {
+	if how == OutcomeServed || how == OutcomeLate {
 		c.Latencies = append(c.Latencies, after)
 	}
-	c.Counts[how]++
+	c.Outcomes[how]++
 }
 
-// operate carries an operation out: tries, and further tries as a client of its class makes them.
-func (c *crowd) operate(class *ClassLoad, rng *rand.Rand) {
+// runOperation carries an operation out: tries, and further tries as a client of its class makes them.
+func (c *loadGenerator) runOperation(class *ClassLoad, rng *rand.Rand) {
 	began := time.Now()
-	op := c.cfg.Ledger.Op(class.Effect)
+	op := c.cfg.Recorder.BeginOperation(class.Idempotency)
 	key := ""
-	if class.Effect == Keyed {
+	if class.Idempotency == IdempotentByKey {
 		key = fmt.Sprintf("%s-k%d", c.cfg.Name, c.lastID.Add(1))
 	}
-	how := Failed
-	for n := range c.cfg.Tries {
+	how := OutcomeFailed
+	for n := range c.cfg.MaxAttempts {
 		left := class.Deadline - time.Since(began)
 		if left < 5*time.Millisecond {
 			break
 		}
 		// All tries but the last get half of what is left, so that there is time for another.
 		timeout := left
-		if n < c.cfg.Tries-1 {
+		if n < c.cfg.MaxAttempts-1 {
 			timeout = left / 2
 		}
 		sent := time.Now()
-		status, retryAfter := c.try(op, class, key, timeout, n > 0)
+		status, retryAfter := c.attempt(op, class, key, timeout, n > 0)
 		switch status {
-		case unsent:
-			how = Unsent
+		case statusUnsent:
+			how = OutcomeUnsent
 		case http.StatusOK:
 			after := time.Since(began)
-			how = Served
-			if after > class.Aim {
-				how = Late
+			how = OutcomeServed
+			if after > class.LatencyObjective {
+				how = OutcomeLate
 			}
-			c.out.note(class, how, after)
+			c.results.record(class, how, after)
 			return
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			c.out.mu.Lock()
-			c.out.Refusals = append(c.out.Refusals, time.Since(sent))
-			c.out.mu.Unlock()
-			how = Refused
+			c.results.mu.Lock()
+			c.results.RejectionLatencies = append(c.results.RejectionLatencies, time.Since(sent))
+			c.results.mu.Unlock()
+			how = OutcomeRejected
 		default:
-			how = Failed
-			if class.Effect == Unsafe { // it may have run
-				c.out.note(class, Failed, 0)
+			how = OutcomeFailed
+			if class.Idempotency == NonIdempotent { // it may have run
+				c.results.record(class, OutcomeFailed, 0)
 				return
 			}
 		}
 		wait := time.Duration((0.5 + rng.Float64()) * float64(c.cfg.Backoff))
-		if c.cfg.Honour {
+		if c.cfg.HonorRetryAfter {
 			wait = max(wait, retryAfter)
 		}
-		if n < c.cfg.Tries-1 && wait < class.Deadline-time.Since(began) {
+		if n < c.cfg.MaxAttempts-1 && wait < class.Deadline-time.Since(began) {
 			time.Sleep(wait)
 		}
 	}
-	c.out.note(class, how, 0)
+	c.results.record(class, how, 0)
 }
 
-// unsent is the status of a try for which the clients had no connection.
-const unsent = -1
+// statusUnsent is the status of a try for which the clients had no connection.
+const statusUnsent = -1
 
-// errBound is what a client finds that may open no further connection.
-var errBound = errors.New("the clients' own bound on connections")
+// errConnectionLimit is what a client finds that may open no further connection.
+var errConnectionLimit = errors.New("the clients' own bound on connections")
 
-// try sends one request and waits for its answer. Status 0 means that there was none.
-func (c *crowd) try(op *Operation, class *ClassLoad, key string, timeout time.Duration, retry bool) (status int, retryAfter time.Duration) {
+// attempt sends one request and waits for its answer. Status 0 means that there was none.
+func (c *loadGenerator) attempt(op *Operation, class *ClassLoad, key string, timeout time.Duration, retry bool) (status int, retryAfter time.Duration) {
 	id := fmt.Sprintf("%s-%d", c.cfg.Name, c.lastID.Add(1))
-	conn, err := c.connect(timeout)
+	conn, err := c.acquireConn(timeout)
 	switch {
-	case errors.Is(err, errBound):
-		c.out.mu.Lock()
-		c.out.Bound++
-		c.out.mu.Unlock()
-		return unsent, 0
+	case errors.Is(err, errConnectionLimit):
+		c.results.mu.Lock()
+		c.results.ConnectionLimited++
+		c.results.mu.Unlock()
+		return statusUnsent, 0
 	case err != nil:
 		return 0, 0
 	}
 	var b strings.Builder
 	method := "GET"
-	if class.Effect != Safe {
+	if class.Idempotency != Idempotent {
 		method = "POST"
 	}
 	ms := max(1, timeout.Milliseconds())
@@ -313,113 +313,113 @@
 	if retry {
 		b.WriteString("X-Retried: 1\r\n")
 	}
-	if class.Effect != Safe {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", class.Body)
+	if class.Idempotency != Idempotent {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", class.BodyBytes)
 	}
 	b.WriteString("\r\n")
-	if class.Effect != Safe {
-		b.WriteString(strings.Repeat("b", class.Body))
+	if class.Idempotency != Idempotent {
+		b.WriteString(strings.Repeat("b", class.BodyBytes))
 	}
-	c.cfg.Ledger.Sent(op, id, timeout)
-	c.out.mu.Lock()
-	c.out.Tries++
-	if conn.used {
-		c.out.Reused++
+	c.cfg.Recorder.RecordSent(op, id, timeout)
+	c.results.mu.Lock()
+	c.results.Attempts++
+	if conn.reused {
+		c.results.Reused++
 	}
-	c.out.mu.Unlock()
+	c.results.mu.Unlock()
 	conn.SetDeadline(time.Now().Add(timeout + time.Second)) // what comes after its time is still seen, as late
-	resp, body, err := conn.exchange(b.String())
-	if err != nil && conn.used && errors.Is(err, errEnded) {
+	resp, body, err := conn.roundTrip(b.String())
+	if err != nil && conn.reused && errors.Is(err, errClosedUnanswered) {
 		// The program closed a kept connection while this crossed it: nothing of it was read. A client sends it once more.
 		conn.Close()
-		c.out.mu.Lock()
-		c.out.Crossed++
-		c.out.mu.Unlock()
+		c.results.mu.Lock()
+		c.results.ClosedBeforeReuse++
+		c.results.mu.Unlock()
 		if conn, err = c.dial(timeout); err == nil {
 			conn.SetDeadline(time.Now().Add(timeout + time.Second))
-			resp, body, err = conn.exchange(b.String())
+			resp, body, err = conn.roundTrip(b.String())
 		}
 	}
 	if err != nil {
 		if conn != nil {
-			if errors.Is(err, errEnded) && !conn.used {
+			if errors.Is(err, errClosedUnanswered) && !conn.reused {
 				// A new connection that is closed with nothing sent may have made room for another.
-				c.cfg.Ledger.Unsent(id)
+				c.cfg.Recorder.RecordUnsent(id)
 			}
 			conn.Close()
 		} else {
-			c.cfg.Ledger.Unsent(id)
+			c.cfg.Recorder.RecordUnsent(id)
 		}
 		return 0, 0
 	}
-	made := strings.HasPrefix(string(body), Made(class.Name, id, key))
-	c.cfg.Ledger.Answered(id, resp.StatusCode, made)
-	c.out.mu.Lock()
-	c.out.Status[resp.StatusCode]++
-	c.out.mu.Unlock()
+	made := strings.HasPrefix(string(body), ResponseBody(class.Name, id, key))
+	c.cfg.Recorder.RecordResponse(id, resp.StatusCode, made)
+	c.results.mu.Lock()
+	c.results.Statuses[resp.StatusCode]++
+	c.results.mu.Unlock()
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		retryAfter = time.Duration(s * float64(time.Second))
 	}
-	if resp.Close || c.cfg.Fresh {
+	if resp.Close || c.cfg.NewConnections {
 		conn.Close()
 	} else {
-		c.keep(conn)
+		c.releaseConn(conn)
 	}
 	return resp.StatusCode, retryAfter
 }
 
-// errEnded is what a connection that ends before the first byte of an answer brings.
-var errEnded = errors.New("the connection ended without an answer")
+// errClosedUnanswered is what a connection that ends before the first byte of an answer brings.
+var errClosedUnanswered = errors.New("the connection ended without an answer")
 
-// exchange writes a request and reads its answer. What an HTTP/1.1 server may send ahead is passed over.
-func (c *clientConn) exchange(text string) (*http.Response, []byte, error) {
+// roundTrip writes a request and reads its answer. What an HTTP/1.1 server may send ahead is passed over.
+func (c *clientConn) roundTrip(text string) (*http.Response, []byte, error) {
 	_, err := io.WriteString(c, text)
-	if _, perr := c.r.Peek(1); perr != nil { // an answer may be there although not all could be written
+	if _, perr := c.reader.Peek(1); perr != nil { // an answer may be there although not all could be written
 		var timeout net.Error
 		if errors.As(perr, &timeout) && timeout.Timeout() {
 			return nil, nil, perr
 		}
-		return nil, nil, errors.Join(errEnded, perr, err)
+		return nil, nil, errors.Join(errClosedUnanswered, perr, err)
 	}
 	for {
-		resp, err := http.ReadResponse(c.r, nil)
+		resp, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			return nil, nil, err
 		}
 		if resp.StatusCode < 200 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 		return resp, body, err
 	}
 }
 
-func (c *crowd) dial(timeout time.Duration) (*clientConn, error) {
-	if n := c.conns.Add(1); c.cfg.MostConns > 0 && n > int64(c.cfg.MostConns) {
-		c.conns.Add(-1)
-		return nil, errBound
+func (c *loadGenerator) dial(timeout time.Duration) (*clientConn, error) {
+	if n := c.connCount.Add(1); c.cfg.MaxConnections > 0 && n > int64(c.cfg.MaxConnections) {
+		c.connCount.Add(-1)
+		return nil, errConnectionLimit
 	}
 	nc, err := net.DialTimeout("tcp", c.cfg.Addr, timeout)
 	if err != nil {
-		c.conns.Add(-1)
+		c.connCount.Add(-1)
 		return nil, err
 	}
-	c.out.mu.Lock()
-	c.out.Connections++
-	c.out.mu.Unlock()
-	return &clientConn{Conn: nc, r: bufio.NewReader(nc), close: sync.OnceFunc(func() { c.conns.Add(-1) })}, nil
+	c.results.mu.Lock()
+	c.results.Connections++
+	c.results.mu.Unlock()
+	return &clientConn{Conn: nc, reader: bufio.NewReader(nc), close: sync.OnceFunc(func() { c.connCount.Add(-1) })}, nil
 }
 
-func (c *crowd) connect(timeout time.Duration) (*clientConn, error) {
+func (c *loadGenerator) acquireConn(timeout time.Duration) (*clientConn, error) {
 	c.mu.Lock()
 	for len(c.idle) > 0 {
 		conn := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
 		c.mu.Unlock()
-		conn.used = true
-		if n := conn.r.Buffered(); n > 0 {
-			b, _ := conn.r.Peek(min(n, 80))
-			c.cfg.Ledger.Stray(fmt.Sprintf("bytes behind an answer: %q", b))
+		conn.reused = true
+		if n := conn.reader.Buffered(); n > 0 {
+			b, _ := conn.reader.Peek(min(n, 80))
+			c.cfg.Recorder.RecordUnexpected(fmt.Sprintf("bytes behind an answer: %q", b))
 			conn.Close()
 			c.mu.Lock()
 			continue
@@ -430,30 +430,30 @@
 	return c.dial(timeout)
 }
 
-func (c *crowd) keep(conn *clientConn) {
+func (c *loadGenerator) releaseConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cfg.Once {
-		c.kept[conn] = struct{}{}
+	if c.cfg.AbandonConnections {
+		c.abandoned[conn] = struct{}{}
 		conn.SetDeadline(time.Time{})
-		c.watching.Go(func() {
-			if n, _ := io.Copy(io.Discard, conn.r); n > 0 {
-				c.cfg.Ledger.Stray(fmt.Sprintf("%d bytes behind an answer", n))
+		c.abandonedReaders.Go(func() {
+			if n, _ := io.Copy(io.Discard, conn.reader); n > 0 {
+				c.cfg.Recorder.RecordUnexpected(fmt.Sprintf("%d bytes behind an answer", n))
 			}
 			conn.Close()
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			delete(c.kept, conn)
+			delete(c.abandoned, conn)
 		})
 		return
 	}
 	c.idle = append(c.idle, conn)
 }
 
-// SlowHeads opens connections that begin a request and never end it, n at a time and a new one for each that is closed,
+// OpenSlowRequests opens connections that begin a request and never end it, n at a time and a new one for each that is closed,
 // until ctx ends.
-func SlowHeads(ctx context.Context, addr, host string, n int) (opened int64) {
-	return keepOpen(ctx, addr, n, func(c net.Conn) {
+func OpenSlowRequests(ctx context.Context, addr, host string, n int) (opened int64) {
+	return maintainConnections(ctx, addr, n, func(c net.Conn) {
 		for i := 0; ; i++ {
 			part := "X-Pad: p\r\n"
 			if i == 0 {
@@ -471,15 +471,15 @@
 	})
 }
 
-// Silents opens connections that say nothing, likewise.
-func Silents(ctx context.Context, addr string, n int) (opened int64) {
-	return keepOpen(ctx, addr, n, func(c net.Conn) {
+// OpenIdleConnections opens connections that say nothing, likewise.
+func OpenIdleConnections(ctx context.Context, addr string, n int) (opened int64) {
+	return maintainConnections(ctx, addr, n, func(c net.Conn) {
 		defer context.AfterFunc(ctx, func() { c.Close() })()
 		io.Copy(io.Discard, c)
 	})
 }
 
-func keepOpen(ctx context.Context, addr string, n int, use func(net.Conn)) (opened int64) {
+func maintainConnections(ctx context.Context, addr string, n int, use func(net.Conn)) (opened int64) {
 	var all sync.WaitGroup
 	var count atomic.Int64
 	for i := range n {
@@ -507,26 +507,26 @@
 	return count.Load()
 }
 
-// With is what became of the operations of two crowds.
-func (c *Crowd) With(d *Crowd) *Crowd {
-	sum := &Crowd{Status: map[int]int{}}
-	for _, x := range []*Crowd{c, d} {
+// Merge is what became of the operations of two crowds.
+func (c *ClientResults) Merge(d *ClientResults) *ClientResults {
+	sum := &ClientResults{Statuses: map[int]int{}}
+	for _, x := range []*ClientResults{c, d} {
 		x.mu.Lock()
-		for i, n := range x.Counts {
-			sum.Counts[i] += n
+		for i, n := range x.Outcomes {
+			sum.Outcomes[i] += n
 		}
-		for status, n := range x.Status {
-			sum.Status[status] += n
+		for status, n := range x.Statuses {
+			sum.Statuses[status] += n
 		}
-		sum.Tries += x.Tries
+		sum.Attempts += x.Attempts
 		sum.Connections += x.Connections
 		sum.Reused += x.Reused
-		sum.Crossed += x.Crossed
-		sum.Bound += x.Bound
+		sum.ClosedBeforeReuse += x.ClosedBeforeReuse
+		sum.ConnectionLimited += x.ConnectionLimited
 		sum.Latencies = append(sum.Latencies, x.Latencies...)
-		sum.Refusals = append(sum.Refusals, x.Refusals...)
-		sum.Asked += x.Asked
-		sum.Won += x.Won
+		sum.RejectionLatencies = append(sum.RejectionLatencies, x.RejectionLatencies...)
+		sum.OfferedWeight += x.OfferedWeight
+		sum.ServedWeight += x.ServedWeight
 		x.mu.Unlock()
 	}
 	return sum
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -10,105 +10,105 @@
 	"time"
 )
 
-// Entry is what discovery says of a box.
-type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+// Endpoint is what discovery says of a box.
+type Endpoint struct {
+	Host        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	MachineType string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	Weight      float64 `json:"share"`
+	StartMs     int64   `json:"born_ms"`
 }
 
 // Discovery is a stand-in for the platform's discovery: it speaks its lists and watches. It may be late, or down.
 type Discovery struct {
-	ledger *Ledger
-	server *http.Server
-	ln     net.Listener
-	done   sync.WaitGroup
+	recorder   *EffectRecorder
+	server     *http.Server
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex
-	seq     int64
-	entries map[string]Entry // with those that left
-	changed map[string]int64 // the version in which each changed last
-	late    time.Duration
-	notify  chan struct{} // closed, and made anew, at each change
+	mu        sync.Mutex
+	version   int64
+	endpoints map[string]Endpoint // with those that left
+	changedIn map[string]int64    // the version in which each changed last
+	delay     time.Duration
+	notify    chan struct{} // closed, and made anew, at each change
 }
 
 // StartDiscovery starts a discovery that lists the entries. It tells ledger, which may be nil, what it has told.
-func StartDiscovery(ledger *Ledger, entries ...Entry) (*Discovery, error) {
+func StartDiscovery(ledger *EffectRecorder, entries ...Endpoint) (*Discovery, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		ledger: ledger, ln: ln, entries: map[string]Entry{}, changed: map[string]int64{}, notify: make(chan struct{}),
+		recorder: ledger, listener: ln, endpoints: map[string]Endpoint{}, changedIn: map[string]int64{}, notify: make(chan struct{}),
 	}
-	d.Set(entries...)
+	d.SetEndpoints(entries...)
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
-	d.done.Go(func() { d.server.Serve(ln) })
+	d.goroutines.Go(func() { d.server.Serve(ln) })
 	return d, nil
 }
 
 // Addr is where discovery listens.
-func (d *Discovery) Addr() string { return d.ln.Addr().String() }
+func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Set makes the entries the whole list: others have left.
-func (d *Discovery) Set(entries ...Entry) {
+// SetEndpoints makes the entries the whole list: others have left.
+func (d *Discovery) SetEndpoints(entries ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
+	d.version++
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Host] = true
-		if d.entries[e.Host] != e {
-			d.entries[e.Host] = e
-			d.changed[e.Host] = d.seq
+		if d.endpoints[e.Host] != e {
+			d.endpoints[e.Host] = e
+			d.changedIn[e.Host] = d.version
 		}
 	}
-	for host, e := range d.entries {
+	for host, e := range d.endpoints {
 		if !listed[host] && e.Health != "left" {
 			e.Health = "left"
-			d.entries[host] = e
-			d.changed[host] = d.seq
+			d.endpoints[host] = e
+			d.changedIn[host] = d.version
 		}
 	}
 	close(d.notify)
 	d.notify = make(chan struct{})
 }
 
-// Late makes discovery tell of changes so much later.
-func (d *Discovery) Late(by time.Duration) {
+// SetDelay makes discovery tell of changes so much later.
+func (d *Discovery) SetDelay(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.late = by
+	d.delay = by
 }
 
 // Close ends discovery; watches end with it.
 func (d *Discovery) Close() {
 	d.server.Close()
-	d.done.Wait()
+	d.goroutines.Wait()
 }
 
-// since returns what has changed after version seq, and the present one. whole leaves out those that left.
-func (d *Discovery) since(seq int64, whole bool) (entries []Entry, now int64, late time.Duration, notify chan struct{}) {
+// changesSince returns what has changed after version seq, and the present one. whole leaves out those that left.
+func (d *Discovery) changesSince(seq int64, whole bool) (entries []Endpoint, now int64, late time.Duration, notify chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for host, e := range d.entries {
-		if whole && e.Health == "left" || !whole && d.changed[host] <= seq {
+	for host, e := range d.endpoints {
+		if whole && e.Health == "left" || !whole && d.changedIn[host] <= seq {
 			continue
 		}
 		entries = append(entries, e)
 	}
-	slices.SortFunc(entries, func(a, b Entry) int {
+	slices.SortFunc(entries, func(a, b Endpoint) int {
 		if a.Host < b.Host {
 			return -1
 		}
 		return 1
 	})
-	return entries, d.seq, d.late, d.notify
+	return entries, d.version, d.delay, d.notify
 }
 
 // ServeHTTP is the method of http.Handler.
@@ -117,23 +117,23 @@
 		http.NotFound(w, q)
 		return
 	}
-	line := func(entries []Entry, seq int64, whole bool) bool {
+	line := func(entries []Endpoint, seq int64, whole bool) bool {
 		if entries == nil {
-			entries = []Entry{}
+			entries = []Endpoint{}
 		}
 		text, err := json.Marshal(map[string]any{"seq": seq, "whole": whole, "hosts": entries})
 		if err != nil {
 			return false
 		}
-		if d.ledger != nil {
+		if d.recorder != nil {
 			for _, e := range entries {
-				d.ledger.Told(e.Host, e.Health != "active")
+				d.recorder.RecordDraining(e.Host, e.Health != "active")
 			}
 		}
 		_, err = w.Write(append(text, '\n'))
 		return err == nil
 	}
-	entries, seq, _, notify := d.since(0, true)
+	entries, seq, _, notify := d.changesSince(0, true)
 	if !line(entries, seq, true) || q.URL.Query().Get("follow") == "" {
 		return
 	}
@@ -154,13 +154,13 @@
 			}
 		case <-notify:
 			var late time.Duration
-			_, _, late, _ = d.since(seq, false)
+			_, _, late, _ = d.changesSince(seq, false)
 			select {
 			case <-time.After(late):
 			case <-q.Context().Done():
 				return
 			}
-			entries, seq, _, notify = d.since(seq, false)
+			entries, seq, _, notify = d.changesSince(seq, false)
 			if len(entries) > 0 && !line(entries, seq, false) {
 				return
 			}
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -11,217 +11,219 @@
 	"time"
 )
 
-// Effect says what repeating a request of a class may do.
-type Effect int
+// Idempotency says what repeating a request of a class may do.
+type Idempotency int
 
 // The effects.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	Idempotent Idempotency = iota
+	IdempotentByKey
+	NonIdempotent
 )
 
-func (e Effect) String() string { return [...]string{"safe", "keyed", "unsafe"}[e] }
+func (e Idempotency) String() string { return [...]string{"safe", "keyed", "unsafe"}[e] }
 
-// Slack is what the rules allow for the machine on which program, clients and boxes run together.
-type Slack struct {
-	Answer time.Duration // an answer may come so much after its time
-	After  time.Duration // an attempt may arrive so much after the answer
-	Grace  time.Duration // one to a box that is told to be leaving or gone, after the grace of 2 s
+// Tolerance is what the rules allow for the machine on which program, clients and boxes run together.
+type Tolerance struct {
+	LateResponse         time.Duration // an answer may come so much after its time
+	AttemptAfterResponse time.Duration // an attempt may arrive so much after the answer
+	AfterDrainGrace      time.Duration // one to a box that is told to be leaving or gone, after the grace of 2 s
 }
 
-// UsualSlack suits a machine of some cores on which little else runs.
-var UsualSlack = Slack{Answer: 150 * time.Millisecond, After: 100 * time.Millisecond, Grace: 150 * time.Millisecond}
+// DefaultTolerance suits a machine of some cores on which little else runs.
+var DefaultTolerance = Tolerance{LateResponse: 150 * time.Millisecond, AttemptAfterResponse: 100 * time.Millisecond, AfterDrainGrace: 150 * time.Millisecond}
 
 // DrainGrace is how long after it is told a box may be sent new work.
 const DrainGrace = 2 * time.Second
 
-// Ledger counts requests, answers and effects. Its methods may be called from many goroutines at once.
-type Ledger struct {
-	mu    sync.Mutex
-	tries map[string]*try
-	boxes map[string]*boxRecord
-	stray []string // what fits no try
-	ops   int
+// EffectRecorder counts requests, answers and effects. Its methods may be called from many goroutines at once.
+type EffectRecorder struct {
+	mu         sync.Mutex
+	attempts   map[string]*clientAttempt
+	backends   map[string]*backendRecord
+	unexpected []string // what fits no try
+	operations int
 }
 
-// try is one request of a client, named by its X-Request-ID. A client's retry is another try of the same operation.
-type try struct {
-	op       *Operation
-	sent     time.Time
-	timeout  time.Duration
-	answered time.Time // zero: not
-	status   int
-	left     bool // the client went away
-	arrivals []arrival
-	effects  int
+// clientAttempt is one request of a client, named by its X-Request-ID. A client's retry is another try of the same operation.
+type clientAttempt struct {
+	operation  *Operation
+	sent       time.Time
+	timeout    time.Duration
+	answered   time.Time // zero: not
+	status     int
+	clientGone bool // the client went away
+	arrivals   []arrival
+	effects    int
 }
 
 // Operation is what a client wants done once.
 type Operation struct {
-	effect  Effect
-	effects int
-	ids     []string
+	idempotency Idempotency
+	effects     int
+	attemptIDs  []string
 }
 
 type arrival struct {
-	box string
-	at  time.Time
+	backend string
+	at      time.Time
 }
 
-// boxRecord is what is known of a box.
-type boxRecord struct {
-	told   time.Time // when the program was told that it leaves or is gone; zero: not
-	born   time.Time // zero: warm
-	budget func(age, window time.Duration) float64
-	window time.Duration
-	starts []time.Time // of work that reached it while it was cold
+// backendRecord is what is known of a box.
+type backendRecord struct {
+	drainingSince     time.Time // when the program was told that it leaves or is gone; zero: not
+	slowStartSince    time.Time // zero: warm
+	budget            func(age, window time.Duration) float64
+	window            time.Duration
+	slowStartArrivals []time.Time // of work that reached it while it was cold
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{tries: map[string]*try{}, boxes: map[string]*boxRecord{}} }
+// NewEffectRecorder returns an empty ledger.
+func NewEffectRecorder() *EffectRecorder {
+	return &EffectRecorder{attempts: map[string]*clientAttempt{}, backends: map[string]*backendRecord{}}
+}
 
-// Op begins an operation of a client.
-func (l *Ledger) Op(e Effect) *Operation {
+// BeginOperation begins an operation of a client.
+func (l *EffectRecorder) BeginOperation(e Idempotency) *Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ops++
-	return &Operation{effect: e}
+	l.operations++
+	return &Operation{idempotency: e}
 }
 
-// Ops is how many operations were begun.
-func (l *Ledger) Ops() int {
+// Operations is how many operations were begun.
+func (l *EffectRecorder) Operations() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ops
+	return l.operations
 }
 
-// Sent notes a try of o whose last byte is about to be written. It panics if the id was used before.
-func (l *Ledger) Sent(o *Operation, id string, timeout time.Duration) {
+// RecordSent notes a try of o whose last byte is about to be written. It panics if the id was used before.
+func (l *EffectRecorder) RecordSent(o *Operation, id string, timeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.tries[id] != nil {
+	if l.attempts[id] != nil {
 		panic("standin: a request's id is used twice: " + id)
 	}
-	l.tries[id] = &try{op: o, sent: time.Now(), timeout: timeout}
-	o.ids = append(o.ids, id)
+	l.attempts[id] = &clientAttempt{operation: o, sent: time.Now(), timeout: timeout}
+	o.attemptIDs = append(o.attemptIDs, id)
 }
 
-// Unsent takes a try back that the program cannot have read.
-func (l *Ledger) Unsent(id string) {
+// RecordUnsent takes a try back that the program cannot have read.
+func (l *EffectRecorder) RecordUnsent(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.tries[id]; t != nil && len(t.arrivals) == 0 {
-		delete(l.tries, id)
+	if t := l.attempts[id]; t != nil && len(t.arrivals) == 0 {
+		delete(l.attempts, id)
 	}
 }
 
-// Answered notes the answer to a try; made is whether its body is what a box made for it, where it was served.
-func (l *Ledger) Answered(id string, status int, made bool) {
+// RecordResponse notes the answer to a try; made is whether its body is what a box made for it, where it was served.
+func (l *EffectRecorder) RecordResponse(id string, status int, made bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tries[id]
+	t := l.attempts[id]
 	switch {
 	case t == nil:
-		l.stray = append(l.stray, "an answer to "+id+", which was never sent")
+		l.unexpected = append(l.unexpected, "an answer to "+id+", which was never sent")
 	case !t.answered.IsZero():
-		l.stray = append(l.stray, "a second answer to "+id)
+		l.unexpected = append(l.unexpected, "a second answer to "+id)
 	case status == 200 && !made:
-		l.stray = append(l.stray, id+" was served with what no box made for it")
+		l.unexpected = append(l.unexpected, id+" was served with what no box made for it")
 	default:
 		t.answered, t.status = time.Now(), status
 	}
 }
 
-// Left notes that the client of a try has gone away.
-func (l *Ledger) Left(id string) {
+// RecordClientGone notes that the client of a try has gone away.
+func (l *EffectRecorder) RecordClientGone(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.tries[id]; t != nil {
-		t.left = true
+	if t := l.attempts[id]; t != nil {
+		t.clientGone = true
 	}
 }
 
-// Stray notes bytes that came to a client unasked.
-func (l *Ledger) Stray(what string) {
+// RecordUnexpected notes bytes that came to a client unasked.
+func (l *EffectRecorder) RecordUnexpected(what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stray = append(l.stray, what)
+	l.unexpected = append(l.unexpected, what)
 }
 
-// Arrived notes that a request came whole to a box.
-func (l *Ledger) Arrived(box, id string) {
+// RecordArrival notes that a request came whole to a box.
+func (l *EffectRecorder) RecordArrival(box, id string) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tries[id]
+	t := l.attempts[id]
 	if t == nil {
-		l.stray = append(l.stray, fmt.Sprintf("box %s got a request %q that no client sent", box, id))
+		l.unexpected = append(l.unexpected, fmt.Sprintf("box %s got a request %q that no client sent", box, id))
 		return
 	}
 	t.arrivals = append(t.arrivals, arrival{box, now})
-	if b := l.boxes[box]; b != nil && !b.born.IsZero() {
-		b.starts = append(b.starts, now)
+	if b := l.backends[box]; b != nil && !b.slowStartSince.IsZero() {
+		b.slowStartArrivals = append(b.slowStartArrivals, now)
 	}
 }
 
-// Effect notes that a request had its effect.
-func (l *Ledger) Effect(id string) {
+// RecordEffect notes that a request had its effect.
+func (l *EffectRecorder) RecordEffect(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.tries[id]; t != nil {
+	if t := l.attempts[id]; t != nil {
 		t.effects++
-		t.op.effects++
+		t.operation.effects++
 	}
 }
 
-// Told notes that the program was told of a box that it leaves, is gone, or is back.
-func (l *Ledger) Told(box string, leaving bool) {
+// RecordDraining notes that the program was told of a box that it leaves, is gone, or is back.
+func (l *EffectRecorder) RecordDraining(box string, leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.box(box)
+	b := l.backend(box)
 	switch {
 	case !leaving:
-		b.told = time.Time{}
-	case b.told.IsZero():
-		b.told = time.Now()
+		b.drainingSince = time.Time{}
+	case b.drainingSince.IsZero():
+		b.drainingSince = time.Now()
 	}
 }
 
-// Born notes that a box starts cold: in any window of its warm-up it may be sent as many requests as budget says.
-func (l *Ledger) Born(box string, window time.Duration, budget func(age, window time.Duration) float64) {
+// RecordSlowStart notes that a box starts cold: in any window of its warm-up it may be sent as many requests as budget says.
+func (l *EffectRecorder) RecordSlowStart(box string, window time.Duration, budget func(age, window time.Duration) float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.box(box)
-	b.born, b.window, b.budget, b.starts = time.Now(), window, budget, nil
+	b := l.backend(box)
+	b.slowStartSince, b.window, b.budget, b.slowStartArrivals = time.Now(), window, budget, nil
 }
 
-func (l *Ledger) box(name string) *boxRecord {
-	b := l.boxes[name]
+func (l *EffectRecorder) backend(name string) *backendRecord {
+	b := l.backends[name]
 	if b == nil {
-		b = &boxRecord{}
-		l.boxes[name] = b
+		b = &backendRecord{}
+		l.backends[name] = b
 	}
 	return b
 }
 
 // Verdict is what a ledger says of a run.
 type Verdict struct {
-	Broken   []string // the rules that were broken, each with its first case
-	Ops      int
-	Tries    int
-	Arrivals int // of tries at boxes
-	Answered int
-	Effects  int
-	Doubled  int           // operations with more effects than one, of those that may have only one
-	Latest   time.Duration // how far an answer came after its time, at the most
+	Violations       []string // the rules that were broken, each with its first case
+	Operations       int
+	Attempts         int
+	Arrivals         int // of tries at boxes
+	Answered         int
+	Effects          int
+	DuplicateEffects int           // operations with more effects than one, of those that may have only one
+	MaxLateness      time.Duration // how far an answer came after its time, at the most
 }
 
 // Check tells whether the rules were kept. It is called once all is over.
-func (l *Ledger) Check(slack Slack) Verdict {
+func (l *EffectRecorder) Check(slack Tolerance) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	v := Verdict{Tries: len(l.tries), Ops: l.ops}
+	v := Verdict{Attempts: len(l.attempts), Operations: l.operations}
 	first, count := map[string]string{}, map[string]int{}
 	var order []string
 	broken := func(rule, format string, args ...any) {
@@ -230,80 +232,80 @@
 			first[rule] = fmt.Sprintf(format, args...)
 		}
 	}
-	for _, s := range l.stray {
+	for _, s := range l.unexpected {
 		broken("1 one answer", "%s", s)
 	}
 	seen := map[*Operation]bool{}
-	for id, t := range l.tries {
+	for id, t := range l.attempts {
 		late := t.answered.Sub(t.sent) - t.timeout
 		switch {
-		case t.left:
+		case t.clientGone:
 		case t.answered.IsZero():
 			broken("1 one answer", "%s was never answered", id)
-		case late > slack.Answer:
+		case late > slack.LateResponse:
 			broken("1 one answer", "%s was answered %v after its time", id, late.Round(time.Millisecond))
 		}
 		if !t.answered.IsZero() {
 			v.Answered++
-			v.Latest = max(v.Latest, late)
+			v.MaxLateness = max(v.MaxLateness, late)
 		}
 		refused := t.status == 429 || t.status == 503
-		if refused && t.effects > 0 && t.op.effect == Unsafe {
+		if refused && t.effects > 0 && t.operation.idempotency == NonIdempotent {
 			broken("2 no effect twice", "%s is unsafe, had run, and was refused", id)
 		}
 		for _, a := range t.arrivals {
-			if !t.answered.IsZero() && a.at.Sub(t.answered) > slack.After {
-				broken("1 one answer", "%s came to box %s %v after its answer", id, a.box, a.at.Sub(t.answered).Round(time.Millisecond))
+			if !t.answered.IsZero() && a.at.Sub(t.answered) > slack.AttemptAfterResponse {
+				broken("1 one answer", "%s came to box %s %v after its answer", id, a.backend, a.at.Sub(t.answered).Round(time.Millisecond))
 			}
 		}
 		v.Effects += t.effects
 		v.Arrivals += len(t.arrivals)
-		if o := t.op; !seen[o] {
+		if o := t.operation; !seen[o] {
 			seen[o] = true
-			if o.effect != Safe && o.effects > 1 {
-				v.Doubled++
-				broken("2 no effect twice", "%d effects of one %v operation, tried as %v", o.effects, o.effect, o.ids)
+			if o.idempotency != Idempotent && o.effects > 1 {
+				v.DuplicateEffects++
+				broken("2 no effect twice", "%d effects of one %v operation, tried as %v", o.effects, o.idempotency, o.attemptIDs)
 			}
 		}
 	}
-	for name, b := range l.boxes {
+	for name, b := range l.backends {
 		l.checkGrace(name, b, slack, broken)
 		checkCold(name, b, broken)
 	}
 	for _, rule := range order {
-		v.Broken = append(v.Broken, fmt.Sprintf("rule %s, %d times; first: %s", rule, count[rule], first[rule]))
+		v.Violations = append(v.Violations, fmt.Sprintf("rule %s, %d times; first: %s", rule, count[rule], first[rule]))
 	}
 	return v
 }
 
-// Arrivals is how often a try has come to a box.
-func (l *Ledger) Arrivals(id string) int {
+// ArrivalCount is how often a try has come to a box.
+func (l *EffectRecorder) ArrivalCount(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.tries[id]; t != nil {
+	if t := l.attempts[id]; t != nil {
 		return len(t.arrivals)
 	}
 	return 0
 }
 
-// IsAnswered reports whether a try has its answer.
-func (l *Ledger) IsAnswered(id string) bool {
+// HasResponse reports whether a try has its answer.
+func (l *EffectRecorder) HasResponse(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.tries[id]
+	t := l.attempts[id]
 	return t != nil && !t.answered.IsZero()
 }
 
-// ArrivedFrom counts the arrivals at boxes of these names of tries whose id contains text, such as the name of a crowd.
-func (l *Ledger) ArrivedFrom(boxes map[string]bool, text string) int {
+// ArrivalsAt counts the arrivals at boxes of these names of tries whose id contains text, such as the name of a crowd.
+func (l *EffectRecorder) ArrivalsAt(boxes map[string]bool, text string) int {
 	n := 0
-	l.arrivalsFrom(boxes, text, func(time.Time) { n++ })
+	l.forEachArrivalAt(boxes, text, func(time.Time) { n++ })
 	return n
 }
 
-// LastArrivalFrom is when the last of them came; zero if none did.
-func (l *Ledger) LastArrivalFrom(boxes map[string]bool, text string) (last time.Time) {
-	l.arrivalsFrom(boxes, text, func(at time.Time) {
+// LastArrivalAt is when the last of them came; zero if none did.
+func (l *EffectRecorder) LastArrivalAt(boxes map[string]bool, text string) (last time.Time) {
+	l.forEachArrivalAt(boxes, text, func(at time.Time) {
 		if at.After(last) {
 			last = at
 		}
@@ -311,28 +313,28 @@
 	return last
 }
 
-func (l *Ledger) arrivalsFrom(boxes map[string]bool, text string, each func(at time.Time)) {
+func (l *EffectRecorder) forEachArrivalAt(boxes map[string]bool, text string, each func(at time.Time)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, t := range l.tries {
+	for id, t := range l.attempts {
 		if !strings.Contains(id, text) {
 			continue
 		}
 		for _, a := range t.arrivals {
-			if boxes[a.box] {
+			if boxes[a.backend] {
 				each(a.at)
 			}
 		}
 	}
 }
 
-func (l *Ledger) checkGrace(name string, b *boxRecord, slack Slack, broken func(string, string, ...any)) {
-	if b.told.IsZero() {
+func (l *EffectRecorder) checkGrace(name string, b *backendRecord, slack Tolerance, broken func(string, string, ...any)) {
+	if b.drainingSince.IsZero() {
 		return
 	}
-	for id, t := range l.tries {
+	for id, t := range l.attempts {
 		for _, a := range t.arrivals {
-			if late := a.at.Sub(b.told); a.box == name && late > DrainGrace+slack.Grace {
+			if late := a.at.Sub(b.drainingSince); a.backend == name && late > DrainGrace+slack.AfterDrainGrace {
 				broken("3 no work after the grace", "%s came to box %s %v after it was told to leave", id, name, late.Round(time.Millisecond))
 			}
 		}
@@ -340,20 +342,20 @@
 }
 
 // checkCold looks at each window that begins with a request to a cold box.
-func checkCold(name string, b *boxRecord, broken func(string, string, ...any)) {
+func checkCold(name string, b *backendRecord, broken func(string, string, ...any)) {
 	if b.budget == nil {
 		return
 	}
-	for i, from := range b.starts {
+	for i, from := range b.slowStartArrivals {
 		n := 0
-		for _, at := range b.starts[i:] {
+		for _, at := range b.slowStartArrivals[i:] {
 			if at.Sub(from) > b.window {
 				break
 			}
 			n++
 		}
-		if most := b.budget(from.Sub(b.born), b.window); float64(n) > most {
-			broken("4 no cold box pushed over", "box %s got %d requests in %v at the age of %v, %0.0f allowed", name, n, b.window, from.Sub(b.born).Round(time.Millisecond), most)
+		if most := b.budget(from.Sub(b.slowStartSince), b.window); float64(n) > most {
+			broken("4 no cold box pushed over", "box %s got %d requests in %v at the age of %v, %0.0f allowed", name, n, b.window, from.Sub(b.slowStartSince).Round(time.Millisecond), most)
 			return
 		}
 	}
--- a/internal/fake/long.go
+++ b/internal/fake/long.go
@@ -20,19 +20,19 @@
 
 // Pace is how a peer reads or writes a long body: so many bytes a second, in pieces of any size up to Piece.
 type Pace struct {
-	Rate  int // bytes a second; 0: as fast as it goes
-	Piece int // bytes, above 0
+	BytesPerSecond int // bytes a second; 0: as fast as it goes
+	MaxChunk       int // bytes, above 0
 }
 
 // pauses between pieces are no shorter, so that fast peers do not wait for the timer.
-const leastPacePause = 2 * time.Millisecond
+const minPacePause = 2 * time.Millisecond
 
 // copyPaced copies n bytes at a pace.
 func copyPaced(ctx context.Context, w io.Writer, r io.Reader, n int64, p Pace, rng *rand.Rand) error {
 	began, done := time.Now(), int64(0)
-	buffer := make([]byte, p.Piece)
+	buffer := make([]byte, p.MaxChunk)
 	for done < n {
-		piece := min(n-done, int64(1+rng.IntN(p.Piece)))
+		piece := min(n-done, int64(1+rng.IntN(p.MaxChunk)))
 		k, err := io.ReadFull(r, buffer[:piece])
 		if k > 0 {
 			if _, werr := w.Write(buffer[:k]); werr != nil {
@@ -43,9 +43,9 @@
 		if err != nil {
 			return err
 		}
-		if p.Rate > 0 {
-			due := time.Duration(float64(done) / float64(p.Rate) * float64(time.Second))
-			if wait := due - time.Since(began); wait > leastPacePause {
+		if p.BytesPerSecond > 0 {
+			due := time.Duration(float64(done) / float64(p.BytesPerSecond) * float64(time.Second))
+			if wait := due - time.Since(began); wait > minPacePause {
 				select {
 				case <-time.After(wait):
 				case <-ctx.Done():
@@ -68,78 +68,78 @@
 	return rand.NewChaCha8(seed)
 }
 
-// checker is an io.Writer that takes the bytes of a pattern and no others.
-type checker struct {
+// patternChecker is an io.Writer that takes the bytes of a pattern and no others.
+type patternChecker struct {
 	want  io.Reader
 	total int64
 }
 
-var errOther = errors.New("other bytes than were sent")
+var errBodyMismatch = errors.New("other bytes than were sent")
 
-func (c *checker) Write(p []byte) (int, error) {
+func (c *patternChecker) Write(p []byte) (int, error) {
 	want := make([]byte, len(p))
 	if _, err := io.ReadFull(c.want, want); err != nil {
 		return 0, err
 	}
 	if !bytes.Equal(p, want) {
-		return 0, errOther
+		return 0, errBodyMismatch
 	}
 	c.total += int64(len(p))
 	return len(p), nil
 }
 
-// LongBox is a stand-in for a server with long answers and bodies: GET /CLASS/SIZE/ID is answered with SIZE bytes that belong to
+// StreamingBackend is a stand-in for a server with long answers and bodies: GET /CLASS/SIZE/ID is answered with SIZE bytes that belong to
 // the request, and the body of POST /CLASS/SIZE/ID must be those.
-type LongBox struct {
+type StreamingBackend struct {
 	Pace Pace
-	// Stops makes it read no further than that of a body; 0: it reads on.
-	Stops int64
+	// ReadLimit makes it read no further than that of a body; 0: it reads on.
+	ReadLimit int64
 
-	seed   uint64
-	server *http.Server
-	addr   string
-	ended  chan struct{}
-	runs   sync.Map // *atomic.Int64 by id: bodies that came whole and right
-	wrong  atomic.Int64
+	seed      uint64
+	server    *http.Server
+	addr      string
+	serveDone chan struct{}
+	completed sync.Map // *atomic.Int64 by id: bodies that came whole and right
+	corrupt   atomic.Int64
 }
 
-// StartLongBox starts one.
-func StartLongBox(p Pace, stops int64, seed uint64) (*LongBox, error) {
+// StartStreamingBackend starts one.
+func StartStreamingBackend(p Pace, stops int64, seed uint64) (*StreamingBackend, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &LongBox{Pace: p, Stops: stops, seed: seed, addr: ln.Addr().String(), ended: make(chan struct{})}
+	b := &StreamingBackend{Pace: p, ReadLimit: stops, seed: seed, addr: ln.Addr().String(), serveDone: make(chan struct{})}
 	b.server = &http.Server{Handler: b}
 	go func() {
-		defer close(b.ended)
+		defer close(b.serveDone)
 		b.server.Serve(ln)
 	}()
 	return b, nil
 }
 
 // Addr is where it listens.
-func (b *LongBox) Addr() string { return b.addr }
+func (b *StreamingBackend) Addr() string { return b.addr }
 
-// Wrong is how many bodies came otherwise than they were sent.
-func (b *LongBox) Wrong() int64 { return b.wrong.Load() }
+// CorruptBodies is how many bodies came otherwise than they were sent.
+func (b *StreamingBackend) CorruptBodies() int64 { return b.corrupt.Load() }
 
-// Runs is how often the body of that request came whole.
-func (b *LongBox) Runs(id string) int64 {
-	if n, ok := b.runs.Load(id); ok {
+// CompletedBodies is how often the body of that request came whole.
+func (b *StreamingBackend) CompletedBodies(id string) int64 {
+	if n, ok := b.completed.Load(id); ok {
 		return n.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
 // Close ends it and all its connections.
-func (b *LongBox) Close() {
+func (b *StreamingBackend) Close() {
 	b.server.Close()
-	<-b.ended
+	<-b.serveDone
 }
 
 // ServeHTTP is the method of http.Handler.
-func (b *LongBox) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (b *StreamingBackend) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path == "/load" {
 		io.WriteString(w, "inflight=0, queue=0")
 		return
@@ -156,68 +156,68 @@
 		if size%2 == 0 { // every other without a length
 			w.Header().Set("Content-Length", parts[2])
 		}
-		_ = copyPaced(q.Context(), flushing{w}, pattern(id), size, b.Pace, rng) // the client sees what is missing
+		_ = copyPaced(q.Context(), flushWriter{w}, pattern(id), size, b.Pace, rng) // the client sees what is missing
 		return
 	}
-	c := &checker{want: pattern(id)}
+	c := &patternChecker{want: pattern(id)}
 	limit := size
-	if b.Stops > 0 {
-		limit = min(size, b.Stops)
+	if b.ReadLimit > 0 {
+		limit = min(size, b.ReadLimit)
 	}
-	if err := copyPaced(q.Context(), c, q.Body, limit, b.Pace, rng); errors.Is(err, errOther) {
-		b.wrong.Add(1)
+	if err := copyPaced(q.Context(), c, q.Body, limit, b.Pace, rng); errors.Is(err, errBodyMismatch) {
+		b.corrupt.Add(1)
 	}
-	if b.Stops > 0 {
+	if b.ReadLimit > 0 {
 		<-q.Context().Done() // whoever sends it has enough
 		return
 	}
 	if n, _ := io.Copy(io.Discard, q.Body); c.total != size || n > 0 {
 		return // it broke off
 	}
-	n, _ := b.runs.LoadOrStore(id, new(atomic.Int64))
+	n, _ := b.completed.LoadOrStore(id, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	io.WriteString(w, id)
 }
 
-// flushing writes each piece through.
-type flushing struct{ w http.ResponseWriter }
+// flushWriter writes each piece through.
+type flushWriter struct{ w http.ResponseWriter }
 
-func (f flushing) Write(p []byte) (int, error) {
+func (f flushWriter) Write(p []byte) (int, error) {
 	n, err := f.w.Write(p)
 	f.w.(http.Flusher).Flush()
 	return n, err
 }
 
-// LongAsk is one request of a client with a long body or a long answer.
-type LongAsk struct {
+// StreamingRequest is one request of a client with a long body or a long answer.
+type StreamingRequest struct {
 	Addr, Class, ID string
 	Upload          bool
 	Chunked         bool // of an upload
 	Size            int64
 	Pace            Pace
 	Timeout         time.Duration // of the request, from its last byte on
-	Patience        time.Duration // of the client, for all of it
+	ClientTimeout   time.Duration // of the client, for all of it
 	Seed            uint64
 }
 
-// LongAnswer is what came of it.
-type LongAnswer struct {
-	Status int // 0: none
-	Whole  bool
-	Err    error // why it is not whole
-	Took   time.Duration
+// StreamingResult is what came of it.
+type StreamingResult struct {
+	Status   int // 0: none
+	Complete bool
+	Err      error // why it is not whole
+	Duration time.Duration
 }
 
-// AskLong sends it and reads the answer at its pace.
-func AskLong(ctx context.Context, a LongAsk) (got LongAnswer) {
+// SendStreaming sends it and reads the answer at its pace.
+func SendStreaming(ctx context.Context, a StreamingRequest) (got StreamingResult) {
 	began := time.Now()
-	defer func() { got.Took = time.Since(began) }()
+	defer func() { got.Duration = time.Since(began) }()
 	c, err := net.DialTimeout("tcp", a.Addr, 5*time.Second)
 	if err != nil {
-		return LongAnswer{Err: err}
+		return StreamingResult{Err: err}
 	}
 	defer c.Close()
-	c.SetDeadline(began.Add(a.Patience))
+	c.SetDeadline(began.Add(a.ClientTimeout))
 	rng := rand.New(rand.NewPCG(a.Seed, 3))
 	method, more := http.MethodGet, ""
 	if a.Upload {
@@ -228,14 +228,14 @@
 	}
 	if _, err = fmt.Fprintf(c, "%s /%s/%d/%s HTTP/1.1\r\nHost: farm.example.org\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n%s\r\n",
 		method, a.Class, a.Size, a.ID, a.ID, a.Timeout.Milliseconds(), more); err != nil {
-		return LongAnswer{Err: err}
+		return StreamingResult{Err: err}
 	}
 	sent := make(chan error, 1)
 	if a.Upload {
 		go func() {
 			var w io.Writer = c
 			if a.Chunked {
-				w = chunks{c}
+				w = chunkWriter{c}
 			}
 			err := copyPaced(ctx, w, pattern(a.ID), a.Size, a.Pace, rng)
 			if err == nil && a.Chunked {
@@ -253,7 +253,7 @@
 	r := bufio.NewReader(c)
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
-		return LongAnswer{Err: err}
+		return StreamingResult{Err: err}
 	}
 	got.Status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
@@ -261,25 +261,25 @@
 	}
 	if a.Upload {
 		text, err := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-		got.Whole, got.Err = err == nil && string(text) == a.ID, err
+		got.Complete, got.Err = err == nil && string(text) == a.ID, err
 		return got
 	}
-	check := &checker{want: pattern(a.ID)}
+	check := &patternChecker{want: pattern(a.ID)}
 	err = copyPaced(ctx, check, resp.Body, a.Size, a.Pace, rng)
 	if err == nil {
 		var n int64
 		if n, err = io.Copy(io.Discard, resp.Body); n > 0 {
-			err = errOther
+			err = errBodyMismatch
 		}
 	}
-	got.Whole, got.Err = err == nil, err
+	got.Complete, got.Err = err == nil, err
 	return got
 }
 
-// chunks writes each piece as a chunk.
-type chunks struct{ w io.Writer }
+// chunkWriter writes each piece as a chunk.
+type chunkWriter struct{ w io.Writer }
 
-func (c chunks) Write(p []byte) (int, error) {
+func (c chunkWriter) Write(p []byte) (int, error) {
 	if _, err := fmt.Fprintf(c.w, "%x\r\n%s\r\n", len(p), p); err != nil {
 		return 0, err
 	}
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -18,124 +18,127 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
 }
 
-// TestLedger guards against a ledger that sees no rule broken: each is broken once here, and kept once.
-func TestLedger(t *testing.T) {
+// TestEffectRecorder guards against a ledger that sees no rule broken: each is broken once here, and kept once.
+func TestEffectRecorder(t *testing.T) {
 	ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
-	answered := func(l *Ledger, id string, status int) { l.Answered(id, status, true) }
+	answered := func(l *EffectRecorder, id string, status int) { l.RecordResponse(id, status, true) }
 	for name, c := range map[string]struct {
-		play func(l *Ledger)
+		play func(l *EffectRecorder)
 		want string // a part of what is broken, "" if nothing is
 	}{
-		"all kept": {func(l *Ledger) {
-			for i, e := range []Effect{Safe, Keyed, Unsafe} {
+		"all kept": {func(l *EffectRecorder) {
+			for i, e := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 				id := strconv.Itoa(i)
-				l.Sent(l.Op(e), id, time.Second)
-				l.Arrived("box", id)
-				l.Effect(id)
+				l.RecordSent(l.BeginOperation(e), id, time.Second)
+				l.RecordArrival("box", id)
+				l.RecordEffect(id)
 				answered(l, id, 200)
 			}
 		}, ""},
-		"never answered":  {func(l *Ledger) { l.Sent(l.Op(Safe), "a", time.Second) }, "never answered"},
-		"the client left": {func(l *Ledger) { l.Sent(l.Op(Safe), "a", time.Second); l.Left("a") }, ""},
-		"answered late": {func(l *Ledger) {
-			l.Sent(l.Op(Safe), "a", time.Second)
-			l.tries["a"].sent = ago(3 * time.Second)
+		"never answered": {func(l *EffectRecorder) { l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second) }, "never answered"},
+		"the client left": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.RecordClientGone("a")
+		}, ""},
+		"answered late": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.attempts["a"].sent = ago(3 * time.Second)
 			answered(l, "a", 502)
 		}, "after its time"},
-		"two answers": {func(l *Ledger) {
-			l.Sent(l.Op(Safe), "a", time.Second)
+		"two answers": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
 			answered(l, "a", 200)
 			answered(l, "a", 200)
 		}, "a second answer"},
-		"another's answer": {func(l *Ledger) {
-			l.Sent(l.Op(Safe), "a", time.Second)
-			l.Answered("a", 200, false)
+		"another's answer": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.RecordResponse("a", 200, false)
 		}, "no box made for it"},
-		"sent after the answer": {func(l *Ledger) {
-			l.Sent(l.Op(Safe), "a", time.Second)
+		"sent after the answer": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
 			answered(l, "a", 502)
-			l.tries["a"].answered = ago(time.Second)
-			l.Arrived("box", "a")
+			l.attempts["a"].answered = ago(time.Second)
+			l.RecordArrival("box", "a")
 		}, "after its answer"},
-		"an invented request": {func(l *Ledger) { l.Arrived("box", "a") }, "no client sent"},
-		"unsafe, twice by one try": {func(l *Ledger) {
-			l.Sent(l.Op(Unsafe), "a", time.Second)
-			l.Effect("a")
-			l.Effect("a")
+		"an invented request": {func(l *EffectRecorder) { l.RecordArrival("box", "a") }, "no client sent"},
+		"unsafe, twice by one try": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(NonIdempotent), "a", time.Second)
+			l.RecordEffect("a")
+			l.RecordEffect("a")
 			answered(l, "a", 200)
 		}, "2 effects"},
-		"keyed, twice over two tries": {func(l *Ledger) {
-			o := l.Op(Keyed)
+		"keyed, twice over two tries": {func(l *EffectRecorder) {
+			o := l.BeginOperation(IdempotentByKey)
 			for _, id := range []string{"a", "b"} {
-				l.Sent(o, id, time.Second)
-				l.Effect(id)
+				l.RecordSent(o, id, time.Second)
+				l.RecordEffect(id)
 				answered(l, id, 200)
 			}
 		}, "2 effects"},
-		"unsafe, run and refused": {func(l *Ledger) {
-			l.Sent(l.Op(Unsafe), "a", time.Second)
-			l.Effect("a")
+		"unsafe, run and refused": {func(l *EffectRecorder) {
+			l.RecordSent(l.BeginOperation(NonIdempotent), "a", time.Second)
+			l.RecordEffect("a")
 			answered(l, "a", 503)
 		}, "was refused"},
-		"after the grace": {func(l *Ledger) {
-			l.Told("box", true)
-			l.boxes["box"].told = ago(3 * time.Second)
-			l.Sent(l.Op(Safe), "a", time.Second)
-			l.Arrived("box", "a")
+		"after the grace": {func(l *EffectRecorder) {
+			l.RecordDraining("box", true)
+			l.backends["box"].drainingSince = ago(3 * time.Second)
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.RecordArrival("box", "a")
 			answered(l, "a", 200)
 		}, "told to leave"},
-		"within the grace": {func(l *Ledger) {
-			l.Told("box", true)
-			l.Sent(l.Op(Safe), "a", time.Second)
-			l.Arrived("box", "a")
+		"within the grace": {func(l *EffectRecorder) {
+			l.RecordDraining("box", true)
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.RecordArrival("box", "a")
 			answered(l, "a", 200)
 		}, ""},
-		"back again": {func(l *Ledger) {
-			l.Told("box", true)
-			l.boxes["box"].told = ago(3 * time.Second)
-			l.Told("box", false)
-			l.Sent(l.Op(Safe), "a", time.Second)
-			l.Arrived("box", "a")
+		"back again": {func(l *EffectRecorder) {
+			l.RecordDraining("box", true)
+			l.backends["box"].drainingSince = ago(3 * time.Second)
+			l.RecordDraining("box", false)
+			l.RecordSent(l.BeginOperation(Idempotent), "a", time.Second)
+			l.RecordArrival("box", "a")
 			answered(l, "a", 200)
 		}, ""},
-		"a cold box": {func(l *Ledger) {
-			l.Born("box", time.Second, func(_, w time.Duration) float64 { return 10 * w.Seconds() })
+		"a cold box": {func(l *EffectRecorder) {
+			l.RecordSlowStart("box", time.Second, func(_, w time.Duration) float64 { return 10 * w.Seconds() })
 			for i := range 12 {
 				id := strconv.Itoa(i)
-				l.Sent(l.Op(Safe), id, time.Second)
-				l.Arrived("box", id)
+				l.RecordSent(l.BeginOperation(Idempotent), id, time.Second)
+				l.RecordArrival("box", id)
 				answered(l, id, 200)
 			}
 		}, "12 requests in 1s"},
 	} {
-		l := NewLedger()
+		l := NewEffectRecorder()
 		c.play(l)
-		broken := strings.Join(l.Check(UsualSlack).Broken, "; ")
+		broken := strings.Join(l.Check(DefaultTolerance).Violations, "; ")
 		if (broken == "") != (c.want == "") || !strings.Contains(broken, c.want) {
 			t.Errorf("%s: broken is %q, want %q", name, broken, c.want)
 		}
 	}
 }
 
-func startBox(t *testing.T, cfg BoxConfig) *Box {
+func startTestBackend(t *testing.T, cfg BackendConfig) *Backend {
 	t.Helper()
-	if cfg.Queue == 0 {
-		cfg.Queue = 10
+	if cfg.QueueLimit == 0 {
+		cfg.QueueLimit = 10
 	}
-	b, err := StartBox(cfg)
+	b, err := StartBackend(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,15 +146,15 @@
 	return b
 }
 
-// ask sends a request to addr on a connection of its own. Status 0 means that no answer could be read.
-func ask(t *testing.T, addr, class, id, key string) (status int, header http.Header, body string) {
+// sendRequest sends a request to addr on a connection of its own. Status 0 means that no answer could be read.
+func sendRequest(t *testing.T, addr, class, id, key string) (status int, header http.Header, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, nil, ""
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	more := ""
 	if key != "" {
 		more = "Idempotency-Key: " + key + "\r\n"
@@ -168,9 +171,9 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-func TestBoxFaults(t *testing.T) {
-	l := NewLedger()
-	b := startBox(t, BoxConfig{Name: "box", Effects: map[string]Effect{"book": Unsafe}, Ledger: l})
+func TestBackendFaults(t *testing.T) {
+	l := NewEffectRecorder()
+	b := startTestBackend(t, BackendConfig{Name: "box", Idempotency: map[string]Idempotency{"book": NonIdempotent}, Recorder: l})
 	for i, c := range []struct {
 		fault   string
 		status  int
@@ -184,10 +187,10 @@
 		}
 		b.SetFault(f)
 		id := fmt.Sprint("f", i)
-		l.Sent(l.Op(Unsafe), id, patience)
-		status, header, body := ask(t, b.Addr(), "book", id, "")
+		l.RecordSent(l.BeginOperation(NonIdempotent), id, testTimeout)
+		status, header, body := sendRequest(t, b.Addr(), "book", id, "")
 		l.mu.Lock()
-		effects := l.tries[id].effects
+		effects := l.attempts[id].effects
 		l.mu.Unlock()
 		if status != c.status || effects != c.effects {
 			t.Errorf("%s: %d and %d effects, want %d and %d", c.fault, status, effects, c.status, c.effects)
@@ -195,12 +198,12 @@
 		if turned := header.Get("X-Not-Processed") == "1"; turned != (c.status == 503) {
 			t.Errorf("%s: X-Not-Processed is %v", c.fault, turned)
 		}
-		if status == 200 && (body != Made("book", id, "") || header.Get("X-Server-Load") == "") {
+		if status == 200 && (body != ResponseBody("book", id, "") || header.Get("X-Server-Load") == "") {
 			t.Errorf("%s: %q, load %q", c.fault, body, header.Get("X-Server-Load"))
 		}
 	}
-	b.SetFault(Fault{Kind: Silent, Share: 1})
-	l.Sent(l.Op(Unsafe), "silent", patience)
+	b.SetFault(Fault{Kind: FaultUnanswered, Fraction: 1})
+	l.RecordSent(l.BeginOperation(NonIdempotent), "silent", testTimeout)
 	c, err := net.Dial("tcp", b.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -209,14 +212,14 @@
 	waitFor(t, "the effect of a request that is not answered", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.tries["silent"].effects == 1
+		return l.attempts["silent"].effects == 1
 	})
 	c.Close()
-	waitFor(t, "its connection to end", func() bool { return b.Conns() == 0 })
+	waitFor(t, "its connection to end", func() bool { return b.Connections() == 0 })
 	b.SetFault(Fault{})
 	b.Drain(true)
-	l.Sent(l.Op(Unsafe), "draining", patience)
-	if status, header, _ := ask(t, b.Addr(), "book", "draining", ""); status != 503 || header.Get("X-Not-Processed") != "1" {
+	l.RecordSent(l.BeginOperation(NonIdempotent), "draining", testTimeout)
+	if status, header, _ := sendRequest(t, b.Addr(), "book", "draining", ""); status != 503 || header.Get("X-Not-Processed") != "1" {
 		t.Errorf("a draining box answers %d", status)
 	}
 	for _, text := range []string{"", "breaks", "errors 2", "errors x", "slow 1 soon", "slow 1 1s 3"} {
@@ -226,14 +229,14 @@
 	}
 }
 
-// TestBoxQueue guards against a box that takes more than it has cores and room to wait for.
-func TestBoxQueue(t *testing.T) {
-	b := startBox(t, BoxConfig{Name: "box", Cores: 2, Queue: 3, Service: 200 * time.Millisecond})
+// TestBackendQueue guards against a box that takes more than it has cores and room to wait for.
+func TestBackendQueue(t *testing.T) {
+	b := startTestBackend(t, BackendConfig{Name: "box", Cores: 2, QueueLimit: 3, ServiceTime: 200 * time.Millisecond})
 	var all sync.WaitGroup
 	var served, turned atomic.Int32
 	for i := range 20 {
 		all.Go(func() {
-			switch status, _, _ := ask(t, b.Addr(), "check", strconv.Itoa(i), ""); status {
+			switch status, _, _ := sendRequest(t, b.Addr(), "check", strconv.Itoa(i), ""); status {
 			case 200:
 				served.Add(1)
 			case 503:
@@ -247,22 +250,22 @@
 	}
 }
 
-// TestRepeats guards against running a repeat: of one that runs, of one that has run, at any box of the group; and against
+// TestDeduplicator guards against running a repeat: of one that runs, of one that has run, at any box of the group; and against
 // dropping one after the window.
-func TestRepeats(t *testing.T) {
-	l := NewLedger()
-	r := NewRepeats(time.Hour)
-	cfg := BoxConfig{Cores: 4, Service: 50 * time.Millisecond, Effects: map[string]Effect{"order": Keyed}, Repeats: r, Ledger: l}
+func TestDeduplicator(t *testing.T) {
+	l := NewEffectRecorder()
+	r := NewDeduplicator(time.Hour)
+	cfg := BackendConfig{Cores: 4, ServiceTime: 50 * time.Millisecond, Idempotency: map[string]Idempotency{"order": IdempotentByKey}, Deduplicator: r, Recorder: l}
 	a, b := cfg, cfg
 	a.Name, b.Name = "a", "b"
-	boxes := []*Box{startBox(t, a), startBox(t, b)}
-	o := l.Op(Keyed)
+	boxes := []*Backend{startTestBackend(t, a), startTestBackend(t, b)}
+	o := l.BeginOperation(IdempotentByKey)
 	var all sync.WaitGroup
 	for i := range 6 {
 		id := fmt.Sprint("r", i)
-		l.Sent(o, id, patience)
+		l.RecordSent(o, id, testTimeout)
 		all.Go(func() {
-			if status, _, body := ask(t, boxes[i%2].Addr(), "order", id, "k"); status != 200 || body != Made("order", "", "k") {
+			if status, _, body := sendRequest(t, boxes[i%2].Addr(), "order", id, "k"); status != 200 || body != ResponseBody("order", "", "k") {
 				t.Errorf("a repeat got %d %q", status, body)
 			}
 		})
@@ -277,10 +280,10 @@
 		t.Errorf("%d effects of one key", n)
 	}
 	r.mu.Lock()
-	r.keys["order k"].at = time.Now().Add(-2 * time.Hour)
+	r.keys["order k"].started = time.Now().Add(-2 * time.Hour)
 	r.mu.Unlock()
-	l.Sent(o, "late", patience)
-	ask(t, boxes[0].Addr(), "order", "late", "k")
+	l.RecordSent(o, "late", testTimeout)
+	sendRequest(t, boxes[0].Addr(), "order", "late", "k")
 	if n := effects(); n != 2 {
 		t.Errorf("%d effects with one after the window, want 2: the window must end", n)
 	}
@@ -289,8 +292,8 @@
 // TestDiscovery guards against a discovery that does not speak the platform's protocol: whole list first, then changes, those
 // that left among them, later if it is late.
 func TestDiscovery(t *testing.T) {
-	l := NewLedger()
-	d, err := StartDiscovery(l, Entry{Host: "a", Dial: "x", Health: "active"}, Entry{Host: "b", Dial: "y", Health: "active"})
+	l := NewEffectRecorder()
+	d, err := StartDiscovery(l, Endpoint{Host: "a", Address: "x", Health: "active"}, Endpoint{Host: "b", Address: "y", Health: "active"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -312,11 +315,11 @@
 		}
 	}
 	next(`"whole":true`, `"host":"a"`, `"host":"b"`)
-	d.Set(Entry{Host: "b", Dial: "y", Health: "leaving"})
+	d.SetEndpoints(Endpoint{Host: "b", Address: "y", Health: "leaving"})
 	next(`"whole":false`, `"health":"left"`, `"health":"leaving"`)
-	d.Late(50 * time.Millisecond)
+	d.SetDelay(50 * time.Millisecond)
 	began := time.Now()
-	d.Set(Entry{Host: "c", Dial: "z", Health: "active"})
+	d.SetEndpoints(Endpoint{Host: "c", Address: "z", Health: "active"})
 	next(`"host":"c"`, `"host":"b"`)
 	if spent := time.Since(began); spent < 50*time.Millisecond {
 		t.Errorf("told after %v, want it 50ms late", spent)
@@ -332,33 +335,33 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.boxes["a"].told.IsZero() || !l.boxes["c"].told.IsZero() {
+	if l.backends["a"].drainingSince.IsZero() || !l.backends["c"].drainingSince.IsZero() {
 		t.Error("the ledger was not told what discovery has told")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// TestRelay guards against a link that passes what it should hold, or loses what it should pass.
-func TestRelay(t *testing.T) {
-	b := startBox(t, BoxConfig{Name: "box"})
-	r, err := StartRelay(b.Addr())
+// TestProxy guards against a link that passes what it should hold, or loses what it should pass.
+func TestProxy(t *testing.T) {
+	b := startTestBackend(t, BackendConfig{Name: "box"})
+	r, err := StartProxy(b.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if status, _, _ := ask(t, r.Addr(), "check", "a", ""); status != 200 {
+	if status, _, _ := sendRequest(t, r.Addr(), "check", "a", ""); status != 200 {
 		t.Fatalf("through the link: %d", status)
 	}
-	r.Delay(30 * time.Millisecond)
+	r.SetDelay(30 * time.Millisecond)
 	began := time.Now()
-	if status, _, _ := ask(t, r.Addr(), "check", "b", ""); status != 200 || time.Since(began) < 60*time.Millisecond {
+	if status, _, _ := sendRequest(t, r.Addr(), "check", "b", ""); status != 200 || time.Since(began) < 60*time.Millisecond {
 		t.Errorf("%d after %v, want 200 after at least 60ms", status, time.Since(began))
 	}
-	r.Delay(0)
-	r.Stall(true)
+	r.SetDelay(0)
+	r.SetStalled(true)
 	answer := make(chan int)
 	go func() {
-		status, _, _ := ask(t, r.Addr(), "check", "c", "")
+		status, _, _ := sendRequest(t, r.Addr(), "check", "c", "")
 		answer <- status
 	}()
 	waitFor(t, "the connection to reach the link", func() bool {
@@ -369,7 +372,7 @@
 	if b.Served() != 2 {
 		t.Error("something passed while the link stood still")
 	}
-	r.Stall(false)
+	r.SetStalled(false)
 	if status := <-answer; status != 200 {
 		t.Errorf("after the stall: %d", status)
 	}
@@ -378,9 +381,9 @@
 		defer r.mu.Unlock()
 		return len(r.conns) == 0
 	})
-	r.Stall(true)
+	r.SetStalled(true)
 	go func() {
-		status, _, _ := ask(t, r.Addr(), "check", "d", "")
+		status, _, _ := sendRequest(t, r.Addr(), "check", "d", "")
 		answer <- status
 	}()
 	waitFor(t, "the next to reach the link", func() bool {
@@ -388,7 +391,7 @@
 		defer r.mu.Unlock()
 		return len(r.conns) > 0
 	})
-	r.Reset()
+	r.ResetConnections()
 	if status := <-answer; status != 0 {
 		t.Errorf("after a reset: %d", status)
 	}
@@ -397,35 +400,35 @@
 // TestClients guards against clients that don't keep their deadlines, that retry what may have run and must not run twice, or
 // that count wrongly.
 func TestClients(t *testing.T) {
-	l := NewLedger()
-	b := startBox(t, BoxConfig{
-		Name: "box", Cores: 50, Queue: 100, Effects: map[string]Effect{"book": Unsafe, "order": Keyed}, Ledger: l,
+	l := NewEffectRecorder()
+	b := startTestBackend(t, BackendConfig{
+		Name: "box", Cores: 50, QueueLimit: 100, Idempotency: map[string]Idempotency{"book": NonIdempotent, "order": IdempotentByKey}, Recorder: l,
 	})
-	b.SetFault(Fault{Kind: Error, Share: 0.5})
+	b.SetFault(Fault{Kind: FaultError, Fraction: 0.5})
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	class := func(name string, e Effect) ClassLoad {
-		return ClassLoad{Name: name, Effect: e, Share: 1, Aim: patience, Deadline: patience, Worth: 2, Body: 10}
+	class := func(name string, e Idempotency) ClassLoad {
+		return ClassLoad{Name: name, Idempotency: e, Weight: 1, LatencyObjective: testTimeout, Deadline: testTimeout, PriorityWeight: 2, BodyBytes: 10}
 	}
 	crowd := RunClients(ctx, ClientConfig{
-		Name: "c", Addr: b.Addr(), Host: "h", Rate: 200, Tries: 3, Ledger: l, Seed: 1,
-		Classes: []ClassLoad{class("check", Safe), class("order", Keyed), class("book", Unsafe)},
+		Name: "c", Addr: b.Addr(), Host: "h", Rate: 200, MaxAttempts: 3, Recorder: l, Seed: 1,
+		Classes: []ClassLoad{class("check", Idempotent), class("order", IdempotentByKey), class("book", NonIdempotent)},
 	})
-	if crowd.Ops() < 20 || crowd.Ops() != l.Ops() || crowd.Counts[Served] == 0 || crowd.Counts[Failed] == 0 {
-		t.Errorf("%d operations, %v", crowd.Ops(), crowd.Counts)
+	if crowd.Operations() < 20 || crowd.Operations() != l.Operations() || crowd.Outcomes[OutcomeServed] == 0 || crowd.Outcomes[OutcomeFailed] == 0 {
+		t.Errorf("%d operations, %v", crowd.Operations(), crowd.Outcomes)
 	}
-	if want := 2 * float64(crowd.Ops()); crowd.Asked != want || crowd.Won != 2*float64(crowd.Counts[Served]) {
-		t.Errorf("worth %v of %v, want %v", crowd.Won, crowd.Asked, want)
+	if want := 2 * float64(crowd.Operations()); crowd.OfferedWeight != want || crowd.ServedWeight != 2*float64(crowd.Outcomes[OutcomeServed]) {
+		t.Errorf("worth %v of %v, want %v", crowd.ServedWeight, crowd.OfferedWeight, want)
 	}
-	for _, try := range l.tries {
-		if try.op.effect == Unsafe && len(try.op.ids) > 1 {
-			t.Errorf("an unsafe operation that failed was tried again: %v", try.op.ids)
+	for _, try := range l.attempts {
+		if try.operation.idempotency == NonIdempotent && len(try.operation.attemptIDs) > 1 {
+			t.Errorf("an unsafe operation that failed was tried again: %v", try.operation.attemptIDs)
 		}
 	}
-	if v := l.Check(Slack{Answer: patience, After: patience, Grace: patience}); len(v.Broken) > 0 {
-		t.Error(v.Broken)
+	if v := l.Check(Tolerance{LateResponse: testTimeout, AttemptAfterResponse: testTimeout, AfterDrainGrace: testTimeout}); len(v.Violations) > 0 {
+		t.Error(v.Violations)
 	}
-	if both := crowd.With(crowd); both.Ops() != 2*crowd.Ops() || both.Share() != crowd.Share() || len(both.Latencies) != 2*len(crowd.Latencies) {
+	if both := crowd.Merge(crowd); both.Operations() != 2*crowd.Operations() || both.ServedFraction() != crowd.ServedFraction() || len(both.Latencies) != 2*len(crowd.Latencies) {
 		t.Error("two crowds do not add up")
 	}
 	if p := crowd.Percentile(1); len(crowd.Latencies) > 0 && p != slices.Max(crowd.Latencies) {
@@ -433,8 +436,8 @@
 	}
 }
 
-// TestHogs guards against hogs that let go: each connection that is closed is followed by another.
-func TestHogs(t *testing.T) {
+// TestMaintainedConnections guards against hogs that let go: each connection that is closed is followed by another.
+func TestMaintainedConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -454,8 +457,8 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, hog := range []func() int64{
-		func() int64 { return SlowHeads(ctx, ln.Addr().String(), "h", 2) },
-		func() int64 { return Silents(ctx, ln.Addr().String(), 2) },
+		func() int64 { return OpenSlowRequests(ctx, ln.Addr().String(), "h", 2) },
+		func() int64 { return OpenIdleConnections(ctx, ln.Addr().String(), 2) },
 	} {
 		all.Go(func() {
 			if n := hog(); n < 2 {
