--- a/internal/fake/wirelink.go
+++ b/internal/fake/wirelink.go
@@ -9,85 +9,85 @@
 	"time"
 )
 
-// Way is what a link does to what goes one way.
-type Way struct {
-	Cut       bool          // nothing gets through, and nobody is told
-	Still     bool          // it stands still: what comes is held, and passes once it goes on
-	Drop      float64       // share of frames that is lost
-	Double    float64       // share that comes twice
-	Delay     time.Duration // of each frame
-	Jitter    time.Duration // a further delay, drawn for each frame: they overtake each other
-	Truncates int           // so many frames are passed in half, and their connection is closed
+// FrameFaults is what a link does to what goes one way.
+type FrameFaults struct {
+	Partitioned       bool          // nothing gets through, and nobody is told
+	Stalled           bool          // it stands still: what comes is held, and passes once it goes on
+	DropFraction      float64       // share of frames that is lost
+	DuplicateFraction float64       // share that comes twice
+	Delay             time.Duration // of each frame
+	Jitter            time.Duration // a further delay, drawn for each frame: they overtake each other
+	TruncateCount     int           // so many frames are passed in half, and their connection is closed
 }
 
-// FrameLink is a link between two processes that passes frames: four bytes of length, most significant first, and what they count. It knows
+// FrameProxy is a link between two processes that passes frames: four bytes of length, most significant first, and what they count. It knows
 // nothing of what is in them.
-type FrameLink struct {
-	target string
-	ln     net.Listener
-	done   sync.WaitGroup
+type FrameProxy struct {
+	target     string
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	ways   [2]Way
-	moved  *sync.Cond // something about the ways has changed
-	conns  map[net.Conn]struct{}
-	closed bool
-	Frames int64 // that came, under mu
-	Bytes  int64
+	mu            sync.Mutex
+	rng           *rand.Rand
+	faults        [2]FrameFaults
+	faultsChanged *sync.Cond // something about the ways has changed
+	conns         map[net.Conn]struct{}
+	closed        bool
+	frameCount    int64 // that came, under mu
+	byteCount     int64
 }
 
-// mostLinkFrame bounds a frame, and linkQueue the frames of one connection that are on their way.
+// maxFrameBytes bounds a frame, and linkQueue the frames of one connection that are on their way.
 const (
-	mostLinkFrame = 64 << 20
-	linkQueue     = 1024
+	maxFrameBytes    = 64 << 20
+	frameQueueLength = 1024
 )
 
-// StartFrameLink starts a link to target.
-func StartFrameLink(target string, seed uint64) (*FrameLink, error) {
+// StartFrameProxy starts a link to target.
+func StartFrameProxy(target string, seed uint64) (*FrameProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &FrameLink{target: target, ln: ln, rng: rand.New(rand.NewPCG(seed, 9)), conns: map[net.Conn]struct{}{}}
-	l.moved = sync.NewCond(&l.mu)
-	l.done.Go(l.accept)
+	l := &FrameProxy{target: target, listener: ln, rng: rand.New(rand.NewPCG(seed, 9)), conns: map[net.Conn]struct{}{}}
+	l.faultsChanged = sync.NewCond(&l.mu)
+	l.goroutines.Go(l.accept)
 	return l, nil
 }
 
 // Addr is where the link begins.
-func (l *FrameLink) Addr() string { return l.ln.Addr().String() }
+func (l *FrameProxy) Addr() string { return l.listener.Addr().String() }
 
-// Change changes what the link does to what goes a way, Forth or Back.
-func (l *FrameLink) Change(way int, f func(*Way)) {
+// Configure changes what the link does to what goes a way, Forth or Back.
+func (l *FrameProxy) Configure(way int, f func(*FrameFaults)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(&l.ways[way])
-	l.moved.Broadcast()
+	f(&l.faults[way])
+	l.faultsChanged.Broadcast()
 }
 
-// Count is how many frames and bytes have come.
-func (l *FrameLink) Count() (frames, bytes int64) {
+// Traffic is how many frames and bytes have come.
+func (l *FrameProxy) Traffic() (frames, bytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.Frames, l.Bytes
+	return l.frameCount, l.byteCount
 }
 
 // Close ends the link and all that goes over it.
-func (l *FrameLink) Close() {
+func (l *FrameProxy) Close() {
 	l.mu.Lock()
 	l.closed = true
 	for c := range l.conns {
 		c.Close()
 	}
-	l.moved.Broadcast()
+	l.faultsChanged.Broadcast()
 	l.mu.Unlock()
-	l.ln.Close()
-	l.done.Wait()
+	l.listener.Close()
+	l.goroutines.Wait()
 }
 
-// Break ends the connections that there are.
-func (l *FrameLink) Break() {
+// CloseConnections ends the connections that there are.
+func (l *FrameProxy) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (l *FrameLink) keep(c net.Conn) bool {
+func (l *FrameProxy) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -106,57 +106,57 @@
 	return true
 }
 
-func (l *FrameLink) accept() {
+func (l *FrameProxy) accept() {
 	for {
-		near, err := l.ln.Accept()
+		near, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.done.Go(func() { l.pass(near) })
+		l.goroutines.Go(func() { l.forward(near) })
 	}
 }
 
-func (l *FrameLink) pass(near net.Conn) {
+func (l *FrameProxy) forward(near net.Conn) {
 	defer near.Close()
-	if !l.keep(near) {
+	if !l.track(near) {
 		return
 	}
-	defer l.forget(near)
+	defer l.untrack(near)
 	far, err := net.DialTimeout("tcp", l.target, time.Second)
 	if err != nil {
 		return
 	}
 	defer far.Close()
-	if !l.keep(far) {
+	if !l.track(far) {
 		return
 	}
-	defer l.forget(far)
+	defer l.untrack(far)
 	var both sync.WaitGroup
-	both.Go(func() { l.copy(far, near, Forth) })
-	both.Go(func() { l.copy(near, far, Back) })
+	both.Go(func() { l.copyDirection(far, near, ToTarget) })
+	both.Go(func() { l.copyDirection(near, far, FromTarget) })
 	both.Wait()
 }
 
-func (l *FrameLink) forget(c net.Conn) {
+func (l *FrameProxy) untrack(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-// due is a frame and when it is passed on.
-type due struct {
-	at   time.Time
-	data []byte
-	half bool
+// scheduledFrame is a frame and when it is passed on.
+type scheduledFrame struct {
+	deliverAt time.Time
+	data      []byte
+	truncated bool
 }
 
-func (l *FrameLink) copy(to, from net.Conn, way int) {
-	queue := make(chan due, linkQueue)
+func (l *FrameProxy) copyDirection(to, from net.Conn, way int) {
+	queue := make(chan scheduledFrame, frameQueueLength)
 	var writer sync.WaitGroup
 	writer.Go(func() {
 		defer to.Close()
 		defer from.Close()
-		l.write(to, queue, way)
+		l.deliver(to, queue, way)
 		from.Close()
 		for range queue { // the reader ends soon: its connection is closed
 		}
@@ -170,7 +170,7 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > mostLinkFrame {
+		if n > maxFrameBytes {
 			return
 		}
 		data := make([]byte, 4+n)
@@ -178,20 +178,20 @@
 		if _, err := io.ReadFull(from, data[4:]); err != nil {
 			return
 		}
-		for _, d := range l.fate(data, way) {
+		for _, d := range l.schedule(data, way) {
 			queue <- d
 		}
 	}
 }
 
-// fate says what becomes of a frame.
-func (l *FrameLink) fate(data []byte, way int) []due {
+// schedule says what becomes of a frame.
+func (l *FrameProxy) schedule(data []byte, way int) []scheduledFrame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Frames++
-	l.Bytes += int64(len(data))
-	w := &l.ways[way]
-	if w.Cut || l.rng.Float64() < w.Drop {
+	l.frameCount++
+	l.byteCount += int64(len(data))
+	w := &l.faults[way]
+	if w.Partitioned || l.rng.Float64() < w.DropFraction {
 		return nil
 	}
 	at := func() time.Time {
@@ -201,30 +201,30 @@
 		}
 		return time.Now().Add(d)
 	}
-	all := []due{{at: at(), data: data}}
-	if w.Truncates > 0 {
-		w.Truncates--
-		all[0].half = true
-	} else if l.rng.Float64() < w.Double {
-		all = append(all, due{at: at(), data: data})
+	all := []scheduledFrame{{deliverAt: at(), data: data}}
+	if w.TruncateCount > 0 {
+		w.TruncateCount--
+		all[0].truncated = true
+	} else if l.rng.Float64() < w.DuplicateFraction {
+		all = append(all, scheduledFrame{deliverAt: at(), data: data})
 	}
 	return all
 }
 
-// write passes frames on as they are due.
-func (l *FrameLink) write(to net.Conn, queue <-chan due, way int) {
-	var waiting []due
+// deliver passes frames on as they are due.
+func (l *FrameProxy) deliver(to net.Conn, queue <-chan scheduledFrame, way int) {
+	var waiting []scheduledFrame
 	for queue != nil || len(waiting) > 0 {
 		next := -1
 		for i, d := range waiting {
-			if next < 0 || d.at.Before(waiting[next].at) {
+			if next < 0 || d.deliverAt.Before(waiting[next].deliverAt) {
 				next = i
 			}
 		}
 		var ready <-chan time.Time
 		var timer *time.Timer
 		if next >= 0 {
-			timer = time.NewTimer(time.Until(waiting[next].at))
+			timer = time.NewTimer(time.Until(waiting[next].deliverAt))
 			ready = timer.C
 		}
 		select {
@@ -239,10 +239,10 @@
 		case <-ready:
 			d := waiting[next]
 			waiting = append(waiting[:next], waiting[next+1:]...)
-			if !l.clear(way) {
+			if !l.waitUntilPassable(way) {
 				continue
 			}
-			if d.half {
+			if d.truncated {
 				to.Write(d.data[:len(d.data)/2])
 				return
 			}
@@ -257,12 +257,12 @@
 	}
 }
 
-// clear waits while the way stands still, and reports whether a frame may pass.
-func (l *FrameLink) clear(way int) bool {
+// waitUntilPassable waits while the way stands still, and reports whether a frame may pass.
+func (l *FrameProxy) waitUntilPassable(way int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.ways[way].Still && !l.closed {
-		l.moved.Wait()
+	for l.faults[way].Stalled && !l.closed {
+		l.faultsChanged.Wait()
 	}
-	return !l.ways[way].Cut && !l.closed
+	return !l.faults[way].Partitioned && !l.closed
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -17,7 +17,7 @@
 func TestEmptyList(t *testing.T) {
 	s := newTestbed(t)
 	a, b := s.backend("a", nil), s.backend("b", nil)
-	disco, err := fake.StartDiscovery(s.ledger, a.Entry())
+	disco, err := fake.StartDiscovery(s.ledger, a.Endpoint())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		return resp
 	}
 	waitFor(t, "the first list", func() bool { return ask("orders").StatusCode == http.StatusOK })
-	disco.Set()
+	disco.SetEndpoints()
 	waitFor(t, "the empty list to have requests rejected at once", func() bool { return isRetryableRejection(ask("orders")) })
 	if resp := ask("channels"); !isRetryableRejection(resp) {
 		t.Errorf("without any discovery: %d", resp.StatusCode)
@@ -49,7 +49,7 @@
 	if n := s.g.Load().Requests; n != 0 {
 		t.Errorf("%d requests are held", n)
 	}
-	disco.Set(a.Entry())
+	disco.SetEndpoints(a.Endpoint())
 	waitFor(t, "the list to be back", func() bool { return ask("orders").StatusCode == http.StatusOK })
 }
 
@@ -84,11 +84,11 @@
 		})
 	}
 	for range 15 {
-		disco.Set(backend.Entry())
+		disco.SetEndpoints(backend.Endpoint())
 		served := statuses[200].Load()
 		waitFor(t, "some to be served", func() bool { return statuses[200].Load() > served+20 })
 		rejections := statuses[503].Load()
-		disco.Set()
+		disco.SetEndpoints()
 		waitFor(t, "some to be rejected", func() bool { return statuses[503].Load() > rejections+5 })
 	}
 	cancel()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "book": fake.Unsafe}
+var effects = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "book": fake.NonIdempotent}
 
 // testSettings have one class of each effect, and time enough that none ends by itself.
 func testSettings() settings.Settings {
@@ -49,7 +49,7 @@
 // testbed is backends for some pools, and a gateway for them.
 type testbed struct {
 	t      *testing.T
-	ledger *fake.Ledger
+	ledger *fake.EffectRecorder
 	cfg    Config
 	g      *Gateway
 	addr   string
@@ -57,19 +57,19 @@
 }
 
 func newTestbed(t *testing.T) *testbed {
-	return &testbed{t: t, ledger: fake.NewLedger(), cfg: Config{
+	return &testbed{t: t, ledger: fake.NewEffectRecorder(), cfg: Config{
 		Name: "test", MemoryMB: 64, Descriptors: 256, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}},
 	}}
 }
 
 // backend starts a backend that needs no time.
-func (s *testbed) backend(name string, change func(*fake.BoxConfig)) *fake.Box {
+func (s *testbed) backend(name string, change func(*fake.BackendConfig)) *fake.Backend {
 	s.t.Helper()
-	cfg := fake.BoxConfig{Name: name, Cores: 8, Queue: 100, Effects: effects, Ledger: s.ledger}
+	cfg := fake.BackendConfig{Name: name, Cores: 8, QueueLimit: 100, Idempotency: effects, Recorder: s.ledger}
 	if change != nil {
 		change(&cfg)
 	}
-	b, err := fake.StartBox(cfg)
+	b, err := fake.StartBackend(cfg)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -77,17 +77,17 @@
 	return b
 }
 
-func endpointsOf(backends ...*fake.Box) []discovery.Endpoint {
+func endpointsOf(backends ...*fake.Backend) []discovery.Endpoint {
 	all := []discovery.Endpoint{}
 	for _, b := range backends {
-		e := b.Entry()
-		all = append(all, discovery.Endpoint{ID: e.Host, Address: e.Dial, Health: e.Health, Weight: 1})
+		e := b.Endpoint()
+		all = append(all, discovery.Endpoint{ID: e.Host, Address: e.Address, Health: e.Health, Weight: 1})
 	}
 	return all
 }
 
 // pool is a pool with a list of its own, and its route by the host NAME.example.org.
-func (s *testbed) pool(name string, backends ...*fake.Box) *Pool {
+func (s *testbed) pool(name string, backends ...*fake.Backend) *Pool {
 	s.cfg.Pools = append(s.cfg.Pools, Pool{
 		Name: name, Settings: testSettings(), StaticEndpoints: endpointsOf(backends...), Limits: Limits{Weight: 1}, Seed: 1,
 	})
@@ -179,7 +179,7 @@
 // sent notes a request in the ledger and returns its text.
 func (s *testbed) sent(method, host, path, id, more string) string {
 	effect := effects[strings.Split(path, "/")[1]]
-	s.ledger.Sent(s.ledger.Op(effect), id, patience)
+	s.ledger.RecordSent(s.ledger.BeginOperation(effect), id, patience)
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 10000\r\n%s\r\n", method, path, host, id, more)
 }
 
@@ -203,7 +203,7 @@
 
 func (s *testbed) checkEffects() {
 	s.t.Helper()
-	for _, b := range s.ledger.Check(fake.UsualSlack).Broken {
+	for _, b := range s.ledger.Check(fake.DefaultTolerance).Violations {
 		// These tests don't note answers, so that only what concerns effects is looked at.
 		if strings.HasPrefix(b, "rule 2") {
 			s.t.Error(b)
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -16,7 +16,7 @@
 func TestOpenLimit(t *testing.T) {
 	s := newTestbed(t)
 	stuck := s.backend("stuck", nil)
-	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
+	stuck.SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1})
 	s.pool("orders", stuck)
 	s.pool("meters", s.backend("b", nil))
 	s.start()
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -16,9 +16,9 @@
 // is still to come, are answered by its backends; new ones find no route.
 func TestRemovedPool(t *testing.T) {
 	s := newTestbed(t)
-	failing, good := s.backend("failing", nil), s.backend("good", func(c *fake.BoxConfig) { c.Service = 200 * time.Millisecond })
+	failing, good := s.backend("failing", nil), s.backend("good", func(c *fake.BackendConfig) { c.ServiceTime = 200 * time.Millisecond })
 	// The first attempt is refused its connection only after a while, so that the retry comes after the removal.
-	failing.SetFault(fake.Fault{Kind: fake.Error, Share: 1, Delay: 300 * time.Millisecond})
+	failing.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1, Delay: 300 * time.Millisecond})
 	s.pool("orders", failing, good)
 	s.pool("meters", s.backend("b", nil))
 	s.start()
@@ -159,23 +159,23 @@
 // faster: pools are replaced, backends move, limits change.
 func TestManyReloads(t *testing.T) {
 	s := newTestbed(t)
-	slow := func(c *fake.BoxConfig) { c.Service = 5 * time.Millisecond }
+	slow := func(c *fake.BackendConfig) { c.ServiceTime = 5 * time.Millisecond }
 	a, b, c := s.backend("a", slow), s.backend("b", slow), s.backend("c", slow)
 	s.pool("orders", a, b)
 	s.pool("meters", c)
 	s.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	crowds := make([]*fake.Crowd, 2)
+	crowds := make([]*fake.ClientResults, 2)
 	for i, name := range []string{"orders", "meters"} {
 		all.Go(func() {
 			crowds[i] = fake.RunClients(ctx, fake.ClientConfig{
-				Name: name, Addr: s.addr, Host: name + ".example.org", Rate: 100, Tries: 2, Ledger: s.ledger, Seed: uint64(i),
-				Backoff: 10 * time.Millisecond, Honour: true,
+				Name: name, Addr: s.addr, Host: name + ".example.org", Rate: 100, MaxAttempts: 2, Recorder: s.ledger, Seed: uint64(i),
+				Backoff: 10 * time.Millisecond, HonorRetryAfter: true,
 				Classes: []fake.ClassLoad{
-					{Name: "check", Effect: fake.Safe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-					{Name: "book", Effect: fake.Unsafe, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
-					{Name: "order", Effect: fake.Keyed, Share: 1, Aim: 5 * time.Second, Deadline: 8 * time.Second, Worth: 1},
+					{Name: "check", Idempotency: fake.Idempotent, Weight: 1, LatencyObjective: 5 * time.Second, Deadline: 8 * time.Second, PriorityWeight: 1},
+					{Name: "book", Idempotency: fake.NonIdempotent, Weight: 1, LatencyObjective: 5 * time.Second, Deadline: 8 * time.Second, PriorityWeight: 1},
+					{Name: "order", Idempotency: fake.IdempotentByKey, Weight: 1, LatencyObjective: 5 * time.Second, Deadline: 8 * time.Second, PriorityWeight: 1},
 				},
 			})
 		})
@@ -195,12 +195,12 @@
 	cancel()
 	all.Wait()
 	waitFor(t, "the old pools to be gone", func() bool { return s.g.Load().Draining == 0 })
-	for _, broken := range s.ledger.Check(fake.Slack{Answer: 2 * time.Second, After: 2 * time.Second, Grace: time.Second}).Broken {
+	for _, broken := range s.ledger.Check(fake.Tolerance{LateResponse: 2 * time.Second, AttemptAfterResponse: 2 * time.Second, AfterDrainGrace: time.Second}).Violations {
 		t.Error(broken)
 	}
 	for i, crowd := range crowds {
-		if crowd.Share() < 0.9 {
-			t.Errorf("crowd %d: %.2f served; statuses %v", i, crowd.Share(), crowd.Status)
+		if crowd.ServedFraction() < 0.9 {
+			t.Errorf("crowd %d: %.2f served; statuses %v", i, crowd.ServedFraction(), crowd.Statuses)
 		}
 	}
 	if l := s.g.Load(); l.Requests != 0 {
--- a/internal/gateway/routing_test.go
+++ b/internal/gateway/routing_test.go
@@ -36,7 +36,7 @@
 	c.write(text.String())
 	for i := range 5 {
 		resp, body := c.ask(t, "")
-		if want := fake.Made("check", fmt.Sprint("pipelined", i), ""); resp.StatusCode != http.StatusOK || body != want {
+		if want := fake.ResponseBody("check", fmt.Sprint("pipelined", i), ""); resp.StatusCode != http.StatusOK || body != want {
 			t.Fatalf("answer %d: %d %q, want %q", i, resp.StatusCode, body, want)
 		}
 	}
@@ -73,7 +73,7 @@
 	} {
 		n++
 		id := fmt.Sprint("host", n)
-		s.ledger.Sent(s.ledger.Op(fake.Safe), id, patience)
+		s.ledger.RecordSent(s.ledger.BeginOperation(fake.Idempotent), id, patience)
 		resp, _ := s.dial().ask(t, fmt.Sprintf("GET /check HTTP/1.1\r\n%sX-Request-ID: %s\r\nX-Timeout-Ms: 1000\r\n\r\n", c.head, id))
 		if resp.StatusCode != c.want {
 			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.want)
@@ -91,7 +91,7 @@
 	s.cfg.Routes[0].Path, s.cfg.Routes[0].Strip = "/farm/v1", true
 	s.start()
 	resp, body := s.dial().ask(t, s.sent("POST", "orders.example.org", "/farm/v1/order/7?x=1", "strip", "Idempotency-Key: k\r\nContent-Length: 0\r\n"))
-	if want := fake.Made("order", "", "k"); resp.StatusCode != http.StatusOK || body != want {
+	if want := fake.ResponseBody("order", "", "k"); resp.StatusCode != http.StatusOK || body != want {
 		t.Errorf("got %d %q, want %q", resp.StatusCode, body, want)
 	}
 }
@@ -104,10 +104,10 @@
 		hold[i] = make(chan struct{})
 		s.pool(name, s.backend(name, nil))
 	}
-	s.cfg.Pools[0].StaticEndpoints = endpointsOf(s.backend("slow", func(c *fake.BoxConfig) { c.Service = 300 * time.Millisecond }))
+	s.cfg.Pools[0].StaticEndpoints = endpointsOf(s.backend("slow", func(c *fake.BackendConfig) { c.ServiceTime = 300 * time.Millisecond }))
 	s.start()
 	first := s.dial()
-	s.ledger.Sent(s.ledger.Op(fake.Safe), "same", patience)
+	s.ledger.RecordSent(s.ledger.BeginOperation(fake.Idempotent), "same", patience)
 	text := "GET /check HTTP/1.1\r\nHost: %s.example.org\r\nX-Request-ID: same\r\nX-Timeout-Ms: 10000\r\n\r\n"
 	fmt.Fprintf(first, text, "orders")
 	waitFor(t, "the first to be open", func() bool { return s.g.Load().Requests == 1 })
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,7 +13,7 @@
 func TestCloseAnswers(t *testing.T) {
 	s := newTestbed(t)
 	stuck := s.backend("stuck", nil)
-	stuck.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
+	stuck.SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1})
 	s.pool("orders", stuck)
 	s.start()
 	c := s.dial()
@@ -38,8 +38,8 @@
 func testAborted(t *testing.T, retired bool) {
 	s := newTestbed(t)
 	s.cfg.MaxDrain = 300 * time.Millisecond
-	hangs := s.backend("hangs", func(c *fake.BoxConfig) { c.Cores = 100 })
-	hangs.SetFault(fake.Fault{Kind: fake.Silent, Share: 1})
+	hangs := s.backend("hangs", func(c *fake.BackendConfig) { c.Cores = 100 })
+	hangs.SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1})
 	s.pool("orders", hangs)
 	s.pool("meters", s.backend("b", nil))
 	s.start()
--- a/internal/sitelink/bridge_test.go
+++ b/internal/sitelink/bridge_test.go
@@ -53,7 +53,7 @@
 	name   string
 	bridge *Bridge
 	gw     *gateway.Gateway
-	boxes  []*fake.Box
+	boxes  []*fake.Backend
 	ended  chan struct{}
 	stop   context.CancelFunc
 }
@@ -73,7 +73,7 @@
 }
 
 // startSite starts a site whose peer is at peerAt, with a list of boxes. The link spills whatever is denied.
-func startSite(t *testing.T, name, peer, peerAt, hopAt string, boxes []*fake.Box, files *TLS) *site {
+func startSite(t *testing.T, name, peer, peerAt, hopAt string, boxes []*fake.Backend, files *TLS) *site {
 	t.Helper()
 	s := &site{name: name, boxes: boxes, ended: make(chan struct{})}
 	set := farm(name)
@@ -99,8 +99,8 @@
 	}
 	var hosts []discovery.Endpoint
 	for _, b := range boxes {
-		e := b.Entry()
-		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Dial, Zone: name, Health: "active", Weight: 1})
+		e := b.Endpoint()
+		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Address, Zone: name, Health: "active", Weight: 1})
 	}
 	gcfg := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
@@ -141,11 +141,11 @@
 	return ln.Addr().String()
 }
 
-var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "order-here": fake.Keyed, "book": fake.Unsafe}
+var effects = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "order-here": fake.IdempotentByKey, "book": fake.NonIdempotent}
 
-func box(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
+func box(t *testing.T, name string, l *fake.EffectRecorder, r *fake.Deduplicator) *fake.Backend {
 	t.Helper()
-	b, err := fake.StartBox(fake.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
+	b, err := fake.StartBackend(fake.BackendConfig{Name: name, Cores: 50, QueueLimit: 100, Idempotency: effects, Recorder: l, Deduplicator: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,22 +156,22 @@
 // pair is two sites with a link from the first to the second.
 type pair struct {
 	near, far *site
-	link      *fake.Relay
-	ledger    *fake.Ledger
+	link      *fake.Proxy
+	ledger    *fake.EffectRecorder
 }
 
 func startPair(t *testing.T, nearBoxes int, files [2]*TLS) *pair {
 	t.Helper()
-	p := &pair{ledger: fake.NewLedger()}
-	repeats := fake.NewRepeats(time.Minute)
-	var near, far []*fake.Box
+	p := &pair{ledger: fake.NewEffectRecorder()}
+	repeats := fake.NewDeduplicator(time.Minute)
+	var near, far []*fake.Backend
 	for i := range nearBoxes {
 		near = append(near, box(t, fmt.Sprintf("near-%d", i), p.ledger, repeats))
 	}
 	far = append(far, box(t, "far-0", p.ledger, repeats), box(t, "far-1", p.ledger, repeats))
 	hops := [2]string{free(t), free(t)}
 	var err error
-	if p.link, err = fake.StartRelay(hops[1]); err != nil {
+	if p.link, err = fake.StartProxy(hops[1]); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.link.Close)
@@ -213,7 +213,7 @@
 	for _, m := range more {
 		text += m + "\r\n"
 	}
-	p.ledger.Sent(p.ledger.Op(effects[class]), id, timeout)
+	p.ledger.RecordSent(p.ledger.BeginOperation(effects[class]), id, timeout)
 	io.WriteString(c, text+tail)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -226,7 +226,7 @@
 	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.AnswerField) != "" {
 		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.AnswerField))
 	}
-	p.ledger.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
+	p.ledger.RecordResponse(id, resp.StatusCode, strings.HasPrefix(string(body), fake.ResponseBody(class, id, key)))
 	return resp.StatusCode
 }
 
@@ -247,7 +247,7 @@
 
 func (p *pair) rules(t *testing.T) {
 	t.Helper()
-	for _, b := range p.ledger.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
+	for _, b := range p.ledger.Check(fake.Tolerance{LateResponse: 500 * time.Millisecond, AttemptAfterResponse: 500 * time.Millisecond, AfterDrainGrace: time.Second}).Violations {
 		t.Error(b)
 	}
 }
@@ -271,8 +271,8 @@
 	p.crossing(t, "order")
 	for n := range 20 {
 		key := fmt.Sprint("here-", n)
-		if status := p.ask(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.ledger.Arrivals(key) > 0 {
-			t.Fatalf("got %d, and %d attempts", status, p.ledger.Arrivals(key))
+		if status := p.ask(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.ledger.ArrivalCount(key) > 0 {
+			t.Fatalf("got %d, and %d attempts", status, p.ledger.ArrivalCount(key))
 		}
 	}
 	r := siteheader.Request{Left: time.Second, Within: time.Second, Stamp: p.far.bridge.now(), Pool: "farm", Class: "order-here", May: 1, Origin: "near", Passed: []string{"near"}}
@@ -292,7 +292,7 @@
 	p := startPair(t, 0, [2]*TLS{})
 	p.crossing(t, "book")
 	for _, b := range p.far.boxes {
-		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 500 * time.Millisecond})
 	}
 	for n := range 5 {
 		from := time.Now()
@@ -301,7 +301,7 @@
 		if took := time.Since(from); took > 450*time.Millisecond {
 			t.Errorf("answered after %v of 200 ms", took)
 		}
-		if p.ledger.Arrivals(id) > 0 && status != 502 {
+		if p.ledger.ArrivalCount(id) > 0 && status != 502 {
 			t.Errorf("a booking that may have run was answered %d", status)
 		}
 	}
@@ -319,7 +319,7 @@
 	p.crossing(t, "check")
 	p.crossing(t, "book")
 	for _, b := range p.far.boxes {
-		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 1500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 1500 * time.Millisecond})
 	}
 	var asking sync.WaitGroup
 	var there sync.WaitGroup
@@ -334,17 +334,17 @@
 				crossed := make(chan struct{})
 				go func() {
 					defer close(crossed)
-					for p.ledger.Arrivals(id) == 0 && !p.ledger.IsAnswered(id) {
+					for p.ledger.ArrivalCount(id) == 0 && !p.ledger.HasResponse(id) {
 						time.Sleep(time.Millisecond)
 					}
-					if p.ledger.Arrivals(id) > 0 {
+					if p.ledger.ArrivalCount(id) > 0 {
 						there.Done()
 					}
 				}()
 				from := time.Now()
 				status := p.ask(t, p.near.addr("farm"), class, id, key, 3*time.Second)
 				<-crossed
-				if p.ledger.Arrivals(id) == 0 && n < 1000 {
+				if p.ledger.ArrivalCount(id) == 0 && n < 1000 {
 					continue
 				}
 				if took := time.Since(from); took > time.Second {
@@ -358,7 +358,7 @@
 		})
 	}
 	there.Wait()
-	p.link.Stall(true)
+	p.link.SetStalled(true)
 	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the link holds these up, and delivers them later
 		asking.Go(func() {
 			status := p.ask(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
@@ -377,11 +377,11 @@
 	for _, b := range p.far.boxes {
 		b.SetFault(fake.Fault{})
 	}
-	p.link.Stall(false)
+	p.link.SetStalled(false)
 	p.awaitOpen(t)
 	p.crossing(t, "order")
 	for n := range 20 {
-		if p.ledger.Arrivals(fmt.Sprintf("held-%d", n)) > 0 {
+		if p.ledger.ArrivalCount(fmt.Sprintf("held-%d", n)) > 0 {
 			t.Errorf("held-%d went on at the far site after it had been given up here", n)
 		}
 	}
@@ -439,7 +439,7 @@
 	})
 	defer held.Wait()
 	defer ln.Close()
-	p := &pair{ledger: fake.NewLedger()}
+	p := &pair{ledger: fake.NewEffectRecorder()}
 	p.near = startSite(t, "near", "far", ln.Addr().String(), free(t), nil, nil)
 	for n := range 20 {
 		from := time.Now()
@@ -482,7 +482,7 @@
 			t.Fatalf("got %d, want a refusal", status)
 		}
 	}
-	if n := p.ledger.Check(fake.UsualSlack).Arrivals; n > 200 {
+	if n := p.ledger.Check(fake.DefaultTolerance).Arrivals; n > 200 {
 		t.Errorf("%d attempts", n)
 	}
 	p.rules(t)
