--- /dev/null
+++ b/internal/fake/dedup.go
@@ -0,0 +1,58 @@
+package fake
+
+import (
+	"sync"
+	"time"
+)
+
+// Deduplicator drops the repeats of requests with an idempotency key, for a time and for all backends that share it.
+type Deduplicator struct {
+	window  time.Duration
+	mu      sync.Mutex // guards entries and order
+	entries map[string]*dedupEntry
+	order   []string // keys of entries, the oldest first
+}
+
+// dedupEntry is the first request with a key.
+type dedupEntry struct {
+	started time.Time
+	done    chan struct{} // closed once it has ended
+}
+
+// NewDeduplicator returns one that drops repeats for a window, counted from the start of the first request.
+func NewDeduplicator(window time.Duration) *Deduplicator {
+	return &Deduplicator{window: window, entries: map[string]*dedupEntry{}}
+}
+
+// Do calls execute unless a call with the same key began within the window, and returns when that call has ended.
+func (d *Deduplicator) Do(key string, execute func()) {
+	entry, first := d.entry(key)
+	if !first {
+		<-entry.done
+		return
+	}
+	execute()
+	close(entry.done)
+}
+
+// entry returns the entry of a key, and whether it was made for this call.
+func (d *Deduplicator) entry(key string) (entry *dedupEntry, first bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.expire()
+	if entry := d.entries[key]; entry != nil {
+		return entry, false
+	}
+	entry = &dedupEntry{started: time.Now(), done: make(chan struct{})}
+	d.entries[key] = entry
+	d.order = append(d.order, key)
+	return entry, true
+}
+
+// expire forgets the entries that are older than the window. The caller holds mu.
+func (d *Deduplicator) expire() {
+	for len(d.order) > 0 && time.Since(d.entries[d.order[0]].started) > d.window {
+		delete(d.entries, d.order[0])
+		d.order = d.order[1:]
+	}
+}
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -1,6 +1,8 @@
 package fake
 
 import (
+	"cmp"
+	"context"
 	"encoding/json"
 	"net"
 	"net/http"
@@ -10,7 +12,21 @@
 	"time"
 )
 
-// Endpoint is what discovery says of a box.
+// The health of an endpoint on the wire.
+const (
+	healthActive   = "active"
+	healthDraining = "leaving"
+	healthLeft     = "left"
+)
+
+const (
+	endpointListPath = "/v1/servers"
+	watchHeartbeat   = 2 * time.Second // between empty lines of a watch
+	headerTimeout    = 5 * time.Second
+	lineEnd          = '\n'
+)
+
+// Endpoint is what discovery says of a backend, in the form of the wire.
 type Endpoint struct {
 	Host        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -22,149 +38,183 @@
 	StartMs     int64   `json:"born_ms"`
 }
 
-// Discovery is a stand-in for the platform's discovery: it speaks its lists and watches. It may be late, or down.
+// endpointMessage is one line of a list or watch.
+type endpointMessage struct {
+	Endpoints []Endpoint `json:"hosts"`
+	Version   int64      `json:"seq"`
+	Complete  bool       `json:"whole"`
+}
+
+// Discovery is a fake of the platform's discovery: it serves endpoint lists and watches. Its methods may be called concurrently.
 type Discovery struct {
 	recorder   *EffectRecorder
 	server     *http.Server
 	listener   net.Listener
 	goroutines sync.WaitGroup
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	version   int64
-	endpoints map[string]Endpoint // with those that left
+	endpoints map[string]Endpoint // by host, those that left included
 	changedIn map[string]int64    // the version in which each changed last
 	delay     time.Duration
-	notify    chan struct{} // closed, and made anew, at each change
+	changed   chan struct{} // closed, and replaced, at each change
 }
 
-// StartDiscovery starts a discovery that lists the entries. It tells ledger, which may be nil, what it has told.
-func StartDiscovery(ledger *EffectRecorder, entries ...Endpoint) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// StartDiscovery starts a discovery that lists the endpoints. It records in recorder, which may be nil, what watchers were notified of.
+func StartDiscovery(recorder *EffectRecorder, endpoints ...Endpoint) (*Discovery, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		recorder: ledger, listener: ln, endpoints: map[string]Endpoint{}, changedIn: map[string]int64{}, notify: make(chan struct{}),
+		recorder: recorder, listener: listener,
+		endpoints: map[string]Endpoint{}, changedIn: map[string]int64{}, changed: make(chan struct{}),
 	}
-	d.SetEndpoints(entries...)
-	d.server = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second}
-	d.goroutines.Go(func() { d.server.Serve(ln) })
+	d.SetEndpoints(endpoints...)
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: headerTimeout}
+	d.goroutines.Go(func() { d.server.Serve(listener) })
 	return d, nil
 }
 
-// Addr is where discovery listens.
+// Addr returns the address where discovery listens.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// SetEndpoints makes the entries the whole list: others have left.
-func (d *Discovery) SetEndpoints(entries ...Endpoint) {
+// SetEndpoints replaces the endpoint list. Those that it lacks have left.
+func (d *Discovery) SetEndpoints(endpoints ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
 	listed := map[string]bool{}
-	for _, e := range entries {
-		listed[e.Host] = true
-		if d.endpoints[e.Host] != e {
-			d.endpoints[e.Host] = e
-			d.changedIn[e.Host] = d.version
+	for _, endpoint := range endpoints {
+		listed[endpoint.Host] = true
+		if d.endpoints[endpoint.Host] != endpoint {
+			d.setEndpoint(endpoint)
 		}
 	}
-	for host, e := range d.endpoints {
-		if !listed[host] && e.Health != "left" {
-			e.Health = "left"
-			d.endpoints[host] = e
-			d.changedIn[host] = d.version
+	for host, endpoint := range d.endpoints {
+		if !listed[host] && endpoint.Health != healthLeft {
+			endpoint.Health = healthLeft
+			d.setEndpoint(endpoint)
 		}
 	}
-	close(d.notify)
-	d.notify = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// setEndpoint stores a change of the present version. The caller holds mu.
+func (d *Discovery) setEndpoint(endpoint Endpoint) {
+	d.endpoints[endpoint.Host] = endpoint
+	d.changedIn[endpoint.Host] = d.version
 }
 
-// SetDelay makes discovery tell of changes so much later.
-func (d *Discovery) SetDelay(by time.Duration) {
+// SetDelay makes discovery notify of changes so much later.
+func (d *Discovery) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.delay = by
+	d.delay = delay
 }
 
-// Close ends discovery; watches end with it.
+// Close ends discovery and all watches.
 func (d *Discovery) Close() {
 	d.server.Close()
 	d.goroutines.Wait()
 }
 
-// changesSince returns what has changed after version seq, and the present one. whole leaves out those that left.
-func (d *Discovery) changesSince(seq int64, whole bool) (entries []Endpoint, now int64, late time.Duration, notify chan struct{}) {
+// fullUpdate returns the endpoints that have not left, and a channel that is closed at the next change.
+func (d *Discovery) fullUpdate() (message endpointMessage, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for host, e := range d.endpoints {
-		if whole && e.Health == "left" || !whole && d.changedIn[host] <= seq {
-			continue
+	return d.message(true, func(e Endpoint) bool { return e.Health != healthLeft }), d.changed
+}
+
+// delta returns what has changed after a version, and a channel that is closed at the next change.
+func (d *Discovery) delta(version int64) (message endpointMessage, changed <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.message(false, func(e Endpoint) bool { return d.changedIn[e.Host] > version }), d.changed
+}
+
+// message returns the endpoints that include selects, by host. The caller holds mu.
+func (d *Discovery) message(complete bool, include func(Endpoint) bool) endpointMessage {
+	message := endpointMessage{Version: d.version, Complete: complete, Endpoints: []Endpoint{}}
+	for _, endpoint := range d.endpoints {
+		if include(endpoint) {
+			message.Endpoints = append(message.Endpoints, endpoint)
 		}
-		entries = append(entries, e)
 	}
-	slices.SortFunc(entries, func(a, b Endpoint) int {
-		if a.Host < b.Host {
-			return -1
-		}
-		return 1
-	})
-	return entries, d.version, d.delay, d.notify
+	slices.SortFunc(message.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Host, b.Host) })
+	return message
 }
 
-// ServeHTTP is the method of http.Handler.
-func (d *Discovery) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/v1/servers" {
-		http.NotFound(w, q)
+// ServeHTTP answers a request for the endpoint list, and for a watch of it.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != endpointListPath {
+		http.NotFound(w, request)
 		return
 	}
-	line := func(entries []Endpoint, seq int64, whole bool) bool {
-		if entries == nil {
-			entries = []Endpoint{}
-		}
-		text, err := json.Marshal(map[string]any{"seq": seq, "whole": whole, "hosts": entries})
-		if err != nil {
-			return false
-		}
-		if d.recorder != nil {
-			for _, e := range entries {
-				d.recorder.RecordDraining(e.Host, e.Health != "active")
-			}
-		}
-		_, err = w.Write(append(text, '\n'))
-		return err == nil
-	}
-	entries, seq, _, notify := d.changesSince(0, true)
-	if !line(entries, seq, true) || q.URL.Query().Get("follow") == "" {
+	message, changed := d.fullUpdate()
+	query := request.URL.Query()
+	if !d.send(w, message) || query.Get("follow") == "" {
 		return
 	}
-	flush := w.(http.Flusher).Flush
-	flush()
-	if s, err := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64); err != nil || s < 0 {
+	w.(http.Flusher).Flush()
+	if since, err := strconv.ParseInt(query.Get("since"), 10, 64); err != nil || since < 0 {
 		return
 	}
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	d.watch(request.Context(), w, message.Version, changed)
+}
+
+// watch sends the changes after a version until ctx ends or the client has gone.
+func (d *Discovery) watch(ctx context.Context, w http.ResponseWriter, version int64, changed <-chan struct{}) {
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case <-q.Context().Done():
+		case <-ctx.Done():
 			return
-		case <-beat.C:
-			if _, err := w.Write([]byte("\n")); err != nil {
+		case <-heartbeat.C:
+			if _, err := w.Write([]byte{lineEnd}); err != nil {
 				return
 			}
-		case <-notify:
-			var late time.Duration
-			_, _, late, _ = d.changesSince(seq, false)
-			select {
-			case <-time.After(late):
-			case <-q.Context().Done():
+		case <-changed:
+			if !d.waitDelay(ctx) {
 				return
 			}
-			entries, seq, _, notify = d.changesSince(seq, false)
-			if len(entries) > 0 && !line(entries, seq, false) {
+			var message endpointMessage
+			message, changed = d.delta(version)
+			version = message.Version
+			if len(message.Endpoints) > 0 && !d.send(w, message) {
 				return
 			}
 		}
-		flush()
+		w.(http.Flusher).Flush()
+	}
+}
+
+// waitDelay waits for the delay of SetDelay, and reports whether it passed before ctx ended.
+func (d *Discovery) waitDelay(ctx context.Context) bool {
+	d.mu.Lock()
+	delay := d.delay
+	d.mu.Unlock()
+	select {
+	case <-time.After(delay):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// send writes a message, and records what it notifies of.
+func (d *Discovery) send(w http.ResponseWriter, message endpointMessage) bool {
+	text, err := json.Marshal(message)
+	if err != nil {
+		return false
+	}
+	if d.recorder != nil {
+		for _, endpoint := range message.Endpoints {
+			d.recorder.RecordDraining(endpoint.Host, endpoint.Health != healthActive)
+		}
 	}
+	_, err = w.Write(append(text, lineEnd))
+	return err == nil
 }
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -280,7 +280,7 @@
 		t.Errorf("%d effects of one key", n)
 	}
 	r.mu.Lock()
-	r.keys["order k"].started = time.Now().Add(-2 * time.Hour)
+	r.entries["order k"].started = time.Now().Add(-2 * time.Hour)
 	r.mu.Unlock()
 	l.RecordSent(o, "late", testTimeout)
 	sendRequest(t, boxes[0].Addr(), "order", "late", "k")
