--- a/internal/fake/certauthority.go
+++ b/internal/fake/certauthority.go
@@ -1,7 +1,6 @@
 package fake
 
 import (
-	"bytes"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
@@ -12,90 +11,94 @@
 	"os"
 	"path/filepath"
 	"time"
+)
 
-	"golang.org/x/net/http2/hpack"
+const (
+	certificateBackdate = time.Hour
+	certificateValidity = 24 * time.Hour
+	certificateFileMode = 0o600
+	caCertificateFile   = "ca.pem"
+	pemCertificate      = "CERTIFICATE"
+	pemPrivateKey       = "EC PRIVATE KEY"
 )
 
-// CertificateAuthority issues certificates that are good for a day, as files of a folder.
+// CertificateAuthority issues certificates that are valid for a day, as files of a directory. It is not safe for concurrent use.
 type CertificateAuthority struct {
 	cert   *x509.Certificate
 	key    *ecdsa.PrivateKey
 	dir    string
-	serial int64
+	serial int64 // of the last certificate issued
 }
 
-// NewCertificateAuthority makes one, and writes ca.pem, who trusts it.
+// NewCertificateAuthority makes a certificate authority and writes its own certificate to ca.pem in dir.
 func NewCertificateAuthority(dir string) (*CertificateAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	tmpl := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
-	}
-	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, &key.PublicKey, key)
+	a := &CertificateAuthority{key: key, dir: dir}
+	template := a.nextTemplate("stand-in")
+	template.IsCA, template.BasicConstraintsValid, template.KeyUsage = true, true, x509.KeyUsageCertSign
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
 	}
-	cert, err := x509.ParseCertificate(der)
-	if err != nil {
+	if a.cert, err = x509.ParseCertificate(der); err != nil {
 		return nil, err
 	}
-	a := &CertificateAuthority{cert: cert, key: key, dir: dir, serial: 1}
-	return a, a.writePEM("ca.pem", "CERTIFICATE", der)
+	return a, a.writePEM(caCertificateFile, pemCertificate, der)
+}
+
+// nextTemplate returns what all certificates have in common, with the next serial number.
+func (a *CertificateAuthority) nextTemplate(commonName string) *x509.Certificate {
+	a.serial++
+	return &x509.Certificate{
+		SerialNumber: big.NewInt(a.serial),
+		Subject:      pkix.Name{CommonName: commonName},
+		NotBefore:    time.Now().Add(-certificateBackdate),
+		NotAfter:     time.Now().Add(certificateValidity),
+	}
 }
 
-// Path is one of the files that it has written.
+// Path returns the path of a file that the authority has written.
 func (a *CertificateAuthority) Path(name string) string { return filepath.Join(a.dir, name) }
 
-// CertPool is who trusts it.
+// CertPool returns a pool that trusts the authority and nobody else.
 func (a *CertificateAuthority) CertPool() *x509.CertPool {
-	p := x509.NewCertPool()
-	p.AddCert(a.cert)
-	return p
+	pool := x509.NewCertPool()
+	pool.AddCert(a.cert)
+	return pool
 }
 
-// Issue writes NAME.key and NAME.pem for a host, in this order, each whole at once: between the two they do not match.
+// Issue writes NAME.key and NAME.pem for a host, in this order, and replaces each atomically: in between they do not match.
 func (a *CertificateAuthority) Issue(name, host string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	a.serial++
-	tmpl := &x509.Certificate{
-		SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: host}, DNSNames: []string{host}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
-	}
-	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &key.PublicKey, a.key)
+	template := a.nextTemplate(host)
+	template.DNSNames = []string{host}
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	cert, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return err
 	}
-	raw, err := x509.MarshalECPrivateKey(key)
+	privateKey, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
-	if err := a.writePEM(name+".key", "EC PRIVATE KEY", raw); err != nil {
+	if err := a.writePEM(name+".key", pemPrivateKey, privateKey); err != nil {
 		return err
 	}
-	return a.writePEM(name+".pem", "CERTIFICATE", der)
+	return a.writePEM(name+".pem", pemCertificate, cert)
 }
 
-func (a *CertificateAuthority) writePEM(name, kind string, der []byte) error {
+// writePEM replaces a file atomically.
+func (a *CertificateAuthority) writePEM(name, blockType string, der []byte) error {
 	path := a.Path(name)
-	if err := os.WriteFile(path+".new", pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+	text := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
+	if err := os.WriteFile(path+".new", text, certificateFileMode); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
-
-// EncodeRequestHeaders are the fields of a request without a body as HTTP/2 writes them, for a connection on which nothing else was.
-func EncodeRequestHeaders(method, host, path, id string) []byte {
-	var b bytes.Buffer
-	e := hpack.NewEncoder(&b)
-	e.SetMaxDynamicTableSizeLimit(0)
-	for _, f := range [][2]string{{":method", method}, {":scheme", "https"}, {":authority", host}, {":path", path}, {"x-request-id", id}} {
-		e.WriteField(hpack.HeaderField{Name: f[0], Value: f[1], Sensitive: true})
-	}
-	return b.Bytes()
-}
