--- a/internal/sitelink/harness_test.go
+++ b/internal/sitelink/harness_test.go
@@ -42,7 +42,7 @@
 	name      string
 	extension *Extension
 	gw        *gateway.Gateway
-	backends  []*fake.Box
+	backends  []*fake.Backend
 	stopped   chan struct{}
 	stop      context.CancelFunc
 }
@@ -62,7 +62,7 @@
 }
 
 // startSite starts a site whose peer is at peerAddress, with a list of backends. Its link forwards whatever is rejected.
-func startSite(t *testing.T, name, peer, peerAddress, sitesAddress string, backends []*fake.Box, files *TLS) *site {
+func startSite(t *testing.T, name, peer, peerAddress, sitesAddress string, backends []*fake.Backend, files *TLS) *site {
 	t.Helper()
 	s := &site{name: name, backends: backends, stopped: make(chan struct{})}
 	set := testSettings(name)
@@ -88,8 +88,8 @@
 	}
 	var hosts []discovery.Endpoint
 	for _, b := range backends {
-		e := b.Entry()
-		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Dial, Zone: name, Health: "active", Weight: 1})
+		e := b.Endpoint()
+		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Address, Zone: name, Health: "active", Weight: 1})
 	}
 	gcfg := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
@@ -130,11 +130,11 @@
 	return ln.Addr().String()
 }
 
-var effects = map[string]fake.Effect{"check": fake.Safe, "order": fake.Keyed, "order-here": fake.Keyed, "book": fake.Unsafe}
+var effects = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "order-here": fake.IdempotentByKey, "book": fake.NonIdempotent}
 
-func startBackend(t *testing.T, name string, l *fake.Ledger, r *fake.Repeats) *fake.Box {
+func startBackend(t *testing.T, name string, l *fake.EffectRecorder, r *fake.Deduplicator) *fake.Backend {
 	t.Helper()
-	b, err := fake.StartBox(fake.BoxConfig{Name: name, Cores: 50, Queue: 100, Effects: effects, Ledger: l, Repeats: r})
+	b, err := fake.StartBackend(fake.BackendConfig{Name: name, Cores: 50, QueueLimit: 100, Idempotency: effects, Recorder: l, Deduplicator: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,22 +145,22 @@
 // pair is two sites with a link from the first to the second.
 type pair struct {
 	near, far *site
-	link      *fake.Relay
-	recorder  *fake.Ledger
+	link      *fake.Proxy
+	recorder  *fake.EffectRecorder
 }
 
 func startPair(t *testing.T, nearBackends int, files [2]*TLS) *pair {
 	t.Helper()
-	p := &pair{recorder: fake.NewLedger()}
-	repeats := fake.NewRepeats(time.Minute)
-	var near, far []*fake.Box
+	p := &pair{recorder: fake.NewEffectRecorder()}
+	repeats := fake.NewDeduplicator(time.Minute)
+	var near, far []*fake.Backend
 	for i := range nearBackends {
 		near = append(near, startBackend(t, fmt.Sprintf("near-%d", i), p.recorder, repeats))
 	}
 	far = append(far, startBackend(t, "far-0", p.recorder, repeats), startBackend(t, "far-1", p.recorder, repeats))
 	sitesAddresses := [2]string{freeAddress(t), freeAddress(t)}
 	var err error
-	if p.link, err = fake.StartRelay(sitesAddresses[1]); err != nil {
+	if p.link, err = fake.StartProxy(sitesAddresses[1]); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.link.Close)
@@ -202,7 +202,7 @@
 	for _, m := range more {
 		text += m + "\r\n"
 	}
-	p.recorder.Sent(p.recorder.Op(effects[class]), id, timeout)
+	p.recorder.RecordSent(p.recorder.BeginOperation(effects[class]), id, timeout)
 	io.WriteString(c, text+tail)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -215,7 +215,7 @@
 	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.ResponseField) != "" {
 		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.ResponseField))
 	}
-	p.recorder.Answered(id, resp.StatusCode, strings.HasPrefix(string(body), fake.Made(class, id, key)))
+	p.recorder.RecordResponse(id, resp.StatusCode, strings.HasPrefix(string(body), fake.ResponseBody(class, id, key)))
 	return resp.StatusCode
 }
 
@@ -236,7 +236,7 @@
 
 func (p *pair) checkRecorder(t *testing.T) {
 	t.Helper()
-	for _, b := range p.recorder.Check(fake.Slack{Answer: 500 * time.Millisecond, After: 500 * time.Millisecond, Grace: time.Second}).Broken {
+	for _, b := range p.recorder.Check(fake.Tolerance{LateResponse: 500 * time.Millisecond, AttemptAfterResponse: 500 * time.Millisecond, AfterDrainGrace: time.Second}).Violations {
 		t.Error(b)
 	}
 }
--- a/internal/sitelink/sitelink_test.go
+++ b/internal/sitelink/sitelink_test.go
@@ -33,8 +33,8 @@
 	p.untilServed(t, "order")
 	for n := range 20 {
 		key := fmt.Sprint("here-", n)
-		if status := p.send(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.recorder.Arrivals(key) > 0 {
-			t.Fatalf("got %d, and %d attempts", status, p.recorder.Arrivals(key))
+		if status := p.send(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.recorder.ArrivalCount(key) > 0 {
+			t.Fatalf("got %d, and %d attempts", status, p.recorder.ArrivalCount(key))
 		}
 	}
 	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
@@ -54,7 +54,7 @@
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "book")
 	for _, b := range p.far.backends {
-		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 500 * time.Millisecond})
 	}
 	for n := range 5 {
 		from := time.Now()
@@ -63,7 +63,7 @@
 		if took := time.Since(from); took > 450*time.Millisecond {
 			t.Errorf("answered after %v of 200 ms", took)
 		}
-		if p.recorder.Arrivals(id) > 0 && status != 502 {
+		if p.recorder.ArrivalCount(id) > 0 && status != 502 {
 			t.Errorf("a booking that may have run was answered %d", status)
 		}
 	}
@@ -81,7 +81,7 @@
 	p.untilServed(t, "check")
 	p.untilServed(t, "book")
 	for _, b := range p.far.backends {
-		b.SetFault(fake.Fault{Kind: fake.Slow, Share: 1, Delay: 1500 * time.Millisecond})
+		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 1500 * time.Millisecond})
 	}
 	var asking sync.WaitGroup
 	var there sync.WaitGroup
@@ -96,17 +96,17 @@
 				crossed := make(chan struct{})
 				go func() {
 					defer close(crossed)
-					for p.recorder.Arrivals(id) == 0 && !p.recorder.IsAnswered(id) {
+					for p.recorder.ArrivalCount(id) == 0 && !p.recorder.HasResponse(id) {
 						time.Sleep(time.Millisecond)
 					}
-					if p.recorder.Arrivals(id) > 0 {
+					if p.recorder.ArrivalCount(id) > 0 {
 						there.Done()
 					}
 				}()
 				from := time.Now()
 				status := p.send(t, p.near.addr("farm"), class, id, key, 3*time.Second)
 				<-crossed
-				if p.recorder.Arrivals(id) == 0 && n < 1000 {
+				if p.recorder.ArrivalCount(id) == 0 && n < 1000 {
 					continue
 				}
 				if took := time.Since(from); took > time.Second {
@@ -120,7 +120,7 @@
 		})
 	}
 	there.Wait()
-	p.link.Stall(true)
+	p.link.SetStalled(true)
 	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the link holds these up, and delivers them later
 		asking.Go(func() {
 			status := p.send(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
@@ -139,11 +139,11 @@
 	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{})
 	}
-	p.link.Stall(false)
+	p.link.SetStalled(false)
 	p.awaitOpen(t)
 	p.untilServed(t, "order")
 	for n := range 20 {
-		if p.recorder.Arrivals(fmt.Sprintf("held-%d", n)) > 0 {
+		if p.recorder.ArrivalCount(fmt.Sprintf("held-%d", n)) > 0 {
 			t.Errorf("held-%d went on at the far site after it had been given up here", n)
 		}
 	}
@@ -201,7 +201,7 @@
 	})
 	defer accepting.Wait()
 	defer ln.Close()
-	p := &pair{recorder: fake.NewLedger()}
+	p := &pair{recorder: fake.NewEffectRecorder()}
 	p.near = startSite(t, "near", "far", ln.Addr().String(), freeAddress(t), nil, nil)
 	for n := range 20 {
 		from := time.Now()
@@ -244,7 +244,7 @@
 			t.Fatalf("got %d, want a refusal", status)
 		}
 	}
-	if n := p.recorder.Check(fake.UsualSlack).Arrivals; n > 200 {
+	if n := p.recorder.Check(fake.DefaultTolerance).Arrivals; n > 200 {
 		t.Errorf("%d attempts", n)
 	}
 	p.checkRecorder(t)
