--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -1,161 +1,30 @@
 package consensus
 
 import (
-	"bytes"
-	"encoding/hex"
 	"encoding/json"
-	"flag"
-	"fmt"
-	"maps"
-	"os"
-	"reflect"
-	"slices"
 	"strings"
 	"testing"
 
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"sorrelrudder/internal/goldentest"
 	"sorrelrudder/internal/lease"
 	"sorrelrudder/internal/task"
 )
 
-var update = flag.Bool("update", false, "write the golden files from the present code")
-
-// goldenCase is a value whose serialized form must not change.
-type goldenCase struct {
-	name   string
-	value  any
-	encode func() ([]byte, error)
-	decode func(data []byte) (any, error)
+func messageCase(name string, m *raftpb.Message) goldentest.Case {
+	return protoCase(name, m, func() ([]byte, error) { return EncodeMessage(m) }, func(data []byte) (any, error) { return DecodeMessage(data) })
 }
 
-func jsonCase[T any](name string, value T) goldenCase {
-	return goldenCase{name, value, func() ([]byte, error) { return json.Marshal(value) }, func(data []byte) (any, error) {
-		var read T
-		err := json.Unmarshal(data, &read)
-		return read, err
+func protoCase(name string, value proto.Message, encode func() ([]byte, error), decode func([]byte) (any, error)) goldentest.Case {
+	return goldentest.Case{Name: name, Value: value, Encode: encode, Decode: decode, Equal: func(decoded, value any) bool {
+		return proto.Equal(decoded.(proto.Message), value.(proto.Message))
 	}}
 }
 
-func messageCase(name string, m *raftpb.Message) goldenCase {
-	return goldenCase{name, m, func() ([]byte, error) { return EncodeMessage(m) }, func(data []byte) (any, error) { return DecodeMessage(data) }}
-}
-
-// checkGolden compares each value with its line in file, both ways. A line is a name and the bytes, in hexadecimal unless they are JSON.
-func checkGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	lines := map[string]string{}
-	if *update {
-		var out bytes.Buffer
-		for _, c := range cases {
-			data, err := c.encode()
-			if err != nil {
-				t.Fatalf("%s: %v", c.name, err)
-			}
-			text := string(data)
-			if !json.Valid(data) {
-				text = "hex:" + hex.EncodeToString(data)
-			}
-			fmt.Fprintf(&out, "%s %s\n", c.name, text)
-		}
-		if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		name, form, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		lines[name] = form
-	}
-	for _, c := range cases {
-		want := []byte(lines[c.name])
-		if digits, is := strings.CutPrefix(lines[c.name], "hex:"); is {
-			if want, err = hex.DecodeString(digits); err != nil {
-				t.Fatalf("%s: %s: %v", file, c.name, err)
-			}
-		}
-		delete(lines, c.name)
-		if got, err := c.encode(); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: encoded, %v\n got %q\nwant %q", c.name, err, got, want)
-		}
-		got, err := c.decode(want)
-		if err != nil || !sameValue(got, c.value) {
-			t.Errorf("%s: decoded, %v\n got %+v\nwant %+v", c.name, err, got, c.value)
-		}
-	}
-	if len(lines) > 0 {
-		t.Errorf("%s: without a case: %v", file, slices.Sorted(maps.Keys(lines)))
-	}
-}
-
-func sameValue(a, b any) bool {
-	if m, is := a.(proto.Message); is {
-		return proto.Equal(m, b.(proto.Message))
-	}
-	return reflect.DeepEqual(a, b)
-}
-
-// fieldForms notes the exported fields of the project's structs in the examples: whether any example sets them, and whether they have a tag.
-type fieldForms struct{ set, untagged map[string]bool }
-
-func (f *fieldForms) walk(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Pointer, reflect.Interface:
-		if !v.IsNil() {
-			f.walk(v.Elem())
-		}
-	case reflect.Slice:
-		for i := range v.Len() {
-			f.walk(v.Index(i))
-		}
-	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			f.walk(v.MapIndex(key))
-		}
-	case reflect.Struct:
-		f.walkStruct(v)
-	}
-}
-
-func (f *fieldForms) walkStruct(v reflect.Value) {
-	if !strings.HasPrefix(v.Type().PkgPath(), "sorrelrudder/") {
-		return
-	}
-	for i := range v.NumField() {
-		field := v.Type().Field(i)
-		if !field.IsExported() {
-			continue
-		}
-		name := v.Type().String() + "." + field.Name
-		f.set[name] = f.set[name] || !v.Field(i).IsZero()
-		if field.Tag.Get("json") == "" {
-			f.untagged[name] = true
-		}
-		f.walk(v.Field(i))
-	}
-}
-
-// checkFields fails for each exported field of the project's structs that no case sets, so that its form is not
-// checked, or that has no tag, so that its form changes with its name.
-func checkFields(t *testing.T, cases []goldenCase) {
-	t.Helper()
-	forms := fieldForms{set: map[string]bool{}, untagged: map[string]bool{}}
-	for _, c := range cases {
-		forms.walk(reflect.ValueOf(c.value))
-	}
-	for _, name := range slices.Sorted(maps.Keys(forms.set)) {
-		if !forms.set[name] {
-			t.Errorf("%s is not set in any example", name)
-		}
-		if forms.untagged[name] {
-			t.Errorf("%s has no json tag: its form would change with its name", name)
-		}
-	}
-}
+// ofProject accepts the packages of the project.
+func ofProject(pkgPath string) bool { return strings.HasPrefix(pkgPath, "sorrelrudder/") }
 
 func exampleStateMachine() *StateMachine {
 	leases := &lease.StateMachine{
@@ -219,17 +88,17 @@
 func TestGoldenForms(t *testing.T) {
 	leaseCommand, seatCommand, slotCommand, orderCommand := exampleCommands()
 	fleet := exampleStateMachine()
-	cases := []goldenCase{
-		jsonCase("entry/lease", proposal{Term: 2, ID: 10, Lease: &leaseCommand}),
-		jsonCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &seatCommand}),
-		jsonCase("entry/slot", proposal{Term: 2, ID: 12, Task: &slotCommand}),
-		jsonCase("entry/order", proposal{Term: 2, ID: 13, Decision: &orderCommand}),
-		{"snapshot", fleet, fleet.snapshot, func(data []byte) (any, error) { return restore(data) }},
-		jsonCase("request", Request{
+	cases := []goldentest.Case{
+		goldentest.JSONCase("entry/lease", proposal{Term: 2, ID: 10, Lease: &leaseCommand}),
+		goldentest.JSONCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &seatCommand}),
+		goldentest.JSONCase("entry/slot", proposal{Term: 2, ID: 12, Task: &slotCommand}),
+		goldentest.JSONCase("entry/order", proposal{Term: 2, ID: 13, Decision: &orderCommand}),
+		{Name: "snapshot", Value: fleet, Encode: fleet.snapshot, Decode: func(data []byte) (any, error) { return restore(data) }},
+		goldentest.JSONCase("request", Request{
 			Lease: &lease.Request{ID: 1, Member: "p0", SessionID: 3, KnownVersion: 4, Command: &leaseCommand}, Voter: &seatCommand, Task: &slotCommand, Decision: &orderCommand,
 			TaskRecords: []string{"sweep"}, Status: true,
 		}),
-		{"response", exampleResponse(fleet), func() ([]byte, error) { return json.Marshal(exampleResponse(fleet)) }, func(data []byte) (any, error) {
+		{Name: "response", Value: exampleResponse(fleet), Encode: func() ([]byte, error) { return json.Marshal(exampleResponse(fleet)) }, Decode: func(data []byte) (any, error) {
 			var read Response
 			if err := json.Unmarshal(data, &read); err != nil {
 				return nil, err
@@ -257,13 +126,13 @@
 		{"change/remove", &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}},
 	} {
 		change := fleet.nextConfChange(c.conf, func(uint64) bool { return true })
-		cases = append(cases, goldenCase{c.name, change, func() ([]byte, error) { return proto.Marshal(change) }, func(data []byte) (any, error) {
+		cases = append(cases, protoCase(c.name, change, func() ([]byte, error) { return proto.Marshal(change) }, func(data []byte) (any, error) {
 			read := &raftpb.ConfChangeV2{}
 			return read, proto.Unmarshal(data, read)
-		}})
+		}))
 	}
-	checkGolden(t, "testdata/forms.golden", cases)
-	checkFields(t, cases)
+	goldentest.CheckCases(t, "testdata/forms.golden", cases)
+	goldentest.CheckFields(t, cases, ofProject)
 }
 
 func exampleResponse(f *StateMachine) Response {
@@ -285,15 +154,15 @@
 		t.Fatal(err)
 	}
 	hard := BootstrapHardState()
-	checkGolden(t, "testdata/founding.golden", []goldenCase{
-		{"snapshot", snap, func() ([]byte, error) { return proto.Marshal(snap) }, func(data []byte) (any, error) {
+	goldentest.CheckCases(t, "testdata/founding.golden", []goldentest.Case{
+		protoCase("snapshot", snap, func() ([]byte, error) { return proto.Marshal(snap) }, func(data []byte) (any, error) {
 			read := &raftpb.Snapshot{}
 			return read, proto.Unmarshal(data, read)
-		}},
-		{"hard", hard, func() ([]byte, error) { return proto.Marshal(hard) }, func(data []byte) (any, error) {
+		}),
+		protoCase("hard", hard, func() ([]byte, error) { return proto.Marshal(hard) }, func(data []byte) (any, error) {
 			read := &raftpb.HardState{}
 			return read, proto.Unmarshal(data, read)
-		}},
+		}),
 	})
 }
 
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -7,9 +7,7 @@
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/binary"
-	"encoding/hex"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"maps"
@@ -27,6 +25,7 @@
 	"go.etcd.io/bbolt"
 
 	"sorrelrudder/internal/consensus"
+	"sorrelrudder/internal/goldentest"
 	"sorrelrudder/internal/gossip"
 	"sorrelrudder/internal/httpmsg"
 	"sorrelrudder/internal/lease"
@@ -35,136 +34,9 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// update is for forms that are meant to change: what stands in testdata was written by earlier versions, and is there to be read by later ones.
-var update = flag.Bool("update", false, "write the golden files from the present code")
-
-// goldenCase is a value whose serialized form must not change.
-type goldenCase struct {
-	name   string
-	value  any
-	encode func() ([]byte, error)
-	decode func(data []byte) (any, error)
-}
-
-func jsonCase[T any](name string, value T) goldenCase {
-	return goldenCase{name, value, func() ([]byte, error) { return json.Marshal(value) }, func(data []byte) (any, error) {
-		var read T
-		err := json.Unmarshal(data, &read)
-		return read, err
-	}}
-}
-
-// golden returns the lines of a golden file by their names; with -update it writes them first.
-func golden(t *testing.T, file string, names []string, form func(name string) string) map[string]string {
-	t.Helper()
-	if *update {
-		var out bytes.Buffer
-		for _, name := range names {
-			fmt.Fprintf(&out, "%s %s\n", name, form(name))
-		}
-		if err := os.WriteFile(file, out.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := map[string]string{}
-	for line := range strings.Lines(string(text)) {
-		name, form, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		lines[name] = form
-	}
-	for name := range lines {
-		if !slices.Contains(names, name) {
-			t.Errorf("%s: %s has no case", file, name)
-		}
-	}
-	return lines
-}
-
-// checkGolden compares each value with its line in file, both ways. A line is a name and the bytes, in hexadecimal unless they are JSON.
-func checkGolden(t *testing.T, file string, cases []goldenCase) {
-	t.Helper()
-	forms := map[string]string{}
-	var names []string
-	for _, c := range cases {
-		data, err := c.encode()
-		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
-		}
-		forms[c.name] = string(data)
-		if !json.Valid(data) {
-			forms[c.name] = "hex:" + hex.EncodeToString(data)
-		}
-		names = append(names, c.name)
-	}
-	lines := golden(t, file, names, func(name string) string { return forms[name] })
-	for _, c := range cases {
-		want := []byte(lines[c.name])
-		if digits, is := strings.CutPrefix(lines[c.name], "hex:"); is {
-			var err error
-			if want, err = hex.DecodeString(digits); err != nil {
-				t.Fatalf("%s: %s: %v", file, c.name, err)
-			}
-		}
-		if forms[c.name] != lines[c.name] {
-			t.Errorf("%s: encoded\n got %s\nwant %s", c.name, forms[c.name], lines[c.name])
-		}
-		if got, err := c.decode(want); err != nil || !reflect.DeepEqual(got, c.value) {
-			t.Errorf("%s: decoded, %v\n got %+v\nwant %+v", c.name, err, got, c.value)
-		}
-	}
-}
-
-// checkFields fails for each exported field of this package's and of package replica's structs that no case sets, or that has no tag.
-// Those of package council have their own test.
-func checkFields(t *testing.T, cases []goldenCase) {
-	t.Helper()
-	packages := []string{reflect.TypeFor[Status]().PkgPath(), reflect.TypeFor[gossip.Stats]().PkgPath()}
-	set, untagged := map[string]bool{}, map[string]bool{}
-	var walk func(v reflect.Value)
-	walk = func(v reflect.Value) {
-		switch v.Kind() {
-		case reflect.Pointer, reflect.Interface:
-			if !v.IsNil() {
-				walk(v.Elem())
-			}
-		case reflect.Slice:
-			for i := range v.Len() {
-				walk(v.Index(i))
-			}
-		case reflect.Map:
-			for _, key := range v.MapKeys() {
-				walk(v.MapIndex(key))
-			}
-		case reflect.Struct:
-			if !slices.Contains(packages, v.Type().PkgPath()) {
-				return
-			}
-			for i := range v.NumField() {
-				if f := v.Type().Field(i); f.IsExported() {
-					name := v.Type().String() + "." + f.Name
-					set[name] = set[name] || !v.Field(i).IsZero()
-					if f.Tag.Get("json") == "" {
-						untagged[name] = true
-					}
-					walk(v.Field(i))
-				}
-			}
-		}
-	}
-	for _, c := range cases {
-		walk(reflect.ValueOf(c.value))
-	}
-	for _, name := range slices.Sorted(maps.Keys(set)) {
-		if !set[name] {
-			t.Errorf("%s is not set in any example", name)
-		}
-		if untagged[name] {
-			t.Errorf("%s has no json tag: its form would change with its name", name)
-		}
-	}
+// ofFleet accepts this package and package gossip; package consensus has a test of its own.
+func ofFleet(pkgPath string) bool {
+	return pkgPath == reflect.TypeFor[Status]().PkgPath() || pkgPath == reflect.TypeFor[gossip.Stats]().PkgPath()
 }
 
 func exampleHello() hello {
@@ -189,30 +61,30 @@
 
 // TestGoldenMessages: what processes and operators send each other is written and read as it was by earlier versions.
 func TestGoldenMessages(t *testing.T) {
-	cases := []goldenCase{
-		jsonCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
-		jsonCase("hello", exampleHello()),
-		jsonCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
-		jsonCase("request", rpc{Handle: 12, Request: consensus.Request{TaskRecords: []string{"sweep"}}}),
-		jsonCase("response", rpc{Handle: 12, Response: consensus.Response{NotLeader: true, Leader: "p1"}}),
-		jsonCase("status", rpc{Handle: 12, Status: exampleStatus()}),
-		jsonCase("operator", rpc{Handle: 12, Found: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
+	cases := []goldentest.Case{
+		goldentest.JSONCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
+		goldentest.JSONCase("hello", exampleHello()),
+		goldentest.JSONCase("hello/operator", hello{Version: helloVersion, Name: operatorName, Nonce: []byte{1}}),
+		goldentest.JSONCase("request", rpc{Handle: 12, Request: consensus.Request{TaskRecords: []string{"sweep"}}}),
+		goldentest.JSONCase("response", rpc{Handle: 12, Response: consensus.Response{NotLeader: true, Leader: "p1"}}),
+		goldentest.JSONCase("status", rpc{Handle: 12, Status: exampleStatus()}),
+		goldentest.JSONCase("operator", rpc{Handle: 12, Found: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
 	}
 	key := []byte("0123456789abcdef0123456789abcdef")
 	for kind, name := range map[byte]string{kindHello: "hello", kindRaft: "raft", kindRequest: "ask", kindResponse: "answer", kindWake: "wake", kindGossip: "gossip", kindPing: "ping", kindPong: "pong"} {
 		want := frame{kind, []byte("payload")}
-		cases = append(cases, goldenCase{"frame/" + name, want, func() ([]byte, error) {
+		cases = append(cases, goldentest.Case{Name: "frame/" + name, Value: want, Encode: func() ([]byte, error) {
 			var wire recorder
 			err := (&conn{Conn: &wire, sendKey: key}).write(want.kind, want.payload)
 			return wire.Bytes(), err
-		}, func(data []byte) (any, error) {
+		}, Decode: func(data []byte) (any, error) {
 			kind, payload, err := (&conn{reader: bufio.NewReader(bytes.NewReader(data)), receiveKey: key}).read(maxFrameBytes)
 			return frame{kind, payload}, err
 		}})
 	}
-	slices.SortStableFunc(cases, func(a, b goldenCase) int { return strings.Compare(a.name, b.name) })
-	checkGolden(t, "testdata/messages.golden", cases)
-	checkFields(t, cases)
+	slices.SortStableFunc(cases, func(a, b goldentest.Case) int { return strings.Compare(a.Name, b.Name) })
+	goldentest.CheckCases(t, "testdata/messages.golden", cases)
+	goldentest.CheckFields(t, cases, ofFleet)
 }
 
 // recorder is a connection that keeps what is written.
@@ -480,13 +352,13 @@
 	dir := t.TempDir()
 	fresh, former := filepath.Join(dir, "fresh.db"), filepath.Join(dir, "former.db")
 	fleet := writeExampleStore(t, fresh)
-	if *update {
+	if goldentest.Update() {
 		copyFile(t, fresh, file)
 	}
 	copyFile(t, file, former)
 	dump := dumpStore(t, fresh)
 	names := slices.Sorted(maps.Keys(dump))
-	lines := golden(t, "testdata/store.golden", names, func(name string) string { return dump[name] })
+	lines := goldentest.Lines(t, "testdata/store.golden", names, func(name string) string { return dump[name] })
 	if !maps.Equal(dump, lines) {
 		t.Errorf("written now\n got %v\nwant %v", dump, lines)
 	}
@@ -538,7 +410,7 @@
 	k.node.ApplyDecision("order/farm/box", 4, []byte("out"))
 	k.node.ApplyDecision("zone/farm/b", 5, nil)
 	data := k.snapshot("p")
-	if *update {
+	if goldentest.Update() {
 		if err := writeFileAtomically(file, data); err != nil {
 			t.Fatal(err)
 		}
