--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"testing"
 	"time"
@@ -78,18 +79,18 @@
 		armed = armed && !spoils
 		mu.Unlock()
 		if spoils {
-			io.WriteString(c, part)
+			send(c, part)
 			off(c)
 			return
 		}
-		io.WriteString(c, echo(q, b))
+		send(c, echo(q, b))
 	}
 	a, b := startWriter(t, f), startWriter(t, f)
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, a, b)))
 	c := s.dial(t)
 	if rested {
 		for i := range 8 { // so that each server has a connection that rests
-			if status, _ := c.ask(t, get(fmt.Sprint(i))); status != 200 {
+			if status, _ := c.ask(t, get(strconv.Itoa(i))); status != 200 {
 				return fmt.Errorf("answered %d before", status)
 			}
 		}
@@ -140,7 +141,7 @@
 	conns := make(chan net.Conn, 10)
 	u := startWriter(t, func(c net.Conn, q *http.Request, b []byte) {
 		conns <- c
-		io.WriteString(c, echo(q, b))
+		send(c, echo(q, b))
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	c := s.dial(t)
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -41,57 +41,67 @@
 // use.
 func TestLongAnswers(t *testing.T) {
 	long := longBody(3<<20 + 17)
-	for name, text := range map[string]string{
-		"length":     fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
-		"chunks":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, 100_000),
-		"one chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long, len(long)),
-		"just long":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBodyBytes+1, long[:httpmsg.MaxBufferedBodyBytes+1]),
-		"just short": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", httpmsg.MaxBufferedBodyBytes, long[:httpmsg.MaxBufferedBodyBytes]),
-		"just full":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(long[:httpmsg.MaxBufferedBodyBytes], 1000),
+	full, beyond := long[:httpmsg.MaxBufferedBodyBytes], long[:httpmsg.MaxBufferedBodyBytes+1]
+	withLength := func(body []byte) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+	inChunks := func(body []byte, size int) string {
+		return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, size)
+	}
+	for name, c := range map[string]struct {
+		text string
+		want []byte
+	}{
+		"length":     {withLength(long), long},
+		"chunks":     {inChunks(long, 100_000), long},
+		"one chunk":  {inChunks(long, len(long)), long},
+		"just long":  {withLength(beyond), beyond},
+		"just short": {withLength(full), full},
+		"just full":  {inChunks(full, 1000), full},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			want := long
-			if strings.HasPrefix(name, "just") {
-				want = long[:httpmsg.MaxBufferedBodyBytes]
-				if name == "just long" {
-					want = long[:httpmsg.MaxBufferedBodyBytes+1]
-				}
-			}
-			u := startUpstream(t, func(*http.Request, []byte) string { return text })
+			u := startUpstream(t, func(*http.Request, []byte) string { return c.text })
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-			const most = 3
-			asked, answered := 0, int64(0)
-			for inTurn, until := 0, time.Now().Add(patience); inTurn < most; {
-				c := s.dial(t)
-				sent := time.Now()
-				for inTurn = 0; inTurn < most; inTurn++ {
-					before := sent
-					sent = time.Now()
-					asked++
-					status, body := c.ask(t, get(strconv.Itoa(asked)))
-					if status == 0 && inTurn > 0 && time.Since(before) >= keepalive.MaxIdle && time.Now().Before(until) {
-						t.Logf("answer %d: this machine stood still, and the connection was idle for longer than any may be", inTurn)
-						break
-					}
-					if status != 200 || body != string(want) {
-						t.Fatalf("answer %d: %d and %d bytes, want %d", inTurn, status, len(body), len(want))
-					}
-					answered++
-				}
-			}
+			answered := askInTurn(t, s, string(c.want))
 			waitFor(t, "the figures", func() bool {
 				return s.Vars().Results["check"].Succeeded == answered && s.Vars().Outstanding == 0
 			})
 			// HTTP/1.0 knows no chunks: the end of the connection is that of the answer.
 			old := s.dial(t)
-			if status, body := old.ask(t, strings.Replace(get("old"), "HTTP/1.1", "HTTP/1.0", 1)); status != 200 || body != string(want) {
-				t.Errorf("to HTTP/1.0: %d and %d bytes, want %d", status, len(body), len(want))
+			if status, body := old.ask(t, strings.Replace(get("old"), "HTTP/1.1", "HTTP/1.0", 1)); status != 200 || body != string(c.want) {
+				t.Errorf("to HTTP/1.0: %d and %d bytes, want %d", status, len(body), len(c.want))
 			}
 		})
 	}
 }
 
+// askInTurn asks until three requests in a row were answered with want on one connection, and returns how many were answered in all.
+func askInTurn(t *testing.T, s *running, want string) (answered int64) {
+	t.Helper()
+	const most = 3
+	asked := 0
+	for inTurn, until := 0, time.Now().Add(patience); inTurn < most; {
+		c := s.dial(t)
+		sent := time.Now()
+		for inTurn = 0; inTurn < most; inTurn++ { //nolint:intrange // inTurn is read behind the loop
+			before := sent
+			sent = time.Now()
+			asked++
+			status, body := c.ask(t, get(strconv.Itoa(asked)))
+			if status == 0 && inTurn > 0 && time.Since(before) >= keepalive.MaxIdle && time.Now().Before(until) {
+				t.Logf("answer %d: this machine stood still, and the connection was idle for longer than any may be", inTurn)
+				break
+			}
+			if status != 200 || body != want {
+				t.Fatalf("answer %d: %d and %d bytes, want %d", inTurn, status, len(body), len(want))
+			}
+			answered++
+		}
+	}
+	return answered
+}
+
 // TestLongAnswerAsItComes guards against holding back what of a long answer has come, until more does.
 func TestLongAnswerAsItComes(t *testing.T) {
 	long := longBody(300_000)
@@ -100,24 +110,25 @@
 			t.Parallel()
 			more := make(chan struct{})
 			u := startWriter(t, func(c net.Conn, _ *http.Request, _ []byte) {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
+				send(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
 				if strings.HasPrefix(head, "T") {
 					fmt.Fprintf(c, "%x\r\n", len(long)) // one chunk, which comes in two pieces
 				}
-				c.Write(long[:100_000])
+				send(c, long[:100_000])
 				<-more
-				c.Write(long[100_000:])
+				send(c, long[100_000:])
 				if strings.HasPrefix(head, "T") {
-					io.WriteString(c, "\r\n0\r\n\r\n")
+					send(c, "\r\n0\r\n\r\n")
 				}
 			})
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 			c := s.dial(t)
-			io.WriteString(c, get("a"))
+			send(c, get("a"))
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
+			defer resp.Body.Close()
 			first := make([]byte, 100_000)
 			for n := 0; n < len(first); { // one byte at a time of what a chunk may still hold back in this reader
 				k, err := resp.Body.Read(first[n : n+1])
@@ -144,33 +155,17 @@
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" to "+version, func(t *testing.T) {
 				t.Parallel()
-				part := longBody(200_000) // made beforehand: a pause behind the head would break the attempt off before any of it is passed on
+				part := string(longBody(200_000)) // made beforehand: a pause behind the head would break the attempt off before any of it is passed on
+				if name == "chunks" {
+					part = fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
+				}
 				u := startWriter(t, func(c net.Conn, _ *http.Request, _ []byte) {
-					io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
-					if name == "chunks" {
-						fmt.Fprintf(c, "%x\r\n", 200_000)
-					}
-					c.Write(part)
-					if name == "chunks" {
-						io.WriteString(c, "\r\n")
-					}
+					send(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
+					send(c, part)
 					c.Close()
 				})
 				s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-				var err error
-				for i, until := 0, time.Now().Add(patience); ; i++ { // on a busy machine a request may be refused first, and comes again anew
-					c := s.dial(t)
-					io.WriteString(c, strings.Replace(get("a"+strconv.Itoa(i)), "HTTP/1.1", version, 1))
-					var resp *http.Response
-					if resp, err = http.ReadResponse(c.r, nil); err == nil {
-						_, err = io.Copy(io.Discard, resp.Body)
-						if err == nil && resp.StatusCode != http.StatusOK && time.Now().Before(until) {
-							continue
-						}
-					}
-					break
-				}
-				if err == nil {
+				if err := s.askUntilServed(t, version); err == nil {
 					t.Error("a part of an answer seems whole")
 				}
 				waitFor(t, "the figures", func() bool {
@@ -182,22 +177,43 @@
 	}
 }
 
+// askUntilServed asks until an answer is no refusal, and returns what broke that off; nil: it seems whole. On a busy machine a request
+// may be refused first, and comes again anew.
+func (r *running) askUntilServed(t *testing.T, version string) error {
+	t.Helper()
+	for i, until := 0, time.Now().Add(patience); ; i++ {
+		c := r.dial(t)
+		send(c, strings.Replace(get("a"+strconv.Itoa(i)), "HTTP/1.1", version, 1))
+		resp, err := http.ReadResponse(c.r, nil)
+		if err != nil {
+			return err
+		}
+		_, err = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
+		if err != nil || resp.StatusCode == http.StatusOK || !time.Now().Before(until) {
+			return err
+		}
+	}
+}
+
 // TestClientLeavesLongAnswer guards against a server that goes on writing to nobody.
 func TestClientLeavesLongAnswer(t *testing.T) {
 	ended := make(chan error, 1)
 	much := longBody(30_000_000)
 	u := startWriter(t, func(c net.Conn, _ *http.Request, _ []byte) {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
+		send(c, "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
 		_, err := c.Write(much)
 		ended <- err
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	c := s.dial(t)
-	io.WriteString(c, get("a"))
-	if _, err := http.ReadResponse(c.r, nil); err != nil {
+	send(c, get("a"))
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
+	resp.Body.Close()
 	if err := <-ended; err == nil {
 		t.Error("the server could write it all")
 	}
@@ -222,10 +238,12 @@
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 			c := s.dial(t)
 			if name == "asked" {
-				go io.WriteString(c, post("book", "a", text))
-				if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != 100 {
+				go send(c, post("book", "a", text))
+				resp, err := http.ReadResponse(c.r, nil)
+				if err != nil || resp.StatusCode != http.StatusContinue {
 					t.Fatalf("%v, %+v", err, resp)
 				}
+				resp.Body.Close() // it has none
 				text = ""
 			} else {
 				text = post("book", "a", text)
@@ -252,7 +270,7 @@
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	half := post("book", "a", fmt.Sprintf("Content-Length: 1000000\r\n\r\n%s", longBody(400_000)))
 	leaves := s.dial(t)
-	io.WriteString(leaves, half)
+	send(leaves, half)
 	waitFor(t, "the request", func() bool { return s.Vars().Outstanding == 1 })
 	leaves.Close()
 	waitFor(t, "its end", func() bool { return s.Vars().Outstanding == 0 })
@@ -280,9 +298,9 @@
 func TestServerEndsLongBody(t *testing.T) {
 	for name, f := range map[string]func(c net.Conn){
 		"turned away": func(c net.Conn) {
-			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+			send(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		},
-		"error":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n") },
+		"error":  func(c net.Conn) { send(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n") },
 		"closes": func(c net.Conn) { c.Close() },
 		"stands": func(net.Conn) {},
 	} {
@@ -295,7 +313,7 @@
 			defer cancel()
 			c := s.dial(t)
 			go func() { // a client that writes on until it is told
-				io.WriteString(c, post("book", "a", "Content-Length: 30000000\r\n\r\n"))
+				send(c, post("book", "a", "Content-Length: 30000000\r\n\r\n"))
 				for piece := longBody(100_000); ctx.Err() == nil; time.Sleep(time.Millisecond) {
 					if _, err := c.Write(piece); err != nil {
 						return
@@ -303,8 +321,12 @@
 				}
 			}()
 			resp, err := http.ReadResponse(c.r, nil)
-			if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%v, %+v, want a refusal", err, resp)
+			if err != nil {
+				t.Fatalf("%v, want a refusal", err)
+			}
+			defer resp.Body.Close()
+			if resp.StatusCode != http.StatusServiceUnavailable {
+				t.Errorf("%+v, want a refusal", resp)
 			}
 		})
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -41,7 +41,7 @@
 
 func startUpstream(t *testing.T, f script) *upstream {
 	t.Helper()
-	return startWriter(t, func(c net.Conn, q *http.Request, body []byte) { io.WriteString(c, f(q, body)) })
+	return startWriter(t, func(c net.Conn, q *http.Request, body []byte) { send(c, f(q, body)) })
 }
 
 // startWriter is startUpstream for answers that come in parts.
@@ -86,7 +86,7 @@
 			return
 		}
 		if q.URL.Path == "/load" {
-			io.WriteString(c, ok("queue=0"))
+			send(c, ok("queue=0"))
 			continue
 		}
 		u.runs.Add(1)
@@ -112,12 +112,12 @@
 	}
 	asked := make(chan string, 100)
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		w.Write(append(listOf(t, upstreams...), '\n'))
+		send(w, append(listOf(t, upstreams...), '\n'))
 		w.(http.Flusher).Flush()
 		asked <- q.URL.RawQuery
 		<-q.Context().Done()
 	})}
-	go s.Serve(ln)
+	go func() { _ = s.Serve(ln) }() // until it is closed
 	t.Cleanup(func() { s.Close() })
 	return ln.Addr().String(), asked
 }
@@ -202,7 +202,9 @@
 	r := &running{s, s.ListenerAddr("n").String(), make(chan struct{}), cancel}
 	go func() {
 		defer close(r.ended)
-		s.Gateway.Run(ctx)
+		if err := s.Gateway.Run(ctx); err != nil {
+			t.Log(err)
+		}
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -231,7 +233,7 @@
 // ask writes text and reads an answer; status 0 is a close with none.
 func (c *client) ask(t *testing.T, text string) (status int, body string) {
 	t.Helper()
-	io.WriteString(c, text) // a sidecar may close before it has read all
+	send(c, text) // a sidecar may close before it has read all
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		if os.IsTimeout(err) {
@@ -239,6 +241,7 @@
 		}
 		return 0, ""
 	}
+	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -254,6 +257,9 @@
 	return "POST /" + class + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Timeout-Ms: 10000\r\n" + more
 }
 
+// send writes a text to a peer that may close before it has read all: what is missing shows in what the test sees of it.
+func send[T string | []byte](w io.Writer, text T) { _, _ = w.Write([]byte(text)) }
+
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
@@ -335,7 +341,7 @@
 func TestPipelinedRequests(t *testing.T) {
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, startUpstream(t, echo))))
 	c := s.dial(t)
-	io.WriteString(c, get("a")+get("b"))
+	send(c, get("a")+get("b"))
 	for _, want := range []string{"a", "b", "c"} {
 		text := ""
 		if want == "c" {
@@ -356,7 +362,7 @@
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	first := s.dial(t)
-	io.WriteString(first, get("same"))
+	send(first, get("same"))
 	<-u.seen
 	for range 2 {
 		if status, _ := s.dial(t).ask(t, get("same")); status != http.StatusConflict {
@@ -400,7 +406,7 @@
 	u := startUpstream(t, func(*http.Request, []byte) string { return "" })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	c := s.dial(t)
-	io.WriteString(c, get("a"))
+	send(c, get("a"))
 	<-u.seen
 	c.Close()
 	waitFor(t, "the request to be forgotten", func() bool {
@@ -479,9 +485,9 @@
 // TestEarlyInterimAnswer guards against ending an attempt because the upstream has sent a 1xx answer and still works.
 func TestEarlyInterimAnswer(t *testing.T) {
 	u := startWriter(t, func(c net.Conn, q *http.Request, _ []byte) {
-		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
+		send(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
 		time.Sleep(500 * time.Millisecond) // twice what an answer may take from its first byte on; more makes no difference
-		io.WriteString(c, echo(q, nil))
+		send(c, echo(q, nil))
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	if status, body := s.dial(t).ask(t, post("book", "a", "Content-Length: 0\r\n\r\n")); status != 200 || body != "a" {
@@ -558,7 +564,7 @@
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	before := s.dial(t)
-	io.WriteString(before, get("before"))
+	send(before, get("before"))
 	<-u.seen
 	idle := s.dial(t)
 	if status, _ := idle.ask(t, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
@@ -569,7 +575,7 @@
 		t.Fatalf("an idle connection brought %v, want its end", err)
 	}
 	during := s.dial(t)
-	io.WriteString(during, get("during"))
+	send(during, get("during"))
 	<-u.seen
 	close(release)
 	for name, c := range map[string]*client{"before": before, "during": during} {
@@ -598,17 +604,17 @@
 		t.Fatal(err)
 	}
 	discovery := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		w.Write(append(listOf(t, u), '\n'))
+		send(w, append(listOf(t, u), '\n'))
 		w.(http.Flusher).Flush()
 		select {
 		case <-tell:
-			w.Write(append(replaced, '\n'))
+			send(w, append(replaced, '\n'))
 			w.(http.Flusher).Flush()
 		case <-q.Context().Done():
 		}
 		<-q.Context().Done()
 	})}
-	go discovery.Serve(ln)
+	go func() { _ = discovery.Serve(ln) }() // until it is closed
 	t.Cleanup(func() { discovery.Close() })
 	s := start(t, config(t, ln.Addr().String(), 256, listOf(t, u)))
 	if status, _ := s.dial(t).ask(t, get("a")); status != 200 {
@@ -640,7 +646,7 @@
 		var asked [12]*client
 		for j := range asked {
 			asked[j] = s.dial(t)
-			io.WriteString(asked[j], get(fmt.Sprintf("usual%d-%d", i, j)))
+			send(asked[j], get(fmt.Sprintf("usual%d-%d", i, j)))
 		}
 		for _, c := range asked {
 			c.ask(t, "")
@@ -685,11 +691,12 @@
 	answers := make(chan int, crowd)
 	for i := range crowd {
 		c := s.dial(t)
-		io.WriteString(c, get("crowd"+strconv.Itoa(i)))
+		send(c, get("crowd"+strconv.Itoa(i)))
 		go func() {
 			status := 0
 			if resp, err := http.ReadResponse(c.r, nil); err == nil {
 				status = resp.StatusCode
+				resp.Body.Close()
 			}
 			answers <- status
 		}()
@@ -768,7 +775,7 @@
 		waitFor(t, "a request to be taken", func() bool {
 			if c == nil { // also where one that had just come was closed to make room before it was read: it comes again
 				c = s.dial(t)
-				io.WriteString(c, get("busy"+strconv.Itoa(i)))
+				send(c, get("busy"+strconv.Itoa(i)))
 			}
 			select {
 			case <-u.seen:
@@ -786,7 +793,7 @@
 	}
 	for i := range 3 {
 		c := s.dial(t)
-		io.WriteString(c, get("left"+strconv.Itoa(i)))
+		send(c, get("left"+strconv.Itoa(i)))
 		c.Close()
 	}
 	close(release)
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -65,6 +65,90 @@
 	return r
 }
 
+// upgradeClients ask one request after the other, each on a connection of its own that it uses again.
+type upgradeClients struct {
+	addr    string
+	stopped atomic.Bool
+	served  atomic.Int64
+	all     sync.WaitGroup
+}
+
+// startUpgradeClients starts four clients of the process at addr.
+func startUpgradeClients(t *testing.T, addr string) *upgradeClients {
+	t.Helper()
+	u := &upgradeClients{addr: addr}
+	for i := range 4 {
+		u.all.Go(func() { u.run(t, strconv.Itoa(i)) })
+	}
+	return u
+}
+
+// stop ends the clients and returns once they have.
+func (u *upgradeClients) stop() {
+	u.stopped.Store(true)
+	u.all.Wait()
+}
+
+// run is one client. A request that finds its connection closed, as it may have been while it was sent, is sent once more on a new one.
+func (u *upgradeClients) run(t *testing.T, name string) {
+	var c *client
+	again := false
+	for n := 0; !u.stopped.Load(); {
+		id := name + "-" + strconv.Itoa(n)
+		if c == nil {
+			var err error
+			if c, err = u.dial(); err != nil {
+				t.Error(err)
+				return
+			}
+		}
+		closes, err := u.ask(t, c, id)
+		if err != nil {
+			c.Close()
+			if c = nil; again {
+				t.Errorf("%s: %v on a new connection too", id, err)
+				return
+			}
+			again = true
+			continue
+		}
+		again = false
+		n++
+		if closes {
+			c.Close()
+			c = nil
+		}
+	}
+	if c != nil {
+		c.Close()
+	}
+}
+
+func (u *upgradeClients) dial() (*client, error) {
+	c, err := net.Dial("tcp", u.addr)
+	if err != nil {
+		return nil, err
+	}
+	c.SetDeadline(time.Now().Add(patience))
+	return &client{c, bufio.NewReader(c)}, nil
+}
+
+// ask sends a request and checks its answer. It reports whether the connection closes after it.
+func (u *upgradeClients) ask(t *testing.T, c *client, id string) (closes bool, err error) {
+	send(c, get(id))
+	resp, err := http.ReadResponse(c.r, nil)
+	if err != nil {
+		return false, err
+	}
+	defer resp.Body.Close()
+	body, _ := io.ReadAll(resp.Body)
+	if resp.StatusCode != http.StatusOK || string(body) != id {
+		t.Errorf("%s: got %d %q", id, resp.StatusCode, body)
+	}
+	u.served.Add(1)
+	return resp.Close, nil
+}
+
 // TestUpgrade guards against requests that are lost or answered otherwise while one process takes the place of another, and
 // against two processes that hold more than one may.
 func TestUpgrade(t *testing.T) {
@@ -88,56 +172,11 @@
 	old := startHeld(t, ln, dir, getenv)
 	waitFor(t, "the first process", func() bool { return old.Ready() == nil })
 
-	var stop atomic.Bool
-	var served atomic.Int64
-	var clients sync.WaitGroup
-	for i := range 4 {
-		clients.Go(func() {
-			var c net.Conn
-			var r *bufio.Reader
-			again := false
-			for n := 0; !stop.Load(); {
-				id := strconv.Itoa(i) + "-" + strconv.Itoa(n)
-				if c == nil {
-					var err error
-					if c, err = net.Dial("tcp", old.addr); err != nil {
-						t.Error(err)
-						return
-					}
-					c.SetDeadline(time.Now().Add(patience))
-					r = bufio.NewReader(c)
-				}
-				io.WriteString(c, get(id))
-				resp, err := http.ReadResponse(r, nil)
-				if err != nil { // its connection may have been closed as it was sent: once more
-					c.Close()
-					if c = nil; again {
-						t.Errorf("%s: %v on a new connection too", id, err)
-						return
-					}
-					again = true
-					continue
-				}
-				body, _ := io.ReadAll(resp.Body)
-				if resp.StatusCode != 200 || string(body) != id {
-					t.Errorf("%s: got %d %q", id, resp.StatusCode, body)
-				}
-				served.Add(1)
-				again = false
-				if n++; resp.Close {
-					c.Close()
-					c = nil
-				}
-			}
-			if c != nil {
-				c.Close()
-			}
-		})
-	}
+	clients := startUpgradeClients(t, old.addr)
 	more := func(what string) {
 		t.Helper()
-		from := served.Load()
-		waitFor(t, what, func() bool { return served.Load() > from+200 })
+		from := clients.served.Load()
+		waitFor(t, what, func() bool { return clients.served.Load() > from+200 })
 	}
 	more("answers of the first process")
 	waitFor(t, "what the first process has learnt", func() bool {
@@ -154,8 +193,7 @@
 	<-old.ended
 	waitFor(t, "the whole of the limits", func() bool { return next.processCount() == 1 })
 	more("answers of the second process")
-	stop.Store(true)
-	clients.Wait()
+	clients.stop()
 	sum := int64(0)
 	for _, s := range []*running{old, next} {
 		c := s.Vars().Results["check"]
@@ -164,8 +202,8 @@
 		}
 		sum += c.Succeeded
 	}
-	if sum != served.Load() {
-		t.Errorf("the figures tell of %d answers, clients had %d", sum, served.Load())
+	if served := clients.served.Load(); sum != served {
+		t.Errorf("the figures tell of %d answers, clients had %d", sum, served)
 	}
 }
 
