--- a/internal/scenario/dayfile_test.go
+++ b/internal/scenario/file_test.go
@@ -36,29 +36,29 @@
 }
 
 func TestDefaultScenarioRuns(t *testing.T) {
-	day, err := Parse("d.toml", []byte("length = \"5s\"\n"))
+	scenario, err := Parse("d.toml", []byte("length = \"5s\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := emulator.New(day)
+	emulation, err := emulator.New(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := w.Run(); r.ViolationCount > 0 || r.Total.ServedFraction() < 0.8 || r.Total.Requests < 1000 {
+	if r := emulation.Run(); r.ViolationCount > 0 || r.Total.ServedFraction() < 0.8 || r.Total.Requests < 1000 {
 		t.Errorf("%v %+v", r.Violations, r.Total)
 	}
 }
 
-// FuzzParse guards against a panic, and against a day that the emulator does not take.
+// FuzzParse checks that Parse does not panic, and that the emulator accepts what it returns.
 func FuzzParse(f *testing.F) {
 	f.Add("servers = 3\n[[faults]]\nat = \"1s\"\nkind = \"replace\"\nservers = 2\nover = \"1s\"\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		day, err := Parse("d", []byte(text))
-		if err != nil || day.InstanceCount > 50 {
+		scenario, err := Parse("d", []byte(text))
+		if err != nil || scenario.InstanceCount > 50 {
 			return
 		}
-		if _, err := emulator.New(day); err != nil {
-			t.Fatalf("a day that was read is not taken: %v", err)
+		if _, err := emulator.New(scenario); err != nil {
+			t.Fatalf("the emulator rejects a scenario that was parsed: %v", err)
 		}
 	})
 }
