--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -46,9 +46,9 @@
 	debug.SetGCPercent(800) // a run has some MB
 	out := json.NewEncoder(s.out)
 	for seed := c.First; seed < c.First+c.Count; seed++ {
-		o := simulation.Options{Seed: seed, Plant: simulation.Plant(c.Plant), Copies: c.Copies, Zones: c.Zones}
+		o := simulation.Options{Seed: seed, Bug: simulation.InjectedBug(c.Plant), SharedState: c.Copies, ZoneFailover: c.Zones}
 		got := simulation.Run(o)
-		if got.Broken != "" {
+		if got.Violation != "" {
 			got = simulation.Shrink(o, got, shrinkRuns)
 		}
 		if err := out.Encode(got); err != nil {
@@ -73,8 +73,8 @@
 
 // tierExplore plays fleets in virtual time, in worker processes on all cores.
 func (c *labCmd) tierExplore(ctx context.Context, s *streams, self string) error {
-	if c.Plant != "" && !slices.Contains(simulation.Plants, simulation.Plant(c.Plant)) {
-		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errUsage, c.Plant, simulation.Plants)
+	if c.Plant != "" && !slices.Contains(simulation.InjectedBugs, simulation.InjectedBug(c.Plant)) {
+		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errUsage, c.Plant, simulation.InjectedBugs)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
@@ -103,9 +103,9 @@
 
 // playBatches plays all seeds, batch by batch, and returns the first error of a worker.
 func (c *labCmd) playBatches(ctx context.Context, self string, e *exploration) error {
-	plant := simulation.Plant(c.Plant)
-	zones := c.Zones || plant.OfZones()
-	copies := c.Copies || c.Zones || plant.OfCopies()
+	plant := simulation.InjectedBug(c.Plant)
+	zones := c.Zones || plant.NeedsZoneFailover()
+	copies := c.Copies || c.Zones || plant.NeedsSharedState()
 	batches := make(chan [2]uint64)
 	go func() {
 		defer close(batches)
@@ -156,7 +156,7 @@
 	for name, n := range o.Counts {
 		r.Counts[name] += n
 	}
-	if o.Broken != "" {
+	if o.Violation != "" {
 		r.Broken = append(r.Broken, o)
 	}
 	if e.progress != nil && r.Seeds%10 == 0 {
@@ -229,7 +229,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.err, "seed %d: %v: %s\n  %d faults left of it, saved as %s: lab tier-explore --replay %s\n", o.Seed, o.At, o.Broken, len(o.Faults), name, name)
+		fmt.Fprintf(s.err, "seed %d: %v: %s\n  %d faults left of it, saved as %s: lab tier-explore --replay %s\n", o.Seed, o.ViolatedAt, o.Violation, len(o.Faults), name, name)
 	}
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
@@ -255,11 +255,11 @@
 		o.Faults = []simulation.Fault{}
 	}
 	w := bufio.NewWriter(s.out)
-	got := simulation.Run(simulation.Options{Seed: o.Seed, Copies: o.Copies, Zones: o.Zones, Plant: simulation.Plant(c.Plant), Faults: o.Faults, Log: w, Trace: c.Verbose})
+	got := simulation.Run(simulation.Options{Seed: o.Seed, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover, Bug: simulation.InjectedBug(c.Plant), Faults: o.Faults, Trace: w, TraceMessages: c.Verbose})
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if got.Broken != "" {
+	if got.Violation != "" {
 		return errScenario
 	}
 	_, err = io.WriteString(s.out, "nothing broke\n")
@@ -282,8 +282,8 @@
 			if size < 2 || size > maxScale || !(loss >= 0 && loss < 1) {
 				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errUsage, size, loss, maxScale)
 			}
-			r := simulation.Scale(simulation.ScaleOptions{
-				Seed: c.Seed, Size: size, Loss: loss, Writes: 10, Killed: 2, Length: 10 * time.Second, Wake: time.Second, Start: cfg, Restart: max(1, min(100, size/10)),
+			r := simulation.RunScale(simulation.ScaleOptions{
+				Seed: c.Seed, Size: size, Loss: loss, WriteCount: 10, KillCount: 2, RestDuration: 10 * time.Second, StartupWindow: time.Second, Gossip: cfg, RestartCount: max(1, min(100, size/10)),
 			})
 			if c.JSON {
 				if err := json.NewEncoder(s.out).Encode(r); err != nil {
@@ -291,8 +291,8 @@
 				}
 				continue
 			}
-			fmt.Fprintf(w, "%d\t%g\t%.1f\t%.2f\t%.2f\t%.1f\t%.1f\t%d\t%d\t%.0f\t%.0f\t%.1f\t%.0f\t%.1f\n", r.Size, r.Loss, r.InStepS, r.ConvergeP5, r.ConvergeP9,
-				r.DeadP50, r.DeadMost, r.False, r.Suspicions, r.Bytes, r.BytesBusy, r.CatchupS, r.CatchupB, r.RealS)
+			fmt.Fprintf(w, "%d\t%g\t%.1f\t%.2f\t%.2f\t%.1f\t%.1f\t%d\t%d\t%.0f\t%.0f\t%.1f\t%.0f\t%.1f\n", r.Size, r.Loss, r.ConvergedSeconds, r.WriteP50Seconds, r.WriteP99Seconds,
+				r.DetectionP50Seconds, r.DetectionMaxSeconds, r.FalseDeaths, r.Suspicions, r.BytesPerSecond, r.BusyBytesPerSecond, r.CatchUpSeconds, r.CatchUpBytes, r.ElapsedSeconds)
 			if err := w.Flush(); err != nil {
 				return err
 			}
--- a/internal/simulation/copies.go
+++ b/internal/simulation/copies.go
@@ -30,14 +30,14 @@
 
 // shares begins to take part in the shared state, as a process does that starts.
 func (p *proc) shares() {
-	if !p.w.o.Copies {
+	if !p.w.o.SharedState {
 		return
 	}
 	cfg := gossip.DefaultConfig()
 	cfg.GossipInterval, cfg.SyncInterval, cfg.DeadRetention = 150*time.Millisecond, time.Second, 4*time.Second
 	cfg.Name, cfg.Kinds, cfg.DecidedKinds, cfg.Seed = p.name, []string{copiesKind, zoneview.ZoneCheckKind}, consensus.DecisionKinds, p.w.rumours.Uint64()
-	if slices.Contains(gossip.InjectedFaults, gossip.InjectedFault(p.w.o.Plant)) {
-		cfg.Fault = gossip.InjectedFault(p.w.o.Plant)
+	if slices.Contains(gossip.InjectedFaults, gossip.InjectedFault(p.w.o.Bug)) {
+		cfg.Fault = gossip.InjectedFault(p.w.o.Bug)
 	}
 	for _, q := range p.w.procs {
 		cfg.Members = append(cfg.Members, q.name)
@@ -45,7 +45,7 @@
 	p.rep = &shared{node: gossip.New(p.clock(), cfg), newest: map[gossip.EntryID]gossip.Version{}, gone: map[gossip.EntryID]bool{}, armed: -1}
 	p.gossipLater()
 	p.soon(time.Duration(p.w.rumours.IntN(800))*time.Millisecond, p.writes)
-	if p.w.o.Zones {
+	if p.w.o.ZoneFailover {
 		p.rep.zoner = &zoner{evidence: gossip.NewFailureReports(2), asking: -1, looked: map[string]bool{}}
 		p.soon(time.Duration(p.w.rumours.IntN(300))*time.Millisecond, p.watchesZones)
 	}
--- a/internal/simulation/explore_test.go
+++ b/internal/simulation/explore_test.go
@@ -18,10 +18,10 @@
 	return usual
 }
 
-func TestNothingBreaks(t *testing.T) {
+func TestNoViolations(t *testing.T) {
 	for seed := range seeds(t, 40) {
-		if o := Run(Options{Seed: uint64(seed), Copies: seed%2 == 1, Zones: seed%4 == 3}); o.Broken != "" {
-			t.Errorf("seed %d: %v: %s", seed, o.At, o.Broken)
+		if o := Run(Options{Seed: uint64(seed), SharedState: seed%2 == 1, ZoneFailover: seed%4 == 3}); o.Violation != "" {
+			t.Errorf("seed %d: %v: %s", seed, o.ViolatedAt, o.Violation)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 func TestSameSeedSameRun(t *testing.T) {
 	for seed := uint64(1); seed <= 1; seed++ {
 		var a, b bytes.Buffer
-		x, y := Run(Options{Seed: seed, Log: &a, Copies: true, Zones: true}), Run(Options{Seed: seed, Log: &b, Copies: true, Zones: true})
+		x, y := Run(Options{Seed: seed, Trace: &a, SharedState: true, ZoneFailover: true}), Run(Options{Seed: seed, Trace: &b, SharedState: true, ZoneFailover: true})
 		if x.Hash != y.Hash || !bytes.Equal(a.Bytes(), b.Bytes()) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
@@ -37,11 +37,11 @@
 }
 
 // foundBy are seeds shortly before those that find a mistake only in one of hundreds of runs; SORRELRUDDER_SEEDS begins at 0 for all.
-var foundBy = map[Plant]uint64{Lax: 126, WallStep: 52, Repeats: 85}
+var foundBy = map[InjectedBug]uint64{BugUnconfirmedLeader: 126, BugWallClockRamp: 52, BugCommandRepeated: 85}
 
-// TestPlantedMistakesAreFound guards against an explorer that finds nothing because it looks at nothing.
-func TestPlantedMistakesAreFound(t *testing.T) {
-	for _, plant := range Plants {
+// TestInjectedBugsAreFound guards against an explorer that finds nothing because it looks at nothing.
+func TestInjectedBugsAreFound(t *testing.T) {
+	for _, plant := range InjectedBugs {
 		t.Run(string(plant), func(t *testing.T) {
 			if raced {
 				t.Skip("played without the race detector")
@@ -51,8 +51,8 @@
 				first = 0
 			}
 			for seed := first; seed < 2000; seed++ {
-				if o := Run(Options{Seed: seed, Plant: plant, Copies: plant.OfCopies(), Zones: plant.OfZones()}); o.Broken != "" {
-					t.Logf("seed %d: %v: %s", seed, o.At, o.Broken)
+				if o := Run(Options{Seed: seed, Bug: plant, SharedState: plant.NeedsSharedState(), ZoneFailover: plant.NeedsZoneFailover()}); o.Violation != "" {
+					t.Logf("seed %d: %v: %s", seed, o.ViolatedAt, o.Violation)
 					return
 				}
 			}
--- a/internal/simulation/linear_test.go
+++ b/internal/simulation/linear_test.go
@@ -12,20 +12,20 @@
 var counter = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
-		last, op := state.(uint64), output.(Op)
+		last, op := state.(uint64), output.(Operation)
 		if op.Token != 0 {
 			return op.Token > last, op.Token
 		}
-		return op.Last >= last, op.Last
+		return op.LastID >= last, op.LastID
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func history(ops []Op) []porcupine.Operation {
+func history(ops []Operation) []porcupine.Operation {
 	var all []porcupine.Operation
 	for i, op := range ops {
 		// Overlapping asks of one process are as those of several.
-		all = append(all, porcupine.Operation{ClientId: i, Call: int64(op.Began), Return: int64(op.Ended), Output: op})
+		all = append(all, porcupine.Operation{ClientId: i, Call: int64(op.Start), Return: int64(op.End), Output: op})
 	}
 	return all
 }
@@ -36,10 +36,10 @@
 func TestLinearizable(t *testing.T) {
 	total := 0
 	for seed := range seeds(t, 8) {
-		o := Run(Options{Seed: uint64(seed), Ops: true})
-		total += len(o.Ops)
-		if got := porcupine.CheckOperationsTimeout(counter, history(o.Ops), checkTime); got != porcupine.Ok {
-			t.Errorf("seed %d: %v of %d operations", seed, got, len(o.Ops))
+		o := Run(Options{Seed: uint64(seed), RecordHistory: true})
+		total += len(o.History)
+		if got := porcupine.CheckOperationsTimeout(counter, history(o.History), checkTime); got != porcupine.Ok {
+			t.Errorf("seed %d: %v of %d operations", seed, got, len(o.History))
 		}
 	}
 	t.Logf("%d operations", total)
@@ -48,20 +48,20 @@
 	}
 }
 
-// TestLinearizableFinds guards against a model that any history fits: a look that shows an older state than one that ended before it began.
-func TestLinearizableFinds(t *testing.T) {
-	o := Run(Options{Seed: 1, Ops: true})
-	var newest Op
-	for i, op := range o.Ops {
+// TestLinearizableRejectsStaleRead guards against a model that any history fits: a look that shows an older state than one that ended before it began.
+func TestLinearizableRejectsStaleRead(t *testing.T) {
+	o := Run(Options{Seed: 1, RecordHistory: true})
+	var newest Operation
+	for i, op := range o.History {
 		if op.Token != 0 && newest.Token == 0 {
 			newest = op
 		}
-		if newest.Token != 0 && op.Token == 0 && op.Began > newest.Ended {
-			o.Ops[i].Last = newest.Token - 1
+		if newest.Token != 0 && op.Token == 0 && op.Start > newest.End {
+			o.History[i].LastID = newest.Token - 1
 			break
 		}
 	}
-	if got := porcupine.CheckOperationsTimeout(counter, history(o.Ops), checkTime); got != porcupine.Illegal {
+	if got := porcupine.CheckOperationsTimeout(counter, history(o.History), checkTime); got != porcupine.Illegal {
 		t.Errorf("a stale look fits: %v", got)
 	}
 }
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -90,7 +90,7 @@
 	}
 	last := o.tokens[n.name]
 	if token < last {
-		if w.o.Plant == Unfenced {
+		if w.o.Bug == BugNoFencing {
 			w.breaks("an act with token %d was accepted after one with %d", token, last)
 		}
 		w.counts["acts_refused_by_token"]++
@@ -156,7 +156,7 @@
 			book = *page
 		}
 	}
-	if w.o.Copies {
+	if w.o.SharedState {
 		o.equalCopies(decided)
 		o.endZones()
 	}
--- a/internal/simulation/proc.go
+++ b/internal/simulation/proc.go
@@ -76,7 +76,7 @@
 		}
 		d.now.Entries = append(d.now.Entries[:keep:keep], s.Entries...)
 	}
-	if d.w.o.Plant != NoSync {
+	if d.w.o.Bug != BugNoSync {
 		d.sure = d.now
 		d.w.counts["syncs"]++
 	}
@@ -149,7 +149,7 @@
 // councilClock is what the council judges by.
 func (p *proc) councilClock() time.Duration {
 	at := p.clock()
-	if p.w.o.Plant == Wall { // set forth by 2 s every five, at times that differ between processes
+	if p.w.o.Bug == BugWallClock { // set forth by 2 s every five, at times that differ between processes
 		at += (p.w.now + time.Duration(p.i)*700*time.Millisecond) / (5 * time.Second) * 2 * time.Second
 	}
 	return at
@@ -165,7 +165,7 @@
 	p.w.note("%s starts", p.name)
 	p.asks, p.nextAct = map[uint64]*call{}, map[string]time.Duration{}
 	kept := rules
-	if p.w.o.Plant == Margin {
+	if p.w.o.Bug == BugLongTTL {
 		kept.TTL = kept.TTL * 3 / 2
 	}
 	p.keeper = lease.NewClient(kept, p.name, fmt.Sprintf("start-%d", p.started))
@@ -174,7 +174,7 @@
 		p.keeper.Acquire(n.name, n.limit)
 	}
 	p.keeper.Acquire("task/t", 1)
-	if p.w.o.Zones {
+	if p.w.o.ZoneFailover {
 		p.keeper.Acquire(zoneview.LeaseName, 1)
 	}
 	names := make([]string, p.w.voters)
@@ -194,14 +194,14 @@
 	if !p.voter || p.id == 0 {
 		return
 	}
-	if p.w.o.Plant == TokenReuse && p.disk.old.Snapshot != nil {
+	if p.w.o.Bug == BugStaleDisk && p.disk.old.Snapshot != nil {
 		p.disk.sure = p.disk.old
 	}
 	p.disk.now = p.disk.sure
 	if p.disk.sure.Snapshot != nil {
 		p.disk.old = p.disk.sure
 	}
-	n, err := consensus.New(consensus.Config{ID: p.id, LeaseTiming: rules, Persisted: p.disk.sure, SnapshotEntries: 64, ClockBasedReads: p.w.o.Plant == Lax})
+	n, err := consensus.New(consensus.Config{ID: p.id, LeaseTiming: rules, Persisted: p.disk.sure, SnapshotEntries: 64, ClockBasedReads: p.w.o.Bug == BugUnconfirmedLeader})
 	if err != nil {
 		p.w.breaks("%s does not start: %v", p.name, err)
 		return
@@ -298,7 +298,7 @@
 		p.w.after(700*time.Millisecond, p.start)
 		return
 	}
-	if p.node.IsLeader() && !p.led && p.w.o.Plant == Hurry {
+	if p.node.IsLeader() && !p.led && p.w.o.Bug == BugNoLeaseGrace {
 		p.offset += 2 * rules.TTL // as if the term had passed
 	}
 	p.led = p.node.IsLeader()
@@ -425,7 +425,7 @@
 	for _, a := range asks {
 		began := p.w.now
 		if a.Command != nil {
-			if id := (firstAsk{p.i, a.SessionID, a.Command.Seq}); p.w.o.Ops && p.w.asked[id] == 0 {
+			if id := (firstAsk{p.i, a.SessionID, a.Command.Seq}); p.w.o.RecordHistory && p.w.asked[id] == 0 {
 				p.w.asked[id] = began
 			}
 		}
@@ -522,7 +522,7 @@
 		})
 	}
 	limit := time.Duration(float64(s.Deadline-p.clock()) / p.rate)
-	if w.o.Plant == EarlyFinish {
+	if w.o.Bug == BugEarlyCompletion {
 		back(task.OutcomeDone, 0)
 	}
 	switch {
@@ -541,10 +541,10 @@
 
 // operate has an operator ask for something until it is done.
 func (w *world) operate(f Fault) {
-	p := w.procs[f.P%len(w.procs)]
+	p := w.procs[f.Target%len(w.procs)]
 	q := consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpReplace, Name: p.name}}
-	if f.Kind == Revoke {
-		q = consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: w.names[f.Q%len(w.names)].name}}}
+	if f.Kind == FaultRevoke {
+		q = consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: w.names[f.Peer%len(w.names)].name}}}
 	}
 	w.asks(func() consensus.Request { return q }, func(consensus.Response) bool { return true })
 }
--- a/internal/simulation/scale.go
+++ b/internal/simulation/scale.go
@@ -12,36 +12,36 @@
 
 // ScaleOptions say what a fleet of copies in virtual time is put through.
 type ScaleOptions struct {
-	Seed    uint64
-	Size    int
-	Loss    float64 // share of all messages
-	Writes  int     // processes that write something, one after the other, once the fleet is in step
-	Killed  int     // processes that end without a word
-	Slow    float64 // share of processes that get to their messages late, now and then by more than a probe waits
-	Length  time.Duration
-	Wake    time.Duration // over which all start
-	Start   gossip.Config
-	Restart int // processes that return at once at the end, with nothing
+	Seed          uint64
+	Size          int
+	Loss          float64 // share of all messages
+	WriteCount    int     // processes that write something, one after the other, once the fleet is in step
+	KillCount     int     // processes that end without a word
+	SlowFraction  float64 // share of processes that get to their messages late, now and then by more than a probe waits
+	RestDuration  time.Duration
+	StartupWindow time.Duration // over which all start
+	Gossip        gossip.Config
+	RestartCount  int // processes that return at once at the end, with nothing
 }
 
 // ScaleResult is what it came to.
 type ScaleResult struct {
-	Size       int     `json:"size"`
-	Loss       float64 `json:"loss"`
-	InStepS    float64 `json:"in_step_s"`      // from the start until all hold the same of all
-	ConvergeP5 float64 `json:"converge_p50_s"` // from a write to the last process that has it
-	ConvergeP9 float64 `json:"converge_p99_s"`
-	Missed     int     `json:"missed"` // writes that some process never had
-	DeadP50    float64 `json:"dead_p50_s"`
-	DeadMost   float64 `json:"dead_most_s"` // from a death until all hold it for dead
-	False      int     `json:"false_deaths"`
-	Suspicions int     `json:"suspicions"`
-	Bytes      float64 `json:"bytes_a_second"` // that a process sends at rest
-	BytesBusy  float64 `json:"bytes_a_second_busy"`
-	Frames     float64 `json:"frames_a_second"`
-	CatchupS   float64 `json:"catchup_s"`     // the slowest of those that return
-	CatchupB   float64 `json:"catchup_bytes"` // that one of them is sent
-	RealS      float64 `json:"real_s"`
+	Size                int     `json:"size"`
+	Loss                float64 `json:"loss"`
+	ConvergedSeconds    float64 `json:"in_step_s"`      // from the start until all hold the same of all
+	WriteP50Seconds     float64 `json:"converge_p50_s"` // from a write to the last process that has it
+	WriteP99Seconds     float64 `json:"converge_p99_s"`
+	IncompleteWrites    int     `json:"missed"` // writes that some process never had
+	DetectionP50Seconds float64 `json:"dead_p50_s"`
+	DetectionMaxSeconds float64 `json:"dead_most_s"` // from a death until all hold it for dead
+	FalseDeaths         int     `json:"false_deaths"`
+	Suspicions          int     `json:"suspicions"`
+	BytesPerSecond      float64 `json:"bytes_a_second"` // that a process sends at rest
+	BusyBytesPerSecond  float64 `json:"bytes_a_second_busy"`
+	FramesPerSecond     float64 `json:"frames_a_second"`
+	CatchUpSeconds      float64 `json:"catchup_s"`     // the slowest of those that return
+	CatchUpBytes        float64 `json:"catchup_bytes"` // that one of them is sent
+	ElapsedSeconds      float64 `json:"real_s"`
 }
 
 type scaleNode struct {
@@ -124,7 +124,7 @@
 }
 
 func (s *scale) start(p *scaleNode, names []string) {
-	cfg := s.o.Start
+	cfg := s.o.Gossip
 	cfg.Name, cfg.Members, cfg.Seed = p.name, names, s.rng.Uint64()
 	p.node, p.up = gossip.New(s.now, cfg), true
 	s.arm(p)
@@ -164,8 +164,8 @@
 	return true
 }
 
-// Scale plays a fleet of copies.
-func Scale(o ScaleOptions) ScaleResult {
+// RunScale plays a fleet of copies.
+func RunScale(o ScaleOptions) ScaleResult {
 	began := time.Now()
 	s := &scale{o: o, rng: rand.New(rand.NewPCG(o.Seed, 77)), byName: map[string]*scaleNode{}}
 	r := ScaleResult{Size: o.Size, Loss: o.Loss}
@@ -174,24 +174,24 @@
 		names[i] = fmt.Sprintf("p%05d", i)
 	}
 	for _, name := range names {
-		p := &scaleNode{name: name, slow: s.rng.Float64() < o.Slow}
+		p := &scaleNode{name: name, slow: s.rng.Float64() < o.SlowFraction}
 		s.nodes = append(s.nodes, p)
 		s.byName[name] = p
-		s.after(time.Duration(s.rng.Float64()*float64(o.Wake)), func() {
+		s.after(time.Duration(s.rng.Float64()*float64(o.StartupWindow)), func() {
 			s.start(p, names)
 			p.node.Put("dead/first", []byte(p.name))
 		})
 	}
 	limit := 5 * time.Minute
-	s.run(s.now+o.Wake, nil)
+	s.run(s.now+o.StartupWindow, nil)
 	s.run(limit, func() bool { return s.allThere() && s.same("dead") })
-	r.InStepS = s.now.Seconds()
+	r.ConvergedSeconds = s.now.Seconds()
 	spread := func() (bytes, frames float64) {
 		from, sent, frames0 := s.now, 0.0, s.frames
 		for _, p := range s.nodes {
 			sent -= p.sent
 		}
-		s.run(s.now+o.Length, nil)
+		s.run(s.now+o.RestDuration, nil)
 		for _, p := range s.nodes {
 			sent += p.sent
 		}
@@ -199,7 +199,7 @@
 		return sent / d, (s.frames - frames0) / d
 	}
 	s.run(s.now+20*time.Second, nil) // what was new at the start has been told
-	r.Bytes, r.Frames = spread()
+	r.BytesPerSecond, r.FramesPerSecond = spread()
 	before := make(map[string]gossip.Stats)
 	for _, p := range s.nodes {
 		before[p.name] = p.node.Stats
@@ -210,7 +210,7 @@
 		sent -= p.sent
 	}
 	wroteAt := s.now
-	for i := range o.Writes {
+	for i := range o.WriteCount {
 		p := s.nodes[s.rng.IntN(len(s.nodes))]
 		key := fmt.Sprintf("dead/w%d", i)
 		p.node.Put(key, []byte("x"))
@@ -225,25 +225,25 @@
 			return len(left) == 0
 		})
 		if !all {
-			r.Missed++
+			r.IncompleteWrites++
 		}
 		took = append(took, (s.now - at).Seconds())
 	}
 	for _, p := range s.nodes {
 		sent += p.sent
 	}
-	if o.Writes > 0 {
+	if o.WriteCount > 0 {
 		slices.Sort(took)
-		r.ConvergeP5, r.ConvergeP9 = took[len(took)/2], took[min(len(took)-1, len(took)*99/100)]
-		r.BytesBusy = sent / (s.now - wroteAt).Seconds() / float64(o.Size)
+		r.WriteP50Seconds, r.WriteP99Seconds = took[len(took)/2], took[min(len(took)-1, len(took)*99/100)]
+		r.BusyBytesPerSecond = sent / (s.now - wroteAt).Seconds() / float64(o.Size)
 	}
 	for _, p := range s.nodes {
 		r.Suspicions += p.node.Stats.Suspicions - before[p.name].Suspicions
-		r.False += p.node.Stats.Deaths - before[p.name].Deaths
+		r.FalseDeaths += p.node.Stats.Deaths - before[p.name].Deaths
 	}
 	var gone []*scaleNode
 	var deaths []float64
-	for range o.Killed {
+	for range o.KillCount {
 		p := s.nodes[s.rng.IntN(len(s.nodes))]
 		if !p.up {
 			continue
@@ -260,12 +260,12 @@
 	}
 	if len(deaths) > 0 {
 		slices.Sort(deaths)
-		r.DeadP50, r.DeadMost = deaths[len(deaths)/2], deaths[len(deaths)-1]
+		r.DetectionP50Seconds, r.DetectionMaxSeconds = deaths[len(deaths)/2], deaths[len(deaths)-1]
 	}
-	if o.Restart > 0 {
+	if o.RestartCount > 0 {
 		var back []*scaleNode
 		for _, p := range s.nodes {
-			if len(back) < o.Restart && p.up && !slices.Contains(gone, p) {
+			if len(back) < o.RestartCount && p.up && !slices.Contains(gone, p) {
 				p.up = false
 				back = append(back, p)
 			}
@@ -282,15 +282,15 @@
 		s.run(s.now+time.Minute, func() bool {
 			left = slices.DeleteFunc(left, func(p *scaleNode) bool {
 				if _, ok := p.node.InSync(s.now); ok {
-					r.CatchupB = max(r.CatchupB, p.got)
+					r.CatchUpBytes = max(r.CatchUpBytes, p.got)
 					return true
 				}
 				return false
 			})
 			return len(left) == 0
 		})
-		r.CatchupS = (s.now - at).Seconds()
+		r.CatchUpSeconds = (s.now - at).Seconds()
 	}
-	r.RealS = time.Since(began).Seconds()
+	r.ElapsedSeconds = time.Since(began).Seconds()
 	return r
 }
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -10,7 +10,7 @@
 func scaleDay(size int, loss float64) ScaleOptions {
 	cfg := gossip.DefaultConfig()
 	cfg.Kinds, cfg.DecidedKinds = []string{"dead"}, []string{"order"}
-	return ScaleOptions{Seed: 1, Size: size, Loss: loss, Writes: 20, Killed: 3, Length: 10 * time.Second, Wake: time.Second, Start: cfg, Restart: max(1, size/10)}
+	return ScaleOptions{Seed: 1, Size: size, Loss: loss, WriteCount: 20, KillCount: 3, RestDuration: 10 * time.Second, StartupWindow: time.Second, Gossip: cfg, RestartCount: max(1, size/10)}
 }
 
 // TestScale: what one writes all have soon, the dead are missed and the living are not, and those that return catch up; the bytes that one
@@ -19,15 +19,15 @@
 	for _, loss := range []float64{0, 0.3} {
 		var rest []float64
 		for _, size := range []int{10, 60} {
-			r := Scale(scaleDay(size, loss))
+			r := RunScale(scaleDay(size, loss))
 			t.Logf("%+v", r)
-			if r.Missed > 0 || r.ConvergeP9 > 4 || r.DeadP50 == 0 || r.DeadMost > 60 || r.CatchupS > 20 || r.InStepS > 60 {
+			if r.IncompleteWrites > 0 || r.WriteP99Seconds > 4 || r.DetectionP50Seconds == 0 || r.DetectionMaxSeconds > 60 || r.CatchUpSeconds > 20 || r.ConvergedSeconds > 60 {
 				t.Errorf("%d processes, %g lost: %+v", size, loss, r)
 			}
-			if loss == 0 && r.False > 0 {
-				t.Errorf("%d processes: %d that live were held for dead", size, r.False)
+			if loss == 0 && r.FalseDeaths > 0 {
+				t.Errorf("%d processes: %d that live were held for dead", size, r.FalseDeaths)
 			}
-			rest = append(rest, r.Bytes)
+			rest = append(rest, r.BytesPerSecond)
 		}
 		if loss == 0 && rest[1] > 2*rest[0]+100 {
 			t.Errorf("%g lost: %.0f bytes a second of one in 60, %.0f in 10", loss, rest[1], rest[0])
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -8,7 +8,7 @@
 		for at := 0; at < len(best.Faults) && most > 0; {
 			fewer := append(append([]Fault{}, best.Faults[:at]...), best.Faults[min(len(best.Faults), at+size):]...)
 			most--
-			if out := Run(Options{Seed: o.Seed, Plant: o.Plant, Faults: fewer, Copies: o.Copies, Zones: o.Zones}); out.Broken != "" {
+			if out := Run(Options{Seed: o.Seed, Bug: o.Bug, Faults: fewer, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover}); out.Violation != "" {
 				best, took = out, true
 				continue
 			}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -50,35 +50,35 @@
 
 // Options say what is played.
 type Options struct {
-	Seed   uint64
-	Plant  Plant
-	Faults []Fault   // in place of those that the seed draws, if not nil
-	Log    io.Writer // the run as lines, or nil
-	Trace  bool      // also each message
-	Ops    bool      // keep the history of the leases
-	Copies bool      // the processes share state
-	Zones  bool      // and leave zones of servers; with Copies
+	Seed          uint64
+	Bug           InjectedBug
+	Faults        []Fault   // in place of those that the seed draws, if not nil
+	Trace         io.Writer // the run as lines, or nil
+	TraceMessages bool      // also each message
+	RecordHistory bool      // keep the history of the leases
+	SharedState   bool      // the processes share state
+	ZoneFailover  bool      // and leave zones of servers; with Copies
 }
 
 // Outcome is what came of a run.
 type Outcome struct {
-	Seed   uint64             `json:"seed"`
-	Copies bool               `json:"copies,omitempty"`
-	Zones  bool               `json:"zones,omitempty"`
-	Broken string             `json:"broken,omitempty"` // the first thing that must not be
-	At     time.Duration      `json:"at,omitempty"`
-	Faults []Fault            `json:"faults"`
-	Hash   uint64             `json:"hash"` // of all that happened, in order
-	Counts map[string]float64 `json:"counts"`
-	Ops    []Op               `json:"-"`
+	Seed         uint64             `json:"seed"`
+	SharedState  bool               `json:"copies,omitempty"`
+	ZoneFailover bool               `json:"zones,omitempty"`
+	Violation    string             `json:"broken,omitempty"` // the first thing that must not be
+	ViolatedAt   time.Duration      `json:"at,omitempty"`
+	Faults       []Fault            `json:"faults"`
+	Hash         uint64             `json:"hash"` // of all that happened, in order
+	Counts       map[string]float64 `json:"counts"`
+	History      []Operation        `json:"-"`
 }
 
-// Op is an operation on the leases as its process saw it: a grant with its token, or a look (Token 0) with the largest number that
+// Operation is an operation on the leases as its process saw it: a grant with its token, or a look (Token 0) with the largest number that
 // the council had given.
-type Op struct {
-	Process      int
-	Began, Ended time.Duration
-	Token, Last  uint64
+type Operation struct {
+	Process       int
+	Start, End    time.Duration
+	Token, LastID uint64
 }
 
 type firstAsk struct {
@@ -89,15 +89,15 @@
 // remember keeps an operation. One that was asked several times began with the first of them.
 func (w *world) remember(process int, q lease.Request, a lease.Response, began time.Duration) {
 	switch {
-	case !w.o.Ops:
+	case !w.o.RecordHistory:
 	case q.Command == nil && a.Refusal == "":
-		w.ops = append(w.ops, Op{Process: process, Began: began, Ended: w.now, Last: a.LastID})
+		w.ops = append(w.ops, Operation{Process: process, Start: began, End: w.now, LastID: a.LastID})
 	case q.Command != nil && q.Command.Op == lease.OpAcquire && a.Result != nil && a.Result.Token != 0 && a.Result.PreviousVersion != a.Result.Version:
 		id := firstAsk{process, q.SessionID, q.Command.Seq}
 		if first, had := w.asked[id]; had {
 			began = first
 		}
-		w.ops = append(w.ops, Op{Process: process, Began: began, Ended: w.now, Token: a.Result.Token})
+		w.ops = append(w.ops, Operation{Process: process, Start: began, End: w.now, Token: a.Result.Token})
 	}
 }
 
@@ -124,7 +124,7 @@
 	broken    string
 	brokenAt  time.Duration
 	counts    map[string]float64
-	ops       []Op
+	ops       []Operation
 	asked     map[firstAsk]time.Duration // when a command was asked first
 	field     *field                     // nil: no zones are played
 	words     [zones]int                 // that operators have given on zones
@@ -151,7 +151,7 @@
 		Name: "t", Interval: 400 * time.Millisecond, Missed: []task.MissedPolicy{task.MissedSkip, task.MissedRunNewest, task.MissedRunEach}[made.IntN(3)],
 		Idempotency: task.Idempotency(made.IntN(3)), DedupWindow: 4 * time.Second, Deadline: 300 * time.Millisecond, MaxAttempts: 2, MaxClockDrift: drift,
 	}
-	if o.Zones {
+	if o.ZoneFailover {
 		w.field = newField()
 	}
 	w.watch = newObserver(w)
@@ -159,7 +159,7 @@
 	if drawn := draw(made, w.voters, processes, faultsFrom, faultsTo); w.faults == nil {
 		w.faults = drawn
 	}
-	if o.Zones && o.Faults == nil {
+	if o.ZoneFailover && o.Faults == nil {
 		alone := o.Seed%4 == 0
 		if alone {
 			w.faults = []Fault{}
@@ -180,7 +180,7 @@
 		if r := recover(); r != nil {
 			w.breaks("panic: %v", r)
 		}
-		out = Outcome{Seed: o.Seed, Copies: o.Copies, Zones: o.Zones, Broken: w.broken, At: w.brokenAt, Faults: w.faults, Hash: w.hash.Sum64(), Counts: w.counts, Ops: w.ops}
+		out = Outcome{Seed: o.Seed, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover, Violation: w.broken, ViolatedAt: w.brokenAt, Faults: w.faults, Hash: w.hash.Sum64(), Counts: w.counts, History: w.ops}
 	}()
 	for played := 0; len(w.queue) > 0 && w.broken == ""; played++ {
 		if played > mostEvents {
@@ -216,15 +216,15 @@
 func (w *world) note(format string, args ...any) {
 	line := fmt.Sprintf("%10.6f %s\n", w.now.Seconds(), fmt.Sprintf(format, args...))
 	w.hash.Write([]byte(line))
-	if w.o.Log != nil {
-		fmt.Fprint(w.o.Log, line)
+	if w.o.Trace != nil {
+		fmt.Fprint(w.o.Trace, line)
 	}
 }
 
 // carry takes something from one process to another, or loses it on the way.
 func (w *world) carry(from, to *proc, what string, arrive func()) {
 	w.counts["messages"]++
-	if w.o.Trace {
+	if w.o.TraceMessages {
 		w.note("%s to %s: %s", from.name, to.name, what)
 	}
 	if w.cut[[2]int{from.i, to.i}] > 0 || w.loss > 0 && w.net.IntN(100) < 30 || w.net.IntN(1000) < 2 && w.now < lossTo {
@@ -261,61 +261,61 @@
 	if w.strikeZones(f) {
 		return
 	}
-	p := w.procs[f.P%len(w.procs)]
+	p := w.procs[f.Target%len(w.procs)]
 	block := func(a, b int) {
 		if a == b {
 			return
 		}
 		w.cut[[2]int{a, b}]++
-		w.after(f.For, func() {
+		w.after(f.Duration, func() {
 			if w.cut[[2]int{a, b}] > 0 {
 				w.cut[[2]int{a, b}]--
 			}
 		})
 	}
 	switch f.Kind {
-	case Pause:
-		p.pausedUntil = max(p.pausedUntil, w.now+f.For)
-	case Kill, Wipe:
+	case FaultPause:
+		p.pausedUntil = max(p.pausedUntil, w.now+f.Duration)
+	case FaultKill, FaultWipe:
 		p.kill()
-		if f.Kind == Wipe && p.voter {
+		if f.Kind == FaultWipe && p.voter {
 			p.disk = &disk{w: w, p: p}
 			p.id, p.fleet = 0, ""
 			p.stores++
 		}
-		w.after(f.For, p.start)
-	case KillAll:
+		w.after(f.Duration, p.start)
+	case FaultKillAll:
 		for i, q := range w.procs {
 			q.kill()
-			w.after(f.For/4+time.Duration(i)*50*time.Millisecond, q.start)
+			w.after(f.Duration/4+time.Duration(i)*50*time.Millisecond, q.start)
 		}
-	case Leave:
+	case FaultLeave:
 		p.deliver(p.leave)
-		w.after(f.For+time.Second, p.start)
-	case Oneway:
-		block(f.P%len(w.procs), f.Q%len(w.procs))
-	case Cut:
+		w.after(f.Duration+time.Second, p.start)
+	case FaultOneWay:
+		block(f.Target%len(w.procs), f.Peer%len(w.procs))
+	case FaultIsolate:
 		for _, q := range w.procs {
 			block(p.i, q.i)
 			block(q.i, p.i)
 		}
-	case Split:
+	case FaultPartition:
 		for _, a := range w.procs {
 			for _, b := range w.procs {
-				if f.P>>a.i&1 != f.P>>b.i&1 {
+				if f.Target>>a.i&1 != f.Target>>b.i&1 {
 					block(a.i, b.i)
 				}
 			}
 		}
-	case Loss:
+	case FaultLoss:
 		w.loss++
-		w.after(f.For, func() { w.loss-- })
-	case Storm:
+		w.after(f.Duration, func() { w.loss-- })
+	case FaultDelay:
 		w.storm++
-		w.after(f.For, func() { w.storm-- })
-	case Sync:
-		w.syncFails[f.P] = true
-	case Revoke, Replace:
+		w.after(f.Duration, func() { w.storm-- })
+	case FaultSync:
+		w.syncFails[f.Target] = true
+	case FaultRevoke, FaultReplace:
 		w.operate(f)
 	}
 }
@@ -330,7 +330,7 @@
 		p.start()
 	}
 	for _, f := range w.faults { // what an operator could not get through before
-		if f.Kind == Replace {
+		if f.Kind == FaultReplace {
 			w.operate(f)
 		}
 	}
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -15,28 +15,28 @@
 
 // The faults of servers, by zone. They are drawn only where zones are played.
 const (
-	ZoneDown Kind = "zone-down" // no server of a zone answers anybody
-	ZoneTorn Kind = "zone-torn" // members of one zone get no answer from another
-	Release  Kind = "release"   // two servers of each zone answer nobody, as of a bad release
-	ZoneWord Kind = "zone-word" // an operator leaves a zone, and after a while has it decided by itself again
+	FaultZoneDown      FaultKind = "zone-down" // no server of a zone answers anybody
+	FaultZonePartition FaultKind = "zone-torn" // members of one zone get no answer from another
+	FaultBadRelease    FaultKind = "release"   // two servers of each zone answer nobody, as of a bad release
+	FaultZoneShift     FaultKind = "zone-word" // an operator leaves a zone, and after a while has it decided by itself again
 )
 
 // Mistakes about zones that can be planted.
 const (
-	OwnRank  Plant = "own-rank"         // each process has an order of servers of its own: parts are given out twice
-	Minority Plant = "minority-decides" // a process that can't ask decides by itself
-	WallStep Plant = "wall-return"      // a return is paced by a wall clock
-	NoRetire Plant = "no-way-back"      // a step that hurts is not taken back
-	Blind    Plant = "blind-steps"      // a return goes on whatever those say that look
-	TwoLeft  Plant = "two-at-once"      // what the others can bear is not looked at
-	Repeats  Plant = "word-repeated"    // an operator's word is carried out as often as it comes
-	WarmSoon Plant = "warm-at-once"     // a zone counts as warm with its last step
+	BugLocalRanking    InjectedBug = "own-rank"         // each process has an order of servers of its own: parts are given out twice
+	BugMinorityDecides InjectedBug = "minority-decides" // a process that can't ask decides by itself
+	BugWallClockRamp   InjectedBug = "wall-return"      // a return is paced by a wall clock
+	BugNoRelapse       InjectedBug = "no-way-back"      // a step that hurts is not taken back
+	BugBlindRamp       InjectedBug = "blind-steps"      // a return goes on whatever those say that look
+	BugTwoZonesLeft    InjectedBug = "two-at-once"      // what the others can bear is not looked at
+	BugCommandRepeated InjectedBug = "word-repeated"    // an operator's word is carried out as often as it comes
+	BugNoWarmUp        InjectedBug = "warm-at-once"     // a zone counts as warm with its last step
 )
 
-var zonePlants = []Plant{OwnRank, Minority, WallStep, NoRetire, Blind, TwoLeft, Repeats, WarmSoon}
+var zonePlants = []InjectedBug{BugLocalRanking, BugMinorityDecides, BugWallClockRamp, BugNoRelapse, BugBlindRamp, BugTwoZonesLeft, BugCommandRepeated, BugNoWarmUp}
 
-// OfZones reports whether a mistake is one about zones.
-func (p Plant) OfZones() bool { return slices.Contains(zonePlants, p) }
+// NeedsZoneFailover reports whether a mistake is one about zones.
+func (p InjectedBug) NeedsZoneFailover() bool { return slices.Contains(zonePlants, p) }
 
 const (
 	zonePool = "farm"
@@ -54,10 +54,10 @@
 func (w *world) zoneRules() zonefailover.Rules {
 	r := zonefailover.DefaultRules()
 	r.StepDuration, r.HoldDown, r.MaxHoldDown, r.WarmUp = 300*time.Millisecond, 500*time.Millisecond, 2*time.Second, 900*time.Millisecond
-	if w.o.Plant == WarmSoon {
+	if w.o.Bug == BugNoWarmUp {
 		r.WarmUp = 1
 	}
-	if w.o.Plant == TwoLeft {
+	if w.o.Bug == BugTwoZonesLeft {
 		r.MinRemainingCapacity, r.MaxUnreachableElsewhere = 0, 0.59
 	}
 	return r
@@ -125,14 +125,14 @@
 	if alone { // nothing else goes wrong: a zone that goes again while it is being returned to
 		zone := rng.IntN(zones)
 		at := faultsFrom + time.Duration(rng.IntN(2000))*time.Millisecond
-		all = append(all, Fault{At: at, Kind: ZoneDown, P: zone, For: time.Duration(1000+rng.IntN(4000)) * time.Millisecond})
+		all = append(all, Fault{At: at, Kind: FaultZoneDown, Target: zone, Duration: time.Duration(1000+rng.IntN(4000)) * time.Millisecond})
 		// While it is returned to: its servers answer again, and a hold and three steps follow.
-		at += all[0].For + 400*time.Millisecond + time.Duration(rng.IntN(1600))*time.Millisecond
-		return append(all, Fault{At: at, Kind: ZoneDown, P: zone, For: time.Duration(3000+rng.IntN(3000)) * time.Millisecond})
+		at += all[0].Duration + 400*time.Millisecond + time.Duration(rng.IntN(1600))*time.Millisecond
+		return append(all, Fault{At: at, Kind: FaultZoneDown, Target: zone, Duration: time.Duration(3000+rng.IntN(3000)) * time.Millisecond})
 	}
 	for n := 1 + rng.IntN(4); n > 0; n-- {
-		f := Fault{At: faultsFrom + time.Duration(rng.Int64N(int64(faultsTo-faultsFrom-2*time.Second))), P: rng.IntN(zones), Q: rng.IntN(zones), For: time.Duration(200+rng.IntN(6500)) * time.Millisecond}
-		f.Kind = []Kind{ZoneDown, ZoneDown, ZoneDown, ZoneDown, ZoneTorn, Release, ZoneWord}[rng.IntN(7)]
+		f := Fault{At: faultsFrom + time.Duration(rng.Int64N(int64(faultsTo-faultsFrom-2*time.Second))), Target: rng.IntN(zones), Peer: rng.IntN(zones), Duration: time.Duration(200+rng.IntN(6500)) * time.Millisecond}
+		f.Kind = []FaultKind{FaultZoneDown, FaultZoneDown, FaultZoneDown, FaultZoneDown, FaultZonePartition, FaultBadRelease, FaultZoneShift}[rng.IntN(7)]
 		all = append(all, f)
 	}
 	return all
@@ -147,22 +147,22 @@
 		w.field.note(w.now)
 		*n++
 		w.field.note(w.now)
-		w.after(f.For, func() {
+		w.after(f.Duration, func() {
 			w.field.note(w.now)
 			*n--
 			w.field.note(w.now)
 		})
 	}
 	switch f.Kind {
-	case ZoneDown:
-		count(&w.field.down[f.P%zones])
-	case ZoneTorn:
-		count(&w.field.torn[f.Q%zones][f.P%zones])
-	case Release:
+	case FaultZoneDown:
+		count(&w.field.down[f.Target%zones])
+	case FaultZonePartition:
+		count(&w.field.torn[f.Peer%zones][f.Target%zones])
+	case FaultBadRelease:
 		count(&w.field.bad)
-	case ZoneWord:
-		w.order(f.P%zones, zonefailover.State{Manual: true, Reason: "an operator"})
-		w.after(f.For, func() { w.order(f.P%zones, zonefailover.State{Reason: "an operator lets go"}) })
+	case FaultZoneShift:
+		w.order(f.Target%zones, zonefailover.State{Manual: true, Reason: "an operator"})
+		w.after(f.Duration, func() { w.order(f.Target%zones, zonefailover.State{Reason: "an operator lets go"}) })
 	default:
 		return false
 	}
@@ -171,7 +171,7 @@
 
 // order has an operator decide of a zone.
 func (w *world) order(zone int, s zonefailover.State) {
-	c := consensus.DecisionCommand{Key: gossip.PoolKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Conditional: w.o.Plant != Repeats}
+	c := consensus.DecisionCommand{Key: gossip.PoolKey(consensus.ZoneKind, zonePool, zoneName(zone)), Value: s.Encode(), Conditional: w.o.Bug != BugCommandRepeated}
 	w.words[zone]++ // whoever gives the next has given up on the one before; copies of it may still be on their way
 	word := w.words[zone]
 	w.asks(func() consensus.Request {
@@ -207,7 +207,7 @@
 
 // avoids are the servers that the process leaves out.
 func (p *proc) avoids() map[string]bool {
-	if p.w.o.Plant == OwnRank {
+	if p.w.o.Bug == BugLocalRanking {
 		list := map[string]string{}
 		turned := map[string]string{}
 		for server, zone := range p.w.field.list {
@@ -269,7 +269,7 @@
 func (p *proc) decidesZones(now time.Duration) {
 	z, n := p.rep.zoner, p.rep.node
 	token, _, held := p.keeper.Token(now, zoneview.LeaseName)
-	alone := p.w.o.Plant == Minority && !held && p.keeper.SessionID() != 0 && now >= p.keeper.ValidUntil()
+	alone := p.w.o.Bug == BugMinorityDecides && !held && p.keeper.SessionID() != 0 && now >= p.keeper.ValidUntil()
 	if (!held || p.leaving) && !alone {
 		z.keeper, z.asking = nil, -1
 		return
@@ -278,10 +278,10 @@
 		z.keeper = zonefailover.NewController(p.w.zoneRules())
 	}
 	scene := zoneview.Snapshot(n, p.members(), zonePool, p.w.field.list)
-	switch p.w.o.Plant {
-	case WallStep:
+	switch p.w.o.Bug {
+	case BugWallClockRamp:
 		now += p.w.now / (700 * time.Millisecond) * 400 * time.Millisecond // set forth now and then
-	case Blind:
+	case BugBlindRamp:
 		scene.ZoneChecks = slices.DeleteFunc(scene.ZoneChecks, func(l zonefailover.ZoneCheck) bool {
 			s, is := scene.States[l.Zone]
 			return is && s.Step < zonefailover.FullStep
@@ -293,14 +293,14 @@
 				}
 			}
 		}
-	case Minority:
+	case BugMinorityDecides:
 		scene.FleetSize = len(scene.MemberZones)
 	}
 	change, _ := z.keeper.Next(now, scene)
 	if change == nil || z.asking >= 0 && p.clock() < z.asking+rules.KeepAliveInterval() {
 		return
 	}
-	if p.w.o.Plant == NoRetire && change.State.Relapses > scene.States[change.Zone].Relapses {
+	if p.w.o.Bug == BugNoRelapse && change.State.Relapses > scene.States[change.Zone].Relapses {
 		return
 	}
 	c := zoneview.ShiftCommand(n, zonePool, *change, token)
@@ -454,9 +454,9 @@
 func (w *world) calm(since time.Duration) bool {
 	for _, f := range w.faults {
 		switch f.Kind {
-		case ZoneDown, ZoneTorn, Release, ZoneWord:
+		case FaultZoneDown, FaultZonePartition, FaultBadRelease, FaultZoneShift:
 		default:
-			if f.At <= w.now && f.At+f.For+4*time.Second > since {
+			if f.At <= w.now && f.At+f.Duration+4*time.Second > since {
 				return false
 			}
 		}
