--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -196,12 +196,7 @@
 	d.mu.Lock()
 	delay := d.delay
 	d.mu.Unlock()
-	select {
-	case <-time.After(delay):
-		return true
-	case <-ctx.Done():
-		return false
-	}
+	return sleep(ctx, delay)
 }
 
 // send writes a message, and records what it notifies of.
--- /dev/null
+++ b/internal/fake/loadgenerator.go
@@ -0,0 +1,286 @@
+package fake
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// ClassLoad is a class of requests that clients send.
+type ClassLoad struct {
+	Name             string
+	Idempotency      Idempotency
+	Weight           float64 // of the operations, relative to the other classes'
+	LatencyObjective time.Duration
+	Deadline         time.Duration // of an operation, over all its attempts
+	PriorityWeight   float64
+	BodyBytes        int // of a class that is not Idempotent
+}
+
+// ClientConfig describes a load of clients.
+type ClientConfig struct {
+	Name               string // prefix of the request ids
+	Addr               string // where the program listens
+	Host               string
+	Prefix             string // of all paths, without a slash at its end
+	Tenant             string
+	Classes            []ClassLoad
+	Rate               float64 // operations a second, whether or not responses come
+	MaxAttempts        int     // of an operation
+	Backoff            time.Duration
+	HonorRetryAfter    bool // a rejected client waits at least for Retry-After
+	NewConnections     bool // for each attempt
+	AbandonConnections bool // for each attempt a new connection, kept open and never used again until the program closes it
+	MaxConnections     int  // open at once; an attempt that needs one more is not sent; 0: no limit
+	MaxInFlight        int  // operations; a further one is not begun and counts as OutcomeUnsent; 0: defaultMaxInFlight
+	Recorder           *EffectRecorder
+	Seed               uint64
+}
+
+const (
+	defaultMaxInFlight = 10000
+	minAttemptTimeout  = 5 * time.Millisecond // with less time left, no further attempt is made
+	lateResponseWait   = time.Second          // after an attempt's timeout, so that late responses are seen as such
+	statusNoResponse   = 0
+	statusUnsent       = -1 // the clients had no connection for the attempt
+)
+
+// loadGenerator sends operations.
+type loadGenerator struct {
+	cfg       ClientConfig
+	weightSum float64 // of the classes
+	lastID    atomic.Int64
+	conns     *connPool
+	results   *ClientResults
+}
+
+// RunClients sends operations until ctx ends, and returns once the last has ended.
+func RunClients(ctx context.Context, cfg ClientConfig) *ClientResults {
+	if cfg.MaxAttempts < 1 {
+		cfg.MaxAttempts = 1
+	}
+	if cfg.MaxInFlight < 1 {
+		cfg.MaxInFlight = defaultMaxInFlight
+	}
+	results := newClientResults()
+	conns := &connPool{
+		addr: cfg.Addr, limit: cfg.MaxConnections, abandon: cfg.AbandonConnections, recorder: cfg.Recorder, results: results,
+		abandoned: map[*clientConn]struct{}{},
+	}
+	g := &loadGenerator{cfg: cfg, conns: conns, results: results}
+	for _, class := range cfg.Classes {
+		g.weightSum += class.Weight
+	}
+	g.run(ctx)
+	conns.closeAll()
+	return results
+}
+
+// run begins operations at the times of a Poisson process until ctx ends, and waits for them.
+func (g *loadGenerator) run(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(g.cfg.Seed, 2))
+	var operations sync.WaitGroup
+	defer operations.Wait()
+	var inFlight atomic.Int64
+	next := time.Now()
+	for {
+		next = next.Add(time.Duration(rng.ExpFloat64() / g.cfg.Rate * float64(time.Second)))
+		timer := time.NewTimer(time.Until(next))
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return
+		case <-timer.C:
+		}
+		class, seed := g.pickClass(rng), rng.Uint64()
+		if int(inFlight.Load()) >= g.cfg.MaxInFlight {
+			g.results.recordOperation(class, OutcomeUnsent, 0)
+			continue
+		}
+		inFlight.Add(1)
+		operations.Go(func() {
+			defer inFlight.Add(-1)
+			g.runOperation(class, rand.New(rand.NewPCG(seed, 3)))
+		})
+	}
+}
+
+// pickClass draws a class by weight.
+func (g *loadGenerator) pickClass(rng *rand.Rand) *ClassLoad {
+	at := rng.Float64() * g.weightSum
+	for i := range g.cfg.Classes {
+		if at -= g.cfg.Classes[i].Weight; at < 0 {
+			return &g.cfg.Classes[i]
+		}
+	}
+	return &g.cfg.Classes[len(g.cfg.Classes)-1]
+}
+
+// runOperation makes the attempts of an operation as a client of its class does.
+func (g *loadGenerator) runOperation(class *ClassLoad, rng *rand.Rand) {
+	began := time.Now()
+	request := &clientRequest{class: class, operation: g.cfg.Recorder.BeginOperation(class.Idempotency)}
+	if class.Idempotency == IdempotentByKey {
+		request.key = fmt.Sprintf("%s-k%d", g.cfg.Name, g.lastID.Add(1))
+	}
+	outcome := OutcomeFailed
+	for n := range g.cfg.MaxAttempts {
+		left := class.Deadline - time.Since(began)
+		if left < minAttemptTimeout {
+			break
+		}
+		isLast := n == g.cfg.MaxAttempts-1
+		request.timeout, request.retry = left, n > 0
+		if !isLast {
+			request.timeout = left / 2 // leaves time for a retry
+		}
+		sent := time.Now()
+		status, retryAfter := g.attempt(request)
+		outcome = attemptOutcome(status)
+		switch {
+		case outcome == OutcomeServed:
+			latency := time.Since(began)
+			if latency > class.LatencyObjective {
+				outcome = OutcomeLate
+			}
+			g.results.recordOperation(class, outcome, latency)
+			return
+		case outcome == OutcomeRejected:
+			g.results.recordRejection(time.Since(sent))
+		case outcome == OutcomeFailed && class.Idempotency == NonIdempotent: // it may have had its effect
+			g.results.recordOperation(class, OutcomeFailed, 0)
+			return
+		}
+		pause := g.retryPause(rng, retryAfter)
+		if !isLast && pause < class.Deadline-time.Since(began) {
+			time.Sleep(pause)
+		}
+	}
+	g.results.recordOperation(class, outcome, 0)
+}
+
+// attemptOutcome is how an operation ends whose last attempt had a status.
+func attemptOutcome(status int) Outcome {
+	switch status {
+	case statusUnsent:
+		return OutcomeUnsent
+	case http.StatusOK:
+		return OutcomeServed
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return OutcomeRejected
+	default:
+		return OutcomeFailed
+	}
+}
+
+// retryPause draws the pause before a retry: the backoff, half of it more or less, or a longer Retry-After.
+func (g *loadGenerator) retryPause(rng *rand.Rand, retryAfter time.Duration) time.Duration {
+	pause := time.Duration((0.5 + rng.Float64()) * float64(g.cfg.Backoff))
+	if g.cfg.HonorRetryAfter {
+		pause = max(pause, retryAfter)
+	}
+	return pause
+}
+
+// clientRequest is what an attempt sends.
+type clientRequest struct {
+	class     *ClassLoad
+	operation *Operation
+	key       string // idempotency key, "" if there is none
+	timeout   time.Duration
+	retry     bool
+}
+
+// attempt sends a request and waits for its response. The status is statusNoResponse or statusUnsent if there is none.
+func (g *loadGenerator) attempt(request *clientRequest) (status int, retryAfter time.Duration) {
+	id := fmt.Sprintf("%s-%d", g.cfg.Name, g.lastID.Add(1))
+	conn, err := g.conns.acquire(request.timeout)
+	switch {
+	case errors.Is(err, errConnectionLimit):
+		g.results.recordConnectionLimited()
+		return statusUnsent, 0
+	case err != nil:
+		return statusNoResponse, 0
+	}
+	text := g.requestText(request, id)
+	g.cfg.Recorder.RecordSent(request.operation, id, request.timeout)
+	g.results.recordAttempt(conn.reused)
+	response, body, err := exchange(conn, text, request.timeout)
+	if conn.reused && errors.Is(err, errClosedUnanswered) {
+		// The program closed the idle connection before it could read the request, so that it may be sent again.
+		conn.Close()
+		g.results.recordClosedBeforeReuse()
+		if conn, err = g.conns.dial(request.timeout); err != nil {
+			g.cfg.Recorder.RecordUnsent(id)
+			return statusNoResponse, 0
+		}
+		response, body, err = exchange(conn, text, request.timeout)
+	}
+	if err != nil {
+		if errors.Is(err, errClosedUnanswered) && !conn.reused {
+			g.cfg.Recorder.RecordUnsent(id) // a new connection may be closed unread to make room for another
+		}
+		conn.Close()
+		return statusNoResponse, 0
+	}
+	bodyMatches := strings.HasPrefix(string(body), ResponseBody(request.class.Name, id, request.key))
+	g.cfg.Recorder.RecordResponse(id, response.StatusCode, bodyMatches)
+	g.results.recordStatus(response.StatusCode)
+	if response.Close || g.cfg.NewConnections {
+		conn.Close()
+	} else {
+		g.conns.release(conn)
+	}
+	return response.StatusCode, parseRetryAfter(response)
+}
+
+// exchange sends a request and reads its response, until a while after its timeout.
+func exchange(conn *clientConn, text string, timeout time.Duration) (*http.Response, []byte, error) {
+	conn.SetDeadline(time.Now().Add(timeout + lateResponseWait))
+	return conn.roundTrip(text)
+}
+
+// parseRetryAfter returns the Retry-After of a response, 0 if it has none in seconds.
+func parseRetryAfter(response *http.Response) time.Duration {
+	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
+	if err != nil {
+		return 0
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// requestText is the text of a request.
+func (g *loadGenerator) requestText(request *clientRequest, id string) string {
+	class, hasBody := request.class, request.class.Idempotency != Idempotent
+	method := http.MethodGet
+	if hasBody {
+		method = http.MethodPost
+	}
+	timeoutMs := max(1, request.timeout.Milliseconds())
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s/%s/%s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n",
+		method, g.cfg.Prefix, class.Name, id, g.cfg.Host, id, timeoutMs)
+	if g.cfg.Tenant != "" {
+		text.WriteString("X-Tenant-Id: " + g.cfg.Tenant + "\r\n")
+	}
+	if request.key != "" {
+		text.WriteString("Idempotency-Key: " + request.key + "\r\n")
+	}
+	if request.retry {
+		text.WriteString("X-Retried: 1\r\n")
+	}
+	if !hasBody {
+		text.WriteString("\r\n")
+		return text.String()
+	}
+	fmt.Fprintf(&text, "Content-Length: %d\r\n\r\n", class.BodyBytes)
+	text.WriteString(strings.Repeat("b", class.BodyBytes))
+	return text.String()
+}
