--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -58,7 +58,7 @@
 // add adds a log line of one process.
 func (r *sharedStateCounts) add(line string) {
 	field := func(key string) int64 {
-		n, err := strconv.ParseInt(e2e.Field(line, key), 10, 64)
+		n, err := strconv.ParseInt(e2e.LogField(line, key), 10, 64)
 		if err != nil {
 			return 0
 		}
@@ -178,8 +178,8 @@
 
 // parseLine reports whether a line has statistics that are to be counted.
 func (c *fleetCmd) parseLine(text string) (fleetLine, bool) {
-	if e2e.Field(text, "msg") == fleet.SharedStateLogMessage {
-		at, err := time.Parse(time.RFC3339Nano, e2e.Field(text, "time"))
+	if e2e.LogField(text, "msg") == fleet.SharedStateLogMessage {
+		at, err := time.Parse(time.RFC3339Nano, e2e.LogField(text, "time"))
 		return fleetLine{at: at, shared: text}, err == nil
 	}
 	at, pool, stats, ok := statslog.Parse(text)
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -79,7 +79,7 @@
 		return exitUsage
 	case errors.Is(err, errScenario):
 		return exitFailed
-	case errors.Is(err, e2e.ErrUnknown), errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, e2e.ErrUnknownScenario), errors.Is(err, os.ErrNotExist):
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
 		return exitUsage
 	}
--- a/internal/e2e/bridge.go
+++ b/internal/e2e/bridge.go
@@ -29,24 +29,24 @@
 const (
 	// siteDelay is the delay of the link, one way.
 	siteDelay = 8 * time.Millisecond
-	// siteBoxes is how many boxes a site has, and siteRate the operations a second of its clients: about 0.6 of what its
+	// siteBackends is how many boxes a site has, and siteRate the operations a second of its clients: about 0.6 of what its
 	// boxes can do.
-	siteBoxes = 6
-	siteRate  = 300
+	siteBackends = 6
+	siteRate     = 300
 )
 
 // twoSites are two programs, each with boxes, discovery and a link to the other.
 type twoSites struct {
-	ledger *fake.EffectRecorder
-	names  [2]string
-	boxes  [2][]*fake.Backend
-	discos [2]*fake.Discovery
-	links  [2]*fake.Proxy // from the site to the other
-	progs  [2]*Program
+	recorder    *fake.EffectRecorder
+	names       [2]string
+	backends    [2][]*fake.Backend
+	discoveries [2]*fake.Discovery
+	proxies     [2]*fake.Proxy // from the site to the other
+	programs    [2]*Program
 }
 
-// freePort is a port on which nothing listens at present. Two programs must know each other's before they start.
-func freePort() (string, error) {
+// freeAddress is a port on which nothing listens at present. Two programs must know each other's before they start.
+func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -93,63 +93,63 @@
 
 // startSitesOf does so with boxes of such a service time.
 func startSitesOf(ctx context.Context, e *Env, gateway bool, service time.Duration) (*twoSites, error) {
-	t := &twoSites{ledger: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
+	t := &twoSites{recorder: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
 	repeats := fake.NewDeduplicator(time.Minute) // of both sites together
 	var hops [2]string
 	for i, name := range t.names {
 		var err error
-		t.boxes[i], err = e.boxes(name, siteBoxes, t.ledger, func(c *fake.BackendConfig) {
+		t.backends[i], err = e.startBackends(name, siteBackends, t.recorder, func(c *fake.BackendConfig) {
 			c.Zone, c.Deduplicator, c.Cores, c.ServiceTime = name, repeats, 1, service
 			c.Seed += uint64(i) << 32
 		})
 		if err != nil {
 			return nil, err
 		}
-		if t.discos[i], err = e.discovery(t.ledger, t.boxes[i]); err != nil {
+		if t.discoveries[i], err = e.startDiscovery(t.recorder, t.backends[i]); err != nil {
 			return nil, err
 		}
-		if hops[i], err = freePort(); err != nil {
+		if hops[i], err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	for i := range t.names {
 		var err error
-		if t.links[i], err = fake.StartProxy(hops[1-i]); err != nil {
+		if t.proxies[i], err = fake.StartProxy(hops[1-i]); err != nil {
 			return nil, err
 		}
-		e.Defer(t.links[i].Close)
-		t.links[i].SetDelay(siteDelay)
+		e.Defer(t.proxies[i].Close)
+		t.proxies[i].SetDelay(siteDelay)
 	}
 	for i, name := range t.names {
 		at, listeners := "", 1
 		if gateway {
-			at, listeners = t.links[i].Addr(), 2
+			at, listeners = t.proxies[i].Addr(), 2
 		}
 		var err error
-		if t.progs[i], err = e.StartAs(ctx, name, siteTOML(name, hops[i], t.discos[i].Addr(), t.names[1-i], at), listeners); err != nil {
+		if t.programs[i], err = e.StartNamed(ctx, name, siteTOML(name, hops[i], t.discoveries[i].Addr(), t.names[1-i], at), listeners); err != nil {
 			return nil, err
 		}
 	}
 	if gateway {
-		open, cancel := context.WithTimeout(ctx, startTime)
+		open, cancel := context.WithTimeout(ctx, readyTimeout)
 		defer cancel()
-		for _, p := range t.progs {
-			if _, err := p.Await(open, "to=open", 1); err != nil {
-				return nil, fmt.Errorf("a link did not open: %w\n%s", err, p.Tail(20))
+		for _, p := range t.programs {
+			if _, err := p.AwaitLog(open, "to=open", 1); err != nil {
+				return nil, fmt.Errorf("a link did not open: %w\n%s", err, p.LogTail(20))
 			}
 		}
 	}
 	return t, nil
 }
 
-// crowds has clients at both sites ask for a while, and returns what became of them.
-func (t *twoSites) crowds(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.ClientResults) {
+// runClients has clients at both sites ask for a while, and returns what became of them.
+func (t *twoSites) runClients(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.ClientResults) {
 	var both sync.WaitGroup
 	for i, name := range t.names {
 		both.Go(func() {
 			all[i] = fake.RunClients(ctx, fake.ClientConfig{
-				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.progs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], MaxAttempts: 3,
-				Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Classes: classes, Recorder: t.ledger, Seed: e.Seed + uint64(i)<<8,
+				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.programs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], MaxAttempts: 3,
+				Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Classes: classes, Recorder: t.recorder, Seed: e.Seed + uint64(i)<<8,
 			})
 		})
 	}
@@ -157,43 +157,43 @@
 	return all
 }
 
-// lose has a part of the servers of the first site refuse everything, or take requests again.
-func (t *twoSites) lose(part float64, back bool) {
+// drainFraction has a part of the servers of the first site refuse everything, or take requests again.
+func (t *twoSites) drainFraction(part float64, back bool) {
 	const site = 0
-	n := int(part*siteBoxes + 0.5)
+	n := int(part*siteBackends + 0.5)
 	if part > 0 && n == 0 {
 		n = 1
 	}
-	for _, b := range t.boxes[site][:n] {
+	for _, b := range t.backends[site][:n] {
 		b.Drain(!back)
 	}
-	t.discos[site].SetEndpoints(entries(t.boxes[site])...)
+	t.discoveries[site].SetEndpoints(endpoints(t.backends[site])...)
 }
 
-// stop stops the programs.
-func (t *twoSites) stop(e *Env) {
-	for _, p := range t.progs {
+// drainAll stops the programs.
+func (t *twoSites) drainAll(e *Env) {
+	for _, p := range t.programs {
 		if err := p.Stop(); err != nil {
-			e.Broken("a program ended with %v", err)
+			e.Fail("a program ended with %v", err)
 		}
 	}
 }
 
-// end stops the programs and checks the rules.
-func (t *twoSites) end(e *Env, prefix string) {
-	t.stop(e)
-	v := e.Rules(t.ledger)
+// finish stops the programs and checks the rules.
+func (t *twoSites) finish(e *Env, prefix string) {
+	t.drainAll(e)
+	v := e.CheckRules(t.recorder)
 	e.Measure(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
 	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
 	e.AtMost(prefix+"amplification", float64(v.Arrivals)/float64(max(1, v.Operations)), 3)
 	crossed := 0
-	for i, boxes := range t.boxes {
-		crossed += t.ledger.ArrivalsAt(boxNames(boxes), t.names[1-i])
+	for i, boxes := range t.backends {
+		crossed += t.recorder.ArrivalsAt(backendNames(boxes), t.names[1-i])
 	}
 	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Operations)))
 }
 
-func boxNames(boxes []*fake.Backend) map[string]bool {
+func backendNames(boxes []*fake.Backend) map[string]bool {
 	names := map[string]bool{}
 	for _, b := range boxes {
 		names[b.Name()] = true
@@ -214,10 +214,10 @@
 		phase := []string{"alone", "joined"}[k]
 		e.Phase("two calm sites, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
-		all := t.crowds(load, e, phase, [2]float64{siteRate, siteRate}, siteClasses...)
+		all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate}, siteClasses...)
 		cancel()
 		sum := all[0].Merge(all[1])
-		for _, p := range t.progs {
+		for _, p := range t.programs {
 			cpu, err := p.CPU()
 			if err != nil {
 				return err
@@ -225,12 +225,12 @@
 			cost[k] += cpu.Seconds() / float64(max(1, sum.Attempts))
 		}
 		if !gateway {
-			t.stop(e)
-			e.Rules(t.ledger)
+			t.drainAll(e)
+			e.CheckRules(t.recorder)
 			continue
 		}
-		t.end(e, "")
-		e.crowd("", sum)
+		t.finish(e, "")
+		e.measureResults("", sum)
 		e.AtLeast("served", sum.ServedFraction(), 0.95)
 		e.AtMost("crossed_in_calm", e.Measured("crossed_share"), 0.01)
 	}
@@ -247,24 +247,24 @@
 	if err != nil {
 		return err
 	}
-	t.links[0].SetDelay(0)
-	t.links[1].SetDelay(0)
-	t.lose(1, false)
+	t.proxies[0].SetDelay(0)
+	t.proxies[1].SetDelay(0)
+	t.drainFraction(1, false)
 	e.Phase("all of one site's work crosses", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	var memory [2]float64
-	go script(load, e.Duration,
-		step{0.3, func() { memory[0], _ = t.progs[0].MemoryMB() }},
-		step{0.9, func() { memory[1], _ = t.progs[0].MemoryMB() }})
-	all := t.crowds(load, e, "cost", [2]float64{300, 300}, allocationCheck)
-	t.end(e, "")
-	e.Measure("direct_p50_ms", ms(all[1].Percentile(0.5)))
-	e.Measure("direct_p99_ms", ms(all[1].Percentile(0.99)))
-	e.Measure("crossing_p50_ms", ms(all[0].Percentile(0.5)))
-	e.Measure("crossing_p99_ms", ms(all[0].Percentile(0.99)))
-	e.Measure("crossing_costs_p99_ms", ms(all[0].Percentile(0.99)-all[1].Percentile(0.99)))
-	e.Measure("crossing_costs_p50_ms", ms(all[0].Percentile(0.5)-all[1].Percentile(0.5)))
+	go runScript(load, e.Duration,
+		scriptStep{0.3, func() { memory[0], _ = t.programs[0].MemoryMB() }},
+		scriptStep{0.9, func() { memory[1], _ = t.programs[0].MemoryMB() }})
+	all := t.runClients(load, e, "cost", [2]float64{300, 300}, allocationCheck)
+	t.finish(e, "")
+	e.Measure("direct_p50_ms", milliseconds(all[1].Percentile(0.5)))
+	e.Measure("direct_p99_ms", milliseconds(all[1].Percentile(0.99)))
+	e.Measure("crossing_p50_ms", milliseconds(all[0].Percentile(0.5)))
+	e.Measure("crossing_p99_ms", milliseconds(all[0].Percentile(0.99)))
+	e.Measure("crossing_costs_p99_ms", milliseconds(all[0].Percentile(0.99)-all[1].Percentile(0.99)))
+	e.Measure("crossing_costs_p50_ms", milliseconds(all[0].Percentile(0.5)-all[1].Percentile(0.5)))
 	e.Measure("memory_early_mb", memory[0])
 	e.Measure("memory_late_mb", memory[1])
 	e.AtLeast("served", all[0].ServedFraction(), 0.8) // what is refused until the site has shown that it is short is in it
@@ -283,15 +283,15 @@
 		phase := []string{"alone", "joined"}[k]
 		e.Phase("both sites overloaded, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
-		all := t.crowds(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, siteClasses...)
+		all := t.runClients(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, siteClasses...)
 		cancel()
 		served[k] = all[0].Merge(all[1]).ServedFraction()
 		if gateway {
-			t.end(e, "")
+			t.finish(e, "")
 			attempts[k] = e.Measured("amplification")
 		} else {
-			t.stop(e)
-			v := e.Rules(t.ledger)
+			t.drainAll(e)
+			v := e.CheckRules(t.recorder)
 			attempts[k] = float64(v.Arrivals) / float64(max(1, v.Operations))
 		}
 	}
@@ -322,27 +322,27 @@
 			load, cancel := context.WithTimeout(ctx, e.Duration/2)
 			var mu sync.Mutex
 			var back time.Time
-			go script(load, e.Duration/2,
-				step{0.2, func() { t.lose(part, false) }},
-				step{0.7, func() {
-					t.lose(part, true)
+			go runScript(load, e.Duration/2,
+				scriptStep{0.2, func() { t.drainFraction(part, false) }},
+				scriptStep{0.7, func() {
+					t.drainFraction(part, true)
 					mu.Lock()
 					defer mu.Unlock()
 					back = time.Now()
 				}})
-			all := t.crowds(load, e, phase, [2]float64{siteRate, siteRate / 3}, siteClasses...)
+			all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate / 3}, siteClasses...)
 			cancel()
 			served[k] = all[0].Merge(all[1]).ServedFraction()
 			if gateway {
-				t.end(e, prefix)
-				e.crowd(prefix, all[0])
+				t.finish(e, prefix)
+				e.measureResults(prefix, all[0])
 				mu.Lock()
-				last := t.ledger.LastArrivalAt(boxNames(t.boxes[1]), t.names[0])
+				last := t.recorder.LastArrivalAt(backendNames(t.backends[1]), t.names[0])
 				e.AtMost(prefix+"crosses_after_the_boxes_are_back_s", max(0, last.Sub(back).Seconds()), 10)
 				mu.Unlock()
 			} else {
-				t.stop(e)
-				e.Rules(t.ledger)
+				t.drainAll(e)
+				e.CheckRules(t.recorder)
 			}
 		}
 		prefix := fmt.Sprintf("loss_%.0f_", 100*part)
@@ -364,34 +364,34 @@
 	defer cancel()
 	var stalled time.Time
 	noticed := make(chan time.Duration, 1)
-	go script(load, e.Duration,
-		step{0.15, func() { t.lose(0.66, false) }},
-		step{0.4, func() {
+	go runScript(load, e.Duration,
+		scriptStep{0.15, func() { t.drainFraction(0.66, false) }},
+		scriptStep{0.4, func() {
 			stalled = time.Now()
-			t.links[0].SetStalled(true)
+			t.proxies[0].SetStalled(true)
 			go func() {
-				if _, err := t.progs[0].Await(load, "to=stalled", 1); err == nil {
+				if _, err := t.programs[0].AwaitLog(load, "to=stalled", 1); err == nil {
 					noticed <- time.Since(stalled)
 				}
 			}()
 		}},
-		step{0.5, func() { t.links[0].SetStalled(false) }},
-		step{0.58, func() { t.links[0].SetDirectionStalled(fake.FromTarget, true) }},
-		step{0.65, func() { t.links[0].SetDirectionStalled(fake.FromTarget, false) }},
-		step{0.7, func() { t.links[0].StallConnection() }},
-		step{0.8, func() { t.links[0].ResetConnections() }},
+		scriptStep{0.5, func() { t.proxies[0].SetStalled(false) }},
+		scriptStep{0.58, func() { t.proxies[0].SetDirectionStalled(fake.FromTarget, true) }},
+		scriptStep{0.65, func() { t.proxies[0].SetDirectionStalled(fake.FromTarget, false) }},
+		scriptStep{0.7, func() { t.proxies[0].StallConnection() }},
+		scriptStep{0.8, func() { t.proxies[0].ResetConnections() }},
 	)
-	all := t.crowds(load, e, "stall", [2]float64{siteRate, siteRate / 3}, siteClasses...)
-	t.end(e, "")
-	e.crowd("", all[0])
+	all := t.runClients(load, e, "stall", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	t.finish(e, "")
+	e.measureResults("", all[0])
 	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.7)
 	select {
 	case after := <-noticed: // two round trips and 200 ms, and some for the look at the link and its line in the log
-		e.AtMost("stall_noticed_ms", ms(after), ms(200*time.Millisecond+4*siteDelay+60*time.Millisecond))
+		e.AtMost("stall_noticed_ms", milliseconds(after), milliseconds(200*time.Millisecond+4*siteDelay+60*time.Millisecond))
 	default:
-		e.Broken("the stall of the link was not noticed")
+		e.Fail("the stall of the link was not noticed")
 	}
-	e.Measure("stalls_noticed", float64(t.progs[0].Count("to=stalled")))
+	e.Measure("stalls_noticed", float64(t.programs[0].CountLog("to=stalled")))
 	e.Measure("requests_failed", float64(all[0].Outcomes[fake.OutcomeFailed]))
 	return nil
 }
@@ -406,18 +406,18 @@
 	defer cancel()
 	var stopping sync.WaitGroup
 	stopping.Go(func() {
-		script(load, e.Duration,
-			step{0.15, func() { t.lose(0.66, false) }},
-			step{0.6, func() {
-				for _, p := range t.progs {
+		runScript(load, e.Duration,
+			scriptStep{0.15, func() { t.drainFraction(0.66, false) }},
+			scriptStep{0.6, func() {
+				for _, p := range t.programs {
 					stopping.Go(func() { _ = p.Stop() }) // how it ended is told by what its clients saw
 				}
 			}})
 	})
-	all := t.crowds(load, e, "drain", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	all := t.runClients(load, e, "drain", [2]float64{siteRate, siteRate / 3}, siteClasses...)
 	stopping.Wait()
-	t.end(e, "")
-	e.crowd("", all[0].Merge(all[1]))
+	t.finish(e, "")
+	e.measureResults("", all[0].Merge(all[1]))
 	return nil
 }
 
@@ -429,16 +429,16 @@
 	e.Phase("the link breaks again and again", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	steps := []step{{0.1, func() { t.lose(0.66, false) }}}
+	steps := []scriptStep{{0.1, func() { t.drainFraction(0.66, false) }}}
 	for at := 0.2; at < 0.85; at += 0.1 {
-		steps = append(steps, step{at, t.links[0].ResetConnections}, step{at + 0.03, func() { t.links[0].SetStalled(true) }}, step{at + 0.05, func() { t.links[0].SetStalled(false) }})
+		steps = append(steps, scriptStep{at, t.proxies[0].ResetConnections}, scriptStep{at + 0.03, func() { t.proxies[0].SetStalled(true) }}, scriptStep{at + 0.05, func() { t.proxies[0].SetStalled(false) }})
 	}
-	go script(load, e.Duration, steps...)
-	all := t.crowds(load, e, "flap", [2]float64{siteRate, siteRate / 3}, siteClasses...)
-	t.end(e, "")
-	e.crowd("", all[0])
+	go runScript(load, e.Duration, steps...)
+	all := t.runClients(load, e, "flap", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	t.finish(e, "")
+	e.measureResults("", all[0])
 	e.Measure("served", all[0].Merge(all[1]).ServedFraction())
-	e.Measure("changes_of_the_link", float64(t.progs[0].Count("msg=link ")))
+	e.Measure("changes_of_the_link", float64(t.programs[0].CountLog("msg=link ")))
 	return nil
 }
 
@@ -450,22 +450,22 @@
 	e.Phase("the sites cannot see each other for a while", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	go script(load, e.Duration,
-		step{0.1, func() { t.lose(0.5, false) }},
-		step{0.3, func() {
-			for _, l := range t.links {
+	go runScript(load, e.Duration,
+		scriptStep{0.1, func() { t.drainFraction(0.5, false) }},
+		scriptStep{0.3, func() {
+			for _, l := range t.proxies {
 				l.SetStalled(true)
 				l.ResetConnections()
 			}
 		}},
-		step{0.6, func() {
-			for _, l := range t.links {
+		scriptStep{0.6, func() {
+			for _, l := range t.proxies {
 				l.SetStalled(false)
 			}
 		}})
-	all := t.crowds(load, e, "split", [2]float64{siteRate, siteRate}, siteClasses...)
-	t.end(e, "")
-	e.crowd("", all[0].Merge(all[1]))
+	all := t.runClients(load, e, "split", [2]float64{siteRate, siteRate}, siteClasses...)
+	t.finish(e, "")
+	e.measureResults("", all[0].Merge(all[1]))
 	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.8)
 	return nil
 }
--- a/internal/e2e/clients.go
+++ b/internal/e2e/clients.go
@@ -15,23 +15,23 @@
 
 func init() {
 	Register(Scenario{
-		Name: "clients-once", Duration: 6 * time.Second, Run: clientsOnce,
+		Name: "clients-once", Duration: 6 * time.Second, Run: abandoningClients,
 		Summary: "clients that ask once and keep their connection, beside keep-alive clients, alone and under silent connections",
 	})
 }
 
 const (
-	// onceRate is how many operations a second come each on a connection of its own, and onceConns how many connections
+	// abandoningRate is how many operations a second come each on a connection of its own, and onceConns how many connections
 	// their clients may hold: at 2 s each they would need 240.
-	onceRate  = 120
-	onceConns = 128
-	// onceSilents is how many connections stand silent at once in the second phase.
-	onceSilents = 200
+	abandoningRate     = 120
+	abandoningMaxConns = 128
+	// idleConnCount is how many connections stand silent at once in the second phase.
+	idleConnCount = 200
 )
 
-// clientsOnce plays two phases: the clients alone, and the same beside connections that say nothing. In both a connection
+// abandoningClients plays two phases: the clients alone, and the same beside connections that say nothing. In both a connection
 // that only asks whether the program is there tells how long a client waits from its SYN to the first byte of an answer.
-func clientsOnce(ctx context.Context, e *Env) error {
+func abandoningClients(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
 	p, _, _, err := e.startFarm(ctx, ledger, "[process]\ndescriptors = 384\n\n")
 	if err != nil {
@@ -55,7 +55,7 @@
 		var opened int64
 		all.Go(func() {
 			c := usual
-			c.Name, c.Seed, c.Rate, c.AbandonConnections, c.MaxConnections = fmt.Sprintf("once%d", i), e.Seed, onceRate, true, onceConns
+			c.Name, c.Seed, c.Rate, c.AbandonConnections, c.MaxConnections = fmt.Sprintf("once%d", i), e.Seed, abandoningRate, true, abandoningMaxConns
 			a = fake.RunClients(load, c)
 		})
 		all.Go(func() {
@@ -65,7 +65,7 @@
 		})
 		all.Go(func() { waits = acceptTimes(load, p.Addr("farm")) })
 		if silent {
-			all.Go(func() { opened = fake.OpenIdleConnections(load, p.Addr("farm"), onceSilents) })
+			all.Go(func() { opened = fake.OpenIdleConnections(load, p.Addr("farm"), idleConnCount) })
 		}
 		all.Wait()
 		cancel()
@@ -74,7 +74,7 @@
 		e.Measure(prefix+"served_keepers", b.ServedFraction())
 		e.AtLeast(prefix+"served", sum.ServedFraction(), 0.95)
 		e.Measure(prefix+"not_sent_for_want_of_connections", float64(a.ConnectionLimited))
-		e.AtMost(prefix+"accept_ms_p99", ms(quantile(waits, 0.99)), 50)
+		e.AtMost(prefix+"accept_ms_p99", milliseconds(quantile(waits, 0.99)), 50)
 		e.AtLeast(prefix+"reused_share", float64(b.Reused)/float64(max(1, b.Attempts)), 0.8)
 		e.Measure(prefix+"closed_while_wanted", float64(b.ClosedBeforeReuse))
 		if silent {
@@ -87,9 +87,9 @@
 		}
 	}
 	if err := p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
-	v := e.Rules(ledger)
+	v := e.CheckRules(ledger)
 	e.Measure("answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
 	e.Measure("duplicates", float64(v.DuplicateEffects))
 	e.Measure("connections_a_request", float64(once.Connections+keepers.Connections)/float64(max(1, once.Attempts+keepers.Attempts)))
--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -27,9 +27,9 @@
 	costRounds = 5
 )
 
-// costSide is one of the two that are compared.
-type costSide struct {
-	p        *Program
+// costSubject is one of the two that are compared.
+type costSubject struct {
+	program  *Program
 	addr     string
 	cpu      []float64 // microseconds a request, by round
 	rate     []float64 // requests a second
@@ -42,48 +42,48 @@
 // cost compares the program with a plain reverse proxy over the same boxes, in turn, so that both see the same machine.
 func cost(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder() // for its rules nothing is asked of it here: the load is too dense to keep
-	boxes, err := e.boxes("box", 3, nil, func(c *fake.BackendConfig) {
+	boxes, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) {
 		c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000
 	})
 	if err != nil {
 		return err
 	}
-	disco, err := e.discovery(ledger, boxes)
+	disco, err := e.startDiscovery(ledger, boxes)
 	if err != nil {
 		return err
 	}
-	var program, proxy costSide
-	program.p, err = e.Start(ctx, fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.farm]\ndiscovery = %q\n%s",
+	var program, proxy costSubject
+	program.program, err = e.Start(ctx, fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.farm]\ndiscovery = %q\n%s",
 		disco.Addr(), classesTOML("farm")), 1)
 	if err != nil {
 		return err
 	}
-	program.addr = program.p.Addr("farm")
+	program.addr = program.program.Addr("farm")
 	args := []string{"proxy"}
 	for _, b := range boxes {
 		args = append(args, b.Addr())
 	}
-	if proxy.p, err = e.Command(args...); err != nil {
+	if proxy.program, err = e.Command(args...); err != nil {
 		return err
 	}
-	if _, err := proxy.p.Await(ctx, "msg=ready ", 1); err != nil {
-		return fmt.Errorf("the proxy: %w\n%s", err, proxy.p.Tail(10))
+	if _, err := proxy.program.AwaitLog(ctx, "msg=ready ", 1); err != nil {
+		return fmt.Errorf("the proxy: %w\n%s", err, proxy.program.LogTail(10))
 	}
-	proxy.addr = proxy.p.Addr("proxy")
-	sides := []*costSide{&program, &proxy}
+	proxy.addr = proxy.program.Addr("proxy")
+	sides := []*costSubject{&program, &proxy}
 	round := e.Duration / costRounds
 	for n := range costRounds + 1 { // the first warms up
 		e.Phase(fmt.Sprintf("round %d of %d", n, costRounds), 2*round)
 		for i := range sides {
 			s := sides[(i+n)%2]
-			if err := s.play(ctx, round, n > 0); err != nil {
+			if err := s.measureRound(ctx, round, n > 0); err != nil {
 				return err
 			}
 		}
 	}
 	for i, name := range []string{"program", "proxy"} {
 		s := sides[i]
-		if s.resident, err = s.p.MemoryMB(); err != nil {
+		if s.resident, err = s.program.MemoryMB(); err != nil {
 			return err
 		}
 		e.Measure(name+"_requests", float64(s.requests))
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// play sends requests over kept connections for a round, each connection the next as soon as the last is answered.
-func (s *costSide) play(ctx context.Context, length time.Duration, counts bool) error {
-	before, err := s.p.CPU()
+// measureRound sends requests over kept connections for a round, each connection the next as soon as the last is answered.
+func (s *costSubject) measureRound(ctx context.Context, length time.Duration, counts bool) error {
+	before, err := s.program.CPU()
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	}
 	all.Wait()
 	spent := time.Since(began)
-	after, err := s.p.CPU()
+	after, err := s.program.CPU()
 	if err != nil {
 		return err
 	}
--- a/internal/e2e/h2.go
+++ b/internal/e2e/h2.go
@@ -49,7 +49,7 @@
 // startWebAs is startWeb with another table of the process.
 func (e *Env) startWebAs(ctx context.Context, process string) (*web, error) {
 	w := &web{ledger: fake.NewEffectRecorder()}
-	boxes, err := e.boxes("box", 4, w.ledger, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
+	boxes, err := e.startBackends("box", 4, w.ledger, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	if err := w.ca.Issue("farm", webHost); err != nil {
 		return nil, err
 	}
-	text := strings.Replace(plainPool(fake.ReportORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
+	text := strings.Replace(httpPoolTOML(fake.ReportORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
 	text = strings.Replace(text, "address = \"127.0.0.1:0\"\n", fmt.Sprintf("address = \"127.0.0.1:0\"\n[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n",
 		filepath.Join(e.Dir, "farm.pem"), filepath.Join(e.Dir, "farm.key")), 1)
 	w.p, err = e.Start(ctx, text, 1)
@@ -206,9 +206,9 @@
 // end stops the program and checks the rules; so many requests waited for their answers.
 func (w *web) end(e *Env, asked int64) error {
 	if err := w.p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
-	v := e.Rules(w.ledger)
+	v := e.CheckRules(w.ledger)
 	e.AtLeast("answered_once", float64(v.Answered)/float64(max(1, asked)), 1)
 	e.AtMost("duplicates", float64(v.DuplicateEffects), 0)
 	return nil
@@ -275,7 +275,7 @@
 	e.AtLeast("share_served", e.told("", &n), 0.98)
 	e.Measure("certificates", float64(good))
 	e.Measure("spoilt", float64(bad))
-	e.Measure("read_again", float64(w.p.Count("certificates read again")))
+	e.Measure("read_again", float64(w.p.CountLog("certificates read again")))
 	e.AtMost("failed_handshakes_or_answers", float64(n.failed.Load()), 0)
 	return w.end(e, n.asked.Load())
 }
--- a/internal/e2e/lab.go
+++ b/internal/e2e/lab.go
@@ -29,8 +29,8 @@
 var (
 	scenarios = map[string]Scenario{}
 
-	// ErrUnknown is what Play says of a scenario that is not there.
-	ErrUnknown = errors.New("no such scenario")
+	// ErrUnknownScenario is what Play says of a scenario that is not there.
+	ErrUnknownScenario = errors.New("no such scenario")
 )
 
 // Register adds a scenario. It panics if there is one of that name: two files disagree.
@@ -62,15 +62,15 @@
 
 // Report is what came of a scenario.
 type Report struct {
-	Scenario string             `json:"scenario"`
-	Seed     uint64             `json:"seed"`
-	Pass     bool               `json:"pass"`
-	Broken   []string           `json:"broken"`
-	Measures map[string]float64 `json:"measures"`
-	Faults   json.RawMessage    `json:"faults,omitempty"` // what was done to a fleet, as --faults reads it
+	Scenario   string             `json:"scenario"`
+	Seed       uint64             `json:"seed"`
+	Pass       bool               `json:"pass"`
+	Violations []string           `json:"broken"`
+	Measures   map[string]float64 `json:"measures"`
+	Faults     json.RawMessage    `json:"faults,omitempty"` // what was done to a fleet, as --faults reads it
 
-	order  []string
-	bounds map[string]string
+	measureOrder []string
+	bounds       map[string]string
 }
 
 // Env is what a scenario plays with.
@@ -79,34 +79,34 @@
 	Duration time.Duration
 	Dir      string // for files; removed afterwards
 
-	opts   Options
-	report *Report
+	options Options
+	report  *Report
 
-	mu     sync.Mutex
-	closes []func()
-	phase  string
-	began  time.Time
-	length time.Duration
+	mu          sync.Mutex
+	deferred    []func()
+	phase       string
+	phaseBegan  time.Time
+	phaseLength time.Duration
 }
 
 // Play plays a scenario.
 func Play(ctx context.Context, name string, o Options) (*Report, error) {
 	s, ok := scenarios[name]
 	if !ok {
-		return nil, fmt.Errorf("%w: %q", ErrUnknown, name)
+		return nil, fmt.Errorf("%w: %q", ErrUnknownScenario, name)
 	}
 	dir, err := os.MkdirTemp("", "sorrelrudder-lab-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	e := &Env{Seed: o.Seed, Duration: o.Duration, Dir: dir, opts: o}
+	e := &Env{Seed: o.Seed, Duration: o.Duration, Dir: dir, options: o}
 	if e.Duration <= 0 {
 		e.Duration = s.Duration
 	}
-	e.report = &Report{Scenario: name, Seed: o.Seed, Broken: []string{}, Measures: map[string]float64{}, bounds: map[string]string{}}
+	e.report = &Report{Scenario: name, Seed: o.Seed, Violations: []string{}, Measures: map[string]float64{}, bounds: map[string]string{}}
 	defer e.close()
-	stop := e.showProgress()
+	stop := e.reportProgress()
 	err = s.Run(ctx, e)
 	stop()
 	if err == nil {
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e.report.Pass = len(e.report.Broken) == 0
+	e.report.Pass = len(e.report.Violations) == 0
 	return e.report, nil
 }
 
@@ -123,14 +123,14 @@
 func (e *Env) Defer(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.closes = append(e.closes, f)
+	e.deferred = append(e.deferred, f)
 }
 
 func (e *Env) close() {
-	for len(e.closes) > 0 {
-		last := len(e.closes) - 1
-		f := e.closes[last]
-		e.closes = e.closes[:last]
+	for len(e.deferred) > 0 {
+		last := len(e.deferred) - 1
+		f := e.deferred[last]
+		e.deferred = e.deferred[:last]
 		f()
 	}
 }
@@ -139,7 +139,7 @@
 func (e *Env) Phase(name string, length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.phase, e.began, e.length = name, time.Now(), length
+	e.phase, e.phaseBegan, e.phaseLength = name, time.Now(), length
 }
 
 // Measure notes a figure.
@@ -147,10 +147,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, had := e.report.Measures[name]; !had {
-		e.report.order = append(e.report.order, name)
+		e.report.measureOrder = append(e.report.measureOrder, name)
 	}
 	if math.IsNaN(value) || math.IsInf(value, 0) { // JSON has neither
-		e.report.Broken = append(e.report.Broken, fmt.Sprintf("%s is %v", name, value))
+		e.report.Violations = append(e.report.Violations, fmt.Sprintf("%s is %v", name, value))
 		value = 0
 	}
 	e.report.Measures[name] = value
@@ -179,29 +179,29 @@
 	defer e.mu.Unlock()
 	e.report.bounds[name] = want
 	if !kept {
-		e.report.Broken = append(e.report.Broken, fmt.Sprintf("bound: %s is %.4g, want %s", name, value, want))
+		e.report.Violations = append(e.report.Violations, fmt.Sprintf("bound: %s is %.4g, want %s", name, value, want))
 	}
 }
 
-// Broken notes that something must not be.
-func (e *Env) Broken(format string, args ...any) {
+// Fail notes that something must not be.
+func (e *Env) Fail(format string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.report.Broken = append(e.report.Broken, fmt.Sprintf(format, args...))
+	e.report.Violations = append(e.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// Rules checks the four rules against a ledger, once all is over.
-func (e *Env) Rules(l *fake.EffectRecorder) fake.Verdict {
+// CheckRules checks the four rules against a ledger, once all is over.
+func (e *Env) CheckRules(l *fake.EffectRecorder) fake.Verdict {
 	v := l.Check(fake.DefaultTolerance)
 	for _, b := range v.Violations {
-		e.Broken("%s", b)
+		e.Fail("%s", b)
 	}
 	return v
 }
 
-// showProgress shows on a terminal what is played, until the function that it returns is called.
-func (e *Env) showProgress() (stop func()) {
-	if e.opts.Progress == nil {
+// reportProgress shows on a terminal what is played, until the function that it returns is called.
+func (e *Env) reportProgress() (stop func()) {
+	if e.options.Progress == nil {
 		return func() {}
 	}
 	end := make(chan struct{})
@@ -212,15 +212,15 @@
 		for {
 			select {
 			case <-end:
-				fmt.Fprint(e.opts.Progress, "\r\x1b[K")
+				fmt.Fprint(e.options.Progress, "\r\x1b[K")
 				return
 			case <-tick.C:
 			}
 			e.mu.Lock()
-			phase, spent, length := e.phase, time.Since(e.began), e.length
+			phase, spent, length := e.phase, time.Since(e.phaseBegan), e.phaseLength
 			e.mu.Unlock()
 			if phase != "" {
-				fmt.Fprintf(e.opts.Progress, "\r\x1b[K%s %s", bar(spent, length), phase)
+				fmt.Fprintf(e.options.Progress, "\r\x1b[K%s %s", progressBar(spent, length), phase)
 			}
 		}
 	})
@@ -230,7 +230,7 @@
 	}
 }
 
-func bar(spent, length time.Duration) string {
+func progressBar(spent, length time.Duration) string {
 	const width = 24
 	n := width
 	if length > 0 {
@@ -252,12 +252,12 @@
 // WriteTable writes a report as a table for people.
 func (r *Report) WriteTable(w io.Writer) error {
 	width := 0
-	for _, name := range r.order {
+	for _, name := range r.measureOrder {
 		width = max(width, len(name))
 	}
 	fmt.Fprintf(w, "%s, seed %d\n\n", r.Scenario, r.Seed)
-	for _, name := range r.order {
-		line := fmt.Sprintf("  %-*s  %12s", width, name, figure(r.Measures[name]))
+	for _, name := range r.measureOrder {
+		line := fmt.Sprintf("  %-*s  %12s", width, name, formatMeasure(r.Measures[name]))
 		if b := r.bounds[name]; b != "" {
 			line += "   " + b
 		}
@@ -268,19 +268,19 @@
 		_, err := fmt.Fprintln(w, "passed: all rules kept, all bounds met")
 		return err
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "BROKEN", b)
 	}
 	_, err := fmt.Fprintln(w, "failed")
 	return err
 }
 
-func figure(v float64) string {
+func formatMeasure(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.4g", v)
 }
 
-// ms is a time as measures show it.
-func ms(d time.Duration) float64 { return math.Round(float64(d)/1e4) / 100 }
+// milliseconds is a time as measures show it.
+func milliseconds(d time.Duration) float64 { return math.Round(float64(d)/1e4) / 100 }
--- a/internal/e2e/lab_test.go
+++ b/internal/e2e/lab_test.go
@@ -18,7 +18,7 @@
 			e.AtMost("missed", 2, 1)
 		}
 		if e.Seed == 3 {
-			e.Broken("rule %d", 2)
+			e.Fail("rule %d", 2)
 		}
 		if e.Seed == 4 {
 			return errors.New("trouble")
@@ -53,7 +53,7 @@
 	if _, err := Play(context.Background(), "test", Options{Seed: 4}); err == nil {
 		t.Error("a scenario that failed passed")
 	}
-	if _, err := Play(context.Background(), "none", Options{}); !errors.Is(err, ErrUnknown) {
+	if _, err := Play(context.Background(), "none", Options{}); !errors.Is(err, ErrUnknownScenario) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -61,7 +61,7 @@
 func TestField(t *testing.T) {
 	line := `time=x level=INFO msg="pool drains" pool=a load="1 requests, \"2\"" last=z`
 	for key, want := range map[string]string{"msg": "pool drains", "pool": "a", "load": `1 requests, "2"`, "last": "z", "none": "", "oad": ""} {
-		if got := Field(line, key); got != want {
+		if got := LogField(line, key); got != want {
 			t.Errorf("%s: %q, want %q", key, got, want)
 		}
 	}
--- a/internal/e2e/lease.go
+++ b/internal/e2e/lease.go
@@ -57,18 +57,18 @@
 	return fmt.Sprintf("[[tasks]]\nname = %q\npool = \"farm\"\npath = %q\nevery = %q\ndeadline = \"250ms\"\n%s", name, path, every, more)
 }
 
-// takeover notes how long nobody held a lease after its holder was hit.
-type takeover struct {
-	f    *fleet
-	took []time.Duration
+// takeoverTimes notes how long nobody held a lease after its holder was hit.
+type takeoverTimes struct {
+	fleet     *fleet
+	durations []time.Duration
 }
 
-// after waits until another process holds the lease, and notes how long that took from the moment of the fault.
-func (t *takeover) after(ctx context.Context, lease string, was int, at time.Time) error {
-	var next span
-	err := t.f.await(ctx, 10*time.Second, lease+" is held by another", func() bool {
-		for _, s := range t.f.holds(lease) {
-			if s.proc != was && s.from.After(at) {
+// await waits until another process holds the lease, and notes how long that took from the moment of the fault.
+func (t *takeoverTimes) await(ctx context.Context, lease string, was int, at time.Time) error {
+	var next leaseSpan
+	err := t.fleet.awaitCondition(ctx, 10*time.Second, lease+" is held by another", func() bool {
+		for _, s := range t.fleet.leaseSpans(lease) {
+			if s.holder != was && s.from.After(at) {
 				next = s
 				return true
 			}
@@ -76,25 +76,25 @@
 		return false
 	})
 	if err == nil {
-		t.took = append(t.took, next.from.Sub(at))
+		t.durations = append(t.durations, next.from.Sub(at))
 	}
 	return err
 }
 
 // measure notes the times beside their bound: the term, the drift of two clocks, one election and a tick.
-func (t *takeover) measure(name string, most time.Duration) {
-	if len(t.took) == 0 {
-		t.f.env.Broken("%s: nothing was taken over", name)
+func (t *takeoverTimes) measure(name string, most time.Duration) {
+	if len(t.durations) == 0 {
+		t.fleet.env.Fail("%s: nothing was taken over", name)
 		return
 	}
-	slices.Sort(t.took)
-	t.f.env.Measure(name+"_takeover_p50_s", t.took[len(t.took)/2].Seconds())
-	t.f.env.AtMost(name+"_takeover_most_s", t.took[len(t.took)-1].Seconds(), most.Seconds())
+	slices.Sort(t.durations)
+	t.fleet.env.Measure(name+"_takeover_p50_s", t.durations[len(t.durations)/2].Seconds())
+	t.fleet.env.AtMost(name+"_takeover_most_s", t.durations[len(t.durations)-1].Seconds(), most.Seconds())
 }
 
-// usualTakeover is the bound after a holder was killed: a term by the slowest clock, counted anew by a new leader, an election of at most
+// maxTakeover is the bound after a holder was killed: a term by the slowest clock, counted anew by a new leader, an election of at most
 // twenty ticks, and some for the machine.
-const usualTakeover = tierTerm + tierTerm/10 + 20*tierTick + 500*time.Millisecond
+const maxTakeover = leaseTTL + leaseTTL/10 + 20*consensusTick + 500*time.Millisecond
 
 func leaseQuickstart(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{processes: 3, voters: 3, tasks: taskTOML("sweep", "/delivery-order/sweep", "100ms", "")})
@@ -109,34 +109,34 @@
 	from := time.Now()
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	table := f.table(load, lease)
-	killed, left := takeover{f: f}, takeover{f: f}
+	table := f.logHolders(load, lease)
+	killed, left := takeoverTimes{fleet: f}, takeoverTimes{fleet: f}
 	for n := 0; load.Err() == nil; n++ {
-		was := f.holder(lease)
+		was := f.leaseHolder(lease)
 		if was < 0 {
 			if err := f.settle(ctx, lease); err != nil {
 				return err
 			}
 			continue
 		}
-		p := f.procs[was]
+		p := f.members[was]
 		at := time.Now()
 		if n%2 == 0 {
-			f.note("%s holds it, and is killed", p.name)
-			p.end()
-			if err := killed.after(ctx, lease, was, at); err != nil {
+			f.logEvent("%s holds it, and is killed", p.name)
+			p.kill()
+			if err := killed.await(ctx, lease, was, at); err != nil {
 				return err
 			}
 		} else {
-			f.note("%s holds it, and ends in order", p.name)
+			f.logEvent("%s holds it, and ends in order", p.name)
 			p.mu.Lock()
-			p.up = false
+			p.running = false
 			p.mu.Unlock()
-			go func() { _ = p.prog.Stop() }()
-			if err := left.after(ctx, lease, was, at); err != nil {
+			go func() { _ = p.program.Stop() }()
+			if err := left.await(ctx, lease, was, at); err != nil {
 				return err
 			}
-			if err := p.prog.Stop(); err != nil {
+			if err := p.program.Stop(); err != nil {
 				return err
 			}
 		}
@@ -150,29 +150,29 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
-	killed.measure("killed", usualTakeover)
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
+	killed.measure("killed", maxTakeover)
 	left.measure("left", time.Second)
-	f.stop()
+	f.drainAll()
 	return nil
 }
 
-// table shows on a terminal who holds what, until ctx ends.
-func (f *fleet) table(ctx context.Context, lease string) <-chan struct{} {
+// logHolders shows on a terminal who holds what, until ctx ends.
+func (f *fleet) logHolders(ctx context.Context, lease string) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		last := ""
 		for ctx.Err() == nil {
 			var row []string
-			for _, s := range f.holds(lease) {
+			for _, s := range f.leaseSpans(lease) {
 				if s.to.IsZero() {
-					row = append(row, fmt.Sprintf("%s by %d", f.procs[s.proc].name, s.token))
+					row = append(row, fmt.Sprintf("%s by %d", f.members[s.holder].name, s.token))
 				}
 			}
 			if now := strings.Join(row, ", "); now != last {
 				last = now
-				f.note("%s is held by: %s", lease, now)
+				f.logEvent("%s is held by: %s", lease, now)
 			}
 			pause(ctx, 50*time.Millisecond)
 		}
@@ -184,27 +184,27 @@
 	rng := rand.New(rand.NewPCG(e.Seed, 31))
 	f, err := e.startFleet(ctx, fleetConfig{
 		processes: 10, voters: 5,
-		tasks:  taskTOML("sweep", "/delivery-order/sweep", "50ms", "") + taskTOML("book", "/meter-booking/book", "70ms", "missed = \"skip\"\n"),
-		clocks: func(i int) float64 { return []float64{1, 1 - tierDrift, 1 + tierDrift, 1.02, 0.98}[i%5] },
+		tasks:     taskTOML("sweep", "/delivery-order/sweep", "50ms", "") + taskTOML("book", "/meter-booking/book", "70ms", "missed = \"skip\"\n"),
+		clockRate: func(i int) float64 { return []float64{1, 1 - clockDrift, 1 + clockDrift, 1.02, 0.98}[i%5] },
 	})
 	if err != nil {
 		return err
 	}
-	faults, err := e.faults(drawFaults(rng, tierKinds, int(e.Duration/(700*time.Millisecond)), 10, e.Duration))
+	faults, err := e.chooseFaults(drawFaults(rng, fleetFaultKinds, int(e.Duration/(700*time.Millisecond)), 10, e.Duration))
 	if err != nil {
 		return err
 	}
 	e.Phase("faults drawn from the seed", e.Duration)
 	from := time.Now()
-	f.play(ctx, faults)
+	f.injectFaults(ctx, faults)
 	to := time.Now()
 	for _, lease := range []string{"task/sweep", "task/book"} {
 		if err := f.settle(ctx, lease); err != nil {
 			return err
 		}
 	}
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey, "book": fake.NonIdempotent}, from, to)
-	f.stop()
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey, "book": fake.NonIdempotent}, from, to)
+	f.drainAll()
 	return nil
 }
 
@@ -219,9 +219,9 @@
 	}
 	e.Phase("the holder is stopped for three terms, again and again", e.Duration)
 	from := time.Now()
-	t := takeover{f: f}
+	t := takeoverTimes{fleet: f}
 	for began := time.Now(); time.Since(began) < e.Duration; {
-		was := f.holder(lease)
+		was := f.leaseHolder(lease)
 		if was < 0 {
 			pause(ctx, 20*time.Millisecond)
 			if ctx.Err() != nil {
@@ -230,13 +230,13 @@
 			continue
 		}
 		at := time.Now()
-		p := f.procs[was]
-		f.note("%s holds it, and is stopped", p.name)
-		p.prog.Signal(syscall.SIGSTOP)
-		err := t.after(ctx, lease, was, at)
-		pause(ctx, 3*tierTerm-time.Since(at))
-		p.prog.Signal(syscall.SIGCONT)
-		f.note("%s goes on", p.name)
+		p := f.members[was]
+		f.logEvent("%s holds it, and is stopped", p.name)
+		p.program.Signal(syscall.SIGSTOP)
+		err := t.await(ctx, lease, was, at)
+		pause(ctx, 3*leaseTTL-time.Since(at))
+		p.program.Signal(syscall.SIGCONT)
+		f.logEvent("%s goes on", p.name)
 		if err != nil {
 			return err
 		}
@@ -246,9 +246,9 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
-	t.measure("stopped", usualTakeover)
-	f.stop()
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
+	t.measure("stopped", maxTakeover)
+	f.drainAll()
 	return nil
 }
 
@@ -269,27 +269,27 @@
 		side func(i int) int
 		most bool // one side has a majority
 	}{
-		{"2 to 3, clients with the majority", func(i int) int { return b2i(i >= 2) }, true},
+		{"2 to 3, clients with the majority", func(i int) int { return boolToInt(i >= 2) }, true},
 		{"1 to 2 to 2", func(i int) int { return []int{0, 1, 1, 2, 2, 1, 2}[i] }, false},
-		{"the leader with one client", func(i int) int { return b2i(i == f.leader() || i == 6) }, true},
-		{"3 to 2, the holder with the minority", func(i int) int { return b2i(i == f.holder(lease) || i == (f.holder(lease)+1)%5) }, true},
+		{"the leader with one client", func(i int) int { return boolToInt(i == f.consensusLeader() || i == 6) }, true},
+		{"3 to 2, the holder with the minority", func(i int) int { return boolToInt(i == f.leaseHolder(lease) || i == (f.leaseHolder(lease)+1)%5) }, true},
 	}
 	for _, s := range splits {
-		f.note("split %s", s.what)
+		f.logEvent("split %s", s.what)
 		e.Phase("split "+s.what, part)
-		sides := make([]int, len(f.procs))
+		sides := make([]int, len(f.members))
 		for i := range sides {
 			sides[i] = s.side(i)
 		}
-		mend := f.each(func(a, b int) bool { return sides[a] != sides[b] }, cut, join)
+		mend := f.configureProxies(func(a, b int) bool { return sides[a] != sides[b] }, cut, join)
 		at := time.Now()
-		pause(ctx, max(part*3/4, usualTakeover)) // before, nobody need have it
-		held := f.holder(lease)
+		pause(ctx, max(part*3/4, maxTakeover)) // before, nobody need have it
+		held := f.leaseHolder(lease)
 		if s.most && held < 0 {
-			e.Broken("split %s: nobody holds %s after %v though a majority stands", s.what, lease, time.Since(at).Round(time.Millisecond))
+			e.Fail("split %s: nobody holds %s after %v though a majority stands", s.what, lease, time.Since(at).Round(time.Millisecond))
 		}
 		if !s.most && held >= 0 {
-			e.Broken("split %s: %s holds %s %v later, though no majority stands", s.what, f.procs[held].name, lease, time.Since(at).Round(time.Millisecond))
+			e.Fail("split %s: %s holds %s %v later, though no majority stands", s.what, f.members[held].name, lease, time.Since(at).Round(time.Millisecond))
 		}
 		mend()
 		if err := f.settle(ctx, lease); err != nil {
@@ -297,34 +297,34 @@
 		}
 		pause(ctx, part/4)
 	}
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
-	f.stop()
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
+	f.drainAll()
 	return nil
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// leader is who leads the council by the newest word of the logs, 0 if none is known.
-func (f *fleet) leader() int {
+// consensusLeader is who leads the council by the newest word of the logs, 0 if none is known.
+func (f *fleet) consensusLeader() int {
 	best, term := 0, 0
-	for _, p := range f.procs {
-		for _, line := range p.prog.Lines() {
-			if Field(line, "msg") != "the council has a leader" {
+	for _, p := range f.members {
+		for _, line := range p.program.LogLines() {
+			if LogField(line, "msg") != "the council has a leader" {
 				continue
 			}
-			t, err := strconv.Atoi(Field(line, "term"))
+			t, err := strconv.Atoi(LogField(line, "term"))
 			if err != nil {
 				continue
 			}
 			if t > term {
-				for _, q := range f.procs {
-					if q.name == Field(line, "leader") {
-						best, term = q.i, t
+				for _, q := range f.members {
+					if q.name == LogField(line, "leader") {
+						best, term = q.index, t
 					}
 				}
 			}
@@ -345,39 +345,39 @@
 	from := time.Now()
 	rng := rand.New(rand.NewPCG(e.Seed, 32))
 	part := e.Duration / 5
-	wrong := func(p *fleetProc, what string) {
-		f.note("the disk of %s: %s", p.name, what)
-		if err := os.WriteFile(p.disk, []byte(what), 0o600); err != nil {
-			e.Broken("%v", err)
+	wrong := func(p *fleetMember, what string) {
+		f.logEvent("the disk of %s: %s", p.name, what)
+		if err := os.WriteFile(p.diskFaultFile, []byte(what), 0o600); err != nil {
+			e.Fail("%v", err)
 		}
 	}
 	e.Phase("a slow disk", part)
-	p := f.procs[rng.IntN(3)]
+	p := f.members[rng.IntN(3)]
 	wrong(p, "slow 80ms")
 	pause(ctx, part)
-	os.Remove(p.disk)
+	os.Remove(p.diskFaultFile)
 
 	e.Phase("a sync that fails once", part)
-	p = f.procs[rng.IntN(3)]
-	failed := p.prog.Count("the voter has stopped until the next start")
+	p = f.members[rng.IntN(3)]
+	failed := p.program.CountLog("the voter has stopped until the next start")
 	wrong(p, "fail")
-	if _, err := p.prog.Await(ctx, "the voter has stopped until the next start", failed+1); err != nil {
+	if _, err := p.program.AwaitLog(ctx, "the voter has stopped until the next start", failed+1); err != nil {
 		return err
 	}
 	pause(ctx, part/2)
-	f.note("%s starts again", p.name)
-	p.end()
+	f.logEvent("%s starts again", p.name)
+	p.kill()
 	if err := p.start(); err != nil {
 		return err
 	}
 	pause(ctx, part/2)
 
 	e.Phase("a full disk", part)
-	p = f.procs[rng.IntN(3)]
+	p = f.members[rng.IntN(3)]
 	wrong(p, "full")
 	pause(ctx, part/2)
-	os.Remove(p.disk)
-	p.end()
+	os.Remove(p.diskFaultFile)
+	p.kill()
 	if err := p.start(); err != nil {
 		return err
 	}
@@ -387,39 +387,39 @@
 	}
 
 	e.Phase("a lost disk, and its seat replaced", part)
-	p = f.procs[rng.IntN(3)]
-	p.end()
+	p = f.members[rng.IntN(3)]
+	p.kill()
 	if err := os.Rename(p.store, p.store+".lost"); err != nil {
 		return err
 	}
-	f.note("the disk of %s is lost", p.name)
+	f.logEvent("the disk of %s is lost", p.name)
 	if err := p.start(); err != nil {
 		return err
 	}
-	if _, err := p.prog.Await(ctx, "admitted as a learner", 1); err != nil {
+	if _, err := p.program.AwaitLog(ctx, "admitted as a learner", 1); err != nil {
 		return err
 	}
-	others := f.procs[(p.i+1)%3]
+	others := f.members[(p.index+1)%3]
 	s, err := f.status(others)
 	if err != nil {
 		return err
 	}
 	before := slices.Clone(s.Council.Voters)
-	if out, err := f.cli("tier", "member", "replace", p.name, others.addr, "--secret", f.secret); err != nil {
+	if out, err := f.runCommand("tier", "member", "replace", p.name, others.addr, "--secret", f.secret); err != nil {
 		return fmt.Errorf("replace: %w: %s", err, out)
 	}
-	if err := f.await(ctx, 10*time.Second, "the new identity votes", func() bool {
+	if err := f.awaitCondition(ctx, 10*time.Second, "the new identity votes", func() bool {
 		s, err := f.status(others)
 		return err == nil && s.Council != nil && len(s.Council.Voters) == 3 && !slices.Equal(s.Council.Voters, before)
 	}); err != nil {
 		return err
 	}
-	f.note("%s votes again, with a new identity", p.name)
+	f.logEvent("%s votes again, with a new identity", p.name)
 
 	e.Phase("another's disk", part)
-	p = f.procs[rng.IntN(3)]
-	p.end()
-	other := f.procs[(p.i+1)%3]
+	p = f.members[rng.IntN(3)]
+	p.kill()
+	other := f.members[(p.index+1)%3]
 	if err := os.Rename(p.store, p.store+".own"); err != nil {
 		return err
 	}
@@ -433,18 +433,18 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	if _, err := p.prog.Await(ctx, "is the store of", 1); err != nil {
-		e.Broken("%s started with the store of %s", p.name, other.name)
+	if _, err := p.program.AwaitLog(ctx, "is the store of", 1); err != nil {
+		e.Fail("%s started with the store of %s", p.name, other.name)
 	}
-	p.end()
+	p.kill()
 	if err := os.Rename(p.store+".own", p.store); err != nil {
 		return err
 	}
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
-	f.stop()
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
+	f.drainAll()
 	return nil
 }
 
@@ -465,23 +465,23 @@
 		}
 	}
 	e.Phase("answers get lost, and holders with them", e.Duration)
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.1})
-	f.boxes[1].SetFault(fake.Fault{Kind: fake.FaultReset, Fraction: 0.1})
-	f.boxes[2].SetFault(fake.Fault{Kind: fake.FaultReject, Fraction: 0.1})
+	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.1})
+	f.backends[1].SetFault(fake.Fault{Kind: fake.FaultReset, Fraction: 0.1})
+	f.backends[2].SetFault(fake.Fault{Kind: fake.FaultReject, Fraction: 0.1})
 	from := time.Now()
-	var all []TierFault
+	var all []FleetFault
 	for i := range int(e.Duration / (2 * time.Second)) {
-		all = append(all, TierFault{
-			At: time.Duration(i) * 2 * time.Second, Kind: []string{"kill", "stop", "leave"}[rng.IntN(3)], P: rng.IntN(5),
-			For: 300*time.Millisecond + time.Duration(rng.Int64N(int64(2*tierTerm))),
+		all = append(all, FleetFault{
+			At: time.Duration(i) * 2 * time.Second, Kind: []string{"kill", "stop", "leave"}[rng.IntN(3)], Member: rng.IntN(5),
+			Duration: 300*time.Millisecond + time.Duration(rng.Int64N(int64(2*leaseTTL))),
 		})
 	}
-	faults, err := e.faults(all)
+	faults, err := e.chooseFaults(all)
 	if err != nil {
 		return err
 	}
-	f.play(ctx, faults)
-	for _, b := range f.boxes {
+	f.injectFaults(ctx, faults)
+	for _, b := range f.backends {
 		b.SetFault(fake.Fault{})
 	}
 	to := time.Now()
@@ -491,14 +491,14 @@
 		}
 	}
 	pause(ctx, time.Second)
-	f.judge(tasks, from, to)
-	f.stop()
+	f.measureFencing(tasks, from, to)
+	f.drainAll()
 	return nil
 }
 
 // voters are the identities that vote, by the account of the first process that tells.
 func (f *fleet) voters() []uint64 {
-	for _, p := range f.procs[:f.cfg.voters] {
+	for _, p := range f.members[:f.cfg.voters] {
 		if s, err := f.status(p); err == nil && s.Council != nil && s.Council.Fleet != nil {
 			return s.Council.Voters
 		}
@@ -507,7 +507,7 @@
 }
 
 func leaseMemory(ctx context.Context, e *Env) error {
-	f, err := e.startFleet(ctx, fleetConfig{processes: 4, voters: 3, memory: true, tasks: taskTOML("sweep", "/delivery-order/sweep", "50ms", "")})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 4, voters: 3, votersInMemory: true, tasks: taskTOML("sweep", "/delivery-order/sweep", "50ms", "")})
 	if err != nil {
 		return err
 	}
@@ -515,29 +515,29 @@
 	if err := f.settle(ctx, lease); err != nil {
 		return err
 	}
-	if out, err := f.cli("tier", "found", f.procs[1].addr, "--secret", f.secret); err == nil {
-		e.Broken("a second fleet was founded: %s", out)
+	if out, err := f.runCommand("tier", "found", f.members[1].addr, "--secret", f.secret); err == nil {
+		e.Fail("a second fleet was founded: %s", out)
 	}
 	from := time.Now()
 	e.Phase("each member is killed in turn", e.Duration)
 	var took []time.Duration
 	for n := 0; time.Since(from) < e.Duration || n < 3; n++ {
 		before := f.voters()
-		p := f.procs[n%3]
-		f.note("%s is killed, and what it promised with it", p.name)
+		p := f.members[n%3]
+		f.logEvent("%s is killed, and what it promised with it", p.name)
 		at := time.Now()
-		p.end()
+		p.kill()
 		if err := p.start(); err != nil {
 			return err
 		}
-		if err := f.await(ctx, 15*time.Second, p.name+" votes under another identity", func() bool {
+		if err := f.awaitCondition(ctx, 15*time.Second, p.name+" votes under another identity", func() bool {
 			now := f.voters()
 			return len(now) == 3 && !slices.Equal(now, before)
 		}); err != nil {
 			return err
 		}
 		took = append(took, time.Since(at))
-		f.note("%s votes again: %v", p.name, f.voters())
+		f.logEvent("%s votes again: %v", p.name, f.voters())
 		if err := f.settle(ctx, lease); err != nil {
 			return err
 		}
@@ -545,8 +545,8 @@
 	slices.Sort(took)
 	e.Measure("votes_again_p50_s", took[len(took)/2].Seconds())
 	e.Measure("votes_again_most_s", took[len(took)-1].Seconds())
-	f.judge(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
-	f.stop()
+	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
+	f.drainAll()
 	return nil
 }
 
@@ -563,8 +563,8 @@
 		tasks += taskTOML(name, "/delivery-order/"+name, "40ms", more)
 	}
 	f, err := e.startFleet(ctx, fleetConfig{
-		processes: 5, voters: 3, plain: true, tasks: tasks, more: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
-		box: func(b *fake.BackendConfig) { b.ServiceTime, b.LoadReporting = 20*time.Millisecond, fake.ReportNone },
+		processes: 5, voters: 3, ordinaryHTTP: true, tasks: tasks, fleetKeys: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
+		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime, b.LoadReporting = 20*time.Millisecond, fake.ReportNone },
 	})
 	if err != nil {
 		return err
@@ -575,51 +575,51 @@
 		}
 	}
 	const lease = "task/work0"
-	was := f.holder(lease)
+	was := f.leaseHolder(lease)
 	if was < 0 {
-		return fmt.Errorf("%w: nobody holds %s", errNotWhole, lease)
+		return fmt.Errorf("%w: nobody holds %s", errNotRecovered, lease)
 	}
-	to := f.procs[(was+1)%5]
-	if out, err := f.cli("tier", "lease", "handover", lease, to.name, f.procs[was].addr, "--secret", f.secret); err != nil {
+	to := f.members[(was+1)%5]
+	if out, err := f.runCommand("tier", "lease", "handover", lease, to.name, f.members[was].addr, "--secret", f.secret); err != nil {
 		return fmt.Errorf("handover: %w: %s", err, out)
 	}
 	asked := time.Now()
-	if err := f.await(ctx, 5*time.Second, "the lease goes to "+to.name, func() bool { return f.holder(lease) == to.i }); err != nil {
+	if err := f.awaitCondition(ctx, 5*time.Second, "the lease goes to "+to.name, func() bool { return f.leaseHolder(lease) == to.index }); err != nil {
 		return err
 	}
 	e.Measure("handover_s", time.Since(asked).Seconds())
 	rng := rand.New(rand.NewPCG(e.Seed, 34))
-	faults, err := e.faults(drawFaults(rng, []string{"kill", "leave", "cut"}, int(e.Duration/(2*time.Second)), 5, e.Duration))
+	faults, err := e.chooseFaults(drawFaults(rng, []string{"kill", "leave", "cut"}, int(e.Duration/(2*time.Second)), 5, e.Duration))
 	if err != nil {
 		return err
 	}
 	e.Phase("processes are killed, cut off and end in order", e.Duration)
 	from := time.Now()
-	f.play(ctx, faults)
+	f.injectFaults(ctx, faults)
 	for name := range effects {
 		if err := f.settle(ctx, "task/"+name); err != nil {
 			return err
 		}
 	}
-	f.judge(effects, from, time.Now())
-	v := f.acts.Verdict(func(string) bool { return true })
+	f.measureFencing(effects, from, time.Now())
+	v := f.resource.Verdict(func(string) bool { return true })
 	e.AtMost("most_at_once", float64(v.MaxConcurrent), atOnce)
-	s, err := f.status(f.procs[0])
+	s, err := f.status(f.members[0])
 	if err != nil {
 		return err
 	}
 	if s.Council == nil || s.Council.Fleet == nil {
-		return fmt.Errorf("%w: %s does not tell the state", errNotWhole, f.procs[0].name)
+		return fmt.Errorf("%w: %s does not tell the state", errNotRecovered, f.members[0].name)
 	}
 	done := func(task string) float64 { return float64(s.Council.Fleet.Slots.Tasks[task].Counts["done"]) }
 	e.Measure("done_of_least_priority", done("work0"))
 	e.Measure("done_of_most_priority", done("work4"))
 	if done("work4") < done("work0") {
-		e.Broken("what matters most was done less often than what matters least")
+		e.Fail("what matters most was done less often than what matters least")
 	}
-	periods := math.Ceil(time.Since(f.began).Seconds()/2) + 1
+	periods := math.Ceil(time.Since(f.started).Seconds()/2) + 1
 	// One slot may overdraw each period: three tries.
 	e.AtMost("budgeted", done("work5"), periods*(allowed+3))
-	f.stop()
+	f.drainAll()
 	return nil
 }
--- a/internal/e2e/long.go
+++ b/internal/e2e/long.go
@@ -13,23 +13,23 @@
 
 func init() {
 	Register(Scenario{
-		Name: "long-bodies", Duration: 12 * time.Second, Run: longBodies,
+		Name: "long-bodies", Duration: 12 * time.Second, Run: streamingBodies,
 		Summary: "long answers and bodies, 200 at once, between peers of unlike speed, in bounded memory",
 	})
 }
 
 const (
-	// longAtOnce is how many long requests are out at once, and longMost the size of the longest.
-	longAtOnce = 200
-	longMost   = 32 << 20
-	// longMemory bounds the program's memory, in MB: no more than three of the longest bodies. It is told 128, an eighth of which
+	// streamingConcurrency is how many long requests are out at once, and longMost the size of the longest.
+	streamingConcurrency = 200
+	maxStreamingBytes    = 32 << 20
+	// maxStreamingMemoryMB bounds the program's memory, in MB: no more than three of the longest bodies. It is told 128, an eighth of which
 	// is for the first of 256 bodies.
-	longMemory = 96
+	maxStreamingMemoryMB = 96
 )
 
-// longBodies has clients and boxes of unlike speed pass long bodies both ways, beside a client that sends a byte a second and a box
+// streamingBodies has clients and boxes of unlike speed pass long bodies both ways, beside a client that sends a byte a second and a box
 // that stops reading half-way, and watches the program's memory.
-func longBodies(ctx context.Context, e *Env) error {
+func streamingBodies(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 11))
 	text := "[process]\nmemory = \"128MiB\"\ndescriptors = 1024\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n"
 	paces := []fake.Pace{{MaxChunk: 64 << 10}, {BytesPerSecond: 8 << 20, MaxChunk: 40_000}, {BytesPerSecond: 1 << 20, MaxChunk: 9_000}, {BytesPerSecond: 400_000, MaxChunk: 3_000}}
@@ -103,7 +103,7 @@
 			// What the slowest box takes some seconds for, and now and then as long as any may be.
 			a.Size = 70_000 + rng.Int64N(1<<20)
 			if rng.IntN(20) == 0 && pace.BytesPerSecond == 0 {
-				a.Size = longMost
+				a.Size = maxStreamingBytes
 			}
 			got := fake.SendStreaming(ctx, a)
 			mu.Lock()
@@ -116,7 +116,7 @@
 				refused++
 			default:
 				broken++
-				e.Broken("%s of %d bytes: status %d, %v after %v", a.Class, a.Size, got.Status, got.Err, got.Duration)
+				e.Fail("%s of %d bytes: status %d, %v after %v", a.Class, a.Size, got.Status, got.Err, got.Duration)
 			}
 			mu.Unlock()
 			runs := int64(0)
@@ -131,7 +131,7 @@
 		}
 	}
 	var lanes sync.WaitGroup
-	for n := range longAtOnce {
+	for n := range streamingConcurrency {
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
 		lanes.Go(func() { lane(n, own) })
 	}
@@ -144,7 +144,7 @@
 	})
 	lanes.Go(func() {
 		half = fake.SendStreaming(ctx, fake.StreamingRequest{
-			Addr: p.Addr("farm"), ID: "half", Class: "stuck-photo", Upload: true, Size: longMost, Pace: paces[0],
+			Addr: p.Addr("farm"), ID: "half", Class: "stuck-photo", Upload: true, Size: maxStreamingBytes, Pace: paces[0],
 			Timeout: 20 * time.Second, ClientTimeout: 30 * time.Second,
 		})
 	})
@@ -152,7 +152,7 @@
 	cancel()
 	watching.Wait()
 	if err := p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
 	if ctx.Err() != nil {
 		return errors.New("ended early")
@@ -168,16 +168,16 @@
 	e.AtMost("broken_off", float64(broken), 0)
 	e.AtMost("wrong_bytes", float64(wrong), 0)
 	e.AtMost("doubled", float64(doubled), 0)
-	e.AtMost("memory_mb_most", memory, longMemory)
+	e.AtMost("memory_mb_most", memory, maxStreamingMemoryMB)
 	e.Measure("byte_a_second_status", float64(drip.Status))
 	e.Measure("byte_a_second_s", drip.Duration.Seconds())
 	e.Measure("stuck_box_status", float64(half.Status))
 	e.Measure("stuck_box_s", half.Duration.Seconds())
 	if drip.Status != 408 {
-		e.Broken("a client that sends a byte a second was answered %d, %v", drip.Status, drip.Err)
+		e.Fail("a client that sends a byte a second was answered %d, %v", drip.Status, drip.Err)
 	}
 	if half.Status != 503 {
-		e.Broken("a body whose server stopped reading was answered %d, %v", half.Status, half.Err)
+		e.Fail("a body whose server stopped reading was answered %d, %v", half.Status, half.Err)
 	}
 	return nil
 }
--- a/internal/e2e/paired_test.go
+++ b/internal/e2e/paired_test.go
@@ -23,11 +23,11 @@
 	ctx := context.Background()
 	e := &Env{Seed: 1, report: &Report{Measures: map[string]float64{}, bounds: map[string]string{}}}
 	defer e.close()
-	boxes, err := e.boxes("box", 3, nil, func(c *fake.BackendConfig) { c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000 })
+	boxes, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	disco, err := e.discovery(nil, boxes)
+	disco, err := e.startDiscovery(nil, boxes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,28 +41,28 @@
 		t.Fatal(err)
 	}
 	t.Setenv("GW_CONFIG", config)
-	var sides []*costSide
+	var sides []*costSubject
 	for _, build := range builds {
-		e.opts.Program = []string{build}
+		e.options.Program = []string{build}
 		p, err := e.Command()
 		if err != nil {
 			t.Fatal(err)
 		}
-		line, err := p.Await(ctx, "msg=ready ", 1)
+		line, err := p.AwaitLog(ctx, "msg=ready ", 1)
 		if err != nil {
-			t.Fatal(err, p.Tail(10))
+			t.Fatal(err, p.LogTail(10))
 		}
-		sides = append(sides, &costSide{p: p, addr: Field(line, "listen")})
+		sides = append(sides, &costSubject{program: p, addr: LogField(line, "listen")})
 	}
 	for n := range 11 {
 		for i := range sides {
-			if err := sides[(i+n)%2].play(ctx, time.Second, n > 0); err != nil {
+			if err := sides[(i+n)%2].measureRound(ctx, time.Second, n > 0); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for i, s := range sides {
-		memory, err := s.p.MemoryMB()
+		memory, err := s.program.MemoryMB()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/e2e/plain.go
+++ b/internal/e2e/plain.go
@@ -11,20 +11,20 @@
 
 func init() {
 	Register(Scenario{
-		Name: "http-plain", Duration: 24 * time.Second, Run: httpPlain,
+		Name: "http-plain", Duration: 24 * time.Second, Run: httpServices,
 		Summary: "the same faults at ordinary HTTP services, with ORCA and without reports, as by the platform's protocol",
 	})
 }
 
-// plainBoxes is how many boxes each play has, and plainRate the operations a second of its clients: some 0.4 of what the boxes
+// httpBackends is how many boxes each play has, and plainRate the operations a second of its clients: some 0.4 of what the boxes
 // can do while one of them is out of order.
 const (
-	plainBoxes = 5
-	plainRate  = 250
+	httpBackends = 5
+	httpRate     = 250
 )
 
-// plainFaults befall one box after the other, each for an eighth of a play, with as long in good order between them.
-var plainFaults = []struct {
+// httpFaults befall one box after the other, each for an eighth of a play, with as long in good order between them.
+var httpFaults = []struct {
 	name  string
 	fault fake.Fault
 }{
@@ -35,7 +35,7 @@
 }
 
 // plainPools is the pool of a play: by the platform's protocol, or by plain HTTP with the classes by rule.
-func plainPool(reports fake.LoadReporting, boxes []*fake.Backend) string {
+func httpPoolTOML(reports fake.LoadReporting, boxes []*fake.Backend) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
 	classes := classesTOML("farm")
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-func httpPlain(ctx context.Context, e *Env) error {
+func httpServices(ctx context.Context, e *Env) error {
 	served := map[fake.LoadReporting]float64{}
 	answered, tries, doubled := 0, 0, 0
 	for _, play := range []struct {
@@ -63,11 +63,11 @@
 		reports fake.LoadReporting
 	}{{"platform", fake.ReportPlatform}, {"orca", fake.ReportORCA}, {"silent", fake.ReportNone}} {
 		ledger := fake.NewEffectRecorder()
-		boxes, err := e.boxes(play.name, plainBoxes, ledger, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
+		boxes, err := e.startBackends(play.name, httpBackends, ledger, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
 		if err != nil {
 			return err
 		}
-		p, err := e.StartAs(ctx, play.name, plainPool(play.reports, boxes), 1)
+		p, err := e.StartNamed(ctx, play.name, httpPoolTOML(play.reports, boxes), 1)
 		if err != nil {
 			return err
 		}
@@ -75,8 +75,8 @@
 		e.Phase("services of the kind "+play.name, length)
 		load, cancel := context.WithTimeout(ctx, length)
 		go func() {
-			step := length / time.Duration(2*len(plainFaults)+2)
-			for i, f := range plainFaults {
+			step := length / time.Duration(2*len(httpFaults)+2)
+			for i, f := range httpFaults {
 				if !pause(load, step) {
 					return
 				}
@@ -87,22 +87,22 @@
 				boxes[i].SetFault(fake.Fault{})
 			}
 			if pause(load, step) {
-				boxes[plainBoxes-1].Close()
+				boxes[httpBackends-1].Close()
 			}
 		}()
 		crowd := fake.RunClients(load, fake.ClientConfig{
-			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: plainRate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
+			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: httpRate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
 			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
 		})
 		cancel()
 		if err := p.Stop(); err != nil {
-			e.Broken("%s: the program ended with %v", play.name, err)
+			e.Fail("%s: the program ended with %v", play.name, err)
 		}
-		v := e.Rules(ledger)
+		v := e.CheckRules(ledger)
 		served[play.reports] = crowd.ServedFraction()
 		answered, tries, doubled = answered+v.Answered, tries+v.Attempts, doubled+v.DuplicateEffects
 		e.Measure(play.name+"_served", crowd.ServedFraction())
-		e.crowd(play.name+"_", crowd)
+		e.measureResults(play.name+"_", crowd)
 	}
 	e.AtLeast("answered_once", float64(answered)/float64(max(1, tries)), 1)
 	e.AtMost("duplicates", float64(doubled), 0)
--- a/internal/e2e/pools.go
+++ b/internal/e2e/pools.go
@@ -17,8 +17,8 @@
 	})
 }
 
-// poolRate is the limit of the pool that is flooded, in requests a second.
-const poolRate = 100
+// floodedPoolRate is the limit of the pool that is flooded, in requests a second.
+const floodedPoolRate = 100
 
 // poolsTOML is a file of three pools, orders with a limit.
 func poolsTOML(lists map[string]string) string {
@@ -27,7 +27,7 @@
 	for _, name := range []string{"orders", "meters", "channels"} {
 		fmt.Fprintf(&b, "\n[pools.%s]\ndiscovery = %q\n", name, lists[name])
 		if name == "orders" {
-			fmt.Fprintf(&b, "[pools.orders.limits]\nrate = %d.0\nburst = 20.0\n", poolRate)
+			fmt.Fprintf(&b, "[pools.orders.limits]\nrate = %d.0\nburst = 20.0\n", floodedPoolRate)
 		}
 		b.WriteString(classesTOML(name))
 		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [\"%s.example.org\"]\npool = %q\n", name, name, name)
@@ -37,9 +37,9 @@
 
 // pools plays one and the same load twice: once with no more than that, once beside a flood of one pool.
 func pools(ctx context.Context, e *Env) error {
-	var quiet [2]poolsDay
+	var quiet [2]poolsResult
 	for i, flooded := range []bool{false, true} {
-		day, err := playPools(ctx, e, flooded)
+		day, err := runPools(ctx, e, flooded)
 		if err != nil {
 			return err
 		}
@@ -50,43 +50,43 @@
 	e.Measure("quiet_served_alone", alone.ServedFraction())
 	e.Measure("quiet_served_beside_flood", beside.ServedFraction())
 	e.AtMost("quiet_served_lost", alone.ServedFraction()-beside.ServedFraction(), 0.01)
-	e.Measure("quiet_p99_alone_ms", ms(alone.Percentile(0.99)))
-	e.Measure("quiet_p99_beside_flood_ms", ms(beside.Percentile(0.99)))
+	e.Measure("quiet_p99_alone_ms", milliseconds(alone.Percentile(0.99)))
+	e.Measure("quiet_p99_beside_flood_ms", milliseconds(beside.Percentile(0.99)))
 	e.Measure("quiet_p99_ratio", float64(beside.Percentile(0.99))/float64(alone.Percentile(0.99)))
 	f := quiet[1].flood
 	e.Measure("flood_requests", float64(f.Attempts))
 	e.Measure("flood_refused", float64(f.Statuses[429]+f.Statuses[503]))
-	e.Measure("flood_refusal_p50_ms", ms(f.RejectionPercentile(0.5)))
-	e.Measure("flood_refusal_p99_ms", ms(f.RejectionPercentile(0.99)))
+	e.Measure("flood_refusal_p50_ms", milliseconds(f.RejectionPercentile(0.5)))
+	e.Measure("flood_refusal_p99_ms", milliseconds(f.RejectionPercentile(0.99)))
 	e.Measure("flood_served_a_second", float64(f.Statuses[200])/e.Duration.Seconds())
 	e.Measure("program_cpu_share_alone", quiet[0].cpu.Seconds()/e.Duration.Seconds())
 	e.Measure("program_cpu_share_beside_flood", quiet[1].cpu.Seconds()/e.Duration.Seconds())
 	e.Measure("quiet_connections", float64(beside.Connections))
-	e.Measure("flood_slow_heads", float64(quiet[1].heads))
-	e.Measure("flood_silent_connections", float64(quiet[1].silents))
+	e.Measure("flood_slow_heads", float64(quiet[1].slowRequests))
+	e.Measure("flood_silent_connections", float64(quiet[1].idleConnections))
 	if f.Statuses[429] == 0 {
-		e.Broken("the flood was never refused by its pool's limit: nothing was shown")
+		e.Fail("the flood was never refused by its pool's limit: nothing was shown")
 	}
 	return nil
 }
 
-type poolsDay struct {
-	quiet          *fake.ClientResults // of meters and channels
-	flood          *fake.ClientResults
-	heads, silents int64
-	cpu            time.Duration // of the program
+type poolsResult struct {
+	quiet                         *fake.ClientResults // of meters and channels
+	flood                         *fake.ClientResults
+	slowRequests, idleConnections int64
+	cpu                           time.Duration // of the program
 }
 
-// playPools plays a day with a program and boxes of its own.
-func playPools(ctx context.Context, e *Env, flooded bool) (*poolsDay, error) {
+// runPools plays a day with a program and boxes of its own.
+func runPools(ctx context.Context, e *Env, flooded bool) (*poolsResult, error) {
 	ledger := fake.NewEffectRecorder()
 	lists := map[string]string{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		boxes, err := e.boxes(name, 3, ledger, nil)
+		boxes, err := e.startBackends(name, 3, ledger, nil)
 		if err != nil {
 			return nil, err
 		}
-		d, err := e.discovery(ledger, boxes)
+		d, err := e.startDiscovery(ledger, boxes)
 		if err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 	e.Phase(name, e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	day := &poolsDay{}
+	day := &poolsResult{}
 	addr := p.Addr("farm")
 	usual := fake.ClientConfig{
 		Addr: addr, MaxAttempts: 3, Backoff: 40 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger, Seed: e.Seed,
@@ -125,7 +125,7 @@
 	})
 	all.Go(func() {
 		orders := usual
-		orders.Name, orders.Host, orders.Rate = "o", "orders.example.org", poolRate/2
+		orders.Name, orders.Host, orders.Rate = "o", "orders.example.org", floodedPoolRate/2
 		orders.Classes = []fake.ClassLoad{deliveryOrder, allocationCheck}
 		fake.RunClients(load, orders)
 	})
@@ -142,12 +142,12 @@
 			func(c *fake.ClientConfig) { c.Classes, c.NewConnections = []fake.ClassLoad{allocationCheck}, true },
 		} {
 			c := flood
-			c.Name, c.Seed, c.Rate = fmt.Sprintf("f%d", i), e.Seed+10+uint64(i), []float64{7, 1, 2}[i]*poolRate
+			c.Name, c.Seed, c.Rate = fmt.Sprintf("f%d", i), e.Seed+10+uint64(i), []float64{7, 1, 2}[i]*floodedPoolRate
 			change(&c)
 			all.Go(func() { crowds[i] = fake.RunClients(load, c) })
 		}
-		all.Go(func() { day.heads = fake.OpenSlowRequests(load, addr, "orders.example.org", 100) })
-		all.Go(func() { day.silents = fake.OpenIdleConnections(load, addr, 100) })
+		all.Go(func() { day.slowRequests = fake.OpenSlowRequests(load, addr, "orders.example.org", 100) })
+		all.Go(func() { day.idleConnections = fake.OpenIdleConnections(load, addr, 100) })
 		all.Wait()
 		day.flood = crowds[0].Merge(crowds[1]).Merge(crowds[2])
 	}
@@ -158,8 +158,8 @@
 	}
 	day.cpu = cpu
 	if err := p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
-	e.Rules(ledger)
+	e.CheckRules(ledger)
 	return day, nil
 }
--- a/internal/e2e/program.go
+++ b/internal/e2e/program.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// startTime is how long the program may take to be ready.
-	startTime = 20 * time.Second
-	// stopTime is how long it may take to drain: the longest deadline and some more.
-	stopTime = 20 * time.Second
-	// keptLines bounds what is kept of its log.
-	keptLines = 20000
+	// readyTimeout is how long the program may take to be ready.
+	readyTimeout = 20 * time.Second
+	// drainTimeout is how long it may take to drain: the longest deadline and some more.
+	drainTimeout = 20 * time.Second
+	// maxLogLines bounds what is kept of its log.
+	maxLogLines = 20000
 )
 
 // Program is the real program, as a process of its own.
 type Program struct {
-	File string // its configuration
-	cmd  *exec.Cmd
-	env  *Env
+	ConfigFile string // its configuration
+	cmd        *exec.Cmd
+	env        *Env
 
-	mu    sync.Mutex
-	lines []string
-	more  chan struct{} // closed, and made anew, with each line
-	ended chan struct{}
-	err   error
+	mu      sync.Mutex
+	lines   []string
+	changed chan struct{} // closed, and made anew, with each line
+	ended   chan struct{}
+	err     error
 }
 
 // Start starts the program with a configuration and waits until it is ready at so many listeners.
 func (e *Env) Start(ctx context.Context, text string, listeners int) (*Program, error) {
-	return e.StartAs(ctx, "sorrelrudder", text, listeners)
+	return e.StartNamed(ctx, "sorrelrudder", text, listeners)
 }
 
-// StartAs does the same with a file of that name, for one of several programs.
-func (e *Env) StartAs(ctx context.Context, name, text string, listeners int) (*Program, error) {
+// StartNamed does the same with a file of that name, for one of several programs.
+func (e *Env) StartNamed(ctx context.Context, name, text string, listeners int) (*Program, error) {
 	file := filepath.Join(e.Dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return nil, err
@@ -53,28 +53,28 @@
 	if err != nil {
 		return nil, err
 	}
-	p.File = file
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	p.ConfigFile = file
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for n := range listeners {
-		if _, err := p.Await(ctx, "msg=ready ", n+1); err != nil {
+		if _, err := p.AwaitLog(ctx, "msg=ready ", n+1); err != nil {
 			err = errors.Join(err, p.Stop())
-			return nil, fmt.Errorf("the program is not ready: %w\n%s", err, p.Tail(20))
+			return nil, fmt.Errorf("the program is not ready: %w\n%s", err, p.LogTail(20))
 		}
 	}
 	return p, nil
 }
 
 // Command starts the program with arguments.
-func (e *Env) Command(args ...string) (*Program, error) { return e.CommandWith(nil, args...) }
+func (e *Env) Command(args ...string) (*Program, error) { return e.CommandWithEnv(nil, args...) }
 
-// CommandWith does the same with more in its environment.
-func (e *Env) CommandWith(env []string, args ...string) (*Program, error) {
-	if len(e.opts.Program) == 0 {
+// CommandWithEnv does the same with more in its environment.
+func (e *Env) CommandWithEnv(env []string, args ...string) (*Program, error) {
+	if len(e.options.Program) == 0 {
 		return nil, errors.New("lab: no program to start")
 	}
-	all := append(append([]string{}, e.opts.Program[1:]...), args...)
-	p := &Program{cmd: exec.Command(e.opts.Program[0], all...), env: e, more: make(chan struct{}), ended: make(chan struct{})}
+	all := append(append([]string{}, e.options.Program[1:]...), args...)
+	p := &Program{cmd: exec.Command(e.options.Program[0], all...), env: e, changed: make(chan struct{}), ended: make(chan struct{})}
 	if len(env) > 0 {
 		p.cmd.Env = append(os.Environ(), env...)
 	}
@@ -90,7 +90,7 @@
 		lines := bufio.NewScanner(out)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
-			p.note(lines.Text())
+			p.appendLine(lines.Text())
 		}
 		err := p.cmd.Wait()
 		p.mu.Lock()
@@ -102,21 +102,21 @@
 	return p, nil
 }
 
-func (p *Program) note(line string) {
+func (p *Program) appendLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.env.opts.Log != nil {
-		fmt.Fprintln(p.env.opts.Log, line)
+	if p.env.options.Log != nil {
+		fmt.Fprintln(p.env.options.Log, line)
 	}
-	if len(p.lines) < keptLines {
+	if len(p.lines) < maxLogLines {
 		p.lines = append(p.lines, line)
 	}
-	close(p.more)
-	p.more = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// Await waits until the log has n lines with text, and returns the last of them.
-func (p *Program) Await(ctx context.Context, text string, n int) (string, error) {
+// AwaitLog waits until the log has n lines with text, and returns the last of them.
+func (p *Program) AwaitLog(ctx context.Context, text string, n int) (string, error) {
 	for {
 		p.mu.Lock()
 		found := 0
@@ -128,7 +128,7 @@
 				}
 			}
 		}
-		more := p.more
+		more := p.changed
 		p.mu.Unlock()
 		select {
 		case <-more:
@@ -140,8 +140,8 @@
 	}
 }
 
-// Count is how many lines of the log have text.
-func (p *Program) Count(text string) int {
+// CountLog is how many lines of the log have text.
+func (p *Program) CountLog(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -153,8 +153,8 @@
 	return n
 }
 
-// Tail is the last lines of the log.
-func (p *Program) Tail(n int) string {
+// LogTail is the last lines of the log.
+func (p *Program) LogTail(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
@@ -166,15 +166,15 @@
 	defer p.mu.Unlock()
 	for i := len(p.lines) - 1; i >= 0; i-- {
 		line := p.lines[i]
-		if strings.Contains(line, "msg=ready ") && Field(line, "listener") == listener {
-			return Field(line, "listen")
+		if strings.Contains(line, "msg=ready ") && LogField(line, "listener") == listener {
+			return LogField(line, "listen")
 		}
 	}
 	return ""
 }
 
-// Field is the value of a key in a line of the log, without quotes.
-func Field(line, key string) string {
+// LogField is the value of a key in a line of the log, without quotes.
+func LogField(line, key string) string {
 	_, rest, ok := strings.Cut(" "+line, " "+key+"=")
 	if !ok {
 		return ""
@@ -191,11 +191,11 @@
 
 // Reload replaces the configuration and tells the program so. It does not wait for it.
 func (p *Program) Reload(text string) error {
-	next := p.File + ".next"
+	next := p.ConfigFile + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(next, p.File); err != nil { // never half a file
+	if err := os.Rename(next, p.ConfigFile); err != nil { // never half a file
 		return err
 	}
 	return p.cmd.Process.Signal(syscall.SIGHUP)
@@ -206,7 +206,7 @@
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if it has ended
 	select {
 	case <-p.ended:
-	case <-time.After(stopTime):
+	case <-time.After(drainTimeout):
 		_ = p.cmd.Process.Kill() // fails if it has ended
 		<-p.ended
 		return errors.New("the program did not drain in time")
@@ -225,8 +225,8 @@
 	<-p.ended
 }
 
-// Lines are the lines of its log so far.
-func (p *Program) Lines() []string {
+// LogLines are the lines of its log so far.
+func (p *Program) LogLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lines[:len(p.lines):len(p.lines)]
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -25,12 +25,12 @@
 	e.Phase("three boxes, one of which errs for a while and one of which leaves", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	go script(load, e.Duration,
-		step{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1}) }},
-		step{0.6, func() { boxes[0].SetFault(fake.Fault{}) }},
-		step{0.7, func() {
+	go runScript(load, e.Duration,
+		scriptStep{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1}) }},
+		scriptStep{0.6, func() { boxes[0].SetFault(fake.Fault{}) }},
+		scriptStep{0.7, func() {
 			boxes[2].Drain(true)
-			disco.SetEndpoints(entries(boxes)...)
+			disco.SetEndpoints(endpoints(boxes)...)
 		}},
 	)
 	crowd := fake.RunClients(load, fake.ClientConfig{
@@ -38,10 +38,10 @@
 		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
 	})
 	if err := p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
-	v := e.Rules(ledger)
-	e.crowd("", crowd)
+	v := e.CheckRules(ledger)
+	e.measureResults("", crowd)
 	e.Measure("effects", float64(v.Effects))
 	e.Measure("effects_doubled", float64(v.DuplicateEffects))
 	e.AtLeast("served_in_time", crowd.ServedFraction(), 0.95)
@@ -50,11 +50,11 @@
 
 // startFarm starts a program of one pool of three boxes; more is what its file says beside that.
 func (e *Env) startFarm(ctx context.Context, l *fake.EffectRecorder, more string) (*Program, []*fake.Backend, *fake.Discovery, error) {
-	boxes, err := e.boxes("box", 3, l, nil)
+	boxes, err := e.startBackends("box", 3, l, nil)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	disco, err := e.discovery(l, boxes)
+	disco, err := e.startDiscovery(l, boxes)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -63,14 +63,14 @@
 	return p, boxes, disco, err
 }
 
-// step is something that is done after a part of a phase.
-type step struct {
+// scriptStep is something that is done after a part of a phase.
+type scriptStep struct {
 	at float64
 	do func()
 }
 
-// script does the steps, which are in order, of a phase of that length, until ctx ends.
-func script(ctx context.Context, length time.Duration, steps ...step) {
+// runScript does the steps, which are in order, of a phase of that length, until ctx ends.
+func runScript(ctx context.Context, length time.Duration, steps ...scriptStep) {
 	began := time.Now()
 	for _, s := range steps {
 		wait := time.NewTimer(time.Until(began.Add(time.Duration(s.at * float64(length)))))
--- a/internal/e2e/reload.go
+++ b/internal/e2e/reload.go
@@ -17,11 +17,11 @@
 	})
 }
 
-// reloads is how many times the configuration is replaced.
-const reloads = 200
+// reloadCount is how many times the configuration is replaced.
+const reloadCount = 200
 
-// variant is a configuration of the reload day, drawn by the number of the reload.
-func variant(n int, boxes map[string][]*fake.Backend) (text string, bad bool) {
+// reloadConfig is a configuration of the reload day, drawn by the number of the reload.
+func reloadConfig(n int, boxes map[string][]*fake.Backend) (text string, bad bool) {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
 	pool := func(name string, all []*fake.Backend, more, classes string) {
@@ -59,22 +59,22 @@
 	ledger := fake.NewEffectRecorder()
 	boxes := map[string][]*fake.Backend{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		all, err := e.boxes(name, 3, ledger, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
+		all, err := e.startBackends(name, 3, ledger, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
 		if err != nil {
 			return err
 		}
 		boxes[name] = all
 	}
-	text, _ := variant(0, boxes)
+	text, _ := reloadConfig(0, boxes)
 	p, err := e.Start(ctx, text, 1)
 	if err != nil {
 		return err
 	}
-	before, err := settled(ctx, p, text)
+	before, err := idleUsageOf(ctx, p, text)
 	if err != nil {
 		return err
 	}
-	e.Phase(fmt.Sprintf("%d reloads under load", reloads), e.Duration)
+	e.Phase(fmt.Sprintf("%d reloads under load", reloadCount), e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	usual := fake.ClientConfig{
@@ -97,42 +97,42 @@
 	}
 	bad := 0
 	applied := 1 // of settled
-	tick := time.NewTicker(e.Duration / reloads)
+	tick := time.NewTicker(e.Duration / reloadCount)
 	defer tick.Stop()
-	for n := 1; n <= reloads; n++ {
+	for n := 1; n <= reloadCount; n++ {
 		select {
 		case <-ctx.Done():
 			all.Wait()
 			return ctx.Err()
 		case <-tick.C:
 		}
-		text, wrong := variant(n, boxes)
+		text, wrong := reloadConfig(n, boxes)
 		if err := p.Reload(text); err != nil {
 			return err
 		}
 		// Each is waited for: signals that come together count once.
 		if wrong {
 			bad++
-			_, err = p.Await(ctx, "msg=\"reload: the running configuration stays in force\"", bad)
+			_, err = p.AwaitLog(ctx, "msg=\"reload: the running configuration stays in force\"", bad)
 		} else {
 			applied++
-			_, err = p.Await(ctx, "msg=reloaded", applied)
+			_, err = p.AwaitLog(ctx, "msg=reloaded", applied)
 		}
 		if err != nil {
-			return fmt.Errorf("reload %d: %w\n%s", n, err, p.Tail(10))
+			return fmt.Errorf("reload %d: %w\n%s", n, err, p.LogTail(10))
 		}
 	}
 	all.Wait()
-	text, _ = variant(0, boxes)
-	after, err := settled(ctx, p, text)
+	text, _ = reloadConfig(0, boxes)
+	after, err := idleUsageOf(ctx, p, text)
 	if err != nil {
 		return err
 	}
 	if err := p.Stop(); err != nil {
-		e.Broken("the program ended with %v", err)
+		e.Fail("the program ended with %v", err)
 	}
-	v := e.Rules(ledger)
-	e.Measure("reloads", reloads)
+	v := e.CheckRules(ledger)
+	e.Measure("reloads", reloadCount)
 	e.Measure("reloads_bad", float64(bad))
 	e.Measure("operations", float64(ledger.Operations()))
 	e.Measure("requests", float64(v.Attempts))
@@ -141,40 +141,40 @@
 	e.AtMost("effects_doubled", float64(v.DuplicateEffects), 0)
 	for _, name := range []string{"orders", "meters"} {
 		e.AtLeast(name+"_served_in_time", crowds[name].ServedFraction(), 0.95)
-		e.Measure(name+"_p99_ms", ms(crowds[name].Percentile(0.99)))
+		e.Measure(name+"_p99_ms", milliseconds(crowds[name].Percentile(0.99)))
 	}
 	e.Measure("channels_unrouted", float64(crowds["channels"].Statuses[421]))
 	if crowds["channels"].Statuses[421] == 0 {
-		e.Broken("no request found its pool gone: nothing was shown")
+		e.Fail("no request found its pool gone: nothing was shown")
 	}
 	e.Measure("goroutines_before", before.goroutines)
 	e.AtMost("goroutines_after", after.goroutines, before.goroutines+5)
 	e.Measure("descriptors_before", before.descriptors)
 	e.AtMost("descriptors_after", after.descriptors, before.descriptors+5)
-	e.Measure("memory_before_mb", before.memory)
-	e.Measure("memory_after_mb", after.memory)
+	e.Measure("memory_before_mb", before.memoryMB)
+	e.Measure("memory_after_mb", after.memoryMB)
 	return nil
 }
 
-// resting is what the program holds while nothing is asked of it.
-type resting struct{ goroutines, descriptors, memory float64 }
+// idleUsage is what the program holds while nothing is asked of it.
+type idleUsage struct{ goroutines, descriptors, memoryMB float64 }
 
-// settled makes text the configuration and waits until the program has no connection of clients, no request and no pool
+// idleUsageOf makes text the configuration and waits until the program has no connection of clients, no request and no pool
 // that drains; it returns what the program holds then.
-func settled(ctx context.Context, p *Program, text string) (r resting, err error) {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+func idleUsageOf(ctx context.Context, p *Program, text string) (r idleUsage, err error) {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		n := p.Count("msg=reloaded")
+		n := p.CountLog("msg=reloaded")
 		if err := p.Reload(text); err != nil {
 			return r, err
 		}
-		line, err := p.Await(ctx, "msg=reloaded", n+1)
+		line, err := p.AwaitLog(ctx, "msg=reloaded", n+1)
 		if err != nil {
-			return r, fmt.Errorf("%w\n%s", err, p.Tail(10))
+			return r, fmt.Errorf("%w\n%s", err, p.LogTail(10))
 		}
 		var pools, draining, requests, timers, servers, clients int
-		_, err = fmt.Sscanf(Field(line, "load"), "%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %f goroutines",
+		_, err = fmt.Sscanf(LogField(line, "load"), "%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %f goroutines",
 			&pools, &draining, &requests, &timers, &servers, &clients, &r.goroutines)
 		if err != nil {
 			return r, fmt.Errorf("the log line of a reload: %w: %s", err, line)
@@ -185,7 +185,7 @@
 				return r, err
 			}
 			r.descriptors = float64(fds)
-			r.memory, err = p.MemoryMB()
+			r.memoryMB, err = p.MemoryMB()
 			// Idle connections to boxes close within some seconds; a run is measured without them.
 			if r.descriptors <= 16 || ctx.Err() != nil {
 				return r, err
--- a/internal/e2e/replica.go
+++ b/internal/e2e/replica.go
@@ -47,13 +47,13 @@
 }
 
 const (
-	usualCopies = "gossip = \"50ms\"\nprobe = \"250ms\"\nsync = \"500ms\"\nkeep = \"4s\"\n"
-	// settleTime is by when after the last fault all copies are to be equal.
-	settleTime = 5 * time.Second
+	defaultSharedState = "gossip = \"50ms\"\nprobe = \"250ms\"\nsync = \"500ms\"\nkeep = \"4s\"\n"
+	// convergenceTimeout is by when after the last fault all copies are to be equal.
+	convergenceTimeout = 5 * time.Second
 )
 
-// copiesState is what the lab reads of a process' own account of the shared state.
-type copiesState struct {
+// sharedState is what the lab reads of a process' own account of the shared state.
+type sharedState struct {
 	Incarnation uint64
 	Members     map[string]string
 	InStepMs    int64 `json:"in_step_ms"`
@@ -74,8 +74,8 @@
 	}
 }
 
-func (f *fleet) copies(p *fleetProc) (s copiesState, err error) {
-	out, err := f.cli("tier", "state", p.addr, "--secret", f.secret, "--json", "--timeout", "2s")
+func (f *fleet) sharedState(p *fleetMember) (s sharedState, err error) {
+	out, err := f.runCommand("tier", "state", p.addr, "--secret", f.secret, "--json", "--timeout", "2s")
 	if err == nil {
 		err = json.Unmarshal([]byte(out), &s)
 	}
@@ -85,19 +85,19 @@
 	return s, err
 }
 
-// all asks all processes at once; one that does not answer is left out.
-func (f *fleet) all(procs []*fleetProc) map[int]copiesState {
+// sharedStates asks all processes at once; one that does not answer is left out.
+func (f *fleet) sharedStates(procs []*fleetMember) map[int]sharedState {
 	var mu sync.Mutex
 	var asks sync.WaitGroup
-	got := map[int]copiesState{}
+	got := map[int]sharedState{}
 	slots := make(chan struct{}, 6)
 	for _, p := range procs {
 		asks.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			if s, err := f.copies(p); err == nil {
+			if s, err := f.sharedState(p); err == nil {
 				mu.Lock()
-				got[p.i] = s
+				got[p.index] = s
 				mu.Unlock()
 			}
 		})
@@ -106,42 +106,42 @@
 	return got
 }
 
-// historian remembers what each start of each process has shown of each entry, and counts what must not be: a version that goes back, and an
+// versionObserver remembers what each start of each process has shown of each entry, and counts what must not be: a version that goes back, and an
 // entry that was gone and is there again as it was. It knows nothing of how copies are merged.
-type historian struct {
-	f      *fleet
-	one    sync.Mutex
-	mu     sync.Mutex
-	newest map[string][2]uint64 // by process, start, owner and key
-	was    map[string]bool      // there at the last look
-	back   int
-	again  int
-	first  string
-	looks  int
+type versionObserver struct {
+	fleet          *fleet
+	observing      sync.Mutex
+	mu             sync.Mutex
+	newest         map[string][2]uint64 // by process, start, owner and key
+	present        map[string]bool      // there at the last look
+	regressions    int
+	resurrections  int
+	firstViolation string
+	observations   int
 }
 
-func newHistorian(f *fleet) *historian {
-	return &historian{f: f, newest: map[string][2]uint64{}, was: map[string]bool{}}
+func newVersionObserver(f *fleet) *versionObserver {
+	return &versionObserver{fleet: f, newest: map[string][2]uint64{}, present: map[string]bool{}}
 }
 
-// look looks at all processes once. One look is over before the next begins: else what one has seen earlier could be noted later.
-func (h *historian) look() map[int]copiesState {
-	h.one.Lock()
-	defer h.one.Unlock()
+// observe looks at all processes once. One look is over before the next begins: else what one has seen earlier could be noted later.
+func (h *versionObserver) observe() map[int]sharedState {
+	h.observing.Lock()
+	defer h.observing.Unlock()
 	starts := map[int]int{}
-	for _, p := range h.f.procs {
+	for _, p := range h.fleet.members {
 		p.mu.Lock()
-		starts[p.i] = p.starts
+		starts[p.index] = p.startCount
 		p.mu.Unlock()
 	}
-	got := h.f.all(h.f.procs)
+	got := h.fleet.sharedStates(h.fleet.members)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.looks++
+	h.observations++
 	for i, s := range got {
-		p := h.f.procs[i]
+		p := h.fleet.members[i]
 		p.mu.Lock()
-		now := p.starts
+		now := p.startCount
 		p.mu.Unlock()
 		if now != starts[i] {
 			continue // it may be another start that answered
@@ -155,43 +155,43 @@
 			last, had := h.newest[id]
 			switch {
 			case had && (v[0] < last[0] || v[0] == last[0] && v[1] < last[1]):
-				h.back++
-				h.note("%s: version %v after %v", id, v, last)
-			case had && v == last && !h.was[id]:
-				h.again++
-				h.note("%s: version %v was gone, and is there again", id, v)
+				h.regressions++
+				h.setFirst("%s: version %v after %v", id, v, last)
+			case had && v == last && !h.present[id]:
+				h.resurrections++
+				h.setFirst("%s: version %v was gone, and is there again", id, v)
 			}
 			h.newest[id] = v
 		}
 		for id := range h.newest {
 			if strings.HasPrefix(id, prefix) {
-				h.was[id] = there[id]
+				h.present[id] = there[id]
 			}
 		}
 	}
 	return got
 }
 
-func (h *historian) note(format string, args ...any) {
-	if h.first == "" {
-		h.first = fmt.Sprintf(format, args...)
+func (h *versionObserver) setFirst(format string, args ...any) {
+	if h.firstViolation == "" {
+		h.firstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
 // follow looks again and again until ctx ends.
-func (h *historian) follow(ctx context.Context) <-chan struct{} {
+func (h *versionObserver) follow(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for pause(ctx, 700*time.Millisecond) {
-			h.look()
+			h.observe()
 		}
 	}()
 	return done
 }
 
-// differing is how many entries are not the same at all processes, and of how many processes something is known.
-func differing(got map[int]copiesState) (entries int) {
+// differingEntries is how many entries are not the same at all processes, and of how many processes something is known.
+func differingEntries(got map[int]sharedState) (entries int) {
 	type at struct{ owner, key string }
 	seen := map[at]map[string]int{}
 	for _, s := range got {
@@ -216,13 +216,13 @@
 }
 
 // converge waits until all processes are there to each other and hold the same, and notes how long after the last fault that was.
-func (h *historian) converge(ctx context.Context, name string) error {
-	f := h.f
+func (h *versionObserver) converge(ctx context.Context, name string) error {
+	f := h.fleet
 	from := time.Now()
-	var got map[int]copiesState
-	err := f.await(ctx, 40*time.Second, "all hold the same of all", func() bool {
-		got = h.look()
-		if len(got) < len(f.procs) || differing(got) > 0 {
+	var got map[int]sharedState
+	err := f.awaitCondition(ctx, 40*time.Second, "all hold the same of all", func() bool {
+		got = h.observe()
+		if len(got) < len(f.members) || differingEntries(got) > 0 {
 			return false
 		}
 		for _, s := range got {
@@ -239,76 +239,76 @@
 		for i, s := range got {
 			for name, state := range s.Members {
 				if state != "alive" {
-					told = append(told, fmt.Sprintf("%s holds %s for %s", f.procs[i].name, name, state))
+					told = append(told, fmt.Sprintf("%s holds %s for %s", f.members[i].name, name, state))
 				}
 			}
 		}
 		slices.Sort(told)
-		return fmt.Errorf("%w: %d entries differ; %s; %w", errNotWhole, differing(got), strings.Join(told[:min(len(told), 8)], ", "), err)
+		return fmt.Errorf("%w: %d entries differ; %s; %w", errNotRecovered, differingEntries(got), strings.Join(told[:min(len(told), 8)], ", "), err)
 	}
 	took := time.Since(from)
 	f.env.Measure(name+"_s", took.Seconds())
 	late := 0
-	if took > settleTime {
+	if took > convergenceTimeout {
 		late = 1
 	}
 	f.env.Measure("late_"+name, float64(late))
 	return nil
 }
 
-// judge notes what the copies have come to. All was well for settleTime before.
-func (h *historian) judge() {
-	e := h.f.env
+// measure notes what the copies have come to. All was well for settleTime before.
+func (h *versionObserver) measure() {
+	e := h.fleet.env
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.first != "" {
-		e.Broken("%s", h.first)
+	if h.firstViolation != "" {
+		e.Fail("%s", h.firstViolation)
 	}
-	e.AtMost("went_back", float64(h.back), 0)
-	e.AtMost("resurrected", float64(h.again), 0)
-	e.Measure("looks", float64(h.looks))
+	e.AtMost("went_back", float64(h.regressions), 0)
+	e.AtMost("resurrected", float64(h.resurrections), 0)
+	e.Measure("looks", float64(h.observations))
 }
 
-// diverged is how many entries differ settleTime after the last fault. What is on its way at one look is not at all of three.
-func (h *historian) diverged(ctx context.Context, since time.Time) {
-	pause(ctx, settleTime-time.Since(since))
+// measureDivergence is how many entries differ settleTime after the last fault. What is on its way at one look is not at all of three.
+func (h *versionObserver) measureDivergence(ctx context.Context, since time.Time) {
+	pause(ctx, convergenceTimeout-time.Since(since))
 	least := 1 << 30
 	for range 3 {
-		least = min(least, differing(h.look()))
+		least = min(least, differingEntries(h.observe()))
 		if least == 0 {
 			break
 		}
 		pause(ctx, 300*time.Millisecond)
 	}
-	h.f.env.AtMost("diverged", float64(least), 0)
+	h.fleet.env.AtMost("diverged", float64(least), 0)
 }
 
-// order gives or lifts an order, by any process that reaches the council.
-func (f *fleet) order(verb, server string, by *fleetProc) error {
-	out, err := f.cli("tier", "order", verb, "farm", server, by.addr, "--secret", f.secret)
+// runOrder gives or lifts an order, by any process that reaches the council.
+func (f *fleet) runOrder(verb, server string, by *fleetMember) error {
+	out, err := f.runCommand("tier", "order", verb, "farm", server, by.addr, "--secret", f.secret)
 	if err != nil {
 		return fmt.Errorf("order %s %s: %w: %s", verb, server, err, out)
 	}
-	f.note("order: %s %s", verb, server)
+	f.logEvent("order: %s %s", verb, server)
 	return nil
 }
 
-// crowds has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
-func (f *fleet) crowds(ctx context.Context, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
-	return f.crowdsAt(ctx, f.procs, name, rate, ledger)
+// runClients has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
+func (f *fleet) runClients(ctx context.Context, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
+	return f.runClientsAt(ctx, f.members, name, rate, ledger)
 }
 
-// crowdsAt does so at some: one that is stopped answers late, which is no fault of its own.
-func (f *fleet) crowdsAt(ctx context.Context, procs []*fleetProc, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
+// runClientsAt does so at some: one that is stopped answers late, which is no fault of its own.
+func (f *fleet) runClientsAt(ctx context.Context, procs []*fleetMember, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var sum *fake.ClientResults
 	for _, p := range procs {
-		addr := p.prog.Addr("farm")
+		addr := p.program.Addr("farm")
 		all.Go(func() {
 			c := fake.RunClients(ctx, fake.ClientConfig{
 				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: f.env.Seed<<8 + uint64(p.i),
+				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: f.env.Seed<<8 + uint64(p.index),
 			})
 			mu.Lock()
 			defer mu.Unlock()
@@ -323,24 +323,24 @@
 	return sum
 }
 
-// once holds the four rules, and that each request had one answer and none a second effect.
-func (e *Env) once(ledger *fake.EffectRecorder, prefix string) {
-	v := e.Rules(ledger)
+// checkAnsweredOnce holds the four rules, and that each request had one answer and none a second effect.
+func (e *Env) checkAnsweredOnce(ledger *fake.EffectRecorder, prefix string) {
+	v := e.CheckRules(ledger)
 	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)), 1)
 	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
 }
 
-// startShared starts a fleet whose processes share state, or not, and waits until all take part.
-func (e *Env) startShared(ctx context.Context, shared bool, cfg fleetConfig) (f *fleet, name string, err error) {
+// startSharedStateFleet starts a fleet whose processes share state, or not, and waits until all take part.
+func (e *Env) startSharedStateFleet(ctx context.Context, shared bool, cfg fleetConfig) (f *fleet, name string, err error) {
 	name = "alone"
 	if shared {
-		cfg.copies, name = usualCopies, "shared"
+		cfg.sharedState, name = defaultSharedState, "shared"
 	}
 	if f, err = e.startFleet(ctx, cfg); err != nil {
 		return nil, "", err
 	}
-	for _, p := range f.procs {
-		if err := p.ready(ctx); err != nil {
+	for _, p := range f.members {
+		if err := p.awaitReady(ctx); err != nil {
 			return nil, "", err
 		}
 	}
@@ -356,9 +356,9 @@
 	results := map[bool]outcome{}
 	ledger := fake.NewEffectRecorder()
 	for _, shared := range []bool{false, true} {
-		f, name, err := e.startShared(ctx, shared, fleetConfig{
-			processes: processes, voters: 3, nboxes: boxes, ledger: ledger, dealt: true,
-			box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+		f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
+			processes: processes, voters: 3, backends: boxes, recorder: ledger, subsets: true,
+			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
@@ -371,27 +371,27 @@
 		go func() {
 			defer close(went)
 			if pause(load, 2*time.Second) { // all have met some servers by then: one of those that are used most
-				byUse := slices.SortedFunc(slices.Values(f.boxes), func(a, b *fake.Backend) int { return int(b.Served() - a.Served()) })
+				byUse := slices.SortedFunc(slices.Values(f.backends), func(a, b *fake.Backend) int { return int(b.Served() - a.Served()) })
 				dead = byUse[int(e.Seed)%3]
-				f.note("%s dies", dead.Name())
+				f.logEvent("%s dies", dead.Name())
 				dead.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 			}
 		}()
-		crowd := f.crowds(load, name, rate, ledger)
+		crowd := f.runClients(load, name, rate, ledger)
 		cancel()
 		<-went
 		results[shared] = outcome{dead.LostRequests(), crowd.ServedFraction()}
-		e.crowd(name+"_", crowd)
+		e.measureResults(name+"_", crowd)
 		if shared {
 			hinted := 0
-			for _, s := range f.all(f.procs) {
+			for _, s := range f.sharedStates(f.members) {
 				hinted += s.Hinted
 			}
 			e.Measure("hints", float64(hinted))
 		}
-		f.stop()
+		f.drainAll()
 	}
-	e.once(ledger, "")
+	e.checkAnsweredOnce(ledger, "")
 	e.Measure("dead_sends_alone", float64(results[false].lost))
 	e.Measure("dead_sends", float64(results[true].lost))
 	e.AtMost("dead_sends_share", float64(results[true].lost)/float64(max(1, results[false].lost)), 0.7) // of some ten sends: a quarter over many seeds
@@ -406,18 +406,18 @@
 	ledger := fake.NewEffectRecorder()
 	served := map[string]float64{}
 	for _, shared := range []bool{false, true} {
-		f, name, err := e.startShared(ctx, shared, fleetConfig{
-			processes: 10, voters: 3, nboxes: 9, ledger: ledger, box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+		f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
+			processes: 10, voters: 3, backends: 9, recorder: ledger, configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
 		}
 		e.Phase("killed and started again in the rush, "+name, e.Duration/2)
 		warm, cancel := context.WithTimeout(ctx, 2*time.Second)
-		f.crowds(warm, name+"warm", 20, ledger)
+		f.runClients(warm, name+"warm", 20, ledger)
 		cancel()
-		for _, b := range f.boxes[:2] {
-			f.note("%s dies", b.Name())
+		for _, b := range f.backends[:2] {
+			f.logEvent("%s dies", b.Name())
 			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		var again, others *fake.ClientResults
@@ -425,16 +425,16 @@
 		for round := range int(e.Duration / 2 / (first + time.Second)) {
 			back := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
 			for i := range back {
-				f.procs[i].end()
+				f.members[i].kill()
 			}
 			began := time.Now()
 			for i := range back {
-				if err := f.procs[i].start(); err != nil {
+				if err := f.members[i].start(); err != nil {
 					return err
 				}
 			}
 			for i := range back {
-				if err := f.procs[i].ready(ctx); err != nil {
+				if err := f.members[i].awaitReady(ctx); err != nil {
 					return err
 				}
 			}
@@ -442,16 +442,16 @@
 			load, cancel := context.WithTimeout(ctx, first)
 			var mu sync.Mutex
 			var all sync.WaitGroup
-			for _, p := range f.procs {
+			for _, p := range f.members {
 				all.Go(func() {
 					c := fake.RunClients(load, fake.ClientConfig{
-						Name: fmt.Sprint(name, round, p.name), Addr: p.prog.Addr("farm"), Host: "farm.example.org", Rate: 30, MaxAttempts: 1,
-						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed<<16 + uint64(p.i*100+round),
+						Name: fmt.Sprint(name, round, p.name), Addr: p.program.Addr("farm"), Host: "farm.example.org", Rate: 30, MaxAttempts: 1,
+						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed<<16 + uint64(p.index*100+round),
 					})
 					mu.Lock()
 					defer mu.Unlock()
 					to := &others
-					if back[p.i] {
+					if back[p.index] {
 						to = &again
 					}
 					if *to == nil {
@@ -465,10 +465,10 @@
 			cancel()
 		}
 		sent := int64(0)
-		for _, b := range f.boxes {
+		for _, b := range f.backends {
 			sent += b.LostRequests()
 		}
-		f.stop()
+		f.drainAll()
 		e.Measure(name+"_started_s", most)
 		e.Measure(name+"_dead_sends", float64(sent))
 		e.Measure(name+"_served_first", again.ServedFraction())
@@ -478,17 +478,17 @@
 	}
 	e.Measure("behind_alone", served["alone"])
 	e.AtMost("behind", served["shared"], 0.03) // of some 600 requests: 0.01 over many seeds
-	e.once(ledger, "")
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
 func replicaSplit(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
-	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: ledger})
 	if err != nil {
 		return err
 	}
-	h := newHistorian(f)
+	h := newVersionObserver(f)
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
@@ -498,43 +498,43 @@
 	defer cancel()
 	followed := h.follow(load)
 	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.crowds(load, "farm", 5, ledger) }()
+	go func() { crowd <- f.runClients(load, "farm", 5, ledger) }()
 	e.Phase("half and half", part)
-	f.note("split")
-	mend := f.each(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
+	f.logEvent("split")
+	mend := f.configureProxies(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	pause(load, part/2)
-	if err := f.order("avoid", f.boxes[1].Name(), f.procs[0]); err != nil {
+	if err := f.runOrder("avoid", f.backends[1].Name(), f.members[0]); err != nil {
 		return err
 	}
-	if err := f.order("avoid", f.boxes[2].Name(), f.procs[1]); err != nil {
+	if err := f.runOrder("avoid", f.backends[2].Name(), f.members[1]); err != nil {
 		return err
 	}
-	if err := f.order("lift", f.boxes[2].Name(), f.procs[1]); err != nil {
+	if err := f.runOrder("lift", f.backends[2].Name(), f.members[1]); err != nil {
 		return err
 	}
-	if out, err := f.cli("tier", "order", "avoid", f.boxes[3].Name(), f.procs[7].addr, "--secret", f.secret, "--timeout", "1s"); err == nil {
-		e.Broken("the side without the council's majority has decided something: %s", out)
+	if out, err := f.runCommand("tier", "order", "avoid", f.backends[3].Name(), f.members[7].addr, "--secret", f.secret, "--timeout", "1s"); err == nil {
+		e.Fail("the side without the council's majority has decided something: %s", out)
 	}
 	pause(load, part/2)
-	far, err := f.copies(f.procs[8])
+	far, err := f.sharedState(f.members[8])
 	if err != nil {
 		return err
 	}
 	e.AtLeast("decided_age_cut_off_s", float64(far.DecidedMs)/1000, (part / 2).Seconds()) // it says how old what it has is
-	f.boxes[0].SetFault(fake.Fault{})
+	f.backends[0].SetFault(fake.Fault{})
 	mend()
 	healed := time.Now()
-	f.note("the halves meet again")
+	f.logEvent("the halves meet again")
 	e.Phase("healed", part)
 	if err := h.converge(ctx, "converged"); err != nil {
 		return err
 	}
-	h.diverged(ctx, healed)
+	h.measureDivergence(ctx, healed)
 	<-followed
 	c := <-crowd
-	for _, p := range f.procs {
-		s, err := f.copies(p)
+	for _, p := range f.members {
+		s, err := f.sharedState(p)
 		if err != nil {
 			return err
 		}
@@ -544,25 +544,25 @@
 				has[x.Key] = len(x.Values)
 			}
 		}
-		if has["order/farm/"+f.boxes[1].Name()] != 1 || has["order/farm/"+f.boxes[2].Name()] != 0 {
-			e.Broken("%s holds other orders than were given: %v", p.name, has)
+		if has["order/farm/"+f.backends[1].Name()] != 1 || has["order/farm/"+f.backends[2].Name()] != 0 {
+			e.Fail("%s holds other orders than were given: %v", p.name, has)
 		}
 	}
-	h.judge()
-	e.crowd("", c)
+	h.measure()
+	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
-	e.once(ledger, "")
-	f.stop()
+	e.checkAnsweredOnce(ledger, "")
+	f.drainAll()
 	return nil
 }
 
 func replicaReturn(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 41))
-	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, nboxes: 6, copies: usualCopies + "store = \"DIR/NAME.copies\"\n"})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, backends: 6, sharedState: defaultSharedState + "store = \"DIR/NAME.copies\"\n"})
 	if err != nil {
 		return err
 	}
-	h := newHistorian(f)
+	h := newVersionObserver(f)
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
@@ -570,22 +570,22 @@
 	defer stop()
 	followed := h.follow(follow)
 	var took []float64
-	least := func(p *fleetProc, what string) error {
+	least := func(p *fleetMember, what string) error {
 		at := time.Now()
-		err := f.await(ctx, 20*time.Second, p.name+" has caught up", func() bool {
-			s, err := f.copies(p)
+		err := f.awaitCondition(ctx, 20*time.Second, p.name+" has caught up", func() bool {
+			s, err := f.sharedState(p)
 			return err == nil && s.InStepMs >= 0 && s.InStepMs <= time.Since(at).Milliseconds()
 		})
 		took = append(took, time.Since(at).Seconds())
-		f.note("%s, %s, has caught up after %.2f s", p.name, what, time.Since(at).Seconds())
+		f.logEvent("%s, %s, has caught up after %.2f s", p.name, what, time.Since(at).Seconds())
 		return err
 	}
 	part := e.Duration / 4
 	e.Phase("killed, and started again at once", part)
 	for range 2 {
-		p := f.procs[3+rng.IntN(7)]
-		f.note("%s is killed", p.name)
-		p.end()
+		p := f.members[3+rng.IntN(7)]
+		f.logEvent("%s is killed", p.name)
+		p.kill()
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -594,34 +594,34 @@
 		}
 	}
 	e.Phase("stopped for long, and gone on", part)
-	p := f.procs[3+rng.IntN(7)]
-	f.note("%s is stopped", p.name)
-	p.prog.Signal(syscall.SIGSTOP)
-	if err := f.order("avoid", f.boxes[1].Name(), f.procs[0]); err != nil {
+	p := f.members[3+rng.IntN(7)]
+	f.logEvent("%s is stopped", p.name)
+	p.program.Signal(syscall.SIGSTOP)
+	if err := f.runOrder("avoid", f.backends[1].Name(), f.members[0]); err != nil {
 		return err
 	}
 	if !pause(ctx, part) {
 		return ctx.Err()
 	}
-	p.prog.Signal(syscall.SIGCONT)
+	p.program.Signal(syscall.SIGCONT)
 	if err := least(p, "stopped"); err != nil {
 		return err
 	}
 	e.Phase("yesterday's file", part)
-	p = f.procs[3+rng.IntN(7)]
-	file := strings.TrimSuffix(p.file(), ".toml") + ".copies"
-	if err := f.await(ctx, 20*time.Second, "the file is written", func() bool { _, err := os.Stat(file); return err == nil }); err != nil {
+	p = f.members[3+rng.IntN(7)]
+	file := strings.TrimSuffix(p.configFile(), ".toml") + ".copies"
+	if err := f.awaitCondition(ctx, 20*time.Second, "the file is written", func() bool { _, err := os.Stat(file); return err == nil }); err != nil {
 		return err
 	}
 	old, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	if err := f.order("lift", f.boxes[1].Name(), f.procs[0]); err != nil {
+	if err := f.runOrder("lift", f.backends[1].Name(), f.members[0]); err != nil {
 		return err
 	}
 	pause(ctx, part/2)
-	p.end()
+	p.kill()
 	if err := os.WriteFile(file, old, 0o600); err != nil {
 		return err
 	}
@@ -632,7 +632,7 @@
 		return err
 	}
 	e.Phase("a damaged file", part)
-	p.end()
+	p.kill()
 	old[len(old)/2] ^= 0x10
 	if err := os.WriteFile(file, old, 0o600); err != nil {
 		return err
@@ -644,30 +644,30 @@
 		return err
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil {
-		e.Broken("a damaged file was not put aside: %v", err)
+		e.Fail("a damaged file was not put aside: %v", err)
 	}
 	since := time.Now()
 	if err := h.converge(ctx, "converged"); err != nil {
 		return err
 	}
-	h.diverged(ctx, since)
+	h.measureDivergence(ctx, since)
 	stop()
 	<-followed
 	slices.Sort(took)
 	e.Measure("catchup_p50_s", took[len(took)/2])
 	e.AtMost("catchup_most_s", took[len(took)-1], 5)
-	h.judge()
-	f.stop()
+	h.measure()
+	f.drainAll()
 	return nil
 }
 
 func replicaDiffer(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 42))
-	f, err := e.startFleet(ctx, fleetConfig{processes: 8, voters: 3, nboxes: 6, copies: usualCopies})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 8, voters: 3, backends: 6, sharedState: defaultSharedState})
 	if err != nil {
 		return err
 	}
-	h := newHistorian(f)
+	h := newVersionObserver(f)
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
@@ -675,28 +675,28 @@
 	defer cancel()
 	followed := h.follow(load)
 	e.Phase("starts of one name, orders over lossy links", e.Duration)
-	mend := f.each(func(int, int) bool { return true },
+	mend := f.configureProxies(func(int, int) bool { return true },
 		func(w *fake.FrameFaults) {
 			w.DropFraction, w.DuplicateFraction, w.Jitter = 0.1, 0.1, 100*time.Millisecond
 		},
 		func(w *fake.FrameFaults) { w.DropFraction, w.DuplicateFraction, w.Jitter = 0, 0, 0 })
-	p := f.procs[7]
+	p := f.members[7]
 	ordered := map[string]bool{}
 	starts := 0
 	for n := 0; load.Err() == nil; n++ {
-		p.end() // again and again, some 100 times a minute
+		p.kill() // again and again, some 100 times a minute
 		if err := p.start(); err != nil {
 			return err
 		}
 		starts++
-		box := f.boxes[rng.IntN(3)].Name()
+		box := f.backends[rng.IntN(3)].Name()
 		verb := "avoid"
 		if ordered[box] {
 			verb = "lift"
 		}
-		if err := f.order(verb, box, f.procs[rng.IntN(3)]); err == nil {
+		if err := f.runOrder(verb, box, f.members[rng.IntN(3)]); err == nil {
 			ordered[box] = !ordered[box]
-		} else if s, err := f.copies(f.procs[0]); err == nil { // the answer was lost: what is so?
+		} else if s, err := f.sharedState(f.members[0]); err == nil { // the answer was lost: what is so?
 			for _, x := range s.Entries {
 				if x.Key == "order/farm/"+box {
 					ordered[box] = len(x.Values) > 0
@@ -711,8 +711,8 @@
 	if err := h.converge(ctx, "converged"); err != nil {
 		return err
 	}
-	h.diverged(ctx, since)
-	got := f.all(f.procs)
+	h.measureDivergence(ctx, since)
+	got := f.sharedStates(f.members)
 	incs := map[uint64]bool{}
 	differ := 0
 	for _, s := range got {
@@ -726,10 +726,10 @@
 	e.Measure("starts", float64(starts))
 	e.AtMost("contents_of_one_version", float64(differ), 0)
 	if len(incs) > 1 {
-		e.Broken("entries of %d incarnations of %s are held", len(incs), p.name)
+		e.Fail("entries of %d incarnations of %s are held", len(incs), p.name)
 	}
-	h.judge()
-	f.stop()
+	h.measure()
+	f.drainAll()
 	return nil
 }
 
@@ -742,9 +742,9 @@
 			names = append(names, fmt.Sprintf("farm/box-%d", i+1))
 		}
 		f, err := e.startFleet(ctx, fleetConfig{
-			processes: 12, voters: 3, nboxes: 9, copies: usualCopies, ledger: ledger, dealt: true,
-			box: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
-			lies: func(i int) string {
+			processes: 12, voters: 3, backends: 9, sharedState: defaultSharedState, recorder: ledger, subsets: true,
+			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+			falseReports: func(i int) string {
 				if i >= 12-liars {
 					return strings.Join(names, ",")
 				}
@@ -754,29 +754,29 @@
 		if err != nil {
 			return err
 		}
-		if err := newHistorian(f).converge(ctx, fmt.Sprintf("started_%d", liars)); err != nil {
+		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", liars)); err != nil {
 			return err
 		}
 		e.Phase(fmt.Sprintf("%d liars", liars), e.Duration/3)
 		load, cancel := context.WithTimeout(ctx, e.Duration/3)
-		crowd := f.crowds(load, fmt.Sprintf("l%d", liars), 15, ledger)
+		crowd := f.runClients(load, fmt.Sprintf("l%d", liars), 15, ledger)
 		cancel()
 		served[liars] = crowd.ServedFraction()
 		hinted := 0
-		for _, s := range f.all(f.procs) {
+		for _, s := range f.sharedStates(f.members) {
 			hinted += s.Hinted
 		}
 		e.Measure(fmt.Sprintf("hints_%d", liars), float64(hinted))
 		e.Measure(fmt.Sprintf("served_%d", liars), crowd.ServedFraction())
-		f.stop()
+		f.drainAll()
 		if liars == 1 && hinted > 0 {
-			e.Broken("one liar is believed: %d hints", hinted)
+			e.Fail("one liar is believed: %d hints", hinted)
 		}
 		if liars == 2 && hinted == 0 {
-			e.Broken("nobody was lied to: nothing was shown")
+			e.Fail("nobody was lied to: nothing was shown")
 		}
 	}
-	e.once(ledger, "")
+	e.checkAnsweredOnce(ledger, "")
 	e.AtMost("lost_to_one_liar", served[0]-served[1], 0.02)
 	e.AtMost("lost_to_two_liars", served[0]-served[2], 0.1)
 	return nil
@@ -785,15 +785,15 @@
 func replicaStorm(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 43))
 	ledger := fake.NewEffectRecorder()
-	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, nboxes: 6, copies: usualCopies, ledger: ledger})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: ledger})
 	if err != nil {
 		return err
 	}
-	h := newHistorian(f)
+	h := newVersionObserver(f)
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
-	faults, err := e.faults(drawFaults(rng, []string{"kill", "stop", "cut", "oneway", "loss", "storm", "split", "truncate", "leave"}, int(e.Duration/(700*time.Millisecond)), 20, e.Duration))
+	faults, err := e.chooseFaults(drawFaults(rng, []string{"kill", "stop", "cut", "oneway", "loss", "storm", "split", "truncate", "leave"}, int(e.Duration/(700*time.Millisecond)), 20, e.Duration))
 	if err != nil {
 		return err
 	}
@@ -801,31 +801,31 @@
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	followed := h.follow(load)
-	f.boxes[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 0.5})
-	f.play(ctx, faults)
-	f.boxes[0].SetFault(fake.Fault{})
+	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 0.5})
+	f.injectFaults(ctx, faults)
+	f.backends[0].SetFault(fake.Fault{})
 	cancel()
 	<-followed
-	if err := f.mendAll(ctx); err != nil {
+	if err := f.repairAll(ctx); err != nil {
 		return err
 	}
 	since := time.Now()
 	if err := h.converge(ctx, "converged"); err != nil {
 		return err
 	}
-	h.diverged(ctx, since)
-	e.Phase("ten return at one moment", settleTime)
-	for _, p := range f.procs[10:] {
-		p.end()
+	h.measureDivergence(ctx, since)
+	e.Phase("ten return at one moment", convergenceTimeout)
+	for _, p := range f.members[10:] {
+		p.kill()
 	}
 	at := time.Now()
-	for _, p := range f.procs[10:] {
+	for _, p := range f.members[10:] {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	if err := f.await(ctx, 20*time.Second, "all ten have caught up", func() bool {
-		got := f.all(f.procs[10:])
+	if err := f.awaitCondition(ctx, 20*time.Second, "all ten have caught up", func() bool {
+		got := f.sharedStates(f.members[10:])
 		n := 0
 		for _, s := range got {
 			if s.InStepMs >= 0 {
@@ -840,7 +840,7 @@
 	if err := h.converge(ctx, "converged_again"); err != nil {
 		return err
 	}
-	h.judge()
-	f.stop()
+	h.measure()
+	f.drainAll()
 	return nil
 }
--- a/internal/e2e/site.go
+++ b/internal/e2e/site.go
@@ -22,7 +22,7 @@
 		Name: "allocation-check", Idempotency: fake.Idempotent, Weight: 1, PriorityWeight: 1,
 		LatencyObjective: 150 * time.Millisecond, Deadline: 600 * time.Millisecond,
 	}
-	effects = map[string]fake.Idempotency{
+	idempotencyByClass = map[string]fake.Idempotency{
 		deliveryOrder.Name: fake.IdempotentByKey, meterBooking.Name: fake.NonIdempotent, allocationCheck.Name: fake.Idempotent,
 	}
 )
@@ -52,14 +52,14 @@
 	return b.String()
 }
 
-// boxes starts n boxes whose names begin with pool, and which drop repeats together.
-func (e *Env) boxes(pool string, n int, l *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
+// startBackends starts n boxes whose names begin with pool, and which drop repeats together.
+func (e *Env) startBackends(pool string, n int, l *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
 	var all []*fake.Backend
 	repeats := fake.NewDeduplicator(time.Minute)
 	for i := range n {
 		cfg := fake.BackendConfig{
 			Name: fmt.Sprintf("%s-%d", pool, i+1), Cores: 4, QueueLimit: 40, ServiceTime: 12 * time.Millisecond,
-			Idempotency: effects, Deduplicator: repeats, Seed: e.Seed<<8 + uint64(i), Recorder: l,
+			Idempotency: idempotencyByClass, Deduplicator: repeats, Seed: e.Seed<<8 + uint64(i), Recorder: l,
 		}
 		if change != nil {
 			change(&cfg)
@@ -74,16 +74,16 @@
 	return all, nil
 }
 
-// discovery starts a discovery that lists the boxes.
-func (e *Env) discovery(l *fake.EffectRecorder, boxes []*fake.Backend) (*fake.Discovery, error) {
-	d, err := fake.StartDiscovery(l, entries(boxes)...)
+// startDiscovery starts a discovery that lists the boxes.
+func (e *Env) startDiscovery(l *fake.EffectRecorder, boxes []*fake.Backend) (*fake.Discovery, error) {
+	d, err := fake.StartDiscovery(l, endpoints(boxes)...)
 	if err == nil {
 		e.Defer(d.Close)
 	}
 	return d, err
 }
 
-func entries(boxes []*fake.Backend) []fake.Endpoint {
+func endpoints(boxes []*fake.Backend) []fake.Endpoint {
 	var all []fake.Endpoint
 	for _, b := range boxes {
 		all = append(all, b.Endpoint())
@@ -91,12 +91,12 @@
 	return all
 }
 
-// crowd notes what became of a crowd of clients.
-func (e *Env) crowd(prefix string, c *fake.ClientResults) {
+// measureResults notes what became of a crowd of clients.
+func (e *Env) measureResults(prefix string, c *fake.ClientResults) {
 	e.Measure(prefix+"operations", float64(c.Operations()))
 	for _, o := range []fake.Outcome{fake.OutcomeLate, fake.OutcomeRejected, fake.OutcomeFailed} {
 		e.Measure(prefix+o.String(), float64(c.Outcomes[o]))
 	}
-	e.Measure(prefix+"p50_ms", ms(c.Percentile(0.5)))
-	e.Measure(prefix+"p99_ms", ms(c.Percentile(0.99)))
+	e.Measure(prefix+"p50_ms", milliseconds(c.Percentile(0.5)))
+	e.Measure(prefix+"p99_ms", milliseconds(c.Percentile(0.99)))
 }
--- a/internal/e2e/tiercost.go
+++ b/internal/e2e/tiercost.go
@@ -12,21 +12,21 @@
 
 func init() {
 	Register(Scenario{
-		Name: "tier-cost", Duration: 48 * time.Second, Run: tierCost,
+		Name: "tier-cost", Duration: 48 * time.Second, Run: fleetCost,
 		Summary: "processor time a request of a process that leads a fleet of three and shares state with it, at the usual times, and of one alone, in turn at two rates: what it costs by request, and what by time",
 	})
 }
 
-// tierRounds is how often the two are measured in turn, at each of the rates.
-const tierRounds = 6
+// fleetCostRounds is how often the two are measured in turn, at each of the rates.
+const fleetCostRounds = 6
 
-// tierRates are requests a second. What knowing a fleet costs by the time, heartbeats and renewals, is the same at each; the rest is by request.
-var tierRates = []float64{500, 2500}
+// fleetCostRates are requests a second. What knowing a fleet costs by the time, heartbeats and renewals, is the same at each; the rest is by request.
+var fleetCostRates = []float64{500, 2500}
 
-// tierCost compares a process that leads a fleet's council and holds its task's lease, a slot a second, and shares state, with one that knows no others.
-func tierCost(ctx context.Context, e *Env) error {
+// fleetCost compares a process that leads a fleet's council and holds its task's lease, a slot a second, and shares state, with one that knows no others.
+func fleetCost(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{
-		processes: 3, voters: 3, term: 3 * time.Second, tick: 100 * time.Millisecond, copies: "witnesses = 2\n", tasks: taskTOML("sweep", "/delivery-order/sweep", "1s", ""),
+		processes: 3, voters: 3, ttl: 3 * time.Second, tick: 100 * time.Millisecond, sharedState: "witnesses = 2\n", tasks: taskTOML("sweep", "/delivery-order/sweep", "1s", ""),
 	})
 	if err != nil {
 		return err
@@ -35,13 +35,13 @@
 		return err
 	}
 	ledger := fake.NewEffectRecorder()
-	text, _, _ := strings.Cut(f.procs[0].text(), "[tier]") // the same pool, and no fleet
-	alone, err := e.StartAs(ctx, "alone", text, 1)
+	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool, and no fleet
+	alone, err := e.StartNamed(ctx, "alone", text, 1)
 	if err != nil {
 		return err
 	}
-	leader := f.procs[f.leader()].prog
-	part := e.Duration / time.Duration(2*tierRounds*len(tierRates))
+	leader := f.members[f.consensusLeader()].program
+	part := e.Duration / time.Duration(2*fleetCostRounds*len(fleetCostRates))
 	crowds := 0
 	// used is the processor time a second, and the requests a second, under a load.
 	used := func(p *Program, rate float64) (cores, requests float64, err error) {
@@ -63,13 +63,13 @@
 		length := time.Since(began).Seconds()
 		return (after - before).Seconds() / length, float64(crowd.Operations()) / length, nil
 	}
-	ratios := make([][]float64, len(tierRates))
+	ratios := make([][]float64, len(fleetCostRates))
 	var slopes, byTime []float64
-	for n := range tierRounds {
-		e.Phase(fmt.Sprintf("round %d of %d", n+1, tierRounds), 2*part*time.Duration(len(tierRates)))
+	for n := range fleetCostRounds {
+		e.Phase(fmt.Sprintf("round %d of %d", n+1, fleetCostRounds), 2*part*time.Duration(len(fleetCostRates)))
 		type point struct{ cores, requests float64 }
 		points := map[*Program][]point{}
-		for i, rate := range tierRates {
+		for i, rate := range fleetCostRates {
 			pair := []*Program{leader, alone}
 			if (n+i)%2 == 1 {
 				slices.Reverse(pair)
@@ -84,7 +84,7 @@
 			a, b := points[leader][i], points[alone][i]
 			ratios[i] = append(ratios[i], a.cores/a.requests/(b.cores/b.requests))
 		}
-		last := len(tierRates) - 1
+		last := len(fleetCostRates) - 1
 		slope := func(p *Program) float64 {
 			return (points[p][last].cores - points[p][0].cores) / (points[p][last].requests - points[p][0].requests)
 		}
@@ -97,7 +97,7 @@
 		e.Measure(name, (all[(len(all)-1)/2]+all[len(all)/2])/2)
 		e.Measure(name+"_most", all[len(all)-1])
 	}
-	for i, rate := range tierRates {
+	for i, rate := range fleetCostRates {
 		told(fmt.Sprintf("ratio_at_%.0f", rate), ratios[i])
 	}
 	told("ratio_by_request", slopes)
@@ -125,6 +125,6 @@
 		return err
 	}
 	e.Measure("memory_alone_mb", memory)
-	f.stop()
+	f.drainAll()
 	return nil
 }
--- a/internal/e2e/zone.go
+++ b/internal/e2e/zone.go
@@ -28,11 +28,11 @@
 		Summary: "a zone is lost with the process that decides in it; the next is stopped in the middle of the return, half are deaf for an epoch, one comes back late",
 	})
 	Register(Scenario{
-		Name: "zone-grey", Duration: 48 * time.Second, Run: zoneGrey,
+		Name: "zone-grey", Duration: 48 * time.Second, Run: zoneGray,
 		Summary: "a zone that fails by half (slow by ten, one in eight answers an error, lost or late), used by each process as it sees fit, and left by order: what leaving it is worth",
 	})
 	Register(Scenario{
-		Name: "zone-grey-auto", Duration: 48 * time.Second, Run: zoneGreyAuto,
+		Name: "zone-grey-auto", Duration: 48 * time.Second, Run: zoneGrayAuto,
 		Summary: "the same kinds of failing by half, found and left by the fleet itself, and used by each process as it sees fit, on the same seed",
 	})
 	Register(Scenario{
@@ -52,62 +52,62 @@
 	})
 }
 
-var labZones = []string{"a", "b", "c"}
+var zoneNames = []string{"a", "b", "c"}
 
 const (
-	zoneBoxes     = 9
+	zoneBackends  = 9
 	zoneProcesses = 12
-	zoneStep      = "[tier.zones]\nautomatic = \"on\"\nstep = \"1s\"\nhold = \"1s\"\n"
+	zoneSettings  = "[tier.zones]\nautomatic = \"on\"\nstep = \"1s\"\nhold = \"1s\"\n"
 )
 
-// zoneFleet starts twelve processes in three zones, with three boxes in each, which are cold at their start.
-func (e *Env) zoneFleet(ctx context.Context, ledger *fake.EffectRecorder, zones bool, voters int) (*fleet, error) {
-	return e.zoneFleetOf(ctx, ledger, zones, zoneProcesses, voters, "", usualBox)
+// startZoneFleet starts twelve processes in three zones, with three boxes in each, which are cold at their start.
+func (e *Env) startZoneFleet(ctx context.Context, ledger *fake.EffectRecorder, zones bool, voters int) (*fleet, error) {
+	return e.startZoneFleetOf(ctx, ledger, zones, zoneProcesses, voters, "", configureZoneBackend)
 }
 
-func usualBox(b *fake.BackendConfig) {
+func configureZoneBackend(b *fake.BackendConfig) {
 	b.ServiceTime, b.Cores, b.QueueLimit = 40*time.Millisecond, 2, 200
 }
 
-// zoneFleetMore is the usual one with further keys of [tier.zones], or of processes each for itself.
-func (e *Env) zoneFleetMore(ctx context.Context, ledger *fake.EffectRecorder, zones bool, more string) (*fleet, error) {
-	return e.zoneFleetKeys(ctx, ledger, zones, zoneProcesses, 3, "", more, usualBox)
+// startZoneFleetWith is the usual one with further keys of [tier.zones], or of processes each for itself.
+func (e *Env) startZoneFleetWith(ctx context.Context, ledger *fake.EffectRecorder, zones bool, more string) (*fleet, error) {
+	return e.startZoneFleetWithKeys(ctx, ledger, zones, zoneProcesses, 3, "", more, configureZoneBackend)
 }
 
-func (e *Env) zoneFleetOf(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool string, box func(*fake.BackendConfig)) (*fleet, error) {
-	return e.zoneFleetKeys(ctx, ledger, zones, processes, voters, pool, "", box)
+func (e *Env) startZoneFleetOf(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool string, box func(*fake.BackendConfig)) (*fleet, error) {
+	return e.startZoneFleetWithKeys(ctx, ledger, zones, processes, voters, pool, "", box)
 }
 
-func (e *Env) zoneFleetKeys(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool, more string, box func(*fake.BackendConfig)) (*fleet, error) {
+func (e *Env) startZoneFleetWithKeys(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool, more string, box func(*fake.BackendConfig)) (*fleet, error) {
 	n := 0
 	cfg := fleetConfig{
-		processes: processes, voters: voters, nboxes: zoneBoxes, ledger: ledger, dealt: true, copies: usualCopies, pool: pool, plain: pool != "",
-		zone: func(i int) string { return labZones[i%3] },
-		box: func(b *fake.BackendConfig) {
-			b.Zone = labZones[n%3]
+		processes: processes, voters: voters, backends: zoneBackends, recorder: ledger, subsets: true, sharedState: defaultSharedState, poolSections: pool, ordinaryHTTP: pool != "",
+		zone: func(i int) string { return zoneNames[i%3] },
+		configureBackend: func(b *fake.BackendConfig) {
+			b.Zone = zoneNames[n%3]
 			box(b)
 			n++
 		},
 	}
 	if zones {
-		cfg.copies += zoneStep + more
+		cfg.sharedState += zoneSettings + more
 	} else {
-		cfg.copies = "" // each for itself
+		cfg.sharedState = "" // each for itself
 	}
 	f, err := e.startFleet(ctx, cfg)
 	if err != nil {
 		return nil, err
 	}
 	if !zones {
-		for _, p := range f.procs {
-			if err := p.ready(ctx); err != nil {
+		for _, p := range f.members {
+			if err := p.awaitReady(ctx); err != nil {
 				return nil, err
 			}
 		}
 		return f, nil
 	}
-	return f, f.await(ctx, 20*time.Second, "all are there to each other", func() bool {
-		got := f.all(f.procs)
+	return f, f.awaitCondition(ctx, 20*time.Second, "all are there to each other", func() bool {
+		got := f.sharedStates(f.members)
 		for _, s := range got {
 			for _, state := range s.Members {
 				if state != "alive" {
@@ -115,13 +115,13 @@
 				}
 			}
 		}
-		return len(got) == len(f.procs)
+		return len(got) == len(f.members)
 	})
 }
 
-// inZone are the boxes of a zone.
-func (f *fleet) inZone(zone string) (all []*fake.Backend) {
-	for _, b := range f.boxes {
+// backendsIn are the boxes of a zone.
+func (f *fleet) backendsIn(zone string) (all []*fake.Backend) {
+	for _, b := range f.backends {
 		if b.Zone() == zone {
 			all = append(all, b)
 		}
@@ -129,15 +129,15 @@
 	return all
 }
 
-// followed is when each process has carried out that so many servers are avoided, after a moment; one that has not is left out.
-func (f *fleet) followed(avoided int, after time.Time) (at []time.Time) {
-	for _, p := range f.procs {
-		for _, line := range p.prog.Lines() {
-			if Field(line, "msg") != "exclusions applied" || !stamp(line).After(after) {
+// exclusionTimes is when each process has carried out that so many servers are avoided, after a moment; one that has not is left out.
+func (f *fleet) exclusionTimes(avoided int, after time.Time) (at []time.Time) {
+	for _, p := range f.members {
+		for _, line := range p.program.LogLines() {
+			if LogField(line, "msg") != "exclusions applied" || !logTime(line).After(after) {
 				continue
 			}
-			if n := len(strings.Fields(strings.Trim(Field(line, "avoided"), "[]"))); n == avoided {
-				at = append(at, stamp(line))
+			if n := len(strings.Fields(strings.Trim(LogField(line, "avoided"), "[]"))); n == avoided {
+				at = append(at, logTime(line))
 				break
 			}
 		}
@@ -146,10 +146,10 @@
 	return at
 }
 
-// wronglyLeft is how many processes have ever avoided anything.
-func (f *fleet) wronglyLeft() (n int) {
-	for _, p := range f.procs {
-		if p.prog.Count("zone shift decided") > 0 {
+// shiftDeciders is how many processes have ever avoided anything.
+func (f *fleet) shiftDeciders() (n int) {
+	for _, p := range f.members {
+		if p.program.CountLog("zone shift decided") > 0 {
 			n++
 		}
 	}
@@ -158,25 +158,25 @@
 
 // outage is a zone that is lost and comes back, and when.
 type outage struct {
-	lost, back time.Time
-	over       chan struct{} // closed once the load has ended
+	lost, restored time.Time
+	done           chan struct{} // closed once the load has ended
 }
 
 // loseZone has a zone's boxes vanish after a while, and come back cold after another, under a load that ends with ctx.
 func (f *fleet) loseZone(ctx context.Context, zone string, after, length time.Duration) *outage {
-	o := &outage{over: make(chan struct{})}
+	o := &outage{done: make(chan struct{})}
 	go func() {
-		defer close(o.over)
+		defer close(o.done)
 		pause(ctx, after)
-		f.note("zone %s is lost", zone)
+		f.logEvent("zone %s is lost", zone)
 		o.lost = time.Now()
-		for _, b := range f.inZone(zone) {
+		for _, b := range f.backendsIn(zone) {
 			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		pause(ctx, length)
-		f.note("zone %s is back, cold", zone)
-		o.back = time.Now()
-		for _, b := range f.inZone(zone) {
+		f.logEvent("zone %s is back, cold", zone)
+		o.restored = time.Now()
+		for _, b := range f.backendsIn(zone) {
 			b.RestartSlowStart()
 			b.SetFault(fake.Fault{})
 		}
@@ -193,7 +193,7 @@
 	results := map[bool]outcome{}
 	for _, together := range []bool{false, true} {
 		ledger := fake.NewEffectRecorder()
-		f, err := e.zoneFleet(ctx, ledger, together, 3)
+		f, err := e.startZoneFleet(ctx, ledger, together, 3)
 		if err != nil {
 			return err
 		}
@@ -205,37 +205,37 @@
 		e.Phase("a zone is lost, and returns cold, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length)
 		gone := f.loseZone(load, "b", 2*time.Second, 5*time.Second)
-		crowd := f.crowds(load, name, 9, ledger)
+		crowd := f.runClients(load, name, 9, ledger)
 		cancel()
-		<-gone.over
+		<-gone.done
 		sent := int64(0)
-		for _, b := range f.boxes {
+		for _, b := range f.backends {
 			sent += b.LostRequests()
 		}
 		results[together] = outcome{sent, crowd.ServedFraction()}
-		e.crowd(name+"_", crowd)
+		e.measureResults(name+"_", crowd)
 		if together {
-			left := f.followed(3, gone.lost)
-			if len(left) < len(f.procs) {
-				e.Broken("%d of %d processes have left the zone", len(left), len(f.procs))
+			left := f.exclusionTimes(3, gone.lost)
+			if len(left) < len(f.members) {
+				e.Fail("%d of %d processes have left the zone", len(left), len(f.members))
 			}
 			if len(left) > 0 {
 				e.AtMost("left_s", left[len(left)-1].Sub(gone.lost).Seconds(), 4)
 				e.AtMost("apart_s", left[len(left)-1].Sub(left[0]).Seconds(), 1)
 			}
-			if err := f.await(ctx, 20*time.Second, "all use the zone again", func() bool { return len(f.followed(0, gone.back)) == len(f.procs) }); err != nil {
+			if err := f.awaitCondition(ctx, 20*time.Second, "all use the zone again", func() bool { return len(f.exclusionTimes(0, gone.restored)) == len(f.members) }); err != nil {
 				return err
 			}
-			all := f.followed(0, gone.back)
-			e.Measure("returned_s", all[len(all)-1].Sub(gone.back).Seconds())
+			all := f.exclusionTimes(0, gone.restored)
+			e.Measure("returned_s", all[len(all)-1].Sub(gone.restored).Seconds())
 			decided := 0
-			for _, p := range f.procs {
-				decided += p.prog.Count("zone shift decided")
+			for _, p := range f.members {
+				decided += p.program.CountLog("zone shift decided")
 			}
 			e.Measure("epochs", float64(decided))
 		}
-		f.stop()
-		e.once(ledger, name+"_")
+		f.drainAll()
+		e.checkAnsweredOnce(ledger, name+"_")
 	}
 	e.Measure("dead_sends_alone", float64(results[false].lost))
 	e.Measure("dead_sends", float64(results[true].lost))
@@ -251,7 +251,7 @@
 	served := map[bool]float64{}
 	for _, together := range []bool{false, true} {
 		ledger := fake.NewEffectRecorder()
-		f, err := e.zoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BackendConfig) {
+		f, err := e.startZoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BackendConfig) {
 			b.ServiceTime, b.Cores, b.QueueLimit = 20*time.Millisecond, 2, 200
 			b.SlowStartMinCapacity, b.SlowStart, b.CrashDuration, b.LoadReporting = 0.1, ramp, 1500*time.Millisecond, fake.ReportNone
 		})
@@ -266,16 +266,16 @@
 		e.Phase("a zone is lost, and its boxes fall when they get too much while cold, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length)
 		gone := f.loseZone(load, "b", 2*time.Second, 4*time.Second)
-		crowd := f.crowds(load, name, 18, ledger)
+		crowd := f.runClients(load, name, 18, ledger)
 		cancel()
-		<-gone.over
+		<-gone.done
 		falls, most, lost, used := int64(0), 0.0, int64(0), int64(0)
-		for _, b := range f.boxes {
+		for _, b := range f.backends {
 			n, hot := b.Crashes()
 			falls, most = falls+n, max(most, hot)
 			lost += b.LostRequests()
 		}
-		for _, b := range f.inZone("b") {
+		for _, b := range f.backendsIn("b") {
 			used += b.Served()
 		}
 		e.Measure(name+"_dead_sends", float64(lost))
@@ -283,18 +283,18 @@
 		e.Measure(name+"_served_by_zone", float64(used))
 		e.Measure(name+"_cold_overload", float64(falls))
 		served[together] = crowd.ServedFraction()
-		e.crowd(name+"_", crowd)
+		e.measureResults(name+"_", crowd)
 		if together {
 			e.AtMost("cold_overload", float64(falls), 0)
-			all := f.followed(0, gone.back)
-			if len(all) < len(f.procs) {
-				e.Broken("%d of %d processes use the zone again", len(all), len(f.procs))
+			all := f.exclusionTimes(0, gone.restored)
+			if len(all) < len(f.members) {
+				e.Fail("%d of %d processes use the zone again", len(all), len(f.members))
 			} else {
-				e.Measure("returned_s", all[len(all)-1].Sub(gone.back).Seconds())
+				e.Measure("returned_s", all[len(all)-1].Sub(gone.restored).Seconds())
 			}
 		}
-		f.stop()
-		e.once(ledger, name+"_")
+		f.drainAll()
+		e.checkAnsweredOnce(ledger, name+"_")
 	}
 	e.Measure("served_alone", served[false])
 	e.AtLeast("served", served[true], served[false]-0.002)
@@ -303,14 +303,14 @@
 
 func zoneTorn(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
-	f, err := e.zoneFleet(ctx, ledger, true, 3)
+	f, err := e.startZoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
+	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
 	dead := func(boxes ...*fake.Backend) (mend func()) {
 		for _, b := range boxes {
@@ -323,169 +323,169 @@
 		}
 	}
 	e.Phase("one of a zone's three servers", part)
-	mend := dead(f.inZone("b")[0])
+	mend := dead(f.backendsIn("b")[0])
 	pause(ctx, part)
 	mend()
 	e.Phase("a server of each zone, as a bad release", part)
-	mend = dead(f.inZone("a")[0], f.inZone("b")[0], f.inZone("c")[0])
+	mend = dead(f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0])
 	pause(ctx, part)
 	mend()
 	e.Phase("members that are cut off", part)
-	mend = f.each(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	mend = f.configureProxies(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	pause(ctx, part)
 	mend()
 	e.Phase("errors of one in eight", part)
-	for _, b := range f.inZone("c") {
+	for _, b := range f.backendsIn("c") {
 		b.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 0.125})
 	}
 	pause(ctx, part)
 	cancel()
 	c := <-crowd
-	e.AtMost("wrongly_left", float64(f.wronglyLeft()), 0)
-	e.crowd("", c)
+	e.AtMost("wrongly_left", float64(f.shiftDeciders()), 0)
+	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
-	f.stop()
-	e.once(ledger, "")
+	f.drainAll()
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
 func zoneBlind(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
-	f, err := e.zoneFleet(ctx, ledger, true, 3)
+	f, err := e.startZoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
+	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
 	part := e.Duration / 4
 	e.Phase("no majority, and a zone goes", part)
-	f.note("two of three of the council are killed, and zone b is lost")
-	f.procs[1].end()
-	f.procs[2].end()
+	f.logEvent("two of three of the council are killed, and zone b is lost")
+	f.members[1].kill()
+	f.members[2].kill()
 	at := time.Now()
-	for _, b := range f.inZone("b") {
+	for _, b := range f.backendsIn("b") {
 		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	}
 	pause(ctx, part)
-	if n := len(f.followed(3, at)); n > 0 {
-		e.Broken("%d processes have left the zone, though nobody could decide it", n)
+	if n := len(f.exclusionTimes(3, at)); n > 0 {
+		e.Fail("%d processes have left the zone, though nobody could decide it", n)
 	}
 	e.Phase("the majority is back", part)
-	for _, p := range f.procs[1:3] {
+	for _, p := range f.members[1:3] {
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
 	back := time.Now()
-	if err := f.await(ctx, 20*time.Second, "all have left the zone", func() bool { return len(f.followed(3, at)) == len(f.procs) }); err != nil {
+	if err := f.awaitCondition(ctx, 20*time.Second, "all have left the zone", func() bool { return len(f.exclusionTimes(3, at)) == len(f.members) }); err != nil {
 		return err
 	}
 	e.Measure("left_once_decided_s", time.Since(back).Seconds())
 	e.Phase("an operator's word against an automatic return", part)
-	if out, err := f.cli("tier", "zone", "leave", "farm", "b", f.procs[0].addr, "--secret", f.secret); err != nil {
+	if out, err := f.runCommand("tier", "zone", "leave", "farm", "b", f.members[0].addr, "--secret", f.secret); err != nil {
 		return fmt.Errorf("zone leave: %w: %s", err, out)
 	}
-	for _, b := range f.inZone("b") {
+	for _, b := range f.backendsIn("b") {
 		b.SetFault(fake.Fault{})
 	}
 	pinned := time.Now()
 	pause(ctx, part)
-	if n := len(f.followed(0, pinned)); n > 0 {
-		e.Broken("%d processes use the zone against an operator's word", n)
+	if n := len(f.exclusionTimes(0, pinned)); n > 0 {
+		e.Fail("%d processes use the zone against an operator's word", n)
 	}
-	if out, err := f.cli("tier", "zone", "return", "farm", "b", f.procs[0].addr, "--secret", f.secret); err == nil {
-		e.Broken("a return in one step was not refused: %s", out)
+	if out, err := f.runCommand("tier", "zone", "return", "farm", "b", f.members[0].addr, "--secret", f.secret); err == nil {
+		e.Fail("a return in one step was not refused: %s", out)
 	}
-	if out, err := f.cli("tier", "zone", "leave", "farm", "nowhere", f.procs[0].addr, "--secret", f.secret); err == nil {
-		e.Broken("an unknown zone was left: %s", out)
+	if out, err := f.runCommand("tier", "zone", "leave", "farm", "nowhere", f.members[0].addr, "--secret", f.secret); err == nil {
+		e.Fail("an unknown zone was left: %s", out)
 	}
-	if out, err := f.cli("tier", "zone", "auto", "farm", "b", f.procs[0].addr, "--secret", f.secret); err != nil {
+	if out, err := f.runCommand("tier", "zone", "auto", "farm", "b", f.members[0].addr, "--secret", f.secret); err != nil {
 		return fmt.Errorf("zone auto: %w: %s", err, out)
 	}
-	if err := f.await(ctx, 20*time.Second, "all use the zone again", func() bool { return len(f.followed(0, pinned)) == len(f.procs) }); err != nil {
+	if err := f.awaitCondition(ctx, 20*time.Second, "all use the zone again", func() bool { return len(f.exclusionTimes(0, pinned)) == len(f.members) }); err != nil {
 		return err
 	}
 	e.Measure("returned_s", time.Since(pinned).Seconds())
 	cancel()
 	c := <-crowd
-	e.crowd("", c)
-	f.stop()
-	e.once(ledger, "")
+	e.measureResults("", c)
+	f.drainAll()
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
 func zoneFlap(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
-	f, err := e.zoneFleet(ctx, ledger, true, 3)
+	f, err := e.startZoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.crowds(load, "farm", 6, ledger) }()
+	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
 	e.Phase("the zone goes and comes", e.Duration)
 	at := time.Now()
 	for pause(load, 1500*time.Millisecond) {
-		for _, b := range f.inZone("b") {
+		for _, b := range f.backendsIn("b") {
 			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		pause(load, 1500*time.Millisecond)
-		for _, b := range f.inZone("b") {
+		for _, b := range f.backendsIn("b") {
 			b.RestartSlowStart()
 			b.SetFault(fake.Fault{})
 		}
 	}
 	c := <-crowd
-	if n := len(f.followed(3, at)); n < len(f.procs) {
-		e.Broken("%d of %d processes have ever left the zone", n, len(f.procs))
+	if n := len(f.exclusionTimes(3, at)); n < len(f.members) {
+		e.Fail("%d of %d processes have ever left the zone", n, len(f.members))
 	}
 	decided := 0
-	for _, p := range f.procs {
-		decided += p.prog.Count("zone shift decided")
+	for _, p := range f.members {
+		decided += p.program.CountLog("zone shift decided")
 	}
 	// Leaving, and for each return two decisions at least; returns come after holds of 1, 2, 4, 8 s and more.
 	e.AtMost("epochs", float64(decided), 16)
 	sent := int64(0)
-	for _, b := range f.boxes {
+	for _, b := range f.backends {
 		sent += b.LostRequests()
 	}
 	e.Measure("dead_sends", float64(sent))
-	e.crowd("", c)
+	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
-	f.stop()
-	e.once(ledger, "")
+	f.drainAll()
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
-// epochs follows what processes have of what is decided of zones, and counts what goes back in one life of a process.
-type epochs struct {
-	one    sync.Mutex // one look is over before the next begins: else what one has seen earlier could be noted later
-	mu     sync.Mutex
-	newest map[string]uint64
-	back   int
-	looks  int
+// epochObserver follows what processes have of what is decided of zones, and counts what goes back in one life of a process.
+type epochObserver struct {
+	observing    sync.Mutex // one look is over before the next begins: else what one has seen earlier could be noted later
+	mu           sync.Mutex
+	newest       map[string]uint64
+	regressions  int
+	observations int
 }
 
-func (x *epochs) look(f *fleet, procs []*fleetProc) map[int]copiesState {
-	x.one.Lock()
-	defer x.one.Unlock()
+func (x *epochObserver) observe(f *fleet, procs []*fleetMember) map[int]sharedState {
+	x.observing.Lock()
+	defer x.observing.Unlock()
 	starts := map[int]int{}
 	for _, p := range procs {
 		p.mu.Lock()
-		starts[p.i] = p.starts
+		starts[p.index] = p.startCount
 		p.mu.Unlock()
 	}
-	got := f.all(procs)
+	got := f.sharedStates(procs)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.looks++
+	x.observations++
 	for i, s := range got {
-		p := f.procs[i]
+		p := f.members[i]
 		p.mu.Lock()
-		same := p.starts == starts[i]
+		same := p.startCount == starts[i]
 		p.mu.Unlock()
 		if !same {
 			continue
@@ -493,7 +493,7 @@
 		for _, z := range s.Zones {
 			id := fmt.Sprint(p.name, starts[i], z.Zone)
 			if z.Epoch < x.newest[id] {
-				x.back++
+				x.regressions++
 			}
 			x.newest[id] = max(x.newest[id], z.Epoch)
 		}
@@ -505,57 +505,57 @@
 func zoneDecider(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 51))
 	ledger := fake.NewEffectRecorder()
-	f, err := e.zoneFleet(ctx, ledger, true, 5)
+	f, err := e.startZoneFleet(ctx, ledger, true, 5)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
 	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.crowdsAt(load, f.procs[3:], "farm", 6, ledger) }()
-	x := &epochs{newest: map[string]uint64{}}
+	go func() { crowd <- f.runClientsAt(load, f.members[3:], "farm", 6, ledger) }()
+	x := &epochObserver{newest: map[string]uint64{}}
 	followed := make(chan struct{})
 	go func() {
 		defer close(followed)
 		for pause(load, 250*time.Millisecond) {
-			x.look(f, f.procs)
+			x.observe(f, f.members)
 		}
 	}()
-	if err := f.await(ctx, 15*time.Second, "somebody decides of zones", func() bool { return f.holder("zones") >= 0 }); err != nil {
+	if err := f.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", func() bool { return f.leaseHolder("zones") >= 0 }); err != nil {
 		return err
 	}
 	// decides has the lease go to a process that no client asks.
-	decides := func(to *fleetProc) error {
-		return f.await(ctx, 15*time.Second, to.name+" decides of zones", func() bool {
-			n := f.holder("zones")
-			if n < 0 || n == to.i {
-				return n == to.i
+	decides := func(to *fleetMember) error {
+		return f.awaitCondition(ctx, 15*time.Second, to.name+" decides of zones", func() bool {
+			n := f.leaseHolder("zones")
+			if n < 0 || n == to.index {
+				return n == to.index
 			}
-			out, err := f.cli("tier", "lease", "handover", "zones", to.name, f.procs[n].addr, "--secret", f.secret)
+			out, err := f.runCommand("tier", "lease", "handover", "zones", to.name, f.members[n].addr, "--secret", f.secret)
 			if err != nil {
-				f.note("handover: %v: %s", err, out)
+				f.logEvent("handover: %v: %s", err, out)
 			}
 			pause(ctx, 300*time.Millisecond)
-			return f.holder("zones") == to.i
+			return f.leaseHolder("zones") == to.index
 		})
 	}
-	decider, next := f.procs[1], f.procs[2]
+	decider, next := f.members[1], f.members[2]
 	if err := decides(decider); err != nil {
 		return err
 	}
-	zone := labZones[decider.i%3]
+	zone := zoneNames[decider.index%3]
 	pause(load, 2*time.Second)
 	e.Phase("the zone of the one who decides is lost with it", e.Duration/3)
 	lost := time.Now()
-	for _, b := range f.inZone(zone) {
+	for _, b := range f.backendsIn(zone) {
 		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	}
-	f.note("zone %s is lost, and %s is killed, which decides", zone, decider.name)
-	decider.end()
-	others := slices.DeleteFunc(slices.Clone(f.procs), func(p *fleetProc) bool { return p == decider })
+	f.logEvent("zone %s is lost, and %s is killed, which decides", zone, decider.name)
+	decider.kill()
+	others := slices.DeleteFunc(slices.Clone(f.members), func(p *fleetMember) bool { return p == decider })
 	left := func() bool {
 		n := 0
-		for _, s := range x.look(f, others) {
+		for _, s := range x.observe(f, others) {
 			for _, z := range s.Zones {
 				if z.Zone == zone && z.Epoch > 0 && z.Step == 0 {
 					n++
@@ -564,7 +564,7 @@
 		}
 		return n == len(others)
 	}
-	if err := f.await(ctx, 20*time.Second, "all others have left the zone", left); err != nil {
+	if err := f.awaitCondition(ctx, 20*time.Second, "all others have left the zone", left); err != nil {
 		return err
 	}
 	e.AtMost("left_s", time.Since(lost).Seconds(), 8) // a term, an election, and the evidence
@@ -572,14 +572,14 @@
 	if err := decider.start(); err != nil {
 		return err
 	}
-	f.note("zone %s is back, and %s", zone, decider.name)
+	f.logEvent("zone %s is back, and %s", zone, decider.name)
 	back := time.Now()
-	for _, b := range f.inZone(zone) {
+	for _, b := range f.backendsIn(zone) {
 		b.SetFault(fake.Fault{})
 	}
 	step := func(least int) func() bool {
 		return func() bool {
-			for _, s := range x.look(f, f.procs) {
+			for _, s := range x.observe(f, f.members) {
 				for _, z := range s.Zones {
 					if z.Zone == zone && z.Step >= least {
 						return true
@@ -589,29 +589,29 @@
 			return false
 		}
 	}
-	if err := f.await(ctx, 30*time.Second, "the return has begun", step(1)); err != nil {
+	if err := f.awaitCondition(ctx, 30*time.Second, "the return has begun", step(1)); err != nil {
 		return err
 	}
 	if err := decides(next); err != nil { // which takes the step for just begun
 		return err
 	}
 	half := map[int]bool{}
-	for _, i := range rng.Perm(len(f.procs))[:len(f.procs)/2] {
+	for _, i := range rng.Perm(len(f.members))[:len(f.members)/2] {
 		half[i] = i >= 5 // the council hears
 	}
-	f.note("%s is stopped, which decides; deaf: %v", next.name, half)
-	next.prog.Signal(syscall.SIGSTOP)
-	mend := f.each(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
-	if err := f.await(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
+	f.logEvent("%s is stopped, which decides; deaf: %v", next.name, half)
+	next.program.Signal(syscall.SIGSTOP)
+	mend := f.configureProxies(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	if err := f.awaitCondition(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
-	f.note("%s goes on with what it knew, and all hear again", next.name)
-	next.prog.Signal(syscall.SIGCONT)
+	f.logEvent("%s goes on with what it knew, and all hear again", next.name)
+	next.program.Signal(syscall.SIGCONT)
 	mend()
 	e.Phase("all meet again", e.Duration/3)
-	if err := f.await(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
-		got := x.look(f, f.procs)
+	if err := f.awaitCondition(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
+		got := x.observe(f, f.members)
 		all := map[uint64]bool{}
 		for _, s := range got {
 			for _, z := range s.Zones {
@@ -623,7 +623,7 @@
 				}
 			}
 		}
-		return len(got) == len(f.procs) && len(all) == 1
+		return len(got) == len(f.members) && len(all) == 1
 	}); err != nil {
 		return err
 	}
@@ -632,8 +632,8 @@
 	<-followed
 	c := <-crowd
 	x.mu.Lock()
-	e.AtMost("epochs_back", float64(x.back), 0)
-	e.Measure("looks", float64(x.looks))
+	e.AtMost("epochs_back", float64(x.regressions), 0)
+	e.Measure("looks", float64(x.observations))
 	x.mu.Unlock()
 	// Each decision bears a larger epoch, whoever made it.
 	type decision struct {
@@ -642,12 +642,12 @@
 		step  string
 	}
 	var all []decision
-	for _, p := range f.procs {
-		for _, prog := range append(slices.Clone(p.old), p.prog) {
-			for _, line := range prog.Lines() {
-				if Field(line, "msg") == "zone shift decided" {
-					n, _ := strconv.ParseUint(Field(line, "epoch"), 10, 64)
-					all = append(all, decision{n, stamp(line), Field(line, "step")})
+	for _, p := range f.members {
+		for _, prog := range append(slices.Clone(p.earlierPrograms), p.program) {
+			for _, line := range prog.LogLines() {
+				if LogField(line, "msg") == "zone shift decided" {
+					n, _ := strconv.ParseUint(LogField(line, "epoch"), 10, 64)
+					all = append(all, decision{n, logTime(line), LogField(line, "step")})
 				}
 			}
 		}
@@ -655,19 +655,19 @@
 	seen := map[uint64]bool{}
 	for _, d := range all {
 		if seen[d.epoch] {
-			e.Broken("epoch %d was decided twice", d.epoch)
+			e.Fail("epoch %d was decided twice", d.epoch)
 		}
 		seen[d.epoch] = true
 	}
 	e.Measure("epochs", float64(len(all)))
-	e.crowd("", c)
+	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
-	f.stop()
-	e.once(ledger, "")
+	f.drainAll()
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
-var greyKinds = []struct {
+var grayFailures = []struct {
 	name  string
 	fault fake.Fault
 }{
@@ -677,25 +677,25 @@
 	{"half", fake.Fault{Kind: fake.FaultError, Fraction: 0.5}},
 }
 
-// zoneGrey measures what it would be worth to leave a zone that fails by half: the same load on it as each process uses it, and with it left by an
+// zoneGray measures what it would be worth to leave a zone that fails by half: the same load on it as each process uses it, and with it left by an
 // operator's order.
-func zoneGrey(ctx context.Context, e *Env) error {
+func zoneGray(ctx context.Context, e *Env) error {
 	ledger := fake.NewEffectRecorder()
-	f, err := e.zoneFleet(ctx, ledger, true, 3)
+	f, err := e.startZoneFleet(ctx, ledger, true, 3)
 	if err != nil {
 		return err
 	}
 	zone := func(args ...string) error {
-		out, err := f.cli(append([]string{"tier", "zone"}, append(args, f.procs[0].addr, "--secret", f.secret)...)...)
+		out, err := f.runCommand(append([]string{"tier", "zone"}, append(args, f.members[0].addr, "--secret", f.secret)...)...)
 		if err != nil {
 			return fmt.Errorf("zone %v: %w: %s", args, err, out)
 		}
 		return nil
 	}
-	part := e.Duration / time.Duration(2*len(greyKinds)+2)
+	part := e.Duration / time.Duration(2*len(grayFailures)+2)
 	gain := 0.0
 	for _, load := range []float64{10, 20} { // some 0.3 and 0.6 of what all bear
-		for _, k := range greyKinds {
+		for _, k := range grayFailures {
 			served := map[bool]float64{}
 			for _, left := range []bool{false, true} {
 				at := time.Now()
@@ -703,20 +703,20 @@
 					if err := zone("leave", "farm", "b"); err != nil {
 						return err
 					}
-					if err := f.await(ctx, 10*time.Second, "all have left the zone", func() bool { return len(f.followed(3, at)) == len(f.procs) }); err != nil {
+					if err := f.awaitCondition(ctx, 10*time.Second, "all have left the zone", func() bool { return len(f.exclusionTimes(3, at)) == len(f.members) }); err != nil {
 						return err
 					}
 				}
 				name := fmt.Sprintf("%s_%.0f_%v", k.name, load, left)
 				e.Phase(name, part/2)
-				for _, b := range f.inZone("b") {
+				for _, b := range f.backendsIn("b") {
 					b.SetFault(k.fault)
 				}
 				run, cancel := context.WithTimeout(ctx, part/2)
-				crowd := f.crowds(run, name, load, ledger)
+				crowd := f.runClients(run, name, load, ledger)
 				cancel()
 				served[left] = crowd.ServedFraction()
-				for _, b := range f.inZone("b") {
+				for _, b := range f.backendsIn("b") {
 					b.SetFault(fake.Fault{})
 				}
 				if left {
@@ -724,7 +724,7 @@
 					if err := zone("return", "farm", "b", "--step", "4", "--force"); err != nil {
 						return err
 					}
-					if err := f.await(ctx, 10*time.Second, "all use the zone again", func() bool { return len(f.followed(0, back)) == len(f.procs) }); err != nil {
+					if err := f.awaitCondition(ctx, 10*time.Second, "all use the zone again", func() bool { return len(f.exclusionTimes(0, back)) == len(f.members) }); err != nil {
 						return err
 					}
 					if err := zone("auto", "farm", "b"); err != nil {
@@ -732,7 +732,7 @@
 					}
 				}
 				calm, cancel := context.WithTimeout(ctx, part/4) // what was learnt of it is forgotten, as far as it can be
-				f.crowds(calm, name+"calm", load, ledger)
+				f.runClients(calm, name+"calm", load, ledger)
 				cancel()
 			}
 			e.Measure(fmt.Sprintf("%s_%.0f_used", k.name, load), served[false])
@@ -741,52 +741,52 @@
 		}
 	}
 	e.Measure("most_gain", gain)
-	f.stop()
-	e.once(ledger, "")
+	f.drainAll()
+	e.checkAnsweredOnce(ledger, "")
 	return nil
 }
 
-// zoneGreyAuto has the fleet find out by itself which zone fails by half.
-func zoneGreyAuto(ctx context.Context, e *Env) error {
+// zoneGrayAuto has the fleet find out by itself which zone fails by half.
+func zoneGrayAuto(ctx context.Context, e *Env) error {
 	const load = 12 // some four requests a second at each zone, by each process
 	gain := 0.0
-	part := e.Duration / time.Duration(2*len(greyKinds))
-	for _, k := range greyKinds {
+	part := e.Duration / time.Duration(2*len(grayFailures))
+	for _, k := range grayFailures {
 		served := map[bool]float64{}
 		for _, auto := range []bool{false, true} {
 			ledger := fake.NewEffectRecorder()
-			f, err := e.zoneFleetMore(ctx, ledger, auto, "grey = true\n")
+			f, err := e.startZoneFleetWith(ctx, ledger, auto, "grey = true\n")
 			if err != nil {
 				return err
 			}
 			e.Phase(fmt.Sprintf("%s, by itself: %v", k.name, auto), part)
 			calm, cancel := context.WithTimeout(ctx, 5*time.Second) // what is usual
-			f.crowds(calm, k.name+"calm", load, ledger)
+			f.runClients(calm, k.name+"calm", load, ledger)
 			cancel()
 			at := time.Now()
-			for _, b := range f.inZone("b") {
+			for _, b := range f.backendsIn("b") {
 				b.SetFault(k.fault)
 			}
 			run, cancel := context.WithTimeout(ctx, 2*part)
-			crowd := f.crowds(run, k.name, load, ledger)
+			crowd := f.runClients(run, k.name, load, ledger)
 			cancel()
 			served[auto] = crowd.ServedFraction()
 			if auto {
-				left := f.followed(3, at)
+				left := f.exclusionTimes(3, at)
 				e.Measure(k.name+"_followed", float64(len(left)))
 				if len(left) > 0 {
 					e.Measure(k.name+"_left_s", left[len(left)-1].Sub(at).Seconds())
 				}
-				for _, p := range f.procs {
-					for _, line := range p.prog.Lines() {
-						if Field(line, "msg") == "zone shift decided" && Field(line, "zone") != "b" {
-							e.Broken("zone %s is decided, and zone b fails", Field(line, "zone"))
+				for _, p := range f.members {
+					for _, line := range p.program.LogLines() {
+						if LogField(line, "msg") == "zone shift decided" && LogField(line, "zone") != "b" {
+							e.Fail("zone %s is decided, and zone b fails", LogField(line, "zone"))
 						}
 					}
 				}
 			}
-			f.stop()
-			v := e.Rules(ledger)
+			f.drainAll()
+			v := e.CheckRules(ledger)
 			e.AtLeast(fmt.Sprintf("%s_%v_answered_once", k.name, auto), float64(v.Answered)/float64(max(1, v.Attempts)), 1)
 			e.AtMost(fmt.Sprintf("%s_%v_duplicates", k.name, auto), float64(v.DuplicateEffects), 0)
 		}
@@ -794,6 +794,6 @@
 		e.Measure(k.name+"_served", served[true])
 		gain += served[true] - served[false]
 	}
-	e.AtLeast("gain", gain/float64(len(greyKinds)), 0)
+	e.AtLeast("gain", gain/float64(len(grayFailures)), 0)
 	return nil
 }
