--- a/internal/e2e/bridge.go
+++ b/internal/e2e/bridge.go
@@ -29,13 +29,13 @@
 const (
 	// siteDelay is the delay of the link, one way.
 	siteDelay = 8 * time.Millisecond
-	// siteBackends is how many boxes a site has, and siteRate the operations a second of its clients: about 0.6 of what its
-	// boxes can do.
+	// siteBackends is how many backends a site has, and siteRate the operations a second of its clients: about 0.6 of what its
+	// backends can do.
 	siteBackends = 6
 	siteRate     = 300
 )
 
-// twoSites are two programs, each with boxes, discovery and a link to the other.
+// twoSites are two programs, each with backends, discovery and a link to the other.
 type twoSites struct {
 	recorder    *fake.EffectRecorder
 	names       [2]string
@@ -56,11 +56,11 @@
 }
 
 // siteTOML is the file of one site.
-func siteTOML(name, hopAt, disco, peer, peerAt string) string {
+func siteTOML(name, hopAt, discovery, peer, peerAt string) string {
 	classes := strings.ReplaceAll(classesTOML("farm"), "repeats_dropped_for", "repeats_dropped_at_both_sites = true\nrepeats_dropped_for")
 	to := fmt.Sprintf("[pools.farm.spill]\nto = %q\n", peer)
 	if peerAt == "" {
-		return fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\ndiscovery = %q\n%s", disco, classes)
+		return fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\ndiscovery = %q\n%s", discovery, classes)
 	}
 	return fmt.Sprintf(`[site]
 name = %q
@@ -83,7 +83,7 @@
 discovery = %q
 zone = %q
 %s
-%s`, name, peer, peerAt, hopAt, disco, name, to, classes)
+%s`, name, peer, peerAt, hopAt, discovery, name, to, classes)
 }
 
 // startSites starts two sites; without a gateway they know nothing of each other.
@@ -91,7 +91,7 @@
 	return startSitesOf(ctx, e, gateway, 12*time.Millisecond)
 }
 
-// startSitesOf does so with boxes of such a service time.
+// startSitesOf does so with backends of such a service time.
 func startSitesOf(ctx context.Context, e *Env, gateway bool, service time.Duration) (*twoSites, error) {
 	t := &twoSites{recorder: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
 	repeats := fake.NewDeduplicator(time.Minute) // of both sites together
@@ -187,15 +187,15 @@
 	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
 	e.AtMost(prefix+"amplification", float64(v.Arrivals)/float64(max(1, v.Operations)), 3)
 	crossed := 0
-	for i, boxes := range t.backends {
-		crossed += t.recorder.ArrivalsAt(backendNames(boxes), t.names[1-i])
+	for i, backends := range t.backends {
+		crossed += t.recorder.ArrivalsAt(backendNames(backends), t.names[1-i])
 	}
 	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Operations)))
 }
 
-func backendNames(boxes []*fake.Backend) map[string]bool {
+func backendNames(backends []*fake.Backend) map[string]bool {
 	names := map[string]bool{}
-	for _, b := range boxes {
+	for _, b := range backends {
 		names[b.Name()] = true
 	}
 	return names
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// gatewayCost has a site without boxes send all of its work across a link without delay, beside clients that ask the far site
+// gatewayCost has a site without backends send all of its work across a link without delay, beside clients that ask the far site
 // directly: the difference is what a crossing costs.
 func gatewayCost(ctx context.Context, e *Env) error {
 	t, err := startSitesOf(ctx, e, true, time.Millisecond)
@@ -303,8 +303,8 @@
 	return nil
 }
 
-// gatewayLoss plays a site that loses boxes, with the gateway and without it, and reckons what a policy that sees the true
-// state of both sites would reach: every operation that the boxes of both sites together could do.
+// gatewayLoss plays a site that loses backends, with the gateway and without it, and reckons what a policy that sees the true
+// state of both sites would reach: every operation that the backends of both sites together could do.
 func gatewayLoss(ctx context.Context, e *Env) error {
 	for _, part := range []float64{0.18, 0.5, 1} {
 		var served [2]float64
@@ -347,13 +347,13 @@
 		}
 		prefix := fmt.Sprintf("loss_%.0f_", 100*part)
 		e.Measure(prefix+"served_without_gateway", served[1])
-		// Both sites together keep at least half of their boxes, which is over what is asked: a policy that sees all serves all.
+		// Both sites together keep at least half of their backends, which is over what is asked: a policy that sees all serves all.
 		e.AtLeast(prefix+"served", served[0], 0.95)
 	}
 	return nil
 }
 
-// gatewayStall has a site without boxes send its work across while the link stands still: both ways, and one way.
+// gatewayStall has a site without backends send its work across while the link stands still: both ways, and one way.
 func gatewayStall(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
--- a/internal/e2e/carriage.go
+++ b/internal/e2e/carriage.go
@@ -54,19 +54,19 @@
 	})}
 	go server.Serve(ln)
 	e.Defer(func() { server.Close() })
-	relay, err := fake.StartProxy(ln.Addr().String())
+	proxy, err := fake.StartProxy(ln.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	e.Defer(relay.Close)
-	relay.SetDelay(linkDelay)
-	relay.SetRate(linkBytesPerSecond)
+	e.Defer(proxy.Close)
+	proxy.SetDelay(linkDelay)
+	proxy.SetRate(linkBytesPerSecond)
 	transport := &http.Transport{
 		Protocols: &protocols, MaxIdleConnsPerHost: 1000, DisableCompression: true,
 		HTTP2: &http.HTTP2Config{SendPingTimeout: 100 * time.Millisecond, PingTimeout: 100 * time.Millisecond},
 	}
 	e.Defer(transport.CloseIdleConnections)
-	return &linkProtocol{name: name, proxy: relay, client: &http.Client{Transport: transport}, base: "http://" + relay.Addr()}, nil
+	return &linkProtocol{name: name, proxy: proxy, client: &http.Client{Transport: transport}, base: "http://" + proxy.Addr()}, nil
 }
 
 // linkResults is what became of requests.
--- a/internal/e2e/clients.go
+++ b/internal/e2e/clients.go
@@ -32,8 +32,8 @@
 // abandoningClients plays two phases: the clients alone, and the same beside connections that say nothing. In both a connection
 // that only asks whether the program is there tells how long a client waits from its SYN to the first byte of an answer.
 func abandoningClients(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	p, _, _, err := e.startFarm(ctx, ledger, "[process]\ndescriptors = 384\n\n")
+	recorder := fake.NewEffectRecorder()
+	p, _, _, err := e.startFarm(ctx, recorder, "[process]\ndescriptors = 384\n\n")
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 		e.Phase(name, e.Duration/2)
 		load, cancel := context.WithTimeout(ctx, e.Duration/2)
 		usual := fake.ClientConfig{
-			Addr: p.Addr("farm"), Host: "farm.example.org", MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger,
+			Addr: p.Addr("farm"), Host: "farm.example.org", MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: recorder,
 			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck},
 		}
 		var all sync.WaitGroup
@@ -89,7 +89,7 @@
 	if err := p.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
-	v := e.CheckRules(ledger)
+	v := e.CheckRules(recorder)
 	e.Measure("answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
 	e.Measure("duplicates", float64(v.DuplicateEffects))
 	e.Measure("connections_a_request", float64(once.Connections+keepers.Connections)/float64(max(1, once.Attempts+keepers.Attempts)))
--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -39,28 +39,28 @@
 	failed   int
 }
 
-// cost compares the program with a plain reverse proxy over the same boxes, in turn, so that both see the same machine.
+// cost compares the program with a plain reverse proxy over the same backends, in turn, so that both see the same machine.
 func cost(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder() // for its rules nothing is asked of it here: the load is too dense to keep
-	boxes, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) {
+	recorder := fake.NewEffectRecorder() // for its rules nothing is asked of it here: the load is too dense to keep
+	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) {
 		c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000
 	})
 	if err != nil {
 		return err
 	}
-	disco, err := e.startDiscovery(ledger, boxes)
+	discovery, err := e.startDiscovery(recorder, backends)
 	if err != nil {
 		return err
 	}
 	var program, proxy costSubject
 	program.program, err = e.Start(ctx, fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.farm]\ndiscovery = %q\n%s",
-		disco.Addr(), classesTOML("farm")), 1)
+		discovery.Addr(), classesTOML("farm")), 1)
 	if err != nil {
 		return err
 	}
 	program.addr = program.program.Addr("farm")
 	args := []string{"proxy"}
-	for _, b := range boxes {
+	for _, b := range backends {
 		args = append(args, b.Addr())
 	}
 	if proxy.program, err = e.Command(args...); err != nil {
--- a/internal/e2e/h2.go
+++ b/internal/e2e/h2.go
@@ -35,11 +35,11 @@
 // webHost is whom the clients of the web scenarios ask for.
 const webHost = "farm.example.org"
 
-// web is a program with a listener that speaks TLS, in front of plain boxes.
+// web is a program with a listener that speaks TLS, in front of plain backends.
 type web struct {
-	p      *Program
-	ca     *fake.CertificateAuthority
-	ledger *fake.EffectRecorder
+	p        *Program
+	ca       *fake.CertificateAuthority
+	recorder *fake.EffectRecorder
 }
 
 func (e *Env) startWeb(ctx context.Context) (*web, error) {
@@ -48,8 +48,8 @@
 
 // startWebAs is startWeb with another table of the process.
 func (e *Env) startWebAs(ctx context.Context, process string) (*web, error) {
-	w := &web{ledger: fake.NewEffectRecorder()}
-	boxes, err := e.startBackends("box", 4, w.ledger, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
+	w := &web{recorder: fake.NewEffectRecorder()}
+	backends, err := e.startBackends("box", 4, w.recorder, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	if err := w.ca.Issue("farm", webHost); err != nil {
 		return nil, err
 	}
-	text := strings.Replace(httpPoolTOML(fake.ReportORCA, boxes), "[process]\ndescriptors = 512\n", process, 1)
+	text := strings.Replace(httpPoolTOML(fake.ReportORCA, backends), "[process]\ndescriptors = 512\n", process, 1)
 	text = strings.Replace(text, "address = \"127.0.0.1:0\"\n", fmt.Sprintf("address = \"127.0.0.1:0\"\n[[listeners.tls.certificates]]\ncertificate = %q\nkey = %q\n",
 		filepath.Join(e.Dir, "farm.pem"), filepath.Join(e.Dir, "farm.key")), 1)
 	w.p, err = e.Start(ctx, text, 1)
@@ -83,14 +83,14 @@
 	asked, served, refused, failed, other, streams atomic.Int64
 }
 
-// load has lanes ask one after the other until ctx ends; each lane takes a client of its own from time to time if renew is set.
-func (w *web) load(ctx context.Context, name string, seed uint64, lanes int, renew time.Duration, n *webCounts) {
+// load has workers ask one after the other until ctx ends; each worker takes a client of its own from time to time if renew is set.
+func (w *web) load(ctx context.Context, name string, seed uint64, workers int, renew time.Duration, n *webCounts) {
 	classes := []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
 	shared, end := w.client()
 	defer end()
 	var all sync.WaitGroup
-	for lane := range lanes {
-		rng := rand.New(rand.NewPCG(seed, uint64(lane)))
+	for worker := range workers {
+		rng := rand.New(rand.NewPCG(seed, uint64(worker)))
 		all.Go(func() {
 			client, end := shared, func() {}
 			defer func() { end() }()
@@ -101,7 +101,7 @@
 					client, end = w.client()
 					since = time.Now()
 				}
-				w.ask(client, classes[rng.IntN(len(classes))], fmt.Sprintf("%s-%d-%d", name, lane, i), n)
+				w.ask(client, classes[rng.IntN(len(classes))], fmt.Sprintf("%s-%d-%d", name, worker, i), n)
 			}
 		})
 	}
@@ -126,23 +126,23 @@
 		q.Header.Set("Idempotency-Key", key)
 	}
 	q.GetBody = nil // its transport is not to send it again by itself
-	w.ledger.RecordSent(w.ledger.BeginOperation(class.Idempotency), id, class.Deadline)
+	w.recorder.RecordSent(w.recorder.BeginOperation(class.Idempotency), id, class.Deadline)
 	n.asked.Add(1)
 	resp, err := client.Do(q)
 	if err != nil {
-		w.ledger.RecordClientGone(id)
+		w.recorder.RecordClientGone(id)
 		n.failed.Add(1)
 		return
 	}
 	text, err := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if err != nil {
-		w.ledger.RecordClientGone(id)
+		w.recorder.RecordClientGone(id)
 		n.failed.Add(1)
 		return
 	}
 	made := strings.HasPrefix(string(text), fake.ResponseBody(class.Name, id, key))
-	w.ledger.RecordResponse(id, resp.StatusCode, made)
+	w.recorder.RecordResponse(id, resp.StatusCode, made)
 	if resp.ProtoMajor == 2 {
 		n.streams.Add(1)
 	}
@@ -208,7 +208,7 @@
 	if err := w.p.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
-	v := e.CheckRules(w.ledger)
+	v := e.CheckRules(w.recorder)
 	e.AtLeast("answered_once", float64(v.Answered)/float64(max(1, asked)), 1)
 	e.AtMost("duplicates", float64(v.DuplicateEffects), 0)
 	return nil
@@ -232,8 +232,8 @@
 		for id := uint32(1); ctx.Err() == nil; id += 2 {
 			name := fmt.Sprintf("reset-%d", n)
 			h := fake.EncodeRequestHeaders("GET", webHost, "/allocation-check/"+name, name)
-			w.ledger.RecordSent(w.ledger.BeginOperation(fake.Idempotent), name, time.Second)
-			w.ledger.RecordClientGone(name)
+			w.recorder.RecordSent(w.recorder.BeginOperation(fake.Idempotent), name, time.Second)
+			w.recorder.RecordClientGone(name)
 			if f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: h, EndStream: true, EndHeaders: true}) != nil ||
 				f.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
 				break
--- a/internal/e2e/lab.go
+++ b/internal/e2e/lab.go
@@ -1,5 +1,5 @@
-// Package e2e plays scripted days on loopback sockets against the real program, with stand-ins for all that is around it,
-// and checks the four rules against the stand-ins' ledger afterwards. A scenario is one file that registers itself.
+// Package e2e plays scripted days on loopback sockets against the real program, with fakes for all that is around it,
+// and checks the four rules against the fakes' recorder afterwards. A scenario is one file that registers itself.
 package e2e
 
 import (
@@ -190,7 +190,7 @@
 	e.report.Violations = append(e.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// CheckRules checks the four rules against a ledger, once all is over.
+// CheckRules checks the four rules against a recorder, once all is over.
 func (e *Env) CheckRules(l *fake.EffectRecorder) fake.Verdict {
 	v := l.Check(fake.DefaultTolerance)
 	for _, b := range v.Violations {
--- a/internal/e2e/lease.go
+++ b/internal/e2e/lease.go
@@ -109,7 +109,7 @@
 	from := time.Now()
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	table := f.logHolders(load, lease)
+	holderLog := f.logHolders(load, lease)
 	killed, left := takeoverTimes{fleet: f}, takeoverTimes{fleet: f}
 	for n := 0; load.Err() == nil; n++ {
 		was := f.leaseHolder(lease)
@@ -145,7 +145,7 @@
 		}
 		pause(load, time.Second)
 	}
-	<-table
+	<-holderLog
 	to := time.Now()
 	if err := f.settle(ctx, lease); err != nil {
 		return err
@@ -281,7 +281,7 @@
 		for i := range sides {
 			sides[i] = s.side(i)
 		}
-		mend := f.configureProxies(func(a, b int) bool { return sides[a] != sides[b] }, cut, join)
+		restore := f.configureProxies(func(a, b int) bool { return sides[a] != sides[b] }, cut, join)
 		at := time.Now()
 		pause(ctx, max(part*3/4, maxTakeover)) // before, nobody need have it
 		held := f.leaseHolder(lease)
@@ -291,7 +291,7 @@
 		if !s.most && held >= 0 {
 			e.Fail("split %s: %s holds %s %v later, though no majority stands", s.what, f.members[held].name, lease, time.Since(at).Round(time.Millisecond))
 		}
-		mend()
+		restore()
 		if err := f.settle(ctx, lease); err != nil {
 			return err
 		}
@@ -309,7 +309,7 @@
 	return 0
 }
 
-// consensusLeader is who leads the council by the newest word of the logs, 0 if none is known.
+// consensusLeader is who leads the consensus group by the newest word of the logs, 0 if none is known.
 func (f *fleet) consensusLeader() int {
 	best, term := 0, 0
 	for _, p := range f.members {
--- a/internal/e2e/long.go
+++ b/internal/e2e/long.go
@@ -27,24 +27,24 @@
 	maxStreamingMemoryMB = 96
 )
 
-// streamingBodies has clients and boxes of unlike speed pass long bodies both ways, beside a client that sends a byte a second and a box
+// streamingBodies has clients and backends of unlike speed pass long bodies both ways, beside a client that sends a byte a second and a backend
 // that stops reading half-way, and watches the program's memory.
 func streamingBodies(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 11))
 	text := "[process]\nmemory = \"128MiB\"\ndescriptors = 1024\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n"
 	paces := []fake.Pace{{MaxChunk: 64 << 10}, {BytesPerSecond: 8 << 20, MaxChunk: 40_000}, {BytesPerSecond: 1 << 20, MaxChunk: 9_000}, {BytesPerSecond: 400_000, MaxChunk: 3_000}}
-	var boxes []*fake.StreamingBackend
+	var backends []*fake.StreamingBackend
 	start := func(pace fake.Pace, stops int64) (*fake.StreamingBackend, error) {
 		b, err := fake.StartStreamingBackend(pace, stops, e.Seed)
 		if err == nil {
 			e.Defer(b.Close)
-			boxes = append(boxes, b)
+			backends = append(backends, b)
 		}
 		return b, err
 	}
-	pool := func(name, class, effect string, boxes ...*fake.StreamingBackend) {
+	pool := func(name, class, effect string, backends ...*fake.StreamingBackend) {
 		text += fmt.Sprintf("\n[pools.%s]\n", name)
-		for i, b := range boxes {
+		for i, b := range backends {
 			text += fmt.Sprintf("[[pools.%s.servers]]\nname = \"%s-%d\"\naddress = %q\n", name, name, i, b.Addr())
 		}
 		text += fmt.Sprintf("[[pools.%s.classes]]\nname = %q\neffect = %q\naim = \"5s\"\ndeadline = \"20s\"\n[[routes]]\nname = %q\nhosts = [\"farm.example.org\"]\nclasses = [%q]\npool = %q\n",
@@ -90,7 +90,7 @@
 	var mu sync.Mutex
 	var asked, whole, refused, broken, doubled int
 	var bytes int64
-	lane := func(n int, rng *rand.Rand) {
+	worker := func(n int, rng *rand.Rand) {
 		for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
 			pace := paces[rng.IntN(len(paces))]
 			a := fake.StreamingRequest{
@@ -100,7 +100,7 @@
 			if a.Upload {
 				a.Class = "meter-photo"
 			}
-			// What the slowest box takes some seconds for, and now and then as long as any may be.
+			// What the slowest backend takes some seconds for, and now and then as long as any may be.
 			a.Size = 70_000 + rng.Int64N(1<<20)
 			if rng.IntN(20) == 0 && pace.BytesPerSecond == 0 {
 				a.Size = maxStreamingBytes
@@ -130,25 +130,25 @@
 			}
 		}
 	}
-	var lanes sync.WaitGroup
+	var workers sync.WaitGroup
 	for n := range streamingConcurrency {
 		own := rand.New(rand.NewPCG(rng.Uint64(), uint64(n)))
-		lanes.Go(func() { lane(n, own) })
+		workers.Go(func() { worker(n, own) })
 	}
 	var drip, half fake.StreamingResult
-	lanes.Go(func() {
+	workers.Go(func() {
 		drip = fake.SendStreaming(ctx, fake.StreamingRequest{
 			Addr: p.Addr("farm"), ID: "drip", Class: "meter-photo", Upload: true, Size: 100_000, Pace: fake.Pace{BytesPerSecond: 1, MaxChunk: 1},
 			Timeout: 20 * time.Second, ClientTimeout: 30 * time.Second,
 		})
 	})
-	lanes.Go(func() {
+	workers.Go(func() {
 		half = fake.SendStreaming(ctx, fake.StreamingRequest{
 			Addr: p.Addr("farm"), ID: "half", Class: "stuck-photo", Upload: true, Size: maxStreamingBytes, Pace: paces[0],
 			Timeout: 20 * time.Second, ClientTimeout: 30 * time.Second,
 		})
 	})
-	lanes.Wait()
+	workers.Wait()
 	cancel()
 	watching.Wait()
 	if err := p.Stop(); err != nil {
@@ -158,7 +158,7 @@
 		return errors.New("ended early")
 	}
 	wrong := int64(0)
-	for _, b := range boxes {
+	for _, b := range backends {
 		wrong += b.CorruptBodies()
 	}
 	e.Measure("requests", float64(asked))
--- a/internal/e2e/paired_test.go
+++ b/internal/e2e/paired_test.go
@@ -12,7 +12,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// TestPairedSidecars measures two builds of the sidecar against each other, in turn over the same boxes. It is run by hand:
+// TestPairedSidecars measures two builds of the sidecar against each other, in turn over the same backends. It is run by hand:
 //
 //	SIDECAR_BEFORE=/path/old SIDECAR_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/e2e
 func TestPairedSidecars(t *testing.T) {
@@ -23,11 +23,11 @@
 	ctx := context.Background()
 	e := &Env{Seed: 1, report: &Report{Measures: map[string]float64{}, bounds: map[string]string{}}}
 	defer e.close()
-	boxes, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000 })
+	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	disco, err := e.startDiscovery(nil, boxes)
+	discovery, err := e.startDiscovery(nil, backends)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		"TickUs":1000,"Limits":{"SendCap":3,"Cancelling":true,"Probes":true,"MayDuplicate":true,"DialTimeoutUs":250000,"ConnIdleUs":5000000},
 		"Safety":{"AskEveryUs":10000000},"Telemetry":{"Fields":["inflight","queue","util"],"Via":"inline"},"Tariffs":{"Probe":0.05},
 		"RequestClasses":[{"Name":"allocation-check","Effect":"read_like","Group":"all","AimUs":150000,"DeadlineUs":600000,"Worth":1,"LateShare":0.3}]}}`,
-		disco.Addr())
+		discovery.Addr())
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/plain.go
+++ b/internal/e2e/plain.go
@@ -16,14 +16,14 @@
 	})
 }
 
-// httpBackends is how many boxes each play has, and plainRate the operations a second of its clients: some 0.4 of what the boxes
+// httpBackends is how many backends each play has, and plainRate the operations a second of its clients: some 0.4 of what the backends
 // can do while one of them is out of order.
 const (
 	httpBackends = 5
 	httpRate     = 250
 )
 
-// httpFaults befall one box after the other, each for an eighth of a play, with as long in good order between them.
+// httpFaults befall one backend after the other, each for an eighth of a play, with as long in good order between them.
 var httpFaults = []struct {
 	name  string
 	fault fake.Fault
@@ -35,7 +35,7 @@
 }
 
 // plainPools is the pool of a play: by the platform's protocol, or by plain HTTP with the classes by rule.
-func httpPoolTOML(reports fake.LoadReporting, boxes []*fake.Backend) string {
+func httpPoolTOML(reports fake.LoadReporting, backends []*fake.Backend) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
 	classes := classesTOML("farm")
@@ -50,7 +50,7 @@
 			classes = strings.Replace(classes, name, name+fmt.Sprintf("match = [\"/%s/\"]\n", c.Name), 1)
 		}
 	}
-	b.WriteString(serversTOML("farm", boxes))
+	b.WriteString(serversTOML("farm", backends))
 	b.WriteString(classes)
 	return b.String()
 }
@@ -62,12 +62,12 @@
 		name    string
 		reports fake.LoadReporting
 	}{{"platform", fake.ReportPlatform}, {"orca", fake.ReportORCA}, {"silent", fake.ReportNone}} {
-		ledger := fake.NewEffectRecorder()
-		boxes, err := e.startBackends(play.name, httpBackends, ledger, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
+		recorder := fake.NewEffectRecorder()
+		backends, err := e.startBackends(play.name, httpBackends, recorder, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
 		if err != nil {
 			return err
 		}
-		p, err := e.StartNamed(ctx, play.name, httpPoolTOML(play.reports, boxes), 1)
+		p, err := e.StartNamed(ctx, play.name, httpPoolTOML(play.reports, backends), 1)
 		if err != nil {
 			return err
 		}
@@ -80,29 +80,29 @@
 				if !pause(load, step) {
 					return
 				}
-				boxes[i].SetFault(f.fault)
+				backends[i].SetFault(f.fault)
 				if !pause(load, step) {
 					return
 				}
-				boxes[i].SetFault(fake.Fault{})
+				backends[i].SetFault(fake.Fault{})
 			}
 			if pause(load, step) {
-				boxes[httpBackends-1].Close()
+				backends[httpBackends-1].Close()
 			}
 		}()
-		crowd := fake.RunClients(load, fake.ClientConfig{
+		clients := fake.RunClients(load, fake.ClientConfig{
 			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: httpRate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
+			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: e.Seed,
 		})
 		cancel()
 		if err := p.Stop(); err != nil {
 			e.Fail("%s: the program ended with %v", play.name, err)
 		}
-		v := e.CheckRules(ledger)
-		served[play.reports] = crowd.ServedFraction()
+		v := e.CheckRules(recorder)
+		served[play.reports] = clients.ServedFraction()
 		answered, tries, doubled = answered+v.Answered, tries+v.Attempts, doubled+v.DuplicateEffects
-		e.Measure(play.name+"_served", crowd.ServedFraction())
-		e.measureResults(play.name+"_", crowd)
+		e.Measure(play.name+"_served", clients.ServedFraction())
+		e.measureResults(play.name+"_", clients)
 	}
 	e.AtLeast("answered_once", float64(answered)/float64(max(1, tries)), 1)
 	e.AtMost("duplicates", float64(doubled), 0)
--- a/internal/e2e/pools.go
+++ b/internal/e2e/pools.go
@@ -77,16 +77,16 @@
 	cpu                           time.Duration // of the program
 }
 
-// runPools plays a day with a program and boxes of its own.
+// runPools plays a day with a program and backends of its own.
 func runPools(ctx context.Context, e *Env, flooded bool) (*poolsResult, error) {
-	ledger := fake.NewEffectRecorder()
+	recorder := fake.NewEffectRecorder()
 	lists := map[string]string{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		boxes, err := e.startBackends(name, 3, ledger, nil)
+		backends, err := e.startBackends(name, 3, recorder, nil)
 		if err != nil {
 			return nil, err
 		}
-		d, err := e.startDiscovery(ledger, boxes)
+		d, err := e.startDiscovery(recorder, backends)
 		if err != nil {
 			return nil, err
 		}
@@ -106,10 +106,10 @@
 	day := &poolsResult{}
 	addr := p.Addr("farm")
 	usual := fake.ClientConfig{
-		Addr: addr, MaxAttempts: 3, Backoff: 40 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger, Seed: e.Seed,
+		Addr: addr, MaxAttempts: 3, Backoff: 40 * time.Millisecond, HonorRetryAfter: true, Recorder: recorder, Seed: e.Seed,
 	}
 	var all sync.WaitGroup
-	all.Go(func() { // meters and channels are one crowd each; their sums are the quiet pools' measure
+	all.Go(func() { // meters and channels are one load each; their sums are the quiet pools' measure
 		meters, channels := usual, usual
 		meters.Name, meters.Host, meters.Rate = "m", "meters.example.org", 60
 		meters.Classes = []fake.ClassLoad{meterBooking}
@@ -135,7 +135,7 @@
 		flood.MaxInFlight = 400
 		big := deliveryOrder
 		big.BodyBytes = 60 << 10
-		var crowds [3]*fake.ClientResults
+		var clientResults [3]*fake.ClientResults
 		for i, change := range []func(*fake.ClientConfig){
 			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{allocationCheck, deliveryOrder} },
 			func(c *fake.ClientConfig) { c.Classes = []fake.ClassLoad{big} },
@@ -144,12 +144,12 @@
 			c := flood
 			c.Name, c.Seed, c.Rate = fmt.Sprintf("f%d", i), e.Seed+10+uint64(i), []float64{7, 1, 2}[i]*floodedPoolRate
 			change(&c)
-			all.Go(func() { crowds[i] = fake.RunClients(load, c) })
+			all.Go(func() { clientResults[i] = fake.RunClients(load, c) })
 		}
 		all.Go(func() { day.slowRequests = fake.OpenSlowRequests(load, addr, "orders.example.org", 100) })
 		all.Go(func() { day.idleConnections = fake.OpenIdleConnections(load, addr, 100) })
 		all.Wait()
-		day.flood = crowds[0].Merge(crowds[1]).Merge(crowds[2])
+		day.flood = clientResults[0].Merge(clientResults[1]).Merge(clientResults[2])
 	}
 	all.Wait()
 	cpu, err := p.CPU()
@@ -160,6 +160,6 @@
 	if err := p.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
-	e.CheckRules(ledger)
+	e.CheckRules(recorder)
 	return day, nil
 }
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -15,10 +15,10 @@
 	})
 }
 
-// quickstart shows the program at work: a pool of three boxes, of which one errs for a while and one leaves.
+// quickstart shows the program at work: a pool of three backends, of which one errs for a while and one leaves.
 func quickstart(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	p, boxes, disco, err := e.startFarm(ctx, ledger, "")
+	recorder := fake.NewEffectRecorder()
+	p, backends, discovery, err := e.startFarm(ctx, recorder, "")
 	if err != nil {
 		return err
 	}
@@ -26,41 +26,41 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	go runScript(load, e.Duration,
-		scriptStep{0.3, func() { boxes[0].SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1}) }},
-		scriptStep{0.6, func() { boxes[0].SetFault(fake.Fault{}) }},
+		scriptStep{0.3, func() { backends[0].SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1}) }},
+		scriptStep{0.6, func() { backends[0].SetFault(fake.Fault{}) }},
 		scriptStep{0.7, func() {
-			boxes[2].Drain(true)
-			disco.SetEndpoints(endpoints(boxes)...)
+			backends[2].Drain(true)
+			discovery.SetEndpoints(endpoints(backends)...)
 		}},
 	)
-	crowd := fake.RunClients(load, fake.ClientConfig{
+	clients := fake.RunClients(load, fake.ClientConfig{
 		Name: "farm", Addr: p.Addr("farm"), Host: "farm.example.org", Rate: 150, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed,
+		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: e.Seed,
 	})
 	if err := p.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
-	v := e.CheckRules(ledger)
-	e.measureResults("", crowd)
+	v := e.CheckRules(recorder)
+	e.measureResults("", clients)
 	e.Measure("effects", float64(v.Effects))
 	e.Measure("effects_doubled", float64(v.DuplicateEffects))
-	e.AtLeast("served_in_time", crowd.ServedFraction(), 0.95)
+	e.AtLeast("served_in_time", clients.ServedFraction(), 0.95)
 	return nil
 }
 
-// startFarm starts a program of one pool of three boxes; more is what its file says beside that.
+// startFarm starts a program of one pool of three backends; more is what its file says beside that.
 func (e *Env) startFarm(ctx context.Context, l *fake.EffectRecorder, more string) (*Program, []*fake.Backend, *fake.Discovery, error) {
-	boxes, err := e.startBackends("box", 3, l, nil)
+	backends, err := e.startBackends("box", 3, l, nil)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	disco, err := e.startDiscovery(l, boxes)
+	discovery, err := e.startDiscovery(l, backends)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	p, err := e.Start(ctx, fmt.Sprintf("%s[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\ndiscovery = %q\n\n%s",
-		more, disco.Addr(), classesTOML("farm")), 1)
-	return p, boxes, disco, err
+		more, discovery.Addr(), classesTOML("farm")), 1)
+	return p, backends, discovery, err
 }
 
 // scriptStep is something that is done after a part of a phase.
--- a/internal/e2e/reload.go
+++ b/internal/e2e/reload.go
@@ -21,7 +21,7 @@
 const reloadCount = 200
 
 // reloadConfig is a configuration of the reload day, drawn by the number of the reload.
-func reloadConfig(n int, boxes map[string][]*fake.Backend) (text string, bad bool) {
+func reloadConfig(n int, backends map[string][]*fake.Backend) (text string, bad bool) {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
 	pool := func(name string, all []*fake.Backend, more, classes string) {
@@ -30,8 +30,8 @@
 		b.WriteString(classes)
 		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [\"%s.example.org\"]\npool = %q\n", name, name, name)
 	}
-	orders, meters := boxes["orders"], boxes["meters"]
-	if n%4 == 1 { // a box changes its pool
+	orders, meters := backends["orders"], backends["meters"]
+	if n%4 == 1 { // a backend changes its pool
 		meters = append(append([]*fake.Backend{}, meters...), orders[2])
 		orders = orders[:2]
 	}
@@ -46,7 +46,7 @@
 	}
 	pool("meters", meters, "", classes)
 	if n%2 == 0 { // a pool that comes and goes, with requests in flight
-		pool("channels", boxes["channels"], "", classesTOML("channels"))
+		pool("channels", backends["channels"], "", classesTOML("channels"))
 	}
 	if n%10 == 7 {
 		b.WriteString("\n[pools.orders.limit]\nrate = 1\n")
@@ -56,16 +56,16 @@
 }
 
 func poolsReload(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	boxes := map[string][]*fake.Backend{}
+	recorder := fake.NewEffectRecorder()
+	backends := map[string][]*fake.Backend{}
 	for _, name := range []string{"orders", "meters", "channels"} {
-		all, err := e.startBackends(name, 3, ledger, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
+		all, err := e.startBackends(name, 3, recorder, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
 		if err != nil {
 			return err
 		}
-		boxes[name] = all
+		backends[name] = all
 	}
-	text, _ := reloadConfig(0, boxes)
+	text, _ := reloadConfig(0, backends)
 	p, err := e.Start(ctx, text, 1)
 	if err != nil {
 		return err
@@ -78,9 +78,9 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	usual := fake.ClientConfig{
-		Addr: p.Addr("farm"), MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: ledger, Seed: e.Seed,
+		Addr: p.Addr("farm"), MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: recorder, Seed: e.Seed,
 	}
-	crowds := map[string]*fake.ClientResults{}
+	clientResults := map[string]*fake.ClientResults{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for name, classes := range map[string][]fake.ClassLoad{
@@ -89,10 +89,10 @@
 		c := usual
 		c.Name, c.Host, c.Classes, c.Rate = name, name+".example.org", classes, 80
 		all.Go(func() {
-			crowd := fake.RunClients(load, c)
+			clients := fake.RunClients(load, c)
 			mu.Lock()
 			defer mu.Unlock()
-			crowds[name] = crowd
+			clientResults[name] = clients
 		})
 	}
 	bad := 0
@@ -106,7 +106,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		text, wrong := reloadConfig(n, boxes)
+		text, wrong := reloadConfig(n, backends)
 		if err := p.Reload(text); err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 		}
 	}
 	all.Wait()
-	text, _ = reloadConfig(0, boxes)
+	text, _ = reloadConfig(0, backends)
 	after, err := idleUsageOf(ctx, p, text)
 	if err != nil {
 		return err
@@ -131,20 +131,20 @@
 	if err := p.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
-	v := e.CheckRules(ledger)
+	v := e.CheckRules(recorder)
 	e.Measure("reloads", reloadCount)
 	e.Measure("reloads_bad", float64(bad))
-	e.Measure("operations", float64(ledger.Operations()))
+	e.Measure("operations", float64(recorder.Operations()))
 	e.Measure("requests", float64(v.Attempts))
 	e.AtLeast("answered_share", float64(v.Answered)/float64(v.Attempts), 1)
 	e.Measure("effects", float64(v.Effects))
 	e.AtMost("effects_doubled", float64(v.DuplicateEffects), 0)
 	for _, name := range []string{"orders", "meters"} {
-		e.AtLeast(name+"_served_in_time", crowds[name].ServedFraction(), 0.95)
-		e.Measure(name+"_p99_ms", milliseconds(crowds[name].Percentile(0.99)))
+		e.AtLeast(name+"_served_in_time", clientResults[name].ServedFraction(), 0.95)
+		e.Measure(name+"_p99_ms", milliseconds(clientResults[name].Percentile(0.99)))
 	}
-	e.Measure("channels_unrouted", float64(crowds["channels"].Statuses[421]))
-	if crowds["channels"].Statuses[421] == 0 {
+	e.Measure("channels_unrouted", float64(clientResults["channels"].Statuses[421]))
+	if clientResults["channels"].Statuses[421] == 0 {
 		e.Fail("no request found its pool gone: nothing was shown")
 	}
 	e.Measure("goroutines_before", before.goroutines)
@@ -186,7 +186,7 @@
 			}
 			r.descriptors = float64(fds)
 			r.memoryMB, err = p.MemoryMB()
-			// Idle connections to boxes close within some seconds; a run is measured without them.
+			// Idle connections to backends close within some seconds; a run is measured without them.
 			if r.descriptors <= 16 || ctx.Err() != nil {
 				return r, err
 			}
--- a/internal/e2e/replica.go
+++ b/internal/e2e/replica.go
@@ -52,7 +52,7 @@
 	convergenceTimeout = 5 * time.Second
 )
 
-// sharedState is what the lab reads of a process' own account of the shared state.
+// sharedState is what a scenario reads of a process' own account of the shared state.
 type sharedState struct {
 	Incarnation uint64
 	Members     map[string]string
@@ -86,12 +86,12 @@
 }
 
 // sharedStates asks all processes at once; one that does not answer is left out.
-func (f *fleet) sharedStates(procs []*fleetMember) map[int]sharedState {
+func (f *fleet) sharedStates(members []*fleetMember) map[int]sharedState {
 	var mu sync.Mutex
 	var asks sync.WaitGroup
 	got := map[int]sharedState{}
 	slots := make(chan struct{}, 6)
-	for _, p := range procs {
+	for _, p := range members {
 		asks.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
@@ -283,7 +283,7 @@
 	h.fleet.env.AtMost("diverged", float64(least), 0)
 }
 
-// runOrder gives or lifts an order, by any process that reaches the council.
+// runOrder gives or lifts an order, by any process that reaches the consensus group.
 func (f *fleet) runOrder(verb, server string, by *fleetMember) error {
 	out, err := f.runCommand("tier", "order", verb, "farm", server, by.addr, "--secret", f.secret)
 	if err != nil {
@@ -294,21 +294,21 @@
 }
 
 // runClients has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
-func (f *fleet) runClients(ctx context.Context, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
-	return f.runClientsAt(ctx, f.members, name, rate, ledger)
+func (f *fleet) runClients(ctx context.Context, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
+	return f.runClientsAt(ctx, f.members, name, rate, recorder)
 }
 
 // runClientsAt does so at some: one that is stopped answers late, which is no fault of its own.
-func (f *fleet) runClientsAt(ctx context.Context, procs []*fleetMember, name string, rate float64, ledger *fake.EffectRecorder) *fake.ClientResults {
+func (f *fleet) runClientsAt(ctx context.Context, members []*fleetMember, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	var sum *fake.ClientResults
-	for _, p := range procs {
+	for _, p := range members {
 		addr := p.program.Addr("farm")
 		all.Go(func() {
 			c := fake.RunClients(ctx, fake.ClientConfig{
 				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: f.env.Seed<<8 + uint64(p.index),
+				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: f.env.Seed<<8 + uint64(p.index),
 			})
 			mu.Lock()
 			defer mu.Unlock()
@@ -324,8 +324,8 @@
 }
 
 // checkAnsweredOnce holds the four rules, and that each request had one answer and none a second effect.
-func (e *Env) checkAnsweredOnce(ledger *fake.EffectRecorder, prefix string) {
-	v := e.CheckRules(ledger)
+func (e *Env) checkAnsweredOnce(recorder *fake.EffectRecorder, prefix string) {
+	v := e.CheckRules(recorder)
 	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)), 1)
 	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
 }
@@ -348,16 +348,16 @@
 }
 
 func replicaDead(ctx context.Context, e *Env) error {
-	const processes, boxes, rate = 30, 10, 1 // quiet ones: where each meets a server seldom, it pays the most for what others know
+	const processes, backends, rate = 30, 10, 1 // quiet ones: where each meets a server seldom, it pays the most for what others know
 	type outcome struct {
 		lost   int64
 		served float64
 	}
 	results := map[bool]outcome{}
-	ledger := fake.NewEffectRecorder()
+	recorder := fake.NewEffectRecorder()
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
-			processes: processes, voters: 3, backends: boxes, recorder: ledger, subsets: true,
+			processes: processes, voters: 3, backends: backends, recorder: recorder, subsets: true,
 			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
@@ -377,11 +377,11 @@
 				dead.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 			}
 		}()
-		crowd := f.runClients(load, name, rate, ledger)
+		clients := f.runClients(load, name, rate, recorder)
 		cancel()
 		<-went
-		results[shared] = outcome{dead.LostRequests(), crowd.ServedFraction()}
-		e.measureResults(name+"_", crowd)
+		results[shared] = outcome{dead.LostRequests(), clients.ServedFraction()}
+		e.measureResults(name+"_", clients)
 		if shared {
 			hinted := 0
 			for _, s := range f.sharedStates(f.members) {
@@ -391,7 +391,7 @@
 		}
 		f.drainAll()
 	}
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	e.Measure("dead_sends_alone", float64(results[false].lost))
 	e.Measure("dead_sends", float64(results[true].lost))
 	e.AtMost("dead_sends_share", float64(results[true].lost)/float64(max(1, results[false].lost)), 0.7) // of some ten sends: a quarter over many seeds
@@ -403,18 +403,18 @@
 // replicaRush starts processes again under load, two at a time, while servers are dead that only those know which have met them.
 func replicaRush(ctx context.Context, e *Env) error {
 	const first = 3 * time.Second // of a process' life, in which it is compared
-	ledger := fake.NewEffectRecorder()
+	recorder := fake.NewEffectRecorder()
 	served := map[string]float64{}
 	for _, shared := range []bool{false, true} {
 		f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
-			processes: 10, voters: 3, backends: 9, recorder: ledger, configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+			processes: 10, voters: 3, backends: 9, recorder: recorder, configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 		})
 		if err != nil {
 			return err
 		}
 		e.Phase("killed and started again in the rush, "+name, e.Duration/2)
 		warm, cancel := context.WithTimeout(ctx, 2*time.Second)
-		f.runClients(warm, name+"warm", 20, ledger)
+		f.runClients(warm, name+"warm", 20, recorder)
 		cancel()
 		for _, b := range f.backends[:2] {
 			f.logEvent("%s dies", b.Name())
@@ -446,7 +446,7 @@
 				all.Go(func() {
 					c := fake.RunClients(load, fake.ClientConfig{
 						Name: fmt.Sprint(name, round, p.name), Addr: p.program.Addr("farm"), Host: "farm.example.org", Rate: 30, MaxAttempts: 1,
-						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: ledger, Seed: e.Seed<<16 + uint64(p.index*100+round),
+						Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: e.Seed<<16 + uint64(p.index*100+round),
 					})
 					mu.Lock()
 					defer mu.Unlock()
@@ -478,13 +478,13 @@
 	}
 	e.Measure("behind_alone", served["alone"])
 	e.AtMost("behind", served["shared"], 0.03) // of some 600 requests: 0.01 over many seeds
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
 func replicaSplit(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: ledger})
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: recorder})
 	if err != nil {
 		return err
 	}
@@ -492,16 +492,16 @@
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
-	side := func(i int) bool { return i < 5 } // the council's majority, all of it, is on one side
+	side := func(i int) bool { return i < 5 } // the consensus group's majority, all of it, is on one side
 	part := e.Duration / 2
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	followed := h.follow(load)
-	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.runClients(load, "farm", 5, ledger) }()
+	clients := make(chan *fake.ClientResults, 1)
+	go func() { clients <- f.runClients(load, "farm", 5, recorder) }()
 	e.Phase("half and half", part)
 	f.logEvent("split")
-	mend := f.configureProxies(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	restore := f.configureProxies(func(a, b int) bool { return side(a) != side(b) }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 	pause(load, part/2)
 	if err := f.runOrder("avoid", f.backends[1].Name(), f.members[0]); err != nil {
@@ -523,7 +523,7 @@
 	}
 	e.AtLeast("decided_age_cut_off_s", float64(far.DecidedMs)/1000, (part / 2).Seconds()) // it says how old what it has is
 	f.backends[0].SetFault(fake.Fault{})
-	mend()
+	restore()
 	healed := time.Now()
 	f.logEvent("the halves meet again")
 	e.Phase("healed", part)
@@ -532,7 +532,7 @@
 	}
 	h.measureDivergence(ctx, healed)
 	<-followed
-	c := <-crowd
+	c := <-clients
 	for _, p := range f.members {
 		s, err := f.sharedState(p)
 		if err != nil {
@@ -551,7 +551,7 @@
 	h.measure()
 	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	f.drainAll()
 	return nil
 }
@@ -675,7 +675,7 @@
 	defer cancel()
 	followed := h.follow(load)
 	e.Phase("starts of one name, orders over lossy links", e.Duration)
-	mend := f.configureProxies(func(int, int) bool { return true },
+	restore := f.configureProxies(func(int, int) bool { return true },
 		func(w *fake.FrameFaults) {
 			w.DropFraction, w.DuplicateFraction, w.Jitter = 0.1, 0.1, 100*time.Millisecond
 		},
@@ -689,23 +689,23 @@
 			return err
 		}
 		starts++
-		box := f.backends[rng.IntN(3)].Name()
+		backend := f.backends[rng.IntN(3)].Name()
 		verb := "avoid"
-		if ordered[box] {
+		if ordered[backend] {
 			verb = "lift"
 		}
-		if err := f.runOrder(verb, box, f.members[rng.IntN(3)]); err == nil {
-			ordered[box] = !ordered[box]
+		if err := f.runOrder(verb, backend, f.members[rng.IntN(3)]); err == nil {
+			ordered[backend] = !ordered[backend]
 		} else if s, err := f.sharedState(f.members[0]); err == nil { // the answer was lost: what is so?
 			for _, x := range s.Entries {
-				if x.Key == "order/farm/"+box {
-					ordered[box] = len(x.Values) > 0
+				if x.Key == "order/farm/"+backend {
+					ordered[backend] = len(x.Values) > 0
 				}
 			}
 		}
 		pause(load, 400*time.Millisecond)
 	}
-	mend()
+	restore()
 	<-followed
 	since := time.Now()
 	if err := h.converge(ctx, "converged"); err != nil {
@@ -735,17 +735,17 @@
 
 func replicaLiar(ctx context.Context, e *Env) error {
 	served := map[int]float64{}
-	ledger := fake.NewEffectRecorder()
-	for liars := range 3 {
+	recorder := fake.NewEffectRecorder()
+	for liarCount := range 3 {
 		var names []string
 		for i := range 9 {
 			names = append(names, fmt.Sprintf("farm/box-%d", i+1))
 		}
 		f, err := e.startFleet(ctx, fleetConfig{
-			processes: 12, voters: 3, backends: 9, sharedState: defaultSharedState, recorder: ledger, subsets: true,
+			processes: 12, voters: 3, backends: 9, sharedState: defaultSharedState, recorder: recorder, subsets: true,
 			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 			falseReports: func(i int) string {
-				if i >= 12-liars {
+				if i >= 12-liarCount {
 					return strings.Join(names, ",")
 				}
 				return ""
@@ -754,29 +754,29 @@
 		if err != nil {
 			return err
 		}
-		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", liars)); err != nil {
+		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", liarCount)); err != nil {
 			return err
 		}
-		e.Phase(fmt.Sprintf("%d liars", liars), e.Duration/3)
+		e.Phase(fmt.Sprintf("%d liars", liarCount), e.Duration/3)
 		load, cancel := context.WithTimeout(ctx, e.Duration/3)
-		crowd := f.runClients(load, fmt.Sprintf("l%d", liars), 15, ledger)
+		clients := f.runClients(load, fmt.Sprintf("l%d", liarCount), 15, recorder)
 		cancel()
-		served[liars] = crowd.ServedFraction()
+		served[liarCount] = clients.ServedFraction()
 		hinted := 0
 		for _, s := range f.sharedStates(f.members) {
 			hinted += s.Hinted
 		}
-		e.Measure(fmt.Sprintf("hints_%d", liars), float64(hinted))
-		e.Measure(fmt.Sprintf("served_%d", liars), crowd.ServedFraction())
+		e.Measure(fmt.Sprintf("hints_%d", liarCount), float64(hinted))
+		e.Measure(fmt.Sprintf("served_%d", liarCount), clients.ServedFraction())
 		f.drainAll()
-		if liars == 1 && hinted > 0 {
+		if liarCount == 1 && hinted > 0 {
 			e.Fail("one liar is believed: %d hints", hinted)
 		}
-		if liars == 2 && hinted == 0 {
+		if liarCount == 2 && hinted == 0 {
 			e.Fail("nobody was lied to: nothing was shown")
 		}
 	}
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	e.AtMost("lost_to_one_liar", served[0]-served[1], 0.02)
 	e.AtMost("lost_to_two_liars", served[0]-served[2], 0.1)
 	return nil
@@ -784,8 +784,8 @@
 
 func replicaStorm(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 43))
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: ledger})
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startFleet(ctx, fleetConfig{processes: 20, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: recorder})
 	if err != nil {
 		return err
 	}
--- a/internal/e2e/site.go
+++ b/internal/e2e/site.go
@@ -8,7 +8,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// The classes of the delta's farm app, as boxes and clients know them.
+// The classes of the delta's farm app, as backends and clients know them.
 var (
 	deliveryOrder = fake.ClassLoad{
 		Name: "delivery-order", Idempotency: fake.IdempotentByKey, Weight: 1, PriorityWeight: 5, BodyBytes: 200,
@@ -40,19 +40,19 @@
 	return b.String()
 }
 
-// serversTOML are boxes as the operator's file of a pool lists them.
-func serversTOML(pool string, boxes []*fake.Backend) string {
+// serversTOML are backends as the operator's file of a pool lists them.
+func serversTOML(pool string, backends []*fake.Backend) string {
 	var b strings.Builder
-	for _, box := range boxes {
-		fmt.Fprintf(&b, "[[pools.%s.servers]]\nname = %q\naddress = %q\n", pool, box.Name(), box.Addr())
-		if box.Zone() != "" {
-			fmt.Fprintf(&b, "zone = %q\n", box.Zone())
+	for _, backend := range backends {
+		fmt.Fprintf(&b, "[[pools.%s.servers]]\nname = %q\naddress = %q\n", pool, backend.Name(), backend.Addr())
+		if backend.Zone() != "" {
+			fmt.Fprintf(&b, "zone = %q\n", backend.Zone())
 		}
 	}
 	return b.String()
 }
 
-// startBackends starts n boxes whose names begin with pool, and which drop repeats together.
+// startBackends starts n backends whose names begin with pool, and which drop repeats together.
 func (e *Env) startBackends(pool string, n int, l *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
 	var all []*fake.Backend
 	repeats := fake.NewDeduplicator(time.Minute)
@@ -74,24 +74,24 @@
 	return all, nil
 }
 
-// startDiscovery starts a discovery that lists the boxes.
-func (e *Env) startDiscovery(l *fake.EffectRecorder, boxes []*fake.Backend) (*fake.Discovery, error) {
-	d, err := fake.StartDiscovery(l, endpoints(boxes)...)
+// startDiscovery starts a discovery that lists the backends.
+func (e *Env) startDiscovery(l *fake.EffectRecorder, backends []*fake.Backend) (*fake.Discovery, error) {
+	d, err := fake.StartDiscovery(l, endpoints(backends)...)
 	if err == nil {
 		e.Defer(d.Close)
 	}
 	return d, err
 }
 
-func endpoints(boxes []*fake.Backend) []fake.Endpoint {
+func endpoints(backends []*fake.Backend) []fake.Endpoint {
 	var all []fake.Endpoint
-	for _, b := range boxes {
+	for _, b := range backends {
 		all = append(all, b.Endpoint())
 	}
 	return all
 }
 
-// measureResults notes what became of a crowd of clients.
+// measureResults notes what became of a load of clients.
 func (e *Env) measureResults(prefix string, c *fake.ClientResults) {
 	e.Measure(prefix+"operations", float64(c.Operations()))
 	for _, o := range []fake.Outcome{fake.OutcomeLate, fake.OutcomeRejected, fake.OutcomeFailed} {
--- a/internal/e2e/tier.go
+++ b/internal/e2e/tier.go
@@ -21,7 +21,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// The times of fleets in the laboratory: short, so that a run of seconds sees many terms.
+// The times of fleets in the end-to-end tests: short, so that a run of seconds sees many terms.
 const (
 	leaseTTL      = time.Second
 	consensusTick = 20 * time.Millisecond
@@ -32,14 +32,14 @@
 type fleetConfig struct {
 	processes, voters int
 	tasks             string                     // [[tasks]] of the operator's file
-	configureBackend  func(*fake.BackendConfig)  // how the boxes differ from usual ones, or nil
+	configureBackend  func(*fake.BackendConfig)  // how the backends differ from usual ones, or nil
 	clockRate         func(i int) (rate float64) // or nil
-	votersInMemory    bool                       // the council is in memory
+	votersInMemory    bool                       // the consensus group is in memory
 	ordinaryHTTP      bool                       // the pool speaks plain HTTP
 	fleetKeys         string                     // further keys of [tier]
 	sharedState       string                     // keys of [tier.copies]; empty: no state is shared
 	backends          int                        // 0: three
-	tick              time.Duration              // of the council; 0: tierTick
+	tick              time.Duration              // of the consensus group; 0: tierTick
 	ttl               time.Duration              // 0: tierTerm
 	zone              func(i int) string         // of a process, or nil
 	subsets           bool                       // each process chooses among servers of its own
@@ -235,14 +235,14 @@
 	if p.fleet.cfg.falseReports != nil {
 		env = append(env, "SORRELRUDDER_LAB_LIES="+p.fleet.cfg.falseReports(p.index))
 	}
-	prog, err := p.fleet.env.CommandWithEnv(env, "run", p.configFile())
+	program, err := p.fleet.env.CommandWithEnv(env, "run", p.configFile())
 	if err != nil {
 		return err
 	}
 	if p.program != nil {
 		p.earlierPrograms = append(p.earlierPrograms, p.program)
 	}
-	p.program, p.running = prog, true
+	p.program, p.running = program, true
 	p.startCount++
 	return nil
 }
@@ -252,9 +252,9 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	p.mu.Lock()
-	prog := p.program
+	program := p.program
 	p.mu.Unlock()
-	_, err := prog.AwaitLog(ctx, "fleet member started", 1)
+	_, err := program.AwaitLog(ctx, "fleet member started", 1)
 	return err
 }
 
@@ -330,12 +330,12 @@
 	var all []leaseSpan
 	for _, p := range f.members {
 		p.mu.Lock()
-		progs := append(slices.Clone(p.earlierPrograms), p.program)
+		programs := append(slices.Clone(p.earlierPrograms), p.program)
 		p.mu.Unlock()
-		for n, prog := range progs {
+		for n, program := range programs {
 			open := -1
 			last := time.Time{}
-			for _, line := range prog.LogLines() {
+			for _, line := range program.LogLines() {
 				if at := logTime(line); !at.IsZero() {
 					last = at
 				}
@@ -354,7 +354,7 @@
 					}
 				}
 			}
-			if open >= 0 && n < len(progs)-1 {
+			if open >= 0 && n < len(programs)-1 {
 				all[open].to = last
 			}
 		}
@@ -382,7 +382,7 @@
 // stopped says of itself that it holds a lease, so that logs can't tell.
 const minUnheldGap = 300 * time.Millisecond
 
-// memberStatus is what the lab reads of a process' own account.
+// memberStatus is what a scenario reads of a process' own account.
 type memberStatus struct {
 	Holds   map[string]struct{ Token uint64 }
 	Council *struct {
@@ -480,7 +480,7 @@
 }
 
 // configureProxies changes both ways of links, and returns what undoes it.
-func (f *fleet) configureProxies(pick func(from, to int) bool, change, undo func(*fake.FrameFaults)) (mend func()) {
+func (f *fleet) configureProxies(pick func(from, to int) bool, change, undo func(*fake.FrameFaults)) (restore func()) {
 	var picked []*fake.FrameProxy
 	for pair, l := range f.proxies {
 		if pick(pair[0], pair[1]) {
@@ -508,7 +508,7 @@
 		}
 	}
 	cut, join := func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false }
-	mend := func() {}
+	restore := func() {}
 	switch t.Kind {
 	case "kill":
 		p.kill()
@@ -528,7 +528,7 @@
 		return
 	case "leave":
 		p.mu.Lock()
-		prog := p.program
+		program := p.program
 		was := p.running
 		p.running = false
 		p.mu.Unlock()
@@ -537,7 +537,7 @@
 				f.env.Fail("%s is not ready: %v", p.name, err)
 				return
 			}
-			if err := prog.Stop(); err != nil {
+			if err := program.Stop(); err != nil {
 				f.env.Fail("%s ended with %v", p.name, err)
 			}
 		}
@@ -548,14 +548,14 @@
 		return
 	case "stop":
 		p.mu.Lock()
-		prog := p.program
+		program := p.program
 		p.mu.Unlock()
-		prog.Signal(syscall.SIGSTOP)
+		program.Signal(syscall.SIGSTOP)
 		rest()
-		prog.Signal(syscall.SIGCONT)
+		program.Signal(syscall.SIGCONT)
 		return
 	case "cut":
-		mend = f.configureProxies(func(a, b int) bool { return a == p.index || b == p.index }, cut, join)
+		restore = f.configureProxies(func(a, b int) bool { return a == p.index || b == p.index }, cut, join)
 	case "oneway": // what p says to q is lost, over both connections that there may be
 		there, back := f.proxies[[2]int{p.index, q.index}], f.proxies[[2]int{q.index, p.index}]
 		if there == nil {
@@ -563,19 +563,19 @@
 		}
 		there.Configure(fake.ToTarget, cut)
 		back.Configure(fake.FromTarget, cut)
-		mend = func() {
+		restore = func() {
 			there.Configure(fake.ToTarget, join)
 			back.Configure(fake.FromTarget, join)
 		}
 	case "still":
-		mend = f.configureProxies(func(a, b int) bool { return a == p.index || b == p.index }, func(w *fake.FrameFaults) { w.Stalled = true }, func(w *fake.FrameFaults) { w.Stalled = false })
+		restore = f.configureProxies(func(a, b int) bool { return a == p.index || b == p.index }, func(w *fake.FrameFaults) { w.Stalled = true }, func(w *fake.FrameFaults) { w.Stalled = false })
 	case "split":
 		side := func(i int) bool { return (i+t.Member)%len(f.members) < len(f.members)*2/5 }
-		mend = f.configureProxies(func(a, b int) bool { return side(a) != side(b) }, cut, join)
+		restore = f.configureProxies(func(a, b int) bool { return side(a) != side(b) }, cut, join)
 	case "loss":
-		mend = f.configureProxies(func(int, int) bool { return true }, func(w *fake.FrameFaults) { w.DropFraction = t.Fraction }, func(w *fake.FrameFaults) { w.DropFraction = 0 })
+		restore = f.configureProxies(func(int, int) bool { return true }, func(w *fake.FrameFaults) { w.DropFraction = t.Fraction }, func(w *fake.FrameFaults) { w.DropFraction = 0 })
 	case "storm":
-		mend = f.configureProxies(func(int, int) bool { return true },
+		restore = f.configureProxies(func(int, int) bool { return true },
 			func(w *fake.FrameFaults) {
 				w.DuplicateFraction, w.Delay, w.Jitter = 0.1, 5*time.Millisecond, 150*time.Millisecond
 			},
@@ -587,10 +587,10 @@
 		if err := os.WriteFile(p.diskFaultFile, []byte("slow 60ms"), 0o600); err != nil {
 			return // without it the disk is not slow
 		}
-		mend = func() { os.Remove(p.diskFaultFile) }
+		restore = func() { os.Remove(p.diskFaultFile) }
 	}
 	rest()
-	mend()
+	restore()
 }
 
 // errNotRecovered is a fleet that does not come to itself after the last fault.
@@ -613,9 +613,9 @@
 	for _, p := range f.members {
 		os.Remove(p.diskFaultFile)
 		p.mu.Lock()
-		prog := p.program
+		program := p.program
 		p.mu.Unlock()
-		prog.Signal(syscall.SIGCONT)
+		program.Signal(syscall.SIGCONT)
 		if err := p.start(); err != nil {
 			return err
 		}
--- a/internal/e2e/tiercost.go
+++ b/internal/e2e/tiercost.go
@@ -23,7 +23,7 @@
 // fleetCostRates are requests a second. What knowing a fleet costs by the time, heartbeats and renewals, is the same at each; the rest is by request.
 var fleetCostRates = []float64{500, 2500}
 
-// fleetCost compares a process that leads a fleet's council and holds its task's lease, a slot a second, and shares state, with one that knows no others.
+// fleetCost compares a process that leads a fleet's consensus group and holds its task's lease, a slot a second, and shares state, with one that knows no others.
 func fleetCost(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{
 		processes: 3, voters: 3, ttl: 3 * time.Second, tick: 100 * time.Millisecond, sharedState: "witnesses = 2\n", tasks: taskTOML("sweep", "/delivery-order/sweep", "1s", ""),
@@ -34,7 +34,7 @@
 	if err := f.settle(ctx, "task/sweep"); err != nil {
 		return err
 	}
-	ledger := fake.NewEffectRecorder()
+	recorder := fake.NewEffectRecorder()
 	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool, and no fleet
 	alone, err := e.StartNamed(ctx, "alone", text, 1)
 	if err != nil {
@@ -42,10 +42,10 @@
 	}
 	leader := f.members[f.consensusLeader()].program
 	part := e.Duration / time.Duration(2*fleetCostRounds*len(fleetCostRates))
-	crowds := 0
+	clientResults := 0
 	// used is the processor time a second, and the requests a second, under a load.
 	used := func(p *Program, rate float64) (cores, requests float64, err error) {
-		crowds++
+		clientResults++
 		before, err := p.CPU()
 		if err != nil {
 			return 0, 0, err
@@ -53,15 +53,15 @@
 		began := time.Now()
 		load, cancel := context.WithTimeout(ctx, part)
 		defer cancel()
-		crowd := fake.RunClients(load, fake.ClientConfig{
-			Name: fmt.Sprint("farm", crowds), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, MaxAttempts: 1, Classes: []fake.ClassLoad{allocationCheck}, Recorder: ledger, Seed: e.Seed,
+		clients := fake.RunClients(load, fake.ClientConfig{
+			Name: fmt.Sprint("farm", clientResults), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, MaxAttempts: 1, Classes: []fake.ClassLoad{allocationCheck}, Recorder: recorder, Seed: e.Seed,
 		})
 		after, err := p.CPU()
-		if err != nil || crowd.Operations() == 0 {
+		if err != nil || clients.Operations() == 0 {
 			return 0, 0, fmt.Errorf("no requests: %w", err)
 		}
 		length := time.Since(began).Seconds()
-		return (after - before).Seconds() / length, float64(crowd.Operations()) / length, nil
+		return (after - before).Seconds() / length, float64(clients.Operations()) / length, nil
 	}
 	ratios := make([][]float64, len(fleetCostRates))
 	var slopes, byTime []float64
--- a/internal/e2e/zone.go
+++ b/internal/e2e/zone.go
@@ -60,9 +60,9 @@
 	zoneSettings  = "[tier.zones]\nautomatic = \"on\"\nstep = \"1s\"\nhold = \"1s\"\n"
 )
 
-// startZoneFleet starts twelve processes in three zones, with three boxes in each, which are cold at their start.
-func (e *Env) startZoneFleet(ctx context.Context, ledger *fake.EffectRecorder, zones bool, voters int) (*fleet, error) {
-	return e.startZoneFleetOf(ctx, ledger, zones, zoneProcesses, voters, "", configureZoneBackend)
+// startZoneFleet starts twelve processes in three zones, with three backends in each, which are cold at their start.
+func (e *Env) startZoneFleet(ctx context.Context, recorder *fake.EffectRecorder, zones bool, voters int) (*fleet, error) {
+	return e.startZoneFleetOf(ctx, recorder, zones, zoneProcesses, voters, "", configureZoneBackend)
 }
 
 func configureZoneBackend(b *fake.BackendConfig) {
@@ -70,22 +70,22 @@
 }
 
 // startZoneFleetWith is the usual one with further keys of [tier.zones], or of processes each for itself.
-func (e *Env) startZoneFleetWith(ctx context.Context, ledger *fake.EffectRecorder, zones bool, more string) (*fleet, error) {
-	return e.startZoneFleetWithKeys(ctx, ledger, zones, zoneProcesses, 3, "", more, configureZoneBackend)
+func (e *Env) startZoneFleetWith(ctx context.Context, recorder *fake.EffectRecorder, zones bool, more string) (*fleet, error) {
+	return e.startZoneFleetWithKeys(ctx, recorder, zones, zoneProcesses, 3, "", more, configureZoneBackend)
 }
 
-func (e *Env) startZoneFleetOf(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool string, box func(*fake.BackendConfig)) (*fleet, error) {
-	return e.startZoneFleetWithKeys(ctx, ledger, zones, processes, voters, pool, "", box)
+func (e *Env) startZoneFleetOf(ctx context.Context, recorder *fake.EffectRecorder, zones bool, processes, voters int, pool string, backend func(*fake.BackendConfig)) (*fleet, error) {
+	return e.startZoneFleetWithKeys(ctx, recorder, zones, processes, voters, pool, "", backend)
 }
 
-func (e *Env) startZoneFleetWithKeys(ctx context.Context, ledger *fake.EffectRecorder, zones bool, processes, voters int, pool, more string, box func(*fake.BackendConfig)) (*fleet, error) {
+func (e *Env) startZoneFleetWithKeys(ctx context.Context, recorder *fake.EffectRecorder, zones bool, processes, voters int, pool, more string, backend func(*fake.BackendConfig)) (*fleet, error) {
 	n := 0
 	cfg := fleetConfig{
-		processes: processes, voters: voters, backends: zoneBackends, recorder: ledger, subsets: true, sharedState: defaultSharedState, poolSections: pool, ordinaryHTTP: pool != "",
+		processes: processes, voters: voters, backends: zoneBackends, recorder: recorder, subsets: true, sharedState: defaultSharedState, poolSections: pool, ordinaryHTTP: pool != "",
 		zone: func(i int) string { return zoneNames[i%3] },
 		configureBackend: func(b *fake.BackendConfig) {
 			b.Zone = zoneNames[n%3]
-			box(b)
+			backend(b)
 			n++
 		},
 	}
@@ -119,7 +119,7 @@
 	})
 }
 
-// backendsIn are the boxes of a zone.
+// backendsIn are the backends of a zone.
 func (f *fleet) backendsIn(zone string) (all []*fake.Backend) {
 	for _, b := range f.backends {
 		if b.Zone() == zone {
@@ -162,7 +162,7 @@
 	done           chan struct{} // closed once the load has ended
 }
 
-// loseZone has a zone's boxes vanish after a while, and come back cold after another, under a load that ends with ctx.
+// loseZone has a zone's backends vanish after a while, and come back cold after another, under a load that ends with ctx.
 func (f *fleet) loseZone(ctx context.Context, zone string, after, length time.Duration) *outage {
 	o := &outage{done: make(chan struct{})}
 	go func() {
@@ -192,8 +192,8 @@
 	}
 	results := map[bool]outcome{}
 	for _, together := range []bool{false, true} {
-		ledger := fake.NewEffectRecorder()
-		f, err := e.startZoneFleet(ctx, ledger, together, 3)
+		recorder := fake.NewEffectRecorder()
+		f, err := e.startZoneFleet(ctx, recorder, together, 3)
 		if err != nil {
 			return err
 		}
@@ -205,15 +205,15 @@
 		e.Phase("a zone is lost, and returns cold, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length)
 		gone := f.loseZone(load, "b", 2*time.Second, 5*time.Second)
-		crowd := f.runClients(load, name, 9, ledger)
+		clients := f.runClients(load, name, 9, recorder)
 		cancel()
 		<-gone.done
 		sent := int64(0)
 		for _, b := range f.backends {
 			sent += b.LostRequests()
 		}
-		results[together] = outcome{sent, crowd.ServedFraction()}
-		e.measureResults(name+"_", crowd)
+		results[together] = outcome{sent, clients.ServedFraction()}
+		e.measureResults(name+"_", clients)
 		if together {
 			left := f.exclusionTimes(3, gone.lost)
 			if len(left) < len(f.members) {
@@ -235,7 +235,7 @@
 			e.Measure("epochs", float64(decided))
 		}
 		f.drainAll()
-		e.checkAnsweredOnce(ledger, name+"_")
+		e.checkAnsweredOnce(recorder, name+"_")
 	}
 	e.Measure("dead_sends_alone", float64(results[false].lost))
 	e.Measure("dead_sends", float64(results[true].lost))
@@ -244,14 +244,14 @@
 	return nil
 }
 
-// zoneReturn loses a zone whose boxes come back cold, and fall when they are sent more than they bear then. No list says when they were started:
+// zoneReturn loses a zone whose backends come back cold, and fall when they are sent more than they bear then. No list says when they were started:
 // what a process knows is that they were away.
 func zoneReturn(ctx context.Context, e *Env) error {
 	const ramp = 4 * time.Second
 	served := map[bool]float64{}
 	for _, together := range []bool{false, true} {
-		ledger := fake.NewEffectRecorder()
-		f, err := e.startZoneFleetOf(ctx, ledger, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BackendConfig) {
+		recorder := fake.NewEffectRecorder()
+		f, err := e.startZoneFleetOf(ctx, recorder, together, 30, 3, fmt.Sprintf("[pools.farm.safety]\ncold_from = 0.1\nramp = %q\n", ramp), func(b *fake.BackendConfig) {
 			b.ServiceTime, b.Cores, b.QueueLimit = 20*time.Millisecond, 2, 200
 			b.SlowStartMinCapacity, b.SlowStart, b.CrashDuration, b.LoadReporting = 0.1, ramp, 1500*time.Millisecond, fake.ReportNone
 		})
@@ -266,7 +266,7 @@
 		e.Phase("a zone is lost, and its boxes fall when they get too much while cold, "+name, length)
 		load, cancel := context.WithTimeout(ctx, length)
 		gone := f.loseZone(load, "b", 2*time.Second, 4*time.Second)
-		crowd := f.runClients(load, name, 18, ledger)
+		clients := f.runClients(load, name, 18, recorder)
 		cancel()
 		<-gone.done
 		falls, most, lost, used := int64(0), 0.0, int64(0), int64(0)
@@ -282,8 +282,8 @@
 		e.Measure(name+"_most_cold_share", most)
 		e.Measure(name+"_served_by_zone", float64(used))
 		e.Measure(name+"_cold_overload", float64(falls))
-		served[together] = crowd.ServedFraction()
-		e.measureResults(name+"_", crowd)
+		served[together] = clients.ServedFraction()
+		e.measureResults(name+"_", clients)
 		if together {
 			e.AtMost("cold_overload", float64(falls), 0)
 			all := f.exclusionTimes(0, gone.restored)
@@ -294,7 +294,7 @@
 			}
 		}
 		f.drainAll()
-		e.checkAnsweredOnce(ledger, name+"_")
+		e.checkAnsweredOnce(recorder, name+"_")
 	}
 	e.Measure("served_alone", served[false])
 	e.AtLeast("served", served[true], served[false]-0.002)
@@ -302,63 +302,63 @@
 }
 
 func zoneTorn(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, ledger, true, 3)
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startZoneFleet(ctx, recorder, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
+	clients := make(chan *fake.ClientResults, 1)
+	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
 	part := e.Duration / 4
-	dead := func(boxes ...*fake.Backend) (mend func()) {
-		for _, b := range boxes {
+	dead := func(backends ...*fake.Backend) (restore func()) {
+		for _, b := range backends {
 			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
 		}
 		return func() {
-			for _, b := range boxes {
+			for _, b := range backends {
 				b.SetFault(fake.Fault{})
 			}
 		}
 	}
 	e.Phase("one of a zone's three servers", part)
-	mend := dead(f.backendsIn("b")[0])
+	restore := dead(f.backendsIn("b")[0])
 	pause(ctx, part)
-	mend()
+	restore()
 	e.Phase("a server of each zone, as a bad release", part)
-	mend = dead(f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0])
+	restore = dead(f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0])
 	pause(ctx, part)
-	mend()
+	restore()
 	e.Phase("members that are cut off", part)
-	mend = f.configureProxies(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	restore = f.configureProxies(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	pause(ctx, part)
-	mend()
+	restore()
 	e.Phase("errors of one in eight", part)
 	for _, b := range f.backendsIn("c") {
 		b.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 0.125})
 	}
 	pause(ctx, part)
 	cancel()
-	c := <-crowd
+	c := <-clients
 	e.AtMost("wrongly_left", float64(f.shiftDeciders()), 0)
 	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
 	f.drainAll()
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
 func zoneBlind(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, ledger, true, 3)
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startZoneFleet(ctx, recorder, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
+	clients := make(chan *fake.ClientResults, 1)
+	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
 	part := e.Duration / 4
 	e.Phase("no majority, and a zone goes", part)
 	f.logEvent("two of three of the council are killed, and zone b is lost")
@@ -409,23 +409,23 @@
 	}
 	e.Measure("returned_s", time.Since(pinned).Seconds())
 	cancel()
-	c := <-crowd
+	c := <-clients
 	e.measureResults("", c)
 	f.drainAll()
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
 func zoneFlap(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, ledger, true, 3)
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startZoneFleet(ctx, recorder, true, 3)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.runClients(load, "farm", 6, ledger) }()
+	clients := make(chan *fake.ClientResults, 1)
+	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
 	e.Phase("the zone goes and comes", e.Duration)
 	at := time.Now()
 	for pause(load, 1500*time.Millisecond) {
@@ -438,7 +438,7 @@
 			b.SetFault(fake.Fault{})
 		}
 	}
-	c := <-crowd
+	c := <-clients
 	if n := len(f.exclusionTimes(3, at)); n < len(f.members) {
 		e.Fail("%d of %d processes have ever left the zone", n, len(f.members))
 	}
@@ -456,7 +456,7 @@
 	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
 	f.drainAll()
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
@@ -469,16 +469,16 @@
 	observations int
 }
 
-func (x *epochObserver) observe(f *fleet, procs []*fleetMember) map[int]sharedState {
+func (x *epochObserver) observe(f *fleet, members []*fleetMember) map[int]sharedState {
 	x.observing.Lock()
 	defer x.observing.Unlock()
 	starts := map[int]int{}
-	for _, p := range procs {
+	for _, p := range members {
 		p.mu.Lock()
 		starts[p.index] = p.startCount
 		p.mu.Unlock()
 	}
-	got := f.sharedStates(procs)
+	got := f.sharedStates(members)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.observations++
@@ -504,15 +504,15 @@
 // zoneDecider does to those that decide and follow what can be done to processes while a zone is left and returned to.
 func zoneDecider(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 51))
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, ledger, true, 5)
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startZoneFleet(ctx, recorder, true, 5)
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	crowd := make(chan *fake.ClientResults, 1)
-	go func() { crowd <- f.runClientsAt(load, f.members[3:], "farm", 6, ledger) }()
+	clients := make(chan *fake.ClientResults, 1)
+	go func() { clients <- f.runClientsAt(load, f.members[3:], "farm", 6, recorder) }()
 	x := &epochObserver{newest: map[string]uint64{}}
 	followed := make(chan struct{})
 	go func() {
@@ -597,18 +597,18 @@
 	}
 	half := map[int]bool{}
 	for _, i := range rng.Perm(len(f.members))[:len(f.members)/2] {
-		half[i] = i >= 5 // the council hears
+		half[i] = i >= 5 // the consensus group hears
 	}
 	f.logEvent("%s is stopped, which decides; deaf: %v", next.name, half)
 	next.program.Signal(syscall.SIGSTOP)
-	mend := f.configureProxies(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	restore := f.configureProxies(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
 	if err := f.awaitCondition(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
 	f.logEvent("%s goes on with what it knew, and all hear again", next.name)
 	next.program.Signal(syscall.SIGCONT)
-	mend()
+	restore()
 	e.Phase("all meet again", e.Duration/3)
 	if err := f.awaitCondition(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
 		got := x.observe(f, f.members)
@@ -630,7 +630,7 @@
 	e.Measure("returned_s", time.Since(back).Seconds())
 	cancel()
 	<-followed
-	c := <-crowd
+	c := <-clients
 	x.mu.Lock()
 	e.AtMost("epochs_back", float64(x.regressions), 0)
 	e.Measure("looks", float64(x.observations))
@@ -643,8 +643,8 @@
 	}
 	var all []decision
 	for _, p := range f.members {
-		for _, prog := range append(slices.Clone(p.earlierPrograms), p.program) {
-			for _, line := range prog.LogLines() {
+		for _, program := range append(slices.Clone(p.earlierPrograms), p.program) {
+			for _, line := range program.LogLines() {
 				if LogField(line, "msg") == "zone shift decided" {
 					n, _ := strconv.ParseUint(LogField(line, "epoch"), 10, 64)
 					all = append(all, decision{n, logTime(line), LogField(line, "step")})
@@ -663,7 +663,7 @@
 	e.measureResults("", c)
 	e.Measure("served", c.ServedFraction())
 	f.drainAll()
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
@@ -680,8 +680,8 @@
 // zoneGray measures what it would be worth to leave a zone that fails by half: the same load on it as each process uses it, and with it left by an
 // operator's order.
 func zoneGray(ctx context.Context, e *Env) error {
-	ledger := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, ledger, true, 3)
+	recorder := fake.NewEffectRecorder()
+	f, err := e.startZoneFleet(ctx, recorder, true, 3)
 	if err != nil {
 		return err
 	}
@@ -713,9 +713,9 @@
 					b.SetFault(k.fault)
 				}
 				run, cancel := context.WithTimeout(ctx, part/2)
-				crowd := f.runClients(run, name, load, ledger)
+				clients := f.runClients(run, name, load, recorder)
 				cancel()
-				served[left] = crowd.ServedFraction()
+				served[left] = clients.ServedFraction()
 				for _, b := range f.backendsIn("b") {
 					b.SetFault(fake.Fault{})
 				}
@@ -732,7 +732,7 @@
 					}
 				}
 				calm, cancel := context.WithTimeout(ctx, part/4) // what was learnt of it is forgotten, as far as it can be
-				f.runClients(calm, name+"calm", load, ledger)
+				f.runClients(calm, name+"calm", load, recorder)
 				cancel()
 			}
 			e.Measure(fmt.Sprintf("%s_%.0f_used", k.name, load), served[false])
@@ -742,7 +742,7 @@
 	}
 	e.Measure("most_gain", gain)
 	f.drainAll()
-	e.checkAnsweredOnce(ledger, "")
+	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
@@ -754,23 +754,23 @@
 	for _, k := range grayFailures {
 		served := map[bool]float64{}
 		for _, auto := range []bool{false, true} {
-			ledger := fake.NewEffectRecorder()
-			f, err := e.startZoneFleetWith(ctx, ledger, auto, "grey = true\n")
+			recorder := fake.NewEffectRecorder()
+			f, err := e.startZoneFleetWith(ctx, recorder, auto, "grey = true\n")
 			if err != nil {
 				return err
 			}
 			e.Phase(fmt.Sprintf("%s, by itself: %v", k.name, auto), part)
 			calm, cancel := context.WithTimeout(ctx, 5*time.Second) // what is usual
-			f.runClients(calm, k.name+"calm", load, ledger)
+			f.runClients(calm, k.name+"calm", load, recorder)
 			cancel()
 			at := time.Now()
 			for _, b := range f.backendsIn("b") {
 				b.SetFault(k.fault)
 			}
 			run, cancel := context.WithTimeout(ctx, 2*part)
-			crowd := f.runClients(run, k.name, load, ledger)
+			clients := f.runClients(run, k.name, load, recorder)
 			cancel()
-			served[auto] = crowd.ServedFraction()
+			served[auto] = clients.ServedFraction()
 			if auto {
 				left := f.exclusionTimes(3, at)
 				e.Measure(k.name+"_followed", float64(len(left)))
@@ -786,7 +786,7 @@
 				}
 			}
 			f.drainAll()
-			v := e.CheckRules(ledger)
+			v := e.CheckRules(recorder)
 			e.AtLeast(fmt.Sprintf("%s_%v_answered_once", k.name, auto), float64(v.Answered)/float64(max(1, v.Attempts)), 1)
 			e.AtMost(fmt.Sprintf("%s_%v_duplicates", k.name, auto), float64(v.DuplicateEffects), 0)
 		}
