--- a/internal/discovery/watchconn.go
+++ b/internal/discovery/watchconn.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// messageComplete notes that a message has come whole.
+// messageComplete notes that a message is complete.
 func (c *watchConn) messageComplete() {
 	c.expectMessage()
 	c.messageDeadline = time.Time{}
--- a/internal/pool/attempt_begin_test.go
+++ b/internal/pool/attempt_begin_test.go
@@ -148,9 +148,9 @@
 
 var safeClass = policy.Class{Name: "c", PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}
 
-// TestToldWhileConnecting guards against a request that is sent to a server which the list has said to drain, or to have gone, or
+// TestEndpointChangedWhileConnecting guards against a request that is sent to a server which the list has said to drain, or to have gone, or
 // to be another process by now, while the connection to it came up: another server gets it.
-func TestToldWhileConnecting(t *testing.T) {
+func TestEndpointChangedWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*discovery.Endpoint){
 		"drains":    func(e *discovery.Endpoint) { e.Health = "leaving" },
 		"restarted": func(e *discovery.Endpoint) { e.StartedMs = time.Now().UnixMilli() },
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestLeftWhileConnecting guards against an attempt, first or further, that begins after its client has left.
-func TestLeftWhileConnecting(t *testing.T) {
+// TestClientGoneWhileConnecting guards against an attempt, first or further, that begins after its client has left.
+func TestClientGoneWhileConnecting(t *testing.T) {
 	for name, attempt := range map[string]int{"first": 1, "further": 2} {
 		t.Run(name, func(t *testing.T) {
 			x := startAttemptScenario(t, safeClass, "")
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestWindowWhileConnecting guards against the repeat of a keyed request that is written after servers have forgotten its key,
+// TestDedupWindowExpiredWhileConnecting guards against the repeat of a keyed request that is written after servers have forgotten its key,
 // since its connection came up late.
-func TestWindowWhileConnecting(t *testing.T) {
+func TestDedupWindowExpiredWhileConnecting(t *testing.T) {
 	const window = 150 * time.Millisecond
 	x := startAttemptScenario(t, policy.Class{Name: "c", Idempotency: policy.IdempotentByKey, DedupWindow: window, PriorityWeight: 1, LatencyObjective: time.Minute, Deadline: time.Minute}, "")
 	e := x.take(t, policy.Request{Class: "c"}, time.Minute, nil)
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestDeadlineWhileConnecting guards against a request that is written after its time: what it does then is of use to nobody.
-func TestDeadlineWhileConnecting(t *testing.T) {
+// TestDeadlinePassedWhileConnecting guards against a request that is written after its time: what it does then is of use to nobody.
+func TestDeadlinePassedWhileConnecting(t *testing.T) {
 	const patience = 100 * time.Millisecond
 	x := startAttemptScenario(t, safeClass, fine)
 	e := x.take(t, policy.Request{Class: "c"}, patience, nil)
--- a/internal/pool/endpoints.go
+++ b/internal/pool/endpoints.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// policyEndpoint returns what the decision module is told of an endpoint of the list: one that is excluded drains, and one that is
+// policyEndpoint returns an endpoint of the list as the decision module is given it: one that is excluded drains, and one that is
 // used again counts as started then. The caller holds mu.
 func (p *Pool) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	endpoint := policy.Endpoint{
--- a/internal/pool/exclusion_test.go
+++ b/internal/pool/exclusion_test.go
@@ -55,9 +55,9 @@
 	return all
 }
 
-// TestReturned: a server that was excluded and is not any more counts as started then, also after further lists, until the list names a later start;
+// TestReturnedEndpointWarmsUp: a server that was excluded and is not any more counts as started then, also after further lists, until the list names a later start;
 // so does one of a zone that the fleet has begun to use again, for a process that has just started. Its connections are not taken for a restarted one's.
-func TestReturned(t *testing.T) {
+func TestReturnedEndpointWarmsUp(t *testing.T) {
 	p := startExclusionScenario(t)
 	told := p.told
 	if !p.SetExcluded(only("b"), nil, nil) || told("b").State != policy.Draining || told("b").Started != 0 {
--- a/internal/pool/forward.go
+++ b/internal/pool/forward.go
@@ -14,7 +14,7 @@
 type RejectedRequest struct {
 	Message       httpmsg.Request
 	ID            string                // its X-Request-ID
-	PolicyRequest policy.Request        // as the decision module was told: PriorAttempts without those made here
+	PolicyRequest policy.Request        // as the decision module was given it: PriorAttempts without those made here
 	Deadline      time.Time             // so long the client waits
 	Rejection     httpmsg.Response      // its response if it is served nowhere else
 	PriorAttempts []policy.PriorAttempt // all attempts so far
--- a/internal/pool/learned_state.go
+++ b/internal/pool/learned_state.go
@@ -7,7 +7,7 @@
 )
 
 // LearnedState is what a pool knows of its endpoints, for the process that takes this one's place. It is stored as JSON. Each process
-// has a clock of its own, so that starts are told by the endpoint list's time.
+// has a clock of its own, so that starts are stored in the endpoint list's time.
 type LearnedState struct {
 	policy.LearnedState
 	StartedMs map[policy.EndpointID]int64 `json:"Born"` // as the list says, in Unix milliseconds
--- a/internal/pool/parse.go
+++ b/internal/pool/parse.go
@@ -80,7 +80,7 @@
 	return id, nil
 }
 
-// parsePolicyRequest reads what the decision module is told of a request.
+// parsePolicyRequest reads the request that the decision module is given.
 func parsePolicyRequest(header http.Header, path string) policy.Request {
 	path = strings.TrimPrefix(path, "/")
 	class, _, _ := strings.Cut(path, "/")
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -35,7 +35,7 @@
 	OnReadyCount func(ready int)
 	// Protocol is that of the endpoints; nil: the platform's.
 	Protocol BackendProtocol
-	// ForwardRejected is given the requests that the decision module rejects; nil: their clients are told so. It is called in a
+	// ForwardRejected is given the requests that the decision module rejects; nil: their clients get the rejection. It is called in a
 	// goroutine of its own, which must end soon after the context.
 	ForwardRejected func(context.Context, *RejectedRequest)
 	// Metrics counts how requests end, and the attempts sent completely; nil: they are not counted.
@@ -68,9 +68,10 @@
 	acceptsRequests func() bool
 	forwardRejected func(context.Context, *RejectedRequest)
 
-	// mu guards all fields below, and what they point to as far as it does not say otherwise: the requests, the attempts' sentAt,
-	// completed and status. It is held while the balancer runs an event. The callbacks of Config that are called under it, but for
-	// forwardRejected, must not call the pool; an attempt's mu and those of upstream.ConnPool may be taken under it.
+	// mu guards all fields below, what changes of a request once it is accepted, and sentAt, completed and status of its attempts. It is
+	// held while the balancer runs an event, and while onReadyCount, acceptsRequests and the report of reachability are called. Those
+	// may take the gateway's lock of what the pools share, under which no method of a pool is called. The locks of an attempt and of
+	// upstream.ConnPool are taken under mu too.
 	mu                   sync.Mutex
 	balancer             *policy.Balancer
 	deferred             []func(now policy.Time) // what an event gave rise to: run as events of their own after it
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -24,7 +24,7 @@
 	releaseBody      func()             // gives the memory of body back
 	clientGone       func() bool        // whether the client has left; nil: nobody can tell
 	response         chan httpmsg.Response
-	policyRequest    policy.Request // as the decision module was told
+	policyRequest    policy.Request // as the decision module was given it
 	acceptedAt       policy.Time
 	forwarded        bool // by another site: it is not forwarded further
 	attempts         []*attempt
@@ -160,7 +160,7 @@
 	}
 }
 
-// lastFailureOr returns what the client of r is told once its attempts have failed: the last failing response of an endpoint, or else
+// lastFailureOr returns the response for the client of r once its attempts have failed: the last failing response of an endpoint, or else
 // the response given. A status that invites a retry is passed on only if nothing was executed.
 func (r *request) lastFailureOr(response httpmsg.Response, notExecuted bool) httpmsg.Response {
 	if r == nil || r.lastFailure == nil {
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -24,8 +24,8 @@
 	return len(p), nil
 }
 
-// TestFiguresAreTold: the log tells what happened in each spell, once; a spell in which nothing did is not told.
-func TestFiguresAreTold(t *testing.T) {
+// TestStatsLogged: the log tells what happened in each spell, once; a spell in which nothing did is not told.
+func TestStatsLogged(t *testing.T) {
 	cfg := policy.Config{
 		InstanceCount: 1, MaxAttempts: 1, PollInterval: time.Millisecond, TimerResolution: time.Millisecond, SlowStartDuration: time.Hour,
 		Classes: []policy.Class{{Name: "a", LatencyObjective: time.Second, Deadline: time.Second}},
--- a/internal/pool/watch_staleness_test.go
+++ b/internal/pool/watch_staleness_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestHeardWithinTheTerm guards against a list that is older than the platform's term by the time at which it is asked for anew: in a
+// TestListPolledWithinStalenessBound guards against a list that is older than the platform's term by the time at which it is asked for anew: in a
 // fleet of 300, whose calls are spread, all the same.
-func TestHeardWithinTheTerm(t *testing.T) {
+func TestListPolledWithinStalenessBound(t *testing.T) {
 	for name, test := range map[string]func(*testing.T){
 		"a watch that falls silent":      testSilentWatch,
 		"a call that nothing answers":    testUnansweredCall,
@@ -240,9 +240,9 @@
 	}
 }
 
-// TestNothingKnown guards against requests that wait for a first list as long as a fleet's first calls are spread over: they
+// TestPollAtOnceWithoutEndpoints guards against requests that wait for a first list as long as a fleet's first calls are spread over: they
 // have nowhere to go.
-func TestNothingKnown(t *testing.T) {
+func TestPollAtOnceWithoutEndpoints(t *testing.T) {
 	addr, calls := startDiscovery(t)
 	began := time.Now()
 	startAsking(t, settings.Settings{Config: fleetConfig(300)}, addr, endpointList(1, true))
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestWatchWarnsOnce guards against a log that repeats the same reason at every call: what was wrong, and where, is told once.
-func TestWatchWarnsOnce(t *testing.T) {
+// TestWatchErrorLoggedOnce guards against a log that repeats the same reason at every call: what was wrong, and where, is told once.
+func TestWatchErrorLoggedOnce(t *testing.T) {
 	p := &Pool{log: slog.New(slog.DiscardHandler)}
 	told := 0
 	p.log = slog.New(countingHandler{Handler: slog.DiscardHandler, n: &told})
--- a/internal/process/descriptors_test.go
+++ b/internal/process/descriptors_test.go
@@ -15,9 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestWaiters guards against a waiter that is not woken when a descriptor is given back, and against counting wrongly while
+// TestAcquireWaits guards against a waiter that is not woken when a descriptor is given back, and against counting wrongly while
 // many take and give.
-func TestWaiters(t *testing.T) {
+func TestAcquireWaits(t *testing.T) {
 	d := NewDescriptors(ReservedDescriptors + 4)
 	for k := range quota.PoolID(3) {
 		d.Register(k+1, quota.Claim{Reserved: 1, Limit: quota.Unlimited}, func() bool { return false })
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestEvictOrder guards against taking a connection of a pool within its part while another has more than its own, and of
+// TestEvictionOrder guards against taking a connection of a pool within its part while another has more than its own, and of
 // others' where a pool is at its own limit.
-func TestEvictOrder(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	d := NewDescriptors(ReservedDescriptors + 10)
 	var evicted []string
 	ctx := context.Background()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,9 +9,9 @@
 const whole = `{"GroupSize":1,"Limits":{"SendCap":1},"Safety":{"AskEveryUs":2000000,"DrainGraceUs":300000},
 	"RequestClasses":[{"Name":"seat-hold","Effect":"idempotency_key","Group":"all","KeyTtlUs":400000,"AimUs":1000,"DeadlineUs":1000}]}`
 
-// TestTimesOfTheRules guards against times that the rules rest on and that are left out, negative or absurd: what is left out is
+// TestMissingAndInvalidTimes guards against times that the rules rest on and that are left out, negative or absurd: what is left out is
 // assumed to the safe side and told, what cannot be is an error that names key and value.
-func TestTimesOfTheRules(t *testing.T) {
+func TestMissingAndInvalidTimes(t *testing.T) {
 	s, err := Parse([]byte(whole))
 	if err != nil || s.DrainGrace != 300*time.Millisecond || s.Config.PollInterval != 2*time.Second || len(s.Assumptions) > 0 {
 		t.Errorf("%+v, %v", s, err)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -15,7 +15,7 @@
 	"sorrelrudder/internal/settings"
 )
 
-// Config is what one sidecar is told at its start.
+// Config configures one sidecar.
 type Config struct {
 	Name            string
 	Listen          string // address for clients
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -627,9 +627,9 @@
 	}
 }
 
-// TestHastyClients guards against sending a request where its answer cannot be expected while its client waits: because
+// TestShortClientTimeouts guards against sending a request where its answer cannot be expected while its client waits: because
 // only the class's aim counts, or because one of little patience is taken for the last, late try of an older one.
-func TestHastyClients(t *testing.T) {
+func TestShortClientTimeouts(t *testing.T) {
 	const hasty = 250 * time.Millisecond
 	fast := startUpstream(t, echo)
 	slow := startUpstream(t, func(q *http.Request, b []byte) string {
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestSuccessorAsksAtOnce guards against a process that takes another's place, and the clients, with the list that it was given, because its
+// TestSuccessorPollsAtOnce guards against a process that takes another's place, and the clients, with the list that it was given, because its
 // first call is spread over the group as that of any that starts: what discovery tells binds it soon after it is ready.
-func TestSuccessorAsksAtOnce(t *testing.T) {
+func TestSuccessorPollsAtOnce(t *testing.T) {
 	u := startUpstream(t, echo)
 	addr, watched := startDiscovery(t, u)
 	go func() {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -27,8 +27,8 @@
 
 func (noDescriptors) Scarce() bool { return true }
 
-// TestHeldConnectionsAreWeighed: where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
-func TestHeldConnectionsAreWeighed(t *testing.T) {
+// TestIdleTimeoutByCosts: where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
+func TestIdleTimeoutByCosts(t *testing.T) {
 	classes := []policy.Class{{LatencyObjective: time.Second}, {LatencyObjective: 200 * time.Millisecond}}
 	for name, c := range map[string]struct {
 		held, handshake float64
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestDescriptorShortageBlamesNobody guards against ejecting servers because this process has no descriptor left.
-func TestDescriptorShortageBlamesNobody(t *testing.T) {
+// TestDescriptorShortageIsNoConnectFailure guards against ejecting servers because this process has no descriptor left.
+func TestDescriptorShortageIsNoConnectFailure(t *testing.T) {
 	up := New(policy.Config{DialTimeout: time.Second}, noDescriptors{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
