--- a/internal/config/opfile_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"sorrelrudder/policy"
 )
 
-const least = `[[listeners]]
+const minimalFile = `[[listeners]]
 name = "farm"
 address = "127.0.0.1:0"
 [pools.orders]
@@ -23,8 +23,8 @@
 effect = "keyed"
 `
 
-func TestLeast(t *testing.T) {
-	f, err := Parse("f.toml", []byte(least))
+func TestMinimalFile(t *testing.T) {
+	f, err := Parse("f.toml", []byte(minimalFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// leastHTTP is the smallest file with ordinary HTTP services.
-const leastHTTP = `[[listeners]]
+// minimalHTTPFile is the smallest file with ordinary HTTP services.
+const minimalHTTPFile = `[[listeners]]
 name = "web"
 address = "127.0.0.1:0"
 [pools.shop]
@@ -48,8 +48,8 @@
 address = "127.0.0.1:1"
 `
 
-// TestPlain holds the classes that a pool of ordinary HTTP services has without any, and with one that is keyed.
-func TestPlain(t *testing.T) {
+// TestHTTPServiceClasses holds the classes that a pool of ordinary HTTP services has without any, and with one that is keyed.
+func TestHTTPServiceClasses(t *testing.T) {
 	for more, want := range map[string]string{
 		"": "reads safe, other unsafe",
 		"[[pools.shop.classes]]\nname = \"item\"\nmatch = [\"GET /items/{id}\", \"HEAD /items/\"]\n": "item safe, other unsafe",
@@ -57,7 +57,7 @@
 		"[[pools.shop.classes]]\nname = \"order\"\nmatch = [\"POST /orders\"]\neffect = \"keyed\"\n": "order without a key unsafe, order keyed, other unsafe",
 		"[[pools.shop.classes]]\nname = \"put\"\nheaders = [\"X-Set\"]\neffect = \"safe\"\n":         "put safe, other unsafe",
 	} {
-		f, err := Parse("f.toml", []byte(leastHTTP+more))
+		f, err := Parse("f.toml", []byte(minimalHTTPFile+more))
 		if err != nil {
 			t.Errorf("%q: %v", more, err)
 			continue
@@ -86,41 +86,41 @@
 		want []string // in order
 	}{
 		"no TOML":         {"[process\n", []string{"f.toml:1: "}},
-		"twice":           {least + "[pools.orders]\n", []string{"f.toml:9: "}},
+		"twice":           {minimalFile + "[pools.orders]\n", []string{"f.toml:9: "}},
 		"nothing":         {"", []string{"f.toml:1: listeners: is missing", "f.toml:1: pools: is missing"}},
-		"unknown":         {least + "[proces]\nname = \"x\"\n", []string{"f.toml:9: proces: unknown key; did you mean process?"}}, //nolint:misspell // the mistake is the test,
-		"unknown, deep":   {least + "colour = 1\n", []string{"f.toml:9: pools.orders.classes[1].colour: unknown key; known here: name, effect"}},
-		"no unit":         {least + "aim = 300\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 300 without a unit`}},
-		"no time":         {least + "aim = \"soon\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is "soon", which is no time`}},
-		"out of range":    {least + "aim = \"0s\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 0s, outside 1ms`}},
-		"deadline":        {least + "aim = \"2s\"\ndeadline = \"1s\"\n", []string{`f.toml:10: pools.orders.classes[1].deadline: is 1s, below the aim of 2s`}},
-		"no such word":    {strings.Replace(least, "keyed", "sometimes", 1), []string{`f.toml:8: pools.orders.classes[1].effect: is "sometimes", not one of safe, keyed, unsafe`}},
-		"not keyed":       {strings.Replace(least, "keyed", "safe", 1) + "repeats_dropped_for = \"1s\"\n", []string{`f.toml:9: pools.orders.classes[1].repeats_dropped_for: only a class`}},
-		"kind":            {least + "[process]\nname = 7\nmemory = 64\n", []string{"f.toml:10: process.name: is a whole number, not a string", "f.toml:11: process.memory: is 64 without a unit"}},
-		"memory":          {least + "[process]\nmemory = \"1MiB\"\n", []string{"f.toml:10: process.memory: is 1MiB, outside 24MiB"}},
-		"figures":         {least + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: figures every 10ms, more often than every 100ms"}},
-		"two lists":       {least + "[[pools.orders.servers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n", []string{"f.toml:9: pools.orders.servers: the pool has two lists"}},
-		"no list":         {strings.Replace(least, "discovery = \"127.0.0.1:8500\"\n", "", 1), []string{"f.toml:4: pools.orders: the pool has no list"}},
-		"port 0":          {strings.Replace(least, "8500", "0", 1), []string{`f.toml:5: pools.orders.discovery: has the port "0"`}},
-		"a name":          {strings.Replace(least, "127.0.0.1:8500", "discovery.local:8500", 1), []string{`f.toml:5: pools.orders.discovery: has the host "discovery.local", which is no IP address`}},
-		"no class":        {least[:strings.Index(least, "[[pools.orders.classes")], []string{"f.toml:4: pools.orders.classes: is missing"}},
-		"class twice":     {least + "[[pools.orders.classes]]\nname = \"order\"\neffect = \"safe\"\n", []string{`f.toml:10: pools.orders.classes[2].name: class "order" is there twice`}},
-		"no routes":       {least + strings.ReplaceAll(least[strings.Index(least, "[pools"):], "orders", "meters"), []string{"f.toml:1: routes: is missing"}},
-		"no such pool":    {least + "[[routes]]\nname = \"a\"\npool = \"order\"\n", []string{`f.toml:4: pools.orders: no route leads to the pool "orders"`, `f.toml:11: routes[1].pool: there is no pool "order"; did you mean "orders"?`}},
-		"tie":             {least + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" tie`}},
-		"bad host":        {least + "[[routes]]\nname = \"a\"\nhosts = [\"a b\", 7]\npool = \"orders\"\n", []string{"f.toml:11: routes[1].hosts[2]: is a whole number", "f.toml:11: routes[1].hosts: host \"a b\""}},
-		"descriptors":     {least + "[process]\ndescriptors = 64\n[[listeners]]\nname = \"b\"\naddress = \":0\"\n", []string{"f.toml:9: process: 63 descriptors are left"}},
-		"listener twice":  {least + "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:1\"\n", []string{`f.toml:10: listeners[2].name: is "farm", as that of the listener in line 1`}},
-		"small bodies":    {least + "[pools.orders.limits]\nbodies = \"1KiB\"\n", []string{"f.toml:10: pools.orders.limits.bodies: is below 64KiB"}},
-		"table for value": {least + "[pools.orders.limits.rate]\nx = 1\n", []string{"f.toml:9: pools.orders.limits.rate: is a table, not a number"}},
-		"http of none":    {least + "[pools.orders.http]\ncheck = \"/x\"\n", []string{"f.toml:9: pools.orders.http: unknown key"}},
-		"pattern":         {leastHTTP + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": "get" is no method`}},
-		"no match":        {leastHTTP + "[[pools.shop.classes]]\nname = \"a\"\n", []string{"f.toml:9: pools.shop.classes[1].match: is missing"}},
-		"all others":      {leastHTTP + "[[pools.shop.classes]]\nname = \"other\"\nmatch = [\"/\"]\n", []string{`f.toml:9: pools.shop.classes: a class is named "other"`}},
-		"statuses":        {leastHTTP + "[pools.shop.http]\nfailures = [200, \"x\"]\n", []string{"f.toml:10: pools.shop.http.failures[1]: is no status", "f.toml:10: pools.shop.http.failures[2]: is no status"}},
-		"trusted field":   {leastHTTP + "[pools.shop.http]\ndeadline_from = [\"X-Mine\"]\n", []string{`f.toml:10: pools.shop.http.deadline_from: has "X-Mine"`}},
-		"value from":      {leastHTTP + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"/a\"]\nkey_from = \"id\"\n", []string{`f.toml:12: pools.shop.classes[1].key_from: is "id", not header:NAME`}},
-		"http spills":     {leastHTTP + "[pools.shop.spill]\nto = \"x\"\n", []string{"f.toml:9: pools.shop.spill: is for pools that speak"}},
+		"unknown":         {minimalFile + "[proces]\nname = \"x\"\n", []string{"f.toml:9: proces: unknown key; did you mean process?"}}, //nolint:misspell // the mistake is the test,
+		"unknown, deep":   {minimalFile + "colour = 1\n", []string{"f.toml:9: pools.orders.classes[1].colour: unknown key; known here: name, effect"}},
+		"no unit":         {minimalFile + "aim = 300\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 300 without a unit`}},
+		"no time":         {minimalFile + "aim = \"soon\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is "soon", which is no time`}},
+		"out of range":    {minimalFile + "aim = \"0s\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 0s, outside 1ms`}},
+		"deadline":        {minimalFile + "aim = \"2s\"\ndeadline = \"1s\"\n", []string{`f.toml:10: pools.orders.classes[1].deadline: is 1s, below the aim of 2s`}},
+		"no such word":    {strings.Replace(minimalFile, "keyed", "sometimes", 1), []string{`f.toml:8: pools.orders.classes[1].effect: is "sometimes", not one of safe, keyed, unsafe`}},
+		"not keyed":       {strings.Replace(minimalFile, "keyed", "safe", 1) + "repeats_dropped_for = \"1s\"\n", []string{`f.toml:9: pools.orders.classes[1].repeats_dropped_for: only a class`}},
+		"kind":            {minimalFile + "[process]\nname = 7\nmemory = 64\n", []string{"f.toml:10: process.name: is a whole number, not a string", "f.toml:11: process.memory: is 64 without a unit"}},
+		"memory":          {minimalFile + "[process]\nmemory = \"1MiB\"\n", []string{"f.toml:10: process.memory: is 1MiB, outside 24MiB"}},
+		"figures":         {minimalFile + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: figures every 10ms, more often than every 100ms"}},
+		"two lists":       {minimalFile + "[[pools.orders.servers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n", []string{"f.toml:9: pools.orders.servers: the pool has two lists"}},
+		"no list":         {strings.Replace(minimalFile, "discovery = \"127.0.0.1:8500\"\n", "", 1), []string{"f.toml:4: pools.orders: the pool has no list"}},
+		"port 0":          {strings.Replace(minimalFile, "8500", "0", 1), []string{`f.toml:5: pools.orders.discovery: has the port "0"`}},
+		"a name":          {strings.Replace(minimalFile, "127.0.0.1:8500", "discovery.local:8500", 1), []string{`f.toml:5: pools.orders.discovery: has the host "discovery.local", which is no IP address`}},
+		"no class":        {minimalFile[:strings.Index(minimalFile, "[[pools.orders.classes")], []string{"f.toml:4: pools.orders.classes: is missing"}},
+		"class twice":     {minimalFile + "[[pools.orders.classes]]\nname = \"order\"\neffect = \"safe\"\n", []string{`f.toml:10: pools.orders.classes[2].name: class "order" is there twice`}},
+		"no routes":       {minimalFile + strings.ReplaceAll(minimalFile[strings.Index(minimalFile, "[pools"):], "orders", "meters"), []string{"f.toml:1: routes: is missing"}},
+		"no such pool":    {minimalFile + "[[routes]]\nname = \"a\"\npool = \"order\"\n", []string{`f.toml:4: pools.orders: no route leads to the pool "orders"`, `f.toml:11: routes[1].pool: there is no pool "order"; did you mean "orders"?`}},
+		"tie":             {minimalFile + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" tie`}},
+		"bad host":        {minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a b\", 7]\npool = \"orders\"\n", []string{"f.toml:11: routes[1].hosts[2]: is a whole number", "f.toml:11: routes[1].hosts: host \"a b\""}},
+		"descriptors":     {minimalFile + "[process]\ndescriptors = 64\n[[listeners]]\nname = \"b\"\naddress = \":0\"\n", []string{"f.toml:9: process: 63 descriptors are left"}},
+		"listener twice":  {minimalFile + "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:1\"\n", []string{`f.toml:10: listeners[2].name: is "farm", as that of the listener in line 1`}},
+		"small bodies":    {minimalFile + "[pools.orders.limits]\nbodies = \"1KiB\"\n", []string{"f.toml:10: pools.orders.limits.bodies: is below 64KiB"}},
+		"table for value": {minimalFile + "[pools.orders.limits.rate]\nx = 1\n", []string{"f.toml:9: pools.orders.limits.rate: is a table, not a number"}},
+		"http of none":    {minimalFile + "[pools.orders.http]\ncheck = \"/x\"\n", []string{"f.toml:9: pools.orders.http: unknown key"}},
+		"pattern":         {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": "get" is no method`}},
+		"no match":        {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\n", []string{"f.toml:9: pools.shop.classes[1].match: is missing"}},
+		"all others":      {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"other\"\nmatch = [\"/\"]\n", []string{`f.toml:9: pools.shop.classes: a class is named "other"`}},
+		"statuses":        {minimalHTTPFile + "[pools.shop.http]\nfailures = [200, \"x\"]\n", []string{"f.toml:10: pools.shop.http.failures[1]: is no status", "f.toml:10: pools.shop.http.failures[2]: is no status"}},
+		"trusted field":   {minimalHTTPFile + "[pools.shop.http]\ndeadline_from = [\"X-Mine\"]\n", []string{`f.toml:10: pools.shop.http.deadline_from: has "X-Mine"`}},
+		"value from":      {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"/a\"]\nkey_from = \"id\"\n", []string{`f.toml:12: pools.shop.classes[1].key_from: is "id", not header:NAME`}},
+		"http spills":     {minimalHTTPFile + "[pools.shop.spill]\nto = \"x\"\n", []string{"f.toml:9: pools.shop.spill: is for pools that speak"}},
 		"value for table": {"pools = 3\nlisteners = \"x\"\n", []string{"f.toml:1: pools: is a whole number", "f.toml:2: listeners: is a string, not tables"}},
 	} {
 		_, err := Parse("f.toml", []byte(c.text))
@@ -141,8 +141,8 @@
 	}
 }
 
-// same compares what the process is told. Drawn seeds are none here.
-func same(a, b gateway.Config) bool { return reflect.DeepEqual(a, b) }
+// equalGateways compares what the process is told. Drawn seeds are none here.
+func equalGateways(a, b gateway.Config) bool { return reflect.DeepEqual(a, b) }
 
 // TestPrint guards against printing what reads as another configuration, and against a default that is not shown.
 func TestPrint(t *testing.T) {
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatalf("what was printed cannot be read: %v\n%s", err, printed)
 	}
-	if !same(f.Gateway, again.Gateway) {
+	if !equalGateways(f.Gateway, again.Gateway) {
 		t.Errorf("what was printed reads otherwise:\n%+v\n%+v", f.Gateway, again.Gateway)
 	}
 	for _, want := range []string{"max = 3 ", "most_retry_after = \"1.5s\"", "strip_path = false"} {
@@ -188,8 +188,8 @@
 
 // FuzzParse guards against a panic on any file, against errors without a place, and against printing what reads otherwise.
 func FuzzParse(f *testing.F) {
-	f.Add(least)
-	f.Add(least + "[[routes]]\nname = \"a\"\nhosts = [\"a.org\", \"*\"]\npool = \"orders\"\n")
+	f.Add(minimalFile)
+	f.Add(minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a.org\", \"*\"]\npool = \"orders\"\n")
 	f.Add("[pools.\"a b\".limits]\nrate = inf\n[pools]\nx = {a.b = 1, a.c = [1, {d = 2}]}\n")
 	f.Add("pools = [{a=1},{b=2}]\nlisteners = [1, [2]]")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -210,7 +210,7 @@
 		if err != nil {
 			t.Fatalf("what was printed cannot be read: %v\n%s", err, file.String())
 		}
-		if !same(file.Gateway, again.Gateway) {
+		if !equalGateways(file.Gateway, again.Gateway) {
 			t.Fatalf("what was printed reads otherwise:\n%s", file.String())
 		}
 	})
--- a/internal/config/tier_test.go
+++ b/internal/config/fleet_test.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/task"
 )
 
-const tierFile = `[[listeners]]
+const fleetFile = `[[listeners]]
 name = "farm"
 address = "127.0.0.1:0"
 [pools.farm]
@@ -42,8 +42,8 @@
 every = "1m"
 `
 
-func TestTier(t *testing.T) {
-	f, err := Parse("f.toml", []byte(tierFile))
+func TestFleet(t *testing.T) {
+	f, err := Parse("f.toml", []byte(fleetFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 }
 
 // TestBadTier: each error has its line and key.
-func TestBadTier(t *testing.T) {
+func TestInvalidFleet(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"even council":       {`["a", "b", "c"]`, `["a", "b"]`, "f.toml:16: tier.council: has 2 members"},
 		"empty council":      {`["a", "b", "c"]`, `[]`, "f.toml:16: tier.council: is empty"},
@@ -89,10 +89,10 @@
 		"odd judge":          {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "which is not below the 0.6"},
 		"odd grey":           {"[[tasks]]", "[tier.copies]\n[tier.zones]\ngrey = \"some\"\n[[tasks]]", "tier.zones.grey"},
 		"not automatic":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"perhaps\"\n[[tasks]]", "tier.zones.automatic"},
-		"tasks alone":        {tierFile[strings.Index(tierFile, "[tier]"):strings.Index(tierFile, "[[tasks]]")], "", "tasks: are done once for a fleet"},
+		"tasks alone":        {fleetFile[strings.Index(fleetFile, "[tier]"):strings.Index(fleetFile, "[[tasks]]")], "", "tasks: are done once for a fleet"},
 	} {
-		text := strings.Replace(tierFile, c.from, c.to, 1)
-		if text == tierFile {
+		text := strings.Replace(fleetFile, c.from, c.to, 1)
+		if text == fleetFile {
 			t.Fatalf("%s: nothing was changed", name)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -102,8 +102,8 @@
 }
 
 // TestZonesWarm: a zone that the fleet returns to is cold for the longest ramp of the pools.
-func TestZonesWarm(t *testing.T) {
-	text := strings.Replace(tierFile, "[tier]\n", "[pools.farm.safety]\nramp = \"25s\"\n[tier]\n", 1)
+func TestZonesWarmUp(t *testing.T) {
+	text := strings.Replace(fleetFile, "[tier]\n", "[pools.farm.safety]\nramp = \"25s\"\n[tier]\n", 1)
 	text = strings.Replace(text, "[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"off\"\n[[tasks]]", 1)
 	f, err := Parse("f.toml", []byte(text))
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 // TestTierExamples: what is shipped can be used.
-func TestTierExamples(t *testing.T) {
+func TestFleetExamples(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "tier-*.toml"))
 	if err != nil || len(files) != 3 {
 		t.Fatalf("%v, %v", files, err)
@@ -132,8 +132,8 @@
 }
 
 // TestPlainTask: on a pool of plain HTTP the class of a task is what the pool's rules say of its request.
-func TestPlainTask(t *testing.T) {
-	text := strings.Replace(tierFile, "[pools.farm]\n", "[pools.farm]\nprotocol = \"http\"\n", 1)
+func TestHTTPServiceTask(t *testing.T) {
+	text := strings.Replace(fleetFile, "[pools.farm]\n", "[pools.farm]\nprotocol = \"http\"\n", 1)
 	text = strings.Replace(text, "name = \"delivery-order\"\n", "name = \"delivery-order\"\nmatch = [\"POST /delivery-order/\"]\nrepeats_dropped_for = \"20s\"\n", 1)
 	f, err := Parse("f.toml", []byte(text))
 	if err != nil {
--- /dev/null
+++ b/internal/config/httpservice.go
@@ -0,0 +1,205 @@
+package config
+
+import (
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"sorrelrudder/internal/classify"
+	"sorrelrudder/internal/gateway"
+	"sorrelrudder/internal/httpservice"
+	"sorrelrudder/policy"
+)
+
+const (
+	// readsClass and otherClass are the classes of a pool of ordinary HTTP services without any: the methods that RFC 9110
+	// calls safe, and all others.
+	readsClass = "reads"
+	otherClass = "other"
+	// keylessSuffix is added to the name of a keyed class for its requests without a key.
+	keylessSuffix = " without a key"
+	// defaultDeadline is that of the classes that the file does not name.
+	defaultDeadline = 15 * time.Second
+)
+
+// safeMethods are those that RFC 9110, 9.2.1, calls safe.
+var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
+
+// deadlineFields are the header fields in which clients may tell their timeout.
+var deadlineFields = []string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}
+
+var forwardingModes = map[string]httpservice.Forwarding{"replace": httpservice.Replace, "append": httpservice.Append, "drop": httpservice.Drop}
+
+// httpService reads what a pool of ordinary HTTP services has in place of the platform's protocol.
+func (r *reader) httpService(pool *section, p *gateway.Pool) httpservice.Config {
+	s := pool.table("http")
+	cfg := httpservice.Config{
+		Via:        s.text("via", "sorrelrudder"),
+		Deadlines:  s.texts("deadline_from"),
+		Forwarding: forwardingModes[s.choice("forwarded", "replace", "replace", "append", "drop")],
+		Failures:   r.statuses(s, "failures", http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout),
+		NotRun:     r.statuses(s, "not_run"),
+		ORCA:       s.choice("load", "none", "none", "orca") == "orca",
+		Check:      s.text("check", ""),
+	}
+	for i, field := range cfg.Deadlines {
+		cfg.Deadlines[i] = http.CanonicalHeaderKey(field)
+		if !slices.Contains(deadlineFields, cfg.Deadlines[i]) {
+			r.fail(s.nodeAt("deadline_from"), "has %q, not one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
+		}
+	}
+	if cfg.Check != "" && (!strings.HasPrefix(cfg.Check, "/") || strings.ContainsAny(cfg.Check, " #")) {
+		r.fail(s.nodeAt("check"), "is %q, not a path such as /healthz", cfg.Check)
+	}
+	if strings.ContainsAny(cfg.Via, " ,;()\"\\") {
+		r.fail(s.nodeAt("via"), "is %q, not a name of one word", cfg.Via)
+	}
+	s.finish()
+	c := &p.Settings.Config
+	c.HealthChecksAllowed = c.HealthChecksAllowed && cfg.Check != ""
+	c.InlineLoadReports = cfg.ORCA
+	return cfg
+}
+
+// statuses reads an array of HTTP statuses from 400 to 599.
+func (r *reader) statuses(s *section, key string, defaults ...int) []int {
+	n := s.get(key)
+	if n == nil {
+		s.record(key, statusArray(defaults), true)
+		return defaults
+	}
+	if n.kind != isArray {
+		r.fail(n, "is %s, not an array of statuses", n.kind)
+		return nil
+	}
+	var statuses []int
+	for _, item := range n.items {
+		status, err := strconv.Atoi(item.text)
+		if item.kind != isInteger || err != nil || status < 400 || status > 599 {
+			r.fail(item, "is no status from 400 to 599")
+			continue
+		}
+		statuses = append(statuses, status)
+	}
+	s.record(key, statusArray(statuses), false)
+	return statuses
+}
+
+// statusArray writes a TOML array.
+func statusArray(statuses []int) string {
+	texts := make([]string, len(statuses))
+	for i, status := range statuses {
+		texts[i] = strconv.Itoa(status)
+	}
+	return "[" + strings.Join(texts, ", ") + "]"
+}
+
+// httpServiceClasses reads the classes of a pool of ordinary HTTP services, and makes its dialect. The last class, which takes all
+// that no other does, is not idempotent.
+func (r *reader) httpServiceClasses(s *section, p *gateway.Pool, cfg httpservice.Config, tables []*section) {
+	b := httpClassBuilder{dialect: cfg, names: map[string]bool{}}
+	for _, t := range tables {
+		r.httpServiceClass(t, &b)
+	}
+	defaults := policy.Class{LatencyObjective: 300 * time.Millisecond, Deadline: defaultDeadline, PriorityWeight: 1, LateWeightFraction: 0.3}
+	if len(tables) == 0 {
+		reads := defaults
+		reads.Name = readsClass
+		b.add(httpservice.Class{Rule: safeMethodsRule()}, reads)
+	}
+	other := defaults
+	other.Name, other.Idempotency = otherClass, policy.NonIdempotent
+	if b.names[otherClass] {
+		r.fail(s.nodeAt("classes"), "a class is named %q, which is that of all other requests", otherClass)
+	} else {
+		b.add(httpservice.Class{}, other)
+		p.Dialect = httpservice.New(b.dialect)
+	}
+	p.Settings.Config.Classes = b.classes
+}
+
+// httpClassBuilder collects the classes of a pool of ordinary HTTP services, as the dialect and as the decision module know them.
+type httpClassBuilder struct {
+	dialect httpservice.Config
+	classes []policy.Class
+	names   map[string]bool
+}
+
+// add adds a class; one with idempotency keys also as the class of its requests without a key, which are not idempotent.
+func (b *httpClassBuilder) add(class httpservice.Class, attributes policy.Class) {
+	if attributes.Idempotency == policy.IdempotentByKey {
+		keyless := attributes
+		keyless.Name, keyless.Idempotency = attributes.Name+keylessSuffix, policy.NonIdempotent
+		class.Bare = keyless.Name
+		b.classes = append(b.classes, keyless)
+	}
+	class.Rule.Class, class.Effect, class.Deadline = attributes.Name, attributes.Idempotency, attributes.Deadline
+	b.dialect.Classes = append(b.dialect.Classes, class)
+	b.classes = append(b.classes, attributes)
+	b.names[attributes.Name] = true
+}
+
+// httpServiceClass reads the table of one class. It is safe by default if all its patterns are of safe methods.
+func (r *reader) httpServiceClass(s *section, b *httpClassBuilder) {
+	attributes := policy.Class{Name: s.requiredText("name")}
+	if b.names[attributes.Name] {
+		r.fail(s.nodeAt("name"), "class %q is there twice", attributes.Name)
+	}
+	var class httpservice.Class
+	safe := true
+	for _, text := range s.texts("match") {
+		pattern, err := classify.ParsePattern(text)
+		if err != nil {
+			r.fail(s.nodeAt("match"), "%q: %v", text, err)
+			continue
+		}
+		safe = safe && slices.Contains(safeMethods, pattern.Method)
+		class.Rule.Patterns = append(class.Rule.Patterns, pattern)
+	}
+	for _, field := range s.texts("headers") {
+		class.Rule.Fields = append(class.Rule.Fields, http.CanonicalHeaderKey(field))
+	}
+	if len(class.Rule.Patterns)+len(class.Rule.Fields) == 0 && s.get("match") == nil {
+		r.fail(s.nodeAt("match"), "is missing: which requests are of the class")
+	}
+	class.Tenant = r.valueSource(s, "tenant_from")
+	class.Key = r.valueSource(s, "key_from")
+	effect := effectUnsafe
+	if safe && len(class.Rule.Patterns) > 0 {
+		effect = effectSafe
+	}
+	r.classAttributes(s, &attributes, effect)
+	s.finish()
+	b.add(class, attributes)
+}
+
+// safeMethodsRule matches all requests of a safe method.
+func safeMethodsRule() classify.Rule {
+	var rule classify.Rule
+	for _, method := range safeMethods {
+		pattern, err := classify.ParsePattern(method + " /")
+		if err != nil {
+			panic(err) // the pattern is written above
+		}
+		rule.Patterns = append(rule.Patterns, pattern)
+	}
+	return rule
+}
+
+// valueSource reads where a value is taken from: "header:NAME" or "path:NAME".
+func (r *reader) valueSource(s *section, key string) httpservice.Source {
+	text := s.text(key, "")
+	if text == "" {
+		return httpservice.Source{}
+	}
+	if field, ok := strings.CutPrefix(text, "header:"); ok && field != "" {
+		return httpservice.Source{Field: http.CanonicalHeaderKey(field)}
+	}
+	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
+		return httpservice.Source{Name: name}
+	}
+	r.fail(s.nodeAt(key), "is %q, not header:NAME or path:NAME", text)
+	return httpservice.Source{}
+}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -9,56 +9,71 @@
 	"sorrelrudder/internal/spillover"
 )
 
-// readSite reads who this site is, and its peers.
+// initialStallTimeout holds until the round trip to the peer has been measured.
+const initialStallTimeout = time.Second
+
+// readSite reads which site this is, and its peers.
 func (f *File) readSite(r *reader) {
-	s := f.root
-	if !s.has("site") {
-		if s.has("peers") {
-			r.fail(s.nodeAt("peers"), "a site with peers has a name: [site] is missing")
+	root := f.root
+	if !root.has("site") {
+		if root.has("peers") {
+			r.fail(root.nodeAt("peers"), "a site with peers has a name: [site] is missing")
 		}
 		return
 	}
-	b := &sitelink.Config{Pools: map[string]sitelink.Pool{}}
-	t := s.table("site")
-	b.Site = t.requiredText("name")
-	if t.has("tls") {
-		files := t.table("tls")
-		b.TLS = &sitelink.TLS{CertFile: files.requiredText("certificate"), KeyFile: files.requiredText("key"), CAFile: files.requiredText("authorities")}
+	cfg := &sitelink.Config{Pools: map[string]sitelink.Pool{}}
+	s := root.table("site")
+	cfg.Site = s.requiredText("name")
+	if s.has("tls") {
+		files := s.table("tls")
+		cfg.TLS = &sitelink.TLS{
+			CertFile: files.requiredText("certificate"),
+			KeyFile:  files.requiredText("key"),
+			CAFile:   files.requiredText("authorities"),
+		}
 		files.finish()
 	}
-	t.finish()
-	seen := map[string]bool{b.Site: true}
-	for _, p := range s.tables("peers") {
-		peer := sitelink.Peer{Name: p.requiredText("name"), Address: p.requiredText("address"), Subject: p.text("subject", "")}
-		if peer.Address != "" {
-			r.checkAddress(p.nodeAt("address"), peer.Address, false)
-		}
-		for _, text := range p.texts("from") {
-			a, err := netip.ParseAddr(text)
-			if err != nil {
-				r.fail(p.nodeAt("from"), "%q is no IP address", text)
-			}
-			peer.SourceAddresses = append(peer.SourceAddresses, a.Unmap())
-		}
-		p.finish()
+	s.finish()
+	seen := map[string]bool{cfg.Site: true}
+	for _, p := range root.tables("peers") {
+		peer := r.peer(p)
 		switch {
 		case seen[peer.Name] && peer.Name != "":
 			r.fail(p.nodeAt("name"), "site %q is there twice", peer.Name)
-		case b.TLS == nil && len(peer.SourceAddresses) == 0:
+		case cfg.TLS == nil && len(peer.SourceAddresses) == 0:
 			r.fail(p.nodeAt("from"), "is missing: without [site.tls] a peer is known by the addresses that it connects from")
-		case b.TLS != nil && peer.Subject == "":
+		case cfg.TLS != nil && peer.Subject == "":
 			r.fail(p.nodeAt("subject"), "is missing: with [site.tls] a peer is known by the common name of its certificate")
 		}
 		seen[peer.Name] = true
-		b.Peers = append(b.Peers, peer)
+		cfg.Peers = append(cfg.Peers, peer)
 	}
-	f.SiteLinks = b
+	f.SiteLinks = cfg
 }
 
-// readSpillover reads what a pool has to do with other sites, and ends the reading of its table.
-func (f *File) readSpillover(r *reader, name string, s *section, p *gateway.Pool) {
-	defer s.finish()
-	reaches := r.sharedDedupClasses
+func (r *reader) peer(s *section) sitelink.Peer {
+	p := sitelink.Peer{
+		Name:    s.requiredText("name"),
+		Address: s.requiredText("address"),
+		Subject: s.text("subject", ""),
+	}
+	if p.Address != "" {
+		r.checkAddress(s.nodeAt("address"), p.Address, dialAddress)
+	}
+	for _, text := range s.texts("from") {
+		address, err := netip.ParseAddr(text)
+		if err != nil {
+			r.fail(s.nodeAt("from"), "%q is no IP address", text)
+		}
+		p.SourceAddresses = append(p.SourceAddresses, address.Unmap())
+	}
+	s.finish()
+	return p
+}
+
+// readSpillover reads how a pool exchanges requests with other sites, if it does.
+func (f *File) readSpillover(r *reader, s *section, p *gateway.Pool) {
+	sharedDedupClasses := r.sharedDedupClasses
 	r.sharedDedupClasses = nil
 	if !s.has("spill") {
 		return
@@ -72,29 +87,38 @@
 		return
 	}
 	t := s.table("spill")
-	b := sitelink.Pool{Settings: p.Settings, Peer: t.text("to", ""), SharedDedupClasses: reaches}
-	if b.Peer != "" {
-		var peers []string
-		for _, p := range f.SiteLinks.Peers {
-			peers = append(peers, p.Name)
-		}
-		r.checkKnown(t.nodeAt("to"), "peer", b.Peer, peers)
+	cfg := sitelink.Pool{Settings: p.Settings, Peer: t.text("to", ""), SharedDedupClasses: sharedDedupClasses}
+	if cfg.Peer != "" {
+		r.checkKnown(t.nodeAt("to"), "peer", cfg.Peer, f.peerNames())
 	}
-	b.Spillover = spillover.Config{
-		Window:     t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
-		StartRatio: t.number("start", 0.02, 0, 1), StopRatio: t.number("stop", 0.005, 0, 1), MaxForwardedRatio: t.number("most_share", 1, 0, 1),
+	cfg.Spillover = spillover.Config{
+		Window:                 t.duration("window", 500*time.Millisecond, 10*time.Millisecond, time.Minute),
+		StartRatio:             t.number("start", 0.02, 0, 1),
+		StopRatio:              t.number("stop", 0.005, 0, 1),
+		MaxForwardedRatio:      t.number("most_share", 1, 0, 1),
 		HealthCheckInterval:    t.duration("probe_every", 100*time.Millisecond, time.Millisecond, time.Minute),
-		MaxHealthCheckInterval: t.duration("most_probe_pause", 2*time.Second, time.Millisecond, time.Hour), HealthyThreshold: int(t.integer("probes_to_open", 3, 1, 100)),
-		StallTimeout: time.Second, // until a round trip is known
+		MaxHealthCheckInterval: t.duration("most_probe_pause", 2*time.Second, time.Millisecond, time.Hour),
+		HealthyThreshold:       int(t.integer("probes_to_open", 3, 1, 100)),
+		StallTimeout:           initialStallTimeout,
 	}
-	if b.Spillover.StopRatio >= b.Spillover.StartRatio {
-		r.fail(t.nodeAt("stop"), "is %v, not below start, which is %v", b.Spillover.StopRatio, b.Spillover.StartRatio)
+	if cfg.Spillover.StopRatio >= cfg.Spillover.StartRatio {
+		r.fail(t.nodeAt("stop"), "is %v, not below start, which is %v", cfg.Spillover.StopRatio, cfg.Spillover.StartRatio)
 	}
-	b.Grant = spillover.GrantConfig{
-		Window:  t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
-		Initial: int(t.integer("grant_first", 8, 0, maxCount)), Max: int(t.integer("grant_most", 256, 0, maxCount)),
+	cfg.Grant = spillover.GrantConfig{
+		Window:           t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
+		Initial:          int(t.integer("grant_first", 8, 0, maxCount)),
+		Max:              int(t.integer("grant_most", 256, 0, maxCount)),
 		MaxRejectedRatio: t.number("grant_short", 0.02, 0, 1),
 	}
 	t.finish()
-	f.SiteLinks.Pools[name] = b
+	f.SiteLinks.Pools[p.Name] = cfg
+}
+
+// peerNames returns the names of the peers, in the order of the file.
+func (f *File) peerNames() []string {
+	var names []string
+	for _, p := range f.SiteLinks.Peers {
+		names = append(names, p.Name)
+	}
+	return names
 }
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -1,10 +1,6 @@
-// Package config reads the operator's file: listeners, pools, routes and limits in TOML. It reports every error with its
-// file, line and key, writes out what it read with all defaults, and makes the process's configuration of it. It decides
-// nothing that the process could decide.
 package config
 
 import (
-	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -15,33 +11,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is one thing that is wrong with a file.
-type Error struct {
-	File string
-	Line int    // from 1
-	Key  string // as routes[2].path, counted from 1; empty for what concerns no key
-	Text string
-}
-
-func (e Error) Error() string {
-	if e.Key == "" {
-		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
-	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Text)
-}
-
-// Errors are all things that are wrong with a file, in the order of its lines.
-type Errors []Error
-
-func (e Errors) Error() string {
-	lines := make([]string, len(e))
-	for i, x := range e {
-		lines[i] = x.Error()
-	}
-	return strings.Join(lines, "\n")
-}
-
-// kind is what a node is.
+// kind is the kind of a node, as error messages call it.
 type kind string
 
 const (
@@ -58,18 +28,19 @@
 // node is a value of the file and its place.
 type node struct {
 	kind  kind
-	line  int
-	path  string
-	text  string // of a scalar
-	keys  []string
-	table map[string]*node
-	items []*node
+	line  int              // from 1
+	path  string           // such as routes[2].path
+	text  string           // of a scalar
+	keys  []string         // of a table, in the order of the file
+	table map[string]*node // of a table
+	items []*node          // of an array
 }
 
 func newTable(path string, line int) *node {
 	return &node{kind: isTable, path: path, line: line, table: map[string]*node{}}
 }
 
+// join appends a key to a path. A key that is no bare one is quoted.
 func join(path, key string) string {
 	if key != "" && strings.Trim(key, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-") != "" {
 		key = strconv.Quote(key)
@@ -80,6 +51,7 @@
 	return path + "." + key
 }
 
+// put sets the value of a key of a table.
 func (n *node) put(key string, v *node) {
 	if _, had := n.table[key]; !had {
 		n.keys = append(n.keys, key)
@@ -87,55 +59,58 @@
 	n.table[key] = v
 }
 
-// parseTree reads text as TOML. The library says whether it is TOML at all, twice-named keys included, and its parser where
-// each key stands.
+// parseTree parses text as TOML. The decoder of the library finds out whether it is valid, with keys that stand twice; the
+// library's parser tells the line of each key. The error is an Errors.
 func parseTree(file string, text []byte) (*node, error) {
-	var any map[string]any
-	if err := toml.Unmarshal(text, &any); err != nil {
-		line := 1
-		var de *toml.DecodeError
-		key := ""
-		if errors.As(err, &de) {
-			line, _ = de.Position()
-			key = strings.Join(de.Key(), ".")
-		}
-		return nil, Errors{{file, line, key, strings.TrimPrefix(err.Error(), "toml: ")}}
+	if err := checkTOML(file, text); err != nil {
+		return nil, err
 	}
 	root := newTable("", 1)
 	var p unstable.Parser
 	p.Reset(text)
-	at := root
+	current := root
 	for p.NextExpression() {
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			at = root
+			current = root
 			path, lines := keyPath(&p, e)
 			for i, key := range path {
 				last := i == len(path)-1
-				at = at.enter(key, lines[i], last && e.Kind == unstable.ArrayTable)
+				current = current.enter(key, lines[i], last && e.Kind == unstable.ArrayTable)
 			}
 		case unstable.KeyValue:
-			path, lines := keyPath(&p, e)
-			to := at
-			for i, key := range path[:len(path)-1] {
-				to = to.enter(key, lines[i], false)
-			}
-			last := path[len(path)-1]
-			to.put(last, value(&p, e.Value(), join(to.path, last), lines[len(lines)-1]))
+			current.putKeyValue(&p, e)
 		}
 	}
-	if err := p.Error(); err != nil { // cannot be, after the library has read it
+	if err := p.Error(); err != nil { // impossible after checkTOML
 		return nil, Errors{{file, 1, "", err.Error()}}
 	}
 	return root, nil
 }
 
-// enter returns the table under key, made if it is not there. Of an array of tables it is the last, or a new one.
-func (n *node) enter(key string, line int, anew bool) *node {
+// checkTOML reports whether text is valid TOML. The error is an Errors.
+func checkTOML(file string, text []byte) error {
+	var document map[string]any
+	err := toml.Unmarshal(text, &document)
+	if err == nil {
+		return nil
+	}
+	line, key := 1, ""
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ = decodeErr.Position()
+		key = strings.Join(decodeErr.Key(), ".")
+	}
+	return Errors{{file, line, key, strings.TrimPrefix(err.Error(), "toml: ")}}
+}
+
+// enter returns the table under key, which is made if it is not there. Of an array of tables it is the last; with appendNew, a
+// new one.
+func (n *node) enter(key string, line int, appendNew bool) *node {
 	path := join(n.path, key)
 	v := n.table[key]
-	if anew {
+	if appendNew {
 		if v == nil {
 			v = &node{kind: isTables, path: path, line: line}
 			n.put(key, v)
@@ -163,7 +138,18 @@
 	return path, lines
 }
 
-func value(p *unstable.Parser, v *unstable.Node, path string, line int) *node {
+// putKeyValue sets the value of a dotted key.
+func (n *node) putKeyValue(p *unstable.Parser, e *unstable.Node) {
+	path, lines := keyPath(p, e)
+	last := len(path) - 1
+	for i, key := range path[:last] {
+		n = n.enter(key, lines[i], false)
+	}
+	n.put(path[last], parseValue(p, e.Value(), join(n.path, path[last]), lines[last]))
+}
+
+// parseValue returns the node of a value that is at path, and begins in that line.
+func parseValue(p *unstable.Parser, v *unstable.Node, path string, line int) *node {
 	n := &node{path: path, line: line, text: string(v.Data), kind: isOther}
 	switch v.Kind {
 	case unstable.String:
@@ -175,41 +161,35 @@
 	case unstable.Bool:
 		n.kind = isBool
 	case unstable.Array:
-		n.kind = isArray
-		for it := v.Children(); it.Next(); {
-			item := it.Node()
-			if item.Kind == unstable.Comment {
-				continue
-			}
-			at := line
-			if item.Raw.Length > 0 {
-				at = p.Shape(item.Raw).Start.Line
-			}
-			n.items = append(n.items, value(p, item, fmt.Sprintf("%s[%d]", path, len(n.items)+1), at))
-		}
-		if len(n.items) > 0 && !slices.ContainsFunc(n.items, func(i *node) bool { return i.kind != isTable }) {
-			n.kind = isTables
-		}
+		n.parseArray(p, v)
 	case unstable.InlineTable:
 		n.kind, n.table = isTable, map[string]*node{}
 		for it := v.Children(); it.Next(); {
-			if it.Node().Kind == unstable.Comment {
-				continue
+			if it.Node().Kind != unstable.Comment {
+				n.putKeyValue(p, it.Node())
 			}
-			keys, lines := keyPath(p, it.Node())
-			to := n
-			for i, key := range keys[:len(keys)-1] {
-				to = to.enter(key, lines[i], false)
-			}
-			last := keys[len(keys)-1]
-			to.put(last, value(p, it.Node().Value(), join(to.path, last), lines[len(lines)-1]))
 		}
 	}
 	return n
 }
 
-// sorted puts errors in the order of their lines.
-func (e Errors) sorted() Errors {
-	slices.SortStableFunc(e, func(a, b Error) int { return cmp.Compare(a.Line, b.Line) })
-	return e
+// parseArray makes n the node of an array, or of tables if it has only such.
+func (n *node) parseArray(p *unstable.Parser, v *unstable.Node) {
+	n.kind = isArray
+	for it := v.Children(); it.Next(); {
+		item := it.Node()
+		if item.Kind == unstable.Comment {
+			continue
+		}
+		line := n.line
+		if item.Raw.Length > 0 {
+			line = p.Shape(item.Raw).Start.Line
+		}
+		path := fmt.Sprintf("%s[%d]", n.path, len(n.items)+1)
+		n.items = append(n.items, parseValue(p, item, path, line))
+	}
+	isNoTable := func(item *node) bool { return item.kind != isTable }
+	if len(n.items) > 0 && !slices.ContainsFunc(n.items, isNoTable) {
+		n.kind = isTables
+	}
 }
