--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -49,7 +49,7 @@
 			fmt.Fprintf(s.out, "no route takes it: %v\n", err)
 			return errScenario
 		}
-		through, rest, uri = f.Gateway.Routes[m.Route].Name, below, m.Below(uri)
+		through, rest, uri = f.Gateway.Routes[m.RouteIndex].Name, below, m.RewriteTarget(uri)
 		for _, p := range f.Gateway.Pools {
 			if p.Name == m.Pool {
 				pool = p
@@ -79,5 +79,5 @@
 		return class
 	}
 	path, _, _ := strings.Cut(uri, "?")
-	return d.Class(method, host, path, h)
+	return d.ClassName(method, host, path, h)
 }
--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -13,7 +13,7 @@
 type Rule struct {
 	Class    string
 	Patterns []Pattern // none: any request
-	Fields   []string  // that must be present
+	Headers  []string  // that must be present
 }
 
 // Pattern is written as net/http.ServeMux has them: "[METHOD ][HOST]/[PATH]", where a segment of the path may be {name}, the last
@@ -22,27 +22,27 @@
 	Method string // "": any
 	Host   string // "": any
 	Path   []Segment
-	Below  bool // all below Path fits too
+	Prefix bool // all below Path fits too
 	text   string
 }
 
 // Segment is one of a path: a name that stands for any, or the text itself.
 type Segment struct {
-	Text string
-	Name bool
+	Text       string
+	IsWildcard bool
 }
 
 func (p Pattern) String() string { return p.text }
 
-// MostSegments bounds a pattern, and so what a look-up costs.
-const MostSegments = 64
+// MaxSegments bounds a pattern, and so what a look-up costs.
+const MaxSegments = 64
 
 // ParsePattern reads a pattern.
 func ParsePattern(text string) (Pattern, error) {
 	p := Pattern{text: text}
 	rest := strings.TrimSpace(text)
 	if method, more, ok := strings.Cut(rest, " "); ok {
-		if !isToken(method) {
+		if !isMethod(method) {
 			return Pattern{}, fmt.Errorf("%q is no method", method)
 		}
 		p.Method, rest = method, strings.TrimLeft(more, " ")
@@ -60,19 +60,19 @@
 		return Pattern{}, fmt.Errorf("the path /%s may have no space, ?, # or %%", path)
 	}
 	if path == "" {
-		p.Below = true
+		p.Prefix = true
 		return p, nil
 	}
 	parts := strings.Split(path, "/")
-	if len(parts) > MostSegments {
-		return Pattern{}, fmt.Errorf("%d segments, over %d", len(parts), MostSegments)
+	if len(parts) > MaxSegments {
+		return Pattern{}, fmt.Errorf("%d segments, over %d", len(parts), MaxSegments)
 	}
 	names := map[string]bool{}
 	for i, part := range parts {
 		last := i == len(parts)-1
 		switch {
 		case last && part == "":
-			p.Below = true
+			p.Prefix = true
 		case last && part == "{$}":
 			p.Path = append(p.Path, Segment{})
 		case part == "" || part == "." || part == "..":
@@ -91,9 +91,9 @@
 			}
 			names[name] = true
 			if all {
-				p.Below = true
+				p.Prefix = true
 			} else {
-				p.Path = append(p.Path, Segment{Text: name, Name: true})
+				p.Path = append(p.Path, Segment{Text: name, IsWildcard: true})
 			}
 		}
 	}
@@ -109,30 +109,30 @@
 	return s != ""
 }
 
-func isToken(s string) bool {
+func isMethod(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(r rune) bool { return r < 'A' || r > 'Z' }) < 0
 }
 
 // Request is what a request is classed by.
 type Request struct {
-	Method string
-	Host   string // as the client wrote it
-	Path   string // as the client wrote it, without a query
-	Has    func(field string) bool
+	Method    string
+	Host      string // as the client wrote it
+	Path      string // as the client wrote it, without a query
+	HasHeader func(field string) bool
 }
 
 // Match is the rule that takes a request.
 type Match struct {
-	Rule    int // its place
-	Pattern int // that of its pattern, -1 if the rule has none
-	parts   []string
-	names   []Segment
+	RuleIndex    int // its place
+	PatternIndex int // that of its pattern, -1 if the rule has none
+	parts        []string
+	names        []Segment
 }
 
 // Value is the segment of the path that a pattern's {name} stands for, "" if it has none of that name.
 func (m Match) Value(name string) string {
 	for i, s := range m.names {
-		if s.Name && s.Text == name {
+		if s.IsWildcard && s.Text == name {
 			return m.parts[i]
 		}
 	}
@@ -141,49 +141,49 @@
 
 // Find returns the first rule that fits, in their order.
 func Find(rules []Rule, q Request) (Match, bool) {
-	parts, plain := split(q.Path)
-	host := hostOf(q.Host)
+	parts, plain := splitPath(q.Path)
+	host := normalizeHost(q.Host)
 	for i, r := range rules {
 		missing := false
-		for _, f := range r.Fields {
-			missing = missing || !q.Has(f)
+		for _, f := range r.Headers {
+			missing = missing || !q.HasHeader(f)
 		}
 		if missing {
 			continue
 		}
 		if len(r.Patterns) == 0 {
-			return Match{Rule: i, Pattern: -1}, true
+			return Match{RuleIndex: i, PatternIndex: -1}, true
 		}
 		for j := range r.Patterns {
-			if p := &r.Patterns[j]; p.fits(q.Method, host, parts, plain) {
-				return Match{Rule: i, Pattern: j, parts: parts, names: p.Path}, true
+			if p := &r.Patterns[j]; p.matches(q.Method, host, parts, plain) {
+				return Match{RuleIndex: i, PatternIndex: j, parts: parts, names: p.Path}, true
 			}
 		}
 	}
 	return Match{}, false
 }
 
-func (p *Pattern) fits(method, host string, parts []string, plain bool) bool {
+func (p *Pattern) matches(method, host string, parts []string, plain bool) bool {
 	if p.Method != "" && p.Method != method && (p.Method != "GET" || method != "HEAD") || p.Host != "" && p.Host != host {
 		return false
 	}
-	if len(p.Path) == 0 && p.Below { // any path, however it may be read
+	if len(p.Path) == 0 && p.Prefix { // any path, however it may be read
 		return true
 	}
-	if !plain || len(parts) < len(p.Path) || len(parts) > len(p.Path) && !p.Below {
+	if !plain || len(parts) < len(p.Path) || len(parts) > len(p.Path) && !p.Prefix {
 		return false
 	}
 	for i, s := range p.Path {
-		if s.Name && parts[i] == "" || !s.Name && s.Text != parts[i] {
+		if s.IsWildcard && parts[i] == "" || !s.IsWildcard && s.Text != parts[i] {
 			return false
 		}
 	}
-	return !p.Below || len(parts) > len(p.Path) // as with ServeMux /a/ does not fit /a
+	return !p.Prefix || len(parts) > len(p.Path) // as with ServeMux /a/ does not fit /a
 }
 
-// split cuts a path into its segments, decoded. It is plain if it can be read in one way only: no segment is empty but the last,
+// splitPath cuts a path into its segments, decoded. It is plain if it can be read in one way only: no segment is empty but the last,
 // or stands for another, and none hides a slash.
-func split(path string) (parts []string, plain bool) {
+func splitPath(path string) (parts []string, plain bool) {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
 		return nil, false
@@ -191,7 +191,7 @@
 	parts = strings.Split(rest, "/")
 	for i, part := range parts {
 		if strings.IndexByte(part, '%') >= 0 {
-			if part, ok = decode(part); !ok {
+			if part, ok = percentDecode(part); !ok {
 				return nil, false
 			}
 			parts[i] = part
@@ -203,7 +203,7 @@
 	return parts, true
 }
 
-func decode(s string) (string, bool) {
+func percentDecode(s string) (string, bool) {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
 		if s[i] != '%' {
@@ -213,7 +213,7 @@
 		if i+2 >= len(s) {
 			return "", false
 		}
-		high, low := digit(s[i+1]), digit(s[i+2])
+		high, low := hexDigit(s[i+1]), hexDigit(s[i+2])
 		if high < 0 || low < 0 {
 			return "", false
 		}
@@ -223,7 +223,7 @@
 	return b.String(), true
 }
 
-func digit(c byte) int {
+func hexDigit(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
@@ -235,8 +235,8 @@
 	return -1
 }
 
-// hostOf is a host without its port, in lower case.
-func hostOf(host string) string {
+// normalizeHost is a host without its port, in lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -29,7 +29,7 @@
 	rules := []Rule{
 		rule(t, "item", "GET /items/{id}", "GET items.example.org/{id}"),
 		rule(t, "shop", "/shops/{shop}/orders/"),
-		{Class: "urgent", Fields: []string{"X-Urgent"}},
+		{Class: "urgent", Headers: []string{"X-Urgent"}},
 		rule(t, "root", "GET /{$}"),
 		rule(t, "put", "PUT /"),
 	}
@@ -53,24 +53,24 @@
 		{"PUT", "h", "/a/../b", "put", ""},
 		{"GET", "h", "items/7", "", ""},
 	} {
-		m, ok := Find(rules, Request{Method: c.method, Host: c.host, Path: c.path, Has: none})
+		m, ok := Find(rules, Request{Method: c.method, Host: c.host, Path: c.path, HasHeader: none})
 		class := ""
 		if ok {
-			class = rules[m.Rule].Class
+			class = rules[m.RuleIndex].Class
 		}
 		if class != c.class || m.Value("id") != c.value {
 			t.Errorf("%s %s%s: %q, %q, want %q, %q", c.method, c.host, c.path, class, m.Value("id"), c.class, c.value)
 		}
 	}
-	m, ok := Find(rules, Request{Method: "POST", Path: "/x", Has: func(f string) bool { return f == "X-Urgent" }})
-	if !ok || rules[m.Rule].Class != "urgent" {
+	m, ok := Find(rules, Request{Method: "POST", Path: "/x", HasHeader: func(f string) bool { return f == "X-Urgent" }})
+	if !ok || rules[m.RuleIndex].Class != "urgent" {
 		t.Errorf("by its field: %v, %v", m, ok)
 	}
 }
 
 func TestParsePattern(t *testing.T) {
 	for _, text := range []string{"", "GET", "items", "get /a", "GET /a/../b", "/a//b", "/{a}/{a}", "/{a...}/b", "/{1a}", "/a{b}", "*.h/a", "/a%20b", "/a?b=c",
-		"/" + strings.Repeat("a/", MostSegments+1)} {
+		"/" + strings.Repeat("a/", MaxSegments+1)} {
 		if p, err := ParsePattern(text); err == nil {
 			t.Errorf("%q was taken for %+v", text, p)
 		}
@@ -112,7 +112,7 @@
 		q := httptest.NewRequest(method, path, nil)
 		mux.ServeHTTP(httptest.NewRecorder(), q) // which leads from /a to /a/, rather than to take it
 		rules := []Rule{rule(t, "c", text)}
-		m, got := Find(rules, Request{Method: method, Host: q.Host, Path: path, Has: none})
+		m, got := Find(rules, Request{Method: method, Host: q.Host, Path: path, HasHeader: none})
 		if got != want {
 			t.Fatalf("%q on %s %s: %v, want %v", text, method, path, got, want)
 		}
@@ -129,7 +129,7 @@
 	}
 	rules := []Rule{rule(f, "item", "GET /items/{id}")}
 	f.Fuzz(func(t *testing.T, path string) {
-		m, ok := Find(rules, Request{Method: "GET", Path: path, Has: none})
+		m, ok := Find(rules, Request{Method: "GET", Path: path, HasHeader: none})
 		if !ok {
 			return
 		}
--- a/internal/config/httpservice.go
+++ b/internal/config/httpservice.go
@@ -30,35 +30,35 @@
 // deadlineFields are the header fields in which clients may tell their timeout.
 var deadlineFields = []string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}
 
-var forwardingModes = map[string]httpservice.Forwarding{"replace": httpservice.Replace, "append": httpservice.Append, "drop": httpservice.Drop}
+var forwardingModes = map[string]httpservice.Forwarding{"replace": httpservice.ForwardingReplace, "append": httpservice.ForwardingAppend, "drop": httpservice.ForwardingDrop}
 
 // httpService reads what a pool of ordinary HTTP services has in place of the platform's protocol.
 func (r *reader) httpService(pool *section, p *gateway.Pool) httpservice.Config {
 	s := pool.table("http")
 	cfg := httpservice.Config{
-		Via:        s.text("via", "sorrelrudder"),
-		Deadlines:  s.texts("deadline_from"),
-		Forwarding: forwardingModes[s.choice("forwarded", "replace", "replace", "append", "drop")],
-		Failures:   r.statuses(s, "failures", http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout),
-		NotRun:     r.statuses(s, "not_run"),
-		ORCA:       s.choice("load", "none", "none", "orca") == "orca",
-		Check:      s.text("check", ""),
-	}
-	for i, field := range cfg.Deadlines {
-		cfg.Deadlines[i] = http.CanonicalHeaderKey(field)
-		if !slices.Contains(deadlineFields, cfg.Deadlines[i]) {
+		Via:                 s.text("via", "sorrelrudder"),
+		TimeoutFields:       s.texts("deadline_from"),
+		Forwarding:          forwardingModes[s.choice("forwarded", "replace", "replace", "append", "drop")],
+		FailureStatuses:     r.statuses(s, "failures", http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout),
+		NotExecutedStatuses: r.statuses(s, "not_run"),
+		ORCA:                s.choice("load", "none", "none", "orca") == "orca",
+		HealthCheckPath:     s.text("check", ""),
+	}
+	for i, field := range cfg.TimeoutFields {
+		cfg.TimeoutFields[i] = http.CanonicalHeaderKey(field)
+		if !slices.Contains(deadlineFields, cfg.TimeoutFields[i]) {
 			r.fail(s.nodeAt("deadline_from"), "has %q, not one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
 		}
 	}
-	if cfg.Check != "" && (!strings.HasPrefix(cfg.Check, "/") || strings.ContainsAny(cfg.Check, " #")) {
-		r.fail(s.nodeAt("check"), "is %q, not a path such as /healthz", cfg.Check)
+	if cfg.HealthCheckPath != "" && (!strings.HasPrefix(cfg.HealthCheckPath, "/") || strings.ContainsAny(cfg.HealthCheckPath, " #")) {
+		r.fail(s.nodeAt("check"), "is %q, not a path such as /healthz", cfg.HealthCheckPath)
 	}
 	if strings.ContainsAny(cfg.Via, " ,;()\"\\") {
 		r.fail(s.nodeAt("via"), "is %q, not a name of one word", cfg.Via)
 	}
 	s.finish()
 	c := &p.Settings.Config
-	c.HealthChecksAllowed = c.HealthChecksAllowed && cfg.Check != ""
+	c.HealthChecksAllowed = c.HealthChecksAllowed && cfg.HealthCheckPath != ""
 	c.InlineLoadReports = cfg.ORCA
 	return cfg
 }
@@ -132,10 +132,10 @@
 	if attributes.Idempotency == policy.IdempotentByKey {
 		keyless := attributes
 		keyless.Name, keyless.Idempotency = attributes.Name+keylessSuffix, policy.NonIdempotent
-		class.Bare = keyless.Name
+		class.KeylessClass = keyless.Name
 		b.classes = append(b.classes, keyless)
 	}
-	class.Rule.Class, class.Effect, class.Deadline = attributes.Name, attributes.Idempotency, attributes.Deadline
+	class.Rule.Class, class.Idempotency, class.Deadline = attributes.Name, attributes.Idempotency, attributes.Deadline
 	b.dialect.Classes = append(b.dialect.Classes, class)
 	b.classes = append(b.classes, attributes)
 	b.names[attributes.Name] = true
@@ -159,9 +159,9 @@
 		class.Rule.Patterns = append(class.Rule.Patterns, pattern)
 	}
 	for _, field := range s.texts("headers") {
-		class.Rule.Fields = append(class.Rule.Fields, http.CanonicalHeaderKey(field))
+		class.Rule.Headers = append(class.Rule.Headers, http.CanonicalHeaderKey(field))
 	}
-	if len(class.Rule.Patterns)+len(class.Rule.Fields) == 0 && s.get("match") == nil {
+	if len(class.Rule.Patterns)+len(class.Rule.Headers) == 0 && s.get("match") == nil {
 		r.fail(s.nodeAt("match"), "is missing: which requests are of the class")
 	}
 	class.Tenant = r.valueSource(s, "tenant_from")
@@ -189,17 +189,17 @@
 }
 
 // valueSource reads where a value is taken from: "header:NAME" or "path:NAME".
-func (r *reader) valueSource(s *section, key string) httpservice.Source {
+func (r *reader) valueSource(s *section, key string) httpservice.ValueSource {
 	text := s.text(key, "")
 	if text == "" {
-		return httpservice.Source{}
+		return httpservice.ValueSource{}
 	}
 	if field, ok := strings.CutPrefix(text, "header:"); ok && field != "" {
-		return httpservice.Source{Field: http.CanonicalHeaderKey(field)}
+		return httpservice.ValueSource{Header: http.CanonicalHeaderKey(field)}
 	}
 	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
-		return httpservice.Source{Name: name}
+		return httpservice.ValueSource{PathName: name}
 	}
 	r.fail(s.nodeAt(key), "is %q, not header:NAME or path:NAME", text)
-	return httpservice.Source{}
+	return httpservice.ValueSource{}
 }
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -114,20 +114,20 @@
 	if _, err := tlsfiles.Load(cfg, nil); err != nil {
 		r.fail(s.node, "%v", err)
 	}
-	for _, key := range cfg.Exposed() {
+	for _, key := range cfg.ExposedKeys() {
 		f.Warnings = append(f.Warnings, key+" is a key that others than its owner can read")
 	}
 }
 
 // CertificateConfig returns the files of a listener's TLS.
 func CertificateConfig(t gateway.TLS) tlsfiles.Config {
-	c := tlsfiles.Config{Authorities: t.ClientCAFile, Needed: t.RequireClientCert, Protocols: []string{"http/1.1"}}
+	c := tlsfiles.Config{CAFile: t.ClientCAFile, RequireClientCert: t.RequireClientCert, Protocols: []string{"http/1.1"}}
 	if t.HTTP2 {
 		c.Protocols = []string{"h2", "http/1.1"}
 	}
 	for line := range strings.SplitSeq(t.KeyPairs, "\n") {
 		certificate, key, _ := strings.Cut(line, "\t")
-		c.Pairs = append(c.Pairs, tlsfiles.Pair{Certificate: certificate, Key: key})
+		c.Pairs = append(c.Pairs, tlsfiles.Pair{CertFile: certificate, KeyFile: key})
 	}
 	return c
 }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -13,12 +13,12 @@
 	routed := map[string]bool{}
 	for _, t := range tables {
 		rt := route.Route{
-			Name:    t.requiredText("name"),
-			Hosts:   t.texts("hosts"),
-			Path:    t.text("path", "/"),
-			Classes: t.texts("classes"),
-			Pool:    t.requiredText("pool"),
-			Strip:   t.boolean("strip_path", false),
+			Name:      t.requiredText("name"),
+			Hosts:     t.texts("hosts"),
+			Path:      t.text("path", "/"),
+			Classes:   t.texts("classes"),
+			Pool:      t.requiredText("pool"),
+			StripPath: t.boolean("strip_path", false),
 		}
 		t.finish()
 		if line, had := lines[rt.Name]; had && rt.Name != "" {
@@ -43,7 +43,7 @@
 	}
 	_, errs := route.New(f.Gateway.Routes)
 	for _, e := range errs {
-		r.fail(tables[e.Route].nodeAt(e.Key), "%s", e.Text)
+		r.fail(tables[e.RouteIndex].nodeAt(e.Key), "%s", e.Text)
 	}
 }
 
--- a/internal/config/task.go
+++ b/internal/config/task.go
@@ -88,7 +88,7 @@
 	if d, ok := pools[pool].Dialect.(*httpservice.Dialect); ok {
 		// By the pool's rules, as for a client's request of that head; tasks of a keyed class always have a key.
 		path, _, _ := strings.Cut(t.Path, "?")
-		className = d.Class(t.Method, cmp.Or(t.Host, t.Pool), path, http.Header{"Idempotency-Key": {"a task's"}})
+		className = d.ClassName(t.Method, cmp.Or(t.Host, t.Pool), path, http.Header{"Idempotency-Key": {"a task's"}})
 		t.Plain = true
 	} else if t.Host != "" {
 		r.fail(s.nodeAt("host"), "means something to pools of plain HTTP only, which %q is not", t.Pool)
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, "", httpmsg.RejectionError{Status: routeErrorStatus(err), Text: err.Error()}
 	}
-	q.URI = match.Below(q.URI)
+	q.URI = match.RewriteTarget(q.URI)
 	return t.pools[match.Pool], path, nil
 }
 
--- a/internal/gateway/routing_test.go
+++ b/internal/gateway/routing_test.go
@@ -88,7 +88,7 @@
 func TestStripPath(t *testing.T) {
 	s := newTestbed(t)
 	s.pool("orders", s.backend("a", nil))
-	s.cfg.Routes[0].Path, s.cfg.Routes[0].Strip = "/farm/v1", true
+	s.cfg.Routes[0].Path, s.cfg.Routes[0].StripPath = "/farm/v1", true
 	s.start()
 	resp, body := s.dial().ask(t, s.sent("POST", "orders.example.org", "/farm/v1/order/7?x=1", "strip", "Idempotency-Key: k\r\nContent-Length: 0\r\n"))
 	if want := fake.Made("order", "", "k"); resp.StatusCode != http.StatusOK || body != want {
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -16,23 +16,23 @@
 const (
 	// Preface is what a client sends first that speaks HTTP/2 without asking.
 	Preface = http2.ClientPreface
-	// mostHead bounds the fields of a request, trailers included.
-	mostHead = 16 << 10
-	// mostStreams bounds the requests open at once on a connection.
-	mostStreams = 250
-	// idleTime is how long a connection may stand idle while nobody wants its place, and pingTime after which silence the other
+	// maxHeaderBytes bounds the fields of a request, trailers included.
+	maxHeaderBytes = 16 << 10
+	// maxConcurrentStreams bounds the requests open at once on a connection.
+	maxConcurrentStreams = 250
+	// idleTimeout is how long a connection may stand idle while nobody wants its place, and pingTime after which silence the other
 	// side is asked whether it is there.
-	idleTime = time.Minute
-	pingTime = 30 * time.Second
-	// writeTime is how long the other side may take nothing at all.
-	writeTime = 15 * time.Second
-	// goAwayTime is how long the other side has to see that no further requests are taken, and settleTime how long the last
+	idleTimeout  = time.Minute
+	pingInterval = 30 * time.Second
+	// writeTimeout is how long the other side may take nothing at all.
+	writeTimeout = 15 * time.Second
+	// idlePollInterval is how long the other side has to see that no further requests are taken, and settleTime how long the last
 	// of an answer may take to be written once it has been made.
-	goAwayTime = 20 * time.Millisecond
-	settleTime = 100 * time.Millisecond
-	// windowConn and windowStream bound what is read of bodies ahead of who takes them.
-	windowConn   = 256 << 10
-	windowStream = 64 << 10
+	idlePollInterval = 20 * time.Millisecond
+	settleTime       = 100 * time.Millisecond
+	// connWindowBytes and windowStream bound what is read of bodies ahead of who takes them.
+	connWindowBytes   = 256 << 10
+	streamWindowBytes = 64 << 10
 )
 
 // Protocol is a downstream.MultiplexedProtocol.
@@ -43,18 +43,18 @@
 
 // Serve is the method of downstream.MultiplexedProtocol.
 func (p Protocol) Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler) {
-	count := &counted{Handler: h, active: active}
-	base := &http.Server{Handler: count, MaxHeaderBytes: mostHead, ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)}
+	count := &requestCounter{Handler: h, active: active}
+	base := &http.Server{Handler: count, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)}
 	server := &http2.Server{
-		MaxConcurrentStreams: mostStreams, IdleTimeout: idleTime, ReadIdleTimeout: pingTime, WriteByteTimeout: writeTime,
-		MaxUploadBufferPerConnection: windowConn, MaxUploadBufferPerStream: windowStream,
+		MaxConcurrentStreams: maxConcurrentStreams, IdleTimeout: idleTimeout, ReadIdleTimeout: pingInterval, WriteByteTimeout: writeTimeout,
+		MaxUploadBufferPerConnection: connWindowBytes, MaxUploadBufferPerStream: streamWindowBytes,
 	}
 	if err := http2.ConfigureServer(base, server); err != nil {
 		p.Log.Error("HTTP/2", "err", err)
 		return
 	}
 	if len(first) > 0 {
-		c = &begun{Conn: c, first: first}
+		c = &prefixedConn{Conn: c, first: first}
 	}
 	ended := make(chan struct{})
 	var draining sync.WaitGroup
@@ -68,7 +68,7 @@
 			return
 		}
 		// The library leaves an idle connection open for a second more, which whoever wants its place would wait for.
-		tick := time.NewTicker(goAwayTime)
+		tick := time.NewTicker(idlePollInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -88,54 +88,54 @@
 	count.wait()
 }
 
-// counted tells of the requests that are open.
-type counted struct {
+// requestCounter tells of the requests that are open.
+type requestCounter struct {
 	http.Handler
 	active func(bool)
 
-	mu    sync.Mutex
-	open  int
-	ended time.Time // of the last that was open
-	all   sync.WaitGroup
+	mu        sync.Mutex
+	open      int
+	lastEnded time.Time // of the last that was open
+	handlers  sync.WaitGroup
 }
 
 // ServeHTTP is the method of http.Handler.
-func (c *counted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.all.Add(1)
-	defer c.all.Done()
-	c.change(1)
-	defer c.change(-1)
+func (c *requestCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.handlers.Add(1)
+	defer c.handlers.Done()
+	c.add(1)
+	defer c.add(-1)
 	c.Handler.ServeHTTP(w, r)
 }
 
-func (c *counted) change(by int) {
+func (c *requestCounter) add(by int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.open
-	c.ended = time.Now()
+	c.lastEnded = time.Now()
 	if c.open += by; was == 0 || c.open == 0 {
 		c.active(c.open > 0)
 	}
 }
 
 // idle reports whether no request has been open for so long.
-func (c *counted) idle(since time.Duration) bool {
+func (c *requestCounter) idle(since time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open == 0 && time.Since(c.ended) >= since
+	return c.open == 0 && time.Since(c.lastEnded) >= since
 }
 
 // wait returns once no request is open any more: their contexts ended with the connection.
-func (c *counted) wait() { c.all.Wait() }
+func (c *requestCounter) wait() { c.handlers.Wait() }
 
-// begun is a connection of which something has been read.
-type begun struct {
+// prefixedConn is a connection of which something has been read.
+type prefixedConn struct {
 	net.Conn
 	first []byte
 }
 
 // Read is the method of net.Conn.
-func (b *begun) Read(p []byte) (int, error) {
+func (b *prefixedConn) Read(p []byte) (int, error) {
 	if len(b.first) > 0 {
 		n := copy(p, b.first)
 		b.first = b.first[n:]
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -16,34 +16,34 @@
 
 const (
 	// orcaField carries a report of the Open Request Cost Aggregation standard, in one of three forms; orcaBinary its oldest.
-	orcaField  = "Endpoint-Load-Metrics"
-	orcaBinary = "Endpoint-Load-Metrics-Bin"
-	// mostReport bounds it.
-	mostReport = 4 << 10
-	// mostQueue is the highest queue that a report is taken to tell.
-	mostQueue = 1e6
-	// fullUtil is the utilisation at and beyond which a server counts as one with a queue of fullQueue.
-	fullUtil  = 0.99
-	fullQueue = fullUtil / (1 - fullUtil)
+	orcaField       = "Endpoint-Load-Metrics"
+	orcaBinaryField = "Endpoint-Load-Metrics-Bin"
+	// maxReportBytes bounds it.
+	maxReportBytes = 4 << 10
+	// maxQueue is the highest queue that a report is taken to tell.
+	maxQueue = 1e6
+	// fullUtilization is the utilisation at and beyond which a server counts as one with a queue of fullQueue.
+	fullUtilization = 0.99
+	fullQueue       = fullUtilization / (1 - fullUtilization)
 )
 
 // parseORCA reads the load that an answer tells, nil if it tells none that can be used. What the module marks servers by is a
 // queue: the named metrics `queue` and `inflight` are that; else the utilisation u stands for the u/(1-u) requests that a server
 // so busy holds at the mean, which orders servers as their queues would.
 func parseORCA(h http.Header) *policy.LoadReport {
-	text, binary := h.Get(orcaField), h.Get(orcaBinary)
-	if len(text)+len(binary) > mostReport || text == "" && binary == "" {
+	text, binary := h.Get(orcaField), h.Get(orcaBinaryField)
+	if len(text)+len(binary) > maxReportBytes || text == "" && binary == "" {
 		return nil
 	}
 	var r orca.OrcaLoadReport
 	format, rest, _ := strings.Cut(text, " ")
 	switch {
 	case text == "":
-		if !readBinary(binary, &r) {
+		if !decodeBinary(binary, &r) {
 			return nil
 		}
 	case format == "BIN":
-		if !readBinary(rest, &r) {
+		if !decodeBinary(rest, &r) {
 			return nil
 		}
 	case format == "JSON":
@@ -51,14 +51,14 @@
 			return nil
 		}
 	case format == "TEXT":
-		readText(rest, &r)
+		decodeText(rest, &r)
 	default:
 		return nil
 	}
-	return loadOf(&r)
+	return toLoadReport(&r)
 }
 
-func readBinary(text string, r *orca.OrcaLoadReport) bool {
+func decodeBinary(text string, r *orca.OrcaLoadReport) bool {
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil {
 		raw, err = base64.RawStdEncoding.DecodeString(strings.TrimSpace(text))
@@ -66,8 +66,8 @@
 	return err == nil && proto.Unmarshal(raw, r) == nil
 }
 
-// readText reads "cpu_utilization=0.3, named_metrics.queue=2". What it does not know it passes over.
-func readText(text string, r *orca.OrcaLoadReport) {
+// decodeText reads "cpu_utilization=0.3, named_metrics.queue=2". What it does not know it passes over.
+func decodeText(text string, r *orca.OrcaLoadReport) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -90,9 +90,9 @@
 	}
 }
 
-func loadOf(r *orca.OrcaLoadReport) *policy.LoadReport {
+func toLoadReport(r *orca.OrcaLoadReport) *policy.LoadReport {
 	l := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
-	usable := func(v float64) bool { return v >= 0 && v <= mostQueue } // not NaN
+	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // not NaN
 	if v, ok := r.GetNamedMetrics()["queue"]; ok && usable(v) {
 		l.Queue = v
 	}
@@ -110,7 +110,7 @@
 		return nil
 	}
 	l.InFlight = fullQueue
-	if util < fullUtil {
+	if util < fullUtilization {
 		l.InFlight = util / (1 - util)
 	}
 	return &l
--- a/internal/httpservice/plain.go
+++ b/internal/httpservice/plain.go
@@ -27,18 +27,18 @@
 	"sorrelrudder/policy"
 )
 
-// Source is where a value is taken from: a field, a {name} of the pattern, or neither.
-type Source struct{ Field, Name string }
+// ValueSource is where a value is taken from: a field, a {name} of the pattern, or neither.
+type ValueSource struct{ Header, PathName string }
 
 // Class is one of the pool's classes and how its requests are known.
 type Class struct {
-	Rule   classify.Rule
-	Effect policy.Idempotency
-	// Bare is the class of requests of a keyed one that have no key: nobody could tell a repeat of them.
-	Bare     string
-	Deadline time.Duration // where the client names none that is trusted
-	Tenant   Source
-	Key      Source // what the request is about, for servers that do less work for a key they met lately
+	Rule        classify.Rule
+	Idempotency policy.Idempotency
+	// KeylessClass is the class of requests of a keyed one that have no key: nobody could tell a repeat of them.
+	KeylessClass string
+	Deadline     time.Duration // where the client names none that is trusted
+	Tenant       ValueSource
+	Key          ValueSource // what the request is about, for servers that do less work for a key they met lately
 }
 
 // Forwarding is what becomes of the fields that tell where a request came from.
@@ -46,21 +46,21 @@
 
 // The ways.
 const (
-	Replace Forwarding = iota // what a client says of it is dropped, and what is seen here set
-	Append                    // what is seen here is added to what a trusted proxy said
-	Drop                      // nothing is told
+	ForwardingReplace Forwarding = iota // what a client says of it is dropped, and what is seen here set
+	ForwardingAppend                    // what is seen here is added to what a trusted proxy said
+	ForwardingDrop                      // nothing is told
 )
 
 // Config is what the operator says of a pool's services.
 type Config struct {
-	Classes    []Class  // in the order in which they are tried; the last takes all
-	Deadlines  []string // fields that are trusted with the client's patience: see patience
-	Forwarding Forwarding
-	Failures   []int // statuses that are tried again where that is harmless
-	NotRun     []int // statuses by which a server proves that it has not begun; they are failures too
-	ORCA       bool  // answers carry endpoint-load-metrics
-	Check      string
-	Via        string // by which name this process is known
+	Classes             []Class  // in the order in which they are tried; the last takes all
+	TimeoutFields       []string // fields that are trusted with the client's patience: see patience
+	Forwarding          Forwarding
+	FailureStatuses     []int // statuses that are tried again where that is harmless
+	NotExecutedStatuses []int // statuses by which a server proves that it has not begun; they are failures too
+	ORCA                bool  // answers carry endpoint-load-metrics
+	HealthCheckPath     string
+	Via                 string // by which name this process is known
 }
 
 // Dialect is a pool.EndToEndProtocol.
@@ -81,31 +81,31 @@
 	return d
 }
 
-// mostPatience bounds what a client may ask for.
-const mostPatience = time.Hour
+// maxTimeout bounds what a client may ask for.
+const maxTimeout = time.Hour
 
-// Find is the class of a request, by its place, and what its pattern's names stand for.
-func (d *Dialect) Find(method, host, path string, h http.Header) (int, classify.Match) {
-	m, ok := classify.Find(d.rules, classify.Request{Method: method, Host: host, Path: path, Has: func(f string) bool { return h.Get(f) != "" }})
+// FindClass is the class of a request, by its place, and what its pattern's names stand for.
+func (d *Dialect) FindClass(method, host, path string, h http.Header) (int, classify.Match) {
+	m, ok := classify.Find(d.rules, classify.Request{Method: method, Host: host, Path: path, HasHeader: func(f string) bool { return h.Get(f) != "" }})
 	if !ok {
 		return len(d.cfg.Classes) - 1, m
 	}
-	return m.Rule, m
+	return m.RuleIndex, m
 }
 
-// Class is the name of the class that the module is told of a request.
-func (d *Dialect) Class(method, host, path string, h http.Header) string {
-	i, _ := d.Find(method, host, path, h)
-	name, _ := d.cfg.Classes[i].of(h)
+// ClassName is the name of the class that the module is told of a request.
+func (d *Dialect) ClassName(method, host, path string, h http.Header) string {
+	i, _ := d.FindClass(method, host, path, h)
+	name, _ := d.cfg.Classes[i].attributesOf(h)
 	return name
 }
 
-// of is the class as the module knows it, and what repeating may do: a keyed one without a key has none that would drop repeats.
-func (c *Class) of(h http.Header) (name string, e policy.Idempotency) {
-	if c.Effect == policy.IdempotentByKey && h.Get("Idempotency-Key") == "" {
-		return c.Bare, policy.NonIdempotent
+// attributesOf is the class as the module knows it, and what repeating may do: a keyed one without a key has none that would drop repeats.
+func (c *Class) attributesOf(h http.Header) (name string, e policy.Idempotency) {
+	if c.Idempotency == policy.IdempotentByKey && h.Get("Idempotency-Key") == "" {
+		return c.KeylessClass, policy.NonIdempotent
 	}
-	return c.Rule.Class, c.Effect
+	return c.Rule.Class, c.Idempotency
 }
 
 // ParseRequest is the method of pool.EndToEndProtocol. It also makes the head of q what goes on to servers.
@@ -120,32 +120,32 @@
 		return bad(http.StatusNotImplemented, "an upgrade to "+strconv.Quote(q.Header.Get("Upgrade"))+" is not passed on")
 	}
 	path, _, _ := strings.Cut(q.URI, "?")
-	i, m := d.Find(q.Method, q.Host, path, q.Header)
+	i, m := d.FindClass(q.Method, q.Host, path, q.Header)
 	c := &d.cfg.Classes[i]
 	said := pool.RequestAttributes{Timeout: c.Deadline, ID: uuid.Must(uuid.NewV7()).String()}
-	name, effect := c.of(q.Header)
+	name, effect := c.attributesOf(q.Header)
 	said.PolicyRequest.Class = name
 	said.Idempotent = effect == policy.Idempotent
-	value := func(s Source) string {
-		if s.Name != "" {
-			return m.Value(s.Name)
+	value := func(s ValueSource) string {
+		if s.PathName != "" {
+			return m.Value(s.PathName)
 		}
-		if s.Field != "" {
-			return q.Header.Get(s.Field)
+		if s.Header != "" {
+			return q.Header.Get(s.Header)
 		}
 		return ""
 	}
 	said.PolicyRequest.Tenant, said.PolicyRequest.Key = value(c.Tenant), value(c.Key)
-	if p, ok := d.patience(q.Header); ok {
+	if p, ok := d.clientTimeout(q.Header); ok {
 		said.Timeout = p
 	}
-	d.address(q, said.ID)
+	d.addForwardingFields(q, said.ID)
 	return said, nil
 }
 
-// patience is how long the client says that it waits, by the first of the trusted fields that tells.
-func (d *Dialect) patience(h http.Header) (time.Duration, bool) {
-	for _, field := range d.cfg.Deadlines {
+// clientTimeout is how long the client says that it waits, by the first of the trusted fields that tells.
+func (d *Dialect) clientTimeout(h http.Header) (time.Duration, bool) {
+	for _, field := range d.cfg.TimeoutFields {
 		text := h.Get(field)
 		if text == "" {
 			continue
@@ -160,16 +160,16 @@
 			text = text[:len(text)-1]
 		}
 		n, err := strconv.ParseUint(text, 10, 40)
-		if err == nil && n > 0 && n < uint64(mostPatience/unit) {
+		if err == nil && n > 0 && n < uint64(maxTimeout/unit) {
 			return time.Duration(n) * unit, true
 		}
 	}
 	return 0, false
 }
 
-// address makes the head of q tell servers where it came from, and gives it an id if it has none. The id is for people: whether two
+// addForwardingFields makes the head of q tell servers where it came from, and gives it an id if it has none. The id is for people: whether two
 // requests are one is never decided by it.
-func (d *Dialect) address(q *httpmsg.Request, id string) {
+func (d *Dialect) addForwardingFields(q *httpmsg.Request, id string) {
 	h := q.Header
 	if h.Get("X-Request-Id") == "" {
 		h.Set("X-Request-Id", id)
@@ -185,12 +185,12 @@
 		client = addr.String()
 	}
 	fields := []string{"X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Forwarded"}
-	if d.cfg.Forwarding != Append {
+	if d.cfg.Forwarding != ForwardingAppend {
 		for _, f := range fields {
 			h.Del(f)
 		}
 	}
-	if d.cfg.Forwarding == Drop || client == "" {
+	if d.cfg.Forwarding == ForwardingDrop || client == "" {
 		return
 	}
 	joined := func(field, value string) {
@@ -206,19 +206,19 @@
 	if h.Get("X-Forwarded-Proto") == "" {
 		h.Set("X-Forwarded-Proto", scheme)
 	}
-	joined("Forwarded", "for="+node(client)+";host="+quoted(q.Host)+";proto="+scheme)
+	joined("Forwarded", "for="+forwardedNode(client)+";host="+forwardedValue(q.Host)+";proto="+scheme)
 }
 
-// node is an address as RFC 7239 has it.
-func node(client string) string {
+// forwardedNode is an address as RFC 7239 has it.
+func forwardedNode(client string) string {
 	if addr, err := netip.ParseAddr(client); err == nil && addr.Is6() {
 		return `"[` + client + `]"`
 	}
 	return client
 }
 
-// quoted is a value as a token, or as a quoted string where it is none.
-func quoted(s string) string {
+// forwardedValue is a value as a token, or as a quoted string where it is none.
+func forwardedValue(s string) string {
 	for _, r := range s {
 		if r != '-' && r != '.' && (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') {
 			return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
@@ -241,7 +241,7 @@
 // ExtraFields is the method of pool.BackendProtocol: a trace that came goes on with a span of its own for each attempt.
 func (d *Dialect) ExtraFields(_ *policy.Request, h http.Header, _ time.Duration) []upstream.Field {
 	parent := h.Get("Traceparent")
-	if !isTrace(parent) {
+	if !isTraceparent(parent) {
 		return nil
 	}
 	var span [8]byte
@@ -251,8 +251,8 @@
 	return []upstream.Field{{Name: "Traceparent", Value: parent[:36] + hex.EncodeToString(span[:]) + parent[52:]}}
 }
 
-// isTrace reports whether text is a traceparent of version 00: 00-TRACE-PARENT-FLAGS.
-func isTrace(text string) bool {
+// isTraceparent reports whether text is a traceparent of version 00: 00-TRACE-PARENT-FLAGS.
+func isTraceparent(text string) bool {
 	if len(text) != 55 || text[:3] != "00-" || text[35] != '-' || text[52] != '-' {
 		return false
 	}
@@ -272,16 +272,16 @@
 		load = parseORCA(h)
 	}
 	switch {
-	case slices.Contains(d.cfg.NotRun, status):
+	case slices.Contains(d.cfg.NotExecutedStatuses, status):
 		return policy.StatusOverloaded, load
-	case slices.Contains(d.cfg.Failures, status):
+	case slices.Contains(d.cfg.FailureStatuses, status):
 		return policy.StatusApplicationError, load
 	}
 	return policy.StatusOK, load
 }
 
 // HealthCheckTarget is the method of pool.BackendProtocol.
-func (d *Dialect) HealthCheckTarget() string { return d.cfg.Check }
+func (d *Dialect) HealthCheckTarget() string { return d.cfg.HealthCheckPath }
 
 // RewriteResponseHeader is the method of pool.EndToEndProtocol: the fields of an answer as its client has them.
 func (d *Dialect) RewriteResponseHeader(h http.Header) { h.Add("Via", "1.1 "+d.cfg.Via) }
--- a/internal/httpservice/plain_test.go
+++ b/internal/httpservice/plain_test.go
@@ -28,11 +28,11 @@
 		return []classify.Pattern{p}
 	}
 	cfg := Config{
-		Via: "edge", Failures: []int{502, 503}, Deadlines: []string{"X-Timeout-Ms", "grpc-timeout"},
+		Via: "edge", FailureStatuses: []int{502, 503}, TimeoutFields: []string{"X-Timeout-Ms", "grpc-timeout"},
 		Classes: []Class{
-			{Rule: classify.Rule{Class: "read", Patterns: pattern("GET /items/{id}")}, Deadline: time.Second, Key: Source{Name: "id"}, Tenant: Source{Field: "X-Shop"}},
-			{Rule: classify.Rule{Class: "order", Patterns: pattern("POST /orders")}, Effect: policy.IdempotentByKey, Bare: "order without a key", Deadline: 2 * time.Second},
-			{Rule: classify.Rule{Class: "other"}, Effect: policy.NonIdempotent, Deadline: 3 * time.Second},
+			{Rule: classify.Rule{Class: "read", Patterns: pattern("GET /items/{id}")}, Deadline: time.Second, Key: ValueSource{PathName: "id"}, Tenant: ValueSource{Header: "X-Shop"}},
+			{Rule: classify.Rule{Class: "order", Patterns: pattern("POST /orders")}, Idempotency: policy.IdempotentByKey, KeylessClass: "order without a key", Deadline: 2 * time.Second},
+			{Rule: classify.Rule{Class: "other"}, Idempotency: policy.NonIdempotent, Deadline: 3 * time.Second},
 		},
 	}
 	if change != nil {
@@ -49,7 +49,7 @@
 	return q
 }
 
-func TestAsk(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	d := dialect(t, nil)
 	for name, c := range map[string]struct {
 		q                      *httpmsg.Request
@@ -97,9 +97,9 @@
 		way                   Forwarding
 		xff, forwarded, proto string
 	}{
-		"replace": {Replace, "127.0.0.9", `for=127.0.0.9;host="shop.example.org:80";proto=http`, "http"},
-		"append":  {Append, "10.0.0.1, 127.0.0.9", `for=10.0.0.1, for=127.0.0.9;host="shop.example.org:80";proto=http`, "https"},
-		"drop":    {Drop, "", "", ""},
+		"replace": {ForwardingReplace, "127.0.0.9", `for=127.0.0.9;host="shop.example.org:80";proto=http`, "http"},
+		"append":  {ForwardingAppend, "10.0.0.1, 127.0.0.9", `for=10.0.0.1, for=127.0.0.9;host="shop.example.org:80";proto=http`, "https"},
+		"drop":    {ForwardingDrop, "", "", ""},
 	} {
 		q := request("GET", "/", "X-Forwarded-For", "10.0.0.1", "Forwarded", "for=10.0.0.1", "X-Forwarded-Proto", "https", "Via", "1.0 old")
 		if _, err := dialect(t, func(cfg *Config) { cfg.Forwarding = c.way }).ParseRequest(q, ""); err != nil {
@@ -115,13 +115,13 @@
 	}
 }
 
-func TestTrace(t *testing.T) {
+func TestTraceparent(t *testing.T) {
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	d := dialect(t, nil)
 	seen := map[string]bool{parent: true}
 	for range 3 {
 		extra := d.ExtraFields(nil, http.Header{"Traceparent": {parent}}, 0)
-		if len(extra) != 1 || extra[0].Value[:36] != parent[:36] || extra[0].Value[52:] != "-01" || seen[extra[0].Value] || !isTrace(extra[0].Value) {
+		if len(extra) != 1 || extra[0].Value[:36] != parent[:36] || extra[0].Value[52:] != "-01" || seen[extra[0].Value] || !isTraceparent(extra[0].Value) {
 			t.Fatalf("%+v", extra)
 		}
 		seen[extra[0].Value] = true
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestRead guards against taking a status for a proof that nothing has run which the operator has not said to be one.
-func TestRead(t *testing.T) {
-	d := dialect(t, func(c *Config) { c.NotRun = []int{429} })
+// TestClassifyResponse guards against taking a status for a proof that nothing has run which the operator has not said to be one.
+func TestClassifyResponse(t *testing.T) {
+	d := dialect(t, func(c *Config) { c.NotExecutedStatuses = []int{429} })
 	for status, want := range map[int]policy.Status{
 		200: policy.StatusOK, 204: policy.StatusOK, 301: policy.StatusOK, 404: policy.StatusOK, 500: policy.StatusOK, 502: policy.StatusApplicationError, 503: policy.StatusApplicationError, 429: policy.StatusOverloaded,
 	} {
@@ -166,7 +166,7 @@
 		"JSON {":                      -1,
 		"BIN !!":                      -1,
 		"XML <a>":                     -1,
-		"TEXT named_metrics.queue=1" + strings.Repeat(" ", mostReport):       -1,
+		"TEXT named_metrics.queue=1" + strings.Repeat(" ", maxReportBytes):   -1,
 		"TEXT named_metrics.queue=Inf, application_utilization=0.5":          1,
 		`JSON {"named_metrics": {"queue": "NaN"}, "cpu_utilization": "Inf"}`: -1,
 	} {
@@ -179,7 +179,7 @@
 			t.Errorf("%.60q: %v, want %v", text, got, want)
 		}
 	}
-	if l := parseORCA(http.Header{orcaBinary: {bin}}); l == nil || l.Queue != 4 {
+	if l := parseORCA(http.Header{orcaBinaryField: {bin}}); l == nil || l.Queue != 4 {
 		t.Errorf("binary field: %+v", l)
 	}
 }
@@ -194,7 +194,7 @@
 			return
 		}
 		for _, v := range []float64{l.Queue, l.InFlight} {
-			if !(v == -1 || v >= 0 && v <= mostQueue) {
+			if !(v == -1 || v >= 0 && v <= maxQueue) {
 				t.Fatalf("%q gives %+v", text, l)
 			}
 		}
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -12,45 +12,45 @@
 
 // The errors of a look-up.
 var (
-	ErrHost        = errors.New("the Host cannot be read")                 // 400
-	ErrTarget      = errors.New("the path has dot segments or a hidden /") // 400
-	ErrUnknownHost = errors.New("no route for this host")                  // 421
-	ErrUnknownPath = errors.New("no route for this path")                  // 404
+	ErrInvalidHost   = errors.New("the Host cannot be read")                 // 400
+	ErrAmbiguousPath = errors.New("the path has dot segments or a hidden /") // 400
+	ErrUnknownHost   = errors.New("no route for this host")                  // 421
+	ErrUnknownPath   = errors.New("no route for this path")                  // 404
 )
 
-// mostHost bounds a host: a DNS name has at most 253 characters.
-const mostHost = 255
+// maxHostBytes bounds a host: a DNS name has at most 253 characters.
+const maxHostBytes = 255
 
-// hostBuf holds a host as it is compared.
-type hostBuf [mostHost + 1]byte
+// hostBuffer holds a host as it is compared.
+type hostBuffer [maxHostBytes + 1]byte
 
 // parseHost reads a Host header (RFC 9110, 7.2), or the host of a pattern: without its port and trailing dot, in lower
 // case, an IPv6 literal in its shortest form and in brackets. It writes to buf, and allocates nothing.
-func parseHost(host string, buf *hostBuf) ([]byte, error) {
-	if host == "" || len(host) > mostHost {
-		return nil, ErrHost
+func parseHost(host string, buf *hostBuffer) ([]byte, error) {
+	if host == "" || len(host) > maxHostBytes {
+		return nil, ErrInvalidHost
 	}
 	if host[0] == '[' {
 		end := strings.IndexByte(host, ']')
 		if end < 0 || !isPort(host[end+1:]) {
-			return nil, ErrHost
+			return nil, ErrInvalidHost
 		}
 		a, err := netip.ParseAddr(host[1:end])
 		if err != nil || !a.Is6() || a.Zone() != "" {
-			return nil, ErrHost
+			return nil, ErrInvalidHost
 		}
 		return append(a.AppendTo(append(buf[:0], '[')), ']'), nil
 	}
 	name := host
 	if i := strings.IndexByte(host, ':'); i >= 0 {
 		if !isPort(host[i:]) {
-			return nil, ErrHost
+			return nil, ErrInvalidHost
 		}
 		name = host[:i]
 	}
 	name = strings.TrimSuffix(name, ".")
 	if name == "" {
-		return nil, ErrHost
+		return nil, ErrInvalidHost
 	}
 	b := buf[:len(name)]
 	last := byte('.')
@@ -62,7 +62,7 @@
 		case 'a' <= c && c <= 'z', '0' <= c && c <= '9', c == '-', c == '_':
 		case c == '.' && last != '.':
 		default:
-			return nil, ErrHost
+			return nil, ErrInvalidHost
 		}
 		b[i], last = c, c
 	}
@@ -87,14 +87,14 @@
 	return n <= 65535
 }
 
-// pattern reads the host of a route: a host, "*.example.org" for all hosts below one, or "*" for any. It returns the form
+// parseHostPattern reads the host of a route: a host, "*.example.org" for all hosts below one, or "*" for any. It returns the form
 // under which it stands in the table: "" for any, ".example.org" for all below.
-func pattern(host string) (string, error) {
+func parseHostPattern(host string) (string, error) {
 	if host == "*" {
 		return "", nil
 	}
 	rest, wild := strings.CutPrefix(host, "*.")
-	var buf hostBuf
+	var buf hostBuffer
 	b, err := parseHost(rest, &buf)
 	switch {
 	case err != nil:
@@ -102,7 +102,7 @@
 	case !bytes.HasPrefix(b, []byte("[")) && strings.Contains(rest, ":"), strings.HasPrefix(rest, "[") && !strings.HasSuffix(rest, "]"):
 		return "", errors.New("a route's host has no port")
 	case wild && b[0] == '[':
-		return "", ErrHost
+		return "", ErrInvalidHost
 	case wild:
 		return "." + string(b), nil
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -14,38 +14,38 @@
 
 func TestHosts(t *testing.T) {
 	for in, want := range map[string]string{
-		"orders.example.org":             "orders.example.org",
-		"Orders.EXAMPLE.org":             "orders.example.org",
-		"orders.example.org.":            "orders.example.org",
-		"orders.example.org:8080":        "orders.example.org",
-		"orders.example.org.:80":         "orders.example.org",
-		"orders.example.org:":            "orders.example.org",
-		"10.0.0.1:80":                    "10.0.0.1",
-		"[::1]":                          "[::1]",
-		"[::1]:443":                      "[::1]",
-		"[0:0:0:0:0:0:0:1]":              "[::1]",
-		"[2001:DB8::A]:1":                "[2001:db8::a]",
-		"":                               "",
-		".":                              "",
-		"a..b":                           "",
-		".a":                             "",
-		"a b":                            "",
-		"a:b":                            "",
-		"a:99999":                        "",
-		"a:80:80":                        "",
-		"::1":                            "",
-		"[::1":                           "",
-		"[::1]x":                         "",
-		"[fe80::1%25eth0]":               "",
-		"[10.0.0.1]":                     "",
-		"a/b":                            "",
-		"a@b":                            "",
-		"a%2eb":                          "",
-		"ä.example.org":                  "",
-		strings.Repeat("a", mostHost+1):  "",
-		"a." + strings.Repeat("b.", 200): "",
+		"orders.example.org":                "orders.example.org",
+		"Orders.EXAMPLE.org":                "orders.example.org",
+		"orders.example.org.":               "orders.example.org",
+		"orders.example.org:8080":           "orders.example.org",
+		"orders.example.org.:80":            "orders.example.org",
+		"orders.example.org:":               "orders.example.org",
+		"10.0.0.1:80":                       "10.0.0.1",
+		"[::1]":                             "[::1]",
+		"[::1]:443":                         "[::1]",
+		"[0:0:0:0:0:0:0:1]":                 "[::1]",
+		"[2001:DB8::A]:1":                   "[2001:db8::a]",
+		"":                                  "",
+		".":                                 "",
+		"a..b":                              "",
+		".a":                                "",
+		"a b":                               "",
+		"a:b":                               "",
+		"a:99999":                           "",
+		"a:80:80":                           "",
+		"::1":                               "",
+		"[::1":                              "",
+		"[::1]x":                            "",
+		"[fe80::1%25eth0]":                  "",
+		"[10.0.0.1]":                        "",
+		"a/b":                               "",
+		"a@b":                               "",
+		"a%2eb":                             "",
+		"ä.example.org":                     "",
+		strings.Repeat("a", maxHostBytes+1): "",
+		"a." + strings.Repeat("b.", 200):    "",
 	} {
-		var buf hostBuf
+		var buf hostBuffer
 		got, err := parseHost(in, &buf)
 		if string(got) != want || (err == nil) != (want != "") {
 			t.Errorf("%q: got %q, %v, want %q", in, got, err, want)
@@ -88,14 +88,14 @@
 		{"orders.example.org", "/v1/meter/7", "meters /meter/7"},
 		{"orders.example.org", "/v1/gauge", "meters /gauge"},
 		{"orders.example.org", "/v2", ErrUnknownPath.Error()}, // no other host's routes are looked at
-		{"orders.example.org", "/v1/../v2", ErrTarget.Error()},
-		{"orders.example.org", "/v1/.", ErrTarget.Error()},
+		{"orders.example.org", "/v1/../v2", ErrAmbiguousPath.Error()},
+		{"orders.example.org", "/v1/.", ErrAmbiguousPath.Error()},
 		{"orders.example.org", "/v1/..order", "orders /..order"},
-		{"orders.example.org", `/v1\bulk`, ErrTarget.Error()},
-		{"orders.example.org", "/v1%2Fbulk", ErrTarget.Error()},
+		{"orders.example.org", `/v1\bulk`, ErrAmbiguousPath.Error()},
+		{"orders.example.org", "/v1%2Fbulk", ErrAmbiguousPath.Error()},
 		{"[0::1]:80", "/x", "six /x"},
 		{"[::2]", "/x", "any /x"},
-		{"", "/x", ErrHost.Error()},
+		{"", "/x", ErrInvalidHost.Error()},
 	} {
 		if got := find(t, table, c[0], c[1]); got != c[2] {
 			t.Errorf("%s %s: got %q, want %q", c[0], c[1], got, c[2])
@@ -114,7 +114,7 @@
 }
 
 func TestStrip(t *testing.T) {
-	table, problems := New([]Route{{Name: "a", Path: "/farm/v1", Pool: "a", Strip: true}, {Name: "b", Path: "/keep", Pool: "b"}})
+	table, problems := New([]Route{{Name: "a", Path: "/farm/v1", Pool: "a", StripPath: true}, {Name: "b", Path: "/keep", Pool: "b"}})
 	if problems != nil {
 		t.Fatal(problems)
 	}
@@ -131,14 +131,14 @@
 		if err != nil {
 			t.Fatal(uri, err)
 		}
-		if got := m.Below(uri); got != want {
+		if got := m.RewriteTarget(uri); got != want {
 			t.Errorf("%s: got %s, want %s", uri, got, want)
 		}
 	}
 }
 
-// TestProblems guards against taking routes that cannot be told apart or never fit, and against naming only one of two.
-func TestProblems(t *testing.T) {
+// TestErrors guards against taking routes that cannot be told apart or never fit, and against naming only one of two.
+func TestErrors(t *testing.T) {
 	base := Route{Name: "first", Hosts: []string{"a.org"}, Path: "/x", Pool: "p"}
 	for name, c := range map[string]struct {
 		route Route
@@ -158,7 +158,7 @@
 		"bad class":     {Route{Name: "second", Path: "/", Classes: []string{"a/b"}}, "classes", "segment"},
 	} {
 		_, problems := New([]Route{base, c.route})
-		if len(problems) != 1 || problems[0].Route != 1 || problems[0].Key != c.key || !strings.Contains(problems[0].Text, c.text) {
+		if len(problems) != 1 || problems[0].RouteIndex != 1 || problems[0].Key != c.key || !strings.Contains(problems[0].Text, c.text) {
 			t.Errorf("%s: got %+v, want one of key %s with %q", name, problems, c.key, c.text)
 		}
 	}
@@ -174,9 +174,9 @@
 	}
 }
 
-// plainFind is the rule of precedence in words: of the routes that fit, the host that says most, then the longest path,
+// referenceFind is the rule of precedence in words: of the routes that fit, the host that says most, then the longest path,
 // then a named class.
-func plainFind(routes []Route, host, path string) string {
+func referenceFind(routes []Route, host, path string) string {
 	hostRank := func(pattern string) int {
 		suffix, wild := strings.CutPrefix(pattern, "*")
 		switch {
@@ -258,7 +258,7 @@
 			} else {
 				got = m.Pool + " " + rest
 			}
-			if want := plainFind(routes, h, p); got != want {
+			if want := referenceFind(routes, h, p); got != want {
 				t.Fatalf("%s %s: got %q, want %q", h, p, got, want)
 			}
 		}
@@ -273,7 +273,7 @@
 		}
 	}
 	table, problems := New([]Route{
-		{Name: "a", Hosts: []string{"a.org"}, Path: "/x", Pool: "a", Strip: true}, {Name: "b", Hosts: []string{"*.a.org"}, Path: "/", Pool: "b"},
+		{Name: "a", Hosts: []string{"a.org"}, Path: "/x", Pool: "a", StripPath: true}, {Name: "b", Hosts: []string{"*.a.org"}, Path: "/", Pool: "b"},
 		{Name: "c", Hosts: []string{"[::1]"}, Path: "/x/y", Pool: "c"},
 	})
 	if problems != nil {
@@ -285,20 +285,20 @@
 		}
 		m, rest, err := table.Find(host, path, path)
 		if err != nil {
-			for _, known := range []error{ErrHost, ErrTarget, ErrUnknownHost, ErrUnknownPath} {
+			for _, known := range []error{ErrInvalidHost, ErrAmbiguousPath, ErrUnknownHost, ErrUnknownPath} {
 				if errors.Is(err, known) {
 					return
 				}
 			}
 			t.Fatalf("an error of no known kind: %v", err)
 		}
-		if !strings.HasSuffix(path, rest) || hasDots(path) {
+		if !strings.HasSuffix(path, rest) || hasDotSegments(path) {
 			t.Fatalf("%q: rest %q", path, rest)
 		}
-		if below := m.Below(path); !strings.HasPrefix(below, "/") {
+		if below := m.RewriteTarget(path); !strings.HasPrefix(below, "/") {
 			t.Fatalf("%q became the target %q", path, below)
 		}
-		var a, b hostBuf
+		var a, b hostBuffer
 		once, err := parseHost(host, &a)
 		if err != nil {
 			t.Fatalf("host %q led to a route: %v", host, err)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -7,22 +7,22 @@
 
 // Route leads requests to a pool.
 type Route struct {
-	Name    string
-	Hosts   []string // a host, "*.example.org" for all hosts below one, or "*"; none: any
-	Path    string   // whole leading segments of the path; "/": any path
-	Classes []string // first segments of the path below Path; none: any
-	Pool    string
-	Strip   bool // the pool gets the path without Path
+	Name      string
+	Hosts     []string // a host, "*.example.org" for all hosts below one, or "*"; none: any
+	Path      string   // whole leading segments of the path; "/": any path
+	Classes   []string // first segments of the path below Path; none: any
+	Pool      string
+	StripPath bool // the pool gets the path without Path
 }
 
-// mostPrefix bounds a route's path, and so what a look-up costs.
-const mostPrefix = 256
+// maxPathBytes bounds a route's path, and so what a look-up costs.
+const maxPathBytes = 256
 
 // Error is what keeps a route from being used.
 type Error struct {
-	Route int    // its place
-	Key   string // the key at fault
-	Text  string
+	RouteIndex int    // its place
+	Key        string // the key at fault
+	Text       string
 }
 
 func (p Error) Error() string { return p.Text }
@@ -31,34 +31,34 @@
 // pattern, a longer pattern before a shorter one, any host last; no other host is looked at then. Below that host the
 // longest path has precedence, and of one path a route that names the class. A Table is not changed once it is made.
 type Table struct {
-	hosts  map[string]*hostEntry // exact hosts, and patterns by their suffix
-	any    *hostEntry
-	strict bool // paths matter: what could be read in two ways is turned away
+	hosts        map[string]*hostRoutes // exact hosts, and patterns by their suffix
+	anyHost      *hostRoutes
+	matchesPaths bool // paths matter: what could be read in two ways is turned away
 }
 
-// hostEntry is all routes of one host.
-type hostEntry struct {
-	paths   map[string]*pathEntry // by the path without a slash at its end
-	longest int                   // of them
+// hostRoutes is all routes of one host.
+type hostRoutes struct {
+	paths   map[string]*pathRoutes // by the path without a slash at its end
+	longest int                    // of them
 }
 
-// pathEntry is all routes of one host and path.
-type pathEntry struct {
-	classes map[string]*Match
-	any     *Match
+// pathRoutes is all routes of one host and path.
+type pathRoutes struct {
+	classes  map[string]*Match
+	anyClass *Match
 }
 
 // Match is a route as a request finds it.
 type Match struct {
-	Route int // its place in the list that the table was made of
-	Pool  string
-	Strip bool
-	path  string // without a slash at its end
+	RouteIndex int // its place in the list that the table was made of
+	Pool       string
+	StripPath  bool
+	path       string // without a slash at its end
 }
 
 // New makes a table. It returns all problems of the routes; with any there is no table.
 func New(routes []Route) (*Table, []Error) {
-	t := &Table{hosts: map[string]*hostEntry{}}
+	t := &Table{hosts: map[string]*hostRoutes{}}
 	var problems []Error
 	for i, r := range routes {
 		bad := func(key, format string, args ...any) {
@@ -69,39 +69,39 @@
 		case !strings.HasPrefix(r.Path, "/"):
 			bad("path", "the path %q does not begin with /", r.Path)
 			continue
-		case len(path) > mostPrefix:
-			bad("path", "the path has %d bytes, over %d", len(path), mostPrefix)
+		case len(path) > maxPathBytes:
+			bad("path", "the path has %d bytes, over %d", len(path), maxPathBytes)
 			continue
-		case strings.Contains(path, "//") || hasDots(path) || strings.ContainsAny(path, "%?# "):
+		case strings.Contains(path, "//") || hasDotSegments(path) || strings.ContainsAny(path, "%?# "):
 			bad("path", "the path %q is not in its plain form: no %%, ?, #, space, empty or dot segment", r.Path)
 			continue
 		}
-		t.strict = t.strict || path != ""
-		m := &Match{Route: i, Pool: r.Pool, Strip: r.Strip && path != "", path: path}
+		t.matchesPaths = t.matchesPaths || path != ""
+		m := &Match{RouteIndex: i, Pool: r.Pool, StripPath: r.StripPath && path != "", path: path}
 		hosts := r.Hosts
 		if len(hosts) == 0 {
 			hosts = []string{"*"}
 		}
 		for _, host := range hosts {
-			key, err := pattern(host)
+			key, err := parseHostPattern(host)
 			if err != nil {
 				bad("hosts", "host %q: %v", host, err)
 				continue
 			}
 			at := t.entry(key).entry(path)
 			tie := func(other *Match, what string) {
-				if other.Route == i {
+				if other.RouteIndex == i {
 					bad("hosts", "host %q is there twice", host)
 					return
 				}
-				bad("name", "routes %q and %q tie: host %q, path %q, %s lead to both", routes[other.Route].Name, r.Name, host, r.Path, what)
+				bad("name", "routes %q and %q tie: host %q, path %q, %s lead to both", routes[other.RouteIndex].Name, r.Name, host, r.Path, what)
 			}
 			if len(r.Classes) == 0 {
-				if at.any != nil {
-					tie(at.any, "any class")
+				if at.anyClass != nil {
+					tie(at.anyClass, "any class")
 					continue
 				}
-				at.any = m
+				at.anyClass = m
 			}
 			for _, c := range r.Classes {
 				switch other := at.classes[c]; {
@@ -121,25 +121,25 @@
 	return t, nil
 }
 
-func (t *Table) entry(host string) *hostEntry {
+func (t *Table) entry(host string) *hostRoutes {
 	if host == "" {
-		if t.any == nil {
-			t.any = &hostEntry{paths: map[string]*pathEntry{}}
+		if t.anyHost == nil {
+			t.anyHost = &hostRoutes{paths: map[string]*pathRoutes{}}
 		}
-		return t.any
+		return t.anyHost
 	}
 	h := t.hosts[host]
 	if h == nil {
-		h = &hostEntry{paths: map[string]*pathEntry{}}
+		h = &hostRoutes{paths: map[string]*pathRoutes{}}
 		t.hosts[host] = h
 	}
 	return h
 }
 
-func (h *hostEntry) entry(path string) *pathEntry {
+func (h *hostRoutes) entry(path string) *pathRoutes {
 	p := h.paths[path]
 	if p == nil {
-		p = &pathEntry{classes: map[string]*Match{}}
+		p = &pathRoutes{classes: map[string]*Match{}}
 		h.paths[path] = p
 		h.longest = max(h.longest, len(path))
 	}
@@ -149,8 +149,8 @@
 // Find returns the route of a request and its path below that of the route. host is the request's Host header, path its
 // path, decoded, and uri its target as the client wrote it. It allocates nothing.
 func (t *Table) Find(host, path, uri string) (m *Match, rest string, err error) {
-	var buf hostBuf
-	h := t.any
+	var buf hostBuffer
+	h := t.anyHost
 	if len(t.hosts) > 0 {
 		name, err := parseHost(host, &buf)
 		if err != nil {
@@ -161,8 +161,8 @@
 	if h == nil {
 		return nil, "", ErrUnknownHost
 	}
-	if t.strict && (hasDots(path) || hidesSlash(uri)) {
-		return nil, "", ErrTarget
+	if t.matchesPaths && (hasDotSegments(path) || hasEncodedSlash(uri)) {
+		return nil, "", ErrAmbiguousPath
 	}
 	for i := min(len(path), h.longest); i >= 0; i-- {
 		if i < len(path) && path[i] != '/' {
@@ -178,20 +178,20 @@
 				return m, rest, nil
 			}
 		}
-		if p.any != nil {
-			return p.any, rest, nil
+		if p.anyClass != nil {
+			return p.anyClass, rest, nil
 		}
 	}
 	return nil, "", ErrUnknownPath
 }
 
 // host returns the routes of the host that says most of name.
-func (t *Table) host(name []byte) *hostEntry {
+func (t *Table) host(name []byte) *hostRoutes {
 	if h := t.hosts[string(name)]; h != nil {
 		return h
 	}
 	if name[0] == '[' {
-		return t.any
+		return t.anyHost
 	}
 	for i, c := range name {
 		if c != '.' {
@@ -201,12 +201,12 @@
 			return h
 		}
 	}
-	return t.any
+	return t.anyHost
 }
 
-// Below returns the target uri without the route's path, if the route takes that away: as many segments as it has.
-func (m *Match) Below(uri string) string {
-	if !m.Strip {
+// RewriteTarget returns the target uri without the route's path, if the route takes that away: as many segments as it has.
+func (m *Match) RewriteTarget(uri string) string {
+	if !m.StripPath {
 		return uri
 	}
 	i := 0
@@ -234,8 +234,8 @@
 	return path
 }
 
-// hasDots reports whether path has a segment "." or "..", which who resolves it would read as another path.
-func hasDots(path string) bool {
+// hasDotSegments reports whether path has a segment "." or "..", which who resolves it would read as another path.
+func hasDotSegments(path string) bool {
 	for i := range len(path) {
 		if path[i] != '.' || i > 0 && path[i-1] != '/' {
 			continue
@@ -251,9 +251,9 @@
 	return false
 }
 
-// hidesSlash reports whether the path of uri has a slash or a backslash in an encoded form, or a backslash: some servers
+// hasEncodedSlash reports whether the path of uri has a slash or a backslash in an encoded form, or a backslash: some servers
 // take them for the end of a segment, and others don't.
-func hidesSlash(uri string) bool {
+func hasEncodedSlash(uri string) bool {
 	for i := 0; i < len(uri) && uri[i] != '?'; i++ {
 		switch {
 		case uri[i] == '\\':
