--- /dev/null
+++ b/internal/httpservice/dialect.go
@@ -0,0 +1,184 @@
+// Package httpservice is the dialect of pools of ordinary HTTP services, which do not speak the platform's protocol: it derives the
+// attributes of a request from its method, path and header, makes the header that goes on to an endpoint, and classifies responses.
+// It decides nothing about endpoints or attempts.
+//
+// A status proves that the endpoint has had the request, whatever it is. So even after a 503 a request may have been executed, unless
+// the operator has named the status as one for requests that were not begun. A method that is idempotent by RFC 9110 is not taken as
+// safe to repeat either: a PUT that may have been executed must not be repeated after another request for the same resource.
+package httpservice
+
+import (
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/google/uuid"
+
+	"sorrelrudder/internal/classify"
+	"sorrelrudder/internal/httpmsg"
+	"sorrelrudder/internal/pool"
+	"sorrelrudder/internal/upstream"
+	"sorrelrudder/policy"
+)
+
+// ValueSource says where a value of a request is taken from. At most one field is set; none: there is no value.
+type ValueSource struct {
+	Header   string // name of a header field
+	PathName string // {name} of the pattern that matches the path
+}
+
+// value returns the value of a request that m classifies.
+func (s ValueSource) value(m classify.Match, header http.Header) string {
+	switch {
+	case s.PathName != "":
+		return m.Value(s.PathName)
+	case s.Header != "":
+		return header.Get(s.Header)
+	}
+	return ""
+}
+
+// Class is a class of a pool's requests, and how they are recognized.
+type Class struct {
+	Rule        classify.Rule
+	Idempotency policy.Idempotency
+	// KeylessClass is the class of requests without an idempotency key, where Idempotency is policy.IdempotentByKey.
+	KeylessClass string
+	Deadline     time.Duration // where the client tells no timeout that is trusted
+	Tenant       ValueSource
+	Key          ValueSource // affinity key of the decision module
+}
+
+// attributesOf returns the name and the idempotency of a request of the class: without its key it is not idempotent.
+func (c *Class) attributesOf(header http.Header) (name string, idempotency policy.Idempotency) {
+	if c.Idempotency == policy.IdempotentByKey && header.Get("Idempotency-Key") == "" {
+		return c.KeylessClass, policy.NonIdempotent
+	}
+	return c.Rule.Class, c.Idempotency
+}
+
+// Config describes the services of a pool.
+type Config struct {
+	Classes             []Class  // in the order in which they are tried; the last matches every request
+	TimeoutFields       []string // header fields that are trusted to tell the client's timeout, see clientTimeout
+	Forwarding          Forwarding
+	FailureStatuses     []int  // after which a request is retried where that is harmless
+	NotExecutedStatuses []int  // by which an endpoint proves that it has not begun; they are failures too
+	ORCA                bool   // responses carry load reports of the ORCA standard
+	HealthCheckPath     string // "": no health checks
+	Via                 string // name of this process in Via fields
+}
+
+// Dialect implements pool.EndToEndProtocol. It is safe for concurrent use.
+type Dialect struct {
+	cfg   Config
+	rules []classify.Rule // of cfg.Classes
+}
+
+// A pool finds out by a type assertion at run time that its protocol is an EndToEndProtocol.
+var _ pool.EndToEndProtocol = (*Dialect)(nil)
+
+// New returns the dialect of a pool.
+func New(cfg Config) *Dialect {
+	d := &Dialect{cfg: cfg}
+	for _, c := range cfg.Classes {
+		d.rules = append(d.rules, c.Rule)
+	}
+	return d
+}
+
+// FindClass returns the index of the class of a request, and the match of its pattern.
+func (d *Dialect) FindClass(method, host, path string, header http.Header) (int, classify.Match) {
+	hasHeader := func(name string) bool { return header.Get(name) != "" }
+	m, ok := classify.Find(d.rules, classify.Request{Method: method, Host: host, Path: path, HasHeader: hasHeader})
+	if !ok {
+		return len(d.cfg.Classes) - 1, m
+	}
+	return m.RuleIndex, m
+}
+
+// ClassName returns the name of the class under which the decision module gets a request.
+func (d *Dialect) ClassName(method, host, path string, header http.Header) string {
+	i, _ := d.FindClass(method, host, path, header)
+	name, _ := d.cfg.Classes[i].attributesOf(header)
+	return name
+}
+
+// ParseRequest implements pool.EndToEndProtocol. The error is an httpmsg.RejectionError.
+func (d *Dialect) ParseRequest(q *httpmsg.Request, _ string) (pool.RequestAttributes, error) {
+	if err := checkForwardable(q); err != nil {
+		return pool.RequestAttributes{}, err
+	}
+	path, _, _ := strings.Cut(q.URI, "?")
+	i, m := d.FindClass(q.Method, q.Host, path, q.Header)
+	c := &d.cfg.Classes[i]
+	attributes := pool.RequestAttributes{Timeout: c.Deadline, ID: uuid.Must(uuid.NewV7()).String()}
+	name, idempotency := c.attributesOf(q.Header)
+	attributes.Idempotent = idempotency == policy.Idempotent
+	attributes.PolicyRequest.Class = name
+	attributes.PolicyRequest.Tenant = c.Tenant.value(m, q.Header)
+	attributes.PolicyRequest.Key = c.Key.value(m, q.Header)
+	if timeout, ok := d.clientTimeout(q.Header); ok {
+		attributes.Timeout = timeout
+	}
+	d.addForwardingFields(q, attributes.ID)
+	return attributes, nil
+}
+
+// checkForwardable rejects what is not an exchange of one request and one response.
+func checkForwardable(q *httpmsg.Request) error {
+	reject := func(text string) error {
+		return httpmsg.RejectionError{Status: http.StatusNotImplemented, Text: text}
+	}
+	switch {
+	case q.Method == http.MethodConnect || q.Method == http.MethodTrace:
+		return reject(q.Method + " is not passed on")
+	case q.Header.Get("Upgrade") != "" && hasToken(q.Header, "Connection", "upgrade"):
+		return reject("an upgrade to " + strconv.Quote(q.Header.Get("Upgrade")) + " is not passed on")
+	}
+	return nil
+}
+
+// hasToken reports whether a header field that is a list has a token, whose case does not matter.
+func hasToken(header http.Header, field, token string) bool {
+	for _, value := range header.Values(field) {
+		for part := range strings.SplitSeq(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(part), token) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// ExtraFields implements pool.BackendProtocol: each attempt of a traced request is a span of its own.
+func (d *Dialect) ExtraFields(_ *policy.Request, header http.Header, _ time.Duration) []upstream.Field {
+	parent := header.Get(traceparentField)
+	if !isTraceparent(parent) {
+		return nil
+	}
+	return []upstream.Field{{Name: traceparentField, Value: childSpan(parent)}}
+}
+
+// ClassifyResponse implements pool.BackendProtocol.
+func (d *Dialect) ClassifyResponse(status int, header http.Header) (policy.Status, *policy.LoadReport) {
+	var load *policy.LoadReport
+	if d.cfg.ORCA {
+		load = parseORCA(header)
+	}
+	switch {
+	case slices.Contains(d.cfg.NotExecutedStatuses, status):
+		return policy.StatusOverloaded, load
+	case slices.Contains(d.cfg.FailureStatuses, status):
+		return policy.StatusApplicationError, load
+	}
+	return policy.StatusOK, load
+}
+
+// HealthCheckTarget implements pool.BackendProtocol.
+func (d *Dialect) HealthCheckTarget() string { return d.cfg.HealthCheckPath }
+
+// RewriteResponseHeader implements pool.EndToEndProtocol.
+func (d *Dialect) RewriteResponseHeader(header http.Header) { header.Add("Via", d.viaValue()) }
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -15,49 +15,52 @@
 )
 
 const (
-	// orcaField carries a report of the Open Request Cost Aggregation standard, in one of three forms; orcaBinary its oldest.
+	// orcaField carries a load report of the Open Request Cost Aggregation standard, in one of three formats; orcaBinaryField is
+	// its older form, always binary.
 	orcaField       = "Endpoint-Load-Metrics"
 	orcaBinaryField = "Endpoint-Load-Metrics-Bin"
-	// maxReportBytes bounds it.
-	maxReportBytes = 4 << 10
-	// maxQueue is the highest queue that a report is taken to tell.
+	maxReportBytes  = 4 << 10
+	// maxQueue is the highest queue length, in requests, that is believed.
 	maxQueue = 1e6
-	// fullUtilization is the utilisation at and beyond which a server counts as one with a queue of fullQueue.
+	// From fullUtilization on an endpoint counts as one that has fullQueue requests.
 	fullUtilization = 0.99
 	fullQueue       = fullUtilization / (1 - fullUtilization)
 )
 
-// parseORCA reads the load that an answer tells, nil if it tells none that can be used. What the module marks servers by is a
-// queue: the named metrics `queue` and `inflight` are that; else the utilisation u stands for the u/(1-u) requests that a server
-// so busy holds at the mean, which orders servers as their queues would.
-func parseORCA(h http.Header) *policy.LoadReport {
-	text, binary := h.Get(orcaField), h.Get(orcaBinaryField)
+// parseORCA returns the load that a response reports; nil if it reports none that can be used. The decision module needs a number of
+// requests: the named metrics "queue" and "inflight" are such numbers. Otherwise the utilization u stands for u/(1-u) requests, the
+// mean at a queue with one server of that utilization, which orders endpoints as their queues would.
+func parseORCA(header http.Header) *policy.LoadReport {
+	text, binary := header.Get(orcaField), header.Get(orcaBinaryField)
 	if len(text)+len(binary) > maxReportBytes || text == "" && binary == "" {
 		return nil
 	}
-	var r orca.OrcaLoadReport
-	format, rest, _ := strings.Cut(text, " ")
-	switch {
-	case text == "":
-		if !decodeBinary(binary, &r) {
-			return nil
-		}
-	case format == "BIN":
-		if !decodeBinary(rest, &r) {
-			return nil
-		}
-	case format == "JSON":
-		if (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal([]byte(rest), &r) != nil {
-			return nil
-		}
-	case format == "TEXT":
-		decodeText(rest, &r)
-	default:
+	if text == "" {
+		text = "BIN " + binary
+	}
+	var report orca.OrcaLoadReport
+	if !decodeORCA(text, &report) {
 		return nil
 	}
-	return toLoadReport(&r)
+	return toLoadReport(&report)
+}
+
+// decodeORCA decodes "FORMAT REPORT", and reports whether that was possible.
+func decodeORCA(text string, report *orca.OrcaLoadReport) bool {
+	format, content, _ := strings.Cut(text, " ")
+	switch format {
+	case "BIN":
+		return decodeBinary(content, report)
+	case "JSON":
+		return protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal([]byte(content), report) == nil
+	case "TEXT":
+		decodeText(content, report)
+		return true
+	}
+	return false
 }
 
+// decodeBinary decodes a protocol buffer in base64, with or without padding.
 func decodeBinary(text string, r *orca.OrcaLoadReport) bool {
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil {
@@ -66,8 +69,8 @@
 	return err == nil && proto.Unmarshal(raw, r) == nil
 }
 
-// decodeText reads "cpu_utilization=0.3, named_metrics.queue=2". What it does not know it passes over.
-func decodeText(text string, r *orca.OrcaLoadReport) {
+// decodeText decodes a list such as "cpu_utilization=0.3, named_metrics.queue=2". It ignores what it does not know.
+func decodeText(text string, report *orca.OrcaLoadReport) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
@@ -76,42 +79,47 @@
 		}
 		switch name = strings.TrimSpace(name); name {
 		case "cpu_utilization":
-			r.CpuUtilization = v
+			report.CpuUtilization = v
 		case "application_utilization":
-			r.ApplicationUtilization = v
+			report.ApplicationUtilization = v
 		default:
 			if metric, ok := strings.CutPrefix(name, "named_metrics."); ok {
-				if r.NamedMetrics == nil {
-					r.NamedMetrics = map[string]float64{}
-				}
-				r.NamedMetrics[metric] = v
+				setNamedMetric(report, metric, v)
 			}
 		}
 	}
 }
 
-func toLoadReport(r *orca.OrcaLoadReport) *policy.LoadReport {
-	l := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
-	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // not NaN
-	if v, ok := r.GetNamedMetrics()["queue"]; ok && usable(v) {
-		l.Queue = v
+func setNamedMetric(report *orca.OrcaLoadReport, name string, v float64) {
+	if report.NamedMetrics == nil {
+		report.NamedMetrics = map[string]float64{}
+	}
+	report.NamedMetrics[name] = v
+}
+
+// toLoadReport returns what the decision module can use of a report, or nil.
+func toLoadReport(report *orca.OrcaLoadReport) *policy.LoadReport {
+	load := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
+	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // false for NaN
+	if v, ok := report.GetNamedMetrics()["queue"]; ok && usable(v) {
+		load.Queue = v
 	}
-	if v, ok := r.GetNamedMetrics()["inflight"]; ok && usable(v) {
-		l.InFlight = v
+	if v, ok := report.GetNamedMetrics()["inflight"]; ok && usable(v) {
+		load.InFlight = v
 	}
-	if l.Queue >= 0 || l.InFlight >= 0 {
-		return &l
+	if load.Queue >= 0 || load.InFlight >= 0 {
+		return &load
 	}
-	util := r.GetApplicationUtilization()
-	if !(util > 0) {
-		util = r.GetCpuUtilization()
+	utilization := report.GetApplicationUtilization()
+	if !(utilization > 0) { // also for NaN
+		utilization = report.GetCpuUtilization()
 	}
-	if !(util > 0) || math.IsInf(util, 0) {
+	if !(utilization > 0) || math.IsInf(utilization, 0) {
 		return nil
 	}
-	l.InFlight = fullQueue
-	if util < fullUtilization {
-		l.InFlight = util / (1 - util)
+	load.InFlight = fullQueue
+	if utilization < fullUtilization {
+		load.InFlight = utilization / (1 - utilization)
 	}
-	return &l
+	return &load
 }
