--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -1,6 +1,3 @@
-// Package route decides which pool a request is for, by its host, its path and its class. It is pure: a table is made once
-// of the operator's routes, and a look-up allocates nothing. It knows nothing of pools but their places in a list, and
-// nothing of sockets or of what the requests do.
 package route
 
 import (
@@ -10,36 +7,23 @@
 	"strings"
 )
 
-// The errors of a look-up.
-var (
-	ErrInvalidHost   = errors.New("the Host cannot be read")                 // 400
-	ErrAmbiguousPath = errors.New("the path has dot segments or a hidden /") // 400
-	ErrUnknownHost   = errors.New("no route for this host")                  // 421
-	ErrUnknownPath   = errors.New("no route for this path")                  // 404
-)
-
-// maxHostBytes bounds a host: a DNS name has at most 253 characters.
+// maxHostBytes bounds a host; a DNS name has at most 253 characters.
 const maxHostBytes = 255
 
-// hostBuffer holds a host as it is compared.
+// hostBuffer holds a normalized host.
 type hostBuffer [maxHostBytes + 1]byte
 
-// parseHost reads a Host header (RFC 9110, 7.2), or the host of a pattern: without its port and trailing dot, in lower
-// case, an IPv6 literal in its shortest form and in brackets. It writes to buf, and allocates nothing.
+// errHostPort says that a route's host has a port.
+var errHostPort = errors.New("a route's host has no port")
+
+// parseHost normalizes a Host header (RFC 9110, 7.2), or the host of a pattern: without its port and trailing dot, in lower case, an
+// IPv6 address in its shortest form and in brackets. The result is in buf; nothing is allocated. The error is ErrInvalidHost.
 func parseHost(host string, buf *hostBuffer) ([]byte, error) {
 	if host == "" || len(host) > maxHostBytes {
 		return nil, ErrInvalidHost
 	}
 	if host[0] == '[' {
-		end := strings.IndexByte(host, ']')
-		if end < 0 || !isPort(host[end+1:]) {
-			return nil, ErrInvalidHost
-		}
-		a, err := netip.ParseAddr(host[1:end])
-		if err != nil || !a.Is6() || a.Zone() != "" {
-			return nil, ErrInvalidHost
-		}
-		return append(a.AppendTo(append(buf[:0], '[')), ']'), nil
+		return parseIPv6Host(host, buf)
 	}
 	name := host
 	if i := strings.IndexByte(host, ':'); i >= 0 {
@@ -69,6 +53,19 @@
 	return b, nil
 }
 
+// parseIPv6Host is parseHost for a host that begins with a bracket.
+func parseIPv6Host(host string, buf *hostBuffer) ([]byte, error) {
+	end := strings.IndexByte(host, ']')
+	if end < 0 || !isPort(host[end+1:]) {
+		return nil, ErrInvalidHost
+	}
+	address, err := netip.ParseAddr(host[1:end])
+	if err != nil || !address.Is6() || address.Zone() != "" {
+		return nil, ErrInvalidHost
+	}
+	return append(address.AppendTo(append(buf[:0], '[')), ']'), nil
+}
+
 // isPort reports whether s is empty, or a colon and a port or nothing (RFC 3986, 3.2.3).
 func isPort(s string) bool {
 	if s == "" {
@@ -87,23 +84,26 @@
 	return n <= 65535
 }
 
-// parseHostPattern reads the host of a route: a host, "*.example.org" for all hosts below one, or "*" for any. It returns the form
-// under which it stands in the table: "" for any, ".example.org" for all below.
-func parseHostPattern(host string) (string, error) {
-	if host == "*" {
+// parseHostPattern parses the host of a route: a host, "*.example.org" for all hosts below one, or "*" for any. It returns its key in
+// the table: the normalized host, ".example.org" for all below, or "" for any.
+func parseHostPattern(text string) (string, error) {
+	if text == "*" {
 		return "", nil
 	}
-	rest, wild := strings.CutPrefix(host, "*.")
+	host, isWildcard := strings.CutPrefix(text, "*.")
 	var buf hostBuffer
-	b, err := parseHost(rest, &buf)
-	switch {
-	case err != nil:
+	b, err := parseHost(host, &buf)
+	if err != nil {
 		return "", err
-	case !bytes.HasPrefix(b, []byte("[")) && strings.Contains(rest, ":"), strings.HasPrefix(rest, "[") && !strings.HasSuffix(rest, "]"):
-		return "", errors.New("a route's host has no port")
-	case wild && b[0] == '[':
+	}
+	isIPv6 := bytes.HasPrefix(b, []byte("["))
+	hasPort := !isIPv6 && strings.Contains(host, ":") || isIPv6 && !strings.HasSuffix(host, "]")
+	switch {
+	case hasPort:
+		return "", errHostPort
+	case isWildcard && isIPv6:
 		return "", ErrInvalidHost
-	case wild:
+	case isWildcard:
 		return "." + string(b), nil
 	}
 	return string(b), nil
