--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -3,7 +3,11 @@
 // no pattern, so that the request gets the class for all others, which its user takes as not idempotent.
 package classify
 
-import "net/http"
+// The methods that patterns treat specially, of RFC 9110.
+const (
+	methodGet  = "GET"
+	methodHead = "HEAD"
+)
 
 // Rule gives a class to the requests that match one of its patterns and have all of its header fields.
 type Rule struct {
@@ -72,7 +76,7 @@
 
 // matchesAuthority reports whether the pattern is for a method and a normalized host. GET matches HEAD too.
 func (p *Pattern) matchesAuthority(method, host string) bool {
-	matchesMethod := p.Method == "" || p.Method == method || p.Method == http.MethodGet && method == http.MethodHead
+	matchesMethod := p.Method == "" || p.Method == method || p.Method == methodGet && method == methodHead
 	return matchesMethod && (p.Host == "" || p.Host == host)
 }
 
