--- /dev/null
+++ b/internal/h2/prefixedconn.go
@@ -0,0 +1,19 @@
+package h2
+
+import "net"
+
+// prefixedConn is a connection of which a prefix has been read already. Its reader gets that first.
+type prefixedConn struct {
+	net.Conn
+	prefix []byte
+}
+
+// Read implements net.Conn.
+func (c *prefixedConn) Read(p []byte) (int, error) {
+	if len(c.prefix) > 0 {
+		n := copy(p, c.prefix)
+		c.prefix = c.prefix[n:]
+		return n, nil
+	}
+	return c.Conn.Read(p)
+}
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,6 +1,6 @@
-// Package tlsfiles has the certificates of a listener from files, by the names that they are for, and reads them again when the
-// files change: connections that are open stay as they are, and what cannot be used leaves what was read before in force. It
-// knows nothing of listeners or connections. A key never appears in what it says.
+// Package tlsfiles loads the certificates of a listener from files, and loads them again when the files change. Open connections keep
+// theirs, and files that cannot be used leave the certificates loaded before in force. It does not know listeners or connections. No
+// key appears in its errors and logs.
 package tlsfiles
 
 import (
@@ -15,26 +15,29 @@
 	"time"
 )
 
-// Pair names the files of a certificate, with its chain, and its key.
+// errNoCertificate says that a configuration has no pair.
+var errNoCertificate = errors.New("no certificate")
+
+// Pair names the PEM files of a certificate, with its chain, and of its key.
 type Pair struct{ CertFile, KeyFile string }
 
-// Config is what a listener is to show and ask for.
+// Config describes the TLS of a listener.
 type Config struct {
-	Pairs             []Pair // the first is shown where none is for the name that a client asks for
-	CAFile            string // file; empty: clients show no certificate
-	RequireClientCert bool   // they must
-	Protocols         []string
+	Pairs             []Pair   // at least one; the first is the default for names that none is for
+	CAFile            string   // authorities of client certificates; "": clients are not asked for one
+	RequireClientCert bool     // with CAFile: a client without a certificate is rejected
+	Protocols         []string // for ALPN
 }
 
-// Store is the certificates as they were read last.
+// Store holds the TLS configuration that was loaded last.
 type Store struct {
 	cfg         Config
 	log         *slog.Logger
 	current     atomic.Pointer[tls.Config]
-	fingerprint string // of the files
+	fingerprint string // of the files when they were last loaded
 }
 
-// Load reads all files.
+// Load loads all files. log gets the results of later loads; it may be nil if there are none. The error names the file.
 func Load(cfg Config, log *slog.Logger) (*Store, error) {
 	s := &Store{cfg: cfg, log: log, fingerprint: cfg.fingerprint()}
 	c, err := cfg.load()
@@ -45,7 +48,7 @@
 	return s, nil
 }
 
-// Config is for a listener. What it shows changes with the files.
+// Config returns a configuration for a listener, which follows what is loaded later. It is safe for concurrent use.
 func (s *Store) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
@@ -53,28 +56,28 @@
 	}
 }
 
-// Watch looks at the files every so often until ctx ends.
-func (s *Store) Watch(ctx context.Context, every time.Duration) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Watch calls ReloadIfChanged at an interval until ctx ends.
+func (s *Store) Watch(ctx context.Context, interval time.Duration) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			s.ReloadIfChanged()
 		}
 	}
 }
 
-// ReloadIfChanged reads the files again if they have changed, and reports whether they are in force. It must not be called from two
-// goroutines at once.
+// ReloadIfChanged loads the files again if they have changed, and reports whether the new ones are in force now. It is not safe for
+// concurrent use, nor beside Watch.
 func (s *Store) ReloadIfChanged() bool {
-	stamp := s.cfg.fingerprint()
-	if stamp == s.fingerprint {
+	fingerprint := s.cfg.fingerprint()
+	if fingerprint == s.fingerprint {
 		return false
 	}
-	s.fingerprint = stamp // a file that is half written changes again
+	s.fingerprint = fingerprint // also after an error: a half-written file changes again
 	c, err := s.cfg.load()
 	if err != nil {
 		s.log.Error("the certificates have changed and cannot be used; those read before stay in force", "err", err)
@@ -85,7 +88,7 @@
 	return true
 }
 
-// fingerprint changes with the files.
+// fingerprint returns a text that changes with the sizes and times of the files.
 func (c *Config) fingerprint() string {
 	text := ""
 	for _, file := range c.files() {
@@ -99,29 +102,31 @@
 	return text
 }
 
-func (c *Config) files() (all []string) {
+// files returns the names of all files.
+func (c *Config) files() (names []string) {
 	for _, p := range c.Pairs {
-		all = append(all, p.CertFile, p.KeyFile)
+		names = append(names, p.CertFile, p.KeyFile)
 	}
 	if c.CAFile != "" {
-		all = append(all, c.CAFile)
+		names = append(names, c.CAFile)
 	}
-	return all
+	return names
 }
 
-// ExposedKeys are the key files that others than their owner can read.
-func (c *Config) ExposedKeys() (all []string) {
+// ExposedKeys returns the key files that others than their owner can access.
+func (c *Config) ExposedKeys() (names []string) {
 	for _, p := range c.Pairs {
 		if info, err := os.Stat(p.KeyFile); err == nil && info.Mode().Perm()&0o077 != 0 {
-			all = append(all, p.KeyFile)
+			names = append(names, p.KeyFile)
 		}
 	}
-	return all
+	return names
 }
 
+// load loads the files.
 func (c *Config) load() (*tls.Config, error) {
 	if len(c.Pairs) == 0 {
-		return nil, errors.New("no certificate")
+		return nil, errNoCertificate
 	}
 	t := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: c.Protocols}
 	for _, p := range c.Pairs {
@@ -131,20 +136,27 @@
 		}
 		t.Certificates = append(t.Certificates, pair)
 	}
-	if c.CAFile == "" {
-		return t, nil
+	if c.CAFile != "" {
+		if err := c.loadAuthorities(t); err != nil {
+			return nil, fmt.Errorf("authorities: %w", err)
+		}
 	}
+	return t, nil
+}
+
+// loadAuthorities makes t verify client certificates.
+func (c *Config) loadAuthorities(t *tls.Config) error {
 	pem, err := os.ReadFile(c.CAFile)
 	if err != nil {
-		return nil, fmt.Errorf("authorities: %w", err)
+		return err
 	}
 	t.ClientCAs = x509.NewCertPool()
 	if !t.ClientCAs.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("authorities: %s holds no certificate", c.CAFile)
+		return fmt.Errorf("%s holds no certificate", c.CAFile)
 	}
 	t.ClientAuth = tls.VerifyClientCertIfGiven
 	if c.RequireClientCert {
 		t.ClientAuth = tls.RequireAndVerifyClientCert
 	}
-	return t, nil
+	return nil
 }
