--- /dev/null
+++ b/internal/simulation/call.go
@@ -0,0 +1,133 @@
+package simulation
+
+import (
+	"time"
+
+	"sorrelrudder/internal/consensus"
+)
+
+const (
+	// maxPendingCalls is the number of a process' newest calls whose answers are still taken.
+	maxPendingCalls = 64
+	// maxRedirects bounds the voters that a call is redirected to.
+	maxRedirects = 3
+
+	// A call's handle consists of the process, its start and the call's number.
+	handleProcessShift = 56
+	handleStartShift   = 40
+)
+
+// call is a request to the consensus group that has no answer yet.
+type call struct {
+	request   consensus.Request
+	done      func(consensus.Response)
+	voter     string // it was sent to
+	redirects int
+}
+
+// call sends a request to the voter that is taken for the leader. Without an answer done is never called.
+func (p *process) call(request consensus.Request, done func(consensus.Response)) {
+	p.lastCall++
+	handle := uint64(p.index)<<handleProcessShift | uint64(p.starts)<<handleStartShift | p.lastCall
+	c := &call{request: request, done: done}
+	p.calls[handle] = c
+	delete(p.calls, handle-maxPendingCalls)
+	p.sendCall(handle, c)
+	p.schedule(leaseTiming.KeepAliveInterval()/2, func() {
+		if p.calls[handle] == c {
+			p.leaders.Unreachable(p.clock(), c.voter)
+		}
+	})
+}
+
+// sendCall sends a call to a voter. One that does not vote at the moment redirects it.
+func (p *process) sendCall(handle uint64, c *call) {
+	s := p.simulation
+	c.voter = p.leaders.Pick(p.clock())
+	to := s.process(c.voter)
+	s.transmit(p, to, "ask", func() {
+		if to.node == nil {
+			s.transmit(to, p, "elsewhere", func() { p.handleResponse(handle, consensus.Response{NotLeader: true}) })
+			return
+		}
+		to.node.Submit(to.raftClock(), handle, c.request)
+		to.processNode()
+	})
+}
+
+// handleResponse handles the answer to a call.
+func (p *process) handleResponse(handle uint64, response consensus.Response) {
+	c := p.calls[handle]
+	if c == nil {
+		return
+	}
+	if response.NotLeader {
+		if p.leaders.Redirected(p.clock(), c.voter, response.Leader) && c.redirects < maxRedirects {
+			c.redirects++
+			p.sendCall(handle, c)
+			return
+		}
+		delete(p.calls, handle)
+		return
+	}
+	p.leaders.LeaderConfirmed(c.voter)
+	delete(p.calls, handle)
+	c.done(response)
+}
+
+// sendOutput sends what a voter's processing has returned: messages to other voters, answers, and notices to processes whose leases have
+// changed.
+func (p *process) sendOutput(out consensus.Output) {
+	s := p.simulation
+	for _, m := range out.Messages {
+		to := s.process(p.node.NameOf(m.GetTo()))
+		if to == nil {
+			continue
+		}
+		data, err := consensus.EncodeMessage(m)
+		if err != nil {
+			panic(err)
+		}
+		from := m.GetFrom()
+		s.transmit(p, to, m.GetType().String(), func() { to.stepNode(p, from, data) })
+	}
+	for _, reply := range out.Replies {
+		to := s.processes[reply.Handle>>handleProcessShift]
+		s.transmit(p, to, "answer", func() { to.handleResponse(reply.Handle, reply.Response) })
+	}
+	for _, name := range out.ChangedMembers {
+		if to := s.process(name); to != nil {
+			s.transmit(p, to, "wake", func() {
+				to.session.Refresh()
+				to.advance()
+			})
+		}
+	}
+}
+
+// An operator submits a command every operatorInterval, at most maxOperatorCalls times.
+const (
+	operatorInterval = 200 * time.Millisecond
+	maxOperatorCalls = 100
+)
+
+// submitUntilDone has an operator submit a request until done says so. The request is made anew for each call.
+func (s *simulation) submitUntilDone(request func() consensus.Request, done func(consensus.Response) bool) {
+	from := s.processes[len(s.processes)-1]
+	calls := 0
+	var submit func()
+	submit = func() {
+		if calls++; calls > maxOperatorCalls {
+			return
+		}
+		if from.up && s.now >= from.pausedUntil {
+			from.call(request(), func(r consensus.Response) {
+				if done(r) {
+					calls = maxOperatorCalls
+				}
+			})
+		}
+		s.after(operatorInterval, submit)
+	}
+	submit()
+}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -1,6 +1,3 @@
-// Package simulation plays fleets in virtual time: the cores of the council, the leases and the tasks as they are, on a network, on disks and
-// on clocks that a seed makes fail. An observer that knows nothing of the cores' state says what must not be. Equal seeds give equal
-// runs, byte for byte, in one process at a time.
 package simulation
 
 import (
@@ -9,116 +6,95 @@
 	"math/rand/v2"
 	"slices"
 	"time"
-
-	"sorrelrudder/internal/gossip"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind says what goes wrong.
 type FaultKind string
 
-// The kinds of faults.
+// The faults of processes and their network.
 const (
-	FaultPause     FaultKind = "pause"   // a process stands still for a while, and goes on as if nothing had been
-	FaultKill      FaultKind = "kill"    // a process ends, and starts again after a while with what its disk had synced
-	FaultWipe      FaultKind = "wipe"    // the same, and the disk is new
-	FaultOneWay    FaultKind = "oneway"  // nothing gets from one process to another
-	FaultIsolate   FaultKind = "cut"     // one process is cut off from all others
-	FaultPartition FaultKind = "split"   // the processes with the bits set are cut off from the others
-	FaultLoss      FaultKind = "loss"    // a share of all messages is lost
-	FaultDelay     FaultKind = "storm"   // messages are late, doubled and overtake each other
+	FaultPause     FaultKind = "pause"   // a process stands still for a while, and goes on as if nothing had happened
+	FaultKill      FaultKind = "kill"    // a process ends, and restarts after a while with what its disk had synced
+	FaultWipe      FaultKind = "wipe"    // the same, with an empty disk
+	FaultOneWay    FaultKind = "oneway"  // messages from one process to another are lost
+	FaultIsolate   FaultKind = "cut"     // one process is isolated from all others
+	FaultPartition FaultKind = "split"   // the processes whose bits are set are isolated from the others
+	FaultLoss      FaultKind = "loss"    // a fraction of all messages is lost
+	FaultDelay     FaultKind = "storm"   // messages are delayed, duplicated and reordered
 	FaultSync      FaultKind = "sync"    // the next sync of a process' disk fails
 	FaultRevoke    FaultKind = "revoke"  // an operator revokes a lease
-	FaultLeave     FaultKind = "leave"   // a process ends in order, and starts again after a while
-	FaultKillAll   FaultKind = "killall" // all processes end at once, and start again one after the other
-	FaultReplace   FaultKind = "replace" // an operator has the new identity of a process vote
+	FaultLeave     FaultKind = "leave"   // a process shuts down in order, and restarts after a while
+	FaultKillAll   FaultKind = "killall" // all processes end at once, and restart one after the other
+	FaultReplace   FaultKind = "replace" // an operator makes the new identity of a process a voter
 )
 
 // Fault is one thing that goes wrong.
 type Fault struct {
 	At       time.Duration `json:"at"`
 	Kind     FaultKind     `json:"kind"`
-	Target   int           `json:"p"`           // the process, or bits
-	Peer     int           `json:"q,omitempty"` // another
+	Target   int           `json:"p"`           // a process, a zone, or a process' bit each
+	Peer     int           `json:"q,omitempty"` // another process, a lease or a zone
 	Duration time.Duration `json:"for,omitempty"`
 }
 
+// String returns the fault as the trace has it.
 func (f Fault) String() string {
 	return fmt.Sprintf("%7.3fs %-8s p=%d q=%d for %.3fs", f.At.Seconds(), f.Kind, f.Target, f.Peer, f.Duration.Seconds())
 }
 
-// draw draws the faults of a run among voters that vote and processes in all.
-func draw(rng *rand.Rand, voters, processes int, from, to time.Duration) []Fault {
+// drawFaults draws faults among so many processes, of which the first ones are voters, in the order of their times.
+func drawFaults(rng *rand.Rand, voters, processes int, from, until time.Duration) []Fault {
 	var all []Fault
 	wiped := 0
 	for n := 3 + rng.IntN(14); n > 0; n-- {
-		f := Fault{At: from + time.Duration(rng.Int64N(int64(to-from))), Target: rng.IntN(processes), Peer: rng.IntN(processes)}
-		f.Duration = time.Duration(50+rng.IntN(4000)) * time.Millisecond
-		switch d := rng.IntN(100); {
-		case d < 18:
-			f.Kind = FaultPause
-		case d < 34:
-			f.Kind = FaultKill
-		case d < 40:
-			f.Kind = FaultLeave
-		case d < 52:
-			f.Kind = FaultOneWay
-		case d < 62:
-			f.Kind = FaultIsolate
-		case d < 72:
-			f.Kind, f.Target = FaultPartition, 1+rng.IntN(1<<processes-2)
-		case d < 80:
-			f.Kind = FaultLoss
-		case d < 88:
-			f.Kind = FaultDelay
-		case d < 91:
-			f.Kind, f.Target = FaultSync, rng.IntN(voters)
-		case d < 94:
-			f.Kind = FaultRevoke
-		case d < 96:
-			f.Kind = FaultKillAll
-		default:
-			// Of a council that has lost the disks of most nobody can know any more what was promised: that is not played.
+		fault := Fault{At: from + time.Duration(rng.Int64N(int64(until-from))), Target: rng.IntN(processes), Peer: rng.IntN(processes)}
+		fault.Duration = time.Duration(50+rng.IntN(4000)) * time.Millisecond
+		fault.Kind = faultKindOf(rng.IntN(100))
+		switch fault.Kind {
+		case FaultPartition:
+			fault.Target = 1 + rng.IntN(1<<processes-2)
+		case FaultSync:
+			fault.Target = rng.IntN(voters)
+		case FaultWipe:
+			// A group that has lost most of its disks cannot know what it has acknowledged: no fault does that.
 			if wiped >= (voters-1)/2 {
 				continue
 			}
 			wiped++
-			f.Kind, f.Target = FaultWipe, rng.IntN(voters)
-			all = append(all, Fault{At: f.At + f.Duration + time.Second, Kind: FaultReplace, Target: f.Target})
+			fault.Target = rng.IntN(voters)
+			all = append(all, Fault{At: fault.At + fault.Duration + time.Second, Kind: FaultReplace, Target: fault.Target})
 		}
-		all = append(all, f)
+		all = append(all, fault)
 	}
 	slices.SortStableFunc(all, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// InjectedBug is a mistake that is made on purpose: the explorer has to find it.
-type InjectedBug string
-
-// The mistakes that can be planted, to see that the observer finds them.
-const (
-	BugNone              InjectedBug = ""
-	BugLongTTL           InjectedBug = "margin"       // holders reckon with a term longer than the council's
-	BugStaleDisk         InjectedBug = "token-reuse"  // a process starts again with an older copy of its disk, and votes
-	BugNoSync            InjectedBug = "no-sync"      // promises are sent before they are on the disk
-	BugNoLeaseGrace      InjectedBug = "hurry"        // a new leader does not let what it finds live a whole term
-	BugWallClock         InjectedBug = "wall"         // the council's leader judges by a wall clock, which is set now and then
-	BugUnconfirmedLeader InjectedBug = "lax"          // a leader renews without asking a majority whether it still leads
-	BugEarlyCompletion   InjectedBug = "early-finish" // a slot is written down as done before its answer has come
-	BugNoFencing         InjectedBug = "unfenced"     // the resource does not look at tokens
-)
-
-// InjectedBugs are all mistakes that can be planted.
-var InjectedBugs = slices.Concat([]InjectedBug{BugLongTTL, BugStaleDisk, BugNoSync, BugNoLeaseGrace, BugWallClock, BugUnconfirmedLeader, BugEarlyCompletion, BugNoFencing}, ofCopies(), zonePlants)
-
-// ofCopies are those of the state that processes share; they are looked for in runs with Copies.
-func ofCopies() (all []InjectedBug) {
-	for _, p := range gossip.InjectedFaults {
-		all = append(all, InjectedBug(p))
+// faultKindOf returns the kind of a draw below 100.
+func faultKindOf(draw int) FaultKind {
+	switch {
+	case draw < 18:
+		return FaultPause
+	case draw < 34:
+		return FaultKill
+	case draw < 40:
+		return FaultLeave
+	case draw < 52:
+		return FaultOneWay
+	case draw < 62:
+		return FaultIsolate
+	case draw < 72:
+		return FaultPartition
+	case draw < 80:
+		return FaultLoss
+	case draw < 88:
+		return FaultDelay
+	case draw < 91:
+		return FaultSync
+	case draw < 94:
+		return FaultRevoke
+	case draw < 96:
+		return FaultKillAll
 	}
-	return all
-}
-
-// NeedsSharedState reports whether a mistake is one of the shared state.
-func (p InjectedBug) NeedsSharedState() bool {
-	return slices.Contains(ofCopies(), p) || p.NeedsZoneFailover()
+	return FaultWipe
 }
--- a/internal/simulation/linear_test.go
+++ b/internal/simulation/linear_test.go
@@ -21,7 +21,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func history(ops []Operation) []porcupine.Operation {
+func porcupineOperations(ops []Operation) []porcupine.Operation {
 	var all []porcupine.Operation
 	for i, op := range ops {
 		// Overlapping asks of one process are as those of several.
@@ -38,7 +38,7 @@
 	for seed := range seeds(t, 8) {
 		o := Run(Options{Seed: uint64(seed), RecordHistory: true})
 		total += len(o.History)
-		if got := porcupine.CheckOperationsTimeout(counter, history(o.History), checkTime); got != porcupine.Ok {
+		if got := porcupine.CheckOperationsTimeout(counter, porcupineOperations(o.History), checkTime); got != porcupine.Ok {
 			t.Errorf("seed %d: %v of %d operations", seed, got, len(o.History))
 		}
 	}
@@ -61,7 +61,7 @@
 			break
 		}
 	}
-	if got := porcupine.CheckOperationsTimeout(counter, history(o.History), checkTime); got != porcupine.Illegal {
+	if got := porcupine.CheckOperationsTimeout(counter, porcupineOperations(o.History), checkTime); got != porcupine.Illegal {
 		t.Errorf("a stale look fits: %v", got)
 	}
 }
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -7,178 +7,229 @@
 
 	"sorrelrudder/internal/consensus"
 	"sorrelrudder/internal/task"
-	"sorrelrudder/internal/zonefailover"
 	"sorrelrudder/internal/zoneview"
 )
 
-// observer says what must not be. Of the processes it only sees what they would act on; the rest it counts for itself.
+// maxSlotGap is how long before the end the last slot has to be sent.
+const maxSlotGap = 3 * time.Second
+
+// observer checks what has to hold at all times. Of the processes it sees only what they act on; the rest it records itself.
 type observer struct {
-	w      *world
-	tokens map[string]uint64         // the largest that the resource has accepted
-	owner  map[uint64]string         // who has acted with a token
-	ran    map[int64][]time.Duration // when a slot's request was done, as the servers tell after dropping repeats
-	keys   map[string]time.Duration  // when servers first saw a key
-	sentAt time.Duration             // the newest request of a slot
-	lastAt time.Duration
-	names  []leaseName       // that are watched
-	zones  *zonesWatch       // nil: none are played
-	avoids map[string]string // what was left out first by some decisions
-	clocks []time.Duration   // of the processes, at the event that is looked at
+	simulation *simulation
+
+	// Leases.
+	leases      []leaseSlots
+	clocks      []time.Duration   // of the processes, at the present event
+	checkedAt   time.Duration     // the last time
+	tokenOwners map[uint64]string // the incarnation that has held each token
+	maxTokens   map[string]uint64 // the largest that a resource has accepted, by lease
+
+	// The task.
+	lastSlotSent time.Duration
+	executions   map[int64][]time.Duration // of slots, without the repeats that servers drop
+	dedupKeys    map[string]time.Duration  // when servers first received a key
+
+	zones *zoneObserver // nil: there are no zones
 }
 
-func newObserver(w *world) *observer {
+func newObserver(s *simulation) *observer {
 	o := &observer{
-		w: w, tokens: map[string]uint64{}, owner: map[uint64]string{}, ran: map[int64][]time.Duration{}, keys: map[string]time.Duration{},
-		names: append(append([]leaseName{}, w.names...), leaseName{"task/t", 1}),
-	}
-	if w.field != nil {
-		o.names = append(o.names, leaseName{zoneview.LeaseName, 1})
-		o.zones, o.avoids = &zonesWatch{values: map[uint64]string{}}, map[string]string{}
-		for zone := range zones {
-			o.zones.states[zone].Step = zonefailover.FullStep
-		}
+		simulation:  s,
+		leases:      append(append([]leaseSlots{}, s.leases...), leaseSlots{taskLease, 1}),
+		tokenOwners: map[uint64]string{},
+		maxTokens:   map[string]uint64{},
+		executions:  map[int64][]time.Duration{},
+		dedupKeys:   map[string]time.Duration{},
+	}
+	if s.servers != nil {
+		o.leases = append(o.leases, leaseSlots{zoneview.LeaseName, 1})
+		o.zones = newZoneObserver()
 	}
 	return o
 }
 
-// look is called after each event: no name may be held by more than its limit, by the clocks and knowledge of the processes themselves.
-// A process that stands still is taken for one that acts the moment it goes on.
-func (o *observer) look() {
-	w := o.w
-	clocks := o.clocks[:0]
-	for _, p := range w.procs {
-		clocks = append(clocks, p.clock())
-	}
-	o.clocks = clocks
-	for _, n := range o.names {
+// The checks of leases.
+
+// checkHolders checks after each event that no lease has more holders than it has slots, by the clocks and the knowledge of the processes
+// themselves. A process that is paused counts as one that acts the moment it goes on.
+func (o *observer) checkHolders() {
+	s := o.simulation
+	o.readClocks()
+	for _, l := range o.leases {
 		holders := 0
-		for i, p := range w.procs {
-			if !p.up || clocks[i] >= p.keeper.ValidUntil() {
+		for i, p := range s.processes {
+			if !p.up || o.clocks[i] >= p.session.ValidUntil() {
 				continue
 			}
-			token, _, ok := p.keeper.Token(clocks[i], n.name)
-			if !ok {
+			token, _, held := p.session.Token(o.clocks[i], l.name)
+			if !held {
 				continue
 			}
 			holders++
-			if was := o.owner[token]; was == "" {
-				o.owner[token] = p.incarnation()
-				w.note("%s holds %s by %d", p.name, n.name, token)
-			} else if was != p.incarnation() {
-				w.breaks("token %d is held by %s and was held by %s", token, p.incarnation(), was)
-			}
+			o.checkTokenOwner(l, p, token)
 		}
-		if holders > n.limit {
-			w.breaks("two holders: %d hold %q, of which %d may", holders, n.name, n.limit)
+		if holders > l.limit {
+			s.reportViolation("two holders: %d hold %q, of which %d may", holders, l.name, l.limit)
 		}
-		if holders == 0 && w.now > o.lastAt {
-			w.counts["unheld_s"] += (w.now - o.lastAt).Seconds() / 3
+		if holders == 0 && s.now > o.checkedAt {
+			s.counts["unheld_s"] += (s.now - o.checkedAt).Seconds() / 3
 		}
 	}
-	o.lastAt = w.now
+	o.checkedAt = s.now
+}
+
+// readClocks reads the clocks of all processes.
+func (o *observer) readClocks() {
+	o.clocks = o.clocks[:0]
+	for _, p := range o.simulation.processes {
+		o.clocks = append(o.clocks, p.clock())
+	}
 }
 
-// incarnation is the process and which start of it.
-func (p *proc) incarnation() string { return p.nonce }
+// checkTokenOwner checks that a token belongs to one incarnation of one process for ever.
+func (o *observer) checkTokenOwner(l leaseSlots, p *process, token uint64) {
+	switch owner := o.tokenOwners[token]; owner {
+	case "":
+		o.tokenOwners[token] = p.incarnation
+		o.simulation.trace("%s holds %s by %d", p.name, l.name, token)
+	case p.incarnation:
+	default:
+		o.simulation.reportViolation("token %d is held by %s and was held by %s", token, p.incarnation, owner)
+	}
+}
 
-// act is an act at the resource, which accepts no older token after a newer. With several holders it only counts.
-func (o *observer) act(n leaseName, p *proc, token uint64, late bool) {
-	w := o.w
-	w.counts["acts"]++
-	if n.limit > 1 {
+// acted checks an act on a lease's resource, which accepts no token that is smaller than one before it. A holder that does not act late
+// never has such a token. Resources of leases with several slots accept all.
+func (o *observer) acted(l leaseSlots, p *process, token uint64, late bool) {
+	s := o.simulation
+	s.counts["acts"]++
+	if l.limit > 1 {
+		return
+	}
+	newest := o.maxTokens[l.name]
+	if token >= newest {
+		o.maxTokens[l.name] = token
 		return
 	}
-	last := o.tokens[n.name]
-	if token < last {
-		if w.o.Bug == BugNoFencing {
-			w.breaks("an act with token %d was accepted after one with %d", token, last)
+	if s.options.Bug == BugNoFencing {
+		s.reportViolation("an act with token %d was accepted after one with %d", token, newest)
+	}
+	s.counts["acts_refused_by_token"]++
+	if !late {
+		s.reportViolation("%s acted on %q with token %d while it held it, after an act with %d", p.name, l.name, token, newest)
+	}
+}
+
+// checkAllHeld checks at the end that all slots of the leases are held, since there are enough processes that want them.
+func (o *observer) checkAllHeld() {
+	for _, l := range o.leases {
+		holders := 0
+		for _, p := range o.simulation.processes {
+			if _, _, held := p.session.Token(p.clock(), l.name); held {
+				holders++
+			}
 		}
-		w.counts["acts_refused_by_token"]++
-		if !late {
-			w.breaks("%s acted on %q with token %d while it held it, after an act with %d", p.name, n.name, token, last)
+		if holders != l.limit {
+			o.simulation.reportViolation("%d hold %q at the end, where %d may and more want", holders, l.name, l.limit)
 		}
-		return
 	}
-	o.tokens[n.name] = token
 }
 
-func (o *observer) sent() {
-	o.sentAt = o.w.now
-	o.w.counts["slots_sent"]++
+// The checks of the task.
+
+// slotSent records that a slot's request was sent.
+func (o *observer) slotSent() {
+	o.lastSlotSent = o.simulation.now
+	o.simulation.counts["slots_sent"]++
 }
 
-// did is told when a server has a slot's request: it drops repeats of a key for as long as the window says.
-func (o *observer) did(s task.SlotRequest) {
-	w := o.w
-	if w.spec.Idempotency == task.IdempotentByKey {
-		if at, had := o.keys[s.Key]; had && w.now < at+w.spec.DedupWindow {
+// slotReceived checks that a slot is executed only once, unless the task is idempotent. A server drops repeats of a key within the dedup
+// window.
+func (o *observer) slotReceived(slot task.SlotRequest) {
+	s := o.simulation
+	if s.task.Idempotency == task.IdempotentByKey {
+		if first, received := o.dedupKeys[slot.Key]; received && s.now < first+s.task.DedupWindow {
 			return
 		}
-		o.keys[s.Key] = w.now
+		o.dedupKeys[slot.Key] = s.now
 	}
-	w.note("slot %d is done", s.Slot)
-	o.ran[s.Slot] = append(o.ran[s.Slot], w.now)
-	w.counts["slots_done"]++
-	if n := len(o.ran[s.Slot]); n > 1 && w.spec.Idempotency != task.Idempotent {
-		w.breaks("slot %d was done %d times", s.Slot, n)
+	s.trace("slot %d is done", slot.Slot)
+	o.executions[slot.Slot] = append(o.executions[slot.Slot], s.now)
+	s.counts["slots_done"]++
+	if n := len(o.executions[slot.Slot]); n > 1 && s.task.Idempotency != task.Idempotent {
+		s.reportViolation("slot %d was done %d times", slot.Slot, n)
 	}
 }
 
-// end is told when the run is over: all was well for long enough.
-func (o *observer) end() {
-	w := o.w
-	var first []byte
-	var most uint64
-	for _, p := range w.procs {
-		if p.node == nil {
-			continue
-		}
-		if s := p.node.Status(); s.Applied >= most {
-			most = s.Applied
+// checkSlotsSent checks at the end that slots are still sent.
+func (o *observer) checkSlotsSent() {
+	if idle := o.simulation.now - o.lastSlotSent; idle > maxSlotGap {
+		o.simulation.reportViolation("no slot was sent in the last %v, and one is due every %v", idle, o.simulation.task.Interval)
+	}
+}
+
+// checkSlotRecord checks at the end that no slot is recorded as done that was not executed.
+func (o *observer) checkSlotRecord(record task.Record) {
+	s := o.simulation
+	executed := int64(len(o.executions))
+	if recorded := record.OutcomeCounts[task.OutcomeDone]; recorded > executed {
+		s.reportViolation("%d slots are written down as done, and %d were", recorded, executed)
+	}
+	for outcome, n := range record.OutcomeCounts {
+		s.counts["slots_"+string(outcome)+"_told"] += float64(n)
+	}
+}
+
+// The checks of the end.
+
+// finish checks the end of the run, by which all faults have been over for a while.
+func (o *observer) finish() {
+	decided := o.checkReplicasEqual()
+	if o.simulation.options.SharedState {
+		o.checkSharedStateEqual(decided)
+		o.checkZonesRecovered()
+	}
+	o.checkAllHeld()
+	o.checkSlotsSent()
+	record := task.Record{}
+	if decided != nil {
+		if stored := decided.Tasks.Tasks[o.simulation.task.Name]; stored != nil {
+			record = *stored
 		}
 	}
-	book := task.Record{}
+	o.checkSlotRecord(record)
+}
+
+// checkReplicasEqual checks that all voters that have applied the whole log hold the same state, and returns it; nil if there is none.
+func (o *observer) checkReplicasEqual() *consensus.StateMachine {
+	s := o.simulation
+	applied := o.maxApplied()
+	var first []byte
 	var decided *consensus.StateMachine
-	for _, p := range w.procs {
-		if p.node == nil || p.node.Status().Applied != most {
+	for _, p := range s.processes {
+		if p.node == nil || p.node.Status().Applied != applied {
 			continue
 		}
-		f := p.node.StateMachine()
-		data, err := json.Marshal(f)
+		replica := p.node.StateMachine()
+		data, err := json.Marshal(replica)
 		if err != nil {
-			w.breaks("%v", err)
+			s.reportViolation("%v", err)
 		}
 		if first != nil && !bytes.Equal(first, data) {
-			w.breaks("two copies of the state differ at %d", most)
-		}
-		first, decided = data, f
-		if page := f.Tasks.Tasks[w.spec.Name]; page != nil {
-			book = *page
+			s.reportViolation("two copies of the state differ at %d", applied)
 		}
+		first, decided = data, replica
 	}
-	if w.o.SharedState {
-		o.equalCopies(decided)
-		o.endZones()
-	}
-	for _, n := range o.names {
-		holders := 0
-		for _, p := range w.procs {
-			if _, _, ok := p.keeper.Token(p.clock(), n.name); ok {
-				holders++
-			}
-		}
-		if holders != n.limit {
-			w.breaks("%d hold %q at the end, where %d may and more want", holders, n.name, n.limit)
+	return decided
+}
+
+// maxApplied returns the largest index that a voter has applied.
+func (o *observer) maxApplied() uint64 {
+	var applied uint64
+	for _, p := range o.simulation.processes {
+		if p.node != nil {
+			applied = max(applied, p.node.Status().Applied)
 		}
 	}
-	if idle := w.now - o.sentAt; idle > 3*time.Second {
-		w.breaks("no slot was sent in the last %v, and one is due every %v", idle, w.spec.Interval)
-	}
-	done := int64(len(o.ran))
-	if n := book.OutcomeCounts[task.OutcomeDone]; n > done {
-		w.breaks("%d slots are written down as done, and %d were", n, done)
-	}
-	for outcome, n := range book.OutcomeCounts {
-		w.counts["slots_"+string(outcome)+"_told"] += float64(n)
-	}
+	return applied
 }
--- /dev/null
+++ b/internal/simulation/queue.go
@@ -0,0 +1,39 @@
+package simulation
+
+import (
+	"container/heap"
+	"time"
+)
+
+// event is a function that is due at a time. Events of one time run in the order in which they were scheduled.
+type event struct {
+	at       time.Duration
+	sequence uint64
+	run      func()
+}
+
+// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+type eventQueue []*event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
+
+func (q *eventQueue) Pop() any {
+	old := *q
+	popped := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return popped
+}
+
+// after schedules run after a delay.
+func (s *simulation) after(delay time.Duration, run func()) {
+	s.sequence++
+	heap.Push(&s.queue, &event{s.now + delay, s.sequence, run})
+}
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,22 +1,34 @@
 package simulation
 
-// Shrink takes faults away from a run that broke as long as it still breaks, whatever then breaks first. It plays no more than most runs.
-func Shrink(o Options, broken Outcome, most int) Outcome {
-	best := broken
-	for size := max(1, len(best.Faults)/2); size >= 1 && most > 0; {
-		took := false
-		for at := 0; at < len(best.Faults) && most > 0; {
-			fewer := append(append([]Fault{}, best.Faults[:at]...), best.Faults[min(len(best.Faults), at+size):]...)
-			most--
-			if out := Run(Options{Seed: o.Seed, Bug: o.Bug, Faults: fewer, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover}); out.Violation != "" {
-				best, took = out, true
+// Shrink removes faults from a run that has violated a rule, as long as the run still violates one, which may be another. It plays at most
+// maxRuns runs, and returns the outcome with the fewest faults.
+func Shrink(o Options, violated Outcome, maxRuns int) Outcome {
+	best := violated
+	for size := max(1, len(best.Faults)/2); size >= 1 && maxRuns > 0; {
+		removed := false
+		for start := 0; start < len(best.Faults) && maxRuns > 0; {
+			maxRuns--
+			outcome := Run(o.withFaults(without(best.Faults, start, size)))
+			if outcome.Violation != "" {
+				best, removed = outcome, true
 				continue
 			}
-			at += size
+			start += size
 		}
-		if !took || len(best.Faults) == 0 {
+		if !removed || len(best.Faults) == 0 {
 			size /= 2
 		}
 	}
 	return best
 }
+
+// withFaults returns the options of a run with these faults, and without trace and history.
+func (o Options) withFaults(faults []Fault) Options {
+	return Options{Seed: o.Seed, Bug: o.Bug, Faults: faults, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover}
+}
+
+// without returns a copy of the faults without those of a range, which may exceed them.
+func without(faults []Fault, start, size int) []Fault {
+	rest := append([]Fault{}, faults[:start]...)
+	return append(rest, faults[min(len(faults), start+size):]...)
+}
