--- a/internal/simulation/linear_test.go
+++ b/internal/simulation/history_test.go
@@ -7,9 +7,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// counter is what leases are to an onlooker: a number that only grows. A grant gives a larger one than all before it, and a look shows
-// none that is smaller than what was shown before: one that did would be a leader's that another has replaced.
-var counter = porcupine.Model{
+// tokenModel is the leases as a client sees them: a number that only grows. A grant returns a larger one than all before it, and a read
+// none that is smaller than one before: a leader that another has replaced would return one.
+var tokenModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
 		last, op := state.(uint64), output.(Operation)
@@ -24,31 +24,33 @@
 func porcupineOperations(ops []Operation) []porcupine.Operation {
 	var all []porcupine.Operation
 	for i, op := range ops {
-		// Overlapping asks of one process are as those of several.
+		// A process may have several operations in flight, which porcupine allows only of several clients.
 		all = append(all, porcupine.Operation{ClientId: i, Call: int64(op.Start), Return: int64(op.End), Output: op})
 	}
 	return all
 }
 
-const checkTime = 20 * time.Second
+// maxCheckDuration bounds the check of one history.
+const maxCheckDuration = 20 * time.Second
 
-// TestLinearizable holds the histories of grants and renewals, under drawn faults, to the model.
+// TestLinearizable checks the histories of grants and reads, under drawn faults, against the model.
 func TestLinearizable(t *testing.T) {
 	total := 0
-	for seed := range seeds(t, 8) {
+	for seed := range seeds(8) {
 		o := Run(Options{Seed: uint64(seed), RecordHistory: true})
 		total += len(o.History)
-		if got := porcupine.CheckOperationsTimeout(counter, porcupineOperations(o.History), checkTime); got != porcupine.Ok {
+		if got := porcupine.CheckOperationsTimeout(tokenModel, porcupineOperations(o.History), maxCheckDuration); got != porcupine.Ok {
 			t.Errorf("seed %d: %v of %d operations", seed, got, len(o.History))
 		}
 	}
 	t.Logf("%d operations", total)
 	if total < 100 {
-		t.Error("hardly anything was looked at")
+		t.Error("there are hardly any operations")
 	}
 }
 
-// TestLinearizableRejectsStaleRead guards against a model that any history fits: a look that shows an older state than one that ended before it began.
+// TestLinearizableRejectsStaleRead checks that the model rejects a read that returns an older state than an operation that ended before
+// the read began.
 func TestLinearizableRejectsStaleRead(t *testing.T) {
 	o := Run(Options{Seed: 1, RecordHistory: true})
 	var newest Operation
@@ -61,7 +63,7 @@
 			break
 		}
 	}
-	if got := porcupine.CheckOperationsTimeout(counter, porcupineOperations(o.History), checkTime); got != porcupine.Illegal {
-		t.Errorf("a stale look fits: %v", got)
+	if got := porcupine.CheckOperationsTimeout(tokenModel, porcupineOperations(o.History), maxCheckDuration); got != porcupine.Illegal {
+		t.Errorf("a stale read is accepted: %v", got)
 	}
 }
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,4 +2,5 @@
 
 package simulation
 
-const raced = false
+// raceEnabled says whether the race detector is on.
+const raceEnabled = false
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,4 +2,5 @@
 
 package simulation
 
-const raced = true
+// raceEnabled says whether the race detector is on.
+const raceEnabled = true
--- a/internal/simulation/explore_test.go
+++ b/internal/simulation/simulation_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// seeds is how many runs the tests play; more are played with SORRELRUDDER_SEEDS.
-func seeds(_ *testing.T, usual int) int {
+// seeds returns the number of seeds that a test runs: usual, or that of SORRELRUDDER_SEEDS.
+func seeds(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("SORRELRUDDER_SEEDS")); err == nil {
 		return n
 	}
-	if raced { // one goroutine has no races; .ci/run plays more without the detector, beside nothing else
+	if raceEnabled { // a run is one goroutine; .ci/run runs more seeds without the detector
 		return 1
 	}
 	return usual
 }
 
 func TestNoViolations(t *testing.T) {
-	for seed := range seeds(t, 40) {
+	for seed := range seeds(40) {
 		if o := Run(Options{Seed: uint64(seed), SharedState: seed%2 == 1, ZoneFailover: seed%4 == 3}); o.Violation != "" {
 			t.Errorf("seed %d: %v: %s", seed, o.ViolatedAt, o.Violation)
 		}
@@ -36,22 +36,23 @@
 	}
 }
 
-// foundBy are seeds shortly before those that find a mistake only in one of hundreds of runs; SORRELRUDDER_SEEDS begins at 0 for all.
-var foundBy = map[InjectedBug]uint64{BugUnconfirmedLeader: 126, BugWallClockRamp: 52, BugCommandRepeated: 85}
+// firstSeeds are seeds shortly before those that find a bug that shows only in one of hundreds of runs. With SORRELRUDDER_SEEDS all start
+// at 0.
+var firstSeeds = map[InjectedBug]uint64{BugUnconfirmedLeader: 126, BugWallClockRamp: 52, BugCommandRepeated: 85}
 
-// TestInjectedBugsAreFound guards against an explorer that finds nothing because it looks at nothing.
+// TestInjectedBugsAreFound checks that the observer finds each injected bug.
 func TestInjectedBugsAreFound(t *testing.T) {
-	for _, plant := range InjectedBugs {
-		t.Run(string(plant), func(t *testing.T) {
-			if raced {
-				t.Skip("played without the race detector")
+	for _, bug := range InjectedBugs {
+		t.Run(string(bug), func(t *testing.T) {
+			if raceEnabled {
+				t.Skip("runs without the race detector only")
 			}
-			first := foundBy[plant]
+			first := firstSeeds[bug]
 			if os.Getenv("SORRELRUDDER_SEEDS") != "" {
 				first = 0
 			}
 			for seed := first; seed < 2000; seed++ {
-				if o := Run(Options{Seed: seed, Bug: plant, SharedState: plant.NeedsSharedState(), ZoneFailover: plant.NeedsZoneFailover()}); o.Violation != "" {
+				if o := Run(Options{Seed: seed, Bug: bug, SharedState: bug.NeedsSharedState(), ZoneFailover: bug.NeedsZoneFailover()}); o.Violation != "" {
 					t.Logf("seed %d: %v: %s", seed, o.ViolatedAt, o.Violation)
 					return
 				}
