--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -152,7 +152,7 @@
 	b.queueHistory = append(b.queueHistory, queueSample{e.now, len(b.queue)})
 }
 
-// reportedQueueLength returns the queue length that a health check is told: that of LoadReportAge ago.
+// reportedQueueLength returns the queue length in the answer to a health check: that of LoadReportAge ago.
 func (b *backend) reportedQueueLength(e *Emulation) float64 {
 	length := 0
 	for _, sample := range b.queueHistory {
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// The events that the observer is told of, in the order of a request's life.
+// The events that the observer is notified of, in the order of a request's life.
 
 // endpointsUpdated records which endpoints an instance may no longer send to. It is called before the instance applies the update.
 func (o *observer) endpointsUpdated(in *instance, kind policy.UpdateKind, endpoints []policy.Endpoint) {
@@ -243,7 +243,7 @@
 	}
 }
 
-// checkNotExecuted checks the emulator itself: an instance that is told that an attempt was not executed has to be told the truth.
+// checkNotExecuted checks the emulator itself: an attempt that it reports as not executed must not have been executed.
 func (o *observer) checkNotExecuted(a *attempt) {
 	if a.executed {
 		o.violation(ruleNoRepeat, "the emulator itself told as not run what has run")
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -19,6 +19,8 @@
 	stale      consensus.PersistentState // what was synced at an earlier start
 }
 
+var _ consensus.Storage = (*disk)(nil)
+
 // Save writes a change of the state. As in the product, a change that needs no sync is not written: it would be learnt anew.
 func (d *disk) Save(change consensus.PersistentState, sync bool) error {
 	s := d.simulation
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -32,8 +32,27 @@
 	return popped
 }
 
+// scheduler is a virtual clock and the events that are due. Its zero value is ready to use.
+type scheduler struct {
+	now      time.Duration
+	queue    eventQueue
+	sequence uint64 // of the newest event
+}
+
 // after schedules run after a delay.
-func (s *simulation) after(delay time.Duration, run func()) {
+func (s *scheduler) after(delay time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.queue, &event{s.now + delay, s.sequence, run})
 }
+
+// dueBy reports whether there is an event that is due by a time.
+func (s *scheduler) dueBy(until time.Duration) bool {
+	return len(s.queue) > 0 && s.queue[0].at <= until
+}
+
+// step sets the clock to the next event and runs it.
+func (s *scheduler) step() {
+	next := heap.Pop(&s.queue).(*event)
+	s.now = next.at
+	next.run()
+}
--- a/internal/simulation/scalefleet.go
+++ b/internal/simulation/scalefleet.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"time"
@@ -18,10 +17,8 @@
 
 // scaleFleet is a fleet of processes that only share state by gossip, in virtual time.
 type scaleFleet struct {
+	scheduler
 	options   ScaleOptions
-	now       time.Duration
-	queue     eventQueue
-	sequence  uint64 // of the newest event
 	rng       *rand.Rand
 	names     []string
 	processes []*scaleProcess
@@ -56,19 +53,11 @@
 	return f
 }
 
-// after schedules run after a delay.
-func (f *scaleFleet) after(delay time.Duration, run func()) {
-	f.sequence++
-	heap.Push(&f.queue, &event{f.now + delay, f.sequence, run})
-}
-
 // run runs the events until a time, or until done reports true, and returns whether it did. done may be nil.
 func (f *scaleFleet) run(until time.Duration, done func() bool) bool {
 	nextLook := f.now
-	for len(f.queue) > 0 && f.queue[0].at <= until {
-		next := heap.Pop(&f.queue).(*event)
-		f.now = next.at
-		next.run()
+	for f.dueBy(until) {
+		f.step()
 		if done != nil && f.now >= nextLook {
 			nextLook = f.now + conditionInterval
 			if done() {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -6,7 +6,6 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"hash"
 	"hash/fnv"
@@ -91,10 +90,8 @@
 
 // simulation is one run. It belongs to one goroutine.
 type simulation struct {
-	options  Options
-	now      time.Duration
-	queue    eventQueue
-	sequence uint64 // of the newest event
+	scheduler
+	options Options
 
 	networkRandom *rand.Rand // what happens to messages and requests
 	processRandom *rand.Rand // what processes draw
@@ -193,13 +190,11 @@
 			s.reportViolation("the run does not come to its end")
 			return
 		}
-		next := heap.Pop(&s.queue).(*event)
-		if next.at > endAt {
+		if !s.dueBy(endAt) {
 			s.observer.finish()
 			return
 		}
-		s.now = next.at
-		next.run()
+		s.step()
 		s.observer.checkHolders()
 		s.observer.checkRelapses()
 	}
