--- a/internal/emulator/emulation_test.go
+++ b/internal/emulator/emulation_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"reflect"
-	"sorrelrudder/policy"
 	"testing"
 	"time"
+
+	"sorrelrudder/policy"
 )
 
 const ms = time.Millisecond
@@ -63,7 +64,7 @@
 	t.Parallel()
 	scenario := fleetScenario()
 	scenario.Duration = 6 * time.Second
-	scenario.Events = []ScheduledEvent{{2 * time.Second, func(e *Emulation) { e.RestartInstances(func(o int) bool { return o%3 > 0 }, 500*ms) }}}
+	scenario.Events = []ScheduledEvent{{2 * time.Second, func(e *Emulation) { e.RestartInstances(func(index int) bool { return index%3 > 0 }, 500*ms) }}}
 	a, b := run(t, scenario), run(t, scenario)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("one seed gave two runs")
--- a/internal/emulator/observer_test.go
+++ b/internal/emulator/observer_test.go
@@ -1,63 +1,169 @@
 package emulator
 
 import (
-	"sorrelrudder/policy"
+	"strings"
 	"testing"
 	"time"
+
+	"sorrelrudder/policy"
 )
 
-// The observer reports each kind of violation.
+// observed is an emulation whose first instance is driven by hand.
+type observed struct {
+	*Emulation
+	instance *instance
+}
+
+// receive has the instance receive a request of a class. It expires after a second.
+func (o *observed) receive(class policy.Class) *request {
+	o.instance.lastRequest++
+	r := &request{
+		client:   &clientRequest{class: &Class{Class: class}, instance: o.instance},
+		instance: o.instance,
+		id:       o.instance.lastRequest,
+		class:    class,
+		expires:  o.now + time.Second,
+	}
+	o.instance.requests[r.id] = r
+	o.observer.requestReceived(r)
+	return r
+}
+
+// send has the instance send a request to the backend of that index.
+func (o *observed) send(r *request, index int) *attempt {
+	target := o.backends[index]
+	a := &attempt{request: r, backend: target, sentAt: o.now}
+	o.observer.attemptStarted(a, policy.EndpointID(target.id))
+	r.attempts = append(r.attempts, a)
+	return a
+}
+
+// TestObserverReportsViolations checks that the observer reports each kind of violation, and by what rule.
 func TestObserverReportsViolations(t *testing.T) {
+	safe := policy.Class{Name: "safe"}
+	unsafe := policy.Class{Name: "unsafe", Idempotency: policy.NonIdempotent}
+	keyed := policy.Class{Name: "keyed", Idempotency: policy.IdempotentByKey, DedupWindow: 100 * ms}
+	cellKeyed := policy.Class{Name: "cell-keyed", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupCell, DedupWindow: time.Minute}
+	zoneKeyed := policy.Class{Name: "zone-keyed", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupZone, DedupWindow: time.Minute}
+	for name, c := range map[string]struct {
+		violate func(*observed)
+		want    string
+	}{
+		"answered twice": {func(o *observed) {
+			r := o.receive(safe)
+			o.observer.requestAnswered(r, answerRejected)
+			o.observer.requestAnswered(r, answerRejected)
+		}, "rule 1: 2 answers to one request"},
+		"attempt after the answer": {func(o *observed) {
+			r := o.receive(safe)
+			o.observer.requestAnswered(r, answerRejected)
+			o.send(r, 0)
+		}, "rule 1: something was sent of a request that is answered"},
+		"attempt after the deadline": {func(o *observed) {
+			r := o.receive(safe)
+			o.now += time.Second
+			o.send(r, 0)
+		}, "rule 1: something was sent of a request whose time is up"},
+		"attempt of an unknown request": {func(o *observed) {
+			o.instance.StartAttempt(o.instance.lastRequest+1, "s000", time.Second)
+		}, "rule 1: 0 sent something of a request that it has not"},
+		"answer to an unknown request": {func(o *observed) {
+			o.observer.requestAnswered(&request{instance: o.instance}, answerFailed)
+		}, "rule 1: an answer to a request that nobody asks"},
+		"answered too late": {func(o *observed) {
+			r := o.receive(safe)
+			o.now += 1100 * ms
+			o.observer.requestAnswered(r, answerFailed)
+		}, "rule 1: an answer 100ms too late"},
+		"not answered by the end": {func(o *observed) {
+			o.receive(safe)
+			o.now += 1100 * ms
+			o.observer.finish()
+		}, "rule 1: 1 requests were not answered by the end"},
+		"repeat of a request that is not idempotent": {func(o *observed) {
+			r := o.receive(unsafe)
+			o.send(r, 0)
+			o.send(r, 1)
+		}, "rule 2: unsafe was sent again though it may have run"},
+		"repeat in another cell": {func(o *observed) {
+			r := o.receive(cellKeyed)
+			o.observer.attemptExecuted(o.send(r, 0))
+			o.send(r, 1)
+		}, "rule 2: cell-keyed was sent to another group"},
+		"repeat in another zone": {func(o *observed) {
+			r := o.receive(zoneKeyed)
+			o.send(r, 0)
+			o.send(r, 1)
+		}, "rule 2: zone-keyed was sent to another group"},
+		"repeat after the dedup window": {func(o *observed) {
+			r := o.receive(keyed)
+			o.send(r, 0)
+			o.now += 150 * ms
+			o.send(r, 1)
+		}, "rule 2: keyed was sent again 150ms after a try that may have run"},
+		"rejected though possibly executed": {func(o *observed) {
+			r := o.receive(cellKeyed)
+			o.send(r, 0)
+			o.observer.requestAnswered(r, answerRejected)
+		}, "rule 2: cell-keyed was refused though it may have run"},
+		"reported as not executed": {func(o *observed) {
+			a := o.send(o.receive(safe), 0)
+			o.observer.attemptExecuted(a)
+			o.observer.attemptFinished(a, policy.StatusOverloaded)
+		}, "rule 2: the emulator itself told as not run what has run"},
+		"attempt at a draining endpoint": {func(o *observed) {
+			o.observer.endpointsUpdated(o.instance, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
+			o.now += 2100 * ms
+			o.send(o.receive(safe), 5)
+		}, "rule 3: s005 was sent something 2.1s after it was told to take nothing"},
+		"backend collapsed": {func(o *observed) {
+			b := o.startBackend("new", 3)
+			for range 200 {
+				b.recordWarmingWork(o.Emulation, 100*ms, true)
+			}
+		}, "rule 4: new was pushed over while it was cold"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e, err := New(fleetScenario())
+			if err != nil {
+				t.Fatal(err)
+			}
+			o := &observed{e, e.instances[0]}
+			o.instance.start()
+			c.violate(o)
+			if e.Result.ViolationCount != 1 || len(e.Result.Violations) != 1 || !strings.Contains(e.Result.Violations[0], c.want) {
+				t.Errorf("%d violations %q, want %q", e.Result.ViolationCount, e.Result.Violations, c.want)
+			}
+		})
+	}
+}
+
+// TestObserverAcceptsRepeats checks repeats that the rules allow.
+func TestObserverAcceptsRepeats(t *testing.T) {
 	e, err := New(fleetScenario())
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := e.instances[0]
-	in.start()
-	mk := func(class int) *request {
-		c := &e.scenario.Classes[class]
-		in.lastRequest++
-		tr := &request{client: &clientRequest{class: c, instance: in}, instance: in, id: in.lastRequest, class: c.Class, expires: e.now + time.Second}
-		in.requests[tr.id] = tr
-		e.observer.requestReceived(tr)
-		return tr
-	}
-	send := func(tr *request, s *backend) *attempt {
-		a := &attempt{request: tr, backend: s, sentAt: e.now}
-		e.observer.attemptStarted(a, policy.EndpointID(s.id))
-		tr.attempts = append(tr.attempts, a)
-		return a
-	}
-	for name, do := range map[string]func(){
-		"answered twice": func() {
-			tr := mk(0)
-			e.observer.requestAnswered(tr, answerRejected)
-			e.observer.requestAnswered(tr, answerRejected)
-		},
-		"attempt after the answer":      func() { tr := mk(0); e.observer.requestAnswered(tr, answerRejected); send(tr, e.backends[0]) },
-		"repeat in another dedup scope": func() { tr := mk(2); e.observer.attemptExecuted(send(tr, e.backends[0])); send(tr, e.backends[1]) },
-		"rejected though possibly executed": func() {
-			tr := mk(2)
-			send(tr, e.backends[0])
-			e.observer.requestAnswered(tr, answerRejected)
-		},
-		"attempt at a draining endpoint": func() {
-			e.observer.endpointsUpdated(in, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
-			e.now += 2100 * ms
-			send(mk(0), e.backends[5])
-		},
-		"answered too late": func() { tr := mk(0); e.now += 1100 * ms; e.observer.requestAnswered(tr, answerFailed) },
-		"backend collapsed": func() {
-			s := e.startBackend("new", 3)
-			for range 200 {
-				s.recordWarmingWork(e, 100*ms, true)
-			}
-		},
-	} {
-		before := e.Result.ViolationCount
-		do()
-		if e.Result.ViolationCount == before {
-			t.Errorf("%s: not reported", name)
-		}
+	o := &observed{e, e.instances[0]}
+	o.instance.start()
+
+	safe := o.receive(policy.Class{Name: "safe"})
+	o.send(safe, 0)
+	o.send(safe, 1)
+	o.observer.requestAnswered(safe, answerServed)
+
+	unsafe := o.receive(policy.Class{Name: "unsafe", Idempotency: policy.NonIdempotent})
+	o.observer.attemptFinished(o.send(unsafe, 0), policy.StatusOverloaded)
+	o.send(unsafe, 1)
+	o.observer.requestAnswered(unsafe, answerServed)
+
+	keyed := o.receive(policy.Class{Name: "keyed", Idempotency: policy.IdempotentByKey, DedupScope: policy.DedupZone, DedupWindow: time.Second})
+	o.send(keyed, 0)
+	o.send(keyed, 2)
+	o.observer.requestAnswered(keyed, answerServed)
+
+	o.observer.finish()
+	if e.Result.ViolationCount > 0 {
+		t.Error(e.Result.Violations)
 	}
 }
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -89,7 +89,7 @@
 	}
 	for tenth := range 10 {
 		scenario.Events = append(scenario.Events, ScheduledEvent{2*time.Second + time.Duration(tenth)*800*ms, func(e *Emulation) {
-			e.RestartInstances(func(o int) bool { return o%10 == tenth }, 300*ms)
+			e.RestartInstances(func(index int) bool { return index%10 == tenth }, 300*ms)
 		}})
 	}
 	r := run(t, scenario)
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -1,9 +1,10 @@
 package emulator
 
 import (
-	"sorrelrudder/policy"
 	"testing"
 	"time"
+
+	"sorrelrudder/policy"
 )
 
 // Hints with a quorum of two avoid at least half of the attempts at unreachable backends, and cost no service. Constant false hints on every
--- a/internal/emulator/subset_test.go
+++ b/internal/emulator/subset_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"slices"
-	"sorrelrudder/policy"
 	"testing"
 	"time"
+
+	"sorrelrudder/policy"
 )
 
 // singleInstanceScenario returns a scenario in which the first instance gets rate requests a second, and the others the usual load.
@@ -12,8 +13,8 @@
 	scenario := fleetScenario()
 	scenario.InstanceCount, scenario.BackendCount, scenario.Duration = 40, 30, 14*time.Second
 	scenario.Clients.RequestsPerSecond = 600 + rate
-	scenario.Clients.InstanceWeight = func(o int, _ string) float64 {
-		if o == 0 {
+	scenario.Clients.InstanceWeight = func(index int, _ string) float64 {
+		if index == 0 {
 			return rate
 		}
 		return 600.0 / 39
