--- /dev/null
+++ b/internal/e2e/replica_liar.go
@@ -0,0 +1,66 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"sorrelrudder/internal/fake"
+)
+
+func init() {
+	Register(Scenario{
+		Name: "replica-liar", Duration: 10 * time.Second, Run: replicaLiar,
+		Summary: "one, then two of twelve processes say that all servers are dead: what that costs",
+	})
+}
+
+func replicaLiar(ctx context.Context, e *Env) error {
+	served := map[int]float64{}
+	recorder := fake.NewEffectRecorder()
+	for liarCount := range 3 {
+		var names []string
+		for i := range 9 {
+			names = append(names, fmt.Sprintf("farm/box-%d", i+1))
+		}
+		f, err := e.startFleet(ctx, fleetConfig{
+			processes: 12, voters: 3, backends: 9, sharedState: defaultSharedState, recorder: recorder, subsets: true,
+			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+			falseReports: func(i int) string {
+				if i >= 12-liarCount {
+					return strings.Join(names, ",")
+				}
+				return ""
+			},
+		})
+		if err != nil {
+			return err
+		}
+		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", liarCount)); err != nil {
+			return err
+		}
+		e.Phase(fmt.Sprintf("%d liars", liarCount), e.Duration/3)
+		load, cancel := context.WithTimeout(ctx, e.Duration/3)
+		clients := f.runClients(load, fmt.Sprintf("l%d", liarCount), 15, recorder)
+		cancel()
+		served[liarCount] = clients.ServedFraction()
+		hinted := 0
+		for _, s := range f.sharedStates(f.members) {
+			hinted += s.Hinted
+		}
+		e.Measure(fmt.Sprintf("hints_%d", liarCount), float64(hinted))
+		e.Measure(fmt.Sprintf("served_%d", liarCount), clients.ServedFraction())
+		f.drainAll()
+		if liarCount == 1 && hinted > 0 {
+			e.Fail("one liar is believed: %d hints", hinted)
+		}
+		if liarCount == 2 && hinted == 0 {
+			e.Fail("nobody was lied to: nothing was shown")
+		}
+	}
+	e.checkAnsweredOnce(recorder, "")
+	e.AtMost("lost_to_one_liar", served[0]-served[1], 0.02)
+	e.AtMost("lost_to_two_liars", served[0]-served[2], 0.1)
+	return nil
+}
--- /dev/null
+++ b/internal/e2e/task_bounds.go
@@ -0,0 +1,92 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"sorrelrudder/internal/fake"
+)
+
+func init() {
+	Register(Scenario{
+		Name: "task-bounds", Duration: 14 * time.Second, Run: taskBounds,
+		Summary: "six tasks on a pool of plain HTTP, two at once over the fleet, by priority and within a budget, while processes are killed and a lease is handed over",
+	})
+}
+
+func taskBounds(ctx context.Context, e *Env) error {
+	const atOnce, allowed = 2, 5
+	tasks, effects := "", map[string]fake.Idempotency{}
+	for i := range 6 {
+		name := fmt.Sprint("work", i)
+		effects[name] = fake.IdempotentByKey
+		more := fmt.Sprintf("method = \"POST\"\npriority = %d\n", i)
+		if i == 5 {
+			more += fmt.Sprintf("[tasks.budget]\nper = \"2s\"\nrequests = %d\n", allowed)
+		}
+		tasks += taskTOML(name, "/delivery-order/"+name, "40ms", more)
+	}
+	f, err := e.startFleet(ctx, fleetConfig{
+		processes: 5, voters: 3, ordinaryHTTP: true, tasks: tasks, fleetKeys: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
+		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime, b.LoadReporting = 20*time.Millisecond, fake.ReportNone },
+	})
+	if err != nil {
+		return err
+	}
+	for name := range effects {
+		if err := f.settle(ctx, "task/"+name); err != nil {
+			return err
+		}
+	}
+	const lease = "task/work0"
+	was := f.leaseHolder(lease)
+	if was < 0 {
+		return fmt.Errorf("%w: nobody holds %s", errNotRecovered, lease)
+	}
+	to := f.members[(was+1)%5]
+	if out, err := f.runCommand("tier", "lease", "handover", lease, to.name, f.members[was].addr, "--secret", f.secret); err != nil {
+		return fmt.Errorf("handover: %w: %s", err, out)
+	}
+	asked := time.Now()
+	if err := f.awaitCondition(ctx, 5*time.Second, "the lease goes to "+to.name, func() bool { return f.leaseHolder(lease) == to.index }); err != nil {
+		return err
+	}
+	e.Measure("handover_s", time.Since(asked).Seconds())
+	rng := rand.New(rand.NewPCG(e.Seed, 34))
+	faults, err := e.chooseFaults(drawFaults(rng, []string{"kill", "leave", "cut"}, int(e.Duration/(2*time.Second)), 5, e.Duration))
+	if err != nil {
+		return err
+	}
+	e.Phase("processes are killed, cut off and end in order", e.Duration)
+	from := time.Now()
+	f.injectFaults(ctx, faults)
+	for name := range effects {
+		if err := f.settle(ctx, "task/"+name); err != nil {
+			return err
+		}
+	}
+	f.measureFencing(effects, from, time.Now())
+	v := f.resource.Verdict(func(string) bool { return true })
+	e.AtMost("most_at_once", float64(v.MaxConcurrent), atOnce)
+	s, err := f.status(f.members[0])
+	if err != nil {
+		return err
+	}
+	if s.Council == nil || s.Council.Fleet == nil {
+		return fmt.Errorf("%w: %s does not tell the state", errNotRecovered, f.members[0].name)
+	}
+	done := func(task string) float64 { return float64(s.Council.Fleet.Slots.Tasks[task].Counts["done"]) }
+	e.Measure("done_of_least_priority", done("work0"))
+	e.Measure("done_of_most_priority", done("work4"))
+	if done("work4") < done("work0") {
+		e.Fail("what matters most was done less often than what matters least")
+	}
+	periods := math.Ceil(time.Since(f.started).Seconds()/2) + 1
+	// One slot may overdraw each period: three tries.
+	e.AtMost("budgeted", done("work5"), periods*(allowed+3))
+	f.drainAll()
+	return nil
+}
