--- a/internal/e2e/fleetmember.go
+++ b/internal/e2e/fleetmember.go
@@ -12,71 +12,95 @@
 	"sorrelrudder/internal/fake"
 )
 
-// fleetMember is one process of a fleet, over its restarts.
+// fleetMember is one member of a fleet, over its restarts.
 type fleetMember struct {
-	fleet           *fleet
-	index           int
-	name            string
-	addr            string
-	store           string
-	diskFaultFile   string // what is wrong with its disk, see the store of the program
-	clockRate       float64
-	mu              sync.Mutex
+	fleet         *fleet
+	index         int
+	name          string
+	addr          string
+	store         string // file of its consensus store; empty: it has none
+	diskFaultFile string // what is wrong with its disk, as the program's store reads it
+	clockRate     float64
+
+	mu              sync.Mutex // guards the fields below
 	program         *Program
 	startCount      int
-	running         bool // it runs and is not stopped
+	running         bool // not killed and not shutting down
 	earlierPrograms []*Program
 }
 
 func (p *fleetMember) configFile() string { return filepath.Join(p.fleet.dir, p.name+".toml") }
 
-// configText is the operator's file of a process: the others are where its links to them begin.
+// configText is the member's configuration. The addresses of the others are those of its links to them.
 func (p *fleetMember) configText() string {
-	var b strings.Builder
-	reports := fake.ReportPlatform
-	if p.fleet.cfg.ordinaryHTTP {
-		reports = fake.ReportNone
+	cfg := &p.fleet.cfg
+	return p.poolTOML() + cfg.poolSections + p.fleetTOML() + p.membersTOML() + p.sharedStateTOML() + cfg.tasks
+}
+
+// poolTOML is the listener and the pool.
+func (p *fleetMember) poolTOML() string {
+	const section = "[pools.farm]\n"
+	cfg := &p.fleet.cfg
+	reporting := fake.ReportPlatform
+	if cfg.ordinaryHTTP {
+		reporting = fake.ReportNone
 	}
-	pool := httpPoolTOML(reports, p.fleet.backends)
-	if p.fleet.cfg.zone != nil {
-		pool = strings.Replace(pool, "[pools.farm]\n", fmt.Sprintf("[pools.farm]\nzone = %q\n", p.fleet.cfg.zone(p.index)), 1)
+	pool := httpPoolTOML(reporting, p.fleet.backends)
+	if cfg.zone != nil {
+		pool = strings.Replace(pool, section, section+fmt.Sprintf("zone = %q\n", cfg.zone(p.index)), 1)
 	}
-	if p.fleet.cfg.subsets { // each chooses among servers of its own
-		pool = strings.Replace(pool, "[pools.farm]\n", fmt.Sprintf("[pools.farm]\ninstances = %d\ninstance = %d\n", len(p.fleet.members), p.index), 1)
+	if cfg.subsets {
+		pool = strings.Replace(pool, section, section+fmt.Sprintf("instances = %d\ninstance = %d\n", len(p.fleet.members), p.index), 1)
 	}
-	b.WriteString(pool)
-	b.WriteString(p.fleet.cfg.poolSections)
-	var council []string
-	for _, q := range p.fleet.members[:p.fleet.cfg.voters] {
-		council = append(council, strconv.Quote(q.name))
+	return pool
+}
+
+// fleetTOML is the section of the fleet itself.
+func (p *fleetMember) fleetTOML() string {
+	cfg := &p.fleet.cfg
+	var voters []string
+	for _, voter := range p.fleet.members[:cfg.voters] {
+		voters = append(voters, strconv.Quote(voter.name))
 	}
+	var b strings.Builder
 	fmt.Fprintf(&b, "[tier]\nname = %q\nsecret = %q\ncouncil = [%s]\nterm = %q\ntick = %q\ndrift = %.3f\nguard = \"30ms\"\n",
-		p.name, p.fleet.secret, strings.Join(council, ", "), cmp.Or(p.fleet.cfg.ttl, leaseTTL), cmp.Or(p.fleet.cfg.tick, consensusTick), clockDrift)
-	b.WriteString(p.fleet.cfg.fleetKeys)
-	if p.fleet.cfg.votersInMemory {
+		p.name, p.fleet.secret, strings.Join(voters, ", "), cmp.Or(cfg.ttl, leaseTTL), cmp.Or(cfg.tick, consensusTick), clockDrift)
+	b.WriteString(cfg.fleetKeys)
+	if cfg.votersInMemory {
 		b.WriteString("council_in_memory = \"all promises are forgotten when most members end at once\"\n")
 	}
 	if p.store != "" {
 		fmt.Fprintf(&b, "store = %q\n", p.store)
 	}
-	for _, q := range p.fleet.members {
-		addr := q.addr
-		if q != p {
-			addr = p.fleet.proxies[[2]int{p.index, q.index}].Addr()
+	return b.String()
+}
+
+// membersTOML is the list of members.
+func (p *fleetMember) membersTOML() string {
+	var b strings.Builder
+	for _, other := range p.fleet.members {
+		addr := other.addr
+		if other != p {
+			addr = p.fleet.proxies[[2]int{p.index, other.index}].Addr()
 		}
-		fmt.Fprintf(&b, "[[tier.members]]\nname = %q\naddress = %q\n", q.name, addr)
+		fmt.Fprintf(&b, "[[tier.members]]\nname = %q\naddress = %q\n", other.name, addr)
 		if p.fleet.cfg.zone != nil {
-			fmt.Fprintf(&b, "zone = %q\n", p.fleet.cfg.zone(q.index))
+			fmt.Fprintf(&b, "zone = %q\n", p.fleet.cfg.zone(other.index))
 		}
 	}
-	if p.fleet.cfg.sharedState != "" {
-		fmt.Fprintf(&b, "[tier.copies]\n%s", strings.ReplaceAll(p.fleet.cfg.sharedState, "DIR/NAME", filepath.Join(p.fleet.dir, p.name)))
-	}
-	b.WriteString(p.fleet.cfg.tasks)
 	return b.String()
 }
 
-// start starts the process, if it does not run.
+// sharedStateTOML is the section of the shared state, empty if none is shared.
+func (p *fleetMember) sharedStateTOML() string {
+	settings := p.fleet.cfg.sharedState
+	if settings == "" {
+		return ""
+	}
+	return "[tier.copies]\n" + strings.ReplaceAll(settings, memberFilePlaceholder, filepath.Join(p.fleet.dir, p.name))
+}
+
+// start starts the member, if it does not run.
 func (p *fleetMember) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,18 +126,45 @@
 	return nil
 }
 
-// awaitReady waits until the process takes part: before, a signal that ends it in order finds nobody who listens for it.
+// currentProgram returns the program that was started last.
+func (p *fleetMember) currentProgram() *Program {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.program
+}
+
+// programs returns all programs of the member, the first one first.
+func (p *fleetMember) programs() []*Program {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append(p.earlierPrograms[:len(p.earlierPrograms):len(p.earlierPrograms)], p.program)
+}
+
+// starts returns how often the member was started.
+func (p *fleetMember) starts() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.startCount
+}
+
+// markStopped records that the member is about to shut down, and returns its program and whether it was running.
+func (p *fleetMember) markStopped() (program *Program, wasRunning bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	wasRunning = p.running
+	p.running = false
+	return p.program, wasRunning
+}
+
+// awaitReady waits until the member takes part in the fleet. Before, it does not handle the signal to shut down.
 func (p *fleetMember) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	p.mu.Lock()
-	program := p.program
-	p.mu.Unlock()
-	_, err := program.AwaitLog(ctx, "fleet member started", 1)
+	_, err := p.currentProgram().AwaitLog(ctx, "fleet member started", 1)
 	return err
 }
 
-// kill ends the process at once.
+// kill ends the member's process at once.
 func (p *fleetMember) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/e2e/replica_storm.go
+++ b/internal/e2e/replica_storm.go
@@ -26,7 +26,9 @@
 	if err := h.converge(ctx, "started"); err != nil {
 		return err
 	}
-	faults, err := e.chooseFaults(drawFaults(rng, []string{"kill", "stop", "cut", "oneway", "loss", "storm", "split", "truncate", "leave"}, int(e.Duration/(700*time.Millisecond)), 20, e.Duration))
+	faults, err := e.chooseFaults(drawFaults(rng, []fleetFaultKind{
+		faultKill, faultStop, faultIsolate, faultOneWay, faultLoss, faultReorder, faultPartition, faultTruncate, faultLeave,
+	}, int(e.Duration/(700*time.Millisecond)), 20, e.Duration))
 	if err != nil {
 		return err
 	}
--- a/internal/e2e/sharedstate.go
+++ b/internal/e2e/sharedstate.go
@@ -2,19 +2,21 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"sync"
-	"time"
 )
 
 const (
+	// defaultSharedState are the settings of the shared state: short times, so that a run of seconds sees many rounds of gossip.
 	defaultSharedState = "gossip = \"50ms\"\nprobe = \"250ms\"\nsync = \"500ms\"\nkeep = \"4s\"\n"
-	// convergenceTimeout is by when after the last fault all copies are to be equal.
-	convergenceTimeout = 5 * time.Second
+
+	// maxConcurrentQueries bounds the commands that ask members at once.
+	maxConcurrentQueries = 6
+
+	memberAlive = "alive"
 )
 
-// sharedState is what a scenario reads of a process' own account of the shared state.
+// sharedState is what a scenario reads of a member's shared state. The names of the fields are those of its JSON.
 type sharedState struct {
 	Incarnation uint64
 	Members     map[string]string
@@ -36,64 +38,82 @@
 	}
 }
 
-func (f *fleet) sharedState(p *fleetMember) (s sharedState, err error) {
-	out, err := f.runCommand("tier", "state", p.addr, "--secret", f.secret, "--json", "--timeout", "2s")
-	if err == nil {
-		err = json.Unmarshal([]byte(out), &s)
-	}
-	if err != nil {
-		err = fmt.Errorf("tier state of %s: %w: %s", p.name, err, out)
+// allAlive reports whether the member holds all members for alive.
+func (s *sharedState) allAlive() bool {
+	for _, state := range s.Members {
+		if state != memberAlive {
+			return false
+		}
 	}
+	return true
+}
+
+// sharedState asks a member for its shared state.
+func (f *fleet) sharedState(member *fleetMember) (s sharedState, err error) {
+	err = f.queryMember(member, "state", &s)
 	return s, err
 }
 
-// sharedStates asks all processes at once; one that does not answer is left out.
+// sharedStates asks members at the same time, and returns the answers by the members' indexes. One that does not answer is left out.
 func (f *fleet) sharedStates(members []*fleetMember) map[int]sharedState {
 	var mu sync.Mutex
-	var asks sync.WaitGroup
-	got := map[int]sharedState{}
-	slots := make(chan struct{}, 6)
-	for _, p := range members {
-		asks.Go(func() {
+	var queries sync.WaitGroup
+	states := map[int]sharedState{}
+	slots := make(chan struct{}, maxConcurrentQueries)
+	for _, member := range members {
+		queries.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			if s, err := f.sharedState(p); err == nil {
-				mu.Lock()
-				got[p.index] = s
-				mu.Unlock()
+			state, err := f.sharedState(member)
+			if err != nil {
+				return
 			}
+			mu.Lock()
+			defer mu.Unlock()
+			states[member.index] = state
 		})
 	}
-	asks.Wait()
-	return got
+	queries.Wait()
+	return states
 }
 
-// differingEntries is how many entries are not the same at all processes, and of how many processes something is known.
-func differingEntries(got map[int]sharedState) (entries int) {
-	type at struct{ owner, key string }
-	seen := map[at]map[string]int{}
-	for _, s := range got {
-		for _, e := range s.Entries {
-			id := at{e.Owner, e.Key}
-			if seen[id] == nil {
-				seen[id] = map[string]int{}
+// hintCount returns how many hints all members have taken.
+func (f *fleet) hintCount() int {
+	hints := 0
+	for _, state := range f.sharedStates(f.members) {
+		hints += state.Hinted
+	}
+	return hints
+}
+
+// differingEntries returns how many entries are not the same at all members.
+func differingEntries(states map[int]sharedState) int {
+	type entryID struct{ owner, key string }
+	versions := map[entryID]map[string]int{} // members by version
+	for _, state := range states {
+		for _, entry := range state.Entries {
+			id := entryID{entry.Owner, entry.Key}
+			if versions[id] == nil {
+				versions[id] = map[string]int{}
 			}
-			seen[id][fmt.Sprint(e.Inc, e.Seq, e.Values)]++
+			versions[id][fmt.Sprint(entry.Inc, entry.Seq, entry.Values)]++
 		}
 	}
-	for _, versions := range seen {
-		n := 0
-		for _, count := range versions {
-			n += count
+	differing := 0
+	for _, counts := range versions {
+		holders := 0
+		for _, count := range counts {
+			holders += count
 		}
-		if len(versions) > 1 || n != len(got) {
-			entries++
+		if len(counts) > 1 || holders != len(states) {
+			differing++
 		}
 	}
-	return entries
+	return differing
 }
 
-// startSharedStateFleet starts a fleet whose processes share state, or not, and waits until all take part.
+// startSharedStateFleet starts a fleet whose members share state, or not, and waits until all take part. It returns the word that
+// names the measures of such a fleet.
 func (e *Env) startSharedStateFleet(ctx context.Context, shared bool, cfg fleetConfig) (f *fleet, name string, err error) {
 	name = "alone"
 	if shared {
@@ -102,10 +122,15 @@
 	if f, err = e.startFleet(ctx, cfg); err != nil {
 		return nil, "", err
 	}
-	for _, p := range f.members {
-		if err := p.awaitReady(ctx); err != nil {
-			return nil, "", err
+	return f, name, f.awaitAllReady(ctx)
+}
+
+// awaitAllReady waits until all members take part in the fleet.
+func (f *fleet) awaitAllReady(ctx context.Context) error {
+	for _, member := range f.members {
+		if err := member.awaitReady(ctx); err != nil {
+			return err
 		}
 	}
-	return f, name, nil
+	return nil
 }
--- a/internal/e2e/takeover.go
+++ b/internal/e2e/takeover.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// takeoverTimes notes how long nobody held a lease after its holder was hit.
+// maxTakeover is the target for a takeover after the holder was killed: the TTL by the slowest clock, counted anew by a new leader,
+// an election of at most twenty ticks, and some time for the machine.
+const maxTakeover = leaseTTL + leaseTTL/10 + 20*consensusTick + 500*time.Millisecond
+
+// takeoverTimes are the times for which nobody held a lease after a fault of its holder.
 type takeoverTimes struct {
 	fleet     *fleet
 	durations []time.Duration
 }
 
-// await waits until another process holds the lease, and notes how long that took from the moment of the fault.
-func (t *takeoverTimes) await(ctx context.Context, lease string, was int, at time.Time) error {
-	var next leaseSpan
+// await waits until a member other than the former holder holds the lease, and records how long that took from the fault on.
+func (t *takeoverTimes) await(ctx context.Context, lease string, formerHolder int, faultAt time.Time) error {
+	var taken time.Time
 	err := t.fleet.awaitCondition(ctx, 10*time.Second, lease+" is held by another", func() bool {
-		for _, s := range t.fleet.leaseSpans(lease) {
-			if s.holder != was && s.from.After(at) {
-				next = s
+		for _, span := range t.fleet.leaseSpans(lease) {
+			if span.holder != formerHolder && span.from.After(faultAt) {
+				taken = span.from
 				return true
 			}
 		}
 		return false
 	})
 	if err == nil {
-		t.durations = append(t.durations, next.from.Sub(at))
+		t.durations = append(t.durations, taken.Sub(faultAt))
 	}
 	return err
 }
 
-// measure notes the times beside their bound: the term, the drift of two clocks, one election and a tick.
-func (t *takeoverTimes) measure(name string, most time.Duration) {
+// measure measures the times, with a bound on the longest.
+func (t *takeoverTimes) measure(name string, bound time.Duration) {
 	if len(t.durations) == 0 {
 		t.fleet.env.Fail("%s: nothing was taken over", name)
 		return
 	}
 	slices.Sort(t.durations)
-	t.fleet.env.Measure(name+"_takeover_p50_s", t.durations[len(t.durations)/2].Seconds())
-	t.fleet.env.AtMost(name+"_takeover_most_s", t.durations[len(t.durations)-1].Seconds(), most.Seconds())
+	median, longest := t.durations[len(t.durations)/2], t.durations[len(t.durations)-1]
+	t.fleet.env.Measure(name+"_takeover_p50_s", median.Seconds())
+	t.fleet.env.AtMost(name+"_takeover_most_s", longest.Seconds(), bound.Seconds())
 }
-
-// maxTakeover is the bound after a holder was killed: a term by the slowest clock, counted anew by a new leader, an election of at most
-// twenty ticks, and some for the machine.
-const maxTakeover = leaseTTL + leaseTTL/10 + 20*consensusTick + 500*time.Millisecond
--- a/internal/e2e/task_bounds.go
+++ b/internal/e2e/task_bounds.go
@@ -56,7 +56,7 @@
 	}
 	e.Measure("handover_s", time.Since(asked).Seconds())
 	rng := rand.New(rand.NewPCG(e.Seed, 34))
-	faults, err := e.chooseFaults(drawFaults(rng, []string{"kill", "leave", "cut"}, int(e.Duration/(2*time.Second)), 5, e.Duration))
+	faults, err := e.chooseFaults(drawFaults(rng, []fleetFaultKind{faultKill, faultLeave, faultIsolate}, int(e.Duration/(2*time.Second)), 5, e.Duration))
 	if err != nil {
 		return err
 	}
--- a/internal/e2e/task_slots.go
+++ b/internal/e2e/task_slots.go
@@ -39,7 +39,7 @@
 	var all []FleetFault
 	for i := range int(e.Duration / (2 * time.Second)) {
 		all = append(all, FleetFault{
-			At: time.Duration(i) * 2 * time.Second, Kind: []string{"kill", "stop", "leave"}[rng.IntN(3)], Member: rng.IntN(5),
+			At: time.Duration(i) * 2 * time.Second, Kind: []fleetFaultKind{faultKill, faultStop, faultLeave}[rng.IntN(3)], Member: rng.IntN(5),
 			Duration: 300*time.Millisecond + time.Duration(rng.Int64N(int64(2*leaseTTL))),
 		})
 	}
--- a/internal/e2e/versionobserver.go
+++ b/internal/e2e/versionobserver.go
@@ -1,162 +1,188 @@
 package e2e
 
 import (
+	"cmp"
 	"context"
 	"fmt"
+	"math"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 )
 
-// versionObserver remembers what each start of each process has shown of each entry, and counts what must not be: a version that goes back, and an
-// entry that was gone and is there again as it was. It knows nothing of how copies are merged.
+const (
+	// convergenceTimeout is by when after the last fault all members are to hold the same shared state.
+	convergenceTimeout = 5 * time.Second
+
+	// convergenceAbort is when a scenario no longer waits for that.
+	convergenceAbort = 40 * time.Second
+
+	observationInterval = 700 * time.Millisecond
+)
+
+// versionObserver remembers which version of each entry each start of each member has shown. It counts what must not be: a version
+// that goes back, and an entry that was gone and is there again as it was. It knows nothing of how members merge what they receive.
 type versionObserver struct {
-	fleet          *fleet
-	observing      sync.Mutex
-	mu             sync.Mutex
-	newest         map[string][2]uint64 // by process, start, owner and key
-	present        map[string]bool      // there at the last look
+	fleet *fleet
+
+	observing sync.Mutex // held during an observation, so that none records what it saw before another
+
+	mu             sync.Mutex // guards the fields below
+	newest         map[string]entryVersion
+	present        map[string]bool // at the last observation
 	regressions    int
 	resurrections  int
 	firstViolation string
 	observations   int
 }
 
+// entryVersion orders the versions of an entry.
+type entryVersion struct{ incarnation, sequence uint64 }
+
+func (v entryVersion) compare(other entryVersion) int {
+	return cmp.Or(cmp.Compare(v.incarnation, other.incarnation), cmp.Compare(v.sequence, other.sequence))
+}
+
+// String returns the version as reports have it.
+func (v entryVersion) String() string { return fmt.Sprintf("[%d %d]", v.incarnation, v.sequence) }
+
 func newVersionObserver(f *fleet) *versionObserver {
-	return &versionObserver{fleet: f, newest: map[string][2]uint64{}, present: map[string]bool{}}
+	return &versionObserver{fleet: f, newest: map[string]entryVersion{}, present: map[string]bool{}}
 }
 
-// observe looks at all processes once. One look is over before the next begins: else what one has seen earlier could be noted later.
-func (h *versionObserver) observe() map[int]sharedState {
-	h.observing.Lock()
-	defer h.observing.Unlock()
+// observe asks all members once, and returns what they hold.
+func (o *versionObserver) observe() map[int]sharedState {
+	o.observing.Lock()
+	defer o.observing.Unlock()
 	starts := map[int]int{}
-	for _, p := range h.fleet.members {
-		p.mu.Lock()
-		starts[p.index] = p.startCount
-		p.mu.Unlock()
+	for _, member := range o.fleet.members {
+		starts[member.index] = member.starts()
 	}
-	got := h.fleet.sharedStates(h.fleet.members)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.observations++
-	for i, s := range got {
-		p := h.fleet.members[i]
-		p.mu.Lock()
-		now := p.startCount
-		p.mu.Unlock()
-		if now != starts[i] {
-			continue // it may be another start that answered
+	states := o.fleet.sharedStates(o.fleet.members)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.observations++
+	for i, state := range states {
+		member := o.fleet.members[i]
+		if member.starts() == starts[i] { // else another start may have answered
+			o.record(fmt.Sprintf("%s/%d ", member.name, starts[i]), state)
 		}
-		prefix := fmt.Sprintf("%s/%d ", p.name, now)
-		there := map[string]bool{}
-		for _, e := range s.Entries {
-			id := prefix + e.Owner + " " + e.Key
-			there[id] = true
-			v := [2]uint64{e.Inc, e.Seq}
-			last, had := h.newest[id]
-			switch {
-			case had && (v[0] < last[0] || v[0] == last[0] && v[1] < last[1]):
-				h.regressions++
-				h.setFirst("%s: version %v after %v", id, v, last)
-			case had && v == last && !h.present[id]:
-				h.resurrections++
-				h.setFirst("%s: version %v was gone, and is there again", id, v)
-			}
-			h.newest[id] = v
+	}
+	return states
+}
+
+// record records what one start of a member shows; prefix names it. The caller holds mu.
+func (o *versionObserver) record(prefix string, state sharedState) {
+	present := map[string]bool{}
+	for _, entry := range state.Entries {
+		id := prefix + entry.Owner + " " + entry.Key
+		present[id] = true
+		version := entryVersion{entry.Inc, entry.Seq}
+		last, known := o.newest[id]
+		switch {
+		case known && version.compare(last) < 0:
+			o.regressions++
+			o.setFirst("%s: version %v after %v", id, version, last)
+		case known && version == last && !o.present[id]:
+			o.resurrections++
+			o.setFirst("%s: version %v was gone, and is there again", id, version)
 		}
-		for id := range h.newest {
-			if strings.HasPrefix(id, prefix) {
-				h.present[id] = there[id]
-			}
+		o.newest[id] = version
+	}
+	for id := range o.newest {
+		if strings.HasPrefix(id, prefix) {
+			o.present[id] = present[id]
 		}
 	}
-	return got
 }
 
-func (h *versionObserver) setFirst(format string, args ...any) {
-	if h.firstViolation == "" {
-		h.firstViolation = fmt.Sprintf(format, args...)
+func (o *versionObserver) setFirst(format string, args ...any) {
+	if o.firstViolation == "" {
+		o.firstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
-// follow looks again and again until ctx ends.
-func (h *versionObserver) follow(ctx context.Context) <-chan struct{} {
+// follow observes again and again until ctx ends. The channel is closed afterwards.
+func (o *versionObserver) follow(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for pause(ctx, 700*time.Millisecond) {
-			h.observe()
+		for pause(ctx, observationInterval) {
+			o.observe()
 		}
 	}()
 	return done
 }
 
-// converge waits until all processes are there to each other and hold the same, and notes how long after the last fault that was.
-func (h *versionObserver) converge(ctx context.Context, name string) error {
-	f := h.fleet
+// converge waits until all members hold each other for alive and hold the same entries, and measures how long that took.
+func (o *versionObserver) converge(ctx context.Context, name string) error {
+	f := o.fleet
 	from := time.Now()
-	var got map[int]sharedState
-	err := f.awaitCondition(ctx, 40*time.Second, "all hold the same of all", func() bool {
-		got = h.observe()
-		if len(got) < len(f.members) || differingEntries(got) > 0 {
-			return false
-		}
-		for _, s := range got {
-			for _, state := range s.Members {
-				if state != "alive" {
-					return false
-				}
-			}
-		}
-		return true
+	var states map[int]sharedState
+	err := f.awaitCondition(ctx, convergenceAbort, "all hold the same of all", func() bool {
+		states = o.observe()
+		return f.allAlive(states) && differingEntries(states) == 0
 	})
 	if err != nil {
-		var told []string
-		for i, s := range got {
-			for name, state := range s.Members {
-				if state != "alive" {
-					told = append(told, fmt.Sprintf("%s holds %s for %s", f.members[i].name, name, state))
-				}
-			}
+		notAlive := f.describeNotAlive(states)
+		return fmt.Errorf("%w: %d entries differ; %s; %w",
+			errNotRecovered, differingEntries(states), strings.Join(notAlive[:min(len(notAlive), 8)], ", "), err)
+	}
+	duration := time.Since(from)
+	f.env.Measure(name+"_s", duration.Seconds())
+	f.env.Measure("late_"+name, float64(boolToInt(duration > convergenceTimeout)))
+	return nil
+}
+
+// allAlive reports whether all members answered and hold each other for alive.
+func (f *fleet) allAlive(states map[int]sharedState) bool {
+	for _, state := range states {
+		if !state.allAlive() {
+			return false
 		}
-		slices.Sort(told)
-		return fmt.Errorf("%w: %d entries differ; %s; %w", errNotRecovered, differingEntries(got), strings.Join(told[:min(len(told), 8)], ", "), err)
 	}
-	took := time.Since(from)
-	f.env.Measure(name+"_s", took.Seconds())
-	late := 0
-	if took > convergenceTimeout {
-		late = 1
+	return len(states) == len(f.members)
+}
+
+// describeNotAlive lists who holds whom for something else than alive.
+func (f *fleet) describeNotAlive(states map[int]sharedState) []string {
+	var all []string
+	for i, state := range states {
+		for name, health := range state.Members {
+			if health != memberAlive {
+				all = append(all, fmt.Sprintf("%s holds %s for %s", f.members[i].name, name, health))
+			}
+		}
 	}
-	f.env.Measure("late_"+name, float64(late))
-	return nil
+	slices.Sort(all)
+	return all
 }
 
-// measure notes what the copies have come to. All was well for settleTime before.
-func (h *versionObserver) measure() {
-	e := h.fleet.env
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.firstViolation != "" {
-		e.Fail("%s", h.firstViolation)
+// measure measures what was observed.
+func (o *versionObserver) measure() {
+	e := o.fleet.env
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.firstViolation != "" {
+		e.Fail("%s", o.firstViolation)
 	}
-	e.AtMost("went_back", float64(h.regressions), 0)
-	e.AtMost("resurrected", float64(h.resurrections), 0)
-	e.Measure("looks", float64(h.observations))
+	e.AtMost("went_back", float64(o.regressions), 0)
+	e.AtMost("resurrected", float64(o.resurrections), 0)
+	e.Measure("looks", float64(o.observations))
 }
 
-// measureDivergence is how many entries differ settleTime after the last fault. What is on its way at one look is not at all of three.
-func (h *versionObserver) measureDivergence(ctx context.Context, since time.Time) {
-	pause(ctx, convergenceTimeout-time.Since(since))
-	least := 1 << 30
+// measureDivergence measures how many entries differ convergenceTimeout after the last fault. It takes the least of three
+// observations, since one may see a change that is still on its way.
+func (o *versionObserver) measureDivergence(ctx context.Context, lastFault time.Time) {
+	pause(ctx, convergenceTimeout-time.Since(lastFault))
+	least := math.MaxInt
 	for range 3 {
-		least = min(least, differingEntries(h.observe()))
+		least = min(least, differingEntries(o.observe()))
 		if least == 0 {
 			break
 		}
 		pause(ctx, 300*time.Millisecond)
 	}
-	h.fleet.env.AtMost("diverged", float64(least), 0)
+	o.fleet.env.AtMost("diverged", float64(least), 0)
 }
