--- a/internal/e2e/fleetmember.go
+++ b/internal/e2e/fleetmember.go
@@ -173,3 +173,9 @@
 	}
 	p.running = false
 }
+
+// restart kills the member's process and starts it again.
+func (p *fleetMember) restart() error {
+	p.kill()
+	return p.start()
+}
--- a/internal/e2e/lease_disk.go
+++ b/internal/e2e/lease_disk.go
@@ -7,8 +7,6 @@
 	"os"
 	"slices"
 	"time"
-
-	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -18,117 +16,161 @@
 	})
 }
 
+// diskScenario plays faults of voters' disks. Each of its steps takes as long as part, and strikes a voter that is drawn.
+type diskScenario struct {
+	fleet *fleet
+	rng   *rand.Rand
+	part  time.Duration
+}
+
 func leaseDisk(ctx context.Context, e *Env) error {
-	f, err := e.startFleet(ctx, fleetConfig{processes: 5, voters: 3, tasks: taskTOML("sweep", "/delivery-order/sweep", "50ms", "")})
+	f, err := e.startSweepFleet(ctx, 5, 3, "50ms")
 	if err != nil {
 		return err
 	}
-	const lease = "task/sweep"
-	if err := f.settle(ctx, lease); err != nil {
-		return err
-	}
 	from := time.Now()
-	rng := rand.New(rand.NewPCG(e.Seed, 32))
-	part := e.Duration / 5
-	wrong := func(p *fleetMember, what string) {
-		f.logEvent("the disk of %s: %s", p.name, what)
-		if err := os.WriteFile(p.diskFaultFile, []byte(what), 0o600); err != nil {
-			e.Fail("%v", err)
+	s := &diskScenario{fleet: f, rng: rand.New(rand.NewPCG(e.Seed, 32)), part: e.Duration / 5}
+	for _, step := range []struct {
+		phase string
+		play  func(context.Context) error
+	}{
+		{"a slow disk", s.slowDisk},
+		{"a sync that fails once", s.failedSync},
+		{"a full disk", s.fullDisk},
+		{"a lost disk, and its seat replaced", s.lostDisk},
+		{"another's disk", s.othersDisk},
+	} {
+		e.Phase(step.phase, s.part)
+		if err := step.play(ctx); err != nil {
+			return err
 		}
 	}
-	e.Phase("a slow disk", part)
-	p := f.members[rng.IntN(3)]
-	wrong(p, "slow 80ms")
-	pause(ctx, part)
-	os.Remove(p.diskFaultFile)
+	f.measureFencing(sweepIdempotency, from, time.Now())
+	f.drainAll()
+	return nil
+}
 
-	e.Phase("a sync that fails once", part)
-	p = f.members[rng.IntN(3)]
-	failed := p.program.CountLog("the voter has stopped until the next start")
-	wrong(p, "fail")
-	if _, err := p.program.AwaitLog(ctx, "the voter has stopped until the next start", failed+1); err != nil {
-		return err
+// drawVoter draws the voter that a step strikes.
+func (s *diskScenario) drawVoter() *fleetMember {
+	return s.fleet.members[s.rng.IntN(s.fleet.cfg.voters)]
+}
+
+// nextVoter returns another voter.
+func (s *diskScenario) nextVoter(voter *fleetMember) *fleetMember {
+	return s.fleet.members[(voter.index+1)%s.fleet.cfg.voters]
+}
+
+// setDiskFault makes a member's disk faulty, until its fault file is removed.
+func (s *diskScenario) setDiskFault(voter *fleetMember, fault string) {
+	s.fleet.logEvent("the disk of %s: %s", voter.name, fault)
+	if err := os.WriteFile(voter.diskFaultFile, []byte(fault), 0o600); err != nil {
+		s.fleet.env.Fail("%v", err)
 	}
-	pause(ctx, part/2)
-	f.logEvent("%s starts again", p.name)
-	p.kill()
-	if err := p.start(); err != nil {
+}
+
+func (s *diskScenario) slowDisk(ctx context.Context) error {
+	voter := s.drawVoter()
+	s.setDiskFault(voter, "slow 80ms")
+	pause(ctx, s.part)
+	os.Remove(voter.diskFaultFile)
+	return nil
+}
+
+// failedSync has a voter stop voting, as it must after a failed sync, until it is started again.
+func (s *diskScenario) failedSync(ctx context.Context) error {
+	const stopped = "the voter has stopped until the next start"
+	voter := s.drawVoter()
+	program := voter.currentProgram()
+	before := program.CountLog(stopped)
+	s.setDiskFault(voter, "fail")
+	if _, err := program.AwaitLog(ctx, stopped, before+1); err != nil {
 		return err
 	}
-	pause(ctx, part/2)
-
-	e.Phase("a full disk", part)
-	p = f.members[rng.IntN(3)]
-	wrong(p, "full")
-	pause(ctx, part/2)
-	os.Remove(p.diskFaultFile)
-	p.kill()
-	if err := p.start(); err != nil {
+	pause(ctx, s.part/2)
+	s.fleet.logEvent("%s starts again", voter.name)
+	if err := voter.restart(); err != nil {
 		return err
 	}
-	pause(ctx, part/2)
-	if err := f.settle(ctx, lease); err != nil {
+	pause(ctx, s.part/2)
+	return nil
+}
+
+func (s *diskScenario) fullDisk(ctx context.Context) error {
+	voter := s.drawVoter()
+	s.setDiskFault(voter, "full")
+	pause(ctx, s.part/2)
+	os.Remove(voter.diskFaultFile)
+	if err := voter.restart(); err != nil {
 		return err
 	}
+	pause(ctx, s.part/2)
+	return s.fleet.settle(ctx, sweepLease)
+}
 
-	e.Phase("a lost disk, and its seat replaced", part)
-	p = f.members[rng.IntN(3)]
-	p.kill()
-	if err := os.Rename(p.store, p.store+".lost"); err != nil {
+// lostDisk has a voter start without its store. It must not vote until an operator has replaced its identity.
+func (s *diskScenario) lostDisk(ctx context.Context) error {
+	f, voter := s.fleet, s.drawVoter()
+	voter.kill()
+	if err := os.Rename(voter.store, voter.store+".lost"); err != nil {
 		return err
 	}
-	f.logEvent("the disk of %s is lost", p.name)
-	if err := p.start(); err != nil {
+	f.logEvent("the disk of %s is lost", voter.name)
+	if err := voter.start(); err != nil {
 		return err
 	}
-	if _, err := p.program.AwaitLog(ctx, "admitted as a learner", 1); err != nil {
+	if _, err := voter.currentProgram().AwaitLog(ctx, "admitted as a learner", 1); err != nil {
 		return err
 	}
-	others := f.members[(p.index+1)%3]
-	s, err := f.status(others)
+	other := s.nextVoter(voter)
+	status, err := f.status(other)
 	if err != nil {
 		return err
 	}
-	before := slices.Clone(s.Council.Voters)
-	if out, err := f.runCommand("tier", "member", "replace", p.name, others.addr, "--secret", f.secret); err != nil {
-		return fmt.Errorf("replace: %w: %s", err, out)
+	if status.Council == nil {
+		return fmt.Errorf("%w: %s does not tell who votes", errNotRecovered, other.name)
+	}
+	before := slices.Clone(status.Council.Voters)
+	if err := f.mustCommandMember(other, "member", "replace", voter.name); err != nil {
+		return err
 	}
 	if err := f.awaitCondition(ctx, 10*time.Second, "the new identity votes", func() bool {
-		s, err := f.status(others)
-		return err == nil && s.Council != nil && len(s.Council.Voters) == 3 && !slices.Equal(s.Council.Voters, before)
+		status, err := f.status(other)
+		if err != nil || status.Council == nil {
+			return false
+		}
+		now := status.Council.Voters
+		return len(now) == f.cfg.voters && !slices.Equal(now, before)
 	}); err != nil {
 		return err
 	}
-	f.logEvent("%s votes again, with a new identity", p.name)
+	f.logEvent("%s votes again, with a new identity", voter.name)
+	return nil
+}
 
-	e.Phase("another's disk", part)
-	p = f.members[rng.IntN(3)]
-	p.kill()
-	other := f.members[(p.index+1)%3]
-	if err := os.Rename(p.store, p.store+".own"); err != nil {
+// othersDisk has a voter start with the store of another, which it must refuse.
+func (s *diskScenario) othersDisk(ctx context.Context) error {
+	voter := s.drawVoter()
+	voter.kill()
+	other := s.nextVoter(voter)
+	if err := os.Rename(voter.store, voter.store+".own"); err != nil {
 		return err
 	}
 	data, err := os.ReadFile(other.store)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(p.store, data, 0o600); err != nil {
+	if err := os.WriteFile(voter.store, data, 0o600); err != nil {
 		return err
 	}
-	if err := p.start(); err != nil {
+	if err := voter.start(); err != nil {
 		return err
 	}
-	if _, err := p.program.AwaitLog(ctx, "is the store of", 1); err != nil {
-		e.Fail("%s started with the store of %s", p.name, other.name)
+	if _, err := voter.currentProgram().AwaitLog(ctx, "is the store of", 1); err != nil {
+		s.fleet.env.Fail("%s started with the store of %s", voter.name, other.name)
 	}
-	p.kill()
-	if err := os.Rename(p.store+".own", p.store); err != nil {
+	voter.kill()
+	if err := os.Rename(voter.store+".own", voter.store); err != nil {
 		return err
 	}
-	if err := f.settle(ctx, lease); err != nil {
-		return err
-	}
-	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
-	f.drainAll()
-	return nil
+	return s.fleet.settle(ctx, sweepLease)
 }
--- a/internal/e2e/lease_holders.go
+++ b/internal/e2e/lease_holders.go
@@ -15,11 +15,12 @@
 	})
 }
 
+// leaseHolders injects faults of all kinds into a fleet whose clocks drift.
 func leaseHolders(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 31))
 	f, err := e.startFleet(ctx, fleetConfig{
 		processes: 10, voters: 5,
-		tasks:     taskTOML("sweep", "/delivery-order/sweep", "50ms", "") + taskTOML("book", "/meter-booking/book", "70ms", "missed = \"skip\"\n"),
+		tasks:     sweepTask("50ms") + taskTOML("book", "/meter-booking/book", "70ms", "missed = \"skip\"\n"),
 		clockRate: func(i int) float64 { return []float64{1, 1 - clockDrift, 1 + clockDrift, 1.02, 0.98}[i%5] },
 	})
 	if err != nil {
@@ -33,7 +34,7 @@
 	from := time.Now()
 	f.injectFaults(ctx, faults)
 	to := time.Now()
-	for _, lease := range []string{"task/sweep", "task/book"} {
+	for _, lease := range []string{sweepLease, "task/book"} {
 		if err := f.settle(ctx, lease); err != nil {
 			return err
 		}
--- a/internal/e2e/lease_pause.go
+++ b/internal/e2e/lease_pause.go
@@ -4,8 +4,6 @@
 	"context"
 	"syscall"
 	"time"
-
-	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -15,21 +13,18 @@
 	})
 }
 
+// leasePause stops the holder for longer than its lease lasts, so that it goes on with a lease that another has taken.
 func leasePause(ctx context.Context, e *Env) error {
-	f, err := e.startFleet(ctx, fleetConfig{processes: 5, voters: 3, tasks: taskTOML("sweep", "/delivery-order/sweep", "20ms", "")})
+	f, err := e.startSweepFleet(ctx, 5, 3, "20ms")
 	if err != nil {
 		return err
 	}
-	const lease = "task/sweep"
-	if err := f.settle(ctx, lease); err != nil {
-		return err
-	}
 	e.Phase("the holder is stopped for three terms, again and again", e.Duration)
 	from := time.Now()
-	t := takeoverTimes{fleet: f}
+	times := &takeoverTimes{fleet: f}
 	for began := time.Now(); time.Since(began) < e.Duration; {
-		was := f.leaseHolder(lease)
-		if was < 0 {
+		holder := f.leaseHolder(sweepLease)
+		if holder < 0 {
 			pause(ctx, 20*time.Millisecond)
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -37,24 +32,25 @@
 			continue
 		}
 		at := time.Now()
-		p := f.members[was]
-		f.logEvent("%s holds it, and is stopped", p.name)
-		p.program.Signal(syscall.SIGSTOP)
-		err := t.await(ctx, lease, was, at)
+		member := f.members[holder]
+		program := member.currentProgram()
+		f.logEvent("%s holds it, and is stopped", member.name)
+		program.Signal(syscall.SIGSTOP)
+		err := times.await(ctx, sweepLease, holder, at)
 		pause(ctx, 3*leaseTTL-time.Since(at))
-		p.program.Signal(syscall.SIGCONT)
-		f.logEvent("%s goes on", p.name)
+		program.Signal(syscall.SIGCONT)
+		f.logEvent("%s goes on", member.name)
 		if err != nil {
 			return err
 		}
 		pause(ctx, 500*time.Millisecond)
 	}
 	to := time.Now()
-	if err := f.settle(ctx, lease); err != nil {
+	if err := f.settle(ctx, sweepLease); err != nil {
 		return err
 	}
-	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
-	t.measure("stopped", maxTakeover)
+	f.measureFencing(sweepIdempotency, from, to)
+	times.measure("stopped", maxTakeover)
 	f.drainAll()
 	return nil
 }
--- a/internal/e2e/lease_quickstart.go
+++ b/internal/e2e/lease_quickstart.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"time"
-
-	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -14,63 +12,72 @@
 	})
 }
 
+// maxGracefulTakeover is the target for a takeover from a holder that shuts down gracefully.
+const maxGracefulTakeover = time.Second
+
+// leaseQuickstart kills the holder and shuts it down gracefully in turn, and measures the takeovers.
 func leaseQuickstart(ctx context.Context, e *Env) error {
-	f, err := e.startFleet(ctx, fleetConfig{processes: 3, voters: 3, tasks: taskTOML("sweep", "/delivery-order/sweep", "100ms", "")})
+	f, err := e.startFleet(ctx, fleetConfig{processes: 3, voters: 3, tasks: sweepTask("100ms")})
 	if err != nil {
 		return err
 	}
-	const lease = "task/sweep"
 	e.Phase("three processes, one task", e.Duration)
-	if err := f.settle(ctx, lease); err != nil {
+	if err := f.settle(ctx, sweepLease); err != nil {
 		return err
 	}
 	from := time.Now()
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	holderLog := f.logHolders(load, lease)
-	killed, left := takeoverTimes{fleet: f}, takeoverTimes{fleet: f}
+	logged := f.logHolders(load, sweepLease)
+	killed, left := &takeoverTimes{fleet: f}, &takeoverTimes{fleet: f}
 	for n := 0; load.Err() == nil; n++ {
-		was := f.leaseHolder(lease)
-		if was < 0 {
-			if err := f.settle(ctx, lease); err != nil {
+		holder := f.leaseHolder(sweepLease)
+		if holder < 0 {
+			if err := f.settle(ctx, sweepLease); err != nil {
 				return err
 			}
 			continue
 		}
-		p := f.members[was]
-		at := time.Now()
-		if n%2 == 0 {
-			f.logEvent("%s holds it, and is killed", p.name)
-			p.kill()
-			if err := killed.await(ctx, lease, was, at); err != nil {
-				return err
-			}
-		} else {
-			f.logEvent("%s holds it, and ends in order", p.name)
-			p.mu.Lock()
-			p.running = false
-			p.mu.Unlock()
-			go func() { _ = p.program.Stop() }()
-			if err := left.await(ctx, lease, was, at); err != nil {
-				return err
-			}
-			if err := p.program.Stop(); err != nil {
-				return err
-			}
+		endHolder, times := f.killHolder, killed
+		if n%2 == 1 {
+			endHolder, times = f.shutDownHolder, left
 		}
-		if err := p.start(); err != nil {
+		if err := endHolder(ctx, f.members[holder], times); err != nil {
+			return err
+		}
+		if err := f.members[holder].start(); err != nil {
 			return err
 		}
 		pause(load, time.Second)
 	}
-	<-holderLog
+	<-logged
 	to := time.Now()
-	if err := f.settle(ctx, lease); err != nil {
+	if err := f.settle(ctx, sweepLease); err != nil {
 		return err
 	}
-	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, to)
+	f.measureFencing(sweepIdempotency, from, to)
 	killed.measure("killed", maxTakeover)
-	left.measure("left", time.Second)
+	left.measure("left", maxGracefulTakeover)
 	f.drainAll()
 	return nil
 }
+
+// killHolder kills the holder of the lease, and waits for the takeover.
+func (f *fleet) killHolder(ctx context.Context, holder *fleetMember, times *takeoverTimes) error {
+	at := time.Now()
+	f.logEvent("%s holds it, and is killed", holder.name)
+	holder.kill()
+	return times.await(ctx, sweepLease, holder.index, at)
+}
+
+// shutDownHolder shuts the holder of the lease down gracefully, and waits for the takeover and for its end.
+func (f *fleet) shutDownHolder(ctx context.Context, holder *fleetMember, times *takeoverTimes) error {
+	at := time.Now()
+	f.logEvent("%s holds it, and ends in order", holder.name)
+	program, _ := holder.markStopped()
+	go func() { _ = program.Stop() }() // its result is that of the call below
+	if err := times.await(ctx, sweepLease, holder.index, at); err != nil {
+		return err
+	}
+	return program.Stop()
+}
--- a/internal/e2e/lease_split.go
+++ b/internal/e2e/lease_split.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"time"
-
-	"sorrelrudder/internal/fake"
 )
 
 func init() {
@@ -14,27 +12,26 @@
 	})
 }
 
+// leaseSplit cuts the fleet into sides: a lease is held where a majority of the voters is, and nowhere without one.
 func leaseSplit(ctx context.Context, e *Env) error {
-	f, err := e.startFleet(ctx, fleetConfig{processes: 7, voters: 5, tasks: taskTOML("sweep", "/delivery-order/sweep", "50ms", "")})
+	f, err := e.startSweepFleet(ctx, 7, 5, "50ms")
 	if err != nil {
 		return err
 	}
-	const lease = "task/sweep"
-	if err := f.settle(ctx, lease); err != nil {
-		return err
-	}
 	from := time.Now()
-	cut, join := func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false }
 	part := e.Duration / 4
 	splits := []struct {
-		what string
-		side func(i int) int
-		most bool // one side has a majority
+		what        string
+		side        func(i int) int
+		hasMajority bool // one of the sides
 	}{
 		{"2 to 3, clients with the majority", func(i int) int { return boolToInt(i >= 2) }, true},
 		{"1 to 2 to 2", func(i int) int { return []int{0, 1, 1, 2, 2, 1, 2}[i] }, false},
 		{"the leader with one client", func(i int) int { return boolToInt(i == f.consensusLeader() || i == 6) }, true},
-		{"3 to 2, the holder with the minority", func(i int) int { return boolToInt(i == f.leaseHolder(lease) || i == (f.leaseHolder(lease)+1)%5) }, true},
+		{"3 to 2, the holder with the minority", func(i int) int {
+			holder := f.leaseHolder(sweepLease)
+			return boolToInt(i == holder || i == (holder+1)%5)
+		}, true},
 	}
 	for _, s := range splits {
 		f.logEvent("split %s", s.what)
@@ -43,27 +40,28 @@
 		for i := range sides {
 			sides[i] = s.side(i)
 		}
-		restore := f.configureProxies(func(a, b int) bool { return sides[a] != sides[b] }, cut, join)
+		restore := f.partition(func(from, to int) bool { return sides[from] != sides[to] })
 		at := time.Now()
 		pause(ctx, max(part*3/4, maxTakeover)) // before, nobody need have it
-		held := f.leaseHolder(lease)
-		if s.most && held < 0 {
-			e.Fail("split %s: nobody holds %s after %v though a majority stands", s.what, lease, time.Since(at).Round(time.Millisecond))
+		holder := f.leaseHolder(sweepLease)
+		if s.hasMajority && holder < 0 {
+			e.Fail("split %s: nobody holds %s after %v though a majority stands", s.what, sweepLease, time.Since(at).Round(time.Millisecond))
 		}
-		if !s.most && held >= 0 {
-			e.Fail("split %s: %s holds %s %v later, though no majority stands", s.what, f.members[held].name, lease, time.Since(at).Round(time.Millisecond))
+		if !s.hasMajority && holder >= 0 {
+			e.Fail("split %s: %s holds %s %v later, though no majority stands", s.what, f.members[holder].name, sweepLease, time.Since(at).Round(time.Millisecond))
 		}
 		restore()
-		if err := f.settle(ctx, lease); err != nil {
+		if err := f.settle(ctx, sweepLease); err != nil {
 			return err
 		}
 		pause(ctx, part/4)
 	}
-	f.measureFencing(map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}, from, time.Now())
+	f.measureFencing(sweepIdempotency, from, time.Now())
 	f.drainAll()
 	return nil
 }
 
+// boolToInt is 1 for true.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/internal/e2e/task_bounds.go
+++ b/internal/e2e/task_bounds.go
@@ -17,38 +17,37 @@
 	})
 }
 
+// taskBounds holds the bounds on tasks at once, a task's budget and the order of priorities, under faults and a handover.
 func taskBounds(ctx context.Context, e *Env) error {
-	const atOnce, allowed = 2, 5
-	tasks, effects := "", map[string]fake.Idempotency{}
+	const atOnce, budget = 2, 5 // tasks; requests a period
+	text, tasks := "", map[string]fake.Idempotency{}
 	for i := range 6 {
 		name := fmt.Sprint("work", i)
-		effects[name] = fake.IdempotentByKey
+		tasks[name] = fake.IdempotentByKey
 		more := fmt.Sprintf("method = \"POST\"\npriority = %d\n", i)
 		if i == 5 {
-			more += fmt.Sprintf("[tasks.budget]\nper = \"2s\"\nrequests = %d\n", allowed)
+			more += fmt.Sprintf("[tasks.budget]\nper = \"2s\"\nrequests = %d\n", budget)
 		}
-		tasks += taskTOML(name, "/delivery-order/"+name, "40ms", more)
+		text += taskTOML(name, "/delivery-order/"+name, "40ms", more)
 	}
 	f, err := e.startFleet(ctx, fleetConfig{
-		processes: 5, voters: 3, ordinaryHTTP: true, tasks: tasks, fleetKeys: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
+		processes: 5, voters: 3, ordinaryHTTP: true, tasks: text, fleetKeys: fmt.Sprintf("tasks_at_once = %d\n", atOnce),
 		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime, b.LoadReporting = 20*time.Millisecond, fake.ReportNone },
 	})
 	if err != nil {
 		return err
 	}
-	for name := range effects {
-		if err := f.settle(ctx, "task/"+name); err != nil {
-			return err
-		}
+	if err := f.settleTasks(ctx, tasks); err != nil {
+		return err
 	}
 	const lease = "task/work0"
-	was := f.leaseHolder(lease)
-	if was < 0 {
+	holder := f.leaseHolder(lease)
+	if holder < 0 {
 		return fmt.Errorf("%w: nobody holds %s", errNotRecovered, lease)
 	}
-	to := f.members[(was+1)%5]
-	if out, err := f.runCommand("tier", "lease", "handover", lease, to.name, f.members[was].addr, "--secret", f.secret); err != nil {
-		return fmt.Errorf("handover: %w: %s", err, out)
+	to := f.members[(holder+1)%5]
+	if err := f.mustCommandMember(f.members[holder], "lease", "handover", lease, to.name); err != nil {
+		return err
 	}
 	asked := time.Now()
 	if err := f.awaitCondition(ctx, 5*time.Second, "the lease goes to "+to.name, func() bool { return f.leaseHolder(lease) == to.index }); err != nil {
@@ -63,12 +62,10 @@
 	e.Phase("processes are killed, cut off and end in order", e.Duration)
 	from := time.Now()
 	f.injectFaults(ctx, faults)
-	for name := range effects {
-		if err := f.settle(ctx, "task/"+name); err != nil {
-			return err
-		}
+	if err := f.settleTasks(ctx, tasks); err != nil {
+		return err
 	}
-	f.measureFencing(effects, from, time.Now())
+	f.measureFencing(tasks, from, time.Now())
 	v := f.resource.Verdict(func(string) bool { return true })
 	e.AtMost("most_at_once", float64(v.MaxConcurrent), atOnce)
 	s, err := f.status(f.members[0])
@@ -85,8 +82,8 @@
 		e.Fail("what matters most was done less often than what matters least")
 	}
 	periods := math.Ceil(time.Since(f.started).Seconds()/2) + 1
-	// One slot may overdraw each period: three tries.
-	e.AtMost("budgeted", done("work5"), periods*(allowed+3))
+	const attemptsASlot = 3 // one slot may overdraw each period
+	e.AtMost("budgeted", done("work5"), periods*(budget+attemptsASlot))
 	f.drainAll()
 	return nil
 }
--- a/internal/e2e/task_slots.go
+++ b/internal/e2e/task_slots.go
@@ -15,6 +15,7 @@
 	})
 }
 
+// taskSlots loses answers of tasks of each kind of idempotency, and their holders.
 func taskSlots(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 33))
 	f, err := e.startFleet(ctx, fleetConfig{
@@ -26,10 +27,8 @@
 		return err
 	}
 	tasks := map[string]fake.Idempotency{"keyed": fake.IdempotentByKey, "unsafe": fake.NonIdempotent, "safe": fake.Idempotent}
-	for name := range tasks {
-		if err := f.settle(ctx, "task/"+name); err != nil {
-			return err
-		}
+	if err := f.settleTasks(ctx, tasks); err != nil {
+		return err
 	}
 	e.Phase("answers get lost, and holders with them", e.Duration)
 	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.1})
@@ -52,10 +51,8 @@
 		b.SetFault(fake.Fault{})
 	}
 	to := time.Now()
-	for name := range tasks {
-		if err := f.settle(ctx, "task/"+name); err != nil {
-			return err
-		}
+	if err := f.settleTasks(ctx, tasks); err != nil {
+		return err
 	}
 	pause(ctx, time.Second)
 	f.measureFencing(tasks, from, to)
