--- a/internal/e2e/backends.go
+++ b/internal/e2e/backends.go
@@ -27,6 +27,20 @@
 	}
 )
 
+// farmClasses are all classes of the farm app.
+var farmClasses = []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
+
+// farmHost is whom the clients of the farm app ask for.
+const farmHost = "farm.example.org"
+
+// farmClients are the usual clients of the farm app: they send all classes, and retry as a rejection tells them.
+func farmClients(name, addr string, rate float64, recorder *fake.EffectRecorder, seed uint64) fake.ClientConfig {
+	return fake.ClientConfig{
+		Name: name, Addr: addr, Host: farmHost, Classes: farmClasses, Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond,
+		HonorRetryAfter: true, Recorder: recorder, Seed: seed,
+	}
+}
+
 // classesTOML are all classes as the operator's file of a pool has them.
 func classesTOML(pool string) string {
 	var b strings.Builder
--- a/internal/e2e/fleetclients.go
+++ b/internal/e2e/fleetclients.go
@@ -8,37 +8,48 @@
 	"sorrelrudder/internal/fake"
 )
 
-// runClients has clients ask at all processes until ctx ends, rate operations a second at each, and returns what became of all.
+// runClients has clients send requests to all members until ctx ends, rate operations a second to each, and returns the sum of their
+// results.
 func (f *fleet) runClients(ctx context.Context, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
 	return f.runClientsAt(ctx, f.members, name, rate, recorder)
 }
 
-// runClientsAt does so at some: one that is stopped answers late, which is no fault of its own.
+// runClientsAt does the same at some members. Those that a scenario stops answer late, which is no fault of the program.
 func (f *fleet) runClientsAt(ctx context.Context, members []*fleetMember, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	var sum *fake.ClientResults
-	for _, p := range members {
-		addr := p.program.Addr("farm")
-		all.Go(func() {
-			c := fake.RunClients(ctx, fake.ClientConfig{
-				Name: name + p.name, Addr: addr, Host: "farm.example.org", Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-				Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: f.env.Seed<<8 + uint64(p.index),
-			})
-			mu.Lock()
-			defer mu.Unlock()
-			if sum == nil {
-				sum = c
-			} else {
-				sum = sum.Merge(c)
-			}
-		})
+	all := make([]*fake.ClientResults, len(members))
+	var clients sync.WaitGroup
+	for i, member := range members {
+		cfg := farmClients(name+member.name, member.currentProgram().Addr("farm"), rate, recorder, f.env.Seed<<8+uint64(member.index))
+		clients.Go(func() { all[i] = fake.RunClients(ctx, cfg) })
+	}
+	clients.Wait()
+	return mergeResults(all...)
+}
+
+// runClientsFor does the same at all members for a time.
+func (f *fleet) runClientsFor(ctx context.Context, length time.Duration, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
+	ctx, cancel := context.WithTimeout(ctx, length)
+	defer cancel()
+	return f.runClients(ctx, name, rate, recorder)
+}
+
+// startClients runs clients at some members in the background. The channel has the results once ctx has ended.
+func (f *fleet) startClients(ctx context.Context, members []*fleetMember, rate float64, recorder *fake.EffectRecorder) <-chan *fake.ClientResults {
+	results := make(chan *fake.ClientResults, 1)
+	go func() { results <- f.runClientsAt(ctx, members, "farm", rate, recorder) }()
+	return results
+}
+
+// mergeResults returns the sum of results, of which there is at least one.
+func mergeResults(all ...*fake.ClientResults) *fake.ClientResults {
+	sum := all[0]
+	for _, results := range all[1:] {
+		sum = sum.Merge(results)
 	}
-	all.Wait()
 	return sum
 }
 
-// checkAnsweredOnce holds the four rules, and that each request had one answer and none a second effect.
+// checkAnsweredOnce checks the four rules, and that each request had one response and no operation a second effect.
 func (e *Env) checkAnsweredOnce(recorder *fake.EffectRecorder, prefix string) {
 	v := e.CheckRules(recorder)
 	e.AtLeast(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)), 1)
--- a/internal/e2e/zone_blind.go
+++ b/internal/e2e/zone_blind.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"sorrelrudder/internal/fake"
@@ -15,69 +14,80 @@
 	})
 }
 
+// zoneBlind loses a zone while the consensus group has no majority, and has an operator's command outlast the zone's recovery.
 func zoneBlind(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, recorder, true, 3)
+	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	clients := make(chan *fake.ClientResults, 1)
-	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
+	clients := f.startClients(load, f.members, 6, recorder)
 	part := e.Duration / 4
+	if err := f.loseZoneWithoutMajority(ctx, part); err != nil {
+		return err
+	}
+	if err := f.overrideRecovery(ctx, part); err != nil {
+		return err
+	}
+	cancel()
+	e.measureResults("", <-clients)
+	f.drainAll()
+	e.checkAnsweredOnce(recorder, "")
+	return nil
+}
+
+// loseZoneWithoutMajority loses a zone while two of three voters are down: it must be left only once they are back.
+func (f *fleet) loseZoneWithoutMajority(ctx context.Context, part time.Duration) error {
+	e := f.env
 	e.Phase("no majority, and a zone goes", part)
 	f.logEvent("two of three of the council are killed, and zone b is lost")
-	f.members[1].kill()
-	f.members[2].kill()
-	at := time.Now()
-	for _, b := range f.backendsIn("b") {
-		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
+	minority := f.members[1:3]
+	for _, voter := range minority {
+		voter.kill()
 	}
+	lost := time.Now()
+	setFault(f.backendsIn("b"), vanished)
 	pause(ctx, part)
-	if n := len(f.exclusionTimes(3, at)); n > 0 {
+	if n := len(f.exclusionTimes(backendsPerZone, lost)); n > 0 {
 		e.Fail("%d processes have left the zone, though nobody could decide it", n)
 	}
 	e.Phase("the majority is back", part)
-	for _, p := range f.members[1:3] {
-		if err := p.start(); err != nil {
+	for _, voter := range minority {
+		if err := voter.start(); err != nil {
 			return err
 		}
 	}
-	back := time.Now()
-	if err := f.awaitCondition(ctx, 20*time.Second, "all have left the zone", func() bool { return len(f.exclusionTimes(3, at)) == len(f.members) }); err != nil {
+	restarted := time.Now()
+	if err := f.awaitZoneLeft(ctx, 20*time.Second, lost); err != nil {
 		return err
 	}
-	e.Measure("left_once_decided_s", time.Since(back).Seconds())
+	e.Measure("left_once_decided_s", time.Since(restarted).Seconds())
+	return nil
+}
+
+// overrideRecovery has an operator leave the zone, which recovers: it must be used again only once the operator gives it back.
+func (f *fleet) overrideRecovery(ctx context.Context, part time.Duration) error {
+	e := f.env
 	e.Phase("an operator's word against an automatic return", part)
-	if out, err := f.runCommand("tier", "zone", "leave", "farm", "b", f.members[0].addr, "--secret", f.secret); err != nil {
-		return fmt.Errorf("zone leave: %w: %s", err, out)
-	}
-	for _, b := range f.backendsIn("b") {
-		b.SetFault(fake.Fault{})
+	if err := f.zoneCommand("leave", "farm", "b"); err != nil {
+		return err
 	}
-	pinned := time.Now()
+	setFault(f.backendsIn("b"), fake.Fault{})
+	recovered := time.Now()
 	pause(ctx, part)
-	if n := len(f.exclusionTimes(0, pinned)); n > 0 {
+	if n := len(f.exclusionTimes(0, recovered)); n > 0 {
 		e.Fail("%d processes use the zone against an operator's word", n)
 	}
-	if out, err := f.runCommand("tier", "zone", "return", "farm", "b", f.members[0].addr, "--secret", f.secret); err == nil {
-		e.Fail("a return in one step was not refused: %s", out)
-	}
-	if out, err := f.runCommand("tier", "zone", "leave", "farm", "nowhere", f.members[0].addr, "--secret", f.secret); err == nil {
-		e.Fail("an unknown zone was left: %s", out)
-	}
-	if out, err := f.runCommand("tier", "zone", "auto", "farm", "b", f.members[0].addr, "--secret", f.secret); err != nil {
-		return fmt.Errorf("zone auto: %w: %s", err, out)
+	f.expectZoneCommandRefused("a return in one step was not refused", "return", "farm", "b")
+	f.expectZoneCommandRefused("an unknown zone was left", "leave", "farm", "nowhere")
+	if err := f.zoneCommand("auto", "farm", "b"); err != nil {
+		return err
 	}
-	if err := f.awaitCondition(ctx, 20*time.Second, "all use the zone again", func() bool { return len(f.exclusionTimes(0, pinned)) == len(f.members) }); err != nil {
+	if err := f.awaitZoneUsed(ctx, 20*time.Second, recovered); err != nil {
 		return err
 	}
-	e.Measure("returned_s", time.Since(pinned).Seconds())
-	cancel()
-	c := <-clients
-	e.measureResults("", c)
-	f.drainAll()
-	e.checkAnsweredOnce(recorder, "")
+	e.Measure("returned_s", time.Since(recovered).Seconds())
 	return nil
 }
--- a/internal/e2e/zone_decider.go
+++ b/internal/e2e/zone_decider.go
@@ -2,58 +2,15 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strconv"
-	"sync"
 	"syscall"
 	"time"
 
 	"sorrelrudder/internal/fake"
 )
 
-// epochObserver follows what processes have of what is decided of zones, and counts what goes back in one life of a process.
-type epochObserver struct {
-	observing    sync.Mutex // one look is over before the next begins: else what one has seen earlier could be noted later
-	mu           sync.Mutex
-	newest       map[string]uint64
-	regressions  int
-	observations int
-}
-
-func (x *epochObserver) observe(f *fleet, members []*fleetMember) map[int]sharedState {
-	x.observing.Lock()
-	defer x.observing.Unlock()
-	starts := map[int]int{}
-	for _, p := range members {
-		p.mu.Lock()
-		starts[p.index] = p.startCount
-		p.mu.Unlock()
-	}
-	got := f.sharedStates(members)
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.observations++
-	for i, s := range got {
-		p := f.members[i]
-		p.mu.Lock()
-		same := p.startCount == starts[i]
-		p.mu.Unlock()
-		if !same {
-			continue
-		}
-		for _, z := range s.Zones {
-			id := fmt.Sprint(p.name, starts[i], z.Zone)
-			if z.Epoch < x.newest[id] {
-				x.regressions++
-			}
-			x.newest[id] = max(x.newest[id], z.Epoch)
-		}
-	}
-	return got
-}
-
 func init() {
 	Register(Scenario{
 		Name: "zone-decider", Duration: 24 * time.Second, Run: zoneDecider,
@@ -61,168 +18,228 @@
 	})
 }
 
-// zoneDecider does to those that decide and follow what can be done to processes while a zone is left and returned to.
+const (
+	// zonesLease is the lease of the member that decides about zones.
+	zonesLease = "zones"
+
+	deciderVoters       = 5
+	observationPause    = 250 * time.Millisecond
+	handoverTimeout     = 15 * time.Second
+	handoverPause       = 300 * time.Millisecond
+	firstRecoveryStep   = 1
+	resumedRecoveryStep = 2
+)
+
+// deciderScenario loses a zone and the member that decides about it, and stops the next one as it brings the zone back.
+type deciderScenario struct {
+	env      *Env
+	fleet    *fleet
+	observer *epochObserver
+	rng      *rand.Rand
+	decider  *fleetMember // killed with its zone
+	next     *fleetMember // stopped in the middle of the recovery ramp
+	zone     string
+	restored time.Time
+}
+
 func zoneDecider(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 51))
 	recorder := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, recorder, true, 5)
+	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder, voters: deciderVoters})
 	if err != nil {
 		return err
 	}
+	s := &deciderScenario{env: e, fleet: f, observer: newEpochObserver(f), rng: rng, decider: f.members[1], next: f.members[2]}
+	s.zone = zoneOf(s.decider.index)
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	clients := make(chan *fake.ClientResults, 1)
-	go func() { clients <- f.runClientsAt(load, f.members[3:], "farm", 6, recorder) }()
-	x := &epochObserver{newest: map[string]uint64{}}
-	followed := make(chan struct{})
+	clients := f.startClients(load, f.members[3:], 6, recorder) // not those that are killed and stopped
+	observed := s.follow(load)
+	if err := s.play(ctx); err != nil {
+		return err
+	}
+	cancel()
+	<-observed
+	results := <-clients
+	s.observer.measure()
+	s.checkEpochs()
+	e.measureResults("", results)
+	e.Measure("served", results.ServedFraction())
+	f.drainAll()
+	e.checkAnsweredOnce(recorder, "")
+	return nil
+}
+
+// follow observes all members again and again until ctx ends.
+func (s *deciderScenario) follow(ctx context.Context) <-chan struct{} {
+	done := make(chan struct{})
 	go func() {
-		defer close(followed)
-		for pause(load, 250*time.Millisecond) {
-			x.observe(f, f.members)
+		defer close(done)
+		for pause(ctx, observationPause) {
+			s.observer.observe(s.fleet.members)
 		}
 	}()
-	if err := f.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", func() bool { return f.leaseHolder("zones") >= 0 }); err != nil {
+	return done
+}
+
+func (s *deciderScenario) play(ctx context.Context) error {
+	isDecided := func() bool { return s.fleet.leaseHolder(zonesLease) >= 0 }
+	if err := s.fleet.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", isDecided); err != nil {
 		return err
 	}
-	// decides has the lease go to a process that no client asks.
-	decides := func(to *fleetMember) error {
-		return f.awaitCondition(ctx, 15*time.Second, to.name+" decides of zones", func() bool {
-			n := f.leaseHolder("zones")
-			if n < 0 || n == to.index {
-				return n == to.index
-			}
-			out, err := f.runCommand("tier", "lease", "handover", "zones", to.name, f.members[n].addr, "--secret", f.secret)
-			if err != nil {
-				f.logEvent("handover: %v: %s", err, out)
-			}
-			pause(ctx, 300*time.Millisecond)
-			return f.leaseHolder("zones") == to.index
-		})
-	}
-	decider, next := f.members[1], f.members[2]
-	if err := decides(decider); err != nil {
+	if err := s.handOver(ctx, s.decider); err != nil {
 		return err
 	}
-	zone := zoneNames[decider.index%3]
-	pause(load, 2*time.Second)
-	e.Phase("the zone of the one who decides is lost with it", e.Duration/3)
-	lost := time.Now()
-	for _, b := range f.backendsIn(zone) {
-		b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
-	}
-	f.logEvent("zone %s is lost, and %s is killed, which decides", zone, decider.name)
-	decider.kill()
-	others := slices.DeleteFunc(slices.Clone(f.members), func(p *fleetMember) bool { return p == decider })
-	left := func() bool {
-		n := 0
-		for _, s := range x.observe(f, others) {
-			for _, z := range s.Zones {
-				if z.Zone == zone && z.Epoch > 0 && z.Step == 0 {
-					n++
-				}
-			}
-		}
-		return n == len(others)
-	}
-	if err := f.awaitCondition(ctx, 20*time.Second, "all others have left the zone", left); err != nil {
+	pause(ctx, 2*time.Second)
+	if err := s.loseDecider(ctx); err != nil {
 		return err
 	}
-	e.AtMost("left_s", time.Since(lost).Seconds(), 8) // a term, an election, and the evidence
-	e.Phase("the next one is stopped in the middle of the return; half are deaf for an epoch", e.Duration/3)
-	if err := decider.start(); err != nil {
+	if err := s.stopNextDecider(ctx); err != nil {
 		return err
 	}
-	f.logEvent("zone %s is back, and %s", zone, decider.name)
-	back := time.Now()
-	for _, b := range f.backendsIn(zone) {
-		b.SetFault(fake.Fault{})
-	}
-	step := func(least int) func() bool {
-		return func() bool {
-			for _, s := range x.observe(f, f.members) {
-				for _, z := range s.Zones {
-					if z.Zone == zone && z.Step >= least {
-						return true
-					}
+	return s.awaitRecovery(ctx)
+}
+
+// handOver has the lease go to a member.
+func (s *deciderScenario) handOver(ctx context.Context, to *fleetMember) error {
+	f := s.fleet
+	return f.awaitCondition(ctx, handoverTimeout, to.name+" decides of zones", func() bool {
+		holder := f.leaseHolder(zonesLease)
+		if holder < 0 || holder == to.index {
+			return holder == to.index
+		}
+		if out, err := f.commandMember(f.members[holder], "lease", "handover", zonesLease, to.name); err != nil {
+			f.logEvent("handover: %v: %s", err, out)
+		}
+		pause(ctx, handoverPause)
+		return f.leaseHolder(zonesLease) == to.index
+	})
+}
+
+// loseDecider loses the zone of the decider and the decider itself, and waits until the others have left the zone.
+func (s *deciderScenario) loseDecider(ctx context.Context) error {
+	s.env.Phase("the zone of the one who decides is lost with it", s.env.Duration/3)
+	lost := time.Now()
+	setFault(s.fleet.backendsIn(s.zone), vanished)
+	s.fleet.logEvent("zone %s is lost, and %s is killed, which decides", s.zone, s.decider.name)
+	s.decider.kill()
+	others := slices.DeleteFunc(slices.Clone(s.fleet.members), func(member *fleetMember) bool { return member == s.decider })
+	err := s.fleet.awaitCondition(ctx, 20*time.Second, "all others have left the zone", func() bool {
+		left := 0
+		for _, state := range s.observer.observe(others) {
+			for _, zone := range state.Zones {
+				if zone.Zone == s.zone && zone.Epoch > 0 && zone.Step == failoverStep {
+					left++
 				}
 			}
-			return false
 		}
+		return left == len(others)
+	})
+	if err != nil {
+		return err
 	}
-	if err := f.awaitCondition(ctx, 30*time.Second, "the return has begun", step(1)); err != nil {
+	s.env.AtMost("left_s", time.Since(lost).Seconds(), 8) // a TTL, an election, and the evidence
+	return nil
+}
+
+// stopNextDecider stops the next decider in the middle of the recovery ramp while half of the members are cut off from the others,
+// and waits until another continues the ramp. The next decider then continues with what it knew.
+func (s *deciderScenario) stopNextDecider(ctx context.Context) error {
+	f := s.fleet
+	s.env.Phase("the next one is stopped in the middle of the return; half are deaf for an epoch", s.env.Duration/3)
+	if err := s.decider.start(); err != nil {
 		return err
 	}
-	if err := decides(next); err != nil { // which takes the step for just begun
+	f.logEvent("zone %s is back, and %s", s.zone, s.decider.name)
+	s.restored = time.Now()
+	setFault(f.backendsIn(s.zone), fake.Fault{})
+	if err := s.awaitStep(ctx, "the return has begun", firstRecoveryStep); err != nil {
 		return err
 	}
-	half := map[int]bool{}
-	for _, i := range rng.Perm(len(f.members))[:len(f.members)/2] {
-		half[i] = i >= 5 // the consensus group hears
+	if err := s.handOver(ctx, s.next); err != nil { // the next decider takes the step for just begun
+		return err
 	}
-	f.logEvent("%s is stopped, which decides; deaf: %v", next.name, half)
-	next.program.Signal(syscall.SIGSTOP)
-	restore := f.configureProxies(func(a, b int) bool { return half[a] != half[b] }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
-	if err := f.awaitCondition(ctx, 30*time.Second, "another goes on with the return", step(2)); err != nil {
+	isCutOff := s.drawHalf()
+	f.logEvent("%s is stopped, which decides; deaf: %v", s.next.name, isCutOff)
+	program := s.next.currentProgram()
+	program.Signal(syscall.SIGSTOP)
+	restore := f.partition(func(from, to int) bool { return isCutOff[from] != isCutOff[to] })
+	if err := s.awaitStep(ctx, "another goes on with the return", resumedRecoveryStep); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
-	f.logEvent("%s goes on with what it knew, and all hear again", next.name)
-	next.program.Signal(syscall.SIGCONT)
+	f.logEvent("%s goes on with what it knew, and all hear again", s.next.name)
+	program.Signal(syscall.SIGCONT)
 	restore()
-	e.Phase("all meet again", e.Duration/3)
-	if err := f.awaitCondition(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
-		got := x.observe(f, f.members)
-		all := map[uint64]bool{}
-		for _, s := range got {
-			for _, z := range s.Zones {
-				if z.Zone == zone {
-					all[z.Epoch] = true
+	return nil
+}
+
+// drawHalf draws half of the members, and returns those of them that are no voters.
+func (s *deciderScenario) drawHalf() map[int]bool {
+	half := map[int]bool{}
+	for _, i := range s.rng.Perm(len(s.fleet.members))[:len(s.fleet.members)/2] {
+		half[i] = i >= deciderVoters
+	}
+	return half
+}
+
+// awaitStep waits until a member has the zone's recovery ramp at least at a step.
+func (s *deciderScenario) awaitStep(ctx context.Context, what string, step int) error {
+	return s.fleet.awaitCondition(ctx, 30*time.Second, what, func() bool {
+		for _, state := range s.observer.observe(s.fleet.members) {
+			for _, zone := range state.Zones {
+				if zone.Zone == s.zone && zone.Step >= step {
+					return true
 				}
-				if z.Step != 4 {
+			}
+		}
+		return false
+	})
+}
+
+// awaitRecovery waits until all members use the zone in full, by the same epoch.
+func (s *deciderScenario) awaitRecovery(ctx context.Context) error {
+	s.env.Phase("all meet again", s.env.Duration/3)
+	err := s.fleet.awaitCondition(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
+		states := s.observer.observe(s.fleet.members)
+		epochs := map[uint64]bool{}
+		for _, state := range states {
+			for _, zone := range state.Zones {
+				if zone.Zone == s.zone {
+					epochs[zone.Epoch] = true
+				}
+				if zone.Step != lastRecoveryStep {
 					return false
 				}
 			}
 		}
-		return len(got) == len(f.members) && len(all) == 1
-	}); err != nil {
+		return len(states) == len(s.fleet.members) && len(epochs) == 1
+	})
+	if err != nil {
 		return err
 	}
-	e.Measure("returned_s", time.Since(back).Seconds())
-	cancel()
-	<-followed
-	c := <-clients
-	x.mu.Lock()
-	e.AtMost("epochs_back", float64(x.regressions), 0)
-	e.Measure("looks", float64(x.observations))
-	x.mu.Unlock()
-	// Each decision bears a larger epoch, whoever made it.
-	type decision struct {
-		epoch uint64
-		at    time.Time
-		step  string
-	}
-	var all []decision
-	for _, p := range f.members {
-		for _, program := range append(slices.Clone(p.earlierPrograms), p.program) {
+	s.env.Measure("returned_s", time.Since(s.restored).Seconds())
+	return nil
+}
+
+// checkEpochs checks that no two decisions have the same epoch, whoever made them.
+func (s *deciderScenario) checkEpochs() {
+	decisions := 0
+	seen := map[uint64]bool{}
+	for _, member := range s.fleet.members {
+		for _, program := range member.programs() {
 			for _, line := range program.LogLines() {
-				if LogField(line, "msg") == "zone shift decided" {
-					n, _ := strconv.ParseUint(LogField(line, "epoch"), 10, 64)
-					all = append(all, decision{n, logTime(line), LogField(line, "step")})
+				if LogField(line, "msg") != zoneShiftMessage {
+					continue
+				}
+				epoch, _ := strconv.ParseUint(LogField(line, "epoch"), 10, 64)
+				if seen[epoch] {
+					s.env.Fail("epoch %d was decided twice", epoch)
 				}
+				seen[epoch] = true
+				decisions++
 			}
 		}
 	}
-	seen := map[uint64]bool{}
-	for _, d := range all {
-		if seen[d.epoch] {
-			e.Fail("epoch %d was decided twice", d.epoch)
-		}
-		seen[d.epoch] = true
-	}
-	e.Measure("epochs", float64(len(all)))
-	e.measureResults("", c)
-	e.Measure("served", c.ServedFraction())
-	f.drainAll()
-	e.checkAnsweredOnce(recorder, "")
-	return nil
+	s.env.Measure("epochs", float64(decisions))
 }
--- a/internal/e2e/zone_flap.go
+++ b/internal/e2e/zone_flap.go
@@ -14,45 +14,39 @@
 	})
 }
 
+const (
+	flapHalfPeriod = 1500 * time.Millisecond
+
+	// maxFlapShifts is the target for zone shifts in a run: one to leave, and for each return two at least; returns come after holds
+	// of 1, 2, 4, 8 s and more.
+	maxFlapShifts = 16
+)
+
+// zoneFlap loses and restores a zone again and again.
 func zoneFlap(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, recorder, true, 3)
+	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	clients := make(chan *fake.ClientResults, 1)
-	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
+	clients := f.startClients(load, f.members, 6, recorder)
 	e.Phase("the zone goes and comes", e.Duration)
-	at := time.Now()
-	for pause(load, 1500*time.Millisecond) {
-		for _, b := range f.backendsIn("b") {
-			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
-		}
-		pause(load, 1500*time.Millisecond)
-		for _, b := range f.backendsIn("b") {
-			b.RestartSlowStart()
-			b.SetFault(fake.Fault{})
-		}
+	began := time.Now()
+	for pause(load, flapHalfPeriod) {
+		setFault(f.backendsIn("b"), vanished)
+		pause(load, flapHalfPeriod)
+		f.restoreZone("b")
 	}
-	c := <-clients
-	if n := len(f.exclusionTimes(3, at)); n < len(f.members) {
+	results := <-clients
+	if n := len(f.exclusionTimes(backendsPerZone, began)); n < len(f.members) {
 		e.Fail("%d of %d processes have ever left the zone", n, len(f.members))
 	}
-	decided := 0
-	for _, p := range f.members {
-		decided += p.program.CountLog("zone shift decided")
-	}
-	// Leaving, and for each return two decisions at least; returns come after holds of 1, 2, 4, 8 s and more.
-	e.AtMost("epochs", float64(decided), 16)
-	sent := int64(0)
-	for _, b := range f.backends {
-		sent += b.LostRequests()
-	}
-	e.Measure("dead_sends", float64(sent))
-	e.measureResults("", c)
-	e.Measure("served", c.ServedFraction())
+	e.AtMost("epochs", float64(f.zoneShifts()), maxFlapShifts)
+	e.Measure("dead_sends", float64(f.lostRequests()))
+	e.measureResults("", results)
+	e.Measure("served", results.ServedFraction())
 	f.drainAll()
 	e.checkAnsweredOnce(recorder, "")
 	return nil
--- a/internal/e2e/zone_torn.go
+++ b/internal/e2e/zone_torn.go
@@ -14,49 +14,39 @@
 	})
 }
 
+// zoneTorn plays faults that are no loss of a zone, in which no zone may be left.
 func zoneTorn(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	f, err := e.startZoneFleet(ctx, recorder, true, 3)
+	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
 	if err != nil {
 		return err
 	}
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	clients := make(chan *fake.ClientResults, 1)
-	go func() { clients <- f.runClients(load, "farm", 6, recorder) }()
+	clients := f.startClients(load, f.members, 6, recorder)
 	part := e.Duration / 4
-	dead := func(backends ...*fake.Backend) (restore func()) {
-		for _, b := range backends {
-			b.SetFault(fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1})
-		}
-		return func() {
-			for _, b := range backends {
-				b.SetFault(fake.Fault{})
-			}
-		}
+	playFault := func(phase string, fault fake.Fault, backends ...*fake.Backend) {
+		e.Phase(phase, part)
+		setFault(backends, fault)
+		pause(ctx, part)
 	}
-	e.Phase("one of a zone's three servers", part)
-	restore := dead(f.backendsIn("b")[0])
-	pause(ctx, part)
-	restore()
-	e.Phase("a server of each zone, as a bad release", part)
-	restore = dead(f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0])
-	pause(ctx, part)
-	restore()
+	one := f.backendsIn("b")[:1]
+	playFault("one of a zone's three servers", vanished, one...)
+	setFault(one, fake.Fault{})
+	oneOfEach := []*fake.Backend{f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0]}
+	playFault("a server of each zone, as a bad release", vanished, oneOfEach...)
+	setFault(oneOfEach, fake.Fault{})
 	e.Phase("members that are cut off", part)
-	restore = f.configureProxies(func(a, b int) bool { return a%3 == 1 || b%3 == 1 }, func(w *fake.FrameFaults) { w.Partitioned = true }, func(w *fake.FrameFaults) { w.Partitioned = false })
+	inSecondZone := func(i int) bool { return i%len(zoneNames) == 1 }
+	restore := f.partition(func(from, to int) bool { return inSecondZone(from) || inSecondZone(to) })
 	pause(ctx, part)
 	restore()
-	e.Phase("errors of one in eight", part)
-	for _, b := range f.backendsIn("c") {
-		b.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 0.125})
-	}
-	pause(ctx, part)
+	playFault("errors of one in eight", fake.Fault{Kind: fake.FaultError, Fraction: 0.125}, f.backendsIn("c")...)
 	cancel()
-	c := <-clients
-	e.AtMost("wrongly_left", float64(f.shiftDeciders()), 0)
-	e.measureResults("", c)
-	e.Measure("served", c.ServedFraction())
+	results := <-clients
+	e.AtMost("wrongly_left", float64(f.zoneShiftDeciders()), 0)
+	e.measureResults("", results)
+	e.Measure("served", results.ServedFraction())
 	f.drainAll()
 	e.checkAnsweredOnce(recorder, "")
 	return nil
