--- a/internal/e2e/replica_split.go
+++ b/internal/e2e/replica_split.go
@@ -73,7 +73,7 @@
 			return time.Time{}, err
 		}
 	}
-	if out, err := f.commandMember(f.members[7], "order", "avoid", f.backends[3].Name(), "--timeout", "1s"); err == nil {
+	if out, err := f.commandMember(f.members[7], "order", "avoid", "farm", f.backends[3].Name(), "--timeout", "1s"); err == nil {
 		e.Fail("the side without the council's majority has decided something: %s", out)
 	}
 	pause(ctx, length/2)
