--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -27,6 +28,9 @@
 	costRounds = 5
 )
 
+// errNoRequests tells that nothing was measured.
+var errNoRequests = errors.New("no requests")
+
 // costSubject is one of the two that are compared.
 type costSubject struct {
 	program  *Program
--- a/internal/e2e/fleet_cost.go
+++ b/internal/e2e/fleet_cost.go
@@ -17,114 +17,175 @@
 	})
 }
 
-// fleetCostRounds is how often the two are measured in turn, at each of the rates.
+// fleetCostRounds is how often the two processes are measured in turn, at each of the rates.
 const fleetCostRounds = 6
 
-// fleetCostRates are requests a second. What knowing a fleet costs by the time, heartbeats and renewals, is the same at each; the rest is by request.
+// fleetCostRates are requests a second. What a fleet costs by time, such as heartbeats, is the same at each; the rest is by request.
 var fleetCostRates = []float64{500, 2500}
 
-// fleetCost compares a process that leads a fleet's consensus group and holds its task's lease, a slot a second, and shares state, with one that knows no others.
+// fleetCostScenario compares the leader of a fleet, which holds the lease of a task and shares state, with a process that has no fleet.
+type fleetCostScenario struct {
+	env           *Env
+	leader, alone *Program
+	recorder      *fake.EffectRecorder
+	roundLength   time.Duration // of one process at one rate
+	loads         int           // so far
+
+	ratios    [][]float64 // of the processor time a request, by rate and round
+	byRequest []float64   // ratios of the processor time that a further request costs, by round
+	byTime    []float64   // differences of the processor time a second without requests, by round
+}
+
+// costPoint is what a process used under a load.
+type costPoint struct {
+	cores    float64 // processor seconds a second
+	requests float64 // a second
+}
+
+// coresARequest is the processor time that a request costs.
+func (p costPoint) coresARequest() float64 { return p.cores / p.requests }
+
+// costLine is what a process used at the least and at the highest rate.
+type costLine struct{ low, high costPoint }
+
+// slope is the processor time that a further request costs.
+func (l costLine) slope() float64 {
+	return (l.high.cores - l.low.cores) / (l.high.requests - l.low.requests)
+}
+
+// coresWithoutRequests is the processor time a second that does not depend on requests.
+func (l costLine) coresWithoutRequests() float64 { return l.low.cores - l.low.requests*l.slope() }
+
 func fleetCost(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{
-		processes: 3, voters: 3, ttl: 3 * time.Second, tick: 100 * time.Millisecond, sharedState: "witnesses = 2\n", tasks: taskTOML("sweep", "/delivery-order/sweep", "1s", ""),
+		processes: 3, voters: 3, ttl: 3 * time.Second, tick: 100 * time.Millisecond, sharedState: "witnesses = 2\n", tasks: sweepTask("1s"),
 	})
 	if err != nil {
 		return err
 	}
-	if err := f.settle(ctx, "task/sweep"); err != nil {
+	if err := f.settle(ctx, sweepLease); err != nil {
 		return err
 	}
-	recorder := fake.NewEffectRecorder()
 	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool, and no fleet
 	alone, err := e.StartNamed(ctx, "alone", text, 1)
 	if err != nil {
 		return err
 	}
-	leader := f.members[f.consensusLeader()].program
-	part := e.Duration / time.Duration(2*fleetCostRounds*len(fleetCostRates))
-	clientResults := 0
-	// used is the processor time a second, and the requests a second, under a load.
-	used := func(p *Program, rate float64) (cores, requests float64, err error) {
-		clientResults++
-		before, err := p.CPU()
-		if err != nil {
-			return 0, 0, err
+	s := &fleetCostScenario{
+		env: e, leader: f.members[f.consensusLeader()].currentProgram(), alone: alone, recorder: fake.NewEffectRecorder(),
+		roundLength: e.Duration / time.Duration(2*fleetCostRounds*len(fleetCostRates)), ratios: make([][]float64, len(fleetCostRates)),
+	}
+	for round := range fleetCostRounds {
+		e.Phase(fmt.Sprintf("round %d of %d", round+1, fleetCostRounds), 2*s.roundLength*time.Duration(len(fleetCostRates)))
+		if err := s.playRound(ctx, round); err != nil {
+			return err
 		}
-		began := time.Now()
-		load, cancel := context.WithTimeout(ctx, part)
-		defer cancel()
-		clients := fake.RunClients(load, fake.ClientConfig{
-			Name: fmt.Sprint("farm", clientResults), Addr: p.Addr("farm"), Host: "farm.example.org", Rate: rate, MaxAttempts: 1, Classes: []fake.ClassLoad{allocationCheck}, Recorder: recorder, Seed: e.Seed,
-		})
-		after, err := p.CPU()
-		if err != nil || clients.Operations() == 0 {
-			return 0, 0, fmt.Errorf("no requests: %w", err)
+	}
+	s.measureRounds()
+	if err := s.measureAtRest(ctx); err != nil {
+		return err
+	}
+	f.drainAll()
+	return nil
+}
+
+// playRound measures both processes at each rate, in an order that changes from round to round.
+func (s *fleetCostScenario) playRound(ctx context.Context, round int) error {
+	points := map[*Program][]costPoint{}
+	for i, rate := range fleetCostRates {
+		pair := []*Program{s.leader, s.alone}
+		if (round+i)%2 == 1 {
+			slices.Reverse(pair)
 		}
-		length := time.Since(began).Seconds()
-		return (after - before).Seconds() / length, float64(clients.Operations()) / length, nil
-	}
-	ratios := make([][]float64, len(fleetCostRates))
-	var slopes, byTime []float64
-	for n := range fleetCostRounds {
-		e.Phase(fmt.Sprintf("round %d of %d", n+1, fleetCostRounds), 2*part*time.Duration(len(fleetCostRates)))
-		type point struct{ cores, requests float64 }
-		points := map[*Program][]point{}
-		for i, rate := range fleetCostRates {
-			pair := []*Program{leader, alone}
-			if (n+i)%2 == 1 {
-				slices.Reverse(pair)
+		for _, program := range pair {
+			point, err := s.load(ctx, program, rate)
+			if err != nil {
+				return err
 			}
-			for _, p := range pair {
-				cores, requests, err := used(p, rate)
-				if err != nil {
-					return err
-				}
-				points[p] = append(points[p], point{cores, requests})
-			}
-			a, b := points[leader][i], points[alone][i]
-			ratios[i] = append(ratios[i], a.cores/a.requests/(b.cores/b.requests))
-		}
-		last := len(fleetCostRates) - 1
-		slope := func(p *Program) float64 {
-			return (points[p][last].cores - points[p][0].cores) / (points[p][last].requests - points[p][0].requests)
+			points[program] = append(points[program], point)
 		}
-		slopes = append(slopes, slope(leader)/slope(alone))
-		byTime = append(byTime, points[leader][0].cores-points[leader][0].requests*slope(leader)-(points[alone][0].cores-points[alone][0].requests*slope(alone)))
+		s.ratios[i] = append(s.ratios[i], points[s.leader][i].coresARequest()/points[s.alone][i].coresARequest())
 	}
-	told := func(name string, all []float64) {
-		slices.Sort(all)
-		e.Measure(name+"_least", all[0])
-		e.Measure(name, (all[(len(all)-1)/2]+all[len(all)/2])/2)
-		e.Measure(name+"_most", all[len(all)-1])
+	last := len(fleetCostRates) - 1
+	leader := costLine{points[s.leader][0], points[s.leader][last]}
+	alone := costLine{points[s.alone][0], points[s.alone][last]}
+	s.byRequest = append(s.byRequest, leader.slope()/alone.slope())
+	s.byTime = append(s.byTime, leader.coresWithoutRequests()-alone.coresWithoutRequests())
+	return nil
+}
+
+// load returns what a process uses under a load.
+func (s *fleetCostScenario) load(ctx context.Context, program *Program, rate float64) (costPoint, error) {
+	s.loads++
+	before, err := program.CPU()
+	if err != nil {
+		return costPoint{}, err
 	}
+	began := time.Now()
+	load, cancel := context.WithTimeout(ctx, s.roundLength)
+	defer cancel()
+	results := fake.RunClients(load, fake.ClientConfig{
+		Name: fmt.Sprint("farm", s.loads), Addr: program.Addr("farm"), Host: farmHost, Rate: rate, MaxAttempts: 1,
+		Classes: []fake.ClassLoad{allocationCheck}, Recorder: s.recorder, Seed: s.env.Seed,
+	})
+	after, err := program.CPU()
+	if err != nil {
+		return costPoint{}, err
+	}
+	if results.Operations() == 0 {
+		return costPoint{}, errNoRequests
+	}
+	seconds := time.Since(began).Seconds()
+	return costPoint{cores: (after - before).Seconds() / seconds, requests: float64(results.Operations()) / seconds}, nil
+}
+
+func (s *fleetCostScenario) measureRounds() {
 	for i, rate := range fleetCostRates {
-		told(fmt.Sprintf("ratio_at_%.0f", rate), ratios[i])
+		s.measureSpread(fmt.Sprintf("ratio_at_%.0f", rate), s.ratios[i])
 	}
-	told("ratio_by_request", slopes)
-	told("cores_by_time", byTime)
-	rest := map[*Program]time.Duration{}
-	for _, p := range []*Program{leader, alone} {
-		if rest[p], err = p.CPU(); err != nil {
-			return err
-		}
+	s.measureSpread("ratio_by_request", s.byRequest)
+	s.measureSpread("cores_by_time", s.byTime)
+}
+
+// measureSpread measures the least, the median and the largest of the rounds' figures.
+func (s *fleetCostScenario) measureSpread(name string, all []float64) {
+	slices.Sort(all)
+	s.env.Measure(name+"_least", all[0])
+	s.env.Measure(name, (all[(len(all)-1)/2]+all[len(all)/2])/2)
+	s.env.Measure(name+"_most", all[len(all)-1])
+}
+
+// measureAtRest measures the processor time of both without requests, and their memory.
+func (s *fleetCostScenario) measureAtRest(ctx context.Context) error {
+	leaderBefore, err := s.leader.CPU()
+	if err != nil {
+		return err
 	}
-	pause(ctx, 2*part)
-	for name, p := range map[string]*Program{"cores_at_rest": leader, "cores_at_rest_alone": alone} {
-		now, err := p.CPU()
+	aloneBefore, err := s.alone.CPU()
+	if err != nil {
+		return err
+	}
+	length := 2 * s.roundLength
+	pause(ctx, length)
+	for _, rest := range []struct {
+		name    string
+		program *Program
+		before  time.Duration
+	}{{"cores_at_rest", s.leader, leaderBefore}, {"cores_at_rest_alone", s.alone, aloneBefore}} {
+		after, err := rest.program.CPU()
 		if err != nil {
 			return err
 		}
-		e.Measure(name, (now-rest[p]).Seconds()/(2*part).Seconds())
+		s.env.Measure(rest.name, (after-rest.before).Seconds()/length.Seconds())
 	}
-	memory, err := leader.MemoryMB()
+	memory, err := s.leader.MemoryMB()
 	if err != nil {
 		return err
 	}
-	e.Measure("memory_mb", memory)
-	if memory, err = alone.MemoryMB(); err != nil {
+	s.env.Measure("memory_mb", memory)
+	if memory, err = s.alone.MemoryMB(); err != nil {
 		return err
 	}
-	e.Measure("memory_alone_mb", memory)
-	f.drainAll()
+	s.env.Measure("memory_alone_mb", memory)
 	return nil
 }
--- a/internal/e2e/pools_reload.go
+++ b/internal/e2e/pools_reload.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"strings"
-	"sync"
 	"time"
 
 	"sorrelrudder/internal/fake"
@@ -17,18 +17,26 @@
 	})
 }
 
-// reloadCount is how many times the configuration is replaced.
-const reloadCount = 200
+const (
+	// reloadCount is how many times the configuration is replaced.
+	reloadCount = 200
 
-// reloadConfig is a configuration of the reload day, drawn by the number of the reload.
-func reloadConfig(n int, backends map[string][]*fake.Backend) (text string, bad bool) {
+	reloadedMessage       = "msg=reloaded"
+	reloadRejectedMessage = "msg=\"reload: the running configuration stays in force\""
+
+	// reloadTolerance is how many goroutines and descriptors the program may hold more after the reloads than before.
+	reloadTolerance = 5
+)
+
+// reloadConfig returns the configuration of the n-th reload, and whether the program must reject it.
+func reloadConfig(n int, backends map[string][]*fake.Backend) (text string, invalid bool) {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
 	pool := func(name string, all []*fake.Backend, more, classes string) {
 		fmt.Fprintf(&b, "\n[pools.%s]\n%s", name, more)
 		b.WriteString(serversTOML(name, all))
 		b.WriteString(classes)
-		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [\"%s.example.org\"]\npool = %q\n", name, name, name)
+		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [%q]\npool = %q\n", name, poolHost(name), name)
 	}
 	orders, meters := backends["orders"], backends["meters"]
 	if n%4 == 1 { // a backend changes its pool
@@ -48,153 +56,206 @@
 	if n%2 == 0 { // a pool that comes and goes, with requests in flight
 		pool("channels", backends["channels"], "", classesTOML("channels"))
 	}
-	if n%10 == 7 {
+	if n%10 == 7 { // a key that there is not
 		b.WriteString("\n[pools.orders.limit]\nrate = 1\n")
 		return b.String(), true
 	}
 	return b.String(), false
 }
 
+// poolsReload replaces the configuration again and again under load, and compares what the program holds before and after.
 func poolsReload(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	backends := map[string][]*fake.Backend{}
-	for _, name := range []string{"orders", "meters", "channels"} {
+	for _, name := range poolNames {
 		all, err := e.startBackends(name, 3, recorder, func(c *fake.BackendConfig) { c.ServiceTime = 20 * time.Millisecond })
 		if err != nil {
 			return err
 		}
 		backends[name] = all
 	}
-	text, _ := reloadConfig(0, backends)
-	p, err := e.Start(ctx, text, 1)
+	baseline, _ := reloadConfig(0, backends)
+	program, err := e.Start(ctx, baseline, 1)
 	if err != nil {
 		return err
 	}
-	before, err := idleUsageOf(ctx, p, text)
+	before, err := idleUsageOf(ctx, program, baseline)
 	if err != nil {
 		return err
 	}
 	e.Phase(fmt.Sprintf("%d reloads under load", reloadCount), e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	usual := fake.ClientConfig{
-		Addr: p.Addr("farm"), MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Recorder: recorder, Seed: e.Seed,
-	}
-	clientResults := map[string]*fake.ClientResults{}
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	for name, classes := range map[string][]fake.ClassLoad{
-		"orders": {deliveryOrder, allocationCheck}, "meters": {meterBooking, allocationCheck}, "channels": {allocationCheck, deliveryOrder},
-	} {
-		c := usual
-		c.Name, c.Host, c.Classes, c.Rate = name, name+".example.org", classes, 80
-		all.Go(func() {
-			clients := fake.RunClients(load, c)
-			mu.Lock()
-			defer mu.Unlock()
-			clientResults[name] = clients
-		})
-	}
-	bad := 0
-	applied := 1 // of settled
-	tick := time.NewTicker(e.Duration / reloadCount)
-	defer tick.Stop()
+	loaded := make(chan map[string]*fake.ClientResults, 1)
+	go func() { loaded <- e.loadReloadedPools(load, program.Addr("farm"), recorder) }()
+	rejected, err := e.reloadRepeatedly(ctx, program, backends)
+	if err != nil {
+		cancel()
+		<-loaded
+		return err
+	}
+	results := <-loaded
+	after, err := idleUsageOf(ctx, program, baseline)
+	if err != nil {
+		return err
+	}
+	if err := program.Stop(); err != nil {
+		e.Fail("the program ended with %v", err)
+	}
+	e.measureReloads(recorder, rejected, results)
+	e.measureIdleUsage(before, after)
+	return nil
+}
+
+// loadReloadedPools loads all pools until ctx ends, and returns the results by pool.
+func (e *Env) loadReloadedPools(ctx context.Context, addr string, recorder *fake.EffectRecorder) map[string]*fake.ClientResults {
+	const rate = 80
+	classes := map[string][]fake.ClassLoad{
+		"orders":   {deliveryOrder, allocationCheck},
+		"meters":   {meterBooking, allocationCheck},
+		"channels": {allocationCheck, deliveryOrder},
+	}
+	var configs []fake.ClientConfig
+	for _, name := range poolNames {
+		cfg := e.poolClients(name, name, addr, rate, recorder, e.Seed, classes[name]...)
+		cfg.Backoff = 30 * time.Millisecond
+		configs = append(configs, cfg)
+	}
+	results := map[string]*fake.ClientResults{}
+	for i, r := range runAll(ctx, configs) {
+		results[poolNames[i]] = r
+	}
+	return results
+}
+
+// reloadRepeatedly replaces the configuration reloadCount times, and returns how many the program had to reject. Each reload is
+// waited for, since signals that come together count once.
+func (e *Env) reloadRepeatedly(ctx context.Context, program *Program, backends map[string][]*fake.Backend) (rejected int, err error) {
+	applied := program.CountLog(reloadedMessage)
+	ticker := time.NewTicker(e.Duration / reloadCount)
+	defer ticker.Stop()
 	for n := 1; n <= reloadCount; n++ {
 		select {
 		case <-ctx.Done():
-			all.Wait()
-			return ctx.Err()
-		case <-tick.C:
+			return 0, ctx.Err()
+		case <-ticker.C:
 		}
-		text, wrong := reloadConfig(n, backends)
-		if err := p.Reload(text); err != nil {
-			return err
+		text, invalid := reloadConfig(n, backends)
+		if err := program.Reload(text); err != nil {
+			return 0, err
 		}
-		// Each is waited for: signals that come together count once.
-		if wrong {
-			bad++
-			_, err = p.AwaitLog(ctx, "msg=\"reload: the running configuration stays in force\"", bad)
+		if invalid {
+			rejected++
+			_, err = program.AwaitLog(ctx, reloadRejectedMessage, rejected)
 		} else {
 			applied++
-			_, err = p.AwaitLog(ctx, "msg=reloaded", applied)
+			_, err = program.AwaitLog(ctx, reloadedMessage, applied)
 		}
 		if err != nil {
-			return fmt.Errorf("reload %d: %w\n%s", n, err, p.LogTail(10))
+			return 0, fmt.Errorf("reload %d: %w\n%s", n, err, program.LogTail(10))
 		}
 	}
-	all.Wait()
-	text, _ = reloadConfig(0, backends)
-	after, err := idleUsageOf(ctx, p, text)
-	if err != nil {
-		return err
-	}
-	if err := p.Stop(); err != nil {
-		e.Fail("the program ended with %v", err)
-	}
+	return rejected, nil
+}
+
+func (e *Env) measureReloads(recorder *fake.EffectRecorder, rejected int, results map[string]*fake.ClientResults) {
 	v := e.CheckRules(recorder)
 	e.Measure("reloads", reloadCount)
-	e.Measure("reloads_bad", float64(bad))
+	e.Measure("reloads_bad", float64(rejected))
 	e.Measure("operations", float64(recorder.Operations()))
 	e.Measure("requests", float64(v.Attempts))
 	e.AtLeast("answered_share", float64(v.Answered)/float64(v.Attempts), 1)
 	e.Measure("effects", float64(v.Effects))
 	e.AtMost("effects_doubled", float64(v.DuplicateEffects), 0)
 	for _, name := range []string{"orders", "meters"} {
-		e.AtLeast(name+"_served_in_time", clientResults[name].ServedFraction(), 0.95)
-		e.Measure(name+"_p99_ms", milliseconds(clientResults[name].Percentile(0.99)))
+		e.AtLeast(name+"_served_in_time", results[name].ServedFraction(), 0.95)
+		e.Measure(name+"_p99_ms", milliseconds(results[name].Percentile(0.99)))
 	}
-	e.Measure("channels_unrouted", float64(clientResults["channels"].Statuses[421]))
-	if clientResults["channels"].Statuses[421] == 0 {
+	unrouted := results["channels"].Statuses[http.StatusMisdirectedRequest]
+	e.Measure("channels_unrouted", float64(unrouted))
+	if unrouted == 0 {
 		e.Fail("no request found its pool gone: nothing was shown")
 	}
+}
+
+func (e *Env) measureIdleUsage(before, after idleUsage) {
 	e.Measure("goroutines_before", before.goroutines)
-	e.AtMost("goroutines_after", after.goroutines, before.goroutines+5)
+	e.AtMost("goroutines_after", after.goroutines, before.goroutines+reloadTolerance)
 	e.Measure("descriptors_before", before.descriptors)
-	e.AtMost("descriptors_after", after.descriptors, before.descriptors+5)
+	e.AtMost("descriptors_after", after.descriptors, before.descriptors+reloadTolerance)
 	e.Measure("memory_before_mb", before.memoryMB)
 	e.Measure("memory_after_mb", after.memoryMB)
-	return nil
 }
 
 // idleUsage is what the program holds while nothing is asked of it.
 type idleUsage struct{ goroutines, descriptors, memoryMB float64 }
 
-// idleUsageOf makes text the configuration and waits until the program has no connection of clients, no request and no pool
-// that drains; it returns what the program holds then.
-func idleUsageOf(ctx context.Context, p *Program, text string) (r idleUsage, err error) {
+const (
+	idleUsagePoll = 200 * time.Millisecond
+
+	// maxIdleDescriptors is what the program holds without idle connections to backends, which close within some seconds.
+	maxIdleDescriptors = 16
+)
+
+// idleUsageOf makes text the configuration and waits until the program has no client, no request and no draining pool. It returns
+// what the program holds then.
+func idleUsageOf(ctx context.Context, program *Program, text string) (idleUsage, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		n := p.CountLog("msg=reloaded")
-		if err := p.Reload(text); err != nil {
-			return r, err
-		}
-		line, err := p.AwaitLog(ctx, "msg=reloaded", n+1)
+		line, err := program.reloadAndAwait(ctx, text)
 		if err != nil {
-			return r, fmt.Errorf("%w\n%s", err, p.LogTail(10))
+			return idleUsage{}, err
 		}
-		var pools, draining, requests, timers, servers, clients int
-		_, err = fmt.Sscanf(LogField(line, "load"), "%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %f goroutines",
-			&pools, &draining, &requests, &timers, &servers, &clients, &r.goroutines)
+		usage, idle, err := parseReloadLine(line)
 		if err != nil {
-			return r, fmt.Errorf("the log line of a reload: %w: %s", err, line)
+			return idleUsage{}, err
 		}
-		if draining == 0 && requests == 0 && clients == 0 {
-			fds, err := p.Descriptors()
-			if err != nil {
-				return r, err
+		if idle {
+			if usage, err = program.addUsage(usage); err != nil {
+				return idleUsage{}, err
 			}
-			r.descriptors = float64(fds)
-			r.memoryMB, err = p.MemoryMB()
-			// Idle connections to backends close within some seconds; a run is measured without them.
-			if r.descriptors <= 16 || ctx.Err() != nil {
-				return r, err
+			if usage.descriptors <= maxIdleDescriptors || ctx.Err() != nil {
+				return usage, nil
 			}
 		}
-		select {
-		case <-ctx.Done():
-			return r, fmt.Errorf("the program does not come to rest: %s", line)
-		case <-time.After(200 * time.Millisecond):
+		if !pause(ctx, idleUsagePoll) {
+			return idleUsage{}, fmt.Errorf("the program does not come to rest: %s", line)
 		}
 	}
 }
+
+// reloadAndAwait replaces the configuration, and returns the line of the log that tells that it is in force.
+func (p *Program) reloadAndAwait(ctx context.Context, text string) (string, error) {
+	n := p.CountLog(reloadedMessage)
+	if err := p.Reload(text); err != nil {
+		return "", err
+	}
+	line, err := p.AwaitLog(ctx, reloadedMessage, n+1)
+	if err != nil {
+		return "", fmt.Errorf("%w\n%s", err, p.LogTail(10))
+	}
+	return line, nil
+}
+
+// parseReloadLine returns the goroutines that the line of a reload tells, and whether nothing is asked of the program.
+func parseReloadLine(line string) (usage idleUsage, idle bool, err error) {
+	var pools, draining, requests, timers, upstreams, clients int
+	_, err = fmt.Sscanf(LogField(line, "load"), "%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %f goroutines",
+		&pools, &draining, &requests, &timers, &upstreams, &clients, &usage.goroutines)
+	if err != nil {
+		return idleUsage{}, false, fmt.Errorf("the log line of a reload: %w: %s", err, line)
+	}
+	return usage, draining == 0 && requests == 0 && clients == 0, nil
+}
+
+// addUsage adds the program's descriptors and memory.
+func (p *Program) addUsage(usage idleUsage) (idleUsage, error) {
+	descriptors, err := p.Descriptors()
+	if err != nil {
+		return idleUsage{}, err
+	}
+	usage.descriptors = float64(descriptors)
+	usage.memoryMB, err = p.MemoryMB()
+	return usage, err
+}
