--- a/internal/e2e/backends.go
+++ b/internal/e2e/farmclasses.go
@@ -8,7 +8,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// The classes of the delta's farm app, as backends and clients know them.
+// The classes of the farm app, which clients send and backends serve.
 var (
 	deliveryOrder = fake.ClassLoad{
 		Name: "delivery-order", Idempotency: fake.IdempotentByKey, Weight: 1, PriorityWeight: 5, BodyBytes: 200,
@@ -44,7 +44,7 @@
 // classesTOML are all classes as the operator's file of a pool has them.
 func classesTOML(pool string) string {
 	var b strings.Builder
-	for _, c := range []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck} {
+	for _, c := range farmClasses {
 		fmt.Fprintf(&b, "[[pools.%s.classes]]\nname = %q\neffect = %q\naim = %q\ndeadline = %q\nworth = %.1f\n",
 			pool, c.Name, c.Idempotency, c.LatencyObjective, c.Deadline, c.PriorityWeight)
 		if c.Idempotency == fake.IdempotentByKey {
@@ -66,51 +66,53 @@
 	return b.String()
 }
 
-// startBackends starts n backends whose names begin with pool, and which drop repeats together.
-func (e *Env) startBackends(pool string, n int, l *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
+// startBackends starts n backends whose names begin with pool, and which share a deduplicator. change, which may be nil, changes what
+// is usual. They are closed as the scenario ends.
+func (e *Env) startBackends(pool string, n int, recorder *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
 	var all []*fake.Backend
-	repeats := fake.NewDeduplicator(time.Minute)
+	deduplicator := fake.NewDeduplicator(time.Minute)
 	for i := range n {
 		cfg := fake.BackendConfig{
 			Name: fmt.Sprintf("%s-%d", pool, i+1), Cores: 4, QueueLimit: 40, ServiceTime: 12 * time.Millisecond,
-			Idempotency: idempotencyByClass, Deduplicator: repeats, Seed: e.Seed<<8 + uint64(i), Recorder: l,
+			Idempotency: idempotencyByClass, Deduplicator: deduplicator, Seed: e.Seed<<8 + uint64(i), Recorder: recorder,
 		}
 		if change != nil {
 			change(&cfg)
 		}
-		b, err := fake.StartBackend(cfg)
+		backend, err := fake.StartBackend(cfg)
 		if err != nil {
 			return nil, err
 		}
-		e.Defer(b.Close)
-		all = append(all, b)
+		e.Defer(backend.Close)
+		all = append(all, backend)
 	}
 	return all, nil
 }
 
 // startDiscovery starts a discovery that lists the backends.
-func (e *Env) startDiscovery(l *fake.EffectRecorder, backends []*fake.Backend) (*fake.Discovery, error) {
-	d, err := fake.StartDiscovery(l, endpoints(backends)...)
+func (e *Env) startDiscovery(recorder *fake.EffectRecorder, backends []*fake.Backend) (*fake.Discovery, error) {
+	discovery, err := fake.StartDiscovery(recorder, endpoints(backends)...)
 	if err == nil {
-		e.Defer(d.Close)
+		e.Defer(discovery.Close)
 	}
-	return d, err
+	return discovery, err
 }
 
+// endpoints returns backends as discovery lists them.
 func endpoints(backends []*fake.Backend) []fake.Endpoint {
 	var all []fake.Endpoint
-	for _, b := range backends {
-		all = append(all, b.Endpoint())
+	for _, backend := range backends {
+		all = append(all, backend.Endpoint())
 	}
 	return all
 }
 
-// measureResults notes what became of a load of clients.
-func (e *Env) measureResults(prefix string, c *fake.ClientResults) {
-	e.Measure(prefix+"operations", float64(c.Operations()))
-	for _, o := range []fake.Outcome{fake.OutcomeLate, fake.OutcomeRejected, fake.OutcomeFailed} {
-		e.Measure(prefix+o.String(), float64(c.Outcomes[o]))
+// measureResults measures what became of a load; prefix begins the measures' names.
+func (e *Env) measureResults(prefix string, results *fake.ClientResults) {
+	e.Measure(prefix+"operations", float64(results.Operations()))
+	for _, outcome := range []fake.Outcome{fake.OutcomeLate, fake.OutcomeRejected, fake.OutcomeFailed} {
+		e.Measure(prefix+outcome.String(), float64(results.Outcomes[outcome]))
 	}
-	e.Measure(prefix+"p50_ms", milliseconds(c.Percentile(0.5)))
-	e.Measure(prefix+"p99_ms", milliseconds(c.Percentile(0.99)))
+	e.Measure(prefix+"p50_ms", milliseconds(results.Percentile(0.5)))
+	e.Measure(prefix+"p99_ms", milliseconds(results.Percentile(0.99)))
 }
--- a/internal/e2e/http_services.go
+++ b/internal/e2e/http_services.go
@@ -55,70 +55,70 @@
 	return b.String()
 }
 
+// httpServices plays the same faults at backends of the platform and at ordinary HTTP services, with load reports and without.
 func httpServices(ctx context.Context, e *Env) error {
 	served := map[fake.LoadReporting]float64{}
-	answered, tries, doubled := 0, 0, 0
-	for _, play := range []struct {
-		name    string
-		reports fake.LoadReporting
+	answered, attempts, duplicates := 0, 0, 0
+	for _, kind := range []struct {
+		name      string
+		reporting fake.LoadReporting
 	}{{"platform", fake.ReportPlatform}, {"orca", fake.ReportORCA}, {"silent", fake.ReportNone}} {
-		recorder := fake.NewEffectRecorder()
-		backends, err := e.startBackends(play.name, httpBackends, recorder, func(c *fake.BackendConfig) { c.LoadReporting = play.reports })
+		results, verdict, err := e.playHTTPServices(ctx, kind.name, kind.reporting)
 		if err != nil {
 			return err
 		}
-		p, err := e.StartNamed(ctx, play.name, httpPoolTOML(play.reports, backends), 1)
-		if err != nil {
-			return err
-		}
-		length := e.Duration / 3
-		e.Phase("services of the kind "+play.name, length)
-		load, cancel := context.WithTimeout(ctx, length)
-		go func() {
-			step := length / time.Duration(2*len(httpFaults)+2)
-			for i, f := range httpFaults {
-				if !pause(load, step) {
-					return
-				}
-				backends[i].SetFault(f.fault)
-				if !pause(load, step) {
-					return
-				}
-				backends[i].SetFault(fake.Fault{})
-			}
-			if pause(load, step) {
-				backends[httpBackends-1].Close()
-			}
-		}()
-		clients := fake.RunClients(load, fake.ClientConfig{
-			Name: play.name, Addr: p.Addr("farm"), Host: "farm.example.org", Rate: httpRate, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-			Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: e.Seed,
-		})
-		cancel()
-		if err := p.Stop(); err != nil {
-			e.Fail("%s: the program ended with %v", play.name, err)
-		}
-		v := e.CheckRules(recorder)
-		served[play.reports] = clients.ServedFraction()
-		answered, tries, doubled = answered+v.Answered, tries+v.Attempts, doubled+v.DuplicateEffects
-		e.Measure(play.name+"_served", clients.ServedFraction())
-		e.measureResults(play.name+"_", clients)
+		served[kind.reporting] = results.ServedFraction()
+		answered, attempts, duplicates = answered+verdict.Answered, attempts+verdict.Attempts, duplicates+verdict.DuplicateEffects
+		e.Measure(kind.name+"_served", results.ServedFraction())
+		e.measureResults(kind.name+"_", results)
 	}
-	e.AtLeast("answered_once", float64(answered)/float64(max(1, tries)), 1)
-	e.AtMost("duplicates", float64(doubled), 0)
-	e.AtMost("retried_unsafely", float64(doubled), 0)
+	e.AtLeast("answered_once", float64(answered)/float64(max(1, attempts)), 1)
+	e.AtMost("duplicates", float64(duplicates), 0)
+	e.AtMost("retried_unsafely", float64(duplicates), 0)
 	e.AtLeast("served", served[fake.ReportORCA], 0.9)
 	e.AtMost("lost_with_orca", served[fake.ReportPlatform]-served[fake.ReportORCA], 0.02)
 	e.Measure("lost_without_reports", served[fake.ReportPlatform]-served[fake.ReportNone])
 	return nil
 }
 
-// pause waits, and reports whether ctx goes on.
-func pause(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
+// playHTTPServices plays the faults at backends of one kind.
+func (e *Env) playHTTPServices(ctx context.Context, name string, reporting fake.LoadReporting) (*fake.ClientResults, fake.Verdict, error) {
+	recorder := fake.NewEffectRecorder()
+	backends, err := e.startBackends(name, httpBackends, recorder, func(c *fake.BackendConfig) { c.LoadReporting = reporting })
+	if err != nil {
+		return nil, fake.Verdict{}, err
+	}
+	program, err := e.StartNamed(ctx, name, httpPoolTOML(reporting, backends), 1)
+	if err != nil {
+		return nil, fake.Verdict{}, err
+	}
+	length := e.Duration / 3
+	e.Phase("services of the kind "+name, length)
+	load, cancel := context.WithTimeout(ctx, length)
+	defer cancel()
+	go injectHTTPFaults(load, backends, length)
+	results := fake.RunClients(load, farmClients(name, program.Addr("farm"), httpRate, recorder, e.Seed))
+	cancel()
+	if err := program.Stop(); err != nil {
+		e.Fail("%s: the program ended with %v", name, err)
+	}
+	return results, e.CheckRules(recorder), nil
+}
+
+// injectHTTPFaults injects one fault at a backend after the other, with as long without between them, and kills the last backend.
+func injectHTTPFaults(ctx context.Context, backends []*fake.Backend, length time.Duration) {
+	step := length / time.Duration(2*len(httpFaults)+2)
+	for i, f := range httpFaults {
+		if !pause(ctx, step) {
+			return
+		}
+		backends[i].SetFault(f.fault)
+		if !pause(ctx, step) {
+			return
+		}
+		backends[i].SetFault(fake.Fault{})
+	}
+	if pause(ctx, step) {
+		backends[len(backends)-1].Close()
 	}
 }
--- a/internal/e2e/program.go
+++ b/internal/e2e/program.go
@@ -9,8 +9,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -102,93 +100,6 @@
 	return p, nil
 }
 
-func (p *Program) appendLine(line string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.env.options.Log != nil {
-		fmt.Fprintln(p.env.options.Log, line)
-	}
-	if len(p.lines) < maxLogLines {
-		p.lines = append(p.lines, line)
-	}
-	close(p.changed)
-	p.changed = make(chan struct{})
-}
-
-// AwaitLog waits until the log has n lines with text, and returns the last of them.
-func (p *Program) AwaitLog(ctx context.Context, text string, n int) (string, error) {
-	for {
-		p.mu.Lock()
-		found := 0
-		for _, line := range p.lines {
-			if strings.Contains(line, text) {
-				if found++; found == n {
-					p.mu.Unlock()
-					return line, nil
-				}
-			}
-		}
-		more := p.changed
-		p.mu.Unlock()
-		select {
-		case <-more:
-		case <-p.ended:
-			return "", errors.New("it has ended")
-		case <-ctx.Done():
-			return "", fmt.Errorf("no %d lines with %q: %w", n, text, ctx.Err())
-		}
-	}
-}
-
-// CountLog is how many lines of the log have text.
-func (p *Program) CountLog(text string) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := 0
-	for _, line := range p.lines {
-		if strings.Contains(line, text) {
-			n++
-		}
-	}
-	return n
-}
-
-// LogTail is the last lines of the log.
-func (p *Program) LogTail(n int) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
-}
-
-// Addr is where the listener of that name listens, "" if it never was ready.
-func (p *Program) Addr(listener string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i := len(p.lines) - 1; i >= 0; i-- {
-		line := p.lines[i]
-		if strings.Contains(line, "msg=ready ") && LogField(line, "listener") == listener {
-			return LogField(line, "listen")
-		}
-	}
-	return ""
-}
-
-// LogField is the value of a key in a line of the log, without quotes.
-func LogField(line, key string) string {
-	_, rest, ok := strings.Cut(" "+line, " "+key+"=")
-	if !ok {
-		return ""
-	}
-	if strings.HasPrefix(rest, `"`) {
-		if q, err := strconv.QuotedPrefix(rest); err == nil {
-			s, _ := strconv.Unquote(q)
-			return s
-		}
-	}
-	v, _, _ := strings.Cut(rest, " ")
-	return v
-}
-
 // Reload replaces the configuration and tells the program so. It does not wait for it.
 func (p *Program) Reload(text string) error {
 	next := p.ConfigFile + ".next"
@@ -224,54 +135,3 @@
 	_ = p.cmd.Process.Kill() // fails if it has ended
 	<-p.ended
 }
-
-// LogLines are the lines of its log so far.
-func (p *Program) LogLines() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.lines[:len(p.lines):len(p.lines)]
-}
-
-// CPU is the processor time that the program has taken.
-func (p *Program) CPU() (time.Duration, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
-	if err != nil {
-		return 0, err
-	}
-	// The name in parentheses may hold anything; user and system time are the 12th and 13th field behind it.
-	_, rest, ok := strings.Cut(string(text), ") ")
-	fields := strings.Fields(rest)
-	if !ok || len(fields) < 13 {
-		return 0, fmt.Errorf("/proc: cannot read %q", text)
-	}
-	ticks := 0
-	for _, f := range fields[11:13] {
-		n, err := strconv.Atoi(f)
-		if err != nil {
-			return 0, err
-		}
-		ticks += n
-	}
-	const perSecond = 100 // USER_HZ, the same on all of Linux's architectures that Go supports
-	return time.Duration(ticks) * time.Second / perSecond, nil
-}
-
-// MemoryMB is the program's resident memory.
-func (p *Program) MemoryMB() (float64, error) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
-	if err != nil {
-		return 0, err
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return 0, fmt.Errorf("/proc: cannot read %q", text)
-	}
-	pages, err := strconv.Atoi(fields[1])
-	return float64(pages*os.Getpagesize()) / (1 << 20), err
-}
-
-// Descriptors is how many descriptors the program holds.
-func (p *Program) Descriptors() (int, error) {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	return len(all), err
-}
--- /dev/null
+++ b/internal/e2e/programusage.go
@@ -0,0 +1,53 @@
+package e2e
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// CPU is the processor time that the program has taken.
+func (p *Program) CPU() (time.Duration, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	if err != nil {
+		return 0, err
+	}
+	// The name in parentheses may hold anything; user and system time are the 12th and 13th field behind it.
+	_, rest, ok := strings.Cut(string(text), ") ")
+	fields := strings.Fields(rest)
+	if !ok || len(fields) < 13 {
+		return 0, fmt.Errorf("/proc: cannot read %q", text)
+	}
+	ticks := 0
+	for _, f := range fields[11:13] {
+		n, err := strconv.Atoi(f)
+		if err != nil {
+			return 0, err
+		}
+		ticks += n
+	}
+	const perSecond = 100 // USER_HZ, the same on all of Linux's architectures that Go supports
+	return time.Duration(ticks) * time.Second / perSecond, nil
+}
+
+// MemoryMB is the program's resident memory.
+func (p *Program) MemoryMB() (float64, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
+	if err != nil {
+		return 0, err
+	}
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
+		return 0, fmt.Errorf("/proc: cannot read %q", text)
+	}
+	pages, err := strconv.Atoi(fields[1])
+	return float64(pages*os.Getpagesize()) / (1 << 20), err
+}
+
+// Descriptors is how many descriptors the program holds.
+func (p *Program) Descriptors() (int, error) {
+	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+	return len(all), err
+}
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"sorrelrudder/internal/fake"
@@ -18,7 +17,7 @@
 // quickstart shows the program at work: a pool of three backends, of which one errs for a while and one leaves.
 func quickstart(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	p, backends, discovery, err := e.startFarm(ctx, recorder, "")
+	program, backends, discovery, err := e.startFarm(ctx, recorder, "")
 	if err != nil {
 		return err
 	}
@@ -33,53 +32,14 @@
 			discovery.SetEndpoints(endpoints(backends)...)
 		}},
 	)
-	clients := fake.RunClients(load, fake.ClientConfig{
-		Name: "farm", Addr: p.Addr("farm"), Host: "farm.example.org", Rate: 150, MaxAttempts: 3, Backoff: 30 * time.Millisecond, HonorRetryAfter: true,
-		Classes: []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}, Recorder: recorder, Seed: e.Seed,
-	})
-	if err := p.Stop(); err != nil {
+	results := fake.RunClients(load, farmClients("farm", program.Addr("farm"), 150, recorder, e.Seed))
+	if err := program.Stop(); err != nil {
 		e.Fail("the program ended with %v", err)
 	}
 	v := e.CheckRules(recorder)
-	e.measureResults("", clients)
+	e.measureResults("", results)
 	e.Measure("effects", float64(v.Effects))
 	e.Measure("effects_doubled", float64(v.DuplicateEffects))
-	e.AtLeast("served_in_time", clients.ServedFraction(), 0.95)
+	e.AtLeast("served_in_time", results.ServedFraction(), 0.95)
 	return nil
 }
-
-// startFarm starts a program of one pool of three backends; more is what its file says beside that.
-func (e *Env) startFarm(ctx context.Context, l *fake.EffectRecorder, more string) (*Program, []*fake.Backend, *fake.Discovery, error) {
-	backends, err := e.startBackends("box", 3, l, nil)
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	discovery, err := e.startDiscovery(l, backends)
-	if err != nil {
-		return nil, nil, nil, err
-	}
-	p, err := e.Start(ctx, fmt.Sprintf("%s[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\ndiscovery = %q\n\n%s",
-		more, discovery.Addr(), classesTOML("farm")), 1)
-	return p, backends, discovery, err
-}
-
-// scriptStep is something that is done after a part of a phase.
-type scriptStep struct {
-	at float64
-	do func()
-}
-
-// runScript does the steps, which are in order, of a phase of that length, until ctx ends.
-func runScript(ctx context.Context, length time.Duration, steps ...scriptStep) {
-	began := time.Now()
-	for _, s := range steps {
-		wait := time.NewTimer(time.Until(began.Add(time.Duration(s.at * float64(length)))))
-		select {
-		case <-ctx.Done():
-			wait.Stop()
-			return
-		case <-wait.C:
-			s.do()
-		}
-	}
-}
