--- a/internal/e2e/http_services.go
+++ b/internal/e2e/http_services.go
@@ -16,14 +16,12 @@
 	})
 }
 
-// httpBackends is how many backends each play has, and plainRate the operations a second of its clients: some 0.4 of what the backends
-// can do while one of them is out of order.
 const (
 	httpBackends = 5
-	httpRate     = 250
+	httpRate     = 250 // operations a second: some 0.4 of what the backends can serve while one of them is faulty
 )
 
-// httpFaults befall one backend after the other, each for an eighth of a play, with as long in good order between them.
+// httpFaults strike one backend after the other.
 var httpFaults = []struct {
 	name  string
 	fault fake.Fault
@@ -34,18 +32,18 @@
 	{"closes as requests come", fake.Fault{Kind: fake.FaultClose, Fraction: 0.5}},
 }
 
-// plainPools is the pool of a play: by the platform's protocol, or by plain HTTP with the classes by rule.
-func httpPoolTOML(reports fake.LoadReporting, backends []*fake.Backend) string {
+// httpPoolTOML is a listener and a pool of the platform's backends, or of ordinary HTTP services whose classes are told by path.
+func httpPoolTOML(reporting fake.LoadReporting, backends []*fake.Backend) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
 	classes := classesTOML("farm")
-	if reports != fake.ReportPlatform {
+	if reporting != fake.ReportPlatform {
 		load := "none"
-		if reports == fake.ReportORCA {
+		if reporting == fake.ReportORCA {
 			load = "orca"
 		}
 		fmt.Fprintf(&b, "protocol = \"http\"\n[pools.farm.http]\ndeadline_from = [\"X-Timeout-Ms\"]\ncheck = \"/healthz\"\nload = %q\n", load)
-		for _, c := range []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck} {
+		for _, c := range farmClasses {
 			name := fmt.Sprintf("name = %q\n", c.Name)
 			classes = strings.Replace(classes, name, name+fmt.Sprintf("match = [\"/%s/\"]\n", c.Name), 1)
 		}
--- a/internal/e2e/measure.go
+++ b/internal/e2e/measure.go
@@ -7,11 +7,11 @@
 	"sorrelrudder/internal/fake"
 )
 
-// Measure notes a figure.
+// Measure records a measure. Of several values with the same name the last counts. A value that is no finite number is a violation.
 func (e *Env) Measure(name string, value float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, had := e.report.Measures[name]; !had {
+	if _, known := e.report.Measures[name]; !known {
 		e.report.measureOrder = append(e.report.measureOrder, name)
 	}
 	if math.IsNaN(value) || math.IsInf(value, 0) { // JSON has neither
@@ -21,45 +21,46 @@
 	e.report.Measures[name] = value
 }
 
-// Measured is a figure that was noted, 0 if none was.
+// Measured returns the value of a measure, 0 if there is none.
 func (e *Env) Measured(name string) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.report.Measures[name]
 }
 
-// AtLeast notes a figure and its bound.
+// AtLeast records a measure with its lower bound.
 func (e *Env) AtLeast(name string, value, least float64) {
 	e.bound(name, value, fmt.Sprintf("at least %.4g", least), value >= least)
 }
 
-// AtMost notes a figure and its bound.
+// AtMost records a measure with its upper bound.
 func (e *Env) AtMost(name string, value, most float64) {
 	e.bound(name, value, fmt.Sprintf("at most %.4g", most), value <= most)
 }
 
-func (e *Env) bound(name string, value float64, want string, kept bool) {
+// bound records a measure, and a violation if it is out of bounds.
+func (e *Env) bound(name string, value float64, want string, met bool) {
 	e.Measure(name, value)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.report.bounds[name] = want
-	if !kept {
+	if !met {
 		e.report.Violations = append(e.report.Violations, fmt.Sprintf("bound: %s is %.4g, want %s", name, value, want))
 	}
 }
 
-// Fail notes that something must not be.
+// Fail records a violation.
 func (e *Env) Fail(format string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.report.Violations = append(e.report.Violations, fmt.Sprintf(format, args...))
 }
 
-// CheckRules checks the four rules against a recorder, once all is over.
-func (e *Env) CheckRules(l *fake.EffectRecorder) fake.Verdict {
-	v := l.Check(fake.DefaultTolerance)
-	for _, b := range v.Violations {
-		e.Fail("%s", b)
+// CheckRules checks the four rules once all clients and backends have ended, and records what was violated.
+func (e *Env) CheckRules(recorder *fake.EffectRecorder) fake.Verdict {
+	v := recorder.Check(fake.DefaultTolerance)
+	for _, violation := range v.Violations {
+		e.Fail("%s", violation)
 	}
 	return v
 }
--- a/internal/e2e/program.go
+++ b/internal/e2e/program.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// readyTimeout is how long the program may take to be ready.
-	readyTimeout = 20 * time.Second
-	// drainTimeout is how long it may take to drain: the longest deadline and some more.
-	drainTimeout = 20 * time.Second
-	// maxLogLines bounds what is kept of its log.
-	maxLogLines = 20000
+	readyTimeout = 20 * time.Second // until the program is ready
+	drainTimeout = 20 * time.Second // until it has drained: the longest deadline and some more
+	maxLogLines  = 20000            // that are kept
+	maxLogLine   = 1 << 20          // bytes
+
+	readyMessage = "msg=ready "
 )
 
-// Program is the real program, as a process of its own.
+// Program is the real program, running as a process. Its methods may be called concurrently.
 type Program struct {
-	ConfigFile string // its configuration
+	ConfigFile string // empty if it was started with other arguments
 	cmd        *exec.Cmd
 	env        *Env
+	ended      chan struct{} // closed once the process has ended
 
-	mu      sync.Mutex
-	lines   []string
-	changed chan struct{} // closed, and made anew, with each line
-	ended   chan struct{}
-	err     error
+	mu      sync.Mutex    // guards the fields below
+	lines   []string      // of its log
+	changed chan struct{} // closed, and replaced, with each line
+	err     error         // how it ended
 }
 
-// Start starts the program with a configuration and waits until it is ready at so many listeners.
+// Start starts the program with a configuration and waits until a number of listeners is ready.
 func (e *Env) Start(ctx context.Context, text string, listeners int) (*Program, error) {
 	return e.StartNamed(ctx, "sorrelrudder", text, listeners)
 }
 
-// StartNamed does the same with a file of that name, for one of several programs.
+// StartNamed does the same with a configuration file of that name, for one of several programs.
 func (e *Env) StartNamed(ctx context.Context, name, text string, listeners int) (*Program, error) {
 	file := filepath.Join(e.Dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for n := range listeners {
-		if _, err := p.AwaitLog(ctx, "msg=ready ", n+1); err != nil {
+		if _, err := p.AwaitLog(ctx, readyMessage, n+1); err != nil {
 			err = errors.Join(err, p.Stop())
 			return nil, fmt.Errorf("the program is not ready: %w\n%s", err, p.LogTail(20))
 		}
@@ -63,13 +63,16 @@
 	return p, nil
 }
 
+// errNoProgram tells that Options name no program.
+var errNoProgram = errors.New("lab: no program to start")
+
 // Command starts the program with arguments.
 func (e *Env) Command(args ...string) (*Program, error) { return e.CommandWithEnv(nil, args...) }
 
 // CommandWithEnv does the same with more in its environment.
 func (e *Env) CommandWithEnv(env []string, args ...string) (*Program, error) {
 	if len(e.options.Program) == 0 {
-		return nil, errors.New("lab: no program to start")
+		return nil, errNoProgram
 	}
 	all := append(append([]string{}, e.options.Program[1:]...), args...)
 	p := &Program{cmd: exec.Command(e.options.Program[0], all...), env: e, changed: make(chan struct{}), ended: make(chan struct{})}
@@ -84,35 +87,41 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() {
-		lines := bufio.NewScanner(out)
-		lines.Buffer(nil, 1<<20)
-		for lines.Scan() {
-			p.appendLine(lines.Text())
-		}
-		err := p.cmd.Wait()
-		p.mu.Lock()
-		p.err = err
-		p.mu.Unlock()
-		close(p.ended)
-	}()
-	e.Defer(func() { _ = p.Stop() }) // a scenario that cares has stopped it before
+	go p.readLog(out)
+	e.Defer(func() { _ = p.Stop() }) // a scenario that needs the result has stopped it before
 	return p, nil
 }
 
-// Reload replaces the configuration and tells the program so. It does not wait for it.
+// readLog reads the log until the program ends.
+func (p *Program) readLog(out io.Reader) {
+	lines := bufio.NewScanner(out)
+	lines.Buffer(nil, maxLogLine)
+	for lines.Scan() {
+		p.appendLine(lines.Text())
+	}
+	err := p.cmd.Wait()
+	p.mu.Lock()
+	p.err = err
+	p.mu.Unlock()
+	close(p.ended)
+}
+
+// Reload replaces the configuration file and signals the program. It does not wait until the configuration is in force.
 func (p *Program) Reload(text string) error {
 	next := p.ConfigFile + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(next, p.ConfigFile); err != nil { // never half a file
+	if err := os.Rename(next, p.ConfigFile); err != nil { // atomically
 		return err
 	}
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Stop has the program drain, and returns how it ended. It may be called again.
+// errDrainTimeout tells that the program was killed since it did not drain in time.
+var errDrainTimeout = errors.New("the program did not drain in time")
+
+// Stop shuts the program down gracefully, and returns how it ended: errDrainTimeout if it had to be killed. It may be called again.
 func (p *Program) Stop() error {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if it has ended
 	select {
@@ -120,17 +129,17 @@
 	case <-time.After(drainTimeout):
 		_ = p.cmd.Process.Kill() // fails if it has ended
 		<-p.ended
-		return errors.New("the program did not drain in time")
+		return errDrainTimeout
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Signal sends the program a signal.
+// Signal sends the program a signal, if it runs.
 func (p *Program) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // fails if it has ended
 
-// Kill ends the program at once, stopped or not.
+// Kill kills the program and waits for its end.
 func (p *Program) Kill() {
 	_ = p.cmd.Process.Kill() // fails if it has ended
 	<-p.ended
--- a/internal/e2e/programlog.go
+++ b/internal/e2e/programlog.go
@@ -8,6 +8,10 @@
 	"strings"
 )
 
+// errProgramEnded tells that the program ended before its log had what was awaited.
+var errProgramEnded = errors.New("it has ended")
+
+// appendLine records a line of the log, and wakes those who await one.
 func (p *Program) appendLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -21,32 +25,44 @@
 	p.changed = make(chan struct{})
 }
 
-// AwaitLog waits until the log has n lines with text, and returns the last of them.
+// AwaitLog waits until the log has n lines that contain text, and returns the last of them. The error is errProgramEnded, or wraps
+// that of ctx.
 func (p *Program) AwaitLog(ctx context.Context, text string, n int) (string, error) {
 	for {
-		p.mu.Lock()
-		found := 0
-		for _, line := range p.lines {
-			if strings.Contains(line, text) {
-				if found++; found == n {
-					p.mu.Unlock()
-					return line, nil
-				}
-			}
+		line, found, changed := p.findLine(text, n)
+		if found {
+			return line, nil
 		}
-		more := p.changed
-		p.mu.Unlock()
 		select {
-		case <-more:
-		case <-p.ended:
-			return "", errors.New("it has ended")
+		case <-changed:
+		case <-p.ended: // after its last line, which may just have come
+			if line, found, _ := p.findLine(text, n); found {
+				return line, nil
+			}
+			return "", errProgramEnded
 		case <-ctx.Done():
 			return "", fmt.Errorf("no %d lines with %q: %w", n, text, ctx.Err())
 		}
 	}
 }
 
-// CountLog is how many lines of the log have text.
+// findLine returns the n-th line that contains text, and a channel that is closed with the next line.
+func (p *Program) findLine(text string, n int) (line string, found bool, changed <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	count := 0
+	for _, line := range p.lines {
+		if !strings.Contains(line, text) {
+			continue
+		}
+		if count++; count == n {
+			return line, true, p.changed
+		}
+	}
+	return "", false, p.changed
+}
+
+// CountLog returns how many lines of the log contain text.
 func (p *Program) CountLog(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,43 +75,43 @@
 	return n
 }
 
-// LogTail is the last lines of the log.
+// LogTail returns the last n lines of the log.
 func (p *Program) LogTail(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
 }
 
-// Addr is where the listener of that name listens, "" if it never was ready.
+// Addr returns the address where the listener of that name listens, "" if it never was ready.
 func (p *Program) Addr(listener string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.lines) - 1; i >= 0; i-- {
 		line := p.lines[i]
-		if strings.Contains(line, "msg=ready ") && LogField(line, "listener") == listener {
+		if strings.Contains(line, readyMessage) && LogField(line, "listener") == listener {
 			return LogField(line, "listen")
 		}
 	}
 	return ""
 }
 
-// LogField is the value of a key in a line of the log, without quotes.
+// LogField returns the value of a key in a line of the log, without quotes; "" if it has none.
 func LogField(line, key string) string {
 	_, rest, ok := strings.Cut(" "+line, " "+key+"=")
 	if !ok {
 		return ""
 	}
 	if strings.HasPrefix(rest, `"`) {
-		if q, err := strconv.QuotedPrefix(rest); err == nil {
-			s, _ := strconv.Unquote(q)
-			return s
+		if quoted, err := strconv.QuotedPrefix(rest); err == nil {
+			value, _ := strconv.Unquote(quoted)
+			return value
 		}
 	}
-	v, _, _ := strings.Cut(rest, " ")
-	return v
+	value, _, _ := strings.Cut(rest, " ")
+	return value
 }
 
-// LogLines are the lines of its log so far.
+// LogLines returns the lines of the log so far. They must not be changed.
 func (p *Program) LogLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/e2e/programusage.go
+++ b/internal/e2e/programusage.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// CPU is the processor time that the program has taken.
+// CPU returns the processor time that the program has used, user and system.
 func (p *Program) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -32,7 +32,7 @@
 	return time.Duration(ticks) * time.Second / perSecond, nil
 }
 
-// MemoryMB is the program's resident memory.
+// MemoryMB returns the program's resident memory in MB.
 func (p *Program) MemoryMB() (float64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.cmd.Process.Pid))
 	if err != nil {
@@ -46,7 +46,7 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20), err
 }
 
-// Descriptors is how many descriptors the program holds.
+// Descriptors returns how many file descriptors the program holds.
 func (p *Program) Descriptors() (int, error) {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	return len(all), err
--- a/internal/e2e/progress.go
+++ b/internal/e2e/progress.go
@@ -6,14 +6,17 @@
 	"time"
 )
 
-// Phase names what is played now, and how long it takes.
+// Phase names what is played now, and how long it usually takes.
 func (e *Env) Phase(name string, length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.phase, e.phaseBegan, e.phaseLength = name, time.Now(), length
 }
 
-// reportProgress shows on a terminal what is played, until the function that it returns is called.
+// progressInterval is how often the terminal is updated.
+const progressInterval = 200 * time.Millisecond
+
+// reportProgress shows on a terminal what is played, until stop is called.
 func (e *Env) reportProgress() (stop func()) {
 	if e.options.Progress == nil {
 		return func() {}
@@ -21,14 +24,14 @@
 	end := make(chan struct{})
 	var done sync.WaitGroup
 	done.Go(func() {
-		tick := time.NewTicker(200 * time.Millisecond)
-		defer tick.Stop()
+		ticker := time.NewTicker(progressInterval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-end:
 				fmt.Fprint(e.options.Progress, "\r\x1b[K")
 				return
-			case <-tick.C:
+			case <-ticker.C:
 			}
 			e.mu.Lock()
 			phase, spent, length := e.phase, time.Since(e.phaseBegan), e.phaseLength
@@ -44,6 +47,7 @@
 	}
 }
 
+// progressBar draws how much of a phase is over.
 func progressBar(spent, length time.Duration) string {
 	const width = 24
 	n := width
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -14,7 +14,7 @@
 	})
 }
 
-// quickstart shows the program at work: a pool of three backends, of which one errs for a while and one leaves.
+// quickstart shows the program at work with a pool of three backends, of which one fails for a while and one drains.
 func quickstart(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	program, backends, discovery, err := e.startFarm(ctx, recorder, "")
--- a/internal/e2e/report.go
+++ b/internal/e2e/report.go
@@ -8,23 +8,27 @@
 	"time"
 )
 
-// Report is what came of a scenario.
+// Report is the result of a scenario. The names of its JSON are those that other tools read.
 type Report struct {
 	Scenario   string             `json:"scenario"`
 	Seed       uint64             `json:"seed"`
 	Pass       bool               `json:"pass"`
 	Violations []string           `json:"broken"`
 	Measures   map[string]float64 `json:"measures"`
-	Faults     json.RawMessage    `json:"faults,omitempty"` // what was done to a fleet, as --faults reads it
+	Faults     json.RawMessage    `json:"faults,omitempty"` // of a fleet, as Options.Faults reads them
 
 	measureOrder []string
-	bounds       map[string]string
+	bounds       map[string]string // by measure, in words
 }
 
-// WriteJSON writes a report as one JSON object.
+func newReport(scenario string, seed uint64) *Report {
+	return &Report{Scenario: scenario, Seed: seed, Violations: []string{}, Measures: map[string]float64{}, bounds: map[string]string{}}
+}
+
+// WriteJSON writes the report as one JSON object.
 func (r *Report) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
 
-// WriteTable writes a report as a table for people.
+// WriteTable writes the report as a table for people.
 func (r *Report) WriteTable(w io.Writer) error {
 	width := 0
 	for _, name := range r.measureOrder {
@@ -33,8 +37,8 @@
 	fmt.Fprintf(w, "%s, seed %d\n\n", r.Scenario, r.Seed)
 	for _, name := range r.measureOrder {
 		line := fmt.Sprintf("  %-*s  %12s", width, name, formatMeasure(r.Measures[name]))
-		if b := r.bounds[name]; b != "" {
-			line += "   " + b
+		if bound := r.bounds[name]; bound != "" {
+			line += "   " + bound
 		}
 		fmt.Fprintln(w, line)
 	}
@@ -43,13 +47,14 @@
 		_, err := fmt.Fprintln(w, "passed: all rules kept, all bounds met")
 		return err
 	}
-	for _, b := range r.Violations {
-		fmt.Fprintln(w, "BROKEN", b)
+	for _, violation := range r.Violations {
+		fmt.Fprintln(w, "BROKEN", violation)
 	}
 	_, err := fmt.Fprintln(w, "failed")
 	return err
 }
 
+// formatMeasure writes whole numbers in full, others with four digits.
 func formatMeasure(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return fmt.Sprintf("%.0f", v)
@@ -57,5 +62,5 @@
 	return fmt.Sprintf("%.4g", v)
 }
 
-// milliseconds is a time as measures show it.
+// milliseconds converts a duration to milliseconds with two decimals.
 func milliseconds(d time.Duration) float64 { return math.Round(float64(d)/1e4) / 100 }
--- a/internal/e2e/scenario.go
+++ b/internal/e2e/scenario.go
@@ -1,5 +1,5 @@
-// Package e2e plays scripted days on loopback sockets against the real program, with fakes for all that is around it,
-// and checks the four rules against the fakes' recorder afterwards. A scenario is one file that registers itself.
+// Package e2e plays end-to-end scenarios on loopback sockets against the real program, with fakes of all that is around it, and
+// checks the four rules against the fakes' recorder afterwards. A scenario is a file that registers itself.
 package e2e
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Scenario is a scripted day.
+// Scenario is an end-to-end test. Run returns an error if it could not be played; what it finds goes into the report of Env.
 type Scenario struct {
 	Name     string
 	Summary  string
@@ -25,19 +25,19 @@
 var (
 	scenarios = map[string]Scenario{}
 
-	// ErrUnknownScenario is what Play says of a scenario that is not there.
+	// ErrUnknownScenario tells that there is no scenario of a name.
 	ErrUnknownScenario = errors.New("no such scenario")
 )
 
-// Register adds a scenario. It panics if there is one of that name: two files disagree.
+// Register adds a scenario. It panics if there is one of that name.
 func Register(s Scenario) {
-	if _, had := scenarios[s.Name]; had {
+	if _, exists := scenarios[s.Name]; exists {
 		panic("lab: two scenarios are named " + s.Name)
 	}
 	scenarios[s.Name] = s
 }
 
-// List is all scenarios by their names.
+// List returns all scenarios, sorted by name.
 func List() []Scenario {
 	var all []Scenario
 	for _, name := range slices.Sorted(maps.Keys(scenarios)) {
@@ -49,32 +49,32 @@
 // Options say how a scenario is played.
 type Options struct {
 	Seed     uint64
-	Duration time.Duration // 0: the scenario's usual
+	Duration time.Duration // of the load; 0: the scenario's usual
 	Program  []string      // the command of the program, without its arguments
 	Progress io.Writer     // nil: none
 	Log      io.Writer     // the program's log; nil: only its end, should it fail
-	Faults   string        // file of faults to be done to a fleet in place of drawn ones; empty: none
+	Faults   string        // file of a fleet's faults, in place of drawn ones; empty: none
 }
 
-// Env is what a scenario plays with.
+// Env is what a scenario plays with. Its methods may be called concurrently.
 type Env struct {
 	Seed     uint64
-	Duration time.Duration
-	Dir      string // for files; removed afterwards
+	Duration time.Duration // of the load
+	Dir      string        // for files; removed afterwards
 
 	options Options
 	report  *Report
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below, and the report
 	deferred    []func()
 	phase       string
 	phaseBegan  time.Time
 	phaseLength time.Duration
 }
 
-// Play plays a scenario.
-func Play(ctx context.Context, name string, o Options) (*Report, error) {
-	s, ok := scenarios[name]
+// Play plays a scenario and returns its report. The error is ErrUnknownScenario, or tells why the scenario could not be played.
+func Play(ctx context.Context, name string, options Options) (*Report, error) {
+	scenario, ok := scenarios[name]
 	if !ok {
 		return nil, fmt.Errorf("%w: %q", ErrUnknownScenario, name)
 	}
@@ -83,14 +83,14 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	e := &Env{Seed: o.Seed, Duration: o.Duration, Dir: dir, options: o}
+	e := &Env{Seed: options.Seed, Duration: options.Duration, Dir: dir, options: options}
 	if e.Duration <= 0 {
-		e.Duration = s.Duration
+		e.Duration = scenario.Duration
 	}
-	e.report = &Report{Scenario: name, Seed: o.Seed, Violations: []string{}, Measures: map[string]float64{}, bounds: map[string]string{}}
+	e.report = newReport(name, options.Seed)
 	defer e.close()
 	stop := e.reportProgress()
-	err = s.Run(ctx, e)
+	err = scenario.Run(ctx, e)
 	stop()
 	if err == nil {
 		err = ctx.Err()
@@ -102,7 +102,7 @@
 	return e.report, nil
 }
 
-// Defer has f called when the scenario is over, the last first.
+// Defer has f called once the scenario is over, in reverse order.
 func (e *Env) Defer(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/e2e/script.go
+++ b/internal/e2e/script.go
@@ -5,28 +5,25 @@
 	"time"
 )
 
-// scriptStep is something that is done after a part of a phase.
+// scriptStep is an action at a time of a phase.
 type scriptStep struct {
-	at float64
+	at float64 // fraction of the phase
 	do func()
 }
 
-// runScript does the steps, which are in order, of a phase of that length, until ctx ends.
+// runScript runs the steps of a phase, which are in order of time, until ctx ends.
 func runScript(ctx context.Context, length time.Duration, steps ...scriptStep) {
 	began := time.Now()
 	for _, s := range steps {
-		wait := time.NewTimer(time.Until(began.Add(time.Duration(s.at * float64(length)))))
-		select {
-		case <-ctx.Done():
-			wait.Stop()
+		at := began.Add(time.Duration(s.at * float64(length)))
+		if !pause(ctx, time.Until(at)) {
 			return
-		case <-wait.C:
-			s.do()
 		}
+		s.do()
 	}
 }
 
-// pause waits, and reports whether ctx goes on.
+// pause waits for d, and reports whether it passed before ctx ended.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
