--- a/internal/e2e/http2_idle.go
+++ b/internal/e2e/http2_idle.go
@@ -21,90 +21,99 @@
 }
 
 const (
-	// idleConns is how many connections stand idle, and idleDialers how many are opened at once.
-	idleConns   = 10_000
-	idleDialers = 64
+	idleHTTP2Conns       = 10_000
+	idleHTTP2Dialers     = 64 // connections opened at once
+	idleHTTP2DialTimeout = 30 * time.Second
 )
 
-// httpIdle opens connections that each ask once, holds them, and looks at the program's memory; then usual clients ask beside them.
+// httpIdle opens idle HTTP/2 connections and measures the program's memory; then clients send requests beside them.
 func httpIdle(ctx context.Context, e *Env) error {
-	w, err := e.startWebAs(ctx, "[process]\ndescriptors = 24000\nmemory = \"1GiB\"\n")
+	w, err := e.startHTTPSWith(ctx, "[process]\ndescriptors = 24000\nmemory = \"1GiB\"\n")
 	if err != nil {
 		return err
 	}
-	before, err := w.p.MemoryMB()
+	before, err := w.program.MemoryMB()
 	if err != nil {
 		return err
 	}
 	e.Phase("connections are opened", time.Minute)
-	var next, failed atomic.Int64
-	var all sync.WaitGroup
-	conns := make([]*tls.Conn, idleConns)
-	defer func() {
-		for _, c := range conns {
-			if c != nil {
-				c.NetConn().Close()
-			}
-		}
-	}()
-	for range idleDialers {
-		all.Go(func() {
-			for ctx.Err() == nil {
-				i := next.Add(1) - 1
-				if i >= idleConns {
-					return
-				}
-				c, err := w.askOnce()
-				if err != nil {
-					failed.Add(1)
-					continue
-				}
-				conns[i] = c
-			}
-		})
-	}
-	all.Wait()
+	conns, failed := w.openIdleConns(ctx)
+	defer closeConns(conns)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	during, err := w.p.MemoryMB()
+	during, err := w.program.MemoryMB()
 	if err != nil {
 		return err
 	}
 	e.Phase("usual clients beside them", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
-	var n webCounts
-	w.load(load, "beside", e.Seed, 20, 0, &n)
-	e.AtLeast("share_served", e.told("", &n), 0.99)
-	open := idleConns - failed.Load()
+	var counts httpsCounts
+	w.run(load, httpsLoad{name: "beside", clients: 20}, &counts)
+	e.AtLeast("share_served", e.measureHTTPS("", &counts), 0.99)
+	open := idleHTTP2Conns - failed
 	e.Measure("idle_connections", float64(open))
-	e.AtMost("not_opened", float64(failed.Load()), 0)
+	e.AtMost("not_opened", float64(failed), 0)
 	e.Measure("memory_mb_before", before)
 	e.Measure("memory_mb", during)
 	e.Measure("kb_a_connection", (during-before)*1024/float64(max(1, open)))
-	return w.end(e, n.asked.Load())
+	w.finish(counts.requests.Load())
+	return nil
+}
+
+// openIdleConns opens the connections, of which those that failed are nil, and returns how many failed.
+func (w *httpsFarm) openIdleConns(ctx context.Context) (conns []*tls.Conn, failed int64) {
+	conns = make([]*tls.Conn, idleHTTP2Conns)
+	var next, failures atomic.Int64
+	var dialers sync.WaitGroup
+	for range idleHTTP2Dialers {
+		dialers.Go(func() {
+			for ctx.Err() == nil {
+				i := next.Add(1) - 1
+				if i >= idleHTTP2Conns {
+					return
+				}
+				conn, err := w.openIdleConn()
+				if err != nil {
+					failures.Add(1)
+					continue
+				}
+				conns[i] = conn
+			}
+		})
+	}
+	dialers.Wait()
+	return conns, failures.Load()
+}
+
+func closeConns(conns []*tls.Conn) {
+	for _, conn := range conns {
+		if conn != nil {
+			conn.NetConn().Close()
+		}
+	}
 }
 
-// askOnce opens a connection, asks for what no server is asked for, and leaves it open.
-func (w *web) askOnce() (*tls.Conn, error) {
-	c, err := tls.Dial("tcp", w.p.Addr("farm"), &tls.Config{RootCAs: w.ca.CertPool(), ServerName: webHost, NextProtos: []string{"h2"}})
+// openIdleConn opens a connection, exchanges settings and leaves it open.
+func (w *httpsFarm) openIdleConn() (*tls.Conn, error) {
+	conn, err := w.dialHTTP2()
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(30 * time.Second))
-	io.WriteString(c, http2.ClientPreface)
-	f := http2.NewFramer(c, bufio.NewReaderSize(c, 512))
-	f.WriteSettings()
+	conn.SetDeadline(time.Now().Add(idleHTTP2DialTimeout))
+	io.WriteString(conn, http2.ClientPreface)
+	framer := http2.NewFramer(conn, bufio.NewReaderSize(conn, 512))
+	framer.WriteSettings()
 	for {
-		frame, err := f.ReadFrame()
+		frame, err := framer.ReadFrame()
 		if err != nil {
-			c.Close()
+			conn.Close()
 			return nil, fmt.Errorf("no settings: %w", err)
 		}
-		if s, ok := frame.(*http2.SettingsFrame); ok && s.IsAck() {
-			c.SetDeadline(time.Time{})
-			return c, nil
+		if settings, ok := frame.(*http2.SettingsFrame); ok && settings.IsAck() {
+			conn.SetDeadline(time.Time{})
+			return conn, nil
 		}
 	}
 }
