--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -16,68 +16,43 @@
 	})
 }
 
-const (
-	costConns  = 16
-	costRounds = 5
-)
+// costRounds is how often the two processes are measured in turn.
+const costRounds = 5
 
 // errNoRequests tells that nothing was measured.
 var errNoRequests = errors.New("no requests")
 
 // cost compares the program with a plain reverse proxy over the same backends, in turn, so that both see the same machine.
 func cost(ctx context.Context, e *Env) error {
-	recorder := fake.NewEffectRecorder() // for its rules nothing is asked of it here: the load is too dense to keep
-	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) {
+	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { // without a recorder: the load is too dense for it
 		c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000
 	})
 	if err != nil {
 		return err
 	}
-	discovery, err := e.startDiscovery(recorder, backends)
+	program, err := e.startCostProgram(ctx, backends)
 	if err != nil {
 		return err
 	}
-	var program, proxy costSubject
-	program.program, err = e.Start(ctx, fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.farm]\ndiscovery = %q\n%s",
-		discovery.Addr(), classesTOML("farm")), 1)
+	proxy, err := e.startCostProxy(ctx, backends)
 	if err != nil {
 		return err
 	}
-	program.addr = program.program.Addr("farm")
-	args := []string{"proxy"}
-	for _, b := range backends {
-		args = append(args, b.Addr())
-	}
-	if proxy.program, err = e.Command(args...); err != nil {
-		return err
-	}
-	if _, err := proxy.program.AwaitLog(ctx, "msg=ready ", 1); err != nil {
-		return fmt.Errorf("the proxy: %w\n%s", err, proxy.program.LogTail(10))
-	}
-	proxy.addr = proxy.program.Addr("proxy")
-	sides := []*costSubject{&program, &proxy}
+	subjects := []*costSubject{program, proxy}
 	round := e.Duration / costRounds
 	for n := range costRounds + 1 { // the first warms up
 		e.Phase(fmt.Sprintf("round %d of %d", n, costRounds), 2*round)
-		for i := range sides {
-			s := sides[(i+n)%2]
-			if err := s.measureRound(ctx, round, n > 0); err != nil {
+		for i := range subjects {
+			if err := subjects[(i+n)%2].measureRound(ctx, round, n > 0); err != nil {
 				return err
 			}
 		}
 	}
-	for i, name := range []string{"program", "proxy"} {
-		s := sides[i]
-		if s.resident, err = s.program.MemoryMB(); err != nil {
-			return err
-		}
-		e.Measure(name+"_requests", float64(s.requests))
-		e.Measure(name+"_failed", float64(s.failed))
-		e.Measure(name+"_cpu_us_a_request", median(s.cpu))
-		e.Measure(name+"_requests_a_second", median(s.rate))
-		e.Measure(name+"_p50_ms", median(s.p50))
-		e.Measure(name+"_p99_ms", median(s.p99))
-		e.Measure(name+"_memory_mb", s.resident)
+	if err := program.measure(e, "program"); err != nil {
+		return err
+	}
+	if err := proxy.measure(e, "proxy"); err != nil {
+		return err
 	}
 	e.Measure("cpu_ratio", ratio(program.cpu, proxy.cpu))
 	e.Measure("rate_ratio", ratio(program.rate, proxy.rate))
@@ -86,3 +61,34 @@
 	e.AtMost("program_failed_share", float64(program.failed)/float64(max(1, program.requests)), 0.01)
 	return nil
 }
+
+// startCostProgram starts the program in front of the backends.
+func (e *Env) startCostProgram(ctx context.Context, backends []*fake.Backend) (*costSubject, error) {
+	discovery, err := e.startDiscovery(nil, backends)
+	if err != nil {
+		return nil, err
+	}
+	text := fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.farm]\ndiscovery = %q\n%s",
+		discovery.Addr(), classesTOML("farm"))
+	program, err := e.Start(ctx, text, 1)
+	if err != nil {
+		return nil, err
+	}
+	return &costSubject{program: program, addr: program.Addr("farm")}, nil
+}
+
+// startCostProxy starts the standard library's reverse proxy in front of the backends.
+func (e *Env) startCostProxy(ctx context.Context, backends []*fake.Backend) (*costSubject, error) {
+	args := []string{"proxy"}
+	for _, backend := range backends {
+		args = append(args, backend.Addr())
+	}
+	proxy, err := e.Command(args...)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := proxy.AwaitLog(ctx, readyMessage, 1); err != nil {
+		return nil, fmt.Errorf("the proxy: %w\n%s", err, proxy.LogTail(10))
+	}
+	return &costSubject{program: proxy, addr: proxy.Addr("proxy")}, nil
+}
--- a/internal/e2e/costround.go
+++ b/internal/e2e/costround.go
@@ -13,79 +13,110 @@
 	"time"
 )
 
-// costSubject is one of the two that are compared.
+const (
+	costConns           = 16
+	costExchangeTimeout = 5 * time.Second
+	maxCostBodyBytes    = 1 << 20
+)
+
+// costSubject is a process whose cost is measured.
 type costSubject struct {
 	program  *Program
 	addr     string
 	cpu      []float64 // microseconds a request, by round
-	rate     []float64 // requests a second
-	p50, p99 []float64 // milliseconds
-	resident float64
+	rate     []float64 // requests a second, by round
+	p50, p99 []float64 // milliseconds, by round
 	requests int
 	failed   int
 }
 
-// measureRound sends requests over kept connections for a round, each connection the next as soon as the last is answered.
+// measureRound sends requests over costConns connections for a time. Each connection has one request in flight. The round is
+// recorded if counts is set; else it only warms the process up.
 func (s *costSubject) measureRound(ctx context.Context, length time.Duration, counts bool) error {
 	before, err := s.program.CPU()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	var all sync.WaitGroup
+	latencies, failed := s.loadConns(ctx, began.Add(length))
+	duration := time.Since(began)
+	after, err := s.program.CPU()
+	if err != nil {
+		return err
+	}
+	if counts && len(latencies) > 0 {
+		s.record(latencies, failed, after-before, duration)
+	}
+	return ctx.Err()
+}
+
+// loadConns runs the connections until a moment.
+func (s *costSubject) loadConns(ctx context.Context, until time.Time) (latencies []time.Duration, failed int) {
+	var conns sync.WaitGroup
 	var mu sync.Mutex
-	var latencies []time.Duration
-	failed := 0
 	for i := range costConns {
-		all.Go(func() {
-			own, bad := closedLoop(ctx, s.addr, i, began.Add(length))
+		conns.Go(func() {
+			ofConn, failedOfConn := closedLoop(ctx, s.addr, i, until)
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, own...)
-			failed += bad
+			latencies = append(latencies, ofConn...)
+			failed += failedOfConn
 		})
 	}
-	all.Wait()
-	spent := time.Since(began)
-	after, err := s.program.CPU()
-	if err != nil {
-		return err
-	}
-	if !counts || len(latencies) == 0 {
-		return ctx.Err()
-	}
+	conns.Wait()
+	return latencies, failed
+}
+
+// record records a round.
+func (s *costSubject) record(latencies []time.Duration, failed int, cpu, duration time.Duration) {
 	slices.Sort(latencies)
 	n := len(latencies)
 	s.requests += n
 	s.failed += failed
-	s.cpu = append(s.cpu, float64((after-before).Microseconds())/float64(n))
-	s.rate = append(s.rate, float64(n)/spent.Seconds())
+	s.cpu = append(s.cpu, float64(cpu.Microseconds())/float64(n))
+	s.rate = append(s.rate, float64(n)/duration.Seconds())
 	s.p50 = append(s.p50, float64(latencies[n/2])/1e6)
 	s.p99 = append(s.p99, float64(latencies[n*99/100])/1e6)
-	return ctx.Err()
 }
 
-func closedLoop(ctx context.Context, addr string, conn int, until time.Time) (latencies []time.Duration, failed int) {
-	c, err := net.Dial("tcp", addr)
+// measure measures the medians over all rounds; name begins the measures' names.
+func (s *costSubject) measure(e *Env, name string) error {
+	memory, err := s.program.MemoryMB()
+	if err != nil {
+		return err
+	}
+	e.Measure(name+"_requests", float64(s.requests))
+	e.Measure(name+"_failed", float64(s.failed))
+	e.Measure(name+"_cpu_us_a_request", median(s.cpu))
+	e.Measure(name+"_requests_a_second", median(s.rate))
+	e.Measure(name+"_p50_ms", median(s.p50))
+	e.Measure(name+"_p99_ms", median(s.p99))
+	e.Measure(name+"_memory_mb", memory)
+	return nil
+}
+
+// closedLoop sends one request after the other over a connection until a moment, or until the connection fails.
+func closedLoop(ctx context.Context, addr string, index int, until time.Time) (latencies []time.Duration, failed int) {
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, 1
 	}
-	defer c.Close()
-	r := bufio.NewReader(c)
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for i := 0; time.Now().Before(until) && ctx.Err() == nil; i++ {
 		began := time.Now()
-		c.SetDeadline(began.Add(5 * time.Second))
-		id := fmt.Sprintf("cost-%d-%d-%d", until.UnixNano(), conn, i)
+		conn.SetDeadline(began.Add(costExchangeTimeout))
+		id := fmt.Sprintf("cost-%d-%d-%d", until.UnixNano(), index, i)
 		text := "GET /allocation-check/" + id + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Timeout-Ms: 600\r\n\r\n"
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			return latencies, failed + 1
 		}
-		resp, err := http.ReadResponse(r, nil)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return latencies, failed + 1
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-		if err != nil || resp.StatusCode != http.StatusOK || !strings.HasPrefix(string(body), "allocation-check ") {
+		body, err := io.ReadAll(io.LimitReader(response.Body, maxCostBodyBytes))
+		if err != nil || response.StatusCode != http.StatusOK || !strings.HasPrefix(string(body), "allocation-check ") {
 			failed++
 		}
 		latencies = append(latencies, time.Since(began))
@@ -93,6 +124,7 @@
 	return latencies, failed
 }
 
+// median returns the median, 0 of none.
 func median(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -101,7 +133,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// ratio is the median of the ratios, round by round.
+// ratio returns the median of the rounds' ratios.
 func ratio(a, b []float64) float64 {
 	var all []float64
 	for i := range min(len(a), len(b)) {
--- a/internal/e2e/link_protocols.go
+++ b/internal/e2e/link_protocols.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -23,38 +22,39 @@
 }
 
 const (
-	linkDelay          = 8 * time.Millisecond // one way, as between clare-pump and giru-office
-	linkBytesPerSecond = 8 << 20              // bytes a second each way
-	shortRate          = 200                  // short requests a second
-	longRate           = 20                   // bodies of 64 KiB a second
-	linkRequestTimeout = 400 * time.Millisecond
+	linkDelay           = 8 * time.Millisecond // one way
+	linkBytesPerSecond  = 8 << 20              // each way
+	linkRequestTimeout  = 400 * time.Millisecond
+	linkServiceTime     = 5 * time.Millisecond // of the far side
+	linkPingTimeout     = 100 * time.Millisecond
+	linkHeaderTimeout   = 5 * time.Second
+	maxLinkIdleConns    = 1000
+	maxLinkRequestBytes = 1 << 20
+
+	shortRate  = 200 // short requests a second
+	shortBytes = 200
+	longRate   = 20 // long requests a second
+	longBytes  = 64 << 10
 )
 
-// linkProtocol is one of the two protocols over a link of its own.
+// linkProtocol is one of the two protocols, over a link of its own.
 type linkProtocol struct {
-	name   string
-	proxy  *fake.Proxy
-	client *http.Client
-	base   string
+	name    string
+	proxy   *fake.Proxy
+	client  *http.Client
+	baseURL string
 }
 
-// newLinkProtocol starts a far side, a link to it and a client that speaks HTTP/2 or HTTP/1.1.
-func newLinkProtocol(e *Env, name string, two bool) (*linkProtocol, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newLinkProtocol starts a far side, a link to it and a client, which speak HTTP/2 or HTTP/1.1.
+func newLinkProtocol(e *Env, name string, useHTTP2 bool) (*linkProtocol, error) {
+	var protocols http.Protocols
+	protocols.SetHTTP1(!useHTTP2)
+	protocols.SetUnencryptedHTTP2(useHTTP2)
+	serverAddr, err := startLinkServer(e, &protocols)
 	if err != nil {
 		return nil, err
 	}
-	var protocols http.Protocols
-	protocols.SetHTTP1(!two)
-	protocols.SetUnencryptedHTTP2(two)
-	server := &http.Server{Protocols: &protocols, ReadHeaderTimeout: 5 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		io.Copy(io.Discard, io.LimitReader(q.Body, 1<<20))
-		time.Sleep(5 * time.Millisecond) // the far side's work
-		w.Write([]byte("done"))
-	})}
-	go server.Serve(ln)
-	e.Defer(func() { server.Close() })
-	proxy, err := fake.StartProxy(ln.Addr().String())
+	proxy, err := fake.StartProxy(serverAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -62,127 +62,181 @@
 	proxy.SetDelay(linkDelay)
 	proxy.SetRate(linkBytesPerSecond)
 	transport := &http.Transport{
-		Protocols: &protocols, MaxIdleConnsPerHost: 1000, DisableCompression: true,
-		HTTP2: &http.HTTP2Config{SendPingTimeout: 100 * time.Millisecond, PingTimeout: 100 * time.Millisecond},
+		Protocols: &protocols, MaxIdleConnsPerHost: maxLinkIdleConns, DisableCompression: true,
+		HTTP2: &http.HTTP2Config{SendPingTimeout: linkPingTimeout, PingTimeout: linkPingTimeout},
 	}
 	e.Defer(transport.CloseIdleConnections)
-	return &linkProtocol{name: name, proxy: proxy, client: &http.Client{Transport: transport}, base: "http://" + proxy.Addr()}, nil
+	return &linkProtocol{name: name, proxy: proxy, client: &http.Client{Transport: transport}, baseURL: "http://" + proxy.Addr()}, nil
 }
 
-// linkResults is what became of requests.
+// startLinkServer starts the far side, and returns its address.
+func startLinkServer(e *Env, protocols *http.Protocols) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	handler := func(w http.ResponseWriter, request *http.Request) {
+		io.Copy(io.Discard, io.LimitReader(request.Body, maxLinkRequestBytes))
+		time.Sleep(linkServiceTime)
+		w.Write([]byte("done"))
+	}
+	server := &http.Server{Protocols: protocols, ReadHeaderTimeout: linkHeaderTimeout, Handler: http.HandlerFunc(handler)}
+	go server.Serve(listener)
+	e.Defer(func() { server.Close() })
+	return listener.Addr().String(), nil
+}
+
+// linkResults are what became of requests. The fields may be read once send has returned.
 type linkResults struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	latencies []time.Duration
 	failed    int
 	requests  int
 }
 
-func (c *linkResults) percentile(part float64) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.latencies) == 0 {
+// percentile returns the latency below which the fraction p of the answered requests lies; linkRequestTimeout if there are none.
+func (r *linkResults) percentile(p float64) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.latencies) == 0 {
 		return linkRequestTimeout
 	}
-	sorted := slices.Sorted(slices.Values(c.latencies))
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+	return quantile(r.latencies, p)
 }
 
-// send sends requests at a rate for a time, each with a body of n bytes and the deadline of a hop.
-func (c *linkProtocol) send(ctx context.Context, rate float64, n int, length time.Duration) *linkResults {
-	out := &linkResults{}
+func (r *linkResults) record(latency time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests++
+	if err != nil {
+		r.failed++
+		return
+	}
+	r.latencies = append(r.latencies, latency)
+}
+
+// send sends requests at a rate for a time, each with a body of n bytes.
+func (l *linkProtocol) send(ctx context.Context, rate float64, n int, length time.Duration) *linkResults {
+	results := &linkResults{}
 	body := bytes.Repeat([]byte("b"), n)
-	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
 	end := time.After(length)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	for {
 		select {
 		case <-ctx.Done():
-			return out
+			return results
 		case <-end:
-			return out
-		case <-tick.C:
+			return results
+		case <-ticker.C:
 		}
-		all.Go(func() {
+		requests.Go(func() {
 			began := time.Now()
-			own, cancel := context.WithTimeout(ctx, linkRequestTimeout)
-			defer cancel()
-			q, err := http.NewRequestWithContext(own, http.MethodPost, c.base+"/order", bytes.NewReader(body))
-			if err == nil {
-				var resp *http.Response
-				if resp, err = c.client.Do(q); err == nil {
-					_, err = io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
-				}
-			}
-			out.mu.Lock()
-			defer out.mu.Unlock()
-			out.requests++
-			if err != nil {
-				out.failed++
-				return
-			}
-			out.latencies = append(out.latencies, time.Since(began))
+			err := l.exchange(ctx, body)
+			results.record(time.Since(began), err)
 		})
 	}
 }
 
+// exchange sends one request and reads its response.
+func (l *linkProtocol) exchange(ctx context.Context, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, linkRequestTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, l.baseURL+"/order", bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	response, err := l.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return err
+}
+
+// processCPU returns the processor time that this process has used, which both sides of the links are part of.
 func processCPU() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
+// linkProtocols compares HTTP/1.1 and HTTP/2 between two sites.
 func linkProtocols(ctx context.Context, e *Env) error {
-	one, err := newLinkProtocol(e, "http1", false)
+	http1, err := newLinkProtocol(e, "http1", false)
 	if err != nil {
 		return err
 	}
-	two, err := newLinkProtocol(e, "http2", true)
+	http2, err := newLinkProtocol(e, "http2", true)
 	if err != nil {
 		return err
 	}
-	part := e.Duration / 6
-	costs := map[string]float64{}
-	for _, c := range []*linkProtocol{one, two} {
-		e.Phase(c.name+": short requests", part)
-		c.send(ctx, shortRate, 200, part/4) // warms up
-		began := processCPU()
-		short := c.send(ctx, shortRate, 200, part)
-		costs[c.name] = float64((processCPU() - began).Microseconds()) / float64(max(1, short.requests))
-		e.Measure(c.name+"_p50_ms", milliseconds(short.percentile(0.5)))
-		e.Measure(c.name+"_p99_ms", milliseconds(short.percentile(0.99)))
-		e.Measure(c.name+"_cpu_us_both_sides", costs[c.name])
-		e.Measure(c.name+"_connections", float64(c.proxy.Connections()))
-
-		e.Phase(c.name+": long bodies beside", part)
-		var beside *linkResults
-		var both sync.WaitGroup
-		both.Go(func() { c.send(ctx, longRate, 64<<10, part) })
-		both.Go(func() { beside = c.send(ctx, shortRate, 200, part) })
-		both.Wait()
-		e.Measure(c.name+"_p99_beside_long_bodies_ms", milliseconds(beside.percentile(0.99)))
-
-		e.Phase(c.name+": one connection stands still", part)
-		var stalled *linkResults
-		both.Go(func() { stalled = c.send(ctx, shortRate, 200, part) })
-		both.Go(func() {
-			select {
-			case <-ctx.Done():
-			case <-time.After(part / 4):
-				c.proxy.StallConnection()
-			}
-		})
-		both.Wait()
-		e.Measure(c.name+"_failed_with_one_stalled", float64(stalled.failed))
-		e.Measure(c.name+"_requests_with_one_stalled", float64(stalled.requests))
-		if stalled.requests == 0 || len(short.latencies) == 0 {
-			return fmt.Errorf("%s: nothing was carried", c.name)
+	length := e.Duration / 6
+	costs := map[string]float64{} // microseconds of processor time a request
+	for _, protocol := range []*linkProtocol{http1, http2} {
+		if costs[protocol.name], err = protocol.measureShort(ctx, e, length); err != nil {
+			return err
+		}
+		protocol.measureBesideLong(ctx, e, length)
+		if err := protocol.measureStalled(ctx, e, length); err != nil {
+			return err
 		}
 	}
 	e.Measure("cpu_ratio_http2_to_http1", costs["http2"]/costs["http1"])
 	return nil
 }
+
+// measureShort measures short requests alone, and returns the processor time that one costs both sides, in microseconds.
+func (l *linkProtocol) measureShort(ctx context.Context, e *Env, length time.Duration) (cost float64, err error) {
+	e.Phase(l.name+": short requests", length)
+	l.send(ctx, shortRate, shortBytes, length/4) // warms up
+	before := processCPU()
+	results := l.send(ctx, shortRate, shortBytes, length)
+	cost = float64((processCPU() - before).Microseconds()) / float64(max(1, results.requests))
+	e.Measure(l.name+"_p50_ms", milliseconds(results.percentile(0.5)))
+	e.Measure(l.name+"_p99_ms", milliseconds(results.percentile(0.99)))
+	e.Measure(l.name+"_cpu_us_both_sides", cost)
+	e.Measure(l.name+"_connections", float64(l.proxy.Connections()))
+	if len(results.latencies) == 0 {
+		return 0, l.errNothingCarried()
+	}
+	return cost, nil
+}
+
+func (l *linkProtocol) errNothingCarried() error { return fmt.Errorf("%s: %w", l.name, errNoRequests) }
+
+// measureBesideLong measures short requests beside long ones.
+func (l *linkProtocol) measureBesideLong(ctx context.Context, e *Env, length time.Duration) {
+	e.Phase(l.name+": long bodies beside", length)
+	var results *linkResults
+	var both sync.WaitGroup
+	both.Go(func() { l.send(ctx, longRate, longBytes, length) })
+	both.Go(func() { results = l.send(ctx, shortRate, shortBytes, length) })
+	both.Wait()
+	e.Measure(l.name+"_p99_beside_long_bodies_ms", milliseconds(results.percentile(0.99)))
+}
+
+// measureStalled measures short requests while one connection stalls.
+func (l *linkProtocol) measureStalled(ctx context.Context, e *Env, length time.Duration) error {
+	e.Phase(l.name+": one connection stands still", length)
+	var results *linkResults
+	var both sync.WaitGroup
+	both.Go(func() { results = l.send(ctx, shortRate, shortBytes, length) })
+	both.Go(func() {
+		if pause(ctx, length/4) {
+			l.proxy.StallConnection()
+		}
+	})
+	both.Wait()
+	e.Measure(l.name+"_failed_with_one_stalled", float64(results.failed))
+	e.Measure(l.name+"_requests_with_one_stalled", float64(results.requests))
+	if results.requests == 0 {
+		return l.errNothingCarried()
+	}
+	return nil
+}
