--- a/internal/e2e/two_sites.go
+++ b/internal/e2e/two_sites.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// gatewayOverload asks more of both sites than they can do: nothing is to be passed to and fro, and no more is attempted than by
+// gatewayOverload overloads both sites: nothing is to be forwarded to and fro, and no more attempts are made than by
 // sites that know nothing of each other.
 func gatewayOverload(ctx context.Context, e *Env) error {
 	var attempts, served [2]float64
@@ -168,7 +168,7 @@
 		}
 		prefix := fmt.Sprintf("loss_%.0f_", 100*part)
 		e.Measure(prefix+"served_without_gateway", served[1])
-		// Both sites together keep at least half of their backends, which is over what is asked: a policy that sees all serves all.
+		// Both sites together keep at least half of their backends, which is more than the load needs: a policy that sees all serves all.
 		e.AtLeast(prefix+"served", served[0], 0.95)
 	}
 	return nil
@@ -217,6 +217,7 @@
 	return nil
 }
 
+// gatewayDrain shuts both sites down while requests cross between them.
 func gatewayDrain(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -231,7 +232,7 @@
 			scriptStep{0.15, func() { t.drainFraction(0.66, false) }},
 			scriptStep{0.6, func() {
 				for _, p := range t.programs {
-					stopping.Go(func() { _ = p.Stop() }) // how it ended is told by what its clients saw
+					stopping.Go(func() { _ = p.Stop() }) // its clients' results show how it ended
 				}
 			}})
 	})
@@ -242,6 +243,7 @@
 	return nil
 }
 
+// gatewayFlap resets and stalls the link again and again.
 func gatewayFlap(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -263,6 +265,7 @@
 	return nil
 }
 
+// gatewaySplit cuts the link between the sites while the first has lost half of its backends.
 func gatewaySplit(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
