--- /dev/null
+++ b/internal/e2e/replica_rush.go
@@ -0,0 +1,134 @@
+package e2e
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"sorrelrudder/internal/fake"
+)
+
+func init() {
+	Register(Scenario{
+		Name: "replica-rush", Duration: 28 * time.Second, Run: replicaRush,
+		Summary: "processes are killed and started again in the rush while two of nine servers are dead: what each serves in its first three seconds, beside its neighbours",
+	})
+}
+
+// rushCompareTime is the time after a member's start in which it is compared with its neighbours.
+const rushCompareTime = 3 * time.Second
+
+// rushOutcome is what members served that had just been restarted, and the others meanwhile.
+type rushOutcome struct{ restarted, neighbours *fake.ClientResults }
+
+// behind is how much less the restarted members served.
+func (o rushOutcome) behind() float64 {
+	return o.neighbours.ServedFraction() - o.restarted.ServedFraction()
+}
+
+// replicaRush restarts members under load, two at a time, while backends have vanished that only those know of which have met them.
+func replicaRush(ctx context.Context, e *Env) error {
+	recorder := fake.NewEffectRecorder()
+	alone, err := e.playRush(ctx, false, recorder)
+	if err != nil {
+		return err
+	}
+	shared, err := e.playRush(ctx, true, recorder)
+	if err != nil {
+		return err
+	}
+	e.Measure("behind_alone", alone.behind())
+	e.AtMost("behind", shared.behind(), 0.03) // of some 600 requests: 0.01 over many seeds
+	e.checkAnsweredOnce(recorder, "")
+	return nil
+}
+
+func (e *Env) playRush(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (outcome rushOutcome, err error) {
+	f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
+		processes: 10, voters: 3, backends: 9, recorder: recorder,
+		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
+	})
+	if err != nil {
+		return rushOutcome{}, err
+	}
+	e.Phase("killed and started again in the rush, "+name, e.Duration/2)
+	f.runClientsFor(ctx, 2*time.Second, name+"warm", 20, recorder)
+	for _, backend := range f.backends[:2] {
+		f.logEvent("%s dies", backend.Name())
+		backend.SetFault(vanished)
+	}
+	maxStart := time.Duration(0)
+	for round := range int(e.Duration / 2 / (rushCompareTime + time.Second)) {
+		restarted := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
+		startTime, err := f.restartTogether(ctx, restarted)
+		if err != nil {
+			return rushOutcome{}, err
+		}
+		maxStart = max(maxStart, startTime)
+		outcome.add(f.compareRestarted(ctx, restarted, name, round, recorder))
+	}
+	lost := f.lostRequests()
+	f.drainAll()
+	e.Measure(name+"_started_s", maxStart.Seconds())
+	e.Measure(name+"_dead_sends", float64(lost))
+	e.Measure(name+"_served_first", outcome.restarted.ServedFraction())
+	e.Measure(name+"_served_neighbours", outcome.neighbours.ServedFraction())
+	e.Measure(name+"_ops_first", float64(outcome.restarted.Operations()))
+	return outcome, nil
+}
+
+// restartTogether kills members, starts them again and returns how long it took until all were ready.
+func (f *fleet) restartTogether(ctx context.Context, indexes map[int]bool) (time.Duration, error) {
+	for i := range indexes {
+		f.members[i].kill()
+	}
+	began := time.Now()
+	for i := range indexes {
+		if err := f.members[i].start(); err != nil {
+			return 0, err
+		}
+	}
+	for i := range indexes {
+		if err := f.members[i].awaitReady(ctx); err != nil {
+			return 0, err
+		}
+	}
+	return time.Since(began), nil
+}
+
+// compareRestarted has clients send requests, without retries, to all members for rushCompareTime.
+func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) rushOutcome {
+	const rate = 30
+	load, cancel := context.WithTimeout(ctx, rushCompareTime)
+	defer cancel()
+	var configs []fake.ClientConfig
+	for i, member := range f.members {
+		cfg := farmClients(fmt.Sprint(name, round, member.name), member.currentProgram().Addr("farm"), rate, recorder,
+			f.env.Seed<<16+uint64(i*100+round))
+		cfg.MaxAttempts, cfg.Backoff, cfg.HonorRetryAfter = 1, 0, false
+		configs = append(configs, cfg)
+	}
+	var outcome rushOutcome
+	for i, results := range runAll(load, configs) {
+		if restarted[i] {
+			outcome.restarted = mergeOptional(outcome.restarted, results)
+		} else {
+			outcome.neighbours = mergeOptional(outcome.neighbours, results)
+		}
+	}
+	return outcome
+}
+
+// add adds the results of a round.
+func (o *rushOutcome) add(round rushOutcome) {
+	o.restarted = mergeOptional(o.restarted, round.restarted)
+	o.neighbours = mergeOptional(o.neighbours, round.neighbours)
+}
+
+// mergeOptional returns the sum of results, of which sum may be nil.
+func mergeOptional(sum, results *fake.ClientResults) *fake.ClientResults {
+	if sum == nil {
+		return results
+	}
+	return sum.Merge(results)
+}
--- a/internal/e2e/bridge.go
+++ b/internal/e2e/two_sites.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net"
-	"strings"
 	"sync"
 	"time"
 
@@ -26,183 +24,6 @@
 	}
 }
 
-const (
-	// siteDelay is the delay of the link, one way.
-	siteDelay = 8 * time.Millisecond
-	// siteBackends is how many backends a site has, and siteRate the operations a second of its clients: about 0.6 of what its
-	// backends can do.
-	siteBackends = 6
-	siteRate     = 300
-)
-
-// twoSites are two programs, each with backends, discovery and a link to the other.
-type twoSites struct {
-	recorder    *fake.EffectRecorder
-	names       [2]string
-	backends    [2][]*fake.Backend
-	discoveries [2]*fake.Discovery
-	proxies     [2]*fake.Proxy // from the site to the other
-	programs    [2]*Program
-}
-
-// freeAddress is a port on which nothing listens at present. Two programs must know each other's before they start.
-func freeAddress() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
-}
-
-// siteTOML is the file of one site.
-func siteTOML(name, hopAt, discovery, peer, peerAt string) string {
-	classes := strings.ReplaceAll(classesTOML("farm"), "repeats_dropped_for", "repeats_dropped_at_both_sites = true\nrepeats_dropped_for")
-	to := fmt.Sprintf("[pools.farm.spill]\nto = %q\n", peer)
-	if peerAt == "" {
-		return fmt.Sprintf("[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\ndiscovery = %q\n%s", discovery, classes)
-	}
-	return fmt.Sprintf(`[site]
-name = %q
-
-[[peers]]
-name = %q
-address = %q
-from = ["127.0.0.1"]
-
-[[listeners]]
-name = "farm"
-address = "127.0.0.1:0"
-
-[[listeners]]
-name = "sites"
-address = %q
-sites = true
-
-[pools.farm]
-discovery = %q
-zone = %q
-%s
-%s`, name, peer, peerAt, hopAt, discovery, name, to, classes)
-}
-
-// startSites starts two sites; without a gateway they know nothing of each other.
-func startSites(ctx context.Context, e *Env, gateway bool) (*twoSites, error) {
-	return startSitesOf(ctx, e, gateway, 12*time.Millisecond)
-}
-
-// startSitesOf does so with backends of such a service time.
-func startSitesOf(ctx context.Context, e *Env, gateway bool, service time.Duration) (*twoSites, error) {
-	t := &twoSites{recorder: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
-	repeats := fake.NewDeduplicator(time.Minute) // of both sites together
-	var hops [2]string
-	for i, name := range t.names {
-		var err error
-		t.backends[i], err = e.startBackends(name, siteBackends, t.recorder, func(c *fake.BackendConfig) {
-			c.Zone, c.Deduplicator, c.Cores, c.ServiceTime = name, repeats, 1, service
-			c.Seed += uint64(i) << 32
-		})
-		if err != nil {
-			return nil, err
-		}
-		if t.discoveries[i], err = e.startDiscovery(t.recorder, t.backends[i]); err != nil {
-			return nil, err
-		}
-		if hops[i], err = freeAddress(); err != nil {
-			return nil, err
-		}
-	}
-	for i := range t.names {
-		var err error
-		if t.proxies[i], err = fake.StartProxy(hops[1-i]); err != nil {
-			return nil, err
-		}
-		e.Defer(t.proxies[i].Close)
-		t.proxies[i].SetDelay(siteDelay)
-	}
-	for i, name := range t.names {
-		at, listeners := "", 1
-		if gateway {
-			at, listeners = t.proxies[i].Addr(), 2
-		}
-		var err error
-		if t.programs[i], err = e.StartNamed(ctx, name, siteTOML(name, hops[i], t.discoveries[i].Addr(), t.names[1-i], at), listeners); err != nil {
-			return nil, err
-		}
-	}
-	if gateway {
-		open, cancel := context.WithTimeout(ctx, readyTimeout)
-		defer cancel()
-		for _, p := range t.programs {
-			if _, err := p.AwaitLog(open, "to=open", 1); err != nil {
-				return nil, fmt.Errorf("a link did not open: %w\n%s", err, p.LogTail(20))
-			}
-		}
-	}
-	return t, nil
-}
-
-// runClients has clients at both sites ask for a while, and returns what became of them.
-func (t *twoSites) runClients(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) (all [2]*fake.ClientResults) {
-	var both sync.WaitGroup
-	for i, name := range t.names {
-		both.Go(func() {
-			all[i] = fake.RunClients(ctx, fake.ClientConfig{
-				Name: fmt.Sprintf("%s-%s", phase, name), Addr: t.programs[i].Addr("farm"), Host: "farm.example.org", Rate: rates[i], MaxAttempts: 3,
-				Backoff: 30 * time.Millisecond, HonorRetryAfter: true, Classes: classes, Recorder: t.recorder, Seed: e.Seed + uint64(i)<<8,
-			})
-		})
-	}
-	both.Wait()
-	return all
-}
-
-// drainFraction has a part of the servers of the first site refuse everything, or take requests again.
-func (t *twoSites) drainFraction(part float64, back bool) {
-	const site = 0
-	n := int(part*siteBackends + 0.5)
-	if part > 0 && n == 0 {
-		n = 1
-	}
-	for _, b := range t.backends[site][:n] {
-		b.Drain(!back)
-	}
-	t.discoveries[site].SetEndpoints(endpoints(t.backends[site])...)
-}
-
-// drainAll stops the programs.
-func (t *twoSites) drainAll(e *Env) {
-	for _, p := range t.programs {
-		if err := p.Stop(); err != nil {
-			e.Fail("a program ended with %v", err)
-		}
-	}
-}
-
-// finish stops the programs and checks the rules.
-func (t *twoSites) finish(e *Env, prefix string) {
-	t.drainAll(e)
-	v := e.CheckRules(t.recorder)
-	e.Measure(prefix+"answered_once", float64(v.Answered)/float64(max(1, v.Attempts)))
-	e.AtMost(prefix+"duplicates", float64(v.DuplicateEffects), 0)
-	e.AtMost(prefix+"amplification", float64(v.Arrivals)/float64(max(1, v.Operations)), 3)
-	crossed := 0
-	for i, backends := range t.backends {
-		crossed += t.recorder.ArrivalsAt(backendNames(backends), t.names[1-i])
-	}
-	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Operations)))
-}
-
-func backendNames(backends []*fake.Backend) map[string]bool {
-	names := map[string]bool{}
-	for _, b := range backends {
-		names[b.Name()] = true
-	}
-	return names
-}
-
-var siteClasses = []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
-
 // gatewayCalm plays two sites with room, with the gateway and without it, so that its cost shows.
 func gatewayCalm(ctx context.Context, e *Env) error {
 	var cost [2]float64
@@ -214,7 +35,7 @@
 		phase := []string{"alone", "joined"}[k]
 		e.Phase("two calm sites, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
-		all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate}, siteClasses...)
+		all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate}, farmClasses...)
 		cancel()
 		sum := all[0].Merge(all[1])
 		for _, p := range t.programs {
@@ -271,7 +92,7 @@
 	return nil
 }
 
-// gatewayOverload asks more of both sites than they can do: nothing is to be passed to and fro, and no more is attempted than by
+// gatewayOverload overloads both sites: nothing is to be forwarded to and fro, and no more attempts are made than by
 // sites that know nothing of each other.
 func gatewayOverload(ctx context.Context, e *Env) error {
 	var attempts, served [2]float64
@@ -283,7 +104,7 @@
 		phase := []string{"alone", "joined"}[k]
 		e.Phase("both sites overloaded, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
-		all := t.runClients(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, siteClasses...)
+		all := t.runClients(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, farmClasses...)
 		cancel()
 		served[k] = all[0].Merge(all[1]).ServedFraction()
 		if gateway {
@@ -330,7 +151,7 @@
 					defer mu.Unlock()
 					back = time.Now()
 				}})
-			all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate / 3}, siteClasses...)
+			all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate / 3}, farmClasses...)
 			cancel()
 			served[k] = all[0].Merge(all[1]).ServedFraction()
 			if gateway {
@@ -347,7 +168,7 @@
 		}
 		prefix := fmt.Sprintf("loss_%.0f_", 100*part)
 		e.Measure(prefix+"served_without_gateway", served[1])
-		// Both sites together keep at least half of their backends, which is over what is asked: a policy that sees all serves all.
+		// Both sites together keep at least half of their backends, which is more than the load needs: a policy that sees all serves all.
 		e.AtLeast(prefix+"served", served[0], 0.95)
 	}
 	return nil
@@ -381,7 +202,7 @@
 		scriptStep{0.7, func() { t.proxies[0].StallConnection() }},
 		scriptStep{0.8, func() { t.proxies[0].ResetConnections() }},
 	)
-	all := t.runClients(load, e, "stall", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	all := t.runClients(load, e, "stall", [2]float64{siteRate, siteRate / 3}, farmClasses...)
 	t.finish(e, "")
 	e.measureResults("", all[0])
 	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.7)
@@ -396,6 +217,7 @@
 	return nil
 }
 
+// gatewayDrain shuts both sites down while requests cross between them.
 func gatewayDrain(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -410,17 +232,18 @@
 			scriptStep{0.15, func() { t.drainFraction(0.66, false) }},
 			scriptStep{0.6, func() {
 				for _, p := range t.programs {
-					stopping.Go(func() { _ = p.Stop() }) // how it ended is told by what its clients saw
+					stopping.Go(func() { _ = p.Stop() }) // its clients' results show how it ended
 				}
 			}})
 	})
-	all := t.runClients(load, e, "drain", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	all := t.runClients(load, e, "drain", [2]float64{siteRate, siteRate / 3}, farmClasses...)
 	stopping.Wait()
 	t.finish(e, "")
 	e.measureResults("", all[0].Merge(all[1]))
 	return nil
 }
 
+// gatewayFlap resets and stalls the link again and again.
 func gatewayFlap(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -434,14 +257,15 @@
 		steps = append(steps, scriptStep{at, t.proxies[0].ResetConnections}, scriptStep{at + 0.03, func() { t.proxies[0].SetStalled(true) }}, scriptStep{at + 0.05, func() { t.proxies[0].SetStalled(false) }})
 	}
 	go runScript(load, e.Duration, steps...)
-	all := t.runClients(load, e, "flap", [2]float64{siteRate, siteRate / 3}, siteClasses...)
+	all := t.runClients(load, e, "flap", [2]float64{siteRate, siteRate / 3}, farmClasses...)
 	t.finish(e, "")
 	e.measureResults("", all[0])
 	e.Measure("served", all[0].Merge(all[1]).ServedFraction())
-	e.Measure("changes_of_the_link", float64(t.programs[0].CountLog("msg=link ")))
+	e.Measure("changes_of_the_link", float64(t.programs[0].CountLog(`msg="site link changed state"`)))
 	return nil
 }
 
+// gatewaySplit cuts the link between the sites while the first has lost half of its backends.
 func gatewaySplit(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -463,7 +287,7 @@
 				l.SetStalled(false)
 			}
 		}})
-	all := t.runClients(load, e, "split", [2]float64{siteRate, siteRate}, siteClasses...)
+	all := t.runClients(load, e, "split", [2]float64{siteRate, siteRate}, farmClasses...)
 	t.finish(e, "")
 	e.measureResults("", all[0].Merge(all[1]))
 	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.8)
