--- a/internal/pool/watch_staleness_test.go
+++ b/internal/pool/watch_staleness_test.go
@@ -8,6 +8,9 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
+	"strconv"
+	"syscall"
 	"testing"
 	"time"
 
@@ -196,22 +199,45 @@
 	within(t, "never answered", mute.at, nextCall(t, moved).at, bound.AfterUnansweredCall()+busy)
 }
 
-func testMovedToRefusingSource(t *testing.T) {
-	addr, calls := startDiscovery(t)
-	p := startAsking(t, termSettings, addr, nil)
-	nextCall(t, calls).sendList(t)
-	reserved, err := net.Listen("tcp", "127.0.0.1:0")
+// reservePort returns an address that refuses connections until listen is called. Its port stays bound: a free one could be taken meanwhile as
+// the local port of any connection, even of one to that very address.
+func reservePort(t *testing.T) (address string, listen func() net.Listener) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	reserved.Close() // nobody is there yet
-	bound := staleness.BoundFor(false, termSettings.Config.PollInterval, termSettings.DrainGrace)
-	p.SetSource(discovery.Client{Address: reserved.Addr().String(), Staleness: bound})
-	time.Sleep(4 * bound.RejectedBackoff) // some calls are refused meanwhile; more makes no difference
-	back, err := net.Listen("tcp", reserved.Addr().String())
+	socket := os.NewFile(uintptr(fd), "reserved port")
+	t.Cleanup(func() { socket.Close() })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	local, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
+	port := local.(*syscall.SockaddrInet4).Port
+	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)), func() net.Listener {
+		if err := syscall.Listen(fd, 16); err != nil {
+			t.Fatal(err)
+		}
+		ln, err := net.FileListener(socket)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return ln
+	}
+}
+
+func testMovedToRefusingSource(t *testing.T) {
+	addr, calls := startDiscovery(t)
+	p := startAsking(t, termSettings, addr, nil)
+	nextCall(t, calls).sendList(t)
+	address, listen := reservePort(t)
+	bound := staleness.BoundFor(false, termSettings.Config.PollInterval, termSettings.DrainGrace)
+	p.SetSource(discovery.Client{Address: address, Staleness: bound})
+	time.Sleep(4 * bound.RejectedBackoff) // some calls are refused meanwhile; more makes no difference
+	back := listen()
 	defer back.Close()
 	began := time.Now()
 	if err := back.(*net.TCPListener).SetDeadline(began.Add(30 * time.Second)); err != nil {
