--- a/internal/e2e/two_sites.go
+++ b/internal/e2e/two_sites.go
@@ -27,12 +27,12 @@
 // gatewayCalm plays two sites with room, with the gateway and without it, so that its cost shows.
 func gatewayCalm(ctx context.Context, e *Env) error {
 	var cost [2]float64
-	for k, gateway := range []bool{false, true} {
+	for i, gateway := range []bool{false, true} {
 		t, err := startSites(ctx, e, gateway)
 		if err != nil {
 			return err
 		}
-		phase := []string{"alone", "joined"}[k]
+		phase := []string{"alone", "joined"}[i]
 		e.Phase("two calm sites, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
 		all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate}, farmClasses...)
@@ -43,7 +43,7 @@
 			if err != nil {
 				return err
 			}
-			cost[k] += cpu.Seconds() / float64(max(1, sum.Attempts))
+			cost[i] += cpu.Seconds() / float64(max(1, sum.Attempts))
 		}
 		if !gateway {
 			t.drainAll(e)
@@ -96,24 +96,24 @@
 // sites that know nothing of each other.
 func gatewayOverload(ctx context.Context, e *Env) error {
 	var attempts, served [2]float64
-	for k, gateway := range []bool{false, true} {
+	for i, gateway := range []bool{false, true} {
 		t, err := startSites(ctx, e, gateway)
 		if err != nil {
 			return err
 		}
-		phase := []string{"alone", "joined"}[k]
+		phase := []string{"alone", "joined"}[i]
 		e.Phase("both sites overloaded, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
 		all := t.runClients(load, e, phase, [2]float64{2.5 * siteRate, 2.5 * siteRate}, farmClasses...)
 		cancel()
-		served[k] = all[0].Merge(all[1]).ServedFraction()
+		served[i] = all[0].Merge(all[1]).ServedFraction()
 		if gateway {
 			t.finish(e, "")
-			attempts[k] = e.Measured("amplification")
+			attempts[i] = e.Measured("amplification")
 		} else {
 			t.drainAll(e)
 			v := e.CheckRules(t.recorder)
-			attempts[k] = float64(v.Arrivals) / float64(max(1, v.Operations))
+			attempts[i] = float64(v.Arrivals) / float64(max(1, v.Operations))
 		}
 	}
 	e.Measure("served_without_gateway", served[0])
@@ -124,56 +124,71 @@
 	return nil
 }
 
-// gatewayLoss plays a site that loses backends, with the gateway and without it, and reckons what a policy that sees the true
-// state of both sites would reach: every operation that the backends of both sites together could do.
+// gatewayLoss plays a site that loses a fraction of its backends, with the gateway and without it.
 func gatewayLoss(ctx context.Context, e *Env) error {
-	for _, part := range []float64{0.18, 0.5, 1} {
-		var served [2]float64
-		for k, gateway := range []bool{true, false} {
-			t, err := startSites(ctx, e, gateway)
-			if err != nil {
-				return err
-			}
-			prefix := fmt.Sprintf("loss_%.0f_", 100*part)
-			phase := prefix + "with"
-			if !gateway {
-				phase = prefix + "without"
-			}
-			e.Phase(phase, e.Duration/2)
-			load, cancel := context.WithTimeout(ctx, e.Duration/2)
-			var mu sync.Mutex
-			var back time.Time
-			go runScript(load, e.Duration/2,
-				scriptStep{0.2, func() { t.drainFraction(part, false) }},
-				scriptStep{0.7, func() {
-					t.drainFraction(part, true)
-					mu.Lock()
-					defer mu.Unlock()
-					back = time.Now()
-				}})
-			all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate / 3}, farmClasses...)
-			cancel()
-			served[k] = all[0].Merge(all[1]).ServedFraction()
-			if gateway {
-				t.finish(e, prefix)
-				e.measureResults(prefix, all[0])
-				mu.Lock()
-				last := t.recorder.LastArrivalAt(backendNames(t.backends[1]), t.names[0])
-				e.AtMost(prefix+"crosses_after_the_boxes_are_back_s", max(0, last.Sub(back).Seconds()), 10)
-				mu.Unlock()
-			} else {
-				t.drainAll(e)
-				e.CheckRules(t.recorder)
-			}
+	for _, fraction := range []float64{0.18, 0.5, 1} {
+		prefix := fmt.Sprintf("loss_%.0f_", 100*fraction)
+		with, err := playLossWithGateway(ctx, e, prefix, fraction)
+		if err != nil {
+			return err
+		}
+		without, err := playLossWithoutGateway(ctx, e, prefix, fraction)
+		if err != nil {
+			return err
 		}
-		prefix := fmt.Sprintf("loss_%.0f_", 100*part)
-		e.Measure(prefix+"served_without_gateway", served[1])
+		e.Measure(prefix+"served_without_gateway", without)
 		// Both sites together keep at least half of their backends, which is more than the load needs: a policy that sees all serves all.
-		e.AtLeast(prefix+"served", served[0], 0.95)
+		e.AtLeast(prefix+"served", with, 0.95)
 	}
 	return nil
 }
 
+// playLossWithGateway returns the fraction served by both sites, and measures what crossed between them.
+func playLossWithGateway(ctx context.Context, e *Env, prefix string, fraction float64) (served float64, err error) {
+	t, err := startSites(ctx, e, true)
+	if err != nil {
+		return 0, err
+	}
+	results, restored := t.playLoss(ctx, e, prefix+"with", fraction)
+	t.finish(e, prefix)
+	e.measureResults(prefix, results[0])
+	lastCrossing := t.recorder.LastArrivalAt(backendNames(t.backends[1]), t.names[0])
+	e.AtMost(prefix+"crosses_after_the_boxes_are_back_s", max(0, lastCrossing.Sub(restored).Seconds()), 10)
+	return results[0].Merge(results[1]).ServedFraction(), nil
+}
+
+// playLossWithoutGateway returns the fraction served by both sites, which know nothing of each other.
+func playLossWithoutGateway(ctx context.Context, e *Env, prefix string, fraction float64) (served float64, err error) {
+	t, err := startSites(ctx, e, false)
+	if err != nil {
+		return 0, err
+	}
+	results, _ := t.playLoss(ctx, e, prefix+"without", fraction)
+	t.drainAll(e)
+	e.CheckRules(t.recorder)
+	return results[0].Merge(results[1]).ServedFraction(), nil
+}
+
+// playLoss drains a fraction of the first site's backends for half of the load, and returns when they were restored.
+func (t *twoSites) playLoss(ctx context.Context, e *Env, phase string, fraction float64) (results [2]*fake.ClientResults, restored time.Time) {
+	length := e.Duration / 2
+	e.Phase(phase, length)
+	load, cancel := context.WithTimeout(ctx, length)
+	defer cancel()
+	var script sync.WaitGroup
+	script.Go(func() {
+		runScript(load, length,
+			scriptStep{0.2, func() { t.drainFraction(fraction, false) }},
+			scriptStep{0.7, func() {
+				t.drainFraction(fraction, true)
+				restored = time.Now()
+			}})
+	})
+	results = t.runClients(load, e, phase, [2]float64{siteRate, siteRate / 3}, farmClasses...)
+	script.Wait()
+	return results, restored
+}
+
 // gatewayStall has a site without backends send its work across while the link stands still: both ways, and one way.
 func gatewayStall(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
