--- a/internal/config/httpservice.go
+++ b/internal/config/httpservice.go
@@ -30,7 +30,11 @@
 // deadlineFields are the header fields in which clients may tell their timeout.
 var deadlineFields = []string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}
 
-var forwardingModes = map[string]httpservice.Forwarding{"replace": httpservice.ForwardingReplace, "append": httpservice.ForwardingAppend, "drop": httpservice.ForwardingDrop}
+var forwardingModes = map[string]httpservice.Forwarding{
+	"replace": httpservice.ForwardingReplace,
+	"append":  httpservice.ForwardingAppend,
+	"drop":    httpservice.ForwardingDrop,
+}
 
 // httpService reads what a pool of ordinary HTTP services has in place of the platform's protocol.
 func (r *reader) httpService(pool *section, p *gateway.Pool) httpservice.Config {
--- a/internal/config/size.go
+++ b/internal/config/size.go
@@ -20,24 +20,22 @@
 
 // size reads a number of bytes with its unit, such as "64KiB", from least to most.
 func (s *section) size(key string, fallback, least, most int64) int64 {
-	v := fallback
-	n, ok := s.scalar(key, isString)
-	if !ok && n != nil && n.kind == isInteger {
-		s.reader.errs[len(s.reader.errs)-1].Text = fmt.Sprintf("is %s without a unit; write it as a string with one, such as \"64KiB\"", n.text)
+	format := func(v int64) string { return quote(formatSize(v)) }
+	if s.lacksUnit(key, "64KiB", isInteger) {
+		s.record(key, format(fallback), true)
+		return fallback
 	}
-	if ok {
-		got, err := parseSize(n.text)
-		switch {
-		case err != nil:
-			s.reader.fail(n, "is %q, which is no size with a unit (B, KiB, MiB, GiB, kB, MB, GB)", n.text)
-		case got < least || got > most:
-			s.reader.fail(n, "is %s, outside %s to %s", n.text, formatSize(least), formatSize(most))
-		default:
-			v = got
+	parse := func(text string) (int64, error) {
+		v, err := parseSize(text)
+		if err != nil {
+			return 0, fmt.Errorf("is %q, which is no size with a unit (B, KiB, MiB, GiB, kB, MB, GB)", text)
 		}
+		if v < least || v > most {
+			return 0, fmt.Errorf("is %s, outside %s to %s", text, formatSize(least), formatSize(most))
+		}
+		return v, nil
 	}
-	s.record(key, quote(formatSize(v)), !ok)
-	return v
+	return readValue(s, key, fallback, parse, format, isString)
 }
 
 // parseSize reads a number of bytes with its unit.
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -65,68 +65,92 @@
 	return v
 }
 
-// integer reads an integer from least to most.
-func (s *section) integer(key string, fallback, least, most int64) int64 {
+// readValue reads a value of one of some kinds. parse returns the value of its text, or what is wrong with it; format writes it as
+// TOML. An absent or wrong value gives the fallback.
+func readValue[T any](s *section, key string, fallback T, parse func(text string) (T, error), format func(T) string, kinds ...kind) T {
 	v := fallback
-	n, ok := s.scalar(key, isInteger)
+	n, ok := s.scalar(key, kinds...)
 	if ok {
-		got, err := strconv.ParseInt(strings.ReplaceAll(n.text, "_", ""), 0, 64)
-		switch {
-		case err != nil:
-			s.reader.fail(n, "is %s, which cannot be read as a whole number", n.text)
-		case got < least || got > most:
-			s.reader.fail(n, "is %d, outside %d to %d", got, least, most)
-		default:
-			v = got
+		if parsed, err := parse(n.text); err != nil {
+			s.reader.fail(n, "%v", err)
+		} else {
+			v = parsed
 		}
 	}
-	s.record(key, strconv.FormatInt(v, 10), !ok)
+	s.record(key, format(v), !ok)
 	return v
 }
 
+// integer reads an integer from least to most.
+func (s *section) integer(key string, fallback, least, most int64) int64 {
+	parse := func(text string) (int64, error) {
+		v, err := strconv.ParseInt(strings.ReplaceAll(text, "_", ""), 0, 64)
+		if err != nil {
+			return 0, fmt.Errorf("is %s, which cannot be read as a whole number", text)
+		}
+		if v < least || v > most {
+			return 0, fmt.Errorf("is %d, outside %d to %d", v, least, most)
+		}
+		return v, nil
+	}
+	format := func(v int64) string { return strconv.FormatInt(v, 10) }
+	return readValue(s, key, fallback, parse, format, isInteger)
+}
+
 // number reads an integer or a float from least to most.
 func (s *section) number(key string, fallback, least, most float64) float64 {
-	v := fallback
-	n, ok := s.scalar(key, isFloat, isInteger)
-	if ok {
-		got, err := strconv.ParseFloat(strings.ReplaceAll(n.text, "_", ""), 64)
-		switch {
-		case err != nil:
-			s.reader.fail(n, "is %s, which cannot be read as a number", n.text)
-		case !(got >= least && got <= most): // guards against NaN too
-			s.reader.fail(n, "is %v, outside %v to %v", got, least, most)
-		default:
-			v = got
+	parse := func(text string) (float64, error) {
+		v, err := strconv.ParseFloat(strings.ReplaceAll(text, "_", ""), 64)
+		if err != nil {
+			return 0, fmt.Errorf("is %s, which cannot be read as a number", text)
+		}
+		if !(v >= least && v <= most) { // also for NaN
+			return 0, fmt.Errorf("is %v, outside %v to %v", v, least, most)
 		}
+		return v, nil
 	}
+	return readValue(s, key, fallback, parse, formatFloat, isFloat, isInteger)
+}
+
+// formatFloat writes a TOML float.
+func formatFloat(v float64) string {
 	text := strconv.FormatFloat(v, 'f', -1, 64)
 	if !strings.Contains(text, ".") {
 		text += ".0"
 	}
-	s.record(key, text, !ok)
-	return v
+	return text
 }
 
 // duration reads a time with its unit, such as "250ms", from least to most.
 func (s *section) duration(key string, fallback, least, most time.Duration) time.Duration {
-	v := fallback
-	n, ok := s.scalar(key, isString)
-	if !ok && n != nil && (n.kind == isInteger || n.kind == isFloat) {
-		s.reader.errs[len(s.reader.errs)-1].Text = fmt.Sprintf("is %s without a unit; write it as a string with one, such as \"250ms\"", n.text)
+	if s.lacksUnit(key, "250ms", isInteger, isFloat) {
+		s.record(key, formatDuration(fallback), true)
+		return fallback
 	}
-	if ok {
-		got, err := time.ParseDuration(n.text)
-		switch {
-		case err != nil:
-			s.reader.fail(n, "is %q, which is no time with a unit (us, ms, s, m, h)", n.text)
-		case got < least || got > most:
-			s.reader.fail(n, "is %v, outside %v to %v", got, least, most)
-		default:
-			v = got
+	parse := func(text string) (time.Duration, error) {
+		v, err := time.ParseDuration(text)
+		if err != nil {
+			return 0, fmt.Errorf("is %q, which is no time with a unit (us, ms, s, m, h)", text)
 		}
+		if v < least || v > most {
+			return 0, fmt.Errorf("is %v, outside %v to %v", v, least, most)
+		}
+		return v, nil
 	}
-	s.record(key, quote(v.String()), !ok)
-	return v
+	return readValue(s, key, fallback, parse, formatDuration, isString)
+}
+
+func formatDuration(d time.Duration) string { return quote(d.String()) }
+
+// lacksUnit reports a value that is a bare number of one of some kinds as an error, and whether there was one.
+func (s *section) lacksUnit(key, example string, kinds ...kind) bool {
+	n := s.node.table[key]
+	if n == nil || !slices.Contains(kinds, n.kind) {
+		return false
+	}
+	s.get(key)
+	s.reader.fail(n, "is %s without a unit; write it as a string with one, such as %q", n.text, example)
+	return true
 }
 
 // texts reads an array of strings.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -113,7 +113,8 @@
 		return
 	}
 	r := &b.routes[m.RouteIndex]
-	b.fail(m.RouteIndex, "name", "routes %q and %q tie: host %q, path %q, %s lead to both", b.routes[other.RouteIndex].Name, r.Name, host, r.Path, class)
+	otherName := b.routes[other.RouteIndex].Name
+	b.fail(m.RouteIndex, "name", "routes %q and %q tie: host %q, path %q, %s lead to both", otherName, r.Name, host, r.Path, class)
 }
 
 // host returns the routes of a host, which are made if there are none. "" stands for any host.
