--- a/cmd/sorrelrudder/tier_member.go
+++ b/cmd/sorrelrudder/tier_member.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	defer store.Close()
-	if err := store.Found(f.Fleet.Voters); err != nil {
+	if err := store.Bootstrap(f.Fleet.Voters); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,7 +28,7 @@
 	Forwards    int64                          `json:"forwards"`    // attempts written to servers completely
 	Outstanding int                            `json:"outstanding"` // requests that have not ended
 	Discovered  int                            `json:"discovered"`  // servers on the lists
-	Ejected     int                            `json:"ejected"`     // of them, those that are ejected now
+	Ejected     int                            `json:"ejected"`     // of them, those that are ejected now; 0 while more than half would be
 }
 
 // Process is the process that a Server reports on. Its methods are called from many goroutines at once.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -37,7 +37,7 @@
 		Voters:  s.texts("council"),
 		Members: map[string]string{},
 	}
-	c.Rules = lease.Timing{
+	c.LeaseTiming = lease.Timing{
 		TTL:           s.duration("term", 3*time.Second, 50*time.Millisecond, time.Hour),
 		MaxClockDrift: s.number("drift", 0.01, 0, 0.2),
 		SafetyMargin:  s.duration("guard", 50*time.Millisecond, 0, time.Minute),
@@ -94,19 +94,19 @@
 // readSharedState reads how the members share state by gossip.
 func (f *File) readSharedState(r *reader, s *section, c *fleet.Config) {
 	shared := &fleet.SharedStateConfig{
-		Gossip:    s.duration("gossip", 100*time.Millisecond, 10*time.Millisecond, 10*time.Second),
-		Fanout:    int(s.integer("fanout", 3, 1, 16)),
-		Probe:     s.duration("probe", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
-		Sync:      s.duration("sync", 2*time.Second, 100*time.Millisecond, time.Hour),
-		Keep:      s.duration("keep", 30*time.Second, time.Second, 24*time.Hour),
-		Witnesses: int(s.integer("witnesses", 2, 1, 100)),
-		Budget:    float64(s.integer("catch_up_bytes", 1<<20, 4<<10, 1<<30)),
-		Store:     s.text("store", ""),
-		Figures:   f.Gateway.StatsInterval,
+		GossipInterval: s.duration("gossip", 100*time.Millisecond, 10*time.Millisecond, 10*time.Second),
+		Fanout:         int(s.integer("fanout", 3, 1, 16)),
+		PingInterval:   s.duration("probe", 500*time.Millisecond, 50*time.Millisecond, time.Minute),
+		SyncInterval:   s.duration("sync", 2*time.Second, 100*time.Millisecond, time.Hour),
+		DeadRetention:  s.duration("keep", 30*time.Second, time.Second, 24*time.Hour),
+		ReporterQuorum: int(s.integer("witnesses", 2, 1, 100)),
+		CatchUpBudget:  float64(s.integer("catch_up_bytes", 1<<20, 4<<10, 1<<30)),
+		Store:          s.text("store", ""),
+		StatsInterval:  f.Gateway.StatsInterval,
 	}
 	s.finish()
-	if shared.Probe < 2*shared.Gossip {
-		r.fail(s.nodeAt("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", shared.Probe, shared.Gossip)
+	if shared.PingInterval < 2*shared.GossipInterval {
+		r.fail(s.nodeAt("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", shared.PingInterval, shared.GossipInterval)
 	}
 	if shared.Store != "" && shared.Store == c.Store {
 		r.fail(s.nodeAt("store"), "is that of the council: what is shared needs a file of its own")
@@ -182,10 +182,10 @@
 }
 
 func (r *reader) checkTiming(s *section, c *fleet.Config) {
-	if err := c.Rules.Validate(); err != nil {
+	if err := c.LeaseTiming.Validate(); err != nil {
 		r.fail(s.nodeAt("term"), "%v", err)
 	}
-	if c.Rules.TTL < minTicksOfTTL*c.Tick {
-		r.fail(s.nodeAt("term"), "is %v, below ten ticks of %v: each election would end all leases", c.Rules.TTL, c.Tick)
+	if c.LeaseTiming.TTL < minTicksOfTTL*c.Tick {
+		r.fail(s.nodeAt("term"), "is %v, below ten ticks of %v: each election would end all leases", c.LeaseTiming.TTL, c.Tick)
 	}
 }
--- a/internal/config/task.go
+++ b/internal/config/task.go
@@ -25,7 +25,7 @@
 	seen := map[string]bool{}
 	for _, s := range f.root.tables("tasks") {
 		t := r.task(s, f.Gateway.Pools)
-		t.MaxClockDrift, t.MaxOpen = c.Rules.MaxClockDrift, maxOpen
+		t.MaxClockDrift, t.MaxOpen = c.LeaseTiming.MaxClockDrift, maxOpen
 		if seen[t.Name] && t.Name != "" {
 			r.fail(s.nodeAt("name"), "task %q is there twice", t.Name)
 		}
--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -36,7 +36,7 @@
 	if n.lessor == nil {
 		return nil
 	}
-	n.lessor.Sync(n.now, n.machine.Leases)
+	n.lessor.Track(n.now, n.machine.Leases)
 	n.output.ChangedMembers = append(n.output.ChangedMembers, changed...)
 	n.answerProposal(p, answer)
 	return nil
--- a/internal/consensus/decision.go
+++ b/internal/consensus/decision.go
@@ -46,9 +46,9 @@
 	Token uint64 `json:"token,omitempty"`
 	// BasedOn is the number of the decision on Key that the command replaces, 0 for none. It is checked if Token or Conditional is set.
 	BasedOn uint64 `json:"after,omitempty"`
-	// LastSeenZone is the number of the newest decision on any zone of the pool that the holder of a lease knew of. The capacity of the
+	// NewestZoneDecision is the number of the newest decision on any zone of the pool that the holder of a lease knew of. The capacity of the
 	// other zones was computed with those, and a later one may have left another zone.
-	LastSeenZone uint64 `json:"seen,omitempty"`
+	NewestZoneDecision uint64 `json:"seen,omitempty"`
 	// Conditional has an operator's command check BasedOn: a late or second copy of it changes nothing. Without it the command is carried
 	// out as often as it comes.
 	Conditional bool `json:"built,omitempty"`
@@ -104,7 +104,7 @@
 		return DecisionResult{Refusal: "a newer holder decides"}
 	case (c.Token != 0 || c.Conditional) && m.decisionNumber(c.Key) != c.BasedOn:
 		return m.conflict(c.Key)
-	case c.Token != 0 && m.latestZoneDecision(c.Key) > c.LastSeenZone:
+	case c.Token != 0 && m.latestZoneDecision(c.Key) > c.NewestZoneDecision:
 		return DecisionResult{Refusal: RefusedConflict, Number: m.latestZoneDecision(c.Key)}
 	case c.Withdraw && (m.Decisions[c.Key] == nil || m.Decisions[c.Key].Withdrawn):
 		return DecisionResult{Refusal: refusef("%q is not ordered", c.Key)}
--- a/internal/consensus/decision_test.go
+++ b/internal/consensus/decision_test.go
@@ -16,7 +16,7 @@
 	return DecisionCommand{
 		Key: rapid.SampledFrom(append(slices.Clone(decisionKeys), "odd/x", "order")).Draw(t, "key"), Withdraw: rapid.Bool().Draw(t, "lift"), Value: "v",
 		Token: rapid.Uint64Range(0, 3).Draw(t, "token"), BasedOn: rapid.Uint64Range(0, 4).Draw(t, "after"),
-		LastSeenZone: rapid.Uint64Range(0, 40).Draw(t, "seen"), Conditional: rapid.Bool().Draw(t, "built"),
+		NewestZoneDecision: rapid.Uint64Range(0, 40).Draw(t, "seen"), Conditional: rapid.Bool().Draw(t, "built"),
 	}
 }
 
@@ -58,7 +58,7 @@
 	if c.Token != 0 && c.Token < decider || checked && before != nil && before.Number != c.BasedOn {
 		t.Fatalf("%+v was applied against token %d and %+v", c, decider, before)
 	}
-	if c.Token != 0 && latest > c.LastSeenZone {
+	if c.Token != 0 && latest > c.NewestZoneDecision {
 		t.Fatalf("%+v was applied without having seen decision %d on another zone", c, latest)
 	}
 	if c.Withdraw && (before == nil || before.Withdrawn) {
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -39,7 +39,7 @@
 // String is the message of the kind in the log.
 func (k EventKind) String() string { return eventMessages[k] }
 
-// Event is something that the log is to tell of.
+// Event is something that the log is to tell of. Each voter emits it as it applies an entry, and again when the log is replayed at a start.
 type Event struct {
 	Kind    EventKind
 	Message string // Kind's
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -66,7 +66,7 @@
 			Op: lease.OpAcquire, Member: "p0", Nonce: "n0.1", KnownLastID: 2, SessionID: 3, Seq: 2, Name: "task/sweep", Limit: 1, Wait: true, To: "p1", Token: 4,
 		}, VoterCommand{Op: OpAdmit, Name: "p1", StoreID: "store-1", Volatile: true}, task.Command{
 			Op: task.OpFinish, Task: "sweep", Slot: 20, Token: 4, Rerun: true, Outcome: task.OutcomeFailed, Skipped: 3, MaxOpen: 5, Priority: 2, Period: 8, Requests: 12, TookMs: 340,
-		}, DecisionCommand{Key: "zone/farm/b", Value: "0 false 1 lost", Withdraw: true, Token: 6, BasedOn: 1, LastSeenZone: 2, Conditional: true}
+		}, DecisionCommand{Key: "zone/farm/b", Value: "0 false 1 lost", Withdraw: true, Token: 6, BasedOn: 1, NewestZoneDecision: 2, Conditional: true}
 }
 
 func ptr[T any](v T) *T { return &v }
--- a/internal/consensus/process.go
+++ b/internal/consensus/process.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Output is what a node wants done, in the order of the fields. What had to be durable before is written.
+// Output is what a node wants done. All that had to be durable before Messages and Replies are sent is written.
 type Output struct {
 	Messages       []*raftpb.Message
 	Replies        []Reply
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -104,7 +104,8 @@
 	n.reply(p, r)
 }
 
-// stepDown redirects all that waits. Whoever leads now answers it; a command that was committed has the same result there.
+// stepDown redirects all that waits. Whoever leads now answers it; a command of a session and a conditional decision have the same result there if they were committed. A trigger, a
+// revocation and an unconditional decision take effect again when they are repeated.
 func (n *Node) stepDown() {
 	n.lessor = nil
 	for _, p := range n.queuedReads {
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -9,7 +9,7 @@
 // MaxVoters bounds the voters of a fleet: with more of them a larger majority has to write each command to stable storage.
 const MaxVoters = 9
 
-// Voter is a member that votes, or is to vote. Its raft ID belongs to one store: a member that returns with another store gets another.
+// Voter is a member that was admitted to the consensus group: it votes, or it listens as a learner until an operator lets it vote. Its raft ID belongs to one store: a member that returns with another store gets another.
 type Voter struct {
 	RaftID  uint64 `json:"id"`
 	StoreID string `json:"store"`
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -86,7 +86,7 @@
 			}
 			var all []*Host
 			for i := range cfgs {
-				cfgs[i].Rules.TTL = 3 * time.Second
+				cfgs[i].LeaseTiming.TTL = 3 * time.Second
 				cfgs[i].Tick = 100 * time.Millisecond
 				all = append(all, start(b, cfgs[i], &servers{}))
 			}
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -13,7 +13,8 @@
 const clockFaultsVariable = "SORRELRUDDER_LAB_CLOCK"
 
 // Clock is a monotonic clock that also advances while the machine is suspended, which that of package time does not: after a suspension the
-// leases of a process must have expired. It is safe for concurrent use.
+// leases of a process must have expired. A hypervisor that stops the guest's clock during a pause breaks this: fencing tokens alone protect
+// then. It is safe for concurrent use.
 type Clock struct {
 	origin int64
 	rate   float64
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -68,7 +68,7 @@
 		goldentest.JSONCase("request", rpc{Handle: 12, Request: consensus.Request{TaskRecords: []string{"sweep"}}}),
 		goldentest.JSONCase("response", rpc{Handle: 12, Response: consensus.Response{NotLeader: true, Leader: "p1"}}),
 		goldentest.JSONCase("status", rpc{Handle: 12, Status: exampleStatus()}),
-		goldentest.JSONCase("operator", rpc{Handle: 12, Found: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
+		goldentest.JSONCase("operator", rpc{Handle: 12, Bootstrap: true, Handover: &handoverRequest{Name: "task/sweep", To: "p1"}, Forget: "dead/farm/box", Why: "not held"}),
 	}
 	key := []byte("0123456789abcdef0123456789abcdef")
 	for kind, name := range map[byte]string{kindHello: "hello", kindRaft: "raft", kindRequest: "ask", kindResponse: "answer", kindWake: "wake", kindGossip: "gossip", kindPing: "ping", kindPong: "pong"} {
@@ -261,7 +261,7 @@
 	if err := s.Save(consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}, true); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Admitted("fleet-a", 1); err != nil {
+	if err := s.SaveIdentity("fleet-a", 1); err != nil {
 		t.Fatal(err)
 	}
 	n := leadingNode(t, s)
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -42,7 +42,7 @@
 	VotersInMemory bool              // voters keep their state in memory: it is lost with a majority of them
 	Voters         []string          // names of the members that may vote
 	Members        map[string]string // addresses by name
-	Rules          lease.Timing
+	LeaseTiming    lease.Timing
 	Tick           time.Duration // of raft; a leader that is silent for ten ticks is replaced
 	Tasks          []Task
 	SharedState    *SharedStateConfig // nil: the process shares no state
@@ -65,8 +65,9 @@
 
 // Host is the part of a process in its fleet. Its methods are safe for concurrent use.
 //
-// Three goroutines carry it, besides those of connections and task requests: runTimers does what is due, runConsensus owns the voter,
-// acceptConnections the listener. mu is never held while a pool, the store or a connection is waited for.
+// Its goroutines: runTimers does what is due, runConsensus owns the voter, acceptConnections the listener; applyToPools and watchZones work with
+// the pools, if state is shared; each link and connection has its own, and so has each task request and each save of the shared state. mu is
+// never held while a pool, the store or a connection is waited for.
 type Host struct {
 	cfg      Config
 	log      *slog.Logger
@@ -85,7 +86,7 @@
 
 	// mu guards the fields below and all of shared but its channels.
 	mu      sync.Mutex
-	leaving bool
+	leaving bool   // no further slot is started: the process ends, or another one has its name
 	fleetID string // that this process is admitted to; empty: not yet
 	shared  *sharedState
 
@@ -135,11 +136,11 @@
 		secret: secret,
 		inbox:  make(chan func(*voter), inboxLength),
 
-		session:   lease.NewClient(cfg.Rules, cfg.Name, uuid.NewString()),
+		session:   lease.NewClient(cfg.LeaseTiming, cfg.Name, uuid.NewString()),
 		runners:   map[string]*taskRunner{},
 		handovers: map[string]string{},
 
-		leader:  consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.Rules.KeepAliveInterval()),
+		leader:  consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.LeaseTiming.KeepAliveInterval()),
 		pending: map[uint64]*pendingRequest{},
 
 		links:      map[string]*link{},
@@ -187,7 +188,7 @@
 			return err
 		}
 	}
-	if err := h.startDue(sender); err != nil {
+	if err := h.prepareDue(sender); err != nil {
 		return err
 	}
 	h.goroutines.Go(h.acceptConnections)
@@ -197,11 +198,11 @@
 	return nil
 }
 
-// startDue makes what runDue looks after.
-func (h *Host) startDue(sender Sender) error {
+// prepareDue creates the timer, the task runners and the shared state.
+func (h *Host) prepareDue(sender Sender) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	interval := h.cfg.Rules.KeepAliveInterval()
+	interval := h.cfg.LeaseTiming.KeepAliveInterval()
 	for _, cfg := range h.cfg.Tasks {
 		h.runners[cfg.Name] = &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, interval/2, interval)}
 		h.session.Acquire(taskLeaseName(cfg.Name), 1)
@@ -330,10 +331,11 @@
 	h.finishHandovers()
 	at := h.renewLeases(now)
 	h.logLeaseChanges(now)
+	h.handleSuperseded(now)
 	at = min(at, h.runTasks(now))
 	if h.shared != nil {
-		at = min(at, h.runGossip(now))
+		at = min(at, h.runSharedState(now))
 	}
 	h.expirePending(now)
-	h.timer.Reset(max(time.Millisecond, min(h.clock.Real(at-now), h.cfg.Rules.TTL)))
+	h.timer.Reset(max(time.Millisecond, min(h.clock.Real(at-now), h.cfg.LeaseTiming.TTL)))
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -98,17 +98,17 @@
 	for _, name := range names {
 		all = append(all, Config{
 			Name: name, Secret: secret, Store: filepath.Join(dir, name+".db"), Voters: names, Members: members, Tick: 10 * time.Millisecond,
-			Rules: lease.Timing{TTL: 600 * time.Millisecond, MaxClockDrift: 0.01, SafetyMargin: 10 * time.Millisecond}, Tasks: tasks,
+			LeaseTiming: lease.Timing{TTL: 600 * time.Millisecond, MaxClockDrift: 0.01, SafetyMargin: 10 * time.Millisecond}, Tasks: tasks,
 		})
 	}
 	s, err := OpenStore(all[0].Store, names[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Found(names); err != nil {
+	if err := s.Bootstrap(names); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Found(names); err == nil {
+	if err := s.Bootstrap(names); err == nil {
 		t.Error("a fleet was founded twice with one store")
 	}
 	if err := s.Close(); err != nil {
@@ -334,7 +334,7 @@
 	save(consensus.PersistentState{Entries: []*raftpb.Entry{entry(3, 3, "C")}})
 	snap := &raftpb.Snapshot{Data: []byte("state"), Metadata: &raftpb.SnapshotMetadata{Index: &commit, Term: &term}}
 	save(consensus.PersistentState{Snapshot: snap})
-	if err := s.Admitted("fleet", 7); err != nil {
+	if err := s.SaveIdentity("fleet", 7); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenStore(path, "p"); err == nil || !strings.Contains(err.Error(), "another process") {
@@ -471,7 +471,7 @@
 		h := holder{make(chan uint64, 1), cancel, make(chan error, 1)}
 		go func() {
 			defer o.Close()
-			h.err <- o.HoldLease(ctx, "patch", 2, cfgs[0].Rules, func(token uint64) { h.token <- token })
+			h.err <- o.HoldLease(ctx, "patch", 2, cfgs[0].LeaseTiming, func(token uint64) { h.token <- token })
 		}()
 		all = append(all, h)
 	}
@@ -498,7 +498,7 @@
 		t.Errorf("a third has it, by %d", token)
 	case token := <-all[2].token:
 		t.Errorf("a third has it, by %d", token)
-	case <-time.After(2 * cfgs[0].Rules.TTL):
+	case <-time.After(2 * cfgs[0].LeaseTiming.TTL):
 	}
 	all[who].end()
 	if err := <-all[who].err; err != nil {
--- a/internal/fleet/idle_test.go
+++ b/internal/fleet/idle_test.go
@@ -15,10 +15,10 @@
 			cfgs := fleet(b, 3)
 			var all []*Host
 			for i := range cfgs {
-				cfgs[i].Rules.TTL, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
+				cfgs[i].LeaseTiming.TTL, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
 				if sharing {
 					u := gossip.DefaultConfig()
-					cfgs[i].SharedState = &SharedStateConfig{Gossip: u.GossipInterval, Probe: u.PingInterval, Sync: u.SyncInterval, Keep: u.DeadRetention, Fanout: u.Fanout, Budget: u.CatchUpBudget, Witnesses: 2}
+					cfgs[i].SharedState = &SharedStateConfig{GossipInterval: u.GossipInterval, PingInterval: u.PingInterval, SyncInterval: u.SyncInterval, DeadRetention: u.DeadRetention, Fanout: u.Fanout, CatchUpBudget: u.CatchUpBudget, ReporterQuorum: 2}
 				}
 				all = append(all, start(b, cfgs[i], &servers{}))
 			}
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -45,8 +45,8 @@
 	h.runDue()
 }
 
-// GuardLease returns a context that is canceled before this process' right to act on the lease ends, and the fencing token to act with.
-// The error is ErrLeaseNotHeld. A resource that checks fencing tokens is safe against what arrives after that; for one that does not, a
+// GuardLease returns a context that is canceled about when this process' right to act on the lease ends, and the fencing token to act with; after
+// a suspension of the machine it is canceled up to a client's TTL late. The error is ErrLeaseNotHeld. A resource that checks fencing tokens is safe against what arrives after that; for one that does not, a
 // request that was sent in time and arrives late is not.
 func (h *Host) GuardLease(ctx context.Context, name string) (context.Context, context.CancelFunc, uint64, error) {
 	token, left, ok := h.HeldLease(name)
@@ -80,13 +80,18 @@
 	h.logLeases("lease lost", h.loggedLeases, held)
 	h.logLeases("lease held", held, h.loggedLeases)
 	h.loggedLeases = held
-	if h.session.Superseded() && !h.leaving {
-		h.leaving = true
-		if h.shared != nil {
-			h.sendGossip(h.shared.node.Leave(now))
-		}
-		h.log.Error("another process has this one's name: this one holds no lease and does no task any more", "name", h.cfg.Name)
+}
+
+// handleSuperseded ends this process' work once another process has taken over its name. The caller has mu.
+func (h *Host) handleSuperseded(now time.Duration) {
+	if !h.session.Superseded() || h.leaving {
+		return
+	}
+	h.leaving = true
+	if h.shared != nil {
+		h.sendGossip(h.shared.node.Leave(now))
 	}
+	h.log.Error("another process has this one's name: this one holds no lease and does no task any more", "name", h.cfg.Name)
 }
 
 // renewLeases sends what the session has to ask of the leader, and returns when it is due again. The caller has mu.
@@ -157,7 +162,7 @@
 			continue
 		}
 		delete(h.handovers, name)
-		h.log.Info("lease handed over", "name", name, "to", to)
+		h.log.Info("lease handover requested", "name", name, "to", to)
 		h.session.Transfer(name, to)
 	}
 }
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -21,12 +21,12 @@
 func (m *memoryStore) Syncs() int64                               { return 0 }
 func (m *memoryStore) Close() error                               { return nil }
 
-func (m *memoryStore) Admitted(fleet string, id uint64) error {
+func (m *memoryStore) SaveIdentity(fleet string, id uint64) error {
 	m.id.Fleet, m.id.ID = fleet, id
 	return nil
 }
 
-func (m *memoryStore) Found([]string) error {
+func (m *memoryStore) Bootstrap([]string) error {
 	return errors.New("a council in memory is founded at a process that runs")
 }
 
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// ErrNoLeader means that the process that was asked reaches no leader of the consensus group.
+// ErrNoLeader means that the process that was asked reached no leader of the consensus group in time. The command may have taken effect all
+// the same.
 var ErrNoLeader = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
 
 // retryPause is the time between two attempts at an operator's request while a leader is elected.
@@ -101,7 +102,7 @@
 }
 
 // Command gives or withdraws an operator's decision. It is conditional on what was decided before, so that a copy that arrives late changes
-// nothing. The error is ErrNoLeader, or says why the decision is refused.
+// nothing; it is rebased on what others decide meanwhile, and so replaces that. Withdrawing what is not in force succeeds. The error is ErrNoLeader, or says why the decision is refused.
 func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
 	c.Conditional = true
 	for {
@@ -235,7 +236,7 @@
 
 // Bootstrap has the process found its fleet, whose voters are in memory.
 func (o *Operator) Bootstrap(ctx context.Context) error {
-	return o.perform(ctx, rpc{Found: true})
+	return o.perform(ctx, rpc{Bootstrap: true})
 }
 
 // Handover has the process hand over a lease that it holds, as soon as nothing of its task is in flight.
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -12,7 +12,8 @@
 	maxForwards        = 3    // times that one request is sent on to another member
 )
 
-// pendingRequest is a request of this process to the leader. Its functions are called under Host.mu.
+// pendingRequest is a request of this process to the leader. It leaves Host.pending once: by handleResponse or expirePending. Its functions are
+// called under Host.mu.
 type pendingRequest struct {
 	request    consensus.Request
 	onResponse func(consensus.Response)
@@ -31,10 +32,10 @@
 	Status   *Status            `json:"status,omitempty"`
 
 	// Requests of operators to this very process, and the error of one.
-	Found    bool             `json:"found,omitempty"`
-	Handover *handoverRequest `json:"handover,omitempty"`
-	Forget   string           `json:"forget,omitempty"`
-	Why      string           `json:"why,omitempty"`
+	Bootstrap bool             `json:"found,omitempty"`
+	Handover  *handoverRequest `json:"handover,omitempty"`
+	Forget    string           `json:"forget,omitempty"`
+	Why       string           `json:"why,omitempty"`
 }
 
 // submit sends a request to the leader. One too many is lost at once. The caller has mu.
@@ -65,7 +66,7 @@
 func (h *Host) sendRequest(handle uint64, to string, request consensus.Request) bool {
 	if to == h.cfg.Name && h.store != nil {
 		return h.tryEnqueue(func(v *voter) {
-			h.propose(v, request, func(r consensus.Response) { h.handleResponse(handle, r) })
+			h.submitToVoter(v, request, func(r consensus.Response) { h.handleResponse(handle, r) })
 		})
 	}
 	data, err := json.Marshal(rpc{Handle: handle, Request: request})
@@ -105,11 +106,11 @@
 // expirePending takes members whose responses are late for unreachable, and gives up requests that are older than a lease. The caller has mu.
 func (h *Host) expirePending(now time.Duration) {
 	for handle, p := range h.pending {
-		if !p.late && now > p.sentAt+h.cfg.Rules.KeepAliveInterval()/2 {
+		if !p.late && now > p.sentAt+h.cfg.LeaseTiming.KeepAliveInterval()/2 {
 			p.late = true
 			h.leader.Unreachable(now, p.sentTo)
 		}
-		if now <= p.sentAt+h.cfg.Rules.TTL {
+		if now <= p.sentAt+h.cfg.LeaseTiming.TTL {
 			continue
 		}
 		delete(h.pending, handle)
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -12,7 +12,7 @@
 	operator := c.peer.Name == operatorName
 	respond := func(r consensus.Response) { h.respond(c, rpc{Handle: request.Handle, Response: r}) }
 	switch {
-	case operator && request.Found:
+	case operator && request.Bootstrap:
 		h.enqueue(func(v *voter) { h.respondDone(c, request.Handle, h.bootstrap(v)) })
 	case operator && request.Handover != nil:
 		h.respondDone(c, request.Handle, h.startHandover(*request.Handover))
@@ -25,7 +25,7 @@
 	case h.store == nil:
 		respond(consensus.Response{NotLeader: true})
 	default:
-		h.enqueue(func(v *voter) { h.propose(v, request.Request, respond) })
+		h.enqueue(func(v *voter) { h.submitToVoter(v, request.Request, respond) })
 	}
 }
 
--- a/internal/fleet/sharedstate.go
+++ b/internal/fleet/sharedstate.go
@@ -17,41 +17,42 @@
 
 // SharedStateConfig says how a process takes part in the state that the fleet shares by gossip.
 type SharedStateConfig struct {
-	Gossip    time.Duration // interval between rounds of gossip
-	Probe     time.Duration // interval between pings of members
-	Sync      time.Duration // interval between rounds of anti-entropy
-	Keep      time.Duration // how long entries of a dead member are kept
-	Fanout    int           // members that a change is sent to in a round
-	Witnesses int           // members that must report an endpoint before it is hinted at
-	Budget    float64       // bytes a second for members that catch up
-	Store     string        // file that keeps the state for the next start; empty: none
-	Figures   time.Duration // interval between lines of statistics in the log; 0: none
+	GossipInterval time.Duration // interval between rounds of gossip
+	PingInterval   time.Duration // interval between pings of members
+	SyncInterval   time.Duration // interval between rounds of anti-entropy
+	DeadRetention  time.Duration // how long entries of a dead member are kept
+	Fanout         int           // members that a change is sent to in a round
+	ReporterQuorum int           // members that must report an endpoint before it is hinted at
+	CatchUpBudget  float64       // bytes a second for members that catch up
+	Store          string        // file that keeps the state for the next start; empty: none
+	StatsInterval  time.Duration // interval between lines of statistics in the log; 0: none
 }
 
-// Pools is the process' own pools, as shared state sees and steers them. Its methods are called without the host's lock and may be
-// called from several goroutines; the host finds them by asserting that its Sender has them.
+// Pools is the process' own pools, as shared state sees and steers them. Its methods are called without the host's lock, but for
+// OnReachabilityChange at the start, and from several goroutines; the host finds them by asserting that its Sender has them.
 type Pools interface {
-	// OnUnresponsive registers f, which is called under a pool's lock whenever an endpoint becomes unresponsive or responds again.
-	OnUnresponsive(f func(pool, server string, is bool))
+	// OnReachabilityChange registers f, which is called under a pool's lock for each attempt or health check that an endpoint leaves
+	// unanswered, and once it answers again.
+	OnReachabilityChange(f func(pool, endpoint string, unreachable bool))
 	// HintUnreachable tells a pool that other members cannot reach an endpoint.
-	HintUnreachable(pool, server string)
+	HintUnreachable(pool, endpoint string)
 	// ExcludeEndpoints replaces what a pool sends nothing new to, what it treats as warming up, and which of the first it may use again
 	// once they have restarted. It reports whether that took effect: not if no ready endpoint would be left.
-	ExcludeEndpoints(pool string, servers, returning, soft map[string]bool) (done bool)
+	ExcludeEndpoints(pool string, excluded, recovering, untilRestart map[string]bool) (applied bool)
 	// PoolNames returns the names of all pools.
 	PoolNames() []string
 	// ReadyEndpoints returns the zones of a pool's ready endpoints by their names.
 	ReadyEndpoints(pool string) (zones map[string]string)
 	// CheckHealth sends an endpoint a health check, waits for it, and reports whether it was answered.
-	CheckHealth(pool, server string) (answers bool)
+	CheckHealth(pool, endpoint string) (answered bool)
 	// AttemptOutcomes calls f for each zone with the attempts answered and failed there since the start, and the sum of their delays.
 	AttemptOutcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration))
 }
 
 const (
-	maxObservations = 1024 // not yet looked at; more are dropped, and will be made again
-	hintInterval    = 100 * time.Millisecond
-	saveInterval    = 10 * time.Second
+	maxObservations    = 1024                   // not yet looked at; more are dropped, and will be made again
+	poolUpdateInterval = 100 * time.Millisecond // of hints and exclusions
+	saveInterval       = 10 * time.Second
 )
 
 // falseReportsVariable is an environment variable for end-to-end tests: a comma-separated list of POOL/SERVER that the process reports as
@@ -60,8 +61,8 @@
 
 // observation is a change that a pool has seen in an endpoint.
 type observation struct {
-	pool, server string
-	unresponsive bool
+	pool, endpoint string
+	unreachable    bool
 }
 
 // sharedState is the part of a process in the shared state. Host.mu guards all fields but the channels and those set at the start only
@@ -114,7 +115,7 @@
 
 		observations: make(chan observation, maxObservations),
 		observed:     make(chan struct{}, 1),
-		evidence:     gossip.NewFailureReports(cfg.Witnesses),
+		evidence:     gossip.NewFailureReports(cfg.ReporterQuorum),
 
 		completeUntil: -1,
 		excluded:      map[string]exclusions{},
@@ -138,9 +139,9 @@
 }
 
 // observe queues what a pool has seen. It is called under the pool's lock and does not wait.
-func (s *sharedState) observe(pool, server string, unresponsive bool) {
+func (s *sharedState) observe(pool, endpoint string, unreachable bool) {
 	select {
-	case s.observations <- observation{pool, server, unresponsive}:
+	case s.observations <- observation{pool, endpoint, unreachable}:
 	default:
 	}
 	signal(s.observed)
@@ -162,12 +163,12 @@
 	cfg.Members = slices.Sorted(maps.Keys(h.cfg.Members))
 	cfg.Kinds = []string{gossip.UnreachableKind, zoneview.ZoneCheckKind, zoneview.GrayFailureKind}
 	cfg.DecidedKinds = consensus.DecisionKinds
-	cfg.GossipInterval = c.Gossip
-	cfg.PingInterval = c.Probe
-	cfg.SyncInterval = c.Sync
-	cfg.DeadRetention = c.Keep
+	cfg.GossipInterval = c.GossipInterval
+	cfg.PingInterval = c.PingInterval
+	cfg.SyncInterval = c.SyncInterval
+	cfg.DeadRetention = c.DeadRetention
 	cfg.Fanout = c.Fanout
-	cfg.CatchUpBudget = c.Budget
+	cfg.CatchUpBudget = c.CatchUpBudget
 	seed := fnv.New64a()
 	seed.Write([]byte(h.session.Incarnation()))
 	cfg.Seed = seed.Sum64()
@@ -188,7 +189,7 @@
 	if shared.pools == nil {
 		return nil
 	}
-	shared.pools.OnUnresponsive(shared.observe)
+	shared.pools.OnReachabilityChange(shared.observe)
 	h.goroutines.Go(h.applyToPools)
 	h.goroutines.Go(h.watchZones)
 	if h.cfg.Zones != nil && h.cfg.Zones.Automatic != ZonesOff {
@@ -197,14 +198,14 @@
 	return nil
 }
 
-// runGossip does what is due for the shared state, and returns when it has to be called again at the latest. The caller has mu.
-func (h *Host) runGossip(now time.Duration) time.Duration {
+// runSharedState does what is due for the shared state: evidence, gossip, zones, statistics and its file. It returns when it has to be called again at the latest. The caller has mu.
+func (h *Host) runSharedState(now time.Duration) time.Duration {
 	shared := h.shared
 	shared.recordObservations(now)
 	h.sendGossip(shared.node.Tick(now))
 	h.processChanges(now)
 	h.judgeZones(now)
-	if shared.cfg.Figures > 0 && now >= shared.loggedAt+shared.cfg.Figures {
+	if shared.cfg.StatsInterval > 0 && now >= shared.loggedAt+shared.cfg.StatsInterval {
 		h.logSharedState(now)
 	}
 	if shared.cfg.Store != "" && now >= shared.saveAt {
@@ -215,15 +216,15 @@
 
 // recordObservations turns what the pools have seen into evidence.
 func (s *sharedState) recordObservations(now time.Duration) {
-	s.observationsAt = now + hintInterval
+	s.observationsAt = now + poolUpdateInterval
 	for n := len(s.observations); n > 0; n-- {
 		o := <-s.observations
 		s.evidenceChanged = true
-		if o.unresponsive && s.excluded[o.pool].excluded[o.server] {
+		if o.unreachable && s.excluded[o.pool].excluded[o.endpoint] {
 			continue // health checks look after what is excluded: an earlier report must not delay its recovery
 		}
-		if key := gossip.PoolKey(gossip.UnreachableKind, o.pool, o.server); key != "" {
-			s.evidence.Record(now, s.node, key, o.unresponsive)
+		if key := gossip.PoolKey(gossip.UnreachableKind, o.pool, o.endpoint); key != "" {
+			s.evidence.Record(now, s.node, key, o.unreachable)
 		}
 	}
 	for _, server := range s.falseReports {
@@ -242,8 +243,8 @@
 	if z.enabled() && (len(z.controllers) > 0 || s.node.Store().Digest(gossip.UnreachableKind) != 0) {
 		at = min(at, z.judgeAt) // this process decides, or there is a report to look into
 	}
-	if s.cfg.Figures > 0 {
-		at = min(at, s.loggedAt+s.cfg.Figures)
+	if s.cfg.StatsInterval > 0 {
+		at = min(at, s.loggedAt+s.cfg.StatsInterval)
 	}
 	return at
 }
@@ -279,7 +280,7 @@
 	if shared.pools == nil || now < shared.hintsAt {
 		return
 	}
-	shared.hintsAt = now + hintInterval
+	shared.hintsAt = now + poolUpdateInterval
 	hints := shared.evidence.Hints(shared.node)
 	shared.evidenceChanged = len(hints) > 0 || shared.evidence.OwnCount() > 0 // a hint is repeated while it holds; own reports expire
 	shared.hinted += len(hints)
--- a/internal/fleet/sharedstate_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -33,7 +33,7 @@
 
 var _ Pools = (*farmPools)(nil)
 
-func (f *farmPools) OnUnresponsive(s func(pool, server string, is bool)) {
+func (f *farmPools) OnReachabilityChange(s func(pool, server string, is bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silent = s
@@ -92,7 +92,7 @@
 	cfgs := fleet(t, 3)
 	for i := range cfgs {
 		cfgs[i].SharedState = &SharedStateConfig{
-			Gossip: 20 * time.Millisecond, Probe: 200 * time.Millisecond, Sync: 200 * time.Millisecond, Keep: time.Second, Fanout: 2, Witnesses: 2, Budget: 1 << 20,
+			GossipInterval: 20 * time.Millisecond, PingInterval: 200 * time.Millisecond, SyncInterval: 200 * time.Millisecond, DeadRetention: time.Second, Fanout: 2, ReporterQuorum: 2, CatchUpBudget: 1 << 20,
 			Store: filepath.Join(t.TempDir(), "copies"),
 		}
 	}
@@ -507,7 +507,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Found(cfgs[0].Voters); err != nil {
+	if err := s.Bootstrap(cfgs[0].Voters); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -22,7 +22,7 @@
 	RunningSlots map[string]int64       `json:"running,omitempty"`    // slots with a request in flight, by task
 	Fleet        string                 `json:"fleet,omitempty"`
 	Leader       string                 `json:"leader,omitempty"`
-	LinkErrors   map[string]string      `json:"link_errors,omitempty"` // by member
+	LinkErrors   map[string]string      `json:"link_errors,omitempty"` // by member: the last error of each, also of links that work again
 	SentFrames   int64                  `json:"sent_frames"`
 	SentBytes    int64                  `json:"sent_bytes"`
 	Syncs        int64                  `json:"syncs,omitempty"`   // of the store, since the start
@@ -199,7 +199,7 @@
 			all = append(all, ZoneStatus{
 				Pool: pool, Zone: zone, Endpoints: ready[zone], Excluded: excluded[zone], Epoch: numbers[zone],
 				Step: state.Step, Pinned: state.Manual, WarmingUp: state.WarmingUp, Relapses: state.Relapses, Reason: state.Reason,
-				Cause: string(s.zones.loggedCauses[pool+"/"+zone]),
+				Cause: string(s.zones.lastCauses[pool+"/"+zone]),
 			})
 		}
 	}
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -51,7 +51,7 @@
 )
 
 // Store keeps the persistent state of a voter in a file. It is the consensus.Storage of a voter that is not in memory. It is not safe for
-// concurrent use, but for Identity and Syncs.
+// concurrent use, but for Syncs.
 type Store struct {
 	db     *bbolt.DB
 	path   string
@@ -167,8 +167,8 @@
 	return tx.Bucket(identityBucket).Put(identityKey, sealFile(data))
 }
 
-// Admitted saves the identity that the consensus group has given, before it is used.
-func (s *Store) Admitted(fleet string, id uint64) error {
+// SaveIdentity saves the identity that the consensus group has given, before it is used.
+func (s *Store) SaveIdentity(fleet string, id uint64) error {
 	was := s.id
 	s.id.Fleet, s.id.ID = fleet, id
 	if err := s.db.Update(s.putIdentity); err != nil {
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// Found makes an empty store that of the first voter of a new fleet.
-func (s *Store) Found(names []string) error {
+// Bootstrap makes an empty store that of the first voter of a new fleet.
+func (s *Store) Bootstrap(names []string) error {
 	if s.id.ID != 0 {
 		return fmt.Errorf("%s: has the identity %d in the fleet %s already; nothing was changed", s.path, s.id.ID, s.id.Fleet)
 	}
@@ -191,7 +191,7 @@
 	if err := s.Save(consensus.PersistentState{Snapshot: snap, HardState: consensus.BootstrapHardState()}, true); err != nil {
 		return err
 	}
-	return s.Admitted(fleet, firstVoterID)
+	return s.SaveIdentity(fleet, firstVoterID)
 }
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -29,10 +29,10 @@
 type voterStore interface {
 	consensus.Storage
 	Identity() Identity
-	// Admitted saves the identity that the consensus group has given, before it is used.
-	Admitted(fleet string, id uint64) error
-	// Found makes an empty store the first voter's of a new fleet.
-	Found(names []string) error
+	// SaveIdentity saves the identity that the consensus group has given, before it is used.
+	SaveIdentity(fleet string, id uint64) error
+	// Bootstrap makes an empty store the first voter's of a new fleet.
+	Bootstrap(names []string) error
 	// Load returns what was saved.
 	Load() (consensus.PersistentState, error)
 	// Syncs counts the writes that were synced since the start.
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	v.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: h.cfg.Rules, Persisted: saved})
+	v.node, err = consensus.New(consensus.Config{ID: id.ID, LeaseTiming: h.cfg.LeaseTiming, Persisted: saved})
 	if err != nil {
 		return storeDamagedError(h.cfg.Store, err)
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// propose hands a request to the raft node; onResponse is called from the consensus goroutine.
-func (h *Host) propose(v *voter, request consensus.Request, onResponse func(consensus.Response)) {
+// submitToVoter hands a request, be it a command, a read or a keepalive, to the raft node; onResponse is called from the consensus goroutine.
+func (h *Host) submitToVoter(v *voter, request consensus.Request, onResponse func(consensus.Response)) {
 	if v.node == nil {
 		onResponse(consensus.Response{NotLeader: true})
 		return
@@ -128,7 +128,7 @@
 	if now < v.nextAdmission {
 		return
 	}
-	v.nextAdmission = now + h.cfg.Rules.KeepAliveInterval()
+	v.nextAdmission = now + h.cfg.LeaseTiming.KeepAliveInterval()
 	request := consensus.Request{Voter: &consensus.VoterCommand{
 		Op: consensus.OpAdmit, Name: h.cfg.Name, StoreID: h.store.Identity().Store, Volatile: h.cfg.VotersInMemory,
 	}}
@@ -153,7 +153,7 @@
 		h.log.Error("the consensus group refuses admission", "why", result.Refusal)
 		return
 	}
-	err := h.store.Admitted(result.FleetID, result.RaftID)
+	err := h.store.SaveIdentity(result.FleetID, result.RaftID)
 	if err == nil {
 		err = h.openVoter(v)
 	}
@@ -260,11 +260,11 @@
 		return err
 	}
 	initial := consensus.PersistentState{Snapshot: snapshot, HardState: consensus.BootstrapHardState()}
-	v.node, err = consensus.New(consensus.Config{ID: firstVoterID, LeaseTiming: h.cfg.Rules, Persisted: initial})
+	v.node, err = consensus.New(consensus.Config{ID: firstVoterID, LeaseTiming: h.cfg.LeaseTiming, Persisted: initial})
 	if err != nil {
 		return err
 	}
-	if err := store.Admitted(machine.FleetID, firstVoterID); err != nil {
+	if err := store.SaveIdentity(machine.FleetID, firstVoterID); err != nil {
 		return err
 	}
 	h.mu.Lock()
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -45,7 +45,7 @@
 	proposedAt      time.Duration
 
 	loggedAdvice map[string]string             // by key
-	loggedCauses map[string]zonefailover.Cause // by pool and zone
+	lastCauses   map[string]zonefailover.Cause // by pool and zone; from when this process last held the lease
 
 	grayDetectors map[string]*zonefailover.GrayDetector // by pool
 	grayKeys      map[string]bool                       // entries on gray failures that this process has written
@@ -58,7 +58,7 @@
 		cfg:           cfg,
 		controllers:   map[string]*zonefailover.Controller{},
 		loggedAdvice:  map[string]string{},
-		loggedCauses:  map[string]zonefailover.Cause{},
+		lastCauses:    map[string]zonefailover.Cause{},
 		grayDetectors: map[string]*zonefailover.GrayDetector{},
 		grayKeys:      map[string]bool{},
 		checkDue:      make(chan struct{}, 1),
@@ -68,7 +68,8 @@
 // enabled reports whether this process judges zones, be it for the log alone.
 func (z *zoneFailover) enabled() bool { return z.cfg != nil && z.cfg.Automatic != ZonesOff }
 
-// judgeZones has the holder of the zones' lease judge all zones, and propose one change at a time. The caller has mu.
+// judgeZones has the holder of the zones' lease judge all zones, and propose one change at a time; every process first requests the checks that
+// are due. The caller has mu.
 func (h *Host) judgeZones(now time.Duration) {
 	shared := h.shared
 	z := &shared.zones
@@ -89,7 +90,7 @@
 		snapshot := zoneview.Snapshot(shared.node, z.cfg.Members, pool, z.endpointZones[pool])
 		change, causes := z.controllers[pool].Next(now, snapshot)
 		h.logZoneCauses(pool, causes, len(snapshot.Unreachable))
-		if change == nil || z.proposalPending && now < z.proposedAt+h.cfg.Rules.KeepAliveInterval() {
+		if change == nil || z.proposalPending && now < z.proposedAt+h.cfg.LeaseTiming.KeepAliveInterval() {
 			continue // a proposal without an answer is repeated: the state machine tells a late copy from a new one
 		}
 		if z.cfg.Automatic == ZonesAdvise {
@@ -115,9 +116,9 @@
 	}
 }
 
-// logZoneCauses logs the causes of verdicts that have changed. The caller has mu.
+// logZoneCauses notes the causes of verdicts, and logs those that have changed to another than healthy. The caller has mu.
 func (h *Host) logZoneCauses(pool string, causes map[string]zonefailover.Cause, reports int) {
-	logged := h.shared.zones.loggedCauses
+	logged := h.shared.zones.lastCauses
 	for zone, cause := range causes {
 		key := pool + "/" + zone
 		if logged[key] == cause {
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -9,7 +9,7 @@
 // exclusionSet is the arguments of pool.Pool.SetExcluded.
 type exclusionSet struct{ excluded, returning, untilRestart map[string]bool }
 
-// RefreshEndpoints makes all pools poll their sources at once.
+// RefreshEndpoints has all pools open a watch of their sources soon; see pool.Pool.PollNow.
 func (g *Gateway) RefreshEndpoints() {
 	for _, p := range g.table.Load().pools {
 		p.pool.PollNow()
@@ -57,14 +57,16 @@
 	return true
 }
 
-// OnUnresponsive has f called, with is true, for each attempt or health check that a server left unanswered, and with is
-// false once it answers again. It is called under the pool's lock, and must call neither pool nor gateway. There is one
-// such function at a time.
-func (g *Gateway) OnUnresponsive(f func(pool, server string, is bool)) { g.onUnresponsive.Store(&f) }
+// OnReachabilityChange has f called, with unreachable true, for each attempt or health check that an endpoint left unanswered, and
+// with false once it answers again. It is called under the pool's lock, and must call neither pool nor gateway. There is one such
+// function at a time.
+func (g *Gateway) OnReachabilityChange(f func(pool, endpoint string, unreachable bool)) {
+	g.onReachabilityChange.Store(&f)
+}
 
-func (g *Gateway) notifyUnresponsive(pool, server string, is bool) {
-	if f := g.onUnresponsive.Load(); f != nil {
-		(*f)(pool, server, is)
+func (g *Gateway) notifyReachability(pool, endpoint string, unreachable bool) {
+	if f := g.onReachabilityChange.Load(); f != nil {
+		(*f)(pool, endpoint, unreachable)
 	}
 }
 
--- a/internal/gateway/extension.go
+++ b/internal/gateway/extension.go
@@ -58,8 +58,9 @@
 	return asAdmitted(a, id, err)
 }
 
-// HasReadyEndpoint reports whether the list of the pool of that name has a ready server.
+// HasReadyEndpoint reports whether the pool of that name may take requests: its list names a ready endpoint, or its requests may wait for one,
+// or it has just been removed.
 func (g *Gateway) HasReadyEndpoint(name string) bool {
 	p := g.table.Load().pools[name]
-	return p != nil && g.quotas.canServe(p.id)
+	return p != nil && g.quotas.mayTakeRequests(p.id)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,20 +28,20 @@
 
 // Gateway is one proxy process. Its methods are safe for concurrent use.
 type Gateway struct {
-	log         *slog.Logger
-	descriptors *process.Descriptors
-	server      *downstream.Server // connections of clients
-	siteServer  *downstream.Server // connections of other sites; nil without an extension
-	extension   Extension          // nil: none
-	protocols   ListenerProtocols
-	table       atomic.Pointer[routingTable]
-	quotas      processQuotas
-	counters    metrics.RequestCounters // of all pools, removed ones included
-	listening   atomic.Bool
-	draining    atomic.Bool
-
-	onUnresponsive atomic.Pointer[func(pool, server string, is bool)] // see OnUnresponsive
-	multiplePools  chan struct{}                                      // closed once there has been more than one pool
+	log          *slog.Logger
+	descriptors  *process.Descriptors
+	clientServer *downstream.Server // connections of clients
+	siteServer   *downstream.Server // connections of other sites; nil without an extension
+	extension    Extension          // nil: none
+	protocols    ListenerProtocols
+	table        atomic.Pointer[routingTable]
+	quotas       processQuotas
+	counters     metrics.RequestCounters // of all pools, removed ones included
+	listening    atomic.Bool
+	draining     atomic.Bool
+
+	onReachabilityChange atomic.Pointer[func(pool, server string, is bool)] // see OnUnresponsive
+	multiplePools        chan struct{}                                      // closed once there has been more than one pool
 
 	ctx        context.Context // ends with Run or Close
 	stop       context.CancelFunc
@@ -94,10 +94,10 @@
 // newServers makes the servers for the connections of clients and, with an extension, of other sites. Both give up
 // connections where descriptors are short, clients' first.
 func (g *Gateway) newServers() {
-	g.server = downstream.NewServerWithOptions(&clientHandler{g}, g.descriptors, g.log, downstream.Options{
+	g.clientServer = downstream.NewServerWithOptions(&clientHandler{g}, g.descriptors, g.log, downstream.Options{
 		Multiplexed: g.protocols.Multiplexed,
 	})
-	g.descriptors.SetClientEvictor(g.server.Evict)
+	g.descriptors.SetClientEvictor(g.clientServer.Evict)
 	if g.extension == nil {
 		return
 	}
@@ -105,7 +105,7 @@
 		PeerName:  g.extension.PeerName,
 		LongLived: true,
 	})
-	g.descriptors.SetClientEvictor(func() bool { return g.server.Evict() || g.siteServer.Evict() })
+	g.descriptors.SetClientEvictor(func() bool { return g.clientServer.Evict() || g.siteServer.Evict() })
 }
 
 // StartAdmin opens the admin server, if one is configured and not open yet. Listen does so too; called earlier, it
@@ -128,7 +128,7 @@
 	return g.adminServer.Addr()
 }
 
-// Done returns a channel that is closed once the process has shut down.
+// Done returns a channel that is closed as Close begins, after Run has drained the process.
 func (g *Gateway) Done() <-chan struct{} { return g.ctx.Done() }
 
 // Close ends everything at once. It is for a gateway that does not run, or has run.
--- a/internal/gateway/learned_state.go
+++ b/internal/gateway/learned_state.go
@@ -14,7 +14,7 @@
 
 // ExportLearnedState returns what has been learned so far.
 func (g *Gateway) ExportLearnedState() LearnedState {
-	l := LearnedState{Clients: g.server.ExportLearnedState(), Pools: map[string]pool.LearnedState{}}
+	l := LearnedState{Clients: g.clientServer.ExportLearnedState(), Pools: map[string]pool.LearnedState{}}
 	for name, p := range g.table.Load().pools {
 		l.Pools[name] = p.pool.ExportLearnedState()
 	}
@@ -23,7 +23,7 @@
 
 // ImportLearnedState adds what another process has learned.
 func (g *Gateway) ImportLearnedState(l LearnedState) {
-	g.server.ImportLearnedState(l.Clients)
+	g.clientServer.ImportLearnedState(l.Clients)
 	for name, p := range g.table.Load().pools {
 		if state, known := l.Pools[name]; known {
 			p.pool.ImportLearnedState(state)
--- a/internal/gateway/listeners.go
+++ b/internal/gateway/listeners.go
@@ -165,7 +165,7 @@
 	if l.InterSite {
 		return g.siteServer
 	}
-	return g.server
+	return g.clientServer
 }
 
 // drainRemovedListeners drains the open listeners that want lacks. The caller holds configMu.
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// drainGrace is the time for the last answers beyond the longest deadline.
-	drainGrace = 150 * time.Millisecond
+	// lastResponsesTimeout is the time for the last responses beyond the longest deadline.
+	lastResponsesTimeout = 150 * time.Millisecond
 	// drainPollInterval is how often a draining pool is checked for open requests.
 	drainPollInterval = 5 * time.Millisecond
 )
@@ -96,8 +96,8 @@
 		CachedList:      p.cfg.CachedList,
 		Seed:            p.cfg.Seed,
 		OnReadyCount:    func(n int) { g.quotas.setReady(p.id, n) },
-		AcceptsRequests: func() bool { return g.quotas.canServe(p.id) },
-		OnUnreachable:   func(server string, is bool) { g.notifyUnresponsive(name, server, is) },
+		AcceptsRequests: func() bool { return g.quotas.mayTakeRequests(p.id) },
+		OnUnreachable:   func(endpoint string, unreachable bool) { g.notifyReachability(name, endpoint, unreachable) },
 		StatsInterval:   c.StatsInterval,
 		Metrics:         &g.counters,
 	}
@@ -160,7 +160,7 @@
 	name := p.cfg.Name
 	g.log.Info("pool draining", "pool", name, "load", p.pool.String())
 	g.drainTasks.Go(func() {
-		ctx, cancel := context.WithTimeout(g.ctx, p.pool.MaxDeadline()+drainGrace)
+		ctx, cancel := context.WithTimeout(g.ctx, p.pool.MaxDeadline()+lastResponsesTimeout)
 		defer cancel()
 		err := g.awaitDrained(ctx, p)
 		p.pool.Close()
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -122,8 +122,9 @@
 	q.admission.SetReady(id, servers)
 }
 
-// canServe reports whether the list of a pool names a ready server.
-func (q *processQuotas) canServe(id quota.PoolID) bool {
+// mayTakeRequests reports whether requests of a pool are not rejected for want of an endpoint: its list names a ready one, its requests may wait
+// for one, or the pool is not known (any more).
+func (q *processQuotas) mayTakeRequests(id quota.PoolID) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.admission.CanServe(id)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -29,13 +29,13 @@
 	g.configMu.Lock()
 	g.stopped = true
 	abortAfter := acceptWindow + g.drainTimeout()
-	end, cancel := context.WithTimeout(context.Background(), abortAfter+drainGrace)
+	end, cancel := context.WithTimeout(context.Background(), abortAfter+lastResponsesTimeout)
 	defer cancel()
 	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	g.drainConnections()
 	g.drainListeners(end)
 	g.configMu.Unlock()
-	err := g.server.Wait(end)
+	err := g.clientServer.Wait(end)
 	if g.siteServer != nil {
 		err = errors.Join(err, g.siteServer.Wait(end))
 	}
@@ -72,10 +72,10 @@
 // comes again on a new connection, which is still accepted. The caller holds configMu.
 func (g *Gateway) drainConnections() {
 	if g.inheritsListener() {
-		g.server.CloseAfterResponse()
-		time.AfterFunc(idleHandoverWindow, g.server.Drain)
+		g.clientServer.CloseAfterResponse()
+		time.AfterFunc(idleHandoverWindow, g.clientServer.Drain)
 	} else {
-		g.server.Drain()
+		g.clientServer.Drain()
 	}
 	if g.extension != nil {
 		g.extension.Drain()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	<-ended
-	if took, most := time.Since(began), acceptWindow+s.cfg.MaxDrain+drainGrace+time.Second; took > most {
+	if took, most := time.Since(began), acceptWindow+s.cfg.MaxDrain+lastResponsesTimeout+time.Second; took > most {
 		t.Errorf("ended after %v, want %v at most", took, most)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -28,7 +28,7 @@
 func (g *Gateway) Load() Load {
 	load := Load{
 		Draining:   len(g.quotas.retiredPools()),
-		Clients:    g.server.ConnectionCount(),
+		Clients:    g.clientServer.ConnectionCount(),
 		Goroutines: runtime.NumGoroutine(),
 	}
 	for _, p := range g.table.Load().pools {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -50,7 +50,7 @@
 
 type wantedLease struct {
 	limit      int
-	registered bool // the leader knows
+	registered bool // the leader has answered: asking again changes nothing before the holdings change
 }
 
 // NewClient returns the client of a process without a session. incarnation must differ at each start of any process.
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -42,7 +42,7 @@
 // Reasons for refusing a command or a keepalive.
 const (
 	RefusedNoSession     Refusal = "no such session"              // it has expired, or another process of that name took its place
-	RefusedSuperseded    Refusal = "another process has the name" // the older of two processes with one name
+	RefusedSuperseded    Refusal = "another process has the name" // of two processes with one name, the one whose session was opened first
 	RefusedLimitReached  Refusal = "no room"                      // one of the Max constants
 	RefusedHeld          Refusal = "held by others"
 	RefusedLimitMismatch Refusal = "in use with another limit"
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -27,12 +27,12 @@
 // NewLessor returns the lessor of a process that has just become leader. m must have all entries of former leaders applied.
 func NewLessor(t Timing, now time.Duration, m *StateMachine) *Lessor {
 	l := &Lessor{timing: t, sessions: map[uint64]*deadline{}, revoked: map[uint64]*deadline{}}
-	l.Sync(now, m)
+	l.Track(now, m)
 	return l
 }
 
-// Sync has to be called after each change of m.
-func (l *Lessor) Sync(now time.Duration, m *StateMachine) {
+// Track has to be called after each change of m.
+func (l *Lessor) Track(now time.Duration, m *StateMachine) {
 	expiry := now + l.timing.TTL
 	syncDeadlines(l.sessions, m.Sessions, expiry)
 	syncDeadlines(l.revoked, m.Revoked, expiry)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Renew lets a session live for a whole TTL from now on. It reports false for one that has expired. It may only be called once a
+// Renew lets a session live for a whole TTL from now on. It reports false for one whose expiry was proposed. It may only be called once a
 // majority has confirmed, after the keepalive arrived, that this process is still the leader: another may have been elected meanwhile.
 func (l *Lessor) Renew(now time.Duration, sessionID uint64) bool {
 	d := l.sessions[sessionID]
--- a/internal/lease/lessor_test.go
+++ b/internal/lease/lessor_test.go
@@ -16,7 +16,7 @@
 	m.Apply(Command{Op: OpAcquire, SessionID: b, Seq: 1, Name: "x", Limit: 1, Wait: true})
 	l := NewLessor(Timing{TTL: time.Second}, 0, m)
 	m.Apply(Command{Op: OpRevoke, Name: "x"})
-	l.Sync(100*time.Millisecond, m)
+	l.Track(100*time.Millisecond, m)
 	for _, s := range []uint64{a, b} {
 		l.Renew(time.Second-1, s)
 	}
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -9,7 +9,8 @@
 // maxDrift is the largest Timing.MaxClockDrift that Validate accepts.
 const maxDrift = 0.2
 
-// Timing are the durations that all processes of a fleet must agree on.
+// Timing are the durations that all processes of a fleet must agree on. Nothing checks that: a client with a longer TTL than the leader's
+// acts on its lease after that was granted to another.
 type Timing struct {
 	// TTL is how long the leader lets a session live after a keepalive, by the leader's clock.
 	TTL time.Duration
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// RecordForwardedAttempt counts an attempt whose last byte was written to a server.
-func (c *RequestCounters) RecordForwardedAttempt() { c.forwardedAttempts.Add(1) }
+// RecordAttemptWritten counts an attempt whose last byte was written to an endpoint.
+func (c *RequestCounters) RecordAttemptWritten() { c.forwardedAttempts.Add(1) }
 
 // ForwardedAttempts returns the number of such attempts.
 func (c *RequestCounters) ForwardedAttempts() int64 { return c.forwardedAttempts.Load() }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -33,7 +33,7 @@
 				want[name] = k
 			},
 			"forwarded": func(*rapid.T) {
-				c.RecordForwardedAttempt()
+				c.RecordAttemptWritten()
 				forwards++
 			},
 			"": func(t *rapid.T) {
--- a/internal/pool/attempt_begin.go
+++ b/internal/pool/attempt_begin.go
@@ -45,7 +45,7 @@
 	p.runEvent(func(now policy.Time) {
 		denial = p.beginDeniedLocked(now, a, peer, clientGone)
 		if denial == deniedClientGone {
-			p.balancer.HandleClientGone(now, r.id, p)
+			p.balancer.HandleRequestAbandoned(now, r.id, p)
 			p.finish(r, httpmsg.Response{Status: http.StatusBadGateway}) // releases whoever waits for the response
 		}
 	})
--- a/internal/pool/attempt_run.go
+++ b/internal/pool/attempt_run.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.metrics.RecordForwardedAttempt()
+	p.metrics.RecordAttemptWritten()
 	return conn.Receive(q)
 }
 
@@ -127,7 +127,7 @@
 	}
 	p.runEvent(func(now policy.Time) {
 		if !r.ended {
-			p.balancer.HandleClientGone(now, r.id, p)
+			p.balancer.HandleRequestAbandoned(now, r.id, p)
 			p.finish(r, response)
 		}
 	})
--- a/internal/pool/endpoints.go
+++ b/internal/pool/endpoints.go
@@ -71,7 +71,8 @@
 	return endpoint
 }
 
-// readyCount returns how many endpoints the list names ready, excluded ones included. The caller holds mu.
+// readyCount returns how many endpoints the list names ready, excluded ones included: a list that leaves none but excluded ones counts as
+// ready, and requests then wait for another. The caller holds mu.
 func (p *Pool) readyCount() int {
 	ready := 0
 	for _, e := range p.endpoints {
@@ -109,7 +110,7 @@
 	return all
 }
 
-// Readiness reports whether the list names a ready endpoint, and whether the source itself has sent a list.
+// Readiness reports whether the list names a ready endpoint, be it excluded, and whether the source itself has sent a list.
 func (p *Pool) Readiness() (ready, listReceived bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/exclusion.go
+++ b/internal/pool/exclusion.go
@@ -124,7 +124,7 @@
 }
 
 // SetExcluded orders which endpoints take no new requests from now on, as if the list said that they drain. It excludes none of them,
-// and returns false, where no ready endpoint would be left. An endpoint that was excluded and is not any more counts as started now,
+// and returns false, where no ready endpoint would be left by the list in force; a later list may leave none. An endpoint that was excluded and is not any more counts as started now,
 // and so does one of returning, which the fleet has just begun to use again; those of untilRestart are used again once the list names
 // another start. The pool keeps the maps, which must not be changed.
 func (p *Pool) SetExcluded(excluded, returning, untilRestart map[string]bool) (done bool) {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -181,8 +181,8 @@
 	p.goroutines.Wait()
 }
 
-// AbortRequests answers at once what is still open, as the process is about to end, and has no more requests accepted: what was never
-// sent is rejected, and what may have been executed has failed. A long response that has begun goes on.
+// AbortRequests answers at once what is still open, as the process is about to end, and has no more requests accepted. A request for which no
+// attempt was started is rejected, any other fails, whether or not its attempts may have been executed. A long response that has begun goes on.
 func (p *Pool) AbortRequests() {
 	p.runEvent(func(now policy.Time) {
 		p.requestsAborted = true
@@ -195,7 +195,7 @@
 				p.respond(r, failed, metrics.Failed)
 				p.removeFinished(r)
 			case !r.ended:
-				p.balancer.HandleClientGone(now, r.id, p)
+				p.balancer.HandleRequestAbandoned(now, r.id, p)
 				p.finish(r, r.lastFailureOr(failed, false))
 			}
 		}
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -10,7 +10,10 @@
 	"sorrelrudder/policy"
 )
 
-// request is one request of a client, from its last byte until all its attempts have ended.
+// request is one request of a client, from its last byte until all its attempts have ended. The pool's mu guards what changes.
+//
+// It is open until respond sends its one response and sets ended, or cancelRequest sets ended without one, since the client has left. It stays in
+// Pool.requests until nothing of it goes on: attemptsInFlight is 0, forwarding is nil and streaming is false (removeFinished).
 type request struct {
 	id               policy.RequestID
 	xRequestID       string
@@ -95,7 +98,7 @@
 		}
 		open, r.ended = true, true
 		p.stats.Add(statslog.ClientGone, 1)
-		p.balancer.HandleClientGone(now, r.id, p)
+		p.balancer.HandleRequestAbandoned(now, r.id, p)
 		p.removeFinished(r)
 	})
 	return open
@@ -151,7 +154,7 @@
 		if r.ended || len(r.attempts) > 0 {
 			continue
 		}
-		p.balancer.HandleClientGone(now, r.id, p)
+		p.balancer.HandleRequestAbandoned(now, r.id, p)
 		rejection := errNoEndpoint.Response()
 		if !p.settings.Config.RetryAfterHonored {
 			rejection.RetryAfter = 0
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -165,7 +165,7 @@
 	})
 }
 
-// PollNow has the decision module open a watch at once, unless a list has been received or is being waited for.
+// PollNow has the decision module open a watch within Config.WatchReopenMaxDelay, unless a list has been received or is being waited for.
 func (p *Pool) PollNow() {
 	p.runEvent(func(now policy.Time) {
 		if !p.watch.received && p.watch.cancel == nil {
--- a/internal/process/siblings.go
+++ b/internal/process/siblings.go
@@ -21,7 +21,7 @@
 // that ends, and holds across whatever hides one process from another; a process number would do neither.
 type SiblingGroup struct {
 	dir  string
-	name string // of this process's file
+	name string // of this process's file; empty: the others do not know of this process
 	file *os.File
 }
 
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -30,7 +30,7 @@
 	StatsInterval   time.Duration // how often statistics are logged; 0: never
 	ListenerFD      int           // above 0: the descriptor of the listening socket, which the platform holds
 	siblings        int           // other processes of this sidecar that are alive
-	SharedDir       string        // the folder shared with sibling processes, where the platform holds the socket; empty: none
+	SharedDir       string        // TMPDIR: the folder shared with sibling processes, where the platform holds the socket; empty: none is looked for
 }
 
 const (
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -122,7 +122,7 @@
 }
 
 func (i *instance) handleClientGone(now policy.Time, _ *host, m *message) error {
-	i.balancer.HandleClientGone(now, policy.RequestID(m.RequestID), i)
+	i.balancer.HandleRequestAbandoned(now, policy.RequestID(m.RequestID), i)
 	return nil
 }
 
--- a/internal/spillover/link.go
+++ b/internal/spillover/link.go
@@ -249,7 +249,7 @@
 	if !known || !l.Spilling() || l.credits < 1 || i >= l.eligibleClasses {
 		return false
 	}
-	// The classes of most value have what is left of the window's ratio; the first request of a window may always.
+	// The classes of most value have what is left of the window's ratio; the first request of a window is always allowed.
 	if l.forwarded > 0 && float64(l.forwarded) >= l.cfg.MaxForwardedRatio*float64(sum(l.offered)) {
 		return false
 	}
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -28,7 +28,8 @@
 	// minAgentCallTimeout keeps the calls to an agent apart where the grace is very short.
 	minAgentCallTimeout = 50 * time.Millisecond
 
-	// firstPollSpread is the fraction of the poll interval over which a group's first polls are spread.
+	// firstPollSpread is the fraction of the poll interval over which a group's first polls are spread. Package policy spreads them so
+	// (firstPollTenths).
 	firstPollSpread = 0.6
 )
 
--- a/internal/statslog/stats.go
+++ b/internal/statslog/stats.go
@@ -9,7 +9,7 @@
 
 // The counters.
 const (
-	Requests               Counter = iota // received
+	Requests               Counter = iota // taken over by the pool; what is rejected before is not counted here
 	WithinObjective                       // succeeded within the latency objective of their class
 	BeyondObjective                       // succeeded after it
 	Rejected                              // a retry is harmless
@@ -68,7 +68,7 @@
 	// At the end of the interval.
 	ReadyEndpoints   int           // named ready by the list
 	WarmingEndpoints int           // of them, those that are still warming up
-	EjectedEndpoints int           // of them, those that are ejected
+	EjectedEndpoints int           // of them, those that are ejected; 0 while more than half would be: ejections are ignored then
 	OpenRequests     int           // not ended
 	TypicalDelay     time.Duration // of responses
 	CapacityShortage float64       // of the servers, 0 to 1
--- a/internal/zoneview/form_test.go
+++ b/internal/zoneview/form_test.go
@@ -49,7 +49,7 @@
 	n.ApplyDecision("zone/orders/a", 5, []byte("4 false 0 "))
 	n.ApplyDecision("zone/orders/b", 9, []byte("0 false 0 "))
 	got := ShiftCommand(n, "orders", zonefailover.Transition{Zone: "a", State: zonefailover.State{Step: 3, Relapses: 1, Reason: "a step was borne"}}, 77)
-	want := consensus.DecisionCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, BasedOn: 5, LastSeenZone: 9}
+	want := consensus.DecisionCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, BasedOn: 5, NewestZoneDecision: 9}
 	if got != want || LeaseName != "zones" {
 		t.Errorf("the command is %+v, want %+v; the lease is %q", got, want, LeaseName)
 	}
--- a/internal/zoneview/zoneview.go
+++ b/internal/zoneview/zoneview.go
@@ -135,7 +135,7 @@
 		BasedOn: revisions[transition.Zone],
 	}
 	for _, revision := range revisions {
-		command.LastSeenZone = max(command.LastSeenZone, revision)
+		command.NewestZoneDecision = max(command.NewestZoneDecision, revision)
 	}
 	return command
 }
--- a/internal/zoneview/zoneview_test.go
+++ b/internal/zoneview/zoneview_test.go
@@ -140,10 +140,10 @@
 	n.ApplyDecision("zone/farm/a", 3, []byte(zonefailover.State{Step: 4}.Encode()))
 	n.ApplyDecision("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
 	n.ApplyDecision("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
-	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.BasedOn != 3 || c.LastSeenZone != 7 || c.Token != 5 || c.Conditional {
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.BasedOn != 3 || c.NewestZoneDecision != 7 || c.Token != 5 || c.Conditional {
 		t.Errorf("%+v", c)
 	}
-	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.BasedOn != 0 || c.LastSeenZone != 7 {
+	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.BasedOn != 0 || c.NewestZoneDecision != 7 {
 		t.Errorf("of a zone without a decision: %+v", c)
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -133,7 +133,7 @@
 		b.finishRequest(now, r, endedOverLimit, act)
 		return
 	}
-	if !b.startAttempt(now, r, active, act) {
+	if !b.startOrAwaitEndpoint(now, r, active, act) {
 		b.finishRequest(now, r, endedNoEndpoint, act)
 	}
 }
@@ -183,7 +183,7 @@
 		if admissible {
 			b.jbt.admitSample(now, e)
 			b.dequeue(r)
-			b.startAttempt(now, r, []*endpoint{e}, act)
+			b.startOrAwaitEndpoint(now, r, []*endpoint{e}, act)
 			break
 		}
 		if r.sampleReplies >= len(r.sampled) {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -82,7 +82,7 @@
 	}
 	r.sampled = b.startSamplingRound(now, r, active, act)
 	if b.hasMarkFor(now, r, active) {
-		b.startAttempt(now, r, active, act)
+		b.startOrAwaitEndpoint(now, r, active, act)
 		return
 	}
 	b.enqueue(now, r, act)
@@ -154,7 +154,7 @@
 		b.release(r)
 		return
 	}
-	if r.inFlight == 0 && !b.startAttempt(now, r, b.activeSubset(now), act) {
+	if r.inFlight == 0 && !b.startOrAwaitEndpoint(now, r, b.activeSubset(now), act) {
 		b.finishRequest(now, r, endedAttemptsFailed, act)
 	}
 }
@@ -187,7 +187,8 @@
 	a.endpoint.recordContact(now, status)
 }
 
-// HandleResponseStarted notes that part of a response has reached the client: the request is not retried from here on.
+// HandleResponseStarted notes that part of a response has reached the client: the request is not retried from here on. Package pool does not
+// call it: it reports the attempt as StatusOK, with RequestEnded, once the first part is handed over.
 func (b *Balancer) HandleResponseStarted(_ Time, id RequestID, _ int, _ Actions) {
 	if r := b.requests[id]; r != nil {
 		r.responseStarted = true
@@ -225,8 +226,9 @@
 	act.SetTimer(max(0, r.finalDeadline-now), timerToken(id))
 }
 
-// HandleClientGone notes that the client has left.
-func (b *Balancer) HandleClientGone(_ Time, id RequestID, act Actions) {
+// HandleRequestAbandoned notes that the host has ended a request without a decision of the module: its client has left, its body broke off, or
+// the process ends. Its attempts are canceled where the configuration allows that.
+func (b *Balancer) HandleRequestAbandoned(_ Time, id RequestID, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended {
 		return
@@ -297,7 +299,7 @@
 type Summary struct {
 	TypicalLatency   time.Duration // the usual latency of responses
 	CapacityShortage float64       // from 0, there is capacity for all requests, to 1
-	EjectedEndpoints int           // get no traffic after failures
+	EjectedEndpoints int           // get no traffic after failures; 0 while more than half would be: ejections are ignored then
 }
 
 // Summarize returns the state at now.
--- a/policy/config.go
+++ b/policy/config.go
@@ -49,8 +49,8 @@
 	InstanceIndex, InstanceCount int // this instance's number in its group, from 0
 	Zone                         string
 	Classes                      []Class
-	Tenants                      []Tenant
-	OverQuotaWeight              float64 // weight of requests beyond a tenant's quota
+	Tenants                      []Tenant // not used by the decisions
+	OverQuotaWeight              float64  // weight of requests beyond a tenant's quota; not used by the decisions
 
 	EndpointsPushed     bool // the endpoint list comes without a watch
 	HealthChecksAllowed bool
@@ -63,13 +63,13 @@
 	ConnIdle            time.Duration // a connection is closed after it
 	TimerResolution     time.Duration // least time between two events of the host
 
-	InlineLoadReports bool // responses carry load reports; otherwise only health checks do
+	InlineLoadReports bool // responses carry load reports; otherwise only health checks do. The host reads it
 	KeyAffinity       bool // an endpoint does less work for a key that it met lately
 
 	PollInterval         time.Duration // an endpoint list older than this is out of date
 	PollMaxBackoff       time.Duration // from a failed call for the list to the next; 0: PollInterval
 	WatchReopenMaxDelay  time.Duration // from the loss of a watch to the call; 0: PollInterval
-	ResponseGrace        time.Duration // a client is answered within it after Request.Expires
+	ResponseGrace        time.Duration // a client is answered within it after Request.Expires; not used by the decisions
 	SlowStartMinCapacity float64       // capacity of an endpoint at its start, as a fraction of full
 	SlowStartDuration    time.Duration // it has its full capacity after it
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -18,7 +18,7 @@
 //	HandleTimer          hedge.go: a hedged request; admission.go: the end of
 //	                     a wait; balancer.go: the end of a request
 //
-// # Who decides that a request is rejected
+// # Which requests the Balancer rejects
 //
 // Each request has a latency limit (latencyLimit in admission.go): the time
 // left to its latency objective, or less under a shortage of capacity if other
@@ -52,9 +52,12 @@
 // A failed attempt or health check ejects an endpoint for a time that doubles
 // with each failure in a row (outlier.go). Failures that may come from load do
 // not: rejections, and time-outs unless the endpoint was silent or fails again
-// and again. When the time is over, a health check is sent, and its success
-// readmits the endpoint; where health checks are not allowed the time alone
-// does. If more than half of all endpoints are ejected, ejections are ignored.
+// and again. Failures while it is ejected prolong the time, and a hint that
+// other members cannot reach it ejects an endpoint as well
+// (HandleUnreachableHint). When the time is over, the next request that arrives
+// has a health check sent, and its success readmits the endpoint; where health
+// checks are not allowed the time alone does. If more than half of all endpoints
+// are ejected, ejections are ignored.
 //
 // # Units
 //
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -19,7 +19,8 @@
 	maxPollDoublings = 3
 	// watchReopenDivisor of Config.PollInterval is the longest delay of the call after a watch was lost.
 	watchReopenDivisor = 16
-	// firstPollTenths of Config.PollInterval may pass until the first call, so that its answer comes within the interval.
+	// firstPollTenths of Config.PollInterval may pass until the first call, so that its answer comes within the interval. Package staleness
+	// reckons with it (firstPollSpread).
 	firstPollTenths = 6
 	// watchToken is the token of the timer for the next call to the list service.
 	watchToken = "watch"
@@ -177,7 +178,7 @@
 func (b *Balancer) startUnsent(now Time, act Actions) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		if r := b.requests[id]; !r.ended && len(r.attempts) == 0 && r.queuedUntil == 0 {
-			b.startAttempt(now, r, b.activeSubset(now), act)
+			b.startOrAwaitEndpoint(now, r, b.activeSubset(now), act)
 		}
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Time is an instant on the host's monotonic clock; its origin means nothing.
+// Time is an instant on the host's monotonic clock. Its origin is arbitrary, but every instant passed must be above 0: in the module's state 0
+// stands for never.
 type Time = time.Duration
 
 // EndpointID names an endpoint. Only equality, order and hash of it are used.
@@ -41,7 +42,7 @@
 	UpdateFull                         // all entries; absent endpoints were removed
 	UpdateCached                       // all entries, perhaps out of date
 	UpdatePollFailed                   // no entries: a call to the list service failed, or the watch broke
-	UpdateWatchLost                    // no entries: the watch ended or moved, and a new one can be had at once
+	UpdateWatchLost                    // no entries: the watch ended or moved, or a list is wanted now; a watch can be had
 )
 
 // PriorAttempt is an attempt made before the request came here, such as at another site. It counts as one of the request's.
@@ -59,7 +60,7 @@
 	Tenant        string
 	Key           string        // idempotency or affinity key; may be empty
 	ExpectedWork  time.Duration // rough; zero: unknown
-	IsRetry       bool          // marked so by the client
+	IsRetry       bool          // marked so by the client; not used by the decisions
 	Expires       Time          // the client gives up; for a streamed body: its first attempt must begin by then
 	PriorAttempts []PriorAttempt
 	MaxAttempts   int  // including PriorAttempts; 0: Config.MaxAttempts alone counts
@@ -85,8 +86,8 @@
 type LoadReport struct {
 	Queue     float64 // requests waiting
 	InFlight  float64 // requests waiting or worked on
-	Latency   float64 // recent service time, in milliseconds
-	ErrorRate float64 // errors a second
+	Latency   float64 // recent service time, in milliseconds; not used by the decisions
+	ErrorRate float64 // errors a second; not used by the decisions
 }
 
 // AttemptResult is the end of an attempt.
@@ -107,3 +108,22 @@
 	Latency  time.Duration // from its start
 	Load     *LoadReport   // nil: none
 }
+
+var statusNames = [...]string{
+	StatusOK:               "ok",
+	StatusApplicationError: "application error",
+	StatusOverloaded:       "overloaded",
+	StatusTimeout:          "timeout",
+	StatusConnectFailed:    "connect failed",
+	StatusReset:            "reset",
+	StatusCanceled:         "canceled",
+	StatusNotSent:          "not sent",
+}
+
+// String returns the status in words.
+func (s Status) String() string {
+	if s < 0 || int(s) >= len(statusNames) {
+		return "unknown"
+	}
+	return statusNames[s]
+}
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -72,5 +72,5 @@
 		return
 	}
 	b.hedges.credit--
-	b.startAttempt(now, r, candidates, act)
+	b.startOrAwaitEndpoint(now, r, candidates, act)
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -16,7 +16,7 @@
 	ask := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.startAttempt(at, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
 	}
 	for id := RequestID(1); id <= 10; id++ {
 		ask(id, 0)
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -18,7 +18,7 @@
 	Slowness            float64       `json:"Slowness"`   // ratio of its latencies to those predicted
 	SlownessSamples     int           `json:"Answers"`    // responses that tell the slowness
 	ResponseInterval    float64       `json:"Gap"`        // in nanoseconds
-	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not ejected
+	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not, or only its health check is still to come
 	ConsecutiveFailures int           `json:"Fails"`
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -95,7 +95,7 @@
 	for id := RequestID(1); id <= 3; id++ {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Second}
 		b.requests[id] = r
-		b.startAttempt(0, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(0, r, []*endpoint{s}, rec)
 	}
 	if !slices.Contains(b.activeSubset(20*time.Millisecond), s) {
 		t.Error("avoided although no more than the usual time has passed")
@@ -124,7 +124,7 @@
 	ask := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.startAttempt(at, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
 	}
 	want, expected := *s, b.expectedLatency(0, s)
 	ask(1, 0)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -168,7 +168,7 @@
 		if len(p.ids) > 0 {
 			r := p.requests[p.ids[p.rng.IntN(len(p.ids))]]
 			r.ended = true
-			p.b.HandleClientGone(p.now, r.ID, p.checker)
+			p.b.HandleRequestAbandoned(p.now, r.ID, p.checker)
 		}
 	case 6, 7:
 		if len(p.probes) > 0 {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -73,9 +73,9 @@
 	return picked
 }
 
-// startAttempt starts the next attempt of r if an endpoint can be found, and reports whether r goes on: also if it waits, not
-// attempted yet, until the list names an endpoint.
-func (b *Balancer) startAttempt(now Time, r *request, preferred []*endpoint, act Actions) bool {
+// startOrAwaitEndpoint starts the next attempt of r if an endpoint can be found, and reports whether r goes on: also if it waits, not
+// attempted yet, until the list names an endpoint. Callers that ignore the result have found an endpoint for r, or know that none is ready.
+func (b *Balancer) startOrAwaitEndpoint(now Time, r *request, preferred []*endpoint, act Actions) bool {
 	e := b.selectEndpoint(now, r, preferred)
 	if e == nil {
 		return len(r.attempts) == 0 && len(b.readyEndpoints) == 0
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -37,11 +37,11 @@
 				Request: Request{ID: RequestID(i + 1), Expires: now + time.Second},
 				class:   b.classes["safe"], objectiveDeadline: now + time.Second, finalDeadline: now + time.Second,
 			}
-			b.startAttempt(now, r, b.activeSubset(now), rec)
+			b.startOrAwaitEndpoint(now, r, b.activeSubset(now), rec)
 			if n := len(r.attempts); n > 0 && r.attempts[0].endpoint == warming {
 				sent++
 			}
-			again := b.startAttempt(now, r, b.activeSubset(now), rec)
+			again := b.startOrAwaitEndpoint(now, r, b.activeSubset(now), rec)
 			if n := len(r.attempts); again && n > 1 && r.attempts[n-1].endpoint == warming {
 				t.Fatalf("%s: a retry went to a warming endpoint", tc.name)
 			}
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -180,7 +180,7 @@
 	case dice < 940:
 		playTimers(b, h)
 	case dice < 955:
-		b.HandleClientGone(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
+		b.HandleRequestAbandoned(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
 	case dice < 965:
 		b.HandleResponseStarted(h.now, *last-min(*last, RequestID(rng.IntN(5))), 0, h)
 	case dice < 975:
