--- a/internal/config/httpservice.go
+++ b/internal/config/httpservice.go
@@ -27,7 +27,7 @@
 // safeMethods are those that RFC 9110, 9.2.1, calls safe.
 var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-// deadlineFields are the header fields in which clients may tell their timeout.
+// deadlineFields are the header fields that may hold the client's timeout.
 var deadlineFields = []string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}
 
 var forwardingModes = map[string]httpservice.Forwarding{
--- a/internal/config/task.go
+++ b/internal/config/task.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// task reads one task. Whether it may be repeated is told by the class that its request has in its pool.
+// task reads one task. Its idempotency is that of its request's class in its pool.
 func (r *reader) task(s *section, pools []gateway.Pool) fleet.Task {
 	t := fleet.Task{
 		Pool:   s.requiredText("pool"),
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -60,7 +60,7 @@
 }
 
 // parseTree parses text as TOML. The decoder of the library finds out whether it is valid, with keys that stand twice; the
-// library's parser tells the line of each key. The error is an Errors.
+// library's parser gives the line of each key. The error is an Errors.
 func parseTree(file string, text []byte) (*node, error) {
 	if err := checkTOML(file, text); err != nil {
 		return nil, err
--- a/internal/httpservice/dialect.go
+++ b/internal/httpservice/dialect.go
@@ -46,7 +46,7 @@
 	Idempotency policy.Idempotency
 	// KeylessClass is the class of requests without an idempotency key, where Idempotency is policy.IdempotentByKey.
 	KeylessClass string
-	Deadline     time.Duration // where the client tells no timeout that is trusted
+	Deadline     time.Duration // where no trusted header field has the client's timeout
 	Tenant       ValueSource
 	Key          ValueSource // affinity key of the decision module
 }
@@ -62,7 +62,7 @@
 // Config describes the services of a pool.
 type Config struct {
 	Classes             []Class  // in the order in which they are tried; the last matches every request
-	TimeoutFields       []string // header fields that are trusted to tell the client's timeout, see clientTimeout
+	TimeoutFields       []string // header fields trusted for the client's timeout, see clientTimeout
 	Forwarding          Forwarding
 	FailureStatuses     []int  // after which a request is retried where that is harmless
 	NotExecutedStatuses []int  // by which an endpoint proves that it has not begun; they are failures too
--- a/internal/httpservice/forwarding.go
+++ b/internal/httpservice/forwarding.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Forwarding says what becomes of the header fields that tell where a request came from: X-Forwarded-* and Forwarded.
+// Forwarding says what becomes of the header fields about the origin of a request: X-Forwarded-* and Forwarded.
 type Forwarding int
 
 // The modes.
@@ -29,7 +29,7 @@
 
 func (d *Dialect) viaValue() string { return "1.1 " + d.cfg.Via }
 
-// addForwardingFields makes the header of a request tell the endpoint where it came from, and gives it an ID if it has none. That ID
+// addForwardingFields adds the origin of a request to its header, and an ID if it has none. That ID
 // is for people: it never decides whether two requests are the same.
 func (d *Dialect) addForwardingFields(q *httpmsg.Request, id string) {
 	h := q.Header
--- a/internal/httpservice/timeout.go
+++ b/internal/httpservice/timeout.go
@@ -19,7 +19,7 @@
 	'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
 }
 
-// clientTimeout returns how long the client waits, by the first of the trusted header fields that tells a valid time: a grpc-timeout
+// clientTimeout returns how long the client waits, by the first of the trusted header fields with a valid time: a grpc-timeout
 // has a unit, all others are in milliseconds.
 func (d *Dialect) clientTimeout(header http.Header) (time.Duration, bool) {
 	for _, field := range d.cfg.TimeoutFields {
--- a/internal/siteheader/decode.go
+++ b/internal/siteheader/decode.go
@@ -217,7 +217,7 @@
 		}
 		group, err := parseDedupGroup(text)
 		if err != nil {
-			d.err = err // it tells more than an earlier error
+			d.err = err // more specific than an earlier one
 			break
 		}
 		executions = append(executions, Execution{group, time.Duration(remaining) * time.Microsecond})
--- a/internal/siteheader/dedupgroup.go
+++ b/internal/siteheader/dedupgroup.go
@@ -21,7 +21,7 @@
 	InCell bool
 }
 
-// String returns the group as it crosses.
+// String returns the group as it is encoded.
 func (g DedupGroup) String() string {
 	switch {
 	case g.Zone == "" && !g.InCell:
--- a/internal/siteheader/siteheader.go
+++ b/internal/siteheader/siteheader.go
@@ -1,5 +1,5 @@
-// Package siteheader encodes and decodes the header fields that cross between two sites with a request and its response: dictionaries
-// of RFC 9651, see docs/protocol/hop.md. It does no I/O. It checks the form and the bounds of a field; whether its sender may send
+// Package siteheader encodes and decodes the header fields that two sites exchange with a forwarded request and its response:
+// dictionaries of RFC 9651, see docs/protocol/hop.md. It does no I/O. It checks the form and the bounds of a field; whether its sender may send
 // it at all is for the receiver to decide.
 package siteheader
 
@@ -38,7 +38,7 @@
 	ErrMalformed = errors.New("hop: the field cannot be read")
 )
 
-// Request is what crosses with a forwarded request. Durations cross in whole microseconds.
+// Request is the content of a RequestField. Durations are encoded in whole microseconds.
 type Request struct {
 	TimeLeft        time.Duration // that the client still waits; above 0
 	Pool            string        // as both sites' configurations name it
@@ -52,8 +52,8 @@
 	Executions      []Execution   // attempts so far that may have been executed
 	Origin          string        // the site that forwards it
 	Path            []string      // the sites it has passed, the origin first
-	Stamp           time.Duration // the last time that the receiver's clock has told the sender
-	StampAge        time.Duration // how long ago that came
+	Stamp           time.Duration // last reading of the receiver's clock that the sender has
+	StampAge        time.Duration // how long ago it arrived
 	StallTimeout    time.Duration // how long the sender waits for any sign of the receiver until it gives up what is in flight
 }
 
@@ -63,8 +63,8 @@
 	DedupRemaining time.Duration
 }
 
-// Delay returns how long a request has been on its way since the receiver gave the stamp, without the time that the sender held
-// the stamp: a round trip, or more where the link was held up. now is by the receiver's clock. If that has started anew since, it
+// Delay returns how long a request has been on its way since the receiver gave the stamp, without the time that the sender kept
+// it: a round trip, or more where the link was delayed. now is by the receiver's clock. If that has started anew since, it
 // is 0.
 func (r *Request) Delay(now time.Duration) time.Duration { return max(0, now-r.Stamp-r.StampAge) }
 
@@ -78,7 +78,7 @@
 	MayHaveExecuted Outcome = "may-have-run" // also assumed of a response that cannot be decoded
 )
 
-// Response is what crosses with a response. Durations cross in whole microseconds.
+// Response is the content of a ResponseField. Durations are encoded in whole microseconds.
 type Response struct {
 	Outcome    Outcome
 	Attempts   int           // made at the remote site
--- a/internal/sitelink/exchange.go
+++ b/internal/sitelink/exchange.go
@@ -46,7 +46,7 @@
 	return newExchange(a.link, x), nil
 }
 
-// exchange is a request of another site that the pool has taken. Its response gets the field that crosses between sites.
+// exchange is a request of another site that the pool has taken. Its response gets the ResponseField.
 type exchange struct {
 	downstream.Exchange
 	link       *poolLink
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -70,7 +70,7 @@
 	return &admittedRequest{AdmittedRequest: a, link: l}, poolID, nil
 }
 
-// parseField reads the field that crosses with a request. The error is an httpmsg.RejectionError.
+// parseField parses the RequestField. The error is an httpmsg.RejectionError.
 func (h *handler) parseField(q *httpmsg.Request) (*siteheader.Request, error) {
 	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.extension.cfg.Site)
 	switch {
--- a/internal/sitelink/link.go
+++ b/internal/sitelink/link.go
@@ -58,8 +58,8 @@
 	spillover       *spillover.Link
 	grant           *spillover.Grant
 	roundTrip       time.Duration // smoothed; 0: not measured yet
-	peerClock       time.Duration // the last time that the peer's clock has told
-	peerClockReadAt time.Duration // when that came, by this site's clock
+	peerClock       time.Duration // last reading of the peer's clock
+	peerClockReadAt time.Duration // when it arrived, by this site's clock
 	endpointStartMs int64         // start time of the peer's endpoint, Unix milliseconds
 	publishedAt     time.Duration // when the peer's endpoint was last published
 	peerDraining    bool
--- a/internal/sitelink/protocol.go
+++ b/internal/sitelink/protocol.go
@@ -16,7 +16,7 @@
 // HealthCheckTarget implements pool.BackendProtocol.
 func (l *poolLink) HealthCheckTarget() string { return healthCheckTarget }
 
-// ExtraFields implements pool.BackendProtocol: the field that crosses with a forwarded request.
+// ExtraFields implements pool.BackendProtocol: the RequestField of a forwarded request.
 func (l *poolLink) ExtraFields(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
 	now := l.extension.now()
 	l.mu.Lock()
--- a/internal/sitelink/sitelink_test.go
+++ b/internal/sitelink/sitelink_test.go
@@ -14,7 +14,7 @@
 	"sorrelrudder/internal/spillover"
 )
 
-// TestForwardAllClasses guards the whole: a site without a backend has all classes served at the other, and what is served tells so.
+// TestForwardAllClasses guards forwarding as a whole: a site without a backend has requests of all classes served at the other.
 func TestForwardAllClasses(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for _, class := range []string{"check", "order", "book"} {
@@ -26,7 +26,7 @@
 	p.checkRecorder(t)
 }
 
-// TestKeyedClassOfOneSite guards against a keyed request that crosses although its client's next try, with the same key, may run here:
+// TestKeyedClassOfOneSite guards against a keyed request that is forwarded although its client's retry, with the same key, may run here:
 // the sites do not drop its repeats together. What a peer sends of it all the same is not taken.
 func TestKeyedClassOfOneSite(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
@@ -48,8 +48,8 @@
 	p.checkRecorder(t)
 }
 
-// TestDeadlineAtPeer guards the answer of a client whose time ends while its request is at the far site, and against an answer
-// that comes back later being taken for another's.
+// TestDeadlineAtPeer guards the answer of a client whose time ends while its request is at the far site, and against a late
+// response being taken for that of another request.
 func TestDeadlineAtPeer(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "book")
@@ -150,7 +150,7 @@
 	p.checkRecorder(t)
 }
 
-// TestPeerDrains guards against sending to a far gateway that is gone, and against keeping it for gone once it is back.
+// TestPeerDrains guards against sending to a remote gateway that drains.
 func TestPeerDrains(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
@@ -178,7 +178,7 @@
 	p.checkRecorder(t)
 }
 
-// TestSilentPeer guards against a peer that accepts and never reads: nothing crosses, and clients are refused at once.
+// TestSilentPeer guards against a peer that accepts and never reads: nothing is forwarded, and clients are rejected at once.
 func TestSilentPeer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -218,7 +218,7 @@
 	p.checkRecorder(t)
 }
 
-// TestIdleConnectionsAtListener guards against connections that are opened and left at the listener for other sites: the peer still crosses.
+// TestIdleConnectionsAtListener guards against idle connections that use up the listener for other sites: the peer is still served.
 func TestIdleConnectionsAtListener(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for range 1000 {
@@ -232,7 +232,7 @@
 	p.checkRecorder(t)
 }
 
-// TestForwardedOnce guards against work that is passed to and fro: a site that has no room itself refuses what came across.
+// TestForwardedOnce guards against requests that go to and fro: a site without capacity rejects forwarded requests.
 func TestForwardedOnce(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
@@ -250,7 +250,7 @@
 	p.checkRecorder(t)
 }
 
-// TestInvalidHeaderFields guards against who is no peer, and against peers that lie: nothing runs, and the others go on.
+// TestInvalidHeaderFields guards against forged and malformed fields: nothing is executed, and other requests are served.
 func TestInvalidHeaderFields(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
 	field := func(change func(*siteheader.Request)) string {
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -24,7 +24,7 @@
 // Config describes the TLS of a listener.
 type Config struct {
 	Pairs             []Pair   // at least one; the first is the default for names that none is for
-	CAFile            string   // authorities of client certificates; "": clients are not asked for one
+	CAFile            string   // authorities of client certificates; "": no client certificates are requested
 	RequireClientCert bool     // with CAFile: a client without a certificate is rejected
 	Protocols         []string // for ALPN
 }
