--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -33,8 +33,8 @@
 	Lag       time.Duration `default:"100ms" help:"How long after one has learnt it the others know what --share names."`
 }
 
-// hearsay is what --share names.
-func (c *emulateCmd) hearsay() (emulator.Sharing, error) {
+// sharing is what --share names.
+func (c *emulateCmd) sharing() (emulator.Sharing, error) {
 	h := emulator.Sharing{Delay: c.Lag, Quorum: c.Witnesses}
 	for _, kind := range c.Share {
 		switch kind {
@@ -71,7 +71,7 @@
 	if c.Runs < 1 || c.Runs > maxRuns {
 		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errUsage, c.Runs, maxRuns)
 	}
-	hearsay, err := c.hearsay()
+	hearsay, err := c.sharing()
 	if err != nil {
 		return err
 	}
--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -71,8 +71,8 @@
 	Hash      uint64               `json:"hash"` // over all runs in the order of their seeds
 }
 
-// tierExplore plays fleets in virtual time, in worker processes on all cores.
-func (c *labCmd) tierExplore(ctx context.Context, s *streams, self string) error {
+// simulateFleets plays fleets in virtual time, in worker processes on all cores.
+func (c *labCmd) simulateFleets(ctx context.Context, s *streams, self string) error {
 	if c.Plant != "" && !slices.Contains(simulation.InjectedBugs, simulation.InjectedBug(c.Plant)) {
 		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errUsage, c.Plant, simulation.InjectedBugs)
 	}
--- a/cmd/sorrelrudder/lab.go
+++ b/cmd/sorrelrudder/lab.go
@@ -50,7 +50,7 @@
 	if c.Scenario == "tier-explore" {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 		defer stop()
-		return c.tierExplore(ctx, s, self)
+		return c.simulateFleets(ctx, s, self)
 	}
 	if c.Scenario == "replica-scale" {
 		return c.replicaScale(s)
--- a/cmd/sorrelrudder/tier_voters.go
+++ b/cmd/sorrelrudder/tier_voters.go
@@ -31,20 +31,20 @@
 		}
 		fmt.Fprintln(w, "member\tidentity\tvotes\tformer identity")
 		for _, name := range f.VoterNames {
-			seat := f.Voters[name]
-			if seat == nil {
+			voter := f.Voters[name]
+			if voter == nil {
 				fmt.Fprintf(w, "%s\tnone yet\t\t\n", name)
 				continue
 			}
 			votes := "no"
-			if slices.Contains(st.Voter.Voters, seat.RaftID) {
+			if slices.Contains(st.Voter.Voters, voter.RaftID) {
 				votes = "yes"
 			}
 			former := ""
-			if seat.ReplacedID != 0 {
-				former = fmt.Sprintf("%d, lost with its store", seat.ReplacedID)
+			if voter.ReplacedID != 0 {
+				former = fmt.Sprintf("%d, lost with its store", voter.ReplacedID)
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, seat.RaftID, votes, former)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, voter.RaftID, votes, former)
 		}
 	})
 }
