--- a/internal/fleet/sharedstate.go
+++ b/internal/fleet/sharedstate.go
@@ -233,7 +233,7 @@
 	}
 }
 
-// nextRun is when runGossip has to be called again at the latest.
+// nextRun is when runSharedState has to be called again at the latest.
 func (s *sharedState) nextRun() time.Duration {
 	at := s.node.NextTick()
 	if s.pools != nil && s.evidenceChanged {
--- a/internal/goldentest/cases.go
+++ b/internal/goldentest/cases.go
@@ -1,6 +1,7 @@
 package goldentest
 
 import (
+	"bytes"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
@@ -109,6 +110,30 @@
 	}
 }
 
+// CheckFile compares a value with a golden file that holds its form alone, both ways.
+func CheckFile(t *testing.T, file string, c Case) {
+	t.Helper()
+	got, err := c.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *update {
+		if err := os.WriteFile(file, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("encoded\n got %s\nwant %s", got, want)
+	}
+	if read, err := c.Decode(want); err != nil || !reflect.DeepEqual(read, c.Value) {
+		t.Errorf("decoded, %v\n got %+v\nwant %+v", err, read, c.Value)
+	}
+}
+
 // CheckFields fails for each exported field of a struct in the cases that no case sets, so that its form is not checked, or that has no json
 // tag, so that its form changes with its name. It looks at structs of packages whose path the function accepts.
 func CheckFields(t *testing.T, cases []Case, accepts func(pkgPath string) bool) {
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -1,14 +1,10 @@
 package lease
 
 import (
-	"bytes"
-	"flag"
-	"os"
-	"reflect"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the golden files from the present code")
+	"sorrelrudder/internal/goldentest"
+)
 
 // TestGoldenSnapshot: a snapshot is written and read as it was by earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
@@ -27,26 +23,11 @@
 		},
 		Revoked: map[uint64]string{6: "zones"},
 	}
-	const file = "testdata/snapshot.golden"
-	got, err := m.Snapshot()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("encoded\n got %s\nwant %s", got, want)
-	}
-	if read, err := Restore(want); err != nil || !reflect.DeepEqual(read, m) {
-		t.Errorf("decoded, %v\n got %+v\nwant %+v", err, read, m)
-	}
+	goldentest.CheckFile(t, "testdata/snapshot.golden", goldentest.Case{
+		Value:  m,
+		Encode: m.Snapshot,
+		Decode: func(data []byte) (any, error) { return Restore(data) },
+	})
 }
 
 // TestStoredWords: the words that stand in entries, in the answers of sessions and in messages keep their spelling.
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -1,43 +1,24 @@
 package task
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"reflect"
 	"testing"
 	"time"
-)
 
-var update = flag.Bool("update", false, "write the golden files from the present code")
+	"sorrelrudder/internal/goldentest"
+)
 
-// TestGoldenSnapshot: the book is written and read as it was by earlier versions.
+// TestGoldenSnapshot: the registry is written and read as it was by earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
 	b := &Registry{AdmissionSeq: 7, Tasks: map[string]*Record{"sweep": {
 		Revision: 11, Token: 4, Slot: 20, Open: true, BegunBy: 4, Attempts: 2, LastOutcome: OutcomeDone, OutcomeCounts: map[Outcome]int64{OutcomeDone: 5, OutcomeUnknown: 1}, Skipped: 3, Triggered: true,
 		WaitingSince: 6, Priority: 2, PassedOver: 1, Period: 8, Requests: 12, TookMs: 340,
 	}}}
-	const file = "testdata/snapshot.golden"
-	got, err := json.Marshal(b)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("encoded\n got %s\nwant %s", got, want)
-	}
-	if read, err := Restore(want); err != nil || !reflect.DeepEqual(read, b) {
-		t.Errorf("decoded, %v\n got %+v\nwant %+v", err, read, b)
-	}
+	goldentest.CheckFile(t, "testdata/snapshot.golden", goldentest.Case{
+		Value:  b,
+		Encode: func() ([]byte, error) { return json.Marshal(b) },
+		Decode: func(data []byte) (any, error) { return Restore(data) },
+	})
 }
 
 // TestStoredWords: the words that stand in entries, snapshots and messages keep their spelling.
