--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,9 +9,9 @@
 const (
 	// queueWaitDivisor of the time left may pass while a request waits for its sample: the wait is latency too.
 	queueWaitDivisor = 6
-	// rejectionBand is the part of a request's latency limit over which rejections set in at random, up to certain: queues settle
+	// randomRejectionBand is the part of a request's latency limit over which rejections set in at random, up to certain: queues settle
 	// inside it, below the objective, although each rejected client comes back up to three times.
-	rejectionBand = 0.4
+	randomRejectionBand = 0.4
 	// sheddingLatencyMargin is by how much, as a fraction, latencies are expected to be longer under a full shortage.
 	sheddingLatencyMargin = 0.5
 	// topPriorityDivisor makes a class one of top priority whose priority density is above the highest over it.
@@ -19,8 +19,8 @@
 	// minPriorityDensity stands for the highest priority density where all are zero.
 	minPriorityDensity = 1e-9
 
-	// capacityMemory is the time constant after which requests count less for the capacity estimate.
-	capacityMemory = 500 * time.Millisecond
+	// capacityDecayTime is the time constant after which requests count less for the capacity estimate.
+	capacityDecayTime = 500 * time.Millisecond
 	// capacityPriorRequests without capacity are assumed beside those seen, so that an instance with little traffic, which
 	// knows little, rejects as under a shortage.
 	capacityPriorRequests = 10
@@ -54,7 +54,7 @@
 
 // decay has the counts fade until now.
 func (c *capacityEstimator) decay(now Time) {
-	factor := math.Exp(-float64(max(0, now-c.updatedAt)) / float64(capacityMemory))
+	factor := math.Exp(-float64(max(0, now-c.updatedAt)) / float64(capacityDecayTime))
 	c.requests, c.withCapacity, c.updatedAt = c.requests*factor, c.withCapacity*factor, now
 }
 
@@ -93,13 +93,13 @@
 
 // latencyLimit returns the expected latency above which r is rejected: the time left to its objective, and less for lower
 // priorities the more capacity is short. The highest priority is rejected only where it would be late; the others also at random
-// within rejectionBand below their limit.
+// within randomRejectionBand below their limit.
 func (b *Balancer) latencyLimit(now Time, r *request) time.Duration {
 	unloaded := b.latency.predict(0)
 	shortage := b.capacity.shortage(now)
 	scale := math.Pow(r.class.priorityDensity()/max(b.maxPriorityDensity, minPriorityDensity), shortage)
 	if scale < 1 {
-		scale *= 1 - shortage*rejectionBand*b.rng.Float64()
+		scale *= 1 - shortage*randomRejectionBand*b.rng.Float64()
 	}
 	return time.Duration(unloaded + (float64(r.objectiveDeadline-now)-unloaded)*scale)
 }
@@ -176,12 +176,12 @@
 		}
 		r.sampleReplies++
 		admissible := reported && !b.exceedsLimit(now, r, e)
-		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && !admissible && b.healthChecks.paysForRound() {
+		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && !admissible && b.healthChecks.canAffordRound() {
 			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the own zone is full: sample others
 			continue
 		}
 		if admissible {
-			b.jbt.admitSample(now, e)
+			b.jbt.markSampled(now, e)
 			b.dequeue(r)
 			b.startOrAwaitEndpoint(now, r, []*endpoint{e}, act)
 			break
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -73,11 +73,11 @@
 		b.healthChecks.credit = 0
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + 900*time.Millisecond}, rec)
 		for _, line := range rec.take("send") {
-			var server EndpointID
-			if _, err := fmt.Sscanf(line, "send %d %s", &id, &server); err != nil {
+			var endpointID EndpointID
+			if _, err := fmt.Sscanf(line, "send %d %s", &id, &endpointID); err != nil {
 				t.Fatal(err)
 			}
-			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: server, Status: StatusOK, Latency: time.Second, RequestEnded: true}, rec)
+			b.HandleAttemptResult(now, AttemptResult{ID: id, Endpoint: endpointID, Status: StatusOK, Latency: time.Second, RequestEnded: true}, rec)
 			sent++
 		}
 		now += 10 * time.Millisecond
@@ -148,7 +148,7 @@
 	if got := c.shortage(time.Second); got != 0 || !c.provenSufficient() {
 		t.Errorf("shortage %v after 200 requests with capacity", got)
 	}
-	if got := c.shortage(time.Second + 20*capacityMemory); got != 1 || c.provenSufficient() {
+	if got := c.shortage(time.Second + 20*capacityDecayTime); got != 1 || c.provenSufficient() {
 		t.Errorf("shortage %v long after, want 1", got)
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -38,10 +38,10 @@
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	const stream = 0x9e3779b97f4a7c15 // any constant
+	const pcgStream = 0x9e3779b97f4a7c15 // any constant
 	b := &Balancer{
 		cfg:                cfg,
-		rng:                rand.New(rand.NewPCG(seed, stream)),
+		rng:                rand.New(rand.NewPCG(seed, pcgStream)),
 		endpoints:          map[EndpointID]*endpoint{},
 		requests:           map[RequestID]*request{},
 		classes:            map[string]*classState{},
@@ -76,7 +76,7 @@
 	b.healthChecks.earn(arrivalCreditShare)
 	b.checkEjected(now, act)
 	active := b.activeSubset(now)
-	if !b.cfg.HealthChecksAllowed || !b.healthChecks.paysForRound() || len(active) == 0 {
+	if !b.cfg.HealthChecksAllowed || !b.healthChecks.canAffordRound() || len(active) == 0 {
 		b.admitOrReject(now, r, active, act)
 		return
 	}
@@ -93,8 +93,8 @@
 func (b *Balancer) addRequest(now Time, q Request) *request {
 	c := b.classes[q.Class]
 	if c == nil {
-		left := q.Expires - now
-		c = &classState{Class: Class{Name: q.Class, Idempotency: NonIdempotent, LatencyObjective: left, Deadline: left}}
+		remaining := q.Expires - now
+		c = &classState{Class: Class{Name: q.Class, Idempotency: NonIdempotent, LatencyObjective: remaining, Deadline: remaining}}
 	}
 	r := &request{Request: q, class: c, timerResolution: b.cfg.TimerResolution}
 	for _, p := range q.PriorAttempts {
--- a/policy/checker_test.go
+++ b/policy/checker_test.go
@@ -10,17 +10,17 @@
 // checker is an Actions that plays the host: it keeps what is needed to judge each action by its own records, not by the
 // balancer's, and reports breaches of the rules.
 type checker struct {
-	t        *testing.T
-	cfg      Config
-	now      Time
-	classes  map[string]Class
-	servers  map[EndpointID]Endpoint
-	drained  map[EndpointID]bool // listed as draining, or removed
-	requests map[RequestID]*openRequest
-	timers   []timerEvent
-	probes   []EndpointID
-	log      []string
-	failed   bool
+	t            *testing.T
+	cfg          Config
+	now          Time
+	classes      map[string]Class
+	endpoints    map[EndpointID]Endpoint
+	notReady     map[EndpointID]bool // listed as draining, or removed
+	requests     map[RequestID]*openRequest
+	timers       []timerEvent
+	healthChecks []EndpointID
+	log          []string
+	failed       bool
 }
 
 type timerEvent struct {
@@ -30,21 +30,21 @@
 
 type openRequest struct {
 	Request
-	class    Class
-	attempts []openAttempt
-	ended    bool
-	used     bool // its streamed body is being sent, or was
-	going    bool // it is being sent
+	class        Class
+	attempts     []openAttempt
+	ended        bool
+	bodyConsumed bool // its streamed body is being sent, or was
+	bodySending  bool // it is being sent
 }
 
 type openAttempt struct {
-	server Endpoint
-	sent   Time
-	out    bool
-	status Status
+	endpoint Endpoint
+	sentAt   Time
+	inFlight bool
+	status   Status
 }
 
-func (c *checker) breach(format string, args ...any) {
+func (c *checker) reportViolation(format string, args ...any) {
 	c.t.Helper()
 	c.failed = true
 	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
@@ -53,55 +53,55 @@
 func (c *checker) StartAttempt(id RequestID, s EndpointID, timeout time.Duration) {
 	c.log = append(c.log, fmt.Sprint("send ", id, s, timeout))
 	r := c.requests[id]
-	srv, ok := c.servers[s]
+	srv, ok := c.endpoints[s]
 	switch {
 	case r == nil || r.ended:
-		c.breach("send for the ended or unknown request %d", id)
+		c.reportViolation("send for the ended or unknown request %d", id)
 		return
 	case !ok:
-		c.breach("send to the unknown endpoint %s", s)
+		c.reportViolation("send to the unknown endpoint %s", s)
 		return
-	case c.drained[s]:
-		c.breach("send to %s, which drains or was removed", s)
-	case r.used:
-		c.breach("send for request %d, whose body is used up", id)
-	case r.StreamedBody && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.out }):
-		c.breach("second attempt at once of %d, whose body can be read once", id)
+	case c.notReady[s]:
+		c.reportViolation("send to %s, which drains or was removed", s)
+	case r.bodyConsumed:
+		c.reportViolation("send for request %d, whose body is used up", id)
+	case r.StreamedBody && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.inFlight }):
+		c.reportViolation("second attempt at once of %d, whose body can be read once", id)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.breach("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
+		c.reportViolation("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 	for _, a := range r.attempts {
-		if a.out && !c.cfg.HedgingAllowed {
-			c.breach("second attempt at once of %d, which the site forbids", id)
+		if a.inFlight && !c.cfg.HedgingAllowed {
+			c.reportViolation("second attempt at once of %d, which the site forbids", id)
 		}
-		proven := !a.out && (a.status == StatusOverloaded || a.status == StatusConnectFailed || a.status == StatusNotSent)
+		proven := !a.inFlight && (a.status == StatusOverloaded || a.status == StatusConnectFailed || a.status == StatusNotSent)
 		if proven || r.class.Idempotency == Idempotent {
 			continue
 		}
 		switch {
 		case r.class.Idempotency == NonIdempotent:
-			c.breach("request %d, not idempotent, sent again", id)
-		case c.now > a.sent+r.class.DedupWindow:
-			c.breach("keyed request %d sent again %v after its first send", id, c.now-a.sent)
-		case r.class.DedupScope == DedupZone && a.server.Zone != srv.Zone,
-			r.class.DedupScope == DedupCell && a.server.Cell != srv.Cell:
-			c.breach("keyed request %d sent outside its dedup scope", id)
+			c.reportViolation("request %d, not idempotent, sent again", id)
+		case c.now > a.sentAt+r.class.DedupWindow:
+			c.reportViolation("keyed request %d sent again %v after its first send", id, c.now-a.sentAt)
+		case r.class.DedupScope == DedupZone && a.endpoint.Zone != srv.Zone,
+			r.class.DedupScope == DedupCell && a.endpoint.Cell != srv.Cell:
+			c.reportViolation("keyed request %d sent outside its dedup scope", id)
 		}
 	}
-	r.attempts = append(r.attempts, openAttempt{server: srv, sent: c.now, out: true})
+	r.attempts = append(r.attempts, openAttempt{endpoint: srv, sentAt: c.now, inFlight: true})
 }
 
-func (c *checker) answer(id RequestID) *openRequest {
+func (c *checker) recordEnd(id RequestID) *openRequest {
 	r := c.requests[id]
 	if r == nil {
-		c.breach("answer to the unknown request %d", id)
+		c.reportViolation("answer to the unknown request %d", id)
 		return nil
 	}
 	if r.ended {
-		c.breach("second answer to request %d", id)
+		c.reportViolation("second answer to request %d", id)
 	}
-	if c.now > r.Expires+c.cfg.ResponseGrace && !r.going {
-		c.breach("answer to request %d comes %v late", id, c.now-r.Expires)
+	if c.now > r.Expires+c.cfg.ResponseGrace && !r.bodySending {
+		c.reportViolation("answer to request %d comes %v late", id, c.now-r.Expires)
 	}
 	r.ended = true
 	return r
@@ -109,36 +109,36 @@
 
 func (c *checker) Reject(id RequestID, d time.Duration) {
 	c.log = append(c.log, fmt.Sprint("refuse ", id, d))
-	r := c.answer(id)
+	r := c.recordEnd(id)
 	if r == nil || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere {
 		return
 	}
 	for _, a := range r.attempts {
-		if a.out || a.status != StatusOverloaded && a.status != StatusConnectFailed && a.status != StatusNotSent {
-			c.breach("request %d may have run and is rejected", id)
+		if a.inFlight || a.status != StatusOverloaded && a.status != StatusConnectFailed && a.status != StatusNotSent {
+			c.reportViolation("request %d may have run and is rejected", id)
 		}
 	}
 }
 
 func (c *checker) Fail(id RequestID) {
 	c.log = append(c.log, fmt.Sprint("fail ", id))
-	c.answer(id)
+	c.recordEnd(id)
 }
 
 func (c *checker) CancelAttempt(id RequestID, attempt int) {
 	c.log = append(c.log, fmt.Sprint("cancel ", id, attempt))
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.breach("cancel of attempt %d of %d, which was never made", attempt, id)
+		c.reportViolation("cancel of attempt %d of %d, which was never made", attempt, id)
 	}
 	if !c.cfg.CancellationAllowed {
-		c.breach("cancel where the site forbids it")
+		c.reportViolation("cancel where the site forbids it")
 	}
 }
 
 func (c *checker) SetTimer(d time.Duration, token string) {
 	c.log = append(c.log, fmt.Sprint("timer ", d, token))
 	if d > 71*time.Minute || token == "" || len(token) > 64 {
-		c.breach("timer of %v named %q", d, token)
+		c.reportViolation("timer of %v named %q", d, token)
 	}
 	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.TimerResolution), token})
 }
@@ -146,12 +146,12 @@
 func (c *checker) CheckHealth(s EndpointID) {
 	c.log = append(c.log, fmt.Sprint("probe ", s))
 	if !c.cfg.HealthChecksAllowed {
-		c.breach("health check where the site forbids it")
+		c.reportViolation("health check where the site forbids it")
 	}
-	if _, ok := c.servers[s]; !ok {
-		c.breach("health check of the unknown endpoint %s", s)
+	if _, ok := c.endpoints[s]; !ok {
+		c.reportViolation("health check of the unknown endpoint %s", s)
 	}
-	c.probes = append(c.probes, s)
+	c.healthChecks = append(c.healthChecks, s)
 }
 
 func (c *checker) WatchEndpoints(on bool) { c.log = append(c.log, fmt.Sprint("watch ", on)) }
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -35,7 +35,7 @@
 	known := c.timeoutVotes >= minTimeoutVotes
 	c.voteTimeout(timeout, usual)
 	c.unanswered = slices.DeleteFunc(c.unanswered, func(r *request) bool { return now > r.startedAt+c.Deadline })
-	if r := c.takeRetried(q, tolerance); r != nil {
+	if r := c.takeRetriedRequest(q, tolerance); r != nil {
 		return r.startedAt
 	}
 	if known && !usual {
@@ -56,10 +56,10 @@
 	}
 }
 
-// takeRetried returns the unanswered request of which q is a retry: one of the same tenant, key and expected work, that a retry
+// takeRetriedRequest returns the unanswered request of which q is a retry: one of the same tenant, key and expected work, that a retry
 // could be of now. Without key and expected work nothing counts as a retry: with much traffic some request is always
 // unanswered, and new ones taken for its retries would be rejected as late, be unanswered in turn, and so on for ever.
-func (c *classState) takeRetried(q Request, tolerance time.Duration) *request {
+func (c *classState) takeRetriedRequest(q Request, tolerance time.Duration) *request {
 	if q.Key == "" && q.ExpectedWork <= 0 {
 		return nil
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -98,14 +98,14 @@
 func (p *endpointPoll) recordFailure() time.Duration {
 	p.watching = false
 	p.failures++
-	backoff := p.spread(p.interval/pollRetryDivisor) << min(p.failures, maxPollDoublings)
+	backoff := p.spreadWindow(p.interval/pollRetryDivisor) << min(p.failures, maxPollDoublings)
 	return min(backoff, cmp.Or(p.maxBackoff*2/3, p.interval)) // one and a half times two thirds is the most
 }
 
-// recordLoss notes that the watch was lost and returns within which time to call again.
-func (p *endpointPoll) recordLoss() time.Duration {
+// recordWatchLoss notes that the watch was lost and returns within which time to call again.
+func (p *endpointPoll) recordWatchLoss() time.Duration {
 	p.watching, p.failures = false, 0
-	return min(p.spread(p.interval/watchReopenDivisor), cmp.Or(p.reopenMaxDelay, p.interval))
+	return min(p.spreadWindow(p.interval/watchReopenDivisor), cmp.Or(p.reopenMaxDelay, p.interval))
 }
 
 // firstDelay returns within which time an instance that has a cached list calls for the first time.
@@ -113,8 +113,8 @@
 	return min(p.interval*firstPollTenths/10, time.Duration(p.instanceCount)*firstPollSlot)
 }
 
-// spread returns the time over which the calls of the group are spread: most, or less where the group is small.
-func (p *endpointPoll) spread(most time.Duration) time.Duration {
+// spreadWindow returns the time over which the calls of the group are spread: most, or less where the group is small.
+func (p *endpointPoll) spreadWindow(most time.Duration) time.Duration {
 	return min(most, time.Duration(p.instanceCount)*pollRetrySlot)
 }
 
@@ -126,7 +126,7 @@
 		act.SetTimer(backoff/2+b.jitter(backoff), watchToken)
 		return
 	case UpdateWatchLost:
-		act.SetTimer(b.jitter(b.poll.recordLoss()), watchToken)
+		act.SetTimer(b.jitter(b.poll.recordWatchLoss()), watchToken)
 		return
 	}
 	b.applyEntries(kind, entries)
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -77,7 +77,7 @@
 	if got := p.recordFailure(); got != 8*time.Second {
 		t.Errorf("backoff %v without a bound, want the poll interval", got)
 	}
-	if got := p.recordLoss(); got != 500*time.Millisecond || p.failures != 0 {
+	if got := p.recordWatchLoss(); got != 500*time.Millisecond || p.failures != 0 {
 		t.Errorf("after a loss: %v and %d failures, want 500ms and none", got, p.failures)
 	}
 }
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -8,11 +8,11 @@
 	healthCheckBudgetPoints = 0.05
 	// minHealthCheckCost stands for a price of nothing, in points.
 	minHealthCheckCost = 1e-9
-	// trafficFreshness is how long an instance's own traffic tells enough of its subset: an instance that has requests more often
+	// trafficInfoLifetime is how long an instance's own traffic tells enough of its subset: an instance that has requests more often
 	// sends fewer health checks for each, in proportion.
-	trafficFreshness = 600 * time.Millisecond
+	trafficInfoLifetime = 600 * time.Millisecond
 	// maxRequestInterval is the longest gap between requests that counts in full: one long pause tells little.
-	maxRequestInterval = 4 * trafficFreshness
+	maxRequestInterval = 4 * trafficInfoLifetime
 	// minHealthCheckShare of the budget is left to an instance with much traffic: marks and threshold need some.
 	minHealthCheckShare = 0.3
 	// minContention is the share of the budget that is left while health checks find no queue, so that they find the next one.
@@ -34,7 +34,7 @@
 
 // newHealthCheckBudget returns a budget that pays for one round at once.
 func newHealthCheckBudget(cost float64) healthCheckBudget {
-	return healthCheckBudget{cost: cost, credit: sampleSize, contention: 1, requestInterval: trafficFreshness}
+	return healthCheckBudget{cost: cost, credit: sampleSize, contention: 1, requestInterval: trafficInfoLifetime}
 }
 
 // recordRequest notes the arrival of a request.
@@ -54,12 +54,12 @@
 // earn credits the health checks that a share of one request pays for: all while endpoints fail or have queues, few while
 // they have none and any endpoint will do.
 func (h *healthCheckBudget) earn(share float64) {
-	share *= min(1, max(minHealthCheckShare, float64(h.requestInterval)/float64(trafficFreshness)))
+	share *= min(1, max(minHealthCheckShare, float64(h.requestInterval)/float64(trafficInfoLifetime)))
 	h.credit = min(h.credit+share*max(h.contention, minContention)*healthCheckBudgetPoints/max(h.cost, minHealthCheckCost), sampleSize)
 }
 
-// paysForRound reports whether a round of sampleSize health checks may be sent.
-func (h *healthCheckBudget) paysForRound() bool { return h.credit >= sampleSize }
+// canAffordRound reports whether a round of sampleSize health checks may be sent.
+func (h *healthCheckBudget) canAffordRound() bool { return h.credit >= sampleSize }
 
 // spendRound takes the price of a round.
 func (h *healthCheckBudget) spendRound() { h.credit -= sampleSize }
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -18,19 +18,19 @@
 			id++
 			b.HandleRequest(0, Request{ID: id, Class: "safe", Expires: time.Second}, rec)
 			for _, l := range rec.take("") {
-				if server, ok := strings.CutPrefix(l, "check "); ok {
+				if endpointID, ok := strings.CutPrefix(l, "check "); ok {
 					n++
-					b.HandleHealthCheck(0, HealthCheckResult{Endpoint: EndpointID(server), Load: &LoadReport{Queue: queue}}, rec)
+					b.HandleHealthCheck(0, HealthCheckResult{Endpoint: EndpointID(endpointID), Load: &LoadReport{Queue: queue}}, rec)
 				}
 			}
 		}
 		return n
 	}
-	waiting := checks(1)
+	withQueues := checks(1)
 	checks(0)
-	calm := checks(0)
-	if calm*4 > waiting || calm == 0 {
-		t.Errorf("%d health checks with queues, %d with all idle: want some, a quarter at most", waiting, calm)
+	withoutQueues := checks(0)
+	if withoutQueues*4 > withQueues || withoutQueues == 0 {
+		t.Errorf("%d health checks with queues, %d with all idle: want some, a quarter at most", withQueues, withoutQueues)
 	}
 	b.HandleAttemptResult(0, AttemptResult{ID: 999, Endpoint: "s0", Status: StatusApplicationError}, rec)
 	if b.healthChecks.contention != 1 {
@@ -65,11 +65,11 @@
 		}
 		return float64(checks) / requests
 	}
-	much, little := checksEach(20*time.Millisecond), checksEach(2*time.Second)
-	if little < 0.8 || much > 0.6*little {
-		t.Errorf("%.2f health checks a request with much traffic, %.2f with little", much, little)
+	highTraffic, lowTraffic := checksEach(20*time.Millisecond), checksEach(2*time.Second)
+	if lowTraffic < 0.8 || highTraffic > 0.6*lowTraffic {
+		t.Errorf("%.2f health checks a request with much traffic, %.2f with little", highTraffic, lowTraffic)
 	}
-	if much < 0.1 {
-		t.Errorf("%.2f health checks a request with much traffic: marks and thresholds are left to chance", much)
+	if highTraffic < 0.1 {
+		t.Errorf("%.2f health checks a request with much traffic: marks and thresholds are left to chance", highTraffic)
 	}
 }
--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// hedgePlayer gives a Balancer random events of a fleet where some endpoints answer late, so that many hedged requests win, queues are
+// hedgeDriver gives a Balancer random events of a fleet where some endpoints answer late, so that many hedged requests win, queues are
 // short, and the list service fails at times. TestActionTrace sees little of these.
-type hedgePlayer struct {
+type hedgeDriver struct {
 	*hasher
 	b    *Balancer
 	rng  *rand.Rand
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &hedgePlayer{hasher: &hasher{counts: map[RequestID]int{}}, b: b, rng: rand.New(rand.NewPCG(seed, 5))}
+	p := &hedgeDriver{hasher: &hasher{counts: map[RequestID]int{}}, b: b, rng: rand.New(rand.NewPCG(seed, 5))}
 	_, list := randomList(p.rng, 0)
 	for i := range list {
 		list[i].Started, list[i].State = 0, Ready
@@ -45,18 +45,18 @@
 	for range 4000 {
 		p.now += Time(p.rng.Int64N(int64(6 * time.Millisecond)))
 		p.event()
-		p.note("%v", b.Summarize(p.now))
+		p.record("%v", b.Summarize(p.now))
 	}
 	learned, err := json.Marshal(b.ExportLearnedState(p.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.note("%s", learned)
+	p.record("%s", learned)
 	return p.hash, p.won
 }
 
 // event gives the balancer one random event.
-func (p *hedgePlayer) event() {
+func (p *hedgeDriver) event() {
 	switch dice := p.rng.IntN(1000); {
 	case dice < 250:
 		p.last++
@@ -64,11 +64,11 @@
 	case dice < 650:
 		p.endNewestAttempt()
 	case dice < 800:
-		if id, ok := takeAny(p.rng, &p.probes); ok {
+		if id, ok := takeAny(p.rng, &p.healthChecks); ok {
 			p.b.HandleHealthCheck(p.now, HealthCheckResult{Endpoint: id, Load: &LoadReport{Queue: float64(p.rng.IntN(10) / 9)}}, p)
 		}
 	case dice < 995:
-		playTimers(p.b, p.hasher)
+		fireDueTimers(p.b, p.hasher)
 	default:
 		kind := []UpdateKind{UpdatePollFailed, UpdateWatchLost, UpdateDelta}[p.rng.IntN(3)]
 		_, list := randomList(p.rng, p.now)
@@ -80,7 +80,7 @@
 }
 
 // request draws a request; most may be hedged.
-func (p *hedgePlayer) request(id RequestID) Request {
+func (p *hedgeDriver) request(id RequestID) Request {
 	r := randomRequest(p.rng, p.now, id)
 	if p.rng.IntN(4) == 0 {
 		return r
@@ -91,11 +91,11 @@
 }
 
 // endNewestAttempt ends the newest attempt that can be answered by now: later ones than the first, as a rule, of requests to slow endpoints.
-func (p *hedgePlayer) endNewestAttempt() {
+func (p *hedgeDriver) endNewestAttempt() {
 	slow := []EndpointID{"s1", "s2", "s5"}
 	for i, a := range slices.Backward(p.attempts) {
-		age := p.now - a.sent
-		if age < 8*time.Millisecond || age < 800*time.Millisecond && slices.Contains(slow, a.server) {
+		age := p.now - a.sentAt
+		if age < 8*time.Millisecond || age < 800*time.Millisecond && slices.Contains(slow, a.endpoint) {
 			continue
 		}
 		p.attempts = slices.Delete(p.attempts, i, i+1)
@@ -108,7 +108,7 @@
 		}
 		load := &LoadReport{Queue: float64(p.rng.IntN(10) / 9), InFlight: float64(p.rng.IntN(10) / 8)}
 		p.b.HandleAttemptResult(p.now, AttemptResult{
-			ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Latency: age, RequestEnded: status == StatusOK, Load: load,
+			ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Status: status, Latency: age, RequestEnded: status == StatusOK, Load: load,
 		}, p)
 		return
 	}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -107,9 +107,9 @@
 	e.lastResponse, e.newestAnswered = now, max(e.newestAnswered, sentAt)
 }
 
-// paceLatency returns when another attempt at e would be answered at its pace, after those of this instance that are in flight.
+// rateBasedLatency returns when another attempt at e would be answered at its pace, after those of this instance that are in flight.
 // If e has been silent for longer than a response takes, the silence counts instead.
-func (e *endpoint) paceLatency(now Time) time.Duration {
+func (e *endpoint) rateBasedLatency(now Time) time.Duration {
 	interval := time.Duration(e.responseInterval)
 	if e.inFlight == 0 {
 		return interval
@@ -137,7 +137,7 @@
 // from heaping on one of them.
 func (b *Balancer) expectedLatency(now Time, e *endpoint) time.Duration {
 	predicted := min(b.latency.predict(b.expectedQueue(e))*e.effectiveSlowness(), float64(maxExpectedLatency))
-	return max(time.Duration(predicted), e.paceLatency(now))
+	return max(time.Duration(predicted), e.rateBasedLatency(now))
 }
 
 // recordLatency learns from the latency of an attempt, in nanoseconds. A warming endpoint tells of itself alone: where many warm
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// TestPaceLatency guards against heaping requests on an endpoint that reports no queue, because the line of latency by queue, learned of
+// TestRateBasedLatency guards against heaping requests on an endpoint that reports no queue, because the line of latency by queue, learned of
 // fast and slow endpoints alike, is flat.
-func TestPaceLatency(t *testing.T) {
+func TestRateBasedLatency(t *testing.T) {
 	const ms = time.Millisecond
 	b, rec := start(t, testConfig(), 4)
 	s := b.readyEndpoints[0]
 	s.hasReport = true
-	ask := func(id RequestID, at Time) {
+	startRequest := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
 		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
 	}
 	for id := RequestID(1); id <= 10; id++ {
-		ask(id, 0)
+		startRequest(id, 0)
 	}
 	for id := RequestID(1); id <= 10; id++ { // one every 20 ms
 		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	}
 	b.latency = latencyModel{meanLatency: float64(20 * ms), queueVariance: 1e9} // flat
 	for id := RequestID(11); id <= 20; id++ {
-		ask(id, time.Second)
+		startRequest(id, time.Second)
 	}
 	if got := b.expectedLatency(time.Second, s); got < 180*ms || got > 220*ms {
 		t.Errorf("behind ten others at 20ms each %v is expected, want about 200ms", got)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -51,15 +51,15 @@
 // recordFailure counts a failure of e and ejects it if that is a reason. An endpoint that is ejected already stays so for longer.
 func (p outlierPolicy) recordFailure(now Time, e *endpoint, status Status, unresponsive bool) {
 	e.consecutiveFailures++
-	if e.ejectedUntil == 0 && mayBeLoad(now, e, status, unresponsive) {
+	if e.ejectedUntil == 0 && mayBeOverload(now, e, status, unresponsive) {
 		return
 	}
 	e.ejectedUntil = now + p.ejectionTime(e.consecutiveFailures)
 }
 
-// mayBeLoad reports whether a failure of e with this status may come from too much load, which ejection would only move
+// mayBeOverload reports whether a failure of e with this status may come from too much load, which ejection would only move
 // elsewhere: a rejection always, a time-out unless e was unresponsive or has failed several times with no success of late.
-func mayBeLoad(now Time, e *endpoint, status Status, unresponsive bool) bool {
+func mayBeOverload(now Time, e *endpoint, status Status, unresponsive bool) bool {
 	switch status {
 	case StatusOverloaded:
 		return true
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -40,7 +40,7 @@
 	b.recordFailure(now, s, StatusConnectFailed, false)
 	b.healthChecks.credit = -1000 // no rounds
 	id := RequestID(0)
-	ask := func() (sent, checks int) {
+	sendRequest := func() (sent, checks int) {
 		id++
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 		for _, l := range rec.take("") {
@@ -53,14 +53,14 @@
 		}
 		return sent, checks
 	}
-	if sent, checks := ask(); sent+checks > 0 {
+	if sent, checks := sendRequest(); sent+checks > 0 {
 		t.Errorf("%d attempts and %d health checks before the time is over", sent, checks)
 	}
 	for round := range 3 {
 		now = s.ejectedUntil
 		asked := 0
 		for range 20 {
-			sent, checks := ask()
+			sent, checks := sendRequest()
 			if asked += checks; sent > 0 {
 				t.Fatalf("round %d: a client's request finds out whether the endpoint is back", round)
 			}
@@ -74,7 +74,7 @@
 		}
 	}
 	now = s.ejectedUntil
-	ask()
+	sendRequest()
 	fails := s.consecutiveFailures
 	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
 	if !slices.Contains(b.activeSubset(now), s) || b.EjectedCount(now) != 0 {
@@ -121,19 +121,19 @@
 	b.healthChecks.contention = 0
 	s := b.readyEndpoints[0]
 	s.hasReport = true
-	ask := func(id RequestID, at Time) {
+	sendRequest := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
 		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
 	}
 	want, expected := *s, b.expectedLatency(0, s)
-	ask(1, 0)
+	sendRequest(1, 0)
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Latency: 50 * time.Millisecond, RequestEnded: true}, rec)
 	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
 		t.Errorf("a short time-out left queue %v, %d failures, contention %v and an expected latency of %v; want nothing but a latency of %v",
 			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
 	}
-	ask(2, 0)
+	sendRequest(2, 0)
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Latency: time.Second, RequestEnded: true}, rec)
 	if s.consecutiveFailures == 0 {
 		t.Error("a long time-out left no trace")
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestFailuresThatMayBeLoad: rejections never eject an endpoint; time-outs do if it was unresponsive, or fails several times in a row with
+// TestFailuresThatMayBeOverload: rejections never eject an endpoint; time-outs do if it was unresponsive, or fails several times in a row with
 // no success of late.
-func TestFailuresThatMayBeLoad(t *testing.T) {
+func TestFailuresThatMayBeOverload(t *testing.T) {
 	now := time.Minute
 	for _, tt := range []struct {
 		status       Status
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// player gives a Balancer a random legal sequence of events, and judges its actions with a checker.
-type player struct {
+// eventDriver gives a Balancer a random legal sequence of events, and judges its actions with a checker.
+type eventDriver struct {
 	*checker
 	b   *Balancer
 	rng *rand.Rand
 	ids []RequestID // in order of arrival
 }
 
-// playSteps is how many events play gives.
-const playSteps = 400
+// eventsPerRun is how many events play gives.
+const eventsPerRun = 400
 
-// play runs a sequence drawn from seed and returns the actions taken.
-func play(t *testing.T, seed uint64) []string {
+// runRandomEvents runs a sequence drawn from seed and returns the actions taken.
+func runRandomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := randomConfig(rng)
 	b, err := New(cfg, seed)
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	c := &checker{
-		t: t, cfg: cfg, classes: map[string]Class{}, servers: map[EndpointID]Endpoint{},
-		drained: map[EndpointID]bool{}, requests: map[RequestID]*openRequest{},
+		t: t, cfg: cfg, classes: map[string]Class{}, endpoints: map[EndpointID]Endpoint{},
+		notReady: map[EndpointID]bool{}, requests: map[RequestID]*openRequest{},
 	}
 	for _, cl := range cfg.Classes {
 		c.classes[cl.Name] = cl
 	}
-	p := &player{checker: c, b: b, rng: rng}
+	p := &eventDriver{checker: c, b: b, rng: rng}
 	p.update(UpdateCached, p.randomEntries(rng.IntN(9)))
-	for step := range playSteps {
+	for step := range eventsPerRun {
 		c.now += cfg.TimerResolution * time.Duration(1+rng.IntN(4))
 		p.fireTimers()
 		if !p.expireAttempts() {
@@ -66,23 +66,23 @@
 }
 
 // update gives the balancer an update of the endpoint list.
-func (p *player) update(kind UpdateKind, list []Endpoint) {
+func (p *eventDriver) update(kind UpdateKind, list []Endpoint) {
 	if kind == UpdatePollFailed {
 		list = nil
 	}
 	if kind == UpdateFull || kind == UpdateCached {
-		for id := range p.servers {
-			p.drained[id] = true
+		for id := range p.endpoints {
+			p.notReady[id] = true
 		}
 	}
 	for _, e := range list {
-		p.servers[e.ID], p.drained[e.ID] = e, e.State != Ready
+		p.endpoints[e.ID], p.notReady[e.ID] = e, e.State != Ready
 	}
 	p.b.UpdateEndpoints(p.now, kind, list, p.checker)
 }
 
 // randomEntries draws at most n entries of eight endpoints.
-func (p *player) randomEntries(n int) (list []Endpoint) {
+func (p *eventDriver) randomEntries(n int) (list []Endpoint) {
 	for range n {
 		i := p.rng.IntN(8)
 		e := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 2}
@@ -97,7 +97,7 @@
 	return list
 }
 
-func (p *player) randomLoad() *LoadReport {
+func (p *eventDriver) randomLoad() *LoadReport {
 	if p.rng.IntN(3) == 0 {
 		return nil
 	}
@@ -105,25 +105,25 @@
 }
 
 // endAttempt ends an attempt of r with a status.
-func (p *player) endAttempt(r *openRequest, i int, status Status) {
+func (p *eventDriver) endAttempt(r *openRequest, i int, status Status) {
 	a := &r.attempts[i]
-	a.out, a.status = false, status
-	if r.going && status != StatusCanceled { // the last byte of its body was never sent
+	a.inFlight, a.status = false, status
+	if r.bodySending && status != StatusCanceled { // the last byte of its body was never sent
 		status = StatusConnectFailed
-		a.status, r.going = status, false
+		a.status, r.bodySending = status, false
 		r.Expires = max(r.Expires, p.now) // it begins with the last byte
 	}
 	if status == StatusOK {
 		r.ended = true
 	}
 	p.b.HandleAttemptResult(p.now, AttemptResult{
-		ID: r.ID, Attempt: i, Endpoint: a.server.ID, Status: status, Latency: p.now - a.sent,
+		ID: r.ID, Attempt: i, Endpoint: a.endpoint.ID, Status: status, Latency: p.now - a.sentAt,
 		RequestEnded: r.ended, Load: p.randomLoad(),
 	}, p.checker)
 }
 
 // fireTimers fires the timers that are due.
-func (p *player) fireTimers() {
+func (p *eventDriver) fireTimers() {
 	due := slices.Clone(p.timers)
 	p.timers = p.timers[:0]
 	for _, e := range due {
@@ -136,18 +136,18 @@
 }
 
 // expireAttempts ends attempts at their clients' deadlines, as hosts do. It reports false if a request got no answer in time.
-func (p *player) expireAttempts() bool {
+func (p *eventDriver) expireAttempts() bool {
 	for _, id := range p.ids {
 		r := p.requests[id]
-		if r.going {
+		if r.bodySending {
 			continue
 		}
 		if !r.ended && p.now > r.Expires+p.cfg.ResponseGrace {
-			p.breach("request %d got no answer in time", id)
+			p.reportViolation("request %d got no answer in time", id)
 			return false
 		}
 		for i := range r.attempts {
-			if r.attempts[i].out && p.now >= r.Expires {
+			if r.attempts[i].inFlight && p.now >= r.Expires {
 				p.endAttempt(r, i, StatusTimeout)
 			}
 		}
@@ -156,7 +156,7 @@
 }
 
 // randomEvent gives the balancer one event; a new request gets id.
-func (p *player) randomEvent(id RequestID) {
+func (p *eventDriver) randomEvent(id RequestID) {
 	switch p.rng.IntN(14) {
 	case 12, 13:
 		p.advanceBody()
@@ -171,9 +171,9 @@
 			p.b.HandleRequestAbandoned(p.now, r.ID, p.checker)
 		}
 	case 6, 7:
-		if len(p.probes) > 0 {
-			id := p.probes[0]
-			p.probes = p.probes[1:]
+		if len(p.healthChecks) > 0 {
+			id := p.healthChecks[0]
+			p.healthChecks = p.healthChecks[1:]
 			p.b.HandleHealthCheck(p.now, HealthCheckResult{Endpoint: id, Status: Status(p.rng.IntN(8)), Load: p.randomLoad()}, p.checker)
 		}
 	default:
@@ -182,27 +182,27 @@
 }
 
 // advanceBody has the streamed body of a late request begin to be sent, or end.
-func (p *player) advanceBody() {
+func (p *eventDriver) advanceBody() {
 	if len(p.ids) == 0 {
 		return
 	}
 	r := p.requests[p.ids[len(p.ids)-1-p.rng.IntN(min(len(p.ids), 8))]]
-	out := slices.IndexFunc(r.attempts, func(a openAttempt) bool { return a.out })
+	sending := slices.IndexFunc(r.attempts, func(a openAttempt) bool { return a.inFlight })
 	switch {
-	case !r.StreamedBody || r.ended || out < 0:
-	case !r.used:
-		r.used, r.going = true, true
-		p.b.HandleBodyStarted(p.now, r.ID, out)
-	case r.going:
-		r.going = false
+	case !r.StreamedBody || r.ended || sending < 0:
+	case !r.bodyConsumed:
+		r.bodyConsumed, r.bodySending = true, true
+		p.b.HandleBodyStarted(p.now, r.ID, sending)
+	case r.bodySending:
+		r.bodySending = false
 		r.Expires = p.now + time.Duration(1+p.rng.IntN(900))*time.Millisecond
-		r.attempts[out].sent = p.now
+		r.attempts[sending].sentAt = p.now
 		p.b.HandleBodyFinished(p.now, r.ID, r.Expires, p.checker)
 	}
 }
 
 // sendRequest gives the balancer a request of a known class or another.
-func (p *player) sendRequest(id RequestID) {
+func (p *eventDriver) sendRequest(id RequestID) {
 	name := "unheard-of"
 	if k := p.rng.IntN(len(p.cfg.Classes) + 1); k < len(p.cfg.Classes) {
 		name = p.cfg.Classes[k].Name
@@ -219,13 +219,13 @@
 }
 
 // endRandomAttempt ends the first attempt in flight of a late request with any status.
-func (p *player) endRandomAttempt() {
+func (p *eventDriver) endRandomAttempt() {
 	if len(p.ids) == 0 {
 		return
 	}
 	r := p.requests[p.ids[len(p.ids)-1-p.rng.IntN(min(len(p.ids), 5))]]
 	for i := range r.attempts {
-		if r.attempts[i].out {
+		if r.attempts[i].inFlight {
 			p.endAttempt(r, i, Status(p.rng.IntN(8)))
 			return
 		}
@@ -233,7 +233,7 @@
 }
 
 // checkInFlight compares each endpoint's count of attempts in flight with those of the requests.
-func (p *player) checkInFlight() {
+func (p *eventDriver) checkInFlight() {
 	for id, e := range p.b.endpoints {
 		inFlight := 0
 		for _, r := range p.b.requests {
@@ -244,7 +244,7 @@
 			}
 		}
 		if e.inFlight != inFlight {
-			p.breach("%s counts %d in flight, %d are", id, e.inFlight, inFlight)
+			p.reportViolation("%s counts %d in flight, %d are", id, e.inFlight, inFlight)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 // answer in time for each request.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
-		play(t, seed)
+		runRandomEvents(t, seed)
 		if t.Failed() {
 			t.Fatalf("with seed %d", seed)
 		}
@@ -263,7 +263,7 @@
 // TestEqualEventsGiveEqualActions guards against clocks, map order and shared state.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(20) {
-		if !slices.Equal(play(t, seed), play(t, seed)) {
+		if !slices.Equal(runRandomEvents(t, seed), runRandomEvents(t, seed)) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
@@ -271,5 +271,5 @@
 
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
-	f.Fuzz(func(t *testing.T, seed uint64) { play(t, seed) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -20,12 +20,12 @@
 	// localZoneFactor is how many times its even part of a subset the own zone has where crossing zones costs something. Load
 	// reports even out the rest, and a zone with few endpoints is not crowded by its own instances.
 	localZoneFactor = 2.4
-	// minDealtSubsets is in how many subsets an endpoint must be for these to be dealt.
-	minDealtSubsets = 5
-	// dealtOverfill bounds the subsets that an endpoint is dealt into, as a multiple of its even part.
-	dealtOverfill = 1.2
-	// maxDealtInstances bounds the work of dealing, which goes through all instances.
-	maxDealtInstances = 200
+	// minRendezvousSubsets is in how many subsets an endpoint must be for these to be dealt.
+	minRendezvousSubsets = 5
+	// rendezvousLoadFactor bounds the subsets that an endpoint is dealt into, as a multiple of its even part.
+	rendezvousLoadFactor = 1.2
+	// maxRendezvousInstances bounds the work of dealing, which goes through all instances.
+	maxRendezvousInstances = 200
 )
 
 // subsetRule decides which endpoints this instance sends to (deterministic subsetting): connections cost something, and an
@@ -98,10 +98,10 @@
 // choose returns this instance's count endpoints of list. Where each endpoint is in many subsets these are dealt, since then an
 // endpoint that goes moves few others; by stride it would move half of all, each to be connected and learnt anew.
 func (r subsetRule) choose(list []*endpoint, count int) []*endpoint {
-	if r.instanceCount > maxDealtInstances || r.instanceCount*count < minDealtSubsets*len(list) {
+	if r.instanceCount > maxRendezvousInstances || r.instanceCount*count < minRendezvousSubsets*len(list) {
 		return r.chooseByStride(list, count)
 	}
-	return r.chooseByDealing(list, count)
+	return r.chooseByRendezvous(list, count)
 }
 
 // chooseByStride begins at a place given by the instance's number and goes on in steps that differ between neighbors: every
@@ -116,20 +116,20 @@
 	return chosen
 }
 
-// chooseByDealing gives each instance in turn the endpoints that rendezvous hashing puts first for it, and no endpoint to many
+// chooseByRendezvous gives each instance in turn the endpoints that rendezvous hashing puts first for it, and no endpoint to many
 // more instances than its even part.
-func (r subsetRule) chooseByDealing(list []*endpoint, count int) []*endpoint {
-	left := make(map[*endpoint]int, len(list)) // subsets that an endpoint may still be dealt into
+func (r subsetRule) chooseByRendezvous(list []*endpoint, count int) []*endpoint {
+	remaining := make(map[*endpoint]int, len(list)) // subsets that an endpoint may still be dealt into
 	for _, e := range list {
-		left[e] = int(math.Ceil(dealtOverfill * float64(r.instanceCount*count) / float64(len(list))))
+		remaining[e] = int(math.Ceil(rendezvousLoadFactor * float64(r.instanceCount*count) / float64(len(list))))
 	}
 	var chosen []*endpoint
 	for instance := range r.instanceIndex + 1 {
 		sortByHash(list, uint64(instance)<<32)
 		chosen = chosen[:0]
 		for _, e := range list {
-			if len(chosen) < count && left[e] > 0 {
-				left[e]--
+			if len(chosen) < count && remaining[e] > 0 {
+				remaining[e]--
 				chosen = append(chosen, e)
 			}
 		}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -58,8 +58,8 @@
 		}
 		return all
 	}
-	sets := func(servers []Endpoint) (all []map[EndpointID]bool, most, least int) {
-		met := map[EndpointID]int{}
+	sets := func(endpoints []Endpoint) (all []map[EndpointID]bool, most, least int) {
+		memberships := map[EndpointID]int{}
 		for o := range 80 {
 			cfg := testConfig()
 			cfg.InstanceIndex, cfg.InstanceCount = o, 80
@@ -67,17 +67,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.UpdateEndpoints(0, UpdateFull, servers, &recorder{})
+			b.UpdateEndpoints(0, UpdateFull, endpoints, &recorder{})
 			set := map[EndpointID]bool{}
 			for _, s := range b.readyEndpoints[:b.subsetSize] {
 				set[s.ID] = true
-				met[s.ID]++
+				memberships[s.ID]++
 			}
 			all = append(all, set)
 		}
 		least = 1 << 30
-		for _, s := range servers {
-			most, least = max(most, met[s.ID]), min(least, met[s.ID])
+		for _, s := range endpoints {
+			most, least = max(most, memberships[s.ID]), min(least, memberships[s.ID])
 		}
 		return all, most, least
 	}
@@ -87,13 +87,13 @@
 		t.Errorf("60 endpoints are in %d to %d subsets of 80", least, most)
 	}
 	for name, c := range map[string]struct {
-		servers []Endpoint
-		must    float64 // members that have gone
+		endpoints []Endpoint
+		minChange float64 // members that have gone
 	}{
 		"one gone": {list(60, func(i int) bool { return i == 17 }), 1.0 / 60},
 		"36 new":   {list(96, func(i int) bool { return i < 36 }), 36.0 / 60},
 	} {
-		after, most, least := sets(c.servers)
+		after, most, least := sets(c.endpoints)
 		moved, all := 0, 0
 		for o := range after {
 			for id := range after[o] {
@@ -103,7 +103,7 @@
 				}
 			}
 		}
-		t.Logf("%s: %.2f of the members changed (at least: %.2f); endpoints are in %d to %d subsets", name, float64(moved)/float64(all), c.must, least, most)
+		t.Logf("%s: %.2f of the members changed (at least: %.2f); endpoints are in %d to %d subsets", name, float64(moved)/float64(all), c.minChange, least, most)
 		if least == 0 || most > 5*least {
 			t.Errorf("%s: servers are in %d to %d subsets of 80", name, least, most)
 		}
@@ -114,8 +114,8 @@
 // many subsets all the same, and a small zone is not crowded. Seen to fail with subsets that ignore zones.
 func TestSubsetsPreferTheOwnZone(t *testing.T) {
 	for name, c := range map[string]struct {
-		sidecars, servers, inA int // of the servers
-		least, most            float64
+		instances, endpoints, inA int // of the servers
+		least, most               float64
 	}{
 		"dealt":      {80, 60, 30, 0.75, 0.85},
 		"by places":  {300, 200, 100, 0.75, 0.85},
@@ -123,20 +123,20 @@
 		"a third":    {300, 200, 66, 0.75, 0.85},
 	} {
 		var list []Endpoint
-		for i := range c.servers {
+		for i := range c.endpoints {
 			list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: map[bool]string{true: "a", false: "b"}[i < c.inA]})
 		}
-		met, own, members := map[EndpointID]int{}, 0, 0
-		for o := range c.sidecars {
+		memberships, own, members := map[EndpointID]int{}, 0, 0
+		for o := range c.instances {
 			cfg := testConfig()
-			cfg.InstanceIndex, cfg.InstanceCount, cfg.CrossZoneCost, cfg.Zone = o, c.sidecars, 0.015, string(rune('a'+o%2))
+			cfg.InstanceIndex, cfg.InstanceCount, cfg.CrossZoneCost, cfg.Zone = o, c.instances, 0.015, string(rune('a'+o%2))
 			b, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			b.UpdateEndpoints(0, UpdateFull, list, &recorder{})
 			for _, s := range b.readyEndpoints[:b.subsetSize] {
-				met[s.ID]++
+				memberships[s.ID]++
 				if cfg.Zone == "a" {
 					members++
 					if s.Zone == "a" {
@@ -145,16 +145,16 @@
 				}
 			}
 		}
-		most, least := 0, c.sidecars
+		most, least := 0, c.instances
 		for _, s := range list {
-			most, least = max(most, met[s.ID]), min(least, met[s.ID])
+			most, least = max(most, memberships[s.ID]), min(least, memberships[s.ID])
 		}
 		share := float64(own) / float64(members)
 		t.Logf("%s: %.2f of the members of instances in zone a are there; endpoints are in %d to %d subsets", name, share, least, most)
 		if share < c.least || share > c.most {
 			t.Errorf("%s: %.2f of the members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
 		}
-		if mean := c.sidecars * maxSubsetSize / c.servers; least == 0 || most > 2*mean+1 {
+		if mean := c.instances * maxSubsetSize / c.endpoints; least == 0 || most > 2*mean+1 {
 			t.Errorf("%s: endpoints are in %d to %d subsets, in the mean in %d", name, least, most, mean)
 		}
 	}
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -11,27 +11,27 @@
 // recorder is an Actions that notes each action as a line of text.
 type recorder struct{ lines []string }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) StartAttempt(id RequestID, s EndpointID, _ time.Duration) {
-	r.note("send %d %s", id, s)
+	r.record("send %d %s", id, s)
 }
 
-func (r *recorder) Reject(id RequestID, _ time.Duration) { r.note("reject %d", id) }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.record("reject %d", id) }
 
-func (r *recorder) Fail(id RequestID) { r.note("fail %d", id) }
+func (r *recorder) Fail(id RequestID) { r.record("fail %d", id) }
 
-func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.note("cancel %d %d", id, attempt) }
+func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.record("cancel %d %d", id, attempt) }
 
-func (r *recorder) SetTimer(d time.Duration, token string) { r.note("timer %v %s", d, token) }
+func (r *recorder) SetTimer(d time.Duration, token string) { r.record("timer %v %s", d, token) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.note("check %s", s) }
+func (r *recorder) CheckHealth(s EndpointID) { r.record("check %s", s) }
 
-func (r *recorder) WatchEndpoints(on bool) { r.note("watch %v", on) }
+func (r *recorder) WatchEndpoints(on bool) { r.record("watch %v", on) }
 
-func (r *recorder) Log(text string) { r.note("log %s", text) }
+func (r *recorder) Log(text string) { r.record("log %s", text) }
 
 // take returns the lines that start with prefix and clears all.
 func (r *recorder) take(prefix string) []string {
@@ -75,12 +75,12 @@
 }
 
 // answer has b send a request to an endpoint that answers it after delay.
-func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
-	s := b.endpoints[server]
+func answer(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
+	s := b.endpoints[endpointID]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
 	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
 	r.inFlight = 1
 	s.inFlight++
 	b.requests[id] = r
-	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Latency: delay, RequestEnded: true}, rec)
+	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: endpointID, Latency: delay, RequestEnded: true}, rec)
 }
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -53,9 +53,9 @@
 	e.marked, e.markedAt = e.State == Ready && e.reportedQueue <= j.threshold, now
 }
 
-// admitSample makes e, the first to reply to a waiting request's own round, the threshold and marks it. If the request had to
+// markSampled makes e, the first to reply to a waiting request's own round, the threshold and marks it. If the request had to
 // wait for a mark below the threshold of another request's round, it would be rejected although it could be served.
-func (j *joinBelowThreshold) admitSample(now Time, e *endpoint) {
+func (j *joinBelowThreshold) markSampled(now Time, e *endpoint) {
 	j.threshold, e.marked, e.markedAt = e.reportedQueue, true, now
 }
 
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -19,15 +19,15 @@
 
 // hasher is an Actions that folds each action into a hash, and remembers what a host would report back later.
 type hasher struct {
-	calm     bool // little traffic, most of it answered in time
-	now      Time
-	actions  int
-	hash     uint64
-	timers   []dueTimer
-	probes   []EndpointID
-	attempts []sentAttempt
-	uploads  []RequestID
-	counts   map[RequestID]int
+	lightTraffic bool // little traffic, most of it answered in time
+	now          Time
+	actions      int
+	hash         uint64
+	timers       []dueTimer
+	healthChecks []EndpointID
+	attempts     []sentAttempt
+	uploads      []RequestID
+	counts       map[RequestID]int
 }
 
 type dueTimer struct {
@@ -36,13 +36,13 @@
 }
 
 type sentAttempt struct {
-	id      RequestID
-	attempt int
-	server  EndpointID
-	sent    Time
+	id       RequestID
+	attempt  int
+	endpoint EndpointID
+	sentAt   Time
 }
 
-func (h *hasher) note(format string, args ...any) {
+func (h *hasher) record(format string, args ...any) {
 	sum := fnv.New64a()
 	fmt.Fprintf(sum, "%x %d ", h.hash, h.now)
 	fmt.Fprintf(sum, format, args...)
@@ -51,23 +51,23 @@
 }
 
 func (h *hasher) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
-	h.note("send %d %s %d", id, s, d)
+	h.record("send %d %s %d", id, s, d)
 	h.attempts = append(h.attempts, sentAttempt{id, h.counts[id], s, h.now})
 	h.counts[id]++
 }
-func (h *hasher) Reject(id RequestID, d time.Duration)    { h.note("refuse %d %d", id, d) }
-func (h *hasher) Fail(id RequestID)                       { h.note("fail %d", id) }
-func (h *hasher) CancelAttempt(id RequestID, attempt int) { h.note("cancel %d %d", id, attempt) }
+func (h *hasher) Reject(id RequestID, d time.Duration)    { h.record("refuse %d %d", id, d) }
+func (h *hasher) Fail(id RequestID)                       { h.record("fail %d", id) }
+func (h *hasher) CancelAttempt(id RequestID, attempt int) { h.record("cancel %d %d", id, attempt) }
 func (h *hasher) SetTimer(d time.Duration, token string) {
-	h.note("timer %d %s", d, token)
+	h.record("timer %d %s", d, token)
 	h.timers = append(h.timers, dueTimer{h.now + d, token})
 }
 func (h *hasher) CheckHealth(s EndpointID) {
-	h.note("probe %s", s)
-	h.probes = append(h.probes, s)
+	h.record("probe %s", s)
+	h.healthChecks = append(h.healthChecks, s)
 }
-func (h *hasher) WatchEndpoints(on bool) { h.note("watch %v", on) }
-func (h *hasher) Log(text string)        { h.note("log %s", text) }
+func (h *hasher) WatchEndpoints(on bool) { h.record("watch %v", on) }
+func (h *hasher) Log(text string)        { h.record("log %s", text) }
 
 // takeAny removes a random element of list.
 func takeAny[T any](rng *rand.Rand, list *[]T) (x T, ok bool) {
@@ -130,43 +130,43 @@
 }
 
 // trace plays a few thousand random events and returns the hash of all actions and of what was learnt.
-func trace(t *testing.T, cfg Config, seed uint64, events int, calm bool) (uint64, int) {
+func trace(t *testing.T, cfg Config, seed uint64, events int, lightTraffic bool) (uint64, int) {
 	t.Helper()
 	b, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 99))
-	h := &hasher{calm: calm, counts: map[RequestID]int{}}
+	h := &hasher{lightTraffic: lightTraffic, counts: map[RequestID]int{}}
 	_, first := randomList(rng, 0)
 	b.UpdateEndpoints(0, UpdateCached, first, h)
 	var last RequestID
 	for range events {
 		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
-		playEvent(b, h, rng, &last)
+		applyRandomEvent(b, h, rng, &last)
 		seen := b.Summarize(h.now)
-		h.note("seen %d %v %d", seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints)
+		h.record("seen %d %v %d", seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints)
 	}
 	learnt, err := json.Marshal(b.ExportLearnedState(h.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.note("learnt %s", learnt)
+	h.record("learnt %s", learnt)
 	next, _ := New(cfg, seed)
 	kind, list := randomList(rng, h.now)
 	next.UpdateEndpoints(h.now, kind, list, h)
 	next.ImportLearnedState(h.now, b.ExportLearnedState(h.now))
 	for range events / 4 {
 		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
-		playEvent(next, h, rng, &last)
+		applyRandomEvent(next, h, rng, &last)
 	}
 	return h.hash, h.actions
 }
 
-// playEvent gives b one random event.
-func playEvent(b *Balancer, h *hasher, rng *rand.Rand, last *RequestID) {
+// applyRandomEvent gives b one random event.
+func applyRandomEvent(b *Balancer, h *hasher, rng *rand.Rand, last *RequestID) {
 	requests := 330
-	if h.calm {
+	if h.lightTraffic {
 		requests = 130
 	}
 	switch dice := rng.IntN(1000); {
@@ -174,11 +174,11 @@
 		*last++
 		b.HandleRequest(h.now, randomRequest(rng, h.now, *last), h)
 	case dice < 600:
-		playOutcome(b, h, rng)
+		applyAttemptResult(b, h, rng)
 	case dice < 800:
-		playProbe(b, h, rng)
+		applyHealthCheck(b, h, rng)
 	case dice < 940:
-		playTimers(b, h)
+		fireDueTimers(b, h)
 	case dice < 955:
 		b.HandleRequestAbandoned(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
 	case dice < 965:
@@ -218,8 +218,8 @@
 	return r
 }
 
-// playTimers fires what is due, in order.
-func playTimers(b *Balancer, h *hasher) {
+// fireDueTimers fires what is due, in order.
+func fireDueTimers(b *Balancer, h *hasher) {
 	slices.SortStableFunc(h.timers, func(x, y dueTimer) int { return cmp.Compare(x.at, y.at) })
 	for len(h.timers) > 0 && h.timers[0].at <= h.now {
 		token := h.timers[0].token
@@ -228,12 +228,12 @@
 	}
 }
 
-func playOutcome(b *Balancer, h *hasher, rng *rand.Rand) {
+func applyAttemptResult(b *Balancer, h *hasher, rng *rand.Rand) {
 	a, ok := takeAny(rng, &h.attempts)
 	if !ok {
 		return
 	}
-	if h.calm && (a.server == "s1" || a.server == "s2") && h.now-a.sent < time.Second { // slow ones
+	if h.lightTraffic && (a.endpoint == "s1" || a.endpoint == "s2") && h.now-a.sentAt < time.Second { // slow ones
 		h.attempts = append(h.attempts, a)
 		return
 	}
@@ -242,12 +242,12 @@
 		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
 	b.HandleAttemptResult(h.now, AttemptResult{
-		ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Latency: h.now - a.sent, RequestEnded: status == StatusOK, Load: randomLoad(rng),
+		ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Status: status, Latency: h.now - a.sentAt, RequestEnded: status == StatusOK, Load: randomLoad(rng),
 	}, h)
 }
 
-func playProbe(b *Balancer, h *hasher, rng *rand.Rand) {
-	s, ok := takeAny(rng, &h.probes)
+func applyHealthCheck(b *Balancer, h *hasher, rng *rand.Rand) {
+	s, ok := takeAny(rng, &h.healthChecks)
 	if !ok {
 		return
 	}
@@ -264,9 +264,9 @@
 	var got strings.Builder
 	for i, cfg := range traceConfigs() {
 		for seed := range uint64(4) {
-			for _, calm := range []bool{false, true} {
-				hash, actions := trace(t, cfg, seed+1, 4000, calm)
-				fmt.Fprintf(&got, "config %d seed %d calm %v: %016x after %d actions\n", i, seed+1, calm, hash, actions)
+			for _, lightTraffic := range []bool{false, true} {
+				hash, actions := trace(t, cfg, seed+1, 4000, lightTraffic)
+				fmt.Fprintf(&got, "config %d seed %d calm %v: %016x after %d actions\n", i, seed+1, lightTraffic, hash, actions)
 			}
 		}
 	}
