--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Actions carries out what a Balancer decides. Its methods are called during the Balancer's own, in the order in which they are to
-// take effect, and must not call back.
+// Actions carries out the decisions of a Balancer. The Balancer calls its methods from within its own methods, in the order in which
+// the actions are to take effect. An implementation must not call the Balancer from them.
 type Actions interface {
-	// StartAttempt starts the request's next attempt, numbered from 0 and from its PriorAttempts on. It is given up after timeout.
+	// StartAttempt starts the next attempt of a request and limits it to timeout. Attempts are numbered from 0; the PriorAttempts of
+	// the request have the first numbers.
 	StartAttempt(id RequestID, endpoint EndpointID, timeout time.Duration)
-	// Reject ends a request, promising the client that a retry is harmless and worth while after retryAfter.
+	// Reject ends a request and tells the client that a retry is harmless and has a chance of success after retryAfter.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail ends a request without any promise.
+	// Fail ends a request and tells the client nothing about retries.
 	Fail(id RequestID)
-	// CancelAttempt cancels an attempt. Its end is reported all the same.
+	// CancelAttempt cancels an attempt. The host still reports its end with HandleAttemptResult.
 	CancelAttempt(id RequestID, attempt int)
-	// SetTimer asks for a call of HandleTimer with token.
+	// SetTimer schedules a call of HandleTimer with token.
 	SetTimer(after time.Duration, token string)
-	// CheckHealth asks an endpoint for a load report.
+	// CheckHealth sends a health check to an endpoint. The host reports its end with HandleHealthCheck.
 	CheckHealth(endpoint EndpointID)
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints(on bool)
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Time is an instant on the host's monotonic clock. Its origin is arbitrary, but every instant passed must be above 0: in the module's state 0
-// stands for never.
+// Time is an instant on the monotonic clock of the host. The origin of the clock is arbitrary, but every instant passed to a Balancer
+// must be above 0, because the Balancer uses 0 for "never".
 type Time = time.Duration
 
-// EndpointID names an endpoint. Only equality, order and hash of it are used.
+// EndpointID identifies an endpoint. The Balancer compares, sorts and hashes IDs and does not parse them.
 type EndpointID string
 
-// RequestID names a request; the host never uses one twice.
+// RequestID identifies a request. The host must not use a value twice.
 type RequestID uint64
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // The endpoint states.
 const (
 	Ready    EndpointState = iota
-	Draining               // finishes what it has, takes nothing new
+	Draining               // finishes its requests and takes no new ones
 	Removed
 )
 
@@ -29,84 +29,85 @@
 	Zone        string
 	Cell        int
 	Weight      float64
-	MachineType string // machine type, by the list's name; empty: not known
-	Started     Time   // of the process; zero: long ago
+	MachineType string // name of the machine type in the endpoint list; empty: unknown
+	Started     Time   // start of the process; zero: long ago
 }
 
-// UpdateKind says how an update of the endpoint list is to be read.
+// UpdateKind is the kind of an update of the endpoint list.
 type UpdateKind int
 
 // The kinds of updates.
 const (
 	UpdateDelta      UpdateKind = iota // changed entries only
-	UpdateFull                         // all entries; absent endpoints were removed
-	UpdateCached                       // all entries, perhaps out of date
+	UpdateFull                         // all entries; endpoints without an entry were removed
+	UpdateCached                       // all entries, possibly out of date
 	UpdatePollFailed                   // no entries: a call to the list service failed, or the watch broke
-	UpdateWatchLost                    // no entries: the watch ended or moved, or a list is wanted now; a watch can be had
+	UpdateWatchLost                    // no entries: the watch ended or moved, or the host needs a list now; a watch is available
 )
 
-// PriorAttempt is an attempt made before the request came here, such as at another site. It counts as one of the request's.
+// PriorAttempt is an attempt of the request that was made before the request reached this instance, such as at another site. It counts
+// towards the attempts of the request.
 type PriorAttempt struct {
 	Zone           string
 	Cell           int
-	NotExecuted    bool          // proven
-	DedupRemaining time.Duration // if it may have been executed: for how long from now on repeats are dropped
+	NotExecuted    bool          // proven not to have been executed
+	DedupRemaining time.Duration // for an attempt that may have been executed: how long from now repeats are dropped
 }
 
 // Request is a client's request.
 type Request struct {
 	ID            RequestID
-	Class         string // a name of Config.Classes; others count as not idempotent
+	Class         string // a name from Config.Classes; a request of another class counts as not idempotent
 	Tenant        string
 	Key           string        // idempotency or affinity key; may be empty
-	ExpectedWork  time.Duration // rough; zero: unknown
-	IsRetry       bool          // marked so by the client; not used by the decisions
-	Expires       Time          // the client gives up; for a streamed body: its first attempt must begin by then
+	ExpectedWork  time.Duration // rough estimate; zero: unknown
+	IsRetry       bool          // the client marked the request as a retry; not used by the decisions
+	Expires       Time          // when the client gives up; with a streamed body: when the first attempt must have begun
 	PriorAttempts []PriorAttempt
-	MaxAttempts   int  // including PriorAttempts; 0: Config.MaxAttempts alone counts
-	StreamedBody  bool // the body is passed on as it comes; the host calls HandleBodyStarted and HandleBodyFinished
+	MaxAttempts   int  // including PriorAttempts; 0: only Config.MaxAttempts applies
+	StreamedBody  bool // the body is forwarded as it arrives; the host calls HandleBodyStarted and HandleBodyFinished
 }
 
-// Status says how an attempt or a health check ended.
+// Status is the outcome of an attempt or a health check.
 type Status int
 
-// The statuses. NotExecuted tells which prove that nothing was executed.
+// The statuses. Status.NotExecuted tells which of them prove that the request was not executed.
 const (
 	StatusOK               Status = iota
-	StatusApplicationError        // the endpoint answered with a failure of its own
-	StatusOverloaded              // the endpoint rejected it unexecuted
+	StatusApplicationError        // the endpoint returned an error of its own
+	StatusOverloaded              // the endpoint rejected the request without executing it
 	StatusTimeout
 	StatusConnectFailed
-	StatusReset // the connection broke in between
+	StatusReset // the connection broke before the response was complete; the request may have been executed
 	StatusCanceled
 	StatusNotSent
 )
 
-// LoadReport is an endpoint's report of its load; negative fields were not reported.
+// LoadReport is the load that an endpoint reports. A negative field was not reported.
 type LoadReport struct {
-	Queue     float64 // requests waiting
-	InFlight  float64 // requests waiting or worked on
+	Queue     float64 // waiting requests
+	InFlight  float64 // requests that wait or are processed
 	Latency   float64 // recent service time, in milliseconds; not used by the decisions
-	ErrorRate float64 // errors a second; not used by the decisions
+	ErrorRate float64 // errors per second; not used by the decisions
 }
 
-// AttemptResult is the end of an attempt.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	ID           RequestID
-	Attempt      int // number, as counted by Actions.StartAttempt
+	Attempt      int // number of the attempt, as defined by Actions.StartAttempt
 	Endpoint     EndpointID
 	Status       Status
-	Latency      time.Duration // from its start
-	RequestEnded bool          // the client has its answer: nothing more is to be done for the request
-	Load         *LoadReport   // nil: none
+	Latency      time.Duration // from the start of the attempt
+	RequestEnded bool          // the request has its response and needs no further attempts
+	Load         *LoadReport   // nil: no report
 }
 
-// HealthCheckResult is the end of a health check.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Endpoint EndpointID
 	Status   Status
-	Latency  time.Duration // from its start
-	Load     *LoadReport   // nil: none
+	Latency  time.Duration // from the start of the health check
+	Load     *LoadReport   // nil: no report
 }
 
 var statusNames = [...]string{
@@ -120,7 +121,7 @@
 	StatusNotSent:          "not sent",
 }
 
-// String returns the status in words.
+// String returns the name of the status, "unknown" for a value out of range.
 func (s Status) String() string {
 	if s < 0 || int(s) >= len(statusNames) {
 		return "unknown"
