--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// queueWaitDivisor of the time left may pass while a request waits for its sample: the wait is latency too.
+	// queueWaitDivisor divides the remaining time of a request to get its longest wait for a load sample: the wait adds to the latency.
 	queueWaitDivisor = 6
-	// randomRejectionBand is the part of a request's latency limit over which rejections set in at random, up to certain: queues settle
-	// inside it, below the objective, although each rejected client comes back up to three times.
+	// randomRejectionBand is the width of the random rejection range below a request's latency limit, as a fraction of the limit. The
+	// rejection probability rises to 1 across the range. Queues settle inside the range, below the objective, although each rejected
+	// client retries up to three times.
 	randomRejectionBand = 0.4
-	// sheddingLatencyMargin is by how much, as a fraction, latencies are expected to be longer under a full shortage.
+	// sheddingLatencyMargin is the fraction that is added to expected latencies under a full shortage.
 	sheddingLatencyMargin = 0.5
-	// topPriorityDivisor makes a class one of top priority whose priority density is above the highest over it.
+	// topPriorityDivisor defines top priority: a class has it if its priority density is above the highest one divided by this number.
 	topPriorityDivisor = 2
-	// minPriorityDensity stands for the highest priority density where all are zero.
+	// minPriorityDensity is the least value used as the highest priority density. It prevents a division by zero if all weights are zero.
 	minPriorityDensity = 1e-9
 
-	// capacityDecayTime is the time constant after which requests count less for the capacity estimate.
+	// capacityDecayTime is the time constant of the exponential decay of the request counts in the capacity estimate.
 	capacityDecayTime = 500 * time.Millisecond
-	// capacityPriorRequests without capacity are assumed beside those seen, so that an instance with little traffic, which
-	// knows little, rejects as under a shortage.
+	// capacityPriorRequests is the number of requests without capacity that are assumed in addition to those seen. An instance with
+	// little traffic has little information and therefore rejects as under a shortage.
 	capacityPriorRequests = 10
-	// minCapacityRequests must have been seen of late to prove that there is capacity.
+	// minCapacityRequests is the number of recent requests that are needed to prove that there is capacity.
 	minCapacityRequests = 3
 	// sheddingStartShortage is the fraction of requests without capacity up to which no class is shed.
 	sheddingStartShortage = 0.15
-	// sheddingFullShortage is the fraction from which the lowest priorities are shed in full.
+	// sheddingFullShortage is the fraction of requests without capacity from which the lowest priorities are shed in full.
 	sheddingFullShortage = 0.4
 )
 
-// endReason says why a request ends without a response.
+// endReason is the reason why a request ends without a response.
 type endReason int
 
 const (
-	endedDeadline       endReason = iota // no response can be of use to the client any more
-	endedOverLimit                       // the expected latency is above the request's limit: load shedding
+	endedDeadline       endReason = iota // a response would be too late to be of use to the client
+	endedOverLimit                       // load shedding: the expected latency is above the latency limit of the request
 	endedNoEndpoint                      // no endpoint may be attempted
-	endedAttemptsFailed                  // its attempts failed, and no retry is allowed or of use
+	endedAttemptsFailed                  // the attempts failed, and no retry is allowed or of use
 )
 
-// retryHelps reports whether the client had better try again; only then a request is rejected, and not failed.
+// retryHelps reports whether a retry by the client could succeed. Only then may the request be rejected instead of failed.
 func (r endReason) retryHelps() bool { return r != endedDeadline }
 
-// capacityEstimator tells a shortage of capacity from single slow responses: for how many of the latest requests some endpoint of
-// the subset was expected to answer in time, whatever their priority.
+// capacityEstimator distinguishes a capacity shortage from single slow responses. It counts for how many recent requests, of any
+// priority, at least one endpoint of the subset was expected to respond in time.
 type capacityEstimator struct {
-	requests, withCapacity float64 // decaying counts
+	requests, withCapacity float64 // counts with exponential decay
 	updatedAt              Time
 }
 
-// decay has the counts fade until now.
+// decay applies the exponential decay up to now.
 func (c *capacityEstimator) decay(now Time) {
 	factor := math.Exp(-float64(max(0, now-c.updatedAt)) / float64(capacityDecayTime))
 	c.requests, c.withCapacity, c.updatedAt = c.requests*factor, c.withCapacity*factor, now
 }
 
-// record takes one request.
+// record counts one request.
 func (c *capacityEstimator) record(now Time, hadCapacity bool) {
 	c.decay(now)
 	c.requests++
@@ -67,22 +68,24 @@
 	}
 }
 
-// provenSufficient reports whether enough requests were seen of late, and had capacity. Unlike shortage it assumes nothing.
+// provenSufficient reports whether enough recent requests were seen and enough of them had capacity. Unlike shortage, it does not
+// count the assumed requests of capacityPriorRequests.
 func (c *capacityEstimator) provenSufficient() bool {
 	return c.requests >= minCapacityRequests && c.requests-c.withCapacity <= sheddingStartShortage*c.requests
 }
 
-// shortage returns how far the lowest priorities are to be shed, from 0, there is capacity for all, to 1.
+// shortage returns the degree of the capacity shortage at now: from 0, there is capacity for all requests, to 1, the lowest priorities
+// are shed in full.
 func (c *capacityEstimator) shortage(now Time) float64 {
 	c.decay(now)
 	without := 1 - c.withCapacity/(c.requests+capacityPriorRequests)
 	return min(1, max(0, (without-sheddingStartShortage)/(sheddingFullShortage-sheddingStartShortage)))
 }
 
-// priorityDensity returns the priority weight for each second of the latency objective: what the class gains by a place in a queue.
+// priorityDensity returns the priority weight per second of the latency objective. It is the value of a place in a queue for the class.
 func (c Class) priorityDensity() float64 { return c.PriorityWeight / c.LatencyObjective.Seconds() }
 
-// highestPriorityDensity returns the highest of all classes.
+// highestPriorityDensity returns the highest priority density of the classes, 0 if there are none.
 func highestPriorityDensity(classes []Class) float64 {
 	highest := 0.0
 	for _, c := range classes {
@@ -91,9 +94,9 @@
 	return highest
 }
 
-// latencyLimit returns the expected latency above which r is rejected: the time left to its objective, and less for lower
-// priorities the more capacity is short. The highest priority is rejected only where it would be late; the others also at random
-// within randomRejectionBand below their limit.
+// latencyLimit returns the expected latency above which r is rejected. It is the time left to the objective of r. For lower priorities
+// it decreases as the capacity shortage grows. A request of the highest priority is rejected only if it would be late. Under a
+// shortage, other requests are also rejected at random within randomRejectionBand below their limit.
 func (b *Balancer) latencyLimit(now Time, r *request) time.Duration {
 	unloaded := b.latency.predict(0)
 	shortage := b.capacity.shortage(now)
@@ -104,27 +107,28 @@
 	return time.Duration(unloaded + (float64(r.objectiveDeadline-now)-unloaded)*scale)
 }
 
-// pessimisticLatency returns the latency of e to reckon with for admission, longer than expected by as much as there is a shortage
-// and queues are found: responses scatter, and half of those admitted at the very limit would come late.
+// pessimisticLatency returns the latency of e that admission assumes. It exceeds the expected latency by a margin that grows with the
+// shortage and with the share of health checks that find queues. Without the margin, half of the requests admitted just below the
+// limit would be late, because latencies vary around the expected value.
 func (b *Balancer) pessimisticLatency(now Time, e *endpoint, shortage float64) time.Duration {
 	contention := b.healthChecks.contention
 	factor := 1 + shortage*sheddingLatencyMargin*contention*contention
 	return time.Duration(min(factor*float64(b.expectedLatency(now, e)), float64(maxExpectedLatency)))
 }
 
-// exceedsLimit reports whether r should be rejected rather than queue at e. An idle endpoint never exceeds it, whatever latency is
-// expected: nobody gains by the rejection, and after a spell of slow responses only further ones can tell that it is over.
+// exceedsLimit reports whether r should be rejected rather than sent to e. It is false for an idle endpoint whatever its expected
+// latency: no other request gains from the rejection, and only further responses can show that a period of slow responses is over.
 func (b *Balancer) exceedsLimit(now Time, r *request, e *endpoint) bool {
 	return !e.isIdle() && b.pessimisticLatency(now, e, b.capacity.shortage(now)) > r.latencyLimit
 }
 
-// hasCapacity reports whether e can be expected to answer r in time, by the most cautious estimate.
+// hasCapacity reports whether e is expected to respond to r in time, even with the full sheddingLatencyMargin.
 func (b *Balancer) hasCapacity(now Time, r *request, e *endpoint) bool {
 	return e.isIdle() || now+b.pessimisticLatency(now, e, 1) <= r.objectiveDeadline
 }
 
-// admitOrReject sends r to an endpoint of the active subset, or rejects it if the one picked exceeds its latency limit or none may
-// be attempted.
+// admitOrReject sends r to an endpoint of the active subset. It ends r if the selected endpoint exceeds the latency limit of r or no
+// endpoint may be attempted.
 func (b *Balancer) admitOrReject(now Time, r *request, active []*endpoint, act Actions) {
 	hadCapacity := slices.ContainsFunc(active, func(e *endpoint) bool { return b.hasCapacity(now, r, e) })
 	b.capacity.record(now, hadCapacity)
@@ -138,8 +142,9 @@
 	}
 }
 
-// preferWithinLimit drops the endpoints that exceed the limit of r while others do not, unless there is a shortage: then r would
-// only fill what is left, which is for the highest priorities.
+// preferWithinLimit returns the endpoints of active that do not exceed the limit of r, or all of active if there are none. Under a full
+// shortage that recent requests do not disprove, it returns all of active for a request without top priority: the remaining capacity
+// is for the highest priorities.
 func (b *Balancer) preferWithinLimit(now Time, r *request, active []*endpoint) []*endpoint {
 	shortage := b.capacity.shortage(now)
 	topPriority := r.class.priorityDensity() > b.maxPriorityDensity/topPriorityDivisor
@@ -153,21 +158,21 @@
 	return within
 }
 
-// enqueue has r wait for the first reply of its sampling round.
+// enqueue makes r wait for the first reply of its sampling round, and sets the timer that ends the wait.
 func (b *Balancer) enqueue(now Time, r *request, act Actions) {
 	r.queuedUntil = now + (r.finalDeadline-now)/queueWaitDivisor
 	b.queued = append(b.queued, r)
 	act.SetTimer(r.queuedUntil-now, timerToken(r.ID))
 }
 
-// dequeue ends the wait of r, if it waits.
+// dequeue ends the wait of r. It does nothing if r does not wait.
 func (b *Balancer) dequeue(r *request) {
 	b.queued = slices.DeleteFunc(b.queued, func(other *request) bool { return other == r })
 	r.queuedUntil = 0
 }
 
-// handleSampleReply gives a reply of e, which reported its load or failed to, to the requests that wait for it. The first for
-// which e is good goes there; one that has all its replies waits no longer.
+// handleSampleReply passes a health check result of e to the requests that wait for it; reported tells whether it has a load report.
+// The first request for which e is within the limit is sent to e. The wait of a request ends once all its replies have arrived.
 func (b *Balancer) handleSampleReply(now Time, e *endpoint, reported bool, act Actions) {
 	var unplaced []*request
 	for _, r := range b.queued {
@@ -177,7 +182,7 @@
 		r.sampleReplies++
 		admissible := reported && !b.exceedsLimit(now, r, e)
 		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && !admissible && b.healthChecks.canAffordRound() {
-			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the own zone is full: sample others
+			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the own zone is full
 			continue
 		}
 		if admissible {
@@ -195,14 +200,14 @@
 	}
 }
 
-// resolveQueued ends the wait of r without a good sample: it is admitted where it can be expected in time, or rejected.
+// resolveQueued ends the wait of r when no sampled endpoint was within its limit. r is admitted or rejected by the expected latency.
 func (b *Balancer) resolveQueued(now Time, r *request, act Actions) {
 	b.dequeue(r)
 	b.admitOrReject(now, r, b.activeSubset(now), act)
 }
 
-// retryAfter returns how long a rejected client had better wait: until the queue by which it could first be served has shrunk to
-// its limit. It is 0 if clients do not honor it.
+// retryAfter returns how long a rejected client should wait before a retry: until the first queue of the active subset is expected to
+// have shrunk to the latency limit of r. It is 0 if clients do not honor it, and at most Config.MaxRetryAfter.
 func (b *Balancer) retryAfter(now Time, r *request) time.Duration {
 	if !b.cfg.RetryAfterHonored {
 		return 0
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Balancer decides for one instance. It takes the events, in order of time, and calls the rules; each rule is in a file of its own.
-// It is not safe for concurrent use.
+// Balancer makes the decisions of one instance. Its methods must be called in order of time. Each rule is in a file of its own. A
+// Balancer is not safe for concurrent use.
 type Balancer struct {
 	cfg Config
 	rng *rand.Rand
 
 	endpoints     map[EndpointID]*endpoint
-	endpointOrder                        // of those that are ready
+	endpointOrder                        // of the ready endpoints
 	requests      map[RequestID]*request // not ended, or with attempts in flight
-	queued        []*request             // in order of arrival: those that wait for a sample
+	queued        []*request             // requests that wait for a load sample, in order of arrival
 	classes       map[string]*classState
 
-	// The rules, and what they have learned.
+	// The rules and their learned state.
 	poll               endpointPoll
 	subsetRule         subsetRule
 	jbt                joinBelowThreshold
@@ -30,15 +30,15 @@
 	latency            latencyModel
 	machineTypes       machineTypes
 	capacity           capacityEstimator
-	maxPriorityDensity float64 // of all classes
+	maxPriorityDensity float64 // highest of all classes
 }
 
-// New returns a Balancer for cfg. Equal seeds and events give equal actions. The error wraps ErrInvalidConfig.
+// New returns a Balancer for cfg. Equal seeds and events give equal actions. The returned error wraps ErrInvalidConfig.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	const pcgStream = 0x9e3779b97f4a7c15 // any constant
+	const pcgStream = 0x9e3779b97f4a7c15 // arbitrary stream selector of the PCG generator
 	b := &Balancer{
 		cfg:                cfg,
 		rng:                rand.New(rand.NewPCG(seed, pcgStream)),
@@ -61,7 +61,8 @@
 	return b, nil
 }
 
-// HandleRequest takes a client's request: it is sent to an endpoint, waits for a sample of loads, or is rejected or failed.
+// HandleRequest handles the arrival of a client request. The request is sent to an endpoint, waits for a load sample, or is rejected or
+// failed.
 func (b *Balancer) HandleRequest(now Time, q Request, act Actions) {
 	r := b.addRequest(now, q)
 	b.healthChecks.recordRequest(now)
@@ -88,8 +89,8 @@
 	b.enqueue(now, r, act)
 }
 
-// addRequest notes a request with the attempts made elsewhere. Of an unknown class the worst is assumed of a repeat, and that a
-// late response is of use.
+// addRequest registers a request together with the attempts made elsewhere. A request of an unknown class counts as not idempotent,
+// and its latency objective is the time until it expires, so that any response before then is of use.
 func (b *Balancer) addRequest(now Time, q Request) *request {
 	c := b.classes[q.Class]
 	if c == nil {
@@ -105,7 +106,7 @@
 	return r
 }
 
-// HandleHealthCheck takes the result of a health check.
+// HandleHealthCheck handles the result of a health check. A result of an unknown endpoint is ignored.
 func (b *Balancer) HandleHealthCheck(now Time, result HealthCheckResult, act Actions) {
 	e := b.endpoints[result.Endpoint]
 	if e == nil {
@@ -131,8 +132,8 @@
 	b.handleSampleReply(now, e, true, act)
 }
 
-// HandleAttemptResult takes the end of an attempt: it tells something of the endpoint, and the request is answered, retried,
-// rejected or failed.
+// HandleAttemptResult handles the result of an attempt. It updates the state of the endpoint. If the request has no response and no
+// other attempt in flight, the request is retried, rejected or failed.
 func (b *Balancer) HandleAttemptResult(now Time, result AttemptResult, act Actions) {
 	r := b.requests[result.ID]
 	a := r.attemptInFlight(result.Attempt)
@@ -159,7 +160,7 @@
 	}
 }
 
-// recordResult notes what the end of an attempt tells of its endpoint's health and load.
+// recordResult updates the health and load of the endpoint from the result of an attempt.
 func (b *Balancer) recordResult(now Time, result AttemptResult, inconclusive bool) {
 	e := b.endpoints[result.Endpoint]
 	if e == nil {
@@ -173,8 +174,8 @@
 	b.jbt.recordLoadReport(now, e, result.Load)
 }
 
-// endAttempt takes an attempt of r out of flight. While a body was being sent, the attempt did not count as in flight at its
-// endpoint, and its end tells nothing of the endpoint's pace.
+// endAttempt ends an attempt of r. An attempt whose streamed body is still being sent does not count as in flight at its endpoint, and
+// its end is no sample of the endpoint's response interval.
 func (b *Balancer) endAttempt(now Time, r *request, a *attempt, status Status) {
 	a.inFlight, a.notExecuted = false, status.NotExecuted()
 	r.inFlight--
@@ -187,16 +188,16 @@
 	a.endpoint.recordContact(now, status)
 }
 
-// HandleResponseStarted notes that part of a response has reached the client: the request is not retried from here on. Package pool does not
-// call it: it reports the attempt as StatusOK, with RequestEnded, once the first part is handed over.
+// HandleResponseStarted records that part of a response has reached the client. The request is not retried from then on. Package pool
+// does not call this method: it reports the attempt as StatusOK, with RequestEnded, once the first part of the response is handed over.
 func (b *Balancer) HandleResponseStarted(_ Time, id RequestID, _ int, _ Actions) {
 	if r := b.requests[id]; r != nil {
 		r.responseStarted = true
 	}
 }
 
-// HandleBodyStarted notes that a streamed body begins to be sent by its only attempt in flight. Until HandleBodyFinished the
-// client's pace counts, which tells nothing of the endpoint.
+// HandleBodyStarted records that the only attempt in flight starts to send a streamed body. Until HandleBodyFinished, the duration
+// depends on the client and says nothing about the endpoint. The request therefore has no deadline during this time.
 func (b *Balancer) HandleBodyStarted(_ Time, id RequestID, number int) {
 	r := b.requests[id]
 	a := r.attemptInFlight(number)
@@ -207,7 +208,8 @@
 	a.endpoint.inFlight--
 }
 
-// HandleBodyFinished notes that a streamed body was sent, and that its client waits until expires. All times count from now.
+// HandleBodyFinished records that a streamed body was sent and that the client waits for the response until expires. The latency and
+// the objective of the request are measured from now.
 func (b *Balancer) HandleBodyFinished(now Time, id RequestID, expires Time, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended || !r.bodyInTransfer {
@@ -226,8 +228,8 @@
 	act.SetTimer(max(0, r.finalDeadline-now), timerToken(id))
 }
 
-// HandleRequestAbandoned notes that the host has ended a request without a decision of the module: its client has left, its body broke off, or
-// the process ends. Its attempts are canceled where the configuration allows that.
+// HandleRequestAbandoned records that the host has ended a request without a decision of the Balancer: the client disconnected, the
+// body broke off, or the process ends. Its attempts are canceled if Config.CancellationAllowed is set.
 func (b *Balancer) HandleRequestAbandoned(_ Time, id RequestID, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended {
@@ -240,7 +242,8 @@
 	b.release(r)
 }
 
-// HandleTimer takes a timer of SetTimer that has fired. Timers are never stopped: one whose cause is gone does nothing.
+// HandleTimer handles a timer of Actions.SetTimer that has fired. Timers are never stopped. A timer whose cause no longer exists has no
+// effect.
 func (b *Balancer) HandleTimer(now Time, token string, act Actions) {
 	if token == watchToken {
 		if !b.poll.watching {
@@ -262,7 +265,7 @@
 	}
 }
 
-// finishRequest ends r without a response: rejected where a retry could help and is harmless, else failed.
+// finishRequest ends r without a response. It rejects r if a retry could help and is harmless, and fails r otherwise.
 func (b *Balancer) finishRequest(now Time, r *request, reason endReason, act Actions) {
 	b.cancelAttempts(r, act)
 	r.ended = true
@@ -278,7 +281,7 @@
 	b.release(r)
 }
 
-// cancelAttempts cancels the attempts of r in flight, where the site allows it.
+// cancelAttempts cancels the attempts of r in flight if Config.CancellationAllowed is set.
 func (b *Balancer) cancelAttempts(r *request, act Actions) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.inFlight && b.cfg.CancellationAllowed && !a.canceled {
@@ -288,21 +291,21 @@
 	}
 }
 
-// release drops an ended request once no attempt is in flight.
+// release removes an ended request once no attempt is in flight.
 func (b *Balancer) release(r *request) {
 	if r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
 
-// Summary is how a Balancer sees its endpoints at one moment, for operators.
+// Summary is the state of a Balancer at one moment, for operators.
 type Summary struct {
-	TypicalLatency   time.Duration // the usual latency of responses
-	CapacityShortage float64       // from 0, there is capacity for all requests, to 1
-	EjectedEndpoints int           // get no traffic after failures; 0 while more than half would be: ejections are ignored then
+	TypicalLatency   time.Duration // moving average of the response latency
+	CapacityShortage float64       // from 0, there is capacity for all requests, to 1, the lowest priorities are shed in full
+	EjectedEndpoints int           // endpoints without traffic after failures; 0 while more than half are ejected and ejections are ignored
 }
 
-// Summarize returns the state at now.
+// Summarize returns the Summary at now.
 func (b *Balancer) Summarize(now Time) Summary {
 	return Summary{
 		TypicalLatency:   time.Duration(b.latency.meanLatency),
