--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// minTimeoutVotes is the lead from which the usual client timeout of a class counts as known.
+	// minTimeoutVotes is the vote lead from which the usual client timeout of a class counts as known.
 	minTimeoutVotes = 2
-	// maxTimeoutVotes bounds the lead, so that a change of the timeout is noticed.
+	// maxTimeoutVotes bounds the vote lead, so that a change of the client timeout is noticed.
 	maxTimeoutVotes = 4 * minTimeoutVotes
-	// timeoutToleranceTicks is how far client timeouts may lie apart and count as equal, in ticks of Config.TimerResolution.
+	// timeoutToleranceTicks is the largest difference of client timeouts that count as equal, in ticks of Config.TimerResolution.
 	timeoutToleranceTicks = 2
-	// startTolerance is how far an estimated start may be off: what passes between the client's clock and this one.
+	// startTolerance is the largest error of an estimated start: the delay between the client and this instance.
 	startTolerance = 10 * time.Millisecond
-	// maxUnanswered bounds the requests remembered as unanswered; the oldest are dropped.
+	// maxUnanswered bounds the unanswered requests that are kept per class; the oldest are dropped first.
 	maxUnanswered = 1024
 )
 
-// classState is a class and what is known of its clients' retries. Few clients mark their retries as such, but a retry counts
-// against the latency objective from the first try on.
+// classState is a class and the state from which retries of its clients are detected. Few clients mark their retries, but the latency
+// objective is measured from the first try.
 type classState struct {
 	Class
-	usualTimeout time.Duration // that clients give most tries; the last try of a request gets all that is left of the deadline
-	timeoutVotes int           // lead of the usual timeout in a majority vote (Boyer and Moore)
-	unanswered   []*request    // ended without a response: their clients may retry
+	usualTimeout time.Duration // timeout of most tries; the last try of a request has the rest of the deadline as its timeout
+	timeoutVotes int           // lead of usualTimeout in a Boyer-Moore majority vote
+	unanswered   []*request    // requests that ended without a response, which their clients may retry
 }
 
-// estimateStart estimates when the client first sent the request of which q is a try; now if q seems to be the first.
+// estimateStart estimates when the client sent the first try of the request that q belongs to. It returns now if q seems to be the
+// first try.
 func (c *classState) estimateStart(now Time, q Request, timerResolution time.Duration) Time {
 	tolerance := timeoutToleranceTicks * timerResolution
 	timeout := q.Expires - now
@@ -44,7 +45,7 @@
 	return now
 }
 
-// voteTimeout takes a client timeout as a vote for the usual one, or against it.
+// voteTimeout counts a client timeout as a vote for or against usualTimeout.
 func (c *classState) voteTimeout(timeout time.Duration, usual bool) {
 	switch {
 	case usual:
@@ -56,9 +57,10 @@
 	}
 }
 
-// takeRetriedRequest returns the unanswered request of which q is a retry: one of the same tenant, key and expected work, that a retry
-// could be of now. Without key and expected work nothing counts as a retry: with much traffic some request is always
-// unanswered, and new ones taken for its retries would be rejected as late, be unanswered in turn, and so on for ever.
+// takeRetriedRequest returns the unanswered request that q retries and removes it from the list; nil if there is none. The two must
+// have the same tenant, key and expected work, and q must expire within the client's deadline for the first try. A request without key
+// and expected work never counts as a retry: under heavy traffic some request is always unanswered. New requests that were mistaken for
+// its retries would be rejected as late and become unanswered themselves, in an endless cycle.
 func (c *classState) takeRetriedRequest(q Request, tolerance time.Duration) *request {
 	if q.Key == "" && q.ExpectedWork <= 0 {
 		return nil
@@ -73,8 +75,9 @@
 	return nil
 }
 
-// startOfLastTry estimates the start by the unusual timeout of q: that of a last try ends with the deadline, which tells the start
-// if an unanswered request started then. Otherwise the client just has another timeout, and its request is new.
+// startOfLastTry estimates the start from the unusual timeout of q. A last try expires at the client's deadline, which determines the
+// start. The estimate is used if an unanswered request started at that time. Otherwise the client only has another timeout, q is a new
+// request, and startOfLastTry returns now.
 func (c *classState) startOfLastTry(now Time, q Request, timerResolution time.Duration) Time {
 	start := min(now, max(now, q.Expires)-c.Deadline)
 	startedThen := func(r *request) bool { return (r.startedAt - start).Abs() <= startTolerance+timerResolution }
@@ -84,7 +87,7 @@
 	return now
 }
 
-// addUnanswered notes that r ended without a response while its client may retry.
+// addUnanswered records that r ended without a response and that its client may retry.
 func (c *classState) addUnanswered(r *request) {
 	if len(c.unanswered) >= maxUnanswered {
 		c.unanswered = slices.Delete(c.unanswered, 0, 1)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	// pollRetrySlot is the part of a pause between calls to the list service that each instance of the group is given: so long a
-	// slow service may work on a call.
+	// pollRetrySlot is the time that each instance of the group adds to the period over which repeated calls to the list service are
+	// spread. A slow service may need this long for one call.
 	pollRetrySlot = 50 * time.Millisecond
-	// firstPollSlot is that part before an instance's first call, which may wait: it has a cached list.
+	// firstPollSlot is the same time for the first call of each instance. It is longer because the instance has a cached list.
 	firstPollSlot = 300 * time.Millisecond
-	// pollRetryDivisor of Config.PollInterval is the longest first pause after a failed call.
+	// pollRetryDivisor bounds the backoff after failed calls, before it doubles, to Config.PollInterval divided by it.
 	pollRetryDivisor = 8
-	// maxPollDoublings is how many times the pause doubles with further failures.
+	// maxPollDoublings is how many times the backoff doubles with further failures.
 	maxPollDoublings = 3
-	// watchReopenDivisor of Config.PollInterval is the longest delay of the call after a watch was lost.
+	// watchReopenDivisor bounds the delay of the call after a lost watch to Config.PollInterval divided by it.
 	watchReopenDivisor = 16
-	// firstPollTenths of Config.PollInterval may pass until the first call, so that its answer comes within the interval. Package staleness
-	// reckons with it (firstPollSpread).
+	// firstPollTenths is the longest delay of the first call, in tenths of Config.PollInterval. The response thus arrives within the
+	// interval. Package staleness relies on the same fraction (firstPollSpread).
 	firstPollTenths = 6
 	// watchToken is the token of the timer for the next call to the list service.
 	watchToken = "watch"
 )
 
-// endpoint is an entry of the endpoint list and what this instance knows of it.
+// endpoint is an entry of the endpoint list with the state that this instance keeps for it.
 type endpoint struct {
 	Endpoint
-	hashKey uint64 // by which sortByHash sorts
+	hashKey uint64 // sort key of sortByHash
 
-	// Load, by its reports.
-	reportedQueue float64 // latest, in requests; infinite after a rejection or time-out
+	// Load, from load reports.
+	reportedQueue float64 // latest queue, in requests; infinite after a rejection or time-out
 	hasReport     bool
-	marked        bool // its report was at or below the threshold, and nothing was sent since
+	marked        bool // the latest report was at or below the threshold, and no attempt was sent since
 	markedAt      Time
 
-	// What is in flight from this instance.
+	// Attempts and health checks in flight from this instance.
 	inFlight             int // attempts
 	healthChecksInFlight int
-	silentSince          Time // when something was in flight and nothing came back
+	silentSince          Time // start of the current period with something in flight and no reply
 
 	// Failures.
 	consecutiveFailures int
@@ -49,24 +49,24 @@
 
 	// Latency.
 	machineType      *machineType
-	slowness         float64 // smoothed ratio of its latencies to those predicted
-	slownessSamples  int     // responses that tell it, as far as they count
-	responseInterval float64 // smoothed, in nanoseconds: between responses while attempts are in flight
+	slowness         float64 // moving average of the ratio of latency to predicted latency
+	slownessSamples  int     // responses in slowness, at most maxSlownessSamples
+	responseInterval float64 // moving average of the time between responses while attempts are in flight, in nanoseconds
 	lastResponse     Time
-	newestAnswered   Time // when the latest attempt was sent that was answered
+	newestAnswered   Time // when the newest attempt that has a response was sent
 }
 
-// hasQueue reports whether requests wait at e by its latest load report.
+// hasQueue reports whether requests wait at e according to its latest load report.
 func (e *endpoint) hasQueue() bool { return e.reportedQueue >= 1 }
 
-// recordSend notes that an attempt or a health check is about to be sent to e.
+// recordSend records that an attempt or a health check is about to be sent to e.
 func (e *endpoint) recordSend(now Time) {
 	if e.inFlight+e.healthChecksInFlight == 0 {
 		e.silentSince = now
 	}
 }
 
-// recordContact notes the end of an attempt or a health check, which ends the silence of e if it comes from there.
+// recordContact records the end of an attempt or a health check. A status that proves a reply of e ends its period of silence.
 func (e *endpoint) recordContact(now Time, status Status) {
 	switch status {
 	case StatusTimeout, StatusConnectFailed, StatusCanceled, StatusNotSent:
@@ -75,15 +75,16 @@
 	}
 }
 
-// endpointPoll decides how long to wait before calls to the list service. All instances of a group lose it at once; their calls
-// are spread so that they do not swamp it for good when it comes back. Its durations are the longest: the caller draws a jitter.
+// endpointPoll decides how long to wait before calls to the list service. All instances of a group lose the service at the same time.
+// Their calls are spread so that they do not keep overloading the service after its recovery. The methods return upper bounds, within
+// which the caller draws a random delay.
 type endpointPoll struct {
 	instanceCount  int
 	interval       time.Duration // Config.PollInterval
 	maxBackoff     time.Duration // 0: interval
 	reopenMaxDelay time.Duration // 0: interval
 	watching       bool
-	failures       int // in a row
+	failures       int // consecutive failed calls
 }
 
 // newEndpointPoll returns the state of an instance that does not watch the list yet.
@@ -94,31 +95,31 @@
 	}
 }
 
-// recordFailure notes a failed call and returns the backoff: half to one and a half times it may pass until the next call.
+// recordFailure records a failed call and returns the backoff. The caller waits 0.5 to 1.5 times the backoff until the next call.
 func (p *endpointPoll) recordFailure() time.Duration {
 	p.watching = false
 	p.failures++
 	backoff := p.spreadWindow(p.interval/pollRetryDivisor) << min(p.failures, maxPollDoublings)
-	return min(backoff, cmp.Or(p.maxBackoff*2/3, p.interval)) // one and a half times two thirds is the most
+	return min(backoff, cmp.Or(p.maxBackoff*2/3, p.interval)) // the caller waits up to 1.5 times the result
 }
 
-// recordWatchLoss notes that the watch was lost and returns within which time to call again.
+// recordWatchLoss records that the watch was lost and returns the longest delay until the next call.
 func (p *endpointPoll) recordWatchLoss() time.Duration {
 	p.watching, p.failures = false, 0
 	return min(p.spreadWindow(p.interval/watchReopenDivisor), cmp.Or(p.reopenMaxDelay, p.interval))
 }
 
-// firstDelay returns within which time an instance that has a cached list calls for the first time.
+// firstDelay returns the longest delay until the first call of an instance with a cached list.
 func (p *endpointPoll) firstDelay() time.Duration {
 	return min(p.interval*firstPollTenths/10, time.Duration(p.instanceCount)*firstPollSlot)
 }
 
-// spreadWindow returns the time over which the calls of the group are spread: most, or less where the group is small.
+// spreadWindow returns the time over which the calls of the group are spread: most, or less if the group is small.
 func (p *endpointPoll) spreadWindow(most time.Duration) time.Duration {
 	return min(most, time.Duration(p.instanceCount)*pollRetrySlot)
 }
 
-// UpdateEndpoints takes a message about the endpoint list.
+// UpdateEndpoints handles an update of the endpoint list. entries is ignored for kinds that have none.
 func (b *Balancer) UpdateEndpoints(now Time, kind UpdateKind, entries []Endpoint, act Actions) {
 	switch kind {
 	case UpdatePollFailed:
@@ -139,7 +140,7 @@
 	b.startUnsent(now, act)
 }
 
-// applyEntries brings the endpoints up to date. One that has restarted is a new one.
+// applyEntries updates the endpoints from entries. A restarted endpoint loses its previous state.
 func (b *Balancer) applyEntries(kind UpdateKind, entries []Endpoint) {
 	if kind != UpdateDelta {
 		for _, e := range b.endpoints {
@@ -156,7 +157,7 @@
 	}
 }
 
-// orderEndpoints computes the subset anew, and drops removed endpoints, whose attempts in flight keep hold of them.
+// orderEndpoints recomputes the subset and deletes removed endpoints. Attempts in flight keep their reference to a deleted endpoint.
 func (b *Balancer) orderEndpoints() {
 	var ready []*endpoint
 	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// startUnsent starts the requests that arrived while the list named no endpoint, in the order of their IDs.
+// startUnsent starts the requests that arrived while the list had no endpoint, in the order of their IDs.
 func (b *Balancer) startUnsent(now Time, act Actions) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		if r := b.requests[id]; !r.ended && len(r.attempts) == 0 && r.queuedUntil == 0 {
@@ -183,7 +184,7 @@
 	}
 }
 
-// jitter draws a duration below limit.
+// jitter returns a random duration below limit.
 func (b *Balancer) jitter(limit time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(limit))
 }
