--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// hedgeBudgetRatio is how many hedged requests each request pays for: they must cost little where all endpoints are slow.
+	// hedgeBudgetRatio is the number of hedged requests that each request pays for. It limits their load when all endpoints are slow.
 	hedgeBudgetRatio = 0.03
-	// maxHedgeCredit is how many hedged requests may be sent in a burst.
+	// maxHedgeCredit is the largest number of hedged requests in a burst.
 	maxHedgeCredit = 10
-	// earlyHedgeWinRate is the share of hedged requests answered first from which they are sent as soon as a response is slow.
+	// earlyHedgeWinRate is the win rate from which hedged requests are sent as soon as a response is slow.
 	earlyHedgeWinRate = 0.5
-	// timerLatenessTicks is how late a timer may fire, in ticks of Config.TimerResolution.
+	// timerLatenessTicks is the largest delay with which a timer fires, in ticks of Config.TimerResolution.
 	timerLatenessTicks = 4
-	// slowResponseFactor makes a response slow that takes longer than this many times its expected latency.
+	// slowResponseFactor defines a slow response: its latency exceeds the expected latency times this factor.
 	slowResponseFactor = 2
 )
 
-// hedgeBudget bounds hedged requests: a share of the traffic pays for some, and each that is answered first pays for another.
-// Where some endpoints swallow requests, hedging thus goes on for as long as it helps; where all are slow alike, so that the
-// first attempt wins, it stays within its share.
+// hedgeBudget limits the number of hedged requests. Each request adds hedgeBudgetRatio to the credit. Each hedged request whose response
+// arrives before that of the first attempt adds one. If some endpoints do not respond, hedging thus continues as long as it helps. If
+// all endpoints are equally slow, the first attempt wins and hedging stays within hedgeBudgetRatio.
 type hedgeBudget struct {
 	credit  float64 // hedged requests that may be sent now
-	winRate float64 // smoothed share of hedged requests that were answered before the first attempt
+	winRate float64 // moving average of the share of hedged requests that had a response before the first attempt
 }
 
-// earn credits the share of one request.
+// earn adds the credit of one request.
 func (h *hedgeBudget) earn() { h.credit = min(h.credit+hedgeBudgetRatio, maxHedgeCredit) }
 
-// recordOutcome notes whether, of two attempts in flight at once, the hedged request was answered first.
+// recordOutcome records which of two attempts in flight at once had the first response. won is true for the hedged request.
 func (h *hedgeBudget) recordOutcome(won bool) {
 	h.winRate *= 1 - smoothingWeight
 	if won {
@@ -37,8 +37,9 @@
 	}
 }
 
-// delay returns how long after the first attempt a hedged request is due: as soon as the response is slow where hedging wins
-// often, else at the last moment at which it can meet the objective, since most slow responses still come.
+// delay returns the time from the first attempt to the hedged request. If hedged requests win often, the hedged request is sent as soon
+// as the response is slow. Otherwise it is sent at the last moment at which it can meet the objective, because most slow responses still
+// arrive.
 func (h *hedgeBudget) delay(expected, untilObjective, timerResolution time.Duration) time.Duration {
 	wait := max(timerResolution, slowResponseFactor*expected)
 	if h.winRate < earlyHedgeWinRate {
@@ -47,7 +48,7 @@
 	return wait
 }
 
-// scheduleHedge sets the timer for a hedged request after the first attempt of r, at e.
+// scheduleHedge sets the timer for a hedged request after the first attempt of r, which was sent to e.
 func (b *Balancer) scheduleHedge(now Time, r *request, e *endpoint, act Actions) {
 	wait := b.hedges.delay(b.expectedLatency(now, e), r.objectiveDeadline-now, b.cfg.TimerResolution)
 	if b.cfg.HedgingAllowed && r.class.Idempotency != NonIdempotent && !r.StreamedBody && now+wait < r.objectiveDeadline {
@@ -55,8 +56,9 @@
 	}
 }
 
-// hedgeRequest sends a hedged request for r, whose response is slow, if the budget pays for it and an endpoint can be expected
-// to answer in time. An attempt at an endpoint that has gone unresponsive is hedged whatever the budget and the queues.
+// hedgeRequest sends a hedged request for r, whose response is slow, if the budget allows it and a warm endpoint without a queue is
+// expected to respond in time. If the endpoint of the first attempt is unresponsive, neither the budget nor queues prevent the hedged
+// request.
 func (b *Balancer) hedgeRequest(now Time, r *request, act Actions) {
 	if r.ended || r.responseStarted || r.inFlight != 1 {
 		return
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// smoothingWeight is the weight of a new sample in moving averages: about the latest ten count.
+	// smoothingWeight is the weight of a new sample in moving averages. The average covers about the latest ten samples.
 	smoothingWeight = 0.1
-	// assumedConcurrency is how many requests an endpoint is taken to work on at once until latencies tell more: the least that
-	// makes latency grow slower than the queue.
+	// assumedConcurrency is the number of requests that an endpoint is assumed to process in parallel until latencies show more. Two is
+	// the smallest number with which latency grows slower than the queue.
 	assumedConcurrency = 2
-	// minPredictionDivisor keeps predictions at or above the mean latency over it, however steep the line.
+	// minPredictionDivisor bounds predictions from below to the mean latency divided by it, however steep the regression line is.
 	minPredictionDivisor = 4
-	// maxSlownessSample bounds what one response tells of an endpoint's slowness, as a ratio.
+	// maxSlownessSample bounds the latency ratio that one response contributes to the slowness of an endpoint.
 	maxSlownessSample = 10
-	// maxSlownessSamples is the count from which an endpoint's slowness is a moving average.
+	// maxSlownessSamples is the number of responses up to which slowness is their mean. Beyond it slowness is a moving average.
 	maxSlownessSamples = 1 / smoothingWeight
-	// machineTypeSamples is how many responses of an endpoint weigh as much as what is known of its machine type.
+	// machineTypeSamples is the weight of the machine type in the effective slowness of an endpoint, in responses of the endpoint.
 	machineTypeSamples = 3
-	// maxMachineTypes bounds the machine types told apart: a list could name one for each endpoint.
+	// maxMachineTypes bounds the number of machine types that are stored: a list could have a different type for each endpoint.
 	maxMachineTypes = 64
-	// maxExpectedLatency stands for an endless wait where a duration is needed.
+	// maxExpectedLatency replaces an infinite latency where a duration is needed.
 	maxExpectedLatency = time.Hour
 )
 
-// latencyModel is a running least-squares line of response latency by the queue at the endpoint when the request was sent, over
-// all endpoints. Latencies are in nanoseconds, queues in requests. Out-of-date queues flatten the line, and so count for less.
+// latencyModel is a linear regression (running least squares) of the response latency on the queue at the endpoint when the request was
+// sent, over all endpoints. Latencies are in nanoseconds, queues in requests. Outdated queues flatten the line, so that the predictions
+// then depend less on queues.
 type latencyModel struct {
 	meanQueue, meanLatency, queueVariance, covariance float64
 }
 
-// observe takes one response.
+// observe adds the queue and the latency of one response. It ignores an infinite queue.
 func (m *latencyModel) observe(queue, latency float64) {
 	if math.IsInf(queue, 1) {
 		return
@@ -46,26 +47,26 @@
 	m.covariance = (1 - smoothingWeight) * (m.covariance + smoothingWeight*queueDelta*latencyDelta)
 }
 
-// predict returns the latency to expect at a queue. Until queues have varied by a request or so, the slope is that of an endpoint
-// of assumedConcurrency.
+// predict returns the expected latency at a queue. Until the observed queues have varied by about one request, the slope is close to
+// that of an endpoint with assumedConcurrency.
 func (m *latencyModel) predict(queue float64) float64 {
 	if math.IsInf(queue, 1) {
-		return queue // also where the line is flat: zero times infinity is no number
+		return queue // with a slope of 0 the formula below would give NaN
 	}
 	priorSlope := m.meanLatency / (1 + m.meanQueue/assumedConcurrency) / assumedConcurrency
 	slope := max(0, (m.covariance+priorSlope)/(m.queueVariance+1))
 	return max(m.meanLatency+slope*(queue-m.meanQueue), m.meanLatency/minPredictionDivisor)
 }
 
-// machineType is what endpoints on one type of machine have in common.
+// machineType is the state that the endpoints on one type of machine share.
 type machineType struct {
-	slowness float64 // smoothed ratio of their latencies to those predicted
+	slowness float64 // moving average of the ratio of latency to predicted latency
 }
 
-// machineTypes holds the machine types by the name that the endpoint list gives them.
+// machineTypes maps the names in the endpoint list to machine types.
 type machineTypes map[string]*machineType
 
-// get returns the type of that name, which is new if none is known. Beyond maxMachineTypes new ones are not kept.
+// get returns the machine type with the given name and creates it if necessary. Beyond maxMachineTypes a new type is not stored.
 func (m machineTypes) get(name string) *machineType {
 	known := m[name]
 	if known == nil {
@@ -77,28 +78,30 @@
 	return known
 }
 
-// recordSample takes the ratio of a latency to the predicted one.
+// recordSample adds the ratio of a latency to its prediction.
 func (m *machineType) recordSample(ratio float64) {
 	m.slowness += smoothingWeight / 2 * (ratio - m.slowness)
 }
 
-// recordSlowness takes the ratio of a latency of e to the predicted one.
+// recordSlowness adds the ratio of a latency of e to its prediction.
 func (e *endpoint) recordSlowness(ratio float64) {
 	e.slownessSamples = min(e.slownessSamples+1, maxSlownessSamples)
 	e.slowness += max(smoothingWeight, 1/float64(e.slownessSamples)) * (ratio - e.slowness)
 }
 
-// effectiveSlowness returns the ratio of latencies of e to those predicted: its own, and that of its machine type where it has
-// answered little. An instance that seldom meets an endpoint would otherwise take a slow one for average, and crowd it.
+// effectiveSlowness returns the expected ratio of a latency of e to its prediction. It combines the slowness of e with that of its
+// machine type, which dominates while e has few responses. Otherwise an instance that seldom sends to a slow endpoint would treat the
+// endpoint as average and overload it.
 func (e *endpoint) effectiveSlowness() float64 {
 	samples := float64(e.slownessSamples)
 	return (samples*e.slowness + machineTypeSamples*e.machineType.slowness) / (samples + machineTypeSamples)
 }
 
-// recordResponse notes a response to an attempt sent at sentAt, for the pace of e: the interval between responses to this
-// instance while attempts are in flight. With fewer in flight than e works on at once, the interval is not all that it can do.
+// recordResponse records a response to an attempt sent at sentAt and updates responseInterval, the interval between responses to this
+// instance while attempts are in flight. If fewer attempts are in flight than e can process in parallel, the sample is scaled down,
+// because the interval then does not show the full throughput of e.
 func (e *endpoint) recordResponse(now, sentAt Time) {
-	busyFrom := max(e.lastResponse, sentAt) // others in flight may hang for reasons of their own
+	busyFrom := max(e.lastResponse, sentAt) // older attempts in flight may be stalled for other reasons
 	sample := float64(now-busyFrom) * float64(min(e.inFlight, assumedConcurrency)) / assumedConcurrency
 	if e.responseInterval == 0 {
 		e.responseInterval = sample
@@ -107,8 +110,8 @@
 	e.lastResponse, e.newestAnswered = now, max(e.newestAnswered, sentAt)
 }
 
-// rateBasedLatency returns when another attempt at e would be answered at its pace, after those of this instance that are in flight.
-// If e has been silent for longer than a response takes, the silence counts instead.
+// rateBasedLatency returns the latency of another attempt at e if e keeps its response interval and first completes the attempts of this
+// instance in flight. If e has not replied for longer than one interval, that time replaces the interval of the last response.
 func (e *endpoint) rateBasedLatency(now Time) time.Duration {
 	interval := time.Duration(e.responseInterval)
 	if e.inFlight == 0 {
@@ -117,14 +120,14 @@
 	return time.Duration(float64(e.inFlight)*e.responseInterval) + max(interval, now-e.silentSince)
 }
 
-// isIdle reports whether no request waits at e, by its load report and by this instance's own attempts in flight. By the report
-// alone an instance with much traffic would heap requests on e until the next one.
+// isIdle reports whether no request waits at e, according to its load report and the attempts of this instance in flight. With the load
+// report alone, an instance with heavy traffic would overload e before the next report arrives.
 func (e *endpoint) isIdle() bool {
 	return e.hasReport && e.reportedQueue < 1 && e.inFlight < assumedConcurrency
 }
 
-// expectedQueue returns how many requests another one at e would queue with: those of the latest load report and this instance's
-// own in flight, since a report is out of date after a few sends. Marks and threshold go by the report alone.
+// expectedQueue returns the expected number of requests that another request would find at e: the queue of the latest load report and the
+// attempts of this instance in flight. A report is out of date after a few attempts. Marks and threshold use the report alone.
 func (b *Balancer) expectedQueue(e *endpoint) float64 {
 	if !e.hasReport {
 		return max(b.latency.meanQueue, float64(e.inFlight))
@@ -132,16 +135,17 @@
 	return e.reportedQueue + float64(e.inFlight)
 }
 
-// expectedLatency returns the latency to expect of an attempt at e: the line's prediction times the slowness of e, and at
-// least what its pace tells. The line goes flat where fast endpoints get more and so hold more; the pace then keeps requests
-// from heaping on one of them.
+// expectedLatency returns the expected latency of an attempt at e: the prediction of the model times the slowness of e, but at least
+// rateBasedLatency. The regression line becomes flat if fast endpoints receive more requests and so have longer queues. The lower bound
+// then prevents too many requests at one of them.
 func (b *Balancer) expectedLatency(now Time, e *endpoint) time.Duration {
 	predicted := min(b.latency.predict(b.expectedQueue(e))*e.effectiveSlowness(), float64(maxExpectedLatency))
 	return max(time.Duration(predicted), e.rateBasedLatency(now))
 }
 
-// recordLatency learns from the latency of an attempt, in nanoseconds. A warming endpoint tells of itself alone: where many warm
-// up at once, the line of all would make warm ones look slow and have requests rejected that could be served.
+// recordLatency updates the model from the latency of an attempt, in nanoseconds. The latency of a warming endpoint only changes the
+// state of that endpoint. Otherwise, when many endpoints warm up at once, the shared model would overestimate the latency of warm
+// endpoints, and requests would be rejected that could be served.
 func (b *Balancer) recordLatency(a *attempt, latency float64) {
 	predicted := b.latency.predict(a.queueAtSend)
 	if predicted > 0 {
