--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// LearnedState is what a Balancer has learned of its endpoints and clients, for the process that takes this one's place, which may
-// be of another version: the tags are the stored form.
+// LearnedState is the learned state of a Balancer about its endpoints and clients. It is passed to the process that replaces this one.
+// That process may have another version, so the JSON names must not change.
 type LearnedState struct {
-	LatencyModel          [4]float64                     `json:"Line"` // of latency by queue: both means, variance of the queue, covariance
+	LatencyModel          [4]float64                     `json:"Line"` // mean queue, mean latency, variance of the queue, covariance
 	HealthCheckContention float64                        `json:"Busy"` // share of health checks that found a queue
 	HedgeWinRate          float64                        `json:"CopyWins"`
 	Endpoints             map[EndpointID]LearnedEndpoint `json:"Servers"`
-	ClientTimeouts        map[string]time.Duration       `json:"Patience"` // usual ones, by class
+	ClientTimeouts        map[string]time.Duration       `json:"Patience"` // usual client timeout by class
 }
 
-// LearnedEndpoint is what was learned of one endpoint.
+// LearnedEndpoint is the learned state of one endpoint.
 type LearnedEndpoint struct {
-	Started             Time          `json:"Started"`    // as the endpoint list tells it, on the clock of this process
-	Slowness            float64       `json:"Slowness"`   // ratio of its latencies to those predicted
-	SlownessSamples     int           `json:"Answers"`    // responses that tell the slowness
+	Started             Time          `json:"Started"`    // start according to the endpoint list, on the clock of the exporting process
+	Slowness            float64       `json:"Slowness"`   // ratio of latency to predicted latency
+	SlownessSamples     int           `json:"Answers"`    // responses in Slowness
 	ResponseInterval    float64       `json:"Gap"`        // in nanoseconds
-	EjectedFor          time.Duration `json:"EjectedFor"` // from now on; 0: it is not, or only its health check is still to come
+	EjectedFor          time.Duration `json:"EjectedFor"` // remaining ejection time; 0: not ejected, or readmitted by the next health check
 	ConsecutiveFailures int           `json:"Fails"`
 }
 
-// ExportLearnedState returns what has been learned so far.
+// ExportLearnedState returns the learned state at now.
 func (b *Balancer) ExportLearnedState(now Time) LearnedState {
 	state := LearnedState{
 		LatencyModel:          [4]float64{b.latency.meanQueue, b.latency.meanLatency, b.latency.queueVariance, b.latency.covariance},
@@ -45,7 +45,8 @@
 	return state
 }
 
-// ImportLearnedState takes over what another Balancer has learned, of endpoints that are on the list and have not restarted since.
+// ImportLearnedState restores the state that another Balancer exported. The state of an endpoint is restored only if the endpoint is on
+// the list and has not restarted since.
 func (b *Balancer) ImportLearnedState(now Time, state LearnedState) {
 	line := state.LatencyModel
 	b.latency = latencyModel{meanQueue: line[0], meanLatency: line[1], queueVariance: line[2], covariance: line[3]}
@@ -62,7 +63,7 @@
 	}
 }
 
-// importLearned takes over what was learned of e.
+// importLearned restores the learned state of e.
 func (e *endpoint) importLearned(now Time, learned LearnedEndpoint) {
 	e.slowness, e.slownessSamples = learned.Slowness, learned.SlownessSamples
 	e.responseInterval = learned.ResponseInterval
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -6,49 +6,52 @@
 )
 
 const (
-	// baseEjectionTime is how long the first ejection lasts; each further failure in a row doubles it.
+	// baseEjectionTime is the duration of the first ejection. Each further consecutive failure doubles it.
 	baseEjectionTime = 500 * time.Millisecond
-	// maxEjectionDoublings keeps the doubling from overflowing; maxEjection of the policy is reached before.
+	// maxEjectionDoublings prevents an overflow of the doubled time. outlierPolicy.maxEjection is reached before.
 	maxEjectionDoublings = 10
-	// minTimeoutFailures is how many failures in a row make time-outs a reason for ejection: fewer may be the load.
+	// minTimeoutFailures is the number of consecutive failures from which a time-out ejects: fewer may be caused by load.
 	minTimeoutFailures = 3
-	// minTimeSinceSuccess must have passed since the last success for time-outs to be a reason for ejection.
+	// minTimeSinceSuccess is the time without a success from which a time-out ejects.
 	minTimeSinceSuccess = time.Second
-	// unresponsiveFactor makes an endpoint unresponsive that has been silent for more than this many times the typical latency.
+	// unresponsiveFactor is the time without a reply from which an endpoint is unresponsive, as a multiple of the typical latency.
 	unresponsiveFactor = 3
-	// minPendingUnresponsive is how many attempts and health checks must be in flight there: one alone may just be slow.
+	// minPendingUnresponsive is the number of attempts and health checks in flight that an unresponsive endpoint has at least: a single
+	// one may only be slow.
 	minPendingUnresponsive = 2
-	// panicDivisor ends ejection where more than one in so many ready endpoints is ejected: that is evidence against the network
-	// or the load, not against endpoints.
+	// panicDivisor disables ejections while more than one in panicDivisor ready endpoints is ejected. So many failures point to the
+	// network or the load and not to single endpoints.
 	panicDivisor = 2
-	// hintDivisor bounds ejections on other instances' word to one in so many ready endpoints, so that a false hint costs little.
+	// hintDivisor limits ejections by hints of other instances to one in hintDivisor ready endpoints, so that false hints cost little.
 	hintDivisor = 3
 )
 
-// outlierPolicy decides when an endpoint is ejected from the subset and when it is readmitted. It guards against endpoints that
-// fail at once, keep a short queue by it and so attract requests.
+// outlierPolicy decides when an endpoint is ejected from the subset and when it is readmitted. It protects against endpoints that fail
+// fast: their queues are short, so that they would attract requests.
 type outlierPolicy struct {
 	maxEjection          time.Duration // longest ejection
-	readmitByHealthCheck bool          // a health check readmits; otherwise time alone does
+	readmitByHealthCheck bool          // a successful health check readmits; otherwise the ejection time alone does
 }
 
-// newOutlierPolicy returns the policy for cfg. No ejection needs to last longer than a restarted endpoint's slow start.
+// newOutlierPolicy returns the policy for cfg. The longest ejection is the duration of slow start, but at least baseEjectionTime: no
+// ejection needs to last longer than the slow start of a restarted endpoint.
 func newOutlierPolicy(cfg Config) outlierPolicy {
 	return outlierPolicy{maxEjection: max(cfg.SlowStartDuration, baseEjectionTime), readmitByHealthCheck: cfg.HealthChecksAllowed}
 }
 
-// ejectionTime returns how long to eject an endpoint after so many failures in a row.
+// ejectionTime returns the ejection time after the given number of consecutive failures.
 func (p outlierPolicy) ejectionTime(consecutiveFailures int) time.Duration {
 	return min(baseEjectionTime<<min(consecutiveFailures-1, maxEjectionDoublings), p.maxEjection)
 }
 
-// isEjected reports whether e is ejected: until its time is over, and if health checks are allowed until one has succeeded.
-// Otherwise clients' requests would find out whether it is back, at each instance and after each period anew.
+// isEjected reports whether e is ejected. An ejection ends with its time, or if health checks are allowed with the first success of one
+// after that. Without the health check, client requests would probe a failed endpoint, at each instance after each ejection.
 func (p outlierPolicy) isEjected(now Time, e *endpoint) bool {
 	return e.ejectedUntil > now || e.ejectedUntil > 0 && p.readmitByHealthCheck
 }
 
-// recordFailure counts a failure of e and ejects it if that is a reason. An endpoint that is ejected already stays so for longer.
+// recordFailure counts a failure of e and ejects e unless the failure may be caused by overload. If e is already ejected, any failure
+// extends the ejection.
 func (p outlierPolicy) recordFailure(now Time, e *endpoint, status Status, unresponsive bool) {
 	e.consecutiveFailures++
 	if e.ejectedUntil == 0 && mayBeOverload(now, e, status, unresponsive) {
@@ -57,8 +60,9 @@
 	e.ejectedUntil = now + p.ejectionTime(e.consecutiveFailures)
 }
 
-// mayBeOverload reports whether a failure of e with this status may come from too much load, which ejection would only move
-// elsewhere: a rejection always, a time-out unless e was unresponsive or has failed several times with no success of late.
+// mayBeOverload reports whether a failure of e with this status may be caused by overload. Ejection would only move the load to other
+// endpoints. A rejection may always be overload. A time-out may be overload unless e was unresponsive, or has failed
+// minTimeoutFailures times in a row without a success within minTimeSinceSuccess.
 func mayBeOverload(now Time, e *endpoint, status Status, unresponsive bool) bool {
 	switch status {
 	case StatusOverloaded:
@@ -69,9 +73,9 @@
 	return false
 }
 
-// recordSuccess notes that e has answered. That ends an ejection whose time is over, and no other: a response to something sent
-// before the ejection tells little. Only responses to requests reset the failures, since health checks may succeed where
-// requests fail.
+// recordSuccess records a reply of e. It readmits e only if the ejection time is over: a reply during the ejection may belong to a
+// request from before the ejection. resetFailures resets the count of consecutive failures and is meant for responses to requests,
+// because health checks may succeed while requests fail.
 func (e *endpoint) recordSuccess(now Time, resetFailures bool) {
 	if resetFailures {
 		e.consecutiveFailures = 0
@@ -82,35 +86,35 @@
 	e.lastSuccess = now
 }
 
-// isUnresponsive reports whether e has been silent for so long, with several attempts or health checks in flight, that it is
-// avoided until it answers. It guards against machines that vanished, are cut off or paused: their connections stay open,
-// and the endpoint list tells only much later. A typical latency of 0, in nanoseconds, is not known yet.
+// isUnresponsive reports whether e has not replied for so long, with several attempts or health checks in flight, that it receives no
+// requests until it replies. This protects against machines that are down, disconnected or paused: their connections stay open, and the
+// endpoint list reports them much later. typicalLatency is in nanoseconds; 0 means unknown.
 func (e *endpoint) isUnresponsive(now Time, typicalLatency float64) bool {
 	return e.inFlight+e.healthChecksInFlight >= minPendingUnresponsive &&
 		typicalLatency > 0 && float64(now-e.silentSince) > unresponsiveFactor*typicalLatency
 }
 
-// timeoutInconclusive reports whether the time-out of a tells nothing of its endpoint: the client gave up before a response
-// would have been slow, or the endpoint has answered something that was sent later, so that this request alone was lost.
-// Otherwise clients with short time-outs would have good endpoints taken for slow and ejected.
+// timeoutInconclusive reports whether the time-out of a is no evidence against its endpoint. Either the client gave up before a response
+// would have been slow, or the endpoint has responded to an attempt that was sent later, so that only this request was lost. Without
+// this check, clients with short time-outs would cause the ejection of healthy endpoints.
 func (a *attempt) timeoutInconclusive(now Time) bool {
 	return now-a.sentAt < slowResponseFactor*a.expectedLatency || a.endpoint.newestAnswered > a.sentAt
 }
 
-// recordFailure notes evidence against e: it loses its mark and, unless the attempt ended on this side, counts a failure.
+// recordFailure clears the mark of e and counts a failure of e, unless the attempt was ended by this instance.
 func (b *Balancer) recordFailure(now Time, e *endpoint, status Status, unresponsive bool) {
 	e.marked = false
 	switch status {
 	case StatusCanceled, StatusNotSent:
 		return
 	case StatusTimeout, StatusOverloaded:
-		e.reportedQueue = math.Inf(1) // until it reports again
+		e.reportedQueue = math.Inf(1) // until the next load report
 	}
 	b.healthChecks.recordFailure()
 	b.outliers.recordFailure(now, e, status, unresponsive)
 }
 
-// isUnresponsive reports whether e has been silent for much longer than responses usually take.
+// isUnresponsive reports whether e has not replied for much longer than the typical latency.
 func (b *Balancer) isUnresponsive(now Time, e *endpoint) bool {
 	return e.isUnresponsive(now, b.latency.meanLatency)
 }
@@ -143,9 +147,9 @@
 	return b.countEjected(now)
 }
 
-// HandleUnreachableHint takes other instances' word that an endpoint does not answer: it is ejected until a health check of this
-// instance succeeds, with no failure counted. The hint is ignored if the endpoint answered here of late, if health
-// checks are not allowed or if too many endpoints would be ejected.
+// HandleUnreachableHint handles a hint of other instances that an endpoint does not respond. The endpoint is ejected until a health check
+// of this instance succeeds. No failure is counted. The hint is ignored if the endpoint is unknown, not ready or already ejected, if it
+// has replied to this instance within baseEjectionTime, if health checks are not allowed, or if too many endpoints would be ejected.
 func (b *Balancer) HandleUnreachableHint(now Time, id EndpointID) {
 	e := b.endpoints[id]
 	switch {
--- a/policy/request.go
+++ b/policy/request.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// request is a client's request and what became of it so far.
+// request is a client request with its state.
 type request struct {
 	Request
 	class           *classState
 	timerResolution time.Duration
 
-	startedAt         Time // when the client first asked, as far as can be told
+	startedAt         Time // estimated time of the client's first try
 	objectiveDeadline Time // a later response misses the latency objective
-	finalDeadline     Time // the client is answered by then, whatever happens
+	finalDeadline     Time // the request is ended at this time at the latest
 	latencyLimit      time.Duration
 
-	// While it waits for a sample.
-	queuedUntil   Time        // zero: it does not wait
-	sampled       []*endpoint // by its latest sampling round
-	sampleReplies int         // to all its rounds
+	// State of the wait for a load sample.
+	queuedUntil   Time        // zero: the request does not wait
+	sampled       []*endpoint // endpoints of the latest sampling round
+	sampleReplies int         // replies to all sampling rounds of the request
 
-	attempts        []attempt // those made elsewhere first
+	attempts        []attempt // attempts made elsewhere come first
 	inFlight        int       // attempts
 	ended           bool
 	responseStarted bool // the client has part of the response
-	bodyConsumed    bool // a streamed body is being sent, or was: it cannot be sent again
-	bodyInTransfer  bool // it is being sent, at the client's pace
+	bodyConsumed    bool // a streamed body is being sent or was sent, and cannot be sent again
+	bodyInTransfer  bool // a streamed body is being sent, at the speed of the client
 }
 
 // attempt is one attempt of a request.
 type attempt struct {
-	endpoint    *endpoint // nil if it was made elsewhere
+	endpoint    *endpoint // nil for an attempt made elsewhere
 	zone        string
 	cell        int
 	sentAt      Time
 	inFlight    bool
 	canceled    bool
-	notExecuted bool // proven
+	notExecuted bool // proven not to have been executed
 
-	// What was known when it was sent.
+	// State of the endpoint when the attempt was sent.
 	queueAtSend     float64
 	expectedLatency time.Duration
 	warmingUp       bool
 }
 
-// setDeadlines works out until when a response meets the objective, and until when it is of any use. Nobody waits longer
-// than the client does.
+// setDeadlines sets the time until which a response meets the objective and the time until which a response is of use. Both are at most
+// Request.Expires, when the client gives up.
 func (r *request) setDeadlines() {
 	r.objectiveDeadline = min(r.startedAt+r.class.LatencyObjective, r.Expires)
 	r.finalDeadline = r.Expires
@@ -56,7 +56,7 @@
 	}
 }
 
-// attemptInFlight returns the attempt of that number if it is in flight, else nil.
+// attemptInFlight returns the attempt with the given number if it is in flight, nil otherwise. r may be nil.
 func (r *request) attemptInFlight(number int) *attempt {
 	if r == nil || number < 0 || number >= len(r.attempts) || !r.attempts[number].inFlight {
 		return nil
@@ -64,16 +64,16 @@
 	return &r.attempts[number]
 }
 
-// hedgeTimerPrefix begins the token of the timer for a hedged request.
+// hedgeTimerPrefix is the prefix of the timer token for a hedged request.
 const hedgeTimerPrefix = "h:"
 
-// tokenBase is the base of the request's number in a token.
+// tokenBase is the number base of the request ID in a timer token.
 const tokenBase = 36
 
-// timerToken returns the token of timers of a request.
+// timerToken returns the token for timers of a request.
 func timerToken(id RequestID) string { return strconv.FormatUint(uint64(id), tokenBase) }
 
-// parseTimerToken returns the request that a token names, and whether the timer is for a hedged request.
+// parseTimerToken returns the request ID in a timer token, and whether the timer is for a hedged request.
 func parseTimerToken(token string) (id RequestID, hedge bool) {
 	digits, hedge := strings.CutPrefix(token, hedgeTimerPrefix)
 	number, _ := strconv.ParseUint(digits, tokenBase, 64)
