--- a/policy/learned.go
+++ b/policy/learned.go
@@ -18,7 +18,7 @@
 	Slowness            float64       `json:"Slowness"`   // ratio of latency to predicted latency
 	SlownessSamples     int           `json:"Answers"`    // responses in Slowness
 	ResponseInterval    float64       `json:"Gap"`        // in nanoseconds
-	EjectedFor          time.Duration `json:"EjectedFor"` // remaining ejection time; 0: not ejected, or readmitted by the next health check
+	EjectedFor          time.Duration `json:"EjectedFor"` // remaining ejection time; 0: not ejected, or only the health check is pending
 	ConsecutiveFailures int           `json:"Fails"`
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// AttemptDenial says why a request may not be attempted at an endpoint; AttemptAllowed if it may.
+// AttemptDenial is the reason why an attempt of a request at an endpoint is not allowed, or AttemptAllowed.
 type AttemptDenial int
 
-// The denials, in the order in which they are looked for.
+// The denials, in the order in which they are checked.
 const (
 	AttemptAllowed           AttemptDenial = iota
-	DeniedRequestEnded                     // the request was answered, or its client has left
+	DeniedRequestEnded                     // the request has ended: it has its response, or the client disconnected
 	DeniedResponseStarted                  // part of a response has reached the client
 	DeniedBodyConsumed                     // the streamed body cannot be read again
 	DeniedEndpointNotReady                 // the endpoint drains or was removed
-	DeniedDeadline                         // the client has given up by now
-	DeniedAttemptsExhausted                // all attempts that the site or the request allows were made
-	DeniedHedgingForbidden                 // another attempt is in flight, and the site forbids two at once
-	DeniedNotIdempotent                    // an earlier attempt may have been executed, and a repeat would execute it twice
-	DeniedDedupWindowExpired               // repeats of an earlier attempt are no longer dropped when this one arrives
-	DeniedOutsideDedupScope                // the endpoint does not drop repeats of an earlier attempt made elsewhere
+	DeniedDeadline                         // the client has given up
+	DeniedAttemptsExhausted                // Config.MaxAttempts or Request.MaxAttempts is reached
+	DeniedHedgingForbidden                 // another attempt is in flight, and Config.HedgingAllowed is not set
+	DeniedNotIdempotent                    // an earlier attempt may have been executed, and a repeat would be executed again
+	DeniedDedupWindowExpired               // a repeat would arrive after the dedup window of an earlier attempt
+	DeniedOutsideDedupScope                // the endpoint is outside the dedup scope of an earlier attempt
 )
 
 var attemptDenialNames = [...]string{
@@ -37,7 +37,7 @@
 	DeniedOutsideDedupScope:  "outside dedup scope",
 }
 
-// String returns the reason in words.
+// String returns the name of the reason, "unknown" for a value out of range.
 func (d AttemptDenial) String() string {
 	if d < 0 || int(d) >= len(attemptDenialNames) {
 		return "unknown"
@@ -45,11 +45,11 @@
 	return attemptDenialNames[d]
 }
 
-// retryPolicy is what a site allows of the attempts of one request.
+// retryPolicy limits the attempts of one request.
 type retryPolicy struct {
 	maxAttempts    int
 	hedgingAllowed bool
-	dedupMargin    time.Duration // before the end of a dedup window: the longest from the decision to the repeat's arrival
+	dedupMargin    time.Duration // longest time from the decision to the arrival of a repeat; subtracted from the dedup window
 }
 
 // newRetryPolicy returns the policy for cfg.
@@ -59,8 +59,8 @@
 	}
 }
 
-// attemptDenied is the only judge of whether the rules allow an attempt of r at e now, be it the first, a retry or a hedged
-// request. Whether the attempt would be of use is another question.
+// attemptDenied alone decides whether an attempt of r at e is allowed at now. It applies to first attempts, retries and hedged requests.
+// It does not consider whether the attempt would be of use.
 func (p retryPolicy) attemptDenied(now Time, r *request, e *endpoint) AttemptDenial {
 	switch {
 	case r.ended:
@@ -86,8 +86,8 @@
 	return AttemptAllowed
 }
 
-// repeatDenied judges whether the earlier attempt may be repeated at e: freely if it is proven not to have been executed, else
-// as the idempotency of the class tells.
+// repeatDenied decides whether the earlier attempt may be repeated at e. An attempt that is proven not to have been executed may be
+// repeated anywhere. Otherwise the idempotency of the class decides.
 func (p retryPolicy) repeatDenied(now Time, c *classState, earlier *attempt, e *endpoint) AttemptDenial {
 	if earlier.notExecuted {
 		return AttemptAllowed
@@ -111,8 +111,8 @@
 	return b.retries.attemptDenied(now, r, e) == AttemptAllowed
 }
 
-// rejectionSafe reports whether r may be rejected, which promises its client that a retry is harmless: its class is idempotent
-// everywhere, or none of its attempts can have been executed.
+// rejectionSafe reports whether r may be rejected. A rejection tells the client that a retry is harmless. This holds if the class is
+// idempotent, if all endpoints drop repeats, or if no attempt can have been executed.
 func rejectionSafe(r *request) bool {
 	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere {
 		return true
@@ -120,7 +120,7 @@
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.notExecuted })
 }
 
-// NotExecuted reports whether s proves that the attempt was never executed.
+// NotExecuted reports whether s proves that the attempt was not executed.
 func (s Status) NotExecuted() bool {
 	return s == StatusOverloaded || s == StatusConnectFailed || s == StatusNotSent
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// safeLatencyFactor makes an endpoint a safe choice if this many times its expected latency fits into the objective: responses
-// scatter about what is expected, and half of those that just fit would be late.
+// safeLatencyFactor defines a safe endpoint: its expected latency times this factor is within the objective. Latencies vary around the
+// expected value, so that half of the responses expected just within the objective would be late.
 const safeLatencyFactor = 2
 
-// rank orders the endpoints that a request may be sent to by what to expect of them.
+// rank orders the endpoints that a request may be sent to, best first.
 type rank int
 
 const (
-	rankMarked   rank = iota // safe, and marked as below the threshold
-	rankSafe                 // well within the objective: a slow endpoint that got an even share would collect an endless queue
-	rankOnTime               // within the objective
-	rankLate                 // beyond it
-	notCandidate             // not to be attempted
+	rankMarked   rank = iota // safe, and marked as at or below the threshold
+	rankSafe                 // safe: without this rank, slow endpoints would get an even share and ever longer queues
+	rankOnTime               // expected within the objective
+	rankLate                 // expected after the objective
+	notCandidate             // must not be attempted
 )
 
 // rankOf returns the rank of e for r.
@@ -26,7 +26,7 @@
 	switch {
 	case now+expected > r.objectiveDeadline:
 		if len(r.attempts) > 0 {
-			return notCandidate // a retry or hedged request that would be late is not worth its load
+			return notCandidate // the load of a retry or hedged request is not justified if it would be late
 		}
 		return rankLate
 	case now+safeLatencyFactor*expected > r.objectiveDeadline:
@@ -37,7 +37,7 @@
 	return rankMarked
 }
 
-// pickEndpoint draws one of the endpoints with the best rank for r; nil if none may be attempted.
+// pickEndpoint returns a random endpoint among those with the best rank for r; nil if none may be attempted.
 func (b *Balancer) pickEndpoint(now Time, r *request, endpoints []*endpoint) *endpoint {
 	var best []*endpoint
 	bestRank := notCandidate
@@ -56,8 +56,8 @@
 	return best[b.rng.IntN(len(best))]
 }
 
-// selectEndpoint picks the endpoint for the next attempt of r: of the preferred ones, else of all that are ready; nil if there is
-// none. A warming endpoint whose turn it is takes the place of the pick for a first attempt.
+// selectEndpoint returns the endpoint for the next attempt of r: one of the preferred endpoints, or else any ready endpoint; nil if there
+// is none. For a first attempt, a warming endpoint drawn by drawWarming replaces the selected endpoint.
 func (b *Balancer) selectEndpoint(now Time, r *request, preferred []*endpoint) *endpoint {
 	picked := b.pickEndpoint(now, r, preferred)
 	if picked == nil {
@@ -73,8 +73,9 @@
 	return picked
 }
 
-// startOrAwaitEndpoint starts the next attempt of r if an endpoint can be found, and reports whether r goes on: also if it waits, not
-// attempted yet, until the list names an endpoint. Callers that ignore the result have found an endpoint for r, or know that none is ready.
+// startOrAwaitEndpoint starts the next attempt of r if there is an endpoint for it. It reports whether r continues: either with an
+// attempt, or without one until the list has a ready endpoint. Callers that ignore the result have an endpoint for r, or know that
+// none is ready.
 func (b *Balancer) startOrAwaitEndpoint(now Time, r *request, preferred []*endpoint, act Actions) bool {
 	e := b.selectEndpoint(now, r, preferred)
 	if e == nil {
@@ -91,7 +92,7 @@
 	return true
 }
 
-// addAttempt notes an attempt of r at e, with what is expected of it.
+// addAttempt records an attempt of r at e, with the expected queue and latency.
 func (b *Balancer) addAttempt(now Time, r *request, e *endpoint) {
 	r.attempts = append(r.attempts, attempt{
 		endpoint: e, zone: e.Zone, cell: e.Cell, sentAt: now, inFlight: true,
@@ -102,12 +103,12 @@
 	e.inFlight++
 }
 
-// missesObjective reports whether a response of e to r is expected after the objective.
+// missesObjective reports whether the response of e to r is expected after the objective of r.
 func (b *Balancer) missesObjective(now Time, r *request, e *endpoint) bool {
 	return now+b.expectedLatency(now, e) > r.objectiveDeadline
 }
 
-// hasTried reports whether an attempt of r was made at e.
+// hasTried reports whether r has an attempt at e.
 func (r *request) hasTried(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == e })
 }
