--- a/policy/subset.go
+++ b/policy/subset.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// maxSubsetSize bounds the endpoints of a subset: with more of them an instance has too few requests for each, and knows too
-	// little of any.
+	// maxSubsetSize limits the size of a subset. With more endpoints an instance has too few requests for each, and thus too little
+	// information about each.
 	maxSubsetSize = 5
-	// minSubsetSize leaves a choice and a spare when one endpoint fails.
+	// minSubsetSize leaves a choice of two endpoints when one fails.
 	minSubsetSize = 3
-	// connectionBudgetPoints is what open connections may cost, in points of the result.
+	// connectionBudgetPoints is the budget for open connections, in points.
 	connectionBudgetPoints = 0.02
-	// connectionsPerCost is for how many open connections at each endpoint Config.ConnectionCost is charged.
+	// connectionsPerCost is the number of open connections per endpoint that cost Config.ConnectionCost.
 	connectionsPerCost = 100
-	// localZoneFactor is how many times its even part of a subset the own zone has where crossing zones costs something. Load
-	// reports even out the rest, and a zone with few endpoints is not crowded by its own instances.
+	// localZoneFactor is the share of the own zone in a subset, as a multiple of its even share, if crossing zones has a cost. The remote
+	// part lets load reports balance the load between zones, and keeps the instances of a zone with few endpoints from overloading them.
 	localZoneFactor = 2.4
-	// minRendezvousSubsets is in how many subsets an endpoint must be for these to be dealt.
+	// minRendezvousSubsets is the number of subsets per endpoint from which subsets are chosen by rendezvous hashing.
 	minRendezvousSubsets = 5
-	// rendezvousLoadFactor bounds the subsets that an endpoint is dealt into, as a multiple of its even part.
+	// rendezvousLoadFactor limits the number of subsets with an endpoint, as a multiple of the mean (rendezvous hashing with bounded
+	// loads).
 	rendezvousLoadFactor = 1.2
-	// maxRendezvousInstances bounds the work of dealing, which goes through all instances.
+	// maxRendezvousInstances limits the work of rendezvous hashing, which computes the subsets of other instances too.
 	maxRendezvousInstances = 200
 )
 
-// subsetRule decides which endpoints this instance sends to (deterministic subsetting): connections cost something, and an
-// instance must have enough requests for each of its endpoints to know it. Every instance computes its own subset from the same
-// list, so that endpoints are in about equally many.
+// subsetRule decides which endpoints this instance sends to (deterministic subsetting). A subset saves the cost of connections, and
+// gives an instance enough requests per endpoint to estimate the state of each. Every instance computes its own subset from the same
+// list, so that all endpoints are in about the same number of subsets.
 type subsetRule struct {
 	instanceIndex, instanceCount                   int
 	zone                                           string
@@ -45,19 +46,19 @@
 	}
 }
 
-// endpointOrder is the ready endpoints in one instance's order of preference.
+// endpointOrder holds the ready endpoints in the order of preference of one instance.
 type endpointOrder struct {
-	readyEndpoints []*endpoint // the subset, then the spares by rendezvous hashing
-	subsetSize     int         // how many of them make the subset
-	localZoneOnly  bool        // the subset is of the own zone by choice
+	readyEndpoints []*endpoint // the subset, then the other endpoints in the order of rendezvous hashing
+	subsetSize     int         // the first subsetSize of readyEndpoints are the subset
+	localZoneOnly  bool        // the subset is limited to the own zone because of the cost of crossing zones
 }
 
-// order sorts the ready endpoints, given in any fixed order.
+// order returns the ready endpoints in the order of preference of this instance. The result does not depend on the order of ready.
 func (r subsetRule) order(ready []*endpoint) endpointOrder {
 	sortByHash(ready, 0)
 	local := slices.DeleteFunc(slices.Clone(ready), r.isRemote)
 	remote := slices.DeleteFunc(slices.Clone(ready), func(e *endpoint) bool { return !r.isRemote(e) })
-	// No other zone is looked at where crossing costs more than the health checks that find an endpoint at home.
+	// Other zones are excluded if crossing zones costs more than the health checks that find an endpoint in the own zone.
 	localZoneOnly := len(local) >= minSubsetSize && r.crossZoneCost > sampleSize*r.healthCheckCost
 	if localZoneOnly {
 		remote = nil
@@ -65,7 +66,7 @@
 	size := r.size(len(local)+len(remote), len(ready))
 	localSize := r.localSize(size, len(local), len(remote))
 	ordered := append(r.choose(local, localSize), r.choose(remote, size-localSize)...)
-	size = len(ordered) // dealing may give out fewer
+	size = len(ordered) // rendezvous hashing with bounded loads may choose fewer
 	sortByHash(ready, uint64(r.instanceIndex)<<32)
 	for _, e := range ready {
 		if !slices.Contains(ordered[:size], e) {
@@ -75,10 +76,10 @@
 	return endpointOrder{readyEndpoints: ordered, subsetSize: size, localZoneOnly: localZoneOnly}
 }
 
-// isRemote reports whether sending to e crosses zones at a cost.
+// isRemote reports whether e is in another zone and crossing zones has a cost.
 func (r subsetRule) isRemote(e *endpoint) bool { return e.Zone != r.zone && r.crossZoneCost > 0 }
 
-// size returns how many endpoints the subset has of those eligible, given how many are ready in all.
+// size returns the size of the subset, given the number of eligible endpoints and of all ready endpoints.
 func (r subsetRule) size(eligible, ready int) int {
 	size := min(eligible, maxSubsetSize)
 	if r.connectionCost > 0 {
@@ -88,15 +89,16 @@
 	return size
 }
 
-// localSize returns how many endpoints of a subset are of the own zone: more than its even part, but not all while there are
-// remote ones.
+// localSize returns the number of endpoints of the own zone in a subset: more than the even share of the zone, but not the whole subset if
+// there are remote endpoints.
 func (r subsetRule) localSize(size, local, remote int) int {
 	preferred := int(math.Round(localZoneFactor * float64(size*local) / float64(max(1, local+remote))))
 	return max(size-remote, min(preferred, size-1, local))
 }
 
-// choose returns this instance's count endpoints of list. Where each endpoint is in many subsets these are dealt, since then an
-// endpoint that goes moves few others; by stride it would move half of all, each to be connected and learnt anew.
+// choose returns the count endpoints of list for this instance. It uses rendezvous hashing if each endpoint is in many subsets. The removal
+// of an endpoint then changes few other subset members. With the stride it would replace half of all members, and each replacement needs
+// new connections and new latency samples.
 func (r subsetRule) choose(list []*endpoint, count int) []*endpoint {
 	if r.instanceCount > maxRendezvousInstances || r.instanceCount*count < minRendezvousSubsets*len(list) {
 		return r.chooseByStride(list, count)
@@ -104,8 +106,8 @@
 	return r.chooseByRendezvous(list, count)
 }
 
-// chooseByStride begins at a place given by the instance's number and goes on in steps that differ between neighbors: every
-// endpoint is in equally many subsets, and the load of one that fails spreads over many others.
+// chooseByStride starts at a position given by the instance index and proceeds with a stride that differs between neighboring instances.
+// Every endpoint is in the same number of subsets, and the load of a failed endpoint spreads over many others.
 func (r subsetRule) chooseByStride(list []*endpoint, count int) []*endpoint {
 	n := len(list)
 	stride := 1 + r.instanceIndex%max(1, (n-1)/max(1, count-1))
@@ -116,10 +118,10 @@
 	return chosen
 }
 
-// chooseByRendezvous gives each instance in turn the endpoints that rendezvous hashing puts first for it, and no endpoint to many
-// more instances than its even part.
+// chooseByRendezvous uses rendezvous hashing with bounded loads. In the order of their indexes, each instance gets the first endpoints in
+// its hash order that are not yet in their maximum number of subsets (rendezvousLoadFactor).
 func (r subsetRule) chooseByRendezvous(list []*endpoint, count int) []*endpoint {
-	remaining := make(map[*endpoint]int, len(list)) // subsets that an endpoint may still be dealt into
+	remaining := make(map[*endpoint]int, len(list)) // number of subsets to which an endpoint may still be added
 	for _, e := range list {
 		remaining[e] = int(math.Ceil(rendezvousLoadFactor * float64(r.instanceCount*count) / float64(len(list))))
 	}
@@ -137,8 +139,8 @@
 	return chosen
 }
 
-// activeSubset returns the endpoints to send to now: the first in order of preference that are neither ejected nor unresponsive
-// nor warming up. If there are none, or too many are ejected, it is the subset whatever is known of it.
+// activeSubset returns the endpoints to send to at now: the first subsetSize endpoints in order of preference that are neither ejected nor
+// unresponsive nor warming up. If there are none, or too many are ejected, it returns the subset regardless of the state of its endpoints.
 func (b *Balancer) activeSubset(now Time) []*endpoint {
 	active := make([]*endpoint, 0, b.subsetSize)
 	for _, e := range b.readyEndpoints {
@@ -152,7 +154,7 @@
 	return active
 }
 
-// sortByHash sorts endpoints by a hash of their ID and salt.
+// sortByHash sorts list by the rendezvous hash of ID and salt, and by ID if hashes are equal.
 func sortByHash(list []*endpoint, salt uint64) {
 	for _, e := range list {
 		e.hashKey = rendezvousHash(e.ID, salt)
@@ -160,11 +162,11 @@
 	slices.SortFunc(list, func(x, y *endpoint) int { return cmp.Or(cmp.Compare(x.hashKey, y.hashKey), cmp.Compare(x.ID, y.ID)) })
 }
 
-// rendezvousHash returns a hash of id and salt whose bits all depend on both.
+// rendezvousHash returns a hash of id and salt. All bits of the hash depend on both.
 func rendezvousHash(id EndpointID, salt uint64) uint64 {
-	const goldenRatio, mix = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9 // as in splitmix64
+	const goldenRatio, mix = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9 // constants of splitmix64
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id)) // never fails
+	_, _ = h.Write([]byte(id)) // a hash never returns an error
 	x := h.Sum64() ^ salt*goldenRatio
 	x = (x ^ x>>30) * mix
 	return x ^ x>>31
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// sampleSize is d of JBT-d, the endpoints sampled in a round: two choices are most of the gain.
+// sampleSize is the d of JBT-d, the number of endpoints sampled per round. Two choices give most of the gain.
 const sampleSize = 2
 
-// joinBelowThreshold is JBT-d of Zhou et al. A round samples d endpoints; the shortest queue that they report is the threshold.
-// An endpoint whose load report is at or below it is marked; an admitted request goes to a marked endpoint if there is one, and
-// takes its mark. A report marks once only, and marks expire, so that an instance with little traffic does not go by old ones.
+// joinBelowThreshold implements JBT-d of Zhou et al. A round samples d endpoints, and the shortest queue that they report is the
+// threshold. An endpoint is marked if its load report is at or below the threshold. An admitted request goes to a marked endpoint if
+// there is one, and clears the mark. A report sets a mark only once, and marks expire. An instance with little traffic therefore does
+// not rely on outdated marks.
 type joinBelowThreshold struct {
 	threshold     float64       // shortest queue reported so far in the latest round, in requests
-	awaitingFirst bool          // no reply of that round has come
-	markLifetime  time.Duration // the shortest latency objective
+	awaitingFirst bool          // the latest round has no reply yet
+	markLifetime  time.Duration // the shortest latency objective of all classes
 }
 
-// newJoinBelowThreshold returns the rule before its first round: anything is below the threshold.
+// newJoinBelowThreshold returns the state before the first round. Its threshold is infinite.
 func newJoinBelowThreshold(classes []Class) joinBelowThreshold {
 	j := joinBelowThreshold{threshold: math.Inf(1)}
 	for _, c := range classes {
@@ -29,11 +30,11 @@
 	return j
 }
 
-// beginRound makes the next sample the threshold.
+// beginRound starts a round: the next sampled queue replaces the threshold.
 func (j *joinBelowThreshold) beginRound() { j.awaitingFirst = true }
 
-// recordSample lowers the threshold to the sampled queue if it is shorter, or the first of its round, and takes the marks of
-// those that are above it now.
+// recordSample sets the threshold to the sampled queue if that is the first of its round or shorter than the threshold. It then clears the
+// marks of endpoints above the new threshold.
 func (j *joinBelowThreshold) recordSample(queue float64, endpoints []*endpoint) {
 	if j.awaitingFirst || queue < j.threshold {
 		j.awaitingFirst, j.threshold = false, queue
@@ -43,7 +44,8 @@
 	}
 }
 
-// recordLoadReport notes what e reports, and marks it if that is at or below the threshold.
+// recordLoadReport stores the queue that e reports, and marks e if the queue is at or below the threshold. It ignores a report without a
+// queue.
 func (j *joinBelowThreshold) recordLoadReport(now Time, e *endpoint, l *LoadReport) {
 	queue := reportedQueueLength(l)
 	if queue < 0 {
@@ -53,27 +55,29 @@
 	e.marked, e.markedAt = e.State == Ready && e.reportedQueue <= j.threshold, now
 }
 
-// markSampled makes e, the first to reply to a waiting request's own round, the threshold and marks it. If the request had to
-// wait for a mark below the threshold of another request's round, it would be rejected although it could be served.
+// markSampled marks e and sets the threshold to its queue. e is the first endpoint to reply in the round of a waiting request. The
+// threshold may come from the round of another request. If the waiting request needed a mark below that threshold, it would be rejected
+// although it could be served.
 func (j *joinBelowThreshold) markSampled(now Time, e *endpoint) {
 	j.threshold, e.marked, e.markedAt = e.reportedQueue, true, now
 }
 
-// isMarked reports whether e has a mark that has not expired.
+// isMarked reports whether e has a mark that has not expired at now.
 func (j *joinBelowThreshold) isMarked(now Time, e *endpoint) bool {
 	return e.marked && now-e.markedAt <= j.markLifetime
 }
 
-// hasMarkFor reports whether r can be sent at once by marks alone: an endpoint of the active subset is marked and within the
-// limit. Where keys have affinity, a mark tells nothing of the key's own endpoints.
+// hasMarkFor reports whether r can be sent without waiting for a sample: an endpoint of the active subset is marked and within the limit
+// of r. With key affinity it reports false, because a mark says nothing about the endpoints of the key.
 func (b *Balancer) hasMarkFor(now Time, r *request, active []*endpoint) bool {
 	return slices.ContainsFunc(active, func(e *endpoint) bool {
 		return b.jbt.isMarked(now, e) && !b.exceedsLimit(now, r, e) && !b.cfg.KeyAffinity
 	})
 }
 
-// reportedQueueLength returns the queue that JBT-d goes by, in requests: all that an endpoint holds, if it reports that, since one
-// that works on many requests at once is slow long before any of them waits. It is negative if l reports neither.
+// reportedQueueLength returns the queue that JBT-d uses, in requests: the larger of Queue and InFlight. InFlight includes the requests in
+// process, because an endpoint that processes many requests in parallel is slow long before any of them waits. The result is negative if
+// l reports neither.
 func reportedQueueLength(l *LoadReport) float64 {
 	if l == nil {
 		return -1
@@ -81,9 +85,8 @@
 	return max(l.Queue, l.InFlight)
 }
 
-// startSamplingRound sends the health checks of a round for r, to random endpoints of the given ones, and returns these. Where
-// endpoints do less work for a key that they met lately, the round samples the key's own: those that rendezvous hashing
-// puts first.
+// startSamplingRound sends the health checks of a round for r to sampleSize random endpoints of the given ones, and returns the sampled
+// endpoints. With key affinity, the round samples the endpoints that are first in the rendezvous hash order of the key.
 func (b *Balancer) startSamplingRound(now Time, r *request, endpoints []*endpoint, act Actions) []*endpoint {
 	sample := slices.Clone(endpoints)
 	b.rng.Shuffle(len(sample), func(i, j int) { sample[i], sample[j] = sample[j], sample[i] })
