--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestRetryAfter guards against clients that retry at once while nothing has changed.
+// TestRetryAfter guards against clients that retry before the queues have become shorter.
 func TestRetryAfter(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
@@ -17,32 +17,32 @@
 	b.healthChecks.contention = 0
 	r := &request{latencyLimit: 90 * time.Millisecond}
 	if got := b.retryAfter(0, r); got != 10*time.Millisecond {
-		t.Errorf("retry after %v, want the 10ms by which the queue is over the limit", got)
+		t.Errorf("retry after %v, want 10ms, by which the expected latency exceeds the limit", got)
 	}
 	r.latencyLimit = -time.Hour
 	if got := b.retryAfter(0, r); got != cfg.MaxRetryAfter {
-		t.Errorf("retry after %v, want no more than %v", got, cfg.MaxRetryAfter)
+		t.Errorf("retry after %v, want at most %v", got, cfg.MaxRetryAfter)
 	}
 }
 
-// TestRequestWaitsForSample guards against rejecting what nothing shows to be late, where health checks are lost, against sending
-// into queues that are known to be long, and against waiting on once all replies are in.
+// TestRequestWaitsForSample guards against three failures: a request is rejected without evidence of a long queue because health checks
+// are lost, a request is sent to a queue that is known to be long, and a request still waits after all replies have arrived.
 func TestRequestWaitsForSample(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); len(got) != 0 {
-		t.Fatalf("sent %v with no load known", got)
+		t.Fatalf("sent %v before any load report, want no attempt", got)
 	}
 	b.HandleTimer(b.requests[1].queuedUntil, timerToken(1), rec)
 	if got := rec.take("send"); len(got) != 1 {
-		t.Errorf("sent %v after the wait, want request 1 to be sent", got)
+		t.Errorf("sent %v after the wait, want one attempt of request 1", got)
 	}
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	sampled := b.requests[2].sampled[0].ID
 	rec.take("")
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: sampled, Load: &LoadReport{Queue: 1}}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 " + string(sampled)}) {
-		t.Errorf("sent %v, want request 2 to go to %s, the first to reply", got, sampled)
+		t.Errorf("sent %v, want request 2 at %s, the first endpoint to reply", got, sampled)
 	}
 	b.latency.observe(0, float64(time.Second/10))
 	b.healthChecks.credit = sampleSize
@@ -54,18 +54,18 @@
 		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{Queue: 1000}}, rec)
 	}
 	if got := rec.take("reject"); !slices.Equal(got, []string{"reject 3"}) {
-		t.Errorf("got %v, want a rejection with the last reply", got)
+		t.Errorf("got %v, want request 3 rejected at the last reply", got)
 	}
 }
 
-// TestIdleEndpointIsNeverOverLimit guards against rejecting for good: after a spell of slow responses only further ones can tell that it
-// is over, and there are none while all requests are rejected.
+// TestIdleEndpointIsNeverOverLimit guards against rejecting all requests forever. After a period of slow responses only further responses
+// show that it is over, and there are none while all requests are rejected.
 func TestIdleEndpointIsNeverOverLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.HealthCheckCost = 1 // few health checks
 	b, rec := start(t, cfg, 4)
 	for _, s := range b.readyEndpoints {
-		s.hasReport = true // of no queue
+		s.hasReport = true // with an empty queue
 	}
 	b.latency.observe(0, float64(time.Second))
 	now, sent := time.Second, 0
@@ -83,11 +83,11 @@
 		now += 10 * time.Millisecond
 	}
 	if sent < 50 {
-		t.Errorf("sent %d of 50 where no queue was reported and nothing was in flight", sent)
+		t.Errorf("sent %d of 50 requests to idle endpoints with empty queues, want all", sent)
 	}
 }
 
-// TestRetryAfterObjectiveFailsAtOnce guards against work for a retry of a request whose latency objective has passed.
+// TestRetryAfterObjectiveFailsAtOnce guards against spending capacity on a client's retry after the latency objective of the request.
 func TestRetryAfterObjectiveFailsAtOnce(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", ExpectedWork: 7, Expires: 500 * time.Millisecond}, rec)
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestTopPriorityTakesTheCapacityLeft: under a shortage the highest priority goes to the one endpoint with capacity, whichever was
-// drawn first, and is not rejected at random below its objective. Seen to fail with one draw and with the random band for all classes.
+// TestTopPriorityTakesTheCapacityLeft guards against rejecting requests of the highest priority while an endpoint has capacity. Under a
+// shortage such a request must go to the one endpoint with capacity, and must not be rejected at random below its objective. The test
+// failed when only one endpoint was drawn, and when the random rejection band applied to all classes.
 func TestTopPriorityTakesTheCapacityLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
@@ -110,12 +111,12 @@
 	const each = 100
 	for i := range 2 * each {
 		b, rec := start(t, cfg, 5)
-		b.healthChecks.credit = -10 // no health check: loads stay as they are
+		b.healthChecks.credit = -10 // prevents health checks, so that the loads do not change
 		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
 		for id, s := range b.endpoints {
-			s.hasReport, s.reportedQueue = true, 9 // some 860 ms, and with the margin late
+			s.hasReport, s.reportedQueue = true, 9 // about 860 ms, and late with the margin
 			if id == "s3" {
-				s.reportedQueue = 6 // some 590 ms
+				s.reportedQueue = 6 // about 590 ms
 			}
 		}
 		b.healthChecks.contention = 1
@@ -128,27 +129,28 @@
 		if got := rec.take("send"); slices.Equal(got, []string{"send 1 s3"}) {
 			served[class]++
 		} else if len(got) > 0 {
-			t.Fatalf("%s sent %v", class, got)
+			t.Fatalf("class %s: sent %v, want an attempt at s3 or none", class, got)
 		}
 	}
 	if served["order"] != each || served["check"] > 0 {
-		t.Errorf("of %d each, served %v", each, served)
+		t.Errorf("of %d requests per class, served %v, want all of order and none of check", each, served)
 	}
 }
 
-// TestCapacityShortage: with nothing known a shortage is assumed; requests with capacity prove that there is none, until they fade.
+// TestCapacityShortage checks that a full shortage is assumed without information, that requests with capacity reduce it to 0, and that
+// it returns once their counts have decayed.
 func TestCapacityShortage(t *testing.T) {
 	var c capacityEstimator
 	if got := c.shortage(0); got != 1 {
-		t.Errorf("shortage %v with nothing known, want 1", got)
+		t.Errorf("shortage %v without requests, want 1", got)
 	}
 	for range 200 {
 		c.record(time.Second, true)
 	}
 	if got := c.shortage(time.Second); got != 0 || !c.provenSufficient() {
-		t.Errorf("shortage %v after 200 requests with capacity", got)
+		t.Errorf("shortage %v after 200 requests with capacity, want 0 and proven capacity", got)
 	}
 	if got := c.shortage(time.Second + 20*capacityDecayTime); got != 1 || c.provenSufficient() {
-		t.Errorf("shortage %v long after, want 1", got)
+		t.Errorf("shortage %v after the counts have decayed, want 1 and no proven capacity", got)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// discard is an Actions that does nothing but note which endpoint the latest attempt went to.
+// discard is an Actions that only stores the endpoint of the latest attempt.
 type discard struct{ endpoint EndpointID }
 
 func (d *discard) StartAttempt(_ RequestID, id EndpointID, _ time.Duration) { d.endpoint = id }
@@ -18,7 +18,7 @@
 func (d *discard) WatchEndpoints(bool)                                      {}
 func (d *discard) Log(string)                                               {}
 
-// BenchmarkRequest measures a request that is admitted at once and answered: two events of the hot path.
+// BenchmarkRequest measures the two events of a request that is admitted at once and has a response: its arrival and the attempt result.
 func BenchmarkRequest(b *testing.B) {
 	cfg := testConfig()
 	cfg.HealthChecksAllowed = false
--- a/policy/checker_test.go
+++ b/policy/checker_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// checker is an Actions that plays the host: it keeps what is needed to judge each action by its own records, not by the
-// balancer's, and reports breaches of the rules.
+// checker is an Actions that stands in for the host. It keeps its own records of requests, endpoints and attempts, checks each action
+// against them independently of the Balancer's state, and reports violations of the rules.
 type checker struct {
 	t            *testing.T
 	cfg          Config
 	now          Time
 	classes      map[string]Class
 	endpoints    map[EndpointID]Endpoint
-	notReady     map[EndpointID]bool // listed as draining, or removed
+	notReady     map[EndpointID]bool // draining or removed
 	requests     map[RequestID]*openRequest
 	timers       []timerEvent
 	healthChecks []EndpointID
@@ -33,8 +33,8 @@
 	class        Class
 	attempts     []openAttempt
 	ended        bool
-	bodyConsumed bool // its streamed body is being sent, or was
-	bodySending  bool // it is being sent
+	bodyConsumed bool // its streamed body is being sent or was sent
+	bodySending  bool // its streamed body is being sent
 }
 
 type openAttempt struct {
@@ -56,23 +56,23 @@
 	srv, ok := c.endpoints[s]
 	switch {
 	case r == nil || r.ended:
-		c.reportViolation("send for the ended or unknown request %d", id)
+		c.reportViolation("attempt of the ended or unknown request %d", id)
 		return
 	case !ok:
-		c.reportViolation("send to the unknown endpoint %s", s)
+		c.reportViolation("attempt at the unknown endpoint %s", s)
 		return
 	case c.notReady[s]:
-		c.reportViolation("send to %s, which drains or was removed", s)
+		c.reportViolation("attempt at %s, which drains or was removed", s)
 	case r.bodyConsumed:
-		c.reportViolation("send for request %d, whose body is used up", id)
+		c.reportViolation("attempt of request %d, whose body is consumed", id)
 	case r.StreamedBody && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.inFlight }):
-		c.reportViolation("second attempt at once of %d, whose body can be read once", id)
+		c.reportViolation("second attempt in flight of request %d, whose body can be read only once", id)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.reportViolation("attempt %d of %d", len(r.attempts)+1, c.cfg.MaxAttempts)
+		c.reportViolation("attempt %d of at most %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 	for _, a := range r.attempts {
 		if a.inFlight && !c.cfg.HedgingAllowed {
-			c.reportViolation("second attempt at once of %d, which the site forbids", id)
+			c.reportViolation("second attempt in flight of request %d without HedgingAllowed", id)
 		}
 		proven := !a.inFlight && (a.status == StatusOverloaded || a.status == StatusConnectFailed || a.status == StatusNotSent)
 		if proven || r.class.Idempotency == Idempotent {
@@ -80,12 +80,12 @@
 		}
 		switch {
 		case r.class.Idempotency == NonIdempotent:
-			c.reportViolation("request %d, not idempotent, sent again", id)
+			c.reportViolation("request %d is not idempotent and was sent again", id)
 		case c.now > a.sentAt+r.class.DedupWindow:
-			c.reportViolation("keyed request %d sent again %v after its first send", id, c.now-a.sentAt)
+			c.reportViolation("request %d with an idempotency key sent again %v after an attempt, after its dedup window", id, c.now-a.sentAt)
 		case r.class.DedupScope == DedupZone && a.endpoint.Zone != srv.Zone,
 			r.class.DedupScope == DedupCell && a.endpoint.Cell != srv.Cell:
-			c.reportViolation("keyed request %d sent outside its dedup scope", id)
+			c.reportViolation("request %d with an idempotency key sent again outside its dedup scope", id)
 		}
 	}
 	r.attempts = append(r.attempts, openAttempt{endpoint: srv, sentAt: c.now, inFlight: true})
@@ -94,28 +94,28 @@
 func (c *checker) recordEnd(id RequestID) *openRequest {
 	r := c.requests[id]
 	if r == nil {
-		c.reportViolation("answer to the unknown request %d", id)
+		c.reportViolation("end of the unknown request %d", id)
 		return nil
 	}
 	if r.ended {
-		c.reportViolation("second answer to request %d", id)
+		c.reportViolation("second end of request %d", id)
 	}
 	if c.now > r.Expires+c.cfg.ResponseGrace && !r.bodySending {
-		c.reportViolation("answer to request %d comes %v late", id, c.now-r.Expires)
+		c.reportViolation("request %d ended %v after its deadline", id, c.now-r.Expires)
 	}
 	r.ended = true
 	return r
 }
 
 func (c *checker) Reject(id RequestID, d time.Duration) {
-	c.log = append(c.log, fmt.Sprint("refuse ", id, d))
+	c.log = append(c.log, fmt.Sprint("reject ", id, d))
 	r := c.recordEnd(id)
 	if r == nil || r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupEverywhere {
 		return
 	}
 	for _, a := range r.attempts {
 		if a.inFlight || a.status != StatusOverloaded && a.status != StatusConnectFailed && a.status != StatusNotSent {
-			c.reportViolation("request %d may have run and is rejected", id)
+			c.reportViolation("request %d is rejected although it may have been executed", id)
 		}
 	}
 }
@@ -128,25 +128,25 @@
 func (c *checker) CancelAttempt(id RequestID, attempt int) {
 	c.log = append(c.log, fmt.Sprint("cancel ", id, attempt))
 	if r := c.requests[id]; r == nil || attempt >= len(r.attempts) {
-		c.reportViolation("cancel of attempt %d of %d, which was never made", attempt, id)
+		c.reportViolation("cancellation of attempt %d of request %d, which was never started", attempt, id)
 	}
 	if !c.cfg.CancellationAllowed {
-		c.reportViolation("cancel where the site forbids it")
+		c.reportViolation("cancellation without CancellationAllowed")
 	}
 }
 
 func (c *checker) SetTimer(d time.Duration, token string) {
 	c.log = append(c.log, fmt.Sprint("timer ", d, token))
 	if d > 71*time.Minute || token == "" || len(token) > 64 {
-		c.reportViolation("timer of %v named %q", d, token)
+		c.reportViolation("timer of %v with token %q: want at most 71m and a token of 1 to 64 bytes", d, token)
 	}
 	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.TimerResolution), token})
 }
 
 func (c *checker) CheckHealth(s EndpointID) {
-	c.log = append(c.log, fmt.Sprint("probe ", s))
+	c.log = append(c.log, fmt.Sprint("check ", s))
 	if !c.cfg.HealthChecksAllowed {
-		c.reportViolation("health check where the site forbids it")
+		c.reportViolation("health check without HealthChecksAllowed")
 	}
 	if _, ok := c.endpoints[s]; !ok {
 		c.reportViolation("health check of the unknown endpoint %s", s)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -17,8 +17,8 @@
 	connectionBudgetPoints = 0.02
 	// connectionsPerCost is the number of open connections per endpoint that cost Config.ConnectionCost.
 	connectionsPerCost = 100
-	// localZoneFactor is the share of the own zone in a subset, as a multiple of its even share, if crossing zones has a cost. The remote
-	// part lets load reports balance the load between zones, and keeps the instances of a zone with few endpoints from overloading them.
+	// localZoneFactor is the share of the own zone in a subset, as a multiple of its even share, if crossing zones has a cost. Load reports
+	// balance the remaining difference. The factor is small enough that a zone with few endpoints is not overloaded by its own instances.
 	localZoneFactor = 2.4
 	// minRendezvousSubsets is the number of subsets per endpoint from which subsets are chosen by rendezvous hashing.
 	minRendezvousSubsets = 5
