--- a/policy/clienttimeout_test.go
+++ b/policy/clienttimeout_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestEstimateStart guards against work for a client's retry whose latency objective has passed, and against taking first tries for
-// retries because the last try of a request gets longer.
+// TestEstimateStart guards against spending capacity on a client's retry after the latency objective, and against treating a first try as
+// a retry. The timeout of a last try differs from the usual one, and a first try of a client with another timeout looks similar.
 func TestEstimateStart(t *testing.T) {
 	const ms = time.Millisecond
 	usual := []Request{{Expires: 400 * ms}, {Expires: 400 * ms}}
@@ -19,20 +19,20 @@
 		q          Request
 		want       Time
 	}{
-		{"nothing known", nil, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
-		{"a usual try", usual, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
-		{"a last try gets longer", usual, []*request{{startedAt: 198 * ms}}, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
-		{"a last try is cut short", usual, []*request{{startedAt: 0}}, 900 * ms, Request{Expires: 1000 * ms}, 0},
-		{"a client of little patience", usual, []*request{{startedAt: 100 * ms}}, 900 * ms, Request{Expires: 1000 * ms}, 900 * ms},
-		{"a retry of one owed", usual, []*request{unanswered}, 300 * ms,
+		{"no history", nil, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
+		{"usual timeout", usual, nil, 300 * ms, Request{Expires: 700 * ms}, 300 * ms},
+		{"last try with a longer timeout", usual, []*request{{startedAt: 198 * ms}}, 300 * ms, Request{Expires: 1200 * ms}, 200 * ms},
+		{"last try with a shorter timeout", usual, []*request{{startedAt: 0}}, 900 * ms, Request{Expires: 1000 * ms}, 0},
+		{"first try with a short timeout", usual, []*request{{startedAt: 100 * ms}}, 900 * ms, Request{Expires: 1000 * ms}, 900 * ms},
+		{"retry of an unanswered request", usual, []*request{unanswered}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k"}, 100 * ms},
-		{"of another key", usual, []*request{unanswered}, 300 * ms,
+		{"different key", usual, []*request{unanswered}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t"}, 300 * ms},
-		{"of other work", usual, []*request{unanswered}, 300 * ms,
+		{"different expected work", usual, []*request{unanswered}, 300 * ms,
 			Request{Expires: 700 * ms, Tenant: "t", Key: "k", ExpectedWork: 1}, 300 * ms},
-		{"nothing tells them apart", usual, []*request{{startedAt: 100 * ms}}, 300 * ms,
+		{"neither key nor expected work", usual, []*request{{startedAt: 100 * ms}}, 300 * ms,
 			Request{Expires: 700 * ms}, 300 * ms},
-		{"too late for it", usual, []*request{unanswered}, 800 * ms,
+		{"after the deadline of the unanswered request", usual, []*request{unanswered}, 800 * ms,
 			Request{Expires: 1200 * ms, Tenant: "t", Key: "k"}, 800 * ms},
 	}
 	for _, tc := range tests {
@@ -42,7 +42,7 @@
 		}
 		c.unanswered = tc.unanswered
 		if got := c.estimateStart(tc.now, tc.q, 5*ms); got != tc.want {
-			t.Errorf("%s: started %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: estimated start %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// TestFirstPollsAreSpread guards against a group that starts at once and whose first calls a slow list service rejects: a rejected call must be
-// repeated within its bound, sooner than a first one must be made. The service here works eight seconds on the calls of the group,
-// and rejects what would wait for more than two.
+// TestFirstPollsAreSpread guards against overloading a slow list service when all instances of a group start at the same time. A rejected
+// call must be repeated within its backoff, which is earlier than a first call is due. The simulated service needs eight seconds for the
+// calls of the whole group and rejects a call that would wait for more than two seconds.
 func TestFirstPollsAreSpread(t *testing.T) {
-	const all, patience = 8 * time.Second, 2 * time.Second
+	const totalService, maxWait = 8 * time.Second, 2 * time.Second
 	for _, size := range []int{20, 30, 60, 300} {
 		cfg := testConfig()
 		cfg.InstanceCount = size
 		calls := firstPollDelays(t, cfg)
 		if len(calls) != size {
-			t.Fatalf("%d first calls of %d", len(calls), size)
+			t.Fatalf("%d first calls of %d instances", len(calls), size)
 		}
 		slices.Sort(calls)
-		free, refused, latest := time.Duration(0), 0, time.Duration(0)
+		free, rejected, latest := time.Duration(0), 0, time.Duration(0)
 		for _, at := range calls {
-			if free = max(free, at); free-at > patience {
-				refused++
+			if free = max(free, at); free-at > maxWait {
+				rejected++
 				continue
 			}
-			free += all / time.Duration(size)
+			free += totalService / time.Duration(size)
 			latest = max(latest, free)
 		}
-		if refused > size/5 || latest > cfg.PollInterval {
-			t.Errorf("%d instances: %d first calls are rejected, the last is answered after %v", size, refused, latest)
+		if rejected > size/5 || latest > cfg.PollInterval {
+			t.Errorf("%d instances: %d first calls rejected, last response after %v; want at most a fifth, within PollInterval", size, rejected, latest)
 		}
 	}
 }
 
-// firstPollDelays returns when each instance of a group calls the list service first, after a cached list.
+// firstPollDelays returns the delay of the first call to the list service of each instance of a group with a cached list.
 func firstPollDelays(t *testing.T, cfg Config) []time.Duration {
 	t.Helper()
 	var delays []time.Duration
@@ -65,7 +65,8 @@
 	return delays
 }
 
-// TestPollBackoff: the backoff doubles with further failures up to its bound, and one and a half times it keeps the configured one.
+// TestPollBackoff checks that the backoff doubles with further failures up to its bound, that 1.5 times the backoff stays within
+// PollMaxBackoff, that PollInterval is the bound without PollMaxBackoff, and that a lost watch resets the failures.
 func TestPollBackoff(t *testing.T) {
 	p := newEndpointPoll(Config{InstanceCount: 1000, PollInterval: 8 * time.Second, PollMaxBackoff: 3 * time.Second})
 	for i, want := range []time.Duration{2 * time.Second, 2 * time.Second} {
@@ -75,9 +76,9 @@
 	}
 	p.maxBackoff = 0
 	if got := p.recordFailure(); got != 8*time.Second {
-		t.Errorf("backoff %v without a bound, want the poll interval", got)
+		t.Errorf("backoff %v without PollMaxBackoff, want the poll interval of 8s", got)
 	}
 	if got := p.recordWatchLoss(); got != 500*time.Millisecond || p.failures != 0 {
-		t.Errorf("after a loss: %v and %d failures, want 500ms and none", got, p.failures)
+		t.Errorf("after a lost watch: delay %v and %d failures, want 500ms and 0", got, p.failures)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"sorrelrudder/policy"
 )
 
-// printer is a host that prints what it is asked to do.
+// printer is an implementation of policy.Actions that prints the actions.
 type printer struct{}
 
 func (printer) StartAttempt(id policy.RequestID, s policy.EndpointID, d time.Duration) {
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestHealthChecksFollowContention guards against paying for health checks while every endpoint is idle, and against going
-// without them once endpoints fail.
+// TestHealthChecksFollowContention guards against the cost of many health checks while all endpoints are idle, and against too few health
+// checks after a failure.
 func TestHealthChecksFollowContention(t *testing.T) {
 	cfg := testConfig()
-	cfg.HealthCheckCost = healthCheckBudgetPoints // one health check a request, at most
+	cfg.HealthCheckCost = healthCheckBudgetPoints // at most one health check per request
 	b, rec := start(t, cfg, 4)
 	id := RequestID(0)
 	checks := func(queue float64) (n int) {
@@ -30,7 +30,7 @@
 	checks(0)
 	withoutQueues := checks(0)
 	if withoutQueues*4 > withQueues || withoutQueues == 0 {
-		t.Errorf("%d health checks with queues, %d with all idle: want some, a quarter at most", withQueues, withoutQueues)
+		t.Errorf("%d health checks with queues, %d with idle endpoints; want some with idle endpoints, but at most a quarter", withQueues, withoutQueues)
 	}
 	b.HandleAttemptResult(0, AttemptResult{ID: 999, Endpoint: "s0", Status: StatusApplicationError}, rec)
 	if b.healthChecks.contention != 1 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestFewerHealthChecksWithMuchTraffic: an instance whose own traffic tells enough of its subset sends fewer health checks for each
-// request. Seen to fail with one budget for all.
+// TestFewerHealthChecksWithMuchTraffic guards against needless health checks under heavy traffic. The instance's own responses then
+// describe its subset, and it must send fewer health checks per request. The test failed when the budget did not depend on the traffic.
 func TestFewerHealthChecksWithMuchTraffic(t *testing.T) {
 	checksEach := func(gap time.Duration) float64 {
 		cfg := testConfig()
@@ -53,7 +53,7 @@
 			id := RequestID(i + 1)
 			b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 			for _, l := range rec.lines {
-				if s, ok := strings.CutPrefix(l, "check "); ok { // all are busy, so that health checks pay
+				if s, ok := strings.CutPrefix(l, "check "); ok { // each endpoint has a queue, so that the full credit is earned
 					checks++
 					b.HandleHealthCheck(now, HealthCheckResult{Endpoint: EndpointID(s), Load: &LoadReport{Queue: 1}}, rec)
 				}
@@ -67,9 +67,9 @@
 	}
 	highTraffic, lowTraffic := checksEach(20*time.Millisecond), checksEach(2*time.Second)
 	if lowTraffic < 0.8 || highTraffic > 0.6*lowTraffic {
-		t.Errorf("%.2f health checks a request with much traffic, %.2f with little", highTraffic, lowTraffic)
+		t.Errorf("health checks per request: %.2f with heavy traffic, %.2f with light; want light >= 0.8 and heavy <= 0.6*light", highTraffic, lowTraffic)
 	}
 	if highTraffic < 0.1 {
-		t.Errorf("%.2f health checks a request with much traffic: marks and thresholds are left to chance", highTraffic)
+		t.Errorf("%.2f health checks per request with heavy traffic, want at least 0.1: marks and thresholds would be outdated", highTraffic)
 	}
 }
--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// hedgeDriver gives a Balancer random events of a fleet where some endpoints answer late, so that many hedged requests win, queues are
-// short, and the list service fails at times. TestActionTrace sees little of these.
+// hedgeDriver generates random events for a Balancer. Some endpoints respond late, so that many hedged requests win; queues are short; and
+// the list service fails at times. TestActionTrace rarely reaches these cases.
 type hedgeDriver struct {
 	*hasher
 	b    *Balancer
 	rng  *rand.Rand
 	last RequestID
-	won  int // responses to later attempts than the first
+	won  int // responses to attempts after the first
 }
 
-// hedgeTraceConfig switches on what the player is for, and gives classes different priorities.
+// hedgeTraceConfig returns cfg with limits for the delays of polls and with a different priority for each class.
 func hedgeTraceConfig(cfg Config) Config {
 	cfg.PollMaxBackoff, cfg.WatchReopenMaxDelay = 1500*time.Millisecond, 40*time.Millisecond
 	for i := range cfg.Classes {
@@ -29,7 +29,8 @@
 	return cfg
 }
 
-// hedgeTrace plays a few thousand events and returns the hash of all actions and of what was learned.
+// hedgeTrace generates 4000 events. It returns the hash of all actions and of the learned state, and the number of responses to attempts
+// after the first.
 func hedgeTrace(t *testing.T, cfg Config, seed uint64) (hash uint64, won int) {
 	t.Helper()
 	b, err := New(cfg, seed)
@@ -55,7 +56,7 @@
 	return p.hash, p.won
 }
 
-// event gives the balancer one random event.
+// event passes one random event to the Balancer.
 func (p *hedgeDriver) event() {
 	switch dice := p.rng.IntN(1000); {
 	case dice < 250:
@@ -79,7 +80,7 @@
 	}
 }
 
-// request draws a request; most may be hedged.
+// request returns a random request. Hedging is allowed for most of them.
 func (p *hedgeDriver) request(id RequestID) Request {
 	r := randomRequest(p.rng, p.now, id)
 	if p.rng.IntN(4) == 0 {
@@ -90,7 +91,8 @@
 	return r
 }
 
-// endNewestAttempt ends the newest attempt that can be answered by now: later ones than the first, as a rule, of requests to slow endpoints.
+// endNewestAttempt ends the newest attempt whose response time has passed. For a request at a slow endpoint, this is usually an attempt
+// after the first.
 func (p *hedgeDriver) endNewestAttempt() {
 	slow := []EndpointID{"s1", "s2", "s5"}
 	for i, a := range slices.Backward(p.attempts) {
@@ -114,8 +116,8 @@
 	}
 }
 
-// TestHedgeTrace holds, as TestActionTrace does, that the module decides as it did when the golden file was written, here where hedged
-// requests win and the list service fails.
+// TestHedgeTrace guards against unintended changes of decisions, as TestActionTrace does, in cases where hedged requests win and the list
+// service fails.
 func TestHedgeTrace(t *testing.T) {
 	var got strings.Builder
 	for i, cfg := range traceConfigs() {
