--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRateBasedLatency guards against heaping requests on an endpoint that reports no queue, because the line of latency by queue, learned of
-// fast and slow endpoints alike, is flat.
+// TestRateBasedLatency guards against too many requests at an endpoint that reports an empty queue. The regression line of latency by queue
+// covers fast and slow endpoints, and may be flat.
 func TestRateBasedLatency(t *testing.T) {
 	const ms = time.Millisecond
 	b, rec := start(t, testConfig(), 4)
@@ -24,23 +24,23 @@
 	for id := RequestID(1); id <= 10; id++ { // one every 20 ms
 		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	}
-	b.latency = latencyModel{meanLatency: float64(20 * ms), queueVariance: 1e9} // flat
+	b.latency = latencyModel{meanLatency: float64(20 * ms), queueVariance: 1e9} // flat line
 	for id := RequestID(11); id <= 20; id++ {
 		startRequest(id, time.Second)
 	}
 	if got := b.expectedLatency(time.Second, s); got < 180*ms || got > 220*ms {
-		t.Errorf("behind ten others at 20ms each %v is expected, want about 200ms", got)
+		t.Errorf("expected latency %v after ten attempts at 20ms each, want about 200ms", got)
 	}
 	if s.isIdle() {
-		t.Error("it counts as idle")
+		t.Error("isIdle = true with ten attempts in flight, want false")
 	}
 	if got := b.expectedLatency(time.Second+500*ms, s); got < 600*ms {
-		t.Errorf("after half a second without a response %v is expected", got)
+		t.Errorf("expected latency %v after 500ms without a response, want at least 600ms", got)
 	}
 }
 
-// TestSlownessIsSharedByMachineType: what responses tell of an endpoint counts for all of its machine type until those have answered
-// themselves. Seen to fail with each endpoint on its own: a new one counted as average.
+// TestSlownessIsSharedByMachineType guards against treating a new endpoint of a slow machine type as average. The slowness of a machine type
+// must apply to its endpoints until they have responses of their own. The test failed when each endpoint only had its own slowness.
 func TestSlownessIsSharedByMachineType(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	var list []Endpoint
@@ -56,18 +56,18 @@
 	b.UpdateEndpoints(now, UpdateFull, list, rec) // s10 and s11 are new
 	quick, slow := b.expectedLatency(now, b.endpoints["s10"]), b.expectedLatency(now, b.endpoints["s11"])
 	if slow < 2*quick {
-		t.Errorf("a new endpoint of the slow type is expected to take %v, one of the fast type %v", slow, quick)
+		t.Errorf("expected latency of a new endpoint: %v for the slow machine type, %v for the fast one; want at least twice as much for the slow one", slow, quick)
 	}
-	for i := range 30 { // an odd one of its kind
+	for i := range 30 { // s11 is faster than its machine type
 		now += 50 * time.Millisecond
 		answer(b, rec, now, RequestID(1000+i), "s11", 40*time.Millisecond)
 	}
 	if own := b.expectedLatency(now, b.endpoints["s11"]); own > slow*2/3 {
-		t.Errorf("after 30 responses of its own it is still expected to take %v of %v", own, slow)
+		t.Errorf("expected latency %v after 30 fast responses of s11, %v before; want at most two thirds", own, slow)
 	}
 }
 
-// TestMachineTypesAreBounded guards against memory without bound where a list names a machine type for each endpoint.
+// TestMachineTypesAreBounded guards against unbounded memory use when the endpoint list has a different machine type for each endpoint.
 func TestMachineTypesAreBounded(t *testing.T) {
 	b, rec := start(t, testConfig(), 0)
 	for i := range 10 * maxMachineTypes {
@@ -76,6 +76,6 @@
 		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
 	if len(b.machineTypes) > maxMachineTypes {
-		t.Errorf("%d machine types are kept", len(b.machineTypes))
+		t.Errorf("%d machine types stored, want at most maxMachineTypes", len(b.machineTypes))
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestImportLearnedState guards against a process that knows nothing of its endpoints although the one before did, and against taking
-// one that has restarted for what it was.
+// TestImportLearnedState guards against the loss of the learned state when a process is replaced, and against applying the state of an
+// endpoint from before its restart.
 func TestImportLearnedState(t *testing.T) {
 	cfg := Config{InstanceCount: 1, MaxAttempts: 3, Classes: []Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}}}
 	list := []Endpoint{{ID: "a"}, {ID: "b", Started: 5}, {ID: "c"}}
@@ -29,12 +29,12 @@
 	next := balancer()
 	next.ImportLearnedState(2*time.Hour, l)
 	if next.latency != old.latency || next.endpoints["a"].slowness != 3 || next.endpoints["b"].slowness != 1 {
-		t.Errorf("%+v, %v, %v", next.latency, next.endpoints["a"].slowness, next.endpoints["b"].slowness)
+		t.Errorf("latency model %+v, slowness of a %v, of the restarted b %v; want the exported model, 3 and 1", next.latency, next.endpoints["a"].slowness, next.endpoints["b"].slowness)
 	}
 	if n := next.EjectedCount(2*time.Hour + time.Second); n != 1 {
-		t.Errorf("%d endpoints are ejected, want 1", n)
+		t.Errorf("%d endpoints are ejected after the import, want 1", n)
 	}
 	if n := next.EjectedCount(2*time.Hour + 3*time.Second); n != 0 {
-		t.Errorf("%d endpoints are ejected when that is over", n)
+		t.Errorf("%d endpoints are ejected after the ejection time, want 0", n)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -8,37 +8,38 @@
 	"time"
 )
 
-// TestFailingEndpointIsEjected guards against an endpoint that fails at once and so keeps a short queue.
+// TestFailingEndpointIsEjected guards against an endpoint that fails fast and attracts requests with its short queue.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	s := b.endpoints["s0"]
 	s.marked = true
 	b.recordFailure(0, s, StatusApplicationError, false)
 	if s.marked || slices.Contains(b.activeSubset(0), s) {
-		t.Error("an endpoint that failed is still marked or in the subset")
+		t.Error("a failed endpoint is still marked or in the subset")
 	}
 	b.outliers.readmitByHealthCheck = false
 	if !slices.Contains(b.activeSubset(baseEjectionTime), s) {
-		t.Error("the ejection does not end")
+		t.Error("the endpoint is still ejected after baseEjectionTime without health checks")
 	}
 	b.outliers.readmitByHealthCheck = true
 	for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
 		b.recordFailure(0, b.endpoints[id], StatusConnectFailed, false)
 	}
 	if got := b.activeSubset(0); len(got) != b.subsetSize {
-		t.Errorf("with all ejected the subset has %d endpoints, want %d", len(got), b.subsetSize)
+		t.Errorf("the subset has %d endpoints while all are ejected, want %d", len(got), b.subsetSize)
 	}
 	rec.take("")
 }
 
-// TestEjectionEndsWithHealthCheck: where health checks are allowed, one of them finds out whether an endpoint is back, and no client's
-// request does. Seen to fail where time alone ended ejections: each instance's requests found a dead endpoint out again and again.
+// TestEjectionEndsWithHealthCheck guards against client requests that probe an ejected endpoint where health checks are allowed. A health
+// check must find out whether the endpoint has recovered. The test failed when time alone ended ejections: requests of each instance
+// failed at a dead endpoint after each ejection.
 func TestEjectionEndsWithHealthCheck(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	now := time.Hour
 	s := b.readyEndpoints[0]
 	b.recordFailure(now, s, StatusConnectFailed, false)
-	b.healthChecks.credit = -1000 // no rounds
+	b.healthChecks.credit = -1000 // prevents sampling rounds
 	id := RequestID(0)
 	sendRequest := func() (sent, checks int) {
 		id++
@@ -54,7 +55,7 @@
 		return sent, checks
 	}
 	if sent, checks := sendRequest(); sent+checks > 0 {
-		t.Errorf("%d attempts and %d health checks before the time is over", sent, checks)
+		t.Errorf("%d attempts and %d health checks during the ejection time, want none", sent, checks)
 	}
 	for round := range 3 {
 		now = s.ejectedUntil
@@ -62,11 +63,11 @@
 		for range 20 {
 			sent, checks := sendRequest()
 			if asked += checks; sent > 0 {
-				t.Fatalf("round %d: a client's request finds out whether the endpoint is back", round)
+				t.Fatalf("round %d: a client request was sent to the ejected endpoint", round)
 			}
 		}
 		if asked != 1 {
-			t.Fatalf("round %d: %d health checks instead of one", round, asked)
+			t.Fatalf("round %d: %d health checks after the ejection time, want 1", round, asked)
 		}
 		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Status: StatusTimeout}, rec)
 		if want := now + baseEjectionTime<<(round+1); s.ejectedUntil != want {
@@ -78,15 +79,15 @@
 	fails := s.consecutiveFailures
 	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
 	if !slices.Contains(b.activeSubset(now), s) || b.EjectedCount(now) != 0 {
-		t.Error("ejected although a health check has succeeded")
+		t.Error("still ejected after a successful health check")
 	}
 	if s.consecutiveFailures != fails {
-		t.Error("a health check alone resets the failures: an endpoint that fails each request would be tried twice as often")
+		t.Error("a health check reset the consecutive failures: an endpoint that fails each request would be tried twice as often")
 	}
 }
 
-// TestUnresponsiveEndpointIsAvoided guards against sending to a machine that has vanished: nothing ends the attempts there until their
-// time is up, and the list tells of it much later.
+// TestUnresponsiveEndpointIsAvoided guards against sending to a machine that is down without closing its connections. Attempts there end
+// only with their time-out, and the endpoint list reports the failure much later.
 func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.latency.observe(0, float64(10*time.Millisecond))
@@ -98,23 +99,23 @@
 		b.startOrAwaitEndpoint(0, r, []*endpoint{s}, rec)
 	}
 	if !slices.Contains(b.activeSubset(20*time.Millisecond), s) {
-		t.Error("avoided although no more than the usual time has passed")
+		t.Error("not in the subset after twice the typical latency without a reply")
 	}
 	if slices.Contains(b.activeSubset(40*time.Millisecond), s) {
-		t.Error("still in the subset after a long silence")
+		t.Error("still in the subset after four times the typical latency without a reply")
 	}
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
 	if !slices.Contains(b.activeSubset(60*time.Millisecond), s) {
-		t.Error("avoided although it has answered")
+		t.Error("not in the subset after a response")
 	}
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout}, rec)
 	if s.ejectedUntil <= time.Second {
-		t.Error("a time-out after a long silence is no reason to eject it")
+		t.Error("not ejected by a time-out of the unresponsive endpoint")
 	}
 }
 
-// TestShortClientTimeoutIsInconclusive guards against taking an endpoint for overloaded, failing or fast because a
-// client waited less than a response takes.
+// TestShortClientTimeoutIsInconclusive guards against treating an endpoint as overloaded, failed or fast because the timeout of a client
+// is shorter than the usual latency.
 func TestShortClientTimeoutIsInconclusive(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
@@ -130,18 +131,19 @@
 	sendRequest(1, 0)
 	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Latency: 50 * time.Millisecond, RequestEnded: true}, rec)
 	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
-		t.Errorf("a short time-out left queue %v, %d failures, contention %v and an expected latency of %v; want nothing but a latency of %v",
+		t.Errorf("after a short time-out: queue %v, %d failures, contention %v, expected latency %v; want no change and an expected latency of %v",
 			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
 	}
 	sendRequest(2, 0)
 	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Latency: time.Second, RequestEnded: true}, rec)
 	if s.consecutiveFailures == 0 {
-		t.Error("a long time-out left no trace")
+		t.Error("a long time-out counted no failure")
 	}
 }
 
-// TestUnreachableHint: a hint ejects an endpoint until a health check of this instance succeeds, and counts as no failure; hints of all
-// endpoints eject a third of them at most; one that is not on the list, or drains, is not touched.
+// TestUnreachableHint guards against hints that eject healthy endpoints for long. A hint ejects an endpoint until a health check of this
+// instance succeeds, and counts no failure. Hints for all endpoints eject at most a third of them. A hint for an endpoint that drains or
+// is not on the list has no effect.
 func TestUnreachableHint(t *testing.T) {
 	b, rec := start(t, testConfig(), 9)
 	b.endpoints["s0"].State = Draining
@@ -149,52 +151,52 @@
 		b.HandleUnreachableHint(time.Second, id)
 	}
 	if len(b.endpoints) != 9 || b.endpoints["s0"].ejectedUntil != 0 {
-		t.Error("an endpoint that is not on the list, or drains, was touched")
+		t.Error("a hint for an endpoint that drains or is not on the list had an effect")
 	}
 	s := b.endpoints["s3"]
 	if !b.isEjected(time.Second, s) || s.consecutiveFailures != 0 || s.marked {
 		t.Fatalf("%+v", s)
 	}
 	if b.HandleHealthCheck(1100*time.Millisecond, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); !b.isEjected(1100*time.Millisecond, s) {
-		t.Error("what was on its way before the hint ends it")
+		t.Error("a health check from before the end of the ejection time ended the ejection")
 	}
 	if !b.isEjected(time.Minute, s) {
-		t.Error("time alone ends it")
+		t.Error("time alone ended the ejection")
 	}
 	if b.HandleHealthCheck(2*time.Second, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); b.isEjected(2*time.Second, s) {
-		t.Error("a health check does not end it")
+		t.Error("a health check after the ejection time did not end the ejection")
 	}
 	if b.HandleUnreachableHint(2*time.Second+baseEjectionTime-1, "s3"); b.isEjected(2*time.Second+baseEjectionTime-1, s) {
-		t.Error("a hint is believed against a response of late")
+		t.Error("a hint ejected an endpoint with a recent reply")
 	}
 	for i := range 9 {
 		b.HandleUnreachableHint(3*time.Second, EndpointID(fmt.Sprint("s", i)))
 	}
 	if n := b.countEjected(3 * time.Second); n != 3 {
-		t.Errorf("false hints eject %d of 9 endpoints", n)
+		t.Errorf("hints for all endpoints ejected %d of 9, want 3", n)
 	}
 	cfg := testConfig()
-	cfg.HealthChecksAllowed = false // nothing would find out that it is not so
+	cfg.HealthChecksAllowed = false // no health check could readmit the endpoint
 	b, _ = start(t, cfg, 9)
 	if b.HandleUnreachableHint(0, "s3"); b.endpoints["s3"].ejectedUntil != 0 {
-		t.Error("a hint is believed where no health check can prove it wrong")
+		t.Error("a hint ejected an endpoint although health checks are not allowed")
 	}
 }
 
-// TestEjectionTimeDoubles: each further failure in a row doubles the ejection, up to the policy's longest.
+// TestEjectionTimeDoubles checks that each further consecutive failure doubles the ejection time, up to maxEjection.
 func TestEjectionTimeDoubles(t *testing.T) {
 	policy := outlierPolicy{maxEjection: 3 * time.Second}
 	for failures, want := range map[int]time.Duration{
 		1: baseEjectionTime, 2: 2 * baseEjectionTime, 3: 4 * baseEjectionTime, 4: 3 * time.Second, 1000: 3 * time.Second,
 	} {
 		if got := policy.ejectionTime(failures); got != want {
-			t.Errorf("after %d failures: %v, want %v", failures, got, want)
+			t.Errorf("ejection time after %d failures: %v, want %v", failures, got, want)
 		}
 	}
 }
 
-// TestFailuresThatMayBeOverload: rejections never eject an endpoint; time-outs do if it was unresponsive, or fails several times in a row with
-// no success of late.
+// TestFailuresThatMayBeOverload guards against ejections because of load. Rejections never eject an endpoint. Time-outs eject it if it was
+// unresponsive, or after several consecutive failures without a recent success.
 func TestFailuresThatMayBeOverload(t *testing.T) {
 	now := time.Minute
 	for _, tt := range []struct {
@@ -214,7 +216,7 @@
 		e := &endpoint{consecutiveFailures: tt.failures, lastSuccess: tt.lastSuccess}
 		outlierPolicy{maxEjection: time.Second}.recordFailure(now, e, tt.status, tt.unresponsive)
 		if got := e.ejectedUntil > 0; got != tt.ejected {
-			t.Errorf("%+v: ejected %v", tt, got)
+			t.Errorf("%+v: ejected = %v", tt, got)
 		}
 	}
 }
