--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -58,17 +58,17 @@
 
 // event passes one random event to the Balancer.
 func (p *hedgeDriver) event() {
-	switch dice := p.rng.IntN(1000); {
-	case dice < 250:
+	switch draw := p.rng.IntN(1000); {
+	case draw < 250:
 		p.last++
 		p.b.HandleRequest(p.now, p.request(p.last), p)
-	case dice < 650:
+	case draw < 650:
 		p.endNewestAttempt()
-	case dice < 800:
+	case draw < 800:
 		if id, ok := takeAny(p.rng, &p.healthChecks); ok {
 			p.b.HandleHealthCheck(p.now, HealthCheckResult{Endpoint: id, Load: &LoadReport{Queue: float64(p.rng.IntN(10) / 9)}}, p)
 		}
-	case dice < 995:
+	case draw < 995:
 		fireDueTimers(p.b, p.hasher)
 	default:
 		kind := []UpdateKind{UpdatePollFailed, UpdateWatchLost, UpdateDelta}[p.rng.IntN(3)]
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// TestRetryAndRejectionRules: where a second attempt may go after a first one, by class, and whether the request may be rejected.
+// TestRetryAndRejectionRules guards against forbidden repeats and false rejections. By class and first status, it checks which endpoints a
+// second attempt may go to, and whether the request may be rejected.
 func TestRetryAndRejectionRules(t *testing.T) {
 	tests := []struct {
 		class      string
 		first      Status
-		again      []EndpointID // endpoints that may get the second attempt
+		allowed    []EndpointID // endpoints where the second attempt is allowed
 		rejectable bool
 	}{
 		{"safe", StatusApplicationError, []EndpointID{"s0", "s1", "s2", "s3"}, true},
@@ -33,14 +34,14 @@
 		s := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: c}
 		r.attempts = []attempt{{endpoint: s, zone: s.Zone, cell: s.Cell, notExecuted: tt.first.NotExecuted()}}
-		var again []EndpointID
+		var allowed []EndpointID
 		for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
 			if b.attemptAllowed(0, r, b.endpoints[id]) {
-				again = append(again, id)
+				allowed = append(allowed, id)
 			}
 		}
-		if !slices.Equal(again, tt.again) {
-			t.Errorf("%s after %v may go to %v, want %v", tt.class, tt.first, again, tt.again)
+		if !slices.Equal(allowed, tt.allowed) {
+			t.Errorf("%s after %v: second attempt allowed at %v, want %v", tt.class, tt.first, allowed, tt.allowed)
 		}
 		if got := rejectionSafe(r); got != tt.rejectable {
 			t.Errorf("%s after %v: rejectionSafe = %v, want %v", tt.class, tt.first, got, tt.rejectable)
@@ -48,22 +49,22 @@
 	}
 }
 
-// TestNoHedgingWhereForbidden: no second attempt while one is in flight.
+// TestNoHedgingWhereForbidden guards against a second attempt in flight where hedging is not allowed.
 func TestNoHedgingWhereForbidden(t *testing.T) {
 	cfg := testConfig()
-	for _, may := range []bool{true, false} {
-		cfg.HedgingAllowed = may
+	for _, allowed := range []bool{true, false} {
+		cfg.HedgingAllowed = allowed
 		b, _ := start(t, cfg, 2)
 		s := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
 		r.attempts = []attempt{{endpoint: s, inFlight: true}}
-		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != may {
-			t.Errorf("HedgingAllowed %v: attemptAllowed = %v", may, got)
+		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != allowed {
+			t.Errorf("HedgingAllowed %v: attemptAllowed = %v", allowed, got)
 		}
 	}
 }
 
-// TestAttemptDenialReasons: each rule is named when it is the one that is broken.
+// TestAttemptDenialReasons checks that attemptDenied returns the reason of the one rule that each case violates.
 func TestAttemptDenialReasons(t *testing.T) {
 	policy := retryPolicy{maxAttempts: 3, dedupMargin: 10 * time.Millisecond}
 	sent := attempt{zone: "a", cell: 1, sentAt: 0}
@@ -92,18 +93,18 @@
 		e := &endpoint{Endpoint: Endpoint{Zone: "a", Cell: 1}}
 		tt.change(r, e)
 		if got := policy.attemptDenied(50*time.Millisecond, r, e); got != tt.want {
-			t.Errorf("case %d: %v, want %v", i, got, tt.want)
+			t.Errorf("case %d: denial %v, want %v", i, got, tt.want)
 		}
 	}
 }
 
-// TestAttemptDenialNames: every reason has a name of its own.
+// TestAttemptDenialNames checks that every reason has a name, and that no two names are equal.
 func TestAttemptDenialNames(t *testing.T) {
 	names := map[string]bool{}
 	for d := AttemptAllowed; d <= DeniedOutsideDedupScope; d++ {
 		names[d.String()] = true
 	}
 	if len(names) != int(DeniedOutsideDedupScope)+1 || names[""] || names[AttemptDenial(-1).String()] {
-		t.Errorf("names %v", names)
+		t.Errorf("names %v, want a distinct name for each of the reasons", names)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// eventDriver gives a Balancer a random legal sequence of events, and judges its actions with a checker.
+// eventDriver passes a random valid sequence of events to a Balancer, and checks its actions with a checker.
 type eventDriver struct {
 	*checker
 	b   *Balancer
@@ -16,10 +16,10 @@
 	ids []RequestID // in order of arrival
 }
 
-// eventsPerRun is how many events play gives.
+// eventsPerRun is the number of events of runRandomEvents.
 const eventsPerRun = 400
 
-// runRandomEvents runs a sequence drawn from seed and returns the actions taken.
+// runRandomEvents runs the sequence of events for seed and returns the actions.
 func runRandomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := randomConfig(rng)
@@ -51,7 +51,7 @@
 	return c.log
 }
 
-// randomConfig switches the features of a site on and off.
+// randomConfig returns a Config with random settings.
 func randomConfig(rng *rand.Rand) Config {
 	cfg := testConfig()
 	cfg.InstanceCount = 1 + rng.IntN(20)
@@ -65,7 +65,7 @@
 	return cfg
 }
 
-// update gives the balancer an update of the endpoint list.
+// update passes an update of the endpoint list to the Balancer.
 func (p *eventDriver) update(kind UpdateKind, list []Endpoint) {
 	if kind == UpdatePollFailed {
 		list = nil
@@ -81,7 +81,7 @@
 	p.b.UpdateEndpoints(p.now, kind, list, p.checker)
 }
 
-// randomEntries draws at most n entries of eight endpoints.
+// randomEntries returns at most n random entries of eight endpoints.
 func (p *eventDriver) randomEntries(n int) (list []Endpoint) {
 	for range n {
 		i := p.rng.IntN(8)
@@ -108,10 +108,10 @@
 func (p *eventDriver) endAttempt(r *openRequest, i int, status Status) {
 	a := &r.attempts[i]
 	a.inFlight, a.status = false, status
-	if r.bodySending && status != StatusCanceled { // the last byte of its body was never sent
+	if r.bodySending && status != StatusCanceled { // the body was not sent completely
 		status = StatusConnectFailed
 		a.status, r.bodySending = status, false
-		r.Expires = max(r.Expires, p.now) // it begins with the last byte
+		r.Expires = max(r.Expires, p.now) // the deadline for the response starts with the last byte of the body
 	}
 	if status == StatusOK {
 		r.ended = true
@@ -135,7 +135,7 @@
 	}
 }
 
-// expireAttempts ends attempts at their clients' deadlines, as hosts do. It reports false if a request got no answer in time.
+// expireAttempts ends attempts at the deadlines of their clients, as a host does. It reports false if a request was not ended in time.
 func (p *eventDriver) expireAttempts() bool {
 	for _, id := range p.ids {
 		r := p.requests[id]
@@ -143,7 +143,7 @@
 			continue
 		}
 		if !r.ended && p.now > r.Expires+p.cfg.ResponseGrace {
-			p.reportViolation("request %d got no answer in time", id)
+			p.reportViolation("request %d was not ended within ResponseGrace after its deadline", id)
 			return false
 		}
 		for i := range r.attempts {
@@ -155,7 +155,7 @@
 	return true
 }
 
-// randomEvent gives the balancer one event; a new request gets id.
+// randomEvent passes one random event to the Balancer. A new request gets id.
 func (p *eventDriver) randomEvent(id RequestID) {
 	switch p.rng.IntN(14) {
 	case 12, 13:
@@ -181,7 +181,7 @@
 	}
 }
 
-// advanceBody has the streamed body of a late request begin to be sent, or end.
+// advanceBody starts or ends the transfer of the streamed body of a recent request.
 func (p *eventDriver) advanceBody() {
 	if len(p.ids) == 0 {
 		return
@@ -201,7 +201,7 @@
 	}
 }
 
-// sendRequest gives the balancer a request of a known class or another.
+// sendRequest passes a request of a known or an unknown class to the Balancer.
 func (p *eventDriver) sendRequest(id RequestID) {
 	name := "unheard-of"
 	if k := p.rng.IntN(len(p.cfg.Classes) + 1); k < len(p.cfg.Classes) {
@@ -218,7 +218,7 @@
 	p.b.HandleRequest(p.now, q, p.checker)
 }
 
-// endRandomAttempt ends the first attempt in flight of a late request with any status.
+// endRandomAttempt ends the first attempt in flight of a recent request with a random status.
 func (p *eventDriver) endRandomAttempt() {
 	if len(p.ids) == 0 {
 		return
@@ -232,7 +232,7 @@
 	}
 }
 
-// checkInFlight compares each endpoint's count of attempts in flight with those of the requests.
+// checkInFlight compares the in-flight count of each endpoint with the attempts of all requests.
 func (p *eventDriver) checkInFlight() {
 	for id, e := range p.b.endpoints {
 		inFlight := 0
@@ -244,31 +244,32 @@
 			}
 		}
 		if e.inFlight != inFlight {
-			p.reportViolation("%s counts %d in flight, %d are", id, e.inFlight, inFlight)
+			p.reportViolation("endpoint %s counts %d attempts in flight, its requests have %d", id, e.inFlight, inFlight)
 		}
 	}
 }
 
-// TestRulesOnRandomEvents guards what clients and endpoints are promised, on every path: no forbidden repeat, no false rejection, one
-// answer in time for each request.
+// TestRulesOnRandomEvents guards against violations of the rules on any path: a forbidden repeat, a false rejection, or a request that is
+// not ended exactly once and in time.
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		runRandomEvents(t, seed)
 		if t.Failed() {
-			t.Fatalf("with seed %d", seed)
+			t.Fatalf("violation with seed %d", seed)
 		}
 	}
 }
 
-// TestEqualEventsGiveEqualActions guards against clocks, map order and shared state.
+// TestEqualEventsGiveEqualActions guards against decisions that depend on a clock, the order of a map or shared state.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(20) {
 		if !slices.Equal(runRandomEvents(t, seed), runRandomEvents(t, seed)) {
-			t.Fatalf("seed %d: two runs differ", seed)
+			t.Fatalf("seed %d: two runs have different actions", seed)
 		}
 	}
 }
 
+// FuzzRules checks the rules on random events for arbitrary seeds.
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestWarmingEndpointGetsItsShare guards against overloading an endpoint that has just started: its queue is short because it is
-// new, so that marks and sampling rounds would choose it.
+// TestWarmingEndpointGetsItsShare guards against overloading an endpoint that has just started. The queue of a new endpoint is short, so
+// that marks and sampling rounds would select it.
 func TestWarmingEndpointGetsItsShare(t *testing.T) {
 	cfg := testConfig()
 	now := time.Minute
@@ -18,7 +18,7 @@
 		want       float64 // share of requests that s0 is sent
 	}{
 		{"one of two", false, cfg.SlowStartMinCapacity / 2},
-		{"both", true, cfg.SlowStartMinCapacity}, // at most; the rest is rejected or goes to the other
+		{"both", true, cfg.SlowStartMinCapacity}, // at most; the other requests are rejected or go to the other endpoint
 	}
 	for _, tc := range tests {
 		b, rec := start(t, cfg, 2)
@@ -47,7 +47,7 @@
 			}
 		}
 		if share := float64(sent) / requests; share > tc.want+0.03 || share < tc.want*0.8-0.03 {
-			t.Errorf("%s: warming endpoint got a share of %.3f, want about %.3f", tc.name, share, tc.want)
+			t.Errorf("%s: the warming endpoint got a share of %.3f, want about %.3f", tc.name, share, tc.want)
 		}
 		if w := b.slowStart.capacityFraction(now+cfg.SlowStartDuration, warming); w != 1 {
 			t.Errorf("capacity after slow start = %v, want 1", w)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestEndpointIsWarmBeforeFullCapacity: an endpoint counts as warm some time before the end of slow start, and not at its begin. Seen to
-// fail: while most endpoints were replaced, requests were rejected for want of capacity of the few old ones.
+// TestEndpointIsWarmBeforeFullCapacity guards against rejections while most endpoints are replaced. An endpoint must count as warm before
+// the end of slow start, but not at its start. In the failure, the few old endpoints had too little capacity for all requests.
 func TestEndpointIsWarmBeforeFullCapacity(t *testing.T) {
 	cfg := testConfig()
 	b, rec := start(t, cfg, 2)
@@ -64,13 +64,14 @@
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "new", Started: now}}, rec)
 	for at, want := range map[time.Duration]bool{0: false, cfg.SlowStartDuration / 2: false, cfg.SlowStartDuration * 3 / 5: true, cfg.SlowStartDuration: true} {
 		if got := slices.Contains(b.activeSubset(now+at), b.endpoints["new"]); got != want {
-			t.Errorf("%v after its start: in the subset %v, want %v", at, got, want)
+			t.Errorf("%v after the start of the endpoint: in the subset = %v, want %v", at, got, want)
 		}
 	}
 }
 
-// TestWarmingEndpointsDoNotSkewLatency: warming endpoints tell of themselves alone. Seen to fail with one model for all: with many
-// warming at once, warm ones were taken for slow.
+// TestWarmingEndpointsDoNotSkewLatency guards against overestimating the latency of warm endpoints while others warm up. Responses of
+// warming endpoints must not change the shared model. The test failed when they did: with many warming endpoints, warm endpoints were
+// treated as slow.
 func TestWarmingEndpointsDoNotSkewLatency(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	now := time.Hour
@@ -88,15 +89,15 @@
 		answer(b, rec, now, id, "s9", 400*time.Millisecond)
 	}
 	if after := b.expectedLatency(now, b.endpoints["s1"]); after > before*11/10 {
-		t.Errorf("responses of a warming endpoint make a warm one expected to take %v instead of %v", after, before)
+		t.Errorf("expected latency of a warm endpoint %v after responses of a warming one, %v before; want at most 1.1 times as long", after, before)
 	}
 	if warming := b.expectedLatency(now, b.endpoints["s9"]); warming < 4*before {
-		t.Errorf("the warming one is expected to take %v", warming)
+		t.Errorf("expected latency of the warming endpoint %v, want at least four times that of a warm one", warming)
 	}
 }
 
-// TestWarmingShare: a warming endpoint gets its capacity's part of the traffic, raised by what all lack up to slowStartMaxShare; with too
-// few warm ones its capacity alone counts, less if its machine type is slow.
+// TestWarmingShare checks that the share of a warming endpoint is its capacity fraction, raised by the missing capacity of all endpoints up
+// to slowStartMaxShare. With too few warm endpoints, the share is the capacity fraction, divided by the slowness of a slow machine type.
 func TestWarmingShare(t *testing.T) {
 	rule := slowStart{minCapacity: 0.2, duration: 10 * time.Second}
 	now := time.Hour
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSubsetsAreBalanced guards against connections from every instance to every endpoint, and against subsets that fall on some
-// endpoints more than on others.
+// TestSubsetsAreBalanced guards against connections from every instance to every endpoint, and against endpoints that are in many more
+// subsets than others.
 func TestSubsetsAreBalanced(t *testing.T) {
 	cfg := testConfig()
 	cfg.InstanceCount, cfg.ConnectionCost = 600, 0.08
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestListOrderDoesNotChangeTheSubset: the order of the list means nothing; subsets and connections stay as they are.
+// TestListOrderDoesNotChangeTheSubset guards against subsets, and so connections, that change with the order of the endpoint list.
 func TestListOrderDoesNotChangeTheSubset(t *testing.T) {
 	b, rec := start(t, testConfig(), 40)
 	var list []Endpoint
@@ -41,13 +41,13 @@
 		rand.New(rand.NewPCG(seed, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		b.UpdateEndpoints(time.Second, UpdateFull, list, rec)
 		if !slices.Equal(before, b.readyEndpoints) {
-			t.Fatal("the order of endpoints changed with the order of the list")
+			t.Fatal("the order of preference changed with the order of the list")
 		}
 	}
 }
 
-// TestSubsetsOfManyInstances: each of 60 endpoints is in about equally many subsets of 80 instances, also as one goes and as 36 are
-// replaced. It logs how far subsets change.
+// TestSubsetsOfManyInstances guards against endpoints that are in many more subsets than others. It checks 60 endpoints and 80 instances,
+// also after the removal of one endpoint and the replacement of 36. It logs the share of subset members that change.
 func TestSubsetsOfManyInstances(t *testing.T) {
 	list := func(n int, skip func(i int) bool) []Endpoint {
 		var all []Endpoint
@@ -60,9 +60,9 @@
 	}
 	sets := func(endpoints []Endpoint) (all []map[EndpointID]bool, most, least int) {
 		memberships := map[EndpointID]int{}
-		for o := range 80 {
+		for instance := range 80 {
 			cfg := testConfig()
-			cfg.InstanceIndex, cfg.InstanceCount = o, 80
+			cfg.InstanceIndex, cfg.InstanceCount = instance, 80
 			b, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
@@ -82,43 +82,44 @@
 		return all, most, least
 	}
 	before, most, least := sets(list(60, func(int) bool { return false }))
-	t.Logf("60 endpoints: in %d to %d subsets of 80", least, most)
+	t.Logf("60 endpoints: each in %d to %d of 80 subsets", least, most)
 	if least == 0 || most > 5*least {
-		t.Errorf("60 endpoints are in %d to %d subsets of 80", least, most)
+		t.Errorf("60 endpoints: each in %d to %d of 80 subsets, want a ratio of at most 5", least, most)
 	}
 	for name, c := range map[string]struct {
 		endpoints []Endpoint
-		minChange float64 // members that have gone
+		minChange float64 // share of the members that were removed
 	}{
-		"one gone": {list(60, func(i int) bool { return i == 17 }), 1.0 / 60},
-		"36 new":   {list(96, func(i int) bool { return i < 36 }), 36.0 / 60},
+		"one removed": {list(60, func(i int) bool { return i == 17 }), 1.0 / 60},
+		"36 new":      {list(96, func(i int) bool { return i < 36 }), 36.0 / 60},
 	} {
 		after, most, least := sets(c.endpoints)
 		moved, all := 0, 0
-		for o := range after {
-			for id := range after[o] {
+		for instance := range after {
+			for id := range after[instance] {
 				all++
-				if !before[o][id] {
+				if !before[instance][id] {
 					moved++
 				}
 			}
 		}
-		t.Logf("%s: %.2f of the members changed (at least: %.2f); endpoints are in %d to %d subsets", name, float64(moved)/float64(all), c.minChange, least, most)
+		t.Logf("%s: %.2f of the members changed (at least %.2f is necessary); each endpoint in %d to %d subsets", name, float64(moved)/float64(all), c.minChange, least, most)
 		if least == 0 || most > 5*least {
-			t.Errorf("%s: servers are in %d to %d subsets of 80", name, least, most)
+			t.Errorf("%s: each endpoint in %d to %d of 80 subsets, want a ratio of at most 5", name, least, most)
 		}
 	}
 }
 
-// TestSubsetsPreferTheOwnZone: where crossing zones costs something most of a subset is of the own zone, endpoints are in about equally
-// many subsets all the same, and a small zone is not crowded. Seen to fail with subsets that ignore zones.
+// TestSubsetsPreferTheOwnZone guards against subsets that ignore zones although crossing zones has a cost. Most of a subset must be of the
+// own zone. Endpoints must still be in about the same number of subsets, and those of a small zone must not be overloaded. The test failed
+// with subsets that ignore zones.
 func TestSubsetsPreferTheOwnZone(t *testing.T) {
 	for name, c := range map[string]struct {
-		instances, endpoints, inA int // of the servers
+		instances, endpoints, inA int // inA: endpoints in zone a
 		least, most               float64
 	}{
-		"dealt":      {80, 60, 30, 0.75, 0.85},
-		"by places":  {300, 200, 100, 0.75, 0.85},
+		"dealt":      {80, 60, 30, 0.75, 0.85}, // by rendezvous hashing
+		"by stride":  {300, 200, 100, 0.75, 0.85},
 		"small zone": {300, 200, 40, 0.1, 0.45},
 		"a third":    {300, 200, 66, 0.75, 0.85},
 	} {
@@ -126,10 +127,10 @@
 		for i := range c.endpoints {
 			list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: map[bool]string{true: "a", false: "b"}[i < c.inA]})
 		}
-		memberships, own, members := map[EndpointID]int{}, 0, 0
-		for o := range c.instances {
+		memberships, local, members := map[EndpointID]int{}, 0, 0
+		for instance := range c.instances {
 			cfg := testConfig()
-			cfg.InstanceIndex, cfg.InstanceCount, cfg.CrossZoneCost, cfg.Zone = o, c.instances, 0.015, string(rune('a'+o%2))
+			cfg.InstanceIndex, cfg.InstanceCount, cfg.CrossZoneCost, cfg.Zone = instance, c.instances, 0.015, string(rune('a'+instance%2))
 			b, err := New(cfg, 1)
 			if err != nil {
 				t.Fatal(err)
@@ -140,7 +141,7 @@
 				if cfg.Zone == "a" {
 					members++
 					if s.Zone == "a" {
-						own++
+						local++
 					}
 				}
 			}
@@ -149,13 +150,13 @@
 		for _, s := range list {
 			most, least = max(most, memberships[s.ID]), min(least, memberships[s.ID])
 		}
-		share := float64(own) / float64(members)
-		t.Logf("%s: %.2f of the members of instances in zone a are there; endpoints are in %d to %d subsets", name, share, least, most)
+		share := float64(local) / float64(members)
+		t.Logf("%s: %.2f of the subset members of instances in zone a are in zone a; each endpoint in %d to %d subsets", name, share, least, most)
 		if share < c.least || share > c.most {
-			t.Errorf("%s: %.2f of the members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
+			t.Errorf("%s: %.2f of the subset members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
 		}
 		if mean := c.instances * maxSubsetSize / c.endpoints; least == 0 || most > 2*mean+1 {
-			t.Errorf("%s: endpoints are in %d to %d subsets, in the mean in %d", name, least, most, mean)
+			t.Errorf("%s: each endpoint in %d to %d subsets, %d on average; want at least 1 and at most twice the average plus 1", name, least, most, mean)
 		}
 	}
 }
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// recorder is an Actions that notes each action as a line of text.
+// recorder is an Actions that records each action as a line of text.
 type recorder struct{ lines []string }
 
 func (r *recorder) record(format string, args ...any) {
@@ -33,13 +33,14 @@
 
 func (r *recorder) Log(text string) { r.record("log %s", text) }
 
-// take returns the lines that start with prefix and clears all.
+// take returns the lines that start with prefix and deletes all lines.
 func (r *recorder) take(prefix string) []string {
 	got := slices.DeleteFunc(r.lines, func(l string) bool { return !strings.HasPrefix(l, prefix) })
 	r.lines = nil
 	return got
 }
 
+// testConfig returns the Config of most tests: one instance, all features allowed and a class for each rule of idempotency.
 func testConfig() Config {
 	const s = time.Second
 	return Config{
@@ -56,7 +57,7 @@
 	}
 }
 
-// start returns a balancer that knows n endpoints s0, s1, ... in zones a and b and cells of two.
+// start returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell.
 func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
@@ -74,7 +75,7 @@
 	return b, rec
 }
 
-// answer has b send a request to an endpoint that answers it after delay.
+// answer adds a request with an attempt at an endpoint, which responds after delay.
 func answer(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
 	s := b.endpoints[endpointID]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
--- a/policy/threshold_test.go
+++ b/policy/threshold_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestThresholdMarksAndMarkSpending: the shortest queue of a round is the threshold, and an attempt takes the mark that it went by.
+// TestThresholdMarksAndMarkSpending checks that the threshold is the shortest queue of a round, and that an attempt clears the mark of its
+// endpoint.
 func TestThresholdMarksAndMarkSpending(t *testing.T) {
 	b, rec := start(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
@@ -25,24 +26,25 @@
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s1", Load: &LoadReport{Queue: 5}}, rec)
 	b.HandleHealthCheck(0, HealthCheckResult{Endpoint: "s2", Load: &LoadReport{Queue: 3}}, rec)
 	if b.jbt.threshold != 3 {
-		t.Errorf("threshold = %v, want 3, the shortest of the round", b.jbt.threshold)
+		t.Errorf("threshold = %v, want 3, the shortest queue of the round", b.jbt.threshold)
 	}
 	for id, want := range map[EndpointID]bool{"s0": false, "s1": false, "s2": true, "s3": false} {
 		if got := b.endpoints[id].marked; got != want {
 			t.Errorf("%s marked = %v, want %v", id, got, want)
 		}
 	}
-	b.healthChecks.credit = -10 // no further round
+	b.healthChecks.credit = -10 // prevents a further round
 	b.HandleRequest(0, Request{ID: 2, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); !slices.Equal(got, []string{"send 2 s2"}) {
-		t.Errorf("sent %v, want the marked s2", got)
+		t.Errorf("sent %v, want request 2 at the marked endpoint s2", got)
 	}
 	if b.endpoints["s2"].marked {
-		t.Error("the attempt did not take its mark")
+		t.Error("the attempt did not clear the mark of s2")
 	}
 }
 
-// TestKeyAffinitySamplesTheKeysEndpoints guards against spreading a key over endpoints that each have to learn it anew.
+// TestKeyAffinitySamplesTheKeysEndpoints guards against spreading the requests of a key over many endpoints, each of which must do the extra
+// work for a new key.
 func TestKeyAffinitySamplesTheKeysEndpoints(t *testing.T) {
 	for _, affinity := range []bool{false, true} {
 		cfg := testConfig()
@@ -56,7 +58,7 @@
 			}
 		}
 		if same := len(checked) == sampleSize; same != affinity {
-			t.Errorf("key affinity %v: rounds for one key sampled %d endpoints", affinity, len(checked))
+			t.Errorf("key affinity %v: rounds for one key sampled %d endpoints; want sampleSize with affinity, more without", affinity, len(checked))
 		}
 	}
 }
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -15,11 +15,12 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files of this package anew")
+var update = flag.Bool("update", false, "rewrite the golden files of this package")
 
-// hasher is an Actions that folds each action into a hash, and remembers what a host would report back later.
+// hasher is an Actions that adds each action to a hash, and stores the timers, health checks and attempts whose results a host would report
+// later.
 type hasher struct {
-	lightTraffic bool // little traffic, most of it answered in time
+	lightTraffic bool // light traffic, most requests have a response in time
 	now          Time
 	actions      int
 	hash         uint64
@@ -80,7 +81,7 @@
 	return x, true
 }
 
-// traceConfigs are configurations that between them switch on each branch of the module.
+// traceConfigs returns configurations that together reach each branch of the package.
 func traceConfigs() []Config {
 	base := testConfig()
 	base.InstanceCount, base.InstanceIndex = 7, 3
@@ -97,7 +98,7 @@
 	return []Config{base, zonal, pushed, keyed, alone}
 }
 
-// randomLoad is a report as a server might send it, nil at times.
+// randomLoad returns a random load report, or nil.
 func randomLoad(rng *rand.Rand) *LoadReport {
 	if rng.IntN(5) == 0 {
 		return nil
@@ -109,7 +110,7 @@
 	return &LoadReport{Queue: queue, InFlight: rng.Float64() * 8, Latency: 40, ErrorRate: rng.Float64()}
 }
 
-// randomList names some of twelve servers, one of them restarted now and then.
+// randomList returns a random update of a list of twelve endpoints, some of them restarted.
 func randomList(rng *rand.Rand, now Time) (UpdateKind, []Endpoint) {
 	kind := []UpdateKind{UpdateDelta, UpdateDelta, UpdateFull, UpdateCached, UpdatePollFailed, UpdateWatchLost}[rng.IntN(6)]
 	var list []Endpoint
@@ -129,7 +130,8 @@
 	return kind, list
 }
 
-// trace plays a few thousand random events and returns the hash of all actions and of what was learnt.
+// trace generates random events, first for a new Balancer and then for one that has imported its learned state. It returns the hash of all
+// actions and of the learned state, and the number of actions.
 func trace(t *testing.T, cfg Config, seed uint64, events int, lightTraffic bool) (uint64, int) {
 	t.Helper()
 	b, err := New(cfg, seed)
@@ -144,14 +146,14 @@
 	for range events {
 		h.now += Time(rng.Int64N(int64(12 * time.Millisecond)))
 		applyRandomEvent(b, h, rng, &last)
-		seen := b.Summarize(h.now)
-		h.record("seen %d %v %d", seen.TypicalLatency, seen.CapacityShortage, seen.EjectedEndpoints)
+		summary := b.Summarize(h.now)
+		h.record("seen %d %v %d", summary.TypicalLatency, summary.CapacityShortage, summary.EjectedEndpoints)
 	}
-	learnt, err := json.Marshal(b.ExportLearnedState(h.now))
+	learned, err := json.Marshal(b.ExportLearnedState(h.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.record("learnt %s", learnt)
+	h.record("learnt %s", learned)
 	next, _ := New(cfg, seed)
 	kind, list := randomList(rng, h.now)
 	next.UpdateEndpoints(h.now, kind, list, h)
@@ -163,35 +165,35 @@
 	return h.hash, h.actions
 }
 
-// applyRandomEvent gives b one random event.
+// applyRandomEvent passes one random event to b.
 func applyRandomEvent(b *Balancer, h *hasher, rng *rand.Rand, last *RequestID) {
 	requests := 330
 	if h.lightTraffic {
 		requests = 130
 	}
-	switch dice := rng.IntN(1000); {
-	case dice < requests:
+	switch draw := rng.IntN(1000); {
+	case draw < requests:
 		*last++
 		b.HandleRequest(h.now, randomRequest(rng, h.now, *last), h)
-	case dice < 600:
+	case draw < 600:
 		applyAttemptResult(b, h, rng)
-	case dice < 800:
+	case draw < 800:
 		applyHealthCheck(b, h, rng)
-	case dice < 940:
+	case draw < 940:
 		fireDueTimers(b, h)
-	case dice < 955:
+	case draw < 955:
 		b.HandleRequestAbandoned(h.now, *last-min(*last, RequestID(rng.IntN(5))), h)
-	case dice < 965:
+	case draw < 965:
 		b.HandleResponseStarted(h.now, *last-min(*last, RequestID(rng.IntN(5))), 0, h)
-	case dice < 975:
+	case draw < 975:
 		id := *last - min(*last, RequestID(rng.IntN(3)))
 		b.HandleBodyStarted(h.now, id, 0)
 		h.uploads = append(h.uploads, id)
-	case dice < 985:
+	case draw < 985:
 		if id, ok := takeAny(rng, &h.uploads); ok {
 			b.HandleBodyFinished(h.now, id, h.now+time.Second, h)
 		}
-	case dice < 992:
+	case draw < 992:
 		b.HandleUnreachableHint(h.now, EndpointID(fmt.Sprint("s", rng.IntN(13))))
 	default:
 		kind, list := randomList(rng, h.now)
@@ -199,6 +201,7 @@
 	}
 }
 
+// randomRequest returns a random request of a known or an unknown class.
 func randomRequest(rng *rand.Rand, now Time, id RequestID) Request {
 	classes := []string{"safe", "safe", "keyed", "zonal", "cellular", "unsafe", "unknown"}
 	r := Request{ID: id, Class: classes[rng.IntN(len(classes))], Tenant: "t", Expires: now + Time(rng.Int64N(int64(time.Second)))}
@@ -218,7 +221,7 @@
 	return r
 }
 
-// fireDueTimers fires what is due, in order.
+// fireDueTimers fires the timers that are due, in order of time.
 func fireDueTimers(b *Balancer, h *hasher) {
 	slices.SortStableFunc(h.timers, func(x, y dueTimer) int { return cmp.Compare(x.at, y.at) })
 	for len(h.timers) > 0 && h.timers[0].at <= h.now {
@@ -228,12 +231,14 @@
 	}
 }
 
+// applyAttemptResult ends a random attempt with a random status, mostly StatusOK. Under light traffic, attempts at s1 and s2 take at least
+// one second.
 func applyAttemptResult(b *Balancer, h *hasher, rng *rand.Rand) {
 	a, ok := takeAny(rng, &h.attempts)
 	if !ok {
 		return
 	}
-	if h.lightTraffic && (a.endpoint == "s1" || a.endpoint == "s2") && h.now-a.sentAt < time.Second { // slow ones
+	if h.lightTraffic && (a.endpoint == "s1" || a.endpoint == "s2") && h.now-a.sentAt < time.Second { // slow endpoints
 		h.attempts = append(h.attempts, a)
 		return
 	}
@@ -246,6 +251,7 @@
 	}, h)
 }
 
+// applyHealthCheck ends a random health check with a random status, mostly StatusOK.
 func applyHealthCheck(b *Balancer, h *hasher, rng *rand.Rand) {
 	s, ok := takeAny(rng, &h.healthChecks)
 	if !ok {
@@ -258,8 +264,8 @@
 	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: s, Status: status, Latency: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
 }
 
-// TestActionTrace holds that the module decides as it did when the golden file was written, to the draw: equal events from an
-// equal seed give an equal sequence of actions.
+// TestActionTrace guards against unintended changes of decisions, including the random draws. Equal events and an equal seed must give the
+// sequence of actions from which the golden file was written.
 func TestActionTrace(t *testing.T) {
 	var got strings.Builder
 	for i, cfg := range traceConfigs() {
@@ -273,7 +279,7 @@
 	compareGolden(t, "actions.golden", got.String())
 }
 
-// compareGolden compares got with a golden file of testdata.
+// compareGolden compares got with a golden file in testdata, and rewrites the file with -update.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -290,6 +296,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("the actions differ from the recorded ones:\n%swant\n%s", got, want)
+		t.Errorf("the actions differ from the golden file:\ngot\n%swant\n%s", got, want)
 	}
 }
