--- a/policy/actions.go
+++ b/policy/actions.go
@@ -12,11 +12,12 @@
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail ends a request and tells the client nothing about retries.
 	Fail(id RequestID)
-	// CancelAttempt cancels an attempt. The host still reports its end with HandleAttemptResult.
+	// CancelAttempt cancels an attempt. The host still reports the result with HandleAttemptResult.
 	CancelAttempt(id RequestID, attempt int)
 	// SetTimer schedules a call of HandleTimer with token.
 	SetTimer(after time.Duration, token string)
-	// CheckHealth sends a health check to an endpoint. The host reports its end with HandleHealthCheck.
+	// CheckHealth sends a health check to an endpoint, which responds with a load report. The host reports the result with
+	// HandleHealthCheck.
 	CheckHealth(endpoint EndpointID)
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints(on bool)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -172,7 +172,8 @@
 }
 
 // handleSampleReply passes a health check result of e to the requests that wait for it; reported tells whether it has a load report.
-// The first request for which e is within the limit is sent to e. The wait of a request ends once all its replies have arrived.
+// The first request for which e is within the limit is sent to e. The wait of a request ends once all its replies have arrived. If the
+// subset is limited to the own zone and has no capacity there, a further round first samples endpoints outside the subset.
 func (b *Balancer) handleSampleReply(now Time, e *endpoint, reported bool, act Actions) {
 	var unplaced []*request
 	for _, r := range b.queued {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,7 +12,7 @@
 func TestRetryAfter(t *testing.T) {
 	cfg := testConfig()
 	cfg.RetryAfterHonored, cfg.MaxRetryAfter = true, 300*time.Millisecond
-	b, _ := start(t, cfg, 4)
+	b, _ := newTestBalancer(t, cfg, 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
 	b.healthChecks.contention = 0
 	r := &request{latencyLimit: 90 * time.Millisecond}
@@ -28,7 +28,7 @@
 // TestRequestWaitsForSample guards against three failures: a request is rejected without evidence of a long queue because health checks
 // are lost, a request is sent to a queue that is known to be long, and a request still waits after all replies have arrived.
 func TestRequestWaitsForSample(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	if got := rec.take("send"); len(got) != 0 {
 		t.Fatalf("sent %v before any load report, want no attempt", got)
@@ -63,7 +63,7 @@
 func TestIdleEndpointIsNeverOverLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.HealthCheckCost = 1 // few health checks
-	b, rec := start(t, cfg, 4)
+	b, rec := newTestBalancer(t, cfg, 4)
 	for _, s := range b.readyEndpoints {
 		s.hasReport = true // with an empty queue
 	}
@@ -89,7 +89,7 @@
 
 // TestRetryAfterObjectiveFailsAtOnce guards against spending capacity on a client's retry after the latency objective of the request.
 func TestRetryAfterObjectiveFailsAtOnce(t *testing.T) {
-	b, rec := start(t, testConfig(), 0)
+	b, rec := newTestBalancer(t, testConfig(), 0)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", ExpectedWork: 7, Expires: 500 * time.Millisecond}, rec)
 	b.HandleTimer(b.requests[1].finalDeadline, timerToken(1), rec)
 	b.HandleRequest(210*time.Millisecond, Request{ID: 2, Class: "safe", ExpectedWork: 7, Expires: 710 * time.Millisecond}, rec)
@@ -110,7 +110,7 @@
 	served := map[string]int{}
 	const each = 100
 	for i := range 2 * each {
-		b, rec := start(t, cfg, 5)
+		b, rec := newTestBalancer(t, cfg, 5)
 		b.healthChecks.credit = -10 // prevents health checks, so that the loads do not change
 		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
 		for id, s := range b.endpoints {
--- a/policy/config.go
+++ b/policy/config.go
@@ -73,7 +73,7 @@
 	SlowStartMinCapacity float64       // capacity of an endpoint at its start, as a fraction of its full capacity
 	SlowStartDuration    time.Duration // time from the start of an endpoint to its full capacity
 
-	// Costs, in points.
+	// Costs that the platform charges, in points.
 	HealthCheckCost float64 // of one health check per request
 	ConnectionCost  float64 // of 100 open connections per endpoint
 	HandshakeCost   float64 // of one new connection per request
@@ -83,7 +83,7 @@
 // ErrInvalidConfig is wrapped by the error that New returns for a Config with a value out of range.
 var ErrInvalidConfig = errors.New("policy: invalid config")
 
-// validate returns an error that wraps ErrInvalidConfig and names the first field of cfg that is out of range.
+// validate returns an error for the first value of cfg that is out of range, nil if there is none. The error wraps ErrInvalidConfig.
 func (cfg Config) validate() error {
 	switch {
 	case cfg.InstanceCount < 1 || cfg.InstanceIndex < 0 || cfg.InstanceIndex >= cfg.InstanceCount:
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,9 +1,9 @@
-// Package policy decides where a sidecar sends each request. It is a pure
-// state machine. The host calls one method of [Balancer] for each event and
-// passes the current time. The Balancer responds by calling methods of
-// [Actions]. It starts no goroutines and reads no clock, so that equal events
-// and an equal seed give equal actions. A host keeps one Balancer for each group
-// of endpoints.
+// Package policy decides where a sidecar sends each request. It is a pure state
+// machine. The host calls one method of [Balancer] for each event and passes
+// the current time. The Balancer responds by calling methods of [Actions]. It
+// starts no goroutines and reads no clock, so that equal events and an equal
+// seed give equal actions. A host keeps one Balancer for each group of
+// endpoints.
 //
 // # From event to action
 //
@@ -23,10 +23,10 @@
 // # Load shedding
 //
 // Each request has a latency limit (latencyLimit in admission.go): the time
-// left to its latency objective. Under a capacity shortage the limit is lower if
-// other classes have a higher priority weight per second of their objective. The
-// request is shed if the selected endpoint is expected to take longer than the
-// limit (exceedsLimit).
+// left to its latency objective. Under a capacity shortage the limit is lower
+// if other classes have a higher priority weight per second of their objective.
+// The request is shed if the selected endpoint is expected to take longer than
+// the limit (exceedsLimit).
 //
 // A request also ends if no endpoint may be attempted, if its attempts failed
 // and no retry is allowed, or if a response would be too late to be of use.
@@ -47,8 +47,8 @@
 //
 // # Retries
 //
-// attemptDenied in retry.go alone decides whether a retry or a hedged request is
-// allowed. An attempt that is proven not to have been executed may always be
+// attemptDenied in retry.go alone decides whether a retry or a hedged request
+// is allowed. An attempt that is proven not to have been executed may always be
 // repeated. Otherwise the idempotency of the class decides: an idempotent
 // request may be repeated; a request with an idempotency key may be repeated
 // within the dedup window and scope of its class; any other request may not be
@@ -57,21 +57,21 @@
 //
 // # Ejection and readmission
 //
-// A failed attempt or health check ejects an endpoint (outlier.go). The ejection
-// time doubles with each consecutive failure. Failures that may be caused by
-// load do not eject: rejections never do, and time-outs only if the endpoint was
-// unresponsive or fails repeatedly. Failures during an ejection extend it. A hint
-// from other members that they cannot reach an endpoint also ejects the endpoint
-// (HandleUnreachableHint).
+// A failed attempt or health check ejects an endpoint (outlier.go). The
+// ejection time doubles with each consecutive failure. Failures that may be
+// caused by load do not eject: rejections never do, and time-outs only if the
+// endpoint was unresponsive or fails repeatedly. Failures during an ejection
+// extend it. A hint from other members that they cannot reach an endpoint also
+// ejects the endpoint (HandleUnreachableHint).
 //
 // After the ejection time the next request to arrive triggers a health check,
 // and its success readmits the endpoint. Where health checks are not allowed,
-// the endpoint is readmitted after the ejection time alone. Ejections are ignored
-// while more than half of all endpoints are ejected.
+// the endpoint is readmitted after the ejection time alone. Ejections are
+// ignored while more than half of all endpoints are ejected.
 //
 // # Units
 //
 // Time and durations are time.Duration. Latencies in float64 are nanoseconds.
-// Queues are in requests. Costs and budgets are in points, the unit of the costs
-// in Config.
+// Queues are in requests. Costs and budgets are in points, the unit in which
+// the platform charges the costs in Config.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -76,8 +76,8 @@
 }
 
 // endpointPoll decides how long to wait before calls to the list service. All instances of a group lose the service at the same time.
-// Their calls are spread so that they do not keep overloading the service after its recovery. The methods return upper bounds, within
-// which the caller draws a random delay.
+// Their calls are spread so that they do not keep overloading the service after its recovery. The caller randomizes the returned
+// durations.
 type endpointPoll struct {
 	instanceCount  int
 	interval       time.Duration // Config.PollInterval
@@ -140,7 +140,7 @@
 	b.startUnsent(now, act)
 }
 
-// applyEntries updates the endpoints from entries. A restarted endpoint loses its previous state.
+// applyEntries updates the endpoints from entries. A restarted endpoint is treated as a new one.
 func (b *Balancer) applyEntries(kind UpdateKind, entries []Endpoint) {
 	if kind != UpdateDelta {
 		for _, e := range b.endpoints {
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -11,7 +11,7 @@
 	// trafficInfoLifetime is how long the responses to an instance's own requests describe its subset well enough. An instance whose
 	// requests arrive at shorter intervals sends proportionally fewer health checks per request.
 	trafficInfoLifetime = 600 * time.Millisecond
-	// maxRequestInterval is the longest interval between requests that enters the average: one long pause says little about the traffic.
+	// maxRequestInterval caps each interval in the average of request intervals: one long pause says little about the traffic.
 	maxRequestInterval = 4 * trafficInfoLifetime
 	// minHealthCheckShare is the share of the budget that remains under heavy traffic: marks and threshold need some health checks.
 	minHealthCheckShare = 0.3
@@ -48,7 +48,7 @@
 	h.contention += smoothingWeight * (min(queue, 1) - h.contention)
 }
 
-// recordFailure records the failure of an endpoint: the full budget is available from now on.
+// recordFailure records the failure of an endpoint. The full credit is earned until health checks find empty queues again.
 func (h *healthCheckBudget) recordFailure() { h.contention = 1 }
 
 // earn adds the credit of a share of one request: the full credit while endpoints fail or have queues, little while they have no queues
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -11,7 +11,7 @@
 func TestHealthChecksFollowContention(t *testing.T) {
 	cfg := testConfig()
 	cfg.HealthCheckCost = healthCheckBudgetPoints // at most one health check per request
-	b, rec := start(t, cfg, 4)
+	b, rec := newTestBalancer(t, cfg, 4)
 	id := RequestID(0)
 	checks := func(queue float64) (n int) {
 		for range 100 {
@@ -44,7 +44,7 @@
 	checksEach := func(gap time.Duration) float64 {
 		cfg := testConfig()
 		cfg.HealthCheckCost = 0.05
-		b, rec := start(t, cfg, 10)
+		b, rec := newTestBalancer(t, cfg, 10)
 		const requests = 400
 		checks := 0
 		now := time.Hour
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -11,7 +11,7 @@
 	// assumedConcurrency is the number of requests that an endpoint is assumed to process in parallel until latencies show more. Two is
 	// the smallest number with which latency grows slower than the queue.
 	assumedConcurrency = 2
-	// minPredictionDivisor bounds predictions from below to the mean latency divided by it, however steep the regression line is.
+	// minPredictionDivisor sets the lower bound of predictions: the mean latency divided by it, however steep the regression line is.
 	minPredictionDivisor = 4
 	// maxSlownessSample bounds the latency ratio that one response contributes to the slowness of an endpoint.
 	maxSlownessSample = 10
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -10,7 +10,7 @@
 // covers fast and slow endpoints, and may be flat.
 func TestRateBasedLatency(t *testing.T) {
 	const ms = time.Millisecond
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	s := b.readyEndpoints[0]
 	s.hasReport = true
 	startRequest := func(id RequestID, at Time) {
@@ -42,7 +42,7 @@
 // TestSlownessIsSharedByMachineType guards against treating a new endpoint of a slow machine type as average. The slowness of a machine type
 // must apply to its endpoints until they have responses of their own. The test failed when each endpoint only had its own slowness.
 func TestSlownessIsSharedByMachineType(t *testing.T) {
-	b, rec := start(t, testConfig(), 0)
+	b, rec := newTestBalancer(t, testConfig(), 0)
 	var list []Endpoint
 	for i := range 12 {
 		list = append(list, Endpoint{ID: EndpointID(fmt.Sprint("s", i)), MachineType: []string{"quick", "slow"}[i%2]})
@@ -51,7 +51,7 @@
 	now := time.Hour
 	for i := range 300 {
 		now += 50 * time.Millisecond
-		answer(b, rec, now, RequestID(i+1), EndpointID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
+		respond(b, rec, now, RequestID(i+1), EndpointID(fmt.Sprint("s", i%10)), time.Duration(40+120*(i%2))*time.Millisecond)
 	}
 	b.UpdateEndpoints(now, UpdateFull, list, rec) // s10 and s11 are new
 	quick, slow := b.expectedLatency(now, b.endpoints["s10"]), b.expectedLatency(now, b.endpoints["s11"])
@@ -60,7 +60,7 @@
 	}
 	for i := range 30 { // s11 is faster than its machine type
 		now += 50 * time.Millisecond
-		answer(b, rec, now, RequestID(1000+i), "s11", 40*time.Millisecond)
+		respond(b, rec, now, RequestID(1000+i), "s11", 40*time.Millisecond)
 	}
 	if own := b.expectedLatency(now, b.endpoints["s11"]); own > slow*2/3 {
 		t.Errorf("expected latency %v after 30 fast responses of s11, %v before; want at most two thirds", own, slow)
@@ -69,11 +69,11 @@
 
 // TestMachineTypesAreBounded guards against unbounded memory use when the endpoint list has a different machine type for each endpoint.
 func TestMachineTypesAreBounded(t *testing.T) {
-	b, rec := start(t, testConfig(), 0)
+	b, rec := newTestBalancer(t, testConfig(), 0)
 	for i := range 10 * maxMachineTypes {
 		id := EndpointID(fmt.Sprint("s", i))
 		b.UpdateEndpoints(0, UpdateFull, []Endpoint{{ID: id, MachineType: string(id)}}, rec)
-		answer(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
+		respond(b, rec, time.Hour, RequestID(i+1), id, time.Millisecond)
 	}
 	if len(b.machineTypes) > maxMachineTypes {
 		t.Errorf("%d machine types stored, want at most maxMachineTypes", len(b.machineTypes))
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,16 +8,16 @@
 const (
 	// baseEjectionTime is the duration of the first ejection. Each further consecutive failure doubles it.
 	baseEjectionTime = 500 * time.Millisecond
-	// maxEjectionDoublings prevents an overflow of the doubled time. outlierPolicy.maxEjection is reached before.
+	// maxEjectionDoublings prevents an overflow of the doubled time. outlierPolicy.maxEjection is reached earlier.
 	maxEjectionDoublings = 10
 	// minTimeoutFailures is the number of consecutive failures from which a time-out ejects: fewer may be caused by load.
 	minTimeoutFailures = 3
 	// minTimeSinceSuccess is the time without a success from which a time-out ejects.
 	minTimeSinceSuccess = time.Second
-	// unresponsiveFactor is the time without a reply from which an endpoint is unresponsive, as a multiple of the typical latency.
+	// unresponsiveFactor is the time without a reply above which an endpoint is unresponsive, as a multiple of the typical latency.
 	unresponsiveFactor = 3
-	// minPendingUnresponsive is the number of attempts and health checks in flight that an unresponsive endpoint has at least: a single
-	// one may only be slow.
+	// minPendingUnresponsive is the smallest number of attempts and health checks in flight at an unresponsive endpoint: a single one may
+	// only be slow.
 	minPendingUnresponsive = 2
 	// panicDivisor disables ejections while more than one in panicDivisor ready endpoints is ejected. So many failures point to the
 	// network or the load and not to single endpoints.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -10,7 +10,7 @@
 
 // TestFailingEndpointIsEjected guards against an endpoint that fails fast and attracts requests with its short queue.
 func TestFailingEndpointIsEjected(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	s := b.endpoints["s0"]
 	s.marked = true
 	b.recordFailure(0, s, StatusApplicationError, false)
@@ -35,7 +35,7 @@
 // check must find out whether the endpoint has recovered. The test failed when time alone ended ejections: requests of each instance
 // failed at a dead endpoint after each ejection.
 func TestEjectionEndsWithHealthCheck(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	now := time.Hour
 	s := b.readyEndpoints[0]
 	b.recordFailure(now, s, StatusConnectFailed, false)
@@ -89,7 +89,7 @@
 // TestUnresponsiveEndpointIsAvoided guards against sending to a machine that is down without closing its connections. Attempts there end
 // only with their time-out, and the endpoint list reports the failure much later.
 func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.latency.observe(0, float64(10*time.Millisecond))
 	s := b.readyEndpoints[0]
 	s.hasReport = true
@@ -117,7 +117,7 @@
 // TestShortClientTimeoutIsInconclusive guards against treating an endpoint as overloaded, failed or fast because the timeout of a client
 // is shorter than the usual latency.
 func TestShortClientTimeoutIsInconclusive(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
 	b.healthChecks.contention = 0
 	s := b.readyEndpoints[0]
@@ -145,7 +145,7 @@
 // instance succeeds, and counts no failure. Hints for all endpoints eject at most a third of them. A hint for an endpoint that drains or
 // is not on the list has no effect.
 func TestUnreachableHint(t *testing.T) {
-	b, rec := start(t, testConfig(), 9)
+	b, rec := newTestBalancer(t, testConfig(), 9)
 	b.endpoints["s0"].State = Draining
 	for _, id := range []EndpointID{"s0", "nobody", "s3"} {
 		b.HandleUnreachableHint(time.Second, id)
@@ -177,7 +177,7 @@
 	}
 	cfg := testConfig()
 	cfg.HealthChecksAllowed = false // no health check could readmit the endpoint
-	b, _ = start(t, cfg, 9)
+	b, _ = newTestBalancer(t, cfg, 9)
 	if b.HandleUnreachableHint(0, "s3"); b.endpoints["s3"].ejectedUntil != 0 {
 		t.Error("a hint ejected an endpoint although health checks are not allowed")
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -26,7 +26,7 @@
 		{"unknown", StatusTimeout, nil, false},
 	}
 	for _, tt := range tests {
-		b, _ := start(t, testConfig(), 4)
+		b, _ := newTestBalancer(t, testConfig(), 4)
 		c := b.classes[tt.class]
 		if c == nil {
 			c = &classState{Class: Class{Idempotency: NonIdempotent}}
@@ -54,7 +54,7 @@
 	cfg := testConfig()
 	for _, allowed := range []bool{true, false} {
 		cfg.HedgingAllowed = allowed
-		b, _ := start(t, cfg, 2)
+		b, _ := newTestBalancer(t, cfg, 2)
 		s := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
 		r.attempts = []attempt{{endpoint: s, inFlight: true}}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,7 +7,7 @@
 
 const (
 	// slowStartMaxShare limits the traffic of a warming endpoint, as a multiple of the fair share for its capacity. Together the warming
-	// endpoints can take the load that few warm endpoints cannot, and none of them is overloaded.
+	// endpoints can take the load that is too much for a few warm ones, and none of them is overloaded.
 	slowStartMaxShare = 1.4
 	// warmCapacityFraction is the fraction of its full capacity from which an endpoint counts as warm. From then on it is selected like
 	// the others and gets at most 1/0.7 of the load for its capacity. Its load reports reflect the remaining difference.
@@ -22,8 +22,7 @@
 	duration    time.Duration
 }
 
-// capacityFraction returns the capacity that e has at least at now, as a fraction from 0 to 1 of its full capacity. It is 1 for a warm
-// endpoint.
+// capacityFraction returns the minimum capacity of e at now, as a fraction from 0 to 1 of its full capacity. It is 1 for a warm endpoint.
 func (s slowStart) capacityFraction(now Time, e *endpoint) float64 {
 	fraction := s.minCapacity + (1-s.minCapacity)*float64(max(0, now-e.Started))/float64(max(s.duration, 1))
 	if e.Started == 0 || fraction >= warmCapacityFraction {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -21,7 +21,7 @@
 		{"both", true, cfg.SlowStartMinCapacity}, // at most; the other requests are rejected or go to the other endpoint
 	}
 	for _, tc := range tests {
-		b, rec := start(t, cfg, 2)
+		b, rec := newTestBalancer(t, cfg, 2)
 		warming := b.endpoints["s0"]
 		warming.Started = now
 		if tc.allWarming {
@@ -59,7 +59,7 @@
 // the end of slow start, but not at its start. In the failure, the few old endpoints had too little capacity for all requests.
 func TestEndpointIsWarmBeforeFullCapacity(t *testing.T) {
 	cfg := testConfig()
-	b, rec := start(t, cfg, 2)
+	b, rec := newTestBalancer(t, cfg, 2)
 	now := time.Hour
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "new", Started: now}}, rec)
 	for at, want := range map[time.Duration]bool{0: false, cfg.SlowStartDuration / 2: false, cfg.SlowStartDuration * 3 / 5: true, cfg.SlowStartDuration: true} {
@@ -73,20 +73,20 @@
 // warming endpoints must not change the shared model. The test failed when they did: with many warming endpoints, warm endpoints were
 // treated as slow.
 func TestWarmingEndpointsDoNotSkewLatency(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	now := time.Hour
 	id := RequestID(0)
 	for range 50 {
 		now += 50 * time.Millisecond
 		id++
-		answer(b, rec, now, id, "s0", 40*time.Millisecond)
+		respond(b, rec, now, id, "s0", 40*time.Millisecond)
 	}
 	before := b.expectedLatency(now, b.endpoints["s1"])
 	b.UpdateEndpoints(now, UpdateDelta, []Endpoint{{ID: "s9", Started: now}}, rec)
 	for range 50 {
 		now += 50 * time.Millisecond
 		id++
-		answer(b, rec, now, id, "s9", 400*time.Millisecond)
+		respond(b, rec, now, id, "s9", 400*time.Millisecond)
 	}
 	if after := b.expectedLatency(now, b.endpoints["s1"]); after > before*11/10 {
 		t.Errorf("expected latency of a warm endpoint %v after responses of a warming one, %v before; want at most 1.1 times as long", after, before)
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -16,7 +16,7 @@
 	count := map[EndpointID]int{}
 	for i := range cfg.InstanceCount {
 		cfg.InstanceIndex = i
-		b, _ := start(t, cfg, 40)
+		b, _ := newTestBalancer(t, cfg, 40)
 		for _, s := range b.activeSubset(0) {
 			count[s.ID]++
 		}
@@ -31,7 +31,7 @@
 
 // TestListOrderDoesNotChangeTheSubset guards against subsets, and so connections, that change with the order of the endpoint list.
 func TestListOrderDoesNotChangeTheSubset(t *testing.T) {
-	b, rec := start(t, testConfig(), 40)
+	b, rec := newTestBalancer(t, testConfig(), 40)
 	var list []Endpoint
 	for _, s := range b.endpoints {
 		list = append(list, s.Endpoint)
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// start returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell.
-func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
+// newTestBalancer returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell.
+func newTestBalancer(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return b, rec
 }
 
-// answer adds a request with an attempt at an endpoint, which responds after delay.
-func answer(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
+// respond adds a request with an attempt at an endpoint, which responds after delay.
+func respond(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
 	s := b.endpoints[endpointID]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
 	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -86,7 +86,8 @@
 }
 
 // startSamplingRound sends the health checks of a round for r to sampleSize random endpoints of the given ones, and returns the sampled
-// endpoints. With key affinity, the round samples the endpoints that are first in the rendezvous hash order of the key.
+// endpoints. With key affinity, the round samples the endpoints that are first in the rendezvous hash order of the key, because an endpoint
+// does less work for a key that it has served recently.
 func (b *Balancer) startSamplingRound(now Time, r *request, endpoints []*endpoint, act Actions) []*endpoint {
 	sample := slices.Clone(endpoints)
 	b.rng.Shuffle(len(sample), func(i, j int) { sample[i], sample[j] = sample[j], sample[i] })
--- a/policy/threshold_test.go
+++ b/policy/threshold_test.go
@@ -9,7 +9,7 @@
 // TestThresholdMarksAndMarkSpending checks that the threshold is the shortest queue of a round, and that an attempt clears the mark of its
 // endpoint.
 func TestThresholdMarksAndMarkSpending(t *testing.T) {
-	b, rec := start(t, testConfig(), 4)
+	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.HandleRequest(0, Request{ID: 1, Class: "safe", Expires: time.Second}, rec)
 	var checks []string
 	for _, l := range rec.lines {
@@ -49,7 +49,7 @@
 	for _, affinity := range []bool{false, true} {
 		cfg := testConfig()
 		cfg.KeyAffinity = affinity
-		b, rec := start(t, cfg, 12)
+		b, rec := newTestBalancer(t, cfg, 12)
 		checked := map[string]bool{}
 		for id := range RequestID(20) {
 			b.HandleRequest(0, Request{ID: id + 1, Class: "safe", Key: "k", Expires: time.Second}, rec)
