--- a/policy/hedgetrace_test.go
+++ b/policy/hedgetrace_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// hedgePlayer gives a Balancer random events of a fleet where some endpoints answer late, so that many hedged requests win, queues are
-// short, and the list service fails at times. TestActionTrace sees little of these.
-type hedgePlayer struct {
+// hedgeDriver generates random events for a Balancer. Some endpoints respond late, so that many hedged requests win; queues are short; and
+// the list service fails at times. TestActionTrace rarely reaches these cases.
+type hedgeDriver struct {
 	*hasher
 	b    *Balancer
 	rng  *rand.Rand
 	last RequestID
-	won  int // responses to later attempts than the first
+	won  int // responses to attempts after the first
 }
 
-// hedgeTraceConfig switches on what the player is for, and gives classes different priorities.
+// hedgeTraceConfig returns cfg with limits for the delays of polls and with a different priority for each class.
 func hedgeTraceConfig(cfg Config) Config {
 	cfg.PollMaxBackoff, cfg.WatchReopenMaxDelay = 1500*time.Millisecond, 40*time.Millisecond
 	for i := range cfg.Classes {
@@ -29,14 +29,15 @@
 	return cfg
 }
 
-// hedgeTrace plays a few thousand events and returns the hash of all actions and of what was learned.
+// hedgeTrace generates 4000 events. It returns the hash of all actions and of the learned state, and the number of responses to attempts
+// after the first.
 func hedgeTrace(t *testing.T, cfg Config, seed uint64) (hash uint64, won int) {
 	t.Helper()
 	b, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &hedgePlayer{hasher: &hasher{counts: map[RequestID]int{}}, b: b, rng: rand.New(rand.NewPCG(seed, 5))}
+	p := &hedgeDriver{hasher: &hasher{counts: map[RequestID]int{}}, b: b, rng: rand.New(rand.NewPCG(seed, 5))}
 	_, list := randomList(p.rng, 0)
 	for i := range list {
 		list[i].Started, list[i].State = 0, Ready
@@ -45,30 +46,30 @@
 	for range 4000 {
 		p.now += Time(p.rng.Int64N(int64(6 * time.Millisecond)))
 		p.event()
-		p.note("%v", b.Summarize(p.now))
+		p.record("%v", b.Summarize(p.now))
 	}
 	learned, err := json.Marshal(b.ExportLearnedState(p.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.note("%s", learned)
+	p.record("%s", learned)
 	return p.hash, p.won
 }
 
-// event gives the balancer one random event.
-func (p *hedgePlayer) event() {
-	switch dice := p.rng.IntN(1000); {
-	case dice < 250:
+// event passes one random event to the Balancer.
+func (p *hedgeDriver) event() {
+	switch draw := p.rng.IntN(1000); {
+	case draw < 250:
 		p.last++
 		p.b.HandleRequest(p.now, p.request(p.last), p)
-	case dice < 650:
+	case draw < 650:
 		p.endNewestAttempt()
-	case dice < 800:
-		if id, ok := takeAny(p.rng, &p.probes); ok {
+	case draw < 800:
+		if id, ok := takeAny(p.rng, &p.healthChecks); ok {
 			p.b.HandleHealthCheck(p.now, HealthCheckResult{Endpoint: id, Load: &LoadReport{Queue: float64(p.rng.IntN(10) / 9)}}, p)
 		}
-	case dice < 995:
-		playTimers(p.b, p.hasher)
+	case draw < 995:
+		fireDueTimers(p.b, p.hasher)
 	default:
 		kind := []UpdateKind{UpdatePollFailed, UpdateWatchLost, UpdateDelta}[p.rng.IntN(3)]
 		_, list := randomList(p.rng, p.now)
@@ -79,8 +80,8 @@
 	}
 }
 
-// request draws a request; most may be hedged.
-func (p *hedgePlayer) request(id RequestID) Request {
+// request returns a random request. Hedging is allowed for most of them.
+func (p *hedgeDriver) request(id RequestID) Request {
 	r := randomRequest(p.rng, p.now, id)
 	if p.rng.IntN(4) == 0 {
 		return r
@@ -90,12 +91,13 @@
 	return r
 }
 
-// endNewestAttempt ends the newest attempt that can be answered by now: later ones than the first, as a rule, of requests to slow endpoints.
-func (p *hedgePlayer) endNewestAttempt() {
+// endNewestAttempt ends the newest attempt whose response time has passed. For a request at a slow endpoint, this is usually an attempt
+// after the first.
+func (p *hedgeDriver) endNewestAttempt() {
 	slow := []EndpointID{"s1", "s2", "s5"}
 	for i, a := range slices.Backward(p.attempts) {
-		age := p.now - a.sent
-		if age < 8*time.Millisecond || age < 800*time.Millisecond && slices.Contains(slow, a.server) {
+		age := p.now - a.sentAt
+		if age < 8*time.Millisecond || age < 800*time.Millisecond && slices.Contains(slow, a.endpoint) {
 			continue
 		}
 		p.attempts = slices.Delete(p.attempts, i, i+1)
@@ -108,14 +110,14 @@
 		}
 		load := &LoadReport{Queue: float64(p.rng.IntN(10) / 9), InFlight: float64(p.rng.IntN(10) / 8)}
 		p.b.HandleAttemptResult(p.now, AttemptResult{
-			ID: a.id, Attempt: a.attempt, Endpoint: a.server, Status: status, Latency: age, RequestEnded: status == StatusOK, Load: load,
+			ID: a.id, Attempt: a.attempt, Endpoint: a.endpoint, Status: status, Latency: age, RequestEnded: status == StatusOK, Load: load,
 		}, p)
 		return
 	}
 }
 
-// TestHedgeTrace holds, as TestActionTrace does, that the module decides as it did when the golden file was written, here where hedged
-// requests win and the list service fails.
+// TestHedgeTrace guards against unintended changes of decisions, as TestActionTrace does, in cases where hedged requests win and the list
+// service fails.
 func TestHedgeTrace(t *testing.T) {
 	var got strings.Builder
 	for i, cfg := range traceConfigs() {
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -8,38 +8,39 @@
 	"time"
 )
 
-// recorder is an Actions that notes each action as a line of text.
+// recorder is an Actions that records each action as a line of text.
 type recorder struct{ lines []string }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) StartAttempt(id RequestID, s EndpointID, _ time.Duration) {
-	r.note("send %d %s", id, s)
+	r.record("send %d %s", id, s)
 }
 
-func (r *recorder) Reject(id RequestID, _ time.Duration) { r.note("reject %d", id) }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.record("reject %d", id) }
 
-func (r *recorder) Fail(id RequestID) { r.note("fail %d", id) }
+func (r *recorder) Fail(id RequestID) { r.record("fail %d", id) }
 
-func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.note("cancel %d %d", id, attempt) }
+func (r *recorder) CancelAttempt(id RequestID, attempt int) { r.record("cancel %d %d", id, attempt) }
 
-func (r *recorder) SetTimer(d time.Duration, token string) { r.note("timer %v %s", d, token) }
+func (r *recorder) SetTimer(d time.Duration, token string) { r.record("timer %v %s", d, token) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.note("check %s", s) }
+func (r *recorder) CheckHealth(s EndpointID) { r.record("check %s", s) }
 
-func (r *recorder) WatchEndpoints(on bool) { r.note("watch %v", on) }
+func (r *recorder) WatchEndpoints(on bool) { r.record("watch %v", on) }
 
-func (r *recorder) Log(text string) { r.note("log %s", text) }
+func (r *recorder) Log(text string) { r.record("log %s", text) }
 
-// take returns the lines that start with prefix and clears all.
+// take returns the lines that start with prefix and deletes all lines.
 func (r *recorder) take(prefix string) []string {
 	got := slices.DeleteFunc(r.lines, func(l string) bool { return !strings.HasPrefix(l, prefix) })
 	r.lines = nil
 	return got
 }
 
+// testConfig returns the Config of most tests: one instance, all features allowed and a class for each rule of idempotency.
 func testConfig() Config {
 	const s = time.Second
 	return Config{
@@ -56,8 +57,8 @@
 	}
 }
 
-// start returns a balancer that knows n endpoints s0, s1, ... in zones a and b and cells of two.
-func start(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
+// newTestBalancer returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell.
+func newTestBalancer(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
@@ -74,13 +75,13 @@
 	return b, rec
 }
 
-// answer has b send a request to an endpoint that answers it after delay.
-func answer(b *Balancer, rec *recorder, now Time, id RequestID, server EndpointID, delay time.Duration) {
-	s := b.endpoints[server]
+// respond adds a request with an attempt at an endpoint, which responds after delay.
+func respond(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
+	s := b.endpoints[endpointID]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
 	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
 	r.inFlight = 1
 	s.inFlight++
 	b.requests[id] = r
-	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: server, Latency: delay, RequestEnded: true}, rec)
+	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: endpointID, Latency: delay, RequestEnded: true}, rec)
 }
