--- a/internal/zonefailover/controller.go
+++ b/internal/zonefailover/controller.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// relapseWindow is the time after a ramp, beyond the hold-down, within which another shift counts as a relapse: a failure
-	// that appears only under full load appears by then.
+	// relapseWindow extends the hold-down after a completed recovery ramp. A shift within this time counts as a relapse, because a
+	// failure that occurs only under full load occurs by then.
 	relapseWindow = 30 * time.Second
-	// maxHoldDownDoublings keeps the doubled hold-down from overflowing.
+	// maxHoldDownDoublings prevents an overflow of the doubled hold-down.
 	maxHoldDownDoublings = 20
-	// stepsBack is how many steps the recovery ramp goes back when the zone fails again.
+	// stepsBack is the number of steps by which the recovery ramp is reduced when the zone fails again.
 	stepsBack = 2
 )
 
-// Reasons of the states that the controller decides by itself; a shift has its cause as the reason.
+// Reasons of the states in the recovery ramp. The reason of a shift is its Cause.
 const (
 	reasonRecovered    = "it answers again"
 	reasonStepHealthy  = "a step was borne"
@@ -24,33 +24,34 @@
 	reasonWarmUpPassed = "its servers are warm"
 )
 
-// Controller paces the transitions of one pool's zones. Each holder of the lease makes its own, which takes every state for
-// just entered: a change of the holder delays a recovery and never hastens it. It is not safe for concurrent use.
+// Controller decides when the zones of one pool change their state. Each lease holder creates its own controller, which treats
+// every state as entered when it is first seen. A change of the lease holder can therefore delay a recovery, but never
+// accelerates it. A Controller is not safe for concurrent use.
 type Controller struct {
 	rules Rules
 	zones map[string]trackedZone
 }
 
-// trackedZone is a zone's state as the controller last saw it.
+// trackedZone is the state of a zone at the last call of Next.
 type trackedZone struct {
 	state    State
 	revision uint64
-	since    time.Duration // when the state was entered, or first seen
+	since    time.Duration // when the state was entered or first seen
 }
 
-// NewController returns a controller that has seen no zone yet.
+// NewController returns a controller that does not track any zone yet.
 func NewController(r Rules) *Controller {
 	return &Controller{rules: r, zones: map[string]trackedZone{}}
 }
 
-// Transition is a new state of a zone that is to be decided.
+// Transition is the new state of a zone that the caller is to propose to consensus.
 type Transition struct {
 	Zone  string
 	State State
 }
 
-// Next returns the transition that is due, at most one at a time and nil if there is none, and the verdict on each zone. now
-// does not go back from call to call.
+// Next returns the transition that is due, or nil, and the cause for each zone. It returns at most one transition per call. now
+// must not decrease between calls.
 func (c *Controller) Next(now time.Duration, s Snapshot) (next *Transition, causes map[string]Cause) {
 	causes = c.rules.Judge(s)
 	for _, zone := range slices.Sorted(maps.Keys(causes)) {
@@ -66,8 +67,9 @@
 	return next, causes
 }
 
-// track notes a zone's state, and since when it has had it. A change of the revision alone means that another state came and
-// went between two calls, and other processes have acted on it; but the end of the warm-up is no new step.
+// track records the state of a zone and the time at which the zone entered it. If only the revision has changed, the zone had
+// another state between two calls, and other processes have acted on that state: the time starts again. The end of the warm-up
+// also changes the revision, but does not count as a new state.
 func (c *Controller) track(now time.Duration, zone string, state State, revision uint64) {
 	last, known := c.zones[zone]
 	warmedUp := known && last.state.WarmingUp && !state.WarmingUp && last.state.Step == state.Step
@@ -80,7 +82,7 @@
 	c.zones[zone] = trackedZone{state: state, revision: revision, since: since}
 }
 
-// transition returns the state that is to follow a zone's present one, if a change is due.
+// transition returns the next state of a zone and whether the change is due.
 func (c *Controller) transition(now time.Duration, zone string, s Snapshot, cause Cause) (to State, due bool) {
 	state := s.stateOf(zone)
 	elapsed := now - c.zones[zone].since
@@ -100,8 +102,9 @@
 	return State{}, false
 }
 
-// relapsesAfterShift is the number of relapses of a zone, wholly in service, that is shifted away from now. Soon after its last
-// recovery the shift is one more relapse: a zone that fails only under full load would else alternate for good.
+// relapsesAfterShift returns the number of relapses to record when traffic is shifted away from a zone that is fully in service.
+// A shift soon after the last recovery counts as a relapse. Otherwise, a zone that fails only under full load would alternate
+// between shift and recovery forever.
 func (c *Controller) relapsesAfterShift(now time.Duration, zone string) int {
 	tracked := c.zones[zone]
 	relapses := tracked.state.Relapses
@@ -112,7 +115,7 @@
 	return relapses + 1
 }
 
-// holdDown is the least time between a shift and the recovery after some relapses.
+// holdDown returns the minimum time between a shift and the start of the recovery, given the number of relapses.
 func (c *Controller) holdDown(relapses int) time.Duration {
 	return min(c.rules.HoldDown<<min(relapses, maxHoldDownDoublings), c.rules.MaxHoldDown)
 }
--- a/internal/zonefailover/controller_test.go
+++ b/internal/zonefailover/controller_test.go
@@ -11,8 +11,8 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// TestRecovery checks that a zone that was left recovers step by step, each with its health quorum; that a step that fails goes
-// back; and that the next recovery begins later.
+// TestRecovery checks that a zone recovers step by step after a shift, that each step requires the health quorum, that a failed step
+// reduces the ramp, and that the next recovery starts later.
 func TestRecovery(t *testing.T) {
 	rules := DefaultRules()
 	controller := NewController(rules)
@@ -29,24 +29,24 @@
 	if c := next(); c == nil || c.Zone != "b" || c.State.Step != 0 {
 		t.Fatalf("%+v", c)
 	}
-	s.Unreachable, s.ZoneChecks = nil, nil // nothing is sent there any more
+	s.Unreachable, s.ZoneChecks = nil, nil // the zone receives no more requests
 	next()
 	now += time.Minute
 	if c := next(); c != nil {
-		t.Fatalf("no health check, and it recovers: %+v", c)
+		t.Fatalf("zone recovers without a health check: %+v", c)
 	}
 	s.ZoneChecks = []ZoneCheck{{"ma0", "b", true, false}}
 	if c := next(); c != nil {
-		t.Fatalf("one health check: %+v", c)
+		t.Fatalf("zone recovers after one health check, below the quorum: %+v", c)
 	}
 	s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{"mc0", "b", true, false}, ZoneCheck{"mc1", "b", false, true})
 	if c := next(); c != nil {
-		t.Fatalf("one health check fails: %+v", c)
+		t.Fatalf("zone recovers although one health check fails: %+v", c)
 	}
 	s.ZoneChecks[2].AllHealthy = true
 	s.Unreachable = down
 	if c := next(); c != nil {
-		t.Fatalf("earlier reports still stand: %+v", c)
+		t.Fatalf("zone recovers although unreachable reports remain: %+v", c)
 	}
 	s.Unreachable = nil
 	for step := 1; step <= 3; step++ {
@@ -54,11 +54,11 @@
 			t.Fatalf("step %d: %+v", step, c)
 		}
 		if c := next(); c != nil {
-			t.Fatalf("the next step at once: %+v", c)
+			t.Fatalf("next step without delay: %+v", c)
 		}
 		now += rules.StepDuration
 	}
-	s.Unreachable = down // it fails, at a half
+	s.Unreachable = down // the zone fails with half of its endpoints in service
 	if c := next(); c == nil || c.State.Step != 1 || c.State.Relapses != 1 {
 		t.Fatalf("%+v", c)
 	}
@@ -71,17 +71,17 @@
 		now += 100 * time.Millisecond
 	}
 	if now-left < 4*rules.HoldDown {
-		t.Errorf("it recovers %v after its second relapse, and is to be held down for %v", now-left, 4*rules.HoldDown)
+		t.Errorf("zone recovers %v after its second relapse, want at least %v", now-left, 4*rules.HoldDown)
 	}
 	s.States["b"] = State{Step: 0, Manual: true}
 	now += time.Hour
 	if c := next(); c != nil {
-		t.Errorf("an operator has set its state: %+v", c)
+		t.Errorf("controller changes a state that an operator has set: %+v", c)
 	}
 }
 
-// TestMinRemainingCapacity checks for any reports, in any order, that no more is left than the rules say, and never the last
-// zone.
+// TestMinRemainingCapacity checks for random reports in any order that shifts never reduce the capacity below MinRemainingCapacity,
+// so that at least one zone always remains in service.
 func TestMinRemainingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		controller := NewController(DefaultRules())
@@ -100,7 +100,7 @@
 				}
 			}
 			if float64(whole) < DefaultRules().MinRemainingCapacity*float64(len(s.Endpoints)) {
-				t.Fatalf("%d of %d endpoints are in zones wholly in service", whole, len(s.Endpoints))
+				t.Fatalf("%d of %d endpoints are in zones fully in service", whole, len(s.Endpoints))
 			}
 		}
 	})
@@ -125,7 +125,8 @@
 	}
 }
 
-// smallSnapshot is three zones of one endpoint and one member each, of which two find b healthy. b is in a state.
+// smallSnapshot returns three zones of one endpoint and one member each. Zone b is in the given state, and the health checks of the
+// two checkers find it healthy.
 func smallSnapshot(checkers [2]string, state State) Snapshot {
 	return Snapshot{
 		Endpoints:   []Endpoint{{"a1", "a"}, {"b1", "b"}, {"c1", "c"}},
@@ -137,29 +138,29 @@
 	}
 }
 
-// TestStepBetween checks that a step that was decided, and undone by an operator, between two calls begins the hold-down anew.
+// TestStepBetween checks that the hold-down starts again if a step was decided and then undone by an operator between two calls of
+// Next.
 func TestStepBetween(t *testing.T) {
 	rules := DefaultRules()
 	controller := NewController(rules)
 	s := smallSnapshot([2]string{"p", "q"}, State{})
 	if c, _ := controller.Next(0, s); c != nil {
-		t.Fatalf("%+v at once", c)
+		t.Fatalf("%+v without hold-down", c)
 	}
 	if c, _ := controller.Next(rules.HoldDown, s); c == nil || c.State.Step != 1 {
 		t.Fatalf("%+v after the hold-down", c)
 	}
-	s.Revisions = map[string]uint64{"b": 3} // its step was decided as 2, and the operator's state as 3
+	s.Revisions = map[string]uint64{"b": 3} // revision 2 is the decided step, revision 3 the operator's state
 	if c, _ := controller.Next(rules.HoldDown+1, s); c != nil {
-		t.Errorf("%+v at once after an operator's state", c)
+		t.Errorf("%+v without hold-down after an operator's state", c)
 	}
 	if c, _ := controller.Next(2*rules.HoldDown+1, s); c == nil {
-		t.Error("never again")
+		t.Error("zone does not recover after another hold-down")
 	}
 }
 
-// TestWarmUp checks that a zone counts as recovering after its last step until its endpoints have had the time to warm up: a
-// process that starts before that must know. The end of the warm-up is no step: a zone that is left again soon after has not
-// been healthy meanwhile.
+// TestWarmUp checks that a zone counts as recovering after its last step until the warm-up has passed. A process that starts during
+// the warm-up depends on this state. The end of the warm-up does not count as a step: a shift soon afterwards is still a relapse.
 func TestWarmUp(t *testing.T) {
 	rules := DefaultRules()
 	rules.WarmUp = 8 * time.Second
@@ -177,35 +178,35 @@
 	}
 	next(0)
 	if c := next(rules.StepDuration); c == nil || c.State.Step != FullStep || !c.State.WarmingUp || !c.State.Recovering() {
-		t.Fatalf("the last step: %+v", c)
+		t.Fatalf("last step: %+v", c)
 	}
 	next(0)
 	if c := next(rules.WarmUp - 1); c != nil {
-		t.Fatalf("too soon: %+v", c)
+		t.Fatalf("warm-up ends too early: %+v", c)
 	}
 	if c := next(1); c == nil || c.State.Step != FullStep || c.State.WarmingUp || c.State.Recovering() || c.State.Relapses != 1 {
-		t.Fatalf("warm: %+v", c)
+		t.Fatalf("end of the warm-up: %+v", c)
 	}
 	next(0)
 	if c := next(time.Hour); c != nil {
-		t.Fatalf("and once more: %+v", c)
+		t.Fatalf("transition after the end of the warm-up: %+v", c)
 	}
-	now -= time.Hour // as soon after its last step as counts as a relapse, and longer after it was warm than before
+	now -= time.Hour // to the last time after the last step at which a shift counts as a relapse, which is after the end of the warm-up
 	now += rules.HoldDown<<2 + relapseWindow - rules.WarmUp - 1
 	for _, member := range []string{"p", "q", "s"} {
 		s.Unreachable = append(s.Unreachable, UnreachableReport{member, "b1"})
 	}
 	s.ZoneChecks = []ZoneCheck{{"p", "b", false, true}, {"s", "b", false, true}}
 	if c := next(0); c == nil || c.State.Step != 0 || c.State.Relapses != 2 || c.State.WarmingUp {
-		t.Errorf("left again: %+v", c)
+		t.Errorf("second shift: %+v", c)
 	}
-	// If the controller is lost while the endpoints warm up, the warm-up ends later, and never sooner.
+	// If the controller is replaced during the warm-up, the warm-up ends later, never earlier.
 	s.Unreachable, s.ZoneChecks, s.States["b"] = nil, nil, State{Step: FullStep, WarmingUp: true}
 	controller = NewController(rules)
 	if c := next(time.Hour); c != nil {
-		t.Errorf("a new controller takes it for warm at once: %+v", c)
+		t.Errorf("new controller ends the warm-up immediately: %+v", c)
 	}
 	if c := next(rules.WarmUp); c == nil || c.State.WarmingUp {
-		t.Errorf("it is never warm: %+v", c)
+		t.Errorf("new controller does not end the warm-up: %+v", c)
 	}
 }
--- a/internal/zonefailover/form_test.go
+++ b/internal/zonefailover/form_test.go
@@ -7,7 +7,7 @@
 	"sorrelrudder/internal/goldentest"
 )
 
-// TestStateForm pins what is decided of a zone, as the log and the copies hold it, and as JSON.
+// TestStateForm pins the encoding of a zone's state in the consensus log and in its replicas, and as JSON.
 func TestStateForm(t *testing.T) {
 	inText := func(name string, s State) goldentest.Form {
 		return goldentest.Form{Name: name, Written: s.Encode(), Read: func(text string) (any, error) { return Decode(text) }, Value: s}
@@ -31,14 +31,14 @@
 		inText("pinned", pinned), inText("returning", returning), inJSON("full as JSON", full), inJSON("least as JSON", State{}),
 	})
 	if got := (State{}).Encode(); got != "0 false 0 " {
-		t.Errorf("the least state is written %q", got)
+		t.Errorf("zero state is encoded as %q", got)
 	}
-	if old, err := Decode("1 false 2"); err != nil || old != (State{Step: 1, Relapses: 2}) { // without a reason, which is also read
+	if old, err := Decode("1 false 2"); err != nil || old != (State{Step: 1, Relapses: 2}) { // Decode accepts a state without a reason
 		t.Errorf("got %+v, %v", old, err)
 	}
 }
 
-// TestCauseForm pins the causes, which operators' tools are told by these words, and the numbers of the steps.
+// TestCauseForm pins the texts of the causes, which operators' tools receive, and the number of ramp steps.
 func TestCauseForm(t *testing.T) {
 	causes := []struct {
 		name  string
@@ -53,6 +53,6 @@
 	}
 	goldentest.CheckForms(t, "causes.golden", forms)
 	if FullStep != 4 || len(recoveryRamp) != FullStep+1 || warmingUpMark != "c" {
-		t.Errorf("steps %d, parts %v, mark %q", FullStep, recoveryRamp, warmingUpMark)
+		t.Errorf("FullStep is %d, recovery ramp %v, warm-up mark %q", FullStep, recoveryRamp, warmingUpMark)
 	}
 }
--- a/internal/zonefailover/gray.go
+++ b/internal/zonefailover/gray.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// AttemptCounts are the outcomes of a member's attempts at a zone's endpoints since the member started.
+// AttemptCounts counts the attempts that a member has sent to the endpoints of a zone since the member started.
 type AttemptCounts struct {
 	Succeeded    int64
-	Failed       int64         // an error, or no response in time; a rejection is neither success nor failure
-	TotalLatency time.Duration // of those that succeeded
+	Failed       int64         // error or timeout; a rejection counts neither as success nor as failure
+	TotalLatency time.Duration // of the successful attempts
 }
 
-// GrayRules are the parameters by which a member finds that a zone fails in part.
+// GrayRules are the parameters by which a member detects a gray failure (partial failure) of a zone.
 type GrayRules struct {
-	Window            time.Duration // over which attempts are compared
-	MinAttempts       int64         // at a zone within the window, below which the zone is left out
-	FailureThreshold  float64       // fraction of failed attempts from which a zone is gray
-	SlowdownThreshold float64       // multiple of the zone's usual latency from which it is gray
+	Window            time.Duration // period over which attempts are compared
+	MinAttempts       int64         // per zone within the window; a zone with fewer attempts is ignored
+	FailureThreshold  float64       // fraction of failed attempts at which a zone is gray
+	SlowdownThreshold float64       // multiple of the zone's baseline latency at which the zone is gray
 }
 
-// DefaultGrayRules suit members with some requests a second.
+// DefaultGrayRules returns rules for members that send a few requests per second.
 func DefaultGrayRules() GrayRules {
 	return GrayRules{Window: 4 * time.Second, MinAttempts: 12, FailureThreshold: 0.08, SlowdownThreshold: 3}
 }
 
 const (
-	// maxSamples bounds the samples of a window.
+	// maxSamples limits the number of samples kept for the window.
 	maxSamples = 64
-	// baselineWeight is the weight of one observation in a zone's usual latency.
+	// baselineWeight is the weight of one observation in a zone's baseline latency (exponential moving average).
 	baselineWeight = 0.01
-	// failureContrast is how many times as often as at any other zone attempts must fail at a gray one.
+	// failureContrast is the minimum ratio between the failure fraction of a gray zone and the highest of all other zones.
 	failureContrast = 4
-	// slowdownContrast is how many times the slowdown of any other zone a gray one must have.
+	// slowdownContrast is the minimum ratio between the slowdown of a gray zone and the highest of all other zones.
 	slowdownContrast = 2
-	// clearingFactor scales the thresholds for a zone that is already gray, so that it does not flap.
+	// clearingFactor scales the thresholds for a zone that is already gray. The hysteresis prevents flapping.
 	clearingFactor = 0.5
 )
 
-// GrayDetector finds gray failures (Huang et al. 2017) of a pool's zones by the outcomes of one member's own attempts. A
-// distant zone is slow by nature: each is compared with its own usual latency. It is not safe for concurrent use.
+// GrayDetector detects gray failures (Huang et al. 2017) of the zones of a pool from the outcomes of one member's own attempts.
+// The latency of each zone is compared with the zone's own baseline, because a distant zone always has a higher latency. A
+// GrayDetector is not safe for concurrent use.
 type GrayDetector struct {
 	rules    GrayRules
 	samples  []sample                 // oldest first
-	baseline map[string]time.Duration // usual latency, by zone
-	gray     map[string]bool          // by the last observation
+	baseline map[string]time.Duration // moving average of the latency, by zone
+	gray     map[string]bool          // zones found gray by the last observation
 }
 
-// sample holds the counts of all zones at one moment.
+// sample holds the counts of all zones at one time.
 type sample struct {
 	at    time.Duration
 	zones map[string]AttemptCounts
 }
 
-// zoneRates are the outcomes at one zone within the window.
+// zoneRates summarizes the attempts at one zone within the window.
 type zoneRates struct {
 	failed   float64 // fraction of the attempts
-	slowdown float64 // multiple of the usual latency
+	slowdown float64 // multiple of the baseline latency
 }
 
 // NewGrayDetector returns a detector without observations.
@@ -65,7 +66,7 @@
 	return &GrayDetector{rules: r, baseline: map[string]time.Duration{}, gray: map[string]bool{}}
 }
 
-// Observe takes the counts as they stand now, and returns the zones that are gray to this member, in order.
+// Observe records the current counts and returns the names of the zones that are gray from the view of this member, sorted.
 func (g *GrayDetector) Observe(now time.Duration, counts map[string]AttemptCounts) []string {
 	g.addSample(now, counts)
 	rates := g.rates(counts)
@@ -79,7 +80,7 @@
 	return slices.Sorted(maps.Keys(gray))
 }
 
-// addSample drops samples beyond the window, but the newest of them.
+// addSample appends a sample and removes the samples that are older than the window, except the newest of these.
 func (g *GrayDetector) addSample(now time.Duration, counts map[string]AttemptCounts) {
 	g.samples = append(g.samples, sample{now, counts})
 	for len(g.samples) > 2 && (g.samples[1].at <= now-g.rules.Window || len(g.samples) > maxSamples) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// rates are those of the zones with enough attempts within the window.
+// rates returns the rates of the zones that have at least MinAttempts attempts within the window.
 func (g *GrayDetector) rates(counts map[string]AttemptCounts) map[string]zoneRates {
 	oldest := g.samples[0].zones
 	rates := map[string]zoneRates{}
@@ -107,8 +108,8 @@
 	return rates
 }
 
-// slowdown is a zone's mean latency as a multiple of its usual one, which it updates: not by one that is far from usual, or a
-// lasting failure would become the baseline.
+// slowdown returns the mean latency of a zone as a multiple of its baseline, and updates the baseline. A latency at or above
+// SlowdownThreshold does not update the baseline. Otherwise, a persistent failure would become the baseline.
 func (g *GrayDetector) slowdown(zone string, mean time.Duration) float64 {
 	if g.baseline[zone] == 0 {
 		g.baseline[zone] = mean
@@ -120,7 +121,8 @@
 	return slowdown
 }
 
-// isGray compares a zone with its thresholds and with all others: what is common to all is load, or the member itself.
+// isGray compares a zone with the thresholds and with all other zones. A problem that all zones share is caused by load or by the
+// member itself.
 func (g *GrayDetector) isGray(zone string, rates map[string]zoneRates) bool {
 	if len(rates) < 2 {
 		return false
--- a/internal/zonefailover/gray_test.go
+++ b/internal/zonefailover/gray_test.go
@@ -14,14 +14,14 @@
 	latency          time.Duration
 }
 
-// grayPlayer plays loads to a detector, one observation each half second.
+// grayPlayer simulates load for a detector, with one observation every half second.
 type grayPlayer struct {
 	detector *GrayDetector
 	now      time.Duration
 	counts   map[string]AttemptCounts
 }
 
-// play returns what the last of some observations found.
+// play simulates a number of observations and returns the gray zones of the last one.
 func (p *grayPlayer) play(loads map[string]zoneLoad, observations int) (gray []string) {
 	for range observations {
 		p.now += 500 * time.Millisecond
@@ -40,7 +40,7 @@
 	return gray
 }
 
-// TestGrayDetector checks what a gray failure is to a member, and what is not.
+// TestGrayDetector checks which outcomes count as a gray failure. A failure must not become the baseline however long it lasts.
 func TestGrayDetector(t *testing.T) {
 	load := func(attempts, failed, latencyMS int64) zoneLoad {
 		return zoneLoad{attempts, failed, time.Duration(latencyMS) * time.Millisecond}
@@ -52,30 +52,31 @@
 	}{
 		"healthy":                  {usual, usual, nil},
 		"one in eight fails":       {usual, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 1, 20)}, []string{"b"}},
-		"all fail alike":           {usual, map[string]zoneLoad{"a": load(8, 1, 20), "b": load(8, 1, 20)}, nil},
+		"all zones fail equally":   {usual, map[string]zoneLoad{"a": load(8, 1, 20), "b": load(8, 1, 20)}, nil},
 		"ten times slower":         {usual, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, []string{"b"}},
 		"distant":                  {map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(8, 0, 200)}, nil},
-		"all slow because of load": {usual, map[string]zoneLoad{"a": load(8, 0, 120), "b": load(8, 0, 200)}, nil},
+		"all zones slow":           {usual, map[string]zoneLoad{"a": load(8, 0, 120), "b": load(8, 0, 200)}, nil},
 		"too few attempts":         {map[string]zoneLoad{"a": load(8, 0, 20), "b": load(1, 0, 20)}, map[string]zoneLoad{"a": load(8, 0, 20), "b": load(1, 1, 20)}, nil},
 		"no other zone to compare": {map[string]zoneLoad{"b": load(8, 0, 20)}, map[string]zoneLoad{"b": load(8, 4, 20)}, nil},
 	} {
 		player := &grayPlayer{detector: NewGrayDetector(DefaultGrayRules())}
 		if got := player.play(c.before, 20); len(got) > 0 {
-			t.Errorf("%s: %v before anything happens", name, got)
+			t.Errorf("%s: %v are gray before the change", name, got)
 		}
 		if got := player.play(c.after, 9); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: gray zones %v, want %v", name, got, c.want)
 		}
 		if got := player.play(c.after, 200); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v after long, want %v: a failure has become the baseline", name, got, c.want)
+			t.Errorf("%s: gray zones %v after 100 s, want %v: the failure has become the baseline", name, got, c.want)
 		}
 		if got := player.play(c.before, 20); len(got) > 0 {
-			t.Errorf("%s: still %v once all is as before", name, got)
+			t.Errorf("%s: %v are still gray after the load has returned to its former values", name, got)
 		}
 	}
 }
 
-// TestGrayDetectorBounds checks for any counts that no zone is gray without enough attempts, and that no more is kept than the window.
+// TestGrayDetectorBounds checks for random counts that no zone is gray without MinAttempts attempts, and that the detector keeps at
+// most maxSamples samples.
 func TestGrayDetectorBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		detector := NewGrayDetector(DefaultGrayRules())
@@ -95,11 +96,11 @@
 			for _, zone := range detector.Observe(now, counts) {
 				count, oldest := counts[zone], detector.samples[0].zones[zone]
 				if attempts := count.Succeeded + count.Failed - oldest.Succeeded - oldest.Failed; attempts < detector.rules.MinAttempts {
-					t.Fatalf("%s is gray by %d attempts", zone, attempts)
+					t.Fatalf("zone %s is gray after only %d attempts", zone, attempts)
 				}
 			}
 			if len(detector.samples) > maxSamples {
-				t.Fatalf("%d samples are kept", len(detector.samples))
+				t.Fatalf("%d samples are kept, more than maxSamples", len(detector.samples))
 			}
 		}
 	})
--- a/internal/zonefailover/ramp.go
+++ b/internal/zonefailover/ramp.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// FullStep is the step of the recovery ramp at which a zone is wholly in service.
+// FullStep is the step of the recovery ramp at which a zone is fully in service.
 const FullStep = 4
 
-// recoveryRamp is the fraction of a zone's endpoints in service at each step.
+// recoveryRamp is the fraction of a zone's endpoints that is in service, by step.
 var recoveryRamp = []float64{0, 0.1, 0.25, 0.5, 1}
 
-// rampFraction is the fraction of a zone's endpoints in service at a step, 0 to 1.
+// rampFraction returns the fraction of a zone's endpoints that is in service at a step, from 0 to 1.
 func rampFraction(step int) float64 { return recoveryRamp[min(max(step, 0), FullStep)] }
 
-// inService reports whether the endpoint of a rank, from 0, among a zone's is in service at a step. A step includes the
-// endpoints of the one before, and all steps but 0 have one at least.
+// inService reports whether the endpoint with the given rank, counted from 0, is in service at a step. Each step includes the
+// endpoints of the previous step. Each step above 0 has at least one endpoint in service.
 func inService(rank, zoneSize, step int) bool {
 	if step >= FullStep || step > 0 && rank == 0 {
 		return true
@@ -23,8 +23,8 @@
 	return float64(rank) < rampFraction(step)*float64(zoneSize)
 }
 
-// ExcludedEndpoints returns the names of the endpoints that are out of service by the states of their zones. It depends on
-// its arguments alone, so all processes exclude the same ones.
+// ExcludedEndpoints returns the names of the endpoints that the states of their zones take out of service. The result depends
+// only on the arguments, so that all processes exclude the same endpoints.
 func ExcludedEndpoints(endpoints []Endpoint, states map[string]State) map[string]bool {
 	excluded := map[string]bool{}
 	for zone, state := range states {
@@ -41,7 +41,7 @@
 	return excluded
 }
 
-// rankedNames are the names of a zone's endpoints in the order in which they return to service.
+// rankedNames returns the names of a zone's endpoints in the order in which they return to service.
 func rankedNames(endpoints []Endpoint, zone string) []string {
 	var names []string
 	for _, endpoint := range endpoints {
@@ -55,7 +55,7 @@
 	return names
 }
 
-// fnv1a is the 64-bit FNV-1a hash.
+// fnv1a returns the 64-bit FNV-1a hash of s.
 func fnv1a(s string) uint64 {
 	const (
 		offsetBasis = 14695981039346656037
--- a/internal/zonefailover/ramp_test.go
+++ b/internal/zonefailover/ramp_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestExcludedEndpoints checks for any size of a zone that each step has the endpoints of the one before, the first has one at
-// least and the last all, and that the fraction is never above the step's by more than one endpoint.
+// TestExcludedEndpoints checks for random zone sizes that each step keeps the endpoints of the previous step in service, that the
+// first step has at least one endpoint and the last step all, and that a step exceeds its fraction by at most one endpoint.
 func TestExcludedEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "endpoints")
@@ -24,11 +24,11 @@
 		for step := 0; step <= FullStep; step++ {
 			excluded := ExcludedEndpoints(endpoints, map[string]State{"z": {Step: step}})
 			if excluded["other"] {
-				t.Fatal("an endpoint of another zone is excluded")
+				t.Fatal("endpoint of another zone is excluded")
 			}
 			for name := range excluded {
 				if !before[name] {
-					t.Fatalf("step %d excludes %s, and the one before does not", step, name)
+					t.Fatalf("step %d excludes %s, which the previous step did not exclude", step, name)
 				}
 			}
 			used := size - len(excluded)
@@ -36,7 +36,7 @@
 			case step == 0 && used != 0, step > 0 && used == 0, step == FullStep && used != size:
 				t.Fatalf("step %d of %d endpoints: %d in service", step, size, used)
 			case float64(used) > rampFraction(step)*float64(size)+1:
-				t.Fatalf("step %d of %d endpoints: %d in service, above its fraction", step, size, used)
+				t.Fatalf("step %d of %d endpoints: %d in service, above the fraction of the step", step, size, used)
 			}
 			before = excluded
 		}
--- a/internal/zonefailover/reports.go
+++ b/internal/zonefailover/reports.go
@@ -1,14 +1,15 @@
 package zonefailover
 
-// endpointIndex holds the endpoints on which a verdict rests: those that receive traffic, and all of a zone that was left.
+// endpointIndex holds the endpoints that are assessed: the endpoints that receive traffic, and all endpoints of a zone from which
+// all traffic was shifted away.
 type endpointIndex struct {
-	byZone setsByKey         // has a key for each zone of the endpoint list
-	zoneOf map[string]string // zone of an endpoint
-	total  int               // endpoints of the list, those out of service included
+	byZone setsByKey         // names of the endpoints; has a key for each zone of the endpoint list
+	zoneOf map[string]string // zone by name of the endpoint
+	total  int               // endpoints of the list, including the endpoints out of service
 }
 
-// indexEndpoints leaves out the endpoints of a recovering zone that are out of service: nothing is sent to them, so nobody
-// reports them.
+// indexEndpoints builds the index. It omits the endpoints of a recovering zone that are out of service: they receive no requests,
+// so no member can report them.
 func indexEndpoints(s Snapshot) endpointIndex {
 	index := endpointIndex{byZone: setsByKey{}, zoneOf: map[string]string{}, total: len(s.Endpoints)}
 	excluded := ExcludedEndpoints(s.Endpoints, s.States)
@@ -25,7 +26,8 @@
 	return index
 }
 
-// reportsByMember groups the endpoints that are reported unreachable by the alive member that reports them.
+// reportsByMember returns the endpoints that are reported unreachable, by reporting member. It ignores members that are not alive
+// and endpoints that are not in the index.
 func reportsByMember(s Snapshot, index endpointIndex) setsByKey {
 	reports := setsByKey{}
 	for _, report := range s.Unreachable {
@@ -36,8 +38,9 @@
 	return reports
 }
 
-// isolatedMembers are the members that report most of all endpoints, and some of each zone, where there are several: their
-// reports are about their own connection. If most alive members look isolated, the endpoints are at fault, and no member counts as isolated.
+// isolatedMembers returns the members that report at least UnreachableThreshold of all endpoints, and some of each zone. The cause
+// of their reports is their own connection. The result is empty if there are fewer than two zones. It is also empty if most alive members
+// look isolated, because the endpoints are then the cause.
 func (r Rules) isolatedMembers(s Snapshot, index endpointIndex, reports setsByKey) stringSet {
 	isolated := stringSet{}
 	if len(index.byZone) < 2 {
@@ -58,13 +61,13 @@
 	return isolated
 }
 
-// unreachableZones are the endpoints that members who are not isolated report, by zone, and who reports them.
+// unreachableZones holds the endpoints that are reported by members that are not isolated, and the zones of these members.
 type unreachableZones struct {
-	endpoints     setsByKey // unreachable endpoints, by their zone
-	reporterZones setsByKey // zones of the members that report them, by the endpoints' zone
+	endpoints     setsByKey // names of unreachable endpoints, by zone of the endpoint
+	reporterZones setsByKey // zones of the reporting members, by zone of the endpoint
 }
 
-// unreachableByZone groups the reports of members that are not isolated by the zone of the reported endpoints.
+// unreachableByZone groups the reports of members that are not isolated by the zone of the reported endpoint.
 func unreachableByZone(s Snapshot, index endpointIndex, reports setsByKey, isolated stringSet) unreachableZones {
 	unreachable := unreachableZones{endpoints: setsByKey{}, reporterZones: setsByKey{}}
 	for member, endpoints := range reports {
@@ -80,17 +83,18 @@
 	return unreachable
 }
 
-// grayReportFraction is the fraction of a zone's eligible reporters that must report a gray failure.
+// grayReportFraction is the minimum fraction of a zone's eligible reporters that must report a gray failure.
 const grayReportFraction = 0.25
 
-// grayZones are the zones that fail in part by the reports of enough eligible members: two at least, from two zones where
-// members are in several, and grayReportFraction of all.
+// grayZones returns the zones with a gray failure. A zone is gray if it is reported by at least two eligible members from at least
+// two zones, and by at least grayReportFraction of all eligible members. Fewer than two eligible members, or eligible members
+// from a single zone, lower the respective minimum to one.
 func (r Rules) grayZones(s Snapshot) stringSet {
 	gray := stringSet{}
 	if !r.GrayFailures {
 		return gray
 	}
-	reporters := setsByKey{} // by the zone that they report
+	reporters := setsByKey{} // names of members, by the zone that they report
 	for _, report := range s.GrayFailures {
 		if s.isAlive(report.Member) {
 			reporters.add(report.Zone, report.Member)
--- a/internal/zonefailover/rules.go
+++ b/internal/zonefailover/rules.go
@@ -1,13 +1,17 @@
-// Package zonefailover decides when a fleet shifts its traffic away from a zone whose endpoints fail, and at what pace it
-// returns. One process decides for all, the holder of a lease; its decisions go through consensus, and all processes act on
-// them. The package has no I/O and no clock: what members report about endpoints goes in, with the time of the caller's own
-// monotonic clock, and a transition of one zone comes out.
+// Package zonefailover decides when a fleet shifts its traffic away from a failing zone and how fast the traffic returns. The
+// holder of a lease decides for all processes. Its decisions go through consensus, and all processes apply them. The package has
+// no I/O and no clock: the caller passes in the members' reports on endpoints and the time of its own monotonic clock, and
+// receives the transition of one zone.
 //
-// A failing zone and a failing observer are distinguished in steps (see Rules.Judge). A member that reaches hardly any endpoint of any
-// zone is isolated, and its reports are about itself. A zone is down if most of its endpoints are unreachable to members of
-// more than one zone while most endpoints of the others are reachable. If only members of one zone report it, the path between
-// the two zones is broken. If endpoints of all zones are unreachable alike, the cause is a release or overload, and a shift
-// would make it worse. A shift also needs a health quorum: enough members that found the zone down by health checks.
+// Rules.Judge distinguishes a failing zone from a failing observer:
+//
+//   - A member that reaches hardly any endpoint of any zone is isolated. Its reports are ignored.
+//   - A zone is down if most of its endpoints are unreachable from more than one zone while most endpoints of the other zones are
+//     reachable.
+//   - If only members of one zone report the zone, the network path between the two zones is broken.
+//   - If endpoints of all zones are unreachable, the cause is a release or overload. A shift would make the failure worse.
+//
+// A shift also requires a health quorum: enough members whose health checks found the zone down.
 package zonefailover
 
 import (
@@ -15,29 +19,29 @@
 	"time"
 )
 
-// Rules are the parameters by which a zone is left and returned to.
+// Rules are the parameters for shifting traffic away from a zone and for the recovery.
 type Rules struct {
-	// UnreachableThreshold is the fraction of a zone's endpoints, above 0, from which the zone counts as down.
+	// UnreachableThreshold is the fraction of unreachable endpoints at which a zone counts as down, above 0 and at most 1.
 	UnreachableThreshold float64
-	// MaxUnreachableElsewhere is the fraction of the other zones' endpoints that may be unreachable during a shift.
+	// MaxUnreachableElsewhere is the maximum fraction of unreachable endpoints in the other zones at which a shift is allowed.
 	MaxUnreachableElsewhere float64
-	// MinRemainingCapacity is the fraction of all endpoints that must be in zones wholly in service after a shift.
+	// MinRemainingCapacity is the minimum fraction of all endpoints that must be in zones fully in service after a shift.
 	MinRemainingCapacity float64
-	// StepDuration is how long a step of the recovery ramp is observed before the next.
+	// StepDuration is the minimum duration of each step of the recovery ramp.
 	StepDuration time.Duration
-	// HoldDown is the least time between a shift and the recovery; it doubles with each relapse, up to MaxHoldDown.
+	// HoldDown is the minimum time between a shift and the start of the recovery. It doubles with each relapse, up to MaxHoldDown.
 	HoldDown, MaxHoldDown time.Duration
-	// GrayFailures allows a shift away from a zone that fails in part.
+	// GrayFailures allows a shift away from a zone with a gray failure (partial failure).
 	GrayFailures bool
-	// HealthQuorum is how many members must find the zone unreachable by health checks before a shift, and healthy before the
-	// recovery begins.
+	// HealthQuorum is the number of members whose health checks must find the zone unreachable before a shift, and healthy before
+	// each step of the recovery.
 	HealthQuorum int
-	// WarmUp is how long a zone counts as recovering after the last step of its ramp, since its endpoints may still be warming
-	// up; 0: not at all.
+	// WarmUp is how long a zone counts as recovering after the last step of its ramp, because its endpoints may still be warming
+	// up. 0 disables the warm-up.
 	WarmUp time.Duration
 }
 
-// DefaultRules suit zones of several endpoints each.
+// DefaultRules returns rules for zones of several endpoints each.
 func DefaultRules() Rules {
 	return Rules{
 		UnreachableThreshold:    0.6,
@@ -50,22 +54,22 @@
 	}
 }
 
-// Validate returns an error that names the first parameter out of its range.
+// Validate returns an error for the first parameter that is out of range.
 func (r Rules) Validate() error {
 	switch {
 	case !(r.UnreachableThreshold > 0 && r.UnreachableThreshold <= 1):
-		return fmt.Errorf("a zone counts as down from %g of its servers on, which is not above 0 and at most 1", r.UnreachableThreshold)
+		return fmt.Errorf("zone failover: threshold of unreachable endpoints is %g, want above 0 and at most 1", r.UnreachableThreshold)
 	case !(r.MaxUnreachableElsewhere >= 0 && r.MaxUnreachableElsewhere < r.UnreachableThreshold):
-		return fmt.Errorf("%g of the other zones' servers may be silent, which is not below the %g from which a zone is down",
+		return fmt.Errorf("zone failover: maximum fraction of unreachable endpoints in other zones is %g, want at least 0 and below the threshold %g",
 			r.MaxUnreachableElsewhere, r.UnreachableThreshold)
 	case !(r.MinRemainingCapacity >= 0 && r.MinRemainingCapacity < 1):
-		return fmt.Errorf("%g of all servers must stay in use, which is not below 1", r.MinRemainingCapacity)
+		return fmt.Errorf("zone failover: minimum remaining capacity is %g of all endpoints, want at least 0 and below 1", r.MinRemainingCapacity)
 	case r.StepDuration <= 0 || r.HoldDown <= 0 || r.MaxHoldDown < r.HoldDown:
-		return fmt.Errorf("a step of %v, a hold of %v and of %v at most: all above 0, and the last the longest", r.StepDuration, r.HoldDown, r.MaxHoldDown)
+		return fmt.Errorf("zone failover: step duration is %v, hold-down %v, maximum hold-down %v; want all above 0 and the maximum not below the hold-down", r.StepDuration, r.HoldDown, r.MaxHoldDown)
 	case r.HealthQuorum < 1:
-		return fmt.Errorf("%d members have to look, below 1", r.HealthQuorum)
+		return fmt.Errorf("zone failover: health quorum is %d members, want at least 1", r.HealthQuorum)
 	case r.WarmUp < 0:
-		return fmt.Errorf("servers are cold for %v, below 0", r.WarmUp)
+		return fmt.Errorf("zone failover: warm-up is %v, want at least 0", r.WarmUp)
 	}
 	return nil
 }
--- a/internal/zonefailover/snapshot.go
+++ b/internal/zonefailover/snapshot.go
@@ -2,36 +2,36 @@
 
 import "maps"
 
-// Endpoint is a server that a pool's endpoint list names ready.
+// Endpoint is a ready endpoint of a pool's endpoint list.
 type Endpoint struct{ Name, Zone string }
 
-// UnreachableReport says that an endpoint does not respond to a member.
+// UnreachableReport is a member's report that an endpoint does not respond to it.
 type UnreachableReport struct{ Member, Endpoint string }
 
-// ZoneCheck is the result of a member's health checks of some endpoints of a zone. A zone is checked while it is not wholly
-// in service, and while unreachable reports alone would shift traffic away from it.
+// ZoneCheck is the result of a member's health checks on some endpoints of a zone. A zone is checked while it is not fully in
+// service, and while unreachable reports alone would shift traffic away from it.
 type ZoneCheck struct {
 	Member, Zone string
-	AllHealthy   bool // each endpoint that was checked responded
-	NoneHealthy  bool // none did
+	AllHealthy   bool // all checked endpoints responded
+	NoneHealthy  bool // no checked endpoint responded
 }
 
-// GrayFailureReport says that a zone fails in part, by what became of a member's own requests.
+// GrayFailureReport is a member's report of a gray failure of a zone, based on the outcomes of its own requests.
 type GrayFailureReport struct{ Member, Zone string }
 
-// Snapshot is what one process knows of a pool's zones at one moment.
+// Snapshot is one process's view of the zones of a pool at one time.
 type Snapshot struct {
 	Endpoints    []Endpoint
-	MemberZones  map[string]string // the zone of each member that is alive, by the member's name
-	FleetSize    int               // members that are configured, alive or not
+	MemberZones  map[string]string // zone of each alive member, by member name
+	FleetSize    int               // number of configured members, alive or not
 	Unreachable  []UnreachableReport
 	ZoneChecks   []ZoneCheck
 	GrayFailures []GrayFailureReport
-	States       map[string]State  // by zone; a zone without one is wholly in service
-	Revisions    map[string]uint64 // of the States, by zone; grows with each decision
+	States       map[string]State  // by zone; a zone without a state is fully in service
+	Revisions    map[string]uint64 // revision of each state, by zone; increases with each decision
 }
 
-// stateOf is the decided state of a zone.
+// stateOf returns the decided state of a zone. A zone without a decision is fully in service.
 func (s Snapshot) stateOf(zone string) State {
 	if state, decided := s.States[zone]; decided {
 		return state
@@ -45,8 +45,8 @@
 	return alive
 }
 
-// eligibleReporters are the alive members whose own findings on a zone count, with their zones: those outside it, or all if
-// there is none outside.
+// eligibleReporters returns the alive members whose health checks and gray failure reports on a zone count, with their zones.
+// These are the members outside the zone, or all members if none is outside.
 func (s Snapshot) eligibleReporters(zone string) map[string]string {
 	outside := maps.Clone(s.MemberZones)
 	maps.DeleteFunc(outside, func(_, memberZone string) bool { return memberZone == zone })
@@ -59,7 +59,7 @@
 // hasMemberQuorum reports whether more than half of the fleet is alive.
 func (s Snapshot) hasMemberQuorum() bool { return 2*len(s.MemberZones) > s.FleetSize }
 
-// memberZoneCount is in how many zones there are alive members.
+// memberZoneCount returns the number of zones with alive members.
 func (s Snapshot) memberZoneCount() int {
 	zones := stringSet{}
 	for _, zone := range s.MemberZones {
@@ -78,7 +78,7 @@
 	return ok
 }
 
-// setsByKey groups names under keys.
+// setsByKey holds a set of names for each key.
 type setsByKey map[string]stringSet
 
 func (s setsByKey) add(key, name string) {
--- a/internal/zonefailover/state.go
+++ b/internal/zonefailover/state.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// ErrInvalidState is returned by Decode for text that is no encoded State.
+// ErrInvalidState is returned by Decode for text that is not an encoded State.
 var ErrInvalidState = errors.New("zonefailover: not a state of a zone")
 
 // State is the decided state of one zone.
 type State struct {
-	Step      int    `json:"step"`             // of the recovery ramp: 0 after a shift, FullStep wholly in service
-	Manual    bool   `json:"pinned,omitempty"` // set by an operator: the controller leaves the zone alone
-	Relapses  int    `json:"falls,omitempty"`  // shifts and steps back in a row, without a healthy spell between
-	WarmingUp bool   `json:"cold,omitempty"`   // at FullStep, and its endpoints may still be warming up
-	Reason    string `json:"Why"`              // why the state was decided, for operators
+	Step      int    `json:"step"`             // step of the recovery ramp: 0 after a shift, FullStep if fully in service
+	Manual    bool   `json:"pinned,omitempty"` // set by an operator; the controller does not change the zone
+	Relapses  int    `json:"falls,omitempty"`  // consecutive shifts and steps back without a healthy period between them
+	WarmingUp bool   `json:"cold,omitempty"`   // at FullStep, while the endpoints may still be warming up
+	Reason    string `json:"Why"`              // reason for the decision, shown to operators
 }
 
-// Recovering reports whether endpoints in service may be warming up although no endpoint list says so: the zone received
-// little or no traffic until recently.
+// Recovering reports whether endpoints in service may be warming up although the endpoint list does not mark them so. The zone has
+// received little or no traffic until recently.
 func (s State) Recovering() bool { return s.Step < FullStep || s.WarmingUp }
 
-// warmingUpMark follows the step of an encoded state that is WarmingUp. A version that does not know the mark ignores the whole
-// state.
+// warmingUpMark follows the step in an encoded state that is WarmingUp. A program version that does not know the mark ignores the
+// whole state.
 const warmingUpMark = "c"
 
-// Encode returns the state in the form of the consensus log.
+// Encode returns the state in the format of the consensus log.
 func (s State) Encode() string {
 	mark := ""
 	if s.WarmingUp {
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%d%s %t %d %s", s.Step, mark, s.Manual, s.Relapses, s.Reason)
 }
 
-// Decode parses what Encode returned. The reason may be missing. It returns ErrInvalidState for anything else.
+// Decode parses the output of Encode. The reason may be missing. For any other text it returns an error that wraps ErrInvalidState.
 func Decode(text string) (State, error) {
 	fields := strings.SplitN(text, " ", 4)
 	if len(fields) < 3 {
--- a/internal/zonefailover/state_test.go
+++ b/internal/zonefailover/state_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestStateText checks that Decode reverses Encode for random states and rejects malformed text.
 func TestStateText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{
--- a/internal/zonefailover/verdict.go
+++ b/internal/zonefailover/verdict.go
@@ -1,9 +1,9 @@
 package zonefailover
 
-// Cause is the verdict on a zone: why traffic is, or is not, to be shifted away from it. Its text is shown to operators.
+// Cause is the verdict on a zone: the reason why traffic is or is not shifted away from the zone. The text is shown to operators.
 type Cause string
 
-// The causes, of which CauseDown and CauseGrayFailure call for a shift.
+// The causes. CauseDown and CauseGrayFailure require a shift.
 const (
 	CauseHealthy              Cause = "its servers answer"
 	CauseMinorityPartition    Cause = "most members are not there to this one: it may be cut off itself"
@@ -16,18 +16,22 @@
 	CauseDown                 Cause = "its servers are silent to members of several zones"
 )
 
-// RequiresShift reports whether traffic is to be shifted away from the zone.
+// RequiresShift reports whether traffic has to be shifted away from the zone.
 func (c Cause) RequiresShift() bool { return c == CauseDown || c == CauseGrayFailure }
 
-// Suspected reports whether unreachable reports alone would shift traffic away from a zone that is wholly in service, so that
-// members are to check its health.
+// Suspected reports whether the unreachable reports alone would require a shift away from a zone that is fully in service.
+// Members check the health of a suspected zone.
 func (c Cause) Suspected() bool {
 	return c == CauseAwaitingHealthQuorum || c == CausePartiallyReachable || c == CauseDown
 }
 
-// Judge returns the verdict on each zone of the endpoint list. A verdict that requires a shift needs, all at once: most of the
-// fleet alive, most of the zone's endpoints unreachable to members of two zones, other zones that are reachable and large
-// enough, and the health quorum of members outside the zone.
+// Judge returns the verdict on each zone of the endpoint list. CauseDown requires all of the following:
+//   - more than half of the fleet is alive
+//   - most of the zone's endpoints are unreachable from at least two zones, if there are alive members in several
+//   - the other zones are reachable and have enough capacity
+//   - for a zone that is fully in service, the health quorum of members outside the zone
+//
+// CauseGrayFailure requires reports by enough members (see grayZones) in place of the unreachable endpoints and the health quorum.
 func (r Rules) Judge(s Snapshot) map[string]Cause {
 	index := indexEndpoints(s)
 	reports := reportsByMember(s, index)
@@ -46,7 +50,7 @@
 	return causes
 }
 
-// assessment is what the verdicts on the zones of one snapshot rest on.
+// assessment holds the input for the verdicts on the zones of one snapshot.
 type assessment struct {
 	rules       Rules
 	snapshot    Snapshot
@@ -55,7 +59,7 @@
 	gray        stringSet
 }
 
-// verdict is the verdict on one zone.
+// verdict returns the verdict on one zone.
 func (a *assessment) verdict(zone string) Cause {
 	down, gray := a.isDown(zone), a.gray.contains(zone)
 	if len(a.index.byZone[zone]) == 0 || !down && !gray {
@@ -87,15 +91,16 @@
 	return float64(unreachable) >= a.rules.UnreachableThreshold*float64(total)
 }
 
-// reportedFromOneZone reports whether all who report a zone's endpoints are in one zone although there are members in several.
+// reportedFromOneZone reports whether all members that report a zone's endpoints are in the same zone although several zones have
+// alive members.
 func (a *assessment) reportedFromOneZone(zone string) bool {
 	return len(a.unreachable.reporterZones[zone]) < 2 && a.snapshot.memberZoneCount() > 1
 }
 
-// capacity counts endpoints.
+// capacity is a number of endpoints in service, and how many of them are unreachable.
 type capacity struct{ inService, unreachable int }
 
-// elsewhere is the capacity of the zones that remain after a shift: those wholly in service, except one.
+// elsewhere returns the capacity that remains after a shift away from a zone: that of all other zones fully in service.
 func (a *assessment) elsewhere(zone string) capacity {
 	var rest capacity
 	for other, endpoints := range a.index.byZone {
@@ -108,9 +113,9 @@
 	return rest
 }
 
-// healthQuorumCause is the verdict on a zone that is down by unreachable reports, once health checks are taken into account.
-// One report stems from one request without a response, so that with some packet loss each endpoint is reported sooner or
-// later.
+// healthQuorumCause returns the verdict that the health checks give on a zone that is down according to unreachable reports.
+// Reports alone are not sufficient: one request without a response produces a report, so that under packet loss each endpoint is
+// eventually reported.
 func (r Rules) healthQuorumCause(s Snapshot, zone string) Cause {
 	eligible := s.eligibleReporters(zone)
 	failed, passed := 0, 0
@@ -133,8 +138,8 @@
 	return CauseDown
 }
 
-// hasRecoveryQuorum reports whether enough members find a zone healthy by health checks, and none finds an endpoint that is
-// not.
+// hasRecoveryQuorum reports whether the health checks of enough members found a zone healthy and no member found an unhealthy
+// endpoint.
 func (r Rules) hasRecoveryQuorum(s Snapshot, zone string) bool {
 	healthy := 0
 	for _, check := range s.ZoneChecks {
--- a/internal/zonefailover/verdict_test.go
+++ b/internal/zonefailover/verdict_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// reachability says whether an endpoint, by its zone and number, is unreachable to a member, by its zone and number.
+// reachability reports whether an endpoint is unreachable to a member. Both are given by their zone and their number in the zone.
 type reachability func(memberZone string, member int, endpointZone string, endpoint int) (unreachable bool)
 
 func allReachable(string, int, string, int) bool { return false }
 
-// zoneBDown is unreachable to everybody.
+// zoneBDown makes zone b unreachable to all members.
 func zoneBDown(_ string, _ int, endpointZone string, _ int) bool { return endpointZone == "b" }
 
 const (
@@ -24,8 +24,8 @@
 
 func endpointName(zone string, i int) string { return fmt.Sprint(zone, i) }
 
-// newSnapshot returns three zones of four endpoints and four members each. Members report what is unreachable to them, and two
-// of each zone check the health of the others.
+// newSnapshot returns three zones of four endpoints and four members each. Each member reports the endpoints that it cannot reach.
+// Two members of each zone check the health of the other zones.
 func newSnapshot(unreachable reachability) Snapshot {
 	s := Snapshot{MemberZones: map[string]string{}, FleetSize: membersPerZone * len(testZones), States: map[string]State{}}
 	for _, zone := range testZones {
@@ -57,7 +57,7 @@
 	}
 }
 
-// addZoneCheck checks three endpoints of a zone.
+// addZoneCheck adds the result of a member's health checks on three endpoints of a zone.
 func (s *Snapshot) addZoneCheck(unreachable reachability, memberZone string, member int, zone string) {
 	healthy := 0
 	for i := range 3 {
@@ -68,24 +68,24 @@
 	s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{memberName(memberZone, member), zone, healthy == 3, healthy == 0})
 }
 
-// judgeCases are verdicts on zone b.
+// judgeCases are the expected verdicts on zone b.
 var judgeCases = map[string]struct {
 	unreachable reachability
 	change      func(*Snapshot)
 	want        Cause
 }{
-	"all is well":      {allReachable, nil, CauseHealthy},
-	"the zone is down": {zoneBDown, nil, CauseDown},
+	"all endpoints reachable": {allReachable, nil, CauseHealthy},
+	"the zone is down":        {zoneBDown, nil, CauseDown},
 	"down to members outside it": {func(m string, _ int, z string, _ int) bool {
 		return z == "b" && m != "b"
 	}, nil, CauseDown},
-	"three of four endpoints": {func(_ string, _ int, z string, i int) bool {
+	"three of four endpoints down": {func(_ string, _ int, z string, i int) bool {
 		return z == "b" && i < 3
 	}, nil, CauseDown},
-	"half of its endpoints": {func(_ string, _ int, z string, i int) bool {
+	"half of its endpoints down": {func(_ string, _ int, z string, i int) bool {
 		return z == "b" && i < 2
 	}, nil, CauseHealthy},
-	"the path from one zone": {func(m string, _ int, z string, _ int) bool {
+	"the path from one zone is broken": {func(m string, _ int, z string, _ int) bool {
 		return z == "b" && m == "a"
 	}, nil, CausePathBroken},
 	"one member is isolated": {func(m string, i int, _ string, _ int) bool {
@@ -97,13 +97,13 @@
 	"a release in all zones": {func(_ string, _ int, _ string, i int) bool {
 		return i < 3
 	}, nil, CauseFailingEverywhere},
-	"two zones at once": {func(_ string, _ int, z string, _ int) bool {
+	"two zones down at once": {func(_ string, _ int, z string, _ int) bool {
 		return z != "a"
 	}, nil, CauseFailingEverywhere},
 	"most members are not alive": {zoneBDown, func(s *Snapshot) {
 		s.FleetSize = 24
 	}, CauseMinorityPartition},
-	"another zone is left": {zoneBDown, func(s *Snapshot) {
+	"another zone is out of service": {zoneBDown, func(s *Snapshot) {
 		s.States["c"] = State{Step: 0}
 	}, CauseInsufficientCapacity},
 	"no health check yet": {zoneBDown, func(s *Snapshot) {
@@ -112,16 +112,16 @@
 	"one health check": {zoneBDown, func(s *Snapshot) {
 		s.ZoneChecks = []ZoneCheck{{"ma1", "b", false, true}}
 	}, CauseAwaitingHealthQuorum},
-	"health checks by members in it only": {zoneBDown, func(s *Snapshot) {
+	"health checks only by members in the zone": {zoneBDown, func(s *Snapshot) {
 		s.ZoneChecks = []ZoneCheck{{"mb1", "b", false, true}, {"mb2", "b", false, true}, {"mb3", "b", false, true}}
 	}, CauseAwaitingHealthQuorum},
-	"reports by chance: health checks pass": {zoneBDown, func(s *Snapshot) {
+	"false reports: health checks pass": {zoneBDown, func(s *Snapshot) {
 		s.ZoneChecks = []ZoneCheck{{"ma1", "b", true, false}, {"mc1", "b", false, false}, {"mc2", "b", false, true}}
 	}, CausePartiallyReachable},
 	"one of four still reaches an endpoint": {zoneBDown, func(s *Snapshot) {
 		s.ZoneChecks = []ZoneCheck{{"ma1", "b", false, true}, {"ma2", "b", false, true}, {"mc1", "b", false, true}, {"mc2", "b", false, false}}
 	}, CauseDown},
-	"healthy to those in it, and to no others": {func(m string, _ int, z string, _ int) bool {
+	"reachable only from its own zone": {func(m string, _ int, z string, _ int) bool {
 		return z == "b" && m != "b"
 	}, func(s *Snapshot) {
 		s.ZoneChecks = append(s.ZoneChecks, ZoneCheck{"mb1", "b", true, false}, ZoneCheck{"mb2", "b", true, false}, ZoneCheck{"mb3", "b", true, false})
@@ -132,13 +132,13 @@
 	"gray to one zone only": {allReachable, func(s *Snapshot) {
 		s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"ma1", "b"}, {"ma2", "b"}}
 	}, CauseHealthy},
-	"gray to too few": {allReachable, func(s *Snapshot) {
+	"gray to one member outside the zone": {allReachable, func(s *Snapshot) {
 		s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"mb1", "b"}, {"mb2", "b"}}
 	}, CauseHealthy},
-	"two zones gray alike": {allReachable, func(s *Snapshot) {
+	"two zones gray at once": {allReachable, func(s *Snapshot) {
 		s.GrayFailures = []GrayFailureReport{{"ma0", "b"}, {"mc1", "b"}, {"mb0", "a"}, {"mc1", "a"}}
 	}, CauseFailingEverywhere},
-	"gray, and another is left": {allReachable, func(s *Snapshot) {
+	"gray while another zone is out of service": {allReachable, func(s *Snapshot) {
 		s.GrayFailures, s.States["c"] = []GrayFailureReport{{"ma0", "b"}, {"mc1", "b"}}, State{Step: 0}
 	}, CauseInsufficientCapacity},
 	"a false report from its own zone": {func(m string, i int, z string, _ int) bool {
@@ -146,7 +146,7 @@
 	}, nil, CausePathBroken},
 }
 
-// TestJudge distinguishes the failure of a zone from what only resembles it.
+// TestJudge checks that the verdict distinguishes the failure of a zone from similar failures of members, paths and releases.
 func TestJudge(t *testing.T) {
 	for name, c := range judgeCases {
 		s := newSnapshot(c.unreachable)
@@ -161,7 +161,7 @@
 	}
 }
 
-// TestElsewhere checks that neither the zone itself nor one that is not wholly in service counts as remaining.
+// TestElsewhere checks that the remaining capacity includes neither the zone itself nor zones that are not fully in service.
 func TestElsewhere(t *testing.T) {
 	s := newSnapshot(func(_ string, _ int, z string, i int) bool { return z == "b" || i == 0 })
 	s.States["c"] = State{Step: FullStep - 1}
@@ -172,7 +172,7 @@
 	}
 }
 
-// TestHealthQuorum checks the verdict by health checks alone.
+// TestHealthQuorum checks the verdict that follows from the health checks.
 func TestHealthQuorum(t *testing.T) {
 	failed := func(member string) ZoneCheck { return ZoneCheck{Member: member, Zone: "b", NoneHealthy: true} }
 	passed := func(member string) ZoneCheck { return ZoneCheck{Member: member, Zone: "b", AllHealthy: true} }
@@ -180,16 +180,16 @@
 		checks []ZoneCheck
 		want   Cause
 	}{
-		"none":             {nil, CauseAwaitingHealthQuorum},
-		"one":              {[]ZoneCheck{failed("ma0")}, CauseAwaitingHealthQuorum},
-		"two":              {[]ZoneCheck{failed("ma0"), failed("mc0")}, CauseDown},
-		"not alive":        {[]ZoneCheck{failed("ma0"), failed("gone")}, CauseAwaitingHealthQuorum},
-		"in the zone":      {[]ZoneCheck{failed("ma0"), failed("mb0")}, CauseAwaitingHealthQuorum},
-		"of another zone":  {[]ZoneCheck{failed("ma0"), {Member: "mc0", Zone: "a", NoneHealthy: true}}, CauseAwaitingHealthQuorum},
-		"half of them":     {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("ma1"), passed("mc1")}, CausePartiallyReachable},
-		"two thirds":       {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("ma1")}, CauseDown},
-		"all pass":         {[]ZoneCheck{passed("ma0"), passed("mc0")}, CausePartiallyReachable},
-		"its own disagree": {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("mb0"), passed("mb1"), passed("mb2")}, CauseDown},
+		"none":                         {nil, CauseAwaitingHealthQuorum},
+		"one":                          {[]ZoneCheck{failed("ma0")}, CauseAwaitingHealthQuorum},
+		"two":                          {[]ZoneCheck{failed("ma0"), failed("mc0")}, CauseDown},
+		"one not alive":                {[]ZoneCheck{failed("ma0"), failed("gone")}, CauseAwaitingHealthQuorum},
+		"one in the zone":              {[]ZoneCheck{failed("ma0"), failed("mb0")}, CauseAwaitingHealthQuorum},
+		"one of another zone":          {[]ZoneCheck{failed("ma0"), {Member: "mc0", Zone: "a", NoneHealthy: true}}, CauseAwaitingHealthQuorum},
+		"half fail":                    {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("ma1"), passed("mc1")}, CausePartiallyReachable},
+		"two thirds fail":              {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("ma1")}, CauseDown},
+		"all pass":                     {[]ZoneCheck{passed("ma0"), passed("mc0")}, CausePartiallyReachable},
+		"members in the zone disagree": {[]ZoneCheck{failed("ma0"), failed("mc0"), passed("mb0"), passed("mb1"), passed("mb2")}, CauseDown},
 	} {
 		s := newSnapshot(allReachable)
 		s.ZoneChecks = c.checks
