--- a/internal/zoneview/checks.go
+++ b/internal/zoneview/checks.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// MaxCheckers is how many members check the health of a zone at most.
+	// MaxCheckers is the maximum number of members that check the health of a zone.
 	MaxCheckers = 5
-	// EndpointsPerCheck is how many endpoints of a zone one check is made of, if there are as many.
+	// EndpointsPerCheck is the maximum number of endpoints that a member checks in a zone per round.
 	EndpointsPerCheck = 3
 )
 
-// Values of an entry of ZoneCheckKind: which of the endpoints that were checked responded.
+// Values of an entry of ZoneCheckKind: how many of the checked endpoints responded.
 const (
 	allHealthy  = "1"
 	someHealthy = "p"
 	noneHealthy = "0"
 )
 
-// EncodeZoneCheck returns the value of an entry of ZoneCheckKind.
+// EncodeZoneCheck returns the value of an entry of ZoneCheckKind for the numbers of healthy and checked endpoints.
 func EncodeZoneCheck(healthy, checked int) []byte {
 	switch {
 	case healthy == 0:
@@ -34,7 +34,8 @@
 	return []byte(allHealthy)
 }
 
-// decodeZoneCheck reads such values; siblings that differ count as some healthy, which brings about no change.
+// decodeZoneCheck decodes the siblings of an entry of ZoneCheckKind. Siblings that differ count as partly healthy, a result that
+// causes neither a shift nor a recovery.
 func decodeZoneCheck(member, zone string, siblings [][]byte) zonefailover.ZoneCheck {
 	check := zonefailover.ZoneCheck{Member: member, Zone: zone, AllHealthy: true, NoneHealthy: true}
 	for _, sibling := range siblings {
@@ -44,9 +45,9 @@
 	return check
 }
 
-// AssignedChecks returns the zones of a pool that the member name is to check, and the endpoints of each, others in each round.
-// These are the zones that are not wholly in service and, unless rules is nil, those that unreachable reports would have left.
-// members and endpoints are as for Snapshot.
+// AssignedChecks returns the zones of a pool that the member name has to check, with the endpoints to check in each. The endpoints
+// rotate with round. A zone is checked if it is not fully in service. Unless rules is nil, a zone is also checked if unreachable
+// reports alone would require a shift away from it. members and endpoints are as for Snapshot.
 func AssignedChecks(
 	n *gossip.Node, rules *zonefailover.Rules, members map[string]string, name, pool string, endpoints map[string]string, round int,
 ) map[string][]string {
@@ -63,7 +64,7 @@
 	return checks
 }
 
-// zonesToCheck are the zones whose health is to be checked, in order.
+// zonesToCheck returns the names of the zones whose health has to be checked, sorted.
 func zonesToCheck(n *gossip.Node, rules *zonefailover.Rules, members map[string]string, pool string, endpoints map[string]string) []string {
 	zones := map[string]bool{}
 	states, _ := ZoneStates(n, pool)
@@ -83,7 +84,7 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// endpointsIn are the names of a zone's endpoints, in order.
+// endpointsIn returns the names of a zone's endpoints, sorted.
 func endpointsIn(endpoints map[string]string, zone string) []string {
 	var names []string
 	for name, endpointZone := range endpoints {
@@ -95,8 +96,9 @@
 	return names
 }
 
-// isChecker reports whether the member name is one of the MaxCheckers that check a zone: of the members that are alive to it and
-// outside the zone, or of all alive ones if there is none outside, those of the lowest rank.
+// isChecker reports whether the member name is one of the MaxCheckers members that check a zone. The checkers are the members with
+// the lowest rank among the alive members outside the zone, or among all alive members if none is outside. Whether a member is
+// alive is the view of the member name.
 func isChecker(n *gossip.Node, members map[string]string, name, zone string) bool {
 	alive := func(member string) bool { return member == name || n.Member(member).State == gossip.Alive }
 	anyOutside := false
@@ -119,7 +121,7 @@
 	return lower < MaxCheckers
 }
 
-// checkerRank orders members at random, but the same way at all of them.
+// checkerRank is a pseudorandom rank of a member for a zone. All members compute the same rank.
 func checkerRank(member, zone string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(member + "/" + zone))
--- a/internal/zoneview/form_test.go
+++ b/internal/zoneview/form_test.go
@@ -11,7 +11,7 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// TestEntryForm pins what members and consensus write of zones, key and value, and that the snapshot is read from exactly that.
+// TestEntryForm pins the keys and values that members and consensus write about zones, and checks that Snapshot reads exactly these.
 func TestEntryForm(t *testing.T) {
 	members := map[string]string{"p": "a"}
 	n := newNode("p", members, func(string) bool { return true })
@@ -39,11 +39,11 @@
 		States:       map[string]zonefailover.State{"b": decided}, Revisions: map[string]uint64{"b": 8},
 	}
 	if got := Snapshot(n, members, "orders", map[string]string{"10.0.0.1:80": "a"}); !reflect.DeepEqual(got, want) {
-		t.Errorf("the snapshot is %+v\nwant %+v", got, want)
+		t.Errorf("snapshot is %+v\nwant %+v", got, want)
 	}
 }
 
-// TestCommandForm pins what the holder of the lease asks the council, and under which name it holds the lease.
+// TestCommandForm pins the command that the lease holder proposes to consensus, and the name of the lease.
 func TestCommandForm(t *testing.T) {
 	n := newNode("p", map[string]string{"p": "a"}, func(string) bool { return true })
 	n.ApplyDecision("zone/orders/a", 5, []byte("4 false 0 "))
@@ -51,23 +51,23 @@
 	got := ShiftCommand(n, "orders", zonefailover.Transition{Zone: "a", State: zonefailover.State{Step: 3, Relapses: 1, Reason: "a step was borne"}}, 77)
 	want := consensus.DecisionCommand{Key: "zone/orders/a", Value: "3 false 1 a step was borne", Token: 77, BasedOn: 5, NewestZoneDecision: 9}
 	if got != want || LeaseName != "zones" {
-		t.Errorf("the command is %+v, want %+v; the lease is %q", got, want, LeaseName)
+		t.Errorf("command is %+v, want %+v; lease name is %q", got, want, LeaseName)
 	}
 }
 
-// TestLookersForm pins who looks at a zone: members of two versions must choose the same.
-func TestLookersForm(t *testing.T) {
+// TestCheckersForm pins which members check a zone. Members of different program versions must select the same checkers.
+func TestCheckersForm(t *testing.T) {
 	members := map[string]string{}
 	for i := range 12 {
 		members[fmt.Sprint("p", i)] = "a"
 	}
-	var lookers []string
+	var checkers []string
 	for i := range 12 {
 		name := fmt.Sprint("p", i)
 		n := newNode(name, members, func(string) bool { return true })
 		if isChecker(n, members, name, "b") {
-			lookers = append(lookers, name)
+			checkers = append(checkers, name)
 		}
 	}
-	goldentest.CheckForms(t, "lookers.golden", []goldentest.Form{{Name: "lookers", Written: fmt.Sprint(lookers)}})
+	goldentest.CheckForms(t, "lookers.golden", []goldentest.Form{{Name: "lookers", Written: fmt.Sprint(checkers)}})
 }
--- a/internal/zoneview/zoneview.go
+++ b/internal/zoneview/zoneview.go
@@ -1,6 +1,6 @@
-// Package zoneview connects the replicated state (gossip) with the decisions on zones (zonefailover): it reads the snapshot on
-// which a verdict rests, says which endpoints a process excludes, which members check the health of a zone, and what the holder
-// of the lease proposes to consensus. It has no I/O and no clock, so that the same code runs in the program and in virtual time.
+// Package zoneview connects the replicated state (package gossip) with the decisions on zones (package zonefailover). It builds the
+// snapshot for a verdict, the set of excluded endpoints, the assignment of health checks to members, and the command that the lease
+// holder proposes to consensus. The package has no I/O and no clock, so that the same code runs in the program and in virtual time.
 package zoneview
 
 import (
@@ -15,16 +15,16 @@
 const (
 	// LeaseName is the name of the lease whose holder decides on zones.
 	LeaseName = "zones"
-	// ZoneCheckKind is the kind of the entries with results of health checks of a zone: "look/POOL/ZONE".
+	// ZoneCheckKind is the kind of the entries with the results of health checks on a zone: "look/POOL/ZONE".
 	ZoneCheckKind = "look"
 	// GrayFailureKind is the kind of the entries that report a gray failure of a zone: "grey/POOL/ZONE".
 	GrayFailureKind = "grey"
 )
 
-// poolPrefix begins the keys of a kind that are about a pool.
+// poolPrefix returns the common prefix of a pool's keys of a kind.
 func poolPrefix(kind, pool string) string { return kind + "/" + pool + "/" }
 
-// ZoneStates returns the decided states of a pool's zones, and the number of each decision, by zone.
+// ZoneStates returns the decided states of a pool's zones, and the numbers of the decisions, both by zone.
 func ZoneStates(n *gossip.Node, pool string) (states map[string]zonefailover.State, revisions map[string]uint64) {
 	states, revisions = map[string]zonefailover.State{}, map[string]uint64{}
 	n.Store().ForEachOf(gossip.ConsensusOwner, poolPrefix(consensus.ZoneKind, pool), func(e *gossip.Entry) bool {
@@ -33,7 +33,7 @@
 			return true
 		}
 		revisions[zone] = e.Sequence
-		if state, decided := mostCarefulState(e.Values()); decided {
+		if state, decided := mostRestrictiveState(e.Values()); decided {
 			states[zone] = state
 		}
 		return true
@@ -41,8 +41,9 @@
 	return states, revisions
 }
 
-// mostCarefulState is the state, of siblings, that has the least of the zone in service.
-func mostCarefulState(siblings [][]byte) (state zonefailover.State, ok bool) {
+// mostRestrictiveState returns the state with the lowest step among the siblings of an entry; of equal steps, a state that is
+// warming up. It skips siblings that cannot be decoded. ok is false if no sibling can be decoded.
+func mostRestrictiveState(siblings [][]byte) (state zonefailover.State, ok bool) {
 	for _, sibling := range siblings {
 		s, err := zonefailover.Decode(string(sibling))
 		if err != nil {
@@ -55,8 +56,8 @@
 	return state, ok
 }
 
-// Snapshot returns what a process knows of a pool's zones. members are the zones of all members of the fleet, by name, and
-// endpoints those of the ready endpoints of the pool's list.
+// Snapshot returns the node's view of the zones of a pool. members holds the zone of each member of the fleet, by member name.
+// endpoints holds the zone of each ready endpoint of the pool, by endpoint name.
 func Snapshot(n *gossip.Node, members map[string]string, pool string, endpoints map[string]string) zonefailover.Snapshot {
 	s := zonefailover.Snapshot{
 		Endpoints:   sortedEndpoints(endpoints),
@@ -81,7 +82,8 @@
 	return s
 }
 
-// forEachValue calls f with the entries of a kind that members have written about something in a pool, by member and name.
+// forEachValue calls f for each entry of a kind and a pool that has a value, ordered by member and name. name is the last part of
+// the key: an endpoint or a zone.
 func forEachValue(n *gossip.Node, kind, pool string, f func(member, name string, siblings [][]byte)) {
 	n.Store().ForEach(poolPrefix(kind, pool), func(e *gossip.Entry) bool {
 		if _, name, ok := gossip.SplitPoolKey(e.Key); ok {
@@ -93,7 +95,7 @@
 	})
 }
 
-// sortedEndpoints are the endpoints in order of their names.
+// sortedEndpoints returns the endpoints sorted by name.
 func sortedEndpoints(zones map[string]string) []zonefailover.Endpoint {
 	endpoints := make([]zonefailover.Endpoint, 0, len(zones))
 	for name, zone := range zones {
@@ -103,8 +105,10 @@
 	return endpoints
 }
 
-// Exclusions returns the endpoints of a pool that the decided states put out of service; those in service of a recovering zone,
-// which may be warming up; and, of those out of service, those that no operator has put there. All are nil if nothing is decided.
+// Exclusions returns three sets of endpoints of a pool, by name. All are nil if there is no decision.
+//   - excluded: out of service by the decided state of the zone
+//   - recovering: in service in a recovering zone, so that the endpoint may be warming up
+//   - automatic: the excluded endpoints of zones whose state was not set by an operator
 func Exclusions(n *gossip.Node, pool string, endpoints map[string]string) (excluded, recovering, automatic map[string]bool) {
 	states, _ := ZoneStates(n, pool)
 	if len(states) == 0 {
@@ -124,8 +128,8 @@
 	return excluded, recovering, automatic
 }
 
-// ShiftCommand is the command by which the holder of the lease proposes a transition to consensus, under its fencing token. It
-// names the decisions that it builds on: it is rejected if there are others by then.
+// ShiftCommand returns the command with which the lease holder proposes a transition to consensus, under its fencing token. The
+// command names the decisions that it is based on. Consensus rejects it if there are newer decisions.
 func ShiftCommand(n *gossip.Node, pool string, transition zonefailover.Transition, token uint64) consensus.DecisionCommand {
 	_, revisions := ZoneStates(n, pool)
 	command := consensus.DecisionCommand{
--- a/internal/zoneview/zoneview_test.go
+++ b/internal/zoneview/zoneview_test.go
@@ -13,7 +13,7 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// newNode returns a member of a fleet to which some others are alive.
+// newNode returns the node of a member that considers a member alive if alive returns true for it.
 func newNode(name string, members map[string]string, alive func(string) bool) *gossip.Node {
 	cfg := gossip.DefaultConfig()
 	cfg.Name, cfg.Kinds, cfg.DecidedKinds = name, []string{gossip.UnreachableKind, ZoneCheckKind, GrayFailureKind}, consensus.DecisionKinds
@@ -29,7 +29,7 @@
 	return n
 }
 
-// drawZones draws zones for up to limit names.
+// drawZones draws zones for least to limit names.
 func drawZones(t *rapid.T, least, limit int, prefix string) map[string]string {
 	zones := map[string]string{}
 	for i := range rapid.IntRange(least, limit).Draw(t, "names") {
@@ -38,8 +38,8 @@
 	return zones
 }
 
-// TestAssignedChecks checks for any fleet that a zone that was left is checked by at least one member and at most MaxCheckers,
-// none of them in it where others are alive, and that each checks endpoints of that zone.
+// TestAssignedChecks checks for random fleets that a zone out of service is checked by at least one and at most MaxCheckers members,
+// that no checker is in the zone if there are members outside, and that each checks endpoints of that zone only.
 func TestAssignedChecks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawZones(t, 1, 40, "p")
@@ -61,16 +61,16 @@
 			}
 			checkers++
 			if zone == "b" && anyOutside {
-				t.Fatalf("%s is in the zone, and checks it", name)
+				t.Fatalf("%s checks its own zone although there are members outside", name)
 			}
 		}
 		if checkers == 0 || checkers > MaxCheckers {
-			t.Fatalf("%d members check the zone", checkers)
+			t.Fatalf("%d members check the zone, want 1 to MaxCheckers", checkers)
 		}
 	})
 }
 
-// checkAssigned checks that a member checks nothing, or some endpoints of zone b.
+// checkAssigned checks that a member has no checks assigned, or only distinct endpoints of zone b.
 func checkAssigned(t *rapid.T, name string, checks map[string][]string, endpoints map[string]string) {
 	if len(checks) > 1 || len(checks) == 1 && checks["b"] == nil {
 		t.Fatalf("%s checks %v", name, checks)
@@ -85,7 +85,7 @@
 	}
 }
 
-// drawStates draws decided states of some zones.
+// drawStates draws decided states for some of the zones.
 func drawStates(t *rapid.T) map[string]zonefailover.State {
 	states := map[string]zonefailover.State{}
 	for _, zone := range []string{"a", "b"} {
@@ -98,8 +98,8 @@
 	return states
 }
 
-// TestExclusions checks that by one decision all processes exclude the same endpoints, that those of a zone that an operator left
-// are never automatic, and that what is in service of a recovering zone, and nothing else, counts as recovering.
+// TestExclusions checks that all processes with the same decisions exclude the same endpoints, that endpoints are not automatic in a
+// zone whose state was set by an operator, and that exactly the endpoints in service of recovering zones count as recovering.
 func TestExclusions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := map[string]string{"p": "a", "q": "b", "r": "c"}
@@ -115,7 +115,7 @@
 			if all := fmt.Sprint(excluded, recovering, automatic); first == "" {
 				first = all
 			} else if all != first {
-				t.Fatalf("%s excludes %s, and others %s", name, all, first)
+				t.Fatalf("%s excludes %s, another member excludes %s", name, all, first)
 			}
 			for endpoint, zone := range endpoints {
 				s, decided := states[zone]
@@ -124,16 +124,16 @@
 				isExcluded, isRecovering := excluded[endpoint], recovering[endpoint]
 				switch {
 				case isExcluded && !partial, isRecovering && (!back || isExcluded), back && !isExcluded && !isRecovering:
-					t.Fatalf("%s of %s at %+v: excluded %v, recovering %v", endpoint, zone, s, isExcluded, isRecovering)
+					t.Fatalf("endpoint %s of zone %s with state %+v: excluded %v, recovering %v", endpoint, zone, s, isExcluded, isRecovering)
 				case automatic[endpoint] != (isExcluded && !s.Manual):
-					t.Fatalf("%s of %s at %+v: automatic %v", endpoint, zone, s, automatic[endpoint])
+					t.Fatalf("endpoint %s of zone %s with state %+v: automatic %v", endpoint, zone, s, automatic[endpoint])
 				}
 			}
 		}
 	})
 }
 
-// TestShiftCommand checks that a proposal builds on all that is known of the pool's zones, and on nothing of other pools.
+// TestShiftCommand checks that a command is based on the newest known decisions of its pool, and ignores decisions of other pools.
 func TestShiftCommand(t *testing.T) {
 	members := map[string]string{"p": "a"}
 	n := newNode("p", members, func(string) bool { return false })
@@ -144,11 +144,11 @@
 		t.Errorf("%+v", c)
 	}
 	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.BasedOn != 0 || c.NewestZoneDecision != 7 {
-		t.Errorf("of a zone without a decision: %+v", c)
+		t.Errorf("zone without a decision: %+v", c)
 	}
 }
 
-// TestSnapshot checks what is read from the store, and how checks are encoded.
+// TestSnapshot checks the snapshot that is read from the store, and the encoding of health checks.
 func TestSnapshot(t *testing.T) {
 	members := map[string]string{"p": "a", "q": "b", "r": "c"}
 	n := newNode("p", members, func(m string) bool { return m == "q" })
@@ -158,7 +158,7 @@
 	n.Put(gossip.PoolKey(gossip.UnreachableKind, "farmyard", "s1"), nil)
 	s := Snapshot(n, members, "farm", map[string]string{"s1": "b"})
 	if len(s.MemberZones) != 2 || s.MemberZones["p"] != "a" || s.MemberZones["q"] != "b" || s.FleetSize != 3 {
-		t.Errorf("%+v: only those that are alive, this process among them", s.MemberZones)
+		t.Errorf("member zones are %+v, want those of the alive members, this process included", s.MemberZones)
 	}
 	if len(s.Unreachable) != 1 || s.Unreachable[0] != (zonefailover.UnreachableReport{Member: "p", Endpoint: "s1"}) || len(s.GrayFailures) != 1 || len(s.Endpoints) != 1 {
 		t.Errorf("%+v", s)
@@ -171,7 +171,7 @@
 		want             string
 	}{{0, 3, noneHealthy}, {1, 3, someHealthy}, {3, 3, allHealthy}} {
 		if got := string(EncodeZoneCheck(c.healthy, c.checked)); got != c.want {
-			t.Errorf("%d of %d: %q", c.healthy, c.checked, got)
+			t.Errorf("%d of %d healthy: encoded as %q", c.healthy, c.checked, got)
 		}
 	}
 }
