--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// maxSyncReplyBytes is about how many bytes of entries a reply may carry.
+	// maxSyncReplyBytes is the approximate maximum size of the entries in a reply.
 	maxSyncReplyBytes = 24 << 10
-	// syncTimeoutRounds is how long the first reply is waited for, in gossip intervals.
+	// syncTimeoutRounds is the timeout for the first reply, in gossip intervals.
 	syncTimeoutRounds = 4
-	// syncCandidates is how many members are drawn for an exchange; the one with the least load is chosen.
+	// syncCandidates is the number of members drawn at random for an exchange. The member with the lowest load is chosen.
 	syncCandidates = 3
-	// maxLeavesPerMessage bounds the leaves whose entries are listed in one message.
+	// maxLeavesPerMessage limits the leaves whose entries are listed in one message.
 	maxLeavesPerMessage = 64
-	// maxEntriesPerLeaf bounds the entries listed of one leaf.
+	// maxEntriesPerLeaf limits the entries listed for one leaf.
 	maxEntriesPerLeaf = maxEntryDigests / maxLeavesPerMessage
 )
 
-// membersKind stands for the states of the members among the kinds whose digest trees are compared.
+// membersKind is the reserved kind under which the digest tree of the member states is compared.
 const membersKind = "*members"
 
-// syncState is the anti-entropy exchange that this process has started, and what it knows of its replica by the last ones.
+// syncState is the state of the anti-entropy exchange that this process has started, and the result of the previous exchanges.
 type syncState struct {
-	peer       string // of the exchange that is open; empty: none
-	seq        uint64 // number of its messages
+	peer       string // peer of the open exchange; empty if none is open
+	seq        uint64 // sequence number of the messages of the exchange
 	startedAt  time.Duration
 	deadline   time.Duration
-	unanswered bool          // no reply has come yet
-	next       time.Duration // when the next exchange starts
-	behind     bool          // the newest exchange found a difference, or none was answered since the start
-	inSyncAt   time.Duration // when the replica was last equal to another; negative: never
+	unanswered bool          // no reply has been received yet
+	next       time.Duration // start time of the next exchange
+	behind     bool          // the latest answered exchange found a difference, or none was answered since the start
+	inSyncAt   time.Duration // time at which the replica was last found equal to another; negative if never
 }
 
-// InSync reports whether the replica was found equal to another's since the process started, and how long ago the last time; if
-// never, how long ago the process started.
+// InSync reports whether the replica was found equal to another replica since the process started, and the time that has passed
+// since then. If ok is false, ago is the time since the process started.
 func (n *Node) InSync(now time.Duration) (ago time.Duration, ok bool) {
 	if n.sync.inSyncAt < 0 {
 		return now - n.startedAt, false
@@ -42,7 +42,7 @@
 	return now - n.sync.inSyncAt, true
 }
 
-// digestsOf is the digest tree of a kind, nil if the kind is not known here.
+// digestsOf returns the digest tree of a kind, or nil if this process does not know the kind.
 func (n *Node) digestsOf(kind string) *digestTree {
 	if kind == membersKind {
 		return n.memberDigests
@@ -50,7 +50,7 @@
 	return n.store.digests[kind]
 }
 
-// rangeDigest is the digest of a range that is sent to peers.
+// rangeDigest returns the digest of a range as it is sent to peers.
 func (n *Node) rangeDigest(kind string, level uint8, index int) uint64 {
 	if kind == membersKind {
 		return n.memberDigests.rangeDigest(level, index)
@@ -64,7 +64,7 @@
 	return digest
 }
 
-// localVersion is the version and the digest of an entry as it is here.
+// localVersion returns the version and the digest of the local replica of an entry. ok is false if there is none.
 func (n *Node) localVersion(kind string, id EntryID) (v Version, digest uint64, ok bool) {
 	if kind == membersKind {
 		s := n.Member(id.owner)
@@ -77,11 +77,13 @@
 	return e.Version, e.Digest(), true
 }
 
-// tickSync ends an exchange that is over, and starts one that is due.
+// tickSync closes an exchange whose deadline has passed, and starts an exchange that is due.
 func (n *Node) tickSync(now time.Duration) {
 	if n.sync.peer != "" && now >= n.sync.deadline {
 		n.sync.peer = ""
-		if n.sync.behind { // the rest is asked of another, but no more than once a round: replicas differ while rumors spread
+		// The missing entries are requested from another member. The rate is limited to one exchange per gossip interval, because
+		// replicas also differ while rumors spread.
+		if n.sync.behind {
 			n.sync.next = max(now, n.sync.startedAt+n.cfg.GossipInterval+n.jitter(n.cfg.GossipInterval/2))
 		}
 	}
@@ -91,7 +93,7 @@
 	}
 }
 
-// startSync sends the root digests of all kinds to another member, unless an exchange is open.
+// startSync sends the root digests of all kinds to another member, unless an exchange is already open.
 func (n *Node) startSync(now time.Duration) {
 	if n.sync.peer != "" {
 		return
@@ -111,7 +113,8 @@
 	n.send(peer, m)
 }
 
-// syncCandidate is the least loaded of a few random members that are alive, or a random one if none is alive; empty: none.
+// syncCandidate returns the name of the least loaded of a few random members that are alive and not busy. If there is none, it
+// returns a random member that is not alive. If there is none either, it returns an empty string.
 func (n *Node) syncCandidate(now time.Duration) string {
 	candidates := n.randomMembers(syncCandidates, func(m *member) bool { return m.State == Alive && now >= m.busyUntil })
 	if len(candidates) == 0 {
@@ -129,43 +132,43 @@
 	return best
 }
 
-// syncReply is a message that answers a Sync message, as it is put together.
+// syncReply is the reply to a Sync message while it is assembled.
 type syncReply struct {
 	*Message
-	room int // bytes of entries that still fit
+	bytesLeft int // remaining size for entries
 }
 
-// handleSync compares the sender's digests with this process' own, and replies with what the sender lacks and what is wanted of
-// it. Each step goes down a level of the trees, so that an exchange ends. What a lost message leaves out the next exchange
-// finds again. news says whether the message had entries that were news.
-func (n *Node) handleSync(now time.Duration, from string, m, answer *Message, news bool) {
-	reply := &syncReply{Message: answer, room: maxSyncReplyBytes}
-	opens := false
+// handleSync compares the sender's digests with the local digests. The reply has the entries that the sender lacks and requests the
+// entries that this process lacks. Each message descends one level of the trees, so that an exchange terminates. If a message is
+// lost, the next exchange finds the same differences again. changed reports whether the message had entries that changed the replica.
+func (n *Node) handleSync(now time.Duration, from string, m, answer *Message, changed bool) {
+	reply := &syncReply{Message: answer, bytesLeft: maxSyncReplyBytes}
+	opening := false
 	for _, r := range m.Ranges {
 		if n.compareRange(r, reply) && r.Level == rootLevel {
-			opens = true
+			opening = true
 		}
 	}
 	for _, leaf := range m.Leaves {
 		n.reconcileLeaf(leaf, reply)
 	}
 	if n.sync.peer == from && n.sync.seq == m.Seq {
-		n.handleSyncReply(now, from, m, reply, news)
+		n.handleSyncReply(now, from, m, reply, changed)
 	} else if len(reply.Entries) > 0 {
 		n.chargeCatchUp(now, from, reply)
 	}
-	if opens || !reply.isEmpty() {
+	if opening || !reply.isEmpty() {
 		reply.Load = n.catchUpLoad(now)
 		n.send(from, reply.Message)
 	}
 }
 
-// compareRange answers a digest that differs from this process' own with the next level down, and reports whether the range is
-// known here.
+// compareRange adds the digests of the next lower level to the reply if a digest differs from the local digest. It reports whether
+// the range is valid and its kind known.
 func (n *Node) compareRange(r RangeDigest, reply *syncReply) bool {
 	index := int(r.Index)
 	switch {
-	case n.digestsOf(r.Kind) == nil: // a kind of a newer version of the program
+	case n.digestsOf(r.Kind) == nil: // a kind of a newer program version
 		n.store.Counts.Unknown++
 		return false
 	case !validRange(r.Level, index):
@@ -174,7 +177,7 @@
 	}
 	switch {
 	case n.rangeDigest(r.Kind, r.Level, index) == r.Digest:
-	case r.Digest == 0: // the sender has nothing of it: it is sent as much as fits
+	case r.Digest == 0: // the sender has no entries in the range: send as many as fit
 		n.appendRange(r, reply)
 	case r.Level < leafLevel:
 		n.appendSubranges(r, reply)
@@ -184,7 +187,7 @@
 	return true
 }
 
-// appendSubranges adds the digests one level below a range.
+// appendSubranges adds the digests of the ranges one level below a range.
 func (n *Node) appendSubranges(r RangeDigest, reply *syncReply) {
 	level := r.Level + 1
 	for i := range treeFanout {
@@ -196,11 +199,11 @@
 	}
 }
 
-// handleSyncReply takes in a reply in the exchange that this process has started.
-func (n *Node) handleSyncReply(now time.Duration, from string, m *Message, reply *syncReply, news bool) {
+// handleSyncReply processes a reply in the exchange that this process has started.
+func (n *Node) handleSyncReply(now time.Duration, from string, m *Message, reply *syncReply, changed bool) {
 	if n.sync.unanswered && !m.Busy {
 		n.sync.unanswered = false
-		// News of members are always under way: they do not make a replica differ.
+		// Updates of member states are always in transit. They do not count as a difference.
 		n.sync.behind = slices.ContainsFunc(m.Ranges, func(r RangeDigest) bool { return r.Kind != membersKind })
 		if !n.sync.behind {
 			n.sync.inSyncAt = now
@@ -209,21 +212,21 @@
 	}
 	switch {
 	case m.Busy:
-		n.members[from].busyUntil = now + busyPause + n.jitter(busyPause)
+		n.members[from].busyUntil = now + busyBackoff + n.jitter(busyBackoff)
 		n.sync.peer = ""
 		n.sync.next = min(n.sync.next, now+n.jitter(n.cfg.SyncInterval))
 	case m.isEmpty():
 		n.sync.peer = ""
 	default:
-		n.sync.deadline = now // entries that were asked for come all the same
-		if news || len(reply.Ranges)+len(reply.Leaves) == 0 {
+		n.sync.deadline = now // requested entries are merged even after the exchange is closed
+		if changed || len(reply.Ranges)+len(reply.Leaves) == 0 {
 			n.sync.peer = ""
-			n.sync.next = min(n.sync.next, now+n.cfg.GossipInterval/2+n.jitter(n.cfg.GossipInterval/2)) // there may be more
+			n.sync.next = min(n.sync.next, now+n.cfg.GossipInterval/2+n.jitter(n.cfg.GossipInterval/2)) // there may be more differences
 		}
 	}
 }
 
-// leafDigest lists the entries of a leaf that are here, and asks for those that are not.
+// leafDigest lists the local entries of a leaf and requests the entries that are missing in the list.
 func (n *Node) leafDigest(kind string, index int) LeafDigest {
 	leaf := LeafDigest{Kind: kind, Index: uint16(index), RequestMissing: true}
 	for _, id := range n.digestsOf(kind).leafEntries(index) {
@@ -234,56 +237,57 @@
 	return leaf
 }
 
-// reconcileLeaf answers a list of the sender's entries of a leaf with those that it lacks and, if it asks, with those that are
-// wanted of it.
+// reconcileLeaf compares the sender's list of entries of a leaf with the local entries. It adds newer local entries to the reply. If
+// the sender has set RequestMissing, it also adds the entries that are not listed, and requests the entries that this process lacks.
 func (n *Node) reconcileLeaf(leaf LeafDigest, reply *syncReply) {
 	tree := n.digestsOf(leaf.Kind)
 	if tree == nil || int(leaf.Index) >= leafCount {
 		n.store.Counts.Invalid++
 		return
 	}
-	theirs := map[EntryID]bool{}
-	wanted := LeafDigest{Kind: leaf.Kind, Index: leaf.Index}
-	for _, head := range leaf.Entries {
-		id := EntryID{head.Owner, head.Key}
-		theirs[id] = true
-		if version, digest, want := n.compareEntry(leaf.Kind, id, head, reply); want {
-			wanted.Entries = append(wanted.Entries, EntryDigest{Owner: head.Owner, Key: head.Key, Version: version, Digest: digest})
+	listed := map[EntryID]bool{}
+	requested := LeafDigest{Kind: leaf.Kind, Index: leaf.Index}
+	for _, remote := range leaf.Entries {
+		id := EntryID{remote.Owner, remote.Key}
+		listed[id] = true
+		if version, digest, want := n.compareEntry(leaf.Kind, id, remote, reply); want {
+			requested.Entries = append(requested.Entries, EntryDigest{Owner: remote.Owner, Key: remote.Key, Version: version, Digest: digest})
 		}
 	}
 	if !leaf.RequestMissing {
 		return
 	}
 	for _, id := range tree.leafEntries(int(leaf.Index)) {
-		if !theirs[id] {
+		if !listed[id] {
 			n.appendEntry(leaf.Kind, id, reply)
 		}
 	}
-	if len(wanted.Entries) > 0 {
-		reply.Leaves = append(reply.Leaves, wanted)
+	if len(requested.Entries) > 0 {
+		reply.Leaves = append(reply.Leaves, requested)
 		n.assumeMerged(leaf)
 	}
 }
 
-// compareEntry compares an entry of the sender's with the one here, sends the latter if the sender lacks it, and returns the
-// version and digest here and whether the sender's is wanted.
-func (n *Node) compareEntry(kind string, id EntryID, theirs EntryDigest, reply *syncReply) (version Version, digest uint64, want bool) {
+// compareEntry compares the sender's version of an entry with the local version, and adds the local entry to the reply if it is newer
+// or a sibling. It returns the local version and digest, and whether the sender's entry is to be requested. If the sender's
+// incarnation is outdated, the reply gets the owner state in place of a request.
+func (n *Node) compareEntry(kind string, id EntryID, remote EntryDigest, reply *syncReply) (version Version, digest uint64, want bool) {
 	version, digest, present := n.localVersion(kind, id)
 	if present {
-		order := version.Compare(theirs.Version)
+		order := version.Compare(remote.Version)
 		switch {
 		case order > 0:
 			n.appendEntry(kind, id, reply)
 			return version, digest, false
-		case order == 0 && digest == theirs.Digest:
+		case order == 0 && digest == remote.Digest:
 			return version, digest, false
-		case order == 0: // siblings: each sends its own
+		case order == 0: // siblings: both sides send their own
 			n.appendEntry(kind, id, reply)
 		}
 	}
 	if kind != membersKind {
 		incarnation, reaped := n.store.Incarnation(id.owner)
-		if theirs.Incarnation < incarnation || theirs.Incarnation <= reaped {
+		if remote.Incarnation < incarnation || remote.Incarnation <= reaped {
 			reply.Owners = appendOwnerState(reply.Owners, OwnerState{id.owner, incarnation, reaped})
 			return version, digest, false
 		}
@@ -291,14 +295,14 @@
 	return version, digest, true
 }
 
-// assumeMerged injects FaultPartialMerge: the digest of a leaf is what the sender says, whether or not its entries come.
+// assumeMerged injects FaultPartialMerge: the digest of the leaf is taken from the sender's list, whether or not the entries arrive.
 func (n *Node) assumeMerged(leaf LeafDigest) {
 	if n.cfg.Fault != FaultPartialMerge || leaf.Kind == membersKind {
 		return
 	}
 	total := uint64(0)
-	for _, head := range leaf.Entries {
-		total += head.Digest
+	for _, entry := range leaf.Entries {
+		total += entry.Digest
 	}
 	if n.assumedDigests == nil {
 		n.assumedDigests = map[string]map[int]uint64{}
@@ -309,36 +313,36 @@
 	n.assumedDigests[leaf.Kind][int(leaf.Index)] = total
 }
 
-// appendRange adds all entries of a range that are here, as far as they fit.
+// appendRange adds the local entries of a range until the reply is full.
 func (n *Node) appendRange(r RangeDigest, reply *syncReply) {
 	tree := n.digestsOf(r.Kind)
 	first, end := rangeLeaves(r.Level, int(r.Index))
-	for leaf := first; leaf < end && reply.room > 0; leaf++ {
+	for leaf := first; leaf < end && reply.bytesLeft > 0; leaf++ {
 		for _, id := range tree.leafEntries(leaf) {
 			n.appendEntry(r.Kind, id, reply)
 		}
 	}
 }
 
-// appendEntry adds an entry that is here, or a member's state, if it fits.
+// appendEntry adds the local replica of an entry, or a member state, unless the reply is full.
 func (n *Node) appendEntry(kind string, id EntryID, reply *syncReply) {
-	if reply.room <= 0 {
+	if reply.bytesLeft <= 0 {
 		return
 	}
 	if kind == membersKind {
 		if s := n.Member(id.owner); s.State <= Left && len(reply.Members) < maxMemberStates {
 			reply.Members = append(reply.Members, s)
-			reply.room -= recordOverhead + len(s.Name)
+			reply.bytesLeft -= recordOverhead + len(s.Name)
 		}
 		return
 	}
 	if e, ok := n.store.Get(id.owner, id.key); ok && len(reply.Entries) < maxEntries {
 		reply.Entries = append(reply.Entries, e)
-		reply.room -= e.size()
+		reply.bytesLeft -= e.size()
 	}
 }
 
-// appendOwnerState adds a state that is not there yet, if it fits.
+// appendOwnerState adds a state unless it is already present or the maximum number is reached.
 func appendOwnerState(states []OwnerState, s OwnerState) []OwnerState {
 	if len(states) >= maxOwnerStates || slices.Contains(states, s) {
 		return states
--- a/internal/gossip/catchup.go
+++ b/internal/gossip/catchup.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// busyPause is the least time for which a member that was busy is not asked again; up to as much again is added at random.
-	busyPause = time.Second
-	// catchUpLoadWindow is how long a member that was sent entries counts as load.
+	// busyBackoff is the minimum time before a member that was busy is asked again. A random time of up to the same length is added.
+	busyBackoff = time.Second
+	// catchUpLoadWindow is the time for which a member that was sent entries counts toward the load.
 	catchUpLoadWindow = time.Second
 )
 
-// catchUp is the budget for entries sent to members that catch up, so that many that return at once do not slow down the rest.
+// catchUp is the budget for entries sent to members that catch up. It keeps the other members responsive when many members return at
+// the same time.
 type catchUp struct {
 	budget    float64                  // bytes that may be sent; negative after a large reply
-	updatedAt time.Duration            // of the budget
-	peers     map[string]time.Duration // members that were sent entries, and when last
+	updatedAt time.Duration            // time of the last update of the budget
+	peers     map[string]time.Duration // time at which entries were last sent, by member
 }
 
-// chargeCatchUp charges a reply to the budget; if there is none left the reply says so, and has no entries.
+// chargeCatchUp charges the entries of a reply to the budget. If the budget is exhausted, it marks the reply as busy and removes the
+// entries and digests.
 func (n *Node) chargeCatchUp(now time.Duration, to string, reply *syncReply) {
 	c := &n.catchUp
 	c.budget = min(n.cfg.CatchUpBudget, c.budget+(now-c.updatedAt).Seconds()*n.cfg.CatchUpBudget)
@@ -35,7 +37,7 @@
 	c.peers[to] = now
 }
 
-// catchUpLoad is how many members were sent entries lately.
+// catchUpLoad returns the number of members that were sent entries within catchUpLoadWindow.
 func (n *Node) catchUpLoad(now time.Duration) uint16 {
 	for name, at := range n.catchUp.peers {
 		if now > at+catchUpLoadWindow {
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -6,10 +6,11 @@
 	"math"
 )
 
-// encoder appends to a message. Numbers are varints, texts have their length before them, and digests have 8 bytes.
+// encoder encodes a message. Numbers are varints, texts are prefixed with their length, and digests have 8 bytes in little-endian
+// order.
 type encoder struct {
 	buf   []byte
-	names map[string]uint64 // the number of each name written so far, from 1
+	names map[string]uint64 // number of each name written so far, from 1
 }
 
 func (e *encoder) uvarint(x uint64) { e.buf = binary.AppendUvarint(e.buf, x) }
@@ -31,7 +32,7 @@
 
 func (e *encoder) digest(x uint64) { e.buf = binary.LittleEndian.AppendUint64(e.buf, x) }
 
-// name writes a name in full the first time, after a 0, and as its number from then on.
+// name writes a name as 0 and the text at its first occurrence, and as its number afterwards.
 func (e *encoder) name(s string) {
 	if number, written := e.names[s]; written {
 		e.uvarint(number)
@@ -91,7 +92,7 @@
 	}
 }
 
-// Encode returns the message as bytes.
+// Encode returns the encoded message.
 func (m *Message) Encode() []byte {
 	e := &encoder{buf: []byte{formatVersion, byte(m.Kind)}, names: map[string]uint64{}}
 	e.uvarint(m.Seq)
@@ -121,12 +122,12 @@
 	return e.buf
 }
 
-// decoder reads what an encoder wrote. After an error all that it returns is zero.
+// decoder decodes the output of an encoder. After an error, all methods return zero values.
 type decoder struct {
 	buf              []byte
 	err              error
 	names            []string
-	entryDigestsLeft int // of all leaves together
+	entryDigestsLeft int // remaining limit for all leaves together
 }
 
 func (d *decoder) fail() {
@@ -146,7 +147,8 @@
 	return x
 }
 
-// length is a number of bytes, or of items of one byte at least, that follow.
+// length reads the number of the bytes that follow, or of the items of at least one byte each. A number above limit or above the
+// length of the remaining data is an error.
 func (d *decoder) length(limit int) int {
 	n := d.uvarint()
 	if n > uint64(limit) || n > uint64(len(d.buf)) {
@@ -189,7 +191,7 @@
 	return d.names[number-1]
 }
 
-// saturated8, saturated16 and saturated32 replace a number that is too large by the largest of their type.
+// saturated8, saturated16 and saturated32 read a number and limit it to the maximum of the result type.
 func (d *decoder) saturated8() uint8   { return uint8(min(d.uvarint(), math.MaxUint8)) }
 func (d *decoder) saturated16() uint16 { return uint16(min(d.uvarint(), math.MaxUint16)) }
 func (d *decoder) saturated32() uint32 { return uint32(min(d.uvarint(), math.MaxUint32)) }
@@ -226,14 +228,14 @@
 	return l
 }
 
-// Decode reads a message. It returns ErrMalformed or ErrUnsupportedFormat, and takes no more memory than a small multiple of
-// data, whatever that is.
+// Decode decodes a message. The error is ErrMalformed or wraps ErrUnsupportedFormat. For any data, the memory usage is limited to a
+// small multiple of the size of data.
 func Decode(data []byte) (*Message, error) {
 	if len(data) < 2 || len(data) > MaxMessageBytes {
 		return nil, ErrMalformed
 	}
 	if data[0] != formatVersion {
-		return nil, fmt.Errorf("%w: %d, and this program speaks %d", ErrUnsupportedFormat, data[0], formatVersion)
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrUnsupportedFormat, data[0], formatVersion)
 	}
 	d := &decoder{buf: data[2:], entryDigestsLeft: maxEntryDigests}
 	m := &Message{Kind: MessageKind(data[1]), Seq: d.uvarint(), Target: d.name(), Load: d.saturated16(), Busy: d.flag()}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestMessageCodec checks that Decode reverses Encode for random messages, and rejects truncated messages and other format versions.
 func TestMessageCodec(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &Message{Kind: SyncMessage, Seq: rapid.Uint64().Draw(t, "seq"), Target: rapid.StringN(0, 5, 20).Draw(t, "target"), Load: 7, Busy: rapid.Bool().Draw(t, "busy")}
@@ -23,24 +24,24 @@
 		data := m.Encode()
 		got, err := Decode(data)
 		if err != nil || !reflect.DeepEqual(m, got) {
-			t.Fatalf("%v\n%+v\n%+v", err, m, got)
+			t.Fatalf("decoding failed or changed the message: %v\nwant %+v\ngot  %+v", err, m, got)
 		}
 		if cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut"); cut < len(data) {
 			if _, err := Decode(data[:cut]); err == nil {
-				t.Fatalf("%d of %d bytes were read", cut, len(data))
+				t.Fatalf("message truncated to %d of %d bytes was decoded without an error", cut, len(data))
 			}
 		}
 	})
 	if _, err := Decode([]byte{formatVersion + 1, byte(SyncMessage), 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("message of a newer format version: %v, want ErrUnsupportedFormat", err)
 	}
 }
 
-// FuzzMessage checks that whatever a peer sends is decoded or rejected in bounded memory, and that replies to it can be decoded.
+// FuzzMessage checks that any data from a peer is decoded or rejected in bounded memory, and that the replies can be decoded.
 func FuzzMessage(f *testing.F) {
 	m := &Message{Kind: SyncMessage, Seq: 1, Ranges: []RangeDigest{{"dead", 0, 0, 5}, {membersKind, 2, 255, 5}}, Members: []MemberState{{"b", 9 << incarnationRandomBits, 0, Dead, ""}, {"a", 8 << incarnationRandomBits, 0, Dead, "b"}},
 		Owners: []OwnerState{{"b", 1, 1}}, Leaves: []LeafDigest{{"dead", 3, true, []EntryDigest{{"b", "dead/x", Version{1, 1}, 4}}}},
-		Entries: []Entry{{"b", "dead/x", Version{1, 1}, [][]byte{content("")}}}}
+		Entries: []Entry{{"b", "dead/x", Version{1, 1}, [][]byte{valueSibling("")}}}}
 	f.Add(m.Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, err := Decode(data)
@@ -50,7 +51,7 @@
 		n := New(0, config("a", 3, 1))
 		for _, out := range append(n.Receive(time.Second, "b", got), n.Tick(2*time.Second)...) {
 			if _, err := Decode(out.Message.Encode()); err != nil {
-				t.Fatalf("what goes out can't be read: %v", err)
+				t.Fatalf("outgoing message cannot be decoded: %v", err)
 			}
 		}
 	})
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// The shape of a digest tree: a few entries to a leaf with thousands of owners.
+// The shape of a digest tree. With thousands of owners, a leaf has a few entries.
 const (
 	treeFanout = 16
 	leafCount  = treeFanout * treeFanout
@@ -21,12 +21,12 @@
 	leafLevel  = 2
 )
 
-// fieldSeparator separates hashed fields; no byte of UTF-8 text equals it.
+// fieldSeparator separates hashed fields. This byte does not occur in UTF-8 text.
 const fieldSeparator = 0xff
 
-// digestTree holds the digests of all entries of one kind by range: of all, of a sixteenth, of a leaf. A digest is the sum of
-// the digests of the entries in the range, so equal replicas have equal trees, and two that differ find out where in two steps
-// down (a Merkle tree as in Dynamo, with sums in place of hashes of hashes).
+// digestTree holds the digests of the entries of one kind for three levels of ranges: all entries, a sixteenth of them, and a leaf.
+// A digest is the sum of the digests of the entries in the range, so that equal replicas have equal trees. Two different replicas
+// locate a difference by descending two levels. This is a Merkle tree as in Dynamo, with sums in place of hashes of hashes.
 type digestTree struct {
 	root    uint64
 	inner   [treeFanout]uint64
@@ -55,14 +55,14 @@
 	}
 }
 
-// leafEntries are the entries of a leaf, by owner and key.
+// leafEntries returns the entries of a leaf, sorted by owner and key.
 func (t *digestTree) leafEntries(leaf int) []EntryID {
 	return slices.SortedFunc(slices.Values(t.entries[leaf]), func(a, b EntryID) int {
 		return cmp.Or(strings.Compare(a.owner, b.owner), strings.Compare(a.key, b.key))
 	})
 }
 
-// rangeDigest is the digest of a range.
+// rangeDigest returns the digest of a range.
 func (t *digestTree) rangeDigest(level uint8, index int) uint64 {
 	switch level {
 	case rootLevel:
@@ -73,7 +73,7 @@
 	return t.leaves[index]
 }
 
-// validRange reports whether a tree has a range.
+// validRange reports whether a digest tree has a range with this level and index.
 func validRange(level uint8, index int) bool {
 	switch level {
 	case rootLevel:
@@ -86,7 +86,7 @@
 	return false
 }
 
-// rangeLeaves are the first leaf of a range and the one after its last.
+// rangeLeaves returns the first leaf of a range, and the leaf after the last one.
 func rangeLeaves(level uint8, index int) (first, end int) {
 	width := 1
 	for range leafLevel - int(level) {
@@ -101,7 +101,7 @@
 	return first <= leaf && leaf < end
 }
 
-// Digest is what the entry adds to the digest of its kind.
+// Digest returns the entry's contribution to the digest of its kind.
 func (e Entry) Digest() uint64 {
 	hash := fnv.New64a()
 	var version [16]byte
@@ -118,7 +118,7 @@
 	return mix64(hash.Sum64())
 }
 
-// leafIndex is the leaf that an entry belongs to.
+// leafIndex returns the index of the leaf that an entry belongs to.
 func leafIndex(owner, key string) int {
 	hash := fnv.New64a()
 	hash.Write([]byte(owner))
@@ -127,14 +127,15 @@
 	return int(mix64(hash.Sum64()) % leafCount)
 }
 
-// FleetTag stands for a fleet, by the identity that was drawn when it was founded, in the versions of its decisions. It is never 0.
+// FleetTag returns the number that identifies a fleet in the versions of its decisions. fleetID is the random identity that the
+// fleet received when it was founded. The result is never 0.
 func FleetTag(fleetID string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(fleetID))
 	return mix64(hash.Sum64()) | 1
 }
 
-// mix64 is the finalizer of SplitMix64.
+// mix64 applies the finalizer of SplitMix64.
 func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestDigestTree checks that each range has the sum of its leaves, and that removed entries leave nothing behind.
+// TestDigestTree checks that the digest of each range is the sum of its leaves, and that the tree is empty after all entries are
+// removed.
 func TestDigestTree(t *testing.T) {
 	tree := &digestTree{}
 	entry := func(i int) Entry {
@@ -25,7 +26,7 @@
 				}
 			}
 			if got := tree.rangeDigest(level, index); got != sum {
-				t.Errorf("level %d, range %d: digest %x, and its leaves have %x", level, index, got, sum)
+				t.Errorf("level %d, range %d: digest %x, want the sum of its leaves %x", level, index, got, sum)
 			}
 		}
 	}
@@ -34,7 +35,7 @@
 		listed += len(tree.leafEntries(leaf))
 	}
 	if listed != entries {
-		t.Errorf("%d entries are listed, of %d", listed, entries)
+		t.Errorf("%d entries are listed, want %d", listed, entries)
 	}
 	for i := range entries {
 		e := entry(i)
@@ -42,10 +43,10 @@
 	}
 	for leaf := range leafCount {
 		if len(tree.leafEntries(leaf)) > 0 || tree.leaves[leaf] != 0 {
-			t.Errorf("leaf %d is not empty", leaf)
+			t.Errorf("leaf %d is not empty after all entries are removed", leaf)
 		}
 	}
 	if tree.root != 0 || tree.inner != [treeFanout]uint64{} {
-		t.Errorf("digests %x, %x of nothing", tree.root, tree.inner)
+		t.Errorf("digests of an empty tree are %x and %x, want 0", tree.root, tree.inner)
 	}
 }
--- a/internal/gossip/entry.go
+++ b/internal/gossip/entry.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Bounds of a replica. What exceeds them is rejected and counted, but of an owner's keys all replicas keep the same ones.
+// Bounds of a replica. Entries that exceed a bound are rejected and counted. If an owner has too many keys, all replicas keep the
+// same keys.
 const (
 	MaxOwners       = 8192
 	MaxKeysPerOwner = 256
@@ -16,59 +17,60 @@
 	maxSiblings     = 4
 )
 
-// ConsensusOwner owns the entries that consensus decides. No member has that name.
+// ConsensusOwner is the owner of the entries that consensus decides. No member has this name.
 const ConsensusOwner = "*council"
 
-// Version orders what one owner has written under one key.
+// Version orders the writes of one owner to one key.
 type Version struct {
-	// Incarnation grows with each start of the owner, and whenever it writes all of its entries anew. Of a decided entry it is
-	// the FleetTag.
+	// Incarnation increases with each start of the owner, and whenever the owner rewrites all of its entries. In a decided entry it
+	// is the FleetTag.
 	Incarnation uint64
-	// Sequence grows with each write within an incarnation. Of a decided entry it is the number of the decision.
+	// Sequence increases with each write within an incarnation. In a decided entry it is the number of the decision.
 	Sequence uint64
 }
 
-// Compare orders versions: negative if v is older than w, 0 if they are equal, positive if it is newer.
+// Compare returns a negative number if v is older than w, 0 if they are equal, and a positive number if v is newer.
 func (v Version) Compare(w Version) int {
 	return cmp.Or(cmp.Compare(v.Incarnation, w.Incarnation), cmp.Compare(v.Sequence, w.Sequence))
 }
 
-// EntryID names an entry.
+// EntryID identifies an entry.
 type EntryID struct{ owner, key string }
 
-// Owner is the name of the member that wrote the entry, or ConsensusOwner.
+// Owner returns the name of the member that wrote the entry, or ConsensusOwner.
 func (id EntryID) Owner() string { return id.owner }
 
-// Key is the entry's key.
+// Key returns the key of the entry.
 func (id EntryID) Key() string { return id.key }
 
-// Entry is one replica of what an owner has written under a key.
+// Entry is one replica of the value that an owner has written under a key.
 type Entry struct {
-	Owner, Key string // the key begins with its kind and a slash
+	Owner, Key string // the key starts with its kind and a slash
 	Version
-	// Siblings has one element, or several, in order, where different values of one version are known. The first byte of each
-	// is a mark: a value follows, or it is a tombstone.
+	// Siblings has one element, or several in ascending order if different values of the same version are known. The first byte of
+	// each element is a mark: valueMark, followed by the value, or tombstoneMark.
 	Siblings [][]byte
 }
 
-// Marks of a sibling.
+// Marks in the first byte of a sibling.
 const (
 	tombstoneMark = 0
 	valueMark     = 1
 )
 
-// KindOf is the kind of a key: its part before the first slash.
+// KindOf returns the kind of a key: the part before the first slash.
 func KindOf(key string) string {
 	kind, _, _ := strings.Cut(key, "/")
 	return kind
 }
 
-// DecidedEntry is the entry of a decision of consensus, of the fleet that fleetTag stands for. value nil is a tombstone.
+// DecidedEntry returns the entry for a decision of consensus. fleetTag identifies the fleet, and number is the number of the
+// decision. A nil value is a tombstone.
 func DecidedEntry(fleetTag uint64, key string, number uint64, value []byte) Entry {
 	return Entry{Owner: ConsensusOwner, Key: key, Version: Version{fleetTag, number}, Siblings: [][]byte{encodeSibling(value)}}
 }
 
-// encodeSibling adds the mark to a value; nil is a tombstone.
+// encodeSibling returns the sibling for a value. A nil value is a tombstone.
 func encodeSibling(value []byte) []byte {
 	if value == nil {
 		return []byte{tombstoneMark}
@@ -76,7 +78,7 @@
 	return append([]byte{valueMark}, value...)
 }
 
-// Values are the values of the siblings that are no tombstones.
+// Values returns the values of the siblings that are not tombstones.
 func (e *Entry) Values() [][]byte {
 	var values [][]byte
 	for _, sibling := range e.Siblings {
@@ -87,7 +89,7 @@
 	return values
 }
 
-// Deleted reports whether the entry is a tombstone, without a sibling that is a value.
+// Deleted reports whether the entry is a tombstone and has no sibling with a value.
 func (e *Entry) Deleted() bool {
 	return len(e.Siblings) == 1 && len(e.Siblings[0]) == 1 && e.Siblings[0][0] == tombstoneMark
 }
@@ -117,7 +119,7 @@
 	return sibling[0] == valueMark || sibling[0] == tombstoneMark && len(sibling) == 1
 }
 
-// size is about how many bytes the entry takes in a message.
+// size returns the approximate size of the entry in a message, in bytes.
 func (e *Entry) size() int {
 	size := recordOverhead + len(e.Owner) + len(e.Key)
 	for _, sibling := range e.Siblings {
@@ -126,7 +128,8 @@
 	return size
 }
 
-// mergeEntries returns the least upper bound of two entries with the same ID.
+// mergeEntries returns the least upper bound of two entries with the same ID: the entry with the newer version or, for equal
+// versions, the union of the siblings.
 func mergeEntries(a, b Entry) Entry {
 	switch order := a.Compare(b.Version); {
 	case order > 0:
--- a/internal/gossip/failuredetector.go
+++ b/internal/gossip/failuredetector.go
@@ -7,80 +7,84 @@
 	"time"
 )
 
-// Failure detection as in SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, in turn; if it does not
-// respond, others ping it on this process' behalf; if they hear nothing either, it is suspected, and dead unless it refutes the
-// suspicion in time. Of Lifeguard (Dadgar, Phillips, Currey 2018): a process that has signs of being slow itself takes more
-// time before it suspects others (local health), a suspicion lasts the longer the fewer share it, and a suspected member
-// learns so from the ping.
+// Failure detection follows SWIM (Das, Gupta, Motivala 2002). In each period one member is pinged, in turn. If it does not respond,
+// other members ping it on behalf of this process (indirect ping). If they receive no response either, the member is suspected. It
+// is declared dead unless it refutes the suspicion in time.
+//
+// Three extensions come from Lifeguard (Dadgar, Phillips, Currey 2018). A process that shows signs of being slow itself waits longer
+// before it suspects others (local health). A suspicion lasts longer if fewer members confirm it. A ping tells a suspected member
+// that it is suspected.
 const (
-	// indirectPingCount is how many others are asked to ping a member that does not respond.
+	// indirectPingCount is the number of members that are asked to ping a member that does not respond.
 	indirectPingCount = 3
-	// suspicionMinMultiplier times logFleetSize is the least time to refute a suspicion, in ping intervals.
+	// suspicionMinMultiplier times logFleetSize is the minimum suspicion timeout, in ping intervals.
 	suspicionMinMultiplier = 4
-	// suspicionMaxMultiplier times the least time is the longest.
+	// suspicionMaxMultiplier times the minimum is the maximum suspicion timeout.
 	suspicionMaxMultiplier = 6
-	// maxConfirmations is how many more who suspect a member shorten its time to refute to the least.
+	// maxConfirmations is the number of further members whose suspicion reduces the timeout to the minimum.
 	maxConfirmations = 3
-	// maxHealthScore bounds Lifeguard's local health score.
+	// maxHealthScore is the maximum of Lifeguard's local health score.
 	maxHealthScore = 8
-	// deadPingPeriods: once in so many periods a member that is gone is pinged, so that a partition that has healed is noticed.
+	// deadPingPeriods is the number of periods between two pings of a member that is dead, left or unknown. These pings detect that
+	// a partition has healed.
 	deadPingPeriods = 8
-	// maxIndirectPingsPerMember bounds the pings on others' behalf, for each member of the fleet.
+	// maxIndirectPingsPerMember times the fleet size is the maximum number of pending indirect pings.
 	maxIndirectPingsPerMember = 4
 )
 
-// failureDetector is the state of the pings of one node.
+// failureDetector is the state of the failure detection of one node.
 type failureDetector struct {
-	ping            *pendingPing             // nil: none is in flight
-	indirectPings   map[uint64]*indirectPing // on others' behalf, by the number of the ping
+	ping            *pendingPing             // nil if none is in flight
+	indirectPings   map[uint64]*indirectPing // sent on behalf of other members, by sequence number of the ping
 	nextPing        time.Duration
-	nextExpiryCheck time.Duration // when suspicions and dead members are next checked for their end
-	peerIndex       int           // of the next in Node.peers to ping
-	periods         int           // that have begun
-	healthScore     int           // 0: healthy, to maxHealthScore
+	nextExpiryCheck time.Duration // time of the next check for expired suspicions and dead members
+	peerIndex       int           // index in Node.peers of the next member to ping
+	periods         int           // number of periods started
+	healthScore     int           // from 0 (healthy) to maxHealthScore
 }
 
-// pendingPing is the ping of the present period.
+// pendingPing is the ping of the current period.
 type pendingPing struct {
 	target       string
 	seq          uint64
-	indirectAt   time.Duration // when others are asked to ping the target
+	indirectAt   time.Duration // time at which other members are asked to ping the target
 	deadline     time.Duration
 	indirectSent bool
-	missingNacks int // of those who were asked to ping
+	missingNacks int // members asked for an indirect ping that have not sent a Nack
 	acked        bool
 }
 
-// indirectPing is a ping on another's behalf.
+// indirectPing is a ping on behalf of another member.
 type indirectPing struct {
 	requester    string
 	target       string
-	requesterSeq uint64 // number of the requester's ping
+	requesterSeq uint64 // sequence number of the requester's ping
 	deadline     time.Duration
 }
 
-// HealthScore is Lifeguard's local health score: intervals are lengthened by so many times themselves; 0 to 8.
+// HealthScore returns Lifeguard's local health score, from 0 to 8. Ping intervals and timeouts are multiplied by the score plus one.
 func (n *Node) HealthScore() int { return n.detector.healthScore }
 
-// adjustHealth raises the health score on a sign that this process is slow or cut off, and lowers it on one of the contrary.
-func (n *Node) adjustHealth(by int) {
-	n.detector.healthScore = min(maxHealthScore, max(0, n.detector.healthScore+by))
+// adjustHealth changes the health score by delta. A positive delta indicates that this process is slow or isolated.
+func (n *Node) adjustHealth(delta int) {
+	n.detector.healthScore = min(maxHealthScore, max(0, n.detector.healthScore+delta))
 }
 
-// scaleByHealth lengthens a time by the health score.
+// scaleByHealth multiplies a duration by the health score plus one.
 func (n *Node) scaleByHealth(d time.Duration) time.Duration {
 	return d * time.Duration(1+n.detector.healthScore)
 }
 
-// suspicionTimeout is how long a suspected member has to refute, given how many more than one suspect it.
+// suspicionTimeout returns the time that a suspected member has to refute the suspicion. confirmations is the number of further
+// members that suspect it.
 func (n *Node) suspicionTimeout(confirmations int) time.Duration {
-	least := time.Duration(suspicionMinMultiplier * n.logFleetSize() * float64(n.cfg.PingInterval))
-	longest := suspicionMaxMultiplier * least
-	share := math.Log(float64(confirmations)+1) / math.Log(maxConfirmations+1)
-	return n.scaleByHealth(max(least, longest-time.Duration(share*float64(longest-least))))
+	minimum := time.Duration(suspicionMinMultiplier * n.logFleetSize() * float64(n.cfg.PingInterval))
+	maximum := suspicionMaxMultiplier * minimum
+	fraction := math.Log(float64(confirmations)+1) / math.Log(maxConfirmations+1)
+	return n.scaleByHealth(max(minimum, maximum-time.Duration(fraction*float64(maximum-minimum))))
 }
 
-// detectFailures pings one member in each period, and ends the pings and suspicions that are due.
+// detectFailures pings one member in each period, and processes pings and suspicions whose time has passed.
 func (n *Node) detectFailures(now time.Duration) {
 	n.advancePing(now)
 	n.startPing(now)
@@ -91,7 +95,7 @@
 	}
 }
 
-// advancePing asks others to ping the target of the pending ping, or ends it.
+// advancePing requests indirect pings of the target if the pending ping is late, and evaluates the ping at its deadline.
 func (n *Node) advancePing(now time.Duration) {
 	ping := n.detector.ping
 	switch {
@@ -109,12 +113,12 @@
 			n.adjustHealth(-1)
 			return
 		}
-		n.adjustHealth(1 + ping.missingNacks) // helpers that do not respond either: it may be this process that is cut off
+		n.adjustHealth(1 + ping.missingNacks) // if the helpers do not respond either, this process may be isolated
 		n.suspect(now, n.members[ping.target])
 	}
 }
 
-// suspect suspects a member that did not respond.
+// suspect marks a member that did not respond as suspected by this process.
 func (n *Node) suspect(now time.Duration, m *member) {
 	switch m.State {
 	case Alive, Unknown:
@@ -126,7 +130,7 @@
 	n.applyMemberState(now, MemberState{m.Name, m.Incarnation, m.Refutations, Suspect, n.cfg.Name})
 }
 
-// startPing begins a period if it is time.
+// startPing starts a new period if it is due.
 func (n *Node) startPing(now time.Duration) {
 	if n.detector.ping != nil || now < n.detector.nextPing {
 		return
@@ -142,7 +146,7 @@
 	n.send(target, &Message{Kind: PingMessage, Seq: n.lastSeq, Members: n.pingUpdates(target)})
 }
 
-// expireIndirectPings sends a Nack for each indirect ping without a response in time.
+// expireIndirectPings sends a Nack to the requester of each indirect ping that has timed out.
 func (n *Node) expireIndirectPings(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(n.detector.indirectPings)) {
 		if ping := n.detector.indirectPings[seq]; now >= ping.deadline {
@@ -152,7 +156,8 @@
 	}
 }
 
-// expireUnhealthy declares suspected members dead that did not refute in time, and reaps the entries of those long dead.
+// expireUnhealthy declares suspected members dead if they did not refute the suspicion in time, and reaps the entries of members that
+// have been dead for DeadRetention.
 func (n *Node) expireUnhealthy(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(n.unhealthy)) {
 		m := n.members[name]
@@ -168,7 +173,8 @@
 	}
 }
 
-// pingUpdates are the states that go with a ping or its ack; a member that is suspected can refute at once.
+// pingUpdates returns the member states that are sent with a ping or an Ack. If the recipient is not considered alive, they include
+// its state, so that it can refute a suspicion immediately.
 func (n *Node) pingUpdates(to string) []MemberState {
 	updates := []MemberState{n.ownState()}
 	if m := n.members[to]; m != nil && m.State != Unknown && m.State != Alive {
@@ -177,15 +183,15 @@
 	return updates
 }
 
-// nextPingTarget is who is pinged next: all peers in a random order, drawn anew each time round, and now and then one that is
-// gone; empty if there is none.
+// nextPingTarget returns the name of the next member to ping, or an empty string if there is none. It cycles through the peers in a
+// random order, which is shuffled for each cycle. Once in deadPingPeriods it returns a member that is dead, left or unknown.
 func (n *Node) nextPingTarget() string {
 	d := &n.detector
 	d.periods++
 	if d.periods%deadPingPeriods == 0 {
-		gone := n.randomMembers(1, func(m *member) bool { return m.State == Dead || m.State == Left || m.State == Unknown })
-		if len(gone) > 0 {
-			return gone[0]
+		unavailable := n.randomMembers(1, func(m *member) bool { return m.State == Dead || m.State == Left || m.State == Unknown })
+		if len(unavailable) > 0 {
+			return unavailable[0]
 		}
 	}
 	for range 2 * len(n.peers) {
@@ -202,12 +208,12 @@
 	return ""
 }
 
-// handlePing acknowledges.
+// handlePing replies with an Ack.
 func (n *Node) handlePing(now time.Duration, from string, m *Message) {
 	n.send(from, &Message{Kind: AckMessage, Seq: m.Seq, Load: n.catchUpLoad(now), Members: n.pingUpdates(from)})
 }
 
-// handlePingRequest pings the target on the sender's behalf.
+// handlePingRequest pings the target on behalf of the sender.
 func (n *Node) handlePingRequest(now time.Duration, from string, m *Message) {
 	if n.members[m.Target] == nil || len(n.detector.indirectPings) >= maxIndirectPingsPerMember*len(n.memberNames) {
 		return
@@ -219,7 +225,7 @@
 	n.send(m.Target, &Message{Kind: PingMessage, Seq: n.lastSeq, Members: n.pingUpdates(m.Target)})
 }
 
-// handleAck ends this process' own ping, or one on another's behalf.
+// handleAck completes this process's own ping, or an indirect ping, whose requester then receives an Ack.
 func (n *Node) handleAck(from string, m *Message) {
 	if ping := n.detector.ping; ping != nil && ping.seq == m.Seq {
 		ping.acked = true
@@ -231,14 +237,14 @@
 	}
 }
 
-// handleNack notes that a helper is alive, and heard nothing of the target either.
+// handleNack records that a helper is alive but received no response from the target.
 func (n *Node) handleNack(m *Message) {
 	if ping := n.detector.ping; ping != nil && ping.seq == m.Seq {
 		ping.missingNacks--
 	}
 }
 
-// nextDetection is when detectFailures has something to do at the latest.
+// nextDetection returns the time at which detectFailures must be called next.
 func (n *Node) nextDetection() time.Duration {
 	at := n.detector.nextPing
 	if len(n.unhealthy) > 0 {
--- a/internal/gossip/faults.go
+++ b/internal/gossip/faults.go
@@ -1,16 +1,16 @@
 package gossip
 
-// InjectedFault is a deliberate mistake in the protocol. Tests inject one to see that they find it.
+// InjectedFault is a deliberate fault in the protocol. Tests inject a fault to verify that they detect it.
 type InjectedFault string
 
-// The faults.
+// The faults that can be injected.
 const (
 	NoFault               InjectedFault = ""
-	FaultLastArrivalWins  InjectedFault = "arrival-decides" // the last entry to arrive wins, as with unsynchronized clocks
-	FaultDropTombstones   InjectedFault = "forget-deleted"  // a tombstone is dropped as soon as it is merged
-	FaultSkipDigestRanges InjectedFault = "leave-out-range" // digests leave out a third of the leaves
-	FaultPartialMerge     InjectedFault = "half-a-piece"    // half of a reply's entries are merged, and all taken for known
+	FaultLastArrivalWins  InjectedFault = "arrival-decides" // the entry that arrives last wins, as with unsynchronized clocks
+	FaultDropTombstones   InjectedFault = "forget-deleted"  // a tombstone is removed as soon as it is merged
+	FaultSkipDigestRanges InjectedFault = "leave-out-range" // digests omit a third of the leaves
+	FaultPartialMerge     InjectedFault = "half-a-piece"    // half of the entries of a reply are merged, but all are treated as merged
 )
 
-// InjectedFaults are all faults but NoFault.
+// InjectedFaults lists all faults except NoFault.
 var InjectedFaults = []InjectedFault{FaultLastArrivalWins, FaultDropTombstones, FaultSkipDigestRanges, FaultPartialMerge}
--- a/internal/gossip/form_test.go
+++ b/internal/gossip/form_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// keptMessage is what a process saves for its next start.
+// keptMessage returns the message that a process saves for its next start.
 func keptMessage() *Message {
 	m := fullMessage()
 	return &Message{Kind: SyncMessage, Target: "fleet-1", Owners: []OwnerState{{Name: "fleet-1", Incarnation: 4<<incarnationRandomBits | 3}}, Entries: m.Entries}
@@ -51,7 +51,7 @@
 	return goldentest.Form{Name: name, Written: hex.EncodeToString(m.Encode()), Read: read, Value: m, Full: full}
 }
 
-// TestMessageForm pins the bytes of messages between members, and of what one saves for its next start.
+// TestMessageForm pins the encoding of messages between members, and of the message that a process saves for its next start.
 func TestMessageForm(t *testing.T) {
 	goldentest.CheckForms(t, "messages.golden", []goldentest.Form{
 		messageForm("full", fullMessage(), true),
@@ -64,11 +64,11 @@
 		messageForm("sync", &Message{Kind: SyncMessage, Seq: 3, Ranges: []RangeDigest{{Kind: membersKind, Digest: 5}, {Kind: "dead"}}}, false),
 	})
 	if _, err := Decode([]byte{2, byte(PingMessage), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("a message of format 2: %v, want ErrUnsupportedFormat", err)
+		t.Errorf("message of format version 2: %v, want ErrUnsupportedFormat", err)
 	}
 }
 
-// TestKeptForm: what an earlier start has saved is there again, and the process goes on above its own incarnation.
+// TestKeptForm checks that Restore loads the entries that an earlier start has saved, and continues with a larger incarnation.
 func TestKeptForm(t *testing.T) {
 	m := keptMessage()
 	cfg := DefaultConfig()
@@ -81,18 +81,18 @@
 		}
 	}
 	if n.Incarnation()>>incarnationRandomBits != 5 {
-		t.Errorf("the process goes on with incarnation %#x", n.Incarnation())
+		t.Errorf("process continues with incarnation %#x, want ordinal 5", n.Incarnation())
 	}
 }
 
-// TestEntryForm pins what a process and consensus write into entries: owner, key, version and siblings.
+// TestEntryForm pins the entries that a process and consensus write: owner, key, version and siblings.
 func TestEntryForm(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "fleet-1", []string{"fleet-1"}, []string{UnreachableKind, "look"}, []string{"zone"}
 	n := New(0, cfg)
 	reports := NewFailureReports(1)
-	server := PoolKey(UnreachableKind, "orders", "10.0.0.1:80")
-	reports.Record(time.Second, n, server, true)
+	endpoint := PoolKey(UnreachableKind, "orders", "10.0.0.1:80")
+	reports.Record(time.Second, n, endpoint, true)
 	n.Put("look/orders/a", []byte("1"))
 	n.Put("look/orders/b", nil)
 	n.Delete("look/orders/b")
@@ -105,12 +105,12 @@
 		return true
 	})
 	goldentest.CheckForms(t, "entries.golden", forms)
-	if pool, name, ok := SplitPoolKey(server); pool != "orders" || name != "10.0.0.1:80" || !ok {
-		t.Errorf("%s is of pool %q and server %q, %v", server, pool, name, ok)
+	if pool, name, ok := SplitPoolKey(endpoint); pool != "orders" || name != "10.0.0.1:80" || !ok {
+		t.Errorf("key %s is split into pool %q and endpoint %q, ok %v", endpoint, pool, name, ok)
 	}
 }
 
-// TestSumForm pins the sums by which members find what differs: two versions that reckon otherwise would never agree.
+// TestSumForm pins the digests with which members find differences. Program versions that compute them differently would never agree.
 func TestSumForm(t *testing.T) {
 	m := fullMessage()
 	c := NewStore([]string{"dead"}, []string{"zone"}, func(string) bool { return true }, NoFault)
@@ -147,7 +147,7 @@
 	return goldentest.Form{Name: name, Written: string(text), Read: read, Value: value, Full: true}
 }
 
-// TestCountsForm pins the statistics as JSON.
+// TestCountsForm pins the JSON encoding of the statistics.
 func TestCountsForm(t *testing.T) {
 	goldentest.CheckForms(t, "counts.golden", []goldentest.Form{
 		jsonForm("figures", Stats{Suspicions: 1, Refutations: 2, Deaths: 3, Syncs: 4, SyncsEqual: 5, CatchUpBytes: 6, CatchUpRejected: 7}),
@@ -155,17 +155,17 @@
 	})
 }
 
-// TestNumbers pins the numbers and names that are sent or saved.
+// TestNumbers pins the numbers and names that are sent or stored.
 func TestNumbers(t *testing.T) {
 	for i, kind := range []MessageKind{PingMessage, AckMessage, PingRequestMessage, NackMessage, RumorMessage, SyncMessage} {
 		if int(kind) != i+1 {
-			t.Errorf("kind of message %d is %d", i+1, kind)
+			t.Errorf("message kind at position %d has value %d", i+1, kind)
 		}
 	}
 	names := []string{"alive", "suspect", "dead", "left", "unheard of", "?"}
 	for i, s := range []State{Alive, Suspect, Dead, Left, Unknown, Unknown + 1} {
 		if int(s) != i || s.String() != names[i] {
-			t.Errorf("state %d is %d, %q, want %q", i, s, s, names[i])
+			t.Errorf("state at position %d has value %d and name %q, want name %q", i, s, s, names[i])
 		}
 	}
 	got := []any{formatVersion, tombstoneMark, valueMark, incarnationRandomBits, treeFanout, leafCount, ConsensusOwner, membersKind, UnreachableKind, MaxMessageBytes, MaxKeyBytes, MaxValueBytes, maxNameBytes, maxSiblings}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,34 +1,39 @@
-// Package gossip replicates small state among many processes without a leader: what each member writes of what it sees, and
-// what consensus has decided. It detects failures of members (SWIM, with Lifeguard's local health), spreads news as rumors,
-// finds differences between replicas by anti-entropy over digest trees, and merges entries by one rule. It has no I/O, clock or
-// goroutine: messages and the time of the caller's own monotonic clock go in, messages come out, which may be lost, duplicated,
-// delayed and reordered.
+// Package gossip replicates a small amount of state among many processes without a leader: the entries that each member writes and
+// the decisions of consensus. It detects failed members (SWIM, with the local health of Lifeguard), disseminates updates as rumors,
+// and finds differences between replicas by anti-entropy over digest trees. The package has no I/O, clock or goroutines: the caller
+// passes in messages and the time of its own monotonic clock, and sends the messages that are returned. Messages may be lost,
+// duplicated, delayed and reordered.
 //
-// The merge rule, in full: of one owner only the entries of its newest incarnation count, and none up to the one that was
-// reaped; within it, of each key the larger sequence number wins. Two values of one and the same version, which no correct
-// process can write, are both kept as siblings, and readers take the more careful of them. So a merge is the least upper bound
-// of a lattice, commutative, associative and idempotent: the order of messages does not matter, and no clock has a part in it.
+// All replicas merge entries by the same rules:
+//
+//   - Of each owner, only the entries of the newest incarnation count. Incarnations up to the reaped one do not count.
+//   - Of each key within the incarnation, the entry with the largest sequence number wins.
+//   - Two different values of the same version are both kept as siblings, and readers use the more restrictive value. A correct
+//     process never writes two values of the same version.
+//
+// A merge is therefore the least upper bound in a lattice: commutative, associative and idempotent. The result depends neither on
+// the order of the messages nor on clocks.
 package gossip
 
 import "time"
 
-// Config is what one process is configured with.
+// Config is the configuration of one node.
 type Config struct {
-	Name           string        // of this process
-	Members        []string      // names of all members, this process included
+	Name           string        // name of this process
+	Members        []string      // names of all members, including this process
 	Kinds          []string      // kinds of keys that members write
 	DecidedKinds   []string      // kinds of keys that consensus decides
-	GossipInterval time.Duration // between two rounds of rumors
-	Fanout         int           // members that a round goes to
-	PingInterval   time.Duration // SWIM's protocol period: one member is pinged in each
+	GossipInterval time.Duration // time between two rounds of rumors
+	Fanout         int           // number of members that receive the rumors of a round
+	PingInterval   time.Duration // protocol period of SWIM, in which one member is pinged
 	SyncInterval   time.Duration // mean time between two anti-entropy exchanges that this process starts
 	DeadRetention  time.Duration // how long the entries of a dead member are kept
-	CatchUpBudget  float64       // bytes a second of entries for members that catch up
-	Seed           uint64        // of all random draws
-	Fault          InjectedFault // NoFault but in tests of the tests
+	CatchUpBudget  float64       // bytes of entries per second for members that catch up
+	Seed           uint64        // seed of the random number generator
+	Fault          InjectedFault // NoFault, except in tests of the test suite
 }
 
-// DefaultConfig has intervals that suit a fleet within one region. Name, members, kinds and seed are left to the caller.
+// DefaultConfig returns a configuration for a fleet within one region. The caller sets the name, members, kinds and seed.
 func DefaultConfig() Config {
 	return Config{
 		GossipInterval: 100 * time.Millisecond,
@@ -46,19 +51,19 @@
 	Message *Message
 }
 
-// MemberEvent is a change of a member's state, as seen by this process.
+// MemberEvent is a change of a member's state in the view of this process.
 type MemberEvent struct {
 	Name     string
 	From, To State
 }
 
-// Stats count what a node has done since it started.
+// Stats are the counters of a node since it started.
 type Stats struct {
-	Suspicions      int `json:"Suspicions"` // members that this process itself began to suspect
-	Refutations     int `json:"Objections"` // suspicions of this process that it refuted
-	Deaths          int `json:"Deaths"`     // members declared dead here
-	Syncs           int `json:"Syncs"`      // anti-entropy exchanges started here
-	SyncsEqual      int `json:"Equal"`      // of them those that found no difference
-	CatchUpBytes    int `json:"Helped"`     // entries sent to members that catch up, in bytes
-	CatchUpRejected int `json:"Turned"`     // their requests that were rejected for want of budget
+	Suspicions      int `json:"Suspicions"` // members that this process has started to suspect by its own pings
+	Refutations     int `json:"Objections"` // suspicions against this process that it has refuted
+	Deaths          int `json:"Deaths"`     // members that became dead in the view of this process
+	Syncs           int `json:"Syncs"`      // anti-entropy exchanges started by this process
+	SyncsEqual      int `json:"Equal"`      // started exchanges that found no difference
+	CatchUpBytes    int `json:"Helped"`     // bytes of entries sent to members that catch up
+	CatchUpRejected int `json:"Turned"`     // requests of members that catch up, rejected because the budget was exhausted
 }
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// State is the state of a member, as one process sees it. Its value is sent.
+// State is the state of a member in the view of one process. The numeric value is part of the wire format.
 type State uint8
 
-// The states, in the order in which they override each other within one incarnation.
+// The states of a member. Within one incarnation, a later state overrides an earlier one.
 const (
 	Alive   State = 0
-	Suspect State = 1 // it did not respond, and may refute the suspicion
-	Dead    State = 2 // it did not refute the suspicion in time
-	Left    State = 3 // it has left by itself
-	Unknown State = 4 // no news of it was received yet; never sent
+	Suspect State = 1 // did not respond, and may refute the suspicion
+	Dead    State = 2 // did not refute the suspicion in time
+	Left    State = 3 // has left voluntarily
+	Unknown State = 4 // no state was received yet; never sent
 )
 
-// String names a state.
+// String returns the name of the state.
 func (s State) String() string {
 	if s > Unknown {
 		return "?"
@@ -27,21 +27,22 @@
 	return [...]string{"alive", "suspect", "dead", "left", "unheard of"}[s]
 }
 
-// MemberState is the news of a member. Of two the one with the larger incarnation counts, then the one with more refutations,
-// then the one with the larger state: incarnation and refutations together are SWIM's incarnation number.
+// MemberState is the disseminated state of a member. Of two member states, the one with the larger incarnation wins, then the one
+// with more refutations, then the one with the larger State. Incarnation and Refutations together correspond to the incarnation
+// number of SWIM.
 type MemberState struct {
 	Name        string
 	Incarnation uint64 // see Version
-	Refutations uint32 // suspicions that the member has refuted in this incarnation
+	Refutations uint32 // number of suspicions that the member has refuted in this incarnation
 	State       State
-	SuspectedBy string // who suspects it, if it is Suspect
+	SuspectedBy string // name of a member that suspects it, in state Suspect
 }
 
 func (s MemberState) compare(t MemberState) int {
 	return cmp.Or(cmp.Compare(s.Incarnation, t.Incarnation), cmp.Compare(s.Refutations, t.Refutations), cmp.Compare(s.State, t.State))
 }
 
-// version orders the news of a member as that of an entry.
+// version returns the member state's version in the form of an entry's version.
 func (s MemberState) version() Version {
 	return Version{s.Incarnation, uint64(s.Refutations)<<8 | uint64(s.State)}
 }
@@ -51,19 +52,19 @@
 	return mix64(mix64(v.Incarnation)+v.Sequence) ^ mix64(uint64(leafIndex(s.Name, ""))+uint64(len(s.Name)))
 }
 
-// size is about how many bytes the state takes in a message.
+// size returns the approximate size of the state in a message, in bytes.
 func (s MemberState) size() int { return recordOverhead + len(s.Name) + len(s.SuspectedBy) }
 
-// member is what a process knows of another.
+// member is this process's record of another member.
 type member struct {
 	MemberState
 	stateSince  time.Duration
-	suspectedBy map[string]bool // who suspects it independently
-	load        uint16          // in its newest message
-	busyUntil   time.Duration   // until then it is not asked to help this process to catch up
+	suspectedBy map[string]bool // names of the members that suspect it independently
+	load        uint16          // catch-up load in its newest message
+	busyUntil   time.Duration   // time until which it is not asked to help this process to catch up
 }
 
-// Member returns the state of a member, this process included.
+// Member returns the state of a member or of this process. The state of a name that is not a member is Unknown.
 func (n *Node) Member(name string) MemberState {
 	if name == n.cfg.Name {
 		return n.ownState()
@@ -74,17 +75,17 @@
 	return MemberState{Name: name, State: Unknown}
 }
 
-// Count is how many other members are in a state.
+// Count returns the number of other members that are in a state.
 func (n *Node) Count(s State) int { return n.stateCounts[s] }
 
-// TakeEvents returns the changes of other members' states since the last call.
+// TakeEvents returns the state changes of other members since the last call.
 func (n *Node) TakeEvents() []MemberEvent {
 	events := n.events
 	n.events = nil
 	return events
 }
 
-// ownState is the news of this process.
+// ownState returns the member state of this process.
 func (n *Node) ownState() MemberState {
 	s := MemberState{Name: n.cfg.Name, Incarnation: n.self.incarnation, Refutations: n.self.refutations}
 	if n.self.left {
@@ -93,13 +94,13 @@
 	return s
 }
 
-// presentMembers is how many members, this process included, are not known to be gone.
+// presentMembers returns the number of alive and suspected members, including this process.
 func (n *Node) presentMembers() int { return n.stateCounts[Alive] + n.stateCounts[Suspect] + 1 }
 
-// logFleetSize is the decimal logarithm of the number of members that may be present, at least 1.
+// logFleetSize returns the decimal logarithm of the number of present members plus one, at least 1.
 func (n *Node) logFleetSize() float64 { return max(1, math.Log10(float64(n.presentMembers()+1))) }
 
-// applyMemberState takes in the news of a member.
+// applyMemberState applies a received state of a member.
 func (n *Node) applyMemberState(now time.Duration, s MemberState) {
 	if s.Name == n.cfg.Name {
 		n.applyOwnState(now, s)
@@ -116,7 +117,8 @@
 	}
 }
 
-// confirmSuspicion notes one more who suspects the member, as far as that shortens its time to refute.
+// confirmSuspicion records another member that suspects this member. Confirmations beyond maxConfirmations are ignored, because they
+// do not shorten the suspicion timeout.
 func (m *member) confirmSuspicion(by string) {
 	if by == "" || m.suspectedBy[by] || len(m.suspectedBy) > maxConfirmations {
 		return
@@ -143,7 +145,7 @@
 	switch s.State {
 	case Suspect:
 		m.suspectedBy = map[string]bool{s.SuspectedBy: true}
-	case Left: // its entries leave with it
+	case Left: // its entries are reaped
 		n.applyOwnerState(OwnerState{s.Name, s.Incarnation, s.Incarnation})
 	case Dead:
 		n.Stats.Deaths++
@@ -152,8 +154,8 @@
 	n.rumors.add(rumorKey{member: s.Name})
 }
 
-// applyOwnState takes in what others say of this process: it refutes a suspicion, and begins another incarnation above one of
-// its name that it does not know, of an earlier start or of another process with its name.
+// applyOwnState applies a state of this process that was received from another member. A suspicion is refuted. An unknown
+// incarnation of an earlier start, or of another process with the same name, makes this process start a larger incarnation.
 func (n *Node) applyOwnState(now time.Duration, s MemberState) {
 	switch {
 	case n.self.left:
@@ -162,13 +164,13 @@
 	case s.Incarnation == n.self.incarnation && s.State != Alive && s.Refutations >= n.self.refutations:
 		n.self.refutations = s.Refutations + 1
 		n.updateOwnDigest()
-		n.adjustHealth(1) // somebody had no response in time
+		n.adjustHealth(1) // another member received no response in time
 		n.Stats.Refutations++
 		n.rumors.add(rumorKey{member: n.cfg.Name})
 	}
 }
 
-// updateOwnDigest keeps the digest tree of the members up to date with this process' own state.
+// updateOwnDigest updates this process's own state in the digest tree of the members.
 func (n *Node) updateOwnDigest() {
 	if n.self.digest != 0 {
 		n.memberDigests.remove(n.cfg.Name, "", n.self.digest)
@@ -177,10 +179,10 @@
 	n.memberDigests.add(n.cfg.Name, "", n.self.digest)
 }
 
-// drawsPerMember is how many random members are tried for each that is wanted, before all are searched.
+// drawsPerMember is the number of random draws per requested member before all members are searched.
 const drawsPerMember = 8
 
-// randomMembers draws up to count other members that match.
+// randomMembers returns the names of up to count random other members that match.
 func (n *Node) randomMembers(count int, matches func(*member) bool) []string {
 	var drawn []string
 	for try := 0; try < drawsPerMember*count && len(drawn) < count; try++ {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -2,26 +2,26 @@
 
 import "errors"
 
-// MessageKind is what a message is for. Its value is sent.
+// MessageKind is the purpose of a message. The numeric value is part of the wire format.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	PingMessage        MessageKind = 1 // asks for an Ack
-	AckMessage         MessageKind = 2 // the sender is alive; in reply to a PingRequest: the target is
-	PingRequestMessage MessageKind = 3 // asks to ping the target, which the sender cannot reach (SWIM's indirect ping)
-	NackMessage        MessageKind = 4 // in reply to a PingRequest: the target has not responded, but the sender is alive
-	RumorMessage       MessageKind = 5 // news
-	SyncMessage        MessageKind = 6 // anti-entropy: digests, versions and entries
+	PingMessage        MessageKind = 1 // requests an Ack
+	AckMessage         MessageKind = 2 // the sender is alive; in reply to a PingRequest, the target is alive
+	PingRequestMessage MessageKind = 3 // requests a ping of the target, which did not respond to the sender (indirect ping of SWIM)
+	NackMessage        MessageKind = 4 // in reply to a PingRequest: the target did not respond, but the sender is alive
+	RumorMessage       MessageKind = 5 // disseminates updates
+	SyncMessage        MessageKind = 6 // exchanges digests, versions and entries (anti-entropy)
 )
 
-// Message is what processes send each other. It may be lost, duplicated, delayed and reordered.
+// Message is a message between members. It may be lost, duplicated, delayed and reordered.
 type Message struct {
 	Kind    MessageKind
-	Seq     uint64 // number of a request, which its reply repeats
-	Target  string // of a PingRequest
-	Load    uint16 // how many others the sender helps to catch up
-	Busy    bool   // of a Sync: the sender has no budget left for those that catch up
+	Seq     uint64 // sequence number of a request, repeated in the reply
+	Target  string // member to ping, in a PingRequest
+	Load    uint16 // number of members that the sender is helping to catch up
+	Busy    bool   // in a Sync: the sender's catch-up budget is exhausted
 	Members []MemberState
 	Owners  []OwnerState
 	Entries []Entry
@@ -29,12 +29,12 @@
 	Leaves  []LeafDigest
 }
 
-// isEmpty reports whether a Sync message carries nothing.
+// isEmpty reports whether a Sync message has neither states nor entries nor digests.
 func (m *Message) isEmpty() bool {
 	return len(m.Owners)+len(m.Members)+len(m.Entries)+len(m.Ranges)+len(m.Leaves) == 0
 }
 
-// RangeDigest is the digest of a range of a kind's digest tree.
+// RangeDigest is the digest of one range of the digest tree of a kind.
 type RangeDigest struct {
 	Kind   string
 	Level  uint8 // rootLevel, innerLevel or leafLevel
@@ -42,31 +42,32 @@
 	Digest uint64
 }
 
-// LeafDigest lists the entries that the sender has, or wants, of a leaf of a kind's digest tree.
+// LeafDigest lists entries of one leaf of the digest tree of a kind: the entries that the sender has, if RequestMissing is set, or
+// the entries that the sender requests.
 type LeafDigest struct {
 	Kind           string
 	Index          uint16
-	RequestMissing bool // the recipient is to list in return what it wants
+	RequestMissing bool // the recipient sends the entries that are not listed, and lists the entries that it requests
 	Entries        []EntryDigest
 }
 
-// EntryDigest is an entry without its value.
+// EntryDigest identifies an entry and its version without the value.
 type EntryDigest struct {
 	Owner, Key string
 	Version
 	Digest uint64
 }
 
-// Bounds of a message. One that exceeds them is rejected as a whole.
+// Bounds of a message. A message that exceeds a bound is rejected as a whole.
 const (
 	maxMemberStates = 256
 	maxOwnerStates  = 1024
 	maxEntries      = 2048
 	maxRangeDigests = 1024
 	maxLeafDigests  = 256
-	maxEntryDigests = 8192 // of all leaves together
+	maxEntryDigests = 8192 // in all leaves together
 	maxNameBytes    = 128
-	// MaxMessageBytes is how long a message can be; what this package sends is much shorter.
+	// MaxMessageBytes is the maximum size of a message. The messages sent by this package are much smaller.
 	MaxMessageBytes = 1 << 20
 )
 
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// names are those of the first n members: a, b, ...
+// names returns the names of the first n members: a, b, ...
 func names(n int) []string {
 	var all []string
 	for i := range n {
@@ -22,64 +22,69 @@
 	return all
 }
 
+// config returns the configuration of a member of a fleet of the given size.
 func config(name string, size int, seed uint64) Config {
 	c := DefaultConfig()
-	c.Name, c.Members, c.Kinds, c.DecidedKinds, c.Seed = name, names(size), kinds, decided, seed
+	c.Name, c.Members, c.Kinds, c.DecidedKinds, c.Seed = name, names(size), kinds, decidedKinds, seed
 	c.DeadRetention = 10 * time.Second
 	return c
 }
 
-// network carries messages between nodes in virtual time.
+// network delivers messages between nodes in virtual time.
 type network struct {
 	t     *testing.T
 	now   time.Duration
-	queue pending
+	queue eventQueue
 	seq   int
 	rng   *rand.Rand
-	up    map[string]*Node
+	nodes map[string]*Node // running processes, by name
 	size  int
-	cut   func(from, to string) bool
-	late  time.Duration // messages are delayed by up to so much
-	twice bool
-	bytes map[string]int          // that went to somebody
-	armed map[*Node]time.Duration // when they tick next
-	// twin is another process with the name twinOf, and receives its messages, too; nil: none.
+	// blocked reports whether messages between two members are lost; nil if none are.
+	blocked   func(from, to string) bool
+	maxDelay  time.Duration           // maximum additional delay of a message
+	duplicate bool                    // deliver each message twice
+	bytes     map[string]int          // number of bytes sent to each member
+	nextTicks map[*Node]time.Duration // scheduled time of the next tick
+	// twin is a second process with the name twinOf, which also receives the messages to that name; nil if there is none.
 	twin   *Node
 	twinOf string
 }
 
-type item struct {
+// event is a function that is scheduled at a time. seq preserves the order of events at the same time.
+type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type pending []item
+// eventQueue is a heap of events, ordered by time.
+type eventQueue []event
 
-func (p pending) Len() int { return len(p) }
+func (p eventQueue) Len() int { return len(p) }
 
-func (p pending) Less(i, j int) bool {
+func (p eventQueue) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
 
-func (p pending) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
 
-func (p *pending) Push(x any) { *p = append(*p, x.(item)) }
+func (p *eventQueue) Push(x any) { *p = append(*p, x.(event)) }
 
-func (p *pending) Pop() any {
+func (p *eventQueue) Pop() any {
 	last := len(*p) - 1
 	x := (*p)[last]
 	*p = (*p)[:last]
 	return x
 }
 
+// newNetwork starts a fleet and returns when all members consider each other alive.
 func newNetwork(t *testing.T, size int) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(5, 5)), up: map[string]*Node{}, size: size, bytes: map[string]int{}, armed: map[*Node]time.Duration{}}
+	w := &network{t: t, rng: rand.New(rand.NewPCG(5, 5)), nodes: map[string]*Node{}, size: size, bytes: map[string]int{}, nextTicks: map[*Node]time.Duration{}}
 	for _, name := range names(size) {
 		w.start(name)
 	}
 	w.until("all members are alive to all", 20*time.Second, func() bool {
-		for _, n := range w.up {
+		for _, n := range w.nodes {
 			if n.Count(Alive) != size-1 {
 				return false
 			}
@@ -89,55 +94,57 @@
 	return w
 }
 
-func (w *network) after(d time.Duration, do func()) {
+// schedule runs a function after a delay.
+func (w *network) schedule(delay time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.queue, item{w.now + d, w.seq, do})
+	heap.Push(&w.queue, event{w.now + delay, w.seq, run})
 }
 
-// start starts a process with an empty store; a former one with the name is gone.
+// start starts a process with an empty store. It replaces a running process with the same name.
 func (w *network) start(name string) *Node {
 	n := New(w.now, config(name, w.size, w.rng.Uint64()))
-	w.up[name] = n
-	w.arm(name, n)
+	w.nodes[name] = n
+	w.scheduleTick(name, n)
 	return n
 }
 
-// arm has a process tick when it wants to, unless it does so sooner already.
-func (w *network) arm(name string, n *Node) {
+// scheduleTick schedules the next tick of a node, unless an earlier one is already scheduled.
+func (w *network) scheduleTick(name string, n *Node) {
 	next := n.NextTick()
-	if at, is := w.armed[n]; is && at <= next {
+	if at, scheduled := w.nextTicks[n]; scheduled && at <= next {
 		return
 	}
-	w.armed[n] = next
-	w.after(max(ms, next-w.now), func() {
-		if w.up[name] == n && w.armed[n] == next {
-			delete(w.armed, n)
+	w.nextTicks[n] = next
+	w.schedule(max(ms, next-w.now), func() {
+		if w.nodes[name] == n && w.nextTicks[n] == next {
+			delete(w.nextTicks, n)
 			w.send(name, n.Tick(w.now))
-			w.arm(name, n)
+			w.scheduleTick(name, n)
 		}
 	})
 }
 
+// send encodes messages and schedules their delivery.
 func (w *network) send(from string, out []Envelope) {
 	for _, o := range out {
 		m, err := Decode(o.Message.Encode())
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		if w.cut != nil && w.cut(from, o.To) {
+		if w.blocked != nil && w.blocked(from, o.To) {
 			continue
 		}
 		w.bytes[o.To] += len(o.Message.Encode())
 		deliveries := 1
-		if w.twice {
+		if w.duplicate {
 			deliveries = 2
 		}
 		for range deliveries {
-			d := ms + time.Duration(w.rng.Int64N(int64(w.late+ms)))
-			w.after(d, func() {
-				if to := w.up[o.To]; to != nil {
+			d := ms + time.Duration(w.rng.Int64N(int64(w.maxDelay+ms)))
+			w.schedule(d, func() {
+				if to := w.nodes[o.To]; to != nil {
 					w.send(o.To, to.Receive(w.now, from, m))
-					w.arm(o.To, to)
+					w.scheduleTick(o.To, to)
 				}
 				if o.To == w.twinOf {
 					w.send(o.To, w.twin.Receive(w.now, from, m))
@@ -147,33 +154,34 @@
 	}
 }
 
+// run runs the events of a period of virtual time.
 func (w *network) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(item)
+		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = end
 }
 
-// until runs until something is so, and fails if that takes too long.
-func (w *network) until(what string, most time.Duration, is func() bool) time.Duration {
+// until runs until a condition is true, and returns the virtual time that this took. It fails the test after the timeout.
+func (w *network) until(condition string, timeout time.Duration, isTrue func() bool) time.Duration {
 	w.t.Helper()
-	began := w.now
-	for !is() {
-		if w.now > began+most {
-			w.t.Fatalf("after %v not so: %s", most, what)
+	startedAt := w.now
+	for !isTrue() {
+		if w.now > startedAt+timeout {
+			w.t.Fatalf("condition not true after %v: %s", timeout, condition)
 		}
 		w.run(20 * ms)
 	}
-	return w.now - began
+	return w.now - startedAt
 }
 
-// equal reports whether all replicas are equal.
+// equal reports whether all replicas have equal digests.
 func (w *network) equal() bool {
-	first := w.up["a"]
-	for _, n := range w.up {
+	first := w.nodes["a"]
+	for _, n := range w.nodes {
 		for _, kind := range n.store.kinds {
 			if n.store.Digest(kind) != first.store.Digest(kind) {
 				return false
@@ -183,7 +191,8 @@
 	return true
 }
 
+// holds reports whether the replica of a member has an entry that is not deleted.
 func (w *network) holds(at, owner, key string) bool {
-	e, ok := w.up[at].store.Get(owner, key)
+	e, ok := w.nodes[at].store.Get(owner, key)
 	return ok && !e.Deleted()
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Node is one process' part in the protocol. The caller passes in messages (Receive) and time (Tick, no later than NextTick),
-// and sends the messages that come out. It is not safe for concurrent use.
+// Node runs the gossip protocol of one process. The caller passes in messages (Receive) and the time (Tick, no later than NextTick),
+// and sends the messages that these methods return. A Node is not safe for concurrent use.
 type Node struct {
 	cfg         Config
 	rng         *rand.Rand
 	startedAt   time.Duration
 	store       *Store
 	self        ownRecord
-	memberNames map[string]bool // of all members, this process included
+	memberNames map[string]bool // names of all members, including this process
 
-	members       map[string]*member  // the others
-	peers         []string            // their names, in the order in which they are pinged
-	memberDigests *digestTree         // of the states of all members, this process included
-	stateCounts   [Unknown + 1]int    // others in each state
-	unhealthy     map[string]struct{} // members that are suspected, or dead and not reaped yet
+	members       map[string]*member  // the other members, by name
+	peers         []string            // names of the other members, in the order in which they are pinged
+	memberDigests *digestTree         // digest tree of the states of all members, including this process
+	stateCounts   [Unknown + 1]int    // number of other members in each state
+	unhealthy     map[string]struct{} // names of members that are suspected, or dead and not reaped yet
 	events        []MemberEvent       // see TakeEvents
 
-	lastSeq    uint64 // number of the newest request
+	lastSeq    uint64 // sequence number of the newest request
 	detector   failureDetector
 	rumors     rumorQueue
 	nextGossip time.Duration
@@ -32,13 +32,13 @@
 	catchUp    catchUp
 	outbox     []Envelope
 
-	assumedDigests map[string]map[int]uint64 // with FaultPartialMerge: digests of leaves, by kind, that replace the true ones
+	assumedDigests map[string]map[int]uint64 // with FaultPartialMerge: digests by kind and leaf that replace the actual ones
 
 	Stats Stats
 }
 
-// New returns the part of a process that starts now. It takes the first incarnation, and a later one as soon as it hears of one
-// of an earlier start.
+// New returns the node of a process that starts now. The node starts with the first incarnation. It switches to a larger incarnation
+// when it receives state of an earlier start.
 func New(now time.Duration, cfg Config) *Node {
 	n := &Node{
 		cfg:           cfg,
@@ -66,7 +66,7 @@
 	n.stateCounts[Unknown] = len(n.peers)
 	n.store = NewStore(cfg.Kinds, cfg.DecidedKinds, func(owner string) bool { return n.memberNames[owner] }, cfg.Fault)
 	n.startIncarnation(now, 1)
-	// Processes that start at the same moment do not all act at the same moment.
+	// The jitter desynchronizes processes that start at the same time.
 	n.detector.nextPing = now + n.jitter(cfg.PingInterval)
 	n.nextGossip = now + n.jitter(cfg.GossipInterval)
 	n.sync.next = now + n.jitter(cfg.GossipInterval)
@@ -78,21 +78,21 @@
 	return rand.New(rand.NewPCG(seed, stream))
 }
 
-// jitter is a random part of a time.
+// jitter returns a random duration from 0 up to d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	return time.Duration(n.rng.Float64() * float64(d))
 }
 
-// Store is the process' replica.
+// Store returns the replica of this process.
 func (n *Node) Store() *Store { return n.store }
 
-// NextTick is when Tick has something to do at the latest.
+// NextTick returns the time at which Tick must be called next. After Leave it returns the maximum duration.
 func (n *Node) NextTick() time.Duration {
 	if n.self.left {
 		return math.MaxInt64
 	}
 	at := min(n.nextDetection(), n.sync.next)
-	if !n.rumors.isEmpty() { // without news a process is woken by its pings and exchanges alone
+	if !n.rumors.isEmpty() { // without rumors, only pings and exchanges require a tick
 		at = min(at, n.nextGossip)
 	}
 	if n.sync.peer != "" {
@@ -104,7 +104,7 @@
 	return at
 }
 
-// Tick does what is due, and returns the messages to send.
+// Tick runs the actions that are due and returns the messages to send.
 func (n *Node) Tick(now time.Duration) []Envelope {
 	if n.self.left {
 		return nil
@@ -121,8 +121,8 @@
 	return n.takeOutbox()
 }
 
-// Receive takes in a message of another member, and returns the messages to send. One of a process that is no member is dropped
-// and counted.
+// Receive processes a message from another member and returns the messages to send. A message from a process that is not a member
+// is dropped and counted.
 func (n *Node) Receive(now time.Duration, from string, m *Message) []Envelope {
 	peer := n.members[from]
 	if peer == nil || n.self.left {
@@ -135,7 +135,7 @@
 	}
 	n.receiveOwnerStates(now, m.Owners)
 	answer := &Message{Kind: SyncMessage, Seq: m.Seq}
-	news := n.receiveEntries(now, m, answer)
+	changed := n.receiveEntries(now, m, answer)
 	switch m.Kind {
 	case PingMessage:
 		n.handlePing(now, from, m)
@@ -146,7 +146,7 @@
 	case NackMessage:
 		n.handleNack(m)
 	case SyncMessage:
-		n.handleSync(now, from, m, answer, news)
+		n.handleSync(now, from, m, answer, changed)
 	}
 	if m.Kind != SyncMessage && len(answer.Owners) > 0 {
 		n.send(from, answer)
@@ -154,7 +154,7 @@
 	return n.takeOutbox()
 }
 
-// receiveOwnerStates takes in owners' states. If others have reaped this process' own incarnation it begins another.
+// receiveOwnerStates applies received owner states. If other members have reaped this process's incarnation, it starts a new one.
 func (n *Node) receiveOwnerStates(now time.Duration, states []OwnerState) {
 	for _, s := range states {
 		if s.Name == n.cfg.Name && s.Reaped >= n.self.incarnation {
@@ -165,31 +165,32 @@
 	}
 }
 
-// receiveEntries merges entries, and reports whether any was news. answer gets the states of owners whose entries are outdated.
-func (n *Node) receiveEntries(now time.Duration, m, answer *Message) (news bool) {
+// receiveEntries merges the entries of m and reports whether any of them changed the replica. It adds the owner states of outdated
+// entries to answer.
+func (n *Node) receiveEntries(now time.Duration, m, answer *Message) (changed bool) {
 	entries := m.Entries
 	if n.cfg.Fault == FaultPartialMerge && m.Kind == SyncMessage {
 		entries = entries[:len(entries)/2]
 	}
 	for _, e := range entries {
 		if e.Owner == n.cfg.Name {
-			if e.Compare(Version{n.self.incarnation, n.self.sequence}) > 0 { // written by an earlier start, or by another process
+			if e.Compare(Version{n.self.incarnation, n.self.sequence}) > 0 { // written by an earlier start or by another process with the same name
 				n.reincarnate(now, e.Incarnation)
 			}
 			continue
 		}
 		if n.store.Merge(e) {
-			news = true
+			changed = true
 			n.rumors.add(rumorKey{owner: e.Owner, key: e.Key})
 		} else if incarnation, reaped := n.store.Incarnation(e.Owner); e.Incarnation < incarnation || e.Incarnation <= reaped {
 			answer.Owners = appendOwnerState(answer.Owners, OwnerState{e.Owner, incarnation, reaped})
 		}
 	}
-	return news
+	return changed
 }
 
-// applyOwnerState takes over an owner's state. That its entries were reaped is news for others, too; its incarnation they learn
-// with its entries.
+// applyOwnerState applies an owner state. A reaped incarnation is spread as a rumor. A new incarnation alone is not, because other
+// members learn it from the owner's entries.
 func (n *Node) applyOwnerState(s OwnerState) {
 	if n.store.ApplyOwnerState(s) && s.Reaped > 0 {
 		n.rumors.add(rumorKey{owner: s.Name})
--- a/internal/gossip/ownentries.go
+++ b/internal/gossip/ownentries.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	// incarnationRandomBits is how many low bits of an incarnation are random, so that two processes of one name differ in it.
+	// incarnationRandomBits is the number of low bits of an incarnation that are random, so that two processes with the same name
+	// have different incarnations.
 	incarnationRandomBits = 16
-	// reincarnationInterval is the least time between two incarnations that a process begins because it heard of a newer one:
-	// two processes of one name must not flood the network.
+	// reincarnationInterval is the minimum time between two incarnations that a process starts because it received a larger one.
+	// The limit keeps two processes with the same name from flooding the network.
 	reincarnationInterval = time.Second
 )
 
-// ownRecord is what this process writes and says of itself.
+// ownRecord holds this process's own entries and member state.
 type ownRecord struct {
 	incarnation uint64
-	refutations uint32            // in this incarnation
-	sequence    uint64            // of the newest write
-	values      map[string][]byte // by key; nil: a tombstone
+	refutations uint32            // suspicions refuted in this incarnation
+	sequence    uint64            // sequence number of the newest write
+	values      map[string][]byte // by key; nil is a tombstone
 	left        bool
-	digest      uint64 // of its state in the digest tree of the members
+	digest      uint64 // digest of its member state in the digest tree of the members
 
-	reincarnatedAt         time.Duration // when the incarnation began
-	reincarnateAt          time.Duration // when the next is to begin; 0: never
-	conflictingIncarnation uint64        // the newest of this name that was heard of, above which the next begins
+	reincarnatedAt         time.Duration // start time of the incarnation
+	reincarnateAt          time.Duration // start time of the next incarnation; 0 if none is scheduled
+	conflictingIncarnation uint64        // largest received incarnation of this name; the next incarnation is larger
 }
 
-// Incarnation is this process' incarnation.
+// Incarnation returns the incarnation of this process.
 func (n *Node) Incarnation() uint64 { return n.self.incarnation }
 
-// startIncarnation begins an incarnation: all values are written anew in it, and tombstones are forgotten with the older one.
-// ordinal is the part of the incarnation above its random bits.
+// startIncarnation starts a new incarnation. All values are rewritten in it. Tombstones are removed, because the older incarnation no
+// longer counts. ordinal is the part of the incarnation above the random bits.
 func (n *Node) startIncarnation(now time.Duration, ordinal uint64) {
 	const randomMask = 1<<incarnationRandomBits - 1
 	n.self.incarnation = ordinal<<incarnationRandomBits | n.rng.Uint64()&randomMask
@@ -49,13 +50,14 @@
 	n.updateOwnDigest()
 }
 
-// ordinalAfter is the ordinal of the first incarnation above another.
+// ordinalAfter returns the ordinal that follows the ordinal of an incarnation.
 func ordinalAfter(incarnation uint64) uint64 { return incarnation>>incarnationRandomBits + 1 }
 
-// reincarnate begins an incarnation above one of this process' name that it has heard of. The first time it does so at once:
-// the other is of an earlier start.
-func (n *Node) reincarnate(now time.Duration, heard uint64) {
-	n.self.conflictingIncarnation = max(n.self.conflictingIncarnation, heard)
+// reincarnate starts an incarnation that is larger than a received incarnation of this process's name, no sooner than
+// reincarnationInterval after the current one. The first reincarnation is immediate, because the received incarnation is from an
+// earlier start.
+func (n *Node) reincarnate(now time.Duration, received uint64) {
+	n.self.conflictingIncarnation = max(n.self.conflictingIncarnation, received)
 	if n.self.reincarnateAt == 0 {
 		n.self.reincarnateAt = max(now, n.self.reincarnatedAt+reincarnationInterval)
 		if n.self.reincarnatedAt == n.startedAt {
@@ -68,8 +70,8 @@
 	}
 }
 
-// Restore takes over what an earlier start of this process has saved: entries of others, and its own incarnation, above which
-// it goes on.
+// Restore loads the state that an earlier start of this process has saved: the entries of other owners, and the process's own
+// incarnation. The process continues with a larger incarnation.
 func (n *Node) Restore(now time.Duration, saved *Message) {
 	for _, owner := range saved.Owners {
 		if owner.Name == n.cfg.Name && owner.Incarnation >= n.self.incarnation {
@@ -81,11 +83,12 @@
 			n.store.Merge(e)
 		}
 	}
-	n.store.TakeChanges() // not news
+	n.store.TakeChanges() // restored entries do not count as changes
 }
 
-// Put writes a value under a key of a kind that members write. It reports whether there is room: for MaxValueBytes, MaxKeyBytes
-// and MaxKeysPerOwner/2 keys with a value.
+// Put writes a value under a key whose kind is written by members. It returns false if the value exceeds MaxValueBytes, the key
+// exceeds MaxKeyBytes, there is no room for another key, or the node has left. There is room for at least MaxKeysPerOwner/2 keys with
+// a value.
 func (n *Node) Put(key string, value []byte) bool {
 	if len(value) > MaxValueBytes || len(key) > MaxKeyBytes || n.self.left {
 		return false
@@ -94,7 +97,7 @@
 		if n.ownValueCount() >= MaxKeysPerOwner/2 {
 			return false
 		}
-		n.startIncarnation(n.self.reincarnatedAt, ordinalAfter(n.self.incarnation)) // forgets tombstones
+		n.startIncarnation(n.self.reincarnatedAt, ordinalAfter(n.self.incarnation)) // removes tombstones
 	}
 	if current := n.self.values[key]; current != nil && string(current) == string(value) {
 		return true
@@ -104,7 +107,7 @@
 	return true
 }
 
-// ownValueCount is how many keys of this process have a value.
+// ownValueCount returns the number of keys for which this process has written a value and not deleted it.
 func (n *Node) ownValueCount() int {
 	count := 0
 	for _, value := range n.self.values {
@@ -115,7 +118,7 @@
 	return count
 }
 
-// Delete takes back the value that the process has written under a key, if it has.
+// Delete deletes the value that this process has written under a key, if any.
 func (n *Node) Delete(key string) {
 	if n.self.values[key] != nil {
 		n.self.values[key] = nil
@@ -131,15 +134,16 @@
 	}
 }
 
-// ApplyDecision takes in a decision of consensus, from its log or from a peer. number grows with each; value nil is a tombstone.
+// ApplyDecision applies a decision of consensus, from the log or from a peer. number increases with each decision. A nil value is a
+// tombstone.
 func (n *Node) ApplyDecision(key string, number uint64, value []byte) {
 	if n.store.Merge(DecidedEntry(max(1, n.store.fleetTag), key, number, value)) {
 		n.rumors.add(rumorKey{owner: ConsensusOwner, key: key})
 	}
 }
 
-// Leave ends the process' part, and returns the messages that say so; its entries leave with it. Afterwards the node does
-// nothing more.
+// Leave leaves the fleet and returns the messages that announce it. The other members then reap this process's entries. Afterwards
+// the node ignores all messages and ticks.
 func (n *Node) Leave(now time.Duration) []Envelope {
 	n.self.left = true
 	n.updateOwnDigest()
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// UnreachableKind is the kind of the keys under which members report endpoints that do not respond to them:
+// UnreachableKind is the kind of the entries with which members report endpoints that do not respond to them:
 // "dead/POOL/ENDPOINT".
 const UnreachableKind = "dead"
 
 const (
-	// ownReportTTL is how long a report of this process stands without being renewed.
+	// ownReportTTL is the lifetime of a report of this process unless it is renewed.
 	ownReportTTL = 5 * time.Second
-	// maxHints bounds the hints that are given at once.
+	// maxHints is the maximum number of hints returned by one call.
 	maxHints = 256
-	// maxOwnReports bounds the reports of this process; so many keys with a value fit.
+	// maxOwnReports is the maximum number of reports of this process. Put accepts this number of keys with a value.
 	maxOwnReports = MaxKeysPerOwner / 2
 )
 
-// FailureReports are the reports on endpoints of this process and of others. What a quorum of others reports becomes a hint,
-// and only makes a process careful: it checks the endpoint itself, and decides by what it finds. It is not safe for concurrent
-// use.
+// FailureReports holds the reports on unreachable endpoints by this process and by other members. An endpoint that a quorum of other
+// members reports becomes a hint. A hint only makes a process check the endpoint itself and act on the result. FailureReports is not
+// safe for concurrent use.
 type FailureReports struct {
-	quorum     int                        // others that must report an endpoint for a hint
-	reporters  map[string]map[string]bool // by key
-	ownReports map[string]time.Duration   // when each was last renewed, by key
+	quorum     int                        // number of other members that must report an endpoint for a hint
+	reporters  map[string]map[string]bool // names of the reporting members, by key
+	ownReports map[string]time.Duration   // time of the last renewal, by key
 }
 
-// NewFailureReports returns an empty set. With a quorum of one, failures by chance become hints, and one process that reports
-// falsely costs service.
+// NewFailureReports returns an empty set of reports. quorum is the number of other members whose reports make a hint, at least 1.
+// With a quorum of 1, occasional failures become hints, and a single process with false reports degrades the service.
 func NewFailureReports(quorum int) *FailureReports {
 	return &FailureReports{quorum: max(1, quorum), reporters: map[string]map[string]bool{}, ownReports: map[string]time.Duration{}}
 }
 
-// PoolKey is the key of something in a pool, such as an endpoint or a zone; empty if there is none, because a name is too long
-// or the pool's has a slash.
+// PoolKey returns the key for a name in a pool, such as an endpoint or a zone. It returns an empty string if the key would be longer
+// than MaxKeyBytes or if the name of the pool contains a slash.
 func PoolKey(kind, pool, name string) string {
 	key := kind + "/" + pool + "/" + name
 	if len(key) > MaxKeyBytes || strings.Contains(pool, "/") {
@@ -45,13 +45,14 @@
 	return key
 }
 
-// SplitPoolKey is the pool and the name in it that PoolKey was called with.
+// SplitPoolKey returns the pool and the name from a key that PoolKey has returned.
 func SplitPoolKey(key string) (pool, name string, ok bool) {
 	_, rest, _ := strings.Cut(key, "/")
 	return strings.Cut(rest, "/")
 }
 
-// Record notes whether an endpoint responds to this process, and writes or withdraws its report. key is of UnreachableKind.
+// Record records whether an endpoint is unreachable to this process, and writes, renews or withdraws the report accordingly. key is
+// of UnreachableKind.
 func (r *FailureReports) Record(now time.Duration, n *Node, key string, unreachable bool) {
 	_, reported := r.ownReports[key]
 	if !unreachable {
@@ -66,10 +67,10 @@
 	r.ownReports[key] = now
 }
 
-// OwnCount is how many endpoints this process reports.
+// OwnCount returns the number of endpoints that this process reports.
 func (r *FailureReports) OwnCount() int { return len(r.ownReports) }
 
-// Withdraw takes back this process' report under a key, and says whether there was one.
+// Withdraw withdraws this process's report under a key, and reports whether there was one.
 func (r *FailureReports) Withdraw(n *Node, key string) bool {
 	_, reported := r.ownReports[key]
 	delete(r.ownReports, key)
@@ -77,11 +78,11 @@
 	return reported
 }
 
-// Update takes over what has changed in the store, and withdraws reports of this process that were not renewed in time.
+// Update applies the changed entries of the store, and withdraws the reports of this process that were not renewed in time.
 func (r *FailureReports) Update(now time.Duration, n *Node, changed []EntryID) {
 	for _, id := range changed {
 		if KindOf(id.key) == UnreachableKind && id.owner != n.cfg.Name {
-			// Of siblings the more careful counts: a report stands if any of them is one.
+			// The more restrictive sibling counts: the endpoint is reported if any sibling is a report.
 			e, ok := n.store.Get(id.owner, id.key)
 			r.setReporter(id, ok && len(e.Values()) > 0)
 		}
@@ -108,7 +109,7 @@
 	}
 }
 
-// Hints are the keys of the endpoints that a quorum of present members reports and this process does not, in order.
+// Hints returns the sorted keys of the endpoints that are reported by a quorum of alive or suspected members and not by this process.
 func (r *FailureReports) Hints(n *Node) []string {
 	var hints []string
 	for key, reporters := range r.reporters {
--- a/internal/gossip/reports_test.go
+++ b/internal/gossip/reports_test.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// TestFailureReports checks that hints need a quorum of present members other than this process, and that a report that was withdrawn
-// or not renewed counts no more.
+// TestFailureReports checks that a hint requires a quorum of alive members other than this process, and that a report no longer counts
+// after it was withdrawn or not renewed.
 func TestFailureReports(t *testing.T) {
 	w := newNetwork(t, 6)
 	reports := NewFailureReports(2)
-	a := w.up["a"]
+	a := w.nodes["a"]
 	hints := func() []string {
 		w.run(2 * time.Second)
 		reports.Update(w.now, a, a.store.TakeChanges())
 		return reports.Hints(a)
 	}
-	w.up["b"].Put("dead/pool/endpoint", nil)
+	w.nodes["b"].Put("dead/pool/endpoint", nil)
 	if h := hints(); len(h) != 0 {
-		t.Fatalf("one report is a hint: %v", h)
+		t.Fatalf("hints after one report: %v, want none", h)
 	}
-	w.up["c"].Put("dead/pool/endpoint", nil)
+	w.nodes["c"].Put("dead/pool/endpoint", nil)
 	if h := hints(); len(h) != 1 {
-		t.Fatalf("two are none: %v", h)
+		t.Fatalf("hints after two reports: %v, want one", h)
 	}
 	reports.Record(w.now, a, "dead/pool/endpoint", true)
 	if h := reports.Hints(a); len(h) != 0 {
-		t.Errorf("a hint of what it reports itself: %v", h)
+		t.Errorf("hints on an endpoint that this process reports itself: %v, want none", h)
 	}
 	w.run(ownReportTTL + time.Second)
 	hints()
 	if h := hints(); len(h) != 1 || reports.OwnCount() != 0 || w.holds("b", "a", "dead/pool/endpoint") {
-		t.Errorf("%v; a report that is not renewed still stands: %d", h, reports.OwnCount())
+		t.Errorf("hints are %v, want one; %d own reports remain without renewal, want none on any member", h, reports.OwnCount())
 	}
-	w.up["c"].Delete("dead/pool/endpoint")
+	w.nodes["c"].Delete("dead/pool/endpoint")
 	if h := hints(); len(h) != 0 {
-		t.Errorf("a report that was withdrawn counts: %v", h)
+		t.Errorf("hints after a report was withdrawn: %v, want none", h)
 	}
-	w.up["d"].Put("dead/pool/endpoint", nil)
+	w.nodes["d"].Put("dead/pool/endpoint", nil)
 	if h := hints(); len(h) != 1 {
-		t.Fatal("two report again, and it is no hint")
+		t.Fatal("no hint after a second member reports again")
 	}
-	delete(w.up, "d")
+	delete(w.nodes, "d")
 	w.until("d is dead", time.Minute, func() bool { w.run(time.Second); return a.Member("d").State == Dead })
 	if h := hints(); len(h) != 0 {
-		t.Errorf("the report of a dead member counts: %v", h)
+		t.Errorf("hints with the report of a dead member: %v, want none", h)
 	}
 }
--- a/internal/gossip/rumor.go
+++ b/internal/gossip/rumor.go
@@ -3,44 +3,45 @@
 import "math"
 
 const (
-	// maxRumorBytes is about how long a message with rumors may get.
+	// maxRumorBytes is the approximate maximum size of a message with rumors.
 	maxRumorBytes = 1200
-	// maxRumors bounds the rumors that wait; with more news anti-entropy has to do.
+	// maxRumors is the maximum number of queued rumors. Updates beyond it spread by anti-entropy only.
 	maxRumors = 1024
-	// retransmitMultiplier times logFleetSize is how often a rumor is sent.
+	// retransmitMultiplier times logFleetSize is the number of times that a rumor is sent.
 	retransmitMultiplier = 3
-	// recordOverhead is about how many bytes the numbers of a state or an entry take in a message.
+	// recordOverhead is the approximate size of the numbers of a state or an entry in a message, in bytes.
 	recordOverhead = 12
 )
 
-// rumorKey names what a rumor is about: a member, or an owner's state if there is no key, or an entry.
+// rumorKey identifies the subject of a rumor: the state of a member, an entry (owner and key), or an owner state (owner without key).
 type rumorKey struct {
 	member string
 	owner  string
 	key    string
 }
 
-// rumor is news that waits to be sent; what is sent is the state at that time.
+// rumor is a queued update. A message carries the state at the time of sending.
 type rumor struct {
 	key           rumorKey
 	transmissions int
-	superseded    bool // by another rumor with the same key
+	superseded    bool // replaced by a newer rumor with the same key
 }
 
-// rumorQueue holds the rumors that wait, those with the fewest transmissions first.
+// rumorQueue holds the rumors to be sent, ordered by the number of transmissions so far, fewest first.
 type rumorQueue struct {
 	byKey           map[rumorKey]*rumor
-	byTransmissions [][]*rumor // by how often they were sent
+	byTransmissions [][]*rumor // queues by number of transmissions
 }
 
 func newRumorQueue() rumorQueue { return rumorQueue{byKey: map[rumorKey]*rumor{}} }
 
 func (q *rumorQueue) isEmpty() bool { return len(q.byKey) == 0 }
 
-// add queues a rumor, in place of one with the same key if there is one.
+// add queues a rumor. It replaces a queued rumor with the same key, whose transmissions no longer count. If the queue is full, a
+// rumor with a new key is dropped.
 func (q *rumorQueue) add(key rumorKey) {
-	if waiting := q.byKey[key]; waiting != nil {
-		waiting.superseded = true
+	if queued := q.byKey[key]; queued != nil {
+		queued.superseded = true
 	} else if len(q.byKey) >= maxRumors {
 		return
 	}
@@ -56,8 +57,7 @@
 	q.byTransmissions[r.transmissions] = append(q.byTransmissions[r.transmissions], r)
 }
 
-// send passes rumors to write, which returns their size, until the message is full; a rumor is dropped after so many
-// transmissions.
+// send passes rumors to write, which returns the size of each, until the message is full. A rumor is removed after maxTransmissions.
 func (q *rumorQueue) send(maxTransmissions int, write func(rumorKey) (size int)) {
 	size := 0
 	var sent []*rumor
@@ -83,7 +83,7 @@
 	}
 }
 
-// sendRumors sends one message with the freshest rumors to a few random members.
+// sendRumors sends one message with the least transmitted rumors to a few random members.
 func (n *Node) sendRumors() {
 	if n.rumors.isEmpty() {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// appendRumor adds what a rumor is about, as it is now, to a message, and returns about how many bytes it takes.
+// appendRumor adds the current state of a rumor's subject to a message, and returns its approximate size in bytes.
 func (n *Node) appendRumor(m *Message, key rumorKey) int {
 	switch {
 	case key.member != "":
--- a/internal/gossip/rumor_test.go
+++ b/internal/gossip/rumor_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// sendOne sends rumors in a message with room for some, and returns what they were about.
+// sendOne sends one message with room for the given number of rumors, and returns the members that the rumors are about.
 func sendOne(q *rumorQueue, maxTransmissions, room int) []string {
 	var sent []string
 	q.send(maxTransmissions, func(key rumorKey) int {
@@ -16,40 +16,40 @@
 	return sent
 }
 
-// TestRumorQueue checks that rumors with the fewest transmissions go first, and each so many times.
+// TestRumorQueue checks that rumors with the fewest transmissions are sent first, and each maxTransmissions times.
 func TestRumorQueue(t *testing.T) {
 	q := newRumorQueue()
 	q.add(rumorKey{member: "a"})
 	q.add(rumorKey{member: "b"})
 	for i, want := range [][]string{{"a"}, {"b"}, {"a"}, {"b"}, nil} {
 		if got := sendOne(&q, 2, 1); !slices.Equal(got, want) {
-			t.Errorf("message %d is about %v, want %v", i+1, got, want)
+			t.Errorf("message %d has rumors about %v, want %v", i+1, got, want)
 		}
 	}
 	if !q.isEmpty() {
-		t.Error("a rumor is left after its last transmission")
+		t.Error("a rumor remains after its last transmission")
 	}
 	q.add(rumorKey{member: "a"})
 	sendOne(&q, 3, 1)
 	q.add(rumorKey{member: "b"})
-	q.add(rumorKey{member: "a"}) // news of the same member: it begins anew
+	q.add(rumorKey{member: "a"}) // an update replaces the rumor and resets its transmissions
 	if got, want := sendOne(&q, 3, 4), []string{"b", "a"}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("message has rumors about %v, want %v", got, want)
 	}
 }
 
-// TestRumorQueueBound checks that the queue is bounded, and that a rumor that waits can be renewed all the same.
+// TestRumorQueueBound checks that the queue is bounded, and that a queued rumor can be replaced when the queue is full.
 func TestRumorQueueBound(t *testing.T) {
 	q := newRumorQueue()
 	for i := range 2 * maxRumors {
 		q.add(rumorKey{member: strconv.Itoa(i)})
 	}
 	if len(q.byKey) != maxRumors {
-		t.Errorf("%d rumors wait", len(q.byKey))
+		t.Errorf("%d rumors are queued, want maxRumors", len(q.byKey))
 	}
-	waiting := q.byKey[rumorKey{member: "0"}]
+	queued := q.byKey[rumorKey{member: "0"}]
 	q.add(rumorKey{member: "0"})
-	if !waiting.superseded || q.byKey[rumorKey{member: "0"}] == waiting {
-		t.Error("a rumor that waits was not renewed")
+	if !queued.superseded || q.byKey[rumorKey{member: "0"}] == queued {
+		t.Error("a queued rumor was not replaced")
 	}
 }
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -6,44 +6,46 @@
 	"strings"
 )
 
-// ownerRecord is what is known of one owner, and what it has written.
+// ownerRecord holds the known state of one owner and its entries.
 type ownerRecord struct {
-	incarnation uint64 // the newest that is known
-	reaped      uint64 // entries of incarnations up to this one do not count any more
-	entries     map[string]*Entry
+	incarnation uint64            // newest known incarnation
+	reaped      uint64            // entries of incarnations up to this one no longer count
+	entries     map[string]*Entry // by key
 }
 
-// OwnerState is the part of an owner's record on which replicas must agree.
+// OwnerState is the part of an owner's record on which all replicas must agree.
 type OwnerState struct {
 	Name                string
 	Incarnation, Reaped uint64
 }
 
-// Store is one process' replica of all entries. Merging is all that changes it. It is not safe for concurrent use.
+// Store is the replica of all entries in one process. It is changed only by merging entries and owner states, and by SetFleetTag. A
+// Store is not safe for concurrent use.
 type Store struct {
-	kinds        []string // all that are known here, in order
+	kinds        []string // all known kinds, sorted
 	decidedKinds map[string]bool
 	isMember     func(owner string) bool
-	owners       map[string]*ownerRecord
-	digests      map[string]*digestTree // by kind
+	owners       map[string]*ownerRecord // by name
+	digests      map[string]*digestTree  // by kind
 	fault        InjectedFault
-	fleetTag     uint64 // of the fleet whose decisions count; 0: not known yet
+	fleetTag     uint64 // tag of the fleet whose decisions count; 0 if not known yet
 
 	changed []EntryID // see TakeChanges
 	Counts  Counts
 }
 
-// Counts are entries and owner states that were rejected, and conflicts. An entry that comes twice is counted as stale.
+// Counts are the numbers of rejected entries and owner states, and of conflicts. An entry that is received twice counts as stale.
 type Counts struct {
-	Unknown      int `json:"Unknown"` // of a kind, an owner or a member that is not known here
+	Unknown      int `json:"Unknown"` // the kind, owner or member is not known to this process
 	Invalid      int `json:"Illegal"` // malformed
-	OverLimit    int `json:"Full"`    // beyond MaxOwners or MaxKeysPerOwner
-	Conflicts    int `json:"Differ"`  // merges that left several siblings
-	Stale        int `json:"Old"`     // not newer than what is here
+	OverLimit    int `json:"Full"`    // exceeds MaxOwners or MaxKeysPerOwner
+	Conflicts    int `json:"Differ"`  // merges that resulted in several siblings
+	Stale        int `json:"Old"`     // not newer than the local replica
 	ForeignFleet int `json:"Foreign"` // decisions of another fleet
 }
 
-// NewStore returns an empty store. Members write kinds, and consensus decides decidedKinds; isMember knows the names of members.
+// NewStore returns an empty store. Entries of kinds are written by members, and entries of decidedKinds by consensus. isMember
+// reports whether a name is that of a member.
 func NewStore(kinds, decidedKinds []string, isMember func(owner string) bool, fault InjectedFault) *Store {
 	s := &Store{
 		kinds:        slices.Sorted(slices.Values(slices.Concat(kinds, decidedKinds))),
@@ -62,9 +64,9 @@
 	return s
 }
 
-// SetFleetTag says of which fleet, by its FleetTag, decisions count: those of any other are dropped, and rejected from now on.
-// A fleet that was founded anew, having lost its disks, numbers its decisions from 1 again, and replicas of the former fleet's
-// must not outweigh them.
+// SetFleetTag sets the FleetTag of the fleet whose decisions count. Decisions of any other fleet are dropped, and rejected from now
+// on. A fleet that lost its disks and was founded again numbers its decisions from 1. Without the tag, replicated decisions of the
+// former fleet would override the new ones.
 func (s *Store) SetFleetTag(tag uint64) {
 	if tag == 0 || tag == s.fleetTag {
 		return
@@ -89,7 +91,7 @@
 	return changed
 }
 
-// accepts reports whether the owner may write the key at all.
+// accepts reports whether the owner is allowed to write the key.
 func (s *Store) accepts(owner, key string) bool {
 	kind := KindOf(key)
 	if s.digests[kind] == nil {
@@ -101,7 +103,7 @@
 	return owner != ConsensusOwner && s.isMember(owner)
 }
 
-// ownerFor returns an owner's record, a new one if there is none; nil if there is no room for it.
+// ownerFor returns the record of an owner and creates it if needed. It returns nil if MaxOwners is reached.
 func (s *Store) ownerFor(name string) *ownerRecord {
 	owner := s.owners[name]
 	if owner == nil {
@@ -115,8 +117,8 @@
 	return owner
 }
 
-// ApplyOwnerState takes over a newer incarnation or reaping of an owner, drops the entries that do not count any more by it,
-// and reports whether it was news.
+// ApplyOwnerState applies a newer incarnation or reaped incarnation of an owner and drops the entries that are then outdated. It
+// reports whether the owner's record changed.
 func (s *Store) ApplyOwnerState(state OwnerState) bool {
 	switch {
 	case state.Name != ConsensusOwner && !s.isMember(state.Name):
@@ -140,7 +142,7 @@
 	return true
 }
 
-// outdated reports whether entries of an incarnation do not count any more.
+// outdated reports whether entries of an incarnation no longer count.
 func (o *ownerRecord) outdated(incarnation uint64) bool {
 	return incarnation < o.incarnation || incarnation <= o.reaped
 }
@@ -152,7 +154,7 @@
 	s.changed = append(s.changed, EntryID{name, key})
 }
 
-// Merge takes in an entry, and reports whether it was news. One that is rejected is counted.
+// Merge merges an entry into the replica and reports whether the entry changed it. Rejected entries are counted.
 func (s *Store) Merge(e Entry) bool {
 	if !s.admits(&e) {
 		return false
@@ -170,8 +172,8 @@
 	}
 	tree := s.digests[KindOf(e.Key)]
 	if current := owner.entries[e.Key]; current != nil {
-		merged, news := s.combine(current, e)
-		if !news {
+		merged, changed := s.combine(current, e)
+		if !changed {
 			s.Counts.Stale++
 			return false
 		}
@@ -191,7 +193,8 @@
 	return !s.dropExcessKey(owner, &e)
 }
 
-// admits checks an entry by itself.
+// admits reports whether an entry is valid and may be written by its owner, independently of the present entries. It counts rejected
+// entries.
 func (s *Store) admits(e *Entry) bool {
 	switch {
 	case !e.valid():
@@ -207,8 +210,9 @@
 	return true
 }
 
-// combine returns the merge of the entry that is here and a received one with the same ID, and whether it differs from the former.
-func (s *Store) combine(current *Entry, e Entry) (merged Entry, news bool) {
+// combine merges the current entry with a received entry of the same ID. changed reports whether the result differs from the current
+// entry.
+func (s *Store) combine(current *Entry, e Entry) (merged Entry, changed bool) {
 	if s.fault == FaultLastArrivalWins {
 		return e, e.Compare(current.Version) != 0 || len(e.Siblings) != len(current.Siblings) || e.Digest() != current.Digest()
 	}
@@ -216,8 +220,8 @@
 	return merged, merged.Compare(current.Version) != 0 || len(merged.Siblings) != len(current.Siblings)
 }
 
-// dropExcessKey drops the last key of a member that has too many, so that all replicas keep the same ones, and reports whether
-// it was that of the entry just merged.
+// dropExcessKey drops the last key in sort order if a member has more than MaxKeysPerOwner keys, so that all replicas keep the same
+// keys. It reports whether the dropped key is that of the entry just merged.
 func (s *Store) dropExcessKey(owner *ownerRecord, merged *Entry) bool {
 	if merged.Owner == ConsensusOwner || len(owner.entries) <= MaxKeysPerOwner {
 		return false
@@ -228,7 +232,7 @@
 	return last == merged.Key
 }
 
-// Get returns the entry of an owner under a key; ok is false if there is none.
+// Get returns the entry of an owner under a key. ok is false if there is none.
 func (s *Store) Get(owner, key string) (e Entry, ok bool) {
 	if record := s.owners[owner]; record != nil {
 		if entry := record.entries[key]; entry != nil {
@@ -238,7 +242,8 @@
 	return Entry{}, false
 }
 
-// Incarnation returns the newest incarnation of an owner that is known, and the one up to which they were reaped; 0: none.
+// Incarnation returns the newest known incarnation of an owner, and the incarnation up to which its entries were reaped. Both are 0
+// if unknown.
 func (s *Store) Incarnation(owner string) (incarnation, reaped uint64) {
 	if record := s.owners[owner]; record != nil {
 		return record.incarnation, record.reaped
@@ -246,7 +251,8 @@
 	return 0, 0
 }
 
-// ForEach calls f with each entry whose key has a prefix, by owner and key, until f returns false. f must not change the entry.
+// ForEach calls f for each entry whose key has the prefix, ordered by owner and key, until f returns false. f must not modify the
+// entry.
 func (s *Store) ForEach(prefix string, f func(*Entry) bool) {
 	for _, owner := range slices.Sorted(maps.Keys(s.owners)) {
 		if !s.forEachOf(owner, prefix, f) {
@@ -255,10 +261,11 @@
 	}
 }
 
-// ForEachOf calls f with each entry of one owner whose key has a prefix, by key, until f returns false.
+// ForEachOf calls f for each entry of one owner whose key has the prefix, ordered by key, until f returns false. f must not modify the
+// entry.
 func (s *Store) ForEachOf(owner, prefix string, f func(*Entry) bool) { s.forEachOf(owner, prefix, f) }
 
-// forEachOf reports whether f returned true to the end.
+// forEachOf is ForEachOf, and reports whether f returned true for all entries.
 func (s *Store) forEachOf(owner, prefix string, f func(*Entry) bool) bool {
 	record := s.owners[owner]
 	if record == nil {
@@ -272,13 +279,13 @@
 	return true
 }
 
-// Digest is the digest of all entries of a kind that is known here: equal replicas have equal ones.
+// Digest returns the digest of all entries of a kind. Equal replicas have equal digests. The kind must be known to the store.
 func (s *Store) Digest(kind string) uint64 { return s.digests[kind].root }
 
-// skippedLeafInterval: FaultSkipDigestRanges leaves out one leaf in so many.
+// skippedLeafInterval is the interval of the leaves that FaultSkipDigestRanges omits.
 const skippedLeafInterval = 3
 
-// rangeDigest is the digest of a range that is sent to peers.
+// rangeDigest returns the digest of a range as it is sent to peers.
 func (s *Store) rangeDigest(kind string, level uint8, index int) uint64 {
 	tree := s.digests[kind]
 	digest := tree.rangeDigest(level, index)
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -12,13 +12,15 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-var kinds, decided = []string{"dead"}, []string{"order"}
+var kinds, decidedKinds = []string{"dead"}, []string{"order"}
 
-func anyone(string) bool { return true }
+// anyMember accepts any name as that of a member.
+func anyMember(string) bool { return true }
 
-func content(v string) []byte { return append([]byte{valueMark}, v...) }
+// valueSibling returns the sibling for a value.
+func valueSibling(v string) []byte { return append([]byte{valueMark}, v...) }
 
-// drawEntry draws an entry that some process could send, correct or not.
+// drawEntry draws an entry that a process could send, including entries that a correct process never sends.
 func drawEntry(t *rapid.T) Entry {
 	e := Entry{
 		Owner: rapid.SampledFrom([]string{"a", "b", ConsensusOwner}).Draw(t, "owner"),
@@ -28,14 +30,14 @@
 		},
 	}
 	for range rapid.IntRange(1, 2).Draw(t, "contents") {
-		e.Siblings = append(e.Siblings, rapid.SampledFrom([][]byte{{tombstoneMark}, content("1"), content("2"), content("3"), content("4"), content("5")}).Draw(t, "content"))
+		e.Siblings = append(e.Siblings, rapid.SampledFrom([][]byte{{tombstoneMark}, valueSibling("1"), valueSibling("2"), valueSibling("3"), valueSibling("4"), valueSibling("5")}).Draw(t, "content"))
 	}
 	slices.SortFunc(e.Siblings, bytes.Compare)
 	e.Siblings = slices.CompactFunc(e.Siblings, bytes.Equal)
 	return e
 }
 
-// update is an entry or an owner's state.
+// update is an entry or an owner state.
 type update struct {
 	entry *Entry
 	owner *OwnerState
@@ -62,23 +64,23 @@
 	return all
 }
 
-// TestMergeIsALattice checks that replicas are equal after the same entries in any order, repeated, or by way of other replicas,
-// and that no entry is replaced by an older one.
+// TestMergeIsALattice checks that replicas are equal after they have received the same updates in any order, repeatedly, or through
+// other replicas, and that no entry is replaced by an older one.
 func TestMergeIsALattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(drawUpdate), 1, 25).Draw(t, "updates")
-		one := NewStore(kinds, decided, anyone, NoFault)
+		one := NewStore(kinds, decidedKinds, anyMember, NoFault)
 		newest := map[EntryID]Version{}
 		for _, u := range updates {
 			one.apply(u)
 			checkNewest(t, one, newest)
 		}
-		other := NewStore(kinds, decided, anyone, NoFault)
+		other := NewStore(kinds, decidedKinds, anyMember, NoFault)
 		for _, i := range rapid.Permutation(indices(len(updates))).Draw(t, "order") {
 			other.apply(updates[i])
 			other.apply(updates[i])
 		}
-		third := NewStore(kinds, decided, anyone, NoFault)
+		third := NewStore(kinds, decidedKinds, anyMember, NoFault)
 		third.applyAll(other)
 		third.applyAll(one)
 		checkEqual(t, one, other)
@@ -86,21 +88,21 @@
 	})
 }
 
-// checkNewest checks that no entry is older than the newest so far, nor of an incarnation that does not count any more.
+// checkNewest checks that no entry is older than the newest one so far, and that all entries are of the owner's current incarnation.
 func checkNewest(t *rapid.T, s *Store, newest map[EntryID]Version) {
 	for _, e := range s.all() {
 		id := EntryID{e.Owner, e.Key}
 		if e.Compare(newest[id]) < 0 {
-			t.Fatalf("%v went back from %v to %v", id, newest[id], e.Version)
+			t.Fatalf("entry %v went back from version %v to %v", id, newest[id], e.Version)
 		}
 		newest[id] = e.Version
 		if incarnation, reaped := s.Incarnation(e.Owner); e.Incarnation != incarnation || e.Incarnation <= reaped {
-			t.Fatalf("%+v is there, and incarnation %d is the newest, %d reaped", e, incarnation, reaped)
+			t.Fatalf("entry %+v is present although incarnation %d is the newest and %d is reaped", e, incarnation, reaped)
 		}
 	}
 }
 
-// applyAll merges all that another replica has.
+// applyAll merges all owner states and entries of another replica.
 func (s *Store) applyAll(other *Store) {
 	for name, owner := range other.owners {
 		s.ApplyOwnerState(OwnerState{name, owner.incarnation, owner.reaped})
@@ -112,11 +114,11 @@
 
 func checkEqual(t *rapid.T, a, b *Store) {
 	if !reflect.DeepEqual(a.all(), b.all()) {
-		t.Fatalf("%+v\n%+v", a.all(), b.all())
+		t.Fatalf("replicas differ:\n%+v\n%+v", a.all(), b.all())
 	}
 	for _, kind := range b.kinds {
 		if a.Digest(kind) != b.Digest(kind) {
-			t.Fatalf("equal replicas of %s have unequal digests", kind)
+			t.Fatalf("equal replicas have different digests of kind %s", kind)
 		}
 	}
 }
@@ -129,26 +131,26 @@
 	return all
 }
 
-// TestMaxKeysPerOwner checks that of an owner with too many keys all replicas keep the same ones, in whatever order they arrive.
+// TestMaxKeysPerOwner checks that all replicas keep the same keys of an owner with too many keys, in whatever order these arrive.
 func TestMaxKeysPerOwner(t *testing.T) {
-	a, b := NewStore(kinds, nil, anyone, NoFault), NewStore(kinds, nil, anyone, NoFault)
+	a, b := NewStore(kinds, nil, anyMember, NoFault), NewStore(kinds, nil, anyMember, NoFault)
 	entry := func(i int) Entry {
-		return Entry{Owner: "member", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Siblings: [][]byte{content("")}}
+		return Entry{Owner: "member", Key: fmt.Sprintf("dead/%04d", i), Version: Version{1, 1}, Siblings: [][]byte{valueSibling("")}}
 	}
 	for i := range 3 * MaxKeysPerOwner {
 		a.Merge(entry(i))
 		b.Merge(entry(3*MaxKeysPerOwner - 1 - i))
 	}
 	if len(a.all()) != MaxKeysPerOwner || a.Digest("dead") != b.Digest("dead") {
-		t.Errorf("%d, %d keys, sums %x, %x", len(a.all()), len(b.all()), a.Digest("dead"), b.Digest("dead"))
+		t.Errorf("replicas have %d and %d keys, want MaxKeysPerOwner, and digests %x and %x, want equal ones", len(a.all()), len(b.all()), a.Digest("dead"), b.Digest("dead"))
 	}
 }
 
-// TestRejectedEntries checks that what is malformed, of an unknown kind or owner, or written by members under a key that only
-// consensus decides, is rejected and counted.
+// TestRejectedEntries checks that an entry is rejected and counted if it is malformed, of an unknown kind or owner, or written by a
+// member under a key that only consensus decides.
 func TestRejectedEntries(t *testing.T) {
-	c := NewStore(kinds, decided, func(o string) bool { return o == "a" }, NoFault)
-	ok := Entry{"a", "dead/x", Version{1, 1}, [][]byte{content("")}}
+	c := NewStore(kinds, decidedKinds, func(o string) bool { return o == "a" }, NoFault)
+	ok := Entry{"a", "dead/x", Version{1, 1}, [][]byte{valueSibling("")}}
 	for name, change := range map[string]func(*Entry){
 		"kind":           func(e *Entry) { e.Key = "weather/x" },
 		"owner":          func(e *Entry) { e.Owner = "stranger" },
@@ -158,7 +160,7 @@
 		"no version":     func(e *Entry) { e.Sequence = 0 },
 		"no incarnation": func(e *Entry) { e.Incarnation = 0 },
 		"no content":     func(e *Entry) { e.Siblings = nil },
-		"order":          func(e *Entry) { e.Siblings = [][]byte{content("b"), content("a")} },
+		"order":          func(e *Entry) { e.Siblings = [][]byte{valueSibling("b"), valueSibling("a")} },
 		"long key":       func(e *Entry) { e.Key = "dead/" + string(make([]byte, MaxKeyBytes)) },
 		"long value":     func(e *Entry) { e.Siblings = [][]byte{make([]byte, MaxValueBytes+2)} },
 		"odd":            func(e *Entry) { e.Siblings = [][]byte{{7}} },
@@ -167,21 +169,21 @@
 		change(&e)
 		before := c.Counts
 		if c.Merge(e) || c.Counts == before || len(c.all()) > 0 {
-			t.Errorf("%s: merged, or not counted", name)
+			t.Errorf("%s: entry was merged, or its rejection was not counted", name)
 		}
 	}
 	if !c.Merge(ok) || c.Merge(ok) {
-		t.Error("a valid one is not merged once")
+		t.Error("a valid entry was not merged exactly once")
 	}
 }
 
-// TestSiblings checks that different values of one version are both kept, whichever comes first, and counted, and that a newer version
+// TestSiblings checks that two different values of the same version are both kept and counted as a conflict, and that a newer version
 // replaces both.
 func TestSiblings(t *testing.T) {
-	c := NewStore(kinds, nil, anyone, NoFault)
-	e := Entry{"a", "dead/x", Version{1, 2}, [][]byte{content("up")}}
+	c := NewStore(kinds, nil, anyMember, NoFault)
+	e := Entry{"a", "dead/x", Version{1, 2}, [][]byte{valueSibling("up")}}
 	c.Merge(e)
-	e.Siblings = [][]byte{content("down")}
+	e.Siblings = [][]byte{valueSibling("down")}
 	if !c.Merge(e) || c.Counts.Conflicts != 1 {
 		t.Errorf("%+v", c.Counts)
 	}
