--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -163,8 +163,9 @@
 	}
 }
 
-// compareRange adds the digests of the next lower level to the reply if a digest differs from the local digest. It reports whether
-// the range is valid and its kind known.
+// compareRange adds the next lower level to the reply if a digest differs from the local digest: the digests of the subranges or, for
+// a leaf, the list of its entries. If the sender has no entries in the range, it adds the entries. It reports whether the range is
+// valid and its kind known.
 func (n *Node) compareRange(r RangeDigest, reply *syncReply) bool {
 	index := int(r.Index)
 	switch {
@@ -238,7 +239,8 @@
 }
 
 // reconcileLeaf compares the sender's list of entries of a leaf with the local entries. It adds newer local entries to the reply. If
-// the sender has set RequestMissing, it also adds the entries that are not listed, and requests the entries that this process lacks.
+// the sender has set RequestMissing, it also adds the entries that are not listed, and requests the listed entries that are missing or
+// older here.
 func (n *Node) reconcileLeaf(leaf LeafDigest, reply *syncReply) {
 	tree := n.digestsOf(leaf.Kind)
 	if tree == nil || int(leaf.Index) >= leafCount {
--- a/internal/gossip/entry.go
+++ b/internal/gossip/entry.go
@@ -129,7 +129,7 @@
 }
 
 // mergeEntries returns the least upper bound of two entries with the same ID: the entry with the newer version or, for equal
-// versions, the union of the siblings.
+// versions, the union of the siblings, of which the first maxSiblings are kept.
 func mergeEntries(a, b Entry) Entry {
 	switch order := a.Compare(b.Version); {
 	case order > 0:
--- a/internal/gossip/failuredetector.go
+++ b/internal/gossip/failuredetector.go
@@ -65,7 +65,8 @@
 // HealthScore returns Lifeguard's local health score, from 0 to 8. Ping intervals and timeouts are multiplied by the score plus one.
 func (n *Node) HealthScore() int { return n.detector.healthScore }
 
-// adjustHealth changes the health score by delta. A positive delta indicates that this process is slow or isolated.
+// adjustHealth changes the health score by delta. A positive delta indicates that this process is slow or isolated,
+// a negative delta that it is healthy.
 func (n *Node) adjustHealth(delta int) {
 	n.detector.healthScore = min(maxHealthScore, max(0, n.detector.healthScore+delta))
 }
--- a/internal/zonefailover/verdict.go
+++ b/internal/zonefailover/verdict.go
@@ -27,7 +27,7 @@
 
 // Judge returns the verdict on each zone of the endpoint list. CauseDown requires all of the following:
 //   - more than half of the fleet is alive
-//   - most of the zone's endpoints are unreachable from at least two zones, if there are alive members in several
+//   - most of the zone's endpoints are unreachable from at least two zones, unless all alive members are in one zone
 //   - the other zones are reachable and have enough capacity
 //   - for a zone that is fully in service, the health quorum of members outside the zone
 //
