--- a/internal/pool/actions.go
+++ b/internal/pool/actions.go
@@ -9,8 +9,8 @@
 	"sorrelrudder/policy"
 )
 
-// The methods of policy.Actions are called by the balancer under mu, and so never block. What comes of them is handed to the balancer
-// in a later event, through deferred or by a goroutine. See also WatchEndpoints, CheckHealth and SetTimer.
+// The balancer calls the methods of policy.Actions while mu is held, so they never block. Their results reach the balancer in a later
+// event, through deferred or from a goroutine. WatchEndpoints, CheckHealth and SetTimer are in other files.
 
 // StartAttempt implements policy.Actions.
 func (p *Pool) StartAttempt(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
@@ -29,7 +29,7 @@
 	p.spawn(func() { p.runAttempt(a, peer) })
 }
 
-// newAttempt adds an attempt to r. The caller holds mu.
+// newAttempt adds an attempt to r and counts it. The caller holds mu.
 func (p *Pool) newAttempt(r *request, endpoint policy.EndpointID, timeout time.Duration) *attempt {
 	now := time.Now()
 	listed := p.endpoints[endpoint]
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -9,10 +9,10 @@
 	"sorrelrudder/policy"
 )
 
-// attempt is one send of a request to an endpoint. Its goroutine carries it out; see runAttempt.
+// attempt is one attempt to have an endpoint serve a request. A goroutine of its own executes runAttempt.
 type attempt struct {
 	request  *request
-	number   int // counted over all sites
+	number   int // from 0, including the attempts made at other sites
 	endpoint policy.EndpointID
 	zone     string // of the endpoint
 	cell     int
@@ -21,15 +21,15 @@
 	// Guarded by Pool.mu.
 	sentAt    policy.Time
 	completed bool
-	status    policy.Status // once completed
+	status    policy.Status // valid once completed
 
-	// mu guards the fields below. It is taken under Pool.mu, and Pool.mu is not taken under it.
+	// mu guards the fields below. It may be locked while Pool.mu is held, never the other way round.
 	mu        sync.Mutex
 	canceled  bool
-	interrupt func() // ends what the attempt waits for; nil: nothing
+	interrupt func() // ends the blocking operation in progress; nil: none is
 }
 
-// cancel calls the attempt off. Its goroutine reports the result.
+// cancel marks the attempt as canceled and interrupts it. Its goroutine still reports the result.
 func (a *attempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// abort ends what the attempt waits for, as a broken connection does.
+// abort interrupts the attempt without marking it as canceled: the result is that of a broken connection.
 func (a *attempt) abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// setInterrupt sets what ends the present wait, and reports whether the attempt is still wanted.
+// setInterrupt sets the function that ends the blocking operation in progress. It returns false if the attempt has been canceled.
 func (a *attempt) setInterrupt(interrupt func()) (wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,26 +62,27 @@
 	return a.canceled
 }
 
-// mayHaveExecuted reports whether the endpoint may have executed the request. The caller holds Pool.mu.
+// mayHaveExecuted reports whether the endpoint may have executed the request. It is true while the attempt is in flight. The caller
+// holds Pool.mu.
 func (a *attempt) mayHaveExecuted() bool { return !a.completed || !a.status.NotExecuted() }
 
-// completeAttempt reports the result of an attempt; with StatusOK, response is its response. It reports whether that has become the
-// request's.
+// completeAttempt reports the result of an attempt to the decision module. With StatusOK, response is the response for the client, and
+// used reports whether it became the request's final response.
 func (p *Pool) completeAttempt(a *attempt, status policy.Status, load *policy.LoadReport, response httpmsg.Response) (used bool) {
 	p.runEvent(func(now policy.Time) { used = p.completeAttemptLocked(now, a, status, load, response) })
 	return used
 }
 
-// failAttempt reports the result of an attempt without a response for the client.
+// failAttempt reports the result of an attempt that has no response for the client.
 func (p *Pool) failAttempt(a *attempt, status policy.Status, load *policy.LoadReport) {
 	p.completeAttempt(a, status, load, httpmsg.Response{})
 }
 
-// completeAttemptLocked is completeAttempt within an event. The caller holds mu.
+// completeAttemptLocked is completeAttempt for a caller that runs within an event and holds mu.
 func (p *Pool) completeAttemptLocked(
 	now policy.Time, a *attempt, status policy.Status, load *policy.LoadReport, response httpmsg.Response,
 ) (used bool) {
-	if a.completed { // guards against a second result of one attempt
+	if a.completed { // each attempt has one result
 		return false
 	}
 	r := a.request
@@ -96,7 +97,7 @@
 	p.balancer.HandleAttemptResult(now, policy.AttemptResult{
 		ID: r.id, Attempt: a.number, Endpoint: a.endpoint, Status: status, Latency: delay, RequestEnded: r.ended, Load: load,
 	}, p)
-	p.reachability.note(a.endpoint, status)
+	p.reachability.record(a.endpoint, status)
 	p.zoneOutcomes.add(a.zone, status, delay)
 	p.removeFinished(r)
 	return used
--- a/internal/pool/attempt_begin.go
+++ b/internal/pool/attempt_begin.go
@@ -9,14 +9,14 @@
 	"sorrelrudder/policy"
 )
 
-// beginDenial says why an attempt that the decision module has started must not send its first byte.
+// beginDenial is the reason why an attempt that the decision module has started must not send its first byte.
 type beginDenial int
 
 const (
 	beginAllowed beginDenial = iota
 	deniedRequestEnded
 	deniedClientGone
-	deniedEndpointGone // or restarted, or moved
+	deniedEndpointGone // removed, restarted or moved to another address
 	deniedEndpointDraining
 	deniedDeadline
 	deniedDedupWindowExpired
@@ -32,28 +32,28 @@
 	deniedDedupWindowExpired: "dedup window expired",
 }
 
-// String describes the denial for logs.
+// String returns the text of the denial for logs.
 func (d beginDenial) String() string { return beginDenialTexts[d] }
 
-// beginDenied says whether an attempt, which the decision module has started some time ago, may still send its first byte to peer: a
-// connection that came up late, a wait for a descriptor or a process that was not scheduled lie between. An attempt that is denied
-// here was not executed.
-func (p *Pool) beginDenied(a *attempt, peer *upstream.Peer) beginDenial {
+// checkBegin checks whether an attempt may still send its first byte to peer. Time has passed since the decision module started the
+// attempt: a slow dial, a wait for a file descriptor or a process that was not scheduled may have delayed it. An attempt that is denied
+// was not executed.
+func (p *Pool) checkBegin(a *attempt, peer *upstream.Peer) beginDenial {
 	r := a.request
 	clientGone := r.clientGone != nil && r.clientGone()
-	denial := deniedRequestEnded // also of a pool that is closed
+	denial := deniedRequestEnded // the result if the pool is closed
 	p.runEvent(func(now policy.Time) {
-		denial = p.beginDeniedLocked(now, a, peer, clientGone)
+		denial = p.checkBeginLocked(now, a, peer, clientGone)
 		if denial == deniedClientGone {
 			p.balancer.HandleRequestAbandoned(now, r.id, p)
-			p.finish(r, httpmsg.Response{Status: http.StatusBadGateway}) // releases whoever waits for the response
+			p.finish(r, httpmsg.Response{Status: http.StatusBadGateway}) // unblocks the receiver of the response
 		}
 	})
 	return denial
 }
 
-// beginDeniedLocked is the rule of beginDenied. The caller holds mu.
-func (p *Pool) beginDeniedLocked(now policy.Time, a *attempt, peer *upstream.Peer, clientGone bool) beginDenial {
+// checkBeginLocked evaluates the conditions of checkBegin in order. The caller holds mu.
+func (p *Pool) checkBeginLocked(now policy.Time, a *attempt, peer *upstream.Peer, clientGone bool) beginDenial {
 	listed, isListed := p.endpoints[a.endpoint]
 	switch {
 	case a.request.ended:
@@ -66,15 +66,15 @@
 		return deniedEndpointDraining
 	case !time.Now().Before(a.deadline):
 		return deniedDeadline
-	case p.pastDedupWindow(now, a):
+	case p.dedupWindowExpired(now, a):
 		return deniedDedupWindowExpired
 	}
 	return beginAllowed
 }
 
-// pastDedupWindow reports whether a repeats a request with an idempotency key that may have been executed so long ago that endpoints
-// have forgotten the key. The caller holds mu.
-func (p *Pool) pastDedupWindow(now policy.Time, a *attempt) bool {
+// dedupWindowExpired reports whether a retries a request with an idempotency key after the dedup window. An earlier attempt may have
+// executed the request, and the endpoints may no longer remember its key, so they would execute it again. The caller holds mu.
+func (p *Pool) dedupWindowExpired(now policy.Time, a *attempt) bool {
 	r := a.request
 	class := p.classes[r.policyRequest.Class]
 	if class.Idempotency != policy.IdempotentByKey {
--- a/internal/pool/attempt_run.go
+++ b/internal/pool/attempt_run.go
@@ -12,23 +12,23 @@
 	"sorrelrudder/policy"
 )
 
-// errRejectedEarly is the end of an attempt whose endpoint has rejected the request before it was complete.
-var errRejectedEarly = errors.New("the endpoint rejects the request before it is complete")
+// errRejectedEarly ends an attempt whose endpoint rejected the request before the complete request was sent.
+var errRejectedEarly = errors.New("endpoint rejected the request before the complete request was sent")
 
-// runAttempt carries out one attempt and reports its one result. It is the attempt's goroutine.
+// runAttempt executes an attempt and reports its result once. It runs in the attempt's own goroutine.
 func (p *Pool) runAttempt(a *attempt, peer *upstream.Peer) {
 	conn := p.connect(a, peer)
 	if conn == nil {
 		return
 	}
 	q := p.upstreamRequest(a)
-	if denial := p.beginDenied(a, peer); denial != beginAllowed {
+	if denial := p.checkBegin(a, peer); denial != beginAllowed {
 		conn.Discard()
 		p.log.Debug("attempt denied", "request", a.request.xRequestID, "upstream", a.endpoint, "reason", denial)
 		p.failAttempt(a, policy.StatusNotSent, nil)
 		return
 	}
-	response, err := p.exchange(a, conn, q) //nolint:bodyclose // the connection is closed, or used again once the body is read
+	response, err := p.exchange(a, conn, q) //nolint:bodyclose // the connection is closed, or reused once the body is read
 	switch {
 	case errors.Is(err, errRejectedEarly):
 		conn.Discard()
@@ -41,7 +41,7 @@
 	}
 }
 
-// connect returns a connection for the attempt. It returns nil if there is none, and has then reported the result.
+// connect returns a connection for the attempt. It returns nil if it could get none; it has then reported the attempt's result.
 func (p *Pool) connect(a *attempt, peer *upstream.Peer) *upstream.Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -62,7 +62,7 @@
 	return conn
 }
 
-// upstreamRequest returns what the endpoint is sent.
+// upstreamRequest returns the request to send to the endpoint.
 func (p *Pool) upstreamRequest(a *attempt) *upstream.Request {
 	r := a.request
 	left := time.Until(a.deadline)
@@ -74,12 +74,12 @@
 		q.ExtraFields = p.protocol.ExtraFields(&r.policyRequest, r.header, left)
 	}
 	if p.endToEnd != nil {
-		q.TimeoutMs = 0 // a field of the platform's protocol
+		q.TimeoutMs = 0 // X-Timeout-Ms belongs to the platform's protocol
 	}
 	return q
 }
 
-// exchange sends a request and returns the head of its response. The error is errRejectedEarly, or says what broke the exchange off.
+// exchange sends a request and returns the head of its response. The error is errRejectedEarly, or the cause that ended the exchange.
 func (p *Pool) exchange(a *attempt, conn *upstream.Conn, q *upstream.Request) (*http.Response, error) {
 	err := conn.Send(q)
 	if err == nil && q.StreamedBody != nil {
@@ -95,7 +95,7 @@
 	return conn.Receive(q)
 }
 
-// sendStreamedBody forwards the rest of a long body. No further attempt can be made once it has begun.
+// sendStreamedBody forwards the rest of a long body. The request cannot be retried once this has begun. The error is a NotWrittenError.
 func (p *Pool) sendStreamedBody(a *attempt, conn *upstream.Conn, q *upstream.Request) error {
 	r := a.request
 	p.runEvent(func(now policy.Time) {
@@ -118,7 +118,8 @@
 	return upstream.NotWrittenError{Err: err}
 }
 
-// finishBrokenBody ends a request whose client has left, or has sent a body that cannot be used. It has not been executed.
+// finishBrokenBody ends a request whose client disconnected while sending the body, or sent an invalid body. The request has not been
+// executed.
 func (p *Pool) finishBrokenBody(r *request, err error) {
 	response := httpmsg.Response{Status: http.StatusBadRequest}
 	var bad httpmsg.RejectionError
@@ -133,15 +134,15 @@
 	})
 }
 
-// receiveEarly receives the response of an endpoint that has sent it before it had the complete request; cause is the error of that
-// exchange, which stands where the response is of no use.
+// receiveEarly receives a response that the endpoint sent before it had the complete request. cause is the error that ended the exchange;
+// it is returned unless the response can be used.
 func (p *Pool) receiveEarly(a *attempt, conn *upstream.Conn, q *upstream.Request, cause error) (*http.Response, error) {
 	conn.SetReadDeadline(time.Now().Add(a.request.timeout))
 	response, err := conn.Receive(q)
 	switch {
 	case err != nil:
 		return nil, cause
-	case p.endToEnd != nil: // an ordinary server may want no more of the body
+	case p.endToEnd != nil: // ordinary servers may respond without reading the rest of the body
 		response.Close = true
 		return response, nil
 	case provesNotExecuted(response):
@@ -150,7 +151,7 @@
 	return nil, cause
 }
 
-// completeBroken reports the result of an attempt that ended without a complete response.
+// completeBroken reports the result of an attempt that ended with err before a complete response.
 func (p *Pool) completeBroken(a *attempt, err error) {
 	status := policy.StatusReset
 	var notWritten upstream.NotWrittenError
@@ -158,9 +159,9 @@
 	switch {
 	case a.isCanceled():
 		status = policy.StatusCanceled
-	case errors.As(err, &noDescriptor): // no evidence against the endpoint
+	case errors.As(err, &noDescriptor): // a local shortage, not a failure of the endpoint
 		status = policy.StatusNotSent
-	case errors.As(err, &notWritten): // whatever ended it, the endpoint never had the complete request
+	case errors.As(err, &notWritten): // whatever the cause, the endpoint never received the complete request
 		status = policy.StatusConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.deadline):
 		status = policy.StatusTimeout
--- a/internal/pool/endpoints.go
+++ b/internal/pool/endpoints.go
@@ -6,7 +6,7 @@
 	"sorrelrudder/policy"
 )
 
-// updateEndpoints takes a message about the endpoint list over and hands it to the decision module. The caller holds mu.
+// updateEndpoints applies an update of the endpoint list and passes it to the decision module. The caller holds mu.
 func (p *Pool) updateEndpoints(now policy.Time, kind policy.UpdateKind, l *discovery.EndpointList) {
 	p.watch.accept(*l.Version, kind)
 	update := make([]policy.Endpoint, len(l.Endpoints))
@@ -33,8 +33,8 @@
 	}
 }
 
-// setPeer takes over what the list says of an endpoint. One that has restarted, moved or gone loses its connections, since another
-// process may listen at its address. The caller holds mu.
+// setPeer applies the list entry of one endpoint. The connections of an endpoint that was restarted, moved or removed are closed, since
+// another process may listen at its address. The caller holds mu.
 func (p *Pool) setPeer(id policy.EndpointID, state policy.EndpointState, e discovery.Endpoint) {
 	peer := p.peers[id]
 	if peer != nil && (state == policy.Removed || peer.Addr() != e.Address || peer.Started() != p.clock.startTime(e.StartedMs)) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// policyEndpoint returns an endpoint of the list as the decision module is given it: one that is excluded drains, and one that is
-// used again counts as started then. The caller holds mu.
+// policyEndpoint converts a list entry for the decision module. An excluded endpoint is draining. An endpoint that was readmitted after
+// an exclusion counts as started at its readmission. The caller holds mu.
 func (p *Pool) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	endpoint := policy.Endpoint{
 		ID: policy.EndpointID(e.ID), State: e.State(), Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, MachineType: e.MachineType,
@@ -65,14 +65,14 @@
 	if endpoint.State == policy.Ready && p.exclusion.excludes(e) {
 		endpoint.State = policy.Draining
 	}
-	if returned := p.exclusion.returnedAt[e.ID]; returned > max(0, endpoint.Started) {
-		endpoint.Started = returned
+	if readmitted := p.exclusion.readmittedAt[e.ID]; readmitted > max(0, endpoint.Started) {
+		endpoint.Started = readmitted
 	}
 	return endpoint
 }
 
-// readyCount returns how many endpoints the list names ready, excluded ones included: a list that leaves none but excluded ones counts as
-// ready, and requests then wait for another. The caller holds mu.
+// readyCount returns the number of endpoints that are ready according to the list, including excluded ones. If all ready endpoints are
+// excluded, the pool still counts as ready, and requests wait until another endpoint is ready. The caller holds mu.
 func (p *Pool) readyCount() int {
 	ready := 0
 	for _, e := range p.endpoints {
@@ -83,7 +83,7 @@
 	return ready
 }
 
-// EndpointList returns a complete list of the endpoints as they stand, for an instance that takes this one's place. It has version 0.
+// EndpointList returns a complete list of the current endpoints, for the instance that replaces this one. Its version is 0.
 func (p *Pool) EndpointList() *discovery.EndpointList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,10 +94,10 @@
 	return l
 }
 
-// ReadyEndpoint is an endpoint that the list names ready.
+// ReadyEndpoint is an endpoint that is ready according to the endpoint list.
 type ReadyEndpoint struct{ Name, Zone string }
 
-// ReadyEndpoints returns the endpoints that the list names ready, excluded ones included, in no order.
+// ReadyEndpoints returns the endpoints that are ready according to the list, including excluded ones, in no particular order.
 func (p *Pool) ReadyEndpoints() []ReadyEndpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,8 @@
 	return all
 }
 
-// Readiness reports whether the list names a ready endpoint, be it excluded, and whether the source itself has sent a list.
+// Readiness reports whether the list has a ready endpoint, excluded or not, and whether a list has been received from the source; the
+// cached list does not count.
 func (p *Pool) Readiness() (ready, listReceived bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -4,18 +4,18 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Exchange is a request that the pool has accepted. Its methods may be called from any goroutine.
+// Exchange is a request that the pool has accepted. Its methods are safe for concurrent use.
 type Exchange struct {
 	pool    *Pool
 	request *request
 }
 
-// Submit hands a request whose last byte has come to the decision module. The pool calls releaseBody once the request's body is not
-// needed any more, and not at all if Submit returns an error, which is an httpmsg.RejectionError.
+// Submit passes a request to the decision module. The head and the buffered part of the body have been received. The pool calls
+// releaseBody once the body is no longer needed, and never if Submit returns an error. The error is an httpmsg.RejectionError.
 func (p *Pool) Submit(q *httpmsg.Request, parsed ParsedRequest, releaseBody func()) (*Exchange, error) {
 	hasBody := len(q.Body) > 0 || q.Remainder != nil
 	if hasBody && parsed.idempotent && !parsed.mayHaveBody {
-		return nil, errBodyWhereClassNone
+		return nil, errUnexpectedBody
 	}
 	r := &request{
 		xRequestID: parsed.requestID, forwarded: parsed.forwarded, method: q.Method, uri: q.URI, host: q.Host,
@@ -28,14 +28,15 @@
 	return &Exchange{pool: p, request: r}, nil
 }
 
-// Response returns the channel to which the one final response is sent.
+// Response returns the channel on which the one final response is delivered.
 func (e *Exchange) Response() <-chan httpmsg.Response { return e.request.response }
 
-// Cancel notes that the client has left, and reports whether the request was still open; otherwise its response is there.
+// Cancel reports to the pool that the client has disconnected. It returns false if the request had already ended; its response is then
+// in the channel.
 func (e *Exchange) Cancel() bool { return e.pool.cancelRequest(e.request) }
 
-// AttemptSummary returns how many attempts were made here for a request that has its response, and whether any of them may have
-// been executed.
+// AttemptSummary returns the number of attempts made by this pool, and whether any of them may have been executed. It is called after
+// the response has been received.
 func (e *Exchange) AttemptSummary() (attempts int, mayHaveExecuted bool) {
 	p := e.pool
 	p.mu.Lock()
--- a/internal/pool/exclusion_test.go
+++ b/internal/pool/exclusion_test.go
@@ -123,14 +123,14 @@
 		return all
 	}
 	var x exclusion
-	x.apply(1, exclusionOrder{excluded: only("a"), untilRestart: only("a")}, endpoints(5, "a"))
+	x.apply(1, exclusionSet{excluded: only("a"), untilRestart: only("a")}, endpoints(5, "a"))
 	if e := (discovery.Endpoint{ID: "a", Health: "active", StartedMs: 5}); x.uses(e) {
 		t.Error("a is used, though the list names its old start")
 	}
 	if e := (discovery.Endpoint{ID: "a", Health: "active", StartedMs: 6}); !x.uses(e) {
 		t.Error("a has restarted and is not used")
 	}
-	x.apply(2, exclusionOrder{excluded: only("a", "b"), untilRestart: only("a", "b")}, endpoints(5, "a", "b"))
+	x.apply(2, exclusionSet{excluded: only("a", "b"), untilRestart: only("a", "b")}, endpoints(5, "a", "b"))
 	if e := (discovery.Endpoint{ID: "b", Health: "active", StartedMs: 5}); !x.uses(e) {
 		t.Error("b came after its zone was excluded and is not used")
 	}
--- a/internal/pool/healthcheck.go
+++ b/internal/pool/healthcheck.go
@@ -44,7 +44,7 @@
 			p.balancer.HandleHealthCheck(now, policy.HealthCheckResult{
 				Endpoint: endpoint, Status: status, Latency: now - sentAt, Load: load,
 			}, p)
-			p.reachability.note(endpoint, status)
+			p.reachability.record(endpoint, status)
 		})
 	})
 }
--- a/internal/pool/learned_state.go
+++ b/internal/pool/learned_state.go
@@ -28,13 +28,13 @@
 
 // usable reports whether the state can have been learned: what is stored in a file may be anything.
 func (s *LearnedState) usable() bool {
-	const maxFigure = maxLoadFigure * maxLoadFigure
+	const maxMagnitude = maxLoadValue * maxLoadValue
 	figures := append([]float64{s.HealthCheckContention, s.HedgeWinRate}, s.LatencyModel[:]...)
 	for _, e := range s.Endpoints {
 		figures = append(figures, e.Slowness, e.ResponseInterval, float64(e.EjectedFor))
 	}
 	for _, v := range figures {
-		if math.IsNaN(v) || math.IsInf(v, 0) || v < -maxFigure || v > maxFigure {
+		if math.IsNaN(v) || math.IsInf(v, 0) || v < -maxMagnitude || v > maxMagnitude {
 			return false
 		}
 	}
--- a/internal/pool/loadreport.go
+++ b/internal/pool/loadreport.go
@@ -9,8 +9,8 @@
 	"sorrelrudder/policy"
 )
 
-// maxLoadFigure is the highest figure of a load report that is believed.
-const maxLoadFigure = 1e9
+// maxLoadValue is the highest figure of a load report that is believed.
+const maxLoadValue = 1e9
 
 // parseLoadReport reads a report such as "TEXT queue=2, util=0.61" by the names of its fields. It returns nil if no field can be read.
 func parseLoadReport(text string, fields []string) *policy.LoadReport {
@@ -26,8 +26,8 @@
 			continue
 		}
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		isFigure := v >= 0 && v <= maxLoadFigure // NaN is none
-		if err != nil || !isFigure {
+		inRange := v >= 0 && v <= maxLoadValue // NaN is none
+		if err != nil || !inRange {
 			continue
 		}
 		settings.SetLoadField(&load, name, v)
--- a/internal/pool/loadreport_test.go
+++ b/internal/pool/loadreport_test.go
@@ -15,7 +15,7 @@
 			return
 		}
 		for _, v := range []float64{l.Queue, l.InFlight} {
-			if !(v == -1 || v >= 0 && v <= maxLoadFigure) {
+			if !(v == -1 || v >= 0 && v <= maxLoadValue) {
 				t.Fatalf("%q gives %+v", text, l)
 			}
 		}
--- a/internal/pool/parse.go
+++ b/internal/pool/parse.go
@@ -21,13 +21,13 @@
 
 // The requests that do not have the protocol's form. Endpoints would reject them, or read something else in them.
 var (
-	errBadRequestID       = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no usable X-Request-ID"}
-	errUnknownClass       = httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such class"}
-	errBadMethod          = httpmsg.RejectionError{Status: http.StatusMethodNotAllowed, Text: "the class has another method"}
-	errNoIdempotencyKey   = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no Idempotency-Key"}
-	errBadTimeout         = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no usable X-Timeout-Ms"}
-	errMayHaveExecuted    = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "an unsafe request that may have run"}
-	errBodyWhereClassNone = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "a body where the class has none"}
+	errBadRequestID     = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no usable X-Request-ID"}
+	errUnknownClass     = httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such class"}
+	errBadMethod        = httpmsg.RejectionError{Status: http.StatusMethodNotAllowed, Text: "the class has another method"}
+	errNoIdempotencyKey = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no Idempotency-Key"}
+	errBadTimeout       = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no usable X-Timeout-Ms"}
+	errMayHaveExecuted  = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "an unsafe request that may have run"}
+	errUnexpectedBody   = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "a body where the class has none"}
 )
 
 // ParsedRequest is what the head of a request says, for Submit.
--- a/internal/pool/reachability.go
+++ b/internal/pool/reachability.go
@@ -10,7 +10,7 @@
 
 // note takes the end of an attempt or a health check. A timeout may be load or chance: what follows from it is decided where the
 // reports of several processes meet. A report is repeated while the fault lasts, since those that are not are forgotten there.
-func (r *reachability) note(id policy.EndpointID, status policy.Status) {
+func (r *reachability) record(id policy.EndpointID, status policy.Status) {
 	if r.report == nil {
 		return
 	}
--- a/internal/pool/reachability_test.go
+++ b/internal/pool/reachability_test.go
@@ -15,7 +15,7 @@
 		policy.StatusOK, policy.StatusTimeout, policy.StatusApplicationError, policy.StatusReset, policy.StatusConnectFailed,
 		policy.StatusOverloaded, policy.StatusCanceled, policy.StatusNotSent, policy.StatusOK, policy.StatusOK,
 	} {
-		r.note("a", status)
+		r.record("a", status)
 	}
 	if want := []bool{true, true, true, false}; !slices.Equal(got, want) {
 		t.Errorf("reported %v, want %v", got, want)
@@ -33,7 +33,7 @@
 	if len(z.byZone) != maxZones {
 		t.Fatalf("%d zones are counted, want %d", len(z.byZone), maxZones)
 	}
-	if first := *z.byZone["A"]; first != (zoneOutcome{answered: 2, delay: 6}) {
+	if first := *z.byZone["A"]; first != (zoneOutcome{answered: 2, latencySum: 6}) {
 		t.Errorf("the first zone has %+v", first)
 	}
 }
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// firstReadBytes is the first buffer for the body of a response whose length is longer or not known.
-	firstReadBytes = 4 << 10
+	// initialBufferBytes is the first buffer for the body of a response whose length is longer or not known.
+	initialBufferBytes = 4 << 10
 	// maxErrorBodyBytes bounds what is read of the body of a failing response, to use its connection again.
 	maxErrorBodyBytes = 4 << 10
 	// unknownLengthWait is how long the end of a response without a length is waited for before it is taken for a long one: its first
@@ -34,7 +34,7 @@
 	case status == policy.StatusOK:
 		p.completeOK(a, conn, response, load)
 	case p.endToEnd != nil:
-		p.completeFailingEndToEnd(a, conn, response, status, load)
+		p.completeEndToEndFailure(a, conn, response, status, load)
 	default:
 		_, err := io.CopyN(io.Discard, response.Body, maxErrorBodyBytes)
 		p.releaseConn(a, conn, response, errors.Is(err, io.EOF))
@@ -68,12 +68,12 @@
 		response.Header.Get("X-Not-Processed") == "1"
 }
 
-// completeFailingEndToEnd takes a failing response of an EndToEndProtocol. A complete one is kept for the client, for the case that no
+// completeEndToEndFailure takes a failing response of an EndToEndProtocol. A complete one is kept for the client, for the case that no
 // further attempt is made.
-func (p *Pool) completeFailingEndToEnd(
+func (p *Pool) completeEndToEndFailure(
 	a *attempt, conn *upstream.Conn, response *http.Response, status policy.Status, load *policy.LoadReport,
 ) {
-	body, complete, err := readFirst(response, conn.Body(response), a.deadline)
+	body, complete, err := readBodyStart(response, conn.Body(response), a.deadline)
 	usable := complete && err == nil
 	p.releaseConn(a, conn, response, usable)
 	if usable {
@@ -87,7 +87,7 @@
 // client of a long one gets it as it comes.
 func (p *Pool) completeOK(a *attempt, conn *upstream.Conn, response *http.Response, load *policy.LoadReport) {
 	from := conn.Body(response)
-	body, complete, err := readFirst(response, from, a.deadline)
+	body, complete, err := readBodyStart(response, from, a.deadline)
 	if err != nil {
 		conn.Discard()
 		p.completeBroken(a, err)
@@ -131,14 +131,14 @@
 	p.conns.PutIdle(conn)
 }
 
-// readFirst reads the body of a response, or the first part of a long one. It takes memory for what has come, not for what the head
+// readBodyStart reads the body of a response, or the first part of a long one. It takes memory for what has come, not for what the head
 // promises.
-func readFirst(response *http.Response, from *upstream.Body, deadline time.Time) (body []byte, complete bool, err error) {
+func readBodyStart(response *http.Response, from *upstream.Body, deadline time.Time) (body []byte, complete bool, err error) {
 	length := response.ContentLength
 	if length > httpmsg.MaxBodyBytes {
 		return nil, false, fmt.Errorf("%w: %d bytes", errResponseTooLong, length)
 	}
-	capacity := int64(firstReadBytes)
+	capacity := int64(initialBufferBytes)
 	if length >= 0 {
 		capacity = min(capacity, length)
 	}
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -16,19 +16,19 @@
 	// minStableWatch is how long a watch must have stood to be opened anew at once when it ends. One that ends sooner counts as a failed
 	// poll, which is followed by a backoff.
 	minStableWatch = time.Second
-	// maxOutdatedInRow is how many messages in a row may be older than the list in force before a complete one is taken over all the
+	// maxConsecutiveOutdated is how many messages in a row may be older than the list in force before a complete one is taken over all the
 	// same: the source has then begun to count anew.
-	maxOutdatedInRow = 3
+	maxConsecutiveOutdated = 3
 )
 
 // listWatch is the state of the pool's watch of its endpoint list. The pool's mu guards it.
 type listWatch struct {
-	source        discovery.Source
-	cancel        context.CancelFunc // nil while there is no watch
-	version       int64              // of the last message
-	received      bool               // the source has sent a list, beyond what was cached at the start
-	outdatedInRow int                // messages in a row that were older than version
-	lastError     string             // why the last watch ended, until a list comes
+	source              discovery.Source
+	cancel              context.CancelFunc // nil while there is no watch
+	version             int64              // of the last message
+	received            bool               // the source has sent a list, beyond what was cached at the start
+	consecutiveOutdated int                // messages in a row that were older than version
+	lastError           string             // why the last watch ended, until a list comes
 }
 
 // stop cancels the watch, if there is one.
@@ -51,19 +51,19 @@
 // asked before would bring removed endpoints back.
 func (w *listWatch) checkVersion(l *discovery.EndpointList) error {
 	if *l.Version >= w.version {
-		w.outdatedInRow = 0
+		w.consecutiveOutdated = 0
 		return nil
 	}
-	w.outdatedInRow++
-	if l.Complete && w.outdatedInRow > maxOutdatedInRow {
-		w.outdatedInRow = 0
+	w.consecutiveOutdated++
+	if l.Complete && w.consecutiveOutdated > maxConsecutiveOutdated {
+		w.consecutiveOutdated = 0
 		return nil
 	}
 	return outdatedError{version: *l.Version, inForce: w.version}
 }
 
-// isNewError notes why a watch has ended, and reports whether that is another reason than before.
-func (w *listWatch) isNewError(err error) bool {
+// recordError notes why a watch has ended, and reports whether that is another reason than before.
+func (w *listWatch) recordError(err error) bool {
 	reason := err.Error()
 	if reason == w.lastError {
 		return false
@@ -149,7 +149,7 @@
 
 // logWatchEnd logs why a watch has ended, once for each reason until a list comes.
 func (p *Pool) logWatchEnd(err error) {
-	if p.watch.isNewError(err) {
+	if p.watch.recordError(err) {
 		p.log.Warn("watch on discovery ended", "err", err)
 	}
 }
--- a/internal/pool/zone_outcomes.go
+++ b/internal/pool/zone_outcomes.go
@@ -18,7 +18,7 @@
 // zoneOutcome counts the attempts at the endpoints of one zone.
 type zoneOutcome struct {
 	answered, failed int64
-	delay            time.Duration // sum over those answered
+	latencySum       time.Duration // sum over those answered
 }
 
 // add counts an attempt that has ended. One that was canceled, since another was quicker, counts as answered: it would have taken as
@@ -27,21 +27,21 @@
 	if !z.enabled || zone == "" {
 		return
 	}
-	outcome := z.of(zone)
+	outcome := z.outcomeOf(zone)
 	if outcome == nil {
 		return
 	}
 	switch status {
 	case policy.StatusOK, policy.StatusCanceled:
 		outcome.answered++
-		outcome.delay += took
+		outcome.latencySum += took
 	case policy.StatusApplicationError, policy.StatusTimeout, policy.StatusReset, policy.StatusConnectFailed:
 		outcome.failed++
 	}
 }
 
 // of returns the counts of a zone, or nil if there are too many zones.
-func (z *zoneOutcomes) of(zone string) *zoneOutcome {
+func (z *zoneOutcomes) outcomeOf(zone string) *zoneOutcome {
 	if outcome := z.byZone[zone]; outcome != nil {
 		return outcome
 	}
@@ -62,6 +62,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, outcome := range p.zoneOutcomes.byZone {
-		f(zone, outcome.answered, outcome.failed, outcome.delay)
+		f(zone, outcome.answered, outcome.failed, outcome.latencySum)
 	}
 }
