--- a/internal/pool/exclusion.go
+++ b/internal/pool/exclusion.go
@@ -5,28 +5,28 @@
 	"sorrelrudder/policy"
 )
 
-// neverListedStartMs stands for a start that no list names.
+// neverListedStartMs is a start time that differs from every start time in an endpoint list.
 const neverListedStartMs = -1
 
-// exclusion holds which endpoints take no new requests by an order of an operator or of the fleet, though the list names them ready,
-// and which are used again after one. The pool's mu guards it.
+// exclusion records which endpoints an operator or the fleet has excluded: they take no new requests although the list has them ready.
+// It also records when endpoints were readmitted. The pool's mu guards it.
 type exclusion struct {
-	slowStart          bool                   // the settings have a slow start: readmittedAt is kept
-	excluded           map[string]bool        // by the last order
-	untilRestart       map[string]bool        // of those: used again once the list names another start
-	startMsAtExclusion map[string]int64       // of those excluded: the list's start then, in Unix milliseconds
-	listedAtLastUpdate map[string]bool        // what the list had named at the last order
-	readmittedAt       map[string]policy.Time // used again since then; 0: since the start that the list names
+	slowStart          bool                   // slow start is configured; without it readmittedAt is not recorded
+	excluded           map[string]bool        // the excluded endpoints of the last set applied
+	untilRestart       map[string]bool        // the subset of excluded that is readmitted once the list has another start time
+	startMsAtExclusion map[string]int64       // for each excluded endpoint: its listed start time then, in Unix milliseconds
+	listedAtLastUpdate map[string]bool        // the endpoints on the list when the last set was applied
+	readmittedAt       map[string]policy.Time // when each endpoint was readmitted; 0: it restarted, and its listed start time counts
 }
 
-// exclusionSet is which endpoints are to be excluded from now on.
+// exclusionSet is a complete set of exclusions, which replaces the preceding one.
 type exclusionSet struct {
 	excluded     map[string]bool
-	recovering   map[string]bool // the fleet has just begun to use them again
-	untilRestart map[string]bool // of excluded: until the list names another start
+	recovering   map[string]bool // the fleet has just begun to send requests to them again
+	untilRestart map[string]bool // the subset of excluded that is readmitted once the list has another start time
 }
 
-// excludes reports whether an endpoint that the list names so takes no new requests.
+// excludes reports whether the endpoint of a list entry is excluded.
 func (x *exclusion) excludes(e discovery.Endpoint) bool {
 	if !x.excluded[e.ID] {
 		return false
@@ -35,18 +35,18 @@
 	return !x.untilRestart[e.ID] || !restarted
 }
 
-// uses reports whether an endpoint that the list names so takes new requests.
+// uses reports whether the endpoint of a list entry takes new requests.
 func (x *exclusion) uses(e discovery.Endpoint) bool {
 	return e.State() == policy.Ready && !x.excludes(e)
 }
 
-// forget drops what is known of an endpoint that the list names no more.
+// forget drops the readmission time of an endpoint that was removed from the list.
 func (x *exclusion) forget(id string) { delete(x.readmittedAt, id) }
 
-// apply carries out an order for the endpoints of the list, and returns those for which it changes something.
+// apply replaces the exclusions by set, and returns the endpoints of the list whose state or start time changes for the decision module.
 func (x *exclusion) apply(now policy.Time, set exclusionSet, endpoints map[policy.EndpointID]discovery.Endpoint) []discovery.Endpoint {
 	before := x.excluded
-	used := map[string]bool{} // some of those excluded are: they have restarted
+	used := map[string]bool{} // includes excluded endpoints that have restarted
 	for _, e := range endpoints {
 		used[e.ID] = x.uses(e)
 	}
@@ -58,22 +58,22 @@
 	}
 	var changed []discovery.Endpoint
 	for _, e := range endpoints {
-		returns := x.recordReturn(now, e.ID, before[e.ID], used[e.ID], set.recovering[e.ID])
-		if returns || before[e.ID] != set.excluded[e.ID] {
+		readmitted := x.recordReadmission(now, e.ID, before[e.ID], used[e.ID], set.recovering[e.ID])
+		if readmitted || before[e.ID] != set.excluded[e.ID] {
 			changed = append(changed, e)
 		}
 	}
 	return changed
 }
 
-// recordStarts notes the start of each endpoint that is newly excluded; before are those that were excluded already.
+// recordStarts records the listed start time of each newly excluded endpoint. before holds the endpoints that were excluded until now.
 func (x *exclusion) recordStarts(before map[string]bool, endpoints map[policy.EndpointID]discovery.Endpoint) {
 	for id := range x.startMsAtExclusion {
 		if !x.excluded[id] {
 			delete(x.startMsAtExclusion, id)
 		}
 	}
-	zonesBefore := map[string]bool{} // of which some were excluded already
+	zonesBefore := map[string]bool{} // the zones that already had an excluded endpoint
 	for id := range before {
 		if e, listed := endpoints[policy.EndpointID(id)]; listed {
 			zonesBefore[e.Zone] = true
@@ -89,15 +89,16 @@
 		e, listed := endpoints[policy.EndpointID(id)]
 		startMs := e.StartedMs
 		if listed && startMs != 0 && zonesBefore[e.Zone] && !x.listedAtLastUpdate[id] {
-			startMs = neverListedStartMs // the list has first named it since its zone was excluded: it has restarted since
+			startMs = neverListedStartMs // it was listed only after the exclusion of its zone, so it has restarted since
 		}
 		x.startMsAtExclusion[id] = startMs
 	}
 }
 
-// recordReturn notes whether an endpoint is used again by the order now in force, and reports whether it counts as started now for
-// that. It counts so if it took no requests before: no list need say so, and all processes together would overload it.
-func (x *exclusion) recordReturn(now policy.Time, id string, excludedBefore, usedBefore, recovering bool) bool {
+// recordReadmission records whether the set just applied readmits an endpoint, and reports whether the endpoint counts as started now.
+// It does if it took no requests until now, even if the list names no new start time: without a slow start all processes together would
+// overload it.
+func (x *exclusion) recordReadmission(now policy.Time, id string, excludedBefore, usedBefore, recovering bool) bool {
 	_, readmittedBefore := x.readmittedAt[id]
 	switch {
 	case x.excluded[id]:
@@ -123,10 +124,12 @@
 	x.readmittedAt[id] = at
 }
 
-// SetExcluded orders which endpoints take no new requests from now on, as if the list said that they drain. It excludes none of them,
-// and returns false, where no ready endpoint would be left by the list in force; a later list may leave none. An endpoint that was excluded and is not any more counts as started now,
-// and so does one of recovering, which the fleet has just begun to use again; those of untilRestart are used again once the list names
-// another start. The pool keeps the maps, which must not be changed.
+// SetExcluded replaces the set of excluded endpoints. An excluded endpoint takes no new requests, as if the list had it draining. If the
+// current list would have no ready endpoint left, SetExcluded excludes none at all and returns false; a later list may still leave none.
+//
+// An endpoint that is no longer excluded counts as started now, and so does an endpoint of recovering, to which the fleet has just begun
+// to send requests again. An endpoint of untilRestart, a subset of excluded, is readmitted once the list has another start time for it.
+// The pool keeps the maps; the caller must not modify them afterwards.
 func (p *Pool) SetExcluded(excluded, recovering, untilRestart map[string]bool) (applied bool) {
 	p.runEvent(func(now policy.Time) {
 		set := exclusionSet{excluded: excluded, recovering: recovering, untilRestart: untilRestart}
@@ -145,7 +148,7 @@
 	return applied
 }
 
-// leavesReady reports whether the list names a ready endpoint beside those excluded. The caller holds mu.
+// leavesReady reports whether the list has a ready endpoint that is not in excluded. The caller holds mu.
 func (p *Pool) leavesReady(excluded map[string]bool) bool {
 	for _, e := range p.endpoints {
 		if e.State() == policy.Ready && !excluded[e.ID] {
--- a/internal/pool/forward.go
+++ b/internal/pool/forward.go
@@ -9,44 +9,44 @@
 	"sorrelrudder/policy"
 )
 
-// RejectedRequest is a request that the decision module has rejected here, for whoever may have it served at another site: asking for
-// it again is harmless, and nothing more is sent for it here. Respond must be called once.
+// RejectedRequest is a request that the decision module of this pool has rejected, and that may be served at another site instead. It is
+// safe to retry, and this pool makes no further attempt. Respond must be called once.
 type RejectedRequest struct {
 	Message       httpmsg.Request
 	ID            string                // its X-Request-ID
-	PolicyRequest policy.Request        // as the decision module was given it: PriorAttempts without those made here
-	Deadline      time.Time             // so long the client waits
-	Rejection     httpmsg.Response      // its response if it is served nowhere else
-	PriorAttempts []policy.PriorAttempt // all attempts so far
+	PolicyRequest policy.Request        // as passed to the decision module; its PriorAttempts lack the attempts of this pool
+	Deadline      time.Time             // when the client stops waiting
+	Rejection     httpmsg.Response      // the response if no other site serves the request
+	PriorAttempts []policy.PriorAttempt // all attempts so far, including those of this pool
 
 	pool       *Pool
 	request    *request
 	clientGone chan struct{}
 }
 
-// ClientGone returns a channel that is closed once nobody waits for the response any more.
-func (h *RejectedRequest) ClientGone() <-chan struct{} { return h.clientGone }
+// ClientGone returns a channel that is closed once the response is no longer needed: the client has disconnected, or the process ends.
+func (r *RejectedRequest) ClientGone() <-chan struct{} { return r.clientGone }
 
-// Respond gives the request its final response. After the client has left it only closes the rest of a long one.
-func (h *RejectedRequest) Respond(response httpmsg.Response) {
+// Respond sets the final response of the request. If the response is no longer needed, Respond only closes its Remainder.
+func (r *RejectedRequest) Respond(response httpmsg.Response) {
 	used := false
-	h.pool.runEvent(func(policy.Time) {
-		if h.request.forwarding != h {
+	r.pool.runEvent(func(policy.Time) {
+		if r.request.forwarding != r {
 			return
 		}
-		h.request.forwarding, used = nil, true
-		h.pool.respond(h.request, response, metrics.OutcomeOfStatus(response.Status))
-		if response.Remainder != nil { // it is read from the pool that has served the request
-			h.pool.finishStream(h.request, true)
+		r.request.forwarding, used = nil, true
+		r.pool.respond(r.request, response, metrics.OutcomeOfStatus(response.Status))
+		if response.Remainder != nil { // the pool that served the request streams the remainder
+			r.pool.finishStream(r.request, true)
 		}
-		h.pool.removeFinished(h.request)
+		r.pool.removeFinished(r.request)
 	})
 	if !used && response.Remainder != nil {
 		response.Remainder.Close(false)
 	}
 }
 
-// reject ends r with a rejection, or has it forwarded. The caller holds mu.
+// reject ends r with a rejection, or passes it to forwardRejected. The caller holds mu.
 func (p *Pool) reject(r *request, rejection httpmsg.Response) {
 	if !p.mayForward(r) {
 		p.finish(r, rejection)
@@ -57,13 +57,13 @@
 	p.spawn(func() { p.forwardRejected(p.ctx, rejected) })
 }
 
-// mayForward reports whether a request that is rejected here may be served at another site. A long body cannot be read twice. The
-// caller holds mu.
+// mayForward reports whether a rejected request may be forwarded to another site. A request that another site forwarded is not forwarded
+// again, and a streamed body cannot be read twice. The caller holds mu.
 func (p *Pool) mayForward(r *request) bool {
 	return p.forwardRejected != nil && !p.closed && r != nil && !r.ended && !r.forwarded && r.streamedBody == nil
 }
 
-// newRejectedRequest describes r and its attempts for another site. The caller holds mu.
+// newRejectedRequest returns r with its attempts so far, for forwarding to another site. The caller holds mu.
 func (p *Pool) newRejectedRequest(r *request, rejection httpmsg.Response) *RejectedRequest {
 	now := p.clock.now()
 	header := r.header.Clone()
@@ -85,29 +85,30 @@
 	return rejected
 }
 
-// stopForwarding notes that nobody waits for the response of r, which is being forwarded. The caller holds mu.
+// stopForwarding records that the response of r, which is being forwarded, is no longer needed. The caller holds mu.
 func (p *Pool) stopForwarding(r *request) {
 	rejected := r.forwarding
 	r.forwarding = nil
 	close(rejected.clientGone)
 }
 
-// SubmitRejected hands the decision module a request that another pool of this process has rejected, with the time and the greatest
-// number of attempts given. The error is an httpmsg.RejectionError.
+// SubmitRejected passes to the decision module a request that another pool of this process has rejected. timeout and maxAttempts replace
+// those of the request. The error is an httpmsg.RejectionError.
 func (p *Pool) SubmitRejected(rejected *RejectedRequest, timeout time.Duration, maxAttempts int) (*Exchange, error) {
 	parsed := ParsedRequest{policyRequest: rejected.PolicyRequest, timeout: timeout, requestID: rejected.ID}
 	parsed.policyRequest.PriorAttempts, parsed.policyRequest.MaxAttempts = rejected.PriorAttempts, maxAttempts
 	return p.Submit(&rejected.Message, parsed, func() {})
 }
 
-// ForwardedAttributes are what another site says of a request that it forwards.
+// ForwardedAttributes are the attributes that another site sends with a request that it forwards.
 type ForwardedAttributes struct {
 	PolicyRequest policy.Request // without ID and Expires
-	Timeout       time.Duration
+	Timeout       time.Duration  // how long the client still waits
 }
 
-// ParseForwardedRequest is ParseRequest for a request that another site has forwarded with the attributes given. The error is an
-// httpmsg.RejectionError.
+// ParseForwardedRequest is ParseRequest for a request that another site has forwarded with the given attributes. It checks that the class
+// is known, that a request of an IdempotentByKey class has its key, and that no prior attempt may have executed a non-idempotent request.
+// The error is an httpmsg.RejectionError.
 func (p *Pool) ParseForwardedRequest(q *httpmsg.Request, attributes ForwardedAttributes) (ParsedRequest, error) {
 	id, err := parseRequestID(q.Header)
 	if err != nil {
@@ -129,7 +130,7 @@
 	}, nil
 }
 
-// anyMayHaveExecuted reports whether any of the attempts may have been executed.
+// anyMayHaveExecuted reports whether an endpoint may have executed any of the attempts.
 func anyMayHaveExecuted(attempts []policy.PriorAttempt) bool {
 	for _, a := range attempts {
 		if !a.NotExecuted {
@@ -139,7 +140,8 @@
 	return false
 }
 
-// AbortAttempts ends the connections of the attempts in flight at an endpoint. What was sent completely may have been executed there.
+// AbortAttempts closes the connections of the attempts in flight to an endpoint. The endpoint may have executed an attempt that was sent
+// completely.
 func (p *Pool) AbortAttempts(endpoint policy.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/healthcheck.go
+++ b/internal/pool/healthcheck.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// healthCheckTimeout bounds a health check: an endpoint may vanish without a word.
+	// healthCheckTimeout bounds a health check, since a failed endpoint may not respond at all.
 	healthCheckTimeout = 400 * time.Millisecond
-	// maxHealthChecks bounds the health checks in flight; one beyond it counts as never sent.
+	// maxHealthChecks bounds the health checks in flight. A further check is not sent and reported as StatusNotSent.
 	maxHealthChecks = 64
 	// maxLoadReportBytes bounds the body of a health check's response.
 	maxLoadReportBytes = 4 << 10
@@ -49,8 +49,8 @@
 	})
 }
 
-// CheckEndpoint sends a health check to an endpoint that is excluded, and reports whether it succeeds. The decision module does not
-// hear of it.
+// CheckEndpoint sends a health check to an excluded endpoint and reports whether it succeeds. The result is not passed to the decision
+// module. CheckEndpoint blocks for up to the health check's timeout.
 func (p *Pool) CheckEndpoint(endpoint string) bool {
 	p.mu.Lock()
 	peer := p.peers[policy.EndpointID(endpoint)]
@@ -63,7 +63,8 @@
 	return status == policy.StatusOK
 }
 
-// healthCheck asks an endpoint for its load, and returns the result and what it reports; nil: nothing. It is called without mu.
+// healthCheck requests the load report of an endpoint. It returns the result of the check and the report, which is nil if there is none.
+// The caller does not hold mu.
 func (p *Pool) healthCheck(peer *upstream.Peer) (policy.Status, *policy.LoadReport) {
 	conn, err := p.conns.Connect(context.Background(), peer, time.Now().Add(healthCheckTimeout))
 	var noDescriptor upstream.NoDescriptorError
@@ -77,7 +78,7 @@
 	if p.protocol != nil {
 		q.Target = p.protocol.HealthCheckTarget()
 	}
-	response, err := conn.Exchange(q) //nolint:bodyclose // the connection is closed, or used again once the body is read whole
+	response, err := conn.Exchange(q) //nolint:bodyclose // the connection is closed, or reused once the body is read
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(io.LimitReader(response.Body, maxLoadReportBytes))
@@ -94,7 +95,7 @@
 	return p.classifyHealthCheck(response, body)
 }
 
-// brokenHealthCheck returns the result of a health check that ended without a complete response.
+// brokenHealthCheck returns the result of a health check that ended with err before a complete response.
 func brokenHealthCheck(err error) policy.Status {
 	var notWritten upstream.NotWrittenError
 	switch {
@@ -106,12 +107,13 @@
 	return policy.StatusReset
 }
 
-// classifyHealthCheck returns the result of a health check by its response, and the load that this reports; nil: none.
+// classifyHealthCheck returns the result that the response to a health check stands for, and its load report, which is nil if there is
+// none.
 func (p *Pool) classifyHealthCheck(response *http.Response, body []byte) (policy.Status, *policy.LoadReport) {
 	if p.protocol != nil {
 		status, load := p.protocol.ClassifyResponse(response.StatusCode, response.Header)
 		if p.endToEnd != nil && status == policy.StatusOK && response.StatusCode >= http.StatusMultipleChoices {
-			status = policy.StatusApplicationError // a response that clients may have, and no success
+			status = policy.StatusApplicationError // a response that is passed on to clients, but no successful health check
 		}
 		return status, load
 	}
--- a/internal/pool/learned_state.go
+++ b/internal/pool/learned_state.go
@@ -6,14 +6,14 @@
 	"sorrelrudder/policy"
 )
 
-// LearnedState is what a pool knows of its endpoints, for the process that takes this one's place. It is stored as JSON. Each process
-// has a clock of its own, so that starts are stored in the endpoint list's time.
+// LearnedState is what a pool has learned about its endpoints, for the process that replaces this one. It is stored as JSON. Start times
+// are stored in the endpoint list's time, since each process has a clock of its own.
 type LearnedState struct {
 	policy.LearnedState
-	StartedMs map[policy.EndpointID]int64 `json:"Born"` // as the list says, in Unix milliseconds
+	StartedMs map[policy.EndpointID]int64 `json:"Born"` // start times on the list, in Unix milliseconds
 }
 
-// ExportLearnedState returns what has been learned so far.
+// ExportLearnedState returns the state learned so far.
 func (p *Pool) ExportLearnedState() LearnedState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -26,14 +26,14 @@
 	return state
 }
 
-// usable reports whether the state can have been learned: what is stored in a file may be anything.
+// usable reports whether all values are in the range that learning can produce. The state is read from a file, which may hold anything.
 func (s *LearnedState) usable() bool {
 	const maxMagnitude = maxLoadValue * maxLoadValue
-	figures := append([]float64{s.HealthCheckContention, s.HedgeWinRate}, s.LatencyModel[:]...)
+	values := append([]float64{s.HealthCheckContention, s.HedgeWinRate}, s.LatencyModel[:]...)
 	for _, e := range s.Endpoints {
-		figures = append(figures, e.Slowness, e.ResponseInterval, float64(e.EjectedFor))
+		values = append(values, e.Slowness, e.ResponseInterval, float64(e.EjectedFor))
 	}
-	for _, v := range figures {
+	for _, v := range values {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < -maxMagnitude || v > maxMagnitude {
 			return false
 		}
@@ -41,11 +41,11 @@
 	return s.LatencyModel[1] >= 0 && s.LatencyModel[2] >= 0 && s.HealthCheckContention >= 0 && s.HealthCheckContention <= 1
 }
 
-// ImportLearnedState takes over what another process has learned of the endpoints on the list. A state that cannot have been learned
-// is logged and ignored.
+// ImportLearnedState adopts what another process has learned about the endpoints on the list. A state with a value out of range is
+// ignored with a warning in the log.
 func (p *Pool) ImportLearnedState(state LearnedState) {
 	if !state.usable() {
-		p.log.Warn("the learned state of another process cannot be used")
+		p.log.Warn("ignoring the learned state of another process: a value is out of range")
 		return
 	}
 	p.runEvent(func(now policy.Time) {
--- a/internal/pool/loadreport.go
+++ b/internal/pool/loadreport.go
@@ -9,10 +9,11 @@
 	"sorrelrudder/policy"
 )
 
-// maxLoadValue is the highest figure of a load report that is believed.
+// maxLoadValue is the highest value accepted in a load report.
 const maxLoadValue = 1e9
 
-// parseLoadReport reads a report such as "TEXT queue=2, util=0.61" by the names of its fields. It returns nil if no field can be read.
+// parseLoadReport parses a report such as "TEXT queue=2, util=0.61", of which it reads the given fields. It skips invalid fields, and
+// returns nil if no field is valid.
 func parseLoadReport(text string, fields []string) *policy.LoadReport {
 	text = strings.TrimSpace(text)
 	if format, rest, ok := strings.Cut(text, " "); ok && !strings.ContainsAny(format, "=,") {
@@ -26,7 +27,7 @@
 			continue
 		}
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		inRange := v >= 0 && v <= maxLoadValue // NaN is none
+		inRange := v >= 0 && v <= maxLoadValue // false for NaN
 		if err != nil || !inRange {
 			continue
 		}
--- a/internal/pool/parse.go
+++ b/internal/pool/parse.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxRequestIDBytes bounds an X-Request-ID: ids are kept while the request is open, and a little longer.
+	// maxRequestIDBytes bounds an X-Request-ID, which is kept in memory while its request is open and for a retention period after it.
 	maxRequestIDBytes = 128
-	// defaultMaxDeadline bounds a client's wait where the settings name no class.
+	// defaultMaxDeadline bounds a client's timeout if the settings have no class with a deadline.
 	defaultMaxDeadline = time.Minute
-	// maxExpectedWork is the bound below which a request's X-Cost is believed.
+	// maxExpectedWork is the exclusive upper bound of an X-Cost; a higher one is ignored.
 	maxExpectedWork = time.Hour
 )
 
-// The requests that do not have the protocol's form. Endpoints would reject them, or read something else in them.
+// The rejections of requests that violate the protocol. Endpoints would reject or misinterpret such requests.
 var (
 	errBadRequestID     = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "no usable X-Request-ID"}
 	errUnknownClass     = httpmsg.RejectionError{Status: http.StatusNotFound, Text: "no such class"}
@@ -30,21 +30,21 @@
 	errUnexpectedBody   = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "a body where the class has none"}
 )
 
-// ParsedRequest is what the head of a request says, for Submit.
+// ParsedRequest holds the attributes parsed from the head of a request, for Submit.
 type ParsedRequest struct {
 	policyRequest policy.Request // without ID and Expires
 	timeout       time.Duration  // how long the client waits
 	requestID     string
 	idempotent    bool
 	forwarded     bool // by another site
-	mayHaveBody   bool // even if it is idempotent
+	mayHaveBody   bool // a body is accepted even if the request is idempotent
 }
 
 // Class returns the request's class.
 func (r *ParsedRequest) Class() string { return r.policyRequest.Class }
 
-// ParseRequest reads the head of a request; path is its path below what led to this pool, and the first part of it is the class. The
-// error is an httpmsg.RejectionError.
+// ParseRequest parses the head of a request. path is the request's path without the prefix of the route; its first segment is the class.
+// The error is an httpmsg.RejectionError.
 func (p *Pool) ParseRequest(q *httpmsg.Request, path string) (ParsedRequest, error) {
 	if p.endToEnd != nil {
 		attributes, err := p.endToEnd.ParseRequest(q, path)
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// parseRequestID reads the id that no other open request may have.
+// parseRequestID returns the X-Request-ID, which must be unique among the open requests; Submit checks this.
 func parseRequestID(header http.Header) (string, error) {
 	id := header.Get("X-Request-Id")
 	if id == "" || len(id) > maxRequestIDBytes {
@@ -80,7 +80,7 @@
 	return id, nil
 }
 
-// parsePolicyRequest reads the request that the decision module is given.
+// parsePolicyRequest returns the request for the decision module.
 func parsePolicyRequest(header http.Header, path string) policy.Request {
 	path = strings.TrimPrefix(path, "/")
 	class, _, _ := strings.Cut(path, "/")
@@ -94,7 +94,7 @@
 	}
 }
 
-// parseExpectedWork reads a work in microseconds; 0: unknown.
+// parseExpectedWork parses an X-Cost, which is the expected work in microseconds. It returns 0 for a missing or invalid one.
 func parseExpectedWork(text string) time.Duration {
 	us, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || us <= 0 || us >= maxExpectedWork.Microseconds() {
@@ -103,24 +103,24 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// checkClass checks that the class is known and that the request has the form of its requests.
+// checkClass checks that the class is known, that its method is used and that an idempotency key is present if the class requires one.
 func (p *Pool) checkClass(q *httpmsg.Request, name string) error {
 	class, known := p.classes[name]
 	idempotent := class.Idempotency == policy.Idempotent
 	switch {
-	case len(p.classes) == 0: // the settings name no class: any will do
+	case len(p.classes) == 0: // without configured classes any class is accepted
 		return nil
 	case !known:
 		return errUnknownClass
 	case idempotent != (q.Method == http.MethodGet), !idempotent && q.Method != http.MethodPost:
 		return errBadMethod
 	case class.Idempotency == policy.IdempotentByKey && q.Header.Get("Idempotency-Key") == "":
-		return errNoIdempotencyKey // endpoints could not tell a retry, which would be executed twice
+		return errNoIdempotencyKey // without a key endpoints could not recognize a retry, and would execute the request twice
 	}
 	return nil
 }
 
-// parseTimeout reads how long the client waits. It is never longer than the longest deadline of a class: timers must end.
+// parseTimeout parses the client's timeout, X-Timeout-Ms. It is limited to the longest deadline of the classes, so that every timer ends.
 func (p *Pool) parseTimeout(header http.Header) (time.Duration, error) {
 	ms, err := strconv.ParseUint(header.Get("X-Timeout-Ms"), 10, 63)
 	if err != nil || ms == 0 {
