--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,7 @@
-// Package pool hosts one instance of the decision module: it turns what happens on sockets into the module's events, and the module's
-// actions into traffic to the pool's endpoints. A pool has its own endpoint list, settings, requests and timers, and knows of no other
-// pool, nor of its callers. It chooses no endpoint, and neither retries, hedges, rejects nor ejects by itself.
+// Package pool hosts one instance of the decision module, package policy. It translates network activity into events of the module, and
+// the module's actions into traffic to the pool's endpoints. Each pool has its own endpoint list, settings, requests and timers, and is
+// independent of other pools and of its callers. The decision module alone decides which endpoint is used, and whether a request is
+// retried, hedged or rejected or an endpoint ejected.
 package pool
 
 import (
@@ -25,56 +26,57 @@
 	Name       string
 	Settings   settings.Settings
 	Source     discovery.Source
-	CachedList *discovery.EndpointList // as it was last known, perhaps out of date; nil: none
+	CachedList *discovery.EndpointList // the last known list, perhaps out of date; nil: none
 	Seed       uint64                  // of the decision module's random choices
-	// AcceptsRequests reports whether requests may be accepted: an endpoint is ready, or they may wait for one; nil: they may. It is
-	// called under the pool's lock, and must not call the pool.
+	// AcceptsRequests reports whether requests may be accepted: an endpoint is ready, or requests may wait for one. If nil, requests are
+	// always accepted. It is called with the pool's lock held, and must not call the pool.
 	AcceptsRequests func() bool
 	// OnReadyCount is called with the number of ready endpoints on the list, at the start and whenever it may have changed. It is
-	// called under the pool's lock, and must not call the pool.
+	// called with the pool's lock held, and must not call the pool. It may be nil.
 	OnReadyCount func(ready int)
-	// Protocol is that of the endpoints; nil: the platform's.
+	// Protocol is the protocol of the endpoints. If nil, they speak the platform's protocol.
 	Protocol BackendProtocol
-	// ForwardRejected is given the requests that the decision module rejects; nil: their clients get the rejection. It is called in a
-	// goroutine of its own, which must end soon after the context.
+	// ForwardRejected is called with each request that the decision module rejects and that may be forwarded to another site. If nil,
+	// the clients get the rejections. It is called in a goroutine of its own, and must return soon after the context is done.
 	ForwardRejected func(context.Context, *RejectedRequest)
-	// Metrics counts how requests end, and the attempts sent completely; nil: they are not counted.
+	// Metrics counts the outcomes of requests, and the attempts sent completely. If nil, they are not counted.
 	Metrics *metrics.RequestCounters
-	// OnUnreachable is called for an endpoint that has not answered an attempt or a health check, each time, and once it answers
-	// again; nil: nobody asks. It is called under the pool's lock, and must not call the pool.
+	// OnUnreachable is called with true each time an endpoint fails to respond to an attempt or a health check, and with false once it
+	// responds again, restarts or is removed. It is called with the pool's lock held, and must not call the pool. It may be nil.
 	OnUnreachable func(endpoint string, unreachable bool)
-	// StatsInterval is how often the pool's statistics are logged; 0: never.
+	// StatsInterval is the interval at which the pool's statistics are logged; 0: never.
 	StatsInterval time.Duration
 }
 
-// Pool owns a policy.Balancer. Its methods may be called from any goroutine, but those of policy.Actions, which are the balancer's.
+// Pool owns a policy.Balancer. Its methods are safe for concurrent use, except those of policy.Actions, which only the balancer calls.
 type Pool struct {
 	settings    settings.Settings
 	log         *slog.Logger
-	ctx         context.Context // ends with the pool
+	ctx         context.Context // canceled by Close
 	cancel      context.CancelFunc
-	clock       clock // the decision module's
+	clock       clock // the decision module's time
 	conns       *upstream.ConnPool
 	classes     map[string]policy.Class // by name
-	maxDeadline time.Duration           // of the classes
+	maxDeadline time.Duration           // the longest deadline of the classes
 	protocol    BackendProtocol         // nil: the platform's
-	endToEnd    EndToEndProtocol        // protocol, if it is one
+	endToEnd    EndToEndProtocol        // protocol, if it implements this interface
 	metrics     *metrics.RequestCounters
-	statsLogged bool           // stats are logged; they are counted whether they are or not
-	goroutines  sync.WaitGroup // added to under mu while not closed
+	statsLogged bool           // stats are logged; they are counted in any case
+	goroutines  sync.WaitGroup // added to with mu held, and only while the pool is not closed
 
 	// The callbacks of Config; each may be nil.
 	onReadyCount    func(ready int)
 	acceptsRequests func() bool
 	forwardRejected func(context.Context, *RejectedRequest)
 
-	// mu guards all fields below, what changes of a request once it is accepted, and sentAt, completed and status of its attempts. It is
-	// held while the balancer runs an event, and while onReadyCount, acceptsRequests and the report of reachability are called. Those
-	// may take the gateway's lock of what the pools share, under which no method of a pool is called. The locks of an attempt and of
-	// upstream.ConnPool are taken under mu too.
+	// mu guards all fields below, the mutable fields of an accepted request, and sentAt, completed and status of its attempts. It is held
+	// while the balancer handles an event, and while onReadyCount, acceptsRequests and reachability.report are called.
+	//
+	// Lock order: the callbacks may lock the gateway's state that is shared by the pools, and no method of a pool is called with that
+	// lock held. The locks of an attempt and of upstream.ConnPool may be locked while mu is held.
 	mu                   sync.Mutex
 	balancer             *policy.Balancer
-	deferred             []func(now policy.Time) // what an event gave rise to: run as events of their own after it
+	deferred             []func(now policy.Time) // follow-up events of the current event, run after it
 	requests             map[policy.RequestID]*request
 	lastRequestID        policy.RequestID
 	requestIDs           requestIDSet
@@ -86,12 +88,12 @@
 	zoneOutcomes         zoneOutcomes
 	timers               timerQueue
 	healthChecksInFlight int
-	stats                statslog.IntervalStats // since they were logged last
-	requestsAborted      bool                   // no request is accepted any more
-	closed               bool                   // no event is run any more
+	stats                statslog.IntervalStats // since the last log line
+	requestsAborted      bool                   // AbortRequests was called: no more requests are accepted
+	closed               bool                   // Close was called: no more events are run
 }
 
-// New starts a pool that uses the connections given, as an owner. It ends with Close. The error is that of the settings.
+// New starts a pool, which takes ownership of conns. The caller must call Close. New returns an error if the settings are invalid.
 func New(cfg Config, conns *upstream.ConnPool, log *slog.Logger) (*Pool, error) {
 	balancer, err := newBalancer(cfg)
 	if err != nil {
@@ -109,25 +111,25 @@
 	}
 	p.runEvent(func(now policy.Time) {
 		p.updateEndpoints(now, policy.UpdateCached, cached)
-		if len(p.peers) == 0 || pollAtOnce { // the cached list has no endpoint to send to, or must not be used for long
+		if len(p.peers) == 0 || pollAtOnce { // the cached list is empty, or its staleness bound leaves no time to delay the first poll
 			p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 		}
 	})
 	return p, nil
 }
 
-// newBalancer returns the decision module of a pool.
+// newBalancer returns a decision module configured for a pool with the settings of cfg.
 func newBalancer(cfg Config) (*policy.Balancer, error) {
 	config := cfg.Settings.Config
 	bound := cfg.Settings.ListStaleness()
-	config.EndpointsPushed = false // the platform's agent, to which lists are pushed, must be polled too
+	config.EndpointsPushed = false // lists are pushed to the platform's agent, and the agent must be polled
 	config.PollInterval = bound.PollInterval
 	config.PollMaxBackoff = bound.RejectedBackoff
 	config.WatchReopenMaxDelay = bound.RetryDelay
 	return policy.New(config, cfg.Seed)
 }
 
-// newPool returns a pool in which nothing runs yet.
+// newPool returns a pool that has not started any goroutine.
 func newPool(cfg Config, balancer *policy.Balancer, conns *upstream.ConnPool, log *slog.Logger) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Pool{
@@ -154,10 +156,10 @@
 	return p
 }
 
-// MaxDeadline returns the longest deadline of the pool's classes.
+// MaxDeadline returns the longest deadline of the pool's classes, or a default if no class has a deadline.
 func (p *Pool) MaxDeadline() time.Duration { return p.maxDeadline }
 
-// Close ends the pool and returns once its goroutines have ended. Requests that are still open are answered as failed.
+// Close stops the pool and waits for its goroutines to end. Requests that are still open fail with status 502.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -181,8 +183,8 @@
 	p.goroutines.Wait()
 }
 
-// AbortRequests answers at once what is still open, as the process is about to end, and has no more requests accepted. A request for which no
-// attempt was started is rejected, any other fails, whether or not its attempts may have been executed. A long response that has begun goes on.
+// AbortRequests ends all open requests before the process exits, and makes Submit reject further ones. A request without an attempt is
+// rejected. Any other request fails, whether or not its attempts may have been executed. Responses that are being streamed continue.
 func (p *Pool) AbortRequests() {
 	p.runEvent(func(now policy.Time) {
 		p.requestsAborted = true
@@ -202,15 +204,15 @@
 	})
 }
 
-// spawn runs f in a goroutine that Close waits for. The caller holds mu.
+// spawn runs f in a goroutine that Close waits for. It does nothing once the pool is closed. The caller holds mu.
 func (p *Pool) spawn(f func()) {
 	if !p.closed {
 		p.goroutines.Go(f)
 	}
 }
 
-// runEvent runs f, which hands one event to the balancer, and then what its actions have deferred. It does nothing once the pool is
-// closed. The caller does not hold mu; f runs under it.
+// runEvent locks mu and runs f, which passes one event to the balancer, and then the events deferred by the balancer's actions. It does
+// nothing once the pool is closed. The caller must not hold mu.
 func (p *Pool) runEvent(f func(now policy.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/reachability.go
+++ b/internal/pool/reachability.go
@@ -2,14 +2,15 @@
 
 import "sorrelrudder/policy"
 
-// reachability reports which endpoints do not answer this pool. The pool's mu guards it.
+// reachability reports which endpoints do not respond to this pool. The pool's mu guards it.
 type reachability struct {
 	report   func(endpoint string, unreachable bool) // nil: nothing is reported
-	reported map[policy.EndpointID]bool              // reported unreachable, and not yet reachable again
+	reported map[policy.EndpointID]bool              // the endpoints last reported as unreachable
 }
 
-// note takes the end of an attempt or a health check. A timeout may be load or chance: what follows from it is decided where the
-// reports of several processes meet. A report is repeated while the fault lasts, since those that are not are forgotten there.
+// record records the result of an attempt or a health check. A single timeout may be due to load or chance, so it is only reported: the
+// receiver combines the reports of several processes before it acts. The report is repeated with each failure, since the receiver drops
+// reports that are not renewed.
 func (r *reachability) record(id policy.EndpointID, status policy.Status) {
 	if r.report == nil {
 		return
@@ -23,7 +24,7 @@
 	}
 }
 
-// clear takes the report on an endpoint back, which answers again, has restarted or is gone.
+// clear withdraws the report about an endpoint that responds again, has restarted or was removed.
 func (r *reachability) clear(id policy.EndpointID) {
 	if r.reported[id] {
 		delete(r.reported, id)
@@ -31,7 +32,7 @@
 	}
 }
 
-// HintUnreachable has the decision module hear that an endpoint does not answer other processes; see
+// HintUnreachable tells the decision module that an endpoint does not respond to other processes; see
 // policy.Balancer.HandleUnreachableHint.
 func (p *Pool) HintUnreachable(endpoint string) {
 	p.runEvent(func(now policy.Time) { p.balancer.HandleUnreachableHint(now, policy.EndpointID(endpoint)) })
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -10,44 +10,46 @@
 	"sorrelrudder/policy"
 )
 
-// request is one request of a client, from its last byte until all its attempts have ended. The pool's mu guards what changes.
+// request is a client's request, from its submission until all its attempts have ended. The pool's mu guards the fields that change
+// after the submission.
 //
-// It is open until respond sends its one response and sets ended, or cancelRequest sets ended without one, since the client has left. It stays in
-// Pool.requests until nothing of it goes on: attemptsInFlight is 0, forwarding is nil and streaming is false (removeFinished).
+// A request is open until ended is set: either with its one response, or by cancelRequest without a response, since the client has
+// disconnected. It stays in Pool.requests until attemptsInFlight is 0, forwarding is nil and streaming is false (removeFinished).
 type request struct {
 	id               policy.RequestID
 	xRequestID       string
 	method           string
-	uri              string // as it is forwarded
+	uri              string // the request target to forward
 	host             string
 	header           http.Header
 	body             []byte
-	streamedBody     httpmsg.BodyStream // what follows body; nil: nothing
-	timeout          time.Duration      // how long the client waits once all of it is sent
-	releaseBody      func()             // gives the memory of body back
-	clientGone       func() bool        // whether the client has left; nil: nobody can tell
+	streamedBody     httpmsg.BodyStream // the rest of the body, after body; nil: none
+	timeout          time.Duration      // how long the client waits once the complete request is sent
+	releaseBody      func()             // releases the memory of body
+	clientGone       func() bool        // reports whether the client has disconnected; nil: not known
 	response         chan httpmsg.Response
-	policyRequest    policy.Request // as the decision module was given it
+	policyRequest    policy.Request // as passed to the decision module
 	acceptedAt       policy.Time
-	forwarded        bool // by another site: it is not forwarded further
+	forwarded        bool // by another site: it must not be forwarded again
 	attempts         []*attempt
 	attemptsInFlight int
 	ended            bool
-	forwarding       *RejectedRequest  // not nil: it has ended here and is forwarded; its response is still to come
-	lastFailure      *httpmsg.Response // of an EndToEndProtocol: the last failing response of an endpoint
-	streaming        bool              // the client has the first part of a long response
+	forwarding       *RejectedRequest  // not nil: this pool rejected the request, and its response is awaited from another site
+	lastFailure      *httpmsg.Response // with an EndToEndProtocol: the last complete response that was a failure; nil: none
+	streaming        bool              // a long response is being streamed to the client
 }
 
-// errPoolClosed rejects a request that comes after the pool has ended. It has not been executed.
+// errPoolClosed rejects a request that is submitted after Close or AbortRequests. The request has not been executed.
 var errPoolClosed = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
 
-// errNoEndpoint rejects a request that was admitted just before the list went empty. It has not been executed.
+// errNoEndpoint rejects a request that was admitted just before the last ready endpoint was removed, if requests must not wait for
+// another endpoint. The request has not been executed.
 var errNoEndpoint = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
 
-// errIDInUse rejects a request whose id an open request has.
+// errIDInUse rejects a request with the X-Request-ID of a request that is open or ended recently.
 var errIDInUse = httpmsg.RejectionError{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"}
 
-// submit hands a request, whose last byte has just come, to the decision module. The error is an httpmsg.RejectionError.
+// submit passes a request to the decision module, or rejects it. The error is an httpmsg.RejectionError.
 func (p *Pool) submit(r *request, q policy.Request, timeout time.Duration) error {
 	var err error = errPoolClosed
 	p.runEvent(func(now policy.Time) {
@@ -74,7 +76,7 @@
 	return err
 }
 
-// addRequest makes r one of the open requests. The caller holds mu.
+// addRequest adds r to the open requests. Its deadline is timeout from now. The caller holds mu.
 func (p *Pool) addRequest(now policy.Time, r *request, q policy.Request, timeout time.Duration) {
 	p.lastRequestID++
 	r.id, r.timeout = p.lastRequestID, timeout
@@ -85,7 +87,7 @@
 	p.stats.Add(statslog.Requests, 1)
 }
 
-// cancelRequest tells the decision module that the client has left, and reports whether the request was still open.
+// cancelRequest tells the decision module that the client has disconnected, and reports whether the request was still open.
 func (p *Pool) cancelRequest(r *request) (open bool) {
 	p.runEvent(func(now policy.Time) {
 		if r.forwarding != nil {
@@ -104,7 +106,7 @@
 	return open
 }
 
-// finish gives r its final response, unless it has one. The caller holds mu.
+// finish sends the final response of r, unless r has already ended. The caller holds mu.
 func (p *Pool) finish(r *request, response httpmsg.Response) {
 	if r == nil || r.ended {
 		return
@@ -114,7 +116,8 @@
 	p.deferred = append(p.deferred, func(policy.Time) { p.removeFinished(r) })
 }
 
-// respond hands the final response of r over and counts it. The caller holds mu.
+// respond sends the final response of r to its receiver and counts its outcome. The outcome of a streamed response is counted by
+// finishStream. The caller holds mu.
 func (p *Pool) respond(r *request, response httpmsg.Response, outcome metrics.Outcome) {
 	if response.Remainder != nil {
 		r.streaming = true
@@ -125,7 +128,7 @@
 	r.response <- response
 }
 
-// finishStream notes the end of a long response. The caller holds mu.
+// finishStream records the end of a streamed response and counts its outcome. The caller holds mu.
 func (p *Pool) finishStream(r *request, complete bool) {
 	outcome := metrics.Succeeded
 	if !complete {
@@ -136,7 +139,8 @@
 	p.removeFinished(r)
 }
 
-// removeFinished drops a request that has ended once no attempt needs its body. The caller holds mu.
+// removeFinished removes a request that has ended, once no attempt, forwarding or streaming is in progress, and releases its body. The
+// caller holds mu.
 func (p *Pool) removeFinished(r *request) {
 	if !r.ended || r.attemptsInFlight > 0 || r.forwarding != nil || r.streaming || p.requests[r.id] != r {
 		return
@@ -147,8 +151,8 @@
 	r.releaseBody()
 }
 
-// rejectUnsent rejects the requests of which nothing was sent, once the list names no endpoint and they are not to wait for one: the
-// decision module would hold them until their deadline. The caller holds mu.
+// rejectUnsent rejects the requests that have no attempt yet. It is called when no endpoint is ready and requests must not wait for one,
+// since the decision module would hold them until their deadline, and by AbortRequests. The caller holds mu.
 func (p *Pool) rejectUnsent(now policy.Time) {
 	for _, r := range p.requests {
 		if r.ended || len(r.attempts) > 0 {
@@ -163,8 +167,8 @@
 	}
 }
 
-// lastFailureOr returns the response for the client of r once its attempts have failed: the last failing response of an endpoint, or else
-// the response given. A status that invites a retry is passed on only if nothing was executed.
+// lastFailureOr returns the response for the client once the attempts of r have failed: the last failure response of an endpoint, or the
+// given response if there is none. A failure response with a status that invites a retry, 429 or 503, is passed on only if notExecuted.
 func (r *request) lastFailureOr(response httpmsg.Response, notExecuted bool) httpmsg.Response {
 	if r == nil || r.lastFailure == nil {
 		return response
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// initialBufferBytes is the first buffer for the body of a response whose length is longer or not known.
+	// initialBufferBytes is the initial size of the buffer for the body of a response whose length is greater or unknown.
 	initialBufferBytes = 4 << 10
-	// maxErrorBodyBytes bounds what is read of the body of a failing response, to use its connection again.
+	// maxErrorBodyBytes bounds how much of the body of a failure response is read in order to reuse its connection.
 	maxErrorBodyBytes = 4 << 10
-	// unknownLengthWait is how long the end of a response without a length is waited for before it is taken for a long one: its first
-	// bytes must not be held back.
+	// unknownLengthWait is how long a response of unknown length is buffered before it is streamed. Its first bytes must not be held
+	// back.
 	unknownLengthWait = 300 * time.Millisecond
-	// streamStallTimeout is how long a long response may stand still.
+	// streamStallTimeout is how long a streamed response may make no progress.
 	streamStallTimeout = 10 * time.Second
 )
 
-// errResponseTooLong is the end of a response whose body exceeds httpmsg.MaxBodyBytes.
-var errResponseTooLong = errors.New("the answer is too long")
+// errResponseTooLong reports that the body of a response exceeds httpmsg.MaxBodyBytes.
+var errResponseTooLong = errors.New("response body exceeds the size limit")
 
-// completeResponse takes the head of a response, reads the body and reports the result of the attempt.
+// completeResponse reads the body of a response and reports the result of the attempt.
 func (p *Pool) completeResponse(a *attempt, conn *upstream.Conn, response *http.Response) {
 	status, load := p.classifyResponse(response)
 	switch {
@@ -42,7 +42,7 @@
 	}
 }
 
-// classifyResponse returns the result that the head of a response means for an attempt, and the load that it reports; nil: none.
+// classifyResponse returns the result that the head of a response stands for, and its load report, which is nil if there is none.
 func (p *Pool) classifyResponse(response *http.Response) (policy.Status, *policy.LoadReport) {
 	if p.protocol != nil {
 		return p.protocol.ClassifyResponse(response.StatusCode, response.Header)
@@ -68,8 +68,8 @@
 		response.Header.Get("X-Not-Processed") == "1"
 }
 
-// completeEndToEndFailure takes a failing response of an EndToEndProtocol. A complete one is kept for the client, for the case that no
-// further attempt is made.
+// completeEndToEndFailure reports the result of an attempt with a failure response of an EndToEndProtocol. A complete response is kept
+// for the client, which gets it if no further attempt is made.
 func (p *Pool) completeEndToEndFailure(
 	a *attempt, conn *upstream.Conn, response *http.Response, status policy.Status, load *policy.LoadReport,
 ) {
@@ -77,63 +77,63 @@
 	usable := complete && err == nil
 	p.releaseConn(a, conn, response, usable)
 	if usable {
-		answer := p.clientResponse(response, body)
-		p.runEvent(func(policy.Time) { a.request.lastFailure = &answer })
+		failure := p.clientResponse(response, body)
+		p.runEvent(func(policy.Time) { a.request.lastFailure = &failure })
 	}
 	p.failAttempt(a, status, load)
 }
 
-// completeOK takes a successful response. A short one counts only once it is complete, so that a spoilt one reaches no client; the
-// client of a long one gets it as it comes.
+// completeOK reports the result of an attempt with a successful response. A short response is used only once it is complete, so that no
+// client gets a truncated or invalid one. A long response is streamed to the client.
 func (p *Pool) completeOK(a *attempt, conn *upstream.Conn, response *http.Response, load *policy.LoadReport) {
-	from := conn.Body(response)
-	body, complete, err := readBodyStart(response, from, a.deadline)
+	upstreamBody := conn.Body(response)
+	body, complete, err := readBodyStart(response, upstreamBody, a.deadline)
 	if err != nil {
 		conn.Discard()
 		p.completeBroken(a, err)
 		return
 	}
-	answer := p.clientResponse(response, body)
+	clientResponse := p.clientResponse(response, body)
 	if complete {
 		p.releaseConn(a, conn, response, true)
-		p.completeAttempt(a, policy.StatusOK, load, answer)
+		p.completeAttempt(a, policy.StatusOK, load, clientResponse)
 		return
 	}
-	answer.Remainder = &responseStream{pool: p, attempt: a, conn: conn, response: response, body: from, bytesRead: int64(len(body))}
+	clientResponse.Remainder = &responseStream{pool: p, attempt: a, conn: conn, response: response, body: upstreamBody, bytesRead: int64(len(body))}
 	if !a.setInterrupt(conn.Discard) {
 		conn.Discard()
 		p.failAttempt(a, policy.StatusCanceled, nil)
 		return
 	}
-	used := p.completeAttempt(a, policy.StatusOK, load, answer)
-	if !used { // another attempt has answered, or the client has left
+	used := p.completeAttempt(a, policy.StatusOK, load, clientResponse)
+	if !used { // another attempt has succeeded, or the client has disconnected
 		conn.Discard()
 	}
 }
 
-// clientResponse returns what the client is sent of a response.
+// clientResponse converts the response of an endpoint, with the part of its body read so far, into the response for the client.
 func (p *Pool) clientResponse(response *http.Response, body []byte) httpmsg.Response {
-	answer := httpmsg.Response{
+	converted := httpmsg.Response{
 		Status: response.StatusCode, Header: httpmsg.RemoveHopByHopHeaders(response.Header), Body: body, Length: response.ContentLength,
 	}
 	if p.endToEnd != nil {
-		p.endToEnd.RewriteResponseHeader(answer.Header)
+		p.endToEnd.RewriteResponseHeader(converted.Header)
 	}
-	return answer
+	return converted
 }
 
-// releaseConn keeps a connection for the next request, if the exchange on it ended in order, or closes it.
-func (p *Pool) releaseConn(a *attempt, conn *upstream.Conn, response *http.Response, orderly bool) {
-	if !a.setInterrupt(nil) || !orderly || response.Close {
+// releaseConn keeps a connection for reuse if the response was read completely, and closes it otherwise.
+func (p *Pool) releaseConn(a *attempt, conn *upstream.Conn, response *http.Response, complete bool) {
+	if !a.setInterrupt(nil) || !complete || response.Close {
 		conn.Discard()
 		return
 	}
 	p.conns.PutIdle(conn)
 }
 
-// readBodyStart reads the body of a response, or the first part of a long one. It takes memory for what has come, not for what the head
-// promises.
-func readBodyStart(response *http.Response, from *upstream.Body, deadline time.Time) (body []byte, complete bool, err error) {
+// readBodyStart reads the body of a response, or the first part of a long one; complete tells which. It allocates memory for the bytes
+// received, not for the length that the head declares.
+func readBodyStart(response *http.Response, upstreamBody *upstream.Body, deadline time.Time) (body []byte, complete bool, err error) {
 	length := response.ContentLength
 	if length > httpmsg.MaxBodyBytes {
 		return nil, false, fmt.Errorf("%w: %d bytes", errResponseTooLong, length)
@@ -143,33 +143,33 @@
 		capacity = min(capacity, length)
 	}
 	body = make([]byte, 0, capacity)
-	var began time.Time
+	var startedAt time.Time
 	if length < 0 {
-		began = time.Now()
+		startedAt = time.Now()
 	}
 	for {
-		if int64(len(body)) == length { // its end need not be waited for
+		if int64(len(body)) == length { // no need to read the end of the stream
 			return body, true, nil
 		}
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := from.Read(body[len(body):min(cap(body), httpmsg.MaxBufferedBodyBytes)], upstream.BodyStallTimeout, deadline)
+		n, err := upstreamBody.Read(body[len(body):min(cap(body), httpmsg.MaxBufferedBodyBytes)], upstream.BodyStallTimeout, deadline)
 		body = body[:len(body)+n]
 		switch {
-		case err == io.EOF: //nolint:errorlint // a wrapped EOF is a body that broke off, not its end
+		case err == io.EOF: //nolint:errorlint // a wrapped EOF means a truncated body
 			return body, true, nil
 		case err != nil:
 			return nil, false, err
 		case len(body) == httpmsg.MaxBufferedBodyBytes || length > httpmsg.MaxBufferedBodyBytes && n > 0:
 			return body, false, nil
-		case length < 0 && len(body) > 0 && time.Since(began) > unknownLengthWait:
+		case length < 0 && len(body) > 0 && time.Since(startedAt) > unknownLengthWait:
 			return body, false, nil
 		}
 	}
 }
 
-// responseStream is the rest of a long response. It implements httpmsg.ResponseStream.
+// responseStream is the rest of the body of a long response. It implements httpmsg.ResponseStream.
 type responseStream struct {
 	pool      *Pool
 	attempt   *attempt
@@ -179,10 +179,10 @@
 	bytesRead int64
 }
 
-// Length implements httpmsg.Remainder.
+// Length implements httpmsg.BodyStream.
 func (s *responseStream) Length() int64 { return s.response.ContentLength }
 
-// Read implements httpmsg.Remainder.
+// Read implements httpmsg.BodyStream. It fails once the body exceeds httpmsg.MaxBodyBytes.
 func (s *responseStream) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p, streamStallTimeout, time.Time{})
 	s.bytesRead += int64(n)
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -9,7 +9,7 @@
 	"sorrelrudder/policy"
 )
 
-// countAttempt counts the result of an attempt for the log. The caller holds mu.
+// countAttempt counts the result of an attempt in the statistics. The caller holds mu.
 func (p *Pool) countAttempt(status policy.Status) {
 	switch status {
 	case policy.StatusConnectFailed:
@@ -25,8 +25,8 @@
 	}
 }
 
-// requestStat returns as what the end of r is counted for the log. A long response counts as its first bytes come. The caller holds
-// mu.
+// requestStat returns the counter for the end of r in the statistics. A streamed response is counted when its first part is passed on, so
+// its latency is that of the first part. The caller holds mu.
 func (p *Pool) requestStat(r *request, outcome metrics.Outcome) statslog.Counter {
 	switch outcome {
 	case metrics.Rejected:
@@ -47,57 +47,57 @@
 	return peer != nil && peer.Started() != 0 && now-peer.Started() < p.settings.Config.SlowStartDuration
 }
 
-// logStats logs what the pool saw and did, once an interval, until the pool ends. An interval in which nothing happened is not logged.
+// logStats logs the pool's statistics once per interval until the pool is closed. It skips an interval in which nothing was counted.
 func (p *Pool) logStats(interval time.Duration) {
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
-	dialed := int64(0)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	loggedDials := int64(0)
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		row := p.takeStats()
-		total := p.conns.DialCount()
-		row.Add(statslog.Dials, int(total-dialed))
-		dialed = total
-		if !row.Empty() {
-			p.log.Info(statslog.Message, row.Attrs()...)
+		stats := p.takeStats()
+		dials := p.conns.DialCount()
+		stats.Add(statslog.Dials, int(dials-loggedDials))
+		loggedDials = dials
+		if !stats.Empty() {
+			p.log.Info(statslog.Message, stats.Attrs()...)
 		}
 	}
 }
 
-// takeStats returns what happened since it was called last, and how things stand.
+// takeStats returns the counters since its last call, which it resets, and the current gauges.
 func (p *Pool) takeStats() statslog.IntervalStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	row := p.stats
+	stats := p.stats
 	p.stats = statslog.IntervalStats{}
 	now := p.clock.now()
 	summary := p.balancer.Summarize(now)
-	row.TypicalDelay, row.CapacityShortage, row.EjectedEndpoints = summary.TypicalLatency, summary.CapacityShortage, summary.EjectedEndpoints
-	row.OpenRequests = len(p.requests)
+	stats.TypicalDelay, stats.CapacityShortage, stats.EjectedEndpoints = summary.TypicalLatency, summary.CapacityShortage, summary.EjectedEndpoints
+	stats.OpenRequests = len(p.requests)
 	for id, e := range p.endpoints {
 		if e.State() != policy.Ready {
 			continue
 		}
-		row.ReadyEndpoints++
+		stats.ReadyEndpoints++
 		if p.warmingUp(now, id) {
-			row.WarmingEndpoints++
+			stats.WarmingEndpoints++
 		}
 	}
-	return row
+	return stats
 }
 
-// Stats are the figures of a pool at one moment.
+// Stats is a snapshot of a pool's gauges.
 type Stats struct {
 	Outstanding int // requests accepted and not yet ended
 	Endpoints   int // on the list
-	Ejected     int // of those, the ones that the decision module gives no requests
+	Ejected     int // the ready endpoints on the list that get no requests because they are ejected
 }
 
-// Stats returns the pool's figures.
+// Stats returns the current values of the pool's gauges.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,7 @@
 	return stats
 }
 
-// Counts returns how many requests the pool has, how many timers run for it and how many endpoints its list names.
+// Counts returns the number of requests that the pool keeps, of pending timers and of endpoints on the list.
 func (p *Pool) Counts() (requests, timers, endpoints int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -7,26 +7,26 @@
 	"sorrelrudder/policy"
 )
 
-// timerQueue holds the decision module's timers, and one timer of the runtime for the first of them.
+// timerQueue holds the decision module's timers, and one runtime timer that fires when the earliest of them is due.
 type timerQueue struct {
 	pending  timerHeap
 	wakeup   *time.Timer
-	wakeupAt policy.Time // when wakeup fires; zero: it is not set
+	wakeupAt policy.Time // when wakeup fires; 0: it is not set
 }
 
-// newTimerQueue returns a queue that calls fire, in a goroutine of its own, when a timer is due.
+// newTimerQueue returns an empty queue. It calls fire in a goroutine of its own when a timer is due.
 func newTimerQueue(fire func()) timerQueue {
 	wakeup := time.AfterFunc(clockOffset, fire)
 	wakeup.Stop()
 	return timerQueue{wakeup: wakeup}
 }
 
-// add adds a timer that is due at the time given.
+// add adds a timer that is due at the given time.
 func (q *timerQueue) add(at policy.Time, token string) {
 	heap.Push(&q.pending, timer{at: at, token: token})
 }
 
-// scheduleWakeup makes the runtime's timer fire when the first timer is due.
+// scheduleWakeup sets the runtime timer to fire when the earliest timer is due.
 func (q *timerQueue) scheduleWakeup(now policy.Time) {
 	if len(q.pending) == 0 {
 		return
@@ -39,7 +39,8 @@
 	q.wakeup.Reset(max(0, first-now))
 }
 
-// takeDue removes the timers that are due and returns their tokens, the earliest first. The next wake-up is not scheduled by it.
+// takeDue removes the timers that are due and returns their tokens, the earliest first. It does not schedule the next wake-up; the
+// caller must call scheduleWakeup.
 func (q *timerQueue) takeDue(now policy.Time) []string {
 	q.wakeupAt = 0
 	var due []string
@@ -49,7 +50,7 @@
 	return due
 }
 
-// stop ends wake-ups.
+// stop cancels the scheduled wake-up.
 func (q *timerQueue) stop() { q.wakeup.Stop() }
 
 // SetTimer implements policy.Actions.
@@ -58,7 +59,7 @@
 	p.timers.scheduleWakeup(p.clock.now())
 }
 
-// fireTimers hands all timers that are due to the decision module, as one event.
+// fireTimers passes all timers that are due to the decision module, in one event.
 func (p *Pool) fireTimers() {
 	p.runEvent(func(now policy.Time) {
 		for _, token := range p.timers.takeDue(now) {
@@ -74,7 +75,7 @@
 	token string
 }
 
-// timerHeap implements heap.Interface; the earliest timer is at the top.
+// timerHeap implements heap.Interface; the earliest timer is the first element.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
@@ -84,7 +85,7 @@
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
-	(*t)[last] = timer{} // lets go of the token
+	(*t)[last] = timer{} // releases the token for garbage collection
 	*t = (*t)[:last]
 	return x
 }
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// minStableWatch is how long a watch must have stood to be opened anew at once when it ends. One that ends sooner counts as a failed
-	// poll, which is followed by a backoff.
+	// minStableWatch is how long a watch must last after its first list to be reopened at once when it ends. A watch that ends sooner
+	// counts as a failed poll, which is followed by a backoff.
 	minStableWatch = time.Second
-	// maxConsecutiveOutdated is how many messages in a row may be older than the list in force before a complete one is taken over all the
-	// same: the source has then begun to count anew.
+	// maxConsecutiveOutdated is how many consecutive messages may have a lower version than the current list. After that a complete list
+	// is accepted in spite of its version: the source has restarted its version count.
 	maxConsecutiveOutdated = 3
 )
 
@@ -25,13 +25,13 @@
 type listWatch struct {
 	source              discovery.Source
 	cancel              context.CancelFunc // nil while there is no watch
-	version             int64              // of the last message
-	received            bool               // the source has sent a list, beyond what was cached at the start
-	consecutiveOutdated int                // messages in a row that were older than version
-	lastError           string             // why the last watch ended, until a list comes
+	version             int64              // of the last message accepted
+	received            bool               // a list has been received from the source; the cached list does not count
+	consecutiveOutdated int                // number of consecutive messages with a lower version than version
+	lastError           string             // why the last watch ended; cleared when a list is received
 }
 
-// stop cancels the watch, if there is one.
+// stop cancels the watch if it is open.
 func (w *listWatch) stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -39,7 +39,7 @@
 	}
 }
 
-// accept notes a message that is taken over.
+// accept records a message that is applied.
 func (w *listWatch) accept(version int64, kind policy.UpdateKind) {
 	w.version = version
 	if kind != policy.UpdateCached {
@@ -47,8 +47,8 @@
 	}
 }
 
-// checkVersion returns an outdatedError for a message that must not be taken over. A replica of the source that lags behind the one
-// asked before would bring removed endpoints back.
+// checkVersion returns an outdatedError for a message that must not be applied. Such a message comes from a replica of the source that
+// lags behind the replica polled before, and would bring removed endpoints back.
 func (w *listWatch) checkVersion(l *discovery.EndpointList) error {
 	if *l.Version >= w.version {
 		w.consecutiveOutdated = 0
@@ -59,10 +59,10 @@
 		w.consecutiveOutdated = 0
 		return nil
 	}
-	return outdatedError{version: *l.Version, inForce: w.version}
+	return outdatedError{version: *l.Version, current: w.version}
 }
 
-// recordError notes why a watch has ended, and reports whether that is another reason than before.
+// recordError records why a watch has ended, and reports whether the reason differs from the last one.
 func (w *listWatch) recordError(err error) bool {
 	reason := err.Error()
 	if reason == w.lastError {
@@ -72,15 +72,15 @@
 	return true
 }
 
-// outdatedError is the end of a watch whose message was older than the list in force.
-type outdatedError struct{ version, inForce int64 }
+// outdatedError ends a watch that delivered a message with a lower version than the current list.
+type outdatedError struct{ version, current int64 }
 
 func (e outdatedError) Error() string {
-	return fmt.Sprintf("the list is of version %d, older than %d, which stays in force", e.version, e.inForce)
+	return fmt.Sprintf("the list is of version %d, older than %d, which stays in force", e.version, e.current)
 }
 
-// WatchEndpoints implements policy.Actions. A watch ends with one UpdatePollFailed or UpdateWatchLost, unless it is canceled; the
-// decision module says when to open the next.
+// WatchEndpoints implements policy.Actions. Unless it is canceled, a watch ends with one UpdatePollFailed or UpdateWatchLost. The
+// decision module decides when to open the next watch.
 func (p *Pool) WatchEndpoints(on bool) {
 	p.watch.stop()
 	if !on {
@@ -93,10 +93,10 @@
 	p.spawn(func() { p.runWatch(ctx, cancel, source, since) })
 }
 
-// runWatch watches source from version since until that ends or ctx is canceled.
+// runWatch watches source from version since on, until the watch ends or ctx is canceled.
 func (p *Pool) runWatch(ctx context.Context, cancel context.CancelFunc, source discovery.Source, since int64) {
 	var outdated error
-	var receiving policy.Time // since when lists have come; zero: none has
+	var firstListAt policy.Time // when the first list was received; 0: none was
 	watch, end := context.WithCancel(ctx)
 	defer end()
 	err := source.Watch(watch, since, func(l *discovery.EndpointList) {
@@ -109,7 +109,7 @@
 				end()
 				return
 			}
-			receiving = cmp.Or(receiving, now)
+			firstListAt = cmp.Or(firstListAt, now)
 			p.updateEndpoints(now, updateKind(l), l)
 		})
 	})
@@ -121,12 +121,12 @@
 			return
 		}
 		cancel()
-		stable := receiving > 0 && now-receiving >= minStableWatch
+		stable := firstListAt > 0 && now-firstListAt >= minStableWatch
 		p.endWatch(now, err, stable)
 	})
 }
 
-// updateKind returns what kind of update a message of the source is.
+// updateKind returns the kind of update for a message of the source.
 func updateKind(l *discovery.EndpointList) policy.UpdateKind {
 	if l.Complete {
 		return policy.UpdateFull
@@ -134,8 +134,8 @@
 	return policy.UpdateDelta
 }
 
-// endWatch tells the decision module that the watch has ended by itself; stable: it had stood long enough to be opened anew at once.
-// The caller holds mu.
+// endWatch tells the decision module that the watch has ended without being canceled. stable reports that it lasted long enough to be
+// reopened at once. The caller holds mu.
 func (p *Pool) endWatch(now policy.Time, err error, stable bool) {
 	p.watch.cancel = nil
 	p.stats.Add(statslog.DiscoveryFailures, 1)
@@ -147,25 +147,26 @@
 	p.balancer.UpdateEndpoints(now, kind, nil, p)
 }
 
-// logWatchEnd logs why a watch has ended, once for each reason until a list comes.
+// logWatchEnd logs why a watch has ended, unless the preceding watch ended for the same reason and no list was received since.
 func (p *Pool) logWatchEnd(err error) {
 	if p.watch.recordError(err) {
 		p.log.Warn("watch on discovery ended", "err", err)
 	}
 }
 
-// SetSource replaces the source of the endpoint list, and has the decision module open a watch there. The list in force stays until
-// the new source sends one.
+// SetSource replaces the source of the endpoint list, and makes the decision module open a watch there. The current list stays in force
+// until the new source sends a list.
 func (p *Pool) SetSource(source discovery.Source) {
 	p.runEvent(func(now policy.Time) {
 		p.watch.source = source
-		p.watch.version = 0 // the new source may count otherwise
+		p.watch.version = 0 // the new source may number its versions differently
 		p.watch.stop()
 		p.balancer.UpdateEndpoints(now, policy.UpdateWatchLost, nil, p)
 	})
 }
 
-// PollNow has the decision module open a watch within Config.WatchReopenMaxDelay, unless a list has been received or is being waited for.
+// PollNow makes the decision module open a watch within Config.WatchReopenMaxDelay, unless a list has been received from the source or a
+// watch is open.
 func (p *Pool) PollNow() {
 	p.runEvent(func(now policy.Time) {
 		if !p.watch.received && p.watch.cancel == nil {
--- a/internal/pool/zone_outcomes.go
+++ b/internal/pool/zone_outcomes.go
@@ -6,10 +6,10 @@
 	"sorrelrudder/policy"
 )
 
-// maxZones bounds the zones whose attempts are counted: a list may name ever new ones.
+// maxZones bounds the number of zones whose attempts are counted, since endpoint lists may bring new zones without end.
 const maxZones = 64
 
-// zoneOutcomes counts what became of attempts at the endpoints of each zone. The pool's mu guards it.
+// zoneOutcomes counts the outcomes of attempts by the zone of their endpoint. The pool's mu guards it.
 type zoneOutcomes struct {
 	enabled bool
 	byZone  map[string]*zoneOutcome
@@ -18,12 +18,12 @@
 // zoneOutcome counts the attempts at the endpoints of one zone.
 type zoneOutcome struct {
 	answered, failed int64
-	latencySum       time.Duration // sum over those answered
+	latencySum       time.Duration // of the attempts counted in answered
 }
 
-// add counts an attempt that has ended. One that was canceled, since another was quicker, counts as answered: it would have taken as
-// long at least.
-func (z *zoneOutcomes) add(zone string, status policy.Status, took time.Duration) {
+// add counts an attempt that has ended. An attempt that was canceled because another one was faster counts as answered with the time it
+// took until then, which is a lower bound of its latency.
+func (z *zoneOutcomes) add(zone string, status policy.Status, latency time.Duration) {
 	if !z.enabled || zone == "" {
 		return
 	}
@@ -34,13 +34,13 @@
 	switch status {
 	case policy.StatusOK, policy.StatusCanceled:
 		outcome.answered++
-		outcome.latencySum += took
+		outcome.latencySum += latency
 	case policy.StatusApplicationError, policy.StatusTimeout, policy.StatusReset, policy.StatusConnectFailed:
 		outcome.failed++
 	}
 }
 
-// of returns the counts of a zone, or nil if there are too many zones.
+// outcomeOf returns the counts of a zone, or nil for a new zone beyond maxZones.
 func (z *zoneOutcomes) outcomeOf(zone string) *zoneOutcome {
 	if outcome := z.byZone[zone]; outcome != nil {
 		return outcome
@@ -56,9 +56,10 @@
 	return outcome
 }
 
-// ZoneOutcomes calls f with what became of the attempts at each zone's endpoints since the start: answers, with the sum of their
-// delays, and failures. It holds the pool's lock: f must not call the pool.
-func (p *Pool) ZoneOutcomes(f func(zone string, answered, failed int64, delay time.Duration)) {
+// ZoneOutcomes calls f for each zone with the outcomes of the attempts at its endpoints since the pool was started: the number of
+// answered attempts and the sum of their latencies, and the number of failed attempts. f is called with the pool's lock held, and must
+// not call the pool.
+func (p *Pool) ZoneOutcomes(f func(zone string, answered, failed int64, latencySum time.Duration)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for zone, outcome := range p.zoneOutcomes.byZone {
