--- a/internal/upstream/body.go
+++ b/internal/upstream/body.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// bodySendTimeout is how long an endpoint may take nothing of a long body.
+	// bodySendTimeout bounds the sending of each part of a long body: how long an endpoint may accept no data.
 	bodySendTimeout = 5 * time.Second
-	// streamBufferBytes is how much of a long body is forwarded at a time.
+	// streamBufferBytes is the most of a long body that is forwarded at a time.
 	streamBufferBytes = 32 << 10
 )
 
-// streamBuffers are the buffers of long bodies.
+// streamBuffers holds reusable buffers for forwarding long bodies.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// SendStreamedBody writes the rest of the request that was sent last, as it comes and however long that takes; its response has then
-// until the time that deadline returns. The error is a NotWrittenError or a RequestBodyError.
+// SendStreamedBody writes the rest of the request that was sent last, as it is received from the client. The total time is not bounded.
+// Once the body is complete, deadline is called, and the exchange must end by the time that it returns. The error is a NotWrittenError or
+// a RequestBodyError.
 func (c *Conn) SendStreamedBody(body httpmsg.BodyStream, deadline func() time.Time) error {
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
@@ -30,7 +31,7 @@
 	chunked := body.Length() < 0
 	for {
 		n, err := body.Read(buffer[:])
-		ended := err == io.EOF //nolint:errorlint // a wrapped EOF is a body that broke off, not its end
+		ended := err == io.EOF //nolint:errorlint // a wrapped EOF means a truncated body
 		if err != nil && !ended {
 			return RequestBodyError{Err: err}
 		}
@@ -48,7 +49,8 @@
 	}
 }
 
-// bufferPart writes a part of a body to the write buffer, which keeps an error for its Flush.
+// bufferPart writes a part of a body to the write buffer, as a chunk if chunked is set. An error of the buffer is returned by its next
+// Flush.
 func (c *Conn) bufferPart(part []byte, chunked, last bool) {
 	if !chunked {
 		_, _ = c.writer.Write(part)
@@ -65,7 +67,8 @@
 	}
 }
 
-// flushPart sends what is in the write buffer. The error is ErrEarlyResponse if the endpoint has sent something meanwhile.
+// flushPart sends the contents of the write buffer. It returns ErrEarlyResponse if the endpoint has already sent data or closed the
+// connection.
 func (c *Conn) flushPart() error {
 	if !c.nothingToRead() {
 		return ErrEarlyResponse
@@ -74,21 +77,21 @@
 	return c.writer.Flush()
 }
 
-// Body reads the body of a response as it comes.
+// Body reads the body of a response as it is received.
 type Body struct {
 	conn     *Conn
 	response *http.Response
 	chunked  bool
 }
 
-// Body returns the body of a response, the head of which was received last.
+// Body returns a reader of the body of response, whose head was received last.
 func (c *Conn) Body(response *http.Response) *Body {
-	c.readBudget = 2 * httpmsg.MaxBodyBytes // chunks have some bytes beside the body's
+	c.readBudget = 2 * httpmsg.MaxBodyBytes // twice the bound, since chunked encoding adds bytes to the body
 	return &Body{conn: c, response: response, chunked: len(response.TransferEncoding) > 0}
 }
 
-// Read reads what has come, and waits for one byte at most: for no longer than stall, or until deadline if there is one. The reader of
-// chunks would wait for the whole of p.
+// Read returns the bytes that have been received. If there are none, it waits for the first one for up to stall, but no longer than until
+// deadline unless that is zero. It limits p for a chunked body, since the standard library's chunked reader would wait until p is full.
 func (b *Body) Read(p []byte, stall time.Duration, deadline time.Time) (int, error) {
 	c := b.conn
 	if c.reader.Buffered() == 0 {
@@ -107,14 +110,14 @@
 	return b.response.Body.Read(p)
 }
 
-// awaitChunk waits for the next byte of a body that is sent in chunks.
+// awaitChunk waits for the next byte of a chunked body. It does nothing for other bodies.
 func (b *Body) awaitChunk() error {
 	if !b.chunked {
 		return nil
 	}
 	_, err := b.conn.reader.Peek(1)
 	if errors.Is(err, io.EOF) {
-		return io.ErrUnexpectedEOF // the last chunk is still to come
+		return io.ErrUnexpectedEOF // the connection was closed before the last chunk
 	}
 	return err
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// responseHeadTimeout bounds the head of a response, from its first byte to its last. It guards against endpoints that stop half
-	// way: without it each would cost all the time that the request has.
+	// responseHeadTimeout bounds the time from the first to the last byte of a response's head. Without it, an endpoint that stops in
+	// the middle of a head would use up the whole deadline of the request.
 	responseHeadTimeout = 250 * time.Millisecond
-	// BodyStallTimeout is how long the body of a response may stand still, for the same reason.
+	// BodyStallTimeout is how long the body of a response may make no progress, for the same reason.
 	BodyStallTimeout = 300 * time.Millisecond
-	// maxHeadBytes bounds the head of a response: one that never ends must not fill the memory.
+	// maxHeadBytes bounds the head of a response, since an endless one must not exhaust the memory.
 	maxHeadBytes = 16 << 10
-	// maxInterimResponses bounds the 1xx responses before the final one.
+	// maxInterimResponses bounds the number of 1xx responses before the final response.
 	maxInterimResponses = 5
 )
 
-// Conn is a connection to an endpoint. But for Close and Discard it is used by one goroutine at a time.
+// Conn is a connection to an endpoint. One goroutine at a time uses it; only Close and Discard may be called concurrently.
 type Conn struct {
 	net.Conn
 	peer          *Peer
-	release       func() // gives its descriptor back
+	release       func() // releases its file descriptor
 	reader        *bufio.Reader
 	writer        *bufio.Writer
-	readBudget    int       // bytes that may still be read of the present response
-	deadline      time.Time // of the present exchange
-	responseBegun bool      // the response's first byte has come
+	readBudget    int       // how many more bytes of the current response may be read
+	deadline      time.Time // of the current exchange
+	responseBegun bool      // the first byte of the response has been received
 	idleSince     time.Time
 }
 
-// Read implements net.Conn. It bounds what is read of a response, in bytes and in time.
+// Read implements net.Conn. It enforces the read budget, and sets the deadline for the rest of the head at the first byte of a response.
 func (c *Conn) Read(p []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, ErrResponseTooLong
@@ -48,20 +48,20 @@
 	return n, err
 }
 
-// Close closes the connection and gives its descriptor back.
+// Close closes the connection and releases its file descriptor.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
 	c.release()
 	return err
 }
 
-// Discard is Close for callers to whom an error makes no difference.
+// Discard is Close for callers that ignore its error.
 func (c *Conn) Discard() { _ = c.Close() }
 
-// nothingToRead reports whether nothing is there to be read from the endpoint, neither bytes nor the end.
+// nothingToRead reports whether the endpoint has neither sent unread data nor closed the connection.
 func (c *Conn) nothingToRead() bool { return c.reader.Buffered() == 0 && process.NothingToRead(c.Conn) }
 
-// Exchange sends a request and receives the head of its response.
+// Exchange sends a request that has no StreamedBody and receives the head of its response.
 func (c *Conn) Exchange(q *Request) (*http.Response, error) {
 	if err := c.Send(q); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return c.Receive(q)
 }
 
-// Send writes a request, but for its StreamedBody. The error is a NotWrittenError.
+// Send writes a request without its StreamedBody, which is left to SendStreamedBody. The error is a NotWrittenError.
 func (c *Conn) Send(q *Request) error {
 	if err := q.write(c.writer); err != nil {
 		return NotWrittenError{Err: err}
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// Receive reads the head of the response to q, which was sent last.
+// Receive reads the head of the response to q, which was sent last. It skips interim responses.
 func (c *Conn) Receive(q *Request) (*http.Response, error) {
 	c.readBudget = maxHeadBytes
 	var request *http.Request
-	if q.Method == http.MethodHead { // its response has no body, whatever the head says
+	if q.Method == http.MethodHead { // its response has no body, whatever Content-Length the head has
 		request = &http.Request{Method: q.Method}
 	}
 	for range maxInterimResponses {
@@ -93,7 +93,7 @@
 			return response, nil
 		}
 		c.responseBegun = c.reader.Buffered() > 0
-		if !c.responseBegun { // the final response may take its time
+		if !c.responseBegun { // the final response has until the deadline of the exchange to begin
 			c.SetReadDeadline(c.deadline)
 		}
 	}
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -1,6 +1,6 @@
-// Package upstream holds the connections of one pool to its endpoints: which are idle, what is read of a response and for how long, and
-// whether a request whose exchange broke off can have been executed. Connections carry one request at a time (HTTP/1.1). It chooses no
-// endpoint, and neither retries nor gives up by itself.
+// Package upstream manages the connections of one pool to its endpoints. It keeps idle connections for reuse, bounds the size and the
+// duration of responses, and distinguishes failures after which a request may have been executed from those before. Connections carry one
+// request at a time (HTTP/1.1). The caller chooses the endpoints, and decides about retries and cancellation.
 package upstream
 
 import (
@@ -18,43 +18,43 @@
 )
 
 const (
-	// idleLimitFraction is the part of the endpoints' idle limit after which an idle connection is closed: endpoints close it at the
-	// limit, and a request that crosses that is lost to a reset.
+	// idleLimitFraction is the fraction of the endpoints' idle limit after which an idle connection is closed. Endpoints close a
+	// connection at their limit, and a request sent at that moment would be lost to a reset.
 	idleLimitFraction = 0.6
-	// minIdleBeforeReuse is how long a connection should have been idle before it is used again: what an endpoint sends behind its
-	// response shows by then. One idle for less is used only if the alternative is to dial.
+	// minIdleBeforeReuse is how long a connection should be idle before it is reused. Data that an endpoint sends after its response has
+	// arrived by then. A connection that has been idle for less is reused only if the alternative is to dial.
 	minIdleBeforeReuse = 5 * time.Millisecond
-	// minSweepInterval is the least time between two looks for connections that have been idle for too long.
+	// minSweepInterval is the shortest interval between two sweeps for expired idle connections.
 	minSweepInterval = 10 * time.Millisecond
-	// connBufferBytes is the size of each of a connection's two buffers: most heads and responses fit.
+	// connBufferBytes is the size of a connection's read buffer and of its write buffer. Most heads and responses fit.
 	connBufferBytes = 4 << 10
 )
 
-// Descriptors are the file descriptors that the connections of a pool may take.
+// Descriptors is the budget of file descriptors for the connections of a pool.
 type Descriptors interface {
-	// Acquire waits for a descriptor and returns the function that gives it back.
+	// Acquire waits until a descriptor is available or ctx is done. It returns the function that releases the descriptor.
 	Acquire(ctx context.Context) (release func(), err error)
-	// Scarce reports whether idle connections should not be kept.
+	// Scarce reports whether descriptors are so scarce that idle connections should not be kept.
 	Scarce() bool
 }
 
-// DialFunc opens a connection to an address.
+// DialFunc opens a connection to addr, a host and port.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// ConnPool holds the connections to the peers of a pool. Its methods may be called from any goroutine.
+// ConnPool manages the connections of a pool to its peers. Its methods are safe for concurrent use, except SetDialer.
 type ConnPool struct {
 	descriptors Descriptors
 	dialTimeout time.Duration
-	idleTimeout time.Duration // how long a connection is kept idle; 0 and below: not at all
+	idleTimeout time.Duration // how long an idle connection is kept; 0 or less: not at all
 	dial        DialFunc
 	dialCount   atomic.Int64
 
-	// mu guards peersWithIdle, and retired and idle of each Peer. No connection is used or closed under it.
+	// mu guards peersWithIdle, and retired and idle of each Peer. No connection is used or closed while it is held.
 	mu            sync.Mutex
 	peersWithIdle map[*Peer]struct{}
 }
 
-// New returns the connections of a pool that has the settings given.
+// New returns a ConnPool for a pool with the given settings. It has no connections yet.
 func New(cfg policy.Config, descriptors Descriptors) *ConnPool {
 	return &ConnPool{
 		descriptors: descriptors, dialTimeout: cfg.DialTimeout, idleTimeout: idleTimeoutFor(cfg),
@@ -62,34 +62,35 @@
 	}
 }
 
-// idleTimeoutFor returns how long a connection is kept idle. Where open connections have a cost, one costs ConnectionCost/100 of an
-// endpoint's quota and a handshake HandshakeCost of a request's: they balance after 100 x HandshakeCost/ConnectionCost requests of an
-// endpoint, each taken to last for no longer than the shortest latency objective.
+// idleTimeoutFor returns how long an idle connection is kept. If open connections have a cost, an open connection costs
+// ConnectionCost/100 of an endpoint's quota, and a handshake costs HandshakeCost of a request's quota. Both cost the same after
+// 100 x HandshakeCost/ConnectionCost requests of an endpoint. Each request is assumed to take no longer than the shortest latency
+// objective.
 func idleTimeoutFor(cfg policy.Config) time.Duration {
 	timeout := time.Duration(float64(cfg.ConnIdle) * idleLimitFraction)
 	if cfg.ConnectionCost <= 0 {
 		return timeout
 	}
 	for _, class := range cfg.Classes {
-		balance := time.Duration(100 * cfg.HandshakeCost / cfg.ConnectionCost * float64(class.LatencyObjective))
-		timeout = min(timeout, balance)
+		breakEven := time.Duration(100 * cfg.HandshakeCost / cfg.ConnectionCost * float64(class.LatencyObjective))
+		timeout = min(timeout, breakEven)
 	}
 	return timeout
 }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	d := net.Dialer{KeepAlive: -1} // idle connections do not live long enough for it
+	d := net.Dialer{KeepAlive: -1} // idle connections are closed before a keep-alive probe would be sent
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// SetDialer sets what opens connections. It is called before any is opened.
+// SetDialer replaces the function that opens connections. It must be called before the first connection is opened.
 func (u *ConnPool) SetDialer(dial DialFunc) { u.dial = dial }
 
-// DialCount returns how many connections have been opened, or tried.
+// DialCount returns the number of dials so far, including failed ones.
 func (u *ConnPool) DialCount() int64 { return u.dialCount.Load() }
 
-// Connect returns an idle connection to p, or opens one, for an exchange that ends at the deadline. The error is a NoDescriptorError if
-// none could be tried, or that of the dial.
+// Connect returns an idle connection to p, or opens one, for an exchange that must end by the deadline. The error is a NoDescriptorError
+// if this process lacked a resource to open a connection, and otherwise the error of the dial.
 func (u *ConnPool) Connect(ctx context.Context, p *Peer, deadline time.Time) (*Conn, error) {
 	c := u.takeIdle(p)
 	if c == nil {
@@ -104,7 +105,7 @@
 	return c, nil
 }
 
-// open opens a connection to p.
+// open opens a connection to p. It returns the errors of Connect.
 func (u *ConnPool) open(ctx context.Context, p *Peer, deadline time.Time) (*Conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(u.dialTimeout)))
 	defer cancel()
@@ -126,8 +127,9 @@
 	return c, nil
 }
 
-// takeIdle returns an idle connection to p, or nil. One on which the endpoint has closed, or has sent something unasked, is of no use:
-// what is written to it would end as a reset, or be answered with what was meant for another request.
+// takeIdle returns a usable idle connection to p, or nil if there is none. It discards connections that the endpoint has closed or on
+// which it has sent unsolicited data: a request on the former would end with a reset, and on the latter the client would get a response
+// that is not its own.
 func (u *ConnPool) takeIdle(p *Peer) *Conn {
 	for {
 		c := u.popIdle(p)
@@ -141,8 +143,8 @@
 	}
 }
 
-// popIdle removes the youngest idle connection to p that has been idle for minIdleBeforeReuse, or else the oldest, and returns it; nil:
-// there is none.
+// popIdle removes and returns the most recently used idle connection to p that has been idle for minIdleBeforeReuse, or else the least
+// recently used one. It returns nil if there is none.
 func (u *ConnPool) popIdle(p *Peer) *Conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -169,8 +171,8 @@
 	}
 }
 
-// PutIdle keeps c for the next exchange, or closes it if something came behind the response. What comes later shows when it is used
-// again.
+// PutIdle keeps c for reuse. It closes c if connections are not kept, if descriptors are scarce, if the peer is retired, or if data
+// follows the response. Data that arrives later is detected by takeIdle.
 func (u *ConnPool) PutIdle(c *Conn) {
 	if u.idleTimeout <= 0 || u.descriptors.Scarce() || c.reader.Buffered() > 0 {
 		c.Discard()
@@ -182,7 +184,7 @@
 	}
 }
 
-// pushIdle makes c the youngest idle connection to its peer, unless that is retired, and reports whether it has.
+// pushIdle adds c to the idle connections of its peer as the most recently used. It returns false if the peer is retired.
 func (u *ConnPool) pushIdle(c *Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -202,7 +204,7 @@
 	discardAll(idle)
 }
 
-// Retire closes the idle connections to p and has it keep none any more.
+// Retire closes the idle connections to p. From then on no connection to p is kept.
 func (u *ConnPool) Retire(p *Peer) {
 	u.mu.Lock()
 	p.retired = true
@@ -210,7 +212,7 @@
 	u.CloseIdle(p)
 }
 
-// EvictIdle closes an idle connection of any peer, and reports whether there was one.
+// EvictIdle closes one idle connection of an arbitrary peer to release its descriptor. It returns false if there is none.
 func (u *ConnPool) EvictIdle() bool {
 	c := u.popAnyIdle()
 	if c == nil {
@@ -220,7 +222,7 @@
 	return true
 }
 
-// popAnyIdle removes the oldest idle connection of any peer and returns it; nil: there is none.
+// popAnyIdle removes and returns the least recently used idle connection of an arbitrary peer. It returns nil if there is none.
 func (u *ConnPool) popAnyIdle() *Conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -232,18 +234,19 @@
 	return nil
 }
 
-// SweepIdle closes connections that have been idle for the idle timeout, until ctx ends.
+// SweepIdle periodically closes connections that have been idle for the idle timeout. It returns when ctx is done, or at once if idle
+// connections are not kept.
 func (u *ConnPool) SweepIdle(ctx context.Context) {
 	if u.idleTimeout <= 0 {
 		return
 	}
-	tick := time.NewTicker(max(u.idleTimeout/4, minSweepInterval))
-	defer tick.Stop()
+	ticker := time.NewTicker(max(u.idleTimeout/4, minSweepInterval))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			u.closeExpired()
 		}
 	}
--- a/internal/upstream/peer.go
+++ b/internal/upstream/peer.go
@@ -2,21 +2,22 @@
 
 import "sorrelrudder/policy"
 
-// Peer is one process of an endpoint, at one address.
+// Peer is one process of an endpoint, at one address. An endpoint that restarts or moves gets a new Peer.
 type Peer struct {
 	addr    string
 	started policy.Time
 
 	// Guarded by ConnPool.mu.
-	retired bool    // it is not listed any more, and keeps no connection
-	idle    []*Conn // longest idle first
+	retired bool    // it is no longer on the endpoint list; its connections are not kept
+	idle    []*Conn // least recently used first
 }
 
-// NewPeer returns the process of an endpoint that listens at addr and started at the time given; 0: long ago.
+// NewPeer returns the process of an endpoint that listens at addr and was started at the given time, in the decision module's time; 0
+// means long ago.
 func NewPeer(addr string, started policy.Time) *Peer { return &Peer{addr: addr, started: started} }
 
-// Addr returns the address at which the process listens.
+// Addr returns the address on which the process listens.
 func (p *Peer) Addr() string { return p.addr }
 
-// Started returns when the process started, in the decision module's time; 0: long ago.
+// Started returns when the process was started, in the decision module's time; 0 means long ago.
 func (p *Peer) Started() policy.Time { return p.started }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,20 +9,21 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Request is what an endpoint is sent.
+// Request is a request to send to an endpoint.
 type Request struct {
 	Method, Target, Host string
-	Header               http.Header        // as it was read of a client, so that no name or value holds a line's end
-	TimeoutMs            int64              // in place of the header's X-Timeout-Ms; 0: none
-	ExtraFields          []Field            // beside Header, and in place of fields of the same names there
-	Body                 []byte             // the whole body, or its first part
-	StreamedBody         httpmsg.BodyStream // what follows Body, and is sent by SendStreamedBody; nil: nothing
+	Header               http.Header        // parsed from a client's request, so no name or value contains a line break
+	TimeoutMs            int64              // sent as X-Timeout-Ms, which is never taken from Header; 0: not sent
+	ExtraFields          []Field            // sent in addition to Header; they replace fields of the same names there
+	Body                 []byte             // the complete body, or its first part
+	StreamedBody         httpmsg.BodyStream // the rest of the body, sent by SendStreamedBody; nil: none
 }
 
 // Field is a header field.
 type Field struct{ Name, Value string }
 
-// write writes q and flushes w. It is not left to http.Request.Write, which needs a copy of the header and a sorted one.
+// write writes q without its StreamedBody and flushes w. It does not use http.Request.Write, which would need a copy of the header and
+// sort it.
 func (q *Request) write(w *bufio.Writer) error {
 	if _, err := w.Write(q.appendHead(w.AvailableBuffer())); err != nil {
 		return err
@@ -38,10 +39,10 @@
 	return w.Flush()
 }
 
-// chunked reports whether the body is sent in chunks, of which Body is the first.
+// chunked reports whether the body is sent with chunked encoding, with Body as the first chunk.
 func (q *Request) chunked() bool { return q.contentLength() < 0 }
 
-// contentLength returns the length of the whole body; below 0: it is not known.
+// contentLength returns the length of the complete body in bytes, or a negative number if it is not known.
 func (q *Request) contentLength() int64 {
 	if q.StreamedBody != nil {
 		return q.StreamedBody.Length()
@@ -57,7 +58,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = appendField(b, "Host", q.Host)
 	for name, values := range q.Header {
-		if q.replaces(name) {
+		if q.overrides(name) {
 			continue
 		}
 		for _, v := range values {
@@ -73,8 +74,8 @@
 	return q.appendFraming(b)
 }
 
-// replaces reports whether a field of Header is not sent, since the request has its own.
-func (q *Request) replaces(name string) bool {
+// overrides reports whether a field of Header is not sent, because the request sets it itself or must not send the client's value.
+func (q *Request) overrides(name string) bool {
 	switch name {
 	case "Host", "Content-Length", "X-Timeout-Ms":
 		return true
@@ -82,7 +83,8 @@
 	return slices.ContainsFunc(q.ExtraFields, func(f Field) bool { return f.Name == name })
 }
 
-// appendFraming appends the field that says how long the body is, and the end of the head.
+// appendFraming appends the field that frames the body, Content-Length or Transfer-Encoding, and the end of the head. For a chunked body
+// the size of the first chunk follows.
 func (q *Request) appendFraming(b []byte) []byte {
 	length := q.contentLength()
 	switch {
@@ -96,7 +98,7 @@
 	return append(b, "\r\n"...)
 }
 
-// hasBody reports whether requests of a method have a body, if an empty one.
+// hasBody reports whether requests of a method have a body, which may be empty.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// noDescriptors is a process without a free descriptor.
+// noDescriptors is a Descriptors with no descriptor available.
 type noDescriptors struct{}
 
 func (noDescriptors) Acquire(ctx context.Context) (func(), error) {
@@ -27,26 +27,27 @@
 
 func (noDescriptors) Scarce() bool { return true }
 
-// TestIdleTimeoutByCosts: where held connections have a price, one is let go once a new one is cheaper; never later than servers close them.
+// TestIdleTimeoutByCosts guards against keeping an idle connection for longer than it costs less than a new handshake, or until
+// endpoints close it. Without a connection cost only the endpoints' idle limit counts.
 func TestIdleTimeoutByCosts(t *testing.T) {
 	classes := []policy.Class{{LatencyObjective: time.Second}, {LatencyObjective: 200 * time.Millisecond}}
 	for name, c := range map[string]struct {
-		held, handshake float64
-		want            time.Duration
+		connection, handshake float64
+		want                  time.Duration
 	}{
-		"free":            {0, 0.05, 3 * time.Second},
-		"dear handshakes": {0.05, 5, 3 * time.Second},
-		"dear to hold":    {5, 0.05, 200 * time.Millisecond},
-		"free handshakes": {5, 0, 0},
+		"free":                  {0, 0.05, 3 * time.Second},
+		"expensive handshakes":  {0.05, 5, 3 * time.Second},
+		"expensive connections": {5, 0.05, 200 * time.Millisecond},
+		"free handshakes":       {5, 0, 0},
 	} {
-		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.held, HandshakeCost: c.handshake}, noDescriptors{}).idleTimeout
+		got := New(policy.Config{ConnIdle: 5 * time.Second, Classes: classes, ConnectionCost: c.connection, HandshakeCost: c.handshake}, noDescriptors{}).idleTimeout
 		if got != c.want {
-			t.Errorf("%s: held for %v, want %v", name, got, c.want)
+			t.Errorf("%s: idle timeout is %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// TestDescriptorShortageIsNoConnectFailure guards against ejecting servers because this process has no descriptor left.
+// TestDescriptorShortageIsNoConnectFailure guards against ejecting endpoints because this process has no file descriptor left.
 func TestDescriptorShortageIsNoConnectFailure(t *testing.T) {
 	up := New(policy.Config{DialTimeout: time.Second}, noDescriptors{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -54,12 +55,12 @@
 	_, err := up.Connect(ctx, NewPeer("127.0.0.1:1", 0), time.Now().Add(time.Minute))
 	var want NoDescriptorError
 	if !errors.As(err, &want) {
-		t.Errorf("got %v, want NoDescriptorError", err)
+		t.Errorf("Connect without a descriptor returned %v, want a NoDescriptorError", err)
 	}
 }
 
-// TestRequestText guards against what a server would read otherwise than it was meant, and against a length of its own that
-// a client sent along.
+// TestRequestText guards against a request that an endpoint would parse differently than intended, and against forwarding the client's
+// Content-Length in place of the actual length.
 func TestRequestText(t *testing.T) {
 	for name, c := range map[string]struct {
 		q    Request
@@ -73,29 +74,29 @@
 		"several": {Request{Method: "GET", Target: "/a", Host: "h", Header: http.Header{"X": {"1", "2"}}}, "GET /a HTTP/1.1\r\nHost: h\r\nX: 1\r\nX: 2\r\n\r\n"},
 	} {
 		var b bytes.Buffer
-		w := bufio.NewWriterSize(&b, 16) // so that it is written in parts
+		w := bufio.NewWriterSize(&b, 16) // small, so that the request is written in parts
 		if err := c.q.write(w); err != nil || b.String() != c.want {
-			t.Errorf("%s: %v, %q, want %q", name, err, b.String(), c.want)
+			t.Errorf("%s: error %v, wrote %q, want %q", name, err, b.String(), c.want)
 		}
 	}
 }
 
-// broken fails after some bytes.
-type broken struct{ left int }
+// failingWriter accepts a number of bytes and fails beyond them.
+type failingWriter struct{ remaining int }
 
-func (b *broken) Write(p []byte) (int, error) {
-	if b.left -= len(p); b.left < 0 {
+func (w *failingWriter) Write(p []byte) (int, error) {
+	if w.remaining -= len(p); w.remaining < 0 {
 		return 0, io.ErrClosedPipe
 	}
 	return len(p), nil
 }
 
-// TestRequestNotWritten guards against taking a request for written of which a part is missing.
+// TestRequestNotWritten guards against treating a request as sent when a part of it was not written.
 func TestRequestNotWritten(t *testing.T) {
 	q := Request{Method: "POST", Target: "/a", Host: "h", Body: bytes.Repeat([]byte("b"), 10000)}
-	for _, left := range []int{0, 20, 5000, 10000} {
-		if err := q.write(bufio.NewWriterSize(&broken{left}, 64)); err == nil {
-			t.Errorf("broken after %d bytes, and written", left)
+	for _, limit := range []int{0, 20, 5000, 10000} {
+		if err := q.write(bufio.NewWriterSize(&failingWriter{limit}, 64)); err == nil {
+			t.Errorf("write returned no error although the writer fails after %d bytes", limit)
 		}
 	}
 }
