--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -12,7 +12,7 @@
 // attempt is one attempt to have an endpoint serve a request. A goroutine of its own executes runAttempt.
 type attempt struct {
 	request  *request
-	number   int // from 0, including the attempts made at other sites
+	number   int // from 0, counted over the attempts of all sites
 	endpoint policy.EndpointID
 	zone     string // of the endpoint
 	cell     int
@@ -26,7 +26,7 @@
 	// mu guards the fields below. It may be locked while Pool.mu is held, never the other way round.
 	mu        sync.Mutex
 	canceled  bool
-	interrupt func() // ends the blocking operation in progress; nil: none is
+	interrupt func() // ends the blocking operation in progress; nil: there is none
 }
 
 // cancel marks the attempt as canceled and interrupts it. Its goroutine still reports the result.
--- a/internal/pool/attempt_begin.go
+++ b/internal/pool/attempt_begin.go
@@ -72,8 +72,8 @@
 	return beginAllowed
 }
 
-// dedupWindowExpired reports whether a retries a request with an idempotency key after the dedup window. An earlier attempt may have
-// executed the request, and the endpoints may no longer remember its key, so they would execute it again. The caller holds mu.
+// dedupWindowExpired reports whether attempt a retries a request with an idempotency key after the dedup window. An endpoint may have
+// executed another attempt, and may have dropped the key since, so that it would execute the request again. The caller holds mu.
 func (p *Pool) dedupWindowExpired(now policy.Time, a *attempt) bool {
 	r := a.request
 	class := p.classes[r.policyRequest.Class]
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -35,8 +35,8 @@
 // in the channel.
 func (e *Exchange) Cancel() bool { return e.pool.cancelRequest(e.request) }
 
-// AttemptSummary returns the number of attempts made by this pool, and whether any of them may have been executed. It is called after
-// the response has been received.
+// AttemptSummary returns the number of attempts made by this pool, and whether any of them may have been executed. It must be called
+// only after the response has been received.
 func (e *Exchange) AttemptSummary() (attempts int, mayHaveExecuted bool) {
 	p := e.pool
 	p.mu.Lock()
--- a/internal/pool/exclusion.go
+++ b/internal/pool/exclusion.go
@@ -8,7 +8,7 @@
 // neverListedStartMs is a start time that differs from every start time in an endpoint list.
 const neverListedStartMs = -1
 
-// exclusion records which endpoints an operator or the fleet has excluded: they take no new requests although the list has them ready.
+// exclusion records which endpoints an operator or the fleet has excluded: they take no new requests even if the list reports them ready.
 // It also records when endpoints were readmitted. The pool's mu guards it.
 type exclusion struct {
 	slowStart          bool                   // slow start is configured; without it readmittedAt is not recorded
@@ -43,7 +43,7 @@
 // forget drops the readmission time of an endpoint that was removed from the list.
 func (x *exclusion) forget(id string) { delete(x.readmittedAt, id) }
 
-// apply replaces the exclusions by set, and returns the endpoints of the list whose state or start time changes for the decision module.
+// apply replaces the exclusions with set, and returns the listed endpoints whose exclusion or readmission time has changed.
 func (x *exclusion) apply(now policy.Time, set exclusionSet, endpoints map[policy.EndpointID]discovery.Endpoint) []discovery.Endpoint {
 	before := x.excluded
 	used := map[string]bool{} // includes excluded endpoints that have restarted
@@ -96,7 +96,7 @@
 }
 
 // recordReadmission records whether the set just applied readmits an endpoint, and reports whether the endpoint counts as started now.
-// It does if it took no requests until now, even if the list names no new start time: without a slow start all processes together would
+// It does if it took no requests until now, even if the list has no new start time: without a slow start all processes together would
 // overload it.
 func (x *exclusion) recordReadmission(now policy.Time, id string, excludedBefore, usedBefore, recovering bool) bool {
 	_, readmittedBefore := x.readmittedAt[id]
@@ -124,8 +124,9 @@
 	x.readmittedAt[id] = at
 }
 
-// SetExcluded replaces the set of excluded endpoints. An excluded endpoint takes no new requests, as if the list had it draining. If the
-// current list would have no ready endpoint left, SetExcluded excludes none at all and returns false; a later list may still leave none.
+// SetExcluded replaces the set of excluded endpoints. An excluded endpoint takes no new requests, as if the list reported it as draining.
+// If the current list would have no ready endpoint left, SetExcluded excludes none at all and returns false. This is checked only now, and
+// not for an empty list: a later list may leave no ready endpoint.
 //
 // An endpoint that is no longer excluded counts as started now, and so does an endpoint of recovering, to which the fleet has just begun
 // to send requests again. An endpoint of untilRestart, a subset of excluded, is readmitted once the list has another start time for it.
--- a/internal/pool/healthcheck.go
+++ b/internal/pool/healthcheck.go
@@ -16,7 +16,7 @@
 const (
 	// healthCheckTimeout bounds a health check, since a failed endpoint may not respond at all.
 	healthCheckTimeout = 400 * time.Millisecond
-	// maxHealthChecks bounds the health checks in flight. A further check is not sent and reported as StatusNotSent.
+	// maxHealthChecks bounds the health checks in flight. A further check is not sent, and is reported as StatusNotSent.
 	maxHealthChecks = 64
 	// maxLoadReportBytes bounds the body of a health check's response.
 	maxLoadReportBytes = 4 << 10
--- a/internal/pool/parse.go
+++ b/internal/pool/parse.go
@@ -15,7 +15,7 @@
 	maxRequestIDBytes = 128
 	// defaultMaxDeadline bounds a client's timeout if the settings have no class with a deadline.
 	defaultMaxDeadline = time.Minute
-	// maxExpectedWork is the exclusive upper bound of an X-Cost; a higher one is ignored.
+	// maxExpectedWork is the exclusive upper bound of an X-Cost. A cost at or above it is ignored.
 	maxExpectedWork = time.Hour
 )
 
--- a/internal/pool/parse_test.go
+++ b/internal/pool/parse_test.go
@@ -49,7 +49,7 @@
 		var rejection httpmsg.RejectionError
 		errors.As(err, &rejection)
 		if rejection.Status != c.status || (err == nil) != (c.status == 0) {
-			t.Errorf("%s: got error %v, want status %d", name, err, c.status)
+			t.Errorf("%s: ParseRequest returned error %v", name, err)
 		}
 		if err == nil && (parsed.timeout != 300*time.Millisecond || parsed.idempotent != (c.method == "GET")) {
 			t.Errorf("%s: parsed as %+v", name, parsed)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
 // Package pool hosts one instance of the decision module, package policy. It translates network activity into events of the module, and
 // the module's actions into traffic to the pool's endpoints. Each pool has its own endpoint list, settings, requests and timers, and is
-// independent of other pools and of its callers. The decision module alone decides which endpoint is used, and whether a request is
-// retried, hedged or rejected or an endpoint ejected.
+// independent of other pools and of its callers. The decision module, not the pool, chooses the endpoints, decides about retries, hedged
+// requests and rejections, and ejects endpoints.
 package pool
 
 import (
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -122,7 +122,8 @@
 	return converted
 }
 
-// releaseConn keeps a connection for reuse if the response was read completely, and closes it otherwise.
+// releaseConn keeps a connection for reuse if the response was read completely, the attempt is not canceled and the endpoint does not
+// close the connection. Otherwise it closes the connection.
 func (p *Pool) releaseConn(a *attempt, conn *upstream.Conn, response *http.Response, complete bool) {
 	if !a.setInterrupt(nil) || !complete || response.Close {
 		conn.Discard()
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -25,7 +25,7 @@
 type listWatch struct {
 	source              discovery.Source
 	cancel              context.CancelFunc // nil while there is no watch
-	version             int64              // of the last message accepted
+	version             int64              // of the last message accepted, or of the cached list
 	received            bool               // a list has been received from the source; the cached list does not count
 	consecutiveOutdated int                // number of consecutive messages with a lower version than version
 	lastError           string             // why the last watch ended; cleared when a list is received
