--- a/internal/pool/reachability_test.go
+++ b/internal/pool/reachability_test.go
@@ -7,7 +7,8 @@
 	"sorrelrudder/policy"
 )
 
-// TestReachability: an endpoint that does not answer is reported each time, and taken back once, by a success.
+// TestReachability guards against missed or surplus reports: each failure to respond is reported, and the first success after it withdraws
+// the report once.
 func TestReachability(t *testing.T) {
 	var got []bool
 	r := reachability{report: func(_ string, unreachable bool) { got = append(got, unreachable) }, reported: map[policy.EndpointID]bool{}}
@@ -15,14 +16,15 @@
 		policy.StatusOK, policy.StatusTimeout, policy.StatusApplicationError, policy.StatusReset, policy.StatusConnectFailed,
 		policy.StatusOverloaded, policy.StatusCanceled, policy.StatusNotSent, policy.StatusOK, policy.StatusOK,
 	} {
-		r.note("a", status)
+		r.record("a", status)
 	}
 	if want := []bool{true, true, true, false}; !slices.Equal(got, want) {
 		t.Errorf("reported %v, want %v", got, want)
 	}
 }
 
-// TestZoneOutcomesBounded: zones beyond the bound are not counted, and those counted go on to be.
+// TestZoneOutcomesBounded guards against unbounded growth with the number of zones: zones beyond the bound are not counted, and the others
+// still are.
 func TestZoneOutcomesBounded(t *testing.T) {
 	z := zoneOutcomes{enabled: true}
 	for range 2 {
@@ -33,7 +35,7 @@
 	if len(z.byZone) != maxZones {
 		t.Fatalf("%d zones are counted, want %d", len(z.byZone), maxZones)
 	}
-	if first := *z.byZone["A"]; first != (zoneOutcome{answered: 2, delay: 6}) {
-		t.Errorf("the first zone has %+v", first)
+	if first := *z.byZone["A"]; first != (zoneOutcome{answered: 2, latencySum: 6}) {
+		t.Errorf("the first zone has counts %+v, want 2 answered with a latency sum of 6", first)
 	}
 }
