--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// Client is a process's side of its session: it decides what to send to the leader, and until when the process may act on its leases.
-// Its times are of the process's monotonic clock. The caller sends what [Client.Next] returns, and hands the answers to
-// [Client.HandleResponse]. It is not safe for concurrent use.
+// Client is the client side of a process's session. It decides which requests to send to the leader, and until when the process may act
+// on its leases. All times are readings of the process's monotonic clock. The caller sends the requests that [Client.Next] returns and
+// passes the responses to [Client.HandleResponse]. It is not safe for concurrent use.
 //
-// Invariants: validUntil is never later than ClientTTL after a keepalive was sent that succeeded, so that a process that was paused may
-// not act once it runs again; a lease that is being released is not in tokens from the moment its release is sent.
+// Invariants:
+//   - validUntil is at most ClientTTL after the sending of a successful keepalive, so a process that resumes after a longer pause may not
+//     act on its leases.
+//   - A lease is removed from tokens as soon as its release is enqueued.
 type Client struct {
 	timing      Timing
 	member      string
 	incarnation string
 
-	// The session. openCount makes the nonce of each opening differ.
+	// The session.
 	sessionID     uint64 // 0: none
-	openCount     int
+	openCount     int    // part of the nonce, so that each opening has its own
 	knownLastID   uint64
 	lastIDKnown   bool // knownLastID may be used for the next OpOpen
 	validUntil    time.Duration
 	keepAliveAt   time.Duration
-	refreshDue    bool // the holdings have changed in a way that the client does not know yet
+	refreshDue    bool // the holdings have changed, and the change is not known here yet
 	closing       bool
 	superseded    bool
 	lastSeq       uint64
@@ -36,24 +38,24 @@
 	tokens          map[string]uint64
 	revision        uint64
 
-	// What the process wants: leases to hold, those to ask for (a name may be queued twice), those to give up and to whom (empty: to its
-	// queue), and those to ask for again after that, with their limits.
+	// The leases that the process wants to hold or release.
 	wanted       map[string]wantedLease
-	acquireQueue []string
-	releasing    map[string]string
-	reacquire    map[string]int
+	acquireQueue []string          // leases to send OpAcquire for; a name may occur twice
+	releasing    map[string]string // leases to release, with the member to transfer each to (empty: the next in its queue)
+	reacquire    map[string]int    // leases to acquire again after their transfer, with their limits
 
-	// What is on its way: requests by ID, and commands by lease name, openKey or closeKey.
-	inFlight map[uint64]sentRequest
-	pending  map[string]*pendingCommand
+	// Requests and commands without a response yet.
+	inFlight map[uint64]sentRequest     // by request ID
+	pending  map[string]*pendingCommand // by lease name, openKey or closeKey
 }
 
+// wantedLease is a lease that the process wants to hold.
 type wantedLease struct {
 	limit      int
-	registered bool // the leader has answered: asking again changes nothing before the holdings change
+	registered bool // the leader has answered OpAcquire; sending it again has no effect until the holdings change
 }
 
-// NewClient returns the client of a process without a session. incarnation must differ at each start of any process.
+// NewClient returns a client without a session. incarnation must be unique to each start of each process.
 func NewClient(t Timing, member, incarnation string) *Client {
 	return &Client{
 		timing:      t,
@@ -69,7 +71,8 @@
 	}
 }
 
-// Acquire has the process hold the lease name, or wait for it. limit is how many sessions may hold it at once.
+// Acquire requests the lease name and queues for it if it is not free. limit is the number of sessions that may hold the lease at once. It
+// has no effect on a lease that is wanted already.
 func (c *Client) Acquire(name string, limit int) {
 	if _, wanted := c.wanted[name]; wanted {
 		return
@@ -80,7 +83,8 @@
 	c.revision++
 }
 
-// Release gives up the lease name, to the member to or, if that is empty, to its queue. The process must have stopped acting on it.
+// Release gives up the lease name. The lease goes to the member to or, if to is empty, to the first session in its queue. The process must
+// have stopped acting on the lease before the call.
 func (c *Client) Release(name, to string) {
 	if _, wanted := c.wanted[name]; !wanted {
 		return
@@ -90,8 +94,8 @@
 	c.revision++
 }
 
-// Transfer gives a lease that is held to the member to, and waits for it again at the end of its queue. The process must have stopped
-// acting on it.
+// Transfer gives the lease name to the member to and queues for it again. It has no effect on a lease that is not held. The process must
+// have stopped acting on the lease before the call.
 func (c *Client) Transfer(name, to string) {
 	w, wanted := c.wanted[name]
 	if !wanted || c.tokens[name] == 0 {
@@ -101,32 +105,33 @@
 	c.reacquire[name] = w.limit
 }
 
-// Close gives up the session and all its leases for good. The process must have stopped acting on them.
+// Close gives up the session and all its leases permanently. The process must have stopped acting on them before the call.
 func (c *Client) Close() {
 	c.closing = true
 	c.revision++
 	clear(c.tokens)
 }
 
-// Closed reports whether Close has taken effect at the leader, or there was no session to give up.
+// Closed reports whether Close was called and the session has ended at the leader, or did not exist.
 func (c *Client) Closed() bool { return c.closing && c.sessionID == 0 }
 
-// Superseded reports whether another process has this one's name. Such a client gets no session any more.
+// Superseded reports whether a newer session of the same member exists. A superseded client opens no further session.
 func (c *Client) Superseded() bool { return c.superseded }
 
-// Incarnation is the value that tells this start of the process from others.
+// Incarnation returns the value that identifies this start of the process.
 func (c *Client) Incarnation() string { return c.incarnation }
 
-// SessionID is the ID of the session, 0 without one.
+// SessionID returns the ID of the session, 0 without one.
 func (c *Client) SessionID() uint64 { return c.sessionID }
 
-// ValidUntil is the time until which the process may act on the leases that it holds; below 0 without a session.
+// ValidUntil returns the time until which the process may act on the leases that it holds. It is negative without a session.
 func (c *Client) ValidUntil() time.Duration { return c.validUntil }
 
-// Revision grows with each change of what Held may return, except those that come by the passing of time.
+// Revision returns a counter that grows with each change of the result of Held, except for a change caused by the passing of time alone.
 func (c *Client) Revision() uint64 { return c.revision }
 
-// Token returns the fencing token of a lease and the time until which the process may act on it. ok is false if it may not act now.
+// Token returns the fencing token of the lease name and the time until which the process may act on it. ok is false if the process may not
+// act on the lease at the time now.
 func (c *Client) Token(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	token = c.tokens[name]
 	if _, wanted := c.wanted[name]; token == 0 || !wanted || c.closing || now >= c.validUntil {
@@ -135,7 +140,7 @@
 	return token, c.validUntil, true
 }
 
-// Held returns, sorted, the names of the leases of the session, none once the process may no longer act.
+// Held returns the sorted names of the leases of the session. It returns none once the process may no longer act on them.
 func (c *Client) Held(now time.Duration) []string {
 	if now >= c.validUntil || c.closing {
 		return nil
@@ -143,11 +148,11 @@
 	return slices.Sorted(maps.Keys(c.tokens))
 }
 
-// Refresh has the next call of Next send a keepalive: the leader says that the holdings have changed.
+// Refresh makes the next call of Next send a keepalive. The caller uses it when the leader reports that the holdings have changed.
 func (c *Client) Refresh() { c.refreshDue = true }
 
-// nonce identifies the next opening of a session.
+// nonce returns the identifier of the next opening of a session.
 func (c *Client) nonce() string { return c.incarnation + "/" + strconv.Itoa(c.openCount) }
 
-// retryInterval is the time after which a request without an answer is sent again.
+// retryInterval returns the time after which a request without a response is sent again.
 func (c *Client) retryInterval() time.Duration { return c.timing.KeepAliveInterval() / 2 }
--- a/internal/lease/client_requests.go
+++ b/internal/lease/client_requests.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// maxInFlight is how many requests are remembered. The answer to an older one is ignored.
+	// maxInFlight is the number of the newest requests whose responses are accepted. The response to an older request is ignored.
 	maxInFlight = 64
-	// openKey and closeKey are the keys of Client.pending for commands of the session itself. No lease has these names.
+	// openKey and closeKey are the keys of Client.pending for OpOpen and OpClose. No lease has these names.
 	openKey  = "\x00open"
 	closeKey = "\x00close"
 )
 
-// sentRequest is a request that has no answer yet.
+// sentRequest is a request without a response yet.
 type sentRequest struct {
 	sentAt    time.Duration
-	leaseName string // or openKey, closeKey; empty: a keepalive
+	leaseName string // a lease name, openKey or closeKey; empty: a keepalive
 	isOpen    bool
 }
 
-// pendingCommand is a command that is sent until it has its answer.
+// pendingCommand is a command that is sent again until its result arrives.
 type pendingCommand struct {
 	Command
 	retryAt time.Duration
 }
 
-// Next returns the requests to send now, and the time by which to call it again.
+// Next returns the requests to send now and the latest time for the next call.
 func (c *Client) Next(now time.Duration) (requests []Request, at time.Duration) {
 	if c.superseded || c.Closed() {
 		return nil, now + c.timing.TTL
@@ -53,7 +53,7 @@
 	return c.sendPending(now, requests, at)
 }
 
-// requestLastID sends a keepalive without a session: its answer has the KnownLastID of the next OpOpen.
+// requestLastID returns a keepalive without a session. Its response has the KnownLastID for the next OpOpen.
 func (c *Client) requestLastID(now time.Duration) ([]Request, time.Duration) {
 	if now < c.keepAliveAt {
 		return nil, c.keepAliveAt
@@ -63,6 +63,7 @@
 	return []Request{request}, c.keepAliveAt
 }
 
+// keepAlive returns a keepalive of the session if one is due.
 func (c *Client) keepAlive(now time.Duration) []Request {
 	if !c.refreshDue && now < c.keepAliveAt {
 		return nil
@@ -72,7 +73,7 @@
 	return []Request{c.newRequest(now, sentRequest{}, Request{KnownVersion: c.holdingsVersion})}
 }
 
-// enqueueAcquires asks for the wanted leases, as many as may be pending.
+// enqueueAcquires enqueues OpAcquire for the leases in acquireQueue, as far as the bound on pending commands allows.
 func (c *Client) enqueueAcquires() {
 	for len(c.acquireQueue) > 0 {
 		name := c.acquireQueue[0]
@@ -82,14 +83,15 @@
 				return
 			}
 		}
-		c.acquireQueue = c.acquireQueue[1:] // a pending one is queued again with its answer
+		c.acquireQueue = c.acquireQueue[1:] // handleResult queues a lease with a pending command again
 	}
 }
 
+// enqueueReleases enqueues OpRelease or OpTransfer for the leases in releasing.
 func (c *Client) enqueueReleases() {
 	for _, name := range slices.Sorted(maps.Keys(c.releasing)) {
 		if p := c.pending[name]; p != nil && p.Op == OpAcquire {
-			continue // a release that overtakes it would leave the lease behind
+			continue // if the release overtook the OpAcquire, the lease would be granted afterwards and stay held
 		}
 		to := c.releasing[name]
 		op := OpRelease
@@ -100,8 +102,8 @@
 	}
 }
 
-// enqueue makes a command pending. It reports false if one of the same key is pending, whose answer has to come first, or if the number
-// of commands in flight would let the leader drop results that are still wanted.
+// enqueue makes a command pending. It reports false if a command with the same key is pending, whose result has to arrive first. It also
+// reports false if there are so many commands in flight that the leader could drop a result before the client has received it.
 func (c *Client) enqueue(key string, command Command) bool {
 	if c.pending[key] != nil {
 		return false
@@ -124,8 +126,8 @@
 	return true
 }
 
-// sendPending adds to requests the pending commands that are due, in the order of their numbers. It returns the earlier of at and the
-// next retry.
+// sendPending appends the pending commands that are due to requests, in the order of their sequence numbers. It returns the earlier of at
+// and the time of the next retry.
 func (c *Client) sendPending(now time.Duration, requests []Request, at time.Duration) ([]Request, time.Duration) {
 	keys := slices.SortedFunc(maps.Keys(c.pending), func(a, b string) int {
 		return cmp.Compare(c.pending[a].Seq, c.pending[b].Seq)
@@ -143,7 +145,7 @@
 	return requests, at
 }
 
-// newRequest fills in a request and remembers it until its answer.
+// newRequest sets the ID, member and session of a request and records it in inFlight until its response.
 func (c *Client) newRequest(now time.Duration, sent sentRequest, r Request) Request {
 	c.lastRequestID++
 	sent.sentAt = now
--- a/internal/lease/client_responses.go
+++ b/internal/lease/client_responses.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// HandleResponse takes the answer to a request of Next. One that is no longer waited for is ignored.
+// HandleResponse processes the response to a request that Next returned. A response to an unknown or already answered request is ignored.
 func (c *Client) HandleResponse(r Response) {
 	sent, known := c.inFlight[r.ID]
 	if !known {
@@ -21,8 +21,8 @@
 	}
 }
 
-// handleKeepAlive extends validUntil by a keepalive that was sent at sentAt. The time counts from there, not from when the answer came:
-// the leader may have counted its TTL from just after the request was sent.
+// handleKeepAlive extends validUntil after a keepalive that was sent at sentAt. The validity counts from sentAt and not from the arrival of
+// the response, because the leader may have counted its TTL from just after the request was sent.
 func (c *Client) handleKeepAlive(sentAt time.Duration, r Response) {
 	if c.sessionID == 0 {
 		if r.Refusal == RefusedNoSession {
@@ -45,7 +45,7 @@
 	}
 }
 
-// applyHoldings replaces what the client knows of the session's leases.
+// applyHoldings replaces the known holdings of the session.
 func (c *Client) applyHoldings(h Holdings) {
 	c.holdingsVersion = h.Version
 	c.tokens = nonNilMap(maps.Clone(h.Tokens))
@@ -65,7 +65,7 @@
 	}
 }
 
-// requeueMissing asks again for the registered leases that are not held: they are waited for, or were revoked.
+// requeueMissing queues OpAcquire again for the registered leases that are not held: the session waits for them, or they were revoked.
 func (c *Client) requeueMissing() {
 	for _, name := range slices.Sorted(maps.Keys(c.wanted)) {
 		if w := c.wanted[name]; w.registered && c.tokens[name] == 0 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// loseSession drops a session that can't be renewed. All wanted leases are asked for again under the next one.
+// loseSession drops a session that can't be renewed. All wanted leases are requested again under the next session.
 func (c *Client) loseSession(reason Refusal) {
 	c.sessionID, c.holdingsVersion, c.validUntil, c.lastSeq = 0, 0, -1, 0
 	c.lastIDKnown, c.keepAliveAt = false, 0
@@ -96,7 +96,7 @@
 	c.superseded = reason == RefusedSuperseded
 }
 
-// handleResult takes the result of a pending command.
+// handleResult processes the result of a pending command.
 func (c *Client) handleResult(sent sentRequest, r Result) {
 	p := c.pending[sent.leaseName]
 	if p == nil || sent.isOpen != (p.Op == OpOpen) {
@@ -110,6 +110,7 @@
 	}
 }
 
+// applyResult updates the client's state after the result of a command.
 func (c *Client) applyResult(command Command, r Result) {
 	if r.Refusal == RefusedNoSession || r.Refusal == RefusedSuperseded {
 		c.loseSession(r.Refusal)
@@ -132,8 +133,9 @@
 	c.updateToken(command, r)
 }
 
+// handleOpened processes the result of OpOpen.
 func (c *Client) handleOpened(r Result) {
-	if r.Refusal != "" { // a newer session has the name
+	if r.Refusal != "" { // RefusedStale: the member has a newer session, so the next OpOpen needs a new nonce and KnownLastID
 		c.lastIDKnown = false
 		c.openCount++
 		return
@@ -142,14 +144,15 @@
 	c.refreshDue = true
 }
 
-// acquireSettled reports whether asking for the lease again would change nothing before the holdings do.
+// acquireSettled reports whether sending OpAcquire again would have no effect until the holdings change.
 func (r Result) acquireSettled() bool {
 	return r.Refusal == "" || r.Refusal == RefusedLimitMismatch || r.Refusal == RefusedLimitReached
 }
 
+// handleReleased processes the result of OpRelease or OpTransfer.
 func (c *Client) handleReleased(command Command, r Result) {
 	if command.Op == OpTransfer && r.Refusal == RefusedUnknownMember {
-		c.releasing[command.Name] = "" // to its queue instead
+		c.releasing[command.Name] = "" // release the lease to its queue instead
 		return
 	}
 	delete(c.releasing, command.Name)
@@ -159,7 +162,7 @@
 	}
 }
 
-// updateToken takes over the change of holdings by one command. If they have changed besides, only the whole holdings tell how.
+// updateToken applies the change of the holdings by one command. If another change came between, it requests the whole holdings instead.
 func (c *Client) updateToken(command Command, r Result) {
 	if r.Version == c.holdingsVersion {
 		return
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -7,31 +7,34 @@
 const (
 	OpOpen     Op = "open"    // opens a session of Member, identified by Nonce
 	OpAcquire  Op = "acquire" // grants the lease Name, or queues the session for it
-	OpRelease  Op = "release" // gives back the lease Name, or the place in its queue
-	OpTransfer Op = "pass"    // gives the lease Name to the member To, ahead of its queue
-	OpClose    Op = "close"   // ends the session and releases all that it has
-	OpExpire   Op = "expire"  // OpClose on behalf of the leader, whose Lessor found the session expired
-	OpRevoke   Op = "revoke"  // withdraws the lease Name from its holders on behalf of an operator
-	OpReclaim  Op = "free"    // frees a revoked lease on behalf of the leader, once its holder has surely stopped
+	OpRelease  Op = "release" // releases the lease Name, or leaves its queue
+	OpTransfer Op = "pass"    // transfers the lease Name to the member To, ahead of its queue
+	OpClose    Op = "close"   // ends the session and releases all its leases
+	OpExpire   Op = "expire"  // ends a session that the leader's Lessor found expired
+	OpRevoke   Op = "revoke"  // revokes the lease Name from its holders on behalf of an operator
+	OpReclaim  Op = "free"    // makes a revoked lease available again; proposed by the leader once the holder can't act on it any more
 )
 
-// Command changes the state. Commands are stored in the replicated log and applied by [StateMachine.Apply].
+// Command is a change of the [StateMachine]. Commands are stored in the replicated log and applied by [StateMachine.Apply].
 type Command struct {
 	Op     Op     `json:"op"`
 	Member string `json:"member,omitempty"`
 	// Nonce identifies one opening of a session by one start of a process (OpOpen).
 	Nonce string `json:"nonce,omitempty"`
-	// KnownLastID is StateMachine.LastID as the sender read it before it asked (OpOpen). A late copy of the command is told by it.
+	// KnownLastID is StateMachine.LastID as the sender read it before it sent the command (OpOpen). It identifies a late copy of the command.
 	KnownLastID uint64 `json:"after,omitempty"`
 	SessionID   uint64 `json:"session,omitempty"`
 	// Seq numbers the commands of a session from 1. A command that is sent again keeps its number.
 	Seq  uint64 `json:"seq,omitempty"`
 	Name string `json:"name,omitempty"`
-	// Limit is how many sessions may hold the lease at once (OpAcquire).
+	// Limit is the number of sessions that may hold the lease at once (OpAcquire).
 	Limit int `json:"limit,omitempty"`
 	// Wait queues the session if the lease is not free (OpAcquire).
-	Wait  bool   `json:"wait,omitempty"`
-	To    string `json:"to,omitempty"`
+	Wait bool `json:"wait,omitempty"`
+	// To is the member that receives the lease (OpTransfer).
+	To string `json:"to,omitempty"`
+	// Token is the fencing token of the grant to release, transfer, revoke or reclaim. 0 stands for any grant of the lease, except in
+	// OpReclaim.
 	Token uint64 `json:"token,omitempty"`
 }
 
@@ -41,14 +44,14 @@
 
 // Reasons for refusing a command or a keepalive.
 const (
-	RefusedNoSession     Refusal = "no such session"              // it has expired, or another process of that name took its place
-	RefusedSuperseded    Refusal = "another process has the name" // of two processes with one name, the one whose session was opened first
-	RefusedLimitReached  Refusal = "no room"                      // one of the Max constants
+	RefusedNoSession     Refusal = "no such session"              // it has expired, or another process of that name has replaced it
+	RefusedSuperseded    Refusal = "another process has the name" // a later session of the same member exists
+	RefusedLimitReached  Refusal = "no room"                      // one of the Max constants is reached
 	RefusedHeld          Refusal = "held by others"
 	RefusedLimitMismatch Refusal = "in use with another limit"
 	RefusedNotHeld       Refusal = "not held by this session"
 	RefusedUnknownMember Refusal = "no such member"
-	RefusedStale         Refusal = "asked too long ago" // a late copy, or its result is no longer kept
+	RefusedStale         Refusal = "asked too long ago" // a late copy, or a command whose result is no longer kept
 	RefusedMalformed     Refusal = "malformed"
 )
 
@@ -56,21 +59,21 @@
 type Result struct {
 	Refusal   Refusal `json:"why,omitempty"` // empty: it was applied
 	SessionID uint64  `json:"session,omitempty"`
-	// Token is the fencing token of the lease that is now held; 0: the session waits for it.
+	// Token is the fencing token of the lease if the session holds it now. 0: the session does not hold it.
 	Token uint64 `json:"token,omitempty"`
-	// QueuePosition counts from 1; 0: the session does not wait.
+	// QueuePosition is the session's place in the queue, from 1. 0: the session is not in the queue.
 	QueuePosition int `json:"place,omitempty"`
 	// Version and PreviousVersion are Session.Version after and before the command.
 	Version         uint64 `json:"version,omitempty"`
 	PreviousVersion uint64 `json:"before,omitempty"`
 }
 
-// Request is sent by a [Client] to the leader: a command, or without one a keepalive of its session.
+// Request is sent by a [Client] to the leader. It carries a command; a request without one is a keepalive of the session.
 type Request struct {
-	ID        uint64 `json:"id"` // the response bears it
+	ID        uint64 `json:"id"` // copied to the response
 	Member    string `json:"member"`
 	SessionID uint64 `json:"session,omitempty"`
-	// KnownVersion is the version of the holdings that the client has, in a keepalive.
+	// KnownVersion is the version of the client's holdings (keepalive).
 	KnownVersion uint64   `json:"have,omitempty"`
 	Command      *Command `json:"command,omitempty"`
 }
@@ -80,11 +83,11 @@
 	ID uint64 `json:"id"`
 	// Refusal is why a keepalive was refused.
 	Refusal Refusal `json:"why,omitempty"`
-	// LastID answers a keepalive without a session: it is the KnownLastID of the next OpOpen.
+	// LastID is StateMachine.LastID. A client without a session uses it as the KnownLastID of its next OpOpen.
 	LastID uint64 `json:"last,omitempty"`
-	// Result answers a command.
+	// Result is the result of a command.
 	Result *Result `json:"result,omitempty"`
-	// Holdings answers a keepalive whose KnownVersion is out of date.
+	// Holdings is set in the response to a keepalive whose KnownVersion is out of date.
 	Holdings *Holdings `json:"listing,omitempty"`
 }
 
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,16 +1,18 @@
-// Package lease decides who may act: it holds the replicated state of sessions, leases and their queues, the leader's deadlines of
-// sessions, and a process's own view of how long it may act. It has no I/O, clock or goroutine: events and the readings of the caller's
-// monotonic clock go in, decisions come out. Its types are not safe for concurrent use.
+// Package lease implements leases with fencing tokens. It contains the replicated state of sessions, leases and their queues
+// ([StateMachine]), the leader's session deadlines ([Lessor]), and the client side of a session ([Client]). It has no I/O, clock or
+// goroutine: the caller passes in events and readings of its monotonic clock, and gets back commands, requests and responses. Its types
+// are not safe for concurrent use.
 //
 // # Safety
 //
-// Two sessions never act on one exclusive lease at once, as long as no clock's rate is further from true time than Timing.MaxClockDrift:
+// No two sessions act on an exclusive lease at the same time, as long as the rate of every clock stays within Timing.MaxClockDrift of true
+// time:
 //
-//   - [Client] counts from before it sent a keepalive, and for Timing.ClientTTL.
-//   - [Lessor] counts from after a majority has confirmed that its process still leads, and for Timing.TTL.
-//   - A new leader lets every session that it finds live for a whole TTL.
-//   - ClientTTL is so much shorter than TTL that a slow clock at the client and a fast one at the leader can't turn one into the other.
+//   - [Client] counts its validity from before it sent a keepalive, for Timing.ClientTTL.
+//   - [Lessor] counts a session's life from after a majority has confirmed that its process is still the leader, for Timing.TTL.
+//   - A new leader keeps every live session for a whole TTL.
+//   - ClientTTL is shorter than TTL by enough to cover a slow clock at the client together with a fast clock at the leader.
 //
-// A holder that is paused beyond its ClientTTL finds out by its own clock that it may no longer act. What it sent before carries a
-// fencing token that is smaller than the one of the next holder. The proof is in docs/design/lease.md.
+// A holder that was paused for longer than its ClientTTL finds by its own clock that it may no longer act. A request that it sent before
+// the pause carries a smaller fencing token than those of the next holder. The proof is in docs/design/lease.md.
 package lease
--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// fingerprint is equal for states that differ in nothing but the size of their numbers: what matters is their order.
+// fingerprint returns a key of a state. States that differ only in the values of their IDs and tokens, but not in their order, have equal
+// keys.
 func fingerprint(m *StateMachine) string {
 	numbers := []uint64{}
 	for id, s := range m.Sessions {
@@ -45,7 +46,7 @@
 	return b.String()
 }
 
-// possibleCommands are all commands of the sessions of m, an operator and the leader; depth makes their nonces differ.
+// possibleCommands returns all commands that the sessions of m, an operator and the leader may send. depth makes the nonces of OpOpen differ.
 func possibleCommands(m *StateMachine, depth int) []Command {
 	var all []Command
 	for _, id := range slices.Sorted(maps.Keys(m.Sessions)) {
@@ -66,7 +67,8 @@
 	return all
 }
 
-// TestExhaustive plays every order of commands of three members on two leases, up to a depth, and logs how many states there are.
+// TestExhaustive checks the invariants in every state that three members and two leases can reach with up to depth commands. It logs the
+// number of states. The environment variable SORRELRUDDER_DEPTH sets the depth.
 func TestExhaustive(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("SORRELRUDDER_DEPTH")); err == nil {
@@ -106,6 +108,6 @@
 	}
 	t.Logf("%d states within %d steps, %d transitions", len(seen), depth, steps)
 	if len(seen) < 1000 {
-		t.Error("hardly anything was looked at")
+		t.Error("fewer than 1000 states were checked")
 	}
 }
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -6,7 +6,7 @@
 	"sorrelrudder/internal/goldentest"
 )
 
-// TestGoldenSnapshot: a snapshot is written and read as it was by earlier versions.
+// TestGoldenSnapshot checks that the encoding of a snapshot is the same as in earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
 	m := &StateMachine{
 		LastID: 9,
@@ -30,7 +30,7 @@
 	})
 }
 
-// TestStoredWords: the words that stand in entries, in the answers of sessions and in messages keep their spelling.
+// TestStoredWords checks the values of Op and Refusal, which log entries, stored results and messages contain.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct {
 		got  Op
@@ -39,7 +39,7 @@
 		{OpOpen, "open"}, {OpAcquire, "acquire"}, {OpRelease, "release"}, {OpTransfer, "pass"}, {OpClose, "close"}, {OpExpire, "expire"}, {OpRevoke, "revoke"}, {OpReclaim, "free"},
 	} {
 		if string(c.got) != c.want {
-			t.Errorf("%q was %q", c.got, c.want)
+			t.Errorf("stored value is %q, want %q", c.got, c.want)
 		}
 	}
 	for _, c := range []struct {
@@ -51,7 +51,7 @@
 		{RefusedStale, "asked too long ago"}, {RefusedMalformed, "malformed"},
 	} {
 		if string(c.got) != c.want {
-			t.Errorf("%q was %q", c.got, c.want)
+			t.Errorf("stored value is %q, want %q", c.got, c.want)
 		}
 	}
 }
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -17,7 +17,7 @@
 	case l == nil:
 		l = &Lease{Limit: c.Limit}
 		m.Leases[c.Name] = l
-	case l.Limit != c.Limit: // two configurations disagree: neither is followed silently
+	case l.Limit != c.Limit: // two configurations disagree, and the conflict has to be visible
 		return Result{Refusal: RefusedLimitMismatch}
 	}
 	if s.Waiting[c.Name] {
@@ -29,7 +29,7 @@
 	return Result{Token: m.grant(l, c.Name, c.SessionID, s)}
 }
 
-// enqueue puts a session at the end of the queue, if it wants to wait.
+// enqueue appends a session to the queue if the command has Wait set.
 func (l *Lease) enqueue(s *Session, c Command) Result {
 	if !c.Wait {
 		return Result{Refusal: RefusedHeld}
@@ -42,6 +42,7 @@
 	return Result{QueuePosition: len(l.Waiters)}
 }
 
+// grant adds a session to the holders of a lease under a new fencing token.
 func (m *StateMachine) grant(l *Lease, name string, sessionID uint64, s *Session) (token uint64) {
 	token = m.nextID()
 	l.Holders = append(l.Holders, Grant{SessionID: sessionID, Token: token})
@@ -50,7 +51,7 @@
 	return token
 }
 
-// grantWaiters grants a lease to its waiters as far as Limit allows, and drops it if nobody holds it.
+// grantWaiters grants a lease to its waiters in order, up to Limit holders. It deletes a lease without holders and waiters.
 func (m *StateMachine) grantWaiters(name string) {
 	l := m.Leases[name]
 	for len(l.Holders) < l.Limit && len(l.Waiters) > 0 {
@@ -66,7 +67,7 @@
 	}
 }
 
-// release gives back a lease, or the place in its queue.
+// release removes a session from the holders or from the queue of a lease.
 func (m *StateMachine) release(s *Session, c Command) Result {
 	switch {
 	case s.holds(c):
@@ -80,7 +81,7 @@
 	return Result{}
 }
 
-// transfer gives a lease to another member, ahead of its queue.
+// transfer grants a lease that a session holds to another member, ahead of its queue.
 func (m *StateMachine) transfer(s *Session, c Command) Result {
 	toID, to := m.SessionOf(c.To)
 	if to == nil || toID == c.SessionID {
@@ -101,14 +102,14 @@
 	return token != 0 && (c.Token == 0 || c.Token == token)
 }
 
-// dropToken takes a lease from a session that holds it.
+// dropToken removes a session from the holders of a lease.
 func (m *StateMachine) dropToken(s *Session, name string) {
 	m.Leases[name].removeHolder(s.Tokens[name])
 	delete(s.Tokens, name)
 	s.Version = m.nextID()
 }
 
-// grantAhead grants a lease that has room to a session, whether that waits for it or not.
+// grantAhead grants a lease with fewer than Limit holders to a session, ahead of the queue. The session need not be in the queue.
 func (m *StateMachine) grantAhead(name string, sessionID uint64, s *Session) {
 	if s.Tokens[name] != 0 {
 		return
@@ -122,15 +123,15 @@
 	m.markChanged(s)
 }
 
-// stopWaiting takes a session out of the queue of a lease.
+// stopWaiting removes a session from the queue of a lease.
 func (m *StateMachine) stopWaiting(sessionID uint64, s *Session, name string) {
 	delete(s.Waiting, name)
 	m.Leases[name].removeWaiter(sessionID)
 	m.grantWaiters(name)
 }
 
-// revoke withdraws a lease from the holder with the command's token, or from all holders if that is 0. The lease stays in use until
-// OpReclaim, since a holder may not have heard of it yet.
+// revoke revokes the grant with the command's token, or all grants of the lease if the token is 0. A revoked grant still counts as a holder
+// until OpReclaim, because its holder may not know of the revocation yet.
 func (m *StateMachine) revoke(c Command) Result {
 	l := m.Leases[c.Name]
 	if l == nil {
@@ -156,7 +157,7 @@
 	return Result{}
 }
 
-// reclaim frees the place of a revoked grant.
+// reclaim removes a revoked grant, so that the next waiter can have the lease.
 func (m *StateMachine) reclaim(c Command) Result {
 	l := m.Leases[c.Name]
 	if l == nil || !slices.ContainsFunc(l.Holders, func(g Grant) bool { return g.Revoked && g.Token == c.Token }) {
--- a/internal/lease/lessor_test.go
+++ b/internal/lease/lessor_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRevokedIsReclaimedLate: nobody else has a revoked lease before its holder has surely stopped, also under a new leader.
+// TestRevokedIsReclaimedLate checks that a revoked lease is granted again only after a whole TTL, when its former holder can't act on it
+// any more. A new leader waits for a whole TTL of its own.
 func TestRevokedIsReclaimedLate(t *testing.T) {
 	m := NewStateMachine()
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
@@ -21,38 +22,39 @@
 		l.Renew(time.Second-1, s)
 	}
 	if m.Sessions[b].Tokens["x"] != 0 {
-		t.Fatal("given away at once")
+		t.Fatal("the revoked lease was granted to the waiter before its reclaim")
 	}
 	if due := l.DueCommands(1100*time.Millisecond-1, m); len(due) != 0 {
-		t.Fatalf("too early: %+v", due)
+		t.Fatalf("commands are due less than a TTL after the revocation: %+v", due)
 	}
-	l = NewLessor(Timing{TTL: time.Second}, 1050*time.Millisecond, m) // another leads now
+	l = NewLessor(Timing{TTL: time.Second}, 1050*time.Millisecond, m) // the lessor of a new leader
 	if due := l.DueCommands(2050*time.Millisecond-1, m); len(due) != 0 {
-		t.Fatalf("too early for the new leader: %+v", due)
+		t.Fatalf("commands are due less than a TTL after the election of the new leader: %+v", due)
 	}
 	for _, c := range l.DueCommands(2050*time.Millisecond, m) {
 		m.Apply(c)
 	}
 	if m.Sessions[b] != nil && m.Sessions[b].Tokens["x"] == 0 {
-		t.Error("never given to the next")
+		t.Error("the reclaimed lease was not granted to the waiter")
 	}
 }
 
-// TestClientTTL: for all drifts a holder's clock at its slowest counts its budget before a leader's at its fastest counts the term.
+// TestClientTTL checks that ClientTTL on the slowest clock within the drift ends before TTL on the fastest.
 func TestClientTTL(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Timing{
+		timing := Timing{
 			TTL:           time.Duration(rapid.Int64Range(int64(50*time.Millisecond), int64(time.Hour)).Draw(t, "term")),
 			MaxClockDrift: rapid.Float64Range(0, 0.2).Draw(t, "drift"),
 		}
-		holder := float64(r.ClientTTL()) / (1 - r.MaxClockDrift)
-		if leader := float64(r.TTL) / (1 + r.MaxClockDrift); holder > leader*(1+1e-9) {
-			t.Fatalf("%+v: the holder stops after %v, the leader gives it away after %v", r, holder, leader)
+		holder := float64(timing.ClientTTL()) / (1 - timing.MaxClockDrift)
+		if leader := float64(timing.TTL) / (1 + timing.MaxClockDrift); holder > leader*(1+1e-9) {
+			t.Fatalf("%+v: the holder stops after %v of true time, the leader grants the lease again after %v", timing, holder, leader)
 		}
 	})
 }
 
-// TestExpiredIsNotRenewed: what was told as ended can't be renewed any more, also before the log says so.
+// TestExpiredIsNotRenewed checks that a session can't be renewed once its expiry was proposed, even before the command is applied. A
+// renewal in between would let a client act on leases that are granted to another session.
 func TestExpiredIsNotRenewed(t *testing.T) {
 	m := NewStateMachine()
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
@@ -61,9 +63,9 @@
 		t.Fatalf("%+v", due)
 	}
 	if l.Renew(time.Second, a) {
-		t.Error("renewed after its end was proposed")
+		t.Error("the session was renewed after its expiry was proposed")
 	}
 	if due := l.DueCommands(2*time.Second, m); len(due) != 0 {
-		t.Error("proposed twice")
+		t.Error("the expiry is due a second time")
 	}
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// openSession opens a session. An older session of the same member is superseded: it is not renewed, but lives until the leader finds
-// it expired, since its process may only be paused.
+// openSession opens a session, or returns the one that the same nonce opened. Older sessions of the member are superseded: they can't be
+// renewed, but keep their leases until they expire, because their process may only be paused.
 func (m *StateMachine) openSession(c Command) Result {
 	if c.Member == "" || c.Nonce == "" {
 		return Result{Refusal: RefusedMalformed}
@@ -24,7 +24,7 @@
 	}
 	for id, s := range m.Sessions {
 		if s.Member == c.Member && id > c.KnownLastID {
-			return Result{Refusal: RefusedStale} // the sender, or another process of its name, has a session since
+			return Result{Refusal: RefusedStale} // the member has opened a session since the sender read LastID
 		}
 	}
 	m.supersede(c.Member)
@@ -35,7 +35,7 @@
 	return Result{SessionID: id, Version: id}
 }
 
-// supersede marks the sessions of a member as superseded and takes them out of all queues.
+// supersede marks the sessions of a member as superseded and removes them from all queues.
 func (m *StateMachine) supersede(member string) {
 	for id, s := range m.Sessions {
 		if s.Member != member || s.Superseded {
@@ -62,7 +62,7 @@
 			names = append(names, name)
 		}
 	}
-	slices.Sort(names) // the replicas must agree on the order of the tokens
+	slices.Sort(names) // the order of the grants, and with it their tokens, must be the same at all replicas
 	for _, name := range slices.Compact(names) {
 		l := m.Leases[name]
 		l.Holders = slices.DeleteFunc(l.Holders, func(g Grant) bool { return g.SessionID == id })
--- a/internal/lease/snapshot.go
+++ b/internal/lease/snapshot.go
@@ -8,12 +8,13 @@
 )
 
 // ErrInvalidSnapshot is wrapped by the errors of [Restore].
-var ErrInvalidSnapshot = errors.New("lease: snapshot")
+var ErrInvalidSnapshot = errors.New("lease: invalid snapshot")
 
-// Snapshot returns the whole state in its stored form; equal states have equal bytes.
+// Snapshot returns the JSON encoding of the whole state. Equal states have equal encodings.
 func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(m) }
 
-// Restore reads what Snapshot wrote. It fails with ErrInvalidSnapshot for data that breaks an invariant of [StateMachine].
+// Restore decodes the result of Snapshot. It returns ErrInvalidSnapshot for data that can't be decoded or that breaks an invariant of
+// [StateMachine].
 func Restore(data []byte) (*StateMachine, error) {
 	m := NewStateMachine()
 	if err := json.Unmarshal(data, m); err != nil {
@@ -22,10 +23,10 @@
 	return m, m.validate()
 }
 
-// validate checks all that Apply takes for granted, and replaces the nil maps of sessions.
+// validate checks the invariants that Apply relies on, and replaces the nil maps of sessions by empty ones.
 func (m *StateMachine) validate() error {
 	if m.Sessions == nil || m.Leases == nil || m.Revoked == nil {
-		return fmt.Errorf("%w: sessions, names or revocations are missing", ErrInvalidSnapshot)
+		return fmt.Errorf("%w: field sessions, names or revoked is missing", ErrInvalidSnapshot)
 	}
 	for id, s := range m.Sessions {
 		if err := m.validateSession(id, s); err != nil {
@@ -42,13 +43,13 @@
 
 func (m *StateMachine) validateSession(id uint64, s *Session) error {
 	if s == nil || id > m.LastID || s.Results == nil && s.LastSeq > 0 {
-		return fmt.Errorf("%w: session %d is not whole", ErrInvalidSnapshot, id)
+		return fmt.Errorf("%w: session %d is null, lacks its results or has an ID above the last one", ErrInvalidSnapshot, id)
 	}
 	s.Results, s.Tokens, s.Waiting = nonNilMap(s.Results), nonNilMap(s.Tokens), nonNilMap(s.Waiting)
 	for name, token := range s.Tokens {
 		l := m.Leases[name]
 		if l == nil || !slices.ContainsFunc(l.Holders, func(g Grant) bool { return g.Token == token && g.SessionID == id }) {
-			return fmt.Errorf("%w: session %d holds %q, which does not know of it", ErrInvalidSnapshot, id, name)
+			return fmt.Errorf("%w: session %d has a token for lease %q, but is not among its holders", ErrInvalidSnapshot, id, name)
 		}
 	}
 	return nil
@@ -56,21 +57,22 @@
 
 func (m *StateMachine) validateLease(name string, l *Lease) error {
 	if l == nil {
-		return fmt.Errorf("%w: name %q is not whole", ErrInvalidSnapshot, name)
+		return fmt.Errorf("%w: lease %q is null", ErrInvalidSnapshot, name)
 	}
 	for _, g := range l.Holders {
 		if m.Sessions[g.SessionID] == nil || g.Token > m.LastID || g.Revoked != (m.Revoked[g.Token] == name) {
-			return fmt.Errorf("%w: a holder of %q is not whole", ErrInvalidSnapshot, name)
+			return fmt.Errorf("%w: lease %q has a holder with an unknown session or an inconsistent token", ErrInvalidSnapshot, name)
 		}
 	}
 	for _, id := range l.Waiters {
 		if m.Sessions[id] == nil || !m.Sessions[id].Waiting[name] {
-			return fmt.Errorf("%w: one that waits for %q is not whole", ErrInvalidSnapshot, name)
+			return fmt.Errorf("%w: lease %q has a waiter that is unknown or not marked as waiting", ErrInvalidSnapshot, name)
 		}
 	}
 	return nil
 }
 
+// nonNilMap returns m, or an empty map for nil.
 func nonNilMap[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return map[K]V{}
--- a/internal/lease/snapshot_test.go
+++ b/internal/lease/snapshot_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzRestore: what is read from a disk or a peer is refused, or can be worked with.
+// FuzzRestore checks that Restore either rejects a snapshot from a disk or a peer with ErrInvalidSnapshot, or returns a state to which Apply
+// can apply commands without a panic.
 func FuzzRestore(f *testing.F) {
 	m := NewStateMachine()
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
@@ -20,7 +21,7 @@
 		m, err := Restore(data)
 		if err != nil {
 			if !errors.Is(err, ErrInvalidSnapshot) {
-				t.Errorf("refused with %v", err)
+				t.Errorf("Restore failed with %v, want ErrInvalidSnapshot", err)
 			}
 			return
 		}
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Bounds of the replicated state. A command that would exceed one is refused with RefusedLimitReached, or RefusedMalformed for a name.
+// Bounds of the replicated state. A command that would exceed MaxSessions, MaxLeases or MaxWaitersPerLease is refused with
+// RefusedLimitReached. A command with a Limit above MaxHoldersPerLease or a name longer than MaxNameLen is refused with RefusedMalformed.
 const (
 	MaxSessions        = 8192
 	MaxLeases          = 65536
@@ -14,36 +15,40 @@
 	MaxNameLen         = 128 // bytes of the name of a lease or a member
 )
 
-// maxResults is how many results are kept for each session, so that a command that is sent again has the same result. A client has half
-// as many commands in flight at most.
+// maxResults is the number of results that are kept for each session, so that a command that is sent again has the same result. A client
+// has at most half as many commands in flight.
 const maxResults = 128
 
-// StateMachine is the replicated state of sessions and leases: equal commands in equal order make equal state machines.
+// StateMachine is the replicated state of sessions and leases. It is deterministic: the same commands in the same order lead to the same
+// state. It is not safe for concurrent use.
 //
-// Invariants: a lease has at most Limit holders; it has waiters only if it has Limit holders; it is dropped once it has neither;
-// Session.Tokens and Session.Waiting agree with Lease.Holders and Lease.Waiters; a revoked grant is in Revoked and not in
-// Session.Tokens; tokens only grow, whatever lease they are of.
+// Invariants:
+//   - A lease has at most Limit holders. It has waiters only while it has Limit holders.
+//   - A lease without holders and waiters is deleted.
+//   - Session.Tokens and Session.Waiting agree with Lease.Holders and Lease.Waiters.
+//   - A revoked grant is in Revoked and not in Session.Tokens.
+//   - Fencing tokens increase strictly over all leases.
 type StateMachine struct {
-	// LastID is the largest number given out. Sessions, tokens and versions share one sequence.
+	// LastID is the largest number allocated. Session IDs, fencing tokens and versions share one sequence.
 	LastID   uint64              `json:"last"`
 	Sessions map[uint64]*Session `json:"sessions"`
 	Leases   map[string]*Lease   `json:"names"`
-	// Revoked has the names of leases by the tokens that were revoked and not yet reclaimed.
+	// Revoked maps the tokens that were revoked and not yet reclaimed to the names of their leases.
 	Revoked map[uint64]string `json:"revoked"`
 
-	// changedMembers are the members that TakeChangedMembers returns. It is not part of the replicated state.
+	// changedMembers holds the members that TakeChangedMembers returns. It is not part of the replicated state.
 	changedMembers map[string]bool
 }
 
-// Session is one opening of a session by one member.
+// Session is a session of a member.
 type Session struct {
 	Member     string            `json:"member"`
 	Nonce      string            `json:"nonce"`
-	Superseded bool              `json:"superseded,omitempty"` // a newer session of the member exists; this one is not renewed
+	Superseded bool              `json:"superseded,omitempty"` // a newer session of the member exists, and this one can't be renewed
 	Version    uint64            `json:"version"`              // grows with each change of Tokens
 	LastSeq    uint64            `json:"seq"`                  // the largest Command.Seq that was applied
 	Results    map[uint64]Result `json:"answers,omitempty"`    // by Command.Seq
-	Tokens     map[string]uint64 `json:"holds,omitempty"`      // by lease name, without revoked ones
+	Tokens     map[string]uint64 `json:"holds,omitempty"`      // fencing tokens by lease name, without revoked ones
 	Waiting    map[string]bool   `json:"waits,omitempty"`      // by lease name
 }
 
@@ -51,13 +56,13 @@
 type Lease struct {
 	Limit   int      `json:"limit"`
 	Holders []Grant  `json:"holders,omitempty"`
-	Waiters []uint64 `json:"waiters,omitempty"` // session IDs, first in, first out
+	Waiters []uint64 `json:"waiters,omitempty"` // session IDs in FIFO order
 }
 
 // Grant is one holder of a lease.
 type Grant struct {
 	SessionID uint64 `json:"session"`
-	Token     uint64 `json:"token"` // fencing token, larger than all that were given before
+	Token     uint64 `json:"token"` // fencing token, larger than all earlier ones of any lease
 	Revoked   bool   `json:"revoked,omitempty"`
 }
 
@@ -66,7 +71,7 @@
 	return &StateMachine{Sessions: map[uint64]*Session{}, Leases: map[string]*Lease{}, Revoked: map[uint64]string{}}
 }
 
-// SessionOf returns the ID and the session of a member that is not superseded, or 0 and nil.
+// SessionOf returns the ID and the session of a member, or 0 and nil without one. Superseded sessions are ignored.
 func (m *StateMachine) SessionOf(member string) (uint64, *Session) {
 	newest := uint64(0)
 	for id, s := range m.Sessions {
@@ -77,8 +82,8 @@
 	return newest, m.Sessions[newest]
 }
 
-// HoldingsOf returns the leases of a session; only their version if that is knownVersion. The refusal is set if the session can't be
-// renewed.
+// HoldingsOf returns the leases of a session. If their version equals knownVersion, only the version is set. The refusal is set if the
+// session can't be renewed.
 func (m *StateMachine) HoldingsOf(sessionID, knownVersion uint64) (Holdings, Refusal) {
 	s := m.Sessions[sessionID]
 	switch {
@@ -93,13 +98,14 @@
 	return Holdings{s.Version, maps.Clone(s.Tokens)}, ""
 }
 
-// TakeChangedMembers returns, sorted, the members whose leases have changed without a command of their own since the last call.
+// TakeChangedMembers returns the sorted members whose leases have changed since the last call other than by a command of their own.
 func (m *StateMachine) TakeChangedMembers() []string {
 	members := slices.Sorted(maps.Keys(m.changedMembers))
 	m.changedMembers = nil
 	return members
 }
 
+// markChanged records that TakeChangedMembers is to return the session's member.
 func (m *StateMachine) markChanged(s *Session) {
 	if m.changedMembers == nil {
 		m.changedMembers = map[string]bool{}
@@ -107,12 +113,13 @@
 	m.changedMembers[s.Member] = true
 }
 
+// nextID allocates the next number for a session ID, token or version.
 func (m *StateMachine) nextID() uint64 {
 	m.LastID++
 	return m.LastID
 }
 
-// Apply carries out a command of the replicated log.
+// Apply applies a committed command and returns its result.
 func (m *StateMachine) Apply(c Command) Result {
 	if len(c.Name) > MaxNameLen || len(c.Member) > MaxNameLen || len(c.Nonce) > MaxNameLen || len(c.To) > MaxNameLen {
 		return Result{Refusal: RefusedMalformed}
@@ -131,7 +138,7 @@
 	return m.applyOnce(c)
 }
 
-// applyOnce carries out a command of a session, unless its result is known from before.
+// applyOnce applies a command of a session. A command that was applied before has its stored result again and changes nothing.
 func (m *StateMachine) applyOnce(c Command) Result {
 	s := m.Sessions[c.SessionID]
 	switch {
@@ -158,6 +165,7 @@
 	return r
 }
 
+// applyToLease applies a command on a lease.
 func (m *StateMachine) applyToLease(s *Session, c Command) Result {
 	switch c.Op {
 	case OpAcquire:
@@ -170,7 +178,7 @@
 	return Result{Refusal: RefusedMalformed}
 }
 
-// keepResult stores the result of a command and drops those that are too old to be asked for again.
+// keepResult stores the result of a command and drops the results of commands that are too old to be sent again.
 func (s *Session) keepResult(seq uint64, r Result) {
 	s.LastSeq = max(s.LastSeq, seq)
 	s.Results[seq] = r
--- a/internal/lease/state_test.go
+++ b/internal/lease/state_test.go
@@ -17,29 +17,30 @@
 		return err
 	}
 	tokens := map[uint64]bool{}
-	for name, e := range m.Leases {
-		if len(e.Holders) > e.Limit {
-			return fmt.Errorf("%d hold %q, of which %d may", len(e.Holders), name, e.Limit)
+	for name, l := range m.Leases {
+		if len(l.Holders) > l.Limit {
+			return fmt.Errorf("%d sessions hold lease %q, above its limit of %d", len(l.Holders), name, l.Limit)
 		}
-		if len(e.Waiters) > 0 && len(e.Holders) < e.Limit {
-			return fmt.Errorf("some wait for %q, which is free", name)
+		if len(l.Waiters) > 0 && len(l.Holders) < l.Limit {
+			return fmt.Errorf("lease %q has waiters and fewer holders than its limit", name)
 		}
-		if len(e.Holders)+len(e.Waiters) == 0 {
-			return fmt.Errorf("%q is kept for nobody", name)
+		if len(l.Holders)+len(l.Waiters) == 0 {
+			return fmt.Errorf("lease %q has no holders and no waiters, but exists", name)
 		}
-		for _, h := range e.Holders {
-			if tokens[h.Token] {
-				return fmt.Errorf("token %d was given twice", h.Token)
+		for _, g := range l.Holders {
+			if tokens[g.Token] {
+				return fmt.Errorf("token %d was granted twice", g.Token)
 			}
-			tokens[h.Token] = true
-			if got := m.Sessions[h.SessionID].Tokens[name]; (got == h.Token) == h.Revoked {
-				return fmt.Errorf("%q: the holder by %d and its session disagree", name, h.Token)
+			tokens[g.Token] = true
+			if got := m.Sessions[g.SessionID].Tokens[name]; (got == g.Token) == g.Revoked {
+				return fmt.Errorf("lease %q: the grant with token %d disagrees with its session", name, g.Token)
 			}
 		}
 	}
 	return nil
 }
 
+// drawCommand draws a command of an existing or unknown session, an operator or the leader.
 func drawCommand(t *rapid.T, m *StateMachine) Command {
 	sessions := append([]uint64{99}, slices.Sorted(maps.Keys(m.Sessions))...)
 	c := Command{
@@ -63,12 +64,12 @@
 	return c
 }
 
-// TestStateMachine holds for every order of commands: no more holders than may be, tokens that only grow, nobody who waits for what is free,
-// and a copy made by a snapshot that goes on as the original.
+// TestStateMachine checks for random sequences of commands that the invariants hold, that fencing tokens increase, and that a state
+// machine restored from a snapshot returns the same results as the original.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine()
-		given := map[uint64]bool{}
+		granted := map[uint64]bool{}
 		var last uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c := drawCommand(t, m)
@@ -80,21 +81,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, again := m.Apply(c), copied.Apply(c)
-			if r != again {
-				t.Fatalf("%+v: %+v, and of a copy %+v", c, r, again)
+			r, fromCopy := m.Apply(c), copied.Apply(c)
+			if r != fromCopy {
+				t.Fatalf("%+v: result %+v, at the restored copy %+v", c, r, fromCopy)
 			}
 			if err := checkInvariants(m); err != nil {
 				t.Fatalf("after %+v: %v", c, err)
 			}
 			newest := last
-			for _, e := range m.Leases {
-				for _, h := range e.Holders {
-					if !given[h.Token] && h.Token <= last {
-						t.Fatalf("%+v: token %d after %d", c, h.Token, last)
+			for _, l := range m.Leases {
+				for _, g := range l.Holders {
+					if !granted[g.Token] && g.Token <= last {
+						t.Fatalf("%+v: granted token %d after token %d", c, g.Token, last)
 					}
-					given[h.Token] = true
-					newest = max(newest, h.Token)
+					granted[g.Token] = true
+					newest = max(newest, g.Token)
 				}
 			}
 			last = newest
@@ -102,7 +103,8 @@
 	})
 }
 
-// TestCommandSentAgain: the answer to a command whose first answer was lost is the same, whatever has happened to others since.
+// TestCommandSentAgain checks that a repeated command has the same result as the first time and changes nothing. A client repeats a command
+// whose response was lost.
 func TestCommandSentAgain(t *testing.T) {
 	m := NewStateMachine()
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
@@ -110,19 +112,19 @@
 	c := Command{Op: OpAcquire, SessionID: a, Seq: 1, Name: "x", Limit: 1}
 	first := m.Apply(c)
 	m.Apply(Command{Op: OpAcquire, SessionID: b, Seq: 1, Name: "x", Limit: 1, Wait: true})
-	if again := m.Apply(c); again != first || first.Token == 0 {
-		t.Errorf("%+v, and asked again %+v", first, again)
+	if repeated := m.Apply(c); repeated != first || first.Token == 0 {
+		t.Errorf("first result %+v, result of the repeated command %+v", first, repeated)
 	}
 	m.Apply(Command{Op: OpRelease, SessionID: a, Seq: 2, Name: "x"})
-	if again := m.Apply(c); again != first {
-		t.Errorf("after its release: %+v", again)
+	if repeated := m.Apply(c); repeated != first {
+		t.Errorf("result of the repeated command after the release: %+v", repeated)
 	}
 	if m.Sessions[a].Tokens["x"] != 0 || m.Sessions[b].Tokens["x"] == 0 {
-		t.Error("a late copy took the lease back")
+		t.Error("a late copy of OpAcquire took the lease from its new holder")
 	}
 }
 
-// TestLateOpen: a copy of an old Open that arrives when the process has a newer session must not take its place.
+// TestLateOpen checks that a late copy of OpOpen does not supersede a newer session of the same member.
 func TestLateOpen(t *testing.T) {
 	m := NewStateMachine()
 	old := Command{Op: OpOpen, Member: "a", Nonce: "start/0", KnownLastID: m.LastID}
@@ -130,32 +132,33 @@
 	m.Apply(Command{Op: OpExpire, SessionID: s})
 	next := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "start/1", KnownLastID: m.LastID})
 	if r := m.Apply(old); r.Refusal != RefusedStale {
-		t.Errorf("the late copy: %+v", r)
+		t.Errorf("result of the late copy: %+v, want RefusedStale", r)
 	}
-	if _, why := m.HoldingsOf(next.SessionID, 0); why != "" {
-		t.Errorf("the session in force: %v", why)
+	if _, refusal := m.HoldingsOf(next.SessionID, 0); refusal != "" {
+		t.Errorf("the newer session can't be renewed: %v", refusal)
 	}
 }
 
-// TestSupersededSession: the older of two processes with one name gets nothing more, and keeps what it has until it has surely stopped.
+// TestSupersededSession checks that a superseded session can't be renewed, but keeps its lease until it expires. Its process may still act
+// on the lease until then, so the newer session has to wait.
 func TestSupersededSession(t *testing.T) {
 	m := NewStateMachine()
 	older := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "old"}).SessionID
 	m.Apply(Command{Op: OpAcquire, SessionID: older, Seq: 1, Name: "x", Limit: 1})
 	newer := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "new", KnownLastID: m.LastID}).SessionID
 	if r := m.Apply(Command{Op: OpAcquire, SessionID: newer, Seq: 1, Name: "x", Limit: 1, Wait: true}); r.Token != 0 || r.QueuePosition != 1 {
-		t.Errorf("the newer has it at once: %+v", r)
+		t.Errorf("the newer session is not queued behind the superseded one: %+v", r)
 	}
-	if _, why := m.HoldingsOf(older, 0); why != RefusedSuperseded {
-		t.Errorf("the older can be renewed: %v", why)
+	if _, refusal := m.HoldingsOf(older, 0); refusal != RefusedSuperseded {
+		t.Errorf("refusal for the superseded session is %q, want RefusedSuperseded", refusal)
 	}
 	m.Apply(Command{Op: OpExpire, SessionID: older})
 	if m.Sessions[newer].Tokens["x"] == 0 {
-		t.Error("the newer does not get it once the older has ended")
+		t.Error("the newer session does not hold the lease after the superseded one has expired")
 	}
 }
 
-// TestQueueOrder: they are served in their order, each once, and beyond the bound nobody waits.
+// TestQueueOrder checks that waiters are granted the lease in the order of their requests, and that a full queue refuses further sessions.
 func TestQueueOrder(t *testing.T) {
 	m := NewStateMachine()
 	var sessions []uint64
@@ -169,7 +172,7 @@
 	}
 	for i, s := range sessions[:1000] {
 		if m.Leases["x"].Holders[0].SessionID != s {
-			t.Fatalf("turn %d is not its", i)
+			t.Fatalf("waiter %d does not hold the lease at its turn", i)
 		}
 		m.Apply(Command{Op: OpRelease, SessionID: s, Seq: 2, Name: "x"})
 	}
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -9,38 +9,39 @@
 // maxDrift is the largest Timing.MaxClockDrift that Validate accepts.
 const maxDrift = 0.2
 
-// Timing are the durations that all processes of a fleet must agree on. Nothing checks that: a client with a longer TTL than the leader's
-// acts on its lease after that was granted to another.
+// Timing holds the durations that all processes of a fleet must agree on. The agreement is not checked: a client with a longer TTL than the
+// leader's acts on a lease that the leader has already granted to another session.
 type Timing struct {
-	// TTL is how long the leader lets a session live after a keepalive, by the leader's clock.
+	// TTL is how long the leader keeps a session after a keepalive, by the leader's clock.
 	TTL time.Duration
-	// MaxClockDrift bounds how far the rate of any clock is from true time, as a fraction: 0.01 allows a clock to run 1% fast or slow.
-	// Beyond it only the fencing tokens protect.
+	// MaxClockDrift bounds the deviation of any clock's rate from true time, as a fraction: 0.01 allows a clock to run 1% fast or slow.
+	// With a larger deviation only the fencing tokens protect against two holders.
 	MaxClockDrift float64
-	// SafetyMargin shortens ClientTTL by the time that may pass between reading the clock and acting on it.
+	// SafetyMargin shortens ClientTTL to cover the time between reading the clock and acting on the reading.
 	SafetyMargin time.Duration
 }
 
-// ClientTTL is how long a client may act after it sent a keepalive that succeeded, by its own clock. A slow clock counts ClientTTL in
-// less true time than a fast one counts TTL.
+// ClientTTL returns how long a client may act on its leases after it sent a successful keepalive, by its own clock. ClientTTL on a slow
+// clock takes less true time than TTL on a fast clock.
 func (t Timing) ClientTTL() time.Duration {
 	return time.Duration(float64(t.TTL)*(1-t.MaxClockDrift)/(1+t.MaxClockDrift)) - t.SafetyMargin
 }
 
-// KeepAliveInterval is the time between two keepalives: three may be lost before the session expires.
+// KeepAliveInterval returns the time between two keepalives. It is a quarter of ClientTTL, so three successive keepalives may be lost
+// before the client has to stop acting.
 func (t Timing) KeepAliveInterval() time.Duration { return t.ClientTTL() / 4 }
 
-// Validate returns an error that names the value that can't be used.
+// Validate returns an error that names the first invalid value, or nil.
 func (t Timing) Validate() error {
 	switch {
 	case t.TTL <= 0:
-		return errors.New("the term is not above 0")
+		return errors.New("the term must be above 0")
 	case !(t.MaxClockDrift >= 0 && t.MaxClockDrift <= maxDrift): // also NaN
-		return fmt.Errorf("the drift is %v, outside 0 to %v", t.MaxClockDrift, maxDrift)
+		return fmt.Errorf("the drift is %v, it must be from 0 to %v", t.MaxClockDrift, maxDrift)
 	case t.SafetyMargin < 0:
-		return errors.New("the guard is below 0")
+		return errors.New("the guard must not be negative")
 	case t.ClientTTL() < t.TTL/4:
-		return fmt.Errorf("of a term of %v, %v are left to a holder after drift and guard, less than a quarter", t.TTL, t.ClientTTL())
+		return fmt.Errorf("of a term of %v, drift and guard leave %v to a lease holder; at least a quarter is required", t.TTL, t.ClientTTL())
 	}
 	return nil
 }
