--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/lease"
 )
 
-// applyEntry applies a committed entry, and answers its request if this node proposed it.
+// applyEntry applies a committed entry, and answers its request if this node proposed it in the current term.
 func (n *Node) applyEntry(e *raftpb.Entry) error {
 	n.appliedIndex = e.GetIndex()
 	switch e.GetType() {
@@ -26,10 +26,10 @@
 		return fmt.Errorf("%w: entry %d: %w", ErrInvalidLog, e.GetIndex(), err)
 	}
 	if p.Term != e.GetTerm() {
-		return nil // void, see proposal.Term
+		return nil // not valid in this term, see proposal.Term
 	}
 	if n.machine == nil {
-		return fmt.Errorf("%w: entry %d comes before any state", ErrInvalidLog, e.GetIndex())
+		return fmt.Errorf("%w: entry %d was committed before any snapshot", ErrInvalidLog, e.GetIndex())
 	}
 	answer := n.applyProposal(p)
 	changed := n.machine.Leases.TakeChangedMembers()
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// becomeLeader starts the lessor at the first entry of this node's own term: all that earlier leaders left is applied now. Later empty
-// entries stand for configuration changes that the library has refused; what this leader has judged since must not be forgotten.
+// becomeLeader creates the lessor at the first empty entry of this node's own term, when all entries of earlier leaders have been applied.
+// A later empty entry replaces a configuration change that the raft library has refused. The lessor is kept then, because it holds the
+// expiries that this leader has already proposed.
 func (n *Node) becomeLeader(e *raftpb.Entry) {
 	if n.lessor == nil && n.role == raft.StateLeader && e.GetTerm() == n.term && n.machine != nil {
 		n.lessor = lease.NewLessor(n.cfg.LeaseTiming, n.now, n.machine.Leases)
@@ -51,7 +52,7 @@
 	}
 }
 
-// applyProposal carries out the command of a proposal.
+// applyProposal applies the command of a proposal to the state machine.
 func (n *Node) applyProposal(p proposal) Response {
 	var answer Response
 	switch {
@@ -78,7 +79,7 @@
 	return answer
 }
 
-// answerProposal answers the request of a proposal of this leadership.
+// answerProposal answers the request of a proposal that this node made in the current term.
 func (n *Node) answerProposal(p proposal, answer Response) {
 	pending, own := n.proposals[p.ID]
 	if !own || p.Term != n.term {
--- a/internal/consensus/confchange.go
+++ b/internal/consensus/confchange.go
@@ -11,14 +11,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxCatchUpLag is how many entries a learner may be behind the committed index to be made a voter.
+// maxCatchUpLag is the largest number of entries that a learner may be behind the committed index to become a voter.
 const maxCatchUpLag = 64
 
-// nextConfChange returns the next step from the current configuration to the one that m wants, nil if there is none. New IDs become
-// learners first; then one ID at a time gets a vote, by joint consensus in place of one that loses it; then what is obsolete goes.
+// nextConfChange returns the next step from the current raft configuration to the one that m specifies, or nil if no step is possible or
+// needed. The steps have this order:
+//  1. Each new ID is added as a learner.
+//  2. One learner at a time becomes a voter. If an obsolete voter exists, it is removed in the same step by joint consensus.
+//  3. The remaining obsolete IDs are removed.
 func (m *StateMachine) nextConfChange(current *raftpb.ConfState, caughtUp func(id uint64) bool) *raftpb.ConfChangeV2 {
 	if len(current.GetVotersOutgoing()) > 0 {
-		return nil // the library leaves the joint configuration by itself
+		return nil // the raft library leaves the joint configuration by itself
 	}
 	votes := votesByID(current)
 	voters := m.votingIDs()
@@ -40,7 +43,7 @@
 	return removal(voters, obsolete, votes)
 }
 
-// votesByID has the IDs of a configuration, and whether each votes.
+// votesByID maps each ID of a configuration to whether it is a voter.
 func votesByID(c *raftpb.ConfState) map[uint64]bool {
 	votes := map[uint64]bool{}
 	for _, id := range c.GetLearners() {
@@ -52,7 +55,7 @@
 	return votes
 }
 
-// wantedIDs are the IDs that are to be in the configuration: first those that are to vote, then the learners by member name.
+// wantedIDs returns the IDs that the configuration is to contain: first the voters, then the learners by member name.
 func (m *StateMachine) wantedIDs(voters []uint64) []uint64 {
 	wanted := slices.Clone(voters)
 	for _, name := range slices.Sorted(maps.Keys(m.Voters)) {
@@ -63,8 +66,8 @@
 	return wanted
 }
 
-// promotion gives a vote to the first learner that is to vote and has caught up. The first obsolete voter goes in the same step, so that
-// there are never more voters than wanted.
+// promotion returns the change that makes a voter of the first learner that is to vote and has caught up. If the first obsolete ID is a
+// voter, the same change removes it, so that there are never more voters than wanted.
 func promotion(voters, obsolete []uint64, votes map[uint64]bool, caughtUp func(id uint64) bool) *raftpb.ConfChangeV2 {
 	for _, id := range voters {
 		if votes[id] || !caughtUp(id) {
@@ -79,7 +82,7 @@
 	return nil
 }
 
-// removal takes out the first obsolete ID. One that votes stays until all that are to vote do.
+// removal returns the change that removes the first obsolete ID. An obsolete voter stays until all wanted voters vote.
 func removal(voters, obsolete []uint64, votes map[uint64]bool) *raftpb.ConfChangeV2 {
 	incomplete := slices.ContainsFunc(voters, func(id uint64) bool { return !votes[id] })
 	for _, id := range obsolete {
@@ -91,15 +94,17 @@
 	return nil
 }
 
+// confChange returns a configuration change with one step.
 func confChange(c *raftpb.ConfChangeSingle) *raftpb.ConfChangeV2 {
 	return &raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{c}}
 }
 
+// confChangeSingle returns the step of type t for a raft ID.
 func confChangeSingle(t raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
 	return &raftpb.ConfChangeSingle{Type: t.Enum(), NodeId: &id}
 }
 
-// proposeConfChange proposes the next step of the configuration. A step that raft drops is proposed again later.
+// proposeConfChange proposes the next step of the configuration. A step that the raft library drops is proposed again later.
 func (n *Node) proposeConfChange() {
 	n.ticksSinceConfChange = 0
 	if c := n.machine.nextConfChange(n.confState, n.caughtUp); c != nil {
@@ -107,7 +112,7 @@
 	}
 }
 
-// caughtUp reports whether a learner is near enough to the leader to vote.
+// caughtUp reports whether a learner is active and at most maxCatchUpLag entries behind the committed index.
 func (n *Node) caughtUp(id uint64) bool {
 	caughtUp := false
 	commit := n.rawNode.BasicStatus().GetCommit()
@@ -119,7 +124,7 @@
 	return caughtUp
 }
 
-// applyConfChange applies a committed step of the configuration.
+// applyConfChange applies a committed configuration change.
 func (n *Node) applyConfChange(e *raftpb.Entry) error {
 	var change interface {
 		raftpb.ConfChangeI
--- a/internal/consensus/decision.go
+++ b/internal/consensus/decision.go
@@ -9,27 +9,27 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// Kinds of decisions, the first part of their keys.
+// Kinds of decisions. The kind is the first part of a decision's key.
 const (
 	OperatorKind = "order" // operator commands about a server: "order/POOL/SERVER"
 	ZoneKind     = "zone"  // the state of a zone in the zone failover: "zone/POOL/ZONE"
 )
 
-// DecisionKinds are all kinds of decisions.
+// DecisionKinds lists all kinds of decisions.
 var DecisionKinds = []string{OperatorKind, ZoneKind}
 
-// MaxDecisions bounds the decisions that are kept, withdrawn ones included.
+// MaxDecisions is the largest number of decisions that are kept, including withdrawn ones.
 const MaxDecisions = 1024
 
-// Decision is something decided for the whole fleet, by an operator or by the holder of a lease.
+// Decision is a decision for the whole fleet that an operator or the holder of a lease made.
 type Decision struct {
-	Number    uint64 `json:"number"` // a newer decision has a larger one, whatever its key
+	Number    uint64 `json:"number"` // increases with each decision on any key
 	Value     string `json:"value,omitempty"`
 	Withdrawn bool   `json:"lifted,omitempty"`
-	Token     uint64 `json:"token,omitempty"` // fencing token of the lease under which it was made; 0: by an operator
+	Token     uint64 `json:"token,omitempty"` // fencing token of the lease whose holder decided; 0: an operator decided
 }
 
-// Bytes is the value as the gossip carries it, nil if the decision was withdrawn.
+// Bytes returns the value in the form that gossip sends, or nil if the decision was withdrawn.
 func (d Decision) Bytes() []byte {
 	if d.Withdrawn {
 		return nil
@@ -37,20 +37,20 @@
 	return []byte(d.Value)
 }
 
-// DecisionCommand makes a decision or withdraws it.
+// DecisionCommand makes or withdraws a decision.
 type DecisionCommand struct {
 	Key      string `json:"key"`
 	Value    string `json:"value,omitempty"`
 	Withdraw bool   `json:"lift,omitempty"`
-	// Token is the fencing token of the lease whose holder decides; 0: an operator does.
+	// Token is the fencing token of the lease whose holder decides. 0: an operator decides.
 	Token uint64 `json:"token,omitempty"`
 	// BasedOn is the number of the decision on Key that the command replaces, 0 for none. It is checked if Token or Conditional is set.
 	BasedOn uint64 `json:"after,omitempty"`
-	// NewestZoneDecision is the number of the newest decision on any zone of the pool that the holder of a lease knew of. The capacity of the
-	// other zones was computed with those, and a later one may have left another zone.
+	// NewestZoneDecision is the number of the newest decision on any zone of the pool that the lease holder knew. The holder computed the
+	// capacity of the other zones from the decisions up to this number. A later decision may have moved the traffic of another zone away.
 	NewestZoneDecision uint64 `json:"seen,omitempty"`
-	// Conditional has an operator's command check BasedOn: a late or second copy of it changes nothing. Without it the command is carried
-	// out as often as it comes.
+	// Conditional makes an operator's command check BasedOn, so that a late or duplicate copy changes nothing. A command without it takes
+	// effect each time it arrives.
 	Conditional bool `json:"built,omitempty"`
 }
 
@@ -58,12 +58,14 @@
 type DecisionResult struct {
 	Refusal Refusal `json:"why,omitempty"` // empty: it was applied
 	Number  uint64  `json:"number,omitempty"`
-	// Current is the decision in force if the refusal is RefusedConflict, and Number is its number.
+	// Current is the current decision on the key, and Number its number, if the refusal is RefusedConflict. If the conflict is with a decision
+	// on another zone, Current is nil and Number is that decision's number.
 	Current *Decision `json:"now,omitempty"`
 }
 
-// Rebase returns the command to send after RefusedConflict: the same, based on what is in force. ok is false if that is what the command
-// wants (it was applied and its answer was lost, or another has done the same), and for any other refusal.
+// Rebase returns the command to send after RefusedConflict: the same command based on the current decision. ok is false if the current
+// decision equals the one that the command makes, because the command was applied and its response lost or another command did the same.
+// ok is also false for any other refusal and for a command of a lease holder.
 func (c DecisionCommand) Rebase(r *DecisionResult) (next DecisionCommand, ok bool) {
 	if r.Refusal != RefusedConflict || c.Token != 0 {
 		return c, false
@@ -75,13 +77,14 @@
 	return c, true
 }
 
-// DecisionDigest tells how far a state machine has come with its decisions. Processes with equal checksums have the same ones.
+// DecisionDigest identifies the decisions of a state machine. Processes with equal checksums have the same decisions.
 type DecisionDigest struct {
 	Number   uint64 `json:"number"`
 	Checksum uint64 `json:"sum"`
 	FleetID  string `json:"fleet"`
 }
 
+// applyDecision applies a command, or refuses it without a change.
 func (m *StateMachine) applyDecision(c DecisionCommand) DecisionResult {
 	if r := m.decisionRefusal(c); r.Refusal != "" {
 		return r
@@ -95,7 +98,7 @@
 	return DecisionResult{Number: m.LastDecision}
 }
 
-// decisionRefusal returns the result of a command that is to be refused, the zero value for one that is to be applied.
+// decisionRefusal returns the result with the refusal of a command, or the zero value if the command may be applied.
 func (m *StateMachine) decisionRefusal(c DecisionCommand) DecisionResult {
 	switch {
 	case !c.wellFormed():
@@ -114,12 +117,13 @@
 	return DecisionResult{}
 }
 
+// wellFormed reports whether the key has a known kind, and key and value are within the bounds of gossip.
 func (c DecisionCommand) wellFormed() bool {
 	known := strings.HasPrefix(c.Key, OperatorKind+"/") || strings.HasPrefix(c.Key, ZoneKind+"/")
 	return known && len(c.Key) <= gossip.MaxKeyBytes && len(c.Value) <= gossip.MaxValueBytes
 }
 
-// conflict refuses a command whose BasedOn is out of date, and tells what is in force.
+// conflict returns the result for a command whose BasedOn is out of date, with the current decision.
 func (m *StateMachine) conflict(key string) DecisionResult {
 	r := DecisionResult{Refusal: RefusedConflict, Number: m.decisionNumber(key)}
 	if d := m.Decisions[key]; d != nil {
@@ -129,7 +133,7 @@
 	return r
 }
 
-// decisionNumber is the number of the decision on a key, 0 without one.
+// decisionNumber returns the number of the decision on a key, 0 without one.
 func (m *StateMachine) decisionNumber(key string) uint64 {
 	if d := m.Decisions[key]; d != nil {
 		return d.Number
@@ -137,8 +141,8 @@
 	return 0
 }
 
-// latestZoneDecision is the number of the newest decision on any zone of the pool that key is of; 0 without one, and for a key of
-// another kind.
+// latestZoneDecision returns the number of the newest decision on any zone of the pool in key. It returns 0 without such a decision and
+// for a key of another kind.
 func (m *StateMachine) latestZoneDecision(key string) (newest uint64) {
 	if gossip.KindOf(key) != ZoneKind {
 		return 0
@@ -152,7 +156,7 @@
 	return newest
 }
 
-// DecisionsSince calls each with the decisions that are newer than number, oldest first, and returns the number of the newest.
+// DecisionsSince calls each with the decisions newer than number, oldest first, and returns the number of the newest decision.
 func (m *StateMachine) DecisionsSince(number uint64, each func(key string, d Decision)) uint64 {
 	var keys []string
 	for key, d := range m.Decisions {
@@ -167,7 +171,7 @@
 	return m.LastDecision
 }
 
-// digest is sent with each answer to a keepalive.
+// digest returns the digest that is sent with each response to a keepalive.
 func (m *StateMachine) digest() *DecisionDigest {
 	digest := &DecisionDigest{Number: m.LastDecision, FleetID: m.FleetID}
 	tag := gossip.FleetTag(m.FleetID)
--- a/internal/consensus/decision_test.go
+++ b/internal/consensus/decision_test.go
@@ -12,6 +12,7 @@
 
 var decisionKeys = []string{"order/farm/x", "zone/farm/b", "zone/farm/c", "zone/other/b"}
 
+// drawDecision draws a command on a known key, a key of an unknown kind or a key without a pool.
 func drawDecision(t *rapid.T) DecisionCommand {
 	return DecisionCommand{
 		Key: rapid.SampledFrom(append(slices.Clone(decisionKeys), "odd/x", "order")).Draw(t, "key"), Withdraw: rapid.Bool().Draw(t, "lift"), Value: "v",
@@ -20,7 +21,7 @@
 	}
 }
 
-// latestZoneNumber is the number of the newest decision on any zone of the pool that key is of, reckoned apart from the code under test.
+// latestZoneNumber returns the number of the newest decision on any zone of the pool in key. It is independent of the code under test.
 func latestZoneNumber(m *StateMachine, key string) uint64 {
 	latest := uint64(0)
 	for other, d := range m.Decisions {
@@ -35,8 +36,8 @@
 	return latest
 }
 
-// applyChecked applies a command and checks that it is refused wherever it has to be, and that a refused one changes nothing. It returns
-// the number of the decision, 0 for a refusal.
+// applyChecked applies a command. It checks that a command that must be refused is refused, and that a refused command changes nothing. It
+// returns the number of the decision, 0 for a refusal.
 func applyChecked(t *rapid.T, m *StateMachine, c DecisionCommand) uint64 {
 	before := m.Decisions[c.Key]
 	latest := latestZoneNumber(m, c.Key)
@@ -44,7 +45,7 @@
 	r := m.applyDecision(c)
 	if r.Refusal != "" {
 		if m.LastDecision != last || m.Decisions[c.Key] != before {
-			t.Fatalf("%+v was refused (%s), and changed something", c, r.Refusal)
+			t.Fatalf("%+v was refused (%s), but changed the state", c, r.Refusal)
 		}
 		return 0
 	}
@@ -53,22 +54,26 @@
 	}
 	checked := c.Token != 0 || c.Conditional
 	if late := m.Clone().applyDecision(c); checked && late.Refusal == "" {
-		t.Fatalf("a second copy of %+v was applied: %+v", c, late)
+		t.Fatalf("a duplicate of %+v was applied: %+v", c, late)
 	}
 	if c.Token != 0 && c.Token < decider || checked && before != nil && before.Number != c.BasedOn {
-		t.Fatalf("%+v was applied against token %d and %+v", c, decider, before)
+		t.Fatalf("%+v was applied despite the newer token %d or the newer decision %+v", c, decider, before)
 	}
 	if c.Token != 0 && latest > c.NewestZoneDecision {
-		t.Fatalf("%+v was applied without having seen decision %d on another zone", c, latest)
+		t.Fatalf("%+v was applied, but its sender did not know decision %d on a zone of the pool", c, latest)
 	}
 	if c.Withdraw && (before == nil || before.Withdrawn) {
-		t.Fatalf("%+v: there was nothing to withdraw", c)
+		t.Fatalf("%+v was applied, but there was no decision to withdraw", c)
 	}
 	return r.Number
 }
 
-// TestDecisions: numbers only grow; a holder with an older token, or one that has not heard of the newest decision, changes nothing; an
-// operator always may; what was withdrawn keeps its number.
+// TestDecisions checks these properties for random sequences of commands:
+//   - Decision numbers increase, and a withdrawn decision keeps its number.
+//   - A command of a lease holder with an older token, or without knowledge of the newest decision, changes nothing.
+//   - An unconditional command of an operator is not refused for the decisions that it did not know.
+//   - The checksum does not depend on the order in which a process receives the decisions.
+//   - A snapshot preserves decisions and digest.
 func TestDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine("fleet", "a", "s", []string{"a"})
@@ -78,7 +83,7 @@
 				newest = number
 			}
 		}
-		// A process that has all of them, in whatever order they came, has the same checksum.
+		// A process that has all decisions has the same checksum, whatever the order of their arrival.
 		var entries []gossip.Entry
 		m.DecisionsSince(0, func(key string, d Decision) {
 			entries = append(entries, gossip.DecidedEntry(gossip.FleetTag(m.FleetID), key, d.Number, d.Bytes()))
@@ -96,14 +101,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := restore(data)
-		if err != nil || *again.digest() != *m.digest() || again.DeciderToken != m.DeciderToken {
-			t.Fatalf("a snapshot reads as another: %v", err)
+		restored, err := restore(data)
+		if err != nil || *restored.digest() != *m.digest() || restored.DeciderToken != m.DeciderToken {
+			t.Fatalf("the state restored from a snapshot differs from the original: %v", err)
 		}
 	})
 }
 
-// TestMaxDecisions: beyond the bound new keys are refused, and those that are there can still be changed.
+// TestMaxDecisions checks that at MaxDecisions a new key is refused, and that an existing decision can still be changed.
 func TestMaxDecisions(t *testing.T) {
 	m := NewStateMachine("fleet", "a", "s", []string{"a"})
 	for i := range MaxDecisions {
@@ -112,7 +117,7 @@
 		}
 	}
 	if r := m.applyDecision(DecisionCommand{Key: "order/farm/more"}); r.Refusal == "" {
-		t.Error("one more is taken")
+		t.Error("a decision on a new key above MaxDecisions was applied")
 	}
 	if r := m.applyDecision(DecisionCommand{Key: "order/farm/7", Withdraw: true}); r.Refusal != "" {
 		t.Error(r.Refusal)
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,10 +1,11 @@
-// Package consensus replicates one state over the processes of a fleet: who votes, who holds which lease, which slots of tasks have been
-// begun, and what operators and the zone failover have decided. The log and the elections are those of go.etcd.io/raft; this package
-// decides what is proposed, applies what is committed, answers the requests, and changes the voters.
+// Package consensus replicates one state machine over the processes of a fleet: the voters, the holders of leases, the begun slots of
+// tasks, and the decisions of operators and of the zone failover. The log and the elections are those of go.etcd.io/raft. This package
+// decides what to propose, applies committed entries, answers requests, and changes the voters.
 //
-// It has no I/O, clock or goroutine: what has to be durable goes to a [Storage], messages come and go as values, and the caller tells the
-// time by its monotonic clock. The types are not safe for concurrent use.
+// It has no I/O, clock or goroutine. State that must be durable goes to a [Storage], messages are passed as values, and the caller passes
+// in readings of its monotonic clock. The types are not safe for concurrent use.
 //
-// A request takes this way: [LeaderTracker] picks the process to ask; [Node.Submit] puts a command into the log, or a keepalive or read
-// into the next batch that a majority confirms; [Node.Process] returns the answer once it is committed and applied.
+// A request is processed in three steps. [LeaderTracker] picks the member to send it to. [Node.Submit] proposes a command to the log, or
+// adds a keepalive or read to the next batch that a majority confirms. [Node.Process] returns the response once the command is committed
+// and applied, or the batch confirmed.
 package consensus
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -5,26 +5,32 @@
 	"fmt"
 )
 
-// Errors that end a node's part, or refuse what another process sent. They are wrapped with what was wrong. Their texts name the council
-// as the settings do.
+// Errors that stop a node, or that reject input from another process. The errors of this package wrap them together with the cause. Their
+// texts say "council", as the settings do, for the consensus group.
 var (
-	ErrInvalidSnapshot = errors.New("council: snapshot")
-	ErrInvalidLog      = errors.New("council: log")
-	ErrInvalidMessage  = errors.New("council: message")
-	ErrStorage         = errors.New("council: the disk")
-	ErrRaft            = errors.New("council: the log's library gave up")
+	// ErrInvalidSnapshot is wrapped by errors about a snapshot that can't be decoded or is inconsistent.
+	ErrInvalidSnapshot = errors.New("council: invalid snapshot")
+	// ErrInvalidLog is wrapped by errors about stored entries or a hard state that a node can't have written.
+	ErrInvalidLog = errors.New("council: invalid log")
+	// ErrInvalidMessage is wrapped by errors of [DecodeMessage].
+	ErrInvalidMessage = errors.New("council: invalid message")
+	// ErrStorage is wrapped by errors about a failed [Storage.Save].
+	ErrStorage = errors.New("council: the disk")
+	// ErrRaft is wrapped by errors about a panic of the raft library.
+	ErrRaft = errors.New("council: the raft library panicked")
 )
 
 // Refusal is the reason why a command was refused, empty if it was applied. It is sent to other processes and printed.
 type Refusal string
 
-// Reasons for refusing a command that a caller tells from others.
+// Reasons for refusing a command that have a name of their own.
 const (
-	// RefusedConflict refuses a command whose BasedOn or LastSeenZone is out of date.
+	// RefusedConflict refuses a [DecisionCommand] whose BasedOn or NewestZoneDecision is out of date.
 	RefusedConflict  Refusal = "something else was decided meanwhile"
 	refusedMalformed Refusal = "malformed"
 )
 
+// refusef returns a formatted refusal.
 func refusef(format string, args ...any) Refusal { return Refusal(fmt.Sprintf(format, args...)) }
 
 // Err returns the refusal as an error of type [*RefusedError], or nil if it is empty.
@@ -38,5 +44,5 @@
 // RefusedError is the error form of a [Refusal].
 type RefusedError struct{ Refusal Refusal }
 
-// Error returns the reason.
+// Error returns the reason for the refusal.
 func (e *RefusedError) Error() string { return string(e.Refusal) }
--- a/internal/consensus/errors_test.go
+++ b/internal/consensus/errors_test.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// TestInvalidLog: a node does not start from a log that it can't have written.
+// TestInvalidLog checks that a node does not start from an inconsistent log.
 func TestInvalidLog(t *testing.T) {
 	snap, err := BootstrapSnapshot(NewStateMachine("fleet", "a", "a0", []string{"a"}))
 	if err != nil {
@@ -19,9 +19,9 @@
 		entries []*raftpb.Entry
 		commit  uint64
 	}{
-		"a gap in the log":              {[]*raftpb.Entry{entry(2), entry(4)}, 1},
-		"a gap after the snapshot":      {[]*raftpb.Entry{entry(3)}, 1},
-		"committed beyond the last one": {[]*raftpb.Entry{entry(2)}, 3},
+		"gap between entries":             {[]*raftpb.Entry{entry(2), entry(4)}, 1},
+		"gap after the snapshot":          {[]*raftpb.Entry{entry(3)}, 1},
+		"committed beyond the last entry": {[]*raftpb.Entry{entry(2)}, 3},
 	} {
 		hard := &raftpb.HardState{Term: ptr(uint64(1)), Commit: &c.commit}
 		_, err := New(Config{ID: founderID, Persisted: PersistentState{Snapshot: snap, HardState: hard, Entries: c.entries}})
@@ -31,12 +31,12 @@
 	}
 }
 
-// failingStorage is a Storage that can't write.
+// failingStorage is a Storage whose Save fails.
 type failingStorage struct{ err error }
 
 func (s failingStorage) Save(PersistentState, bool) error { return s.err }
 
-// TestStorageFails: after an error of the storage a node does nothing any more, and says why.
+// TestStorageFails checks that a node stops after an error of its storage, and that Process returns the error from then on.
 func TestStorageFails(t *testing.T) {
 	snap, err := BootstrapSnapshot(NewStateMachine("fleet", "a", "a0", []string{"a"}))
 	if err != nil {
@@ -56,12 +56,12 @@
 	if !errors.Is(err, ErrStorage) || !errors.Is(err, storage.err) {
 		t.Fatalf("%v", err)
 	}
-	if _, again := n.Process(now, volatileStorage{}); !errors.Is(again, ErrStorage) {
-		t.Errorf("it goes on: %v", again)
+	if _, nextErr := n.Process(now, volatileStorage{}); !errors.Is(nextErr, ErrStorage) {
+		t.Errorf("Process after a storage error returned %v, want ErrStorage", nextErr)
 	}
 }
 
-// TestRefusalErr: a refusal is an error that says why, and none is none.
+// TestRefusalErr checks that a refusal converts to an error with its text, and an empty refusal to nil.
 func TestRefusalErr(t *testing.T) {
 	var refused *RefusedError
 	if err := RefusedConflict.Err(); !errors.As(err, &refused) || refused.Refusal != RefusedConflict || err.Error() != string(RefusedConflict) {
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -2,10 +2,10 @@
 
 import "sorrelrudder/internal/lease"
 
-// EventKind is what an [Event] tells of.
+// EventKind is the kind of an [Event].
 type EventKind int
 
-// Kinds of events.
+// Kinds of events. String returns their log messages.
 const (
 	EventLeaderElected EventKind = iota
 	EventLeaderUnknown
@@ -36,21 +36,23 @@
 	EventLeaseReclaimed:       "revoked lease reclaimed",
 }
 
-// String is the message of the kind in the log.
+// String returns the log message of events of the kind.
 func (k EventKind) String() string { return eventMessages[k] }
 
-// Event is something that the log is to tell of. Each voter emits it as it applies an entry, and again when the log is replayed at a start.
+// Event is a log record for the caller to write. Each member of the consensus group emits the events of an entry when it applies the entry,
+// and again when it replays the log at a start.
 type Event struct {
 	Kind    EventKind
-	Message string // Kind's
-	Args    []any  // keys and values
+	Message string // Kind.String()
+	Args    []any  // alternating attribute keys and values, as for log/slog
 }
 
+// event adds an event to the output.
 func (n *Node) event(kind EventKind, args ...any) {
 	n.output.Events = append(n.output.Events, Event{kind, kind.String(), args})
 }
 
-// leaseEvent tells of the changes of sessions and leases.
+// leaseEvent adds the event of an applied lease command, if the command has one and was not refused.
 func (n *Node) leaseEvent(c lease.Command, r lease.Result) {
 	if r.Refusal != "" {
 		return
@@ -73,6 +75,7 @@
 	}
 }
 
+// leaseOperationEvent adds the event of a transfer, revocation or reclaim.
 func (n *Node) leaseOperationEvent(kind EventKind, c lease.Command) {
 	n.event(kind, "name", c.Name, "member", c.Member, "to", c.To, "token", c.Token)
 }
--- a/internal/consensus/event_test.go
+++ b/internal/consensus/event_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// TestEventMessages: each kind of event has a message of its own.
+// TestEventMessages checks that each kind of event has a unique message.
 func TestEventMessages(t *testing.T) {
 	kinds := map[string]EventKind{}
 	for k := EventLeaderElected; k <= EventLeaseReclaimed; k++ {
 		if other, taken := kinds[k.String()]; k.String() == "" || taken {
-			t.Errorf("kinds %d and %d: %q", k, other, k.String())
+			t.Errorf("message of kind %d is empty or the same as of kind %d: %q", k, other, k.String())
 		}
 		kinds[k.String()] = k
 	}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -13,19 +13,22 @@
 	"sorrelrudder/internal/task"
 )
 
+// messageCase returns the golden case of a raft message.
 func messageCase(name string, m *raftpb.Message) goldentest.Case {
 	return protoCase(name, m, func() ([]byte, error) { return EncodeMessage(m) }, func(data []byte) (any, error) { return DecodeMessage(data) })
 }
 
+// protoCase returns the golden case of a protobuf message.
 func protoCase(name string, value proto.Message, encode func() ([]byte, error), decode func([]byte) (any, error)) goldentest.Case {
 	return goldentest.Case{Name: name, Value: value, Encode: encode, Decode: decode, Equal: func(decoded, value any) bool {
 		return proto.Equal(decoded.(proto.Message), value.(proto.Message))
 	}}
 }
 
-// ofProject accepts the packages of the project.
-func ofProject(pkgPath string) bool { return strings.HasPrefix(pkgPath, "sorrelrudder/") }
+// isProjectPackage reports whether a package belongs to this project.
+func isProjectPackage(pkgPath string) bool { return strings.HasPrefix(pkgPath, "sorrelrudder/") }
 
+// exampleStateMachine returns a state with a non-zero value in each stored field.
 func exampleStateMachine() *StateMachine {
 	leases := &lease.StateMachine{
 		LastID: 9,
@@ -46,7 +49,7 @@
 			"order/farm/box": {Number: 1, Value: "out"},
 			"zone/farm/b":    {Number: 2, Value: "0 false 1 lost", Withdrawn: true, Token: 6},
 		},
-		Tasks: &task.Registry{AdmissionSeq: 7, Tasks: map[string]*task.Record{"sweep": ptr(examplePage())}},
+		Tasks: &task.Registry{AdmissionSeq: 7, Tasks: map[string]*task.Record{"sweep": ptr(exampleRecord())}},
 	}
 }
 
@@ -54,7 +57,7 @@
 	return lease.Result{Refusal: lease.RefusedHeld, SessionID: 3, Token: 4, QueuePosition: 1, Version: 4, PreviousVersion: 3}
 }
 
-func examplePage() task.Record {
+func exampleRecord() task.Record {
 	return task.Record{
 		Revision: 11, Token: 4, Slot: 20, Open: true, BegunBy: 4, Attempts: 2, LastOutcome: task.OutcomeDone, OutcomeCounts: map[task.Outcome]int64{task.OutcomeDone: 5, task.OutcomeUnknown: 1}, Skipped: 3, Triggered: true,
 		WaitingSince: 6, Priority: 2, PassedOver: 1, Period: 8, Requests: 12, TookMs: 340,
@@ -84,18 +87,18 @@
 	}}
 }
 
-// TestGoldenForms: what goes into the log, into snapshots and to other processes is written and read as it was by earlier versions.
+// TestGoldenForms checks that log entries, snapshots and messages have the same encoding as in earlier versions.
 func TestGoldenForms(t *testing.T) {
-	leaseCommand, seatCommand, slotCommand, orderCommand := exampleCommands()
+	leaseCommand, voterCommand, taskCommand, decisionCommand := exampleCommands()
 	fleet := exampleStateMachine()
 	cases := []goldentest.Case{
 		goldentest.JSONCase("entry/lease", proposal{Term: 2, ID: 10, Lease: &leaseCommand}),
-		goldentest.JSONCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &seatCommand}),
-		goldentest.JSONCase("entry/slot", proposal{Term: 2, ID: 12, Task: &slotCommand}),
-		goldentest.JSONCase("entry/order", proposal{Term: 2, ID: 13, Decision: &orderCommand}),
+		goldentest.JSONCase("entry/seat", proposal{Term: 2, ID: 11, Voter: &voterCommand}),
+		goldentest.JSONCase("entry/slot", proposal{Term: 2, ID: 12, Task: &taskCommand}),
+		goldentest.JSONCase("entry/order", proposal{Term: 2, ID: 13, Decision: &decisionCommand}),
 		{Name: "snapshot", Value: fleet, Encode: fleet.snapshot, Decode: func(data []byte) (any, error) { return restore(data) }},
 		goldentest.JSONCase("request", Request{
-			Lease: &lease.Request{ID: 1, Member: "p0", SessionID: 3, KnownVersion: 4, Command: &leaseCommand}, Voter: &seatCommand, Task: &slotCommand, Decision: &orderCommand,
+			Lease: &lease.Request{ID: 1, Member: "p0", SessionID: 3, KnownVersion: 4, Command: &leaseCommand}, Voter: &voterCommand, Task: &taskCommand, Decision: &decisionCommand,
 			TaskRecords: []string{"sweep"}, Status: true,
 		}),
 		{Name: "response", Value: exampleResponse(fleet), Encode: func() ([]byte, error) { return json.Marshal(exampleResponse(fleet)) }, Decode: func(data []byte) (any, error) {
@@ -103,7 +106,7 @@
 			if err := json.Unmarshal(data, &read); err != nil {
 				return nil, err
 			}
-			read.Status.StateMachine = read.Status.StateMachine.Clone() // with empty maps where the form has none
+			read.Status.StateMachine = read.Status.StateMachine.Clone() // replaces nil maps by empty ones
 			return read, nil
 		}},
 		messageCase("message/append", &raftpb.Message{
@@ -132,7 +135,7 @@
 		}))
 	}
 	goldentest.CheckCases(t, "testdata/forms.golden", cases)
-	goldentest.CheckFields(t, cases, ofProject)
+	goldentest.CheckFields(t, cases, isProjectPackage)
 }
 
 func exampleResponse(f *StateMachine) Response {
@@ -141,13 +144,13 @@
 		Lease: &lease.Response{
 			ID: 1, Refusal: lease.RefusedNoSession, LastID: 9, Result: ptr(exampleLeaseResult()), Holdings: &lease.Holdings{Version: 4, Tokens: map[string]uint64{"task/sweep": 4}},
 		},
-		Voter: &VoterResult{Refusal: "no store", RaftID: 4, FleetID: "fleet-a", Votes: true}, Task: &task.Result{Refusal: task.RefusedConcurrencyLimit, Record: examplePage()},
-		Decision: &DecisionResult{Refusal: RefusedConflict, Number: 2, Current: f.Decisions["zone/farm/b"]}, Digest: f.digest(), TaskRecords: map[string]task.Record{"sweep": examplePage()},
+		Voter: &VoterResult{Refusal: "no store", RaftID: 4, FleetID: "fleet-a", Votes: true}, Task: &task.Result{Refusal: task.RefusedConcurrencyLimit, Record: exampleRecord()},
+		Decision: &DecisionResult{Refusal: RefusedConflict, Number: 2, Current: f.Decisions["zone/farm/b"]}, Digest: f.digest(), TaskRecords: map[string]task.Record{"sweep": exampleRecord()},
 		Status: &Status{ID: 1, Role: "StateLeader", Leader: "p0", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1, 2}, Learners: []uint64{4}, StateMachine: f},
 	}
 }
 
-// TestFoundingForm: a fleet begins with the state that earlier versions gave it.
+// TestFoundingForm checks that the initial snapshot and hard state of a fleet have the same encoding as in earlier versions.
 func TestFoundingForm(t *testing.T) {
 	snap, err := BootstrapSnapshot(NewStateMachine("fleet-a", "p0", "store-0", []string{"p0", "p1"}))
 	if err != nil {
@@ -166,14 +169,14 @@
 	})
 }
 
-// TestStoredWords: the words that stand in entries, snapshots and keys keep their spelling.
+// TestStoredWords checks the values of operations, kinds and refusals, which log entries, snapshots and keys contain.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(OpAdmit), "admit"}, {string(OpAdd), "add"}, {string(OpRemove), "remove"}, {string(OpReplace), "replace"},
 		{OperatorKind, "order"}, {ZoneKind, "zone"}, {string(RefusedConflict), "something else was decided meanwhile"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%q was %q", c.got, c.want)
+			t.Errorf("stored value is %q, want %q", c.got, c.want)
 		}
 	}
 }
--- a/internal/consensus/leader_tracker.go
+++ b/internal/consensus/leader_tracker.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// LeaderTracker decides which member a process sends its requests to: the leader as far as it is known, and otherwise one member after
-// the other. A member that did not answer is left out for a while, even if others take it for the leader. Its times are of the process's
-// monotonic clock.
+// LeaderTracker picks the member to send requests to: the leader if known, otherwise the members in round-robin order. A member that did
+// not answer is skipped for the backoff time, even if other members report it as the leader. All times are readings of the process's
+// monotonic clock. It is not safe for concurrent use.
 type LeaderTracker struct {
 	members          []string
 	leader           string
-	current          int // index in members of the one that was picked last
+	current          int // index in members of the last pick in round-robin order
 	unreachableUntil map[string]time.Duration
 	backoff          time.Duration
 }
 
 // NewLeaderTracker returns a tracker that knows no leader and picks the member after members[start] first. backoff is how long a member
-// that did not answer is left out.
+// that did not answer is skipped.
 func NewLeaderTracker(members []string, start int, backoff time.Duration) *LeaderTracker {
 	return &LeaderTracker{members: members, current: start, unreachableUntil: map[string]time.Duration{}, backoff: backoff}
 }
 
-// Leader is the member that is taken for the leader, empty if none is.
+// Leader returns the presumed leader, empty if none is known.
 func (t *LeaderTracker) Leader() string { return t.leader }
 
-// Pick returns the member to ask now. If none is reachable it returns the next one all the same.
+// Pick returns the member to send a request to now. If all members are skipped, it returns the next one in round-robin order.
 func (t *LeaderTracker) Pick(now time.Duration) string {
 	if t.leader != "" && t.unreachableUntil[t.leader] <= now {
 		return t.leader
@@ -38,16 +38,17 @@
 	return t.members[t.current]
 }
 
+// advance moves to the next member in round-robin order.
 func (t *LeaderTracker) advance() { t.current = (t.current + 1) % len(t.members) }
 
-// LeaderConfirmed tells that a member has answered as the leader.
+// LeaderConfirmed records that a member has answered as the leader.
 func (t *LeaderTracker) LeaderConfirmed(member string) {
 	delete(t.unreachableUntil, member)
 	t.leader = member
 }
 
-// Redirected tells that a member does not lead, and which one it takes for the leader, or empty. It reports whether that one is worth
-// asking at once.
+// Redirected records that a member is not the leader and reports leader, which may be empty, as the leader. It returns whether the request
+// should be sent to leader at once. The result is false if leader is empty, is member itself, or is skipped.
 func (t *LeaderTracker) Redirected(now time.Duration, member, leader string) bool {
 	delete(t.unreachableUntil, member)
 	if t.leader == member {
@@ -60,7 +61,7 @@
 	return true
 }
 
-// Unreachable tells that a member did not answer in time, or can't be reached.
+// Unreachable records that a member did not answer in time or can't be reached.
 func (t *LeaderTracker) Unreachable(now time.Duration, member string) {
 	t.unreachableUntil[member] = now + t.backoff
 	if t.leader == member {
--- a/internal/consensus/leader_tracker_test.go
+++ b/internal/consensus/leader_tracker_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// TestLeaderTracker: a member that did not answer is left out for a while, also if others point to it; all get their turn.
+// TestLeaderTracker checks that a member that did not answer is skipped for the backoff time, even if other members report it as the
+// leader, and that the other members are picked in turn.
 func TestLeaderTracker(t *testing.T) {
 	tracker := NewLeaderTracker([]string{"a", "b", "c"}, 0, time.Second)
 	tracker.LeaderConfirmed("b")
 	if tracker.Pick(0) != "b" {
-		t.Fatal("not the leader")
+		t.Fatal("Pick did not return the confirmed leader")
 	}
 	tracker.Unreachable(0, "b")
 	seen := map[string]bool{}
@@ -18,19 +19,19 @@
 		member := tracker.Pick(0)
 		seen[member] = true
 		if tracker.Redirected(0, member, "b") {
-			t.Error("the silent one is worth asking")
+			t.Error("Redirected recommends the unreachable member before the backoff has passed")
 		}
 	}
 	if seen["b"] || len(seen) != 2 {
 		t.Errorf("%v", seen)
 	}
 	if !tracker.Redirected(time.Second, "a", "b") || tracker.Pick(time.Second) != "b" {
-		t.Error("the silent one is left out for good")
+		t.Error("the unreachable member is still skipped after the backoff")
 	}
 	for _, member := range []string{"a", "b", "c"} {
 		tracker.Unreachable(2*time.Second, member)
 	}
 	if tracker.Pick(2*time.Second) == "" {
-		t.Error("with all silent nobody is asked")
+		t.Error("Pick returned no member with all members unreachable")
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -17,61 +17,63 @@
 const (
 	defaultElectionTicks   = 10
 	defaultSnapshotEntries = 4096
-	// heartbeatTicks is the time between two heartbeats of a leader.
+	// heartbeatTicks is the time between two heartbeats of a leader, in ticks.
 	heartbeatTicks = 1
 	// maxMessageBytes bounds the entries of one append message.
 	maxMessageBytes = 256 << 10
-	// maxInflightMessages bounds the append messages to one follower that are not acknowledged.
+	// maxInflightMessages bounds the unacknowledged append messages to one follower.
 	maxInflightMessages = 64
-	// maxUncommittedBytes bounds the entries of a leader that are not committed; beyond it proposals are dropped.
+	// maxUncommittedBytes bounds the uncommitted entries of a leader. Further proposals are dropped.
 	maxUncommittedBytes = 16 << 20
-	// snapshotTimeoutElections is the time, in election timeouts, after which a snapshot that was sent and not acknowledged counts as lost.
+	// snapshotTimeoutElections is the time, in election timeouts, after which an unacknowledged snapshot counts as lost.
 	snapshotTimeoutElections = 4
-	// maxPeerNames bounds the names that peers tell of themselves.
+	// maxPeerNames bounds the entries of Node.peerNames.
 	maxPeerNames = 4 * MaxVoters
 )
 
 // Config is the configuration of a [Node].
 type Config struct {
-	ID          uint64 // raft ID, as OpAdmit gave it
+	ID          uint64 // raft ID, as OpAdmit allocated it
 	LeaseTiming lease.Timing
-	// ElectionTicks is the time in ticks without a word of the leader after which a node stands for election; 0: 10.
+	// ElectionTicks is the election timeout in ticks. 0: 10.
 	ElectionTicks int
-	// SnapshotEntries is the number of entries after which the log is compacted; 0: 4096.
+	// SnapshotEntries is the number of entries after which the log is compacted. 0: 4096.
 	SnapshotEntries uint64
-	// Persisted is what the storage holds.
+	// Persisted is the stored state that the node starts from.
 	Persisted PersistentState
-	// ClockBasedReads has a leader trust its own clock in place of asking a majority whether it still leads. It is unsafe, and there for
-	// the simulation to show that.
+	// ClockBasedReads makes the leader rely on its own clock instead of the confirmation of a majority that it is still the leader. It is
+	// unsafe, and exists for the simulation to show that the confirmation is needed.
 	ClockBasedReads bool
 }
 
 // Node is one member of the raft group. It is not safe for concurrent use.
 //
-// Invariants: what Process returns was written by the Storage before; a command is judged in one term only (stepDown forgets all that
-// waits); lessor is set only while the node leads and has applied all entries of earlier leaders.
+// Invariants:
+//   - Process returns messages and replies only after the Storage has written the state that they depend on.
+//   - A command takes effect only in the term in which its leader proposed it. stepDown drops all pending requests.
+//   - lessor is set only while the node is the leader and has applied all entries of earlier leaders.
 type Node struct {
 	cfg       Config
-	now       time.Duration // of the newest event
+	now       time.Duration // clock reading of the newest call
 	rawNode   *raft.RawNode
 	raftLog   *raft.MemoryStorage
 	confState *raftpb.ConfState
-	peerNames map[uint64]string
-	fatalErr  error // the node does nothing any more
+	peerNames map[uint64]string // names that peers reported, by raft ID
+	fatalErr  error             // if set, the node has stopped
 	output    Output
 
-	// The replicated state, as far as it is known here.
+	// The replicated state as applied by this node.
 	machine       *StateMachine // nil: no snapshot has arrived yet
 	appliedIndex  uint64
 	snapshotIndex uint64 // of the newest snapshot
 	confChanged   bool   // since the newest snapshot
 
-	// Who leads.
+	// The current term and its leader.
 	term     uint64
 	leaderID uint64
 	role     raft.StateType
 
-	// What a leader keeps. It is dropped by stepDown.
+	// The state of a leader.
 	lessor               *lease.Lessor
 	lastProposalID       uint64
 	proposals            map[uint64]pendingRequest // by proposal.ID
@@ -82,8 +84,7 @@
 	ticksSinceConfChange uint64
 }
 
-// New returns a node that starts from cfg.Persisted. It fails with ErrInvalidSnapshot or ErrInvalidLog if that can't be what a node
-// wrote.
+// New returns a node that starts from cfg.Persisted. It returns ErrInvalidSnapshot or ErrInvalidLog if that state is inconsistent.
 func New(cfg Config) (*Node, error) {
 	if cfg.ElectionTicks == 0 {
 		cfg.ElectionTicks = defaultElectionTicks
@@ -125,12 +126,12 @@
 		StepDownOnRemoval:         true,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("council: %w", err)
+		return nil, fmt.Errorf("council: create raft node: %w", err)
 	}
 	return n, nil
 }
 
-// load fills the log and the state machine with what the storage holds.
+// load initializes the log and the state machine from the stored state.
 func (n *Node) load(s PersistentState) error {
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := n.raftLog.ApplySnapshot(s.Snapshot); err != nil {
@@ -146,11 +147,12 @@
 	return n.loadEntries(s.Entries, s.HardState.GetCommit())
 }
 
+// loadHardState sets the stored hard state. Its committed index is raised to the index of the snapshot.
 func (n *Node) loadHardState(h *raftpb.HardState) error {
 	if raft.IsEmptyHardState(h) {
 		return nil
 	}
-	if h.GetCommit() < n.snapshotIndex { // the committed index need not be synced, a snapshot is
+	if h.GetCommit() < n.snapshotIndex { // a snapshot is always synced, but a committed index need not be
 		commit := n.snapshotIndex
 		h = &raftpb.HardState{Term: h.Term, Vote: h.Vote, Commit: &commit}
 	}
@@ -161,15 +163,15 @@
 	return nil
 }
 
-// loadEntries appends entries that follow the snapshot without gaps and reach the committed index.
+// loadEntries appends the stored entries. They must follow the snapshot without gaps and reach the committed index.
 func (n *Node) loadEntries(entries []*raftpb.Entry, commit uint64) error {
 	for i, e := range entries {
 		if want := entries[0].GetIndex() + uint64(i); e.GetIndex() != want {
-			return fmt.Errorf("%w: entry %d stands where %d belongs", ErrInvalidLog, e.GetIndex(), want)
+			return fmt.Errorf("%w: found entry %d in place of entry %d", ErrInvalidLog, e.GetIndex(), want)
 		}
 	}
 	if len(entries) > 0 && entries[0].GetIndex() > n.snapshotIndex+1 {
-		return fmt.Errorf("%w: it begins at %d, and its snapshot ends at %d", ErrInvalidLog, entries[0].GetIndex(), n.snapshotIndex)
+		return fmt.Errorf("%w: the first entry is %d, but the snapshot ends at entry %d", ErrInvalidLog, entries[0].GetIndex(), n.snapshotIndex)
 	}
 	if err := n.raftLog.Append(entries); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidLog, err)
@@ -179,12 +181,12 @@
 		return fmt.Errorf("%w: %w", ErrInvalidLog, err)
 	}
 	if commit > last {
-		return fmt.Errorf("%w: it ends at %d, and %d was known to be committed", ErrInvalidLog, last, commit)
+		return fmt.Errorf("%w: the last entry is %d, but the committed index is %d", ErrInvalidLog, last, commit)
 	}
 	return nil
 }
 
-// Tick advances the election and heartbeat timers by one tick. Leases expire by now, not by ticks.
+// Tick advances the election and heartbeat timers by one tick. now is the clock reading by which leases expire; they don't depend on ticks.
 func (n *Node) Tick(now time.Duration) {
 	defer n.recoverPanic()
 	n.now = now
@@ -201,7 +203,8 @@
 	n.ticksSinceConfChange++
 }
 
-// Step takes a message of another node. One that is not for this node is dropped.
+// Step processes a message of another node. It ignores a message that is addressed to another node, or of a type that nodes of this package
+// do not send to each other. It returns an error for an invalid message; the node continues.
 func (n *Node) Step(now time.Duration, m *raftpb.Message) error {
 	defer n.recoverPanic()
 	n.now = now
@@ -213,23 +216,24 @@
 		if _, err := restore(m.GetSnapshot().GetData()); err != nil {
 			return err
 		}
-	case raftpb.MsgProp, raftpb.MsgReadIndex: // only the node that judged a request may propose it
+	case raftpb.MsgProp, raftpb.MsgReadIndex: // only the node that received a request by Submit may propose it, see proposal.Term
 		return nil
 	}
 	if err := n.rawNode.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) && !errors.Is(err, raft.ErrStepPeerNotFound) {
-		return fmt.Errorf("council: %w", err)
+		return fmt.Errorf("council: process raft message: %w", err)
 	}
 	return nil
 }
 
-// LearnName tells which raft ID a peer says it has: a node without the state has no other way to know.
+// LearnName records the member name of a peer by the raft ID that the peer reports. A node that has no replicated state yet needs it to
+// address its peers.
 func (n *Node) LearnName(id uint64, name string) {
 	if len(n.peerNames) < maxPeerNames || n.peerNames[id] != "" {
 		n.peerNames[id] = name
 	}
 }
 
-// NameOf returns the member with a raft ID, empty if it is not known.
+// NameOf returns the name of the member with a raft ID, empty if unknown.
 func (n *Node) NameOf(id uint64) string {
 	if n.machine != nil {
 		if name := n.machine.voterName(id); name != "" {
@@ -239,13 +243,14 @@
 	return n.peerNames[id]
 }
 
-// IsLeader reports whether this node leads and has applied all entries of earlier leaders.
+// IsLeader reports whether this node is the leader and has applied all entries of earlier leaders.
 func (n *Node) IsLeader() bool { return n.lessor != nil }
 
-// StateMachine returns the state as far as this node knows it, or nil. The caller must not change it, nor keep it across other calls.
+// StateMachine returns the replicated state as applied by this node, or nil before the first snapshot. The caller must not change it, nor
+// use it after another call of a method.
 func (n *Node) StateMachine() *StateMachine { return n.machine }
 
-// Status returns this node's view.
+// Status returns this node's view of the consensus group and the replicated state.
 func (n *Node) Status() *Status {
 	return &Status{
 		ID:           n.cfg.ID,
@@ -260,7 +265,8 @@
 	}
 }
 
-// TransferLeadership hands the lead to the active voter whose log is the longest, if this node leads.
+// TransferLeadership starts a transfer of the leadership to the active voter with the longest log. It has no effect if this node is not the
+// leader or no such voter is known.
 func (n *Node) TransferLeadership() {
 	if n.role != raft.StateLeader {
 		return
@@ -276,7 +282,7 @@
 	}
 }
 
-// recoverPanic turns a panic of the raft library into the end of this node's part, so that the process goes on with its clients.
+// recoverPanic stops the node after a panic of the raft library, so that the process can continue to serve its clients.
 func (n *Node) recoverPanic() {
 	if r := recover(); r != nil && n.fatalErr == nil {
 		n.fatalErr = fmt.Errorf("%w: %v", ErrRaft, r)
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -10,21 +10,22 @@
 	"sorrelrudder/internal/lease"
 )
 
-// volatileStorage is a Storage that forgets.
+// volatileStorage is a Storage that discards all writes.
 type volatileStorage struct{}
 
 func (volatileStorage) Save(PersistentState, bool) error { return nil }
 
-// TestRefusedChangeKeepsJudgement guards against two holders (tier-explore, seed 329766): the library puts an empty entry in the place of a
-// change of members that it refuses. It is not a leader's first one. A leader that began anew there forgot that it had judged a session to have
-// ended, with that still on its way through the log, and renewed it.
-func TestRefusedChangeKeepsJudgement(t *testing.T) {
+// TestRefusedConfChangeKeepsLessor guards against two holders of one lease, which the scenario tier-explore found with seed 329766. The
+// raft library replaces a refused configuration change by an empty entry, which looks like the first entry of a leader's term. A leader
+// that created a new lessor at such an entry lost the record of a session expiry that was proposed and not applied yet. It then renewed
+// the session.
+func TestRefusedConfChangeKeepsLessor(t *testing.T) {
 	snap, err := BootstrapSnapshot(NewStateMachine("fleet", "a", "a0", []string{"a", "b", "c"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := lease.Timing{TTL: time.Second, MaxClockDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
-	n, err := New(Config{ID: 1, LeaseTiming: rules, Persisted: PersistentState{Snapshot: snap, HardState: BootstrapHardState()}})
+	timing := lease.Timing{TTL: time.Second, MaxClockDrift: 0.01, SafetyMargin: 10 * time.Millisecond}
+	n, err := New(Config{ID: 1, LeaseTiming: timing, Persisted: PersistentState{Snapshot: snap, HardState: BootstrapHardState()}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +43,13 @@
 		t.Fatalf("%+v, %v", out, err)
 	}
 	session := out.Replies[0].Response.Lease.Result.SessionID
-	due := n.lessor.DueCommands(now+2*time.Second, n.machine.Leases) // judged; it is still to come out of the log
+	due := n.lessor.DueCommands(now+2*time.Second, n.machine.Leases) // the expiry counts as proposed and is not applied
 	if len(due) != 1 || due[0].SessionID != session {
 		t.Fatalf("%+v", due)
 	}
-	one, two := uint64(7), uint64(8)
+	firstID, secondID := uint64(7), uint64(8)
 	learner := raftpb.ConfChangeType_ConfChangeAddLearnerNode
-	for _, id := range []*uint64{&one, &two} { // the second is refused: the first is under way
+	for _, id := range []*uint64{&firstID, &secondID} { // the library refuses the second change while the first is not applied
 		if err := n.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: learner.Enum(), NodeId: id}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -60,12 +61,12 @@
 	if out, err = n.Process(now, volatileStorage{}); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(n.confState.GetLearners(), []uint64{one}) {
-		t.Fatalf("%v listen: no change was refused", n.confState.GetLearners())
+	if !slices.Equal(n.confState.GetLearners(), []uint64{firstID}) {
+		t.Fatalf("learners are %v: the second change was not refused", n.confState.GetLearners())
 	}
 	for _, r := range out.Replies {
 		if r.Handle == 2 && r.Response.Lease.Refusal != lease.RefusedNoSession {
-			t.Errorf("a session that was judged to have ended is renewed: %+v", r.Response.Lease)
+			t.Errorf("a session whose expiry was proposed is renewed: %+v", r.Response.Lease)
 		}
 	}
 }
--- a/internal/consensus/process.go
+++ b/internal/consensus/process.go
@@ -9,22 +9,22 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Output is what a node wants done. All that had to be durable before Messages and Replies are sent is written.
+// Output is the result of [Node.Process]. All state that must be durable before Messages and Replies are sent has been written.
 type Output struct {
 	Messages       []*raftpb.Message
 	Replies        []Reply
-	ChangedMembers []string // members whose leases have changed without a command of their own
+	ChangedMembers []string // members whose leases have changed other than by a command of their own
 	Events         []Event
 }
 
-// Reply is the answer to the request that was submitted with Handle.
+// Reply is the response to the request that was submitted with Handle.
 type Reply struct {
 	Handle   uint64
 	Response Response
 }
 
-// Process carries out all that has come up since the last call and returns what is to be sent. An error, which is then returned by every
-// later call, ends this node's part.
+// Process handles all work that has become due since the last call, writes durable state to storage, and returns the output. An error stops
+// the node; every later call returns the same error.
 func (n *Node) Process(now time.Duration, storage Storage) (out Output, err error) {
 	defer func() {
 		if n.fatalErr != nil {
@@ -49,7 +49,8 @@
 	return out, nil
 }
 
-// runLeaderDuties confirms keepalives and reads, proposes the end of what has expired, and changes the configuration.
+// runLeaderDuties starts the next batch of keepalives and reads, proposes the commands for expired sessions and revoked leases, and
+// proposes configuration changes.
 func (n *Node) runLeaderDuties() {
 	if n.lessor == nil {
 		return
@@ -65,8 +66,8 @@
 	}
 }
 
-// processReady carries out one batch of the raft library, in the order that it demands: first what has to be durable, then the messages,
-// then what is committed.
+// processReady handles one batch of the raft library in the order that the library requires: first durable state is saved, then messages
+// are sent, then committed entries are applied.
 func (n *Node) processReady(storage Storage) error {
 	rd := n.rawNode.Ready()
 	if err := save(rd, storage); err != nil {
@@ -90,7 +91,7 @@
 	return n.maybeSnapshot(storage)
 }
 
-// save makes durable what a batch promises.
+// save writes the hard state, the entries and the snapshot of a batch to storage.
 func save(rd raft.Ready, storage Storage) error {
 	s := PersistentState{HardState: rd.HardState, Entries: rd.Entries}
 	if !raft.IsEmptySnap(rd.Snapshot) {
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// adopt takes over the snapshot, the hard state and the entries of a batch.
+// adopt applies the snapshot, the hard state and the entries of a batch to this node.
 func (n *Node) adopt(rd raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := n.raftLog.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// queueMessages adds messages to the output and starts the timers of snapshots.
+// queueMessages adds messages to the output and starts the timers of the snapshots among them.
 func (n *Node) queueMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		if m.GetType() == raftpb.MsgSnap {
@@ -141,7 +142,7 @@
 	n.output.Messages = append(n.output.Messages, messages...)
 }
 
-// updateLeadership notes who leads now.
+// updateLeadership records the current leader and this node's role. It steps down if this node is no longer the leader.
 func (n *Node) updateLeadership(s raft.SoftState) {
 	if s.RaftState != raft.StateLeader {
 		n.stepDown()
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -10,29 +10,29 @@
 	"sorrelrudder/internal/task"
 )
 
-// maxPendingRequests bounds the proposals, and the queued reads, of a leader. Further requests are redirected.
+// maxPendingRequests bounds the pending proposals of a leader, and separately its queued reads. Further requests are redirected.
 const maxPendingRequests = 4096
 
-// proposal is the content of an entry of the log. One of its commands is set.
+// proposal is the content of a log entry. Exactly one of its commands is set.
 type proposal struct {
-	// Term is that of the leader that judged the command. An entry that another leader's term carries is void: its judgement, such as
-	// that a session has expired, was made on what only the former leader knew.
+	// Term is the term of the leader that proposed the command. An entry with a different raft term is ignored, because the proposal depends
+	// on state that only its leader had. For example, a leader proposes OpExpire by its own session deadlines.
 	Term     uint64           `json:"term"`
-	ID       uint64           `json:"id"` // unique for one leader
+	ID       uint64           `json:"id"` // unique within the proposals of one leader
 	Lease    *lease.Command   `json:"lease,omitempty"`
 	Voter    *VoterCommand    `json:"seat,omitempty"`
 	Task     *task.Command    `json:"slot,omitempty"`
 	Decision *DecisionCommand `json:"order,omitempty"`
 }
 
-// pendingRequest is a request without its answer. Its handle is 0 for a command of the leader's own, which nobody waits for.
+// pendingRequest is a request without a response yet. Its handle is 0 for a command that the leader itself proposes: it needs no response.
 type pendingRequest struct {
 	handle  uint64
 	request Request
 }
 
-// Submit takes a request. A later call of Process returns its answer under handle, which must not be 0. There is none if this node
-// fails.
+// Submit accepts a request. A later call of Process returns the response under handle, which must not be 0. If the node stops before, there
+// is no response.
 func (n *Node) Submit(now time.Duration, handle uint64, r Request) {
 	n.now = now
 	p := pendingRequest{handle, r}
@@ -48,6 +48,7 @@
 	}
 }
 
+// submitCommand proposes the command of a request.
 func (n *Node) submitCommand(p pendingRequest) {
 	r := p.request
 	switch {
@@ -69,7 +70,8 @@
 	}
 }
 
-// propose puts a proposal into the log. It reports false, and redirects the request, if that can't be tried now.
+// propose proposes an entry to the raft library. It redirects the request and returns false if too many proposals are pending or the
+// library rejects the proposal.
 func (n *Node) propose(p pendingRequest, entry proposal) bool {
 	if len(n.proposals) >= maxPendingRequests {
 		n.redirect(p)
@@ -89,13 +91,14 @@
 	return true
 }
 
+// reply adds the response to a request to the output.
 func (n *Node) reply(p pendingRequest, r Response) {
 	if p.handle != 0 {
 		n.output.Replies = append(n.output.Replies, Reply{p.handle, r})
 	}
 }
 
-// redirect answers that this node can't, and who leads as far as it knows.
+// redirect answers a request with NotLeader and the leader that this node knows.
 func (n *Node) redirect(p pendingRequest) {
 	r := Response{NotLeader: true}
 	if n.leaderID != n.cfg.ID {
@@ -104,8 +107,9 @@
 	n.reply(p, r)
 }
 
-// stepDown redirects all that waits. Whoever leads now answers it; a command of a session and a conditional decision have the same result there if they were committed. A trigger, a
-// revocation and an unconditional decision take effect again when they are repeated.
+// stepDown drops the state of a leader and redirects all pending requests to the new leader. A pending command may still be committed. The
+// sender then repeats it at the new leader: a command of a session has the same result there, and a conditional decision takes effect
+// once. A trigger, a revocation and an unconditional decision take effect again.
 func (n *Node) stepDown() {
 	n.lessor = nil
 	for _, p := range n.queuedReads {
--- a/internal/consensus/raft_logger.go
+++ b/internal/consensus/raft_logger.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// raftLogger drops what the raft library logs. Where the library gives up it panics, since nothing safe can be done then;
-// Node.recoverPanic turns that into ErrRaft.
+// raftLogger discards the log of the raft library. Fatal and Panic panic, because the library calls them on a violated invariant and no
+// further step would be safe. Node.recoverPanic converts the panic to ErrRaft.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)              {}
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -9,15 +9,15 @@
 	"sorrelrudder/internal/task"
 )
 
-// readBatch are keepalives and reads that wait for raft's read index: the index up to which this node must have applied the log, known
-// once a majority has confirmed that it still leads.
+// readBatch is a batch of keepalives and reads that wait for their raft read index. The read index is known once a majority has confirmed
+// that this node is still the leader. The batch is answered once this node has applied the log up to the read index.
 type readBatch struct {
 	id       uint64
 	index    uint64 // 0: not confirmed yet
 	requests []pendingRequest
 }
 
-// queueRead puts a keepalive or read into the next batch.
+// queueRead adds a keepalive or read to the next batch.
 func (n *Node) queueRead(p pendingRequest) {
 	if len(n.queuedReads) >= maxPendingRequests {
 		n.redirect(p)
@@ -26,7 +26,7 @@
 	n.queuedReads = append(n.queuedReads, p)
 }
 
-// startReads asks a majority to confirm the lead for all queued reads, one batch at a time.
+// startReads requests the read index for all queued reads. One batch is in flight at a time.
 func (n *Node) startReads() {
 	if n.readInFlight != nil || len(n.queuedReads) == 0 {
 		return
@@ -37,7 +37,7 @@
 	n.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, n.lastReadID))
 }
 
-// confirmReads notes the read index of the batch in flight.
+// confirmReads records the read index of the batch in flight.
 func (n *Node) confirmReads(states []raft.ReadState) {
 	for _, s := range states {
 		if n.readInFlight != nil && len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == n.readInFlight.id {
@@ -46,7 +46,7 @@
 	}
 }
 
-// serveReads answers the batch in flight once it is confirmed and its index applied.
+// serveReads answers the batch in flight once its read index is known and applied.
 func (n *Node) serveReads() {
 	batch := n.readInFlight
 	if batch == nil || batch.index == 0 || n.appliedIndex < batch.index || n.lessor == nil {
@@ -63,6 +63,7 @@
 	}
 }
 
+// taskRecords returns the records of the named tasks.
 func (n *Node) taskRecords(names []string) map[string]task.Record {
 	records := map[string]task.Record{}
 	for _, name := range names {
@@ -71,7 +72,7 @@
 	return records
 }
 
-// keepAlive renews a session.
+// keepAlive renews a session and returns the response to its keepalive.
 func (n *Node) keepAlive(r *lease.Request) *lease.Response {
 	answer := &lease.Response{ID: r.ID, LastID: n.machine.Leases.LastID}
 	holdings, refusal := n.machine.Leases.HoldingsOf(r.SessionID, r.KnownVersion)
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -12,13 +12,14 @@
 	"sorrelrudder/internal/task"
 )
 
-// retainedLogDivisor is the part of Config.SnapshotEntries that stays in the log after a snapshot, so that a follower that is a little
-// behind needs no snapshot.
+// retainedLogDivisor divides Config.SnapshotEntries to give the number of entries that stay in the log after a snapshot. A follower that is
+// behind by fewer entries needs no snapshot.
 const retainedLogDivisor = 4
 
+// snapshot returns the JSON encoding of the state.
 func (m *StateMachine) snapshot() ([]byte, error) { return json.Marshal(m) }
 
-// restore reads what snapshot wrote. It fails with ErrInvalidSnapshot for a state that can't be worked with.
+// restore decodes the result of snapshot. It returns ErrInvalidSnapshot for data that can't be decoded or is inconsistent.
 func restore(data []byte) (*StateMachine, error) {
 	var parts struct {
 		StateMachine
@@ -42,25 +43,25 @@
 	return &m, nil
 }
 
-// validate checks all that the commands of this package take for granted.
+// validate checks the invariants of voters and decisions that the commands of this package rely on.
 func (m *StateMachine) validate() error {
 	if m.FleetID == "" || m.Voters == nil {
-		return fmt.Errorf("%w: no fleet in it", ErrInvalidSnapshot)
+		return fmt.Errorf("%w: the fleet ID or the voters are missing", ErrInvalidSnapshot)
 	}
 	for name, v := range m.Voters {
 		if v == nil || v.RaftID == 0 || v.RaftID > m.LastVoterID {
-			return fmt.Errorf("%w: voter %q is not whole", ErrInvalidSnapshot, name)
+			return fmt.Errorf("%w: voter %q is null, or its raft ID is 0 or above the last one allocated", ErrInvalidSnapshot, name)
 		}
 	}
 	for key, d := range m.Decisions {
 		if d == nil || d.Number == 0 || d.Number > m.LastDecision {
-			return fmt.Errorf("%w: decision %q is not whole", ErrInvalidSnapshot, key)
+			return fmt.Errorf("%w: decision %q is null, or its number is 0 or above the last one", ErrInvalidSnapshot, key)
 		}
 	}
 	return nil
 }
 
-// BootstrapSnapshot is the snapshot that the storage of a fleet's first voter starts with, together with [BootstrapHardState].
+// BootstrapSnapshot returns the initial snapshot for the storage of a fleet's first voter. It belongs together with [BootstrapHardState].
 func BootstrapSnapshot(m *StateMachine) (*raftpb.Snapshot, error) {
 	data, err := m.snapshot()
 	if err != nil {
@@ -72,13 +73,13 @@
 	}}, nil
 }
 
-// BootstrapHardState is the raft state that belongs to [BootstrapSnapshot].
+// BootstrapHardState returns the raft hard state that belongs to [BootstrapSnapshot].
 func BootstrapHardState() *raftpb.HardState {
 	one := uint64(1)
 	return &raftpb.HardState{Term: &one, Commit: &one}
 }
 
-// restoreSnapshot replaces the node's state by that of a snapshot.
+// restoreSnapshot replaces the node's state by the state of a snapshot.
 func (n *Node) restoreSnapshot(s *raftpb.Snapshot) error {
 	m, err := restore(s.GetData())
 	if err != nil {
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// maybeSnapshot writes a snapshot and compacts the log once that is long or the configuration has changed: a new member can't use a
-// snapshot that does not name it.
+// maybeSnapshot writes a snapshot and compacts the log if Config.SnapshotEntries entries were applied since the last one, or if the
+// configuration has changed: a new member can't use a snapshot whose configuration does not contain it.
 func (n *Node) maybeSnapshot(storage Storage) error {
 	if n.machine == nil || n.appliedIndex < n.snapshotIndex+n.cfg.SnapshotEntries && !n.confChanged {
 		return nil
@@ -111,6 +112,7 @@
 	return n.compactLog()
 }
 
+// compactLog drops the applied entries of the log except for the retained ones.
 func (n *Node) compactLog() error {
 	retained := n.cfg.SnapshotEntries / retainedLogDivisor
 	if n.appliedIndex <= retained {
--- a/internal/consensus/snapshot_test.go
+++ b/internal/consensus/snapshot_test.go
@@ -7,7 +7,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// FuzzRestore: what comes as a snapshot is refused or can be worked with.
+// FuzzRestore checks that restore rejects a snapshot with ErrInvalidSnapshot, or returns a state to which commands and configuration
+// changes can be applied without a panic.
 func FuzzRestore(f *testing.F) {
 	data, err := NewStateMachine("fleet", "a", "s", []string{"a", "b", "c"}).snapshot()
 	if err != nil {
@@ -19,7 +20,7 @@
 		m, err := restore(data)
 		if err != nil {
 			if !errors.Is(err, ErrInvalidSnapshot) {
-				t.Errorf("refused with %v", err)
+				t.Errorf("restore failed with %v, want ErrInvalidSnapshot", err)
 			}
 			return
 		}
--- a/internal/consensus/statemachine.go
+++ b/internal/consensus/statemachine.go
@@ -7,21 +7,25 @@
 	"sorrelrudder/internal/task"
 )
 
-// StateMachine is the replicated state of a fleet: equal entries in equal order make equal state machines.
+// StateMachine is the replicated state of a fleet. It is deterministic: the same entries in the same order lead to the same state.
 //
-// Invariants: a raft ID is never given twice; at least one ID votes; of one name, the new ID and the one that it replaces never vote at
-// the same time; the numbers of decisions only grow, and a withdrawn decision keeps its number, so that no late copy brings it back.
+// Invariants:
+//   - A raft ID is never allocated twice.
+//   - At least one raft ID votes.
+//   - The new raft ID of a member and the ID that it replaces never vote at the same time.
+//   - Decision numbers increase. A withdrawn decision keeps its number, so that a late copy can't restore it.
 type StateMachine struct {
-	FleetID     string            `json:"id"`    // drawn when the fleet was founded
-	LastVoterID uint64            `json:"last"`  // the largest raft ID given out
+	FleetID     string            `json:"id"`    // a random ID from the bootstrap of the fleet
+	LastVoterID uint64            `json:"last"`  // the largest raft ID allocated
 	Voters      map[string]*Voter `json:"seats"` // by member name
 	VoterNames  []string          `json:"names"` // members that may be voters
-	// Volatile fleets keep their promises in memory. A member that returns with another store takes the place of its former one at once,
-	// since that one has ended with its process.
+	// Volatile is set if the voters keep their raft state in memory only. A member that restarts has a new store and replaces its former raft
+	// ID at once, because the former store ended with its process.
 	Volatile bool                `json:"volatile,omitempty"`
 	Leases   *lease.StateMachine `json:"leases"`
-	// LastDecision is the number of the newest decision, DeciderToken the largest fencing token under which one was made.
-	LastDecision uint64               `json:"ordered,omitempty"`
+	// LastDecision is the number of the newest decision.
+	LastDecision uint64 `json:"ordered,omitempty"`
+	// DeciderToken is the largest fencing token of the decisions.
 	DeciderToken uint64               `json:"decider,omitempty"`
 	Decisions    map[string]*Decision `json:"orders,omitempty"`
 	Tasks        *task.Registry       `json:"slots"`
@@ -30,7 +34,8 @@
 // founderID is the raft ID of the first voter of a fleet.
 const founderID = 1
 
-// NewStateMachine returns the state of a fleet whose only voter is founder. voterNames are the members that may become voters.
+// NewStateMachine returns the state of a new fleet whose only voter is the member founder. voterNames are the members that may become
+// voters.
 func NewStateMachine(fleetID, founder, storeID string, voterNames []string) *StateMachine {
 	return &StateMachine{
 		FleetID:     fleetID,
@@ -42,7 +47,7 @@
 	}
 }
 
-// Clone returns a deep copy, or nil for nil and for a state that can't be encoded.
+// Clone returns a deep copy. It returns nil for nil and for a state that can't be encoded or is inconsistent.
 func (m *StateMachine) Clone() *StateMachine {
 	if m == nil {
 		return nil
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -2,18 +2,19 @@
 
 import "go.etcd.io/raft/v3/raftpb"
 
-// Storage makes durable what a node promises to the others. Save returns once s is written, and on stable storage if sync is set. After
-// an error the node stops, since nobody knows what was written.
+// Storage stores the raft state of a node.
 type Storage interface {
+	// Save writes s. If sync is set, it returns once s is on stable storage. After an error the node stops, because it is unknown which part
+	// of s was written.
 	Save(s PersistentState, sync bool) error
 }
 
-// PersistentState is what a node keeps: all of it as a node starts, and what has changed as [Storage] is told.
+// PersistentState is the stored state of a node. [Config] contains all of it, and a call of [Storage.Save] the part that has changed.
 type PersistentState struct {
 	HardState *raftpb.HardState // nil: unchanged
-	Snapshot  *raftpb.Snapshot  // nil: none; otherwise the entries up to its index may be dropped
-	Entries   []*raftpb.Entry   // they replace those of equal and larger indices
-	// ReplaceLog is set if Snapshot came from another node: all stored entries are of another history, and are to be dropped in the same
+	Snapshot  *raftpb.Snapshot  // nil: none or unchanged; otherwise stored entries up to its index may be dropped
+	Entries   []*raftpb.Entry   // replace the stored entries with the same and larger indices
+	// ReplaceLog is set if Snapshot came from another node. The stored entries don't belong to its log, and must be dropped in the same
 	// write.
 	ReplaceLog bool
 }
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -6,16 +6,18 @@
 	"sorrelrudder/internal/lease"
 )
 
-// MaxVoters bounds the voters of a fleet: with more of them a larger majority has to write each command to stable storage.
+// MaxVoters is the largest number of voters of a fleet. Each further voter enlarges the majority that has to write every command to stable
+// storage.
 const MaxVoters = 9
 
-// Voter is a member that was admitted to the consensus group: it votes, or it listens as a learner until an operator lets it vote. Its raft ID belongs to one store: a member that returns with another store gets another.
+// Voter is a member that was admitted to the consensus group. It votes, or it is a learner until an operator lets it vote. A raft ID
+// belongs to one store: a member that returns with another store gets another raft ID.
 type Voter struct {
 	RaftID  uint64 `json:"id"`
 	StoreID string `json:"store"`
-	Votes   bool   `json:"voter"` // it is to vote as soon as it has caught up
-	// ReplacedID is the raft ID that the member had with a store that is lost. It still counts as a voter, since what it has promised is
-	// not known. 0: none.
+	Votes   bool   `json:"voter"` // whether the member votes once it has caught up
+	// ReplacedID is the raft ID that the member had with its former store. It still counts as a voter, because the votes and entries that the
+	// former store has acknowledged are not known here. 0: none.
 	ReplacedID uint64 `json:"former,omitempty"`
 }
 
@@ -24,18 +26,18 @@
 
 // Operations on voters.
 const (
-	OpAdmit   VoterOp = "admit"   // a member with a store that is not known asks for a raft ID
-	OpAdd     VoterOp = "add"     // an operator lets a member become a voter
-	OpRemove  VoterOp = "remove"  // an operator takes a member out of the voters
-	OpReplace VoterOp = "replace" // an operator confirms that a member's former store is lost: its new raft ID votes instead
+	OpAdmit   VoterOp = "admit"   // allocates a raft ID for a member's store, on request of the member
+	OpAdd     VoterOp = "add"     // allows a member to become a voter, on request of an operator
+	OpRemove  VoterOp = "remove"  // removes a member from the voters, on request of an operator
+	OpReplace VoterOp = "replace" // lets a member's new raft ID vote, after an operator has confirmed that the former store is lost
 )
 
-// VoterCommand changes the voters.
+// VoterCommand is a change of the voters.
 type VoterCommand struct {
 	Op      VoterOp `json:"op"`
 	Name    string  `json:"name"`
 	StoreID string  `json:"store,omitempty"`
-	// Volatile tells that the store ends with its process (OpAdmit).
+	// Volatile is set if the store is in memory and ends with its process (OpAdmit).
 	Volatile bool `json:"memory,omitempty"`
 }
 
@@ -47,6 +49,7 @@
 	Votes   bool    `json:"voter,omitempty"`
 }
 
+// applyVoter applies a command, or refuses it without a change.
 func (m *StateMachine) applyVoter(c VoterCommand) VoterResult {
 	switch c.Op {
 	case OpAdmit:
@@ -61,7 +64,7 @@
 	return VoterResult{Refusal: refusedMalformed}
 }
 
-// admitVoter gives a raft ID to a member's store.
+// admitVoter returns the raft ID of a member's store. It allocates one for a store that is not known.
 func (m *StateMachine) admitVoter(c VoterCommand) VoterResult {
 	v := m.Voters[c.Name]
 	switch {
@@ -81,8 +84,8 @@
 	return VoterResult{RaftID: v.RaftID, FleetID: m.FleetID, Votes: v.Votes}
 }
 
-// replacement is the voter for a member that returns with another store. It does not vote until an operator confirms that the former
-// store is lost, since what that one has promised is not known here.
+// replacement returns the voter for a member that returns with another store. It does not vote until an operator confirms that the former
+// store is lost, because the votes and entries that the former store has acknowledged are not known here.
 func (m *StateMachine) replacement(former *Voter, c VoterCommand) *Voter {
 	m.LastVoterID++
 	v := &Voter{RaftID: m.LastVoterID, StoreID: c.StoreID, ReplacedID: former.ReplacedID}
@@ -90,13 +93,14 @@
 		v.ReplacedID = former.RaftID
 	}
 	if m.Volatile && c.Volatile {
-		// The former process has ended, and its promises with it. The new ID votes once a majority, in which the former one counts as
-		// silent, has put it in its place.
+		// The former store ended with its process. The new ID votes once a majority has committed the replacement. The former ID counts as
+		// an unreachable voter for that majority.
 		v.Votes, v.ReplacedID = true, 0
 	}
 	return v
 }
 
+// addVoter allows a member to become a voter.
 func (m *StateMachine) addVoter(name string) VoterResult {
 	switch {
 	case slices.Contains(m.VoterNames, name):
@@ -110,7 +114,7 @@
 	return VoterResult{}
 }
 
-// removeVoter takes a member out, unless nobody would vote without it.
+// removeVoter removes a member from the voters, unless no voter would remain.
 func (m *StateMachine) removeVoter(name string) VoterResult {
 	if !slices.Contains(m.VoterNames, name) {
 		return VoterResult{Refusal: refusef("%q has no seat", name)}
@@ -127,7 +131,7 @@
 	return VoterResult{}
 }
 
-// replaceVoter lets the new raft ID of a member vote in place of its former one.
+// replaceVoter lets the new raft ID of a member vote in place of its former raft ID.
 func (m *StateMachine) replaceVoter(name string) VoterResult {
 	v := m.Voters[name]
 	if v == nil {
@@ -140,7 +144,7 @@
 	return VoterResult{RaftID: v.RaftID, Votes: true}
 }
 
-// votingIDs are the raft IDs that are to vote, sorted.
+// votingIDs returns the sorted raft IDs that are to vote.
 func (m *StateMachine) votingIDs() []uint64 {
 	var ids []uint64
 	for _, v := range m.Voters {
@@ -155,7 +159,7 @@
 	return ids
 }
 
-// voterName is the member with a raft ID, now or with a former store; empty if there is none.
+// voterName returns the member that has a raft ID, or had it with its former store. It returns "" if there is none.
 func (m *StateMachine) voterName(id uint64) string {
 	for name, v := range m.Voters {
 		if id != 0 && (v.RaftID == id || v.ReplacedID == id) {
--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -46,7 +46,8 @@
 	return b.String()
 }
 
-// possibleCommands returns all commands that the sessions of m, an operator and the leader may send. depth makes the nonces of OpOpen differ.
+// possibleCommands returns all commands that the sessions of m, an operator and the leader may send. depth makes the nonces of OpOpen
+// differ.
 func possibleCommands(m *StateMachine, depth int) []Command {
 	var all []Command
 	for _, id := range slices.Sorted(maps.Keys(m.Sessions)) {
--- a/internal/lease/snapshot_test.go
+++ b/internal/lease/snapshot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRestore checks that Restore either rejects a snapshot from a disk or a peer with ErrInvalidSnapshot, or returns a state to which Apply
-// can apply commands without a panic.
+// FuzzRestore checks that Restore rejects a snapshot from a disk or a peer with ErrInvalidSnapshot, or returns a state to which Apply can
+// apply commands without a panic.
 func FuzzRestore(f *testing.F) {
 	m := NewStateMachine()
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
