--- a/internal/task/admission.go
+++ b/internal/task/admission.go
@@ -1,12 +1,13 @@
 package task
 
-// staleWaiterRounds is the number of rounds of requests after which a waiting task that asks no more loses its place: its holder has died,
-// or its slot is no longer due. The registry has no clock; all that wait ask about equally often.
+// staleWaiterRounds is the number of rounds of OpBegin commands after which a waiting task that has sent none itself loses its place. The
+// holder of such a task has died, or its slot is no longer due. Rounds replace a timeout, because the registry has no clock and all
+// waiting tasks repeat OpBegin about equally often.
 const staleWaiterRounds = 8
 
-// admit reports whether a slot may be begun beside those that are open in the whole fleet, by Command.MaxOpen. Of the tasks that wait the
-// one of the largest priority goes first, then the one that has waited longest. A slot that a dead holder left open counts until another
-// has taken it up.
+// admit reports whether a slot may be begun without exceeding Command.MaxOpen open slots in the whole fleet. Waiting tasks are admitted by
+// descending priority, and for equal priorities by descending waiting time. A slot that a dead holder left open counts until another
+// holder finishes it.
 func (r *Registry) admit(record *Record, c Command) bool {
 	if c.MaxOpen <= 0 {
 		record.stopWaiting()
@@ -49,6 +50,7 @@
 	return true
 }
 
+// isAheadOf reports whether a waiting task is admitted before another one.
 func (record *Record) isAheadOf(other *Record) bool {
 	if record.Priority != other.Priority {
 		return record.Priority > other.Priority
@@ -56,8 +58,9 @@
 	return record.WaitingSince < other.WaitingSince
 }
 
-// passOver keeps a place for a waiting task, while another asks. It reports false, and gives the place up, if the task has not asked for
-// staleWaiterRounds rounds, each of waiting others and the one that asks.
+// passOver records an OpBegin command of another task, and reports whether a place stays reserved for this waiting task. The place is given
+// up once the task has sent no command of its own for staleWaiterRounds rounds. waiting is the number of waiting tasks except the sender
+// of the command, so a round has waiting+1 commands.
 func (record *Record) passOver(waiting int) bool {
 	record.PassedOver++
 	if record.PassedOver > staleWaiterRounds*(waiting+1) {
@@ -67,4 +70,5 @@
 	return true
 }
 
+// stopWaiting removes a task from the waiting ones.
 func (record *Record) stopWaiting() { record.WaitingSince, record.PassedOver = 0, 0 }
--- a/internal/task/admission_test.go
+++ b/internal/task/admission_test.go
@@ -6,17 +6,18 @@
 	"pgregory.net/rapid"
 )
 
-// admissionTest plays tasks that compete for MaxOpen. Task i has priority i.
+// admissionTest runs tasks that compete for maxOpen open slots. Task i has priority i.
 type admissionTest struct {
 	registry *Registry
 	maxOpen  int
 	open     map[int]bool
-	slots    map[int]int64 // by task: the newest that was begun
+	slots    map[int]int64 // newest begun slot by task
 }
 
+// taskName returns the name of task i.
 func taskName(i int) string { return string(rune('a' + i)) }
 
-// finishSome closes some of the open slots and returns the tasks that have none.
+// finishSome finishes some of the open slots and returns the tasks that had none open.
 func (a *admissionTest) finishSome(t *rapid.T, tasks int) []int {
 	idle := []int{}
 	for i := range tasks {
@@ -32,6 +33,7 @@
 	return idle
 }
 
+// begin sends OpBegin for the next slot of task i.
 func (a *admissionTest) begin(t *rapid.T, i int) {
 	slot := a.slots[i] + 1
 	result := a.registry.Apply(Command{Op: OpBegin, Task: taskName(i), Slot: slot, Token: 1, MaxOpen: a.maxOpen, Priority: i})
@@ -44,6 +46,7 @@
 	}
 }
 
+// checkOpen checks that the open slots are those that were admitted, and no more than maxOpen.
 func (a *admissionTest) checkOpen(t *rapid.T) {
 	n := 0
 	for _, record := range a.registry.Tasks {
@@ -52,17 +55,19 @@
 		}
 	}
 	if n > a.maxOpen || n != len(a.open) {
-		t.Fatalf("%d are open, %d may be", n, a.maxOpen)
+		t.Fatalf("%d slots are open, the bound is %d", n, a.maxOpen)
 	}
 }
 
-// TestAdmission holds for every order of asks, ends and deaths: never more slots are open than may be, and where there is room and several ask,
-// the largest priority is let in; a task that asks no more keeps the others out for so many rounds only.
+// TestAdmission checks these properties for random sequences of begins and finishes, with one task whose holder may have died:
+//   - At most maxOpen slots are open.
+//   - The task with the largest priority is admitted.
+//   - A waiting task without further OpBegin commands delays the others for a limited number of rounds only.
 func TestAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tasks = 5
 		a := admissionTest{registry: NewRegistry(), maxOpen: rapid.IntRange(1, 3).Draw(t, "most"), open: map[int]bool{}, slots: map[int]int64{}}
-		dead := rapid.IntRange(-1, tasks-1).Draw(t, "dead") // asks once, and never again
+		dead := rapid.IntRange(-1, tasks-1).Draw(t, "dead") // sends OpBegin in the first round only; -1: no such task
 		for round := range 200 {
 			for _, i := range a.finishSome(t, tasks) {
 				if i != dead || round == 0 {
@@ -72,25 +77,25 @@
 			a.checkOpen(t)
 		}
 		if best := tasks - 1; a.slots[best] == 0 && best != dead {
-			t.Fatalf("%s has the largest priority, and never had its turn: %v", taskName(best), a.slots)
+			t.Fatalf("%s has the largest priority, but was never admitted: %v", taskName(best), a.slots)
 		}
 		total := int64(0)
 		for _, n := range a.slots {
 			total += n
 		}
 		if total < 20 {
-			t.Fatalf("one that asks no more keeps all others out: %v", a.slots)
+			t.Fatalf("fewer than 20 slots were begun beside a task that sends no commands: %v", a.slots)
 		}
 	})
 }
 
-// TestPriority: with room for one, and all waiting, the one of the largest priority goes first, then the one that has waited longest.
+// TestPriority checks that waiting tasks are admitted by descending priority, and for equal priorities in the order of their first OpBegin.
 func TestPriority(t *testing.T) {
 	registry := NewRegistry()
 	begin := func(task string, priority int) Refusal {
 		return registry.Apply(Command{Op: OpBegin, Task: task, Slot: 1, Token: 1, MaxOpen: 1, Priority: priority}).Refusal
 	}
-	end := func(task string) {
+	finish := func(task string) {
 		registry.Apply(Command{Op: OpFinish, Task: task, Slot: 1, Token: 1, Outcome: OutcomeDone})
 	}
 	if refusal := begin("first", 0); refusal != "" {
@@ -104,7 +109,7 @@
 			t.Fatalf("%s: %q", c.task, refusal)
 		}
 	}
-	end("first")
+	finish("first")
 	for _, want := range []string{"old", "new", "low"} {
 		for _, c := range []struct {
 			task     string
@@ -115,12 +120,12 @@
 			}
 			refusal := begin(c.task, c.priority)
 			if (refusal == "") != (c.task == want) {
-				t.Fatalf("%s begins: %q, where it is the turn of %s", c.task, refusal, want)
+				t.Fatalf("OpBegin of %s: refusal %q, want the admission of %s next", c.task, refusal, want)
 			}
 			if refusal == "" {
 				break
 			}
 		}
-		end(want)
+		finish(want)
 	}
 }
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -8,20 +8,20 @@
 	"sorrelrudder/internal/goldentest"
 )
 
-// TestGoldenSnapshot: the registry is written and read as it was by earlier versions.
+// TestGoldenSnapshot checks that the encoding of a registry is the same as in earlier versions.
 func TestGoldenSnapshot(t *testing.T) {
-	b := &Registry{AdmissionSeq: 7, Tasks: map[string]*Record{"sweep": {
+	registry := &Registry{AdmissionSeq: 7, Tasks: map[string]*Record{"sweep": {
 		Revision: 11, Token: 4, Slot: 20, Open: true, BegunBy: 4, Attempts: 2, LastOutcome: OutcomeDone, OutcomeCounts: map[Outcome]int64{OutcomeDone: 5, OutcomeUnknown: 1}, Skipped: 3, Triggered: true,
 		WaitingSince: 6, Priority: 2, PassedOver: 1, Period: 8, Requests: 12, TookMs: 340,
 	}}}
 	goldentest.CheckFile(t, "testdata/snapshot.golden", goldentest.Case{
-		Value:  b,
-		Encode: func() ([]byte, error) { return json.Marshal(b) },
+		Value:  registry,
+		Encode: func() ([]byte, error) { return json.Marshal(registry) },
 		Decode: func(data []byte) (any, error) { return Restore(data) },
 	})
 }
 
-// TestStoredWords: the words that stand in entries, snapshots and messages keep their spelling.
+// TestStoredWords checks the values of operations, outcomes and refusals, which log entries, snapshots and messages contain.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{string(OpBegin), "begin"}, {string(OpFinish), "finish"}, {string(OpTrigger), "call"},
@@ -31,12 +31,13 @@
 		{string(RefusedTooManyTasks), "too many tasks"}, {string(RefusedMalformed), "malformed"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%q was %q", c.got, c.want)
+			t.Errorf("stored value is %q, want %q", c.got, c.want)
 		}
 	}
 }
 
-// TestSlotNumbers: two versions give one moment the same slot, which is stored, and a slot the same idempotency key, which servers remember.
+// TestSlotNumbers checks that a wall clock time has the same slot and budget period, and a slot the same idempotency key, as in earlier
+// versions. Slots and periods are stored in the registry, and servers remember the keys.
 func TestSlotNumbers(t *testing.T) {
 	s := Spec{Name: "sweep", Interval: time.Hour, Offset: 10 * time.Minute, Spread: 30 * time.Minute, Budget: Budget{Period: 24 * time.Hour}}
 	wall := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/task/registry.go
+++ b/internal/task/registry.go
@@ -7,16 +7,19 @@
 )
 
 const (
-	// MaxTasks bounds the tasks of a registry.
+	// MaxTasks is the largest number of tasks in a registry.
 	MaxTasks = 4096
-	// maxNameLen is the longest name of a task, in bytes.
+	// maxNameLen is the largest length of a task's name, in bytes.
 	maxNameLen = 128
 )
 
-// Registry is the replicated state of all tasks: equal commands in equal order make equal registries.
+// Registry is the replicated state of all tasks. It is deterministic: the same commands in the same order lead to the same state.
 //
-// Invariants: at most one slot of a task is open; slot numbers only grow; a command with an older token than Record.Token changes
-// nothing; a slot is begun a second time only by another token and with Command.Rerun.
+// Invariants:
+//   - At most one slot of a task is open.
+//   - The slot numbers of a task increase.
+//   - A command with an older token than Record.Token changes nothing.
+//   - A slot is begun a second time only by another token and with Command.Rerun.
 type Registry struct {
 	Tasks map[string]*Record `json:"tasks"`
 	// AdmissionSeq counts the OpBegin commands that were subject to MaxOpen.
@@ -26,23 +29,22 @@
 // Record is the state of one task.
 type Record struct {
 	Revision      uint64            `json:"rev"`   // grows with each change
-	Token         uint64            `json:"token"` // the largest that has changed the record
-	Slot          int64             `json:"slot"`  // the newest that was begun
+	Token         uint64            `json:"token"` // the largest fencing token that has changed the record
+	Slot          int64             `json:"slot"`  // the newest slot that was begun
 	Open          bool              `json:"open"`  // Slot is not finished
-	BegunBy       uint64            `json:"by"`    // the token that began Slot last
-	Attempts      int               `json:"begun"` // how often Slot was begun
+	BegunBy       uint64            `json:"by"`    // the fencing token that began Slot last
+	Attempts      int               `json:"begun"` // how many times Slot was begun
 	LastOutcome   Outcome           `json:"last,omitempty"`
 	OutcomeCounts map[Outcome]int64 `json:"counts,omitempty"`
 	Skipped       int64             `json:"skipped,omitempty"`
-	Triggered     bool              `json:"called,omitempty"` // an operator wants the next slot now
+	Triggered     bool              `json:"called,omitempty"` // an operator has requested the next slot now
 
-	// While a slot waits for MaxOpen: the Registry.AdmissionSeq since which it waits (0: it does not), its priority, and how often others
-	// were refused in its favour since it asked last.
-	WaitingSince uint64 `json:"waits,omitempty"`
-	Priority     int    `json:"priority,omitempty"`
-	PassedOver   int    `json:"passed,omitempty"`
+	// The state of a task that waits because of Command.MaxOpen.
+	WaitingSince uint64 `json:"waits,omitempty"`    // Registry.AdmissionSeq at the start of the wait; 0: the task does not wait
+	Priority     int    `json:"priority,omitempty"` // Command.Priority of its last OpBegin
+	PassedOver   int    `json:"passed,omitempty"`   // how often another task's OpBegin left a place to this task since its own last OpBegin
 
-	// What the task has cost in the newest known period of its budget.
+	// The cost of the task in the newest known period of its budget.
 	Period   int64 `json:"period,omitempty"`
 	Requests int64 `json:"requests,omitempty"`
 	TookMs   int64 `json:"took_ms,omitempty"`
@@ -52,20 +54,20 @@
 func NewRegistry() *Registry { return &Registry{Tasks: map[string]*Record{}} }
 
 // ErrInvalidSnapshot is wrapped by the errors of [Restore].
-var ErrInvalidSnapshot = errors.New("task: snapshot")
+var ErrInvalidSnapshot = errors.New("task: invalid snapshot")
 
-// Restore reads a registry as encoding/json writes it. It fails with ErrInvalidSnapshot for data that is not one.
+// Restore decodes a registry from its JSON encoding. It returns ErrInvalidSnapshot for data that can't be decoded or is inconsistent.
 func Restore(data []byte) (*Registry, error) {
 	r := NewRegistry()
 	if err := json.Unmarshal(data, r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if r.Tasks == nil {
-		return nil, fmt.Errorf("%w: no tasks in it", ErrInvalidSnapshot)
+		return nil, fmt.Errorf("%w: field tasks is missing", ErrInvalidSnapshot)
 	}
 	for name, record := range r.Tasks {
 		if record == nil || record.Open && record.BegunBy == 0 {
-			return nil, fmt.Errorf("%w: %q is not whole", ErrInvalidSnapshot, name)
+			return nil, fmt.Errorf("%w: task %q is null, or has an open slot without a token", ErrInvalidSnapshot, name)
 		}
 		if record.OutcomeCounts == nil {
 			record.OutcomeCounts = map[Outcome]int64{}
@@ -74,7 +76,7 @@
 	return r, nil
 }
 
-// Record returns a copy of a task's record without OutcomeCounts; the zero value if there is none.
+// Record returns a copy of a task's record without OutcomeCounts, or the zero value for an unknown task.
 func (r *Registry) Record(task string) Record {
 	record := r.Tasks[task]
 	if record == nil {
@@ -85,12 +87,13 @@
 	return c
 }
 
-// Apply carries out a command of the replicated log.
+// Apply applies a committed command and returns its result.
 func (r *Registry) Apply(c Command) Result {
 	refusal := r.apply(c)
 	return Result{refusal, r.Record(c.Task)}
 }
 
+// apply applies a command and returns its refusal.
 func (r *Registry) apply(c Command) Refusal {
 	if c.Op == OpTrigger {
 		return r.trigger(c.Task)
@@ -121,7 +124,7 @@
 	return ""
 }
 
-// recordFor returns the record of a command's task. OpBegin makes one for a new task.
+// recordFor returns the record of a command's task. OpBegin creates the record of a new task.
 func (r *Registry) recordFor(c Command) (*Record, Refusal) {
 	if record := r.Tasks[c.Task]; record != nil {
 		return record, ""
@@ -137,6 +140,7 @@
 	return record, ""
 }
 
+// trigger makes the next slot of a task due now.
 func (r *Registry) trigger(task string) Refusal {
 	record := r.Tasks[task]
 	if record == nil {
@@ -147,7 +151,7 @@
 	return ""
 }
 
-// begin opens a slot. One that the same token has begun is left as it is: the command was sent again.
+// begin opens a slot. An open slot that the same token has begun stays unchanged, because the command was sent again.
 func (r *Registry) begin(record *Record, c Command) Refusal {
 	switch {
 	case record.Open && record.Slot == c.Slot && record.BegunBy == c.Token:
@@ -169,7 +173,7 @@
 	return ""
 }
 
-// finish closes a slot and charges its cost. One that is closed is left as it is: the command was sent again.
+// finish closes a slot and charges its cost. A closed slot stays unchanged, because the command was sent again.
 func (record *Record) finish(c Command) Refusal {
 	if !c.Outcome.valid() {
 		return RefusedMalformed
@@ -185,7 +189,8 @@
 	return ""
 }
 
-// charge adds the cost of a slot. A process whose clock is behind charges the newest known period.
+// charge adds the cost of a slot to its budget period. A process whose clock is behind may report an older period; its cost is added to the
+// newest known period.
 func (record *Record) charge(c Command) {
 	if c.Period > record.Period {
 		record.Period, record.Requests, record.TookMs = c.Period, 0, 0
--- a/internal/task/registry_test.go
+++ b/internal/task/registry_test.go
@@ -8,8 +8,10 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// TestRegistry holds for every order of commands: a slot is begun anew only by a newer token that says a repeat does no harm, slots only
-// grow, and an older token changes nothing after a newer.
+// TestRegistry checks these properties for random sequences of commands:
+//   - A slot is begun again only by a newer token and with Rerun.
+//   - Slot numbers increase.
+//   - A command with an older token changes nothing after a command with a newer token.
 func TestRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRegistry()
@@ -27,7 +29,7 @@
 			after := result.Record
 			if result.Refusal != "" {
 				if before.Slot != after.Slot || before.Open != after.Open || before.Token != after.Token {
-					t.Fatalf("%+v was refused (%s), and changed %+v to %+v", c, result.Refusal, before, after)
+					t.Fatalf("%+v was refused (%s), but changed %+v to %+v", c, result.Refusal, before, after)
 				}
 				continue
 			}
@@ -35,16 +37,16 @@
 				continue
 			}
 			if c.Token < newest {
-				t.Fatalf("%+v was taken after token %d", c, newest)
+				t.Fatalf("%+v was applied after a command with token %d", c, newest)
 			}
 			newest = c.Token
 			if after.Slot < last {
-				t.Fatalf("%+v: slot %d after %d", c, after.Slot, last)
+				t.Fatalf("%+v: the newest slot is %d, it was %d before", c, after.Slot, last)
 			}
 			last = after.Slot
 			if c.Op == OpBegin && (!before.Open || before.Slot != c.Slot || before.BegunBy != c.Token) {
 				if begun[c.Slot]++; begun[c.Slot] > 1 && !c.Rerun {
-					t.Fatalf("%+v: the slot was begun before", c)
+					t.Fatalf("%+v: the slot was begun a second time without Rerun", c)
 				}
 			}
 		}
--- a/internal/task/run.go
+++ b/internal/task/run.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// slotRun is the slot that a runner runs: its requests, and their outcome until that is written down.
+// slotRun is the state of the slot that a runner runs, from its begin until its outcome is recorded in the registry.
 type slotRun struct {
 	slot        int64 // 0: none
-	rerun       bool  // another process has begun it before
-	attempts    int   // requests sent
-	inFlight    bool
+	rerun       bool  // another process has begun the slot before
+	attempts    int   // requests sent by this process
+	inFlight    bool  // a request has no outcome yet
 	sentAt      time.Duration
-	retryAt     time.Duration // the next request may not be sent before
-	requestTime time.Duration // sum over the requests
+	retryAt     time.Duration // earliest time of the next request
+	requestTime time.Duration // sum of the times of all requests
 	outcome     Outcome       // empty: not known yet
 }
 
-// send has the next request of the slot sent, if there is time for an answer.
+// send returns the next request of the slot. It returns no action before retryAt, and none once the lease has expired at until.
 func (r *Runner) send(now time.Duration, wall time.Time, token uint64, until time.Duration) (Action, time.Duration) {
 	run := &r.run
 	if now < run.retryAt {
 		return Action{}, run.retryAt
 	}
 	if run.rerun && r.spec.Idempotency == IdempotentByKey && now >= r.view.notBegunAt+r.spec.KeyLifetime() {
-		// The answer to OpBegin came late: by now the servers may have forgotten the key.
+		// The result of OpBegin arrived late. The servers may no longer remember the idempotency key.
 		run.outcome = OutcomeUnknown
 		return r.finish(now, wall, token)
 	}
@@ -35,7 +35,7 @@
 	return Action{Send: request}, deadline
 }
 
-// HandleOutcome takes the end of the request that was out. retryAt is when it may be sent again, if it may.
+// HandleOutcome processes the outcome of the request in flight. retryAt is the earliest time of a retry, if the outcome allows one.
 func (r *Runner) HandleOutcome(now time.Duration, outcome Outcome, retryAt time.Duration) {
 	run := &r.run
 	if !run.inFlight {
@@ -50,7 +50,8 @@
 	run.outcome = outcome
 }
 
-// mayRetry reports whether a request with an outcome may be sent again: it has surely not run, or running it again does no harm.
+// mayRetry reports whether a request with an outcome may be sent again, because the slot certainly did not run or because running the slot
+// again does no harm.
 func (r *Runner) mayRetry(outcome Outcome) bool {
 	switch outcome {
 	case OutcomeRejected:
@@ -61,24 +62,25 @@
 	return false
 }
 
-// finish writes down the outcome of the slot, and its cost.
+// finish proposes to record the outcome and the cost of the slot.
 func (r *Runner) finish(now time.Duration, wall time.Time, token uint64) (Action, time.Duration) {
 	c := Command{Op: OpFinish, Task: r.spec.Name, Slot: r.run.slot, Token: token, Outcome: r.run.outcome}
-	othersAttempts := 0
+	earlierBegins := 0
 	if r.run.rerun {
-		othersAttempts = max(0, r.view.record.Attempts-1)
+		earlierBegins = max(0, r.view.record.Attempts-1)
 	}
-	r.chargeBudget(&c, wall, othersAttempts)
+	r.chargeBudget(&c, wall, earlierBegins)
 	return r.propose(now, c)
 }
 
-// chargeBudget sets the cost of a slot: what was sent here, and for each time that others began it as much as they may have sent.
-func (r *Runner) chargeBudget(c *Command, wall time.Time, othersAttempts int) {
+// chargeBudget sets the cost of a slot in an OpFinish command. The cost consists of the requests of this process and, for each of the
+// earlierBegins of other processes, of the most that such a process may have sent.
+func (r *Runner) chargeBudget(c *Command, wall time.Time, earlierBegins int) {
 	if r.spec.Budget.Period == 0 {
 		return
 	}
 	c.Period = r.spec.Budget.periodAt(wall)
-	c.Requests = othersAttempts * max(1, r.spec.MaxAttempts)
+	c.Requests = earlierBegins * max(1, r.spec.MaxAttempts)
 	requestTime := time.Duration(c.Requests) * r.spec.Deadline
 	if c.Slot == r.run.slot {
 		c.Requests += r.run.attempts
--- a/internal/task/runner.go
+++ b/internal/task/runner.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Action is what a [Runner] wants done. One field is set, or none.
+// Action is an action that a [Runner] requests from its caller. At most one field is set.
 type Action struct {
-	FetchRecord bool         // read the task's record, for HandleRecord
-	Command     *Command     // send the command to the leader, for HandleResult
-	Send        *SlotRequest // send the slot's request, for HandleOutcome
+	FetchRecord bool         // read the task's record and pass it to HandleRecord
+	Command     *Command     // send the command to the leader and pass the result to HandleResult
+	Send        *SlotRequest // send the request and pass its outcome to HandleOutcome
 }
 
 // SlotRequest is a request of a slot.
@@ -14,15 +14,15 @@
 	Slot     int64
 	Key      string // idempotency key
 	Token    uint64
-	Attempt  int           // of this process, from 1
-	Deadline time.Duration // by the process's monotonic clock: nothing of the request may be sent later
+	Attempt  int           // number of the request among those of this process for the slot, from 1
+	Deadline time.Duration // by the process's monotonic clock; no part of the request may be sent later
 }
 
-// Runner runs one task at one process while that holds the task's lease: it reads the record, begins what is due, has its request sent,
-// and writes down the outcome. What it can't know it takes for the worst. Its times are of the process's monotonic clock; the wall clock
-// only numbers slots. It is not safe for concurrent use.
+// Runner runs one task at a process while the process holds the task's lease. It reads the task's record, begins due slots, requests the
+// sending of their requests, and records their outcomes. Where it lacks information, it assumes the worst case. All times are readings
+// of the process's monotonic clock; the wall clock only determines slot numbers. It is not safe for concurrent use.
 //
-// Invariant: a request goes out only for a slot that the record shows open, begun by the token in force.
+// Invariant: a request is sent only for a slot that the record shows as open and begun by the current token.
 type Runner struct {
 	spec          Spec
 	retryInterval time.Duration
@@ -33,36 +33,36 @@
 	fetchedAt time.Duration
 	nextFetch time.Duration
 
-	pending          *Command // OpBegin or OpFinish without an answer
+	pending          *Command // OpBegin or OpFinish without a result yet
 	pendingSince     time.Duration
 	run              slotRun
 	admissionRetryAt time.Duration // after RefusedConcurrencyLimit
 	budgetExhausted  bool
 }
 
-// recordView is what a runner knows of the task's record.
+// recordView is the runner's copy of the task's record.
 type recordView struct {
-	record  Record
-	known   bool          // record may be acted on
-	token   uint64        // of the lease that record is read for
-	askedAt time.Duration // when record was asked for; below 0: never
-	// notBegunAt is when the newest record was asked for that did not show the present slot as begun; below 0: none was seen.
+	record      Record
+	known       bool          // record is recent enough to act on
+	token       uint64        // fencing token of the lease that record was read under
+	requestedAt time.Duration // when record was requested; below 0: never
+	// notBegunAt is when the newest record that did not show the current slot as begun was requested; below 0: there was none.
 	notBegunAt time.Duration
 }
 
-// update takes over a record that was asked for at askedAt, unless a newer one is known.
-func (v *recordView) update(askedAt time.Duration, record Record) {
+// update stores a record that was requested at requestedAt, unless the stored record is newer.
+func (v *recordView) update(requestedAt time.Duration, record Record) {
 	if record.Revision < v.record.Revision {
 		return
 	}
 	begun := record.Slot > v.record.Slot || record.Slot == v.record.Slot && record.Open && !v.record.Open
-	if begun && (v.known || v.askedAt >= 0) {
-		v.notBegunAt = v.askedAt
+	if begun && (v.known || v.requestedAt >= 0) {
+		v.notBegunAt = v.requestedAt
 	}
-	v.record, v.askedAt, v.known = record, askedAt, true
+	v.record, v.requestedAt, v.known = record, requestedAt, true
 }
 
-// notBegunFor is how long ago the present slot was known not to be begun; below 0: that is not known.
+// notBegunFor returns the time since the current slot was last known not to be begun. It is below 0 if there is no such time.
 func (v *recordView) notBegunFor(now time.Duration) time.Duration {
 	if v.notBegunAt < 0 {
 		return -1
@@ -70,18 +70,18 @@
 	return now - v.notBegunAt
 }
 
-// NewRunner returns a runner that knows nothing yet. It repeats what has no answer after retryInterval, and reads the record every
+// NewRunner returns a runner for a task. It repeats an unanswered command or read after retryInterval, and reads the record every
 // pollInterval.
 func NewRunner(s Spec, retryInterval, pollInterval time.Duration) *Runner {
 	return &Runner{
 		spec:          s,
 		retryInterval: retryInterval,
 		pollInterval:  pollInterval,
-		view:          recordView{askedAt: -1, notBegunAt: -1},
+		view:          recordView{requestedAt: -1, notBegunAt: -1},
 	}
 }
 
-// InFlightSlot is the slot whose request is out, 0 if none is.
+// InFlightSlot returns the slot whose request is in flight, 0 if none.
 func (r *Runner) InFlightSlot() int64 {
 	if r.run.inFlight {
 		return r.run.slot
@@ -89,17 +89,17 @@
 	return 0
 }
 
-// Busy reports whether a slot is being run, or its outcome is not written down yet.
+// Busy reports whether a slot is running or its outcome is not recorded yet.
 func (r *Runner) Busy() bool { return r.run.slot != 0 }
 
 // BudgetExhausted reports whether the task waits for the next period of its budget.
 func (r *Runner) BudgetExhausted() bool { return r.budgetExhausted }
 
-// FetchedAt is when the record was asked for last.
+// FetchedAt returns the time of the last request for the record.
 func (r *Runner) FetchedAt() time.Duration { return r.fetchedAt }
 
-// Next returns what is to be done now, and the time by which to call it again. token and until, the time until which the process may act,
-// are of the task's lease; 0 without it.
+// Next returns the action to perform now and the latest time for the next call. token is the fencing token of the task's lease, and until
+// the time until which the process may act on the lease. Both are 0 without the lease.
 func (r *Runner) Next(now time.Duration, wall time.Time, token uint64, until time.Duration) (a Action, at time.Duration) {
 	if r.run.inFlight {
 		return Action{}, now + r.spec.Deadline
@@ -124,17 +124,18 @@
 		return r.fetch(now)
 	}
 	if record := r.view.record; record.Open && record.BegunBy == token {
-		// Begun here, since no other process and no other start of this one has the token, and not sent: the answer came while the lease
-		// had lapsed for a moment.
+		// This process began the slot, because no other process and no other start of this one has the token. It has not sent a request,
+		// because the result of OpBegin arrived while the lease had lapsed temporarily.
 		r.run = slotRun{slot: record.Slot, rerun: record.Attempts > 1}
 		return r.send(now, wall, token, until)
 	}
 	step := r.spec.Next(r.view.record, token, wall, r.view.notBegunFor(now))
 	r.budgetExhausted = step.BudgetExhausted
-	return r.carryOut(now, wall, token, step)
+	return r.performStep(now, wall, token, step)
 }
 
-// dropUnsent forgets what was begun under another token and not sent. The record tells the present holder of it.
+// dropUnsent drops a slot that was begun under another token and whose request was not sent. The current holder learns of the slot from the
+// record.
 func (r *Runner) dropUnsent() {
 	if r.pending != nil && r.pending.Op == OpBegin {
 		r.pending = nil
@@ -144,7 +145,8 @@
 	}
 }
 
-func (r *Runner) carryOut(now time.Duration, wall time.Time, token uint64, step Step) (Action, time.Duration) {
+// performStep returns the action for a step of the schedule.
+func (r *Runner) performStep(now time.Duration, wall time.Time, token uint64, step Step) (Action, time.Duration) {
 	switch {
 	case step.Abandon != 0:
 		c := Command{Op: OpFinish, Task: r.spec.Name, Slot: step.Abandon, Token: token, Outcome: OutcomeUnknown}
@@ -160,20 +162,20 @@
 	}
 	at := now + max(time.Millisecond, step.WaitUntil.Sub(wall))
 	var a Action
-	if now >= r.nextFetch { // an operator may have triggered the next slot
+	if now >= r.nextFetch { // the new record shows whether an operator has triggered the next slot
 		a, _ = r.fetch(now)
 	}
 	return a, min(at, r.nextFetch)
 }
 
-// propose sends a command until it has its answer.
+// propose sends a command and makes it pending until its result arrives.
 func (r *Runner) propose(now time.Duration, c Command) (Action, time.Duration) {
 	r.pending, r.pendingSince = &c, now
 	sent := c
 	return Action{Command: &sent}, now + r.retryInterval
 }
 
-// repeat sends the pending command again once its answer is overdue.
+// repeat sends the pending command again if there is no result after retryInterval.
 func (r *Runner) repeat(now time.Duration) (Action, time.Duration) {
 	if now < r.pendingSince+r.retryInterval {
 		return Action{}, r.pendingSince + r.retryInterval
@@ -192,7 +194,7 @@
 	return r.fetch(now)
 }
 
-// fetch reads the record, unless its answer is awaited.
+// fetch reads the record, unless a read is in flight.
 func (r *Runner) fetch(now time.Duration) (Action, time.Duration) {
 	if at, waiting := r.awaitsRecord(now); waiting {
 		return Action{}, at
@@ -201,25 +203,25 @@
 	return Action{FetchRecord: true}, now + r.retryInterval
 }
 
-// awaitsRecord reports whether the record was asked for and its answer is not overdue, and when it will be.
+// awaitsRecord reports whether a read of the record is in flight and not overdue, and the time from which it is overdue.
 func (r *Runner) awaitsRecord(now time.Duration) (at time.Duration, waiting bool) {
 	at = r.fetchedAt + r.retryInterval
 	return at, r.fetching && now < at
 }
 
-// HandleRecord takes a record that was asked for at askedAt.
-func (r *Runner) HandleRecord(askedAt time.Duration, record Record) {
-	if askedAt < r.view.askedAt {
+// HandleRecord processes a record that was requested at requestedAt. It ignores a record that was requested before the stored one.
+func (r *Runner) HandleRecord(requestedAt time.Duration, record Record) {
+	if requestedAt < r.view.requestedAt {
 		return
 	}
 	r.fetching = false
-	r.view.update(askedAt, record)
+	r.view.update(requestedAt, record)
 }
 
-// HandleResult takes the result of a command. token is that of the lease now, 0 without it.
+// HandleResult processes the result of a command. token is the current fencing token of the lease, 0 without the lease.
 //
-// A slot that was begun under a token that is gone stays open. Nothing of it was sent, but only this process knows: if the same token is
-// in force again, Next sends it; a holder of another token treats it as one that may have run.
+// A slot that was begun under a token other than the current one stays open. Its request was not sent, but only this process knows that. If
+// the same token becomes current again, Next sends the request. A holder of another token must assume that the slot may have run.
 func (r *Runner) HandleResult(now time.Duration, c Command, result Result, token uint64) {
 	if r.pending == nil || *r.pending != c {
 		return
--- a/internal/task/runner_test.go
+++ b/internal/task/runner_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// runnerTest is a runner with a registry that others write to as well. Some answers are lost.
+// runnerTest runs a runner against a registry that other processes write to as well. Some responses are lost.
 type runnerTest struct {
 	registry *Registry
 	runner   *Runner
 	spec     Spec
 	token    uint64
 	until    time.Duration
-	sends    map[int64]int // by slot: requests that may have run
+	sends    map[int64]int // number of requests that may have run, by slot
 }
 
-// loseLease has another process hold the lease for a while, and run a slot.
+// loseLease makes another process hold the lease temporarily and begin a slot.
 func (r *runnerTest) loseLease(now time.Duration) {
 	r.token++
 	if record := r.registry.Record("t"); record.Open {
@@ -28,11 +28,11 @@
 	r.until = now + 3*time.Second
 }
 
-// send checks a request, and answers it with an outcome that is drawn.
+// send checks a request and passes a random outcome to the runner.
 func (r *runnerTest) send(t *rapid.T, now time.Duration, request *SlotRequest) {
 	record := r.registry.Record("t")
 	if record.Slot == request.Slot && (!record.Open || record.BegunBy != request.Token) || request.Deadline > r.until {
-		t.Fatalf("%+v goes out, and the registry has %+v, until %v", request, record, r.until)
+		t.Fatalf("request %+v does not match the record %+v and the end of the lease at %v", request, record, r.until)
 	}
 	outcome := rapid.SampledFrom([]Outcome{OutcomeDone, OutcomeRejected, OutcomeFailed, OutcomeUnknown}).Draw(t, "outcome")
 	if outcome != OutcomeRejected {
@@ -43,7 +43,7 @@
 	r.runner.HandleOutcome(now, outcome, now+20*time.Millisecond)
 }
 
-// step carries out the runner's next action.
+// step performs the runner's next action.
 func (r *runnerTest) step(t *rapid.T, now time.Duration) {
 	a, _ := r.runner.Next(now, time.Unix(1000, 0).Add(now), r.token, r.until)
 	lost := rapid.IntRange(0, 3).Draw(t, "lost") == 0
@@ -60,13 +60,13 @@
 	}
 }
 
-// TestRunnerSendsOnlyWhatIsBegun: no request goes out before the registry has its slot, under the token of the lease in force, and nothing
-// of it after that ends.
+// TestRunnerSendsOnlyWhatIsBegun checks that the runner sends a request only for a slot that the registry has as begun by the current
+// token, and that the request's deadline is not after the end of the lease.
 func TestRunnerSendsOnlyWhatIsBegun(t *testing.T) {
 	sent := 0
 	defer func() {
 		if sent == 0 {
-			t.Error("nothing was ever sent")
+			t.Error("the runner sent no request in any run")
 		}
 	}()
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,8 +85,9 @@
 	})
 }
 
-// TestKeyExpiresBeforeSending: the lifetime of a key is checked as the request goes out, and not only as its slot was begun (found by
-// tier-explore, seed 2540).
+// TestKeyExpiresBeforeSending checks that the lifetime of an idempotency key is checked when the request is sent, and not only when the
+// slot is begun. Otherwise a late result of OpBegin leads to a second run. It reproduces a fault that the scenario tier-explore found with
+// seed 2540.
 func TestKeyExpiresBeforeSending(t *testing.T) {
 	s := testSpec(IdempotentByKey, MissedRunNewest)
 	r := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
@@ -104,19 +105,19 @@
 	}
 	begun := open
 	begun.BegunBy, begun.Attempts, begun.Token = 2, 2, 2
-	r.HandleResult(s.DedupWindow, *a.Command, Result{Record: begun}, 2) // the answer takes as long as the servers remember
+	r.HandleResult(s.DedupWindow, *a.Command, Result{Record: begun}, 2) // the result arrives only after the dedup window
 	if a, _ := r.Next(s.DedupWindow, wall, 2, time.Hour); a.Send != nil || a.Command == nil || a.Command.Outcome != OutcomeUnknown {
 		t.Errorf("%+v", a)
 	}
 }
 
 // runnerAtBegin returns a runner that has decided to begin a slot, and the command.
-func runnerAtBegin(t *testing.T, b *Registry, e Idempotency) (*Runner, Command) {
+func runnerAtBegin(t *testing.T, registry *Registry, e Idempotency) (*Runner, Command) {
 	t.Helper()
 	r := NewRunner(testSpec(e, MissedRunNewest), 100*time.Millisecond, 300*time.Millisecond)
 	wall := time.Unix(1000, 0)
 	r.Next(0, wall, 1, time.Hour)
-	r.HandleRecord(0, b.Record("t"))
+	r.HandleRecord(0, registry.Record("t"))
 	a, _ := r.Next(0, wall, 1, time.Hour)
 	if a.Command == nil || a.Command.Op != OpBegin {
 		t.Fatalf("%+v", a)
@@ -124,19 +125,19 @@
 	return r, *a.Command
 }
 
-// TestAnswerWhileLapsed: the answer to an OpBegin comes while the lease has lapsed, and the same token is in force again later: the slot goes
-// out then, once, and the task does not stand still (found by tier-explore, 15 of 168 seeds).
+// TestAnswerWhileLapsed guards against a stalled task. The result of OpBegin arrives while the lease has lapsed, and the same token becomes
+// current again later. The runner must then send the slot's request once. The scenario tier-explore found the stall with 15 of 168 seeds.
 func TestAnswerWhileLapsed(t *testing.T) {
-	b := NewRegistry()
-	r, c := runnerAtBegin(t, b, NonIdempotent)
-	r.HandleResult(time.Second, c, b.Apply(c), 0)
+	registry := NewRegistry()
+	r, c := runnerAtBegin(t, registry, NonIdempotent)
+	r.HandleResult(time.Second, c, registry.Apply(c), 0)
 	wall := time.Unix(1001, 0)
 	r.Next(time.Second, wall, 0, 0)
 	sent := 0
 	for now := time.Second; now < 3*time.Second; now += 10 * time.Millisecond {
 		a, _ := r.Next(now, wall, 1, time.Hour)
 		if a.FetchRecord {
-			r.HandleRecord(now, b.Record("t"))
+			r.HandleRecord(now, registry.Record("t"))
 		}
 		if a.Send != nil {
 			if a.Send.Slot != c.Slot {
@@ -146,29 +147,30 @@
 			r.HandleOutcome(now, OutcomeDone, now)
 		}
 		if a.Command != nil {
-			r.HandleResult(now, *a.Command, b.Apply(*a.Command), 1)
+			r.HandleResult(now, *a.Command, registry.Apply(*a.Command), 1)
 		}
 	}
-	if sent != 1 || b.Record("t").Slot == c.Slot && b.Record("t").Open {
-		t.Errorf("sent %d times, %+v", sent, b.Record("t"))
+	if sent != 1 || registry.Record("t").Slot == c.Slot && registry.Record("t").Open {
+		t.Errorf("the request was sent %d times, want once; record %+v", sent, registry.Record("t"))
 	}
 }
 
-// TestOvertakenRecord: a record that was read before a slot was finished, and comes after its finish was answered, does not have it sent again.
+// TestOvertakenRecord checks that a record that was read before a slot was finished, and arrives after the result of OpFinish, does not
+// make the runner send the slot's request again.
 func TestOvertakenRecord(t *testing.T) {
-	b := NewRegistry()
-	r, c := runnerAtBegin(t, b, NonIdempotent)
-	r.HandleResult(0, c, b.Apply(c), 1)
+	registry := NewRegistry()
+	r, c := runnerAtBegin(t, registry, NonIdempotent)
+	r.HandleResult(0, c, registry.Apply(c), 1)
 	wall := time.Unix(1000, 5e8)
 	if a, _ := r.Next(0, wall, 1, time.Hour); a.Send == nil {
 		t.Fatalf("%+v", a)
 	}
 	r.HandleOutcome(0, OutcomeDone, 0)
-	stale := b.Record("t")
+	stale := registry.Record("t")
 	a, _ := r.Next(time.Millisecond, wall, 1, time.Hour)
-	r.HandleResult(2*time.Millisecond, *a.Command, b.Apply(*a.Command), 1)
+	r.HandleResult(2*time.Millisecond, *a.Command, registry.Apply(*a.Command), 1)
 	r.HandleRecord(3*time.Millisecond, stale)
 	if a, _ := r.Next(5*time.Millisecond, wall, 1, time.Hour); a.Send != nil {
-		t.Errorf("sent again: %+v", a.Send)
+		t.Errorf("the request was sent again: %+v", a.Send)
 	}
 }
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Step is what the holder of a task's lease is to do next: abandon a slot, begin one, or wait.
+// Step is the next step of the holder of a task's lease: to abandon a slot, to begin a slot, or to wait.
 type Step struct {
-	// Abandon is a slot that another process began and that can't be run again: it is to be finished as OutcomeUnknown. 0: none.
+	// Abandon is a slot to finish as OutcomeUnknown, because another process began it and it can't be run again. 0: none.
 	Abandon int64
 	// Begin is the slot to begin. 0: none.
 	Begin int64
-	// Rerun tells that another process has begun the slot, and running it again does no harm.
+	// Rerun is set if another process has begun the slot Begin and running the slot again does no harm.
 	Rerun bool
-	// Skipped is the number of slots before Begin that are left out.
+	// Skipped is the number of slots that are left out before Begin.
 	Skipped int64
-	// WaitUntil is when there may be something to do, by the wall clock.
+	// WaitUntil is the wall clock time of the next decision, if there is no slot to abandon or begin.
 	WaitUntil time.Time
-	// BudgetExhausted tells that the next period of the budget is waited for.
+	// BudgetExhausted is set if the task waits for the next period of its budget.
 	BudgetExhausted bool
 }
 
-// Next decides what the holder of token does. notBegunFor is how long ago, by the process's monotonic clock, the process knows for
-// certain that the open slot had not been begun; below 0: it does not know, and takes the idempotency key for forgotten.
+// Next returns the next step of the holder of token. notBegunFor is the time, by the process's monotonic clock, since the open slot was
+// last known not to be begun. If it is below 0, there is no such time, and the idempotency key counts as forgotten.
 func (s *Spec) Next(record Record, token uint64, wall time.Time, notBegunFor time.Duration) Step {
 	switch {
 	case record.Open && record.BegunBy != token:
-		return s.stepForOthersSlot(record, notBegunFor)
+		return s.takeOver(record, notBegunFor)
 	case record.Open:
 		return Step{WaitUntil: wall.Add(s.Deadline)}
 	}
@@ -41,7 +41,7 @@
 	switch {
 	case s.Missed == MissedSkip && late:
 		return Step{WaitUntil: s.DueAt(slot + 1)}
-	case record.Slot == 0: // the first ever: nothing was missed
+	case record.Slot == 0: // the first slot of the task, so there are no missed slots
 		return Step{Begin: slot}
 	case s.Missed == MissedRunEach:
 		return beginFrom(record, max(record.Slot+1, slot-MaxMissedSlots+1))
@@ -49,8 +49,8 @@
 	return beginFrom(record, slot)
 }
 
-// stepForOthersSlot decides about a slot that another process began and did not finish.
-func (s *Spec) stepForOthersSlot(record Record, notBegunFor time.Duration) Step {
+// takeOver returns the step for an open slot that another process began.
+func (s *Spec) takeOver(record Record, notBegunFor time.Duration) Step {
 	rerun := false
 	switch s.Idempotency {
 	case Idempotent:
@@ -64,7 +64,7 @@
 	return Step{Begin: record.Slot, Rerun: true}
 }
 
-// beginFrom begins a slot and leaves out those between the newest and it.
+// beginFrom returns the step that begins a slot and skips the slots between the record's slot and this one.
 func beginFrom(record Record, slot int64) Step {
 	return Step{Begin: slot, Skipped: slot - record.Slot - 1}
 }
--- a/internal/task/schedule_test.go
+++ b/internal/task/schedule_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// testSpec is a task of one slot a second.
+// testSpec returns the configuration of a task with one slot per second.
 func testSpec(e Idempotency, m MissedPolicy) Spec {
 	return Spec{Name: "t", Interval: time.Second, Missed: m, Idempotency: e, DedupWindow: 10 * time.Second, Deadline: 300 * time.Millisecond, MaxAttempts: 2}
 }
 
-// TestSlotOfDeadProcess: what becomes of a slot whose process died depends on its idempotency, and on what this process knows of its age.
+// TestSlotOfDeadProcess checks that an open slot of another process is run again or abandoned, depending on its idempotency and on the
+// known age of its idempotency key.
 func TestSlotOfDeadProcess(t *testing.T) {
 	record := Record{Token: 1, Slot: 5, Open: true, BegunBy: 1, Attempts: 1}
 	wall := time.Unix(6, 0)
@@ -21,10 +22,10 @@
 	}{
 		"idempotent":                  {Idempotent, -1, true},
 		"not idempotent":              {NonIdempotent, time.Millisecond, false},
-		"keyed, young":                {IdempotentByKey, 2 * time.Second, true},
-		"keyed, its key forgotten":    {IdempotentByKey, 9800 * time.Millisecond, false},
-		"keyed, of an age not known":  {IdempotentByKey, -1, false},
-		"keyed, just within the time": {IdempotentByKey, 9699 * time.Millisecond, true},
+		"by key, recent":              {IdempotentByKey, 2 * time.Second, true},
+		"by key, after its lifetime":  {IdempotentByKey, 9800 * time.Millisecond, false},
+		"by key, of unknown age":      {IdempotentByKey, -1, false},
+		"by key, within its lifetime": {IdempotentByKey, 9699 * time.Millisecond, true},
 	} {
 		s := testSpec(c.idempotency, MissedRunNewest)
 		step := s.Next(record, 2, wall, c.notBegunFor)
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestMissed: what is done about slots that were due while nobody could do them.
+// TestMissed checks which slots are begun and skipped by each policy for missed slots.
 func TestMissed(t *testing.T) {
 	for name, c := range map[string]struct {
 		missed  MissedPolicy
@@ -43,12 +44,12 @@
 		begin   int64
 		skipped int64
 	}{
-		"skip, in time":    {MissedSkip, Record{Slot: 3}, time.Unix(9, 1e8), 9, 5},
+		"skip, on time":    {MissedSkip, Record{Slot: 3}, time.Unix(9, 1e8), 9, 5},
 		"skip, too late":   {MissedSkip, Record{Slot: 3}, time.Unix(9, 5e8), 0, 0},
 		"once, too late":   {MissedRunNewest, Record{Slot: 3}, time.Unix(9, 5e8), 9, 5},
 		"each":             {MissedRunEach, Record{Slot: 3}, time.Unix(9, 5e8), 4, 0},
 		"each, far behind": {MissedRunEach, Record{Slot: 3}, time.Unix(1000, 0), 901, 897},
-		"the first ever":   {MissedRunEach, Record{}, time.Unix(9, 5e8), 9, 0},
+		"the first slot":   {MissedRunEach, Record{}, time.Unix(9, 5e8), 9, 0},
 		"done":             {MissedRunEach, Record{Slot: 9}, time.Unix(9, 5e8), 0, 0},
 		"a clock behind":   {MissedRunEach, Record{Slot: 12}, time.Unix(9, 5e8), 0, 0},
 		"triggered":        {MissedSkip, Record{Slot: 9, Triggered: true}, time.Unix(9, 9e8), 10, 0},
@@ -59,12 +60,12 @@
 			t.Errorf("%s: %+v", name, step)
 		}
 		if step.Begin == 0 && !step.WaitUntil.After(c.wall) {
-			t.Errorf("%s: nothing to do, and nothing to wait for: %+v", name, step)
+			t.Errorf("%s: no slot to begin, and WaitUntil is not in the future: %+v", name, step)
 		}
 	}
 }
 
-// TestSpecValidate: each value that can't be used is refused.
+// TestSpecValidate checks that Validate rejects each kind of invalid value.
 func TestSpecValidate(t *testing.T) {
 	for name, change := range map[string]func(*Spec){
 		"no name": func(s *Spec) { s.Name = "" }, "too often": func(s *Spec) { s.Interval = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
@@ -76,7 +77,7 @@
 			t.Fatal(err)
 		}
 		if change(&s); s.Validate() == nil {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: Validate returned no error", name)
 		}
 	}
 }
--- a/internal/task/spec.go
+++ b/internal/task/spec.go
@@ -7,105 +7,107 @@
 	"time"
 )
 
-// Idempotency is what running a slot twice would do.
+// Idempotency is the effect of running a slot twice.
 type Idempotency int
 
 // Degrees of idempotency.
 const (
-	Idempotent      Idempotency = iota // running it again does no harm
-	IdempotentByKey                    // the servers ignore a repeat while they remember its idempotency key
-	NonIdempotent                      // running it again does harm
+	Idempotent      Idempotency = iota // running a slot again does no harm
+	IdempotentByKey                    // the servers ignore a repeated request while they remember its idempotency key
+	NonIdempotent                      // running a slot again does harm
 )
 
-// MissedPolicy is what is done about slots that were due while nobody could run them.
+// MissedPolicy determines which of the slots that were due while no process could run them are run later.
 type MissedPolicy string
 
 // Policies for missed slots.
 const (
-	MissedSkip      MissedPolicy = "skip" // a slot that is later than its deadline is left out
-	MissedRunNewest MissedPolicy = "once" // the newest is run, however late, and older ones are left out
-	MissedRunEach   MissedPolicy = "each" // all are run in order, MaxMissedSlots at most
+	MissedSkip      MissedPolicy = "skip" // a slot that was due longer than Spec.Deadline ago is left out
+	MissedRunNewest MissedPolicy = "once" // the newest slot is run, however late, and older slots are left out
+	MissedRunEach   MissedPolicy = "each" // the newest MaxMissedSlots slots are run in order
 )
 
-// MaxMissedSlots bounds the slots that MissedRunEach makes up for; older ones are left out.
+// MaxMissedSlots is the largest number of missed slots that MissedRunEach runs. Older slots are left out.
 const MaxMissedSlots = 100
 
 // Spec is the configuration of a task.
 type Spec struct {
 	Name     string
-	Interval time.Duration // from slot to slot
-	Offset   time.Duration // of the slots within a day; they are counted from 1970-01-01 UTC
-	// Spread bounds a further offset that is fixed by the name, so that tasks of equal times do not come together.
+	Interval time.Duration // between two slots
+	Offset   time.Duration // offset of the slots within a day; slots are counted from 1970-01-01 UTC
+	// Spread bounds a further offset that is derived from the name, so that tasks with the same schedule don't run at the same time.
 	Spread      time.Duration
 	Missed      MissedPolicy
 	Idempotency Idempotency
 	// DedupWindow is how long the servers remember an idempotency key (IdempotentByKey).
 	DedupWindow   time.Duration
-	Deadline      time.Duration // of each request
-	MaxAttempts   int           // requests for one slot, where a repeat does no harm
-	MaxClockDrift float64       // bounds how far each clock's rate is from true time, as a fraction
-	MaxOpen       int           // slots of all tasks that may be open at once in the fleet; 0: no bound
-	Priority      int           // the largest goes first where MaxOpen is reached
+	Deadline      time.Duration // timeout of each request
+	MaxAttempts   int           // bound on the requests for one slot, if a repeat does no harm
+	MaxClockDrift float64       // bound on the deviation of each clock's rate from true time, as a fraction
+	MaxOpen       int           // bound on the open slots of all tasks in the fleet; 0: no bound
+	Priority      int           // tasks that wait because of MaxOpen are admitted by descending priority
 	Budget        Budget
 }
 
-// Validate returns an error that names the value that can't be used.
+// Validate returns an error that names the first invalid value, or nil.
 func (s *Spec) Validate() error {
 	if err := s.validateSchedule(); err != nil {
 		return err
 	}
 	switch {
 	case s.Deadline <= 0:
-		return fmt.Errorf("task %q: no deadline", s.Name)
+		return fmt.Errorf("task %q: the deadline must be above 0", s.Name)
 	case s.MaxOpen < 0 || s.MaxAttempts < 0:
-		return fmt.Errorf("task %q: a bound below 0", s.Name)
+		return fmt.Errorf("task %q: the bounds on open slots and on attempts must not be negative", s.Name)
 	case s.Budget.Period > 0 && s.Budget.MaxRequests == 0 && s.Budget.MaxRequestTime == 0:
-		return fmt.Errorf("task %q: a budget that names neither requests nor time", s.Name)
+		return fmt.Errorf("task %q: the budget bounds neither requests nor time", s.Name)
 	case s.Budget.Period == 0 && (s.Budget.MaxRequests != 0 || s.Budget.MaxRequestTime != 0), s.Budget.Period < 0, s.Budget.MaxRequests < 0, s.Budget.MaxRequestTime < 0:
-		return fmt.Errorf("task %q: a budget without the period that it is for", s.Name)
+		return fmt.Errorf("task %q: the budget must have a period above 0 and no negative bound", s.Name)
 	case s.Idempotency == IdempotentByKey && s.DedupWindow <= s.Deadline:
-		return fmt.Errorf("task %q: its servers forget a key after %v, no later than its deadline of %v", s.Name, s.DedupWindow, s.Deadline)
+		return fmt.Errorf("task %q: the servers remember an idempotency key for %v, it must be longer than the deadline of %v", s.Name, s.DedupWindow, s.Deadline)
 	}
 	return nil
 }
 
+// validateSchedule checks the name and the times of the slots.
 func (s *Spec) validateSchedule() error {
 	switch {
 	case s.Name == "":
-		return errors.New("a task without a name")
+		return errors.New("the task has no name")
 	case s.Interval < time.Millisecond:
-		return fmt.Errorf("task %q: every %v is more often than every millisecond", s.Name, s.Interval)
+		return fmt.Errorf("task %q: every is %v, it must be at least 1ms", s.Name, s.Interval)
 	case s.Offset < 0 || s.Offset >= max(s.Interval, 24*time.Hour):
-		return fmt.Errorf("task %q: at %v lies outside a day", s.Name, s.Offset)
+		return fmt.Errorf("task %q: at is %v, it must be at least 0 and below a day, or below the interval if that is longer", s.Name, s.Offset)
 	case s.Spread < 0 || s.Spread > s.Interval:
-		return fmt.Errorf("task %q: a spread of %v is not between 0 and %v", s.Name, s.Spread, s.Interval)
+		return fmt.Errorf("task %q: the spread is %v, it must be from 0 to the interval of %v", s.Name, s.Spread, s.Interval)
 	}
 	return nil
 }
 
-// KeyLifetime is how long after a slot was known not to be begun its idempotency key may be sent again, by this process's clock. What is
-// sent then may run as late as its deadline, and the servers must remember the first run even then.
+// KeyLifetime returns for how long, after a slot was last known not to be begun, its idempotency key may be sent again, by this process's
+// clock. A request may run as late as its deadline, and the servers must still remember the key of the first run at that time.
 func (s *Spec) KeyLifetime() time.Duration {
 	return time.Duration(float64(s.DedupWindow)*(1-s.MaxClockDrift)/(1+s.MaxClockDrift)) - s.Deadline
 }
 
-// IdempotencyKey is the key of a slot's requests, the same whichever process sends them.
+// IdempotencyKey returns the key of a slot's requests. It does not depend on the process that sends them.
 func (s *Spec) IdempotencyKey(slot int64) string { return fmt.Sprintf("%s-%d", s.Name, slot) }
 
-// SlotAt returns the newest slot that is due at a wall clock's time, and when it was due. The wall clock only numbers slots. That each is
-// begun once is up to the registry: a clock that is wrong makes a slot early, late or left out, and never doubled.
+// SlotAt returns the newest slot that is due at a wall clock time, and when the slot became due. The wall clock only determines slot
+// numbers. The registry ensures that each slot is begun once, so a wrong clock makes a slot early, late or skipped, but never runs it
+// twice.
 func (s *Spec) SlotAt(wall time.Time) (slot int64, due time.Time) {
 	since := wall.Sub(time.Unix(0, 0)) - s.slotOffset()
 	slot = int64(since / s.Interval)
 	return slot, s.DueAt(slot)
 }
 
-// DueAt is when a slot is due, by a wall clock.
+// DueAt returns the wall clock time at which a slot becomes due.
 func (s *Spec) DueAt(slot int64) time.Time {
 	return time.Unix(0, 0).Add(time.Duration(slot)*s.Interval + s.slotOffset())
 }
 
-// slotOffset is where in an interval its slot is due.
+// slotOffset returns the offset of a slot within its interval.
 func (s *Spec) slotOffset() time.Duration {
 	offset := s.Offset % s.Interval
 	if s.Spread > 0 {
