--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -43,8 +43,8 @@
 }
 
 // becomeLeader creates the lessor at the first empty entry of this node's own term, when all entries of earlier leaders have been applied.
-// A later empty entry replaces a configuration change that the raft library has refused. The lessor is kept then, because it holds the
-// expiries that this leader has already proposed.
+// A later empty entry stands in place of a configuration change that the raft library has refused. Such an entry must not create a new
+// lessor, because the existing one records the expiries that this leader has already proposed.
 func (n *Node) becomeLeader(e *raftpb.Entry) {
 	if n.lessor == nil && n.role == raft.StateLeader && e.GetTerm() == n.term && n.machine != nil {
 		n.lessor = lease.NewLessor(n.cfg.LeaseTiming, n.now, n.machine.Leases)
--- a/internal/consensus/decision.go
+++ b/internal/consensus/decision.go
@@ -47,7 +47,8 @@
 	// BasedOn is the number of the decision on Key that the command replaces, 0 for none. It is checked if Token or Conditional is set.
 	BasedOn uint64 `json:"after,omitempty"`
 	// NewestZoneDecision is the number of the newest decision on any zone of the pool that the lease holder knew. The holder computed the
-	// capacity of the other zones from the decisions up to this number. A later decision may have moved the traffic of another zone away.
+	// capacity of the other zones from the decisions up to this number. The command is refused if there is a later decision, because that
+	// decision may have moved the traffic of another zone away.
 	NewestZoneDecision uint64 `json:"seen,omitempty"`
 	// Conditional makes an operator's command check BasedOn, so that a late or duplicate copy changes nothing. A command without it takes
 	// effect each time it arrives.
--- a/internal/consensus/decision_test.go
+++ b/internal/consensus/decision_test.go
@@ -71,7 +71,7 @@
 // TestDecisions checks these properties for random sequences of commands:
 //   - Decision numbers increase, and a withdrawn decision keeps its number.
 //   - A command of a lease holder with an older token, or without knowledge of the newest decision, changes nothing.
-//   - An unconditional command of an operator is not refused for the decisions that it did not know.
+//   - An operator's unconditional command needs no knowledge of earlier decisions.
 //   - The checksum does not depend on the order in which a process receives the decisions.
 //   - A snapshot preserves decisions and digest.
 func TestDecisions(t *testing.T) {
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -23,7 +23,7 @@
 // Refusal is the reason why a command was refused, empty if it was applied. It is sent to other processes and printed.
 type Refusal string
 
-// Reasons for refusing a command that have a name of their own.
+// Refusals that callers distinguish from others.
 const (
 	// RefusedConflict refuses a [DecisionCommand] whose BasedOn or NewestZoneDecision is out of date.
 	RefusedConflict  Refusal = "something else was decided meanwhile"
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// Tick advances the election and heartbeat timers by one tick. now is the clock reading by which leases expire; they don't depend on ticks.
+// Tick advances the election and heartbeat timers by one tick. Leases expire by the clock reading now, not by ticks.
 func (n *Node) Tick(now time.Duration) {
 	defer n.recoverPanic()
 	n.now = now
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -6,7 +6,7 @@
 	"sorrelrudder/internal/lease"
 )
 
-// MaxVoters is the largest number of voters of a fleet. Each further voter enlarges the majority that has to write every command to stable
+// MaxVoters is the largest number of voters of a fleet. With more voters, a larger majority would have to write each command to stable
 // storage.
 const MaxVoters = 9
 
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Acquire requests the lease name and queues for it if it is not free. limit is the number of sessions that may hold the lease at once. It
-// has no effect on a lease that is wanted already.
+// Acquire requests a lease, and queues for it if it is not free. limit is the number of sessions that may hold the lease at once. A call for
+// a lease that the process already wants has no effect.
 func (c *Client) Acquire(name string, limit int) {
 	if _, wanted := c.wanted[name]; wanted {
 		return
@@ -83,8 +83,8 @@
 	c.revision++
 }
 
-// Release gives up the lease name. The lease goes to the member to or, if to is empty, to the first session in its queue. The process must
-// have stopped acting on the lease before the call.
+// Release gives up a lease. If to is set, the lease is transferred to that member, otherwise to the first session in its queue. The process
+// must have stopped acting on the lease before the call.
 func (c *Client) Release(name, to string) {
 	if _, wanted := c.wanted[name]; !wanted {
 		return
@@ -94,8 +94,8 @@
 	c.revision++
 }
 
-// Transfer gives the lease name to the member to and queues for it again. It has no effect on a lease that is not held. The process must
-// have stopped acting on the lease before the call.
+// Transfer transfers a held lease to another member, and queues for it again. A call for a lease that is not held has no effect. The process
+// must have stopped acting on the lease before the call.
 func (c *Client) Transfer(name, to string) {
 	w, wanted := c.wanted[name]
 	if !wanted || c.tokens[name] == 0 {
@@ -130,8 +130,8 @@
 // Revision returns a counter that grows with each change of the result of Held, except for a change caused by the passing of time alone.
 func (c *Client) Revision() uint64 { return c.revision }
 
-// Token returns the fencing token of the lease name and the time until which the process may act on it. ok is false if the process may not
-// act on the lease at the time now.
+// Token returns the fencing token of a lease and the time until which the process may act on it. ok is false if the process may not act on
+// the lease now.
 func (c *Client) Token(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	token = c.tokens[name]
 	if _, wanted := c.wanted[name]; token == 0 || !wanted || c.closing || now >= c.validUntil {
@@ -151,7 +151,7 @@
 // Refresh makes the next call of Next send a keepalive. The caller uses it when the leader reports that the holdings have changed.
 func (c *Client) Refresh() { c.refreshDue = true }
 
-// nonce returns the identifier of the next opening of a session.
+// nonce returns the nonce of the next OpOpen.
 func (c *Client) nonce() string { return c.incarnation + "/" + strconv.Itoa(c.openCount) }
 
 // retryInterval returns the time after which a request without a response is sent again.
--- a/internal/lease/client_responses.go
+++ b/internal/lease/client_responses.go
@@ -162,7 +162,8 @@
 	}
 }
 
-// updateToken applies the change of the holdings by one command. If another change came between, it requests the whole holdings instead.
+// updateToken applies the change of the holdings by one command. If the known holdings are not the ones before the command, it requests the
+// whole holdings instead.
 func (c *Client) updateToken(command Command, r Result) {
 	if r.Version == c.holdingsVersion {
 		return
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -12,7 +12,7 @@
 	OpClose    Op = "close"   // ends the session and releases all its leases
 	OpExpire   Op = "expire"  // ends a session that the leader's Lessor found expired
 	OpRevoke   Op = "revoke"  // revokes the lease Name from its holders on behalf of an operator
-	OpReclaim  Op = "free"    // makes a revoked lease available again; proposed by the leader once the holder can't act on it any more
+	OpReclaim  Op = "free"    // frees a revoked lease; the leader proposes it once the former holder can no longer act
 )
 
 // Command is a change of the [StateMachine]. Commands are stored in the replicated log and applied by [StateMachine.Apply].
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -13,6 +13,6 @@
 //   - A new leader keeps every live session for a whole TTL.
 //   - ClientTTL is shorter than TTL by enough to cover a slow clock at the client together with a fast clock at the leader.
 //
-// A holder that was paused for longer than its ClientTTL finds by its own clock that it may no longer act. A request that it sent before
-// the pause carries a smaller fencing token than those of the next holder. The proof is in docs/design/lease.md.
+// A holder that was paused for longer than its ClientTTL finds by its own clock that it may no longer act. Requests that it sent before
+// carry a smaller fencing token than those of the next holder. The proof is in docs/design/lease.md.
 package lease
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -10,7 +10,7 @@
 const maxDrift = 0.2
 
 // Timing holds the durations that all processes of a fleet must agree on. The agreement is not checked: a client with a longer TTL than the
-// leader's acts on a lease that the leader has already granted to another session.
+// leader's acts on a lease after the leader has granted the lease to another session.
 type Timing struct {
 	// TTL is how long the leader keeps a session after a keepalive, by the leader's clock.
 	TTL time.Duration
--- a/internal/task/registry.go
+++ b/internal/task/registry.go
@@ -42,7 +42,7 @@
 	// The state of a task that waits because of Command.MaxOpen.
 	WaitingSince uint64 `json:"waits,omitempty"`    // Registry.AdmissionSeq at the start of the wait; 0: the task does not wait
 	Priority     int    `json:"priority,omitempty"` // Command.Priority of its last OpBegin
-	PassedOver   int    `json:"passed,omitempty"`   // how often another task's OpBegin left a place to this task since its own last OpBegin
+	PassedOver   int    `json:"passed,omitempty"`   // OpBegin commands of other tasks that left a place to this task since its own last one
 
 	// The cost of the task in the newest known period of its budget.
 	Period   int64 `json:"period,omitempty"`
--- a/internal/task/run.go
+++ b/internal/task/run.go
@@ -14,7 +14,7 @@
 	outcome     Outcome       // empty: not known yet
 }
 
-// send returns the next request of the slot. It returns no action before retryAt, and none once the lease has expired at until.
+// send returns the next request of the slot. It returns no action while a retry is delayed or once the lease has expired.
 func (r *Runner) send(now time.Duration, wall time.Time, token uint64, until time.Duration) (Action, time.Duration) {
 	run := &r.run
 	if now < run.retryAt {
@@ -73,8 +73,8 @@
 	return r.propose(now, c)
 }
 
-// chargeBudget sets the cost of a slot in an OpFinish command. The cost consists of the requests of this process and, for each of the
-// earlierBegins of other processes, of the most that such a process may have sent.
+// chargeBudget sets the cost of a slot in an OpFinish command: the requests of this process, plus the largest possible cost for each begin of
+// the slot by another process, whose requests are not known.
 func (r *Runner) chargeBudget(c *Command, wall time.Time, earlierBegins int) {
 	if r.spec.Budget.Period == 0 {
 		return
--- a/internal/task/runner.go
+++ b/internal/task/runner.go
@@ -14,12 +14,12 @@
 	Slot     int64
 	Key      string // idempotency key
 	Token    uint64
-	Attempt  int           // number of the request among those of this process for the slot, from 1
+	Attempt  int           // counts the requests of this process for the slot, from 1
 	Deadline time.Duration // by the process's monotonic clock; no part of the request may be sent later
 }
 
-// Runner runs one task at a process while the process holds the task's lease. It reads the task's record, begins due slots, requests the
-// sending of their requests, and records their outcomes. Where it lacks information, it assumes the worst case. All times are readings
+// Runner runs one task at a process while the process holds the task's lease. It reads the task's record, begins due slots, returns the
+// requests to send, and records the outcomes of the slots. Where it lacks information, it assumes the worst case. All times are readings
 // of the process's monotonic clock; the wall clock only determines slot numbers. It is not safe for concurrent use.
 //
 // Invariant: a request is sent only for a slot that the record shows as open and begun by the current token.
@@ -46,7 +46,7 @@
 	known       bool          // record is recent enough to act on
 	token       uint64        // fencing token of the lease that record was read under
 	requestedAt time.Duration // when record was requested; below 0: never
-	// notBegunAt is when the newest record that did not show the current slot as begun was requested; below 0: there was none.
+	// notBegunAt is the request time of the newest record that did not show the current slot as begun; below 0: there was none.
 	notBegunAt time.Duration
 }
 
@@ -98,8 +98,8 @@
 // FetchedAt returns the time of the last request for the record.
 func (r *Runner) FetchedAt() time.Duration { return r.fetchedAt }
 
-// Next returns the action to perform now and the latest time for the next call. token is the fencing token of the task's lease, and until
-// the time until which the process may act on the lease. Both are 0 without the lease.
+// Next returns the action to perform now and the latest time for the next call. token is the fencing token of the task's lease. until is the
+// time up to which the process may act on the lease. Both are 0 without the lease.
 func (r *Runner) Next(now time.Duration, wall time.Time, token uint64, until time.Duration) (a Action, at time.Duration) {
 	if r.run.inFlight {
 		return Action{}, now + r.spec.Deadline
