--- a/internal/consensus/leader_tracker.go
+++ b/internal/consensus/leader_tracker.go
@@ -47,8 +47,8 @@
 	t.leader = member
 }
 
-// Redirected records that a member is not the leader. leader is the member that it reports as the leader, or empty. The result tells whether
-// to send the request to leader at once. It is false if leader is empty, is member itself, or is skipped.
+// Redirected records that a member is not the leader. leader is the member that it reports as the leader, or empty. The result tells
+// whether to send the request to leader at once. It is false if leader is empty, is member itself, or is skipped.
 func (t *LeaderTracker) Redirected(now time.Duration, member, leader string) bool {
 	delete(t.unreachableUntil, member)
 	if t.leader == member {
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Acquire requests a lease, and queues for it if it is not free. limit is the number of sessions that may hold the lease at once. A call for
-// a lease that the process already wants has no effect.
+// Acquire requests a lease, and queues for it if it is not free. limit is the number of sessions that may hold the lease at once. A call
+// for a lease that the process already wants has no effect.
 func (c *Client) Acquire(name string, limit int) {
 	if _, wanted := c.wanted[name]; wanted {
 		return
@@ -94,8 +94,8 @@
 	c.revision++
 }
 
-// Transfer transfers a held lease to another member, and queues for it again. A call for a lease that is not held has no effect. The process
-// must have stopped acting on the lease before the call.
+// Transfer transfers a held lease to another member, and queues for it again. A call for a lease that is not held has no effect. The
+// process must have stopped acting on the lease before the call.
 func (c *Client) Transfer(name, to string) {
 	w, wanted := c.wanted[name]
 	if !wanted || c.tokens[name] == 0 {
--- a/internal/task/run.go
+++ b/internal/task/run.go
@@ -73,8 +73,8 @@
 	return r.propose(now, c)
 }
 
-// chargeBudget sets the cost of a slot in an OpFinish command: the requests of this process, plus the largest possible cost for each begin of
-// the slot by another process, whose requests are not known.
+// chargeBudget sets the cost of a slot in an OpFinish command: the requests of this process, plus the largest possible cost for each begin
+// of the slot by another process, whose requests are not known.
 func (r *Runner) chargeBudget(c *Command, wall time.Time, earlierBegins int) {
 	if r.spec.Budget.Period == 0 {
 		return
--- a/internal/task/runner.go
+++ b/internal/task/runner.go
@@ -98,8 +98,8 @@
 // FetchedAt returns the time of the last request for the record.
 func (r *Runner) FetchedAt() time.Duration { return r.fetchedAt }
 
-// Next returns the action to perform now and the latest time for the next call. token is the fencing token of the task's lease. until is the
-// time up to which the process may act on the lease. Both are 0 without the lease.
+// Next returns the action to perform now and the latest time for the next call. token is the fencing token of the task's lease. until is
+// the time up to which the process may act on the lease. Both are 0 without the lease.
 func (r *Runner) Next(now time.Duration, wall time.Time, token uint64, until time.Duration) (a Action, at time.Duration) {
 	if r.run.inFlight {
 		return Action{}, now + r.spec.Deadline
