--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -9,30 +9,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// clockFaultsVariable is an environment variable for end-to-end tests: the rate of this process' clock against the true one.
-const clockFaultsVariable = "SORRELRUDDER_LAB_CLOCK"
+// clockRateVariable names an environment variable for end-to-end tests. Its value is the rate of this process's clock relative to real
+// time.
+const clockRateVariable = "SORRELRUDDER_LAB_CLOCK"
 
-// Clock is a monotonic clock that also advances while the machine is suspended, which that of package time does not: after a suspension the
-// leases of a process must have expired. A hypervisor that stops the guest's clock during a pause breaks this: fencing tokens alone protect
-// then. It is safe for concurrent use.
+// Clock is a monotonic clock that also advances while the machine is suspended, unlike the monotonic clock of package time. Leases that
+// expire during a suspension have therefore expired when the process continues. A hypervisor that stops the guest's clock during a pause
+// breaks this property: then only fencing tokens protect a resource. A Clock is safe for concurrent use.
 type Clock struct {
 	origin int64
 	rate   float64
 }
 
-// NewClock returns a clock whose origin is now. The error says that the machine has no such clock.
+// NewClock returns a clock whose origin is the present. The error says that the machine has no such clock, or that the rate for tests is
+// invalid.
 func NewClock() (*Clock, error) {
 	c := &Clock{rate: 1}
-	if text := os.Getenv(clockFaultsVariable); text != "" {
+	if text := os.Getenv(clockRateVariable); text != "" {
 		rate, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(rate > 0.5 && rate < 2) {
-			return nil, fmt.Errorf("%s is %q", clockFaultsVariable, text)
+			return nil, fmt.Errorf("%s: invalid clock rate %q: expected a number between 0.5 and 2", clockRateVariable, text)
 		}
 		c.rate = rate
 	}
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return nil, fmt.Errorf("the clock that counts suspended time: %w", err)
+		return nil, fmt.Errorf("reading the clock CLOCK_BOOTTIME: %w", err)
 	}
 	c.origin = ts.Nano()
 	return c, nil
@@ -42,10 +44,10 @@
 func (c *Clock) Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("the clock has gone: " + err.Error()) // it was there a moment ago, and no time may be guessed
+		panic("reading the clock CLOCK_BOOTTIME: " + err.Error()) // NewClock has read this clock, and a guessed time is unsafe for leases
 	}
 	return time.Duration(float64(ts.Nano()-c.origin) * c.rate)
 }
 
-// Real returns how long d of this clock takes in real time.
+// Real converts a duration of this clock to real time. The two differ only in a test that sets the rate of the clock.
 func (c *Clock) Real(d time.Duration) time.Duration { return time.Duration(float64(d) / c.rate) }
--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -18,15 +18,15 @@
 	"time"
 )
 
-// A frame is four bytes of length, a byte for its kind, a payload, and a tag that proves that the sender knows the secret. Frames may be lost,
-// duplicated and reordered: their payloads are made for that. One that was altered ends the connection.
+// The kinds of frames. A frame consists of a length of four bytes, a kind of one byte, a payload, and a tag which proves that the sender
+// knows the secret. Receivers accept lost, duplicated and reordered frames. A frame whose tag does not match ends the connection.
 const (
 	kindHello    = 'H'
-	kindRaft     = 'R' // a message of raft
-	kindRequest  = 'Q' // an rpc
-	kindResponse = 'A' // its response
+	kindRaft     = 'R' // a raft message
+	kindRequest  = 'Q' // a request, encoded as rpc
+	kindResponse = 'A' // the response to a request, encoded as rpc
 	kindWake     = 'W' // the receiver's leases have changed
-	kindGossip   = 'G' // shared state
+	kindGossip   = 'G' // a message about shared state
 	kindPing     = 'P'
 	kindPong     = 'O'
 )
@@ -34,32 +34,32 @@
 const (
 	tagLength             = 16 // bytes
 	maxHelloBytes         = 4 << 10
-	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases takes some 20 MB
+	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases takes about 20 MB
 	handshakeTimeout      = 2 * time.Second
 	writeTimeout          = 5 * time.Second
-	idleTimeout           = time.Minute // without a frame a connection is closed
+	idleTimeout           = time.Minute // a connection that has received no frame for this long is closed; for inbound connections, twice as long
 	maxInboundConnections = 2048
 )
 
 var (
 	errBadTag        = errors.New("a frame without the right tag: another secret, or it was changed on the way")
 	errFrameTooLong  = errors.New("a frame is too long")
-	errUnknownMember = errors.New("no member of this fleet")
+	errUnknownMember = errors.New("not a member of this fleet")
 )
 
-// hello is the first frame of both ends.
+// hello is the payload of the first frame of both ends.
 type hello struct {
 	Version int    `json:"v"`
 	Name    string `json:"name"`
 	To      string `json:"to,omitempty"`
 	Fleet   string `json:"fleet,omitempty"`
 	Nonce   []byte `json:"nonce"`
-	Pong    bool   `json:"pong,omitempty"` // it answers pings
+	Pong    bool   `json:"pong,omitempty"` // the sender answers pings
 }
 
 const helloVersion = 1
 
-// deriveKey is an HMAC of the parts, each with its length.
+// deriveKey returns the HMAC of the parts under the secret. Each part is preceded by its length.
 func deriveKey(secret []byte, parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	for _, p := range parts {
@@ -69,19 +69,20 @@
 	return m.Sum(nil)
 }
 
-// conn is a connection whose ends have proven that they know the secret. write may be called concurrently, read may not.
+// conn is a connection whose ends have proven to each other that they know the secret. write may be called concurrently, read may not.
 type conn struct {
 	net.Conn
 	reader              *bufio.Reader
 	sendKey, receiveKey []byte
 	peer                hello
-	writeMu             sync.Mutex // held while a frame is written
+	writeMu             sync.Mutex // held while a frame is written: frames must not interleave
 	traffic             *traffic
 }
 
-// traffic counts what a process has sent to others since its start.
+// traffic counts the frames and bytes that a process has sent to other processes since its start.
 type traffic struct{ frames, bytes, gossipFrames, gossipBytes atomic.Int64 }
 
+// write sends a frame within writeTimeout.
 func (c *conn) write(kind byte, payload []byte) error {
 	head := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+tagLength))
 	head = append(head, kind)
@@ -104,8 +105,8 @@
 	return err
 }
 
-// read returns the next frame of at most limit bytes. Memory is allocated as bytes arrive, not as the header announces. The errors
-// errFrameTooLong and errBadTag mean a peer that does not keep to the protocol.
+// read returns the next frame. A frame of more than limit bytes is an error. Memory is allocated as bytes arrive, not by the length in the
+// header. The errors errFrameTooLong and errBadTag mean that the peer violates the protocol.
 func (c *conn) read(limit uint32) (kind byte, payload []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
@@ -127,11 +128,13 @@
 	return kind, payload, nil
 }
 
-// sessionKeys returns the keys for frames of the dialing and of the accepting end.
-func sessionKeys(secret, a, b []byte) (dialler, other []byte) {
-	return deriveKey(secret, []byte("dialler"), a, b), deriveKey(secret, []byte("other"), a, b)
+// sessionKeys returns the keys that authenticate the frames of the dialing and of the accepting end. They are derived from the nonces of
+// both.
+func sessionKeys(secret, dialerNonce, acceptorNonce []byte) (dialerKey, acceptorKey []byte) {
+	return deriveKey(secret, []byte("dialler"), dialerNonce, acceptorNonce), deriveKey(secret, []byte("other"), dialerNonce, acceptorNonce)
 }
 
+// sendHello sends h and authenticates it with key.
 func (c *conn) sendHello(key []byte, h hello) error {
 	data, err := json.Marshal(h)
 	if err != nil {
@@ -141,6 +144,7 @@
 	return c.write(kindHello, data)
 }
 
+// readHello reads the peer's hello, authenticates it with key and checks its version, nonce and name.
 func (c *conn) readHello(key []byte) (h hello, err error) {
 	c.receiveKey = key
 	kind, data, err := c.read(maxHelloBytes)
@@ -162,13 +166,15 @@
 	return h, nil
 }
 
+// nonce returns a random nonce for one handshake.
 func nonce() []byte {
 	n := make([]byte, sha256.Size)
 	rand.Read(n) // never fails
 	return n
 }
 
-// dial connects to address, and proves the secret and has it proven.
+// dial connects to address and makes the handshake, in which both ends prove that they know the secret. It returns an error if me names a
+// member to connect to and the peer is another one.
 func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -185,7 +191,7 @@
 		err = c.sendHello(deriveKey(secret, []byte("hello")), me)
 	}
 	if err == nil {
-		// The answer is proven with this dialler's nonce: nobody can have kept it from another time.
+		// The key depends on this dialer's nonce, so that an answer recorded in an earlier handshake cannot be replayed.
 		c.peer, err = c.readHello(deriveKey(secret, []byte("answer"), me.Nonce))
 	}
 	if err == nil && me.To != "" && c.peer.Name != me.To {
@@ -202,8 +208,9 @@
 	return c, nil
 }
 
-// acceptConn is the other end of dial. The dialler has proven the secret once its first frame has been read.
-func acceptConn(raw net.Conn, secret []byte, me hello, known func(hello) error) (*conn, error) {
+// acceptConn is the accepting end of dial. authorize returns an error for a peer whose hello is not acceptable. A hello can be replayed: the
+// dialer has proven that it knows the secret only once its first frame after the hello has been read.
+func acceptConn(raw net.Conn, secret []byte, me hello, authorize func(hello) error) (*conn, error) {
 	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
 	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
@@ -212,7 +219,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := known(h); err != nil {
+	if err := authorize(h); err != nil {
 		return nil, err
 	}
 	c.peer = h
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	rejectionLogInterval = time.Second // least time between two log lines on rejected connections
+	rejectionLogInterval = time.Second // minimum between two log lines about rejected connections
 	acceptRetryPause     = 20 * time.Millisecond
 )
 
-var errTooManyConnections = errors.New("too many connections")
+var errTooManyConnections = errors.New("too many inbound connections")
 
-// linkTo returns the link to a member, made at its first use; nil if there is no other member of that name. The caller has mu.
+// linkTo returns the link to another member and creates it at its first use. It returns nil for this process, for an unknown name and after
+// the host has closed. The caller must hold mu.
 func (h *Host) linkTo(name string) *link {
 	if l := h.links[name]; l != nil {
 		return l
@@ -35,32 +36,32 @@
 	return l
 }
 
-// helloTo is how this process introduces itself to a member.
+// helloTo returns the hello of this process to the member of that name, or to any peer if name is empty.
 func (h *Host) helloTo(name string) hello {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return hello{Name: h.cfg.Name, To: name, Fleet: h.fleetID}
 }
 
-// handleLinkError takes a member whose link is broken for unreachable, and logs each new error.
+// handleLinkError marks a member as unreachable after its link has failed, and logs each new error.
 func (h *Host) handleLinkError(name string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader.Unreachable(h.clock.Now(), name)
 	if h.linkErrors[name] != err.Error() {
 		h.linkErrors[name] = err.Error()
-		h.log.Warn("the link to a member is broken", "member", name, "err", err)
+		h.log.Warn("link to member failed", "member", name, "err", err)
 	}
 }
 
-// notePeerFleet notes which fleet a member says it is of.
+// notePeerFleet records the fleet ID that a member reports.
 func (h *Host) notePeerFleet(peer hello) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peerFleetID = cmp.Or(peer.Fleet, h.peerFleetID)
 }
 
-// acceptConnections serves connections of members and operators until the host closes.
+// acceptConnections accepts connections of members and operators until the host closes, maxInboundConnections at a time.
 func (h *Host) acceptConnections() {
 	slots := make(chan struct{}, maxInboundConnections)
 	for {
@@ -69,7 +70,7 @@
 			select {
 			case <-h.ctx.Done():
 				return
-			case <-time.After(acceptRetryPause): // the process may be out of descriptors
+			case <-time.After(acceptRetryPause): // the process may have no free file descriptors
 			}
 			continue
 		}
@@ -87,7 +88,7 @@
 	}
 }
 
-// serveConnection checks who has connected and handles frames until the connection breaks.
+// serveConnection authenticates the peer of a connection and handles its frames until the connection breaks.
 func (h *Host) serveConnection(raw net.Conn) {
 	defer raw.Close()
 	stop := context.AfterFunc(h.ctx, func() { raw.Close() })
@@ -131,31 +132,32 @@
 	}
 }
 
-// checkPeer returns an error unless peer is an operator or a member of this fleet that means to talk to this process.
+// checkPeer returns an error unless peer is an operator or a member of this fleet that intends to connect to this process.
 func (h *Host) checkPeer(local, peer hello) error {
 	switch {
 	case peer.Name != operatorName && h.cfg.Members[peer.Name] == "":
-		return fmt.Errorf("%q: %w", peer.Name, errUnknownMember)
+		return fmt.Errorf("peer %q: %w", peer.Name, errUnknownMember)
 	case peer.To != "" && peer.To != h.cfg.Name:
-		return fmt.Errorf("%q looks for %q here", peer.Name, peer.To)
+		return fmt.Errorf("peer %q expects member %q at this address", peer.Name, peer.To)
 	case peer.Fleet != "" && local.Fleet != "" && peer.Fleet != local.Fleet:
-		return fmt.Errorf("%q is of the fleet %s, and this process of %s", peer.Name, peer.Fleet, local.Fleet)
+		return fmt.Errorf("peer %q belongs to fleet %s, this process to fleet %s", peer.Name, peer.Fleet, local.Fleet)
 	}
 	return nil
 }
 
-// logRejectedConnection logs a connection or message that is rejected, at most once in rejectionLogInterval, with the count since.
+// logRejectedConnection logs a rejected connection or message, at most once per rejectionLogInterval, with the number of rejections since
+// the last line.
 func (h *Host) logRejectedConnection(from string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rejectedConnections++
 	if now := h.clock.Now(); now >= h.rejectionLoggedAt+rejectionLogInterval {
-		h.log.Warn("rejected a connection of the fleet", "from", from, "err", err, "count", h.rejectedConnections)
+		h.log.Warn("rejected a connection or message of the fleet", "from", from, "err", err, "count", h.rejectedConnections)
 		h.rejectedConnections, h.rejectionLoggedAt = 0, now
 	}
 }
 
-// handleFrame handles a frame of a peer.
+// handleFrame dispatches a frame of a peer by its kind.
 func (h *Host) handleFrame(c *conn, kind byte, payload []byte) {
 	var err error
 	switch kind {
@@ -188,7 +190,7 @@
 	}
 }
 
-// handleRaftMessage hands a message to the raft node.
+// handleRaftMessage passes a raft message of a member to the raft node.
 func (h *Host) handleRaftMessage(from string, payload []byte) error {
 	m, err := consensus.DecodeMessage(payload)
 	if err != nil {
--- a/internal/fleet/exclusions.go
+++ b/internal/fleet/exclusions.go
@@ -9,11 +9,11 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// exclusions are what a pool has to do with some of its endpoints, by name.
+// exclusions says how a pool has to treat some of its endpoints, by endpoint name.
 type exclusions struct {
-	excluded     map[string]bool // get nothing new
-	recovering   map[string]bool // were excluded, are used again, and count as warming up
-	untilRestart map[string]bool // of the excluded: those that may be used again once they have restarted
+	excluded     map[string]bool // receive no new requests
+	recovering   map[string]bool // were excluded, receive requests again and count as warming up
+	untilRestart map[string]bool // excluded endpoints that may be used again once they have restarted
 }
 
 func newExclusions() exclusions {
@@ -26,8 +26,8 @@
 		maps.Equal(e.untilRestart, other.untilRestart)
 }
 
-// changedExclusions works out the exclusions in force and returns those that have changed, by pool; a pool that has none any more is there
-// with empty ones.
+// changedExclusions computes the exclusions in force and returns those that have changed, by pool. A pool whose exclusions have all ended
+// is returned with empty ones.
 func (s *sharedState) changedExclusions() map[string]exclusions {
 	next := map[string]exclusions{}
 	s.addOperatorExclusions(next)
@@ -39,7 +39,7 @@
 		}
 	}
 	for pool := range s.excluded {
-		if _, some := next[pool]; !some {
+		if _, ok := next[pool]; !ok {
 			changed[pool] = exclusions{}
 		}
 	}
@@ -47,9 +47,9 @@
 	return changed
 }
 
-// ofPool returns the exclusions of a pool, made when they are first asked for.
-func ofPool(all map[string]exclusions, pool string) exclusions {
-	if _, some := all[pool]; !some {
+// exclusionsFor returns the exclusions of a pool in all, and creates them if they are missing.
+func exclusionsFor(all map[string]exclusions, pool string) exclusions {
+	if _, ok := all[pool]; !ok {
 		all[pool] = newExclusions()
 	}
 	return all[pool]
@@ -59,30 +59,30 @@
 func (s *sharedState) addOperatorExclusions(all map[string]exclusions) {
 	s.node.Store().ForEach(consensus.OperatorKind+"/", func(e *gossip.Entry) bool {
 		if pool, endpoint, ok := gossip.SplitPoolKey(e.Key); ok && len(e.Values()) > 0 {
-			ofPool(all, pool).excluded[endpoint] = true
+			exclusionsFor(all, pool).excluded[endpoint] = true
 		}
 		return true
 	})
 }
 
-// addZoneExclusions adds the endpoints of zones that are not wholly in use.
+// addZoneExclusions adds the endpoints of zones that are not fully in use.
 func (s *sharedState) addZoneExclusions(all map[string]exclusions) {
 	for pool, zones := range s.zones.endpointZones {
 		excluded, recovering, untilRestart := zoneview.Exclusions(s.node, pool, zones)
 		for endpoint := range untilRestart {
-			e := ofPool(all, pool)
-			e.untilRestart[endpoint] = !e.excluded[endpoint] // an operator's exclusion of the endpoint itself outlasts a restart
+			e := exclusionsFor(all, pool)
+			e.untilRestart[endpoint] = !e.excluded[endpoint] // an exclusion of the endpoint by an operator outlasts a restart
 		}
 		if len(excluded)+len(recovering) > 0 {
-			e := ofPool(all, pool)
+			e := exclusionsFor(all, pool)
 			maps.Copy(e.excluded, excluded)
 			maps.Copy(e.recovering, recovering)
 		}
 	}
 }
 
-// applyToPools hands hints and exclusions to the pools, one after the other, so that an earlier exclusion never replaces a later one. Pools are
-// called without mu.
+// applyToPools applies hints and exclusions to the pools until the host closes. A single goroutine applies them one after the other, so
+// that an earlier exclusion never replaces a later one. Pools are called without mu.
 func (h *Host) applyToPools() {
 	shared := h.shared
 	for {
@@ -106,7 +106,8 @@
 	}
 }
 
-// applyExclusions hands a pool its exclusions. What it excludes is no longer this process' to report: health checks look after it.
+// applyExclusions applies the exclusions of a pool and withdraws this process's reports on the excluded endpoints: health checks observe
+// these endpoints instead.
 func (h *Host) applyExclusions(pool string, e exclusions) {
 	shared := h.shared
 	applied := shared.pools.ExcludeEndpoints(pool, e.excluded, e.recovering, e.untilRestart)
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// With more leases than manyLeases, changes are looked for once in leaseLogInterval at most: each look visits all of them.
+	// With more than manyLeases leases, changes are logged at most once per leaseLogInterval, since each check visits all leases.
 	manyLeases       = 256
 	leaseLogInterval = 200 * time.Millisecond
 )
 
-// HeldLease reports whether this process may act on a lease now, its fencing token, and for how long at most.
+// HeldLease reports whether this process may act on a lease now. It returns the fencing token and the longest time for which this right
+// lasts unless the lease is renewed.
 func (h *Host) HeldLease(name string) (token uint64, left time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -29,7 +30,8 @@
 // ErrLeaseNotHeld is returned for a lease that this process may not act on now.
 var ErrLeaseNotHeld = errors.New("the lease is not held by this process")
 
-// AcquireLease has this process acquire a lease, which limit members may hold at once, or wait for it, until ReleaseLease.
+// AcquireLease requests a lease that at most limit members may hold at once. This process waits for the lease while others hold it, and
+// renews it until ReleaseLease.
 func (h *Host) AcquireLease(name string, limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +39,8 @@
 	h.runDue()
 }
 
-// ReleaseLease releases a lease, to the member named to or, if that is empty, to the next that waits. Work under the lease must have ended.
+// ReleaseLease releases a lease. The next holder is the member named to or, if to is empty, the first that waits for the lease. All work
+// under the lease must have ended before the call.
 func (h *Host) ReleaseLease(name, to string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,31 +48,32 @@
 	h.runDue()
 }
 
-// GuardLease returns a context that is canceled about when this process' right to act on the lease ends, and the fencing token to act with; after
-// a suspension of the machine it is canceled up to a client's TTL late. The error is ErrLeaseNotHeld. A resource that checks fencing tokens is safe against what arrives after that; for one that does not, a
-// request that was sent in time and arrives late is not.
+// GuardLease returns a context that is canceled at about the time when this process's right to act on the lease ends, and the fencing token
+// to act with. After a suspension of the machine, the context is canceled up to a client's TTL late. The error wraps ErrLeaseNotHeld. A
+// resource that checks fencing tokens is safe against requests that arrive after the end of the lease. A resource that does not check them
+// is not safe against a request that was sent in time and arrives late.
 func (h *Host) GuardLease(ctx context.Context, name string) (context.Context, context.CancelFunc, uint64, error) {
 	token, left, ok := h.HeldLease(name)
 	if !ok {
 		return nil, nil, 0, fmt.Errorf("lease %q: %w", name, ErrLeaseNotHeld)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var again func(d time.Duration)
-	again = func(d time.Duration) {
+	var schedule func(d time.Duration)
+	schedule = func(d time.Duration) {
 		timer := time.AfterFunc(d, func() {
-			if now, left, ok := h.HeldLease(name); ok && now == token {
-				again(left)
+			if current, left, ok := h.HeldLease(name); ok && current == token {
+				schedule(left)
 				return
 			}
 			cancel()
 		})
 		context.AfterFunc(ctx, func() { timer.Stop() })
 	}
-	again(left)
+	schedule(left)
 	return ctx, cancel, token, nil
 }
 
-// logLeaseChanges logs the leases that this process has got or lost since the last call. The caller has mu.
+// logLeaseChanges logs the leases that this process has acquired or lost since the last call. The caller must hold mu.
 func (h *Host) logLeaseChanges(now time.Duration) {
 	n, lapsed := h.session.Revision(), now >= h.session.ValidUntil()
 	if n == h.loggedChanges && lapsed == h.loggedLapsed || len(h.loggedLeases) > manyLeases && now < h.leasesLoggedAt+leaseLogInterval {
@@ -82,7 +86,7 @@
 	h.loggedLeases = held
 }
 
-// handleSuperseded ends this process' work once another process has taken over its name. The caller has mu.
+// handleSuperseded ends the participation of this process once another process has taken over its name. The caller must hold mu.
 func (h *Host) handleSuperseded(now time.Duration) {
 	if !h.session.Superseded() || h.leaving {
 		return
@@ -91,10 +95,10 @@
 	if h.shared != nil {
 		h.sendGossip(h.shared.node.Leave(now))
 	}
-	h.log.Error("another process has this one's name: this one holds no lease and does no task any more", "name", h.cfg.Name)
+	h.log.Error("superseded by another process of the same name: this process no longer holds leases or runs tasks", "name", h.cfg.Name)
 }
 
-// renewLeases sends what the session has to ask of the leader, and returns when it is due again. The caller has mu.
+// renewLeases sends the due requests of the lease session to the leader, and returns when it must be called again. The caller must hold mu.
 func (h *Host) renewLeases(now time.Duration) time.Duration {
 	requests, at := h.session.Next(now)
 	for _, r := range requests {
@@ -108,7 +112,7 @@
 	return at
 }
 
-// heldTokens returns the fencing tokens of the leases that this process may act on, by name. The caller has mu.
+// heldTokens returns the fencing tokens of the leases that this process may act on, by name. The caller must hold mu.
 func (h *Host) heldTokens(now time.Duration) map[string]uint64 {
 	tokens := map[string]uint64{}
 	for _, name := range h.session.Held(now) {
@@ -119,7 +123,7 @@
 	return tokens
 }
 
-// logLeases logs message for each lease whose token in leases is not the one in others.
+// logLeases logs message for each lease whose token in leases differs from its token in others.
 func (h *Host) logLeases(message string, leases, others map[string]uint64) {
 	for _, name := range slices.Sorted(maps.Keys(leases)) {
 		if others[name] != leases[name] {
@@ -128,17 +132,17 @@
 	}
 }
 
-// taskLeaseName is the name of the lease whose holder does a task.
+// taskLeaseName returns the name of the lease whose holder runs a task.
 func taskLeaseName(task string) string { return "task/" + task }
 
-// handoverRequest asks the holder of a lease to hand it over to a member.
+// handoverRequest asks the holder of a lease to transfer the lease to a member.
 type handoverRequest struct {
 	Name string `json:"name"`
 	To   string `json:"to"`
 }
 
-// startHandover begins to hand a lease over to a member: its task starts no further slot, and once nothing of it is in flight the lease is
-// transferred. This process then waits for it again, behind all others.
+// startHandover begins the handover of a lease to a member: the task of the lease starts no further slot, and the lease is transferred once
+// the task has no request in flight. This process then waits for the lease again, behind all other waiting members.
 func (h *Host) startHandover(request handoverRequest) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +159,7 @@
 	return nil
 }
 
-// finishHandovers transfers the leases that are to be handed over and whose tasks have no request in flight. The caller has mu.
+// finishHandovers transfers each lease with a pending handover whose task has no request in flight. The caller must hold mu.
 func (h *Host) finishHandovers() {
 	for name, to := range h.handovers {
 		if r := h.runnerForLease(name); r != nil && r.core.Busy() {
@@ -167,7 +171,7 @@
 	}
 }
 
-// runnerForLease returns the runner of the task that a lease is for, nil if it is for none. The caller has mu.
+// runnerForLease returns the runner of the task that a lease belongs to, nil if the lease belongs to no task. The caller must hold mu.
 func (h *Host) runnerForLease(lease string) *taskRunner {
 	for _, r := range h.runners {
 		if taskLeaseName(r.cfg.Name) == lease {
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -8,11 +8,12 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// memoryStore is the store of a voter in memory. The next start of the process has another store and so another identity: it never votes in
-// this one's place, and cannot break what it has promised.
+// memoryStore is the store of a voter that keeps its state in memory. The next start of the process gets another store and therefore
+// another identity. It never votes under the old identity, and so cannot contradict what was promised under that identity.
 type memoryStore struct{ id Identity }
 
 func newMemory(name string) *memoryStore {
+// newMemory returns an empty store for the process of that name, with a new store ID.
 	return &memoryStore{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
 }
 
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	maxPendingRequests = 1024 // requests of this process that have no answer yet
-	maxForwards        = 3    // times that one request is sent on to another member
+	maxPendingRequests = 1024 // requests of this process without a response
+	maxForwards        = 3    // how often one request is forwarded to another member
 )
 
-// pendingRequest is a request of this process to the leader. It leaves Host.pending once: by handleResponse or expirePending. Its functions are
-// called under Host.mu.
+// pendingRequest is a request of this process to the leader. It is removed from Host.pending once, by handleResponse or expirePending. Its
+// functions are called while Host.mu is held.
 type pendingRequest struct {
 	request    consensus.Request
 	onResponse func(consensus.Response)
-	onLost     func() // no response is waited for any more; nil: whoever wants one asks again
+	onLost     func() // called when the request is dropped without a response; nil: the caller sends a new request by itself
 	forwards   int
 	sentAt     time.Duration
 	sentTo     string
-	late       bool // the member it was sent to counts as unreachable since
+	late       bool // the response is late, and sentTo has been marked as unreachable
 }
 
 // rpc is a request between processes, or its response.
@@ -31,14 +31,14 @@
 	Response consensus.Response `json:"response,omitzero"`
 	Status   *Status            `json:"status,omitempty"`
 
-	// Requests of operators to this very process, and the error of one.
+	// Requests of operators to this process itself, and the error in the response.
 	Bootstrap bool             `json:"found,omitempty"`
 	Handover  *handoverRequest `json:"handover,omitempty"`
 	Forget    string           `json:"forget,omitempty"`
 	Why       string           `json:"why,omitempty"`
 }
 
-// submit sends a request to the leader. One too many is lost at once. The caller has mu.
+// submit sends a request to the leader. With maxPendingRequests requests pending, the request is lost at once. The caller must hold mu.
 func (h *Host) submit(p *pendingRequest) {
 	if len(h.pending) >= maxPendingRequests {
 		if p.onLost != nil {
@@ -52,7 +52,7 @@
 	h.sendToLeader(h.lastHandle, p)
 }
 
-// sendToLeader sends a request to the member that this process takes for the leader. The caller has mu.
+// sendToLeader sends a request to the member that this process assumes to be the leader. The caller must hold mu.
 func (h *Host) sendToLeader(handle uint64, p *pendingRequest) {
 	now := h.clock.Now()
 	to := h.leader.Pick(now)
@@ -62,7 +62,7 @@
 	}
 }
 
-// sendRequest reports whether a request was queued, for this process' own voter or for a member. The caller has mu.
+// sendRequest queues a request for this process's own voter or for a member, and reports whether there was room. The caller must hold mu.
 func (h *Host) sendRequest(handle uint64, to string, request consensus.Request) bool {
 	if to == h.cfg.Name && h.store != nil {
 		return h.tryEnqueue(func(v *voter) {
@@ -71,15 +71,15 @@
 	}
 	data, err := json.Marshal(rpc{Handle: handle, Request: request})
 	if err != nil {
-		h.log.Error("encoding a request failed", "err", err)
-		return true // it says nothing about the member
+		h.log.Error("encoding request failed", "err", err)
+		return true // the member is not at fault and must not count as unreachable
 	}
 	l := h.linkTo(to)
 	return l != nil && l.send(kindRequest, data)
 }
 
-// handleResponse takes the response to a request of this process. A member that does not lead may name the leader: the request is forwarded
-// there, up to maxForwards times.
+// handleResponse handles the response to a request of this process. A member that is not the leader may name the leader. The request is
+// then forwarded to the leader, up to maxForwards times.
 func (h *Host) handleResponse(handle uint64, r consensus.Response) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +103,8 @@
 	h.runDue()
 }
 
-// expirePending takes members whose responses are late for unreachable, and gives up requests that are older than a lease. The caller has mu.
+// expirePending marks members whose responses are late as unreachable, and drops requests that are older than a lease's TTL. The caller
+// must hold mu.
 func (h *Host) expirePending(now time.Duration) {
 	for handle, p := range h.pending {
 		if !p.late && now > p.sentAt+h.cfg.LeaseTiming.KeepAliveInterval()/2 {
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -6,8 +6,8 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// serveRequest answers a request of another process or of an operator. This process finds the leader for an operator; other processes do so
-// themselves.
+// serveRequest answers a request of another process or of an operator. For an operator, this process finds the leader and forwards the
+// request to it. Other processes find the leader themselves.
 func (h *Host) serveRequest(c *conn, request rpc) {
 	operator := c.peer.Name == operatorName
 	respond := func(r consensus.Response) { h.respond(c, rpc{Handle: request.Handle, Response: r}) }
@@ -34,15 +34,15 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := &pendingRequest{request: request}
-	p.onResponse = func(r consensus.Response) { h.goroutines.Go(func() { respond(r) }) } // a connection is not written under mu
+	p.onResponse = func(r consensus.Response) { h.goroutines.Go(func() { respond(r) }) } // a connection must not be written while mu is held
 	if d := request.Decision; d != nil && d.Conditional {
-		// The response may have been lost with a leader: a conditional decision can be asked for again.
+		// The response may have been lost with a leader. A conditional decision can safely be requested again.
 		p.onLost = func() { p.onResponse(consensus.Response{NotLeader: true}) }
 	}
 	h.submit(p)
 }
 
-// respondDone answers with the error of an operator's request, or with none.
+// respondDone responds to an operator's request with its error, or with an empty one on success.
 func (h *Host) respondDone(c *conn, handle uint64, err error) {
 	response := rpc{Handle: handle}
 	if err != nil {
@@ -51,11 +51,11 @@
 	h.respond(c, response)
 }
 
-// respond writes a response; a connection that cannot be written is closed.
+// respond writes a response. It closes a connection whose write fails.
 func (h *Host) respond(c *conn, response rpc) {
 	data, err := json.Marshal(response)
 	if err != nil {
-		h.log.Error("encoding a response failed", "err", err)
+		h.log.Error("encoding response failed", "err", err)
 		return
 	}
 	if err := c.write(kindResponse, data); err != nil {
