--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -1,10 +1,10 @@
-// Package fleet hosts the part of a process in a fleet whose members know each other. It owns the sockets, files, clocks and
-// goroutines of that part: the links between members, the process' vote in the consensus group, its session and leases, its tasks,
-// and its copy of the state shared by gossip. What is decided is decided by packages consensus, lease, task, gossip, zonefailover
-// and zoneview; this one feeds them events and carries out their answers.
+// Package fleet runs the membership of a process in a fleet. It owns the sockets, files, clocks and goroutines of the membership: the links
+// between members, the process's voter in the consensus group, its session and leases, its tasks, and its copy of the state shared by
+// gossip. Decisions are made by packages consensus, lease, task, gossip, zonefailover and zoneview. This package passes events to them and
+// carries out the resulting actions.
 //
-// Host is the entry point. Each concern has its file: voter (consensus), leases, tasks, requests (to the leader), connections
-// (from and to members), link and conn (transport), store, sharedstate (gossip), exclusions, zones, status and operator.
+// Host is the entry point. Each concern has a file: voter (consensus), leases, tasks, requests (to the leader), connections (from and to
+// members), link and conn (transport), store, sharedstate (gossip), exclusions, zones, status and operator.
 package fleet
 
 import (
@@ -28,46 +28,47 @@
 
 const (
 	minSecretBytes = 16
-	leaveTimeout   = 3 * time.Second // for the tasks and the session that Host.Leave waits for
+	leaveTimeout   = 3 * time.Second // limits how long Host.Leave waits for the tasks and the session
 
 	leavePollInterval = 5 * time.Millisecond
-	transferTimeout   = time.Second // for the consensus goroutine to take the transfer of leadership
+	transferTimeout   = time.Second // limits the wait for the consensus goroutine to start the transfer of leadership
 )
 
-// Config is the part of a process in its fleet.
+// Config configures the membership of a process in its fleet.
 type Config struct {
-	Name           string            // of this process
+	Name           string            // name of this process
 	Secret         string            // file with the secret that all members share
 	Store          string            // file of the voter; empty: the process has no vote, or VotersInMemory is set
-	VotersInMemory bool              // voters keep their state in memory: it is lost with a majority of them
+	VotersInMemory bool              // voters keep their state in memory; the state is lost if a majority of them ends
 	Voters         []string          // names of the members that may vote
 	Members        map[string]string // addresses by name
 	LeaseTiming    lease.Timing
-	Tick           time.Duration // of raft; a leader that is silent for ten ticks is replaced
+	Tick           time.Duration // interval of raft's logical clock; a leader without a heartbeat for ten ticks is replaced
 	Tasks          []Task
 	SharedState    *SharedStateConfig // nil: the process shares no state
-	Zones          *ZonesConfig       // nil: no zone is failed over from automatically
+	Zones          *ZonesConfig       // nil: no automatic zone failover by this process
 }
 
-// Task is a task that is done once for the whole fleet, by a request to one of the process' pools.
+// Task is a task that runs once for the whole fleet, as a request to one of the process's pools.
 type Task struct {
 	task.Spec
 	Pool, Method, Path, Tenant, Body string
 
 	Plain bool   // the pool speaks ordinary HTTP, see package httpservice
-	Host  string // of the request; empty: the pool's name
+	Host  string // Host header of the request; empty: the pool's name
 }
 
-// Sender sends a request through one of the process' pools, which balance and retry it like those of clients.
+// Sender sends a request through one of the process's pools, which balance and retry the request like those of clients. It must be safe for
+// concurrent use.
 type Sender interface {
 	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Response, error)
 }
 
-// Host is the part of a process in its fleet. Its methods are safe for concurrent use.
+// Host is the membership of a process in its fleet. Its methods are safe for concurrent use.
 //
-// Its goroutines: runTimers does what is due, runConsensus owns the voter, acceptConnections the listener; applyToPools and watchZones work with
-// the pools, if state is shared; each link and connection has its own, and so has each task request and each save of the shared state. mu is
-// never held while a pool, the store or a connection is waited for.
+// Its goroutines: runTimers runs due work, runConsensus owns the voter, and acceptConnections owns the listener. If state is shared,
+// applyToPools and watchZones call the pools. Each link, connection, task request and save of the shared state has its own goroutine. mu is
+// never held while waiting for a pool, the store or a connection.
 type Host struct {
 	cfg      Config
 	log      *slog.Logger
@@ -82,18 +83,18 @@
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
 	inbox      chan func(*voter) // work for the consensus goroutine
-	timer      *time.Timer       // runs runDue
+	timer      *time.Timer       // fires when runDue is due
 
-	// mu guards the fields below and all of shared but its channels.
+	// mu guards the fields below and all of shared except its channels.
 	mu      sync.Mutex
-	leaving bool   // no further slot is started: the process ends, or another one has its name
-	fleetID string // that this process is admitted to; empty: not yet
+	leaving bool   // no further slot is started: the process is about to end, or has been superseded
+	fleetID string // fleet that this process is admitted to; empty: none yet
 	shared  *sharedState
 
 	// Leases and tasks.
 	session   *lease.Client
 	runners   map[string]*taskRunner // by task
-	handovers map[string]string      // members that get a lease once its task has nothing in flight
+	handovers map[string]string      // target members by lease; a lease is transferred once its task has no request in flight
 
 	// Requests to the leader.
 	leader     *consensus.LeaderTracker
@@ -102,12 +103,12 @@
 
 	// Connections.
 	links       map[string]*link // to members, by name
-	inbound     map[string]*conn // from members, by name: the newest
+	inbound     map[string]*conn // the newest connection from each member, by name
 	conns       map[*conn]struct{}
 	linkErrors  map[string]string // by member, as last logged
-	peerFleetID string            // that a member said it is of
+	peerFleetID string            // fleet that a member has reported to belong to
 
-	// What the log was told last.
+	// State of the last log lines.
 	loggedLeases        map[string]uint64 // tokens by name
 	loggedChanges       uint64            // revision of the session
 	loggedLapsed        bool              // the session had expired
@@ -116,14 +117,14 @@
 	rejectionLoggedAt   time.Duration
 }
 
-// New opens the store and the listener of a process. Nothing runs before Start.
+// New opens the store and the listener of a process. No goroutine runs before Start.
 func New(cfg Config, log *slog.Logger) (*Host, error) {
 	secret, err := os.ReadFile(cfg.Secret)
 	if err != nil {
-		return nil, fmt.Errorf("the tier's secret: %w", err)
+		return nil, fmt.Errorf("reading the fleet secret: %w", err)
 	}
 	if len(secret) < minSecretBytes {
-		return nil, fmt.Errorf("%s: the tier's secret has %d bytes, fewer than %d", cfg.Secret, len(secret), minSecretBytes)
+		return nil, fmt.Errorf("%s: the fleet secret has %d bytes: at least %d are required", cfg.Secret, len(secret), minSecretBytes)
 	}
 	clock, err := NewClock()
 	if err != nil {
@@ -159,7 +160,7 @@
 		if h.store != nil {
 			err = errors.Join(err, h.store.Close())
 		}
-		return nil, fmt.Errorf("the tier's address: %w", err)
+		return nil, fmt.Errorf("listening on the fleet address: %w", err)
 	}
 	return h, nil
 }
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// Start begins to take part in the fleet. Requests of tasks are sent by sender; if it is also a Pools, shared state is about its pools.
+// Start starts the membership. Task requests are sent through sender. If sender also implements Pools, the shared state covers its pools.
 func (h *Host) Start(sender Sender) error {
 	h.sender = sender
 	v := &voter{callbacks: map[uint64]func(consensus.Response){}}
@@ -188,7 +189,7 @@
 			return err
 		}
 	}
-	if err := h.prepareDue(sender); err != nil {
+	if err := h.initState(sender); err != nil {
 		return err
 	}
 	h.goroutines.Go(h.acceptConnections)
@@ -198,8 +199,8 @@
 	return nil
 }
 
-// prepareDue creates the timer, the task runners and the shared state.
-func (h *Host) prepareDue(sender Sender) error {
+// initState creates the timer, the task runners and the shared state.
+func (h *Host) initState(sender Sender) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	interval := h.cfg.LeaseTiming.KeepAliveInterval()
@@ -212,19 +213,19 @@
 	return err
 }
 
-// incarnation names this start of the process among all of the same name.
+// incarnation returns the ID that distinguishes this start of the process from all others of the same name.
 func (h *Host) incarnation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.session.Incarnation()
 }
 
-// Addr is where other processes connect.
+// Addr returns the address on which this process accepts connections.
 func (h *Host) Addr() string { return h.listener.Addr().String() }
 
-// Leave gives up the leases of this process in order and transfers the leadership of the consensus group, so that nobody has to wait for a
-// lease to expire. It first waits for requests of tasks that are in flight, and returns once all is done, after some seconds at most. Close
-// comes after it.
+// Leave ends the membership in order. It releases the leases of this process and transfers the leadership of the consensus group, so that
+// no other member has to wait for a lease to expire. It first waits for task requests in flight. It returns once all of this is done, after
+// a few seconds at most. Close must be called after Leave.
 func (h *Host) Leave() {
 	ctx, cancel := context.WithTimeout(h.ctx, leaveTimeout)
 	defer cancel()
@@ -243,14 +244,14 @@
 	h.transferLeadership()
 }
 
-// sessionClosed reports whether this process has no session any more.
+// sessionClosed reports whether this process no longer has a session.
 func (h *Host) sessionClosed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.session.Closed() || h.session.SessionID() == 0
 }
 
-// pollUntil returns once done reports true, or ctx ends.
+// pollUntil returns once done returns true or ctx ends.
 func pollUntil(ctx context.Context, done func() bool) {
 	tick := time.NewTicker(leavePollInterval)
 	defer tick.Stop()
@@ -262,7 +263,8 @@
 	}
 }
 
-// transferLeadership has another voter lead, if this one does, and gives it the time to ask for votes.
+// transferLeadership transfers the leadership to another voter if this process is the leader, and waits for the other voter to request
+// votes.
 func (h *Host) transferLeadership() {
 	transferred := make(chan struct{})
 	h.enqueue(func(v *voter) {
@@ -282,7 +284,7 @@
 	}
 }
 
-// Close ends all connections and goroutines at once and closes the store.
+// Close closes all connections, ends all goroutines without waiting for requests in flight, and closes the store.
 func (h *Host) Close() error {
 	h.stop()
 	h.listener.Close()
@@ -301,7 +303,7 @@
 	return nil
 }
 
-// runTimers does what is due, until the host closes.
+// runTimers runs due work until the host closes.
 func (h *Host) runTimers() {
 	var observed chan struct{}
 	if h.shared != nil {
@@ -322,7 +324,8 @@
 	}
 }
 
-// runDue does what is due for leases, tasks, shared state and pending requests, and sets the timer for the next time. The caller has mu.
+// runDue runs the due work of leases, tasks, shared state and pending requests, and sets the timer for the next call. The caller must hold
+// mu.
 func (h *Host) runDue() {
 	if h.timer == nil || h.ctx.Err() != nil {
 		return
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	linkQueueLength = 512 // frames that wait; further ones are dropped
+	linkQueueLength = 512 // queued frames; further frames are dropped
 	minDialBackoff  = 20 * time.Millisecond
 	maxDialBackoff  = time.Second
 	pingInterval    = time.Second
@@ -21,22 +21,22 @@
 	payload []byte
 }
 
-// link carries frames to one member over a connection that is dialed when there is something to send, and again after a backoff when it
-// breaks. Frames that cannot be sent are dropped: whoever wants an answer asks again.
+// link carries frames to one member. It dials a connection when there is a frame to send, and dials again after a backoff when the
+// connection breaks. Frames that cannot be sent are dropped: a caller that needs a response repeats its request.
 type link struct {
 	address string
 	secret  []byte
 	traffic *traffic
 	queue   chan frame
-	local   func() hello // how this process introduces itself
+	local   func() hello // returns the hello of this process
 
-	// Called from the link's goroutines, never concurrently with themselves but for onFrame.
+	// Called from the link's goroutines. Only onFrame may be called concurrently with itself.
 	onHello func(hello)
 	onFrame func(c *conn, kind byte, payload []byte)
-	onError func(error) // the connection could not be made, or broke while it was written
+	onError func(error) // the connection could not be established, or a write failed
 }
 
-// newLink returns a link that does nothing before run.
+// newLink returns a link. It sends nothing before run is called.
 func newLink(address string, secret []byte, local func() hello, onFrame func(*conn, byte, []byte), onError func(error)) *link {
 	return &link{
 		address: address,
@@ -88,7 +88,8 @@
 	}
 }
 
-// drainFor drops what is queued for a while: it would be stale once there is a connection again. It reports false if ctx ended.
+// drainFor drops queued frames for the duration d, since they would be stale once there is a connection again. It reports false if ctx
+// ended.
 func (l *link) drainFor(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -136,9 +137,9 @@
 	}
 }
 
-// sendQueued writes queued frames, and a ping in each interval in which something was sent, until the connection breaks. The peer has
-// pongTimeout to answer a ping with any frame: the responses to what a link carries may come on other connections, so that a peer that has
-// vanished would not be noticed otherwise.
+// sendQueued writes queued frames until the connection breaks, and a ping after each pingInterval in which a frame was sent. The peer has
+// to answer a ping with any frame within pongTimeout. Responses to the frames of a link may arrive on other connections, so that without
+// pings a peer that has vanished would not be noticed.
 func (l *link) sendQueued(c *conn, broken <-chan struct{}, received *atomic.Int64) {
 	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
@@ -156,7 +157,7 @@
 				continue
 			}
 			sentSincePing, next = false, frame{kind: kindPing}
-			if n := received.Load(); !awaitingPong || n != receivedAtPing { // a further ping must not extend the time to answer the first
+			if n := received.Load(); !awaitingPong || n != receivedAtPing { // a further ping must not extend the deadline of the first
 				awaitingPong, receivedAtPing = true, n
 				c.SetReadDeadline(time.Now().Add(pongTimeout))
 			}
@@ -168,5 +169,5 @@
 	}
 }
 
-// jitter draws between 0.5 and 1.5 times d, so that processes that lost a peer at once do not return at once.
+// jitter returns a random duration between 0.5 and 1.5 times d, so that processes that lost the same peer at once do not reconnect at once.
 func jitter(d time.Duration) time.Duration { return d/2 + mrand.N(d) }
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -12,8 +12,8 @@
 // another identity. It never votes under the old identity, and so cannot contradict what was promised under that identity.
 type memoryStore struct{ id Identity }
 
-func newMemory(name string) *memoryStore {
 // newMemory returns an empty store for the process of that name, with a new store ID.
+func newMemory(name string) *memoryStore {
 	return &memoryStore{Identity{Format: storeFormat, Name: name, Store: uuid.NewString()}}
 }
 
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -14,7 +14,7 @@
 	"github.com/google/uuid"
 )
 
-// operatorName is the member name by which operators' connections introduce themselves.
+// operatorName is the name in the hello of an operator's connection.
 const operatorName = "operator"
 
 // Operator is an operator's connection to a running process of a fleet. It is not safe for concurrent use.
@@ -23,11 +23,11 @@
 	lastHandle uint64
 }
 
-// Connect connects to the process at address and proves the secret that the file holds.
+// Connect connects to the process at address with the fleet's secret, which is read from secretFile.
 func Connect(ctx context.Context, address, secretFile string) (*Operator, error) {
 	secret, err := os.ReadFile(secretFile)
 	if err != nil {
-		return nil, fmt.Errorf("the tier's secret: %w", err)
+		return nil, fmt.Errorf("reading the fleet secret: %w", err)
 	}
 	c, err := dial(ctx, address, secret, hello{Name: operatorName})
 	if err != nil {
@@ -39,7 +39,7 @@
 // Close closes the connection.
 func (o *Operator) Close() error { return o.conn.Close() }
 
-// request sends a request and returns the response, once.
+// request sends a request once and returns the response.
 func (o *Operator) request(ctx context.Context, q consensus.Request) (rpc, error) {
 	return o.roundTrip(ctx, rpc{Request: q})
 }
@@ -63,7 +63,7 @@
 			if ctx.Err() != nil {
 				err = ctx.Err()
 			}
-			return rpc{}, fmt.Errorf("no answer of the process: %w", err)
+			return rpc{}, fmt.Errorf("waiting for the response of the fleet member: %w", err)
 		}
 		var a rpc
 		if kind != kindResponse {
@@ -78,14 +78,14 @@
 	}
 }
 
-// ErrNoLeader means that the process that was asked reached no leader of the consensus group in time. The command may have taken effect all
-// the same.
-var ErrNoLeader = errors.New("the council has no leader that this process reaches: it has lost its majority, or elects one just now")
+// ErrNoLeader means that the process reached no leader of the consensus group in time. The command may have taken effect nevertheless.
+var ErrNoLeader = errors.New("the fleet member reaches no leader of the consensus group: the group has lost its majority or is electing a leader")
 
-// retryPause is the time between two attempts at an operator's request while a leader is elected.
+// retryPause is the time between two attempts of an operator's request while a leader is being elected.
 const retryPause = 100 * time.Millisecond
 
-// Request has the process send a request to the leader, and repeats it until ctx ends while there is none. The error is ErrNoLeader then.
+// Request sends a request to the leader by way of the process. While there is no leader, it repeats the request until ctx ends. The error
+// is then ErrNoLeader.
 func (o *Operator) Request(ctx context.Context, q consensus.Request) (consensus.Response, error) {
 	defer o.conn.SetReadDeadline(time.Time{})
 	for {
@@ -101,8 +101,9 @@
 	}
 }
 
-// Command gives or withdraws an operator's decision. It is conditional on what was decided before, so that a copy that arrives late changes
-// nothing; it is rebased on what others decide meanwhile, and so replaces that. Withdrawing what is not in force succeeds. The error is ErrNoLeader, or says why the decision is refused.
+// Command records or withdraws an operator's decision. The command is conditional on the previous decision, so that a copy that arrives
+// late changes nothing. After a conflict, it is rebased on the decision that others have made meanwhile, and so replaces that decision.
+// Withdrawing a decision that is not in force succeeds. The error is ErrNoLeader or the reason for the refusal.
 func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
 	c.Conditional = true
 	for {
@@ -116,33 +117,33 @@
 		if r.Decision.Refusal == "" {
 			return r.Decision, nil
 		}
-		next, again := c.Rebase(r.Decision)
+		next, retry := c.Rebase(r.Decision)
 		switch {
-		case again && ctx.Err() == nil:
+		case retry && ctx.Err() == nil:
 			c = next
 		case r.Decision.Refusal == consensus.RefusedConflict:
-			return r.Decision, nil // it is in force
+			return r.Decision, nil // the decision is in force already
 		default:
 			return nil, r.Decision.Refusal.Err()
 		}
 	}
 }
 
-// Status returns what the process knows, without asking others.
+// Status returns the status of the process. The process answers without requests to other members.
 func (o *Operator) Status(ctx context.Context) (*Status, error) {
 	a, err := o.request(ctx, consensus.Request{Status: true})
 	if err == nil && a.Status == nil {
-		err = errors.New("the process tells no status")
+		err = errors.New("the response of the fleet member contains no status")
 	}
 	return a.Status, err
 }
 
-// ErrLeaseLost is wrapped by the error of HoldLease once the lease is held no longer.
-var ErrLeaseLost = errors.New("is lost")
+// ErrLeaseLost is wrapped by the error of HoldLease if the lease was lost before ctx ended.
+var ErrLeaseLost = errors.New("lease lost before its release")
 
-// HoldLease acquires a lease in a session of its own, calls held with the fencing token once it has it, and renews it until ctx ends; then it
-// releases the lease and returns nil. The error wraps ErrLeaseLost if the lease was lost before. At most limit holders have it at once; all
-// must name the same limit.
+// HoldLease acquires a lease in a session of its own and calls held with the fencing token once the lease is held. It renews the lease
+// until ctx ends, then releases the lease and returns nil. The error wraps ErrLeaseLost if the lease was lost before. At most limit holders
+// have the lease at once. All holders must pass the same limit.
 func (o *Operator) HoldLease(ctx context.Context, name string, limit int, r lease.Timing, held func(token uint64)) error {
 	clock, err := NewClock()
 	if err != nil {
@@ -178,7 +179,7 @@
 	}
 }
 
-// operatorLease is a lease that an operator holds.
+// operatorLease is a lease that is held over an operator's connection.
 type operatorLease struct {
 	operator *Operator
 	clock    *Clock
@@ -189,7 +190,7 @@
 	token    uint64 // 0: not held yet
 }
 
-// renew sends what the session has to ask, and returns how long to wait before the next time.
+// renew sends the due requests of the session and returns how long to wait before the next call.
 func (l *operatorLease) renew(ctx context.Context) (time.Duration, error) {
 	requests, at := l.session.Next(l.clock.Now())
 	for _, request := range requests {
@@ -200,18 +201,19 @@
 	token, _, held := l.session.Token(l.clock.Now(), l.name)
 	switch {
 	case l.token != 0 && (!held || token != l.token) && ctx.Err() == nil:
-		return 0, fmt.Errorf("the lease %q %w", l.name, ErrLeaseLost)
+		return 0, fmt.Errorf("holding lease %q: %w", l.name, ErrLeaseLost)
 	case held && l.token == 0:
 		l.token = token
 		l.onHeld(token)
 	}
 	if len(requests) > 0 {
-		return 0, nil // the responses may have more to be asked
+		return 0, nil // the responses may make further requests due
 	}
 	return min(l.clock.Real(at-l.clock.Now()), l.timing.KeepAliveInterval()/4), nil
 }
 
-// send sends one request of the session, also after ctx has ended: the lease has to be released. Without a leader it is lost.
+// send sends one request of the session. It does so even after ctx has ended, since the lease must still be released. If there is no
+// leader, the request is lost.
 func (l *operatorLease) send(ctx context.Context, request lease.Request) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.timing.TTL)
 	defer cancel()
@@ -225,7 +227,7 @@
 	return nil
 }
 
-// perform has the process itself do something, and returns its error.
+// perform sends a request that the process itself carries out, and returns the error in the response.
 func (o *Operator) perform(ctx context.Context, q rpc) error {
 	a, err := o.roundTrip(ctx, q)
 	if err == nil && a.Why != "" {
@@ -234,17 +236,18 @@
 	return err
 }
 
-// Bootstrap has the process found its fleet, whose voters are in memory.
+// Bootstrap makes the process the first voter of a new fleet whose voters keep their state in memory.
 func (o *Operator) Bootstrap(ctx context.Context) error {
 	return o.perform(ctx, rpc{Bootstrap: true})
 }
 
-// Handover has the process hand over a lease that it holds, as soon as nothing of its task is in flight.
+// Handover makes the process transfer a lease that it holds to the member named to, once the task of the lease has no request in flight.
+// Handover does not wait for the transfer.
 func (o *Operator) Handover(ctx context.Context, name, to string) error {
 	return o.perform(ctx, rpc{Handover: &handoverRequest{name, to}})
 }
 
-// Forget has the process withdraw the entry that it has written under a key.
+// Forget makes the process withdraw the entry that it has written under a key of the shared state.
 func (o *Operator) Forget(ctx context.Context, key string) error {
 	return o.perform(ctx, rpc{Forget: key})
 }
