--- a/internal/fleet/exclusions.go
+++ b/internal/fleet/exclusions.go
@@ -113,7 +113,7 @@
 	applied := shared.pools.ExcludeEndpoints(pool, e.excluded, e.recovering, e.untilRestart)
 	h.mu.Lock()
 	for endpoint := range e.excluded {
-		shared.evidence.Record(h.clock.Now(), shared.node, gossip.PoolKey(gossip.UnreachableKind, pool, endpoint), false)
+		shared.failureReports.Record(h.clock.Now(), shared.node, gossip.PoolKey(gossip.UnreachableKind, pool, endpoint), false)
 	}
 	shared.notApplied[pool] = !applied
 	h.runDue()
--- a/internal/fleet/sharedstate.go
+++ b/internal/fleet/sharedstate.go
@@ -15,83 +15,85 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// SharedStateConfig says how a process takes part in the state that the fleet shares by gossip.
+// SharedStateConfig configures the participation of a process in the state that the fleet shares by gossip.
 type SharedStateConfig struct {
 	GossipInterval time.Duration // interval between rounds of gossip
 	PingInterval   time.Duration // interval between pings of members
 	SyncInterval   time.Duration // interval between rounds of anti-entropy
 	DeadRetention  time.Duration // how long entries of a dead member are kept
-	Fanout         int           // members that a change is sent to in a round
-	ReporterQuorum int           // members that must report an endpoint before it is hinted at
-	CatchUpBudget  float64       // bytes a second for members that catch up
+	Fanout         int           // number of members that receive a change in one round
+	ReporterQuorum int           // number of members that must report an endpoint before pools get a hint about it
+	CatchUpBudget  float64       // bytes per second sent to members that catch up
 	Store          string        // file that keeps the state for the next start; empty: none
-	StatsInterval  time.Duration // interval between lines of statistics in the log; 0: none
+	StatsInterval  time.Duration // interval between log lines with statistics; 0: none
 }
 
-// Pools is the process' own pools, as shared state sees and steers them. Its methods are called without the host's lock, but for
-// OnReachabilityChange at the start, and from several goroutines; the host finds them by asserting that its Sender has them.
+// Pools gives the shared state access to the process's own pools. The host uses its Sender as Pools if the sender implements this
+// interface. The methods are called from several goroutines and without the host's lock, except OnReachabilityChange at the start.
 type Pools interface {
-	// OnReachabilityChange registers f, which is called under a pool's lock for each attempt or health check that an endpoint leaves
-	// unanswered, and once it answers again.
+	// OnReachabilityChange registers f. A pool calls f under its lock for each attempt or health check that an endpoint leaves unanswered,
+	// and once the endpoint answers again.
 	OnReachabilityChange(f func(pool, endpoint string, unreachable bool))
-	// HintUnreachable tells a pool that other members cannot reach an endpoint.
+	// HintUnreachable hints to a pool that other members cannot reach an endpoint.
 	HintUnreachable(pool, endpoint string)
-	// ExcludeEndpoints replaces what a pool sends nothing new to, what it treats as warming up, and which of the first it may use again
-	// once they have restarted. It reports whether that took effect: not if no ready endpoint would be left.
+	// ExcludeEndpoints replaces three sets of a pool's endpoints: those that receive no new requests, those that are treated as warming up,
+	// and those of the excluded that may be used again once they have restarted. It reports whether the sets were applied. They are not if
+	// no ready endpoint would be left.
 	ExcludeEndpoints(pool string, excluded, recovering, untilRestart map[string]bool) (applied bool)
 	// PoolNames returns the names of all pools.
 	PoolNames() []string
-	// ReadyEndpoints returns the zones of a pool's ready endpoints by their names.
+	// ReadyEndpoints returns the zones of a pool's ready endpoints, by endpoint name.
 	ReadyEndpoints(pool string) (zones map[string]string)
-	// CheckHealth sends an endpoint a health check, waits for it, and reports whether it was answered.
+	// CheckHealth sends a health check to an endpoint, waits for the response, and reports whether there was one.
 	CheckHealth(pool, endpoint string) (answered bool)
-	// AttemptOutcomes calls f for each zone with the attempts answered and failed there since the start, and the sum of their delays.
+	// AttemptOutcomes calls f for each zone of a pool with the number of attempts that were answered and that failed since the start, and
+	// the sum of their latencies.
 	AttemptOutcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration))
 }
 
 const (
-	maxObservations    = 1024                   // not yet looked at; more are dropped, and will be made again
-	poolUpdateInterval = 100 * time.Millisecond // of hints and exclusions
+	maxObservations    = 1024                   // queued; further ones are dropped, since the pools observe the same again
+	poolUpdateInterval = 100 * time.Millisecond // minimum between two updates of hints and exclusions
 	saveInterval       = 10 * time.Second
 )
 
-// falseReportsVariable is an environment variable for end-to-end tests: a comma-separated list of POOL/SERVER that the process reports as
-// unreachable whatever it sees.
+// falseReportsVariable names an environment variable for end-to-end tests. Its value is a comma-separated list of POOL/SERVER that the
+// process always reports as unreachable.
 const falseReportsVariable = "SORRELRUDDER_LAB_LIES"
 
-// observation is a change that a pool has seen in an endpoint.
+// observation is a change in an endpoint's reachability that a pool has observed.
 type observation struct {
 	pool, endpoint string
 	unreachable    bool
 }
 
-// sharedState is the part of a process in the shared state. Host.mu guards all fields but the channels and those set at the start only
-// (cfg, pools).
+// sharedState is the participation of a process in the shared state. Host.mu guards all fields but the channels and those that are set at
+// the start only (cfg, pools).
 type sharedState struct {
 	cfg   SharedStateConfig
 	node  *gossip.Node
-	pools Pools // nil: the process has none
-
-	// What this process' pools see.
-	observations    chan observation
-	observed        chan struct{} // signals that observations is not empty
-	observationsAt  time.Duration // not looked at before
-	evidence        *gossip.FailureReports
-	evidenceChanged bool // hints have to be worked out again
-	hintsAt         time.Duration
-	hinted          int      // hints given since the start
-	falseReports    []string // for end-to-end tests
-
-	// What operators and zone failover have decided.
-	decisionsApplied  uint64        // number of the newest decision taken over from the log of this process' voter
-	completeUntil     time.Duration // all that was decided until then is known here; below 0: that is not known
+	pools Pools // nil: the process has no pools
+
+	// Observations of this process's pools.
+	observations          chan observation
+	observed              chan struct{} // signals that observations is not empty
+	observationsAt        time.Duration // the next recording of observations is not earlier
+	failureReports        *gossip.FailureReports
+	failureReportsChanged bool // the hints must be computed again
+	hintsAt               time.Duration
+	hinted                int      // hints given since the start
+	falseReports          []string // POOL/SERVER, for end-to-end tests
+
+	// Decisions of operators and of zone failover.
+	decisionsApplied  uint64        // number of the newest decision applied from the log of this process's voter
+	completeUntil     time.Duration // all decisions made until then are known here; negative: unknown
 	exclusionsChanged bool
 	excluded          map[string]exclusions // in force, by pool
-	notApplied        map[string]bool       // pools that refused theirs: no ready endpoint would be left
+	notApplied        map[string]bool       // pools that rejected their exclusions: no ready endpoint would be left
 	zones             zoneFailover
 
 	// Work for applyToPools.
-	work          chan struct{} // signals that one of the next two is not empty
+	work          chan struct{} // signals that hints or dueExclusions is not empty
 	hints         map[string]bool
 	dueExclusions map[string]exclusions
 
@@ -100,22 +102,22 @@
 	healthCheckRounds int
 
 	saveAt              time.Duration
-	loaded              int  // entries taken over from the file at the start
-	foreignFormatLogged bool // once for each start
+	loaded              int  // entries restored from the file at the start
+	foreignFormatLogged bool // an unsupported format is logged once per start
 	loggedAt            time.Duration
-	loggedFrames        int64 // sent until loggedAt
+	loggedFrames        int64 // frames sent until loggedAt
 	loggedBytes         int64
 }
 
-// newSharedState returns the shared state of member name, with what its file has kept.
+// newSharedState returns the shared state of the member of that name, with the contents of its file.
 func newSharedState(now time.Duration, name string, cfg SharedStateConfig, gossipCfg gossip.Config, zones *ZonesConfig) (*sharedState, error) {
 	s := &sharedState{
 		cfg:  cfg,
 		node: gossip.New(now, gossipCfg),
 
-		observations: make(chan observation, maxObservations),
-		observed:     make(chan struct{}, 1),
-		evidence:     gossip.NewFailureReports(cfg.ReporterQuorum),
+		observations:   make(chan observation, maxObservations),
+		observed:       make(chan struct{}, 1),
+		failureReports: gossip.NewFailureReports(cfg.ReporterQuorum),
 
 		completeUntil: -1,
 		excluded:      map[string]exclusions{},
@@ -138,7 +140,7 @@
 	return s, nil
 }
 
-// observe queues what a pool has seen. It is called under the pool's lock and does not wait.
+// observe queues an observation of a pool. It is called under the pool's lock and does not block.
 func (s *sharedState) observe(pool, endpoint string, unreachable bool) {
 	select {
 	case s.observations <- observation{pool, endpoint, unreachable}:
@@ -147,15 +149,15 @@
 	signal(s.observed)
 }
 
-// signal makes a channel of length one readable.
+// signal makes a channel of capacity one readable, without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it is already
+	default: // readable already
 	}
 }
 
-// gossipConfig is the configuration of this process' gossip node.
+// gossipConfig returns the configuration of this process's gossip node.
 func (h *Host) gossipConfig() gossip.Config {
 	c := h.cfg.SharedState
 	cfg := gossip.DefaultConfig()
@@ -175,7 +177,7 @@
 	return cfg
 }
 
-// startSharedState begins to take part in the shared state, if the configuration says so. The caller has mu.
+// startSharedState starts the participation in the shared state if it is configured. The caller must hold mu.
 func (h *Host) startSharedState(sender Sender) error {
 	if h.cfg.SharedState == nil {
 		return nil
@@ -198,7 +200,8 @@
 	return nil
 }
 
-// runSharedState does what is due for the shared state: evidence, gossip, zones, statistics and its file. It returns when it has to be called again at the latest. The caller has mu.
+// runSharedState runs the due work of the shared state: failure reports, gossip, zones, statistics and the file. It returns the latest time
+// of the next call. The caller must hold mu.
 func (h *Host) runSharedState(now time.Duration) time.Duration {
 	shared := h.shared
 	shared.recordObservations(now)
@@ -214,34 +217,34 @@
 	return shared.nextRun()
 }
 
-// recordObservations turns what the pools have seen into evidence.
+// recordObservations turns the queued observations of the pools into failure reports.
 func (s *sharedState) recordObservations(now time.Duration) {
 	s.observationsAt = now + poolUpdateInterval
 	for n := len(s.observations); n > 0; n-- {
 		o := <-s.observations
-		s.evidenceChanged = true
+		s.failureReportsChanged = true
 		if o.unreachable && s.excluded[o.pool].excluded[o.endpoint] {
-			continue // health checks look after what is excluded: an earlier report must not delay its recovery
+			continue // health checks observe excluded endpoints: an earlier report must not delay their recovery
 		}
 		if key := gossip.PoolKey(gossip.UnreachableKind, o.pool, o.endpoint); key != "" {
-			s.evidence.Record(now, s.node, key, o.unreachable)
+			s.failureReports.Record(now, s.node, key, o.unreachable)
 		}
 	}
 	for _, server := range s.falseReports {
-		s.evidenceChanged = true
-		s.evidence.Record(now, s.node, gossip.UnreachableKind+"/"+server, true)
+		s.failureReportsChanged = true
+		s.failureReports.Record(now, s.node, gossip.UnreachableKind+"/"+server, true)
 	}
 }
 
-// nextRun is when runSharedState has to be called again at the latest.
+// nextRun returns the latest time of the next call of runSharedState.
 func (s *sharedState) nextRun() time.Duration {
 	at := s.node.NextTick()
-	if s.pools != nil && s.evidenceChanged {
+	if s.pools != nil && s.failureReportsChanged {
 		at = min(at, s.hintsAt)
 	}
 	z := &s.zones
 	if z.enabled() && (len(z.controllers) > 0 || s.node.Store().Digest(gossip.UnreachableKind) != 0) {
-		at = min(at, z.judgeAt) // this process decides, or there is a report to look into
+		at = min(at, z.judgeAt) // this process judges zones, or there is a report to check
 	}
 	if s.cfg.StatsInterval > 0 {
 		at = min(at, s.loggedAt+s.cfg.StatsInterval)
@@ -249,7 +252,7 @@
 	return at
 }
 
-// saveSharedState writes the state's file in a goroutine of its own. The caller has mu.
+// saveSharedState writes the file of the shared state in a goroutine of its own. The caller must hold mu.
 func (h *Host) saveSharedState(now time.Duration) {
 	shared := h.shared
 	shared.saveAt = now + saveInterval
@@ -261,7 +264,8 @@
 	})
 }
 
-// scheduleObservations has the observations of pools recorded soon: many that come together are recorded together.
+// scheduleObservations schedules the recording of queued observations, so that many that arrive at about the same time are recorded
+// together.
 func (h *Host) scheduleObservations() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -270,19 +274,21 @@
 	}
 }
 
-// processChanges works out what follows from changes of the shared state, and hands it to applyToPools. The caller has mu.
+// processChanges computes the hints and exclusions that follow from changes of the shared state, and passes them to applyToPools. The
+// caller must hold mu.
 func (h *Host) processChanges(now time.Duration) {
 	shared := h.shared
 	for _, e := range shared.node.TakeEvents() {
 		h.log.Info("member state changed", "name", e.Name, "was", e.From.String(), "is", e.To.String())
 	}
-	shared.updateEvidence(now)
+	shared.updateFailureReports(now)
 	if shared.pools == nil || now < shared.hintsAt {
 		return
 	}
 	shared.hintsAt = now + poolUpdateInterval
-	hints := shared.evidence.Hints(shared.node)
-	shared.evidenceChanged = len(hints) > 0 || shared.evidence.OwnCount() > 0 // a hint is repeated while it holds; own reports expire
+	hints := shared.failureReports.Hints(shared.node)
+	// A hint is repeated while it is in force, and own reports expire.
+	shared.failureReportsChanged = len(hints) > 0 || shared.failureReports.OwnCount() > 0
 	shared.hinted += len(hints)
 	for _, key := range hints {
 		shared.hints[key] = true
@@ -298,22 +304,22 @@
 	}
 }
 
-// updateEvidence takes over the entries that have changed.
-func (s *sharedState) updateEvidence(now time.Duration) {
+// updateFailureReports updates the failure reports with the entries that have changed.
+func (s *sharedState) updateFailureReports(now time.Duration) {
 	changed := s.node.Store().TakeChanges()
 	for _, p := range changed {
 		s.exclusionsChanged = s.exclusionsChanged || p.Owner() == gossip.ConsensusOwner
 	}
-	s.evidenceChanged = s.evidenceChanged || len(changed) > 0 || s.exclusionsChanged
-	s.evidence.Update(now, s.node, changed)
+	s.failureReportsChanged = s.failureReportsChanged || len(changed) > 0 || s.exclusionsChanged
+	s.failureReports.Update(now, s.node, changed)
 }
 
-// sendGossip sends messages to others. The caller has mu.
+// sendGossip sends gossip messages to other members. The caller must hold mu.
 func (h *Host) sendGossip(out []gossip.Envelope) {
 	var last *gossip.Message
 	var data []byte
 	for _, o := range out {
-		if o.Message != last { // several members often get the same message
+		if o.Message != last { // the same message often goes to several members
 			last, data = o.Message, o.Message.Encode()
 		}
 		if l := h.linkTo(o.To); l != nil {
@@ -322,7 +328,7 @@
 	}
 }
 
-// handleGossip takes a message about shared state.
+// handleGossip handles a gossip message of a member.
 func (h *Host) handleGossip(from string, payload []byte) {
 	m, err := gossip.Decode(payload)
 	if err != nil {
@@ -340,7 +346,8 @@
 	h.runDue()
 }
 
-// rejectGossip logs a message that cannot be read. One of another format says that a member runs another version: that is logged once.
+// rejectGossip logs a message that cannot be decoded. A message of an unsupported format means that a member runs another version. It is
+// logged once.
 func (h *Host) rejectGossip(from string, err error) {
 	foreign := errors.Is(err, gossip.ErrUnsupportedFormat)
 	h.mu.Lock()
@@ -355,8 +362,8 @@
 	}
 }
 
-// noteDecisionDigest compares this process' copy of all decisions with the leader's digest of them as of at: if they are equal, all that was
-// decided until then is known here. The caller has mu.
+// noteDecisionDigest compares this process's copy of all decisions with the leader's digest of them at the time at. If they are equal, all
+// decisions made until then are known here. The caller must hold mu.
 func (h *Host) noteDecisionDigest(at time.Duration, d *consensus.DecisionDigest) {
 	if h.shared == nil || d == nil {
 		return
@@ -368,7 +375,7 @@
 	}
 }
 
-// applyDecisions takes over what the log of this process' voter has decided. The caller has mu.
+// applyDecisions applies new decisions from the log of this process's voter to the shared state. The caller must hold mu.
 func (h *Host) applyDecisions(m *consensus.StateMachine) {
 	shared := h.shared
 	if shared == nil || m == nil {
@@ -392,7 +399,7 @@
 	switch {
 	case shared == nil:
 		return errors.New("this process shares no state: [tier.copies] is missing in its file")
-	case !shared.evidence.Withdraw(shared.node, key):
+	case !shared.failureReports.Withdraw(shared.node, key):
 		return fmt.Errorf("%q has written nothing under %q: ask the member that has", h.cfg.Name, key)
 	}
 	h.runDue()
--- a/internal/fleet/sharedstate_file.go
+++ b/internal/fleet/sharedstate_file.go
@@ -13,10 +13,11 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// maxSavedEntries bounds the entries that are kept for the next start.
+// maxSavedEntries limits the entries that are saved for the next start.
 const maxSavedEntries = 2000
 
-// snapshot encodes the state for the next start of member name. Its own entries are left out: it has to observe them anew.
+// snapshot encodes the shared state for the next start of the member of that name. The member's own entries are omitted: the member must
+// observe these facts again.
 func (s *sharedState) snapshot(name string) []byte {
 	m := &gossip.Message{Kind: gossip.SyncMessage, Target: name}
 	m.Owners = append(m.Owners, gossip.OwnerState{Name: name, Incarnation: s.node.Incarnation()})
@@ -30,8 +31,8 @@
 	return sealFile(m.Encode())
 }
 
-// restore takes over what the last start of member name has saved. Newer entries of their owners replace it. A file that is damaged, another
-// member's or of another format is renamed, since other members have all of it.
+// restore loads the state that the last start of the member of that name has saved. Newer entries from their owners replace it. A file that
+// is damaged, belongs to another member or has another format is renamed. Nothing is lost, since other members have all of its entries.
 func (s *sharedState) restore(now time.Duration, name string) error {
 	if s.cfg.Store == "" {
 		return nil
@@ -48,12 +49,12 @@
 		m, err = gossip.Decode(data)
 	}
 	if err == nil && m.Target != name {
-		err = fmt.Errorf("it was kept by %q", m.Target)
+		err = fmt.Errorf("the file belongs to member %q", m.Target)
 	}
 	if err != nil {
-		aside := s.cfg.Store + ".damaged"
-		if moved := os.Rename(s.cfg.Store, aside); moved != nil {
-			return fmt.Errorf("what was shared: %s: %w; and it can't be put aside: %w", s.cfg.Store, err, moved)
+		damagedPath := s.cfg.Store + ".damaged"
+		if renameErr := os.Rename(s.cfg.Store, damagedPath); renameErr != nil {
+			return fmt.Errorf("restoring the shared state from %s: %w; renaming the damaged file: %w", s.cfg.Store, err, renameErr)
 		}
 		return nil
 	}
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// writeFileAtomically replaces a file: after a crash there is the old one or the new one.
+// writeFileAtomically replaces a file. After a crash, the file has either the old or the new contents.
 func writeFileAtomically(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
 	if err != nil {
@@ -73,8 +74,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(f.Name(), path)
--- a/internal/fleet/sharedstate_log.go
+++ b/internal/fleet/sharedstate_log.go
@@ -7,10 +7,10 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// SharedStateLogMessage is the message of the log line with the statistics of shared state, which 'sorrelrudder fleet' reads.
+// SharedStateLogMessage is the message of the log line with the statistics of the shared state. 'sorrelrudder fleet' reads this line.
 const SharedStateLogMessage = "shared state"
 
-// logSharedState logs the statistics of the shared state since the last such line. The caller has mu.
+// logSharedState logs the statistics of the shared state since the last such line. The caller must hold mu.
 func (h *Host) logSharedState(now time.Duration) {
 	shared := h.shared
 	frames, bytes := h.traffic.gossipFrames.Load(), h.traffic.gossipBytes.Load()
@@ -24,7 +24,7 @@
 	shared.loggedFrames, shared.loggedBytes, shared.loggedAt = frames, bytes, now
 }
 
-// countEntries counts the entries that are not deleted: decisions of operators, and all others.
+// countEntries counts the entries that are not deleted: decisions of operators as decisions, all others as reports.
 func (s *sharedState) countEntries() (reports, decisions int) {
 	s.node.Store().ForEach("", func(e *gossip.Entry) bool {
 		switch {
@@ -39,8 +39,8 @@
 	return reports, decisions
 }
 
-// ages returns, in milliseconds, how long ago the state was seen to equal another member's, and the age of the newest moment up to which all
-// decisions are known here; -1 if that is not known since the start.
+// ages returns two ages in milliseconds. inStep is the time since the state was last seen to equal another member's. decided is the time
+// since the newest moment up to which all decisions are known here. An age is -1 if it has been unknown since the start.
 func (s *sharedState) ages(now time.Duration) (inStep, decided int64) {
 	inStep, decided = -1, -1
 	if ago, ok := s.node.InSync(now); ok {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -12,7 +12,7 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// Status is what a process tells operators about itself.
+// Status is the status of a process, as reported to operators.
 type Status struct {
 	Name         string                 `json:"name"`
 	Incarnation  string                 `json:"incarnation"`
@@ -22,12 +22,12 @@
 	RunningSlots map[string]int64       `json:"running,omitempty"`    // slots with a request in flight, by task
 	Fleet        string                 `json:"fleet,omitempty"`
 	Leader       string                 `json:"leader,omitempty"`
-	LinkErrors   map[string]string      `json:"link_errors,omitempty"` // by member: the last error of each, also of links that work again
+	LinkErrors   map[string]string      `json:"link_errors,omitempty"` // last error of each link by member, even if the link works again
 	SentFrames   int64                  `json:"sent_frames"`
 	SentBytes    int64                  `json:"sent_bytes"`
-	Syncs        int64                  `json:"syncs,omitempty"`   // of the store, since the start
-	Voter        *consensus.Status      `json:"council,omitempty"` // of its voter, if it has one
-	VoterError   string                 `json:"failed,omitempty"`  // why its voter has stopped
+	Syncs        int64                  `json:"syncs,omitempty"`   // synced writes of the store since the start
+	Voter        *consensus.Status      `json:"council,omitempty"` // status of the voter, if the process has one
+	VoterError   string                 `json:"failed,omitempty"`  // why the voter has stopped
 	Tasks        map[string]task.Record `json:"tasks,omitempty"`
 	SharedState  *SharedStateStatus     `json:"copies,omitempty"`
 }
@@ -35,10 +35,11 @@
 // HeldLease is a lease that a process may act on.
 type HeldLease struct {
 	Token  uint64 `json:"token"`   // fencing token
-	LeftMs int64  `json:"left_ms"` // until the process must not act on it any more, unless it is renewed
+	LeftMs int64  `json:"left_ms"` // until the process may no longer act on the lease, unless the lease is renewed
 }
 
-// status calls then with what this process knows, without asking others: at once, or from the consensus goroutine if there is a voter.
+// status calls then with this process's own view, without requests to other members. then is called at once, or from the consensus
+// goroutine if there is a voter.
 func (h *Host) status(then func(*Status)) {
 	s := h.localStatus()
 	if h.store == nil {
@@ -57,7 +58,7 @@
 	})
 }
 
-// localStatus is the status without that of the voter.
+// localStatus returns the status without the voter's part.
 func (h *Host) localStatus() *Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,15 +93,15 @@
 	return s
 }
 
-// SharedStateStatus is what a process tells operators about its copy of the shared state.
+// SharedStateStatus is the status of a process's copy of the shared state, as reported to operators.
 type SharedStateStatus struct {
 	Incarnation uint64              `json:"incarnation"`
 	Members     map[string]string   `json:"members"`    // by name: alive, suspect, dead, left, unheard of
-	Health      int                 `json:"health"`     // 0: healthy; more: by how much it lengthens its timeouts, since it is slow itself
-	InStepMs    int64               `json:"in_step_ms"` // since its copy was seen to equal another's; below 0: not since the start
-	DecidedMs   int64               `json:"decided_ms"` // age of the newest moment up to which all decisions are known here; below 0: not known
+	Health      int                 `json:"health"`     // 0: healthy; n: the process itself is slow and lengthens its timeouts by n times their length
+	InStepMs    int64               `json:"in_step_ms"` // since the copy was last seen to equal another member's; negative: not since the start
+	DecidedMs   int64               `json:"decided_ms"` // age of the newest moment up to which all decisions are known here; negative: unknown
 	Entries     []SharedEntryStatus `json:"entries"`
-	Hints       []string            `json:"hints,omitempty"`           // endpoints that pools are told are unreachable
+	Hints       []string            `json:"hints,omitempty"`           // endpoints that pools are hinted to be unreachable
 	NotApplied  []string            `json:"not_carried_out,omitempty"` // pools whose exclusions would leave no ready endpoint
 	Hinted      int                 `json:"hinted"`                    // hints given since the start
 	Zones       []ZoneStatus        `json:"zones,omitempty"`
@@ -121,7 +122,7 @@
 // maxStatusEntries bounds the entries that a status lists.
 const maxStatusEntries = 20000
 
-// sharedStateStatus returns the status of the shared state, nil if the process has none. The caller has mu.
+// sharedStateStatus returns the status of the shared state, nil if the process has none. The caller must hold mu.
 func (h *Host) sharedStateStatus(now time.Duration) *SharedStateStatus {
 	shared := h.shared
 	if shared == nil {
@@ -131,7 +132,7 @@
 		Incarnation: shared.node.Incarnation(),
 		Members:     map[string]string{},
 		Health:      shared.node.HealthScore(),
-		Hints:       shared.evidence.Hints(shared.node),
+		Hints:       shared.failureReports.Hints(shared.node),
 		Hinted:      shared.hinted,
 		Zones:       shared.zonesStatus(),
 		Digests:     map[string]uint64{},
@@ -162,22 +163,22 @@
 	return s
 }
 
-// ZoneStatus is what a process tells operators about a zone of a pool.
+// ZoneStatus is the status of a zone of a pool, as reported to operators.
 type ZoneStatus struct {
 	Pool      string `json:"pool"`
 	Zone      string `json:"zone"`
 	Endpoints int    `json:"servers"` // ready endpoints
-	Excluded  int    `json:"avoided"` // those that are excluded here
+	Excluded  int    `json:"avoided"` // ready endpoints that this process excludes
 	Epoch     uint64 `json:"epoch"`   // number of the last decision on the zone; 0: none
-	Step      int    `json:"step"`    // of the recovery ramp: 0, the zone is left, to 4, it is wholly in use
+	Step      int    `json:"step"`    // of the recovery ramp, from 0 (the zone is excluded) to 4 (fully in use)
 	Pinned    bool   `json:"pinned,omitempty"`
-	WarmingUp bool   `json:"cold,omitempty"`  // wholly in use, and its endpoints may still warm up
+	WarmingUp bool   `json:"cold,omitempty"`  // fully in use, but the endpoints may still be warming up
 	Relapses  int    `json:"falls,omitempty"` // relapses during recovery
 	Reason    string `json:"why,omitempty"`
-	Cause     string `json:"cause,omitempty"` // of the latest verdict, at the process that judges
+	Cause     string `json:"cause,omitempty"` // of the latest verdict, set at the process that judges zones
 }
 
-// zonesStatus returns the status of all zones of all pools. The caller has Host.mu.
+// zonesStatus returns the status of all zones of all pools. The caller must hold Host.mu.
 func (s *sharedState) zonesStatus() (all []ZoneStatus) {
 	for _, pool := range slices.Sorted(maps.Keys(s.zones.endpointZones)) {
 		states, numbers := zoneview.ZoneStates(s.node, pool)
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -20,25 +20,25 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// diskFaultsVariable is an environment variable for end-to-end tests. It names a file that says what is wrong with the disk: "fail" (the
-// next sync), "full" or "slow DURATION".
+// diskFaultsVariable names an environment variable for end-to-end tests. Its value is the path of a file with the disk fault to inject:
+// "fail" (the next sync fails), "full" or "slow DURATION".
 const diskFaultsVariable = "SORRELRUDDER_LAB_DISK"
 
-// Identity says whose store it is.
+// Identity identifies the process and the fleet that a store belongs to.
 type Identity struct {
 	Format int    `json:"format"`
-	Name   string `json:"name"`            // of the process
-	Store  string `json:"store"`           // drawn when the store was made; another store is another identity
-	Fleet  string `json:"fleet,omitempty"` // empty: not admitted yet
+	Name   string `json:"name"`            // name of the process
+	Store  string `json:"store"`           // random ID, drawn at the creation of the store; another store is another identity
+	Fleet  string `json:"fleet,omitempty"` // empty: not admitted to a fleet yet
 	ID     uint64 `json:"id,omitempty"`
 }
 
 const (
 	storeFormat    = 1
-	indexKeyLength = 8          // bytes of a key of the log
-	maxIndex       = ^uint64(0) // of an entry
+	indexKeyLength = 8          // bytes in the key of a log entry
+	maxIndex       = ^uint64(0) // largest index of a log entry
 	openTimeout    = 2 * time.Second
-	maxSlowDisk    = time.Minute // that an end-to-end test may ask for
+	maxSlowDisk    = time.Minute // longest delay that an end-to-end test may inject
 )
 
 var (
@@ -50,21 +50,21 @@
 	snapshotKey    = []byte("snapshot")
 )
 
-// Store keeps the persistent state of a voter in a file. It is the consensus.Storage of a voter that is not in memory. It is not safe for
-// concurrent use, but for Syncs.
+// Store keeps the persistent state of a voter in a file. It is the consensus.Storage of a voter whose state is not in memory. Only Syncs is
+// safe for concurrent use.
 type Store struct {
 	db     *bbolt.DB
 	path   string
 	id     Identity
-	faults string // file with faults to inject; empty: none
+	faults string // path of the file with the fault to inject; empty: none
 	syncs  atomic.Int64
 }
 
-// ErrStoreDamaged is wrapped by errors on a store whose contents cannot be trusted. Nothing of it is deleted.
+// ErrStoreDamaged is wrapped by errors about a store whose contents cannot be trusted. Nothing in such a store is deleted.
 var ErrStoreDamaged = errors.New("the store is damaged")
 
-// recoverDamage turns a fault or panic of read into ErrStoreDamaged: a file that is too short faults where it is mapped, and one whose pages
-// point outside it makes bbolt panic.
+// recoverDamage calls read and returns a fault or panic of read as an error that wraps ErrStoreDamaged. A file that is too short faults
+// where it is mapped into memory. A file whose pages point outside it makes bbolt panic.
 func recoverDamage(path string, read func() error) (err error) {
 	was := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(was)
@@ -76,7 +76,8 @@
 	return read()
 }
 
-// OpenStore opens the store of the process of that name, and creates it if there is none. The error is ErrStoreDamaged if it cannot be read.
+// OpenStore opens the store of the process of that name, and creates it if the file does not exist. The error wraps ErrStoreDamaged if the
+// store cannot be read.
 func OpenStore(path, name string) (s *Store, err error) {
 	err = recoverDamage(path, func() error {
 		s, err = openStore(path, name)
@@ -96,7 +97,7 @@
 	case errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum), errors.Is(err, berrors.ErrVersionMismatch):
 		return nil, storeDamagedError(path, err)
 	case err != nil:
-		return nil, fmt.Errorf("the store: %w", err)
+		return nil, fmt.Errorf("opening the store: %w", err)
 	}
 	s := &Store{db: db, path: path, faults: os.Getenv(diskFaultsVariable)}
 	err = db.Update(func(tx *bbolt.Tx) error {
@@ -108,9 +109,9 @@
 	switch {
 	case err != nil:
 	case s.id.Format != storeFormat:
-		err = fmt.Errorf("%s: has the format %d, and this program knows %d", path, s.id.Format, storeFormat)
+		err = fmt.Errorf("%s: the store has format %d: this program supports format %d", path, s.id.Format, storeFormat)
 	case s.id.Name != name:
-		err = fmt.Errorf("%s: is the store of %q, not of %q: a process with another's store would break its promises", path, s.id.Name, name)
+		err = fmt.Errorf("%s: this is the store of %q, not of %q: a process must not vote with the state of another", path, s.id.Name, name)
 	}
 	if err != nil {
 		db.Close()
@@ -119,7 +120,7 @@
 	return s, nil
 }
 
-// create makes the buckets of a new store and draws its identity.
+// create creates the buckets of a new store and draws its identity.
 func (s *Store) create(tx *bbolt.Tx, name string) error {
 	for _, bucket := range [][]byte{identityBucket, stateBucket, entryBucket} {
 		if _, err := tx.CreateBucket(bucket); err != nil {
@@ -130,6 +131,7 @@
 	return s.putIdentity(tx)
 }
 
+// readIdentity reads the identity of an existing store and checks that all buckets exist.
 func (s *Store) readIdentity(tx *bbolt.Tx) error {
 	data, err := unsealFile(tx.Bucket(identityBucket).Get(identityKey))
 	if err == nil {
@@ -139,18 +141,18 @@
 		return storeDamagedError(s.path, err)
 	}
 	if tx.Bucket(stateBucket) == nil || tx.Bucket(entryBucket) == nil {
-		return storeDamagedError(s.path, errors.New("a part is missing"))
+		return storeDamagedError(s.path, errors.New("a bucket is missing"))
 	}
 	return nil
 }
 
-// storeDamagedError says what an operator can do about a damaged store.
+// storeDamagedError returns an error that says how an operator can recover from a damaged store.
 func storeDamagedError(path string, err error) error {
 	return fmt.Errorf("%s: %w: %w; put it aside (don't delete it before the council stands) and start again: the process comes back "+
 		"as one that listens, and 'sorrelrudder tier member replace' has it vote", path, ErrStoreDamaged, err)
 }
 
-// Identity returns whose store it is.
+// Identity returns the identity of the store.
 func (s *Store) Identity() Identity { return s.id }
 
 // Syncs returns the number of synced writes since the store was opened.
@@ -167,7 +169,7 @@
 	return tx.Bucket(identityBucket).Put(identityKey, sealFile(data))
 }
 
-// SaveIdentity saves the identity that the consensus group has given, before it is used.
+// SaveIdentity saves the identity that the consensus group has assigned. It must return before the identity is used.
 func (s *Store) SaveIdentity(fleet string, id uint64) error {
 	was := s.id
 	s.id.Fleet, s.id.ID = fleet, id
@@ -178,10 +180,10 @@
 	return nil
 }
 
-// Bootstrap makes an empty store that of the first voter of a new fleet.
+// Bootstrap initializes an empty store as that of the first voter of a new fleet, in which the members in names may vote.
 func (s *Store) Bootstrap(names []string) error {
 	if s.id.ID != 0 {
-		return fmt.Errorf("%s: has the identity %d in the fleet %s already; nothing was changed", s.path, s.id.ID, s.id.Fleet)
+		return fmt.Errorf("%s: the store already has identity %d in fleet %s; nothing was changed", s.path, s.id.ID, s.id.Fleet)
 	}
 	fleet := uuid.NewString()
 	snap, err := consensus.BootstrapSnapshot(consensus.NewStateMachine(fleet, s.id.Name, s.id.Store, names))
@@ -196,7 +198,7 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// Save is the method of consensus.Storage. What need not be synced is not written: after a crash the node learns it again.
+// Save implements consensus.Storage. A state that need not be synced is not written, since the node learns it again after a crash.
 func (s *Store) Save(v consensus.PersistentState, sync bool) error {
 	if err := s.injectFault(); err != nil {
 		return err
@@ -211,7 +213,7 @@
 	return nil
 }
 
-// saveState writes what has changed of the hard state, the snapshot and the log.
+// saveState writes the parts of the hard state, the snapshot and the log that have changed.
 func saveState(tx *bbolt.Tx, v consensus.PersistentState) error {
 	state, entries := tx.Bucket(stateBucket), tx.Bucket(entryBucket)
 	if v.HardState != nil {
@@ -234,7 +236,7 @@
 	return saveEntries(entries, v.Entries)
 }
 
-// saveEntries writes new entries in place of all from the first of them on.
+// saveEntries replaces all entries from the index of the first new entry on with the new entries.
 func saveEntries(b *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -259,7 +261,7 @@
 	return b.Put(key, sealFile(data))
 }
 
-// readMessage reads a message that putMessage has written.
+// readMessage decodes a message that putMessage has written and checks its checksum.
 func readMessage(sealed []byte, m proto.Message) error {
 	data, err := unsealFile(sealed)
 	if err != nil {
@@ -268,7 +270,7 @@
 	return proto.Unmarshal(data, m)
 }
 
-// deleteEntries deletes the entries from first to last.
+// deleteEntries deletes the entries with the indices first to last, both included.
 func deleteEntries(b *bbolt.Bucket, first, last uint64) error {
 	c := b.Cursor()
 	for k, _ := c.Seek(indexKey(first)); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = c.Seek(indexKey(first)) {
@@ -279,7 +281,7 @@
 	return nil
 }
 
-// Load returns all that was saved. The error is ErrStoreDamaged if it cannot be read.
+// Load returns the saved state. The error wraps ErrStoreDamaged if the state cannot be read.
 func (s *Store) Load() (v consensus.PersistentState, err error) {
 	err = recoverDamage(s.path, func() error {
 		v, err = s.load()
@@ -328,7 +330,7 @@
 	return v, err
 }
 
-// injectFault does what an end-to-end test wants to be wrong with the disk.
+// injectFault injects the disk fault that an end-to-end test has requested.
 func (s *Store) injectFault() error {
 	if s.faults == "" {
 		return nil
@@ -337,15 +339,15 @@
 	if err != nil {
 		return nil
 	}
-	word, more, _ := strings.Cut(strings.TrimSpace(string(text)), " ")
-	switch word {
-	case "fail": // once
+	fault, argument, _ := strings.Cut(strings.TrimSpace(string(text)), " ")
+	switch fault {
+	case "fail": // only the next sync fails
 		os.Remove(s.faults)
 		return errors.New("the laboratory has the sync fail")
 	case "full":
 		return errors.New("the laboratory has the disk full")
 	case "slow":
-		if d, err := time.ParseDuration(more); err == nil && d < maxSlowDisk {
+		if d, err := time.ParseDuration(argument); err == nil && d < maxSlowDisk {
 			time.Sleep(d)
 		}
 	}
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -204,7 +204,7 @@
 	defer h.mu.Unlock()
 	shared := h.shared
 	if !maps.EqualFunc(zones, shared.zones.endpointZones, maps.Equal[map[string]string]) {
-		shared.exclusionsChanged, shared.evidenceChanged = true, true // endpoints may be new
+		shared.exclusionsChanged, shared.failureReportsChanged = true, true // endpoints may be new
 	}
 	shared.zones.endpointZones = zones
 	h.publishGrayZones(counts)
