--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -208,8 +208,8 @@
 	return c, nil
 }
 
-// acceptConn is the accepting end of dial. authorize returns an error for a peer whose hello is not acceptable. A hello can be replayed: the
-// dialer has proven that it knows the secret only once its first frame after the hello has been read.
+// acceptConn is the accepting end of dial. authorize returns an error for a peer whose hello is not acceptable. A hello can be replayed:
+// the dialer has proven that it knows the secret only once its first frame after the hello has been read.
 func acceptConn(raw net.Conn, secret []byte, me hello, authorize func(hello) error) (*conn, error) {
 	c := &conn{Conn: raw, reader: bufio.NewReader(raw)}
 	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
--- a/internal/fleet/tasks.go
+++ b/internal/fleet/tasks.go
@@ -15,16 +15,16 @@
 	"sorrelrudder/internal/task"
 )
 
-// minRetryPause is the least time before a slot that was rejected is tried again.
+// minRetryPause is the minimum time before a rejected slot is retried.
 const minRetryPause = 20 * time.Millisecond
 
-// taskRunner is a task with the state machine that works on its slots. Host.mu guards it.
+// taskRunner is a task with the state machine that runs its slots. Host.mu guards it.
 type taskRunner struct {
 	cfg  Task
 	core *task.Runner
 }
 
-// hasRunningTasks reports whether a request of a task is in flight.
+// hasRunningTasks reports whether a task has a request in flight.
 func (h *Host) hasRunningTasks() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,7 +36,7 @@
 	return false
 }
 
-// runTasks does what is due for tasks, and returns when that is to be called again at the latest. The caller has mu.
+// runTasks runs the due work of all tasks and returns the latest time of the next call. The caller must hold mu.
 func (h *Host) runTasks(now time.Duration) time.Duration {
 	at := time.Duration(math.MaxInt64)
 	wall := time.Now()
@@ -54,7 +54,7 @@
 	return at
 }
 
-// runTaskAction carries out what a task's runner wants. The caller has mu.
+// runTaskAction carries out an action of a task's state machine. The caller must hold mu.
 func (h *Host) runTaskAction(r *taskRunner, a task.Action) {
 	switch {
 	case a.FetchRecord:
@@ -67,7 +67,7 @@
 	}
 }
 
-// fetchTaskRecord asks the leader for what is recorded of a task's slots. The caller has mu.
+// fetchTaskRecord requests the record of a task's slots from the leader. The caller must hold mu.
 func (h *Host) fetchTaskRecord(r *taskRunner) {
 	at := r.core.FetchedAt()
 	h.submit(&pendingRequest{request: consensus.Request{TaskRecords: []string{r.cfg.Name}}, onResponse: func(res consensus.Response) {
@@ -77,7 +77,7 @@
 	}})
 }
 
-// submitTaskCommand asks the leader to record the start or the end of a slot. The caller has mu.
+// submitTaskCommand requests that the leader record the start or the end of a slot. The caller must hold mu.
 func (h *Host) submitTaskCommand(r *taskRunner, c task.Command) {
 	h.submit(&pendingRequest{request: consensus.Request{Task: &c}, onResponse: func(res consensus.Response) {
 		if res.Task == nil {
@@ -87,12 +87,12 @@
 		token, _, _ := h.session.Token(now, taskLeaseName(r.cfg.Name))
 		r.core.HandleResult(now, c, *res.Task, token)
 		if c.Op == task.OpFinish && res.Task.Refusal == "" {
-			h.log.Info("task slot", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
+			h.log.Info("task slot finished", "task", r.cfg.Name, "slot", c.Slot, "outcome", string(c.Outcome), "token", c.Token)
 		}
 	}})
 }
 
-// sendTaskRequest sends the request of a slot through its pool and reports its outcome to the runner.
+// sendTaskRequest sends the request of a slot through the task's pool and passes the outcome to the task's state machine.
 func (h *Host) sendTaskRequest(r *taskRunner, s task.SlotRequest) {
 	timeout := h.clock.Real(s.Deadline - h.clock.Now())
 	ctx, cancel := context.WithTimeout(h.ctx, timeout)
@@ -106,7 +106,7 @@
 	h.runDue()
 }
 
-// taskHTTPRequest is the request of a slot, whose headers carry the slot's key and the fencing token.
+// taskHTTPRequest returns the request of a slot. Its headers carry the key of the slot and the fencing token.
 func taskHTTPRequest(cfg *Task, s task.SlotRequest, timeout time.Duration) *httpmsg.Request {
 	token := strconv.FormatUint(s.Token, 10)
 	header := http.Header{
@@ -133,11 +133,11 @@
 	}
 }
 
-// viaHeader is in responses that an ordinary HTTP server has given, and not in this process' own.
+// viaHeader is set in responses of ordinary HTTP servers, but not in this process's own responses.
 const viaHeader = "Via"
 
-// outcomeOf says what a response tells about a slot. A rejection promises that nothing has run; a failure promises nothing. The 503 of a
-// server that speaks ordinary HTTP promises nothing either.
+// outcomeOf returns the outcome of a slot by the response to its request. A rejection guarantees that nothing has run. A failure guarantees
+// nothing, and neither does the 503 of a server that speaks ordinary HTTP.
 func outcomeOf(response httpmsg.Response, err error, plain bool) task.Outcome {
 	var rejection httpmsg.RejectionError
 	switch {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	inboxLength  = 1024 // functions that wait for the consensus goroutine
-	firstVoterID = 1    // raft's id of the voter that founds a fleet
+	inboxLength  = 1024 // queued functions for the consensus goroutine
+	firstVoterID = 1    // raft ID of the first voter of a new fleet
 )
 
-// voter is this process' vote in the consensus group. Only the consensus goroutine touches it.
+// voter is this process's voter in the consensus group. Only the consensus goroutine accesses it.
 type voter struct {
 	node          *consensus.Node // nil: not admitted yet, or stopped
 	callbacks     map[uint64]func(consensus.Response)
 	lastHandle    uint64
 	nextAdmission time.Duration
-	err           error // why it has stopped
+	err           error // why the voter has stopped
 }
 
 // voterStore keeps the persistent state of a voter: on disk, or in memory for as long as the process runs.
 type voterStore interface {
 	consensus.Storage
 	Identity() Identity
-	// SaveIdentity saves the identity that the consensus group has given, before it is used.
+	// SaveIdentity saves the identity that the consensus group has assigned. It must return before the identity is used.
 	SaveIdentity(fleet string, id uint64) error
-	// Bootstrap makes an empty store the first voter's of a new fleet.
+	// Bootstrap initializes an empty store as that of the first voter of a new fleet.
 	Bootstrap(names []string) error
-	// Load returns what was saved.
+	// Load returns the saved state.
 	Load() (consensus.PersistentState, error)
-	// Syncs counts the writes that were synced since the start.
+	// Syncs returns the number of synced writes since the start.
 	Syncs() int64
 	Close() error
 }
 
-// enqueue has the consensus goroutine call f; it waits for room in the inbox.
+// enqueue queues f for the consensus goroutine. It waits while the inbox is full, and drops f if the host closes.
 func (h *Host) enqueue(f func(*voter)) {
 	select {
 	case h.inbox <- f:
@@ -58,7 +58,7 @@
 	}
 }
 
-// openVoter starts the raft node, if the store has an identity in the consensus group.
+// openVoter starts the raft node if the store has an identity in the consensus group.
 func (h *Host) openVoter(v *voter) error {
 	id := h.store.Identity()
 	if id.ID == 0 {
@@ -66,7 +66,7 @@
 		if h.cfg.VotersInMemory {
 			command = "tier found"
 		}
-		h.log.Warn("the store has no identity yet: asking the consensus group for admission; a new fleet is founded once by an operator's command",
+		h.log.Warn("the store has no identity yet: requesting admission to the consensus group; to bootstrap a new fleet, run the command once",
 			"store", cmp.Or(h.cfg.Store, "in memory"), "command", "sorrelrudder "+command)
 		return nil
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// runConsensus drives the voter until the host closes.
+// runConsensus runs the voter until the host closes.
 func (h *Host) runConsensus(v *voter) {
 	tick := time.NewTicker(h.cfg.Tick)
 	defer tick.Stop()
@@ -94,7 +94,7 @@
 			h.tickVoter(v)
 		case f := <-h.inbox:
 			f(v)
-			for n := len(h.inbox); n > 0; n-- { // what has come meanwhile shares one sync of the store
+			for n := len(h.inbox); n > 0; n-- { // functions queued meanwhile share one sync of the store
 				(<-h.inbox)(v)
 			}
 		}
@@ -102,6 +102,7 @@
 	}
 }
 
+// tickVoter advances the clock of the raft node, or requests admission if there is none.
 func (h *Host) tickVoter(v *voter) {
 	switch {
 	case v.node != nil:
@@ -111,7 +112,7 @@
 	}
 }
 
-// submitToVoter hands a request, be it a command, a read or a keepalive, to the raft node; onResponse is called from the consensus goroutine.
+// submitToVoter submits a request (a command, a read or a keepalive) to the raft node. onResponse is called from the consensus goroutine.
 func (h *Host) submitToVoter(v *voter, request consensus.Request, onResponse func(consensus.Response)) {
 	if v.node == nil {
 		onResponse(consensus.Response{NotLeader: true})
@@ -122,7 +123,7 @@
 	v.node.Submit(h.clock.Now(), v.lastHandle, request)
 }
 
-// requestAdmission asks the leader for an identity in the consensus group, once in a keepalive interval.
+// requestAdmission requests an identity in the consensus group from the leader, once per keepalive interval.
 func (h *Host) requestAdmission(v *voter) {
 	now := h.clock.Now()
 	if now < v.nextAdmission {
@@ -134,7 +135,7 @@
 	}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leader.Unreachable(now, h.cfg.Name) // this process does not lead before it is admitted
+	h.leader.Unreachable(now, h.cfg.Name) // this process cannot be the leader before it is admitted
 	h.submit(&pendingRequest{request: request, onResponse: func(r consensus.Response) {
 		if r.Voter == nil {
 			return
@@ -144,13 +145,13 @@
 	}})
 }
 
-// handleAdmission takes the identity that the consensus group gives, and starts the raft node.
+// handleAdmission saves the identity that the consensus group has assigned, and starts the raft node.
 func (h *Host) handleAdmission(v *voter, result consensus.VoterResult) {
 	if v.node != nil || v.err != nil {
 		return
 	}
 	if result.RaftID == 0 {
-		h.log.Error("the consensus group refuses admission", "why", result.Refusal)
+		h.log.Error("the consensus group refused admission", "why", result.Refusal)
 		return
 	}
 	err := h.store.SaveIdentity(result.FleetID, result.RaftID)
@@ -166,12 +167,12 @@
 	h.fleetID = result.FleetID
 	h.mu.Unlock()
 	if !result.Votes {
-		h.log.Warn("admitted as a learner: another store had this voter's identity, and what it promised is lost; "+
-			"'sorrelrudder tier member replace' lets this one vote once the other is gone for good", "id", result.RaftID)
+		h.log.Warn("admitted as a learner: another store had this voter's identity, and its votes and log are lost; "+
+			"run 'sorrelrudder tier member replace' to let this store vote once the other is gone for good", "id", result.RaftID)
 	}
 }
 
-// processReady saves, sends and reports what the raft node has ready.
+// processReady saves, sends and reports the output of the raft node.
 func (h *Host) processReady(v *voter) {
 	if v.node == nil {
 		return
@@ -198,7 +199,8 @@
 	}
 }
 
-// stopVoter ends the voter's part: after a failed write it is unknown what the store holds, and only the next start reads it again.
+// stopVoter stops the voter after an error. After a failed write, the contents of the store are unknown until the next start reads them
+// again.
 func (h *Host) stopVoter(v *voter, err error) {
 	v.node, v.err = nil, err
 	h.log.Error("the voter has stopped until the next start", "err", err)
@@ -208,7 +210,7 @@
 	clear(v.callbacks)
 }
 
-// publishOutput applies decisions, sends raft messages, and returns connections to members whose leases have changed.
+// publishOutput applies decisions, sends raft messages, and returns the connections to members whose leases have changed.
 func (h *Host) publishOutput(v *voter, out consensus.Output) (changed []*conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -220,7 +222,7 @@
 		}
 		data, err := consensus.EncodeMessage(m)
 		if err != nil {
-			h.log.Error("encoding a raft message failed", "err", err)
+			h.log.Error("encoding raft message failed", "err", err)
 			continue
 		}
 		l.send(kindRaft, data)
@@ -236,8 +238,8 @@
 	return changed
 }
 
-// bootstrap makes this process the first voter of a new fleet whose voters are in memory. It refuses if a fleet is known already: with two
-// fleets of one configuration, each would grant the same leases.
+// bootstrap makes this process the first voter of a new fleet whose voters keep their state in memory. It returns an error if a fleet is
+// known already: two fleets of one configuration would each grant the same leases.
 func (h *Host) bootstrap(v *voter) error {
 	store, inMemory := h.store.(*memoryStore)
 	h.mu.Lock()
@@ -270,6 +272,6 @@
 	h.mu.Lock()
 	h.fleetID = machine.FleetID
 	h.mu.Unlock()
-	h.log.Info("founded a fleet in memory: it ends with a majority of its voters", "fleet", machine.FleetID)
+	h.log.Info("bootstrapped a fleet whose voters keep their state in memory: the fleet is lost if a majority of them ends", "fleet", machine.FleetID)
 	return nil
 }
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -15,18 +15,18 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// ZonesConfig says how a process takes part in failing over from zones.
+// ZonesConfig configures the participation of a process in zone failover.
 type ZonesConfig struct {
 	Automatic string             // ZonesOff, ZonesAdvise or ZonesOn
 	Rules     zonefailover.Rules // when a zone is down, and how it recovers
-	Members   map[string]string  // zones of members, by name
+	Members   map[string]string  // zone of each member, by member name
 }
 
 // The values of ZonesConfig.Automatic.
 const (
-	ZonesOff    = "off"    // operators decide alone
-	ZonesAdvise = "advise" // what would be decided is logged
-	ZonesOn     = "on"     // the holder of the zones' lease decides
+	ZonesOff    = "off"    // only operators decide
+	ZonesAdvise = "advise" // decisions are logged, but not made
+	ZonesOn     = "on"     // the holder of the zone lease decides
 )
 
 const (
@@ -34,21 +34,21 @@
 	checkZoneInterval = 500 * time.Millisecond
 )
 
-// zoneFailover is the part of a process in failing over from zones. Host.mu guards all of it but checkDue.
+// zoneFailover is the participation of a process in zone failover. Host.mu guards all fields but checkDue.
 type zoneFailover struct {
-	cfg           *ZonesConfig                        // nil: this process decides nothing, and carries out what is decided
+	cfg           *ZonesConfig                        // nil: this process makes no decisions, but applies them
 	controllers   map[string]*zonefailover.Controller // by pool; empty while this process does not hold the lease
 	endpointZones map[string]map[string]string        // zones of ready endpoints by name, by pool
-	judgeAt       time.Duration                       // next judgement
+	judgeAt       time.Duration                       // when zones are judged next
 
-	proposalPending bool // a proposal to the leader has no answer yet
+	proposalPending bool // a proposal to the leader has no response yet
 	proposedAt      time.Duration
 
 	loggedAdvice map[string]string             // by key
-	lastCauses   map[string]zonefailover.Cause // by pool and zone; from when this process last held the lease
+	lastCauses   map[string]zonefailover.Cause // by pool and zone, from the time when this process last held the lease
 
 	grayDetectors map[string]*zonefailover.GrayDetector // by pool
-	grayKeys      map[string]bool                       // entries on gray failures that this process has written
+	grayKeys      map[string]bool                       // keys of the entries on gray failures that this process has written
 
 	checkDue chan struct{} // signals that a zone has to be checked before the next interval
 }
@@ -65,11 +65,11 @@
 	}
 }
 
-// enabled reports whether this process judges zones, be it for the log alone.
+// enabled reports whether this process judges zones, even if only for the log.
 func (z *zoneFailover) enabled() bool { return z.cfg != nil && z.cfg.Automatic != ZonesOff }
 
-// judgeZones has the holder of the zones' lease judge all zones, and propose one change at a time; every process first requests the checks that
-// are due. The caller has mu.
+// judgeZones requests the zone checks that are due. If this process holds the zone lease, it then judges all zones and proposes one change
+// at a time. The caller must hold mu.
 func (h *Host) judgeZones(now time.Duration) {
 	shared := h.shared
 	z := &shared.zones
@@ -80,7 +80,7 @@
 	h.requestDueChecks()
 	token, _, held := h.session.Token(now, zoneview.LeaseName)
 	if !held {
-		clear(z.controllers) // the next holder begins anew
+		clear(z.controllers) // the next holder starts with new controllers
 		return
 	}
 	for _, pool := range slices.Sorted(maps.Keys(z.endpointZones)) {
@@ -91,7 +91,7 @@
 		change, causes := z.controllers[pool].Next(now, snapshot)
 		h.logZoneCauses(pool, causes, len(snapshot.Unreachable))
 		if change == nil || z.proposalPending && now < z.proposedAt+h.cfg.LeaseTiming.KeepAliveInterval() {
-			continue // a proposal without an answer is repeated: the state machine tells a late copy from a new one
+			continue // a proposal without a response is repeated; the state machine distinguishes a late copy from a new proposal
 		}
 		if z.cfg.Automatic == ZonesAdvise {
 			h.logZoneAdvice(pool, *change)
@@ -101,7 +101,7 @@
 	}
 }
 
-// requestDueChecks has zones checked at once that this process has to check and has not yet. The caller has mu.
+// requestDueChecks requests an immediate check if this process has to check a zone that it has not checked yet. The caller must hold mu.
 func (h *Host) requestDueChecks() {
 	shared := h.shared
 	if shared.pools == nil || shared.node.Store().Digest(gossip.UnreachableKind) == 0 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// logZoneCauses notes the causes of verdicts, and logs those that have changed to another than healthy. The caller has mu.
+// logZoneCauses records the causes of verdicts, and logs each change to a cause other than healthy. The caller must hold mu.
 func (h *Host) logZoneCauses(pool string, causes map[string]zonefailover.Cause, reports int) {
 	logged := h.shared.zones.lastCauses
 	for zone, cause := range causes {
@@ -131,7 +131,7 @@
 	}
 }
 
-// logZoneAdvice logs once what would be decided. The caller has mu.
+// logZoneAdvice logs a change that automatic failover would make, once. The caller must hold mu.
 func (h *Host) logZoneAdvice(pool string, change zonefailover.Transition) {
 	logged := h.shared.zones.loggedAdvice
 	key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
@@ -141,7 +141,7 @@
 	}
 }
 
-// proposeZoneChange asks the leader to decide a change under the fencing token of the zones' lease. The caller has mu.
+// proposeZoneChange proposes a change to the leader under the fencing token of the zone lease. The caller must hold mu.
 func (h *Host) proposeZoneChange(now time.Duration, pool string, change zonefailover.Transition, token uint64) {
 	shared := h.shared
 	z := &shared.zones
@@ -159,7 +159,7 @@
 	}})
 }
 
-// watchZones checks zones until the host closes.
+// watchZones checks zones periodically and on request until the host closes.
 func (h *Host) watchZones() {
 	tick := time.NewTicker(checkZoneInterval)
 	defer tick.Stop()
@@ -180,8 +180,8 @@
 	endpoints  []string
 }
 
-// checkZones takes over the pools' endpoints and checks the zones that are assigned to this process. It waits for endpoints, and so is called
-// without mu.
+// checkZones updates the endpoints of the pools and checks the zones that are assigned to this process. It waits for endpoints and must be
+// called without mu.
 func (h *Host) checkZones() {
 	shared := h.shared
 	zones := map[string]map[string]string{}
@@ -198,7 +198,7 @@
 	}
 }
 
-// planZoneChecks notes the pools' endpoints and gray failures, and returns the checks that this process has to make now.
+// planZoneChecks records the pools' endpoints and gray failures, and returns the checks that this process has to make now.
 func (h *Host) planZoneChecks(zones map[string]map[string]string, counts map[string]map[string]zonefailover.AttemptCounts) []zoneCheck {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,7 +227,7 @@
 	return checks
 }
 
-// checkZone sends health checks to endpoints of a zone, waits for them, and publishes how many were answered.
+// checkZone sends health checks to endpoints of a zone, waits for the responses, and publishes how many endpoints answered.
 func (h *Host) checkZone(check zoneCheck) {
 	shared := h.shared
 	var answered atomic.Int64
@@ -249,7 +249,7 @@
 	h.runDue()
 }
 
-// publishGrayZones publishes the zones in which some attempts of this process fail. The caller has mu.
+// publishGrayZones publishes the zones in which some of this process's attempts fail. The caller must hold mu.
 func (h *Host) publishGrayZones(counts map[string]map[string]zonefailover.AttemptCounts) {
 	shared, z := h.shared, &h.shared.zones
 	if z.cfg == nil || !z.cfg.Rules.GrayFailures {
@@ -276,7 +276,8 @@
 	maps.DeleteFunc(z.grayDetectors, func(pool string, _ *zonefailover.GrayDetector) bool { return counts[pool] == nil })
 }
 
-// assignedZoneChecks returns the zones of a pool that this process has to check in this round, with the endpoints to check. The caller has mu.
+// assignedZoneChecks returns the zones of a pool that this process has to check in this round, with the endpoints to check. The caller must
+// hold mu.
 func (h *Host) assignedZoneChecks(pool string, round int) map[string][]string {
 	z := &h.shared.zones
 	var rules *zonefailover.Rules
@@ -294,7 +295,7 @@
 	return zoneview.AssignedChecks(h.shared.node, rules, members, h.cfg.Name, pool, z.endpointZones[pool], round)
 }
 
-// Check returns an error if the rules are out of range, or if members have no zone where zones are judged.
+// Check returns an error if the rules are out of range, or if zones are judged automatically and a member has no zone.
 func (z *ZonesConfig) Check() error {
 	if err := z.Rules.Validate(); err != nil {
 		return err
