--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// BenchmarkAcquire has one of three processes take leases, one after the other and then many at once; the stores sync for real.
+// BenchmarkAcquire measures how fast one of three processes acquires leases, one after the other and many at once. The stores sync to disk.
 func BenchmarkAcquire(b *testing.B) {
 	for _, names := range []int{1, 100, 10000} {
 		b.Run(fmt.Sprint(names, " names"), func(b *testing.B) {
-			cfgs := fleet(b, 3)
+			cfgs := newFleetConfigs(b, 3)
 			var all []*Host
 			for _, cfg := range cfgs {
-				all = append(all, start(b, cfg, &servers{}))
+				all = append(all, startHost(b, cfg, &fakeSender{}))
 			}
 			defer func() {
 				for _, t := range all {
@@ -32,7 +32,7 @@
 				return len(all[2].session.Held(all[2].clock.Now()))
 			}
 			all[2].AcquireLease("first", 1)
-			eventually(b, "the fleet stands", func() bool { return holds("first") })
+			eventually(b, "the first lease is held", func() bool { return holds("first") })
 			for range b.N {
 				syncs := all[0].store.Syncs()
 				began := time.Now()
@@ -46,7 +46,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				if held() < names+1 {
-					b.Fatalf("%d of %d leases", held(), names+1)
+					b.Fatalf("held %d of %d leases", held(), names+1)
 				}
 				took := time.Since(began)
 				b.ReportMetric(float64(names)/took.Seconds(), "leases/s")
@@ -73,11 +73,11 @@
 	}
 }
 
-// BenchmarkTraffic tells what a member of the council and one that only asks send a second, at rest, in fleets of several sizes.
+// BenchmarkTraffic measures the bytes per second that a voter and a member without a vote send at rest, in fleets of several sizes.
 func BenchmarkTraffic(b *testing.B) {
 	for _, n := range []int{5, 50, 300} {
 		b.Run(fmt.Sprint(n, " members"), func(b *testing.B) {
-			cfgs := fleet(b, 5)
+			cfgs := newFleetConfigs(b, 5)
 			for i := 5; i < n; i++ {
 				cfg := cfgs[0]
 				cfg.Name, cfg.Store = fmt.Sprint("q", i), ""
@@ -88,7 +88,7 @@
 			for i := range cfgs {
 				cfgs[i].LeaseTiming.TTL = 3 * time.Second
 				cfgs[i].Tick = 100 * time.Millisecond
-				all = append(all, start(b, cfgs[i], &servers{}))
+				all = append(all, startHost(b, cfgs[i], &fakeSender{}))
 			}
 			defer func() {
 				for _, t := range all {
@@ -96,7 +96,7 @@
 				}
 			}()
 			for _, t := range all {
-				eventually(b, "all have sessions", func() bool {
+				eventually(b, "all processes have a session", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
 					return t.session.SessionID() != 0
@@ -109,12 +109,12 @@
 					}
 					return sum
 				}
-				seats, rest := count(all[:5]), count(all[5:])
+				voterBytes, otherBytes := count(all[:5]), count(all[5:])
 				const window = 5 * time.Second
 				time.Sleep(window)
-				b.ReportMetric(float64(count(all[:5])-seats)/5/window.Seconds()/1000, "kB/s/seat")
+				b.ReportMetric(float64(count(all[:5])-voterBytes)/5/window.Seconds()/1000, "kB/s/seat")
 				if n > 5 {
-					b.ReportMetric(float64(count(all[5:])-rest)/float64(n-5)/window.Seconds()/1000, "kB/s/other")
+					b.ReportMetric(float64(count(all[5:])-otherBytes)/float64(n-5)/window.Seconds()/1000, "kB/s/other")
 				}
 			}
 		})
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -34,8 +34,8 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// ofFleet accepts this package and package gossip; package consensus has a test of its own.
-func ofFleet(pkgPath string) bool {
+// isFleetType accepts types of this package and of package gossip. Package consensus has a test of its own.
+func isFleetType(pkgPath string) bool {
 	return pkgPath == reflect.TypeFor[Status]().PkgPath() || pkgPath == reflect.TypeFor[gossip.Stats]().PkgPath()
 }
 
@@ -44,11 +44,11 @@
 }
 
 func exampleStatus() *Status {
-	page := task.Record{Revision: 11, Token: 4, Slot: 20, LastOutcome: task.OutcomeDone}
+	record := task.Record{Revision: 11, Token: 4, Slot: 20, LastOutcome: task.OutcomeDone}
 	return &Status{
 		Name: "p0", Incarnation: "n0", Session: 3, Superseded: true, HeldLeases: map[string]HeldLease{"task/sweep": {Token: 4, LeftMs: 900}}, RunningSlots: map[string]int64{"sweep": 20},
 		Fleet: "fleet-a", Leader: "p1", LinkErrors: map[string]string{"p2": "refused"}, SentFrames: 100, SentBytes: 2000, Syncs: 30,
-		Voter: &consensus.Status{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, VoterError: "no disk", Tasks: map[string]task.Record{"sweep": page},
+		Voter: &consensus.Status{ID: 1, Role: "StateLeader", Term: 3, Commit: 8, Applied: 7, Voters: []uint64{1}}, VoterError: "no disk", Tasks: map[string]task.Record{"sweep": record},
 		SharedState: &SharedStateStatus{
 			Incarnation: 65537, Members: map[string]string{"p1": "alive"}, Health: 1, InStepMs: 20, DecidedMs: 30,
 			Entries: []SharedEntryStatus{{Owner: "p1", Key: "dead/farm/box", Incarnation: 65538, Sequence: 2, Values: []string{"x"}}}, Hints: []string{"farm/box"}, NotApplied: []string{"farm"}, Hinted: 4,
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestGoldenMessages: what processes and operators send each other is written and read as it was by earlier versions.
+// TestGoldenMessages checks that messages between processes and operators are encoded and decoded as by earlier versions.
 func TestGoldenMessages(t *testing.T) {
 	cases := []goldentest.Case{
 		goldentest.JSONCase("identity", Identity{Format: storeFormat, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}),
@@ -84,10 +84,10 @@
 	}
 	slices.SortStableFunc(cases, func(a, b goldentest.Case) int { return strings.Compare(a.Name, b.Name) })
 	goldentest.CheckCases(t, "testdata/messages.golden", cases)
-	goldentest.CheckFields(t, cases, ofFleet)
+	goldentest.CheckFields(t, cases, isFleetType)
 }
 
-// recorder is a connection that keeps what is written.
+// recorder is a connection that records what is written.
 type recorder struct {
 	net.Conn
 	bytes.Buffer
@@ -97,15 +97,15 @@
 func (r *recorder) Read(p []byte) (int, error)       { return r.Buffer.Read(p) }
 func (r *recorder) SetWriteDeadline(time.Time) error { return nil }
 
-// formerPeer is one end of a connection as earlier versions made it: on purpose it shares no code with conn.
-type formerPeer struct {
+// earlierPeer is one end of a connection as in earlier versions. It shares no code with conn on purpose.
+type earlierPeer struct {
 	net.Conn
-	mine, hers []byte
+	sendKey, receiveKey []byte
 }
 
-var formerSecret = []byte("0123456789abcdef")
+var earlierSecret = []byte("0123456789abcdef")
 
-func formerKey(secret []byte, parts ...string) []byte {
+func earlierKey(secret []byte, parts ...string) []byte {
 	m := hmac.New(sha256.New, secret)
 	for _, p := range parts {
 		fmt.Fprintf(m, "%s%s", binary.BigEndian.AppendUint32(nil, uint32(len(p))), p)
@@ -113,14 +113,14 @@
 	return m.Sum(nil)
 }
 
-func (p *formerPeer) write(kind, payload string) error {
+func (p *earlierPeer) write(kind, payload string) error {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)+16))
 	frame = append(frame, kind+payload...)
-	_, err := p.Write(append(frame, formerKey(p.mine, kind, payload)[:16]...))
+	_, err := p.Write(append(frame, earlierKey(p.sendKey, kind, payload)[:16]...))
 	return err
 }
 
-func (p *formerPeer) read() (kind, payload string, err error) {
+func (p *earlierPeer) read() (kind, payload string, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(p, head[:]); err != nil {
 		return "", "", err
@@ -131,27 +131,27 @@
 	}
 	end := len(rest) - 16
 	kind, payload = string(rest[:1]), string(rest[1:end])
-	if !bytes.Equal(formerKey(p.hers, kind, payload)[:16], rest[end:]) {
-		return "", "", fmt.Errorf("the tag of %q is another", kind)
+	if !bytes.Equal(earlierKey(p.receiveKey, kind, payload)[:16], rest[end:]) {
+		return "", "", fmt.Errorf("frame of kind %q: wrong tag", kind)
 	}
 	return kind, payload, nil
 }
 
-// greet reads or writes the greetings of a dialler or of the other end, and returns what the peer has said.
-func (p *formerPeer) greet(dials bool, name string) (peer map[string]any, err error) {
+// handshake exchanges hellos as the dialing or the accepting end, and returns the peer's hello.
+func (p *earlierPeer) handshake(dials bool, name string) (peer map[string]any, err error) {
 	nonce := strings.Repeat("n", 32)
-	var theirs string
-	say := func() error {
-		mine, err := json.Marshal(map[string]any{"v": 1, "name": name, "nonce": []byte(nonce)})
+	var peerNonce string
+	sendHello := func() error {
+		data, err := json.Marshal(map[string]any{"v": 1, "name": name, "nonce": []byte(nonce)})
 		if err != nil {
 			return err
 		}
-		return p.write("H", string(mine))
+		return p.write("H", string(data))
 	}
-	hear := func() error {
+	readHello := func() error {
 		kind, payload, err := p.read()
 		if err != nil || kind != "H" {
-			return fmt.Errorf("%q in place of a greeting: %w", kind, err)
+			return fmt.Errorf("frame of kind %q in place of a hello: %w", kind, err)
 		}
 		var h struct {
 			Nonce []byte `json:"nonce"`
@@ -159,28 +159,29 @@
 		if err := json.Unmarshal([]byte(payload), &h); err != nil {
 			return err
 		}
-		theirs = string(h.Nonce)
+		peerNonce = string(h.Nonce)
 		return json.Unmarshal([]byte(payload), &peer)
 	}
 	if dials {
-		p.mine, p.hers = formerKey(formerSecret, "hello"), formerKey(formerSecret, "answer", nonce)
-		if err = say(); err == nil {
-			err = hear()
+		p.sendKey, p.receiveKey = earlierKey(earlierSecret, "hello"), earlierKey(earlierSecret, "answer", nonce)
+		if err = sendHello(); err == nil {
+			err = readHello()
 		}
-		p.mine, p.hers = formerKey(formerSecret, "dialler", nonce, theirs), formerKey(formerSecret, "other", nonce, theirs)
+		p.sendKey, p.receiveKey = earlierKey(earlierSecret, "dialler", nonce, peerNonce), earlierKey(earlierSecret, "other", nonce, peerNonce)
 		return peer, err
 	}
-	p.hers = formerKey(formerSecret, "hello")
-	if err = hear(); err == nil {
-		p.mine = formerKey(formerSecret, "answer", theirs)
-		err = say()
+	p.receiveKey = earlierKey(earlierSecret, "hello")
+	if err = readHello(); err == nil {
+		p.sendKey = earlierKey(earlierSecret, "answer", peerNonce)
+		err = sendHello()
 	}
-	p.mine, p.hers = formerKey(formerSecret, "other", theirs, nonce), formerKey(formerSecret, "dialler", theirs, nonce)
+	p.sendKey, p.receiveKey = earlierKey(earlierSecret, "other", peerNonce, nonce), earlierKey(earlierSecret, "dialler", peerNonce, nonce)
 	return peer, err
 }
 
-// TestFormerPeer: a process of an earlier version is understood at either end of a connection, and understands what it is told.
-func TestFormerPeer(t *testing.T) {
+// TestPeerOfEarlierVersion checks that a process of an earlier version can be either end of a connection, and that both ends understand
+// each other's frames.
+func TestPeerOfEarlierVersion(t *testing.T) {
 	for _, dials := range []bool{true, false} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -188,20 +189,20 @@
 		}
 		defer ln.Close()
 		var c *conn
-		failed := make(chan error, 1)
+		connectErr := make(chan error, 1)
 		connect := func() (err error) {
 			if !dials {
-				c, err = dial(context.Background(), ln.Addr().String(), formerSecret, hello{Name: "p0", To: "former", Fleet: "fleet-a"})
+				c, err = dial(context.Background(), ln.Addr().String(), earlierSecret, hello{Name: "p0", To: "former", Fleet: "fleet-a"})
 				return err
 			}
 			raw, err := ln.Accept()
 			if err == nil {
-				c, err = acceptConn(raw, formerSecret, hello{Name: "p0", Fleet: "fleet-a"}, func(hello) error { return nil })
+				c, err = acceptConn(raw, earlierSecret, hello{Name: "p0", Fleet: "fleet-a"}, func(hello) error { return nil })
 			}
 			return err
 		}
-		go func() { failed <- connect() }()
-		p := &formerPeer{}
+		go func() { connectErr <- connect() }()
+		p := &earlierPeer{}
 		if dials {
 			p.Conn, err = net.Dial("tcp", ln.Addr().String())
 		} else {
@@ -211,41 +212,42 @@
 			t.Fatal(err)
 		}
 		defer p.Close()
-		if err := p.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := p.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
-		said, err := p.greet(dials, "former")
+		sentHello, err := p.handshake(dials, "former")
 		if err != nil {
 			t.Fatalf("dials %v: %v", dials, err)
 		}
-		if err := <-failed; err != nil {
+		if err := <-connectErr; err != nil {
 			t.Fatalf("dials %v: %v", dials, err)
 		}
 		defer c.Close()
-		delete(said, "nonce")
+		delete(sentHello, "nonce")
 		want := map[string]any{"v": 1.0, "name": "p0", "fleet": "fleet-a", "pong": true}
 		if !dials {
 			want = map[string]any{"v": 1.0, "name": "p0", "fleet": "fleet-a", "to": "former"}
 		}
-		if !reflect.DeepEqual(said, want) || c.peer.Name != "former" {
-			t.Errorf("dials %v: greeted with %v, not %v; understood %+v", dials, said, want, c.peer)
+		if !reflect.DeepEqual(sentHello, want) || c.peer.Name != "former" {
+			t.Errorf("dials %v: sent hello %v, want %v; peer %+v", dials, sentHello, want, c.peer)
 		}
 		if err := c.write(kindRequest, []byte("question")); err != nil {
 			t.Error(err)
 		}
 		if kind, payload, err := p.read(); kind != "Q" || payload != "question" || err != nil {
-			t.Errorf("dials %v: heard %q, %q, %v", dials, kind, payload, err)
+			t.Errorf("dials %v: earlier version read kind %q, payload %q, error %v", dials, kind, payload, err)
 		}
 		if err := p.write("A", "answer"); err != nil {
 			t.Error(err)
 		}
 		if kind, payload, err := c.read(maxFrameBytes); kind != kindResponse || string(payload) != "answer" || err != nil {
-			t.Errorf("dials %v: understood %q, %q, %v", dials, kind, payload, err)
+			t.Errorf("dials %v: read kind %q, payload %q, error %v", dials, kind, payload, err)
 		}
 	}
 }
 
-// writeExampleStore has the only seat of a fleet write a store: a snapshot after another was admitted, and then an entry of each kind.
+// writeExampleStore writes a store as the only voter of a fleet: a snapshot after the admission of another member, and then a log entry of
+// each kind.
 func writeExampleStore(t *testing.T, path string) *consensus.StateMachine {
 	t.Helper()
 	s, err := OpenStore(path, "p0")
@@ -253,7 +255,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	s.id.Store = "store-0" // in place of the one that was drawn
+	s.id.Store = "store-0" // replaces the random ID
 	snap, err := consensus.BootstrapSnapshot(consensus.NewStateMachine("fleet-a", "p0", s.id.Store, []string{"p0", "p1"}))
 	if err != nil {
 		t.Fatal(err)
@@ -265,20 +267,20 @@
 		t.Fatal(err)
 	}
 	n := leadingNode(t, s)
-	ask := func(q consensus.Request) {
+	submit := func(q consensus.Request) {
 		t.Helper()
 		n.Submit(0, 1, q)
 		if out, err := n.Process(0, s); err != nil || len(out.Replies) != 1 || out.Replies[0].Response.NotLeader {
-			t.Fatalf("%+v: %+v, %v", q, out.Replies, err)
+			t.Fatalf("request %+v: replies %+v, error %v", q, out.Replies, err)
 		}
 	}
-	ask(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: "p1", StoreID: "store-1"}})
+	submit(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdmit, Name: "p1", StoreID: "store-1"}})
 	before, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for saved := before; saved.Snapshot.GetMetadata().GetIndex() == before.Snapshot.GetMetadata().GetIndex(); {
-		n.Tick(0) // until the change of members is carried out, which cuts the log
+		n.Tick(0) // until the membership change is applied, which truncates the log
 		if _, err := n.Process(0, s); err != nil {
 			t.Fatal(err)
 		}
@@ -286,15 +288,15 @@
 			t.Fatal(err)
 		}
 	}
-	ask(consensus.Request{Lease: &lease.Request{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.OpOpen, Member: "p0", Nonce: "n0.1"}}})
-	ask(consensus.Request{Lease: &lease.Request{ID: 2, Member: "p0", SessionID: 1, Command: &lease.Command{Op: lease.OpAcquire, SessionID: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
-	ask(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdd, Name: "p2"}})
-	ask(consensus.Request{Task: &task.Command{Op: task.OpBegin, Task: "sweep", Slot: 20, Token: 2}})
-	ask(consensus.Request{Decision: &consensus.DecisionCommand{Key: "order/farm/box", Value: "out"}})
+	submit(consensus.Request{Lease: &lease.Request{ID: 1, Member: "p0", Command: &lease.Command{Op: lease.OpOpen, Member: "p0", Nonce: "n0.1"}}})
+	submit(consensus.Request{Lease: &lease.Request{ID: 2, Member: "p0", SessionID: 1, Command: &lease.Command{Op: lease.OpAcquire, SessionID: 1, Seq: 1, Name: "task/sweep", Limit: 1, Wait: true}}})
+	submit(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpAdd, Name: "p2"}})
+	submit(consensus.Request{Task: &task.Command{Op: task.OpBegin, Task: "sweep", Slot: 20, Token: 2}})
+	submit(consensus.Request{Decision: &consensus.DecisionCommand{Key: "order/farm/box", Value: "out"}})
 	return n.StateMachine().Clone()
 }
 
-// leadingNode is the node of a store's process, once it leads.
+// leadingNode returns the raft node of a store's process once the node is the leader.
 func leadingNode(t *testing.T, s *Store) *consensus.Node {
 	t.Helper()
 	saved, err := s.Load()
@@ -314,11 +316,11 @@
 			return n
 		}
 	}
-	t.Fatal("the only seat does not lead")
+	t.Fatal("the only voter did not become the leader")
 	return nil
 }
 
-// dumpStore returns all that a store's file has, by bucket and key.
+// dumpStore returns the contents of a store's file, by bucket and key.
 func dumpStore(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -345,33 +347,33 @@
 	return all
 }
 
-// TestStoreOfFormerVersion: a store that an earlier version has written is opened and read, this version writes the same, and the state that comes
-// of it is the same.
-func TestStoreOfFormerVersion(t *testing.T) {
+// TestStoreOfEarlierVersion checks that a store written by an earlier version can be opened and read, that this version writes the same
+// store, and that the resulting state is the same.
+func TestStoreOfEarlierVersion(t *testing.T) {
 	const file = "testdata/store.db"
 	dir := t.TempDir()
-	fresh, former := filepath.Join(dir, "fresh.db"), filepath.Join(dir, "former.db")
-	fleet := writeExampleStore(t, fresh)
+	fresh, earlier := filepath.Join(dir, "fresh.db"), filepath.Join(dir, "former.db")
+	machine := writeExampleStore(t, fresh)
 	if goldentest.Update() {
 		copyFile(t, fresh, file)
 	}
-	copyFile(t, file, former)
+	copyFile(t, file, earlier)
 	dump := dumpStore(t, fresh)
 	names := slices.Sorted(maps.Keys(dump))
 	lines := goldentest.Lines(t, "testdata/store.golden", names, func(name string) string { return dump[name] })
 	if !maps.Equal(dump, lines) {
 		t.Errorf("written now\n got %v\nwant %v", dump, lines)
 	}
-	if read := dumpStore(t, former); !maps.Equal(read, lines) {
+	if read := dumpStore(t, earlier); !maps.Equal(read, lines) {
 		t.Errorf("in the store\n got %v\nwant %v", read, lines)
 	}
-	s, err := OpenStore(former, "p0")
+	s, err := OpenStore(earlier, "p0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	if want := (Identity{Format: 1, Name: "p0", Store: "store-0", Fleet: "fleet-a", ID: 1}); s.Identity() != want {
-		t.Errorf("the identity %+v, not %+v", s.Identity(), want)
+		t.Errorf("identity %+v, want %+v", s.Identity(), want)
 	}
 	saved, err := s.Load()
 	if err != nil {
@@ -380,10 +382,10 @@
 	meta, entries := saved.Snapshot.GetMetadata(), saved.Entries
 	if saved.HardState.GetTerm() != 2 || saved.HardState.GetVote() != 1 || !slices.Equal(meta.GetConfState().GetLearners(), []uint64{2}) || len(entries) != 5 ||
 		entries[0].GetIndex() != meta.GetIndex()+1 {
-		t.Errorf("hard %v, snapshot %v, %d entries", saved.HardState, meta, len(entries))
+		t.Errorf("hard state %v, snapshot %v, %d entries", saved.HardState, meta, len(entries))
 	}
-	if got := leadingNode(t, s).StateMachine().Clone(); !reflect.DeepEqual(got, fleet) {
-		t.Errorf("the state\n got %+v\nwant %+v", got, fleet)
+	if got := leadingNode(t, s).StateMachine().Clone(); !reflect.DeepEqual(got, machine) {
+		t.Errorf("the state\n got %+v\nwant %+v", got, machine)
 	}
 }
 
@@ -398,18 +400,19 @@
 	}
 }
 
-// TestCopiesOfFormerVersion: the file of shared state that an earlier version has kept is read, and this version writes the same.
-func TestCopiesOfFormerVersion(t *testing.T) {
+// TestSharedStateFileOfEarlierVersion checks that the shared state file of an earlier version can be read, and that this version writes the
+// same file.
+func TestSharedStateFileOfEarlierVersion(t *testing.T) {
 	const file = "testdata/copies.kept"
-	newCopies := func(path string) *sharedState {
+	newState := func(path string) *sharedState {
 		cfg := gossip.DefaultConfig()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
 		return &sharedState{cfg: SharedStateConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
-	k := newCopies("")
-	k.node.ApplyDecision("order/farm/box", 4, []byte("out"))
-	k.node.ApplyDecision("zone/farm/b", 5, nil)
-	data := k.snapshot("p")
+	state := newState("")
+	state.node.ApplyDecision("order/farm/box", 4, []byte("out"))
+	state.node.ApplyDecision("zone/farm/b", 5, nil)
+	data := state.snapshot("p")
 	if goldentest.Update() {
 		if err := writeFileAtomically(file, data); err != nil {
 			t.Fatal(err)
@@ -424,21 +427,21 @@
 	}
 	path := filepath.Join(t.TempDir(), "copies")
 	copyFile(t, file, path)
-	read := newCopies(path)
+	read := newState(path)
 	if err := read.restore(0, "p"); err != nil || read.loaded != 2 {
-		t.Fatalf("%d entries, %v", read.loaded, err)
+		t.Fatalf("restored %d entries: %v", read.loaded, err)
 	}
 	for key, number := range map[string]uint64{"order/farm/box": 4, "zone/farm/b": 5} {
 		if e, ok := read.node.Store().Get(gossip.ConsensusOwner, key); !ok || e.Sequence != number {
 			t.Errorf("%s: %+v", key, e)
 		}
 	}
-	if read.node.Incarnation() <= k.node.Incarnation() {
-		t.Error("the next start does not write above the last one")
+	if read.node.Incarnation() <= state.node.Incarnation() {
+		t.Error("the incarnation of the next start is not larger than the last one")
 	}
 }
 
-// TestStoredWords: names, keys and numbers that are stored or sent keep their spelling and value.
+// TestStoredWords checks that names, keys and numbers that are stored or sent keep their spelling and value.
 func TestStoredWords(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{taskLeaseName("sweep"), "task/sweep"}, {zoneview.LeaseName, "zones"}, {operatorName, "operator"},
@@ -450,12 +453,12 @@
 		{storeFormat, 1}, {helloVersion, 1}, {tagLength, 16},
 	} {
 		if c.got != c.want {
-			t.Errorf("%v was %v", c.got, c.want)
+			t.Errorf("got %v, want %v", c.got, c.want)
 		}
 	}
 }
 
-// requestRecorder keeps the request that it is given.
+// requestRecorder is a Sender that records the request.
 type requestRecorder struct{ sent *httpmsg.Request }
 
 func (r *requestRecorder) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Response, error) {
@@ -463,17 +466,17 @@
 	return httpmsg.Response{Status: http.StatusOK}, nil
 }
 
-// TestSlotRequest: servers are sent what earlier versions sent them for a slot, keys and tokens above all.
+// TestSlotRequest checks that servers receive the same request for a slot as from earlier versions, in particular the same keys and tokens.
 func TestSlotRequest(t *testing.T) {
 	clock, err := NewClock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var pools requestRecorder
-	tr := &Host{ctx: t.Context(), clock: clock, sender: &pools}
+	host := &Host{ctx: t.Context(), clock: clock, sender: &pools}
 	cfg := Task{Spec: task.Spec{Name: "sweep", Idempotency: task.IdempotentByKey}, Pool: "farm", Method: "POST", Path: "/delivery-order/sweep?all=1", Tenant: "depot", Body: "body"}
 	r := &taskRunner{cfg: cfg, core: task.NewRunner(cfg.Spec, time.Second, time.Second)}
-	tr.sendTaskRequest(r, task.SlotRequest{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
+	host.sendTaskRequest(r, task.SlotRequest{Slot: 20, Key: "sweep-20", Token: 4, Attempt: 2, Deadline: clock.Now() + time.Minute})
 	q := pools.sent
 	left := q.Header.Get("X-Timeout-Ms")
 	want := &httpmsg.Request{
@@ -483,6 +486,6 @@
 		},
 	}
 	if left == "" || !reflect.DeepEqual(q, want) {
-		t.Errorf("%+v, not %+v", q, want)
+		t.Errorf("request %+v, want %+v", q, want)
 	}
 }
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -28,40 +28,42 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func eventually(t testing.TB, what string, is func() bool) {
+// eventually polls condition until it returns true. It fails the test after testTimeout.
+func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !is(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("waited %v in vain: %s", patience, what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// servers stand for the pools: they answer all.
-type servers struct {
+// fakeSender is a Sender whose pools answer every request. It records the idempotency keys.
+type fakeSender struct {
 	mu   sync.Mutex
 	seen []string
 }
 
-func (s *servers) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Response, error) {
+func (s *fakeSender) Do(_ context.Context, _ string, q *httpmsg.Request) (httpmsg.Response, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, q.Header.Get("Idempotency-Key"))
 	return httpmsg.Response{Status: 200}, nil
 }
 
-func (s *servers) count() int {
+func (s *fakeSender) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.seen)
 }
 
-// addresses counts those that were handed out.
+// addresses counts the addresses that freeAddr has returned.
 var addresses atomic.Int32
 
-// freeAddr is on a loopback address of its own: connections that go out may take any free port of the usual one meanwhile.
+// freeAddr returns a free address on a loopback IP of its own. A port of the usual loopback IP could meanwhile be taken by an outgoing
+// connection.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	n := addresses.Add(1)
@@ -73,6 +75,7 @@
 	return ln.Addr().String()
 }
 
+// secretFile writes a file with the fleet secret and returns its name.
 func secretFile(t testing.TB) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "secret")
@@ -84,8 +87,8 @@
 
 func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// fleet makes the configurations of n processes, of which all vote, founded by the first.
-func fleet(t testing.TB, n int, tasks ...Task) []Config {
+// newFleetConfigs returns the configurations of n processes which all vote. The store of the first process is bootstrapped.
+func newFleetConfigs(t testing.TB, n int, tasks ...Task) []Config {
 	t.Helper()
 	dir, secret := t.TempDir(), secretFile(t)
 	members := map[string]string{}
@@ -109,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Bootstrap(names); err == nil {
-		t.Error("a fleet was founded twice with one store")
+		t.Error("a store was bootstrapped twice")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -117,41 +120,43 @@
 	return all
 }
 
-func start(t testing.TB, cfg Config, s Sender) *Host {
+// startHost creates and starts a host. It fails the test on an error.
+func startHost(t testing.TB, cfg Config, s Sender) *Host {
 	t.Helper()
-	tr, err := New(cfg, quietLog())
+	host, err := New(cfg, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := tr.Start(s); err != nil {
+	if err := host.Start(s); err != nil {
 		t.Fatal(err)
 	}
-	return tr
+	return host
 }
 
-// TestThreeProcesses: one of three holds a lease and does the task; when it ends in order another has both within far less than a term.
+// TestThreeProcesses checks that one of three processes holds the lease and runs the task, and that another process takes over both after the
+// first has left in order. This takes far less than a lease's TTL.
 func TestThreeProcesses(t *testing.T) {
-	farm := &servers{}
-	cfgs := fleet(t, 3, Task{
+	sender := &fakeSender{}
+	cfgs := newFleetConfigs(t, 3, Task{
 		Spec: task.Spec{Name: "sweep", Interval: 20 * time.Millisecond, Missed: task.MissedRunNewest, Idempotency: task.IdempotentByKey, DedupWindow: time.Minute, Deadline: 200 * time.Millisecond, MaxAttempts: 3},
 		Pool: "farm", Method: "POST", Path: "/delivery-order/sweep",
 	})
 	var all []*Host
 	for _, cfg := range cfgs {
-		all = append(all, start(t, cfg, farm))
+		all = append(all, startHost(t, cfg, sender))
 	}
 	holder := func() int {
-		for i, tr := range all {
-			if tr == nil {
+		for i, host := range all {
+			if host == nil {
 				continue
 			}
-			if _, _, ok := tr.HeldLease("task/sweep"); ok {
+			if _, _, ok := host.HeldLease("task/sweep"); ok {
 				return i
 			}
 		}
 		return -1
 	}
-	eventually(t, "somebody does the task", func() bool { return holder() >= 0 && farm.count() > 5 })
+	eventually(t, "a process runs the task", func() bool { return holder() >= 0 && sender.count() > 5 })
 	first := holder()
 	ctx, cancel, token, err := all[first].GuardLease(context.Background(), "task/sweep")
 	if err != nil {
@@ -161,51 +166,51 @@
 	all[first].Leave()
 	select {
 	case <-ctx.Done():
-	case <-time.After(patience):
-		t.Error("the guard outlives the lease")
+	case <-time.After(testTimeout):
+		t.Error("the context of GuardLease is not canceled after the lease has ended")
 	}
 	if err := all[first].Close(); err != nil {
 		t.Error(err)
 	}
 	all[first] = nil
-	before := farm.count()
-	eventually(t, "another goes on", func() bool { return holder() >= 0 && farm.count() > before+5 })
+	before := sender.count()
+	eventually(t, "another process continues the task", func() bool { return holder() >= 0 && sender.count() > before+5 })
 	if now, _, _ := all[holder()].HeldLease("task/sweep"); now <= token {
-		t.Errorf("token %d after %d", now, token)
+		t.Errorf("fencing token %d after %d: the token must grow", now, token)
 	}
-	for _, tr := range all {
-		if tr != nil {
-			if err := tr.Close(); err != nil {
+	for _, host := range all {
+		if host != nil {
+			if err := host.Close(); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 	seen := map[string]bool{}
-	for _, key := range farm.seen {
+	for _, key := range sender.seen {
 		if seen[key] {
-			t.Errorf("slot %s was sent twice though every answer came", key)
+			t.Errorf("slot %s was sent twice although every request was answered", key)
 		}
 		seen[key] = true
 	}
 }
 
-// TestAnotherDisk: a member whose store is gone comes back with another identity, which does not vote until an operator says so. The
-// guard is against its old promises counting for a process that does not know them.
-func TestAnotherDisk(t *testing.T) {
-	cfgs := fleet(t, 3)
+// TestReplacedStore guards against earlier promises of a voter counting for a process that does not know them: a member whose store is gone
+// comes back with another identity, which does not vote until an operator lets it.
+func TestReplacedStore(t *testing.T) {
+	cfgs := newFleetConfigs(t, 3)
 	var all []*Host
 	for _, cfg := range cfgs {
-		all = append(all, start(t, cfg, &servers{}))
+		all = append(all, startHost(t, cfg, &fakeSender{}))
 	}
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
-	status := func(tr *Host) *Status {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	status := func(host *Host) *Status {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		o, err := Connect(ctx, tr.Addr(), tr.cfg.Secret)
+		o, err := Connect(ctx, host.Addr(), host.cfg.Secret)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +221,7 @@
 		}
 		return s
 	}
-	eventually(t, "three vote", func() bool { s := status(all[0]); return s.Voter != nil && len(s.Voter.Voters) == 3 })
+	eventually(t, "three members vote", func() bool { s := status(all[0]); return s.Voter != nil && len(s.Voter.Voters) == 3 })
 	was := status(all[2]).Voter.ID
 	if err := all[2].Close(); err != nil {
 		t.Fatal(err)
@@ -224,15 +229,15 @@
 	if err := os.Remove(cfgs[2].Store); err != nil {
 		t.Fatal(err)
 	}
-	all[2] = start(t, cfgs[2], &servers{})
-	eventually(t, "it listens", func() bool {
+	all[2] = startHost(t, cfgs[2], &fakeSender{})
+	eventually(t, "the member with the new store is a learner", func() bool {
 		s := status(all[2])
 		return s.Voter != nil && len(s.Voter.Learners) == 1 && s.Voter.Learners[0] == s.Voter.ID
 	})
 	if s := status(all[2]); s.Voter.ID == was || len(s.Voter.Voters) != 3 {
-		t.Errorf("identity %d again, or who votes has changed: %+v", s.Voter.ID, s.Voter)
+		t.Errorf("identity %d is used again, or the voters have changed: %+v", s.Voter.ID, s.Voter)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	o, err := Connect(ctx, all[1].Addr(), cfgs[1].Secret)
 	if err != nil {
@@ -241,33 +246,34 @@
 	defer o.Close()
 	r, err := o.Request(ctx, consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpReplace, Name: "p2"}})
 	if err != nil || r.Voter == nil || r.Voter.Refusal != "" {
-		t.Fatalf("%+v, %v", r.Voter, err)
+		t.Fatalf("replacing the voter: response %+v, error %v", r.Voter, err)
 	}
-	eventually(t, "it votes", func() bool {
+	eventually(t, "the member with the new store votes", func() bool {
 		s := status(all[2])
 		return len(s.Voter.Learners) == 0 && len(s.Voter.Voters) == 3 && s.Voter.Voters[2] == s.Voter.ID
 	})
 }
 
-// TestTurnedAway: who does not prove the secret, is no member, or sends what is no frame is closed, and what comes after it is served.
-func TestTurnedAway(t *testing.T) {
-	cfg := fleet(t, 1)[0]
-	tr := start(t, cfg, &servers{})
-	defer tr.Close()
+// TestRejectedConnections checks that the host closes the connection of a peer that does not prove the secret, is not a member or sends
+// malformed frames, and that it serves the next connection.
+func TestRejectedConnections(t *testing.T) {
+	cfg := newFleetConfigs(t, 1)[0]
+	host := startHost(t, cfg, &fakeSender{})
+	defer host.Close()
 	other := filepath.Join(t.TempDir(), "other")
 	if err := os.WriteFile(other, []byte("another secret of theirs"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if _, err := Connect(ctx, tr.Addr(), other); err == nil {
-		t.Error("another secret is let in")
+	if _, err := Connect(ctx, host.Addr(), other); err == nil {
+		t.Error("a connection with another secret was accepted")
 	}
-	if _, err := dial(ctx, tr.Addr(), tr.secret, hello{Name: "nobody"}); err == nil {
-		t.Error("one that is no member is let in")
+	if _, err := dial(ctx, host.Addr(), host.secret, hello{Name: "nobody"}); err == nil {
+		t.Error("a peer that is not a member was accepted")
 	}
-	if _, err := dial(ctx, tr.Addr(), tr.secret, hello{Name: "p0", Fleet: "another"}); err == nil {
-		t.Error("one of another fleet is let in")
+	if _, err := dial(ctx, host.Addr(), host.secret, hello{Name: "p0", Fleet: "another"}); err == nil {
+		t.Error("a peer of another fleet was accepted")
 	}
 	for name, bytes := range map[string][]byte{
 		"too long":  binary.BigEndian.AppendUint32(nil, 1<<31),
@@ -275,7 +281,7 @@
 		"garbage":   []byte("GET / HTTP/1.1\r\n\r\n"),
 		"cut off":   append(binary.BigEndian.AppendUint32(nil, 100), 'H'),
 	} {
-		c, err := net.Dial("tcp", tr.Addr())
+		c, err := net.Dial("tcp", host.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -283,14 +289,14 @@
 		if name == "cut off" {
 			c.(*net.TCPConn).CloseWrite()
 		}
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, _ := c.Read(make([]byte, 1)); n != 0 {
-			t.Errorf("%s: an answer", name)
+			t.Errorf("%s: the host sent a response", name)
 		}
 		c.Close()
 	}
-	// One that has proven the secret and then sends a frame that was changed on the way.
-	c, err := dial(ctx, tr.Addr(), tr.secret, hello{Name: operatorName})
+	// A peer that has proven the secret sends a frame that was altered in transit.
+	c, err := dial(ctx, host.Addr(), host.secret, hello{Name: operatorName})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -299,16 +305,16 @@
 		t.Fatal(err)
 	}
 	if _, _, err := c.read(maxFrameBytes); err == nil {
-		t.Error("a changed frame is answered")
+		t.Error("an altered frame was answered")
 	}
 	c.Close()
-	o, err := Connect(ctx, tr.Addr(), cfg.Secret)
+	o, err := Connect(ctx, host.Addr(), cfg.Secret)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.Close()
 	if _, err := o.Status(ctx); err != nil {
-		t.Errorf("after all that: %v", err)
+		t.Errorf("status request after the rejected connections: %v", err)
 	}
 }
 
@@ -316,7 +322,8 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
-// TestStore: what was saved is what is read, after entries were replaced, dropped before a snapshot, and dropped whole by one of another's.
+// TestStore checks that a store returns what was saved, after entries were replaced, after entries before a snapshot were deleted, and
+// after a snapshot of another log replaced all entries.
 func TestStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, err := OpenStore(path, "p")
@@ -338,11 +345,11 @@
 		t.Fatal(err)
 	}
 	if _, err := OpenStore(path, "p"); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("opening the store twice: %v", err)
 	}
 	s.Close()
 	if _, err := OpenStore(path, "q"); err == nil || !strings.Contains(err.Error(), `is the store of "p"`) {
-		t.Errorf("another's store: %v", err)
+		t.Errorf("opening the store of another member: %v", err)
 	}
 	if s, err = OpenStore(path, "p"); err != nil {
 		t.Fatal(err)
@@ -353,23 +360,24 @@
 	}
 	if id := s.Identity(); id.ID != 7 || id.Fleet != "fleet" || len(v.Entries) != 1 || string(v.Entries[0].GetData()) != "C" ||
 		v.HardState.GetTerm() != 3 || !proto.Equal(v.Snapshot, snap) {
-		t.Errorf("%+v, %+v", id, v)
+		t.Errorf("identity %+v, state %+v", id, v)
 	}
 	save(consensus.PersistentState{Snapshot: snap, ReplaceLog: true})
 	if v, err = s.Load(); err != nil || len(v.Entries) != 0 {
-		t.Errorf("entries of another history are left: %+v, %v", v.Entries, err)
+		t.Errorf("entries of the replaced log are left: %+v, %v", v.Entries, err)
 	}
 	s.Close()
 }
 
-// TestDamagedStore: a bit that flips in what is kept is found, the start stops with the way out, and nothing is deleted.
+// TestDamagedStore checks that a flipped bit in the store is detected, that the error at the start names the command for recovery, and that
+// nothing is deleted.
 func TestDamagedStore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	s, err := OpenStore(path, "p")
 	if err != nil {
 		t.Fatal(err)
 	}
-	mark := "a promise that is kept"
+	mark := "data of the log entry"
 	if err := s.Save(consensus.PersistentState{Entries: []*raftpb.Entry{entry(1, 1, mark)}}, true); err != nil {
 		t.Fatal(err)
 	}
@@ -379,7 +387,7 @@
 		t.Fatal(err)
 	}
 	whole := bytes.Clone(data)
-	for at := 0; ; at++ { // every copy of the page that it stands in
+	for at := 0; ; at++ { // flip a bit in every copy of the page with the mark
 		next := bytes.Index(data[at:], []byte(mark))
 		if next < 0 {
 			break
@@ -402,20 +410,20 @@
 		t.Errorf("%v", err)
 	}
 	if left, _ := os.ReadFile(path); len(left) != len(whole) {
-		t.Error("something was deleted")
+		t.Error("the length of the damaged file has changed")
 	}
 	if err := os.WriteFile(path, data[:len(data)/3], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := OpenStore(path, "p"); err == nil {
 		if _, err = s.Load(); err == nil {
-			t.Error("a store that was cut off is taken")
+			t.Error("a truncated store was accepted")
 		}
 		s.Close()
 	}
 }
 
-// FuzzFrame: whatever comes, a frame is refused or read, and no memory is taken for what was only announced.
+// FuzzFrame checks that any input is read as a frame or rejected, and that no memory is allocated for a length that is only announced.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 20, 'H', 1, 2, 3})
 	f.Add(binary.BigEndian.AppendUint32(nil, maxFrameBytes))
@@ -426,14 +434,14 @@
 			far.Write(data)
 			far.Close()
 		}()
-		near.SetDeadline(time.Now().Add(patience))
+		near.SetDeadline(time.Now().Add(testTimeout))
 		if c, err := acceptConn(near, []byte("0123456789abcdef"), hello{Name: "p"}, func(hello) error { return nil }); err == nil {
-			t.Errorf("let in: %+v", c.peer)
+			t.Errorf("connection accepted: %+v", c.peer)
 		}
 	})
 }
 
-// FuzzMessage: what a peer says of the log is refused or taken, and never ends the process.
+// FuzzMessage checks that a peer's raft message is rejected or applied, and never ends the process.
 func FuzzMessage(f *testing.F) {
 	f.Add([]byte{8, 3, 16, 1, 24, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -446,16 +454,17 @@
 			t.Fatal(err)
 		}
 		if err := n.Step(0, m); err != nil {
-			return // refused: the fuzzer looks for panics
+			return // rejected: the fuzzer looks for panics
 		}
 	})
 }
 
-// TestHoldForScripts: of three that want a lease of two, the third has it once one of the others has given it up.
-func TestHoldForScripts(t *testing.T) {
-	cfgs := fleet(t, 1)
-	tr := start(t, cfgs[0], &servers{})
-	defer tr.Close()
+// TestHoldLease checks that of three operators who request a lease with a limit of two, the third holds the lease once one of the others
+// has released it.
+func TestHoldLease(t *testing.T) {
+	cfgs := newFleetConfigs(t, 1)
+	host := startHost(t, cfgs[0], &fakeSender{})
+	defer host.Close()
 	type holder struct {
 		token chan uint64
 		end   context.CancelFunc
@@ -464,7 +473,7 @@
 	var all []holder
 	for range 3 {
 		ctx, cancel := context.WithCancel(context.Background())
-		o, err := Connect(ctx, tr.Addr(), cfgs[0].Secret)
+		o, err := Connect(ctx, host.Addr(), cfgs[0].Secret)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -483,8 +492,8 @@
 			who = 1
 		case token = <-all[2].token:
 			who = 2
-		case <-time.After(patience):
-			t.Fatal("nobody gets the lease")
+		case <-time.After(testTimeout):
+			t.Fatal("no operator got the lease")
 		}
 		return token, who
 	}
@@ -493,11 +502,11 @@
 	tokens = append(tokens, first, second)
 	select {
 	case token := <-all[0].token:
-		t.Errorf("a third has it, by %d", token)
+		t.Errorf("a third operator holds the lease, with token %d", token)
 	case token := <-all[1].token:
-		t.Errorf("a third has it, by %d", token)
+		t.Errorf("a third operator holds the lease, with token %d", token)
 	case token := <-all[2].token:
-		t.Errorf("a third has it, by %d", token)
+		t.Errorf("a third operator holds the lease, with token %d", token)
 	case <-time.After(2 * cfgs[0].LeaseTiming.TTL):
 	}
 	all[who].end()
@@ -505,7 +514,7 @@
 		t.Error(err)
 	}
 	if third, _ := next(); third <= max(tokens[0], tokens[1]) {
-		t.Errorf("token %d after %v", third, tokens)
+		t.Errorf("fencing token %d after %v: the token must grow", third, tokens)
 	}
 	for i, h := range all {
 		h.end()
--- a/internal/fleet/idle_test.go
+++ b/internal/fleet/idle_test.go
@@ -8,11 +8,11 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// BenchmarkRest tells what processor time a process of three takes at rest, at the usual times, and how often it is woken.
+// BenchmarkRest measures the processor time and the context switches of a process in a fleet of three at rest, with the default intervals.
 func BenchmarkRest(b *testing.B) {
 	for _, sharing := range []bool{false, true} {
 		b.Run(map[bool]string{false: "leases", true: "leases and copies"}[sharing], func(b *testing.B) {
-			cfgs := fleet(b, 3)
+			cfgs := newFleetConfigs(b, 3)
 			var all []*Host
 			for i := range cfgs {
 				cfgs[i].LeaseTiming.TTL, cfgs[i].Tick = 3*time.Second, 100*time.Millisecond
@@ -20,7 +20,7 @@
 					u := gossip.DefaultConfig()
 					cfgs[i].SharedState = &SharedStateConfig{GossipInterval: u.GossipInterval, PingInterval: u.PingInterval, SyncInterval: u.SyncInterval, DeadRetention: u.DeadRetention, Fanout: u.Fanout, CatchUpBudget: u.CatchUpBudget, ReporterQuorum: 2}
 				}
-				all = append(all, start(b, cfgs[i], &servers{}))
+				all = append(all, startHost(b, cfgs[i], &fakeSender{}))
 			}
 			defer func() {
 				for _, t := range all {
@@ -31,13 +31,13 @@
 				t.AcquireLease("one", 1)
 			}
 			for _, t := range all {
-				eventually(b, "all have sessions", func() bool {
+				eventually(b, "all processes have a session", func() bool {
 					t.mu.Lock()
 					defer t.mu.Unlock()
 					return t.session.SessionID() != 0
 				})
 			}
-			used := func() (time.Duration, int64) {
+			usage := func() (time.Duration, int64) {
 				var u syscall.Rusage
 				if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 					b.Fatal(err)
@@ -47,11 +47,11 @@
 			for range b.N {
 				const window = 5 * time.Second
 				time.Sleep(time.Second)
-				before, woken := used()
+				before, switchesBefore := usage()
 				time.Sleep(window)
-				after, woken2 := used()
+				after, switchesAfter := usage()
 				b.ReportMetric((after-before).Seconds()/window.Seconds()/3*1000, "ms/s/process")
-				b.ReportMetric(float64(woken2-woken)/window.Seconds()/3, "switches/s/process")
+				b.ReportMetric(float64(switchesAfter-switchesBefore)/window.Seconds()/3, "switches/s/process")
 			}
 		})
 	}
--- a/internal/fleet/sharedstate_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -16,80 +16,84 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// farmPools stand for a process' pools: they note what they are told, and see what the test has them see.
-type farmPools struct {
-	servers
-	mu     sync.Mutex
-	silent func(pool, server string, is bool)
-	hints  map[string]int
-	avoid  map[string]bool
-	back   map[string]bool // servers that count as cold
-	refuse bool            // the orders would leave no server
-	zones  map[string]string
-	down   map[string]bool // zones
+// fakePools implements Pools. It records hints and exclusions, and reports the reachability changes and zones that a test sets.
+type fakePools struct {
+	fakeSender
+	mu                   sync.Mutex
+	onReachabilityChange func(pool, endpoint string, unreachable bool)
+	hints                map[string]int // by POOL/ENDPOINT
+	excluded             map[string]bool
+	recovering           map[string]bool   // endpoints that count as warming up
+	rejectExclusions     bool              // as if no ready endpoint would be left
+	endpointZones        map[string]string // zones by endpoint
+	downZones            map[string]bool   // zones whose endpoints fail health checks
 }
 
-func newFarm() *farmPools { return &farmPools{hints: map[string]int{}} }
+func newFakePools() *fakePools { return &fakePools{hints: map[string]int{}} }
 
-var _ Pools = (*farmPools)(nil)
+var _ Pools = (*fakePools)(nil)
 
-func (f *farmPools) OnReachabilityChange(s func(pool, server string, is bool)) {
+func (f *fakePools) OnReachabilityChange(callback func(pool, endpoint string, unreachable bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent = s
+	f.onReachabilityChange = callback
 }
 
-func (f *farmPools) HintUnreachable(pool, server string) {
+func (f *fakePools) HintUnreachable(pool, endpoint string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hints[pool+"/"+server]++
+	f.hints[pool+"/"+endpoint]++
 }
 
-func (f *farmPools) ExcludeEndpoints(_ string, servers, returning, _ map[string]bool) bool {
+func (f *fakePools) ExcludeEndpoints(_ string, excluded, recovering, _ map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.avoid, f.back = maps.Clone(servers), maps.Clone(returning)
-	return !f.refuse
+	f.excluded, f.recovering = maps.Clone(excluded), maps.Clone(recovering)
+	return !f.rejectExclusions
 }
 
-func (f *farmPools) PoolNames() []string { return []string{"farm"} }
+func (f *fakePools) PoolNames() []string { return []string{"farm"} }
 
-func (f *farmPools) ReadyEndpoints(string) map[string]string {
+func (f *fakePools) ReadyEndpoints(string) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.zones)
+	return maps.Clone(f.endpointZones)
 }
 
-func (f *farmPools) CheckHealth(_, server string) bool {
+func (f *fakePools) CheckHealth(_, endpoint string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.down[f.zones[server]]
+	return !f.downZones[f.endpointZones[endpoint]]
 }
 
-func (f *farmPools) AttemptOutcomes(string, func(string, int64, int64, time.Duration)) {}
+func (f *fakePools) AttemptOutcomes(string, func(string, int64, int64, time.Duration)) {}
 
-func (f *farmPools) sees(server string, silent bool) {
+// reportReachability reports a change in an endpoint's reachability to the host.
+func (f *fakePools) reportReachability(endpoint string, unreachable bool) {
 	f.mu.Lock()
-	s := f.silent
+	callback := f.onReachabilityChange
 	f.mu.Unlock()
-	s("farm", server, silent)
+	callback("farm", endpoint, unreachable)
 }
 
-func (f *farmPools) hinted(server string) int {
+// hintCount returns the number of hints about an endpoint.
+func (f *fakePools) hintCount(endpoint string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.hints["farm/"+server]
+	return f.hints["farm/"+endpoint]
 }
 
-func (f *farmPools) avoids(server string) bool {
+// excludes reports whether an endpoint is excluded.
+func (f *fakePools) excludes(endpoint string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.avoid[server]
+	return f.excluded[endpoint]
 }
 
-func sharing(t *testing.T) []Config {
+// newSharingConfigs returns the configurations of three processes that share state.
+func newSharingConfigs(t *testing.T) []Config {
 	t.Helper()
-	cfgs := fleet(t, 3)
+	cfgs := newFleetConfigs(t, 3)
 	for i := range cfgs {
 		cfgs[i].SharedState = &SharedStateConfig{
 			GossipInterval: 20 * time.Millisecond, PingInterval: 200 * time.Millisecond, SyncInterval: 200 * time.Millisecond, DeadRetention: time.Second, Fanout: 2, ReporterQuorum: 2, CatchUpBudget: 1 << 20,
@@ -99,56 +103,58 @@
 	return cfgs
 }
 
-// state asks a process as an operator does.
-func state(t *testing.T, tr *Host, cfg Config) *SharedStateStatus {
+// fetchSharedState requests the status of a process as an operator does.
+func fetchSharedState(t *testing.T, host *Host, cfg Config) *SharedStateStatus {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	o, err := Connect(ctx, tr.Addr(), cfg.Secret)
+	o, err := Connect(ctx, host.Addr(), cfg.Secret)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.Close()
 	s, err := o.Status(ctx)
 	if err != nil || s.SharedState == nil {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("status: error %v, response %+v", err, s)
 	}
 	return s.SharedState
 }
 
-func order(t *testing.T, tr *Host, cfg Config, c consensus.DecisionCommand) consensus.DecisionResult {
+// submitDecision sends a decision to a process as an operator does, and returns the result.
+func submitDecision(t *testing.T, host *Host, cfg Config, c consensus.DecisionCommand) consensus.DecisionResult {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	o, err := Connect(ctx, tr.Addr(), cfg.Secret)
+	o, err := Connect(ctx, host.Addr(), cfg.Secret)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer o.Close()
 	r, err := o.Request(ctx, consensus.Request{Decision: &c})
 	if err != nil || r.Decision == nil {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("decision: response %+v, error %v", r, err)
 	}
 	return *r.Decision
 }
 
-// TestSharedState: what two processes find silent a third is hinted at, and one alone is not believed; an order reaches all, also one that was
-// away when it was given; what is taken back, or lifted, counts no more.
+// TestSharedState checks hints and decisions in a fleet of three. A third process gets a hint about an endpoint that two processes report
+// as unreachable, but not if only one reports it. A decision reaches all processes, including one that was stopped when the decision was
+// made. A withdrawn report or decision has no further effect.
 func TestSharedState(t *testing.T) {
-	cfgs := sharing(t)
-	farms := []*farmPools{newFarm(), newFarm(), newFarm()}
+	cfgs := newSharingConfigs(t)
+	pools := []*fakePools{newFakePools(), newFakePools(), newFakePools()}
 	var all []*Host
 	for i, cfg := range cfgs {
-		all = append(all, start(t, cfg, farms[i]))
+		all = append(all, startHost(t, cfg, pools[i]))
 	}
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
-	eventually(t, "all are there to each other", func() bool {
-		for i, tr := range all {
-			for _, s := range state(t, tr, cfgs[i]).Members {
+	eventually(t, "all members know each other as alive", func() bool {
+		for i, host := range all {
+			for _, s := range fetchSharedState(t, host, cfgs[i]).Members {
 				if s != gossip.Alive.String() {
 					return false
 				}
@@ -156,99 +162,100 @@
 		}
 		return true
 	})
-	farms[0].sees("box", true)
-	eventually(t, "the others have its word", func() bool { return len(state(t, all[2], cfgs[2]).Entries) == 1 })
-	farms[1].sees("box", true)
-	eventually(t, "the third is hinted at it", func() bool { return farms[2].hinted("box") > 0 })
-	if n := farms[0].hinted("box"); n > 0 {
-		t.Errorf("one that found it out itself is hinted at it")
-	}
-	farms[1].sees("box", false)
-	eventually(t, "it is taken back", func() bool { return len(state(t, all[2], cfgs[2]).Hints) == 0 })
+	pools[0].reportReachability("box", true)
+	eventually(t, "the other processes have the report", func() bool { return len(fetchSharedState(t, all[2], cfgs[2]).Entries) == 1 })
+	pools[1].reportReachability("box", true)
+	eventually(t, "the third process gets a hint", func() bool { return pools[2].hintCount("box") > 0 })
+	if n := pools[0].hintCount("box"); n > 0 {
+		t.Errorf("a process that reported the endpoint itself got a hint")
+	}
+	pools[1].reportReachability("box", false)
+	eventually(t, "the hint is withdrawn", func() bool { return len(fetchSharedState(t, all[2], cfgs[2]).Hints) == 0 })
 
 	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
-	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Withdraw: true}); r.Refusal == "" {
-		t.Error("an order that was not given was lifted")
+	if r := submitDecision(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Withdraw: true}); r.Refusal == "" {
+		t.Error("a decision that was not in force was withdrawn")
 	}
 	all[2].Close()
-	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Value: "patched"}); r.Refusal != "" || r.Number != 1 {
+	if r := submitDecision(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Value: "patched"}); r.Refusal != "" || r.Number != 1 {
 		t.Errorf("%+v", r)
 	}
-	eventually(t, "those that are there carry it out", func() bool { return farms[0].avoids("box") && farms[1].avoids("box") })
-	farms[2] = newFarm()
-	all[2] = start(t, cfgs[2], farms[2])
-	eventually(t, "and one that comes back", func() bool { return farms[2].avoids("box") })
-	eventually(t, "it knows as of when it has all", func() bool {
-		s := state(t, all[2], cfgs[2])
+	eventually(t, "the running processes exclude the endpoint", func() bool { return pools[0].excludes("box") && pools[1].excludes("box") })
+	pools[2] = newFakePools()
+	all[2] = startHost(t, cfgs[2], pools[2])
+	eventually(t, "the restarted process excludes the endpoint", func() bool { return pools[2].excludes("box") })
+	eventually(t, "the restarted process knows until when its copy is complete", func() bool {
+		s := fetchSharedState(t, all[2], cfgs[2])
 		return s.DecidedMs >= 0 && s.InStepMs >= 0
 	})
-	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Withdraw: true})
-	eventually(t, "it is lifted everywhere", func() bool {
-		return !farms[0].avoids("box") && !farms[1].avoids("box") && !farms[2].avoids("box")
+	submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Withdraw: true})
+	eventually(t, "no process excludes the endpoint", func() bool {
+		return !pools[0].excludes("box") && !pools[1].excludes("box") && !pools[2].excludes("box")
 	})
-	for _, f := range farms {
+	for _, f := range pools {
 		f.mu.Lock()
-		f.refuse = true
+		f.rejectExclusions = true
 		f.mu.Unlock()
 	}
-	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key})
-	eventually(t, "what can't be carried out is told", func() bool { return len(state(t, all[0], cfgs[0]).NotApplied) == 1 })
+	submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key})
+	eventually(t, "the status lists the pool whose exclusions are not applied", func() bool { return len(fetchSharedState(t, all[0], cfgs[0]).NotApplied) == 1 })
 }
 
-// TestKeptCopies: what a process has kept it has at its next start; a file that is damaged, or another's, is put aside and costs nothing.
-func TestKeptCopies(t *testing.T) {
+// TestRestoreSharedState checks that a process restores at its next start what it has saved. A file that is damaged or belongs to another
+// member is renamed and does not prevent the start.
+func TestRestoreSharedState(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "copies")
-	k := &sharedState{cfg: SharedStateConfig{Store: file}}
-	fresh := func() {
+	state := &sharedState{cfg: SharedStateConfig{Store: file}}
+	newNode := func() {
 		cfg := gossip.DefaultConfig()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
-		k.node = gossip.New(0, cfg)
+		state.node = gossip.New(0, cfg)
 	}
-	fresh()
-	k.node.ApplyDecision("order/farm/box", 4, []byte("x"))
-	k.node.Put("dead/farm/own", nil)
-	inc := k.node.Incarnation()
-	data := k.snapshot("p")
+	newNode()
+	state.node.ApplyDecision("order/farm/box", 4, []byte("x"))
+	state.node.Put("dead/farm/own", nil)
+	inc := state.node.Incarnation()
+	data := state.snapshot("p")
 	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
 	}
-	fresh()
-	if err := k.restore(0, "p"); err != nil || k.loaded != 1 {
-		t.Fatalf("%d, %v", k.loaded, err)
+	newNode()
+	if err := state.restore(0, "p"); err != nil || state.loaded != 1 {
+		t.Fatalf("restored %d entries: %v", state.loaded, err)
 	}
-	if e, ok := k.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
+	if e, ok := state.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
 		t.Errorf("%+v", e)
 	}
-	if k.node.Incarnation() <= inc {
-		t.Error("the next start does not write above the last one")
+	if state.node.Incarnation() <= inc {
+		t.Error("the incarnation of the next start is not larger than the last one")
 	}
 	for name, bad := range map[string][]byte{"cut": data[:len(data)/2], "flipped": append([]byte{data[0] ^ 1}, data[1:]...), "empty": {}} {
 		if err := os.WriteFile(file, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		fresh()
-		if err := k.restore(0, "p"); err != nil {
+		newNode()
+		if err := state.restore(0, "p"); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := os.Stat(file); !os.IsNotExist(err) {
-			t.Errorf("%s: the file is still there", name)
+			t.Errorf("%s: the file has not been renamed", name)
 		}
 	}
 	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
 	}
-	fresh()
-	if err := k.restore(0, "q"); err != nil || len(k.node.Store().TakeChanges()) > 0 {
-		t.Errorf("another's file: %v", err)
+	newNode()
+	if err := state.restore(0, "q"); err != nil || len(state.node.Store().TakeChanges()) > 0 {
+		t.Errorf("file of another member: %v", err)
 	}
 	if left, err := filepath.Glob(file + ".new-*"); err != nil || len(left) > 0 {
-		t.Errorf("%v is left behind", left)
+		t.Errorf("temporary files are left: %v", left)
 	}
 }
 
-// FuzzKept: whatever stands in the file, the process starts.
-func FuzzKept(f *testing.F) {
+// FuzzRestoreSharedState checks that the process starts whatever the contents of its shared state file.
+func FuzzRestoreSharedState(f *testing.F) {
 	f.Add([]byte("x"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		file := filepath.Join(t.TempDir(), "copies")
@@ -257,47 +264,47 @@
 		}
 		cfg := gossip.DefaultConfig()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
-		k := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
-		if err := k.restore(0, "p"); err != nil {
+		state := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
+		if err := state.restore(0, "p"); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestZoneLeft: a zone whose servers are silent to members of two zones is left by all, once, by what one decides; it is returned to step by step
-// once it answers, and an operator's word holds against that.
-func TestZoneLeft(t *testing.T) {
-	cfgs := sharing(t)
+// TestZoneFailover checks that all processes exclude a zone, by one decision, once members of two zones report its endpoints as
+// unreachable. They use the zone again step by step once it answers. An operator's decision prevails over automatic failover.
+func TestZoneFailover(t *testing.T) {
+	cfgs := newSharingConfigs(t)
 	zones := map[string]string{}
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
 	}
 	rules := zonefailover.DefaultRules()
 	rules.StepDuration, rules.HoldDown = 100*time.Millisecond, 100*time.Millisecond
-	var farms []*farmPools
+	var pools []*fakePools
 	var all []*Host
 	for i := range cfgs {
 		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOn, Rules: rules, Members: zones}
-		f := newFarm()
-		f.zones, f.down = map[string]string{}, map[string]bool{}
+		f := newFakePools()
+		f.endpointZones, f.downZones = map[string]string{}, map[string]bool{}
 		for _, z := range []string{"a", "b", "c"} {
 			for n := range 4 {
-				f.zones[fmt.Sprint(z, n)] = z
+				f.endpointZones[fmt.Sprint(z, n)] = z
 			}
 		}
-		farms = append(farms, f)
-		all = append(all, start(t, cfgs[i], f))
+		pools = append(pools, f)
+		all = append(all, startHost(t, cfgs[i], f))
 	}
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
-	avoided := func(n int) func() bool {
+	excludedEverywhere := func(n int) func() bool {
 		return func() bool {
-			for _, f := range farms {
+			for _, f := range pools {
 				f.mu.Lock()
-				has := len(f.avoid)
+				has := len(f.excluded)
 				f.mu.Unlock()
 				if has != n {
 					return false
@@ -306,117 +313,118 @@
 			return true
 		}
 	}
-	eventually(t, "all are there to each other", func() bool {
-		return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
+	eventually(t, "all members know each other as alive", func() bool {
+		return fetchSharedState(t, all[0], cfgs[0]).InStepMs >= 0 && len(fetchSharedState(t, all[0], cfgs[0]).Zones) == 3
 	})
-	for _, f := range farms {
+	for _, f := range pools {
 		f.mu.Lock()
-		f.down["b"] = true
+		f.downZones["b"] = true
 		f.mu.Unlock()
 	}
-	for _, f := range farms[:2] {
+	for _, f := range pools[:2] {
 		for n := range 4 {
-			f.sees(fmt.Sprint("b", n), true)
+			f.reportReachability(fmt.Sprint("b", n), true)
 		}
 	}
-	eventually(t, "all have left it", avoided(4))
-	for _, f := range farms[:2] {
+	eventually(t, "all processes exclude the zone", excludedEverywhere(4))
+	for _, f := range pools[:2] {
 		for n := range 4 {
-			f.sees(fmt.Sprint("b", n), false)
+			f.reportReachability(fmt.Sprint("b", n), false)
 		}
 	}
-	epoch := state(t, all[0], cfgs[0]).Zones[1].Epoch
-	for _, f := range farms {
+	epoch := fetchSharedState(t, all[0], cfgs[0]).Zones[1].Epoch
+	for _, f := range pools {
 		f.mu.Lock()
-		f.down["b"] = false
+		f.downZones["b"] = false
 		f.mu.Unlock()
 	}
 	steps := map[int]bool{}
-	eventually(t, "all use it wholly again", func() bool {
-		for i, tr := range all {
-			z := state(t, tr, cfgs[i]).Zones[1]
+	eventually(t, "all processes use the zone fully again", func() bool {
+		for i, host := range all {
+			z := fetchSharedState(t, host, cfgs[i]).Zones[1]
 			steps[z.Step] = true
 			if z.Epoch < epoch {
-				t.Errorf("the epoch goes back from %d to %d", epoch, z.Epoch)
+				t.Errorf("the epoch went back from %d to %d", epoch, z.Epoch)
 			}
 		}
-		return avoided(0)()
+		return excludedEverywhere(0)()
 	})
 	if !steps[1] && !steps[2] && !steps[3] {
-		t.Errorf("it was returned to at once: steps %v", steps)
+		t.Errorf("the zone was used fully at once: steps %v", steps)
 	}
 	key := gossip.PoolKey(consensus.ZoneKind, "farm", "c")
-	order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
-	eventually(t, "all leave it by order", avoided(4))
-	if r := order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, BasedOn: 1}); r.Refusal == "" {
-		t.Error("a holder that has not heard of the operator's word decides against it")
+	submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
+	eventually(t, "all processes exclude the zone that an operator has excluded", excludedEverywhere(4))
+	if r := submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Step: 1}.Encode(), Token: 1, BasedOn: 1}); r.Refusal == "" {
+		t.Error("a lease holder that does not know of the operator's decision has replaced it")
 	}
 }
 
-// TestStartedWhileAZoneIsCold guards against a process that starts after the last step of a return and takes the zone's servers for warm,
-// where no list tells their start: it has not seen the zone left. Once the fleet has decided that they are warm, it does.
+// TestStartedWhileAZoneIsCold guards against a process that starts after the last step of a recovery and treats the zone's endpoints as
+// warm. The process has not seen the zone excluded, and no endpoint list gives the start times of the endpoints. It must treat them as warm
+// only once the fleet has decided so.
 func TestStartedWhileAZoneIsCold(t *testing.T) {
-	cfgs := sharing(t)
+	cfgs := newSharingConfigs(t)
 	zones := map[string]string{}
 	for i, cfg := range cfgs {
 		zones[cfg.Name] = string(rune('a' + i))
 	}
 	var all []*Host
-	farm := func() *farmPools {
-		f := newFarm()
-		f.zones, f.down = map[string]string{"a0": "a", "b0": "b", "b1": "b", "c0": "c"}, map[string]bool{}
+	newPools := func() *fakePools {
+		f := newFakePools()
+		f.endpointZones, f.downZones = map[string]string{"a0": "a", "b0": "b", "b1": "b", "c0": "c"}, map[string]bool{}
 		return f
 	}
 	for i := range cfgs {
 		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOff, Rules: zonefailover.DefaultRules(), Members: zones}
-		all = append(all, start(t, cfgs[i], farm()))
+		all = append(all, startHost(t, cfgs[i], newPools()))
 	}
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
 	key := gossip.PoolKey(consensus.ZoneKind, "farm", "b")
-	for _, cold := range []bool{true, false} {
-		eventually(t, "all are there to each other", func() bool {
-			return state(t, all[0], cfgs[0]).InStepMs >= 0 && len(state(t, all[0], cfgs[0]).Zones) == 3
+	for _, warmingUp := range []bool{true, false} {
+		eventually(t, "all members know each other as alive", func() bool {
+			return fetchSharedState(t, all[0], cfgs[0]).InStepMs >= 0 && len(fetchSharedState(t, all[0], cfgs[0]).Zones) == 3
 		})
-		s := zonefailover.State{Step: zonefailover.FullStep, WarmingUp: cold, Reason: "a step was borne"}
-		if r := order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: s.Encode()}); r.Refusal != "" {
+		s := zonefailover.State{Step: zonefailover.FullStep, WarmingUp: warmingUp, Reason: "a step was borne"}
+		if r := submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: s.Encode()}); r.Refusal != "" {
 			t.Fatal(r.Refusal)
 		}
-		epoch := state(t, all[0], cfgs[0]).Zones[1].Epoch
+		epoch := fetchSharedState(t, all[0], cfgs[0]).Zones[1].Epoch
 		all[2].Close()
-		late := farm()
-		all[2] = start(t, cfgs[2], late)
-		heard := func() bool {
-			z := state(t, all[2], cfgs[2]).Zones
-			return len(z) == 3 && z[1].Epoch >= epoch && z[1].WarmingUp == cold
+		restarted := newPools()
+		all[2] = startHost(t, cfgs[2], restarted)
+		known := func() bool {
+			z := fetchSharedState(t, all[2], cfgs[2]).Zones
+			return len(z) == 3 && z[1].Epoch >= epoch && z[1].WarmingUp == warmingUp
 		}
-		eventually(t, "the one that has started to hear of it", heard)
-		counts := func() map[string]bool {
-			late.mu.Lock()
-			defer late.mu.Unlock()
-			return maps.Clone(late.back)
+		eventually(t, "the restarted process knows the decision", known)
+		recovering := func() map[string]bool {
+			restarted.mu.Lock()
+			defer restarted.mu.Unlock()
+			return maps.Clone(restarted.recovering)
 		}
-		if cold {
-			eventually(t, "its servers to count as cold", func() bool { return maps.Equal(counts(), map[string]bool{"b0": true, "b1": true}) })
-		} else if back := counts(); len(back) > 0 {
-			t.Errorf("%v count as cold for good", back)
+		if warmingUp {
+			eventually(t, "the zone's endpoints count as warming up", func() bool { return maps.Equal(recovering(), map[string]bool{"b0": true, "b1": true}) })
+		} else if endpoints := recovering(); len(endpoints) > 0 {
+			t.Errorf("%v still count as warming up", endpoints)
 		}
 	}
 }
 
-// TestVanishedEnd: the other end of a link vanishes without a word, and its connection stays open and swallows what is sent: the link is made
-// anew within seconds, not after a minute of silence.
-func TestVanishedEnd(t *testing.T) {
+// TestVanishedPeer guards against a link that depends on a connection whose peer has vanished. The connection stays open and accepts what
+// is sent. The link must connect again within seconds, not after a minute without a frame.
+func TestVanishedPeer(t *testing.T) {
 	secret := []byte("0123456789abcdef")
 	ln, err := net.Listen("tcp", freeAddr(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	got := make(chan int, 64) // the number of the connection on which a frame came
+	got := make(chan int, 64) // numbers of the connections on which frames arrive
 	var open sync.WaitGroup
 	open.Go(func() {
 		for n := 1; ; n++ {
@@ -438,7 +446,7 @@
 					if kind == kindGossip {
 						got <- n
 					}
-					if kind == kindPing && n > 1 { // the first connection is one whose end has vanished
+					if kind == kindPing && n > 1 { // the peer of the first connection has vanished
 						if c.write(kindPong, nil) != nil {
 							return
 						}
@@ -450,8 +458,8 @@
 	l := newLink(ln.Addr().String(), secret, func() hello { return hello{Name: "p", To: "q"} }, func(*conn, byte, []byte) {}, func(error) {})
 	ctx, cancel := context.WithCancel(t.Context())
 	open.Go(func() { l.run(ctx) })
-	began := time.Now()
-	eventually(t, "frames come by another connection", func() bool {
+	started := time.Now()
+	eventually(t, "frames arrive on another connection", func() bool {
 		l.send(kindGossip, nil)
 		select {
 		case n := <-got:
@@ -460,42 +468,43 @@
 			return false
 		}
 	})
-	if took := time.Since(began); took > idleTimeout/2 {
-		t.Errorf("only after %v", took)
+	if took := time.Since(started); took > idleTimeout/2 {
+		t.Errorf("connected again only after %v", took)
 	}
 	cancel()
 	ln.Close()
 	open.Wait()
 }
 
-// TestFoundedAnew: the disks of the council are lost and the fleet is founded anew, as the operators' page has it, so that its decisions are
-// numbered from 1 again. What the processes have kept of the former fleet's, of larger numbers, must not outweigh them.
+// TestFoundedAnew guards against saved decisions of a former fleet that outweigh those of a new one. The stores of all voters are lost and
+// the fleet is bootstrapped again, as the operators' page describes. Its decisions are numbered from 1 again, while the processes have
+// saved decisions of the former fleet with larger numbers.
 func TestFoundedAnew(t *testing.T) {
-	cfgs := sharing(t)
-	var farms []*farmPools
+	cfgs := newSharingConfigs(t)
+	var pools []*fakePools
 	var all []*Host
-	begin := func() {
-		farms, all = nil, nil
+	startAll := func() {
+		pools, all = nil, nil
 		for _, cfg := range cfgs {
-			f := newFarm()
-			farms, all = append(farms, f), append(all, start(t, cfg, f))
+			f := newFakePools()
+			pools, all = append(pools, f), append(all, startHost(t, cfg, f))
 		}
 	}
-	begin()
+	startAll()
 	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
 	other := gossip.PoolKey(consensus.OperatorKind, "farm", "other")
 	for range 3 {
-		order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: "patched"})
-		order(t, all[0], cfgs[0], consensus.DecisionCommand{Key: other, Value: "patched"})
+		submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: "patched"})
+		submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: other, Value: "patched"})
 	}
-	eventually(t, "all carry it out", func() bool {
-		return farms[0].avoids("box") && farms[1].avoids("box") && farms[2].avoids("box")
+	eventually(t, "all processes exclude the endpoint", func() bool {
+		return pools[0].excludes("box") && pools[1].excludes("box") && pools[2].excludes("box")
 	})
-	for i, tr := range all {
-		tr.mu.Lock()
-		data := tr.shared.snapshot(cfgs[i].Name)
-		tr.mu.Unlock()
-		tr.Close()
+	for i, host := range all {
+		host.mu.Lock()
+		data := host.shared.snapshot(cfgs[i].Name)
+		host.mu.Unlock()
+		host.Close()
 		if err := writeFileAtomically(cfgs[i].SharedState.Store, data); err != nil {
 			t.Fatal(err)
 		}
@@ -511,49 +520,49 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	begin()
+	startAll()
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
-	if r := order(t, all[1], cfgs[1], consensus.DecisionCommand{Key: other, Value: "patched"}); r.Number != 1 {
+	if r := submitDecision(t, all[1], cfgs[1], consensus.DecisionCommand{Key: other, Value: "patched"}); r.Number != 1 {
 		t.Fatalf("%+v", r)
 	}
-	eventually(t, "what the new fleet has decided is carried out, and nothing else", func() bool {
-		for i, f := range farms {
-			if f.avoids("box") || !f.avoids("other") || state(t, all[i], cfgs[i]).DecidedMs < 0 {
+	eventually(t, "only decisions of the new fleet are applied", func() bool {
+		for i, f := range pools {
+			if f.excludes("box") || !f.excludes("other") || fetchSharedState(t, all[i], cfgs[i]).DecidedMs < 0 {
 				return false
 			}
 		}
 		return true
 	})
-	if r := order(t, all[2], cfgs[2], consensus.DecisionCommand{Key: other, Withdraw: true}); r.Number != 2 {
+	if r := submitDecision(t, all[2], cfgs[2], consensus.DecisionCommand{Key: other, Withdraw: true}); r.Number != 2 {
 		t.Fatalf("%+v", r)
 	}
-	eventually(t, "and its word lifts it", func() bool {
-		return !farms[0].avoids("other") && !farms[1].avoids("other") && !farms[2].avoids("other")
+	eventually(t, "the new fleet's withdrawal is applied", func() bool {
+		return !pools[0].excludes("other") && !pools[1].excludes("other") && !pools[2].excludes("other")
 	})
 }
 
-// TestOrderWithoutAnswer: an operator's order whose answer is lost with the council's leader is asked again, and done once.
-func TestOrderWithoutAnswer(t *testing.T) {
-	cfgs := sharing(t)
+// TestCommandWithLostResponse checks that an operator's command whose response is lost with the leader is repeated and applied once.
+func TestCommandWithLostResponse(t *testing.T) {
+	cfgs := newSharingConfigs(t)
 	var all []*Host
 	for _, cfg := range cfgs {
-		all = append(all, start(t, cfg, newFarm()))
+		all = append(all, startHost(t, cfg, newFakePools()))
 	}
 	defer func() {
-		for _, tr := range all {
-			tr.Close()
+		for _, host := range all {
+			host.Close()
 		}
 	}()
 	key := gossip.PoolKey(consensus.OperatorKind, "farm", "box")
-	order(t, all[2], cfgs[2], consensus.DecisionCommand{Key: key, Value: "first"})
-	// The other two end: what is asked of the third now has no answer until they are back.
+	submitDecision(t, all[2], cfgs[2], consensus.DecisionCommand{Key: key, Value: "first"})
+	// The other two processes end. Requests to the third have no response until both have started again.
 	all[0].Close()
 	all[1].Close()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	o, err := Connect(ctx, all[2].Addr(), cfgs[2].Secret)
 	if err != nil {
@@ -567,16 +576,16 @@
 		got = r
 		done <- err
 	}()
-	eventually(t, "its session has lapsed: a term has passed", func() bool {
+	eventually(t, "the session of the third process has expired", func() bool {
 		all[2].mu.Lock()
 		defer all[2].mu.Unlock()
 		return all[2].session.ValidUntil() < all[2].clock.Now()
 	})
-	all[0], all[1] = start(t, cfgs[0], newFarm()), start(t, cfgs[1], newFarm())
+	all[0], all[1] = startHost(t, cfgs[0], newFakePools()), startHost(t, cfgs[1], newFakePools())
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if got.Number != 2 {
-		t.Errorf("%+v: it was done %d times", got, got.Number-1)
+		t.Errorf("%+v: the command was applied %d times", got, got.Number-1)
 	}
 }
