--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -21,7 +21,7 @@
 	rate   float64
 }
 
-// NewClock returns a clock whose origin is the present. The error says that the machine has no such clock, or that the rate for tests is
+// NewClock returns a clock whose origin is the present. It returns an error if the machine has no such clock or the rate for tests is
 // invalid.
 func NewClock() (*Clock, error) {
 	c := &Clock{rate: 1}
--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -19,7 +19,7 @@
 )
 
 // The kinds of frames. A frame consists of a length of four bytes, a kind of one byte, a payload, and a tag which proves that the sender
-// knows the secret. Receivers accept lost, duplicated and reordered frames. A frame whose tag does not match ends the connection.
+// knows the secret. Receivers tolerate lost, duplicated and reordered frames. A frame whose tag does not match ends the connection.
 const (
 	kindHello    = 'H'
 	kindRaft     = 'R' // a raft message
@@ -37,7 +37,7 @@
 	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases takes about 20 MB
 	handshakeTimeout      = 2 * time.Second
 	writeTimeout          = 5 * time.Second
-	idleTimeout           = time.Minute // a connection that has received no frame for this long is closed; for inbound connections, twice as long
+	idleTimeout           = time.Minute // without a received frame a connection is closed; an inbound connection after twice this time
 	maxInboundConnections = 2048
 )
 
@@ -128,8 +128,7 @@
 	return kind, payload, nil
 }
 
-// sessionKeys returns the keys that authenticate the frames of the dialing and of the accepting end. They are derived from the nonces of
-// both.
+// sessionKeys derives the keys that authenticate the frames of the dialing and of the accepting end from the nonces of both ends.
 func sessionKeys(secret, dialerNonce, acceptorNonce []byte) (dialerKey, acceptorKey []byte) {
 	return deriveKey(secret, []byte("dialler"), dialerNonce, acceptorNonce), deriveKey(secret, []byte("other"), dialerNonce, acceptorNonce)
 }
@@ -173,8 +172,8 @@
 	return n
 }
 
-// dial connects to address and makes the handshake, in which both ends prove that they know the secret. It returns an error if me names a
-// member to connect to and the peer is another one.
+// dial connects to address and performs the handshake, in which both ends prove that they know the secret. It returns an error if me.To
+// names a member and the peer is another one.
 func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
--- a/internal/fleet/exclusions.go
+++ b/internal/fleet/exclusions.go
@@ -9,7 +9,7 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// exclusions says how a pool has to treat some of its endpoints, by endpoint name.
+// exclusions says which endpoints of a pool are excluded or recovering, by endpoint name.
 type exclusions struct {
 	excluded     map[string]bool // receive no new requests
 	recovering   map[string]bool // were excluded, receive requests again and count as warming up
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -223,9 +223,9 @@
 // Addr returns the address on which this process accepts connections.
 func (h *Host) Addr() string { return h.listener.Addr().String() }
 
-// Leave ends the membership in order. It releases the leases of this process and transfers the leadership of the consensus group, so that
-// no other member has to wait for a lease to expire. It first waits for task requests in flight. It returns once all of this is done, after
-// a few seconds at most. Close must be called after Leave.
+// Leave leaves the fleet gracefully. It releases the leases of this process and transfers the leadership of the consensus group, so that no
+// other member has to wait for a lease to expire. It first waits for task requests in flight. It returns once all of this is done, after a
+// few seconds at most. Close must be called after Leave.
 func (h *Host) Leave() {
 	ctx, cancel := context.WithTimeout(h.ctx, leaveTimeout)
 	defer cancel()
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -133,8 +133,8 @@
 	return host
 }
 
-// TestThreeProcesses checks that one of three processes holds the lease and runs the task, and that another process takes over both after the
-// first has left in order. This takes far less than a lease's TTL.
+// TestThreeProcesses checks that one of three processes holds the lease and runs the task, and that another process takes over both after
+// the first has left gracefully. This takes far less than a lease's TTL.
 func TestThreeProcesses(t *testing.T) {
 	sender := &fakeSender{}
 	cfgs := newFleetConfigs(t, 3, Task{
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestReplacedStore guards against earlier promises of a voter counting for a process that does not know them: a member whose store is gone
-// comes back with another identity, which does not vote until an operator lets it.
+// TestReplacedStore guards against earlier votes and acknowledgments of a voter counting for a process that does not know them. A member
+// whose store is gone comes back with another identity. This identity does not vote until an operator lets it replace the old one.
 func TestReplacedStore(t *testing.T) {
 	cfgs := newFleetConfigs(t, 3)
 	var all []*Host
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -9,7 +9,7 @@
 )
 
 // memoryStore is the store of a voter that keeps its state in memory. The next start of the process gets another store and therefore
-// another identity. It never votes under the old identity, and so cannot contradict what was promised under that identity.
+// another identity. It never votes under the old identity, and so cannot contradict votes and acknowledgments given under that identity.
 type memoryStore struct{ id Identity }
 
 // newMemory returns an empty store for the process of that name, with a new store ID.
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -212,8 +212,8 @@
 	return min(l.clock.Real(at-l.clock.Now()), l.timing.KeepAliveInterval()/4), nil
 }
 
-// send sends one request of the session. It does so even after ctx has ended, since the lease must still be released. If there is no
-// leader, the request is lost.
+// send sends one request of the session. It does so even after ctx has ended, since the lease must still be released. If there is no leader
+// for a TTL, the request is dropped and the lease is lost.
 func (l *operatorLease) send(ctx context.Context, request lease.Request) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.timing.TTL)
 	defer cancel()
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -38,12 +38,12 @@
 	LeftMs int64  `json:"left_ms"` // until the process may no longer act on the lease, unless the lease is renewed
 }
 
-// status calls then with this process's own view, without requests to other members. then is called at once, or from the consensus
+// status calls callback with this process's own view, without requests to other members. callback is called at once, or from the consensus
 // goroutine if there is a voter.
-func (h *Host) status(then func(*Status)) {
+func (h *Host) status(callback func(*Status)) {
 	s := h.localStatus()
 	if h.store == nil {
-		then(s)
+		callback(s)
 		return
 	}
 	h.enqueue(func(v *voter) {
@@ -54,7 +54,7 @@
 			s.Voter = v.node.Status()
 			s.Voter.StateMachine = s.Voter.StateMachine.Clone()
 		}
-		then(s)
+		callback(s)
 	})
 }
 
@@ -97,7 +97,7 @@
 type SharedStateStatus struct {
 	Incarnation uint64              `json:"incarnation"`
 	Members     map[string]string   `json:"members"`    // by name: alive, suspect, dead, left, unheard of
-	Health      int                 `json:"health"`     // 0: healthy; n: the process itself is slow and lengthens its timeouts by n times their length
+	Health      int                 `json:"health"`     // 0: healthy; above 0: the process itself is slow, and multiplies its timeouts by 1+Health
 	InStepMs    int64               `json:"in_step_ms"` // since the copy was last seen to equal another member's; negative: not since the start
 	DecidedMs   int64               `json:"decided_ms"` // age of the newest moment up to which all decisions are known here; negative: unknown
 	Entries     []SharedEntryStatus `json:"entries"`
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -28,7 +28,7 @@
 type Identity struct {
 	Format int    `json:"format"`
 	Name   string `json:"name"`            // name of the process
-	Store  string `json:"store"`           // random ID, drawn at the creation of the store; another store is another identity
+	Store  string `json:"store"`           // random ID, generated with the store; another store is another identity
 	Fleet  string `json:"fleet,omitempty"` // empty: not admitted to a fleet yet
 	ID     uint64 `json:"id,omitempty"`
 }
@@ -120,7 +120,7 @@
 	return s, nil
 }
 
-// create creates the buckets of a new store and draws its identity.
+// create creates the buckets of a new store and generates its identity.
 func (s *Store) create(tx *bbolt.Tx, name string) error {
 	for _, bucket := range [][]byte{identityBucket, stateBucket, entryBucket} {
 		if _, err := tx.CreateBucket(bucket); err != nil {
