--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -409,10 +409,10 @@
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
 		return &sharedState{cfg: SharedStateConfig{Store: path}, node: gossip.New(0, cfg)}
 	}
-	state := newState("")
-	state.node.ApplyDecision("order/farm/box", 4, []byte("out"))
-	state.node.ApplyDecision("zone/farm/b", 5, nil)
-	data := state.snapshot("p")
+	shared := newState("")
+	shared.node.ApplyDecision("order/farm/box", 4, []byte("out"))
+	shared.node.ApplyDecision("zone/farm/b", 5, nil)
+	data := shared.snapshot("p")
 	if goldentest.Update() {
 		if err := writeFileAtomically(file, data); err != nil {
 			t.Fatal(err)
@@ -436,7 +436,7 @@
 			t.Errorf("%s: %+v", key, e)
 		}
 	}
-	if read.node.Incarnation() <= state.node.Incarnation() {
+	if read.node.Incarnation() <= shared.node.Incarnation() {
 		t.Error("the incarnation of the next start is not larger than the last one")
 	}
 }
--- a/internal/fleet/sharedstate_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -206,28 +206,28 @@
 func TestRestoreSharedState(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "copies")
-	state := &sharedState{cfg: SharedStateConfig{Store: file}}
+	shared := &sharedState{cfg: SharedStateConfig{Store: file}}
 	newNode := func() {
 		cfg := gossip.DefaultConfig()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
-		state.node = gossip.New(0, cfg)
+		shared.node = gossip.New(0, cfg)
 	}
 	newNode()
-	state.node.ApplyDecision("order/farm/box", 4, []byte("x"))
-	state.node.Put("dead/farm/own", nil)
-	inc := state.node.Incarnation()
-	data := state.snapshot("p")
+	shared.node.ApplyDecision("order/farm/box", 4, []byte("x"))
+	shared.node.Put("dead/farm/own", nil)
+	inc := shared.node.Incarnation()
+	data := shared.snapshot("p")
 	if err := writeFileAtomically(file, data); err != nil {
 		t.Fatal(err)
 	}
 	newNode()
-	if err := state.restore(0, "p"); err != nil || state.loaded != 1 {
-		t.Fatalf("restored %d entries: %v", state.loaded, err)
+	if err := shared.restore(0, "p"); err != nil || shared.loaded != 1 {
+		t.Fatalf("restored %d entries: %v", shared.loaded, err)
 	}
-	if e, ok := state.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
+	if e, ok := shared.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
 		t.Errorf("%+v", e)
 	}
-	if state.node.Incarnation() <= inc {
+	if shared.node.Incarnation() <= inc {
 		t.Error("the incarnation of the next start is not larger than the last one")
 	}
 	for name, bad := range map[string][]byte{"cut": data[:len(data)/2], "flipped": append([]byte{data[0] ^ 1}, data[1:]...), "empty": {}} {
@@ -235,7 +235,7 @@
 			t.Fatal(err)
 		}
 		newNode()
-		if err := state.restore(0, "p"); err != nil {
+		if err := shared.restore(0, "p"); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, err := os.Stat(file); !os.IsNotExist(err) {
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	newNode()
-	if err := state.restore(0, "q"); err != nil || len(state.node.Store().TakeChanges()) > 0 {
+	if err := shared.restore(0, "q"); err != nil || len(shared.node.Store().TakeChanges()) > 0 {
 		t.Errorf("file of another member: %v", err)
 	}
 	if left, err := filepath.Glob(file + ".new-*"); err != nil || len(left) > 0 {
@@ -264,8 +264,8 @@
 		}
 		cfg := gossip.DefaultConfig()
 		cfg.Name, cfg.Members, cfg.Kinds, cfg.DecidedKinds = "p", []string{"p", "q"}, []string{gossip.UnreachableKind}, consensus.DecisionKinds
-		state := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
-		if err := state.restore(0, "p"); err != nil {
+		shared := &sharedState{cfg: SharedStateConfig{Store: file}, node: gossip.New(0, cfg)}
+		if err := shared.restore(0, "p"); err != nil {
 			t.Fatal(err)
 		}
 	})
