--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -42,8 +42,8 @@
 )
 
 var (
-	errBadTag        = errors.New("a frame without the right tag: another secret, or it was changed on the way")
-	errFrameTooLong  = errors.New("a frame is too long")
+	errBadTag        = errors.New("frame with a wrong tag: the peer has another secret, or the frame was altered in transit")
+	errFrameTooLong  = errors.New("frame length out of range")
 	errUnknownMember = errors.New("not a member of this fleet")
 )
 
@@ -151,16 +151,16 @@
 		return h, err
 	}
 	if kind != kindHello {
-		return h, errors.New("no hello")
+		return h, errors.New("the first frame of the peer is not a hello")
 	}
 	if err := json.Unmarshal(data, &h); err != nil {
-		return h, fmt.Errorf("hello: %w", err)
+		return h, fmt.Errorf("decoding the hello of the peer: %w", err)
 	}
 	switch {
 	case h.Version != helloVersion:
-		return h, fmt.Errorf("hello: version %d, and this program speaks %d", h.Version, helloVersion)
+		return h, fmt.Errorf("the peer uses protocol version %d: this program supports version %d", h.Version, helloVersion)
 	case len(h.Nonce) != sha256.Size || h.Name == "":
-		return h, errors.New("hello: not whole")
+		return h, errors.New("the hello of the peer has no name, or a nonce of a wrong length")
 	}
 	return h, nil
 }
@@ -194,7 +194,7 @@
 		c.peer, err = c.readHello(deriveKey(secret, []byte("answer"), me.Nonce))
 	}
 	if err == nil && me.To != "" && c.peer.Name != me.To {
-		err = fmt.Errorf("there is %q where %q should be", c.peer.Name, me.To)
+		err = fmt.Errorf("member %q answered in place of member %q", c.peer.Name, me.To)
 	}
 	if err == nil {
 		err = raw.SetDeadline(time.Time{})
--- a/internal/fleet/sharedstate_file.go
+++ b/internal/fleet/sharedstate_file.go
@@ -97,10 +97,10 @@
 // unsealFile checks and removes the checksum of sealFile.
 func unsealFile(sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumLength {
-		return nil, errors.New("a value is missing")
+		return nil, errors.New("sealed value is missing or shorter than its checksum")
 	}
 	if crc32.ChecksumIEEE(sealed[checksumLength:]) != binary.BigEndian.Uint32(sealed) {
-		return nil, errors.New("a checksum is wrong")
+		return nil, errors.New("checksum mismatch")
 	}
 	return sealed[checksumLength:], nil
 }
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -70,7 +70,7 @@
 	defer debug.SetPanicOnFault(was)
 	defer func() {
 		if r := recover(); r != nil {
-			err = storeDamagedError(path, fmt.Errorf("reading it: %v", r))
+			err = storeDamagedError(path, fmt.Errorf("reading the file: %v", r))
 		}
 	}()
 	return read()
@@ -148,8 +148,8 @@
 
 // storeDamagedError returns an error that says how an operator can recover from a damaged store.
 func storeDamagedError(path string, err error) error {
-	return fmt.Errorf("%s: %w: %w; put it aside (don't delete it before the council stands) and start again: the process comes back "+
-		"as one that listens, and 'sorrelrudder tier member replace' has it vote", path, ErrStoreDamaged, err)
+	return fmt.Errorf("%s: %w: %w; rename the file (don't delete it before the consensus group has a leader) and start the process again: "+
+		"it returns as a learner, and 'sorrelrudder tier member replace' lets it vote", path, ErrStoreDamaged, err)
 }
 
 // Identity returns the identity of the store.
@@ -175,7 +175,7 @@
 	s.id.Fleet, s.id.ID = fleet, id
 	if err := s.db.Update(s.putIdentity); err != nil {
 		s.id = was
-		return fmt.Errorf("the store: %w", err)
+		return fmt.Errorf("saving the identity to the store: %w", err)
 	}
 	return nil
 }
@@ -322,7 +322,7 @@
 			return err
 		}
 		if len(key) != indexKeyLength || e.GetIndex() != binary.BigEndian.Uint64(key) {
-			return fmt.Errorf("an entry %d stands where another belongs", e.GetIndex())
+			return fmt.Errorf("log entry %d is stored under the key of another index", e.GetIndex())
 		}
 		v.Entries = append(v.Entries, e)
 		return nil
@@ -343,9 +343,9 @@
 	switch fault {
 	case "fail": // only the next sync fails
 		os.Remove(s.faults)
-		return errors.New("the laboratory has the sync fail")
+		return errors.New("injected fault: the sync failed")
 	case "full":
-		return errors.New("the laboratory has the disk full")
+		return errors.New("injected fault: the disk is full")
 	case "slow":
 		if d, err := time.ParseDuration(argument); err == nil && d < maxSlowDisk {
 			time.Sleep(d)
