--- a/internal/keepalive/gittins.go
+++ b/internal/keepalive/gittins.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// ageBuckets is how many buckets of age there are: the first of 1 ms, each further one twice as long, the last up to MaxIdle.
+	// ageBuckets is the number of age buckets. The first is 1 ms wide and starts at 0, each further one ends at twice the age of the one
+	// before, and the last ends at MaxIdle.
 	ageBuckets = 12
-	// priorWeight is how many connections are assumed at the start to have waited, and been used at priorRate: so few that what
-	// is observed soon counts for more.
+	// priorWeight is the number of connections that are assumed at the start to have waited through every bucket and to have been used
+	// at priorRate. It is small so that observations soon outweigh it.
 	priorWeight = 1
-	// priorRate is in uses a second.
+	// priorRate is in uses per second.
 	priorRate = 0.25
-	// historySize is how many waits through a bucket are remembered, as an exponential average, or historyPerWaiting times those
-	// that go on, if that is more: these count as well, and would else outweigh the ones that ended.
+	// historySize is the number of ended waits through a bucket that the exponential average covers. It is raised to
+	// historyPerWaiting times the number of ongoing waits, which count as well and would otherwise outweigh the ended ones.
 	historySize       = 200
 	historyPerWaiting = 8
-	// refreshInterval is after how many waits the indices are computed anew.
+	// refreshInterval is the least number of waits that begin or end between two computations of the indices.
 	refreshInterval = 8
-	// negligible avoids divisions by zero, of times in seconds and of probabilities.
-	negligible = 1e-9
+	// epsilon is the smallest divisor, in seconds of waiting and in expected uses. It avoids divisions by zero.
+	epsilon = 1e-9
 )
 
-// kindStats is what is known of the waits of one kind, by bucket of age: the time waited there, and how often a request ended it.
-// Waits that end early count for what they were, so that closing some does not make the rest look better.
+// kindStats holds the statistics of the waits of one kind of connection. For each age bucket it has the time waited there and the
+// number of uses, which are the waits that a request ended there. A wait that is cut short counts for the time that it lasted, as a
+// censored observation. So closing some connections does not raise the estimated rate of use of the others.
 type kindStats struct {
 	waited  [ageBuckets]float64      // seconds
 	used    [ageBuckets]float64      // uses
-	index   [ageBuckets]float64      // Gittins index, uses a second, from the start of the bucket on
+	index   [ageBuckets]float64      // Gittins index at the start of the bucket, in uses per second
 	changes int                      // waits that began or ended since index was computed
-	waiting map[uint64]time.Duration // when the waits that go on began
+	waiting map[uint64]time.Duration // start times of the ongoing waits
 }
 
-// bucketStart and bucketEnd are the ages between which a bucket lies.
+// bucketStart returns the age at which bucket i starts.
 func bucketStart(i int) time.Duration {
 	if i == 0 {
 		return 0
@@ -41,6 +43,7 @@
 	return time.Millisecond << (i - 1)
 }
 
+// bucketEnd returns the age at which bucket i ends.
 func bucketEnd(i int) time.Duration {
 	if i == ageBuckets-1 {
 		return MaxIdle
@@ -48,10 +51,10 @@
 	return time.Millisecond << i
 }
 
-// bucketWidth is in seconds.
+// bucketWidth returns the width of bucket i in seconds.
 func bucketWidth(i int) float64 { return (bucketEnd(i) - bucketStart(i)).Seconds() }
 
-// bucketOf is the bucket of an age.
+// bucketOf returns the bucket that an age falls into. The last bucket includes all ages above MaxIdle.
 func bucketOf(age time.Duration) int {
 	i := 0
 	for i < ageBuckets-1 && age >= bucketEnd(i) {
@@ -60,11 +63,12 @@
 	return i
 }
 
-// timeIn is how much of a wait, in seconds, falls into a bucket that it has reached.
+// timeIn returns how many seconds of a wait fall into bucket i, which the wait must have reached.
 func timeIn(i int, wait time.Duration) float64 {
 	return (min(wait, bucketEnd(i)) - bucketStart(i)).Seconds()
 }
 
+// reset sets the statistics to the prior.
 func (s *kindStats) reset() {
 	for i := range ageBuckets {
 		s.waited[i] = priorWeight * bucketWidth(i)
@@ -74,7 +78,7 @@
 	s.refreshIndex(0)
 }
 
-// record adds a wait that has ended. Buckets that it has not reached forget nothing: they are reached more rarely.
+// record adds a wait that has ended. Buckets that the wait did not reach are not decayed, because fewer waits reach them.
 func (s *kindStats) record(wait time.Duration, used bool) {
 	wait = max(0, wait)
 	size := float64(max(historySize, historyPerWaiting*len(s.waiting)))
@@ -92,7 +96,8 @@
 	s.changes++
 }
 
-// refreshIfDue computes the indices anew after some waits, the more the more there are, so that each costs little.
+// refreshIfDue counts a wait that begins, and recomputes the indices if enough waits began or ended since the last time. The
+// required number grows with the number of ongoing waits, so that the cost per wait stays small.
 func (s *kindStats) refreshIfDue(now time.Duration) {
 	s.changes++
 	if s.changes >= refreshInterval && s.changes >= len(s.waiting)/refreshInterval {
@@ -100,14 +105,14 @@
 	}
 }
 
-// refreshIndex computes the Gittins index of each bucket: over all ends of the further wait, the greatest probability of a use for
-// each second that it is expected to take.
+// refreshIndex computes the Gittins index at the start of each bucket: the probability of a use divided by the expected further
+// waiting time in seconds. The wait may stop at the end of this or any later bucket. The index is the maximum over these choices.
 func (s *kindStats) refreshIndex(now time.Duration) {
 	s.changes = 0
 	waited := s.waitedUntil(now)
-	var hazard, survival [ageBuckets]float64 // rate of use, and probability of none, in a bucket
+	var hazard, survival [ageBuckets]float64 // by bucket: the rate of use, and the probability of no use
 	for i := range ageBuckets {
-		hazard[i] = s.used[i] / max(waited[i], negligible)
+		hazard[i] = s.used[i] / max(waited[i], epsilon)
 		survival[i] = math.Exp(-hazard[i] * bucketWidth(i))
 	}
 	for start := range ageBuckets {
@@ -121,16 +126,17 @@
 	}
 }
 
-// expectedTime is how many seconds a wait that reaches a bucket is expected to spend there.
+// expectedTime returns the expected number of seconds that a wait spends in a bucket once it has reached the bucket. width is in
+// seconds, hazard is in uses per second, and survival is the probability of no use in the bucket.
 func expectedTime(width, hazard, survival float64) float64 {
-	if uses := hazard * width; uses > negligible {
+	if uses := hazard * width; uses > epsilon {
 		return width * ((1 - survival) / uses)
 	}
 	return width
 }
 
-// waitedUntil is the time waited in each bucket, in seconds, that of the waits that go on included: when clients cease to use their
-// connections, those that are not used now are the first to show it.
+// waitedUntil returns the seconds waited in each bucket, including those of ongoing waits: when clients stop reusing their
+// connections, the ongoing waits are the first to show it.
 func (s *kindStats) waitedUntil(now time.Duration) [ageBuckets]float64 {
 	waited := s.waited
 	for _, since := range s.waiting {
@@ -141,7 +147,7 @@
 	return waited
 }
 
-// maxWait is the age from which the index is below the price.
+// maxWait returns the age at which the index first falls below the price, or MaxIdle if it never does.
 func (s *kindStats) maxWait(price float64) time.Duration {
 	for i, index := range s.index {
 		if index < price {
--- a/internal/keepalive/history.go
+++ b/internal/keepalive/history.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// History is what a policy has learned of the clients of each pool, for the process that succeeds this one: until that has learned
-// it itself, it would keep connections that are never used again.
+// History holds the reuse statistics of each pool's client connections. A process passes it to its successor: without it, the
+// successor would keep connections that are never reused until it had collected statistics of its own.
 type History map[PoolID][]KindHistory
 
-// KindHistory is that of one kind of connection, by bucket of age.
+// KindHistory holds the statistics of one kind of connection, by age bucket.
 type KindHistory struct {
 	Waited []float64 `json:"Waited"` // seconds
-	Used   []float64 `json:"Used"`   // uses that ended a wait
+	Used   []float64 `json:"Used"`   // waits that a request ended
 }
 
-// maxRestored is more than a policy can have observed in a bucket, in seconds as in uses.
+// maxRestored bounds the restored values, in seconds as well as in uses. No policy can observe that much in one bucket.
 const maxRestored = 1e9
 
-// History returns what has been learned so far.
+// History returns a copy of the statistics collected so far.
 func (p *IdlePolicy) History() History {
 	history := History{}
 	for pool, h := range p.pools {
@@ -27,7 +27,9 @@
 	return history
 }
 
-// Restore takes over the history of another policy, as far as it is one that a policy could have.
+// Restore replaces the statistics with those of another policy. It skips what no policy could have collected: pools with the wrong
+// number of kinds, kinds with the wrong number of buckets, and buckets with values out of range. It also skips all pools once the
+// policy holds the statistics of maxPools pools.
 func (p *IdlePolicy) Restore(history History) {
 	for pool, kinds := range history {
 		if len(kinds) != int(kindCount) || len(p.pools) >= maxPools {
@@ -42,6 +44,7 @@
 	}
 }
 
+// restore replaces the statistics of each bucket whose restored values are in range.
 func (s *kindStats) restore(k KindHistory) {
 	for i := range ageBuckets {
 		waited, used := k.Waited[i], k.Used[i]
--- a/internal/keepalive/policy.go
+++ b/internal/keepalive/policy.go
@@ -1,13 +1,13 @@
-// Package keepalive decides how long an idle connection of a client is kept: not at all, so that its response says
-// `Connection: close`, for a while, or for MaxIdle. It is pure: it knows neither sockets nor clocks. It
-// knows the pool that a connection was used for by an ID only.
+// Package keepalive decides how long an idle client connection is kept: not at all, in which case its response carries
+// `Connection: close`, for a limited time, or for MaxIdle. The package is pure: it uses no sockets and no clocks, and the caller
+// passes the time in. A connection's pool is known by its ID only.
 //
-// An idle connection takes a place, here and at its client, which may have a limit of its own. Its value is the rate at which such
-// connections are used again: the Gittins index of its kind and age, the most uses for each second of waiting that any further
-// wait can bring. The price of a place is one use in MaxIdle if all places are taken, and in proportion less if some are free. A
-// connection is kept while its index is at or above the price: one that is never used again is closed at once, one that is used
-// within MaxIdle is kept as long as there are places, and in between the wait grows with the free places. Once all places are
-// taken, the connection of the lowest index makes room.
+// An idle connection counts against the capacity of this process, and against the limit that its client may have. Its value is the
+// rate at which such connections are reused. It is measured by the Gittins index of the connection's kind and age: the most uses
+// per second of waiting that any further wait can bring. The price is one use per MaxIdle while the capacity is used up, and
+// proportionally less while part of it is free. A connection is kept while its index is at or above the price. A connection that is
+// never reused is closed at once. A connection that is reused within MaxIdle is kept as long as there is capacity. Between these
+// cases the wait grows with the free capacity. Once the capacity is used up, the connection with the lowest index is closed first.
 package keepalive
 
 import (
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// Kind tells connections apart by how often they have been used.
+// Kind classifies connections by the number of requests received on them.
 type Kind int
 
-// The kinds.
+// The kinds of connections.
 const (
 	NoRequest Kind = iota
 	OneRequest
@@ -26,65 +26,67 @@
 	kindCount
 )
 
-// PoolID is the pool that a connection's last request was for; 0: it has had none.
+// PoolID identifies the pool of a connection's last request. It is 0 for a connection without a request.
 type PoolID uint32
 
 const (
-	// MaxIdle is how long any connection may wait for a request.
+	// MaxIdle is the longest time that any connection may wait for a request.
 	MaxIdle = 2 * time.Second
-	// minFirstRequestWait is how long a new connection may always wait for its first request: the client has just asked for it.
+	// minFirstRequestWait is the time that a new connection may always wait for its first request, because its client has just opened
+	// it.
 	minFirstRequestWait = 100 * time.Millisecond
-	// exploreInterval: one in so many of the connections whose index is below the price is kept all the same, as nothing else
-	// would show that clients begin to use theirs again.
+	// exploreInterval is how often a connection is kept to explore: one in exploreInterval of those with an index below the price. No
+	// other connection would show that clients reuse their connections again.
 	exploreInterval = 16
-	// maxExploreShare is the fraction of all places that those may take.
+	// maxExploreShare is the largest fraction of the capacity that connections kept to explore may use.
 	maxExploreShare = 1.0 / 16
-	// evictAheadTime times the rate of new connections is how many places are freed ahead of them; closing one takes less.
+	// evictAheadTime sets the capacity that is kept free: enough for the connections that arrive within evictAheadTime at the current
+	// rate. Closing a connection takes less time.
 	evictAheadTime = 10 * time.Millisecond
-	// maxEvictAheadShare is the largest fraction of the places that are.
+	// maxEvictAheadShare is the largest fraction of the capacity that is kept free for new connections.
 	maxEvictAheadShare = 1.0 / 8
-	// maxPools bounds the pools whose history is kept while they have no connection.
+	// maxPools is the number of pools above which the statistics of pools without connections are deleted.
 	maxPools = 256
 )
 
-// IdlePolicy decides for one process. It is not safe for concurrent use.
+// IdlePolicy decides on the idle client connections of one process. It is not safe for concurrent use.
 type IdlePolicy struct {
-	capacity   int64 // places
-	open       int64 // connections
+	capacity   int64 // maximum number of open connections
+	open       int64 // open connections
 	exploring  int64 // connections that are kept to explore
-	skipped    int   // connections below the price since the last that explores
+	skipped    int   // connections below the price since the last one kept to explore
 	pools      map[PoolID]*poolHistory
 	arrivals   rate // of new connections
 	lastWaitID uint64
 }
 
-// poolHistory is what the clients of a pool do with their connections.
+// poolHistory holds the reuse statistics of a pool's client connections.
 type poolHistory struct {
 	kinds       [kindCount]kindStats
 	connections int
 }
 
-// New returns a policy for so many places.
-func New(places int64) *IdlePolicy {
-	return &IdlePolicy{capacity: max(1, places), pools: map[PoolID]*poolHistory{}}
+// New returns a policy for at most maxConnections open connections. Values below 1 are taken as 1.
+func New(maxConnections int64) *IdlePolicy {
+	return &IdlePolicy{capacity: max(1, maxConnections), pools: map[PoolID]*poolHistory{}}
 }
 
-// Resize changes the number of places.
-func (p *IdlePolicy) Resize(places int64) { p.capacity = max(1, places) }
+// Resize changes the maximum number of open connections. Values below 1 are taken as 1.
+func (p *IdlePolicy) Resize(maxConnections int64) { p.capacity = max(1, maxConnections) }
 
-// Opened notes a new connection.
+// Opened records a new connection.
 func (p *IdlePolicy) Opened(now time.Duration) {
 	p.open++
 	p.arrivals.add(now)
 }
 
-// Closed notes the end of one.
+// Closed records that a connection was closed.
 func (p *IdlePolicy) Closed() { p.open-- }
 
-// Assign notes that a connection is a pool's from now on, until Unassign.
+// Assign records that a connection belongs to a pool. Unassign must follow.
 func (p *IdlePolicy) Assign(pool PoolID) { p.historyOf(pool).connections++ }
 
-// Unassign notes that a connection is not the pool's any more.
+// Unassign records that a connection no longer belongs to the pool.
 func (p *IdlePolicy) Unassign(pool PoolID) {
 	h := p.historyOf(pool)
 	h.connections--
@@ -93,6 +95,7 @@
 	}
 }
 
+// historyOf returns the statistics of a pool. It creates them if the pool has none.
 func (p *IdlePolicy) historyOf(pool PoolID) *poolHistory {
 	h := p.pools[pool]
 	if h == nil {
@@ -105,26 +108,26 @@
 	return h
 }
 
-// price is the index, in uses a second, from which a connection is kept.
+// price returns the lowest index at which a connection is kept, in uses per second.
 func (p *IdlePolicy) price() float64 {
 	return min(1, float64(p.open)/float64(p.capacity)) / MaxIdle.Seconds()
 }
 
-// Wait is how long an idle connection may wait. It is passed back to EndIdle.
+// Wait is the decision on how long an idle connection may wait for its next request. The caller passes it back to EndIdle.
 type Wait struct {
 	Max     time.Duration // 0: the connection is closed with its response
-	Explore bool          // its index is below the price, and it is kept to see whether it is used
+	Explore bool          // the index is below the price, and the connection is kept to observe whether it is reused
 	id      uint64
 }
 
-// BeginIdle decides how long a connection that becomes idle may wait. EndIdle must follow, unless it is closed with its response.
+// BeginIdle decides how long a connection that becomes idle may wait. EndIdle must follow, unless Wait.Max is 0.
 func (p *IdlePolicy) BeginIdle(now time.Duration, pool PoolID, kind Kind) Wait {
 	stats := &p.historyOf(pool).kinds[kind]
 	stats.refreshIfDue(now)
 	wait := Wait{Max: stats.maxWait(p.price())}
 	if wait.Max < MaxIdle {
 		switch {
-		case p.mayExplore():
+		case p.tryExplore():
 			wait = Wait{Max: MaxIdle, Explore: true}
 		case kind == NoRequest:
 			wait.Max = max(wait.Max, minFirstRequestWait)
@@ -138,8 +141,8 @@
 	return wait
 }
 
-// mayExplore counts a connection whose index is below the price, and reports whether it is kept to explore.
-func (p *IdlePolicy) mayExplore() bool {
+// tryExplore counts a connection whose index is below the price, and reports whether the connection is kept to explore.
+func (p *IdlePolicy) tryExplore() bool {
 	p.skipped++
 	if p.skipped < exploreInterval || float64(p.exploring+1) > max(1, maxExploreShare*float64(p.capacity)) {
 		return false
@@ -149,8 +152,8 @@
 	return true
 }
 
-// EndIdle notes that a wait ended, after how long, and whether with a request. One that was cut short by the policy or the client
-// counts for the time that it took.
+// EndIdle records the end of a wait: its length, and whether a request ended it. A wait that the policy or the client cut short
+// counts for the time that it lasted.
 func (p *IdlePolicy) EndIdle(pool PoolID, kind Kind, wait Wait, after time.Duration, used bool) {
 	if wait.Explore {
 		p.exploring--
@@ -160,8 +163,8 @@
 	stats.record(after, used)
 }
 
-// Expired reports whether the index of a connection that waits, and has for so long, has fallen below the price by what was
-// learned since it began. Connections that explore are not to be asked about.
+// Expired reports whether the index of a connection that has waited for age is below the price, because the statistics or the price
+// have changed since its wait began. It must not be called for connections that are kept to explore.
 func (p *IdlePolicy) Expired(pool PoolID, kind Kind, age time.Duration) bool {
 	if kind == NoRequest && age < minFirstRequestWait {
 		return false
@@ -169,13 +172,14 @@
 	return p.GittinsIndex(pool, kind, age) < p.price()
 }
 
-// GittinsIndex orders connections that wait, in uses a second: the lowest makes room first.
+// GittinsIndex returns the index of a waiting connection, in uses per second. When capacity is needed, the connection with the
+// lowest index is closed first.
 func (p *IdlePolicy) GittinsIndex(pool PoolID, kind Kind, age time.Duration) float64 {
 	return p.historyOf(pool).kinds[kind].index[bucketOf(age)]
 }
 
-// ShouldEvictAhead reports whether a place is to be freed before the next connection comes, so that it need not wait for another
-// to be closed.
+// ShouldEvictAhead reports whether an idle connection is to be closed before the next connection arrives, so that the new
+// connection does not have to wait for another to be closed.
 func (p *IdlePolicy) ShouldEvictAhead(now time.Duration) bool {
 	free := float64(p.capacity - p.open)
 	return free < min(1+p.arrivals.at(now)*evictAheadTime.Seconds(), maxEvictAheadShare*float64(p.capacity))
@@ -184,12 +188,13 @@
 // rateDecayTime is the time constant of rates.
 const rateDecayTime = time.Second
 
-// rate is an exponentially decaying rate of events a second.
+// rate is an exponentially decaying average of events per second.
 type rate struct {
 	perSecond float64
 	updatedAt time.Duration
 }
 
+// at returns the rate, decayed from its last update until now.
 func (r *rate) at(now time.Duration) float64 {
 	if now <= r.updatedAt {
 		return r.perSecond
@@ -197,6 +202,7 @@
 	return r.perSecond * math.Exp(-float64(now-r.updatedAt)/float64(rateDecayTime))
 }
 
+// add counts an event.
 func (r *rate) add(now time.Duration) {
 	r.perSecond = r.at(now) + 1/rateDecayTime.Seconds()
 	r.updatedAt = max(r.updatedAt, now)
