--- a/internal/keepalive/gittins.go
+++ b/internal/keepalive/gittins.go
@@ -14,7 +14,7 @@
 	priorWeight = 1
 	// priorRate is in uses per second.
 	priorRate = 0.25
-	// historySize is the number of ended waits through a bucket that the exponential average covers. It is raised to
+	// historySize is the number of ended waits per bucket that the exponential average covers. It is at least
 	// historyPerWaiting times the number of ongoing waits, which count as well and would otherwise outweigh the ended ones.
 	historySize       = 200
 	historyPerWaiting = 8
--- a/internal/keepalive/policy_test.go
+++ b/internal/keepalive/policy_test.go
@@ -10,28 +10,28 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// simulation plays clients against a policy.
+// simulation runs clients against a policy.
 type simulation struct {
 	policy  *IdlePolicy
 	clients []simulatedClient
 }
 
-// simulatedClient has one connection at a time.
+// simulatedClient sends requests on at most one connection at a time.
 type simulatedClient struct {
 	nextRequest time.Duration
 	open        bool
-	requests    int // on the connection
+	requests    int // on the current connection
 	wait        Wait
 	idleSince   time.Duration
 }
 
 func (c *simulatedClient) kind() Kind { return Kind(min(c.requests, int(SeveralRequests))) }
 
-// runClients has each client send a request after each gap, on a new connection where its last was closed. It returns the
-// connections opened and the requests in the last second.
-func runClients(places int64, clients int, gap func(client int, now time.Duration) time.Duration, length time.Duration) (opened, requests int) {
+// runClients simulates clients for length. Each client sends its next request after gap, on a new connection if its last one was
+// closed. runClients returns the number of connections opened and of requests sent in the last second.
+func runClients(capacity int64, clients int, gap func(client int, now time.Duration) time.Duration, length time.Duration) (opened, requests int) {
 	const tick = 2 * time.Millisecond
-	s := simulation{policy: New(places), clients: make([]simulatedClient, clients)}
+	s := simulation{policy: New(capacity), clients: make([]simulatedClient, clients)}
 	for i := range s.clients {
 		s.clients[i].nextRequest = time.Duration(i) * time.Second / time.Duration(clients)
 	}
@@ -55,7 +55,7 @@
 	return opened, requests
 }
 
-// closeIfDue closes a client's connection once it has waited for as long as it may.
+// closeIfDue closes a client's connection once its wait has reached Wait.Max.
 func (s *simulation) closeIfDue(c *simulatedClient, now time.Duration) {
 	if c.open && now-c.idleSince >= c.wait.Max {
 		s.policy.EndIdle(1, c.kind(), c.wait, now-c.idleSince, false)
@@ -64,7 +64,7 @@
 	}
 }
 
-// request sends a request that is answered at once, and reports whether it needed a new connection.
+// request sends a request that gets its response at once, and reports whether the request needed a new connection.
 func (s *simulation) request(c *simulatedClient, now time.Duration) (isNew bool) {
 	if isNew = !c.open; isNew {
 		s.policy.Opened(now)
@@ -81,26 +81,27 @@
 	return isNew
 }
 
-// TestNoChurn checks that clients that all fit, and that send their next request before MaxIdle, keep their connections in the
-// end, whatever their number.
+// TestNoChurn guards against connections that are closed although there is capacity for all clients and each client sends its next
+// request before MaxIdle. In the last of 12 s, at most one request in ten may need a new connection, whatever the number of clients.
 func TestNoChurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.SampledFrom([]int64{21, 108, 453, 2000}).Draw(t, "places")
-		clients := int(float64(places) * rapid.Float64Range(0.1, 0.8).Draw(t, "fill"))
+		capacity := rapid.SampledFrom([]int64{21, 108, 453, 2000}).Draw(t, "places")
+		clients := int(float64(capacity) * rapid.Float64Range(0.1, 0.8).Draw(t, "fill"))
 		gap := time.Duration(rapid.IntRange(20, 1500).Draw(t, "gap")) * time.Millisecond
-		opened, requests := runClients(places, clients, func(int, time.Duration) time.Duration { return gap }, 12*time.Second)
+		opened, requests := runClients(capacity, clients, func(int, time.Duration) time.Duration { return gap }, 12*time.Second)
 		if requests > 0 && opened > requests/10 {
-			t.Fatalf("%d places, %d clients, every %v: %d of %d requests came on new connections at the end", places, clients, gap, opened, requests)
+			t.Fatalf("capacity %d, %d clients with a request every %v: %d of %d requests in the last second opened a connection, want at most a tenth", capacity, clients, gap, opened, requests)
 		}
 	})
 }
 
-// TestAskOnce checks that few connections are kept of clients that send one request and keep theirs open, whatever their rate.
+// TestAskOnce guards against capacity taken up by clients that send a single request and leave their connection open. At any rate of
+// such clients, idle connections may take up at most an eighth of the capacity.
 func TestAskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.SampledFrom([]int64{108, 164, 453}).Draw(t, "places")
-		rate := rapid.IntRange(int(places)/2, 4*int(places)).Draw(t, "rate")
-		policy := New(places)
+		capacity := rapid.SampledFrom([]int64{108, 164, 453}).Draw(t, "places")
+		rate := rapid.IntRange(int(capacity)/2, 4*int(capacity)).Draw(t, "rate")
+		policy := New(capacity)
 		type idleConn struct {
 			wait  Wait
 			since time.Duration
@@ -129,28 +130,30 @@
 				kept = max(kept, len(idle))
 			}
 		}
-		if limit := max(2, int(places)/8); kept > limit {
-			t.Fatalf("%d places, %d a second: %d idle ones are kept, at most %d should be", places, rate, kept, limit)
+		if limit := max(2, int(capacity)/8); kept > limit {
+			t.Fatalf("capacity %d, %d connections per second with one request each: %d idle connections are kept, want at most %d", capacity, rate, kept, limit)
 		}
 	})
 }
 
-// TestMixed checks that kinds are told apart: beside clients that send one request, those that go on keep their connections.
+// TestMixed guards against one kind of connection affecting another: regular clients keep their connections although most clients
+// send a single request on each connection.
 func TestMixed(t *testing.T) {
-	const places, regulars = 164, 40
-	opened, requests := runClients(places, regulars+200, func(i int, _ time.Duration) time.Duration {
+	const capacity, regulars = 164, 40
+	opened, requests := runClients(capacity, regulars+200, func(i int, _ time.Duration) time.Duration {
 		if i < regulars {
 			return 100 * time.Millisecond
 		}
 		return 5 * time.Second // longer than any connection may wait
 	}, 15*time.Second)
-	// 40 of the requests a second are those of the others, which need a new connection each.
+	// The other clients send 40 requests per second, each of which needs a new connection.
 	if others := 200 / 5; opened > others+regulars/4 {
-		t.Errorf("%d of %d requests came on new connections, of which %d had to", opened, requests, others)
+		t.Errorf("%d of %d requests opened a connection, want at most 10 more than the %d of the clients that send one every 5 s", opened, requests, others)
 	}
 }
 
-// TestChange checks that the policy finds out when clients begin to use their connections again.
+// TestChange guards against a policy that closes all connections forever after a time without reuse: once clients reuse their
+// connections again, the policy observes that and keeps the connections.
 func TestChange(t *testing.T) {
 	opened, requests := runClients(164, 300, func(i int, now time.Duration) time.Duration {
 		if now < 10*time.Second {
@@ -162,40 +165,41 @@
 		return 200 * time.Millisecond
 	}, 30*time.Second)
 	if requests < 200 || opened > requests/20 {
-		t.Errorf("%d of %d requests came on new connections, 17 s after all began to send one every 200 ms", opened, requests)
+		t.Errorf("%d of %d requests opened a connection 17 s after the clients began to send one every 200 ms, want at least 200 requests and one connection per 20", opened, requests)
 	}
 }
 
-// TestCease checks that waits that go on count: where none has ended for a second, they show that none will be used.
+// TestCease guards against statistics of ended waits only. When no wait has ended for a second, the ongoing waits must show that the
+// connections are not reused.
 func TestCease(t *testing.T) {
-	const places, conns = 164, 60
-	policy := New(places)
+	const capacity, conns = 164, 60
+	policy := New(capacity)
 	now := time.Duration(0)
 	for range conns {
 		now += 5 * time.Millisecond
 		policy.Opened(now)
 		if w := policy.BeginIdle(now, 1, OneRequest); w.Max < MaxIdle {
-			t.Fatalf("with free places and nothing known, one may wait only %v", w.Max)
+			t.Fatalf("a connection may wait only %v, with free capacity and no statistics, want MaxIdle", w.Max)
 		}
 	}
 	if policy.Expired(1, OneRequest, 300*time.Millisecond) {
-		t.Fatal("expired after 300 ms, with free places and next to nothing known")
+		t.Fatal("a connection expired after 300 ms, with free capacity and almost no statistics")
 	}
 	now += time.Second
 	for range refreshInterval {
 		policy.BeginIdle(now, 1, OneRequest)
 	}
 	if !policy.Expired(1, OneRequest, time.Second) {
-		t.Errorf("one that has waited 1 s beside %d others has index %v", conns, policy.GittinsIndex(1, OneRequest, time.Second))
+		t.Errorf("a connection that has waited 1 s beside %d others has not expired: its index is %v", conns, policy.GittinsIndex(1, OneRequest, time.Second))
 	}
 }
 
-// TestBounds checks for any events that waits keep to their bounds, that an index is a number, and that those that explore keep
-// to their share.
+// TestBounds checks for any sequence of events that each wait is within its bounds, that each index is a finite number of at least 0,
+// and that the connections kept to explore stay within their share.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.Int64Range(1, 1000).Draw(t, "places")
-		policy := New(places)
+		capacity := rapid.Int64Range(1, 1000).Draw(t, "places")
+		policy := New(capacity)
 		now := time.Duration(0)
 		type idleConn struct {
 			pool PoolID
@@ -222,7 +226,7 @@
 			c.wait = policy.BeginIdle(now, c.pool, c.kind)
 			switch {
 			case c.wait.Max < 0 || c.wait.Max > MaxIdle || c.kind == NoRequest && c.wait.Max < minFirstRequestWait:
-				t.Fatalf("a wait of %v for kind %d", c.wait.Max, c.kind)
+				t.Fatalf("BeginIdle allows a wait of %v for kind %d", c.wait.Max, c.kind)
 			case c.wait.Max == 0:
 				policy.Closed()
 				continue
@@ -230,18 +234,18 @@
 			if c.wait.Explore {
 				exploring++
 			}
-			if float64(exploring) > max(1, maxExploreShare*float64(places)) {
-				t.Fatalf("%d of %d places explore", exploring, places)
+			if float64(exploring) > max(1, maxExploreShare*float64(capacity)) {
+				t.Fatalf("%d connections are kept to explore at a capacity of %d", exploring, capacity)
 			}
 			if w := policy.GittinsIndex(c.pool, c.kind, now); !(w >= 0 && w < 1e4) {
-				t.Fatalf("index %v", w)
+				t.Fatalf("index %v, want at least 0 and less than 10000", w)
 			}
 			idle = append(idle, c)
 		}
 	})
 }
 
-// BenchmarkIdle measures what the policy adds to a request.
+// BenchmarkIdle measures the cost of the policy per request.
 func BenchmarkIdle(b *testing.B) {
 	policy := New(453)
 	policy.Opened(0)
@@ -252,7 +256,8 @@
 	}
 }
 
-// TestRestore checks that a restored history counts at once, and that figures that no policy can have learned do not.
+// TestRestore checks that a restored history takes effect at once, and that a history with values that no policy can collect is
+// ignored.
 func TestRestore(t *testing.T) {
 	old := New(100)
 	for i := range 300 {
@@ -265,22 +270,22 @@
 		}
 	}
 	next := New(100)
-	for range 20 { // as many places are taken
+	for range 20 { // as many connections as are open in old
 		next.Opened(0)
 	}
 	if w := next.BeginIdle(0, 1, OneRequest); w.Max < time.Second {
-		t.Fatalf("with nothing known one may wait only %v", w.Max)
+		t.Fatalf("a connection may wait only %v without statistics, want at least 1 s", w.Max)
 	}
 	next.Restore(old.History())
 	if w := next.BeginIdle(0, 1, OneRequest); w.Max > 100*time.Millisecond {
-		t.Errorf("what is never used again may wait %v", w.Max)
+		t.Errorf("a connection of a kind that is never reused may wait %v after Restore, want at most 100 ms", w.Max)
 	}
 	if w := next.BeginIdle(0, 1, SeveralRequests); w.Max < time.Second {
-		t.Errorf("of another kind one may wait only %v", w.Max)
+		t.Errorf("a connection of another kind may wait only %v after Restore, want at least 1 s", w.Max)
 	}
 	index := next.GittinsIndex(1, SeveralRequests, 0)
 	next.Restore(History{1: {{}, {}, {Waited: make([]float64, ageBuckets), Used: make([]float64, ageBuckets)}}, 2: {{}}})
 	if w := next.GittinsIndex(1, SeveralRequests, 0); w != index {
-		t.Errorf("index %v after an impossible history, %v before", w, index)
+		t.Errorf("index %v after an invalid history was restored, %v before", w, index)
 	}
 }
