--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -1,51 +1,52 @@
-// Package quota divides what one process has among its pools: open requests, memory for bodies, connections, and the time of
-// its processor. It is pure: events in, decisions out, with the time passed in. It knows no socket, clock or goroutine, and
-// nothing of servers, routes or requests beyond their sizes.
+// Package quota divides the resources of one process among its pools: open requests, memory for bodies, connections, and CPU time.
+// The package is pure: events in, decisions out, with the time passed in. It uses no sockets, clocks or goroutines. It
+// takes only the number of ready servers and the sizes of requests, and does not depend on routes.
 package quota
 
 import "math"
 
-// PoolID names a pool within one process. IDs are never used twice.
+// PoolID identifies a pool within one process. IDs are never reused.
 type PoolID uint32
 
-// Claim is what a pool may have of one resource, in its units.
+// Claim is a pool's share of one resource, in the units of the resource.
 type Claim struct {
-	Reserved int64 // kept free for the pool, whatever others ask for
-	Limit    int64 // the pool never has more
+	Reserved int64 // units kept free for the pool, whatever the other pools use
+	Limit    int64 // the most units that the pool may use
 }
 
-// Unlimited is the Limit of a claim that only the whole resource bounds.
+// Unlimited is the Limit of a claim that is bounded only by the total of the resource.
 const Unlimited = math.MaxInt64
 
-// Budget is a resource that several pools share. Each has a part that is reserved for it, and the rest goes to who asks first:
-// so a pool that asks for all can have all that is not reserved for others, and no more. It is not safe for concurrent use, and
-// the zero Budget holds nothing.
+// Budget is a resource shared by several pools. Each pool has reserved units, and the rest is allocated first come, first served. A
+// single pool can therefore acquire all units that are not reserved for others, and no more. A Budget is not safe for concurrent use.
+// The zero Budget has no units.
 type Budget struct {
 	total         int64
 	used          int64
-	unusedReserve int64 // sum over the pools of what is reserved for them and not used
+	unusedReserve int64 // units that are reserved and not used, summed over all pools
 	claims        map[PoolID]*usage
 }
 
-// usage is a pool's claim and what it uses.
+// usage is a pool's claim and the units that the pool uses.
 type usage struct {
 	Claim
 	used    int64
-	removed bool // deleted once nothing is used
+	removed bool // the entry is deleted once used is 0
 }
 
+// unusedReserve returns the units that are reserved for the pool and not used.
 func (u *usage) unusedReserve() int64 { return max(0, u.Reserved-u.used) }
 
-// NewBudget returns a Budget of total units, taken as 0 if it is negative.
+// NewBudget returns a Budget of total units. A negative total is taken as 0.
 func NewBudget(total int64) Budget {
 	return Budget{total: max(0, total), claims: map[PoolID]*usage{}}
 }
 
-// Resize changes the total. What is acquired beyond it stays acquired until it is released.
+// Resize changes the total. Units acquired beyond the new total stay acquired until they are released.
 func (b *Budget) Resize(total int64) { b.total = max(0, total) }
 
-// Set gives a pool a claim, or changes it. The reserves of all pools together should not exceed the total; where they do, who
-// comes first has its reserve.
+// Set sets or changes the claim of a pool. The sum of all reserves should not exceed the total. If it does, pools get their reserves
+// first come, first served. A reserve above the pool's limit is reduced to the limit.
 func (b *Budget) Set(pool PoolID, claim Claim) {
 	u := b.claims[pool]
 	if u == nil {
@@ -58,7 +59,7 @@
 	b.unusedReserve += u.unusedReserve()
 }
 
-// Remove ends a pool's claim: it acquires nothing more, and what it has is still to be released.
+// Remove removes the claim of a pool. The pool can acquire no more units, and its acquired units must still be released.
 func (b *Budget) Remove(pool PoolID) {
 	u := b.claims[pool]
 	if u == nil {
@@ -69,14 +70,15 @@
 	b.deleteIfUnused(pool, u)
 }
 
+// deleteIfUnused deletes the entry of a removed pool that uses no units.
 func (b *Budget) deleteIfUnused(pool PoolID, u *usage) {
 	if u.removed && u.used == 0 {
 		delete(b.claims, pool)
 	}
 }
 
-// Acquire acquires n units, at least 0, for a pool, and reports whether it could: not beyond the pool's limit, nor of what is
-// reserved for others.
+// Acquire acquires n units for a pool and reports whether it succeeded. It fails for a negative n, for a pool without a claim, beyond
+// the pool's limit, and where it would take units that are reserved for other pools.
 func (b *Budget) Acquire(pool PoolID, n int64) bool {
 	u := b.claims[pool]
 	if u == nil || n < 0 || n > u.Limit-u.used {
@@ -94,7 +96,7 @@
 	return true
 }
 
-// Release gives back n units that a pool has acquired; of more than it has, all.
+// Release releases n units of a pool, or all units of the pool if it has fewer.
 func (b *Budget) Release(pool PoolID, n int64) {
 	u := b.claims[pool]
 	if u == nil || n <= 0 {
@@ -108,7 +110,7 @@
 	b.deleteIfUnused(pool, u)
 }
 
-// Used is how many units a pool has.
+// Used returns the number of units that a pool uses.
 func (b *Budget) Used(pool PoolID) int64 {
 	if u := b.claims[pool]; u != nil {
 		return u.used
@@ -116,11 +118,11 @@
 	return 0
 }
 
-// TotalUsed is how many units all pools have together.
+// TotalUsed returns the number of units that all pools use together.
 func (b *Budget) TotalUsed() int64 { return b.used }
 
-// Excess is how many more units a pool has than are reserved for it, negative if it has fewer: the pool with the most gives way
-// first when another needs one.
+// Excess returns the number of units that a pool uses beyond its reserve, negative if it uses fewer. When another pool needs a unit,
+// the pool with the highest excess is the first to release one.
 func (b *Budget) Excess(pool PoolID) int64 {
 	if u := b.claims[pool]; u != nil {
 		return u.used - u.Reserved
@@ -128,7 +130,7 @@
 	return 0
 }
 
-// AtLimit reports whether a pool has all that it may ever have.
+// AtLimit reports whether a pool uses all units of its limit. The result is true for a pool without a claim.
 func (b *Budget) AtLimit(pool PoolID) bool {
 	u := b.claims[pool]
 	return u == nil || u.used >= u.Limit
--- a/internal/quota/budget_test.go
+++ b/internal/quota/budget_test.go
@@ -6,14 +6,14 @@
 	"pgregory.net/rapid"
 )
 
-// budgetModel is what a budget must hold to, in the simplest terms.
+// budgetModel is a reference model of a Budget. It recomputes every sum on each call.
 type budgetModel struct {
 	total  int64
 	used   map[PoolID]int64
 	claims map[PoolID]Claim
 }
 
-// reserved is what is reserved and not used, of all pools but one.
+// reserved returns the units that are reserved and not used, summed over all pools except one.
 func (m *budgetModel) reserved(except PoolID) (sum int64) {
 	for pool, claim := range m.claims {
 		if pool != except {
@@ -23,6 +23,7 @@
 	return sum
 }
 
+// totalUsed returns the units that all pools use together.
 func (m *budgetModel) totalUsed() (sum int64) {
 	for _, n := range m.used {
 		sum += n
@@ -30,41 +31,42 @@
 	return sum
 }
 
-// checkAcquire checks the answer to a pool that wants n units.
+// checkAcquire checks the result of Acquire for n units. The model must still be in the state before the call.
 func (m *budgetModel) checkAcquire(t *rapid.T, pool PoolID, n int64, acquired bool) {
 	claim, claimed := m.claims[pool]
 	has := m.used[pool]
 	entitled := claimed && has+n <= claim.Reserved && m.totalUsed()+n+m.reserved(pool) <= m.total
 	switch {
 	case acquired && !claimed:
-		t.Fatalf("pool %d acquired %d without a claim", pool, n)
+		t.Fatalf("pool %d acquired %d units without a claim", pool, n)
 	case acquired && has+n > claim.Limit:
-		t.Fatalf("pool %d acquired %d and has %d, over its limit of %d", pool, n, has+n, claim.Limit)
+		t.Fatalf("pool %d acquired %d units and uses %d, more than its limit of %d", pool, n, has+n, claim.Limit)
 	case acquired && m.totalUsed()+n > m.total:
-		t.Fatalf("%d of %d are used", m.totalUsed()+n, m.total)
+		t.Fatalf("%d units of a total of %d are used", m.totalUsed()+n, m.total)
 	case acquired && m.totalUsed()+n+m.reserved(pool)+max(0, claim.Reserved-has-n) > m.total:
-		t.Fatalf("pool %d acquired %d of what is reserved for others", pool, n)
+		t.Fatalf("pool %d acquired %d units, some of which are reserved for other pools", pool, n)
 	case !acquired && entitled:
-		t.Fatalf("pool %d has %d, and was denied %d of the %d reserved for it", pool, has, n, claim.Reserved)
+		t.Fatalf("pool %d uses %d units and failed to acquire %d of the %d reserved for it", pool, has, n, claim.Reserved)
 	}
 }
 
+// checkUsed compares the sums of the budget with those of the model.
 func (m *budgetModel) checkUsed(t *rapid.T, b *Budget) {
 	if b.TotalUsed() != m.totalUsed() {
-		t.Fatalf("%d in use, want %d", b.TotalUsed(), m.totalUsed())
+		t.Fatalf("%d units are used, want %d", b.TotalUsed(), m.totalUsed())
 	}
 	for pool, n := range m.used {
 		if b.Used(pool) != n {
-			t.Fatalf("pool %d has %d, want %d", pool, b.Used(pool), n)
+			t.Fatalf("pool %d uses %d units, want %d", pool, b.Used(pool), n)
 		}
 	}
 	if b.unusedReserve != m.reserved(0) {
-		t.Fatalf("%d are reserved, want %d", b.unusedReserve, m.reserved(0))
+		t.Fatalf("%d reserved units are unused, want %d", b.unusedReserve, m.reserved(0))
 	}
 }
 
-// TestBudget checks over any order of claims, acquisitions and releases that never more than the total is used, that no pool has
-// more than its limit, and that a pool always gets what is reserved for it.
+// TestBudget checks for any sequence of Set, Remove, Acquire and Release that the pools never use more than the total, that no pool
+// uses more than its limit, and that a pool can always acquire its reserve.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &budgetModel{total: rapid.Int64Range(0, 100).Draw(t, "total"), used: map[PoolID]int64{}, claims: map[PoolID]Claim{}}
@@ -73,7 +75,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"set": func(t *rapid.T) {
 				pool := pools.Draw(t, "pool")
-				free := m.total - m.totalUsed() - m.reserved(pool) + m.used[pool] // all reserves must fit into the total
+				free := m.total - m.totalUsed() - m.reserved(pool) + m.used[pool] // the sum of all reserves must not exceed the total
 				claim := Claim{Reserved: rapid.Int64Range(0, max(0, free)).Draw(t, "reserved")}
 				claim.Limit = claim.Reserved + rapid.Int64Range(0, 50).Draw(t, "more")
 				b.Set(pool, claim)
--- a/internal/quota/pacer_test.go
+++ b/internal/quota/pacer_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestPacer checks that a pool that is alone or within its fair share is not delayed, nor any while the processor is not
-// overloaded, and that the pool that does most of the work is delayed while it is.
+// TestPacer checks that no pool is delayed while the CPU is not overloaded, and that a single pool or a pool within its fair share is
+// never delayed. While the CPU is overloaded, a pool above its fair share must be delayed.
 func TestPacer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPacer()
@@ -41,20 +41,20 @@
 			excess := work[i]/max(total, 1e-9) - weights[i]/sum
 			switch {
 			case delay < 0 || delay > maxReadDelay:
-				t.Fatalf("delayed by %v", delay)
+				t.Fatalf("pool is delayed by %v, want 0 to maxReadDelay", delay)
 			case delay > 0 && (!overloaded || len(weights) == 1 || excess <= 0.1-1e-9):
-				t.Fatalf("pool %d delayed by %v: overloaded %v, %d pools, in excess by %.2f", i+1, delay, overloaded, len(weights), excess)
+				t.Fatalf("pool %d is delayed by %v, want no delay: overloaded %v, %d pools, %.2f above its fair share", i+1, delay, overloaded, len(weights), excess)
 			case delay == 0 && overloaded && len(weights) > 1 && excess > 0.11:
-				t.Fatalf("pool %d, in excess by %.2f, not delayed while overloaded", i+1, excess)
+				t.Fatalf("pool %d is not delayed although the CPU is overloaded and the pool is %.2f above its fair share", i+1, excess)
 			}
 		}
 		if a, b := p.ReadDelay(now, 1, 1), p.ReadDelay(now, 1, 4); a <= 0 || b < a || b > maxReadDelay {
-			t.Fatalf("delayed by %v after one rejection and %v after four", a, b)
+			t.Fatalf("the delay is %v after one rejection and %v after four, want both above 0, no decrease, and at most maxReadDelay", a, b)
 		}
 		p.Remove(1)
 		p.RecordWork(now+time.Hour, 2, 1)
 		if p.totalWork > 1+1e-9 {
-			t.Fatalf("work of an hour ago counts: %v", p.totalWork)
+			t.Fatalf("total work is %v one hour later with 1 unit of new work, want 1", p.totalWork)
 		}
 	})
 }
