--- a/internal/spillover/eligibility.go
+++ b/internal/spillover/eligibility.go
@@ -7,18 +7,19 @@
 	"sorrelrudder/policy"
 )
 
-// Rules say which attempts of a request of a class may follow others.
+// Rules are the retry rules of a class of requests. A request that is neither idempotent nor has an idempotency key must never run
+// twice.
 type Rules struct {
 	Idempotent        bool
-	HasIdempotencyKey bool // without either the request must never run twice
-	SharedDedup       bool // the servers of both sites drop its repeats together
+	HasIdempotencyKey bool
+	SharedDedup       bool // the servers of both sites share the dedup scope in which they drop repeats
 }
 
-// MayForward reports whether a request with these prior attempts may be forwarded at all, to a site that is reached within a
-// round trip. It must have attempts left of maxAttempts, which both sites share. One that may have run is forwarded only if it is
-// idempotent, or if the remote site drops its repeat, and still does when it arrives there. One with an idempotency key whose
-// repeats the sites drop each for itself is never forwarded, even if nothing of it has run: its client may have sent it before,
-// or send it again, and that attempt could run here. The decision module judges the attempts once more.
+// MayForward reports whether a request with these prior attempts may be forwarded to a site that its next attempt reaches within
+// roundTrip. The prior attempts must be fewer than maxAttempts, which counts the attempts at both sites. A request that may have run
+// is forwarded only if it is idempotent, or if the remote site still drops its repeat when the attempt arrives there. A request with
+// an idempotency key is never forwarded without SharedDedup, even if no attempt has run: the client may have sent the request before,
+// or may send it again, and that attempt could run at the local site. The decision module checks the attempts again.
 func MayForward(rules Rules, prior []policy.PriorAttempt, maxAttempts int, roundTrip time.Duration) bool {
 	if len(prior) >= maxAttempts || rules.HasIdempotencyKey && !rules.SharedDedup {
 		return false
--- a/internal/spillover/grant.go
+++ b/internal/spillover/grant.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// GrantConfig are the parameters of the capacity that a site grants to others.
+// GrantConfig holds the parameters of the capacity that a site grants to other sites.
 type GrantConfig struct {
-	Window  time.Duration // over which the site's own state is judged, above 0
+	Window  time.Duration // over which the local site's capacity is measured, above 0
 	Initial int           // requests granted at the start
-	Max     int           // requests granted at most
-	// MaxRejectedRatio is the fraction of its own requests that a site may reject in a window and still count as having capacity,
-	// 0 to 1.
+	Max     int           // maximum number of requests granted
+	// MaxRejectedRatio is the largest fraction of its local requests, 0 to 1, that a site may reject in a window without counting as
+	// short of capacity.
 	MaxRejectedRatio float64
 }
 
 const (
-	// maxIdleWindows is how many windows in a row are judged one by one when nothing has happened for long.
+	// maxIdleWindows limits how many past windows are evaluated one by one after a long time without events.
 	maxIdleWindows = 8
-	// congestionAvoidanceDivisor: above the slow start threshold the grant grows by its size over this.
+	// congestionAvoidanceDivisor sets the growth from the slow start threshold on: the grant grows by its size divided by this.
 	congestionAvoidanceDivisor = 4
 )
 
-// Grant decides how many requests of other sites a site takes at once. As in TCP's slow start and congestion avoidance, the grant
-// is doubled in each window in which it was used and the site rejected nothing, halved in each in which it did, and above half of
-// what was last too much it grows by a quarter. A site that is short of capacity itself soon takes nothing, and asks for little
-// again once it is not. It is not safe for concurrent use.
+// Grant decides how many requests of other sites a site accepts at the same time. It follows TCP's slow start and congestion
+// avoidance. After a window in which at least half of the grant was used and no remote request was rejected, the grant doubles, or
+// grows by a quarter once it is at least half of the last size that was too large. After a window in which the site was short of
+// capacity, or rejected at least half of the remote requests, the grant is halved. A site with a capacity shortage of its own soon
+// grants nothing. After the shortage it starts again with one request. A Grant is not safe for concurrent use.
 type Grant struct {
 	cfg                GrantConfig
 	size               float64 // requests
-	slowStartThreshold float64 // the size from which it grows by a quarter; 0: nothing was too much yet
+	slowStartThreshold float64 // the size from which the grant grows by a quarter; 0: no size was too large yet
 	windowStart        time.Duration
 
-	localRequests, localRejected   int // of the site's own clients in the window
-	remoteRequests, remoteRejected int // of other sites in the window
-	maxInFlight                    int // of other sites' requests in the window
-	inFlight                       int // other sites' requests
+	localRequests, localRejected   int // requests of the site's own clients in the window
+	remoteRequests, remoteRejected int // requests of other sites in the window
+	maxInFlight                    int // maximum of inFlight in the window
+	inFlight                       int // requests of other sites
 }
 
-// NewGrant returns what a site grants at its start.
+// NewGrant returns a grant of cfg.Initial requests.
 func NewGrant(cfg GrantConfig) *Grant {
 	return &Grant{cfg: cfg, size: float64(min(cfg.Initial, cfg.Max))}
 }
 
-// RecordLocal notes a request of the site's own clients.
+// RecordLocal records a request of one of the site's own clients.
 func (g *Grant) RecordLocal(now time.Duration) {
 	g.advanceWindow(now)
 	g.localRequests++
 }
 
-// RecordLocalRejected notes that one of them was rejected.
+// RecordLocalRejected records that a request passed to RecordLocal was rejected.
 func (g *Grant) RecordLocalRejected(now time.Duration) {
 	g.advanceWindow(now)
 	g.localRejected++
 }
 
-// RecordRemote notes that a request of another site has come. RecordRemoteDone must follow.
+// RecordRemote records the arrival of a request of another site. RecordRemoteDone must follow.
 func (g *Grant) RecordRemote(now time.Duration) {
 	g.advanceWindow(now)
 	g.remoteRequests++
@@ -60,7 +61,7 @@
 	g.maxInFlight = max(g.maxInFlight, g.inFlight)
 }
 
-// RecordRemoteDone notes that one has its response, and whether it was rejected.
+// RecordRemoteDone records that a request of another site is done, and whether it was rejected.
 func (g *Grant) RecordRemoteDone(now time.Duration, rejected bool) {
 	g.advanceWindow(now)
 	g.inFlight = max(0, g.inFlight-1)
@@ -69,13 +70,13 @@
 	}
 }
 
-// Available is how many more requests of other sites may come now, beside those in flight.
+// Available returns the number of requests of other sites that the grant allows now in addition to those in flight.
 func (g *Grant) Available(now time.Duration) int {
 	g.advanceWindow(now)
 	return max(0, int(g.size)-g.inFlight)
 }
 
-// advanceWindow closes the windows that are over.
+// advanceWindow ends each window that is over and resizes the grant by it.
 func (g *Grant) advanceWindow(now time.Duration) {
 	for n := 0; now-g.windowStart >= g.cfg.Window; n++ {
 		if n > maxIdleWindows {
@@ -89,7 +90,7 @@
 	}
 }
 
-// resize sets the size by the window that is over.
+// resize changes the size of the grant by the counts of the window that has ended.
 func (g *Grant) resize() {
 	shortOfCapacity := g.localRequests > 0 && float64(g.localRejected) > g.cfg.MaxRejectedRatio*float64(g.localRequests)
 	mostRemoteRejected := g.remoteRejected > 0 && 2*g.remoteRejected >= g.remoteRequests
@@ -101,9 +102,9 @@
 		if g.size < 1 {
 			g.size = 0
 		}
-	case g.remoteRejected > 0: // about as much as the site can take
+	case g.remoteRejected > 0: // the size is about the site's capacity and stays
 	case g.size < 1:
-		g.size = 1 // one request shows whether there is capacity again
+		g.size = 1 // one request shows whether the site has capacity again
 	case wasUsed:
 		growth := g.size
 		if g.slowStartThreshold > 0 && g.size >= g.slowStartThreshold {
--- a/internal/spillover/grant_test.go
+++ b/internal/spillover/grant_test.go
@@ -11,7 +11,7 @@
 	return GrantConfig{Window: 200 * time.Millisecond, Initial: 8, Max: 64, MaxRejectedRatio: 0.02}
 }
 
-// TestGrantBounds checks for any events that a grant keeps to its bounds.
+// TestGrantBounds checks for any sequence of events that the requests in flight and those still available stay within the maximum.
 func TestGrantBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewGrant(grantConfig())
@@ -33,18 +33,18 @@
 				}
 			}
 			if available := g.Available(now); available < 0 || available+inFlight > max(64, inFlight) {
-				t.Fatalf("%d are in flight and %d more are granted", inFlight, available)
+				t.Fatalf("%d requests are in flight and %d more are granted, want at most 64 together", inFlight, available)
 			}
 		}
 	})
 }
 
-// TestGrantEnds checks that a site that is short of capacity itself takes nothing within a few windows, and grants again once it
-// is not.
+// TestGrantEnds guards against a site that keeps its grant during a capacity shortage of its own. The grant must fall to at most one
+// request within a few windows, and must grow again after the shortage.
 func TestGrantEnds(t *testing.T) {
 	g := NewGrant(grantConfig())
 	now := time.Duration(0)
-	play := func(windows int, rejects bool) {
+	runWindows := func(windows int, rejects bool) {
 		for range windows * 20 {
 			now += 10 * time.Millisecond
 			g.RecordLocal(now)
@@ -60,16 +60,16 @@
 			}
 		}
 	}
-	play(20, false)
+	runWindows(20, false)
 	if g.Available(now) < 8 {
-		t.Fatalf("a site with capacity grants %d", g.Available(now))
+		t.Fatalf("a site with capacity grants %d requests, want at least 8", g.Available(now))
 	}
-	play(7, true)
+	runWindows(7, true)
 	if g.Available(now) > 1 {
-		t.Fatalf("a site that rejects its own clients' requests grants %d", g.Available(now))
+		t.Fatalf("a site that rejects requests of its own clients grants %d requests, want at most 1", g.Available(now))
 	}
-	play(20, false)
+	runWindows(20, false)
 	if g.Available(now) < 4 {
-		t.Fatalf("a site that has capacity again grants %d", g.Available(now))
+		t.Fatalf("a site with capacity again grants %d requests, want at least 4", g.Available(now))
 	}
 }
--- a/internal/spillover/link.go
+++ b/internal/spillover/link.go
@@ -1,11 +1,12 @@
-// Package spillover decides when requests are forwarded to another site, how many and of which class, and how many of other sites'
-// requests this one takes. It is pure: events in, decisions out, with the time passed in; no clock, socket or goroutine. It does
-// not know how a request is forwarded, and it never allows an attempt by itself: whether one at the remote site may begin is for
-// the decision module, which sees the remote site as endpoints; this package says how many of them there are.
+// Package spillover decides when requests are forwarded to another site, how many and of which class, and how many requests of other
+// sites the local site accepts. The package is pure: events in, decisions out, with the time passed in. It uses no clock, socket or
+// goroutine, and it does not depend on how a request is forwarded. It never allows an attempt on its own: the decision module, which
+// sees the remote site as endpoints, decides whether an attempt at the remote site may begin. This package determines how many of
+// these endpoints there are.
 //
-// Local first: a request is offered to the remote site only if the local one has just rejected, for want of capacity, what has as
-// much priority. The remote site grants credits, so that forwarded requests never overload it, and a link that was dead is checked
-// before it carries load again.
+// Requests are served locally first: a request is offered to the remote site only if the local site has just rejected requests of the
+// same priority because of a capacity shortage. The remote site grants credits, so that forwarded requests never overload it. A dead
+// link must pass health checks before requests are forwarded on it again.
 package spillover
 
 import (
@@ -19,26 +20,28 @@
 
 // The states of a link.
 const (
-	// Dead: nothing is forwarded. Health checks are sent with a backoff.
+	// Dead means that no requests are forwarded. Health checks are sent with a backoff.
 	Dead State = iota
-	// Checking: too few health checks in a row have passed since the link was dead.
+	// Checking means that too few health checks in a row have passed since the link was dead. No requests are forwarded.
 	Checking
-	// Open: requests may be forwarded, within the credits granted.
+	// Open means that requests may be forwarded within the credits granted.
 	Open
-	// Stalled: nothing was heard for too long while requests are in flight. Nothing is forwarded; what is in flight may have run.
+	// Stalled means that no message of the remote site arrived within StallTimeout while requests were in flight. No requests are
+	// forwarded. Those in flight may have run.
 	Stalled
-	// Draining: one of the two sites drains. Nothing new is forwarded; what is in flight is waited for.
+	// Draining means that one of the two sites is draining. No new requests are forwarded. Those in flight may still return.
 	Draining
 )
 
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"dead", "probing", "open", "stalled", "draining"}[s]
 }
 
-// Cause says why a link changed its state, for the log.
+// Cause is the reason for a change of a link's state, for the log.
 type Cause string
 
-// The causes.
+// The causes of a change of state.
 const (
 	causeStalled         Cause = "nothing came back while requests were out"
 	causeCheckFailed     Cause = "a probe did not come back"
@@ -48,22 +51,22 @@
 	causeDrained         Cause = "no site drains any more"
 )
 
-// Config are the parameters of a link. All times are above 0.
+// Config holds the parameters of a link. All times are above 0.
 type Config struct {
-	// HealthCheckInterval is the time from a failed health check to the next. It doubles with each in a row, up to
+	// HealthCheckInterval is the time from a failed health check to the next one. It doubles with each failure in a row, up to
 	// MaxHealthCheckInterval.
 	HealthCheckInterval, MaxHealthCheckInterval time.Duration
-	// HealthyThreshold is how many health checks in a row must pass for a link that was dead to open, at least 1.
+	// HealthyThreshold is the number of health checks in a row that must pass before a dead link opens, at least 1.
 	HealthyThreshold int
-	// StallTimeout is how long nothing may be heard, while requests are in flight, until the link is stalled. It is a few round
-	// trips, not the time of a request: the remote site acknowledges what it takes.
+	// StallTimeout is the time without a message of the remote site, while requests are in flight, after which the link is stalled.
+	// It covers a few round trips, not the time of a request, because the remote site acknowledges the requests that it accepts.
 	StallTimeout time.Duration
-	// Window is the time over which the capacity of the local site is judged.
+	// Window is the time over which the capacity of the local site is measured.
 	Window time.Duration
-	// StartRatio and StopRatio are the fractions of the local requests in a window that were rejected from which spillover
-	// starts, and to which it stops: 0 <= StopRatio < StartRatio <= 1. Between them it goes on as it is.
+	// StartRatio and StopRatio are fractions of rejected requests among the local requests of a window. Spillover starts at
+	// StartRatio or above, stops at StopRatio or below, and stays as it is in between: 0 <= StopRatio < StartRatio <= 1.
 	StartRatio, StopRatio float64
-	// MaxForwardedRatio is the fraction of the local requests in a window that may be forwarded, 0 to 1.
+	// MaxForwardedRatio is the largest fraction of the local requests in a window that may be forwarded, 0 to 1.
 	MaxForwardedRatio float64
 }
 
@@ -71,33 +74,33 @@
 type Class struct {
 	Name           string
 	PriorityWeight float64       // of a response
-	ServiceTime    time.Duration // of a request at a server, roughly; above 0
+	ServiceTime    time.Duration // approximate time of a request at a server, above 0
 }
 
-// valueOfWork is the priority weight for each second of work.
-func (c Class) valueOfWork() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
+// valueDensity returns the priority weight per second of service time.
+func (c Class) valueDensity() float64 { return c.PriorityWeight / c.ServiceTime.Seconds() }
 
-// Link decides for the link to one remote site. It is not safe for concurrent use.
+// Link decides which requests are forwarded over the link to one remote site. It is not safe for concurrent use.
 type Link struct {
 	cfg        Config
 	classes    map[string]int // index in classOrder, by name
-	classOrder []Class        // by value of work, the highest first
+	classOrder []Class        // by descending value density
 
 	state         State
 	nextCheckAt   time.Duration
 	checkBackoff  time.Duration
-	healthyChecks int // that passed in a row
+	healthyChecks int // health checks passed in a row
 
-	inFlight  int           // requests that were forwarded and have not returned
-	lastHeard time.Duration // of the remote site, or when the first of those in flight was forwarded
-	credits   int           // requests that the remote site takes beside those in flight
+	inFlight    int           // requests that were forwarded and have not returned
+	lastContact time.Duration // the last message of the remote site, or the time at which the first request in flight was forwarded
+	credits     int           // requests that the remote site accepts in addition to those in flight
 
 	spilling        bool
 	windowStart     time.Duration
 	offered         []int // local requests in the window, by index in classOrder
-	rejected        []int // of them those that the local site rejected
-	forwarded       int   // requests in the window
-	eligibleClasses int   // classes of a lower index may be forwarded
+	rejected        []int // local requests that the local site rejected in the window, by index in classOrder
+	forwarded       int   // requests forwarded in the window
+	eligibleClasses int   // classes with a lower index in classOrder may be forwarded
 }
 
 // Transition is a change of a link's state.
@@ -117,7 +120,7 @@
 		rejected:     make([]int, len(classes)),
 	}
 	slices.SortStableFunc(l.classOrder, func(a, b Class) int {
-		return cmp.Or(-cmp.Compare(a.valueOfWork(), b.valueOfWork()), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(-cmp.Compare(a.valueDensity(), b.valueDensity()), cmp.Compare(a.Name, b.Name))
 	})
 	for i, class := range l.classOrder {
 		l.classes[class.Name] = i
@@ -125,24 +128,25 @@
 	return l
 }
 
-// State is the state of the link.
+// State returns the state of the link.
 func (l *Link) State() State { return l.state }
 
-// Spilling reports whether requests are forwarded at present.
+// Spilling reports whether requests may be forwarded: the link is open and the local site is short of capacity.
 func (l *Link) Spilling() bool { return l.state == Open && l.spilling }
 
-// InFlight is how many requests were forwarded and have not returned.
+// InFlight returns the number of requests that were forwarded and have not returned.
 func (l *Link) InFlight() int { return l.inFlight }
 
-// SetStallTimeout changes the StallTimeout, as the round trip is learned.
+// SetStallTimeout changes Config.StallTimeout, for example when the measured round trip changes.
 func (l *Link) SetStallTimeout(timeout time.Duration) { l.cfg.StallTimeout = timeout }
 
-// TimeToStall is how long from now on nothing may be heard until the link is stalled.
+// TimeToStall returns the time from now until a link with requests in flight stalls if no message of the remote site arrives.
 func (l *Link) TimeToStall(now time.Duration) time.Duration {
-	return max(0, l.lastHeard+l.cfg.StallTimeout-now)
+	return max(0, l.lastContact+l.cfg.StallTimeout-now)
 }
 
-// setState returns the transition, nil if the state is the same. Credits are of the open state in which they were granted.
+// setState changes the state and returns the transition, or nil if the state stays the same. Credits are valid only for the open
+// state in which they were granted.
 func (l *Link) setState(to State, cause Cause) *Transition {
 	if l.state == to {
 		return nil
@@ -155,13 +159,13 @@
 	return transition
 }
 
-// Tick lets time pass. It reports whether a health check is to be sent now, and a change of state, nil if there is none. It is to
-// be called at least every StallTimeout/4 while requests are in flight.
+// Tick evaluates all timers at now. It reports whether the caller must send a health check, and returns the change of state, or nil if
+// there is none. It must be called at least every StallTimeout/4 while requests are in flight.
 func (l *Link) Tick(now time.Duration) (sendCheck bool, transition *Transition) {
 	l.advanceWindow(now)
 	switch l.state {
 	case Open:
-		if l.inFlight > 0 && now-l.lastHeard > l.cfg.StallTimeout {
+		if l.inFlight > 0 && now-l.lastContact > l.cfg.StallTimeout {
 			l.restartChecks(now + l.cfg.HealthCheckInterval)
 			return false, l.setState(Stalled, causeStalled)
 		}
@@ -179,13 +183,13 @@
 	return false, nil
 }
 
-// restartChecks makes the next health check due at a time, the first in a row and without a backoff.
+// restartChecks resets the count of passed health checks and the backoff, and schedules the next health check.
 func (l *Link) restartChecks(at time.Duration) {
 	l.healthyChecks, l.checkBackoff, l.nextCheckAt = 0, l.cfg.HealthCheckInterval, at
 }
 
-// RecordHealthCheck notes the result of a health check, and the credits that the remote site grants with it. It returns the
-// change of state, nil if there is none.
+// RecordHealthCheck records the result of a health check and the credits that the remote site grants with it. It returns the change of
+// state, or nil if there is none.
 func (l *Link) RecordHealthCheck(now time.Duration, passed bool, credits int) *Transition {
 	l.advanceWindow(now)
 	if l.state == Draining {
@@ -197,14 +201,14 @@
 		l.nextCheckAt = now + l.checkBackoff
 		return l.setState(Dead, causeCheckFailed)
 	}
-	l.lastHeard = now
+	l.lastContact = now
 	if l.state == Open {
 		l.credits = max(0, credits)
 		return nil
 	}
 	l.healthyChecks++
 	if l.healthyChecks < l.cfg.HealthyThreshold {
-		l.nextCheckAt = now // the rest at once: the link opens after a few round trips
+		l.nextCheckAt = now // the remaining checks follow at once, so that the link opens after a few round trips
 		return l.setState(Checking, causeCheckPassed)
 	}
 	l.checkBackoff = l.cfg.HealthCheckInterval
@@ -213,8 +217,8 @@
 	return transition
 }
 
-// Drain says that one of the sites drains, or that none does any more: then the link is dead until health checks have passed. It
-// returns the change of state, nil if there is none.
+// Drain records whether one of the two sites is draining. After a drain the link is dead until health checks have passed. Drain
+// returns the change of state, or nil if there is none.
 func (l *Link) Drain(now time.Duration, draining bool) *Transition {
 	l.advanceWindow(now)
 	if draining {
@@ -227,34 +231,34 @@
 	return l.setState(Dead, causeDrained)
 }
 
-// RecordGrant notes that the remote site was heard, and the credits that it grants.
+// RecordGrant records a message of the remote site and the credits that it grants.
 func (l *Link) RecordGrant(now time.Duration, credits int) {
 	l.advanceWindow(now)
-	l.lastHeard = max(l.lastHeard, now)
+	l.lastContact = max(l.lastContact, now)
 	l.setCredits(credits)
 }
 
-// setCredits takes credits only while the link is open.
+// setCredits sets the credits of an open link. In any other state it has no effect.
 func (l *Link) setCredits(credits int) {
 	if l.state == Open {
 		l.credits = max(0, credits)
 	}
 }
 
-// TryForward decides whether a request of a class, which the local site could not serve in time, is forwarded. If it is,
-// RecordReturn must follow.
+// TryForward decides whether to forward a request that the local site could not serve in time. If the result is true, RecordReturn
+// must follow.
 func (l *Link) TryForward(now time.Duration, class string) bool {
 	l.advanceWindow(now)
 	i, known := l.classes[class]
 	if !known || !l.Spilling() || l.credits < 1 || i >= l.eligibleClasses {
 		return false
 	}
-	// The classes of most value have what is left of the window's ratio; the first request of a window is always allowed.
+	// The eligible classes share what is left of MaxForwardedRatio in the window. The first request of a window is always allowed.
 	if l.forwarded > 0 && float64(l.forwarded) >= l.cfg.MaxForwardedRatio*float64(sum(l.offered)) {
 		return false
 	}
 	if l.inFlight == 0 {
-		l.lastHeard = now
+		l.lastContact = now
 	}
 	l.credits--
 	l.forwarded++
@@ -262,13 +266,13 @@
 	return true
 }
 
-// RecordReturn notes that a forwarded request has its response, or is given up. heard says whether the remote site responded, and
-// credits are what it grants then.
-func (l *Link) RecordReturn(now time.Duration, heard bool, credits int) {
+// RecordReturn records that a forwarded request got its response or was abandoned. responded reports whether the remote site
+// responded, and credits are those granted with the response.
+func (l *Link) RecordReturn(now time.Duration, responded bool, credits int) {
 	l.advanceWindow(now)
 	l.inFlight = max(0, l.inFlight-1)
-	if heard {
-		l.lastHeard = now
+	if responded {
+		l.lastContact = now
 		l.setCredits(credits)
 	}
 }
--- a/internal/spillover/link_test.go
+++ b/internal/spillover/link_test.go
@@ -19,7 +19,8 @@
 	}
 )
 
-// newOpenLink returns a link that is open with some credits, and the time; the local site rejects all requests, or none.
+// newOpenLink returns an open link with the given credits, and the current time. In the last window the local site rejected all
+// requests if rejects is true, and none otherwise.
 func newOpenLink(t *testing.T, credits int, rejects bool) (*Link, time.Duration) {
 	t.Helper()
 	link := New(testConfig, testClasses)
@@ -33,7 +34,7 @@
 		link.RecordHealthCheck(now, true, credits)
 	}
 	if link.State() != Open {
-		t.Fatalf("the link is %v after %d health checks", link.State(), testConfig.HealthyThreshold)
+		t.Fatalf("the link is %v after %d health checks that passed, want open", link.State(), testConfig.HealthyThreshold)
 	}
 	for range 100 {
 		link.RecordLocal(now, "delivery-order", rejects)
@@ -46,33 +47,33 @@
 	return link, now
 }
 
-// TestLocalFirst checks that nothing is forwarded unless the local site is short of capacity.
+// TestLocalFirst guards against requests that are forwarded although the local site has capacity.
 func TestLocalFirst(t *testing.T) {
 	link, now := newOpenLink(t, 10, false)
 	if link.TryForward(now, "delivery-order") {
-		t.Error("a request is forwarded although the local site serves all")
+		t.Error("a request is forwarded although the local site rejects none")
 	}
 	link, now = newOpenLink(t, 10, true)
 	if !link.TryForward(now, "delivery-order") {
-		t.Error("nothing is forwarded although the local site rejects all")
+		t.Error("no request is forwarded although the local site rejects all")
 	}
 	if link.TryForward(now, "unknown") {
-		t.Error("a class that the link does not know is forwarded")
+		t.Error("a request of an unknown class is forwarded")
 	}
 }
 
-// TestClassOrder checks that the ratio of forwarded requests is left to the classes of most value for their work.
+// TestClassOrder checks that the requests that MaxForwardedRatio allows are left to the classes with the highest value density.
 func TestClassOrder(t *testing.T) {
 	link, now := newOpenLink(t, 100, true)
 	if !link.TryForward(now, "delivery-order") {
-		t.Error("the class of most value is not forwarded")
+		t.Error("the class with the highest value density is not forwarded")
 	}
 	if link.TryForward(now, "report") {
-		t.Error("the class of least value is forwarded: half of what is offered may, and the others fill that")
+		t.Error("the class with the lowest value density is forwarded although the other classes use up the half of the requests that may be forwarded")
 	}
 }
 
-// TestCredits checks that no more is forwarded than the remote site last granted.
+// TestCredits checks that no more requests are forwarded than the remote site last granted.
 func TestCredits(t *testing.T) {
 	link, now := newOpenLink(t, 2, true)
 	n := 0
@@ -85,18 +86,18 @@
 		}
 	}
 	if n != 2 {
-		t.Errorf("%d were forwarded, 2 were granted", n)
+		t.Errorf("%d requests were forwarded, want the 2 that were granted", n)
 	}
 	link.RecordReturn(now, true, 1)
 	if !link.TryForward(now, "delivery-order") || link.TryForward(now, "delivery-order") {
-		t.Error("a grant of 1 with a response is not 1 more")
+		t.Error("a grant of 1 credit with a response does not allow exactly 1 more request")
 	}
 	if link.InFlight() != 2 {
-		t.Errorf("%d are in flight, want 2", link.InFlight())
+		t.Errorf("%d requests are in flight, want 2", link.InFlight())
 	}
 }
 
-// TestHysteresis checks that spillover goes on as it is between the two ratios.
+// TestHysteresis checks that spillover neither starts nor stops between StopRatio and StartRatio.
 func TestHysteresis(t *testing.T) {
 	link, now := newOpenLink(t, 1000, true)
 	window := func(rejected int) bool {
@@ -112,29 +113,29 @@
 		want     bool
 	}{{50, true}, {5, true}, {3, true}, {1, false}, {5, false}, {9, false}, {11, true}, {5, true}, {0, false}} {
 		if got := window(c.rejected); got != c.want {
-			t.Errorf("step %d, %d of 100 rejected: spilling %v, want %v", i, c.rejected, got, c.want)
+			t.Errorf("window %d, %d of 100 requests rejected: spilling %v, want %v", i, c.rejected, got, c.want)
 		}
 	}
 }
 
-// TestStall checks that a stalled link carries nothing, and does not open on one health check.
+// TestStall checks that no request is forwarded on a stalled link, and that the link opens only after HealthyThreshold health checks.
 func TestStall(t *testing.T) {
 	link, now := newOpenLink(t, 10, true)
 	if !link.TryForward(now, "delivery-order") {
-		t.Fatal("nothing is forwarded")
+		t.Fatal("no request is forwarded on an open link")
 	}
 	now += testConfig.StallTimeout / 2
-	if _, c := link.Tick(now); c != nil {
-		t.Errorf("stalled too soon: %+v", c)
+	if _, transition := link.Tick(now); transition != nil {
+		t.Errorf("the link changed its state before StallTimeout: %+v", transition)
 	}
 	link.RecordGrant(now, 1)
 	now += testConfig.StallTimeout
-	if _, c := link.Tick(now); c != nil {
-		t.Errorf("a grant of the remote site did not count: %+v", c)
+	if _, transition := link.Tick(now); transition != nil {
+		t.Errorf("the link changed its state although a grant arrived within StallTimeout: %+v", transition)
 	}
 	now += testConfig.StallTimeout / 2
-	if _, c := link.Tick(now); c == nil || c.To != Stalled {
-		t.Fatalf("a link without responses is %v", link.State())
+	if _, transition := link.Tick(now); transition == nil || transition.To != Stalled {
+		t.Fatalf("a link without a message for longer than StallTimeout is %v, want stalled", link.State())
 	}
 	if link.TryForward(now, "delivery-order") {
 		t.Error("a request is forwarded on a stalled link")
@@ -142,66 +143,67 @@
 	now += testConfig.HealthCheckInterval
 	for i := range testConfig.HealthyThreshold {
 		if check, _ := link.Tick(now); !check {
-			t.Fatalf("no health check %d", i)
+			t.Fatalf("health check %d is not due", i)
 		}
 		now += 10 * time.Millisecond
-		if c := link.RecordHealthCheck(now, true, 5); (c != nil && c.To == Open) != (i == testConfig.HealthyThreshold-1) {
-			t.Errorf("after health check %d: %+v", i, c)
+		if transition := link.RecordHealthCheck(now, true, 5); (transition != nil && transition.To == Open) != (i == testConfig.HealthyThreshold-1) {
+			t.Errorf("after health check %d: got the transition %+v, want open after the last check only", i, transition)
 		}
 	}
 }
 
-// TestHealthCheckBackoff checks that a dead link is checked ever more slowly, up to the longest interval.
+// TestHealthCheckBackoff checks that the intervals between the health checks of a dead link grow up to MaxHealthCheckInterval.
 func TestHealthCheckBackoff(t *testing.T) {
 	link := New(testConfig, testClasses)
-	var gaps []time.Duration
+	var intervals []time.Duration
 	last := time.Duration(-1)
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
 		if check, _ := link.Tick(now); check {
 			if last >= 0 {
-				gaps = append(gaps, now-last)
+				intervals = append(intervals, now-last)
 			}
 			last = now
 			link.RecordHealthCheck(now, false, 0)
 		}
 	}
-	for i, g := range gaps {
-		if g > testConfig.MaxHealthCheckInterval+10*time.Millisecond || i > 0 && g < gaps[i-1] {
-			t.Errorf("gaps between health checks: %v", gaps)
+	for i, interval := range intervals {
+		if interval > testConfig.MaxHealthCheckInterval+10*time.Millisecond || i > 0 && interval < intervals[i-1] {
+			t.Errorf("intervals between health checks are %v, want them to grow up to MaxHealthCheckInterval", intervals)
 			break
 		}
 	}
-	if len(gaps) < 8 {
-		t.Errorf("%d health checks in 20 s", len(gaps)+1)
+	if len(intervals) < 8 {
+		t.Errorf("%d health checks in 20 s, want at least 9", len(intervals)+1)
 	}
 }
 
-// TestDrain checks that nothing is forwarded while a site drains, and that the link is checked anew afterwards.
+// TestDrain checks that no request is forwarded while a site drains, and that the link is dead afterwards until health checks pass.
 func TestDrain(t *testing.T) {
 	link, now := newOpenLink(t, 10, true)
-	if c := link.Drain(now, true); c == nil || c.To != Draining {
-		t.Fatalf("got %+v", c)
+	if transition := link.Drain(now, true); transition == nil || transition.To != Draining {
+		t.Fatalf("the transition at the start of the drain is %+v, want one to draining", transition)
 	}
 	if link.TryForward(now, "delivery-order") {
 		t.Error("a request is forwarded while a site drains")
 	}
-	if c := link.RecordHealthCheck(now, true, 10); c != nil {
-		t.Errorf("a health check ended the drain: %+v", c)
+	if transition := link.RecordHealthCheck(now, true, 10); transition != nil {
+		t.Errorf("a health check during the drain changed the state: %+v", transition)
 	}
-	if c := link.Drain(now, false); c == nil || c.To != Dead {
-		t.Errorf("after the drain: %+v", c)
+	if transition := link.Drain(now, false); transition == nil || transition.To != Dead {
+		t.Errorf("the transition after the drain is %+v, want one to dead", transition)
 	}
 }
 
-// linkModel plays a link, and knows what must be true of it.
+// linkModel drives a link with random events and models the state to which it must conform.
 type linkModel struct {
 	link     *Link
 	now      time.Duration
-	credits  int // granted, and not used since
+	credits  int // granted by the remote site and not used since
 	inFlight int
 	checking bool // a health check is due
 }
 
+// tick advances the time and calls Tick.
 func (m *linkModel) tick(t *rapid.T) {
 	m.now += time.Duration(rapid.Int64Range(1, int64(150*time.Millisecond)).Draw(t, "by"))
 	check, transition := m.link.Tick(m.now)
@@ -209,11 +211,12 @@
 	if transition != nil && transition.To == Stalled {
 		m.credits = 0
 		if m.inFlight == 0 {
-			t.Fatal("stalled with nothing in flight")
+			t.Fatal("the link stalled without a request in flight")
 		}
 	}
 }
 
+// healthCheck records the result of a health check if one is due.
 func (m *linkModel) healthCheck(t *rapid.T) {
 	if !m.checking {
 		t.Skip()
@@ -225,13 +228,14 @@
 		m.credits = credits
 	}
 	if !passed && m.link.State() == Open {
-		t.Fatal("open after a failed health check")
+		t.Fatal("the link is open after a failed health check")
 	}
 	if transition != nil && transition.From == transition.To {
-		t.Fatalf("no transition: %+v", transition)
+		t.Fatalf("the transition %+v does not change the state", transition)
 	}
 }
 
+// forward tries to forward a request and checks all conditions for it.
 func (m *linkModel) forward(t *rapid.T, class string) {
 	if !m.link.TryForward(m.now, class) {
 		return
@@ -240,36 +244,39 @@
 	m.credits--
 	switch {
 	case m.link.State() != Open || !m.link.spilling:
-		t.Fatalf("forwarded while %v, spilling %v", m.link.State(), m.link.spilling)
+		t.Fatalf("a request is forwarded while the link is %v and spilling is %v", m.link.State(), m.link.spilling)
 	case m.credits < 0:
-		t.Fatal("forwarded beyond what was granted")
+		t.Fatal("more requests are forwarded than the remote site granted")
 	}
 	forwarded, offered := m.link.forwarded, sum(m.link.offered)
 	if forwarded > 1 && float64(forwarded-1) >= testConfig.MaxForwardedRatio*float64(offered) {
-		t.Fatalf("%d of %d offered were forwarded", forwarded, offered)
+		t.Fatalf("%d of %d offered requests were forwarded, more than MaxForwardedRatio", forwarded, offered)
 	}
 }
 
+// requestReturns ends a request in flight, with or without a response.
 func (m *linkModel) requestReturns(t *rapid.T) {
 	if m.inFlight == 0 {
 		t.Skip()
 	}
 	m.inFlight--
-	heard, credits := rapid.Bool().Draw(t, "heard"), rapid.IntRange(0, 5).Draw(t, "credits")
-	m.link.RecordReturn(m.now, heard, credits)
-	if heard && m.link.State() == Open {
+	responded, credits := rapid.Bool().Draw(t, "heard"), rapid.IntRange(0, 5).Draw(t, "credits")
+	m.link.RecordReturn(m.now, responded, credits)
+	if responded && m.link.State() == Open {
 		m.credits = credits
 	}
 }
 
+// failCheck records a failed health check.
 func (m *linkModel) failCheck(t *rapid.T) {
 	m.link.RecordHealthCheck(m.now, false, 0)
 	if m.link.State() == Open {
-		t.Fatal("open after a failed health check")
+		t.Fatal("the link is open after a failed health check")
 	}
 	m.credits = 0
 }
 
+// drain starts or ends a drain.
 func (m *linkModel) drain(t *rapid.T) {
 	m.link.Drain(m.now, rapid.Bool().Draw(t, "draining"))
 	if m.link.State() != Open {
@@ -277,17 +284,19 @@
 	}
 }
 
+// check compares the link with the model after each event.
 func (m *linkModel) check(t *rapid.T) {
 	if m.link.InFlight() != m.inFlight {
-		t.Fatalf("%d are in flight, want %d", m.link.InFlight(), m.inFlight)
+		t.Fatalf("%d requests are in flight, want %d", m.link.InFlight(), m.inFlight)
 	}
 	if m.link.state != Open && m.link.credits != 0 {
-		t.Fatalf("%d credits while %v", m.link.credits, m.link.state)
+		t.Fatalf("the link has %d credits while %v, want 0", m.link.credits, m.link.state)
 	}
 }
 
-// TestLink plays any events and checks after each: nothing is forwarded unless the link is open and the local site short of
-// capacity, never more than was granted since, nor more than the ratio of what was offered, and what is in flight is counted.
+// TestLink checks for any sequence of events that requests are forwarded only while the link is open and the local site is short of
+// capacity, that no more requests are forwarded than were granted since and than MaxForwardedRatio allows, and that the requests in
+// flight are counted.
 func TestLink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &linkModel{link: New(testConfig, testClasses)}
--- a/internal/spillover/window.go
+++ b/internal/spillover/window.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// minOffered is how many requests of a window show before its end that the local site is short of capacity.
+// minOffered is the number of local requests in a window from which a capacity shortage is detected before the window ends.
 const minOffered = 10
 
-// RecordLocal notes a request to the local site, and whether that rejects it because it could not be served in time.
+// RecordLocal records a request to the local site, and whether the local site rejected it because it could not serve it in time.
+// Requests of unknown classes are ignored.
 func (l *Link) RecordLocal(now time.Duration, class string, rejected bool) {
 	l.advanceWindow(now)
 	i, known := l.classes[class]
@@ -18,8 +19,8 @@
 	}
 }
 
-// RecordRejected notes that the local site rejects a request after all, which was passed to RecordLocal as not rejected. A site
-// that has lost its servers is found to be short of capacity before the window is over.
+// RecordRejected records that the local site rejected a request that was passed to RecordLocal as not rejected. It can detect a capacity
+// shortage before the window ends, for example when the site has lost its servers.
 func (l *Link) RecordRejected(now time.Duration, class string) {
 	l.advanceWindow(now)
 	i, known := l.classes[class]
@@ -34,7 +35,7 @@
 	}
 }
 
-// advanceWindow closes the window once it is over, and decides by it whether requests spill over.
+// advanceWindow ends the window once it is over, and decides by its counts whether spillover starts or stops.
 func (l *Link) advanceWindow(now time.Duration) {
 	if now-l.windowStart < l.cfg.Window {
 		return
@@ -42,7 +43,7 @@
 	offered, rejected := sum(l.offered), sum(l.rejected)
 	switch {
 	case offered > 0:
-		ratio := min(1, float64(rejected)/float64(offered)) // some were offered in the window before
+		ratio := min(1, float64(rejected)/float64(offered)) // rejected requests may have been offered in the previous window
 		switch {
 		case ratio >= l.cfg.StartRatio:
 			l.spilling = true
@@ -58,7 +59,8 @@
 	clear(l.rejected)
 }
 
-// selectClasses sets which classes may be forwarded: those of most value, as many as MaxForwardedRatio has room for.
+// selectClasses sets the classes that may be forwarded. It takes classes by descending value density until their rejected requests
+// reach MaxForwardedRatio.
 func (l *Link) selectClasses(offered int) {
 	room := l.cfg.MaxForwardedRatio * float64(offered)
 	l.eligibleClasses = 0
@@ -71,6 +73,7 @@
 	}
 }
 
+// sum returns the sum of the counts.
 func sum(counts []int) int {
 	total := 0
 	for _, n := range counts {
