--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -1,55 +1,56 @@
-// Package staleness decides how old a pool's endpoint list may get: how long a watch may send nothing, how long a call to
-// discovery may take, and how long a backoff may last, so that a change is received before the platform's rules take the process for
-// notified of it. It reads no clock.
+// Package staleness limits the age of a pool's endpoint list: how long a watch may send no message, how long a call to discovery may
+// take, and how long a backoff may last. Within these limits a process receives a change before the platform counts the process as
+// notified of the change. The package reads no clock.
 package staleness
 
 import "time"
 
 const (
-	// NotifiedAfter is the platform's term: a process counts as notified of a change so long after discovery knew it and could be
-	// reached, whether or not it received it.
+	// NotifiedAfter is a time set by the platform. A process counts as notified of a change this long after discovery knew the change
+	// and could be reached, whether or not the process received the change.
 	NotifiedAfter = 6 * time.Second
-	// HeartbeatInterval is how often a watch sends something at least: an empty line while nothing changes.
+	// HeartbeatInterval is the longest time between two messages of a watch. While the list does not change, the message is an empty
+	// line.
 	HeartbeatInterval = 2 * time.Second
 )
 
 const (
-	// defaultGrace is used where the settings give none.
+	// defaultGrace is the grace if the settings give none.
 	defaultGrace = 500 * time.Millisecond
-	// watchSlack is by how much a heartbeat may be late before the watch counts as broken.
+	// watchSlack is how late a heartbeat may be before the watch counts as broken.
 	watchSlack = time.Second
 
-	// Limits for a list that is polled. Discovery rejects a call that has waited too long by itself; discoveryCallTimeout is a
-	// little longer.
+	// Limits for a list that is polled from discovery. Discovery itself rejects a call that has waited too long.
+	// discoveryCallTimeout is a little longer than that.
 	discoveryCallTimeout     = 3250 * time.Millisecond
 	discoveryRetryDelay      = 500 * time.Millisecond
 	discoveryRejectedBackoff = 1500 * time.Millisecond
 
-	// minAgentCallTimeout keeps the calls to an agent apart where the grace is very short.
+	// minAgentCallTimeout is the shortest call timeout for an agent. It prevents calls in quick succession if the grace is very short.
 	minAgentCallTimeout = 50 * time.Millisecond
 
-	// firstPollSpread is the fraction of the poll interval over which a group's first polls are spread. Package policy spreads them so
-	// (firstPollTenths).
+	// firstPollSpread is the fraction of the poll interval over which the first polls of a group's instances are spread. It must match
+	// firstPollTenths of package policy, which spreads the polls.
 	firstPollSpread = 0.6
 )
 
-// Bound holds the limits that keep a list from growing older than it may.
+// Bound holds the limits that bound the age of a list.
 type Bound struct {
-	// WatchTimeout is how long a watch may send nothing before it counts as broken.
+	// WatchTimeout is the time without a message after which a watch counts as broken.
 	WatchTimeout time.Duration
-	// CallTimeout is how long a call may take until its first message, the connection included.
+	// CallTimeout is the longest time from the start of a call, including the connection setup, to its first message.
 	CallTimeout time.Duration
 	// RetryDelay is the longest time from the end of a watch, or of a call that timed out, to the next call.
 	RetryDelay time.Duration
-	// RejectedBackoff is the longest time from a call that discovery rejected to the next.
+	// RejectedBackoff is the longest time from a call that discovery rejected to the next call.
 	RejectedBackoff time.Duration
-	// PollInterval is how long a process that neither watches nor has polled may keep its list.
+	// PollInterval is the longest time for which a process may keep its list before it has a watch or has polled.
 	PollInterval time.Duration
 }
 
-// BoundFor returns the bound for a list that is polled from discovery or, if it is pushed, from an agent beside the process. An
-// agent responds at once and at no cost, and the process counts as notified of what the agent has from the first moment on, so that
-// the grace alone is left to receive it. A grace of 0 or less stands for the default.
+// BoundFor returns the bound for a list that is polled from discovery or, if pushed is true, from an agent beside the process. An agent
+// responds at once and at no cost. The process counts as notified of a change as soon as the agent has the change, so that only the
+// grace is left to receive it. A grace of 0 or less stands for the default of 500 ms.
 func BoundFor(pushed bool, pollInterval, grace time.Duration) Bound {
 	if grace <= 0 {
 		grace = defaultGrace
@@ -64,7 +65,7 @@
 			PollInterval:    pollInterval,
 		}
 	}
-	callTimeout := max(minAgentCallTimeout, min(grace, HeartbeatInterval)*2/5) // a call, its retry delay and another fit into the grace
+	callTimeout := max(minAgentCallTimeout, min(grace, HeartbeatInterval)*2/5) // a call, its retry delay and a second call fit into the grace
 	return Bound{
 		WatchTimeout:    watchTimeout,
 		CallTimeout:     callTimeout,
@@ -74,12 +75,12 @@
 	}
 }
 
-// PollAtOnce reports whether the response to a first poll within the spread could be too late: then it is made at once.
+// PollAtOnce reports whether the first poll must be made at once, because its response could be too late at the end of the spread.
 func (b Bound) PollAtOnce() bool {
 	return b.CallTimeout > time.Duration((1-firstPollSpread)*float64(b.PollInterval))
 }
 
-// AfterStart is the longest time from the start of a process to the response to its first call.
+// AfterStart returns the longest time from the start of a process to the response to its first call.
 func (b Bound) AfterStart() time.Duration {
 	if b.PollAtOnce() {
 		return b.RetryDelay + b.CallTimeout
@@ -87,14 +88,17 @@
 	return time.Duration(firstPollSpread*float64(b.PollInterval)) + b.CallTimeout
 }
 
-// The methods below are the longest times that each way of missing a change takes until the call that brings it. What is left of
-// NotifiedAfter and the grace is for the response.
+// Each method below returns, for one way to miss a change, the longest time until the call that receives the change. The rest of
+// NotifiedAfter and the grace is left for the response.
 
-// AfterSilence is from the moment in which a watch broke without a sign, which was just after a message.
+// AfterSilence returns the longest time from the moment at which a watch broke without an error, just after a message, to the next
+// call.
 func (b Bound) AfterSilence() time.Duration { return b.WatchTimeout + b.RetryDelay }
 
-// AfterUnansweredCall is from the moment in which discovery could be reached again, just after a call that gets no response.
+// AfterUnansweredCall returns the longest time from the moment at which discovery could be reached again to the next call, if a call
+// without a response began just before that moment.
 func (b Bound) AfterUnansweredCall() time.Duration { return b.CallTimeout + b.RetryDelay }
 
-// AfterRejection is the same where the call was rejected just before.
+// AfterRejection returns the longest time from the moment at which discovery could be reached again to the next call, if discovery
+// rejected a call just before that moment.
 func (b Bound) AfterRejection() time.Duration { return b.RejectedBackoff }
