--- a/internal/keepalive/gittins.go
+++ b/internal/keepalive/gittins.go
@@ -14,8 +14,8 @@
 	priorWeight = 1
 	// priorRate is in uses per second.
 	priorRate = 0.25
-	// historySize is the number of ended waits per bucket that the exponential average covers. It is at least
-	// historyPerWaiting times the number of ongoing waits, which count as well and would otherwise outweigh the ended ones.
+	// historySize is the number of ended waits per bucket that the exponential average covers. It is raised to historyPerWaiting times
+	// the number of ongoing waits if that is more, because ongoing waits count as well and would otherwise outweigh the ended ones.
 	historySize       = 200
 	historyPerWaiting = 8
 	// refreshInterval is the least number of waits that begin or end between two computations of the indices.
--- a/internal/keepalive/policy.go
+++ b/internal/keepalive/policy.go
@@ -35,8 +35,8 @@
 	// minFirstRequestWait is the time that a new connection may always wait for its first request, because its client has just opened
 	// it.
 	minFirstRequestWait = 100 * time.Millisecond
-	// exploreInterval is how often a connection is kept to explore: one in exploreInterval of those with an index below the price. No
-	// other connection would show that clients reuse their connections again.
+	// exploreInterval is how often a connection is kept to explore: one in exploreInterval of those with an index below the price.
+	// Without them, the policy could not observe that clients have started to reuse their connections again.
 	exploreInterval = 16
 	// maxExploreShare is the largest fraction of the capacity that connections kept to explore may use.
 	maxExploreShare = 1.0 / 16
--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// CanServe reports whether a pool has a ready server, or may wait for its first one. Only then may its requests that have not been
-// sent go on waiting. The result is also true for a removed pool, which still serves the requests that it admitted.
+// CanServe reports whether a pool has a ready server, or its requests may wait for the first one. Otherwise requests that have not been
+// sent must not go on waiting. The result is also true for a removed pool, which still serves the requests that it admitted.
 func (a *Admission) CanServe(pool PoolID) bool {
 	p := a.pools[pool]
 	return p == nil || p.readyServers > 0 || p.limits.WaitForServers
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -1,6 +1,6 @@
 // Package quota divides the resources of one process among its pools: open requests, memory for bodies, connections, and CPU time.
-// The package is pure: events in, decisions out, with the time passed in. It uses no sockets, clocks or goroutines. It
-// takes only the number of ready servers and the sizes of requests, and does not depend on routes.
+// The package is pure: events in, decisions out, with the time passed in. It uses no sockets, clocks or goroutines. Of
+// servers and requests it takes only the number of ready servers and the sizes of requests. It does not depend on routes.
 package quota
 
 import "math"
--- a/internal/spillover/grant.go
+++ b/internal/spillover/grant.go
@@ -36,7 +36,7 @@
 	inFlight                       int // requests of other sites
 }
 
-// NewGrant returns a grant of cfg.Initial requests.
+// NewGrant returns a grant of cfg.Initial requests, or of cfg.Max if that is less.
 func NewGrant(cfg GrantConfig) *Grant {
 	return &Grant{cfg: cfg, size: float64(min(cfg.Initial, cfg.Max))}
 }
@@ -76,7 +76,7 @@
 	return max(0, int(g.size)-g.inFlight)
 }
 
-// advanceWindow ends each window that is over and resizes the grant by it.
+// advanceWindow ends each window that is over and resizes the grant by the counts of that window.
 func (g *Grant) advanceWindow(now time.Duration) {
 	for n := 0; now-g.windowStart >= g.cfg.Window; n++ {
 		if n > maxIdleWindows {
@@ -90,7 +90,7 @@
 	}
 }
 
-// resize changes the size of the grant by the counts of the window that has ended.
+// resize adapts the size of the grant to the counts of the window that has ended.
 func (g *Grant) resize() {
 	shortOfCapacity := g.localRequests > 0 && float64(g.localRejected) > g.cfg.MaxRejectedRatio*float64(g.localRequests)
 	mostRemoteRejected := g.remoteRejected > 0 && 2*g.remoteRejected >= g.remoteRequests
--- a/internal/spillover/link.go
+++ b/internal/spillover/link.go
@@ -29,7 +29,7 @@
 	// Stalled means that no message of the remote site arrived within StallTimeout while requests were in flight. No requests are
 	// forwarded. Those in flight may have run.
 	Stalled
-	// Draining means that one of the two sites is draining. No new requests are forwarded. Those in flight may still return.
+	// Draining means that one of the two sites is draining. No new requests are forwarded. The link waits for those in flight.
 	Draining
 )
 
--- a/internal/spillover/window.go
+++ b/internal/spillover/window.go
@@ -62,13 +62,13 @@
 // selectClasses sets the classes that may be forwarded. It takes classes by descending value density until their rejected requests
 // reach MaxForwardedRatio.
 func (l *Link) selectClasses(offered int) {
-	room := l.cfg.MaxForwardedRatio * float64(offered)
+	remaining := l.cfg.MaxForwardedRatio * float64(offered)
 	l.eligibleClasses = 0
 	for i := range l.classOrder {
-		if room <= 0 {
+		if remaining <= 0 {
 			break
 		}
-		room -= float64(l.rejected[i])
+		remaining -= float64(l.rejected[i])
 		l.eligibleClasses = i + 1
 	}
 }
--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -34,7 +34,7 @@
 	firstPollSpread = 0.6
 )
 
-// Bound holds the limits that bound the age of a list.
+// Bound holds the time limits that determine how old a list can get.
 type Bound struct {
 	// WatchTimeout is the time without a message after which a watch counts as broken.
 	WatchTimeout time.Duration
