--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -7,37 +7,39 @@
 	"sorrelrudder/policy"
 )
 
-// The words of the file for what repeating a request does.
+// The values of the key effect, which says how repeating a request affects the service.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
 	effectUnsafe = "unsafe"
 )
 
+// idempotencies are the idempotencies by value of the key effect.
 var idempotencies = map[string]policy.Idempotency{
 	effectSafe:   policy.Idempotent,
 	effectKeyed:  policy.IdempotentByKey,
 	effectUnsafe: policy.NonIdempotent,
 }
 
-// effectOf returns the word of the file for an idempotency.
+// effectOf returns the value of the key effect for an idempotency.
 func effectOf(i policy.Idempotency) string {
 	return [...]string{policy.Idempotent: effectSafe, policy.IdempotentByKey: effectKeyed, policy.NonIdempotent: effectUnsafe}[i]
 }
 
+// dedupScopes are the dedup scopes by value of the key repeats_dropped_by.
 var dedupScopes = map[string]policy.DedupScope{"all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
 
-// classes reads the classes of a pool that speaks the platform's protocol.
+// classes reads the classes of a pool that uses the platform's protocol.
 func (r *reader) classes(s *section, c *policy.Config, tables []*section) {
 	if len(tables) == 0 {
-		r.fail(s.nodeAt("classes"), "is missing: no request could be told safe to repeat")
+		r.fail(s.nodeAt("classes"), "at least one class is required: the class of a request says whether repeating the request is safe")
 	}
 	seen := map[string]bool{}
 	for _, t := range tables {
 		class := r.class(t)
 		c.Classes = append(c.Classes, class)
 		if seen[class.Name] {
-			r.fail(t.nodeAt("name"), "class %q is there twice", class.Name)
+			r.fail(t.nodeAt("name"), "duplicate class %q", class.Name)
 		}
 		seen[class.Name] = true
 	}
@@ -47,21 +49,21 @@
 func (r *reader) class(s *section) policy.Class {
 	c := policy.Class{Name: s.requiredText("name")}
 	if strings.ContainsAny(c.Name, "/%?# ") {
-		r.fail(s.nodeAt("name"), "class %q cannot be the first segment of a path", c.Name)
+		r.fail(s.nodeAt("name"), "class %q cannot be the first segment of a path: it must not contain /, %%, ?, # or a space", c.Name)
 	}
 	r.classAttributes(s, &c, "")
 	s.finish()
 	return c
 }
 
-// classAttributes reads what a class has beside its name. Without defaultEffect the effect must be there.
+// classAttributes reads the settings of a class other than its name. If defaultEffect is empty, the key effect is required.
 func (r *reader) classAttributes(s *section, c *policy.Class, defaultEffect string) {
 	effect := s.choice("effect", defaultEffect, effectSafe, effectKeyed, effectUnsafe)
 	c.Idempotency = idempotencies[effect]
 	c.LatencyObjective = s.duration("aim", 300*time.Millisecond, time.Millisecond, day)
 	c.Deadline = s.duration("deadline", max(time.Second, c.LatencyObjective), time.Millisecond, day)
 	if c.Deadline < c.LatencyObjective {
-		r.fail(s.nodeAt("deadline"), "is %v, below the aim of %v", c.Deadline, c.LatencyObjective)
+		r.fail(s.nodeAt("deadline"), "%v is less than the aim of %v", c.Deadline, c.LatencyObjective)
 	}
 	c.PriorityWeight = s.number("worth", 1, 0, 1e9)
 	c.LateWeightFraction = s.number("late_share", 0.3, 0, 1)
@@ -71,12 +73,12 @@
 	}
 	for _, key := range []string{"repeats_dropped_by", "repeats_dropped_for", "repeats_dropped_at_both_sites"} {
 		if n := s.get(key); n != nil {
-			r.fail(n, "only a class of effect \"keyed\" has repeats dropped")
+			r.fail(n, "allowed only for a class with effect = \"keyed\"")
 		}
 	}
 }
 
-// dedup reads which servers drop repeats of a keyed class, and for how long.
+// dedup reads the dedup scope and window of a keyed class: which servers drop repeated requests, and for how long.
 func (r *reader) dedup(s *section, c *policy.Class) {
 	c.DedupScope = dedupScopes[s.choice("repeats_dropped_by", "all", "all", "zone", "cell")]
 	c.DedupWindow = s.duration("repeats_dropped_for", 30*time.Second, 0, day)
@@ -84,7 +86,7 @@
 		return
 	}
 	if c.DedupScope != policy.DedupEverywhere {
-		r.fail(s.nodeAt("repeats_dropped_at_both_sites"), "needs repeats_dropped_by = \"all\"")
+		r.fail(s.nodeAt("repeats_dropped_at_both_sites"), "requires repeats_dropped_by = \"all\"")
 	}
 	r.sharedDedupClasses = append(r.sharedDedupClasses, c.Name)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the operator's file: listeners, pools, routes, sites and the fleet, in TOML. It reports every error with its
-// file, line and key, writes out what it read with all defaults, and returns the configuration of the process. The words of the
-// file are mapped to the terms of the code here and nowhere else.
+// Package config reads the operator's configuration file in TOML: listeners, pools, routes, sites and the fleet. It reports every error
+// with its file, line and key. It prints the configuration with all defaults. Keys and values of the file that are named differently in
+// the code are translated in this package only.
 package config
 
 import (
@@ -14,32 +14,33 @@
 	"sorrelrudder/internal/sitelink"
 )
 
-// maxFileBytes bounds a file: 1,000 pools take some 1 MiB.
+// maxFileBytes is the maximum size of a file. A file with 1,000 pools has about 1 MiB.
 const maxFileBytes = 16 << 20
 
 const (
-	day      = 24 * time.Hour
+	day = 24 * time.Hour
+	// maxCount is the maximum of most settings that are counts.
 	maxCount = 1 << 20
 )
 
-// File is an operator's file as it was read.
+// File is an operator's configuration file that was read without errors.
 type File struct {
 	Gateway   gateway.Config
-	Cores     int              // that may run Go code at once
-	Warnings  []string         // what is allowed and may be dangerous
-	SiteLinks *sitelink.Config // nil: the process has no peers at other sites
-	Fleet     *fleet.Config    // nil: the process is in no fleet
+	Cores     int              // GOMAXPROCS of the process
+	Warnings  []string         // settings that are valid but may be dangerous
+	SiteLinks *sitelink.Config // nil if the process has no peers at other sites
+	Fleet     *fleet.Config    // nil if the process is not a member of a fleet
 	root      *section
 }
 
-// Load reads the file at path. The error is an Errors, or says why the file cannot be read.
+// Load reads and parses the file at path. The error is an Errors if the file is invalid; any other error says why it could not be read.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, fmt.Errorf("%s has %d bytes, over %d", path, info.Size(), maxFileBytes)
+		return nil, fmt.Errorf("%s has %d bytes, more than the maximum of %d", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads text, which is the content of file. The error is an Errors with everything that is wrong.
+// Parse parses text, the content of file. The error is an Errors with all errors of the file; after a TOML syntax error it has only that.
 func Parse(file string, text []byte) (*File, error) {
 	tree, err := parseTree(file, text)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return f, nil
 }
 
-// String returns the file with all defaults written out. It reads as the same configuration.
+// String returns the file as TOML with all defaults. Parsing the result gives the same configuration.
 func (f *File) String() string {
 	var b strings.Builder
 	f.root.write(&b, "")
@@ -86,7 +87,7 @@
 	}
 }
 
-// readProcess reads the limits of the process, and returns their table.
+// readProcess reads the table of the process and its limits, and returns the table.
 func (f *File) readProcess() *section {
 	c := &f.Gateway
 	process := f.root.table("process")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,11 +33,11 @@
 	c := p.Settings.Config
 	if g.MemoryMB != 192 || g.Descriptors != 1024 || f.Cores != 1 || p.Name != "orders" || p.Limits.Weight != 1 || p.Limits.QueueWithoutEndpoints ||
 		c.MaxAttempts != 3 || !c.RetryAfterHonored || !c.InlineLoadReports || c.Classes[0].Idempotency != policy.IdempotentByKey || c.Classes[0].DedupWindow != 30*time.Second {
-		t.Errorf("the defaults are not as written: %+v", g)
+		t.Errorf("unexpected defaults: %+v", g)
 	}
 }
 
-// minimalHTTPFile is the smallest file with ordinary HTTP services.
+// minimalHTTPFile is a minimal file with a pool of ordinary HTTP services.
 const minimalHTTPFile = `[[listeners]]
 name = "web"
 address = "127.0.0.1:0"
@@ -48,7 +48,8 @@
 address = "127.0.0.1:1"
 `
 
-// TestHTTPServiceClasses holds the classes that a pool of ordinary HTTP services has without any, and with one that is keyed.
+// TestHTTPServiceClasses checks the classes of a pool of ordinary HTTP services: those of a pool that configures none, the default effect,
+// and the additional class of a keyed class for requests without a key.
 func TestHTTPServiceClasses(t *testing.T) {
 	for more, want := range map[string]string{
 		"": "reads safe, other unsafe",
@@ -70,58 +71,58 @@
 			t.Errorf("%q: %s, want %s", more, text, want)
 		}
 		if f.Gateway.Pools[0].Settings.Config.HealthChecksAllowed {
-			t.Errorf("%q: probes without a path to ask for", more)
+			t.Errorf("%q: health checks are allowed without a path for them", more)
 		}
 		again, err := Parse("f.toml", []byte(f.String()))
 		if err != nil || !reflect.DeepEqual(again.Gateway, f.Gateway) {
-			t.Errorf("%q is printed as another configuration, %v:\n%s", more, err, f)
+			t.Errorf("%q: the printed file is another configuration, %v:\n%s", more, err, f)
 		}
 	}
 }
 
-// TestErrors guards against errors without their place, and against stopping at the first.
+// TestErrors checks that each error has its line and key, and that reading does not stop at the first error.
 func TestErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want []string // in order
+		want []string // prefixes of errors, in order
 	}{
-		"no TOML":         {"[process\n", []string{"f.toml:1: "}},
-		"twice":           {minimalFile + "[pools.orders]\n", []string{"f.toml:9: "}},
-		"nothing":         {"", []string{"f.toml:1: listeners: is missing", "f.toml:1: pools: is missing"}},
-		"unknown":         {minimalFile + "[proces]\nname = \"x\"\n", []string{"f.toml:9: proces: unknown key; did you mean process?"}}, //nolint:misspell // the mistake is the test,
-		"unknown, deep":   {minimalFile + "colour = 1\n", []string{"f.toml:9: pools.orders.classes[1].colour: unknown key; known here: name, effect"}},
-		"no unit":         {minimalFile + "aim = 300\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 300 without a unit`}},
-		"no time":         {minimalFile + "aim = \"soon\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is "soon", which is no time`}},
-		"out of range":    {minimalFile + "aim = \"0s\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: is 0s, outside 1ms`}},
-		"deadline":        {minimalFile + "aim = \"2s\"\ndeadline = \"1s\"\n", []string{`f.toml:10: pools.orders.classes[1].deadline: is 1s, below the aim of 2s`}},
-		"no such word":    {strings.Replace(minimalFile, "keyed", "sometimes", 1), []string{`f.toml:8: pools.orders.classes[1].effect: is "sometimes", not one of safe, keyed, unsafe`}},
-		"not keyed":       {strings.Replace(minimalFile, "keyed", "safe", 1) + "repeats_dropped_for = \"1s\"\n", []string{`f.toml:9: pools.orders.classes[1].repeats_dropped_for: only a class`}},
-		"kind":            {minimalFile + "[process]\nname = 7\nmemory = 64\n", []string{"f.toml:10: process.name: is a whole number, not a string", "f.toml:11: process.memory: is 64 without a unit"}},
-		"memory":          {minimalFile + "[process]\nmemory = \"1MiB\"\n", []string{"f.toml:10: process.memory: is 1MiB, outside 24MiB"}},
-		"figures":         {minimalFile + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: figures every 10ms, more often than every 100ms"}},
-		"two lists":       {minimalFile + "[[pools.orders.servers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n", []string{"f.toml:9: pools.orders.servers: the pool has two lists"}},
-		"no list":         {strings.Replace(minimalFile, "discovery = \"127.0.0.1:8500\"\n", "", 1), []string{"f.toml:4: pools.orders: the pool has no list"}},
-		"port 0":          {strings.Replace(minimalFile, "8500", "0", 1), []string{`f.toml:5: pools.orders.discovery: has the port "0"`}},
-		"a name":          {strings.Replace(minimalFile, "127.0.0.1:8500", "discovery.local:8500", 1), []string{`f.toml:5: pools.orders.discovery: has the host "discovery.local", which is no IP address`}},
-		"no class":        {minimalFile[:strings.Index(minimalFile, "[[pools.orders.classes")], []string{"f.toml:4: pools.orders.classes: is missing"}},
-		"class twice":     {minimalFile + "[[pools.orders.classes]]\nname = \"order\"\neffect = \"safe\"\n", []string{`f.toml:10: pools.orders.classes[2].name: class "order" is there twice`}},
-		"no routes":       {minimalFile + strings.ReplaceAll(minimalFile[strings.Index(minimalFile, "[pools"):], "orders", "meters"), []string{"f.toml:1: routes: is missing"}},
-		"no such pool":    {minimalFile + "[[routes]]\nname = \"a\"\npool = \"order\"\n", []string{`f.toml:4: pools.orders: no route leads to the pool "orders"`, `f.toml:11: routes[1].pool: there is no pool "order"; did you mean "orders"?`}},
-		"tie":             {minimalFile + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" tie`}},
-		"bad host":        {minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a b\", 7]\npool = \"orders\"\n", []string{"f.toml:11: routes[1].hosts[2]: is a whole number", "f.toml:11: routes[1].hosts: host \"a b\""}},
-		"descriptors":     {minimalFile + "[process]\ndescriptors = 64\n[[listeners]]\nname = \"b\"\naddress = \":0\"\n", []string{"f.toml:9: process: 63 descriptors are left"}},
-		"listener twice":  {minimalFile + "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:1\"\n", []string{`f.toml:10: listeners[2].name: is "farm", as that of the listener in line 1`}},
-		"small bodies":    {minimalFile + "[pools.orders.limits]\nbodies = \"1KiB\"\n", []string{"f.toml:10: pools.orders.limits.bodies: is below 64KiB"}},
-		"table for value": {minimalFile + "[pools.orders.limits.rate]\nx = 1\n", []string{"f.toml:9: pools.orders.limits.rate: is a table, not a number"}},
-		"http of none":    {minimalFile + "[pools.orders.http]\ncheck = \"/x\"\n", []string{"f.toml:9: pools.orders.http: unknown key"}},
-		"pattern":         {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": "get" is no method`}},
-		"no match":        {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\n", []string{"f.toml:9: pools.shop.classes[1].match: is missing"}},
-		"all others":      {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"other\"\nmatch = [\"/\"]\n", []string{`f.toml:9: pools.shop.classes: a class is named "other"`}},
-		"statuses":        {minimalHTTPFile + "[pools.shop.http]\nfailures = [200, \"x\"]\n", []string{"f.toml:10: pools.shop.http.failures[1]: is no status", "f.toml:10: pools.shop.http.failures[2]: is no status"}},
-		"trusted field":   {minimalHTTPFile + "[pools.shop.http]\ndeadline_from = [\"X-Mine\"]\n", []string{`f.toml:10: pools.shop.http.deadline_from: has "X-Mine"`}},
-		"value from":      {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"/a\"]\nkey_from = \"id\"\n", []string{`f.toml:12: pools.shop.classes[1].key_from: is "id", not header:NAME`}},
-		"http spills":     {minimalHTTPFile + "[pools.shop.spill]\nto = \"x\"\n", []string{"f.toml:9: pools.shop.spill: is for pools that speak"}},
-		"value for table": {"pools = 3\nlisteners = \"x\"\n", []string{"f.toml:1: pools: is a whole number", "f.toml:2: listeners: is a string, not tables"}},
+		"no TOML":                   {"[process\n", []string{"f.toml:1: "}},
+		"twice":                     {minimalFile + "[pools.orders]\n", []string{"f.toml:9: "}},
+		"nothing":                   {"", []string{"f.toml:1: listeners: at least one listener is required", "f.toml:1: pools: at least one pool is required"}},
+		"unknown":                   {minimalFile + "[proces]\nname = \"x\"\n", []string{"f.toml:9: proces: unknown key; did you mean process?"}}, //nolint:misspell // the mistake is the test,
+		"unknown, deep":             {minimalFile + "colour = 1\n", []string{"f.toml:9: pools.orders.classes[1].colour: unknown key; known here: name, effect"}},
+		"no unit":                   {minimalFile + "aim = 300\n", []string{`f.toml:9: pools.orders.classes[1].aim: 300 has no unit`}},
+		"not a duration":            {minimalFile + "aim = \"soon\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: invalid duration "soon"`}},
+		"out of range":              {minimalFile + "aim = \"0s\"\n", []string{`f.toml:9: pools.orders.classes[1].aim: 0s is out of range; expected 1ms`}},
+		"deadline":                  {minimalFile + "aim = \"2s\"\ndeadline = \"1s\"\n", []string{`f.toml:10: pools.orders.classes[1].deadline: 1s is less than the aim of 2s`}},
+		"unknown value":             {strings.Replace(minimalFile, "keyed", "sometimes", 1), []string{`f.toml:8: pools.orders.classes[1].effect: invalid value "sometimes"; expected one of safe, keyed, unsafe`}},
+		"not keyed":                 {strings.Replace(minimalFile, "keyed", "safe", 1) + "repeats_dropped_for = \"1s\"\n", []string{`f.toml:9: pools.orders.classes[1].repeats_dropped_for: allowed only for a class`}},
+		"kind":                      {minimalFile + "[process]\nname = 7\nmemory = 64\n", []string{"f.toml:10: process.name: got an integer, expected a string", "f.toml:11: process.memory: 64 has no unit"}},
+		"memory":                    {minimalFile + "[process]\nmemory = \"1MiB\"\n", []string{"f.toml:10: process.memory: 1MiB is out of range; expected 24MiB"}},
+		"figures":                   {minimalFile + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: figures every 10ms, more often than every 100ms"}},
+		"list and discovery":        {minimalFile + "[[pools.orders.servers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n", []string{"f.toml:9: pools.orders.servers: must not be combined with discovery (line 5)"}},
+		"no list":                   {strings.Replace(minimalFile, "discovery = \"127.0.0.1:8500\"\n", "", 1), []string{"f.toml:4: pools.orders: pool has no endpoint list"}},
+		"port 0":                    {strings.Replace(minimalFile, "8500", "0", 1), []string{`f.toml:5: pools.orders.discovery: port "0" is not a number`}},
+		"host name":                 {strings.Replace(minimalFile, "127.0.0.1:8500", "discovery.local:8500", 1), []string{`f.toml:5: pools.orders.discovery: host "discovery.local" is not an IP address`}},
+		"no class":                  {minimalFile[:strings.Index(minimalFile, "[[pools.orders.classes")], []string{"f.toml:4: pools.orders.classes: at least one class is required"}},
+		"class twice":               {minimalFile + "[[pools.orders.classes]]\nname = \"order\"\neffect = \"safe\"\n", []string{`f.toml:10: pools.orders.classes[2].name: duplicate class "order"`}},
+		"no routes":                 {minimalFile + strings.ReplaceAll(minimalFile[strings.Index(minimalFile, "[pools"):], "orders", "meters"), []string{"f.toml:1: routes: at least one route is required"}},
+		"no such pool":              {minimalFile + "[[routes]]\nname = \"a\"\npool = \"order\"\n", []string{`f.toml:4: pools.orders: no route sends requests to pool "orders"`, `f.toml:11: routes[1].pool: unknown pool "order"; did you mean "orders"?`}},
+		"tie":                       {minimalFile + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" tie`}},
+		"bad host":                  {minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a b\", 7]\npool = \"orders\"\n", []string{"f.toml:11: routes[1].hosts[2]: got an integer, expected a string", "f.toml:11: routes[1].hosts: host \"a b\""}},
+		"descriptors":               {minimalFile + "[process]\ndescriptors = 64\n[[listeners]]\nname = \"b\"\naddress = \":0\"\n", []string{"f.toml:9: process: 63 descriptors are left"}},
+		"listener twice":            {minimalFile + "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:1\"\n", []string{`f.toml:10: listeners[2].name: "farm" is already the name of the listener in line 1`}},
+		"small bodies":              {minimalFile + "[pools.orders.limits]\nbodies = \"1KiB\"\n", []string{"f.toml:10: pools.orders.limits.bodies: must be 0 or at least 64KiB"}},
+		"table for value":           {minimalFile + "[pools.orders.limits.rate]\nx = 1\n", []string{"f.toml:9: pools.orders.limits.rate: got a table, expected a number"}},
+		"http without its protocol": {minimalFile + "[pools.orders.http]\ncheck = \"/x\"\n", []string{"f.toml:9: pools.orders.http: unknown key"}},
+		"pattern":                   {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": "get" is no method`}},
+		"no match":                  {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\n", []string{"f.toml:9: pools.shop.classes[1].match: required key is missing"}},
+		"reserved class":            {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"other\"\nmatch = [\"/\"]\n", []string{`f.toml:9: pools.shop.classes: class name "other" is reserved`}},
+		"statuses":                  {minimalHTTPFile + "[pools.shop.http]\nfailures = [200, \"x\"]\n", []string{"f.toml:10: pools.shop.http.failures[1]: expected an HTTP status code from 400 to 599", "f.toml:10: pools.shop.http.failures[2]: expected an HTTP status code from 400 to 599"}},
+		"trusted field":             {minimalHTTPFile + "[pools.shop.http]\ndeadline_from = [\"X-Mine\"]\n", []string{`f.toml:10: pools.shop.http.deadline_from: unsupported header field "X-Mine"`}},
+		"value source":              {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"/a\"]\nkey_from = \"id\"\n", []string{`f.toml:12: pools.shop.classes[1].key_from: invalid source "id"; expected header:NAME`}},
+		"spillover of http":         {minimalHTTPFile + "[pools.shop.spill]\nto = \"x\"\n", []string{"f.toml:9: pools.shop.spill: allowed only for pools with protocol = \"platform\""}},
+		"value for table":           {"pools = 3\nlisteners = \"x\"\n", []string{"f.toml:1: pools: got an integer, expected a table of tables", "f.toml:2: listeners: got a string, expected an array of tables"}},
 	} {
 		_, err := Parse("f.toml", []byte(c.text))
 		var errs Errors
@@ -141,10 +142,10 @@
 	}
 }
 
-// equalGateways compares what the process is told. Drawn seeds are none here.
+// equalGateways reports whether two gateway configurations are equal. Here they have no random seeds.
 func equalGateways(a, b gateway.Config) bool { return reflect.DeepEqual(a, b) }
 
-// TestPrint guards against printing what reads as another configuration, and against a default that is not shown.
+// TestPrint guards against a printed file that parses as another configuration, and against defaults that are not printed.
 func TestPrint(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "sorrelrudder.toml"))
 	if err != nil {
@@ -157,14 +158,14 @@
 	printed := f.String()
 	again, err := Parse("printed", []byte(printed))
 	if err != nil {
-		t.Fatalf("what was printed cannot be read: %v\n%s", err, printed)
+		t.Fatalf("the printed file is invalid: %v\n%s", err, printed)
 	}
 	if !equalGateways(f.Gateway, again.Gateway) {
-		t.Errorf("what was printed reads otherwise:\n%+v\n%+v", f.Gateway, again.Gateway)
+		t.Errorf("the printed file is another configuration:\n%+v\n%+v", f.Gateway, again.Gateway)
 	}
 	for _, want := range []string{"max = 3 ", "most_retry_after = \"1.5s\"", "strip_path = false"} {
 		if !strings.Contains(printed, want) {
-			t.Errorf("a default is not printed: %s", want)
+			t.Errorf("default not printed: %s", want)
 		}
 	}
 }
@@ -176,17 +177,18 @@
 			t.Errorf("%s: %d, %v", text, got, err)
 		}
 		if back, err := parseSize(formatSize(want)); err != nil || back != want {
-			t.Errorf("%s is written as %s", text, formatSize(want))
+			t.Errorf("%s is formatted as %s", text, formatSize(want))
 		}
 	}
 	for _, text := range []string{"", "64", "KiB", "-1B", "1.5MiB", "99999999999GiB", "1TiB"} {
 		if got, err := parseSize(text); err == nil {
-			t.Errorf("%q was read as %d", text, got)
+			t.Errorf("%q: got %d, want an error", text, got)
 		}
 	}
 }
 
-// FuzzParse guards against a panic on any file, against errors without a place, and against printing what reads otherwise.
+// FuzzParse guards against a panic on any file, against errors without a location, and against a printed file that parses as another
+// configuration.
 func FuzzParse(f *testing.F) {
 	f.Add(minimalFile)
 	f.Add(minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a.org\", \"*\"]\npool = \"orders\"\n")
@@ -197,26 +199,26 @@
 		if err != nil {
 			var errs Errors
 			if !errors.As(err, &errs) || len(errs) == 0 {
-				t.Fatalf("no Errors: %v", err)
+				t.Fatalf("the error is not an Errors: %v", err)
 			}
 			for _, e := range errs {
 				if e.Line < 1 || e.Line > strings.Count(text, "\n")+1 || e.Text == "" {
-					t.Fatalf("an error without its place: %+v", e)
+					t.Fatalf("error without a location or text: %+v", e)
 				}
 			}
 			return
 		}
 		again, err := Parse("f", []byte(file.String()))
 		if err != nil {
-			t.Fatalf("what was printed cannot be read: %v\n%s", err, file.String())
+			t.Fatalf("the printed file is invalid: %v\n%s", err, file.String())
 		}
 		if !equalGateways(file.Gateway, again.Gateway) {
-			t.Fatalf("what was printed reads otherwise:\n%s", file.String())
+			t.Fatalf("the printed file is another configuration:\n%s", file.String())
 		}
 	})
 }
 
-// TestSites guards the keys of sites and spilling: what is right is read, and each error has its line and key.
+// TestSites checks the keys of sites and spillover: a valid file is read, and each error has its line and key.
 func TestSites(t *testing.T) {
 	const good = `[site]
 name = "a"
@@ -253,17 +255,17 @@
 	}
 	again, err := Parse("f.toml", []byte(f.String()))
 	if err != nil || !reflect.DeepEqual(again.SiteLinks, b) {
-		t.Errorf("what --print writes is read as another file: %v\n%s", err, f)
+		t.Errorf("the printed file is another configuration: %v\n%s", err, f)
 	}
 	for change, want := range map[[2]string]string{
-		{`to = "b"`, `to = "c"`}:                                                  `f.toml:17: pools.farm.spill.to: there is no peer "c"`,
-		{`from = ["127.0.0.1"]`, ``}:                                              `f.toml:3: peers[1].from: is missing`,
-		{`from = ["127.0.0.1"]`, `from = ["home"]`}:                               `f.toml:6: peers[1].from: "home" is no IP address`,
-		{`name = "b"`, `name = "a"`}:                                              `site "a" is there twice`,
-		{`to = "b"`, "to = \"b\"\nstart = 0.1\nstop = 0.2"}:                       `f.toml:19: pools.farm.spill.stop: is 0.2, not below start`,
-		{"[site]\nname = \"a\"\n", ""}:                                            `[site] is missing`,
-		{`effect = "keyed"`, `effect = "unsafe"`}:                                 `only a class of effect "keyed"`,
-		{`effect = "keyed"`, "effect = \"keyed\"\nrepeats_dropped_by = \"cell\""}: `needs repeats_dropped_by = "all"`,
+		{`to = "b"`, `to = "c"`}:                                                  `f.toml:17: pools.farm.spill.to: unknown peer "c"`,
+		{`from = ["127.0.0.1"]`, ``}:                                              `f.toml:3: peers[1].from: required key is missing`,
+		{`from = ["127.0.0.1"]`, `from = ["home"]`}:                               `f.toml:6: peers[1].from: "home" is not an IP address`,
+		{`name = "b"`, `name = "a"`}:                                              `peers[1].name: duplicate site "a"`,
+		{`to = "b"`, "to = \"b\"\nstart = 0.1\nstop = 0.2"}:                       `f.toml:19: pools.farm.spill.stop: 0.2 is not less than start`,
+		{"[site]\nname = \"a\"\n", ""}:                                            `peers: requires the table [site]`,
+		{`effect = "keyed"`, `effect = "unsafe"`}:                                 `allowed only for a class with effect = "keyed"`,
+		{`effect = "keyed"`, "effect = \"keyed\"\nrepeats_dropped_by = \"cell\""}: `requires repeats_dropped_by = "all"`,
 	} {
 		_, err := Parse("f.toml", []byte(strings.Replace(good, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Error is one error of a file, and its place.
+// Error is an error of a file, with its location.
 type Error struct {
 	File string
-	Line int    // from 1
-	Key  string // such as routes[2].path, counted from 1; "" if no key is concerned
+	Line int    // counted from 1
+	Key  string // such as routes[2].path, with indexes counted from 1; "" if the error concerns no key
 	Text string
 }
 
-// Error returns the text as file:line: key: text.
+// Error returns the error as file:line: key: text, without the key if there is none.
 func (e Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text)
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Text)
 }
 
-// Errors are all errors of a file, in the order of its lines. There is at least one.
+// Errors are all errors of a file, sorted by line. It has at least one element.
 type Errors []Error
 
-// Error returns the errors, one a line.
+// Error returns the errors, one per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, x := range e {
@@ -35,7 +35,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// sorted puts the errors in the order of their lines, and returns them.
+// sorted sorts the errors by line in place, and returns them. Errors of the same line keep their order.
 func (e Errors) sorted() Errors {
 	slices.SortStableFunc(e, func(a, b Error) int { return cmp.Compare(a.Line, b.Line) })
 	return e
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// votersInMemoryConsent is what an operator has to write for voters without a store.
+	// votersInMemoryConsent is the only valid value of council_in_memory. It states the risk of voters without a store, so that an operator
+	// who sets the key has read it.
 	votersInMemoryConsent = "all promises are forgotten when most members end at once"
-	// reservedMemberName is what operators' commands are sent under.
+	// reservedMemberName is the sender name of operators' commands.
 	reservedMemberName = "operator"
-	// minTicksOfTTL is how many ticks of the consensus group a lease must outlast: an election takes some.
-	minTicksOfTTL = 10
+	// minTicksPerTTL is the minimum TTL of a lease in ticks of the consensus group. A lease must outlast an election, which takes several
+	// ticks.
+	minTicksPerTTL = 10
 )
 
-// readFleet reads the fleet that this process is in, and the fleet's tasks.
+// readFleet reads the fleet that this process is a member of, and the tasks of the fleet.
 func (f *File) readFleet(r *reader) {
 	root := f.root
 	if !root.has("tier") {
 		if root.has("tasks") {
-			r.fail(root.nodeAt("tasks"), "are done once for a fleet: [tier] is missing")
+			r.fail(root.nodeAt("tasks"), "requires the table [tier]: tasks run once for the whole fleet")
 		}
 		return
 	}
@@ -46,7 +48,7 @@
 	zones := r.members(s, c)
 	if s.has("council_in_memory") {
 		if s.text("council_in_memory", "") != votersInMemoryConsent {
-			r.fail(s.nodeAt("council_in_memory"), "is to be %q, which says what is given up", votersInMemoryConsent)
+			r.fail(s.nodeAt("council_in_memory"), "must be %q, which states the risk of voters without a store", votersInMemoryConsent)
 		}
 		c.VotersInMemory = true
 	}
@@ -65,9 +67,9 @@
 	f.Fleet = c
 }
 
-// members reads the members of a fleet, and returns the zone of each by its name.
+// members reads the members of a fleet. It returns the zones of the members by member name.
 func (r *reader) members(s *section, c *fleet.Config) map[string]string {
-	lines := map[string]int{} // of members, by address
+	lines := map[string]int{} // lines of members by address
 	zones := map[string]string{}
 	for _, m := range s.tables("members") {
 		name, address := m.requiredText("name"), m.requiredText("address")
@@ -76,14 +78,14 @@
 		if address != "" {
 			r.checkAddress(m.nodeAt("address"), address, dialAddress)
 		}
-		if _, had := c.Members[name]; had && name != "" {
-			r.fail(m.nodeAt("name"), "member %q is there twice", name)
+		if _, exists := c.Members[name]; exists && name != "" {
+			r.fail(m.nodeAt("name"), "duplicate member %q", name)
 		}
-		if line, had := lines[address]; had && address != "" {
-			r.fail(m.nodeAt("address"), "is %s, as that of the member in line %d", address, line)
+		if line, exists := lines[address]; exists && address != "" {
+			r.fail(m.nodeAt("address"), "%s is already the address of the member in line %d", address, line)
 		}
 		if len(name) > lease.MaxNameLen || name == reservedMemberName {
-			r.fail(m.nodeAt("name"), "%q can't be the name of a member", name)
+			r.fail(m.nodeAt("name"), "%q is not allowed as the name of a member: it is reserved or too long", name)
 		}
 		lines[address] = m.node.line
 		c.Members[name] = address
@@ -91,7 +93,7 @@
 	return zones
 }
 
-// readSharedState reads how the members share state by gossip.
+// readSharedState reads the settings of the state that the members share by gossip.
 func (f *File) readSharedState(r *reader, s *section, c *fleet.Config) {
 	shared := &fleet.SharedStateConfig{
 		GossipInterval: s.duration("gossip", 100*time.Millisecond, 10*time.Millisecond, 10*time.Second),
@@ -106,15 +108,15 @@
 	}
 	s.finish()
 	if shared.PingInterval < 2*shared.GossipInterval {
-		r.fail(s.nodeAt("probe"), "is %v, below two rounds of gossip of %v: answers would come too late", shared.PingInterval, shared.GossipInterval)
+		r.fail(s.nodeAt("probe"), "%v is less than twice the gossip interval of %v: responses to probes would arrive too late", shared.PingInterval, shared.GossipInterval)
 	}
 	if shared.Store != "" && shared.Store == c.Store {
-		r.fail(s.nodeAt("store"), "is that of the council: what is shared needs a file of its own")
+		r.fail(s.nodeAt("store"), "must differ from the store in [tier]: the shared state needs a separate file")
 	}
 	c.SharedState = shared
 }
 
-// readZones reads the rules by which the fleet leaves a zone and returns to it. zones are those of the members.
+// readZones reads the rules for failing over from a zone and back to it. zones are the zones of the members by member name.
 func (f *File) readZones(r *reader, s *section, c *fleet.Config, zones map[string]string) {
 	defaults := zonefailover.DefaultRules()
 	c.Zones = &fleet.ZonesConfig{
@@ -131,61 +133,62 @@
 			GrayFailures:            s.boolean("grey", defaults.GrayFailures),
 		},
 	}
-	// The endpoints of a zone that is returned to warm up as long as new ones do.
+	// After failback to a zone, its endpoints warm up for as long as new endpoints do: the longest slow start of all pools.
 	for _, p := range f.Gateway.Pools {
 		c.Zones.Rules.WarmUp = max(c.Zones.Rules.WarmUp, p.Settings.Config.SlowStartDuration)
 	}
 	s.finish()
 	if c.SharedState == nil {
-		r.fail(s.node, "needs [tier.copies]: what members see of servers is what it goes by")
+		r.fail(s.node, "requires the table [tier.copies]: zone failover depends on the server state that members share")
 	}
 	if err := c.Zones.Check(); err != nil {
 		r.fail(s.node, "%v", err)
 	}
 }
 
-// checkVoters checks that this process and the voters are members, and that the voters can form a quorum.
+// checkVoters checks that this process and the voters are members, and that the number of voters is odd and at most consensus.MaxVoters.
 func (r *reader) checkVoters(s *section, c *fleet.Config) {
 	if c.Name != "" && c.Members[c.Name] == "" {
-		r.fail(s.nodeAt("name"), "%q is none of [[tier.members]]", c.Name)
+		r.fail(s.nodeAt("name"), "%q is not listed in [[tier.members]]", c.Name)
 	}
 	switch n := len(c.Voters); {
 	case n == 0:
-		r.fail(s.nodeAt("council"), "is empty: name three, five or seven members that vote")
+		r.fail(s.nodeAt("council"), "at least one voter is required: list three, five or seven members")
 	case n%2 == 0:
-		r.fail(s.nodeAt("council"), "has %d members: an even number bears no more failures than one less, and is slower", n)
+		r.fail(s.nodeAt("council"), "has %d members, expected an odd number: an even number tolerates no more failures than the odd number below it, and is slower", n)
 	case n > consensus.MaxVoters:
-		r.fail(s.nodeAt("council"), "has %d members, more than %d", n, consensus.MaxVoters)
+		r.fail(s.nodeAt("council"), "has %d members, more than the maximum of %d", n, consensus.MaxVoters)
 	}
 	for i, name := range c.Voters {
 		if slices.Contains(c.Voters[:i], name) {
-			r.fail(s.nodeAt("council"), "names %q twice", name)
+			r.fail(s.nodeAt("council"), "duplicate voter %q", name)
 		}
 		if c.Members[name] == "" {
-			r.fail(s.nodeAt("council"), "names %q, which is none of [[tier.members]]", name)
+			r.fail(s.nodeAt("council"), "voter %q is not listed in [[tier.members]]", name)
 		}
 	}
 }
 
-// checkStore checks that a voter, and only a voter, has a store, unless the voters keep their state in memory.
+// checkStore checks that this process has a store exactly if it is a voter. If the voters keep their state in memory, it must have none.
 func (r *reader) checkStore(s *section, c *fleet.Config) {
 	isVoter := slices.Contains(c.Voters, c.Name)
 	if c.VotersInMemory && c.Store != "" {
-		r.fail(s.nodeAt("store"), "can't be together with council_in_memory: it would not be used")
+		r.fail(s.nodeAt("store"), "must not be set together with council_in_memory: the store would not be used")
 	}
 	if isVoter && c.Store == "" && !c.VotersInMemory {
-		r.fail(s.nodeAt("store"), "is missing: this process is in the council, and what it promises there has to outlive it")
+		r.fail(s.nodeAt("store"), "required key is missing: this process is a voter, and its votes and log entries must survive a restart")
 	}
 	if !isVoter && c.Store != "" {
-		r.fail(s.nodeAt("store"), "is for members of the council, which %q is not", c.Name)
+		r.fail(s.nodeAt("store"), "allowed only for members of the council: %q is not one of them", c.Name)
 	}
 }
 
+// checkTiming checks the timing of leases, also against the duration of an election.
 func (r *reader) checkTiming(s *section, c *fleet.Config) {
 	if err := c.LeaseTiming.Validate(); err != nil {
 		r.fail(s.nodeAt("term"), "%v", err)
 	}
-	if c.LeaseTiming.TTL < minTicksOfTTL*c.Tick {
-		r.fail(s.nodeAt("term"), "is %v, below ten ticks of %v: each election would end all leases", c.LeaseTiming.TTL, c.Tick)
+	if c.LeaseTiming.TTL < minTicksPerTTL*c.Tick {
+		r.fail(s.nodeAt("term"), "%v is less than ten ticks of %v: all leases would expire during an election", c.LeaseTiming.TTL, c.Tick)
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -51,49 +51,49 @@
 		t.Fatalf("%+v", f.Fleet)
 	}
 	if again, err := Parse("f.toml", []byte(f.String())); err != nil || len(again.Fleet.Tasks) != 1 {
-		t.Errorf("what is printed reads as another: %v", err)
+		t.Errorf("the printed file is another configuration: %v", err)
 	}
 }
 
-// TestBadTier: each error has its line and key.
+// TestInvalidFleet checks that each error has its key, and its line where it is given.
 func TestInvalidFleet(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"even council":       {`["a", "b", "c"]`, `["a", "b"]`, "f.toml:16: tier.council: has 2 members"},
-		"empty council":      {`["a", "b", "c"]`, `[]`, "f.toml:16: tier.council: is empty"},
-		"one twice":          {`["a", "b", "c"]`, `["a", "b", "b"]`, `tier.council: names "b" twice`},
-		"a stranger":         {`["a", "b", "c"]`, `["a", "b", "d"]`, `tier.council: names "d", which is none of`},
-		"no store":           {"store = \"a.db\"\n", "", "tier.store: is missing"},
-		"store without seat": {`name = "a"` + "\nsecret", `name = "d"` + "\nsecret", `tier.name: "d" is none of`},
-		"member twice":       {`name = "c"`, `name = "b"`, `f.toml:24: tier.members[3].name: member "b" is there twice`},
-		"address twice":      {`1003`, `1002`, "tier.members[3].address: is 127.0.0.1:1002, as that of the member in line 20"},
-		"no address":         {`"127.0.0.1:1003"`, `"nowhere"`, "tier.members[3].address"},
-		"short term":         {"[tier]", "[tier]\nterm = \"500ms\"", "tier.term: is 500ms, below ten ticks"},
-		"no margin":          {"[tier]", "[tier]\nterm = \"1s\"\nguard = \"900ms\"", "tier.term: of a term of 1s"},
-		"no such pool":       {`pool = "farm"`, `pool = "fram"`, `tasks[1].pool: there is no pool "fram"; did you mean "farm"?`},
-		"no such class":      {`/delivery-order/sweep`, `/delivery/sweep`, `tasks[1].path: there is no class "delivery"`},
-		"another method":     {`every = "1m"`, "every = \"1m\"\nmethod = \"GET\"", "tasks[1].method: is GET"},
-		"no such schedule":   {`every = "1m"`, `every = "now and then"`, "tasks[1].every"},
-		"no such missed":     {`every = "1m"`, "every = \"1m\"\nmissed = \"twice\"", "tasks[1].missed"},
-		"unknown key":        {`every = "1m"`, "every = \"1m\"\ncron = \"*\"", "tasks[1].cron: unknown key"},
-		"priority":           {`every = "1m"`, "every = \"1m\"\npriority = 1000", "tasks[1].priority: is 1000, outside -100 to 100"},
-		"empty budget":       {`every = "1m"`, "every = \"1m\"\n[tasks.budget]\nper = \"1h\"", "neither requests nor time"},
-		"memory, unsaid":     {`store = "a.db"`, `council_in_memory = "yes"`, "f.toml:15: tier.council_in_memory: is to be \"all promises are forgotten"},
-		"memory and store":   {"[tier]", "[tier]\ncouncil_in_memory = \"" + votersInMemoryConsent + "\"", "tier.store: can't be together with council_in_memory"},
-		"host, not plain":    {`every = "1m"`, "every = \"1m\"\nhost = \"a.example\"", "tasks[1].host: means something to pools of plain HTTP only"},
-		"unknown copies key": {"[[tasks]]", "[tier.copies]\ngosip = \"1s\"\n[[tasks]]", "tier.copies.gosip: unknown key"},
-		"hasty probe":        {"[[tasks]]", "[tier.copies]\nprobe = \"100ms\"\n[[tasks]]", "tier.copies.probe: is 100ms, below two rounds"},
-		"no witness":         {"[[tasks]]", "[tier.copies]\nwitnesses = 0\n[[tasks]]", "tier.copies.witnesses: is 0, outside 1 to 100"},
-		"one file for two":   {"[[tasks]]", "[tier.copies]\nstore = \"a.db\"\n[[tasks]]", "tier.copies.store: is that of the council"},
-		"zones alone":        {"[[tasks]]", "[tier.zones]\n[[tasks]]", "tier.zones: needs [tier.copies]"},
-		"members' zones":     {"[[tasks]]", "[tier.copies]\n[tier.zones]\n[[tasks]]", "the zones of a, b, c are not told"},
-		"odd judge":          {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "which is not below the 0.6"},
-		"odd grey":           {"[[tasks]]", "[tier.copies]\n[tier.zones]\ngrey = \"some\"\n[[tasks]]", "tier.zones.grey"},
-		"not automatic":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"perhaps\"\n[[tasks]]", "tier.zones.automatic"},
-		"tasks alone":        {fleetFile[strings.Index(fleetFile, "[tier]"):strings.Index(fleetFile, "[[tasks]]")], "", "tasks: are done once for a fleet"},
+		"even council":           {`["a", "b", "c"]`, `["a", "b"]`, "f.toml:16: tier.council: has 2 members"},
+		"empty council":          {`["a", "b", "c"]`, `[]`, "f.toml:16: tier.council: at least one voter is required"},
+		"duplicate voter":        {`["a", "b", "c"]`, `["a", "b", "b"]`, `tier.council: duplicate voter "b"`},
+		"unknown voter":          {`["a", "b", "c"]`, `["a", "b", "d"]`, `tier.council: voter "d" is not listed in [[tier.members]]`},
+		"no store":               {"store = \"a.db\"\n", "", "tier.store: required key is missing"},
+		"store of a non-member":  {`name = "a"` + "\nsecret", `name = "d"` + "\nsecret", `tier.name: "d" is not listed in [[tier.members]]`},
+		"member twice":           {`name = "c"`, `name = "b"`, `f.toml:24: tier.members[3].name: duplicate member "b"`},
+		"address twice":          {`1003`, `1002`, "tier.members[3].address: 127.0.0.1:1002 is already the address of the member in line 20"},
+		"no address":             {`"127.0.0.1:1003"`, `"nowhere"`, "tier.members[3].address"},
+		"short term":             {"[tier]", "[tier]\nterm = \"500ms\"", "tier.term: 500ms is less than ten ticks"},
+		"no margin":              {"[tier]", "[tier]\nterm = \"1s\"\nguard = \"900ms\"", "tier.term: of a term of 1s"},
+		"no such pool":           {`pool = "farm"`, `pool = "fram"`, `tasks[1].pool: unknown pool "fram"; did you mean "farm"?`},
+		"no such class":          {`/delivery-order/sweep`, `/delivery/sweep`, `tasks[1].path: unknown class "delivery"`},
+		"another method":         {`every = "1m"`, "every = \"1m\"\nmethod = \"GET\"", "tasks[1].method: GET is not allowed"},
+		"no such schedule":       {`every = "1m"`, `every = "now and then"`, "tasks[1].every"},
+		"no such missed":         {`every = "1m"`, "every = \"1m\"\nmissed = \"twice\"", "tasks[1].missed"},
+		"unknown key":            {`every = "1m"`, "every = \"1m\"\ncron = \"*\"", "tasks[1].cron: unknown key"},
+		"priority":               {`every = "1m"`, "every = \"1m\"\npriority = 1000", "tasks[1].priority: 1000 is out of range; expected -100 to 100"},
+		"empty budget":           {`every = "1m"`, "every = \"1m\"\n[tasks.budget]\nper = \"1h\"", "neither requests nor time"},
+		"memory without consent": {`store = "a.db"`, `council_in_memory = "yes"`, "f.toml:15: tier.council_in_memory: must be \"all promises are forgotten"},
+		"memory and store":       {"[tier]", "[tier]\ncouncil_in_memory = \"" + votersInMemoryConsent + "\"", "tier.store: must not be set together with council_in_memory"},
+		"host without HTTP":      {`every = "1m"`, "every = \"1m\"\nhost = \"a.example\"", "tasks[1].host: allowed only for pools with protocol = \"http\""},
+		"unknown copies key":     {"[[tasks]]", "[tier.copies]\ngosip = \"1s\"\n[[tasks]]", "tier.copies.gosip: unknown key"},
+		"short probe interval":   {"[[tasks]]", "[tier.copies]\nprobe = \"100ms\"\n[[tasks]]", "tier.copies.probe: 100ms is less than twice the gossip interval"},
+		"zero witnesses":         {"[[tasks]]", "[tier.copies]\nwitnesses = 0\n[[tasks]]", "tier.copies.witnesses: 0 is out of range; expected 1 to 100"},
+		"shared store file":      {"[[tasks]]", "[tier.copies]\nstore = \"a.db\"\n[[tasks]]", "tier.copies.store: must differ from the store in [tier]"},
+		"zones without copies":   {"[[tasks]]", "[tier.zones]\n[[tasks]]", "tier.zones: requires the table [tier.copies]"},
+		"members without zones":  {"[[tasks]]", "[tier.copies]\n[tier.zones]\n[[tasks]]", "the zones of a, b, c are not told"},
+		"invalid threshold":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "which is not below the 0.6"},
+		"invalid grey":           {"[[tasks]]", "[tier.copies]\n[tier.zones]\ngrey = \"some\"\n[[tasks]]", "tier.zones.grey"},
+		"invalid automatic":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"perhaps\"\n[[tasks]]", "tier.zones.automatic"},
+		"tasks without fleet":    {fleetFile[strings.Index(fleetFile, "[tier]"):strings.Index(fleetFile, "[[tasks]]")], "", "tasks: requires the table [tier]"},
 	} {
 		text := strings.Replace(fleetFile, c.from, c.to, 1)
 		if text == fleetFile {
-			t.Fatalf("%s: nothing was changed", name)
+			t.Fatalf("%s: the replaced text is not in the file", name)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: want %q in\n%v", name, c.want, err)
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestZonesWarm: a zone that the fleet returns to is cold for the longest ramp of the pools.
+// TestZonesWarmUp checks that the endpoints of a zone warm up after failback for the longest ramp of the pools.
 func TestZonesWarmUp(t *testing.T) {
 	text := strings.Replace(fleetFile, "[tier]\n", "[pools.farm.safety]\nramp = \"25s\"\n[tier]\n", 1)
 	text = strings.Replace(text, "[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"off\"\n[[tasks]]", 1)
@@ -110,11 +110,11 @@
 		t.Fatal(err)
 	}
 	if got := f.Fleet.Zones.Rules.WarmUp; got != 25*time.Second {
-		t.Errorf("cold for %v", got)
+		t.Errorf("got a warm-up of %v", got)
 	}
 }
 
-// TestTierExamples: what is shipped can be used.
+// TestFleetExamples checks that the shipped example files of a fleet are valid.
 func TestFleetExamples(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "tier-*.toml"))
 	if err != nil || len(files) != 3 {
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestPlainTask: on a pool of plain HTTP the class of a task is what the pool's rules say of its request.
+// TestHTTPServiceTask checks that the rules of a pool of ordinary HTTP services select the class of a task's request.
 func TestHTTPServiceTask(t *testing.T) {
 	text := strings.Replace(fleetFile, "[pools.farm]\n", "[pools.farm]\nprotocol = \"http\"\n", 1)
 	text = strings.Replace(text, "name = \"delivery-order\"\n", "name = \"delivery-order\"\nmatch = [\"POST /delivery-order/\"]\nrepeats_dropped_for = \"20s\"\n", 1)
@@ -147,6 +147,6 @@
 		t.Fatal(err)
 	}
 	if k := f.Fleet.Tasks[0]; k.Idempotency != task.NonIdempotent {
-		t.Errorf("what no rule takes: %+v", k)
+		t.Errorf("a request that matches no rule: %+v", k)
 	}
 }
--- a/internal/config/httpservice.go
+++ b/internal/config/httpservice.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// readsClass and otherClass are the classes of a pool of ordinary HTTP services without any: the methods that RFC 9110
-	// calls safe, and all others.
+	// readsClass and otherClass are the classes of a pool of ordinary HTTP services that configures none. Requests with a safe method
+	// (RFC 9110) are in readsClass, all others in otherClass.
 	readsClass = "reads"
 	otherClass = "other"
-	// keylessSuffix is added to the name of a keyed class for its requests without a key.
+	// keylessSuffix is appended to the name of a keyed class to name the class of its requests without a key.
 	keylessSuffix = " without a key"
-	// defaultDeadline is that of the classes that the file does not name.
+	// defaultDeadline is the deadline of readsClass and otherClass.
 	defaultDeadline = 15 * time.Second
 )
 
-// safeMethods are those that RFC 9110, 9.2.1, calls safe.
+// safeMethods are methods that RFC 9110, section 9.2.1, defines as safe.
 var safeMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions}
 
-// deadlineFields are the header fields that may hold the client's timeout.
+// deadlineFields are the header fields that deadline_from may list as sources of the client's timeout.
 var deadlineFields = []string{"X-Timeout-Ms", "X-Envoy-Expected-Rq-Timeout-Ms", "Grpc-Timeout"}
 
 var forwardingModes = map[string]httpservice.Forwarding{
@@ -36,7 +36,7 @@
 	"drop":    httpservice.ForwardingDrop,
 }
 
-// httpService reads what a pool of ordinary HTTP services has in place of the platform's protocol.
+// httpService reads the table http of a pool of ordinary HTTP services, which do not use the platform's protocol.
 func (r *reader) httpService(pool *section, p *gateway.Pool) httpservice.Config {
 	s := pool.table("http")
 	cfg := httpservice.Config{
@@ -51,14 +51,14 @@
 	for i, field := range cfg.TimeoutFields {
 		cfg.TimeoutFields[i] = http.CanonicalHeaderKey(field)
 		if !slices.Contains(deadlineFields, cfg.TimeoutFields[i]) {
-			r.fail(s.nodeAt("deadline_from"), "has %q, not one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
+			r.fail(s.nodeAt("deadline_from"), "unsupported header field %q; expected one of X-Timeout-Ms, X-Envoy-Expected-Rq-Timeout-Ms, grpc-timeout", field)
 		}
 	}
 	if cfg.HealthCheckPath != "" && (!strings.HasPrefix(cfg.HealthCheckPath, "/") || strings.ContainsAny(cfg.HealthCheckPath, " #")) {
-		r.fail(s.nodeAt("check"), "is %q, not a path such as /healthz", cfg.HealthCheckPath)
+		r.fail(s.nodeAt("check"), "invalid path %q; expected a path such as /healthz, without a space or #", cfg.HealthCheckPath)
 	}
 	if strings.ContainsAny(cfg.Via, " ,;()\"\\") {
-		r.fail(s.nodeAt("via"), "is %q, not a name of one word", cfg.Via)
+		r.fail(s.nodeAt("via"), "invalid name %q; expected a single word without any of , ; ( ) \" \\", cfg.Via)
 	}
 	s.finish()
 	c := &p.Settings.Config
@@ -67,7 +67,7 @@
 	return cfg
 }
 
-// statuses reads an array of HTTP statuses from 400 to 599.
+// statuses reads an array of HTTP status codes from 400 to 599.
 func (r *reader) statuses(s *section, key string, defaults ...int) []int {
 	n := s.get(key)
 	if n == nil {
@@ -75,14 +75,14 @@
 		return defaults
 	}
 	if n.kind != isArray {
-		r.fail(n, "is %s, not an array of statuses", n.kind)
+		r.fail(n, "got %s, expected an array of HTTP status codes", n.kind)
 		return nil
 	}
 	var statuses []int
 	for _, item := range n.items {
 		status, err := strconv.Atoi(item.text)
 		if item.kind != isInteger || err != nil || status < 400 || status > 599 {
-			r.fail(item, "is no status from 400 to 599")
+			r.fail(item, "expected an HTTP status code from 400 to 599")
 			continue
 		}
 		statuses = append(statuses, status)
@@ -91,7 +91,7 @@
 	return statuses
 }
 
-// statusArray writes a TOML array.
+// statusArray returns statuses as a TOML array.
 func statusArray(statuses []int) string {
 	texts := make([]string, len(statuses))
 	for i, status := range statuses {
@@ -100,8 +100,8 @@
 	return "[" + strings.Join(texts, ", ") + "]"
 }
 
-// httpServiceClasses reads the classes of a pool of ordinary HTTP services, and makes its dialect. The last class, which takes all
-// that no other does, is not idempotent.
+// httpServiceClasses reads the classes of a pool of ordinary HTTP services, and creates the pool's dialect. The last class, otherClass,
+// matches all requests that no other class matches. It is not idempotent.
 func (r *reader) httpServiceClasses(s *section, p *gateway.Pool, cfg httpservice.Config, tables []*section) {
 	b := httpClassBuilder{dialect: cfg, names: map[string]bool{}}
 	for _, t := range tables {
@@ -116,7 +116,7 @@
 	other := defaults
 	other.Name, other.Idempotency = otherClass, policy.NonIdempotent
 	if b.names[otherClass] {
-		r.fail(s.nodeAt("classes"), "a class is named %q, which is that of all other requests", otherClass)
+		r.fail(s.nodeAt("classes"), "class name %q is reserved for the requests that match no other class", otherClass)
 	} else {
 		b.add(httpservice.Class{}, other)
 		p.Dialect = httpservice.New(b.dialect)
@@ -124,14 +124,14 @@
 	p.Settings.Config.Classes = b.classes
 }
 
-// httpClassBuilder collects the classes of a pool of ordinary HTTP services, as the dialect and as the decision module know them.
+// httpClassBuilder collects the classes of a pool of ordinary HTTP services, for the dialect and for the decision module.
 type httpClassBuilder struct {
 	dialect httpservice.Config
 	classes []policy.Class
 	names   map[string]bool
 }
 
-// add adds a class; one with idempotency keys also as the class of its requests without a key, which are not idempotent.
+// add adds a class. For a class with idempotency keys, it also adds the class of the requests without a key, which are not idempotent.
 func (b *httpClassBuilder) add(class httpservice.Class, attributes policy.Class) {
 	if attributes.Idempotency == policy.IdempotentByKey {
 		keyless := attributes
@@ -145,11 +145,12 @@
 	b.names[attributes.Name] = true
 }
 
-// httpServiceClass reads the table of one class. It is safe by default if all its patterns are of safe methods.
+// httpServiceClass reads the table of one class. Its effect is safe by default if it has patterns and all of them are for safe methods;
+// otherwise it is unsafe by default.
 func (r *reader) httpServiceClass(s *section, b *httpClassBuilder) {
 	attributes := policy.Class{Name: s.requiredText("name")}
 	if b.names[attributes.Name] {
-		r.fail(s.nodeAt("name"), "class %q is there twice", attributes.Name)
+		r.fail(s.nodeAt("name"), "duplicate class %q", attributes.Name)
 	}
 	var class httpservice.Class
 	safe := true
@@ -166,7 +167,7 @@
 		class.Rule.Headers = append(class.Rule.Headers, http.CanonicalHeaderKey(field))
 	}
 	if len(class.Rule.Patterns)+len(class.Rule.Headers) == 0 && s.get("match") == nil {
-		r.fail(s.nodeAt("match"), "is missing: which requests are of the class")
+		r.fail(s.nodeAt("match"), "required key is missing: a class needs match or headers to select its requests")
 	}
 	class.Tenant = r.valueSource(s, "tenant_from")
 	class.Key = r.valueSource(s, "key_from")
@@ -179,20 +180,20 @@
 	b.add(class, attributes)
 }
 
-// safeMethodsRule matches all requests of a safe method.
+// safeMethodsRule returns a rule that matches all requests with a safe method.
 func safeMethodsRule() classify.Rule {
 	var rule classify.Rule
 	for _, method := range safeMethods {
 		pattern, err := classify.ParsePattern(method + " /")
 		if err != nil {
-			panic(err) // the pattern is written above
+			panic(err) // unreachable: safeMethods are valid methods
 		}
 		rule.Patterns = append(rule.Patterns, pattern)
 	}
 	return rule
 }
 
-// valueSource reads where a value is taken from: "header:NAME" or "path:NAME".
+// valueSource reads the source of a value in a request: "header:NAME" or "path:NAME".
 func (r *reader) valueSource(s *section, key string) httpservice.ValueSource {
 	text := s.text(key, "")
 	if text == "" {
@@ -204,6 +205,6 @@
 	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
 		return httpservice.ValueSource{PathName: name}
 	}
-	r.fail(s.nodeAt(key), "is %q, not header:NAME or path:NAME", text)
+	r.fail(s.nodeAt(key), "invalid source %q; expected header:NAME or path:NAME", text)
 	return httpservice.ValueSource{}
 }
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -10,13 +10,13 @@
 	"sorrelrudder/internal/tlsfiles"
 )
 
-// addressUse says what an address is for.
+// addressUse is the use of an address, which determines the values that are valid.
 type addressUse int
 
 const (
-	// dialAddress is connected to: it has a host and a port.
+	// dialAddress is an address to connect to: its host must not be empty, and its port not 0.
 	dialAddress addressUse = iota
-	// listenAddress is listened on: the host may be empty, for all interfaces, and the port 0, for any.
+	// listenAddress is an address to listen on: an empty host means all interfaces, and port 0 any free port.
 	listenAddress
 )
 
@@ -24,13 +24,13 @@
 func (f *File) readListeners(r *reader) {
 	listeners := f.root.tables("listeners")
 	if len(listeners) == 0 {
-		r.fail(f.root.nodeAt("listeners"), "is missing: clients could not connect")
+		r.fail(f.root.nodeAt("listeners"), "at least one listener is required for clients to connect to")
 	}
 	byName := map[string]*section{}
 	for _, s := range listeners {
 		l := f.readListener(r, s)
 		if other := byName[l.Name]; other != nil && l.Name != "" {
-			r.fail(s.nodeAt("name"), "is %q, as that of the listener in line %d", l.Name, other.node.line)
+			r.fail(s.nodeAt("name"), "%q is already the name of the listener in line %d", l.Name, other.node.line)
 		}
 		byName[l.Name] = s
 		f.Gateway.Listeners = append(f.Gateway.Listeners, l)
@@ -46,10 +46,10 @@
 	l.TLS, l.H2C = f.readListenerTLS(r, s)
 	s.finish()
 	if l.InterSite && (l.TLS != gateway.TLS{} || l.H2C) {
-		r.fail(s.nodeAt("sites"), "is for peers, whose TLS [site.tls] says")
+		r.fail(s.nodeAt("sites"), "must not be combined with tls or h2c: [site.tls] configures TLS for connections from peers")
 	}
 	if l.InterSite && !f.root.has("site") {
-		r.fail(s.nodeAt("sites"), "is for peers, and there is no [site]")
+		r.fail(s.nodeAt("sites"), "requires the table [site]: the listener is for connections from peers")
 	}
 	if l.Address != "" {
 		r.checkAddress(s.nodeAt("address"), l.Address, listenAddress)
@@ -57,24 +57,24 @@
 	return l
 }
 
-// checkAddress checks a host and port. The host is an IP address, so that no name service is needed.
+// checkAddress checks an address of the form host:port. The host must be an IP address, so that no name resolution is needed.
 func (r *reader) checkAddress(n *node, text string, use addressUse) {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
-		r.fail(n, "is %q, not an address and a port such as 127.0.0.1:8080", text)
+		r.fail(n, "invalid address %q; expected an IP address and a port, such as 127.0.0.1:8080", text)
 		return
 	}
 	listen := use == listenAddress
 	if _, err := netip.ParseAddr(host); err != nil && (!listen || host != "") {
-		r.fail(n, "has the host %q, which is no IP address", host)
+		r.fail(n, "host %q is not an IP address", host)
 	}
 	if p, err := strconv.ParseUint(port, 10, 16); err != nil || p == 0 && !listen {
-		r.fail(n, "has the port %q, which is no number from 1 to 65535", port)
+		r.fail(n, "port %q is not a number from 1 to 65535", port)
 	}
 }
 
-// readListenerTLS reads what a listener speaks beside HTTP/1.1 without TLS: TLS, or HTTP/2 without TLS. The certificates are loaded
-// once to check them, unless there are errors already.
+// readListenerTLS reads the TLS settings of a listener, and whether it accepts HTTP/2 without TLS (h2c) beside HTTP/1.1. It loads the
+// certificates once to check them, unless the file already has errors.
 func (f *File) readListenerTLS(r *reader, l *section) (t gateway.TLS, h2c bool) {
 	h2c = l.boolean("h2c", false)
 	if !l.has("tls") {
@@ -82,14 +82,14 @@
 		return t, h2c
 	}
 	if h2c {
-		r.fail(l.nodeAt("h2c"), "is HTTP/2 without TLS, and the listener has TLS")
+		r.fail(l.nodeAt("h2c"), "must not be combined with tls: h2c is HTTP/2 without TLS")
 	}
 	s := l.table("tls")
 	t.HTTP2 = s.boolean("http2", true)
 	t.ClientCAFile = s.text("authorities", "")
 	t.RequireClientCert = s.choice("clients", "ask", "ask", "need") == "need"
 	if t.RequireClientCert && t.ClientCAFile == "" {
-		r.fail(s.nodeAt("clients"), "needs authorities: whose certificates would be right")
+		r.fail(s.nodeAt("clients"), "requires the key authorities: client certificates are verified against it")
 	}
 	var pairs []string
 	for _, c := range s.tables("certificates") {
@@ -99,7 +99,7 @@
 	s.finish()
 	t.KeyPairs = strings.Join(pairs, "\n")
 	if len(pairs) == 0 {
-		r.fail(s.nodeAt("certificates"), "is missing: there would be nothing to show")
+		r.fail(s.nodeAt("certificates"), "at least one certificate is required: the listener presents it to clients")
 		return t, h2c
 	}
 	if len(r.errs) == 0 {
@@ -108,18 +108,19 @@
 	return t, h2c
 }
 
-// checkCertificates loads the certificates of a listener, and warns of keys that others can read.
+// checkCertificates loads the certificates of a listener, and adds a warning for each private key that users other than its owner can
+// access.
 func (f *File) checkCertificates(r *reader, s *section, t gateway.TLS) {
 	cfg := CertificateConfig(t)
 	if _, err := tlsfiles.Load(cfg, nil); err != nil {
 		r.fail(s.node, "%v", err)
 	}
 	for _, key := range cfg.ExposedKeys() {
-		f.Warnings = append(f.Warnings, key+" is a key that others than its owner can read")
+		f.Warnings = append(f.Warnings, key+": users other than the owner can access this private key file")
 	}
 }
 
-// CertificateConfig returns the files of a listener's TLS.
+// CertificateConfig returns the certificate files and the ALPN protocols of a listener's TLS.
 func CertificateConfig(t gateway.TLS) tlsfiles.Config {
 	c := tlsfiles.Config{CAFile: t.ClientCAFile, RequireClientCert: t.RequireClientCert, Protocols: []string{"http/1.1"}}
 	if t.HTTP2 {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -12,12 +12,13 @@
 )
 
 const (
+	// timerResolution is the minimum time between two timer events of the decision module.
 	timerResolution = time.Millisecond
-	// responseGrace is kept of a request's time to answer its client.
+	// responseGrace is the part of a request's timeout that is reserved for sending the response to the client.
 	responseGrace = 20 * time.Millisecond
 )
 
-// The health states of endpoints in discovery's lists.
+// The health states of endpoints in the endpoint lists of discovery.
 const (
 	healthActive   = "active"
 	healthDraining = "leaving"
@@ -27,11 +28,11 @@
 func (f *File) readPools(r *reader) (names []string, pools []*section) {
 	names, pools = f.root.namedTables("pools")
 	if len(pools) == 0 && (!f.root.has("pools") || f.root.nodeAt("pools").kind == isTable) {
-		r.fail(f.root.nodeAt("pools"), "is missing: there is nowhere to send requests")
+		r.fail(f.root.nodeAt("pools"), "at least one pool is required to send requests to")
 	}
 	for i, s := range pools {
 		if names[i] == "" {
-			r.fail(s.node, "a pool without a name")
+			r.fail(s.node, "pool name must not be empty")
 		}
 		pool := r.pool(names[i], s)
 		f.readSpillover(r, s, &pool)
@@ -74,17 +75,17 @@
 	return p
 }
 
-// instances reads which part of the clients this process has.
+// instances reads the position of this process among the instances that share the pool's endpoints: its zone and index.
 func (r *reader) instances(s *section, c *policy.Config) {
 	c.Zone = s.text("zone", "")
 	c.InstanceCount = int(s.integer("instances", 1, 1, maxCount))
 	c.InstanceIndex = int(s.integer("instance", 0, 0, maxCount))
 	if c.InstanceIndex >= c.InstanceCount {
-		r.fail(s.nodeAt("instance"), "is %d; counted from 0, it must be below instances, which is %d", c.InstanceIndex, c.InstanceCount)
+		r.fail(s.nodeAt("instance"), "%d is out of range: it is counted from 0 and must be less than instances, which is %d", c.InstanceIndex, c.InstanceCount)
 	}
 }
 
-// endpointList reads where the pool's endpoint list comes from: a discovery service, or the file itself.
+// endpointList reads the source of the pool's endpoint list: the address of a discovery service, or the endpoints themselves.
 func (r *reader) endpointList(s *section, p *gateway.Pool) {
 	p.Discovery = s.text("discovery", "")
 	if p.Discovery != "" {
@@ -93,15 +94,15 @@
 	servers := s.tables("servers")
 	switch {
 	case s.has("discovery") && s.has("servers"):
-		r.fail(s.nodeAt("servers"), "the pool has two lists: this one and that of discovery (line %d)", s.nodeAt("discovery").line)
+		r.fail(s.nodeAt("servers"), "must not be combined with discovery (line %d): a pool has a single endpoint list", s.nodeAt("discovery").line)
 	case p.Discovery == "" && len(servers) == 0:
-		r.fail(s.node, "the pool has no list: give it discovery or servers")
+		r.fail(s.node, "pool has no endpoint list: set discovery or servers")
 	}
 	seen := map[string]bool{}
 	for _, server := range servers {
 		endpoint := r.endpoint(server)
 		if seen[endpoint.ID] {
-			r.fail(server.nodeAt("name"), "server %q is there twice", endpoint.ID)
+			r.fail(server.nodeAt("name"), "duplicate server %q", endpoint.ID)
 		}
 		seen[endpoint.ID] = true
 		p.StaticEndpoints = append(p.StaticEndpoints, endpoint)
@@ -133,7 +134,7 @@
 	l.OpenRequests = s.integer("open", 0, 0, maxCount)
 	l.BodyBytes = s.size("bodies", 0, 0, 1<<40)
 	if l.BodyBytes > 0 && l.BodyBytes < httpmsg.MaxBufferedBodyBytes {
-		r.fail(s.nodeAt("bodies"), "is below %s, the longest body: such a request would always be refused", formatSize(httpmsg.MaxBufferedBodyBytes))
+		r.fail(s.nodeAt("bodies"), "must be 0 or at least %s, the maximum size of a buffered body: a request with a body of that size would always be rejected", formatSize(httpmsg.MaxBufferedBodyBytes))
 	}
 	l.Descriptors = s.integer("descriptors", 0, 0, maxCount)
 	l.QueueWithoutEndpoints = s.boolean("wait_for_servers", false)
@@ -192,7 +193,7 @@
 		tenant := policy.Tenant{Name: t.requiredText("name"), RateQuota: t.number("rate", 0, 0, 1e9)}
 		t.finish()
 		if seen[tenant.Name] {
-			r.fail(t.nodeAt("name"), "tenant %q is there twice", tenant.Name)
+			r.fail(t.nodeAt("name"), "duplicate tenant %q", tenant.Name)
 		}
 		seen[tenant.Name] = true
 		c.Tenants = append(c.Tenants, tenant)
--- a/internal/config/print.go
+++ b/internal/config/print.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// entry is a key as it is written out, with a value or with tables.
+// entry is a key that is printed, with either a value or tables.
 type entry struct {
 	key       string
 	text      string // of the value, as TOML
-	isDefault bool   // the value
+	isDefault bool   // the value is the default
 	tables    []*section
-	isArray   bool // the tables are those of an array
+	isArray   bool // the tables form an array of tables
 }
 
 // write writes the section at path as TOML: its values first, then its tables.
@@ -42,7 +42,7 @@
 
 func (e entry) assignment() string { return tomlKey(e.key) + " = " + e.text }
 
-// writeTables writes the tables of an entry of the table at path. A table without values of its own gets no header.
+// writeTables writes the tables of an entry of the table at path. A single table without values of its own gets no header.
 func (e entry) writeTables(b *strings.Builder, path string) {
 	key := tomlKey(e.key)
 	if path != "" {
@@ -59,7 +59,7 @@
 	}
 }
 
-// tomlKey writes a key, quoted if it is no bare one.
+// tomlKey returns a key as TOML, quoted unless it is a bare key.
 func tomlKey(key string) string {
 	if k := join("", key); k != "" {
 		return k
@@ -67,7 +67,7 @@
 	return `""`
 }
 
-// quote writes a TOML basic string.
+// quote returns s as a TOML basic string.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
@@ -86,7 +86,7 @@
 	return b.String()
 }
 
-// textArray writes a TOML array of strings.
+// textArray returns texts as a TOML array of strings.
 func textArray(texts []string) string {
 	quoted := make([]string, len(texts))
 	for i, text := range texts {
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -6,10 +6,10 @@
 	"sorrelrudder/internal/route"
 )
 
-// readRoutes reads the routes. Without any, the only pool gets all requests.
+// readRoutes reads the routes. They are optional if there is a single pool, which then gets all requests.
 func (f *File) readRoutes(r *reader, poolNames []string, pools []*section) {
 	tables := f.root.tables("routes")
-	lines := map[string]int{} // of routes, by name
+	lines := map[string]int{} // lines of routes by name
 	routed := map[string]bool{}
 	for _, t := range tables {
 		rt := route.Route{
@@ -21,8 +21,8 @@
 			StripPath: t.boolean("strip_path", false),
 		}
 		t.finish()
-		if line, had := lines[rt.Name]; had && rt.Name != "" {
-			r.fail(t.nodeAt("name"), "is %q, as that of the route in line %d", rt.Name, line)
+		if line, exists := lines[rt.Name]; exists && rt.Name != "" {
+			r.fail(t.nodeAt("name"), "%q is already the name of the route in line %d", rt.Name, line)
 		}
 		lines[rt.Name] = t.node.line
 		if rt.Pool != "" {
@@ -32,12 +32,12 @@
 		f.Gateway.Routes = append(f.Gateway.Routes, rt)
 	}
 	if len(tables) == 0 && len(poolNames) > 1 {
-		r.fail(f.root.nodeAt("routes"), "is missing: with several pools, routes say which requests are for which")
+		r.fail(f.root.nodeAt("routes"), "at least one route is required: with several pools, routes select the pool of a request")
 	}
 	if len(tables) > 0 {
 		for i, name := range poolNames {
 			if !routed[name] {
-				r.fail(pools[i].node, "no route leads to the pool %q", name)
+				r.fail(pools[i].node, "no route sends requests to pool %q", name)
 			}
 		}
 	}
@@ -47,14 +47,14 @@
 	}
 }
 
-// checkKnown checks that name is one of those that exist. kind says what it names.
+// checkKnown reports an error at n if name is not one of the existing names. kind is the type of the named object, for the error.
 func (r *reader) checkKnown(n *node, kind, name string, existing []string) {
 	if slices.Contains(existing, name) {
 		return
 	}
-	if near := nearest(name, existing); near != "" {
-		r.fail(n, "there is no %s %q; did you mean %q?", kind, name, near)
+	if suggestion := nearest(name, existing); suggestion != "" {
+		r.fail(n, "unknown %s %q; did you mean %q?", kind, name, suggestion)
 		return
 	}
-	r.fail(n, "there is no %s %q", kind, name)
+	r.fail(n, "unknown %s %q", kind, name)
 }
--- a/internal/config/section.go
+++ b/internal/config/section.go
@@ -6,50 +6,52 @@
 	"strings"
 )
 
-// reader collects the errors of a file as its tree is read.
+// reader collects the errors that are found while the tree of a file is read.
 type reader struct {
 	file               string
 	errs               Errors
-	sharedDedupClasses []string // classes of the current pool whose repeats both sites drop together
+	sharedDedupClasses []string // classes of the current pool whose repeated requests are dropped at both sites
 }
 
-// fail adds an error at n.
+// fail adds an error at the location of n.
 func (r *reader) fail(n *node, format string, args ...any) {
 	r.errs = append(r.errs, Error{r.file, n.line, n.path, fmt.Sprintf(format, args...)})
 }
 
-// section is a table as it is read. It also records what was read, defaults included, so that what is printed is what was read.
+// section is a table that is being read. It records every key that is read, with its value or default, so that the printed file is
+// the configuration that was read.
 type section struct {
 	reader    *reader
 	node      *node
-	knownKeys []string
-	entries   []entry
+	knownKeys []string // keys that the code has read or looked for
+	entries   []entry  // what is printed
 }
 
 func (r *reader) section(n *node) *section { return &section{reader: r, node: n} }
 
-// finish reports the keys that nobody has read as errors.
+// finish reports each key of the table that the code does not know as an error.
 func (s *section) finish() {
 	for _, key := range s.node.keys {
 		if slices.Contains(s.knownKeys, key) {
 			continue
 		}
 		n := s.node.table[key]
-		if near := nearest(key, s.knownKeys); near != "" {
-			s.reader.fail(n, "unknown key; did you mean %s?", near)
+		if suggestion := nearest(key, s.knownKeys); suggestion != "" {
+			s.reader.fail(n, "unknown key; did you mean %s?", suggestion)
 		} else {
 			s.reader.fail(n, "unknown key; known here: %s", strings.Join(s.knownKeys, ", "))
 		}
 	}
 }
 
-// get returns the node under key, or nil if it is not there.
+// get returns the node under key, or nil if the key is absent. It marks the key as known.
 func (s *section) get(key string) *node {
 	s.knownKeys = append(s.knownKeys, key)
 	return s.node.table[key]
 }
 
-// nodeAt returns the node of a key, or one with its path and the line of the section if the key is not there.
+// nodeAt returns the node under key. If the key is absent, it returns a node for error messages, with the path of the key and the line of
+// the section.
 func (s *section) nodeAt(key string) *node {
 	if n := s.node.table[key]; n != nil {
 		return n
@@ -57,21 +59,21 @@
 	return &node{line: s.node.line, path: join(s.node.path, key)}
 }
 
-// has reports whether a key is there. It does not count as read.
+// has reports whether a key is present. It does not mark the key as known.
 func (s *section) has(key string) bool { return s.node.table[key] != nil }
 
-// record adds a key and its value, as TOML, to what is printed.
-func (s *section) record(key, text string, fallback bool) {
-	s.entries = append(s.entries, entry{key: key, text: text, isDefault: fallback})
+// record adds a key and its value, written as TOML, to the entries that are printed.
+func (s *section) record(key, text string, isDefaultValue bool) {
+	s.entries = append(s.entries, entry{key: key, text: text, isDefault: isDefaultValue})
 }
 
-// table returns the table under key; an empty one if it is not there.
+// table returns the table under key, or an empty table if the key is absent or is not a table.
 func (s *section) table(key string) *section {
 	n := s.get(key)
 	if n == nil {
 		n = newTable(join(s.node.path, key), s.node.line)
 	} else if n.kind != isTable {
-		s.reader.fail(n, "is %s, not a table", n.kind)
+		s.reader.fail(n, "got %s, expected a table", n.kind)
 		n = newTable(n.path, n.line)
 	}
 	sub := s.reader.section(n)
@@ -79,7 +81,7 @@
 	return sub
 }
 
-// tables returns the tables of the array under key.
+// tables returns the elements of the array of tables under key.
 func (s *section) tables(key string) []*section {
 	n := s.get(key)
 	if n == nil {
@@ -87,7 +89,7 @@
 	}
 	if n.kind != isTables {
 		if n.kind != isArray || len(n.items) > 0 {
-			s.reader.fail(n, "is %s, not tables: write [[%s]]", n.kind, n.path)
+			s.reader.fail(n, "got %s, expected an array of tables: write [[%s]]", n.kind, n.path)
 		}
 		return nil
 	}
@@ -99,14 +101,14 @@
 	return subs
 }
 
-// namedTables returns the tables of the table under key and their names, in the order of the file.
+// namedTables returns the subtables of the table under key and their names, in file order.
 func (s *section) namedTables(key string) (names []string, subs []*section) {
 	n := s.get(key)
 	if n == nil {
 		return nil, nil
 	}
 	if n.kind != isTable {
-		s.reader.fail(n, "is %s, not a table of tables: write [%s.NAME]", n.kind, n.path)
+		s.reader.fail(n, "got %s, expected a table of tables: write [%s.NAME]", n.kind, n.path)
 		return nil, nil
 	}
 	outer := s.reader.section(n)
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -9,15 +9,15 @@
 	"sorrelrudder/internal/spillover"
 )
 
-// initialStallTimeout holds until the round trip to the peer has been measured.
+// initialStallTimeout applies until the round-trip time to the peer has been measured.
 const initialStallTimeout = time.Second
 
-// readSite reads which site this is, and its peers.
+// readSite reads the site of this process, and its peers at other sites.
 func (f *File) readSite(r *reader) {
 	root := f.root
 	if !root.has("site") {
 		if root.has("peers") {
-			r.fail(root.nodeAt("peers"), "a site with peers has a name: [site] is missing")
+			r.fail(root.nodeAt("peers"), "requires the table [site], which names this site")
 		}
 		return
 	}
@@ -39,11 +39,11 @@
 		peer := r.peer(p)
 		switch {
 		case seen[peer.Name] && peer.Name != "":
-			r.fail(p.nodeAt("name"), "site %q is there twice", peer.Name)
+			r.fail(p.nodeAt("name"), "duplicate site %q", peer.Name)
 		case cfg.TLS == nil && len(peer.SourceAddresses) == 0:
-			r.fail(p.nodeAt("from"), "is missing: without [site.tls] a peer is known by the addresses that it connects from")
+			r.fail(p.nodeAt("from"), "required key is missing: without [site.tls], a peer is identified by the addresses that it connects from")
 		case cfg.TLS != nil && peer.Subject == "":
-			r.fail(p.nodeAt("subject"), "is missing: with [site.tls] a peer is known by the common name of its certificate")
+			r.fail(p.nodeAt("subject"), "required key is missing: with [site.tls], a peer is identified by the common name of its certificate")
 		}
 		seen[peer.Name] = true
 		cfg.Peers = append(cfg.Peers, peer)
@@ -63,7 +63,7 @@
 	for _, text := range s.texts("from") {
 		address, err := netip.ParseAddr(text)
 		if err != nil {
-			r.fail(s.nodeAt("from"), "%q is no IP address", text)
+			r.fail(s.nodeAt("from"), "%q is not an IP address", text)
 		}
 		p.SourceAddresses = append(p.SourceAddresses, address.Unmap())
 	}
@@ -71,7 +71,7 @@
 	return p
 }
 
-// readSpillover reads how a pool exchanges requests with other sites, if it does.
+// readSpillover reads the settings for forwarding requests of a pool to other sites. Without the table spill, none are forwarded.
 func (f *File) readSpillover(r *reader, s *section, p *gateway.Pool) {
 	sharedDedupClasses := r.sharedDedupClasses
 	r.sharedDedupClasses = nil
@@ -79,11 +79,11 @@
 		return
 	}
 	if p.Dialect != nil {
-		r.fail(s.nodeAt("spill"), "is for pools that speak the platform's protocol: plain HTTP does not tell what crosses with a request")
+		r.fail(s.nodeAt("spill"), "allowed only for pools with protocol = \"platform\": plain HTTP does not carry the data that must accompany a forwarded request")
 		return
 	}
 	if f.SiteLinks == nil {
-		r.fail(s.nodeAt("spill"), "needs a [site] and its peers")
+		r.fail(s.nodeAt("spill"), "requires the tables [site] and [[peers]]")
 		return
 	}
 	t := s.table("spill")
@@ -102,7 +102,7 @@
 		StallTimeout:           initialStallTimeout,
 	}
 	if cfg.Spillover.StopRatio >= cfg.Spillover.StartRatio {
-		r.fail(t.nodeAt("stop"), "is %v, not below start, which is %v", cfg.Spillover.StopRatio, cfg.Spillover.StartRatio)
+		r.fail(t.nodeAt("stop"), "%v is not less than start, which is %v", cfg.Spillover.StopRatio, cfg.Spillover.StartRatio)
 	}
 	cfg.Grant = spillover.GrantConfig{
 		Window:           t.duration("grant_window", 200*time.Millisecond, 10*time.Millisecond, time.Minute),
@@ -114,7 +114,7 @@
 	f.SiteLinks.Pools[p.Name] = cfg
 }
 
-// peerNames returns the names of the peers, in the order of the file.
+// peerNames returns the names of the peers, in file order.
 func (f *File) peerNames() []string {
 	var names []string
 	for _, p := range f.SiteLinks.Peers {
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	// maxSuggestionDistance is the greatest edit distance of a word that is suggested.
+	// maxSuggestionDistance is the maximum edit distance between a word and its suggestion.
 	maxSuggestionDistance = 2
-	// maxComparedBytes bounds the words that are compared.
+	// maxComparedBytes is the maximum length of words that are compared. It bounds the cost of a comparison.
 	maxComparedBytes = 64
 )
 
-// nearest returns the known word that word is most likely meant to be, or "".
+// nearest returns the known word with the smallest edit distance from word, or "" if none is close enough to be suggested.
 func nearest(word string, known []string) string {
 	best, bestDistance := "", maxSuggestionDistance+1
 	for _, k := range known {
@@ -20,7 +20,7 @@
 	return best
 }
 
-// editDistance returns the Levenshtein distance of a and b in bytes; math.MaxInt if one is too long.
+// editDistance returns the Levenshtein distance of a and b in bytes, or math.MaxInt if one of them is longer than maxComparedBytes.
 func editDistance(a, b string) int {
 	if len(a) > maxComparedBytes || len(b) > maxComparedBytes {
 		return math.MaxInt
--- a/internal/config/task.go
+++ b/internal/config/task.go
@@ -15,29 +15,30 @@
 	"sorrelrudder/policy"
 )
 
-// taskLeasePrefix stands before a task's name in that of its lease.
+// taskLeasePrefix is the prefix of the name of a task's lease; the task's name follows.
 const taskLeasePrefix = "task/"
 
+// missedPolicies are the policies for missed runs by value of the key missed.
 var missedPolicies = map[string]task.MissedPolicy{"skip": task.MissedSkip, "once": task.MissedRunNewest, "each": task.MissedRunEach}
 
-// readTasks reads the tasks of the fleet. maxOpen is how many may run at once, 0 for any number.
+// readTasks reads the tasks of the fleet. maxOpen is the maximum number of tasks that run at the same time, or 0 for no limit.
 func (f *File) readTasks(r *reader, c *fleet.Config, maxOpen int) {
 	seen := map[string]bool{}
 	for _, s := range f.root.tables("tasks") {
 		t := r.task(s, f.Gateway.Pools)
 		t.MaxClockDrift, t.MaxOpen = c.LeaseTiming.MaxClockDrift, maxOpen
 		if seen[t.Name] && t.Name != "" {
-			r.fail(s.nodeAt("name"), "task %q is there twice", t.Name)
+			r.fail(s.nodeAt("name"), "duplicate task %q", t.Name)
 		}
 		seen[t.Name] = true
 		c.Tasks = append(c.Tasks, t)
 	}
 	if len(c.Tasks) > task.MaxTasks {
-		r.fail(f.root.nodeAt("tasks"), "are %d, more than %d", len(c.Tasks), task.MaxTasks)
+		r.fail(f.root.nodeAt("tasks"), "%d tasks are configured, more than the maximum of %d", len(c.Tasks), task.MaxTasks)
 	}
 }
 
-// task reads one task. Its idempotency is that of its request's class in its pool.
+// task reads one task. It takes the idempotency and the dedup window from the class of the task's request in the pool.
 func (r *reader) task(s *section, pools []gateway.Pool) fleet.Task {
 	t := fleet.Task{
 		Pool:   s.requiredText("pool"),
@@ -66,16 +67,16 @@
 	}
 	s.finish()
 	if len(t.Name) > lease.MaxNameLen-len(taskLeasePrefix) || strings.ContainsAny(t.Name, "\r\n/") {
-		r.fail(s.nodeAt("name"), "%q can't be the name of a task", t.Name)
+		r.fail(s.nodeAt("name"), "%q is not allowed as the name of a task: it is too long, or contains / or a line break", t.Name)
 	}
 	if t.Path != "" && (!strings.HasPrefix(t.Path, "/") || strings.ContainsAny(t.Path, " \r\n")) {
-		r.fail(s.nodeAt("path"), "is %q, which is no path", t.Path)
+		r.fail(s.nodeAt("path"), "invalid path %q; expected a path that begins with / and has no space or line break", t.Path)
 	}
 	r.taskClass(s, &t, pools)
 	return t
 }
 
-// taskClass finds the class of a task's request in its pool, and checks the task by it.
+// taskClass finds the class of a task's request in the task's pool, and validates the task against the class.
 func (r *reader) taskClass(s *section, t *fleet.Task, pools []gateway.Pool) {
 	pool := slices.IndexFunc(pools, func(p gateway.Pool) bool { return p.Name == t.Pool })
 	if pool < 0 {
@@ -86,18 +87,19 @@
 	}
 	className, _, _ := strings.Cut(strings.TrimPrefix(t.Path, "/"), "/")
 	if d, ok := pools[pool].Dialect.(*httpservice.Dialect); ok {
-		// By the pool's rules, as for a client's request of that head; tasks of a keyed class always have a key.
+		// The pool's rules select the class, as for a client's request with the same method, host and path. The request has an idempotency
+		// key, because tasks of a keyed class always send one.
 		path, _, _ := strings.Cut(t.Path, "?")
 		className = d.ClassName(t.Method, cmp.Or(t.Host, t.Pool), path, http.Header{"Idempotency-Key": {"a task's"}})
 		t.Plain = true
 	} else if t.Host != "" {
-		r.fail(s.nodeAt("host"), "means something to pools of plain HTTP only, which %q is not", t.Pool)
+		r.fail(s.nodeAt("host"), "allowed only for pools with protocol = \"http\": pool %q has another protocol", t.Pool)
 	}
 	classes := pools[pool].Settings.Config.Classes
 	index := -1
 	for i := range classes {
 		if classes[i].Name == className {
-			index = i // the last of the name
+			index = i // the last class of that name
 		}
 	}
 	if index < 0 {
@@ -107,7 +109,7 @@
 	class := &classes[index]
 	t.Idempotency, t.DedupWindow = task.Idempotency(class.Idempotency), class.DedupWindow
 	if !t.Plain && (class.Idempotency == policy.Idempotent) != (t.Method == http.MethodGet) {
-		r.fail(s.nodeAt("method"), "is %s, and the class %q is %s", t.Method, className, effectOf(class.Idempotency))
+		r.fail(s.nodeAt("method"), "%s is not allowed for class %q, which is %s: GET is for safe classes, and any other method for other classes", t.Method, className, effectOf(class.Idempotency))
 	}
 	if err := t.Validate(); err != nil {
 		r.fail(s.node, "%v", err)
--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -11,36 +11,36 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// kind is the kind of a node, as error messages call it.
+// kind is the type of a node, worded for error messages.
 type kind string
 
 const (
 	isTable   kind = "a table"
-	isTables  kind = "tables"
+	isTables  kind = "an array of tables"
 	isArray   kind = "an array"
 	isString  kind = "a string"
-	isInteger kind = "a whole number"
+	isInteger kind = "an integer"
 	isFloat   kind = "a number"
-	isBool    kind = "true or false"
+	isBool    kind = "a boolean"
 	isOther   kind = "a date or time"
 )
 
-// node is a value of the file and its place.
+// node is a value of the file, with its location.
 type node struct {
 	kind  kind
-	line  int              // from 1
-	path  string           // such as routes[2].path
+	line  int              // counted from 1
+	path  string           // such as routes[2].path, with indexes counted from 1
 	text  string           // of a scalar
-	keys  []string         // of a table, in the order of the file
-	table map[string]*node // of a table
-	items []*node          // of an array
+	keys  []string         // of a table, in file order
+	table map[string]*node // values of a table by key
+	items []*node          // elements of an array
 }
 
 func newTable(path string, line int) *node {
 	return &node{kind: isTable, path: path, line: line, table: map[string]*node{}}
 }
 
-// join appends a key to a path. A key that is no bare one is quoted.
+// join appends a key to a path. It quotes a key that is not a TOML bare key.
 func join(path, key string) string {
 	if key != "" && strings.Trim(key, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-") != "" {
 		key = strconv.Quote(key)
@@ -51,16 +51,16 @@
 	return path + "." + key
 }
 
-// put sets the value of a key of a table.
+// put sets the value of a key of the table n.
 func (n *node) put(key string, v *node) {
-	if _, had := n.table[key]; !had {
+	if _, exists := n.table[key]; !exists {
 		n.keys = append(n.keys, key)
 	}
 	n.table[key] = v
 }
 
-// parseTree parses text as TOML. The decoder of the library finds out whether it is valid, with keys that stand twice; the
-// library's parser gives the line of each key. The error is an Errors.
+// parseTree parses text as TOML. The library's decoder validates the text and rejects duplicate keys; the library's low-level parser
+// provides the line of each key. The error is an Errors.
 func parseTree(file string, text []byte) (*node, error) {
 	if err := checkTOML(file, text); err != nil {
 		return nil, err
@@ -83,13 +83,13 @@
 			current.putKeyValue(&p, e)
 		}
 	}
-	if err := p.Error(); err != nil { // impossible after checkTOML
+	if err := p.Error(); err != nil { // unreachable after checkTOML
 		return nil, Errors{{file, 1, "", err.Error()}}
 	}
 	return root, nil
 }
 
-// checkTOML reports whether text is valid TOML. The error is an Errors.
+// checkTOML returns an error, which is an Errors, if text is not valid TOML.
 func checkTOML(file string, text []byte) error {
 	var document map[string]any
 	err := toml.Unmarshal(text, &document)
@@ -105,8 +105,8 @@
 	return Errors{{file, line, key, strings.TrimPrefix(err.Error(), "toml: ")}}
 }
 
-// enter returns the table under key, which is made if it is not there. Of an array of tables it is the last; with appendNew, a
-// new one.
+// enter returns the table under key, and creates the table if the key is absent. For an array of tables, it returns the last table, or
+// appends a new one if appendNew is set.
 func (n *node) enter(key string, line int, appendNew bool) *node {
 	path := join(n.path, key)
 	v := n.table[key]
@@ -129,7 +129,7 @@
 	return v
 }
 
-// keyPath is the dotted key of an expression, and the line of each part.
+// keyPath returns the parts of the dotted key of an expression, and the line of each part.
 func keyPath(p *unstable.Parser, e *unstable.Node) (path []string, lines []int) {
 	for it := e.Key(); it.Next(); {
 		path = append(path, string(it.Node().Data))
@@ -138,7 +138,7 @@
 	return path, lines
 }
 
-// putKeyValue sets the value of a dotted key.
+// putKeyValue sets the value of the dotted key of an expression.
 func (n *node) putKeyValue(p *unstable.Parser, e *unstable.Node) {
 	path, lines := keyPath(p, e)
 	last := len(path) - 1
@@ -148,7 +148,7 @@
 	n.put(path[last], parseValue(p, e.Value(), join(n.path, path[last]), lines[last]))
 }
 
-// parseValue returns the node of a value that is at path, and begins in that line.
+// parseValue returns the node of a value, with its path and line.
 func parseValue(p *unstable.Parser, v *unstable.Node, path string, line int) *node {
 	n := &node{path: path, line: line, text: string(v.Data), kind: isOther}
 	switch v.Kind {
@@ -173,7 +173,7 @@
 	return n
 }
 
-// parseArray makes n the node of an array, or of tables if it has only such.
+// parseArray makes n the node of an array, or of an array of tables if all elements are tables.
 func (n *node) parseArray(p *unstable.Parser, v *unstable.Node) {
 	n.kind = isArray
 	for it := v.Children(); it.Next(); {
@@ -188,8 +188,8 @@
 		path := fmt.Sprintf("%s[%d]", n.path, len(n.items)+1)
 		n.items = append(n.items, parseValue(p, item, path, line))
 	}
-	isNoTable := func(item *node) bool { return item.kind != isTable }
-	if len(n.items) > 0 && !slices.ContainsFunc(n.items, isNoTable) {
+	isNotTable := func(item *node) bool { return item.kind != isTable }
+	if len(n.items) > 0 && !slices.ContainsFunc(n.items, isNotTable) {
 		n.kind = isTables
 	}
 }
