--- a/internal/classify/classify.go
+++ b/internal/classify/classify.go
@@ -1,19 +1,20 @@
-// Package classify decides to which class a request of an ordinary HTTP service belongs, by its method, host, path and the header
-// fields that are present. It is pure, and does not know what a class means. A path that servers could read in different ways matches
-// no pattern, so that the request gets the class for all others, which its user takes as not idempotent.
+// Package classify finds the class of a request to an ordinary HTTP service, by its method, host, path and the header fields that are
+// present. It is pure, and does not know the meaning of a class. A path that servers could interpret in different ways matches only
+// rules and patterns for any path. Such a request usually gets the class of all other requests, which the caller treats as not
+// idempotent.
 package classify
 
-// The methods that patterns treat specially, of RFC 9110.
+// The methods of RFC 9110 that patterns treat specially: a pattern for GET matches HEAD too.
 const (
 	methodGet  = "GET"
 	methodHead = "HEAD"
 )
 
-// Rule gives a class to the requests that match one of its patterns and have all of its header fields.
+// Rule assigns a class to the requests that match one of its patterns and have all of its header fields.
 type Rule struct {
 	Class    string
-	Patterns []Pattern // none: any request
-	Headers  []string  // names of header fields
+	Patterns []Pattern // empty: any request
+	Headers  []string  // names of header fields that must be present
 }
 
 // matchesHeaders reports whether a request has all header fields of the rule.
@@ -26,23 +27,23 @@
 	return true
 }
 
-// Request is what a request is classified by.
+// Request has the properties of a request by which it is classified.
 type Request struct {
 	Method    string
-	Host      string // as the client wrote it
-	Path      string // as the client wrote it, without a query
+	Host      string // as sent by the client
+	Path      string // as sent by the client, without the query
 	HasHeader func(name string) bool
 }
 
-// Match is the rule that matches a request.
+// Match is the rule and the pattern that match a request.
 type Match struct {
 	RuleIndex    int
-	PatternIndex int // in the rule; -1 if it has no patterns
+	PatternIndex int // in the rule; -1 if the rule has no patterns
 	segments     []string
 	pattern      []Segment
 }
 
-// Value returns the segment of the path that {name} of the pattern stands for; "" if there is no such name.
+// Value returns the decoded path segment that the wildcard {name} matched, or "" if the pattern has no such wildcard.
 func (m Match) Value(name string) string {
 	for i, s := range m.pattern {
 		if s.IsWildcard && s.Text == name {
@@ -52,7 +53,7 @@
 	return ""
 }
 
-// Find returns the first rule that matches, and whether there is one.
+// Find returns the first rule that matches q, and whether there is one.
 func Find(rules []Rule, q Request) (Match, bool) {
 	segments, unambiguous := splitPath(q.Path)
 	host := normalizeHost(q.Host)
@@ -74,13 +75,13 @@
 	return Match{}, false
 }
 
-// matchesAuthority reports whether the pattern is for a method and a normalized host. GET matches HEAD too.
+// matchesAuthority reports whether the pattern matches a method and a normalized host. GET matches HEAD too.
 func (p *Pattern) matchesAuthority(method, host string) bool {
 	matchesMethod := p.Method == "" || p.Method == method || p.Method == methodGet && method == methodHead
 	return matchesMethod && (p.Host == "" || p.Host == host)
 }
 
-// matchesPath reports whether the pattern is for the segments of a path, or for any path.
+// matchesPath reports whether the pattern matches the segments of a path. Only a pattern for any path matches an ambiguous path.
 func (p *Pattern) matchesPath(segments []string, unambiguous bool) bool {
 	if len(p.Path) == 0 && p.Prefix { // any path, even an ambiguous one
 		return true
--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -11,7 +11,7 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-func none(string) bool { return false }
+func noHeaders(string) bool { return false }
 
 func rule(t interface{ Fatal(...any) }, class string, patterns ...string) Rule {
 	r := Rule{Class: class}
@@ -53,7 +53,7 @@
 		{"PUT", "h", "/a/../b", "put", ""},
 		{"GET", "h", "items/7", "", ""},
 	} {
-		m, ok := Find(rules, Request{Method: c.method, Host: c.host, Path: c.path, HasHeader: none})
+		m, ok := Find(rules, Request{Method: c.method, Host: c.host, Path: c.path, HasHeader: noHeaders})
 		class := ""
 		if ok {
 			class = rules[m.RuleIndex].Class
@@ -64,7 +64,7 @@
 	}
 	m, ok := Find(rules, Request{Method: "POST", Path: "/x", HasHeader: func(f string) bool { return f == "X-Urgent" }})
 	if !ok || rules[m.RuleIndex].Class != "urgent" {
-		t.Errorf("by its field: %v, %v", m, ok)
+		t.Errorf("rule for a header field: %v, %v", m, ok)
 	}
 }
 
@@ -72,12 +72,12 @@
 	for _, text := range []string{"", "GET", "items", "get /a", "GET /a/../b", "/a//b", "/{a}/{a}", "/{a...}/b", "/{1a}", "/a{b}", "*.h/a", "/a%20b", "/a?b=c",
 		"/" + strings.Repeat("a/", MaxSegments+1)} {
 		if p, err := ParsePattern(text); err == nil {
-			t.Errorf("%q was taken for %+v", text, p)
+			t.Errorf("%q: got %+v, want an error", text, p)
 		}
 	}
 }
 
-// TestAsServeMux holds patterns against net/http.ServeMux, on paths that can be read in one way only.
+// TestAsServeMux checks that a pattern matches the same requests as in net/http.ServeMux, for unambiguous paths.
 func TestAsServeMux(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "{x}", "items"})
@@ -110,26 +110,26 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc(text, func(http.ResponseWriter, *http.Request) { want = true })
 		q := httptest.NewRequest(method, path, nil)
-		mux.ServeHTTP(httptest.NewRecorder(), q) // which leads from /a to /a/, rather than to take it
+		mux.ServeHTTP(httptest.NewRecorder(), q) // redirects from /a to /a/, so the handler does not run
 		rules := []Rule{rule(t, "c", text)}
-		m, got := Find(rules, Request{Method: method, Host: q.Host, Path: path, HasHeader: none})
+		m, got := Find(rules, Request{Method: method, Host: q.Host, Path: path, HasHeader: noHeaders})
 		if got != want {
 			t.Fatalf("%q on %s %s: %v, want %v", text, method, path, got, want)
 		}
 		if got && used && m.Value("x") == "" {
-			t.Fatalf("%q on %s: {x} stands for nothing", text, path)
+			t.Fatalf("%q on %s: no value for {x}", text, path)
 		}
 	})
 }
 
-// FuzzFind guards against a panic, and against a segment that is matched though it can be read in another way.
+// FuzzFind guards against a panic, and against matching a segment that servers could interpret in different ways.
 func FuzzFind(f *testing.F) {
 	for _, s := range []string{"/items/7", "/items/%2e%2e", "/items/%", "/items/..%2f", "/items/a\\b", "items", "//", "/items/%00"} {
 		f.Add(s)
 	}
 	rules := []Rule{rule(f, "item", "GET /items/{id}")}
 	f.Fuzz(func(t *testing.T, path string) {
-		m, ok := Find(rules, Request{Method: "GET", Path: path, HasHeader: none})
+		m, ok := Find(rules, Request{Method: "GET", Path: path, HasHeader: noHeaders})
 		if !ok {
 			return
 		}
--- a/internal/classify/path.go
+++ b/internal/classify/path.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// splitPath returns the decoded segments of a path. The path is unambiguous if servers can read it in one way only: no segment but the
-// last is empty, none is a dot segment, and none has an encoded slash, a backslash or a zero byte.
+// splitPath returns the decoded segments of a path. A path is unambiguous if servers can interpret it in only one way: no segment but
+// the last is empty, none is a dot segment, and none contains an encoded slash, a backslash or a zero byte. For an ambiguous path there
+// are no segments.
 func splitPath(path string) (segments []string, unambiguous bool) {
 	rest, ok := strings.CutPrefix(path, "/")
 	if !ok {
@@ -23,7 +24,7 @@
 	return segments, true
 }
 
-// percentDecode decodes %XX, and reports whether all of s could be decoded.
+// percentDecode decodes the %XX sequences of s, and reports whether all of them are valid.
 func percentDecode(s string) (string, bool) {
 	if strings.IndexByte(s, '%') < 0 {
 		return s, true
@@ -60,7 +61,7 @@
 	return -1
 }
 
-// normalizeHost returns a host in lower case, without its port and trailing dot.
+// normalizeHost returns host in lower case, without its port and trailing dot.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/classify/pattern.go
+++ b/internal/classify/pattern.go
@@ -6,45 +6,45 @@
 	"strings"
 )
 
-// MaxSegments bounds a pattern, and so the cost of a lookup.
+// MaxSegments is the maximum number of path segments of a pattern. It bounds the cost of a lookup.
 const MaxSegments = 64
 
-// Pattern is written like those of net/http.ServeMux: "[METHOD ][HOST]/[PATH]", where a segment of the path may be {name}, and the
-// last one {name...}. A path that ends in a slash matches all paths below, {$} only the end. GET matches HEAD too.
+// Pattern is a pattern in the syntax of net/http.ServeMux: "[METHOD ][HOST]/[PATH]". A segment of the path may be {name}, and the last
+// segment {name...}. A path that ends in a slash matches all paths below it. {$} matches only the end of a path. GET matches HEAD too.
 type Pattern struct {
-	Method string // "": any
-	Host   string // "": any
+	Method string // empty: any
+	Host   string // empty: any
 	Path   []Segment
-	Prefix bool // paths below Path match, too
+	Prefix bool // matches all paths that begin with Path and a slash
 	text   string
 }
 
-// Segment is a segment of a pattern's path: a text, or a wildcard for any.
+// Segment is a segment of a pattern's path: literal text, which is empty for {$}, or a wildcard that matches any non-empty segment.
 type Segment struct {
-	Text       string // of a wildcard its name
+	Text       string // the name of a wildcard
 	IsWildcard bool
 }
 
 // String returns the pattern as it was written.
 func (p Pattern) String() string { return p.text }
 
-// ParsePattern parses a pattern. The error says what is wrong with it.
+// ParsePattern parses a pattern. The error describes the invalid part without repeating the whole pattern.
 func ParsePattern(text string) (Pattern, error) {
 	p := Pattern{text: text}
 	rest := strings.TrimSpace(text)
 	if method, afterMethod, ok := strings.Cut(rest, " "); ok {
 		if !isMethod(method) {
-			return Pattern{}, fmt.Errorf("%q is no method", method)
+			return Pattern{}, fmt.Errorf("invalid method %q; expected capital letters", method)
 		}
 		p.Method, rest = method, strings.TrimLeft(afterMethod, " ")
 	}
 	slash := strings.IndexByte(rest, '/')
 	if slash < 0 {
-		return Pattern{}, errors.New("there is no path")
+		return Pattern{}, errors.New("path is missing; expected [METHOD ][HOST]/[PATH]")
 	}
 	p.Host = strings.ToLower(rest[:slash])
 	if strings.ContainsAny(p.Host, "{}* ") {
-		return Pattern{}, fmt.Errorf("the host %q may have no wildcard", p.Host)
+		return Pattern{}, fmt.Errorf("host %q must not contain a wildcard or a space", p.Host)
 	}
 	if err := p.parsePath(rest[slash+1:]); err != nil {
 		return Pattern{}, err
@@ -52,10 +52,10 @@
 	return p, nil
 }
 
-// parsePath parses the path of a pattern, without the slash that it begins with.
+// parsePath parses the path of a pattern, without its leading slash.
 func (p *Pattern) parsePath(path string) error {
 	if strings.ContainsAny(path, " ?#%") {
-		return fmt.Errorf("the path /%s may have no space, ?, # or %%", path)
+		return fmt.Errorf("path /%s must not contain a space, ?, # or %%", path)
 	}
 	if path == "" {
 		p.Prefix = true
@@ -63,7 +63,7 @@
 	}
 	segments := strings.Split(path, "/")
 	if len(segments) > MaxSegments {
-		return fmt.Errorf("%d segments, over %d", len(segments), MaxSegments)
+		return fmt.Errorf("path has %d segments, more than the maximum of %d", len(segments), MaxSegments)
 	}
 	names := map[string]bool{}
 	for i, segment := range segments {
@@ -74,7 +74,7 @@
 		case isLast && segment == "{$}":
 			p.Path = append(p.Path, Segment{})
 		case segment == "" || segment == "." || segment == "..":
-			return fmt.Errorf("the segment %q says nothing", segment)
+			return fmt.Errorf("path segment %q must not be empty or a dot segment", segment)
 		case !strings.ContainsAny(segment, "{}"):
 			p.Path = append(p.Path, Segment{Text: segment})
 		default:
@@ -86,16 +86,16 @@
 	return nil
 }
 
-// parseWildcard parses {name}, or {name...} at the end. names are those of the pattern so far.
+// parseWildcard parses a segment {name}, or {name...} if it is the last. names are the wildcard names of the pattern so far.
 func (p *Pattern) parseWildcard(segment string, isLast bool, names map[string]bool) error {
 	name, opened := strings.CutPrefix(segment, "{")
 	name, closed := strings.CutSuffix(name, "}")
 	name, matchesRest := strings.CutSuffix(name, "...")
 	if !opened || !closed || !isName(name) || matchesRest && !isLast {
-		return fmt.Errorf("the segment %q is neither text nor {name}, nor {name...} at the end", segment)
+		return fmt.Errorf("invalid path segment %q; expected text, {name}, or {name...} at the end", segment)
 	}
 	if names[name] {
-		return fmt.Errorf("{%s} is there twice", name)
+		return fmt.Errorf("duplicate wildcard {%s}", name)
 	}
 	names[name] = true
 	if matchesRest {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// isName reports whether s is a name of a wildcard: letters, digits and _, with no digit at the start.
+// isName reports whether s is a valid wildcard name: letters, digits and _, not beginning with a digit.
 func isName(s string) bool {
 	for i, r := range s {
 		if r != '_' && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (i == 0 || r < '0' || r > '9') {
@@ -116,7 +116,7 @@
 	return s != ""
 }
 
-// isMethod reports whether s is a method in capitals.
+// isMethod reports whether s consists of capital letters, like the methods of HTTP.
 func isMethod(s string) bool {
 	return s != "" && strings.IndexFunc(s, func(r rune) bool { return r < 'A' || r > 'Z' }) < 0
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -115,7 +115,7 @@
 		"small bodies":              {minimalFile + "[pools.orders.limits]\nbodies = \"1KiB\"\n", []string{"f.toml:10: pools.orders.limits.bodies: must be 0 or at least 64KiB"}},
 		"table for value":           {minimalFile + "[pools.orders.limits.rate]\nx = 1\n", []string{"f.toml:9: pools.orders.limits.rate: got a table, expected a number"}},
 		"http without its protocol": {minimalFile + "[pools.orders.http]\ncheck = \"/x\"\n", []string{"f.toml:9: pools.orders.http: unknown key"}},
-		"pattern":                   {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": "get" is no method`}},
+		"pattern":                   {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\nmatch = [\"get /a\"]\n", []string{`f.toml:11: pools.shop.classes[1].match: "get /a": invalid method "get"`}},
 		"no match":                  {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"a\"\n", []string{"f.toml:9: pools.shop.classes[1].match: required key is missing"}},
 		"reserved class":            {minimalHTTPFile + "[[pools.shop.classes]]\nname = \"other\"\nmatch = [\"/\"]\n", []string{`f.toml:9: pools.shop.classes: class name "other" is reserved`}},
 		"statuses":                  {minimalHTTPFile + "[pools.shop.http]\nfailures = [200, \"x\"]\n", []string{"f.toml:10: pools.shop.http.failures[1]: expected an HTTP status code from 400 to 599", "f.toml:10: pools.shop.http.failures[2]: expected an HTTP status code from 400 to 599"}},
