--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -108,7 +108,7 @@
 		"class twice":               {minimalFile + "[[pools.orders.classes]]\nname = \"order\"\neffect = \"safe\"\n", []string{`f.toml:10: pools.orders.classes[2].name: duplicate class "order"`}},
 		"no routes":                 {minimalFile + strings.ReplaceAll(minimalFile[strings.Index(minimalFile, "[pools"):], "orders", "meters"), []string{"f.toml:1: routes: at least one route is required"}},
 		"no such pool":              {minimalFile + "[[routes]]\nname = \"a\"\npool = \"order\"\n", []string{`f.toml:4: pools.orders: no route sends requests to pool "orders"`, `f.toml:11: routes[1].pool: unknown pool "order"; did you mean "orders"?`}},
-		"tie":                       {minimalFile + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" tie`}},
+		"tie":                       {minimalFile + "[[routes]]\nname = \"a\"\npool = \"orders\"\n[[routes]]\nname = \"b\"\nhosts = [\"*\"]\npool = \"orders\"\n", []string{`f.toml:13: routes[2].name: routes "a" and "b" conflict`}},
 		"bad host":                  {minimalFile + "[[routes]]\nname = \"a\"\nhosts = [\"a b\", 7]\npool = \"orders\"\n", []string{"f.toml:11: routes[1].hosts[2]: got an integer, expected a string", "f.toml:11: routes[1].hosts: host \"a b\""}},
 		"descriptors":               {minimalFile + "[process]\ndescriptors = 64\n[[listeners]]\nname = \"b\"\naddress = \":0\"\n", []string{"f.toml:9: process: 63 descriptors are left"}},
 		"listener twice":            {minimalFile + "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:1\"\n", []string{`f.toml:10: listeners[2].name: "farm" is already the name of the listener in line 1`}},
--- a/internal/route/find.go
+++ b/internal/route/find.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// Find returns the route of a request, and the request's path below that of the route. host is its Host header, path its decoded
-// path, and uri its target as the client wrote it. It allocates nothing. The error is one of those of this package.
+// Find returns the route of a request, and the part of the request's path below the path of the route. host is the Host header, path the
+// decoded path, and uri the request target as sent by the client. Find does not allocate memory. The error is ErrInvalidHost,
+// ErrAmbiguousPath, ErrUnknownHost or ErrUnknownPath.
 func (t *Table) Find(host, path, uri string) (m *Match, rest string, err error) {
 	h := t.anyHost
 	if len(t.hosts) > 0 {
@@ -36,7 +37,7 @@
 	return nil, "", ErrUnknownPath
 }
 
-// find returns the route for the rest of a path, which begins with the class, or nil.
+// find returns the route for rest, the part of a request's path that begins with the class, or nil if there is none.
 func (p *pathRoutes) find(rest string) *Match {
 	if len(p.classes) > 0 {
 		if m := p.classes[firstSegment(rest)]; m != nil {
@@ -46,12 +47,12 @@
 	return p.anyClass
 }
 
-// findHost returns the routes of the most specific host or pattern that matches name, or nil.
+// findHost returns the routes of the most specific host or pattern that matches name, or nil if none matches.
 func (t *Table) findHost(name []byte) *hostRoutes {
 	if h := t.hosts[string(name)]; h != nil {
 		return h
 	}
-	if name[0] == '[' { // an IPv6 address, which no pattern matches
+	if name[0] == '[' { // no pattern matches an IPv6 address
 		return t.anyHost
 	}
 	for i, c := range name {
@@ -65,8 +66,8 @@
 	return t.anyHost
 }
 
-// RewriteTarget returns the request target for the pool: uri without the route's path if that is stripped, and uri otherwise. As many
-// segments are cut off as the path has.
+// RewriteTarget returns the request target to send to the pool. If the route strips its path, as many leading segments as that path has
+// are removed from uri; otherwise uri is returned unchanged.
 func (m *Match) RewriteTarget(uri string) string {
 	if !m.StripPath {
 		return uri
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// maxHostBytes bounds a host; a DNS name has at most 253 characters.
+// maxHostBytes is the maximum length of a host. A DNS name has at most 253 characters.
 const maxHostBytes = 255
 
 // hostBuffer holds a normalized host.
 type hostBuffer [maxHostBytes + 1]byte
 
-// errHostPort says that a route's host has a port.
-var errHostPort = errors.New("a route's host has no port")
+// errHostPort is returned for a host of a route that includes a port.
+var errHostPort = errors.New("the host of a route must not include a port")
 
-// parseHost normalizes a Host header (RFC 9110, 7.2), or the host of a pattern: without its port and trailing dot, in lower case, an
-// IPv6 address in its shortest form and in brackets. The result is in buf; nothing is allocated. The error is ErrInvalidHost.
+// parseHost normalizes a Host header (RFC 9110, section 7.2) or the host of a pattern. The result is in lower case, without port and
+// trailing dot; an IPv6 address is in its shortest form and in brackets. It is stored in buf, and parseHost does not allocate memory. The
+// error is ErrInvalidHost.
 func parseHost(host string, buf *hostBuffer) ([]byte, error) {
 	if host == "" || len(host) > maxHostBytes {
 		return nil, ErrInvalidHost
@@ -53,7 +54,7 @@
 	return b, nil
 }
 
-// parseIPv6Host is parseHost for a host that begins with a bracket.
+// parseIPv6Host is parseHost for a host that begins with an opening bracket.
 func parseIPv6Host(host string, buf *hostBuffer) ([]byte, error) {
 	end := strings.IndexByte(host, ']')
 	if end < 0 || !isPort(host[end+1:]) {
@@ -66,7 +67,7 @@
 	return append(address.AppendTo(append(buf[:0], '[')), ']'), nil
 }
 
-// isPort reports whether s is empty, or a colon and a port or nothing (RFC 3986, 3.2.3).
+// isPort reports whether s is empty, or a colon that is followed by a port from 0 to 65535 or by nothing (RFC 3986, section 3.2.3).
 func isPort(s string) bool {
 	if s == "" {
 		return true
@@ -84,8 +85,8 @@
 	return n <= 65535
 }
 
-// parseHostPattern parses the host of a route: a host, "*.example.org" for all hosts below one, or "*" for any. It returns its key in
-// the table: the normalized host, ".example.org" for all below, or "" for any.
+// parseHostPattern parses the host of a route: a host, "*.example.org" for all hosts below a domain, or "*" for any host. It returns the
+// key of the host in a Table: the normalized host, ".example.org" for a pattern, or "" for any host.
 func parseHostPattern(text string) (string, error) {
 	if text == "*" {
 		return "", nil
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// checkPath checks the path of a route, as written and without a slash at its end.
+// checkPath checks the path of a route. written is the path in the operator's file, path the same without a trailing slash.
 func checkPath(written, path string) error {
 	switch {
 	case !strings.HasPrefix(written, "/"):
-		return fmt.Errorf("the path %q does not begin with /", written)
+		return fmt.Errorf("path %q must begin with /", written)
 	case len(path) > maxPathBytes:
-		return fmt.Errorf("the path has %d bytes, over %d", len(path), maxPathBytes)
+		return fmt.Errorf("path has %d bytes, more than the maximum of %d", len(path), maxPathBytes)
 	case strings.Contains(path, "//") || hasDotSegments(path) || strings.ContainsAny(path, "%?# "):
-		return fmt.Errorf("the path %q is not in its plain form: no %%, ?, #, space, empty or dot segment", written)
+		return fmt.Errorf("path %q is not normalized: it must not contain %%, ?, #, a space, an empty segment or a dot segment", written)
 	}
 	return nil
 }
 
-// firstSegment returns the first segment of a path, with or without a slash before it.
+// firstSegment returns the first segment of a path, which may have a leading slash.
 func firstSegment(path string) string {
 	path = strings.TrimPrefix(path, "/")
 	if i := strings.IndexByte(path, '/'); i >= 0 {
@@ -27,7 +27,7 @@
 	return path
 }
 
-// hasDotSegments reports whether path has a segment "." or "..", which some servers resolve to another path.
+// hasDotSegments reports whether path has a segment "." or "..", which some servers resolve and others do not.
 func hasDotSegments(path string) bool {
 	for i := range len(path) {
 		if path[i] != '.' || i > 0 && path[i-1] != '/' {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// hasEncodedSlash reports whether the path of uri has a backslash, or an encoded slash or backslash, which only some servers take for
-// the end of a segment.
+// hasEncodedSlash reports whether the path of uri contains a backslash, or an encoded slash or backslash. Only some servers treat these as
+// separators of segments.
 func hasEncodedSlash(uri string) bool {
 	for i := 0; i < len(uri) && uri[i] != '?'; i++ {
 		switch {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,37 +1,37 @@
-// Package route decides which pool a request is for, by its host, its path and its class. It is pure: a Table is made once of the
-// operator's routes, and a lookup allocates nothing. It knows pools by their names only.
+// Package route selects the pool of a request by host, path and class. It is pure: a Table is built once from the operator's routes, and
+// a lookup does not allocate memory. The package knows pools by name only.
 package route
 
 import "errors"
 
-// The errors of a lookup.
+// The errors of Table.Find. Their texts are sent to clients.
 var (
-	// ErrInvalidHost says that the Host header is malformed; the response is 400.
+	// ErrInvalidHost is returned for a malformed Host header. The response has status 400.
 	ErrInvalidHost = errors.New("the Host cannot be read")
-	// ErrAmbiguousPath says that servers could read the path in different ways; the response is 400.
+	// ErrAmbiguousPath is returned for a path that servers could interpret in different ways. The response has status 400.
 	ErrAmbiguousPath = errors.New("the path has dot segments or a hidden /")
-	// ErrUnknownHost says that no route is for the host; the response is 421.
+	// ErrUnknownHost is returned if no route matches the host. The response has status 421.
 	ErrUnknownHost = errors.New("no route for this host")
-	// ErrUnknownPath says that no route of the host is for the path; the response is 404.
+	// ErrUnknownPath is returned if no route of the host matches the path. The response has status 404.
 	ErrUnknownPath = errors.New("no route for this path")
 )
 
-// Route leads requests to a pool.
+// Route sends the requests that match it to a pool.
 type Route struct {
 	Name      string
-	Hosts     []string // a host, "*.example.org" for all hosts below one, or "*"; none: any
-	Path      string   // whole leading segments of the path; "/": any path
-	Classes   []string // first segments of the path below Path; none: any
+	Hosts     []string // each a host, "*.example.org" for all hosts below a domain, or "*" for any; empty: any
+	Path      string   // whole leading segments of the request's path; "/": any path
+	Classes   []string // first segments of the request's path below Path; empty: any
 	Pool      string
-	StripPath bool // the pool gets the path without Path
+	StripPath bool // Path is removed from the path that is sent to the pool
 }
 
-// Error is an error of a route.
+// Error is an error in the configuration of a route.
 type Error struct {
-	RouteIndex int    // of the route, in the list that New got
-	Key        string // of the operator's file
+	RouteIndex int    // in the list of routes passed to New
+	Key        string // the invalid key of the route in the operator's file
 	Text       string
 }
 
-// Error returns the text.
+// Error returns Text.
 func (e Error) Error() string { return e.Text }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -77,7 +77,7 @@
 	}
 	for _, c := range [][3]string{
 		{"else.org", "/x", "any /x"},
-		{"example.org", "/x", "any /x"}, // a pattern is for hosts below
+		{"example.org", "/x", "any /x"}, // a pattern does not match the domain itself
 		{"a.example.org", "/x", "wide /x"},
 		{"a.b.example.org", "/x", "wide /x"},
 		{"a.farm.example.org", "/x", "deep /x"},
@@ -87,7 +87,7 @@
 		{"orders.example.org", "/v1/bulky", "orders /bulky"},
 		{"orders.example.org", "/v1/meter/7", "meters /meter/7"},
 		{"orders.example.org", "/v1/gauge", "meters /gauge"},
-		{"orders.example.org", "/v2", ErrUnknownPath.Error()}, // no other host's routes are looked at
+		{"orders.example.org", "/v2", ErrUnknownPath.Error()}, // routes of less specific hosts are not considered
 		{"orders.example.org", "/v1/../v2", ErrAmbiguousPath.Error()},
 		{"orders.example.org", "/v1/.", ErrAmbiguousPath.Error()},
 		{"orders.example.org", "/v1/..order", "orders /..order"},
@@ -106,10 +106,10 @@
 		t.Fatal(problems)
 	}
 	if got := find(t, only, "b.org", "/"); got != ErrUnknownHost.Error() {
-		t.Errorf("an unknown host: %q", got)
+		t.Errorf("unknown host: got %q", got)
 	}
 	if got := find(t, only, "a.org", "/a/../b"); got != "a /a/../b" {
-		t.Errorf("dot segments where no route has a path: %q", got)
+		t.Errorf("dot segments in a table without paths: got %q", got)
 	}
 }
 
@@ -137,7 +137,8 @@
 	}
 }
 
-// TestErrors guards against taking routes that cannot be told apart or never fit, and against naming only one of two.
+// TestErrors guards against accepting routes that match the same requests or can never match, and against an error for a conflict
+// that names only one of the two routes.
 func TestErrors(t *testing.T) {
 	base := Route{Name: "first", Hosts: []string{"a.org"}, Path: "/x", Pool: "p"}
 	for name, c := range map[string]struct {
@@ -145,14 +146,14 @@
 		key   string
 		text  string
 	}{
-		"tie":           {Route{Name: "second", Hosts: []string{"b.org", "A.org."}, Path: "/x/", Pool: "q"}, "name", `"first" and "second" tie`},
+		"tie":           {Route{Name: "second", Hosts: []string{"b.org", "A.org."}, Path: "/x/", Pool: "q"}, "name", `"first" and "second" conflict`},
 		"host twice":    {Route{Name: "second", Hosts: []string{"b.org", "B.org"}, Path: "/"}, "hosts", "twice"},
 		"no slash":      {Route{Name: "second", Path: "x"}, "path", "begin with /"},
-		"dots":          {Route{Name: "second", Path: "/a/../b"}, "path", "plain form"},
-		"encoded":       {Route{Name: "second", Path: "/a%2fb"}, "path", "plain form"},
-		"empty segment": {Route{Name: "second", Path: "/a//b"}, "path", "plain form"},
-		"long":          {Route{Name: "second", Path: "/" + strings.Repeat("a", 300)}, "path", "over 256"},
-		"port":          {Route{Name: "second", Hosts: []string{"b.org:80"}, Path: "/"}, "hosts", "no port"},
+		"dots":          {Route{Name: "second", Path: "/a/../b"}, "path", "not normalized"},
+		"encoded":       {Route{Name: "second", Path: "/a%2fb"}, "path", "not normalized"},
+		"empty segment": {Route{Name: "second", Path: "/a//b"}, "path", "not normalized"},
+		"long":          {Route{Name: "second", Path: "/" + strings.Repeat("a", 300)}, "path", "more than the maximum of 256"},
+		"port":          {Route{Name: "second", Hosts: []string{"b.org:80"}, Path: "/"}, "hosts", "must not include a port"},
 		"bad host":      {Route{Name: "second", Hosts: []string{"b c"}, Path: "/"}, "hosts", "cannot be read"},
 		"wild address":  {Route{Name: "second", Hosts: []string{"*.[::1]"}, Path: "/"}, "hosts", "cannot be read"},
 		"bad class":     {Route{Name: "second", Path: "/", Classes: []string{"a/b"}}, "classes", "segment"},
@@ -167,15 +168,15 @@
 	third := base
 	third.Name, third.Classes = "third", []string{"b"}
 	if _, problems := New([]Route{base, both}); problems != nil {
-		t.Errorf("a class beside any class does not tie: %v", problems)
+		t.Errorf("a route for a class does not conflict with a route for any class: %v", problems)
 	}
 	if _, problems := New([]Route{base, both, third}); len(problems) != 1 || !strings.Contains(problems[0].Text, `class "b"`) {
-		t.Errorf("a shared class: %v", problems)
+		t.Errorf("two routes for a class: %v", problems)
 	}
 }
 
-// referenceFind is the rule of precedence in words: of the routes that fit, the host that says most, then the longest path,
-// then a named class.
+// referenceFind is a reference implementation of the precedence of routes, without a table: the most specific host, then the longest
+// path, then a named class.
 func referenceFind(routes []Route, host, path string) string {
 	hostRank := func(pattern string) int {
 		suffix, wild := strings.CutPrefix(pattern, "*")
@@ -227,7 +228,7 @@
 	return found
 }
 
-// TestFind holds tables of any routes against the rule in words.
+// TestFind compares tables of random routes with referenceFind.
 func TestFind(t *testing.T) {
 	host := rapid.SampledFrom([]string{"a.org", "b.a.org", "c.b.a.org", "d.org", "*", "*.a.org", "*.b.a.org"})
 	path := rapid.SampledFrom([]string{"/", "/x", "/x/y", "/x/y/z", "/w"})
@@ -265,7 +266,8 @@
 	})
 }
 
-// FuzzFind guards against a panic, and against a host or path that is read in two ways.
+// FuzzFind guards against a panic, against a match for a path with dot segments, and against a host whose normalized form changes when it
+// is parsed again.
 func FuzzFind(f *testing.F) {
 	for _, host := range []string{"a.org", "A.org.:80", "[::1]:80", "", "..", "[", "b.a.org"} {
 		for _, path := range []string{"/x/y", "/x/../y", "/", "", "/x//", "/x/y/z?q"} {
@@ -290,27 +292,27 @@
 					return
 				}
 			}
-			t.Fatalf("an error of no known kind: %v", err)
+			t.Fatalf("unexpected error: %v", err)
 		}
 		if !strings.HasSuffix(path, rest) || hasDotSegments(path) {
 			t.Fatalf("%q: rest %q", path, rest)
 		}
 		if below := m.RewriteTarget(path); !strings.HasPrefix(below, "/") {
-			t.Fatalf("%q became the target %q", path, below)
+			t.Fatalf("%q was rewritten to %q", path, below)
 		}
 		var a, b hostBuffer
 		once, err := parseHost(host, &a)
 		if err != nil {
-			t.Fatalf("host %q led to a route: %v", host, err)
+			t.Fatalf("the invalid host %q matched a route: %v", host, err)
 		}
 		twice, err := parseHost(string(once), &b)
 		if err != nil || string(once) != string(twice) {
-			t.Fatalf("host %q is %q, which is %q", host, once, twice)
+			t.Fatalf("host %q is normalized to %q, and that to %q", host, once, twice)
 		}
 	})
 }
 
-// manyRoutes is a table of n routes over n/2 hosts.
+// manyRoutes returns a table of n routes over n/2 hosts.
 func manyRoutes(tb testing.TB, n int) *Table {
 	var routes []Route
 	for i := range n {
@@ -327,7 +329,7 @@
 	return table
 }
 
-// TestFindAllocatesNothing guards the hot path.
+// TestFindAllocatesNothing guards against allocations in Find, which is called for every request.
 func TestFindAllocatesNothing(t *testing.T) {
 	table := manyRoutes(t, 1000)
 	n := testing.AllocsPerRun(100, func() {
@@ -336,7 +338,7 @@
 		}
 	})
 	if n != 0 {
-		t.Errorf("%v allocations a look-up", n)
+		t.Errorf("%v allocations per lookup", n)
 	}
 }
 
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -5,39 +5,39 @@
 	"strings"
 )
 
-// maxPathBytes bounds a route's path, and so the cost of a lookup.
+// maxPathBytes is the maximum length of a route's path. It bounds the cost of a lookup.
 const maxPathBytes = 256
 
-// Table finds the pool of a request. Of the routes that match, the most specific host has precedence: a host before a pattern, a
-// longer pattern before a shorter one, any host last; routes of other hosts are not considered then. Of that host's routes the
-// longest path has precedence, and of one path a route that names the class. A Table is never changed, and safe for concurrent use.
+// Table finds the pool of a request. The most specific host that matches has precedence: a host before a pattern, a longer pattern before
+// a shorter one, and any host last. Only the routes of that host are considered. Of these that match, the one with the longest path has
+// precedence; with the same path, a route that names the class has precedence. A Table is immutable and safe for concurrent use.
 type Table struct {
 	hosts        map[string]*hostRoutes // by host, and for patterns by suffix, such as ".example.org"
-	anyHost      *hostRoutes
-	matchesPaths bool // some route has a path: ambiguous paths are rejected
+	anyHost      *hostRoutes            // nil if no route is for any host
+	matchesPaths bool                   // at least one route has a path, so ambiguous paths are rejected
 }
 
 // hostRoutes are the routes of one host.
 type hostRoutes struct {
-	paths   map[string]*pathRoutes // by path, without a slash at its end
-	longest int                    // path, in bytes
+	paths   map[string]*pathRoutes // by path, without a trailing slash
+	longest int                    // bytes of the longest path
 }
 
 // pathRoutes are the routes of one host and path.
 type pathRoutes struct {
-	classes  map[string]*Match
-	anyClass *Match
+	classes  map[string]*Match // by class
+	anyClass *Match            // nil if no route is for any class
 }
 
-// Match is a route that was found for a request.
+// Match is the route of a request.
 type Match struct {
-	RouteIndex int // of the route, in the list that New got
+	RouteIndex int // in the list of routes passed to New
 	Pool       string
 	StripPath  bool
-	path       string // without a slash at its end
+	path       string // without a trailing slash
 }
 
-// New returns the table of routes, or all their errors.
+// New returns the table of routes, or all errors of the routes.
 func New(routes []Route) (*Table, []Error) {
 	b := tableBuilder{table: &Table{hosts: map[string]*hostRoutes{}}, routes: routes}
 	for i := range routes {
@@ -49,18 +49,19 @@
 	return b.table, nil
 }
 
-// tableBuilder makes a table and collects the errors of its routes.
+// tableBuilder builds a table and collects the errors of its routes.
 type tableBuilder struct {
 	table  *Table
 	routes []Route
 	errs   []Error
 }
 
+// fail adds an error at a key of a route.
 func (b *tableBuilder) fail(route int, key, format string, args ...any) {
 	b.errs = append(b.errs, Error{route, key, fmt.Sprintf(format, args...)})
 }
 
-// add adds a route for each of its hosts.
+// add adds a route to the table for each of its hosts.
 func (b *tableBuilder) add(index int) {
 	r := &b.routes[index]
 	path := strings.TrimSuffix(r.Path, "/")
@@ -84,12 +85,12 @@
 	}
 }
 
-// addClasses adds a route to those of one of its hosts and its path.
+// addClasses adds a route to the routes of its path and of one of its hosts, for each of its classes.
 func (b *tableBuilder) addClasses(m *Match, host string, routes *pathRoutes) {
 	classes := b.routes[m.RouteIndex].Classes
 	if len(classes) == 0 {
 		if routes.anyClass != nil {
-			b.failTie(m, routes.anyClass, host, "any class")
+			b.failConflict(m, routes.anyClass, host, "any class")
 			return
 		}
 		routes.anyClass = m
@@ -97,27 +98,27 @@
 	for _, class := range classes {
 		switch other := routes.classes[class]; {
 		case class == "" || strings.ContainsAny(class, "/%?#"):
-			b.fail(m.RouteIndex, "classes", "class %q cannot be a segment of a path", class)
+			b.fail(m.RouteIndex, "classes", "class %q cannot be a path segment: it must not be empty or contain /, %%, ? or #", class)
 		case other != nil:
-			b.failTie(m, other, host, fmt.Sprintf("class %q", class))
+			b.failConflict(m, other, host, fmt.Sprintf("class %q", class))
 		default:
 			routes.classes[class] = m
 		}
 	}
 }
 
-// failTie reports two routes that match the same requests.
-func (b *tableBuilder) failTie(m, other *Match, host, class string) {
+// failConflict adds an error for two routes that match the same requests.
+func (b *tableBuilder) failConflict(m, other *Match, host, class string) {
 	if other.RouteIndex == m.RouteIndex {
-		b.fail(m.RouteIndex, "hosts", "host %q is there twice", host)
+		b.fail(m.RouteIndex, "hosts", "host %q is listed twice", host)
 		return
 	}
 	r := &b.routes[m.RouteIndex]
 	otherName := b.routes[other.RouteIndex].Name
-	b.fail(m.RouteIndex, "name", "routes %q and %q tie: host %q, path %q, %s lead to both", otherName, r.Name, host, r.Path, class)
+	b.fail(m.RouteIndex, "name", "routes %q and %q conflict: both match host %q, path %q and %s", otherName, r.Name, host, r.Path, class)
 }
 
-// host returns the routes of a host, which are made if there are none. "" stands for any host.
+// host returns the routes of a host, and creates an empty entry if there are none. An empty key stands for any host.
 func (t *Table) host(key string) *hostRoutes {
 	if key == "" {
 		if t.anyHost == nil {
@@ -133,7 +134,7 @@
 	return h
 }
 
-// path returns the routes of a path, which are made if there are none.
+// path returns the routes of a path, and creates an empty entry if there are none.
 func (h *hostRoutes) path(path string) *pathRoutes {
 	p := h.paths[path]
 	if p == nil {
