--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -85,7 +85,7 @@
 		"zero witnesses":         {"[[tasks]]", "[tier.copies]\nwitnesses = 0\n[[tasks]]", "tier.copies.witnesses: 0 is out of range; expected 1 to 100"},
 		"shared store file":      {"[[tasks]]", "[tier.copies]\nstore = \"a.db\"\n[[tasks]]", "tier.copies.store: must differ from the store in [tier]"},
 		"zones without copies":   {"[[tasks]]", "[tier.zones]\n[[tasks]]", "tier.zones: requires the table [tier.copies]"},
-		"members without zones":  {"[[tasks]]", "[tier.copies]\n[tier.zones]\n[[tasks]]", "the zones of a, b, c are not told"},
+		"members without zones":  {"[[tasks]]", "[tier.copies]\n[tier.zones]\n[[tasks]]", "tier.zones: no zone is configured for members a, b, c"},
 		"invalid threshold":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "which is not below the 0.6"},
 		"invalid grey":           {"[[tasks]]", "[tier.copies]\n[tier.zones]\ngrey = \"some\"\n[[tasks]]", "tier.zones.grey"},
 		"invalid automatic":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"perhaps\"\n[[tasks]]", "tier.zones.automatic"},
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -311,7 +311,7 @@
 			}
 		}
 		slices.Sort(without)
-		return fmt.Errorf("the zones of %s are not told: whether a zone is down is for members of several to say", strings.Join(without, ", "))
+		return fmt.Errorf("no zone is configured for members %s: a zone counts as down only if members in several zones report it", strings.Join(without, ", "))
 	}
 	return nil
 }
