--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -7,14 +7,14 @@
 	"sorrelrudder/policy"
 )
 
-// The values of the key effect, which says how repeating a request affects the service.
+// The values of the key effect, which states the effect of repeating a request.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
 	effectUnsafe = "unsafe"
 )
 
-// idempotencies are the idempotencies by value of the key effect.
+// idempotencies maps the values of the key effect to the idempotency of a class.
 var idempotencies = map[string]policy.Idempotency{
 	effectSafe:   policy.Idempotent,
 	effectKeyed:  policy.IdempotentByKey,
@@ -26,7 +26,7 @@
 	return [...]string{policy.Idempotent: effectSafe, policy.IdempotentByKey: effectKeyed, policy.NonIdempotent: effectUnsafe}[i]
 }
 
-// dedupScopes are the dedup scopes by value of the key repeats_dropped_by.
+// dedupScopes maps the values of the key repeats_dropped_by to the dedup scope of a class.
 var dedupScopes = map[string]policy.DedupScope{"all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell}
 
 // classes reads the classes of a pool that uses the platform's protocol.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,7 +33,8 @@
 	root      *section
 }
 
-// Load reads and parses the file at path. The error is an Errors if the file is invalid; any other error says why it could not be read.
+// Load reads and parses the file at path. The error is an Errors if the content is invalid; any other error says why the file
+// could not be read.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -49,7 +50,8 @@
 	return Parse(path, text)
 }
 
-// Parse parses text, the content of file. The error is an Errors with all errors of the file; after a TOML syntax error it has only that.
+// Parse parses text, the content of file. The error is an Errors with all errors of the file; if text is not valid TOML, only
+// the first syntax error is in it.
 func Parse(file string, text []byte) (*File, error) {
 	tree, err := parseTree(file, text)
 	if err != nil {
@@ -87,7 +89,7 @@
 	}
 }
 
-// readProcess reads the table of the process and its limits, and returns the table.
+// readProcess reads the table process, which sets the limits of the process, and returns it.
 func (f *File) readProcess() *section {
 	c := &f.Gateway
 	process := f.root.table("process")
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Key, e.Text)
 }
 
-// Errors are all errors of a file, sorted by line. It has at least one element.
+// Errors is the list of all errors of a file, sorted by line. It is never empty.
 type Errors []Error
 
 // Error returns the errors, one per line.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -169,7 +169,8 @@
 	}
 }
 
-// checkStore checks that this process has a store exactly if it is a voter. If the voters keep their state in memory, it must have none.
+// checkStore checks that a voter has a store and that any other member has none. If the voters keep their state in memory, they have none
+// either.
 func (r *reader) checkStore(s *section, c *fleet.Config) {
 	isVoter := slices.Contains(c.Voters, c.Name)
 	if c.VotersInMemory && c.Store != "" {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestInvalidFleet checks that each error has its key, and its line where it is given.
+// TestInvalidFleet checks that each error is reported for its key; some cases also check the line.
 func TestInvalidFleet(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"even council":           {`["a", "b", "c"]`, `["a", "b"]`, "f.toml:16: tier.council: has 2 members"},
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -89,7 +89,7 @@
 	t.ClientCAFile = s.text("authorities", "")
 	t.RequireClientCert = s.choice("clients", "ask", "ask", "need") == "need"
 	if t.RequireClientCert && t.ClientCAFile == "" {
-		r.fail(s.nodeAt("clients"), "requires the key authorities: client certificates are verified against it")
+		r.fail(s.nodeAt("clients"), "requires the key authorities: client certificates are verified against its CA certificates")
 	}
 	var pairs []string
 	for _, c := range s.tables("certificates") {
--- a/internal/config/pool.go
+++ b/internal/config/pool.go
@@ -75,7 +75,7 @@
 	return p
 }
 
-// instances reads the position of this process among the instances that share the pool's endpoints: its zone and index.
+// instances reads the zone of this process, and its index among the instances that share the requests of the pool's clients.
 func (r *reader) instances(s *section, c *policy.Config) {
 	c.Zone = s.text("zone", "")
 	c.InstanceCount = int(s.integer("instances", 1, 1, maxCount))
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -71,7 +71,7 @@
 	return p
 }
 
-// readSpillover reads the settings for forwarding requests of a pool to other sites. Without the table spill, none are forwarded.
+// readSpillover reads the settings for exchanging requests of a pool with other sites. Without the table spill, the pool exchanges none.
 func (f *File) readSpillover(r *reader, s *section, p *gateway.Pool) {
 	sharedDedupClasses := r.sharedDedupClasses
 	r.sharedDedupClasses = nil
--- a/internal/config/task.go
+++ b/internal/config/task.go
@@ -15,10 +15,10 @@
 	"sorrelrudder/policy"
 )
 
-// taskLeasePrefix is the prefix of the name of a task's lease; the task's name follows.
+// taskLeasePrefix precedes the name of a task in the name of its lease.
 const taskLeasePrefix = "task/"
 
-// missedPolicies are the policies for missed runs by value of the key missed.
+// missedPolicies maps the values of the key missed to the policy for missed runs.
 var missedPolicies = map[string]task.MissedPolicy{"skip": task.MissedSkip, "once": task.MissedRunNewest, "each": task.MissedRunEach}
 
 // readTasks reads the tasks of the fleet. maxOpen is the maximum number of tasks that run at the same time, or 0 for no limit.
@@ -109,7 +109,7 @@
 	class := &classes[index]
 	t.Idempotency, t.DedupWindow = task.Idempotency(class.Idempotency), class.DedupWindow
 	if !t.Plain && (class.Idempotency == policy.Idempotent) != (t.Method == http.MethodGet) {
-		r.fail(s.nodeAt("method"), "%s is not allowed for class %q, which is %s: GET is for safe classes, and any other method for other classes", t.Method, className, effectOf(class.Idempotency))
+		r.fail(s.nodeAt("method"), "%s is not allowed for class %q, which is %s: safe classes require GET, and all other classes require another method", t.Method, className, effectOf(class.Idempotency))
 	}
 	if err := t.Validate(); err != nil {
 		r.fail(s.node, "%v", err)
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -142,7 +142,8 @@
 
 func formatDuration(d time.Duration) string { return quote(d.String()) }
 
-// lacksUnit reports whether the value under key is a number without a unit, which has one of the given kinds. It adds an error if it is.
+// lacksUnit reports whether the value under key has one of the given kinds, which are numbers and so have no unit. If it has, lacksUnit adds
+// an error.
 func (s *section) lacksUnit(key, example string, kinds ...kind) bool {
 	n := s.node.table[key]
 	if n == nil || !slices.Contains(kinds, n.kind) {
