--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -11,7 +11,7 @@
 	"sorrelrudder/policy"
 )
 
-// fullSettings is testdata/full.json as it is decoded.
+// fullSettings returns the decoded form of testdata/full.json.
 func fullSettings() Settings {
 	return Settings{
 		Config: policy.Config{
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestSettingsForm holds the keys and values of the settings object, and what each of them sets.
+// TestSettingsForm guards against a change of the keys and values of the settings object, and against a key that sets another field than
+// its own.
 func TestSettingsForm(t *testing.T) {
 	full, err := os.ReadFile("testdata/full.json")
 	if err != nil {
@@ -45,21 +46,21 @@
 	inExample := exampleKeys(t, full)
 	for _, key := range keysOf(reflect.TypeFor[object](), "") {
 		if !inExample[key] {
-			t.Errorf("key %s is decoded, and not in the example", key)
+			t.Errorf("key %s is decoded but missing from the example", key)
 		}
 		delete(inExample, key)
 	}
 	for key := range inExample {
-		t.Errorf("key %s is in the example, and not decoded", key)
+		t.Errorf("key %s is in the example but not decoded", key)
 	}
-	// Each boolean and each named value is changed alone: equal values in the full example could be mixed up.
+	// Each boolean and each named value is changed on its own: the full example repeats values, so swapped fields would go unnoticed in it.
 	for _, c := range []struct {
 		name, old, new string
 		change         func(*Settings)
 	}{
 		{"full", ``, ``, func(*Settings) {}},
 		{"asked", `"pushed"`, `"asked"`, func(s *Settings) { s.Config.EndpointsPushed = false }},
-		{"on probe", `"inline"`, `"on_probe"`, func(s *Settings) { s.Config.InlineLoadReports = false }},
+		{"on health check", `"inline"`, `"on_probe"`, func(s *Settings) { s.Config.InlineLoadReports = false }},
 		{"Cancelling", `"Cancelling": true`, `"Cancelling": false`, func(s *Settings) { s.Config.CancellationAllowed = false }},
 		{"MayDuplicate", `"MayDuplicate": true`, `"MayDuplicate": false`, func(s *Settings) { s.Config.HedgingAllowed = false }},
 		{"Probes", `"Probes": true`, `"Probes": false`, func(s *Settings) { s.Config.HealthChecksAllowed = false }},
@@ -77,7 +78,7 @@
 		}},
 	} {
 		if c.old != "" && strings.Count(string(full), c.old) != 1 {
-			t.Errorf("%s: the example does not hold %s once", c.name, c.old)
+			t.Errorf("%s: the example does not contain %s exactly once", c.name, c.old)
 		}
 		want := fullSettings()
 		c.change(&want)
@@ -88,21 +89,21 @@
 	}
 }
 
-// TestLoadFieldForm holds the names of the fields of a load report.
+// TestLoadFieldForm guards against a change of the names of the fields of a load report.
 func TestLoadFieldForm(t *testing.T) {
 	got := EmptyLoadReport()
 	if want := (policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}); got != want {
-		t.Errorf("no report: %+v, want %+v", got, want)
+		t.Errorf("empty load report: got %+v, want %+v", got, want)
 	}
 	for i, field := range []string{"queue", "inflight", "latency_ms", "eps", "unknown"} {
 		SetLoadField(&got, field, float64(i))
 	}
 	if want := (policy.LoadReport{Queue: 0, InFlight: 1, Latency: 2, ErrorRate: 3}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("load report: got %+v, want %+v", got, want)
 	}
 }
 
-// keysOf lists the paths of the keys that are decoded into a value of type t.
+// keysOf returns the paths of the JSON keys that are decoded into a value of type t.
 func keysOf(t reflect.Type, prefix string) (keys []string) {
 	for t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -120,7 +121,7 @@
 	return keys
 }
 
-// exampleKeys is the set of the paths of all keys of a JSON text.
+// exampleKeys returns the set of the paths of all keys in a JSON text.
 func exampleKeys(t *testing.T, text []byte) map[string]bool {
 	t.Helper()
 	var root any
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -2,7 +2,7 @@
 
 import "sorrelrudder/policy"
 
-// The names of the values in a load report.
+// Names of the fields of a load report.
 const (
 	loadFieldQueue     = "queue"
 	loadFieldInFlight  = "inflight"
@@ -10,12 +10,12 @@
 	loadFieldErrorRate = "eps"
 )
 
-// EmptyLoadReport returns a report in which nothing is reported: each value is -1.
+// EmptyLoadReport returns a report without values: each field is -1.
 func EmptyLoadReport() policy.LoadReport {
 	return policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
 }
 
-// SetLoadField notes the value that a report gives under a field's name. Fields that the decision module has no use for are skipped.
+// SetLoadField sets the field of l that has the given name in load reports. Names that the decision module does not use are ignored.
 func SetLoadField(l *policy.LoadReport, field string, value float64) {
 	switch field {
 	case loadFieldQueue:
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -7,8 +7,8 @@
 	"sorrelrudder/policy"
 )
 
-// object is the platform's settings object, whose themed keys are mapped to the terms of the field here. It has the keys that are used;
-// others are skipped. Times are in microseconds; one that is left out is 0.
+// object is the platform's settings object. Its tags map the platform's keys to the usual terms. Keys without a field here are ignored.
+// Durations are in microseconds; an absent duration is 0.
 type object struct {
 	InstanceCount     int            `json:"GroupSize"`
 	InstanceIndex     int            `json:"Ordinal"`
@@ -25,7 +25,7 @@
 	Tenants           []tenant       `json:"Tenants"`
 }
 
-// limits say what the platform allows.
+// limits holds what the platform allows.
 type limits struct {
 	CancellationAllowed bool  `json:"Cancelling"`
 	HedgingAllowed      bool  `json:"MayDuplicate"`
@@ -49,7 +49,7 @@
 	LateWeightFraction float64 `json:"LateShare"`
 }
 
-// safety has the times that the platform's rules rest on.
+// safety holds the times on which the platform's rules are based.
 type safety struct {
 	PollIntervalUs       int64   `json:"AskEveryUs"`
 	DrainGraceUs         int64   `json:"DrainGraceUs"`
@@ -63,7 +63,7 @@
 	KeyAffinity bool `json:"WarmKeys"`
 }
 
-// costs are the points that the platform takes off a result, each times a share or rate of the operation.
+// costs holds the points that the platform deducts from a score, each multiplied by the share or rate of its operation.
 type costs struct {
 	Connection  float64 `json:"Connection"`
 	CrossZone   float64 `json:"CrossZone"`
@@ -71,7 +71,7 @@
 	HealthCheck float64 `json:"Probe"`
 }
 
-// telemetry says how endpoints report their load.
+// telemetry describes how endpoints report their load.
 type telemetry struct {
 	LoadReportFields []string `json:"Fields"`
 	LoadReportsVia   string   `json:"Via"`
@@ -83,26 +83,26 @@
 	RateQuota float64 `json:"AllowancePerS"`
 }
 
-// The values of MembershipMode and Via that differ from the default.
+// Values of MembershipMode and Via other than the defaults.
 const (
 	discoveryPushed   = "pushed"
 	loadReportsInline = "inline"
 )
 
-// idempotencyByName maps the values of Effect.
+// idempotencyByName maps the values of the key Effect.
 var idempotencyByName = map[string]policy.Idempotency{
 	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentByKey, "non_idempotent": policy.NonIdempotent,
 }
 
-// dedupScopeByName maps the values of Group.
+// dedupScopeByName maps the values of the key Group.
 var dedupScopeByName = map[string]policy.DedupScope{
 	"": policy.DedupEverywhere, "all": policy.DedupEverywhere, "zone": policy.DedupZone, "cell": policy.DedupCell,
 }
 
 const (
-	// maxDuration bounds the times: beyond it a slip in the unit is likelier than a deployment.
+	// maxDuration is the upper bound of the durations. A longer one is more likely a mistake in the unit than a real deployment.
 	maxDuration = time.Hour
-	// maxDedupWindow bounds how long a class's requests are deduplicated.
+	// maxDedupWindow is the upper bound of the deduplication window of a class.
 	maxDedupWindow = 24 * time.Hour
 )
 
@@ -143,7 +143,7 @@
 	return cfg
 }
 
-// config returns the class as the decision module knows it.
+// config returns the decision module's configuration of the class.
 func (c *requestClass) config() policy.Class {
 	return policy.Class{
 		Name:               c.Name,
@@ -157,19 +157,21 @@
 	}
 }
 
-// KeyError is that a key of the settings object has a value that cannot be used.
+// KeyError reports an invalid value of a key of the settings object.
 type KeyError struct {
-	Key     string // as the operators write it
-	Problem string // what is wrong with the value, such as "is 0, below 1"
+	Key     string // path of the key, as operators write it
+	Problem string // the value and what is wrong with it, such as "is 0, want at least 1"
 }
 
+// Error implements error.
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
+// keyError returns a KeyError whose problem is the formatted text.
 func keyError(key, format string, args ...any) *KeyError {
 	return &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate checks what the decision module would reject or misread; nil: nothing.
+// validate checks the values that the decision module would reject or misinterpret. It returns nil if all are valid.
 func (s *object) validate() *KeyError {
 	for _, c := range s.Classes {
 		if err := c.validate(); err != nil {
@@ -178,42 +180,42 @@
 	}
 	switch {
 	case s.InstanceCount < 1:
-		return keyError("GroupSize", "is %d, below 1", s.InstanceCount)
+		return keyError("GroupSize", "is %d, want at least 1", s.InstanceCount)
 	case s.InstanceIndex < 0 || s.InstanceIndex >= s.InstanceCount:
-		return keyError("Ordinal", "is %d, outside a group of %d", s.InstanceIndex, s.InstanceCount)
+		return keyError("Ordinal", "is %d, want at least 0 and less than GroupSize, %d", s.InstanceIndex, s.InstanceCount)
 	case s.Limits.MaxAttempts < 1:
-		return keyError("Limits.SendCap", "is %d, below 1", s.Limits.MaxAttempts)
+		return keyError("Limits.SendCap", "is %d, want at least 1", s.Limits.MaxAttempts)
 	case !isFraction(s.Safety.SlowStartMinCapacity):
-		return keyError("Safety.ColdFrom", "is %v, outside 0 to 1", s.Safety.SlowStartMinCapacity)
+		return keyError("Safety.ColdFrom", "is %v, want 0 to 1", s.Safety.SlowStartMinCapacity)
 	}
 	return s.validateTimes()
 }
 
-// isFraction reports whether v is from 0 to 1, which NaN is not.
+// isFraction reports whether v is in the range 0 to 1. It is false for NaN.
 func isFraction(v float64) bool { return v >= 0 && v <= 1 }
 
-// validate checks a class; nil: nothing is wrong.
+// validate checks a class. It returns nil if all values are valid.
 func (c *requestClass) validate() *KeyError {
 	_, knownIdempotency := idempotencyByName[c.Idempotency]
 	_, knownScope := dedupScopeByName[c.DedupScope]
 	switch {
 	case !knownIdempotency:
-		return keyError("Effect", "is %q", c.Idempotency)
+		return keyError("Effect", "is %q, want read_like, idempotency_key or non_idempotent", c.Idempotency)
 	case !knownScope:
-		return keyError("Group", "is %q", c.DedupScope)
+		return keyError("Group", "is %q, want all, zone, cell or an empty text", c.DedupScope)
 	case c.LatencyObjectiveUs <= 0:
-		return keyError("AimUs", "is %d, not above 0", c.LatencyObjectiveUs)
+		return keyError("AimUs", "is %d, want more than 0", c.LatencyObjectiveUs)
 	case c.DeadlineUs < c.LatencyObjectiveUs:
-		return keyError("DeadlineUs", "is %d, below AimUs", c.DeadlineUs)
+		return keyError("DeadlineUs", "is %d, want at least AimUs", c.DeadlineUs)
 	case c.DedupWindowUs < 0 || c.DedupWindowUs > maxDedupWindow.Microseconds():
-		return keyError("KeyTtlUs", "is %d, outside 0 to a day", c.DedupWindowUs)
+		return keyError("KeyTtlUs", "is %d, want 0 to one day in microseconds", c.DedupWindowUs)
 	case c.PriorityWeight < 0:
-		return keyError("Worth", "is %v, below 0", c.PriorityWeight)
+		return keyError("Worth", "is %v, want at least 0", c.PriorityWeight)
 	}
 	return nil
 }
 
-// validateTimes checks the times that are no class's; nil: nothing is wrong.
+// validateTimes checks the durations outside the classes. It returns nil if all are valid.
 func (s *object) validateTimes() *KeyError {
 	for _, t := range []struct {
 		key string
@@ -229,10 +231,10 @@
 		{"Safety.RampTimeUs", s.Safety.SlowStartDurationUs},
 	} {
 		if t.us < 0 {
-			return keyError(t.key, "is %d, below 0", t.us)
+			return keyError(t.key, "is %d, want at least 0", t.us)
 		}
 		if t.us > maxDuration.Microseconds() {
-			return keyError(t.key, "is %d, above an hour", t.us)
+			return keyError(t.key, "is %d, want at most one hour in microseconds", t.us)
 		}
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings translates the platform's settings object, which the simulator's first message and the sidecar's configuration share,
-// for the decision module and its hosts. The themed names of the platform are mapped to the terms of the field here, and nowhere else.
+// Package settings parses the platform's settings object into the configuration of the decision module and its hosts. The object is part
+// of the simulator's first message and of the sidecar's configuration. This package alone maps the platform's keys to the usual terms.
 package settings
 
 import (
@@ -11,25 +11,25 @@
 	"sorrelrudder/policy"
 )
 
-// defaultPollInterval is taken where the settings do not say how long a list may be used.
+// defaultPollInterval is used where the settings do not specify how long an endpoint list may be used.
 const defaultPollInterval = 10 * time.Second
 
-// Settings is what a host needs of the settings object.
+// Settings is the part of the settings object that a host needs.
 type Settings struct {
 	Config           policy.Config
 	LoadReportFields []string      // names of the values in a load report, in their order
-	DrainGrace       time.Duration // how long an endpoint that drains or is removed may still be sent requests; 0: not known
-	Assumptions      []string      // what the settings leave out that the rules rest on, and what is taken for it
+	DrainGrace       time.Duration // how long a draining or removed endpoint may still be sent requests; 0: unknown
+	Assumptions      []string      // missing settings on which rules are based, each with the default that is used
 }
 
-// Parse reads the settings object. The error wraps a *KeyError, or one of encoding/json.
+// Parse parses and validates the settings object. The error wraps a *KeyError or an error of encoding/json.
 func Parse(text []byte) (Settings, error) {
 	var s object
 	if err := json.Unmarshal(text, &s); err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("parse settings: %w", err)
 	}
 	if err := s.validate(); err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", err)
+		return Settings{}, fmt.Errorf("validate settings: %w", err)
 	}
 	out := Settings{
 		Config: s.config(), LoadReportFields: s.Telemetry.LoadReportFields, DrainGrace: Micros(s.Safety.DrainGraceUs),
@@ -38,7 +38,7 @@
 	return out, nil
 }
 
-// applyDefaults takes what is safe under the rules for what the settings leave out.
+// applyDefaults replaces missing settings by defaults that are safe under the rules, and records each in Assumptions.
 func (s *Settings) applyDefaults() {
 	if s.Config.PollInterval == 0 {
 		s.Config.PollInterval = defaultPollInterval
@@ -54,12 +54,13 @@
 	}
 }
 
+// assume records a default that replaces a missing setting.
 func (s *Settings) assume(what string) { s.Assumptions = append(s.Assumptions, what) }
 
-// ListStaleness returns how old the endpoint list may get by these settings.
+// ListStaleness returns the bound on the age of the endpoint list under these settings.
 func (s *Settings) ListStaleness() staleness.Bound {
 	return staleness.BoundFor(s.Config.EndpointsPushed, s.Config.PollInterval, s.DrainGrace)
 }
 
-// Micros converts a time in microseconds.
+// Micros converts microseconds to a duration.
 func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
