--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,5 +1,5 @@
-// Package sidecar is one sidecar of the platform: a gateway with one pool, and what the platform tells it. It knows neither the
-// operator's file nor anything that only the product needs.
+// Package sidecar implements a sidecar of the platform: a gateway with one pool that is configured by the platform. It does not depend on
+// the operator's configuration file or on features that only the gateway product needs.
 package sidecar
 
 import (
@@ -15,33 +15,33 @@
 	"sorrelrudder/internal/settings"
 )
 
-// Config configures one sidecar.
+// Config is the configuration of one sidecar.
 type Config struct {
 	Name            string
 	Listen          string // address for clients
 	Discovery       string // address of the discovery service
-	discoveryInFile string // what the file says of it, whatever the environment does
-	Seed            uint64 // of the decision module's random choices
-	MemoryMB        int    // the sidecar is killed over it
-	MaxDescriptors  int    // file descriptors that the process may hold
+	discoveryInFile string // address of the discovery service in the file, regardless of the environment
+	Seed            uint64 // seeds the decision module's random choices
+	MemoryMB        int    // memory limit in megabytes; the platform kills a sidecar that exceeds it
+	MaxDescriptors  int    // maximum number of open file descriptors
 	CachedList      *discovery.EndpointList
 	Settings        settings.Settings
-	AdminAddress    string        // address of the operators' endpoint; empty: none
-	StatsInterval   time.Duration // how often statistics are logged; 0: never
-	ListenerFD      int           // above 0: the descriptor of the listening socket, which the platform holds
-	siblings        int           // other processes of this sidecar that are alive
-	SharedDir       string        // TMPDIR: the folder shared with sibling processes, where the platform holds the socket; empty: none is looked for
+	AdminAddress    string        // address of the admin server; empty: none
+	StatsInterval   time.Duration // interval between log lines of statistics; 0: none
+	ListenerFD      int           // descriptor of the listening socket if the platform holds it; 0: the sidecar opens the socket
+	siblings        int           // number of other live processes of this sidecar
+	SharedDir       string        // TMPDIR if the platform holds the socket: directory shared with sibling processes; empty: none
 }
 
 const (
-	// defaultMemoryMB and defaultMaxDescriptors are taken where the configuration gives no limit.
+	// defaultMemoryMB and defaultMaxDescriptors are used where the configuration has no limit.
 	defaultMemoryMB       = 128
 	defaultMaxDescriptors = 1024
-	// highestStandardFD is the descriptor of the standard error stream: a listening socket has a higher one.
+	// highestStandardFD is the descriptor of standard error. The descriptor of a listening socket must be higher.
 	highestStandardFD = 2
 )
 
-// configFile is the form of the file that GW_CONFIG names.
+// configFile is the content of the file that GW_CONFIG names.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -53,18 +53,20 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
+// fileLimits holds the limits of the process. A limit of 0 selects the default.
 type fileLimits struct {
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// notSetError is that a variable or a key has no value. It is its name.
+// notSetError is the name of an environment variable or key that has no value.
 type notSetError string
 
-func (e notSetError) Error() string { return string(e) + " is not set" }
+// Error implements error.
+func (e notSetError) Error() string { return string(e) + " is not set, want a value" }
 
-// LoadConfig reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN have precedence over it. GW_FD is the
-// descriptor of the listening socket, where the platform holds it. An error names the variable or the key at fault.
+// LoadConfig reads the configuration file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN take precedence over the
+// file. GW_FD is the descriptor of the listening socket if the platform holds it. An error names the invalid variable or key.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	file, err := readConfigFile(getenv("GW_CONFIG"))
 	if err != nil {
@@ -97,23 +99,23 @@
 	return c, nil
 }
 
-// readConfigFile reads the file at path.
+// readConfigFile reads and decodes the file at path, the value of GW_CONFIG.
 func readConfigFile(path string) (*configFile, error) {
 	if path == "" {
 		return nil, notSetError("GW_CONFIG")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %w", err)
+		return nil, fmt.Errorf("read GW_CONFIG file: %w", err)
 	}
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG %s: %w", path, err)
+		return nil, fmt.Errorf("decode GW_CONFIG file %s: %w", path, err)
 	}
 	return &file, nil
 }
 
-// newConfig returns what the file says of addresses and limits.
+// newConfig returns a configuration with the addresses and limits of the file, or the default limits.
 func newConfig(file *configFile) Config {
 	c := Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, AdminAddress: file.Admin, discoveryInFile: file.Discovery,
@@ -128,7 +130,7 @@
 	return c
 }
 
-// overrideBy takes the variables of the environment that have precedence over the file.
+// overrideBy applies the environment variables that take precedence over the file.
 func (c *Config) overrideBy(getenv func(string) string) {
 	for name, value := range map[string]*string{
 		"GW_NAME": &c.Name, "GW_LISTEN": &c.Listen, "GW_DISCOVERY": &c.Discovery, "GW_ADMIN": &c.AdminAddress,
@@ -139,6 +141,7 @@
 	}
 }
 
+// checkAddressesAndLimits checks that the required addresses are set and that the limits are not below their minimum.
 func (c *Config) checkAddressesAndLimits() error {
 	switch {
 	case c.Listen == "":
@@ -146,53 +149,57 @@
 	case c.Discovery == "":
 		return notSetError("discovery")
 	case c.MemoryMB < gateway.MinMemoryMB:
-		return fmt.Errorf("limits.memory_mb is %d, below %d", c.MemoryMB, gateway.MinMemoryMB)
+		return fmt.Errorf("limits.memory_mb is %d, want at least %d", c.MemoryMB, gateway.MinMemoryMB)
 	case c.MaxDescriptors < gateway.MinDescriptors:
-		return fmt.Errorf("limits.sockets is %d, below %d", c.MaxDescriptors, gateway.MinDescriptors)
+		return fmt.Errorf("limits.sockets is %d, want at least %d", c.MaxDescriptors, gateway.MinDescriptors)
 	}
 	return nil
 }
 
+// parseSeed parses the seed, a hexadecimal number. An empty text leaves it 0.
 func (c *Config) parseSeed(text string) (err error) {
 	if text == "" {
 		return nil
 	}
 	if c.Seed, err = strconv.ParseUint(text, 16, 64); err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("parse seed as a hexadecimal 64-bit number: %w", err)
 	}
 	return nil
 }
 
+// parseStatsInterval parses the value of GW_FIGURES_EVERY. An empty text leaves statistics disabled.
 func (c *Config) parseStatsInterval(text string) (err error) {
 	if text == "" {
 		return nil
 	}
 	if c.StatsInterval, err = time.ParseDuration(text); err != nil || c.StatsInterval < gateway.MinStatsInterval {
-		return fmt.Errorf("GW_FIGURES_EVERY is %q, no time of %v or more", text, gateway.MinStatsInterval)
+		return fmt.Errorf("GW_FIGURES_EVERY is %q, want a duration of at least %v", text, gateway.MinStatsInterval)
 	}
 	return nil
 }
 
-// parseListenerFD reads what the platform says where it holds the listening socket.
+// parseListenerFD reads the variables that the platform sets if it holds the listening socket: GW_FD and TMPDIR. Without GW_FD it changes
+// nothing.
 func (c *Config) parseListenerFD(getenv func(string) string) (err error) {
 	text := getenv("GW_FD")
 	if text == "" {
 		return nil
 	}
 	if c.ListenerFD, err = strconv.Atoi(text); err != nil || c.ListenerFD <= highestStandardFD {
-		return fmt.Errorf("GW_FD is %q, not a descriptor above %d", text, highestStandardFD)
+		return fmt.Errorf("GW_FD is %q, want a file descriptor above %d", text, highestStandardFD)
 	}
 	c.SharedDir = getenv("TMPDIR")
-	c.Seed ^= uint64(os.Getpid()) << 32 // both processes of an upgrade are given the same
+	c.Seed ^= uint64(os.Getpid()) << 32 // both processes of an upgrade get the same seed from the file
 	return nil
 }
 
+// parseCachedList parses the cached endpoint list. An absent or null list leaves CachedList nil.
 func (c *Config) parseCachedList(text json.RawMessage) (err error) {
 	if len(text) == 0 || string(text) == "null" {
 		return nil
 	}
 	if c.CachedList, err = discovery.ParseEndpointList(text); err != nil {
-		return fmt.Errorf("known: %w", err)
+		return fmt.Errorf("parse endpoint list in known: %w", err)
 	}
 	return nil
 }
--- a/internal/sidecar/learned_state.go
+++ b/internal/sidecar/learned_state.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// learnedStateFile is what each process leaves in the shared folder for the one that takes its place.
+	// learnedStateFile is the name of the file in the shared directory by which a process passes its learned state to its successor.
 	learnedStateFile = "sorrelrudder-learnt.json"
-	// maxLearnedStateAge is how old that file may be.
+	// maxLearnedStateAge is the age from which that file is ignored.
 	maxLearnedStateAge = 5 * time.Second
 )
 
-// writeLearnedState stores what has been learned. It replaces the file whole, so that nobody reads a part of it.
+// writeLearnedState stores the learned state. It replaces the file atomically, so that a reader never sees a partial one.
 func (s *Sidecar) writeLearnedState() {
 	path := filepath.Join(s.cfg.SharedDir, learnedStateFile)
 	if err := writeFileAtomically(path, s.ExportLearnedState()); err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// writeFileAtomically replaces the file at path by the JSON text of value.
+// writeFileAtomically replaces the file at path by the JSON encoding of value.
 func writeFileAtomically(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// readLearnedState takes over what a sibling process has learned, if it has stored that lately.
+// readLearnedState imports the learned state of a sibling process. A missing, old or malformed file is not an error: the process then
+// starts without learned state.
 func (s *Sidecar) readLearnedState() {
 	path := filepath.Join(s.cfg.SharedDir, learnedStateFile)
 	info, err := os.Stat(path)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// maxDrainTime bounds the draining even if settings give longer deadlines: the platform kills a process that was told to end.
+	// maxDrainTime bounds draining even if the settings have longer deadlines: the platform kills a process some time after it has asked it
+	// to shut down.
 	maxDrainTime = 3 * time.Second
 	// poolName is the name of the only pool.
 	poolName = "platform"
 )
 
-// Sidecar is one sidecar: a gateway with one pool.
+// Sidecar is a gateway with one pool. Reload may be called while Run serves.
 type Sidecar struct {
 	*gateway.Gateway
 	log *slog.Logger
 
-	// mu guards cfg, but for SharedDir, which does not change. The gateway's Apply is called under it.
+	// mu guards cfg, except for SharedDir, which does not change. The gateway's Apply is called while mu is held.
 	mu  sync.Mutex
 	cfg Config
 }
 
-// New returns a sidecar that has opened no socket for clients.
+// New returns a sidecar that has not opened its listening socket yet.
 func New(cfg Config, log *slog.Logger) (*Sidecar, error) {
 	for _, what := range cfg.Settings.Assumptions {
 		log.Warn("settings incomplete, default assumed", "what", what)
@@ -39,7 +40,8 @@
 	return &Sidecar{Gateway: g, cfg: cfg, log: log}, nil
 }
 
-// gatewayConfig returns the configuration of the gateway: this process's part of the limits. Requests wait for the first list.
+// gatewayConfig returns the configuration of the gateway. It has this process's share of the limits. Requests are queued until the first
+// endpoint list arrives.
 func (c *Config) gatewayConfig() gateway.Config {
 	return gateway.Config{
 		Name:          c.Name,
@@ -56,12 +58,12 @@
 	}
 }
 
-// processCount returns how many processes share the sidecar's limits.
+// processCount returns the number of processes that share the sidecar's limits, this one included.
 func (c *Config) processCount() int { return 1 + c.siblings }
 
-// Reload takes over a configuration that has replaced the one in force. Only discovery's address may change under load; the environment
-// is the same as at the start, so that the file is right where it names another address than it did. What else has changed waits for
-// the next start, and is logged: the platform tells it to a new process.
+// Reload applies a configuration that replaces the one in force. Only the address of the discovery service changes at run time. The
+// environment is the same as at the start, so a new address in the file takes precedence over GW_DISCOVERY. Other changes are logged and
+// take effect at the next start: the platform passes them to a new process.
 func (s *Sidecar) Reload(next Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +79,7 @@
 	s.log.Info("reloaded", "load", s.String())
 }
 
-// moveDiscovery uses the discovery service at another address. The caller holds mu.
+// moveDiscovery switches to the discovery service at another address. The caller holds mu.
 func (s *Sidecar) moveDiscovery(addr string) error {
 	s.log.Info("discovery address changed", "from", s.cfg.Discovery, "to", addr)
 	moved := s.cfg
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// unappliedChanges returns the keys of next that differ from c and are not taken over by a reload.
+// unappliedChanges returns the keys whose values in next differ from c and that a reload does not apply.
 func (c *Config) unappliedChanges(next *Config) []string {
 	var keys []string
 	for _, value := range []struct {
@@ -109,7 +111,7 @@
 	return keys
 }
 
-// Run serves until ctx ends, and then drains. It returns once all requests that were accepted are answered.
+// Run serves until ctx is done, and then drains. It returns once all accepted requests have been answered, or the time for draining is over.
 func (s *Sidecar) Run(ctx context.Context) error {
 	if err := s.start(ctx); err != nil {
 		s.Close()
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -9,27 +9,26 @@
 )
 
 const (
-	// siblingPollInterval is how often a process looks whether another one has come to take its place, or has ended, and stores what it
-	// has learned.
+	// siblingPollInterval is how often a process checks whether sibling processes have started or ended, and stores its learned state.
 	siblingPollInterval = 200 * time.Millisecond
-	// firstListTimeout is how long a process that takes another's place waits for an endpoint list before it takes clients with the
-	// cached one: until then the other one serves them.
+	// firstListTimeout is how long a successor process waits for an endpoint list before it accepts clients with the cached list. Until
+	// then its predecessor serves them.
 	firstListTimeout = 2 * time.Second
-	// firstListPollInterval is how often it looks.
+	// firstListPollInterval is how often it checks for that list.
 	firstListPollInterval = 5 * time.Millisecond
-	// heapFraction is the part of the memory that the runtime may use: the rest is for stacks, code and the kernel.
+	// heapFraction is the fraction of the memory limit that the Go runtime may use. The rest is for stacks, code and the kernel.
 	heapFraction = 0.75
 )
 
-// start has the sidecar take clients. Where the platform holds the listening socket a sibling process may be serving them: both count as
-// one sidecar, and each takes its part of the limits from the first moment on.
+// start begins to accept clients. If the platform holds the listening socket, a sibling process may be serving on it. Both processes
+// count as one sidecar, so each uses only its share of the limits from the start.
 func (s *Sidecar) start(ctx context.Context) error {
 	s.limitHeap()
 	if s.cfg.SharedDir == "" {
 		return s.Listen()
 	}
 	siblings, err := process.JoinSiblingGroup(s.cfg.SharedDir)
-	if err != nil { // it can serve all the same, and the other one cannot know of it either
+	if err != nil { // serving is still possible, and the sibling cannot detect this process either
 		s.log.Warn("joining sibling processes failed", "err", err)
 		return s.Listen()
 	}
@@ -44,7 +43,8 @@
 	return s.Listen()
 }
 
-// takeOver prepares this process for the clients of a sibling, whose place it takes.
+// takeOver prepares this process to serve the clients of the sibling process that it replaces: it fetches an endpoint list and imports the
+// sibling's learned state.
 func (s *Sidecar) takeOver(ctx context.Context) error {
 	s.log.Info("taking over from a sibling process")
 	if err := s.StartAdmin(); err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// awaitFirstList returns once discovery has sent a list, or firstListTimeout has passed.
+// awaitFirstList returns once discovery has sent a list, firstListTimeout has passed or ctx is done.
 func (s *Sidecar) awaitFirstList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, firstListTimeout)
 	defer cancel()
@@ -71,8 +71,8 @@
 	}
 }
 
-// followSiblings keeps to this process's part of the limits and stores what it has learned, until ctx ends and the gateway has: what that
-// still holds counts too.
+// followSiblings adjusts this process's share of the limits and stores its learned state until ctx is done. It leaves the group only once
+// the gateway has ended, because descriptors and memory that it still holds count towards the limits.
 func (s *Sidecar) followSiblings(ctx context.Context, siblings *process.SiblingGroup) {
 	defer siblings.Leave()
 	tick := time.NewTicker(siblingPollInterval)
@@ -89,7 +89,7 @@
 	}
 }
 
-// updateLimits takes this process's part of the limits, if that has changed.
+// updateLimits applies this process's share of the limits if the number of sibling processes has changed.
 func (s *Sidecar) updateLimits(siblings *process.SiblingGroup) {
 	others, err := siblings.Others()
 	if err != nil {
@@ -112,14 +112,15 @@
 	s.limitHeap()
 }
 
-// processCount returns how many processes share the limits now.
+// processCount returns the number of processes that share the limits now, this one included.
 func (s *Sidecar) processCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cfg.processCount()
 }
 
-// limitHeap guards against being killed for memory. The caller holds mu, or is start.
+// limitHeap sets the memory limit of the Go runtime, so that the platform does not kill the process for its memory. The caller holds mu,
+// or is start.
 func (s *Sidecar) limitHeap() {
 	part := s.cfg.MemoryMB << 20 / s.cfg.processCount()
 	debug.SetMemoryLimit(int64(heapFraction * float64(part)))
