--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -21,9 +21,9 @@
 	"sorrelrudder/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// fullConfig is testdata/config.json as it is decoded.
+// fullConfig returns the decoded form of testdata/config.json.
 func fullConfig() Config {
 	seq := int64(41)
 	return Config{
@@ -39,7 +39,8 @@
 	}
 }
 
-// TestConfigForm holds the keys of the file that GW_CONFIG names, and what each variable of the environment sets.
+// TestConfigForm guards against a change of the keys of the file that GW_CONFIG names, and of the field that each environment variable
+// sets.
 func TestConfigForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
@@ -52,7 +53,7 @@
 	pid := uint64(os.Getpid()) << 32
 	for _, c := range []struct {
 		name    string
-		without string // key that is left out of the file
+		without string // key that is removed from the file
 		env     map[string]string
 		change  func(*Config)
 	}{
@@ -97,11 +98,11 @@
 	}
 }
 
-// TestHandOverForm holds what a process leaves for its successor, which may be of another version: the file's name, and its
-// content both ways.
-func TestHandOverForm(t *testing.T) {
+// TestLearnedStateForm guards against a change of the name, encoding or decoding of the learned state file. A process writes the file for
+// its successor, which may be another version.
+func TestLearnedStateForm(t *testing.T) {
 	if learnedStateFile != "sorrelrudder-learnt.json" {
-		t.Errorf("the file is named %s", learnedStateFile)
+		t.Errorf("learned state file is named %s, want sorrelrudder-learnt.json", learnedStateFile)
 	}
 	value := gateway.LearnedState{
 		Clients: keepalive.History{
@@ -145,18 +146,18 @@
 	assertPopulated(t, reflect.ValueOf(value), "Learnt")
 }
 
-// TestCompanyForm holds the files by which the processes of one sidecar know of each other, which may be of different versions:
-// each holds one locked under such a name.
-func TestCompanyForm(t *testing.T) {
+// TestSiblingGroupForm guards against a change of the files by which the processes of one sidecar detect each other. The processes may be
+// of different versions. Each keeps one file with this name prefix locked.
+func TestSiblingGroupForm(t *testing.T) {
 	dir := t.TempDir()
-	company, err := process.JoinSiblingGroup(dir)
+	group, err := process.JoinSiblingGroup(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer company.Leave()
+	defer group.Leave()
 	files, err := filepath.Glob(filepath.Join(dir, "sorrelrudder-process-*"))
 	if err != nil || len(files) != 1 {
-		t.Errorf("%q, %v, want one file of this process", files, err)
+		t.Errorf("files of this process: %q, %v, want one", files, err)
 	}
 	other, err := os.Create(filepath.Join(dir, "sorrelrudder-process-other"))
 	if err != nil {
@@ -166,12 +167,12 @@
 	if err := syscall.Flock(int(other.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		t.Fatal(err)
 	}
-	if others, err := company.Others(); others != 1 || err != nil {
-		t.Errorf("%d others, %v, want 1", others, err)
+	if others, err := group.Others(); others != 1 || err != nil {
+		t.Errorf("got %d other processes, %v, want 1", others, err)
 	}
 }
 
-// assertPopulated fails for each field within v that holds its zero value: a golden file would say nothing of it.
+// assertPopulated fails for each field within v that holds its zero value, since a golden file would not cover such a field.
 func assertPopulated(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	switch v.Kind() {
@@ -189,6 +190,6 @@
 		}
 	}
 	if v.IsZero() {
-		t.Errorf("%s is not populated", path)
+		t.Errorf("%s is not populated, so the golden file does not cover it", path)
 	}
 }
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -16,7 +16,7 @@
 	"sorrelrudder/internal/keepalive"
 )
 
-// longBody is a body of n bytes of which no two parts are alike.
+// longBody returns a body of n bytes in which no two parts are equal, so that a misplaced part is detected.
 func longBody(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
@@ -25,7 +25,7 @@
 	return b.Bytes()[:n]
 }
 
-// chunked is body in chunks of so many bytes.
+// chunked returns body in the chunked transfer coding, in chunks of size bytes.
 func chunked(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -37,9 +37,8 @@
 	return b.String()
 }
 
-// TestLongAnswers guards against long answers that come otherwise than they were made, or after which a connection is of no
-// use.
-func TestLongAnswers(t *testing.T) {
+// TestLongResponses guards against long responses that reach the client altered, and against a connection that cannot be reused after one.
+func TestLongResponses(t *testing.T) {
 	long := longBody(3<<20 + 17)
 	full, beyond := long[:httpmsg.MaxBufferedBodyBytes], long[:httpmsg.MaxBufferedBodyBytes+1]
 	withLength := func(body []byte) string {
@@ -63,47 +62,48 @@
 			t.Parallel()
 			u := startUpstream(t, func(*http.Request, []byte) string { return c.text })
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-			answered := askInTurn(t, s, string(c.want))
-			waitFor(t, "the figures", func() bool {
+			answered := askInSequence(t, s, string(c.want))
+			waitFor(t, "the metrics of all requests", func() bool {
 				return s.Vars().Results["check"].Succeeded == answered && s.Vars().Outstanding == 0
 			})
-			// HTTP/1.0 knows no chunks: the end of the connection is that of the answer.
+			// HTTP/1.0 has no chunked coding: the end of the connection is the end of the response.
 			old := s.dial(t)
-			if status, body := old.ask(t, strings.Replace(get("old"), "HTTP/1.1", "HTTP/1.0", 1)); status != 200 || body != string(c.want) {
-				t.Errorf("to HTTP/1.0: %d and %d bytes, want %d", status, len(body), len(c.want))
+			if status, body := old.roundTrip(t, strings.Replace(get("old"), "HTTP/1.1", "HTTP/1.0", 1)); status != 200 || body != string(c.want) {
+				t.Errorf("HTTP/1.0 client: got status %d and %d bytes, want 200 and %d bytes", status, len(body), len(c.want))
 			}
 		})
 	}
 }
 
-// askInTurn asks until three requests in a row were answered with want on one connection, and returns how many were answered in all.
-func askInTurn(t *testing.T, s *running, want string) (answered int64) {
+// askInSequence sends requests until three in a row on one connection got want as their response. It returns the number of responses in
+// all.
+func askInSequence(t *testing.T, s *running, want string) (responses int64) {
 	t.Helper()
-	const most = 3
-	asked := 0
-	for inTurn, until := 0, time.Now().Add(patience); inTurn < most; {
+	const wanted = 3
+	requests := 0
+	for streak, until := 0, time.Now().Add(testTimeout); streak < wanted; {
 		c := s.dial(t)
 		sent := time.Now()
-		for inTurn = 0; inTurn < most; inTurn++ { //nolint:intrange // inTurn is read behind the loop
+		for streak = 0; streak < wanted; streak++ { //nolint:intrange // streak is read after the loop
 			before := sent
 			sent = time.Now()
-			asked++
-			status, body := c.ask(t, get(strconv.Itoa(asked)))
-			if status == 0 && inTurn > 0 && time.Since(before) >= keepalive.MaxIdle && time.Now().Before(until) {
-				t.Logf("answer %d: this machine stood still, and the connection was idle for longer than any may be", inTurn)
+			requests++
+			status, body := c.roundTrip(t, get(strconv.Itoa(requests)))
+			if status == 0 && streak > 0 && time.Since(before) >= keepalive.MaxIdle && time.Now().Before(until) {
+				t.Logf("response %d: the machine stalled, and the sidecar closed the connection as idle for too long", streak)
 				break
 			}
 			if status != 200 || body != want {
-				t.Fatalf("answer %d: %d and %d bytes, want %d", inTurn, status, len(body), len(want))
+				t.Fatalf("response %d: got status %d and %d bytes, want 200 and %d bytes", streak, status, len(body), len(want))
 			}
-			answered++
+			responses++
 		}
 	}
-	return answered
+	return responses
 }
 
-// TestLongAnswerAsItComes guards against holding back what of a long answer has come, until more does.
-func TestLongAnswerAsItComes(t *testing.T) {
+// TestLongResponseIsStreamed guards against holding back the received part of a long response until more of it arrives.
+func TestLongResponseIsStreamed(t *testing.T) {
 	long := longBody(300_000)
 	for _, head := range []string{"Content-Length: 300000", "Transfer-Encoding: chunked"} {
 		t.Run(head, func(t *testing.T) {
@@ -112,7 +112,7 @@
 			u := startWriter(t, func(c net.Conn, _ *http.Request, _ []byte) {
 				send(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n\r\n")
 				if strings.HasPrefix(head, "T") {
-					fmt.Fprintf(c, "%x\r\n", len(long)) // one chunk, which comes in two pieces
+					fmt.Fprintf(c, "%x\r\n", len(long)) // one chunk, sent in two writes
 				}
 				send(c, long[:100_000])
 				<-more
@@ -130,32 +130,32 @@
 			}
 			defer resp.Body.Close()
 			first := make([]byte, 100_000)
-			for n := 0; n < len(first); { // one byte at a time of what a chunk may still hold back in this reader
+			for n := 0; n < len(first); { // one byte at a time: a longer read of a chunk could wait for more in this reader
 				k, err := resp.Body.Read(first[n : n+1])
 				if err != nil {
-					t.Fatalf("after %d bytes: %v", n, err)
+					t.Fatalf("read of the first part failed after %d bytes: %v", n, err)
 				}
 				n += k
 			}
 			if n := s.Vars().Outstanding; n != 1 {
-				t.Errorf("%d requests are outstanding, want 1", n)
+				t.Errorf("got %d outstanding requests, want 1", n)
 			}
 			close(more)
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || !bytes.Equal(append(first, rest...), long) {
-				t.Errorf("%v, %d bytes", err, len(first)+len(rest))
+				t.Errorf("read of the rest: %v; got %d bytes in all, want the whole body", err, len(first)+len(rest))
 			}
 		})
 	}
 }
 
-// TestLongAnswerBreaksOff guards against passing on a part of a long answer so that it seems whole.
+// TestLongAnswerBreaksOff guards against passing on a part of a long response as if it were complete.
 func TestLongAnswerBreaksOff(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 300000", "chunks": "Transfer-Encoding: chunked"} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" to "+version, func(t *testing.T) {
 				t.Parallel()
-				part := string(longBody(200_000)) // made beforehand: a pause behind the head would break the attempt off before any of it is passed on
+				part := string(longBody(200_000)) // made in advance: a pause after the head would abort the attempt before any part is passed on
 				if name == "chunks" {
 					part = fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 				}
@@ -166,9 +166,9 @@
 				})
 				s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 				if err := s.askUntilServed(t, version); err == nil {
-					t.Error("a part of an answer seems whole")
+					t.Error("a partial response was passed on as a complete one")
 				}
-				waitFor(t, "the figures", func() bool {
+				waitFor(t, "the metrics of the failed request", func() bool {
 					f := s.Vars()
 					return f.Results["check"].Failed == 1 && f.Results["check"].Succeeded == 0 && f.Outstanding == 0
 				})
@@ -177,11 +177,11 @@
 	}
 }
 
-// askUntilServed asks until an answer is no refusal, and returns what broke that off; nil: it seems whole. On a busy machine a request
-// may be refused first, and comes again anew.
+// askUntilServed sends requests until one is not rejected, and returns the error of reading its response; nil means that the response is
+// complete. On a busy machine the first requests may be rejected.
 func (r *running) askUntilServed(t *testing.T, version string) error {
 	t.Helper()
-	for i, until := 0, time.Now().Add(patience); ; i++ {
+	for i, until := 0, time.Now().Add(testTimeout); ; i++ {
 		c := r.dial(t)
 		send(c, strings.Replace(get("a"+strconv.Itoa(i)), "HTTP/1.1", version, 1))
 		resp, err := http.ReadResponse(c.r, nil)
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestClientLeavesLongAnswer guards against a server that goes on writing to nobody.
-func TestClientLeavesLongAnswer(t *testing.T) {
+// TestClientLeavesLongResponse guards against reading on from a server after the client has closed its connection.
+func TestClientLeavesLongResponse(t *testing.T) {
 	ended := make(chan error, 1)
 	much := longBody(30_000_000)
 	u := startWriter(t, func(c net.Conn, _ *http.Request, _ []byte) {
@@ -215,12 +215,12 @@
 	c.Close()
 	resp.Body.Close()
 	if err := <-ended; err == nil {
-		t.Error("the server could write it all")
+		t.Error("the server could write the whole response, want an aborted connection")
 	}
 	waitFor(t, "the end of the request", func() bool { return s.Vars().Outstanding == 0 })
 }
 
-// TestLongBodies guards against long bodies that reach a server otherwise than they were sent.
+// TestLongBodies guards against long request bodies that reach a server altered.
 func TestLongBodies(t *testing.T) {
 	long := longBody(2<<20 + 5)
 	for name, text := range map[string]string{
@@ -243,61 +243,61 @@
 				if err != nil || resp.StatusCode != http.StatusContinue {
 					t.Fatalf("%v, %+v", err, resp)
 				}
-				resp.Body.Close() // it has none
+				resp.Body.Close() // a 100 response has no body
 				text = ""
 			} else {
 				text = post("book", "a", text)
 			}
-			if status, body := c.ask(t, text); status != 200 || body != "a" || !bytes.Equal(got, long) {
-				t.Errorf("%d %.20q, the server had %d bytes of %d", status, body, len(got), len(long))
+			if status, body := c.roundTrip(t, text); status != 200 || body != "a" || !bytes.Equal(got, long) {
+				t.Errorf("got status %d, body %.20q; the server received %d bytes, want %d", status, body, len(got), len(long))
 			}
 			if f := s.Vars(); f.Forwards != 1 || f.Results["book"].Succeeded != 1 {
 				t.Errorf("%+v", f)
 			}
-			if name == "length" { // its connection goes on
-				if status, body := c.ask(t, get("b")); status != 200 || body != "b" {
-					t.Errorf("then %d %q", status, body)
+			if name == "length" { // the connection stays usable
+				if status, body := c.roundTrip(t, get("b")); status != 200 || body != "b" {
+					t.Errorf("next request: got status %d, body %q, want 200 and its id", status, body)
 				}
 			}
 		})
 	}
 }
 
-// TestLongBodyBreaksOff guards against a request whose body broke off and that runs all the same, seems to have run, or leaves
-// something behind.
-func TestLongBodyBreaksOff(t *testing.T) {
+// TestLongBodyAborted guards against a request with an incomplete body that is still forwarded, that counts as forwarded, or that leaves
+// state behind.
+func TestLongBodyAborted(t *testing.T) {
 	u := startUpstream(t, echo)
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	half := post("book", "a", fmt.Sprintf("Content-Length: 1000000\r\n\r\n%s", longBody(400_000)))
-	leaves := s.dial(t)
-	send(leaves, half)
-	waitFor(t, "the request", func() bool { return s.Vars().Outstanding == 1 })
-	leaves.Close()
-	waitFor(t, "its end", func() bool { return s.Vars().Outstanding == 0 })
-	stalls := s.dial(t)
-	if status, _ := stalls.ask(t, strings.Replace(half, "ID: a", "ID: b", 1)); status != http.StatusRequestTimeout {
-		t.Errorf("a body that stands still: %d, want %d", status, http.StatusRequestTimeout)
+	closing := s.dial(t)
+	send(closing, half)
+	waitFor(t, "the request to be outstanding", func() bool { return s.Vars().Outstanding == 1 })
+	closing.Close()
+	waitFor(t, "the request to end", func() bool { return s.Vars().Outstanding == 0 })
+	stalling := s.dial(t)
+	if status, _ := stalling.roundTrip(t, strings.Replace(half, "ID: a", "ID: b", 1)); status != http.StatusRequestTimeout {
+		t.Errorf("stalled body: got status %d, want %d", status, http.StatusRequestTimeout)
 	}
-	spoilt := s.dial(t)
-	if status, _ := spoilt.ask(t, post("book", "c", "Transfer-Encoding: chunked\r\n\r\n"+strings.TrimSuffix(chunked(longBody(400_000), 9999), "0\r\n\r\n")+"zz\r\n")); status != 400 {
-		t.Errorf("a spoilt body: %d, want 400", status)
+	malformed := s.dial(t)
+	if status, _ := malformed.roundTrip(t, post("book", "c", "Transfer-Encoding: chunked\r\n\r\n"+strings.TrimSuffix(chunked(longBody(400_000), 9999), "0\r\n\r\n")+"zz\r\n")); status != 400 {
+		t.Errorf("malformed body: got status %d, want 400", status)
 	}
 	if n := u.runs.Load(); n != 0 {
-		t.Errorf("%d requests ran", n)
+		t.Errorf("%d requests reached the server, want none", n)
 	}
 	if f := s.Vars(); f.Forwards != 0 || f.Results["book"].Failed != 3 {
 		t.Errorf("%+v", f)
 	}
-	if status, body := s.dial(t).ask(t, get("d")); status != 200 || body != "d" {
-		t.Errorf("then %d %q", status, body)
+	if status, body := s.dial(t).roundTrip(t, get("d")); status != 200 || body != "d" {
+		t.Errorf("next request: got status %d, body %q, want 200 and its id", status, body)
 	}
 }
 
-// TestServerEndsLongBody guards against a refusal that is not true, and against waiting for a server that has said its say or
-// does not read on: what was not sent whole has not run, and may be asked again.
-func TestServerEndsLongBody(t *testing.T) {
+// TestServerEndsLongBodyEarly guards against a wrong response while a request body is still being sent, and against waiting for a server
+// that has already responded or has stopped reading. A request that was not sent completely has not been processed, so it may be retried.
+func TestServerEndsLongBodyEarly(t *testing.T) {
 	for name, f := range map[string]func(c net.Conn){
-		"turned away": func(c net.Conn) {
+		"not processed": func(c net.Conn) {
 			send(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		},
 		"error":  func(c net.Conn) { send(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n") },
@@ -307,12 +307,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			u := startUpstream(t, nil)
-			u.heads = func(c net.Conn, _ *http.Request) { f(c) }
+			u.onHead = func(c net.Conn, _ *http.Request) { f(c) }
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			c := s.dial(t)
-			go func() { // a client that writes on until it is told
+			go func() { // a client that writes until it gets a response
 				send(c, post("book", "a", "Content-Length: 30000000\r\n\r\n"))
 				for piece := longBody(100_000); ctx.Err() == nil; time.Sleep(time.Millisecond) {
 					if _, err := c.Write(piece); err != nil {
@@ -322,11 +322,11 @@
 			}()
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil {
-				t.Fatalf("%v, want a refusal", err)
+				t.Fatalf("read response: %v, want status 503", err)
 			}
 			defer resp.Body.Close()
 			if resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("%+v, want a refusal", resp)
+				t.Errorf("got response %+v, want status 503", resp)
 			}
 		})
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -111,7 +111,8 @@
 	return keys
 }
 
-// Run serves until ctx is done, and then drains. It returns once all accepted requests have been answered, or the time for draining is over.
+// Run serves until ctx is done, and then drains. It returns once all accepted requests have been answered or the time for draining is
+// over.
 func (s *Sidecar) Run(ctx context.Context) error {
 	if err := s.start(ctx); err != nil {
 		s.Close()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -23,28 +23,29 @@
 	"sorrelrudder/internal/process"
 )
 
-// patience is how long a test waits for what must come; none asserts that something takes less.
-const patience = 20 * time.Second
+// testTimeout bounds the wait for an expected event. No test asserts that an event takes less.
+const testTimeout = 20 * time.Second
 
-// script answers one request that an upstream has read; it returns what is written to the connection, byte for byte.
-type script func(q *http.Request, body []byte) string
+// responder handles one request that an upstream has read. It returns the exact bytes to be written to the connection.
+type responder func(q *http.Request, body []byte) string
 
-// upstream is a server on a loopback socket that answers by a script and leaves connections open.
+// upstream is a server on a loopback socket that responds as scripted and keeps connections open.
 type upstream struct {
 	ln   net.Listener
-	seen chan string // X-Request-ID of each request but probes
+	seen chan string // X-Request-ID of each request except health checks
 	runs atomic.Int32
 
-	heads  func(c net.Conn, q *http.Request) // nil, or given each request but probes by its head, instead of answering it
-	onConn func(open bool)                   // nil, or told of each connection; set before there is one
+	onHead func(c net.Conn, q *http.Request) // if set, called with the head of each request except health checks, in place of a response
+	onConn func(open bool)                   // if set, called as a connection opens and closes; must be set before the first connection
 }
 
-func startUpstream(t *testing.T, f script) *upstream {
+// startUpstream starts an upstream whose responses f returns.
+func startUpstream(t *testing.T, f responder) *upstream {
 	t.Helper()
 	return startWriter(t, func(c net.Conn, q *http.Request, body []byte) { send(c, f(q, body)) })
 }
 
-// startWriter is startUpstream for answers that come in parts.
+// startWriter starts an upstream whose f writes the responses itself, so that it can send them in parts.
 func startWriter(t *testing.T, f func(c net.Conn, q *http.Request, body []byte)) *upstream {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,6 +67,7 @@
 	return u
 }
 
+// serve reads requests from a connection until it closes.
 func (u *upstream) serve(c net.Conn, f func(net.Conn, *http.Request, []byte)) {
 	if u.onConn != nil {
 		u.onConn(true)
@@ -77,8 +79,8 @@
 		if err != nil {
 			return
 		}
-		if u.heads != nil && q.URL.Path != "/load" {
-			u.heads(c, q)
+		if u.onHead != nil && q.URL.Path != "/load" {
+			u.onHead(c, q)
 			return
 		}
 		body, err := io.ReadAll(q.Body)
@@ -95,33 +97,35 @@
 	}
 }
 
-// ok is a good answer.
+// ok returns a valid response.
 func ok(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// echo answers with the request's id.
+// echo responds with the request's id.
 func echo(q *http.Request, _ []byte) string { return ok(q.Header.Get("X-Request-Id")) }
 
-// startDiscovery is a discovery that answers watches with the upstreams given, as one whole list.
-func startDiscovery(t *testing.T, upstreams ...*upstream) (addr string, watched <-chan string) {
+// startDiscovery starts a discovery service that answers each watch with the complete list of the upstreams. It sends the query of each
+// watch on the channel.
+func startDiscovery(t *testing.T, upstreams ...*upstream) (addr string, watchQueries <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan string, 100)
+	queries := make(chan string, 100)
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		send(w, append(listOf(t, upstreams...), '\n'))
 		w.(http.Flusher).Flush()
-		asked <- q.URL.RawQuery
+		queries <- q.URL.RawQuery
 		<-q.Context().Done()
 	})}
 	go func() { _ = s.Serve(ln) }() // until it is closed
 	t.Cleanup(func() { s.Close() })
-	return ln.Addr().String(), asked
+	return ln.Addr().String(), queries
 }
 
+// listOf returns the JSON encoding of a complete endpoint list of the upstreams.
 func listOf(t *testing.T, upstreams ...*upstream) []byte {
 	t.Helper()
 	seq := int64(1)
@@ -142,6 +146,7 @@
 	return text
 }
 
+// testSettings is a settings object with a class of each idempotency.
 const testSettings = `{"GroupSize":1,"TickUs":1000,
  "Limits":{"SendCap":3,"Cancelling":true,"Probes":true,"DialTimeoutUs":2000000,"ConnIdleUs":60000000},
  "Safety":{"AskEveryUs":10000000},"Telemetry":{"Fields":["queue"],"Via":"on_probe"},
@@ -150,7 +155,7 @@
   {"Name":"order","Effect":"idempotency_key","Group":"all","KeyTtlUs":60000000,"AimUs":10000000,"DeadlineUs":10000000,"Worth":1,"LateShare":1},
   {"Name":"book","Effect":"non_idempotent","AimUs":10000000,"DeadlineUs":10000000,"Worth":1,"LateShare":1}]}`
 
-// config writes a configuration file and returns its text's parts as LoadConfig reads them.
+// config writes a configuration file and returns the configuration that LoadConfig reads from it.
 func config(t *testing.T, discovery string, sockets int, known []byte) Config {
 	t.Helper()
 	c, err := LoadConfig(configEnv(t, discovery, sockets, known))
@@ -160,6 +165,7 @@
 	return c
 }
 
+// configEnv writes a configuration file and returns an environment that names it.
 func configEnv(t *testing.T, discovery string, sockets int, known []byte) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -169,6 +175,7 @@
 	}
 }
 
+// writeConfig writes a configuration file. A nil list of known endpoints is written as null.
 func writeConfig(t *testing.T, path, discovery string, sockets int, known []byte) {
 	t.Helper()
 	if known == nil {
@@ -181,7 +188,7 @@
 	}
 }
 
-// running is a sidecar that serves on a loopback socket.
+// running is a sidecar that serves on a loopback socket until end is called. It closes ended once it has drained.
 type running struct {
 	*Sidecar
 	addr  string
@@ -189,6 +196,7 @@
 	end   context.CancelFunc
 }
 
+// start starts a sidecar, which ends with the test.
 func start(t *testing.T, cfg Config) *running {
 	t.Helper()
 	s, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -213,12 +221,13 @@
 	return r
 }
 
-// client is a client's connection.
+// client is the client side of a connection to a sidecar.
 type client struct {
 	net.Conn
 	r *bufio.Reader
 }
 
+// dial connects to the sidecar. The connection has a deadline of testTimeout.
 func (r *running) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
@@ -226,18 +235,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
-// ask writes text and reads an answer; status 0 is a close with none.
-func (c *client) ask(t *testing.T, text string) (status int, body string) {
+// roundTrip writes text and reads a response. Status 0 means that the connection was closed without one.
+func (c *client) roundTrip(t *testing.T, text string) (status int, body string) {
 	t.Helper()
-	send(c, text) // a sidecar may close before it has read all
+	send(c, text) // the sidecar may close the connection before it has read all
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		if os.IsTimeout(err) {
-			t.Fatalf("neither an answer nor a close to %.60q", text)
+			t.Fatalf("got neither a response to %.60q nor a closed connection", text)
 		}
 		return 0, ""
 	}
@@ -249,29 +258,32 @@
 	return resp.StatusCode, string(b)
 }
 
+// get returns a request of the idempotent class.
 func get(id string) string {
 	return "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Timeout-Ms: 10000\r\n\r\n"
 }
 
+// post returns the start of a POST request. The text more holds the rest of its head, and its body.
 func post(class, id, more string) string {
 	return "POST /" + class + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Timeout-Ms: 10000\r\n" + more
 }
 
-// send writes a text to a peer that may close before it has read all: what is missing shows in what the test sees of it.
+// send writes a text to a peer that may close before it has read all. Write errors are ignored, since the test checks the peer's response.
 func send[T string | []byte](w io.Writer, text T) { _, _ = w.Write([]byte(text)) }
 
+// waitFor polls f until it is true, and fails the test after testTimeout.
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// TestBadClients guards against requests that upstreams cannot use or that hide others, whatever they cost: each gets an
-// error or a close, and none goes on.
-func TestBadClients(t *testing.T) {
+// TestInvalidRequests guards against forwarding requests that are malformed, that hide other requests (request smuggling) or that are of
+// unbounded size. Each gets an error response or a closed connection.
+func TestInvalidRequests(t *testing.T) {
 	u := startUpstream(t, echo)
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	hidden := "0\r\n\r\n" + get("hidden")
@@ -279,22 +291,22 @@
 	for name, text := range map[string]string{
 		"noise":                  "\x00\x01\x02\r\n\r\n",
 		"no version":             "GET 0000\r\n\r\n",
-		"endless head":           "GET /check HTTP/1.1\r\nX: " + strings.Repeat("p", 1<<20),
-		"both lengths":           post("order", "a", key+fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", len(hidden), hidden)),
-		"both, the other order":  post("order", "a", key+fmt.Sprintf("Transfer-Encoding: chunked\r\ncontent-length: %d\r\n\r\n%s", len(hidden), hidden)),
+		"unbounded head":         "GET /check HTTP/1.1\r\nX: " + strings.Repeat("p", 1<<20),
+		"length and chunks":      post("order", "a", key+fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", len(hidden), hidden)),
+		"chunks and length":      post("order", "a", key+fmt.Sprintf("Transfer-Encoding: chunked\r\ncontent-length: %d\r\n\r\n%s", len(hidden), hidden)),
 		"two lengths":            post("order", "a", key+"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
 		"space before the colon": post("order", "a", key+"Content-Length : 5\r\n\r\nhello"),
 		"folded line":            post("order", "a", key+"X: a\r\n b\r\nContent-Length: 0\r\n\r\n"),
 		"negative length":        post("order", "a", key+"Content-Length: -5\r\n\r\n"),
 		"huge length":            post("order", "a", key+"Content-Length: 60000000\r\n\r\n"),
-		"length without end":     post("order", "a", key+"Content-Length: 99999999999999999999\r\n\r\n"),
+		"length overflow":        post("order", "a", key+"Content-Length: 99999999999999999999\r\n\r\n"),
 		"broken chunks":          post("order", "a", key+"Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\nzz\r\n"),
-		"chunks without end":     post("order", "a", key+"Transfer-Encoding: chunked\r\n\r\n"+strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 4)),
+		"unterminated chunks":    post("order", "a", key+"Transfer-Encoding: chunked\r\n\r\n"+strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 4)),
 		"no class":               strings.Replace(get("a"), "/check", "/checks", 1),
 		"no id":                  "GET /check HTTP/1.1\r\nHost: h\r\nX-Timeout-Ms: 100\r\n\r\n",
 		"two ids":                strings.Replace(get("a"), "\r\n\r\n", "\r\nX-Request-ID: b\r\n\r\n", 1),
 		"no deadline":            "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\n\r\n",
-		"deadline is no number":  strings.Replace(get("a"), "10000", "soon", 1),
+		"deadline not a number":  strings.Replace(get("a"), "10000", "soon", 1),
 		"negative deadline":      strings.Replace(get("a"), "10000", "-3", 1),
 		"no key":                 post("order", "a", "Content-Length: 0\r\n\r\n"),
 		"wrong method":           post("check", "a", "Content-Length: 0\r\n\r\n"),
@@ -305,20 +317,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if status, _ := s.dial(t).ask(t, text); status != 0 && status < 400 || status == 503 {
-				t.Errorf("answered %d, want 4xx, 5xx or a close", status)
+			if status, _ := s.dial(t).roundTrip(t, text); status != 0 && status < 400 || status == 503 {
+				t.Errorf("got status %d, want 4xx, 5xx or a closed connection", status)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		if n := u.runs.Load(); n != 0 {
-			t.Errorf("%d requests came to the upstream, want none", n)
+			t.Errorf("%d requests reached the upstream, want none", n)
 		}
 	})
 }
 
-// TestUsualClients guards against turning away what the protocol allows.
-func TestUsualClients(t *testing.T) {
+// TestValidRequests guards against rejecting or altering requests that the protocol allows.
+func TestValidRequests(t *testing.T) {
 	u := startUpstream(t, func(q *http.Request, body []byte) string { return ok(q.URL.RequestURI() + " " + string(body)) })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	key, long := "Idempotency-Key: k\r\n", strings.Repeat("x", httpmsg.MaxBufferedBodyBytes-20)
@@ -329,15 +341,16 @@
 		{post("order", "c", key+"Content-Length: 5\r\n\r\nhello"), "/order hello"},
 		{post("order", "d", key+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(long), long)), "/order " + long},
 		{post("book", "e", "Content-Length: 2\r\n\r\nhi"), "/book hi"},
-		{post("book", "f", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n3\r\n yo\r\n0\r\n\r\n"), "/book hi yo"}, // the last one
+		{post("book", "f", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n3\r\n yo\r\n0\r\n\r\n"), "/book hi yo"}, // last request
 	} {
-		if status, body := c.ask(t, tc.text); status != 200 || body != tc.want {
-			t.Fatalf("request %d: got %d %.60q, want 200 %.60q", i, status, body, tc.want)
+		if status, body := c.roundTrip(t, tc.text); status != 200 || body != tc.want {
+			t.Fatalf("request %d: got status %d, body %.60q, want 200 and body %.60q", i, status, body, tc.want)
 		}
 	}
 }
 
-// TestPipelinedRequests guards against losing, or answering out of turn, requests that come before an answer has gone.
+// TestPipelinedRequests guards against losing requests that arrive before the previous response is sent, and against responses out of
+// order.
 func TestPipelinedRequests(t *testing.T) {
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, startUpstream(t, echo))))
 	c := s.dial(t)
@@ -347,14 +360,14 @@
 		if want == "c" {
 			text = get("c")
 		}
-		if status, body := c.ask(t, text); status != 200 || body != want {
-			t.Fatalf("got %d %q, want 200 %q", status, body, want)
+		if status, body := c.roundTrip(t, text); status != 200 || body != want {
+			t.Fatalf("got status %d, body %q, want 200 and body %q", status, body, want)
 		}
 	}
 }
 
-// TestIDOfAnOpenRequest guards against a client that uses the id of another's request: upstreams would run that twice.
-func TestIDOfAnOpenRequest(t *testing.T) {
+// TestDuplicateRequestID guards against a client that uses the id of another client's request: upstreams would process the id twice.
+func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
 	u := startUpstream(t, func(q *http.Request, b []byte) string {
 		<-release
@@ -365,30 +378,31 @@
 	send(first, get("same"))
 	<-u.seen
 	for range 2 {
-		if status, _ := s.dial(t).ask(t, get("same")); status != http.StatusConflict {
-			t.Errorf("the second of one id was answered %d", status)
+		if status, _ := s.dial(t).roundTrip(t, get("same")); status != http.StatusConflict {
+			t.Errorf("second request with the same id: got status %d, want 409", status)
 		}
 	}
 	close(release)
-	if status, body := first.ask(t, ""); status != 200 || body != "same" {
-		t.Errorf("the first was answered %d %q", status, body)
+	if status, body := first.roundTrip(t, ""); status != 200 || body != "same" {
+		t.Errorf("first request: got status %d, body %q, want 200 and its id", status, body)
 	}
-	if status, _ := s.dial(t).ask(t, get("same")); status != http.StatusConflict {
-		t.Errorf("right after the end one of the same id was answered %d", status)
+	if status, _ := s.dial(t).roundTrip(t, get("same")); status != http.StatusConflict {
+		t.Errorf("request with the same id right after the end of the first: got status %d, want 409", status)
 	}
 	if n := u.runs.Load(); n != 1 {
-		t.Errorf("%d requests came to the upstream, want 1", n)
+		t.Errorf("%d requests reached the upstream, want 1", n)
 	}
 }
 
-// TestSilentClients guards against clients that hold all descriptors and say nothing, or have asked once and stay.
+// TestSilentClients guards against clients that exhaust the descriptors with connections that send nothing or that stay idle after one
+// request.
 func TestSilentClients(t *testing.T) {
 	s := start(t, config(t, "127.0.0.1:1", 64, listOf(t, startUpstream(t, echo))))
 	for i := range 100 {
 		c := s.dial(t)
-		if i%2 == 0 { // a new connection may be closed to make room; a client then asks on another
-			waitFor(t, "client "+strconv.Itoa(i)+" to be answered", func() bool {
-				status, _ := c.ask(t, get("stays"+strconv.Itoa(i)))
+		if i%2 == 0 { // a new connection may be closed to free a descriptor; the client then retries on another
+			waitFor(t, "client "+strconv.Itoa(i)+" to get a response", func() bool {
+				status, _ := c.roundTrip(t, get("stays"+strconv.Itoa(i)))
 				if status == 0 {
 					c = s.dial(t)
 				}
@@ -396,12 +410,12 @@
 			})
 		}
 	}
-	waitFor(t, "the quiet connections to end", func() bool {
+	waitFor(t, "the idle connections to be closed", func() bool {
 		return s.Load().Clients == 0
 	})
 }
 
-// TestClientLeaves guards against keeping anything of a request whose client has gone.
+// TestClientLeaves guards against keeping state of a request whose client has disconnected.
 func TestClientLeaves(t *testing.T) {
 	u := startUpstream(t, func(*http.Request, []byte) string { return "" })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
@@ -409,93 +423,93 @@
 	send(c, get("a"))
 	<-u.seen
 	c.Close()
-	waitFor(t, "the request to be forgotten", func() bool {
+	waitFor(t, "the request to be removed", func() bool {
 		return s.Load().Requests == 0
 	})
 }
 
-// TestSpoiltAnswers guards against passing on what no upstream made for a request, and against waiting for what never
-// comes: a spoilt answer is a failed attempt that may have run. What may run again is asked again.
-func TestSpoiltAnswers(t *testing.T) {
+// TestMalformedResponses guards against passing on a malformed response, and against waiting for the rest of an incomplete one. A malformed
+// response is a failed attempt that may have been processed. Only idempotent requests are retried after one.
+func TestMalformedResponses(t *testing.T) {
 	endless := "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppppppppppp\r\n", 10000)
 	for name, text := range map[string]string{
-		"noise":               "\xe7U\x13\x82\x04\r\n\r\n",
-		"endless head":        endless,
-		"head that stops":     "HTTP/1.1 200 OK\r\nX-Pad: ppp",
-		"short body":          "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc",
-		"3 GB":                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20),
-		"broken chunks":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
-		"two lengths":         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
-		"negative length":     "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
-		"interim without end": strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50),
+		"noise":                      "\xe7U\x13\x82\x04\r\n\r\n",
+		"unbounded head":             endless,
+		"incomplete head":            "HTTP/1.1 200 OK\r\nX-Pad: ppp",
+		"short body":                 "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc",
+		"3 GB":                       "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20),
+		"broken chunks":              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+		"two lengths":                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+		"negative length":            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
+		"too many interim responses": strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 50),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var spoilt sync.Once
+			var malformed sync.Once
 			f := func(q *http.Request, b []byte) string {
 				answer := echo(q, b)
-				spoilt.Do(func() { answer = text })
+				malformed.Do(func() { answer = text })
 				return answer
 			}
 			good, bad := startUpstream(t, f), startUpstream(t, f)
 			s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, good, bad)))
 			c := s.dial(t)
-			if status, body := c.ask(t, get("again")); status != 200 || body != "again" {
-				t.Errorf("a safe request was answered %d %.40q, want a good answer of the second attempt", status, body)
+			if status, body := c.roundTrip(t, get("again")); status != 200 || body != "again" {
+				t.Errorf("idempotent request: got status %d, body %.40q, want 200 and the body of the second attempt", status, body)
 			}
 		})
 	}
 	t.Run("unsafe", func(t *testing.T) {
 		u := startUpstream(t, func(*http.Request, []byte) string { return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nabc" })
 		s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u, u)))
-		status, _ := s.dial(t).ask(t, post("book", "once", "Content-Length: 0\r\n\r\n"))
+		status, _ := s.dial(t).roundTrip(t, post("book", "once", "Content-Length: 0\r\n\r\n"))
 		if status == 200 || status == 429 || status == 503 {
-			t.Errorf("an unsafe request that may have run was answered %d, want a failure", status)
+			t.Errorf("non-idempotent request that may have been processed: got status %d, want a failure", status)
 		}
 		if n := u.runs.Load(); n != 1 {
-			t.Errorf("it was sent %d times", n)
+			t.Errorf("non-idempotent request was sent %d times, want once", n)
 		}
 	})
 }
 
-// TestSurplusAfterAnAnswer guards against taking what came behind a good answer for the answer to the next request.
-func TestSurplusAfterAnAnswer(t *testing.T) {
+// TestExcessBytesAfterResponse guards against taking bytes after a valid response for the response to the next request.
+func TestExcessBytesAfterResponse(t *testing.T) {
 	u := startUpstream(t, func(q *http.Request, b []byte) string { return echo(q, b) + ok("surplus") })
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	c := s.dial(t)
 	for i := range 20 {
 		id := strconv.Itoa(i)
-		if status, body := c.ask(t, get(id)); status != 200 || body != id {
-			t.Fatalf("request %d was answered %d %q", i, status, body)
+		if status, body := c.roundTrip(t, get(id)); status != 200 || body != id {
+			t.Fatalf("request %d: got status %d, body %q, want 200 and its id", i, status, body)
 		}
 	}
 }
 
-// TestInterimAnswers guards against taking a 1xx answer for the final one.
-func TestInterimAnswers(t *testing.T) {
+// TestInterimResponses guards against taking a 1xx response for the final one.
+func TestInterimResponses(t *testing.T) {
 	u := startUpstream(t, func(q *http.Request, b []byte) string {
 		return "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + echo(q, b)
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-	if status, body := s.dial(t).ask(t, get("a")); status != 200 || body != "a" {
-		t.Errorf("got %d %q", status, body)
+	if status, body := s.dial(t).roundTrip(t, get("a")); status != 200 || body != "a" {
+		t.Errorf("got status %d, body %q, want 200 and the request's id", status, body)
 	}
 }
 
-// TestEarlyInterimAnswer guards against ending an attempt because the upstream has sent a 1xx answer and still works.
-func TestEarlyInterimAnswer(t *testing.T) {
+// TestEarlyInterimResponse guards against aborting an attempt whose upstream has sent a 1xx response and is still processing the request.
+func TestEarlyInterimResponse(t *testing.T) {
 	u := startWriter(t, func(c net.Conn, q *http.Request, _ []byte) {
 		send(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
-		time.Sleep(500 * time.Millisecond) // twice what an answer may take from its first byte on; more makes no difference
+		time.Sleep(500 * time.Millisecond) // twice the time limit of a response after its first byte; a longer wait makes no difference
 		send(c, echo(q, nil))
 	})
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
-	if status, body := s.dial(t).ask(t, post("book", "a", "Content-Length: 0\r\n\r\n")); status != 200 || body != "a" {
-		t.Errorf("got %d %q", status, body)
+	if status, body := s.dial(t).roundTrip(t, post("book", "a", "Content-Length: 0\r\n\r\n")); status != 200 || body != "a" {
+		t.Errorf("got status %d, body %q, want 200 and the request's id", status, body)
 	}
 }
 
-// TestReload guards against a discovery that has moved: the environment still names the old address.
+// TestReload guards against a reload that ignores a new discovery address in the file because the environment still names the old one.
 func TestReload(t *testing.T) {
 	u := startUpstream(t, echo)
 	oldAddr, oldWatch := startDiscovery(t)
@@ -506,10 +520,10 @@
 		t.Fatal(err)
 	}
 	s := start(t, cfg)
-	select { // also one that knows no list asks
+	select { // the sidecar calls discovery even without a cached list
 	case <-oldWatch:
-	case <-time.After(patience):
-		t.Fatal("discovery was never asked")
+	case <-time.After(testTimeout):
+		t.Fatal("discovery was not called")
 	}
 	writeConfig(t, getenv("GW_CONFIG"), newAddr, 256, nil)
 	next, err := LoadConfig(getenv)
@@ -519,16 +533,16 @@
 	s.Reload(next)
 	select {
 	case <-newWatch:
-	case <-time.After(patience):
-		t.Fatal("the new address was never asked")
+	case <-time.After(testTimeout):
+		t.Fatal("discovery was not called at the new address")
 	}
-	if status, body := s.dial(t).ask(t, get("a")); status != 200 || body != "a" {
-		t.Errorf("got %d %q, want an answer of the upstream on the new list", status, body)
+	if status, body := s.dial(t).roundTrip(t, get("a")); status != 200 || body != "a" {
+		t.Errorf("got status %d, body %q, want a response of the upstream on the new list", status, body)
 	}
 }
 
-// TestBadConfig guards against a reload with what could not be started with, and against limits that are too strict for
-// the machines that sidecars get.
+// TestBadConfig guards against accepting an invalid configuration at a start or a reload, and against minimum limits that are too high for
+// the machines on which sidecars run.
 func TestBadConfig(t *testing.T) {
 	getenv := configEnv(t, "127.0.0.1:1", 256, nil)
 	if _, err := LoadConfig(getenv); err != nil {
@@ -550,12 +564,13 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(getenv); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("configuration %q was accepted, want an error", text)
 		}
 	}
 }
 
-// TestDrain guards against losing what was taken before SIGTERM, and what comes on connections that crossed it.
+// TestDrain guards against losing requests that were accepted before SIGTERM, and requests on connections that are opened while the sidecar
+// begins to drain.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	u := startUpstream(t, func(q *http.Request, b []byte) string {
@@ -567,38 +582,38 @@
 	send(before, get("before"))
 	<-u.seen
 	idle := s.dial(t)
-	if status, _ := idle.ask(t, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
-		t.Fatalf("health: %d", status)
+	if status, _ := idle.roundTrip(t, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
+		t.Fatalf("health check: got status %d, want 200", status)
 	}
 	s.end()
 	if _, err := idle.r.ReadByte(); err != io.EOF { // the drain has begun
-		t.Fatalf("an idle connection brought %v, want its end", err)
+		t.Fatalf("read on an idle connection: got %v, want EOF", err)
 	}
 	during := s.dial(t)
 	send(during, get("during"))
 	<-u.seen
 	close(release)
 	for name, c := range map[string]*client{"before": before, "during": during} {
-		if status, body := c.ask(t, ""); status != 200 || body != name {
-			t.Errorf("%s: got %d %q", name, status, body)
+		if status, body := c.roundTrip(t, ""); status != 200 || body != name {
+			t.Errorf("request %s: got status %d, body %q, want 200 and its id", name, status, body)
 		}
 	}
 	<-s.ended
 }
 
-// TestUpstreamReplaced guards against using a connection to a process past its end: another may have its address.
+// TestUpstreamReplaced guards against using a connection to an endpoint that has left the list: another endpoint may have its address.
 func TestUpstreamReplaced(t *testing.T) {
-	var ended sync.WaitGroup // connections to u
+	var connections sync.WaitGroup // open connections to u
 	u := startUpstream(t, echo)
 	u.onConn = func(open bool) {
 		if open {
-			ended.Add(1)
+			connections.Add(1)
 		} else {
-			ended.Done()
+			connections.Done()
 		}
 	}
 	replaced := bytes.ReplaceAll(listOf(t, u), []byte(`"s0"`), []byte(`"s1"`))
-	tell := make(chan struct{})
+	sendReplacement := make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -607,7 +622,7 @@
 		send(w, append(listOf(t, u), '\n'))
 		w.(http.Flusher).Flush()
 		select {
-		case <-tell:
+		case <-sendReplacement:
 			send(w, append(replaced, '\n'))
 			w.(http.Flusher).Flush()
 		case <-q.Context().Done():
@@ -617,79 +632,80 @@
 	go func() { _ = discovery.Serve(ln) }() // until it is closed
 	t.Cleanup(func() { discovery.Close() })
 	s := start(t, config(t, ln.Addr().String(), 256, listOf(t, u)))
-	if status, _ := s.dial(t).ask(t, get("a")); status != 200 {
-		t.Fatalf("got %d", status)
+	if status, _ := s.dial(t).roundTrip(t, get("a")); status != 200 {
+		t.Fatalf("got status %d, want 200", status)
 	}
-	close(tell)
-	ended.Wait() // or the test times out
+	close(sendReplacement)
+	connections.Wait() // the test times out if they stay open
 	if n := s.Load().Endpoints; n != 1 {
-		t.Errorf("%d upstreams are kept, want 1", n)
+		t.Errorf("got %d endpoints, want 1", n)
 	}
 }
 
-// TestShortClientTimeouts guards against sending a request where its answer cannot be expected while its client waits: because
-// only the class's aim counts, or because one of little patience is taken for the last, late try of an older one.
+// TestShortClientTimeouts guards against sending a request to an endpoint that is not expected to respond within the client's timeout. This
+// comes about if only the latency objective of the class counts, or if a request with a short timeout is taken for the last, late attempt
+// of an older request.
 func TestShortClientTimeouts(t *testing.T) {
-	const hasty = 250 * time.Millisecond
+	const shortTimeout = 250 * time.Millisecond
 	fast := startUpstream(t, echo)
 	slow := startUpstream(t, func(q *http.Request, b []byte) string {
-		time.Sleep(2 * hasty) // more makes no difference
+		time.Sleep(2 * shortTimeout) // a longer delay makes no difference
 		return echo(q, b)
 	})
 	cfg := config(t, "127.0.0.1:1", 256, listOf(t, fast, slow))
-	cfg.Settings.Config.Classes[0].LatencyObjective = 2 * hasty
+	cfg.Settings.Config.Classes[0].LatencyObjective = 2 * shortTimeout
 	s := start(t, cfg)
-	// Until the slow one is known as slow: none goes there, or it has answered often enough to be known. One that answers just within
-	// the aim may go on being sent some of the usual ones, rightly and for ever.
-	for i, calm := 0, 0; calm < 3 && slow.runs.Load() < 40; i++ {
+	// Send requests until the slow upstream is known to be slow: for some rounds it gets none, or it has responded often enough to be
+	// known. An upstream that responds just within the latency objective may correctly get some ordinary requests for ever.
+	for i, quietRounds := 0, 0; quietRounds < 3 && slow.runs.Load() < 40; i++ {
 		before := slow.runs.Load()
-		var asked [12]*client
-		for j := range asked {
-			asked[j] = s.dial(t)
-			send(asked[j], get(fmt.Sprintf("usual%d-%d", i, j)))
+		var clients [12]*client
+		for j := range clients {
+			clients[j] = s.dial(t)
+			send(clients[j], get(fmt.Sprintf("usual%d-%d", i, j)))
 		}
-		for _, c := range asked {
-			c.ask(t, "")
+		for _, c := range clients {
+			c.roundTrip(t, "")
 		}
-		if calm++; slow.runs.Load() > before {
-			calm = 0
+		if quietRounds++; slow.runs.Load() > before {
+			quietRounds = 0
 		}
 	}
 	before := slow.runs.Load()
 	for i := range 20 {
-		text := strings.Replace(get("hasty"+strconv.Itoa(i)), "10000", strconv.FormatInt(hasty.Milliseconds(), 10), 1)
-		s.dial(t).ask(t, text)
+		text := strings.Replace(get("hasty"+strconv.Itoa(i)), "10000", strconv.FormatInt(shortTimeout.Milliseconds(), 10), 1)
+		s.dial(t).roundTrip(t, text)
 	}
 	if n := slow.runs.Load() - before; n > 0 {
-		t.Errorf("%d of 20 hasty requests went to the upstream that answers too late for them", n)
+		t.Errorf("%d of 20 requests with a short timeout were sent to the upstream that responds too late for them", n)
 	}
 }
 
-// TestStaleReports guards against heaping requests on an upstream that still reports an empty queue: those that could
-// only be answered late are refused at once, and once the heap is gone all are served again.
+// TestStaleReports guards against overloading an upstream whose load report still has an empty queue. Requests that would be answered late
+// are rejected at once. After the queue has drained all requests are served again.
 func TestStaleReports(t *testing.T) {
 	var hold atomic.Pointer[chan struct{}]
 	u := startUpstream(t, func(q *http.Request, b []byte) string {
 		if c := hold.Load(); c != nil {
 			<-*c
 		}
-		time.Sleep(20 * time.Millisecond) // so that a heap means a delay
+		time.Sleep(20 * time.Millisecond) // so that queued requests are delayed
 		return echo(q, b)
 	})
 	cfg := config(t, "127.0.0.1:1", 256, listOf(t, u))
 	cfg.Settings.Config.Classes[0].LatencyObjective = 300 * time.Millisecond
 	s := start(t, cfg)
 	for i := range 3 {
-		if status, _ := s.dial(t).ask(t, get("calm"+strconv.Itoa(i))); status != 200 {
-			t.Fatalf("a single request was answered %d", status)
+		if status, _ := s.dial(t).roundTrip(t, get("calm"+strconv.Itoa(i))); status != 200 {
+			t.Fatalf("single request: got status %d, want 200", status)
 		}
 	}
 	release := make(chan struct{})
 	hold.Store(&release)
-	const crowd = 60
+	const burst = 60
 	before := u.runs.Load()
-	answers := make(chan int, crowd)
-	for i := range crowd {
+	answers := make(chan int, burst)
+	for i := range burst {
 		c := s.dial(t)
 		send(c, get("crowd"+strconv.Itoa(i)))
 		go func() {
@@ -701,28 +717,28 @@
 			answers <- status
 		}()
 	}
-	waitFor(t, "all to be sent on or answered", func() bool { return int(u.runs.Load()-before)+len(answers) == crowd })
+	waitFor(t, "each request to be forwarded or answered", func() bool { return int(u.runs.Load()-before)+len(answers) == burst })
 	if len(answers) == 0 {
-		t.Errorf("all of %d at once were sent to one upstream that answers none", crowd)
+		t.Errorf("all of %d simultaneous requests were sent to one upstream that does not respond, want some rejected", burst)
 	}
 	for range len(answers) {
 		if status := <-answers; status != http.StatusServiceUnavailable {
-			t.Errorf("answered %d at once, want a refusal", status)
+			t.Errorf("got status %d at once, want 503", status)
 		}
 	}
 	hold.Store(nil)
 	close(release)
-	waitFor(t, "the heap to be gone", func() bool {
+	waitFor(t, "the queue to drain", func() bool {
 		return s.Load().Requests == 0
 	})
-	if status, _ := s.dial(t).ask(t, get("after")); status != 200 {
-		t.Errorf("answered %d once the heap was gone", status)
+	if status, _ := s.dial(t).roundTrip(t, get("after")); status != 200 {
+		t.Errorf("request after the queue has drained: got status %d, want 200", status)
 	}
 }
 
-// TestSwallowedRequests guards against upstreams that never answer some requests while they answer others: second copies
-// go on for as long as they answer first, and the upstreams stay in use.
-func TestSwallowedRequests(t *testing.T) {
+// TestUnansweredRequests guards against upstreams that never respond to some requests but respond to others. Hedged requests continue as
+// long as they are answered first, and the upstreams stay in use.
+func TestUnansweredRequests(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
 	f := func(q *http.Request, b []byte) string {
@@ -740,27 +756,27 @@
 	cfg.Settings.Config.Classes[0].LatencyObjective = time.Second
 	s := start(t, cfg)
 	c := s.dial(t)
-	for i := range 70 { // these pay for the first copies
-		c.ask(t, get("before"+strconv.Itoa(i)))
+	for i := range 70 { // these earn the budget of the first hedged requests
+		c.roundTrip(t, get("before"+strconv.Itoa(i)))
 	}
 	answered := 0
 	const rounds = 20
 	for i := range rounds {
 		for _, name := range []string{"calm", "calm-too", "swallowed"} {
 			id := name + strconv.Itoa(i)
-			status, body := c.ask(t, strings.Replace(get(id), "10000", "1500", 1))
+			status, body := c.roundTrip(t, strings.Replace(get(id), "10000", "1500", 1))
 			if name == "swallowed" && status == 200 && body == id {
 				answered++
 			}
 		}
 	}
 	if answered < rounds/2 {
-		t.Errorf("%d of %d requests that the first upstream swallowed were answered", answered, rounds)
+		t.Errorf("%d of %d requests that the first upstream left unanswered were answered, want at least half", answered, rounds)
 	}
 }
 
-// TestClientLeftBeforeItWasRead guards against sending what a client asked that had left before its request was read: it waited for a
-// descriptor, and its end stands right behind it.
+// TestClientLeftBeforeItWasRead guards against forwarding a request whose client disconnected before the request was read. The connection
+// waited for a descriptor, and its end follows directly after the request.
 func TestClientLeftBeforeItWasRead(t *testing.T) {
 	release := make(chan struct{})
 	u := startUpstream(t, func(q *http.Request, b []byte) string {
@@ -770,10 +786,10 @@
 	const sockets = 64
 	s := start(t, config(t, "127.0.0.1:1", sockets, listOf(t, u)))
 	var busy []*client
-	for i := range int(process.MaxClientDescriptors(sockets)) { // as many as clients may hold
+	for i := range int(process.MaxClientDescriptors(sockets)) { // as many connections as clients may hold
 		var c *client
-		waitFor(t, "a request to be taken", func() bool {
-			if c == nil { // also where one that had just come was closed to make room before it was read: it comes again
+		waitFor(t, "a request to be accepted", func() bool {
+			if c == nil { // also retries if a new connection was closed to free a descriptor before its request was read
 				c = s.dial(t)
 				send(c, get("busy"+strconv.Itoa(i)))
 			}
@@ -788,7 +804,7 @@
 			}
 			return false
 		})
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		busy = append(busy, c)
 	}
 	for i := range 3 {
@@ -798,15 +814,15 @@
 	}
 	close(release)
 	for _, c := range busy {
-		c.ask(t, "")
+		c.roundTrip(t, "")
 		c.Close()
 	}
-	if status, _ := s.dial(t).ask(t, get("after")); status != 200 { // it came behind them
-		t.Errorf("answered %d", status)
+	if status, _ := s.dial(t).roundTrip(t, get("after")); status != 200 { // accepted after the disconnected clients
+		t.Errorf("request after the disconnected clients: got status %d, want 200", status)
 	}
 	for len(u.seen) > 0 {
 		if id := <-u.seen; strings.HasPrefix(id, "left") {
-			t.Errorf("%s was sent", id)
+			t.Errorf("request %s of a disconnected client was forwarded", id)
 		}
 	}
 }
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -20,14 +20,14 @@
 	"sorrelrudder/internal/process"
 )
 
-// startHeld runs a sidecar whose listening socket ln is held by the platform, beside others that share dir.
-func startHeld(t *testing.T, ln *net.TCPListener, dir string, getenv func(string) string) *running {
+// startWithListener runs a sidecar whose listening socket ln is held by the platform. Sidecars with the same dir are sibling processes.
+func startWithListener(t *testing.T, ln *net.TCPListener, dir string, getenv func(string) string) *running {
 	t.Helper()
 	file, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	fd, err := syscall.Dup(int(file.Fd())) // the sidecar closes it
+	fd, err := syscall.Dup(int(file.Fd())) // the sidecar closes the duplicate
 	file.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	return r
 }
 
-// upgradeClients ask one request after the other, each on a connection of its own that it uses again.
+// upgradeClients are clients that each send one request after the other on a reused connection.
 type upgradeClients struct {
 	addr    string
 	stopped atomic.Bool
@@ -83,13 +83,14 @@
 	return u
 }
 
-// stop ends the clients and returns once they have.
+// stop ends the clients and returns once all have ended.
 func (u *upgradeClients) stop() {
 	u.stopped.Store(true)
 	u.all.Wait()
 }
 
-// run is one client. A request that finds its connection closed, as it may have been while it was sent, is sent once more on a new one.
+// run is one client. It retries a request once, on a new connection, if the connection is closed before the response: the server may have
+// closed it while the request was on its way.
 func (u *upgradeClients) run(t *testing.T, name string) {
 	var c *client
 	again := false
@@ -102,11 +103,11 @@
 				return
 			}
 		}
-		closes, err := u.ask(t, c, id)
+		closes, err := u.roundTrip(t, c, id)
 		if err != nil {
 			c.Close()
 			if c = nil; again {
-				t.Errorf("%s: %v on a new connection too", id, err)
+				t.Errorf("request %s failed on a new connection too: %v", id, err)
 				return
 			}
 			again = true
@@ -124,17 +125,18 @@
 	}
 }
 
+// dial connects to the process.
 func (u *upgradeClients) dial() (*client, error) {
 	c, err := net.Dial("tcp", u.addr)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, bufio.NewReader(c)}, nil
 }
 
-// ask sends a request and checks its answer. It reports whether the connection closes after it.
-func (u *upgradeClients) ask(t *testing.T, c *client, id string) (closes bool, err error) {
+// roundTrip sends a request and checks its response. It reports whether the server closes the connection after it.
+func (u *upgradeClients) roundTrip(t *testing.T, c *client, id string) (closes bool, err error) {
 	send(c, get(id))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -143,85 +145,86 @@
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK || string(body) != id {
-		t.Errorf("%s: got %d %q", id, resp.StatusCode, body)
+		t.Errorf("request %s: got status %d, body %q, want 200 and its id", id, resp.StatusCode, body)
 	}
 	u.served.Add(1)
 	return resp.Close, nil
 }
 
-// TestUpgrade guards against requests that are lost or answered otherwise while one process takes the place of another, and
-// against two processes that hold more than one may.
+// TestUpgrade guards against requests that are lost or answered wrongly while one process replaces another, and against two processes that
+// together exceed the limits of one.
 func TestUpgrade(t *testing.T) {
 	u := startUpstream(t, echo)
-	go func() { // nobody waits for what u has seen
+	go func() { // drains the channel so that u never blocks on it
 		for range u.seen {
 		}
 	}()
-	addr, watched := startDiscovery(t, u)
+	addr, queries := startDiscovery(t, u)
 	go func() {
-		for range watched {
+		for range queries {
 		}
 	}()
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
-	ln, dir := held.(*net.TCPListener), t.TempDir()
+	defer listener.Close()
+	ln, dir := listener.(*net.TCPListener), t.TempDir()
 	getenv := configEnv(t, addr, 256, nil)
-	old := startHeld(t, ln, dir, getenv)
-	waitFor(t, "the first process", func() bool { return old.Ready() == nil })
+	old := startWithListener(t, ln, dir, getenv)
+	waitFor(t, "the first process to be ready", func() bool { return old.Ready() == nil })
 
 	clients := startUpgradeClients(t, old.addr)
-	more := func(what string) {
+	awaitServed := func(what string) {
 		t.Helper()
 		from := clients.served.Load()
 		waitFor(t, what, func() bool { return clients.served.Load() > from+200 })
 	}
-	more("answers of the first process")
-	waitFor(t, "what the first process has learnt", func() bool {
+	awaitServed("responses of the first process")
+	waitFor(t, "the learned state of the first process", func() bool {
 		_, err := os.Stat(filepath.Join(dir, learnedStateFile))
 		return err == nil
 	})
-	next := startHeld(t, ln, dir, getenv)
-	waitFor(t, "the second process", func() bool { return next.Ready() == nil })
+	next := startWithListener(t, ln, dir, getenv)
+	waitFor(t, "the second process to be ready", func() bool { return next.Ready() == nil })
 	for _, s := range []*running{old, next} {
-		waitFor(t, "its part of the limits", func() bool { return s.processCount() == 2 })
+		waitFor(t, "both processes to share the limits", func() bool { return s.processCount() == 2 })
 	}
-	more("answers of both")
+	awaitServed("responses of both processes")
 	old.end()
 	<-old.ended
-	waitFor(t, "the whole of the limits", func() bool { return next.processCount() == 1 })
-	more("answers of the second process")
+	waitFor(t, "the second process to use the whole limits", func() bool { return next.processCount() == 1 })
+	awaitServed("responses of the second process")
 	clients.stop()
 	sum := int64(0)
 	for _, s := range []*running{old, next} {
 		c := s.Vars().Results["check"]
 		if c.Succeeded == 0 || c.Rejected != 0 || c.Failed != 0 || s.Vars().Forwards < c.Succeeded {
-			t.Errorf("figures: %+v", s.Vars())
+			t.Errorf("metrics: got %+v, want only successes, each forwarded", s.Vars())
 		}
 		sum += c.Succeeded
 	}
 	if served := clients.served.Load(); sum != served {
-		t.Errorf("the figures tell of %d answers, clients had %d", sum, served)
+		t.Errorf("metrics count %d responses, clients got %d", sum, served)
 	}
 }
 
-// TestSuccessorPollsAtOnce guards against a process that takes another's place, and the clients, with the list that it was given, because its
-// first call is spread over the group as that of any that starts: what discovery tells binds it soon after it is ready.
+// TestSuccessorPollsAtOnce guards against a successor process that serves clients with its cached endpoint list. Other processes delay the
+// first call of discovery after their start, so that the calls of a group are spread. A successor must call at once, because the list of
+// discovery is binding soon after the process is ready.
 func TestSuccessorPollsAtOnce(t *testing.T) {
 	u := startUpstream(t, echo)
-	addr, watched := startDiscovery(t, u)
+	addr, queries := startDiscovery(t, u)
 	go func() {
-		for range watched {
+		for range queries {
 		}
 	}()
-	for range 4 { // the first call of any other is made within two of six seconds
-		held, err := net.Listen("tcp", "127.0.0.1:0")
+	for range 4 { // other processes make the first call within two of six seconds
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer held.Close()
+		defer listener.Close()
 		dir := t.TempDir()
 		other, err := process.JoinSiblingGroup(dir)
 		if err != nil {
@@ -238,17 +241,17 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		next := startHeld(t, held.(*net.TCPListener), dir, getenv)
-		waitFor(t, "the second process", func() bool { return next.Ready() == nil })
+		next := startWithListener(t, listener.(*net.TCPListener), dir, getenv)
+		waitFor(t, "the second process to be ready", func() bool { return next.Ready() == nil })
 		if !next.EndpointsKnown() {
-			t.Error("it is ready, and has not heard from discovery")
+			t.Error("the process is ready but has no list from discovery")
 		}
 		next.end()
 		<-next.ended
 	}
 }
 
-// TestCorruptLearnedState guards against a start that fails for what another process has left.
+// TestCorruptLearnedState guards against a start that fails because of a corrupt file of learned state.
 func TestCorruptLearnedState(t *testing.T) {
 	dir := t.TempDir()
 	s := &Sidecar{cfg: Config{SharedDir: dir}, log: slog.New(slog.DiscardHandler)}
@@ -256,11 +259,11 @@
 		if err := os.WriteFile(filepath.Join(dir, learnedStateFile), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.readLearnedState() // would panic if it used any of it: there is no gateway
+		s.readLearnedState() // would panic if it imported any state, because there is no gateway
 	}
 }
 
-// TestPlatformVariables holds what the environment may say beside the file.
+// TestPlatformVariables guards against accepting an invalid GW_FD and against ignoring a valid one.
 func TestPlatformVariables(t *testing.T) {
 	getenv := configEnv(t, "127.0.0.1:1", 256, nil)
 	for fd, ok := range map[string]bool{"": true, "5": true, "x": false, "0": false, "-1": false} {
@@ -271,10 +274,10 @@
 			return getenv(name)
 		})
 		if (err == nil) != ok {
-			t.Errorf("GW_FD %q: %v", fd, err)
+			t.Errorf("GW_FD %q: unexpected result, error %v", fd, err)
 		}
 		if err == nil && fd == "5" && c.ListenerFD != 5 {
-			t.Errorf("GW_FD 5 is taken as %d", c.ListenerFD)
+			t.Errorf("GW_FD 5: got descriptor %d", c.ListenerFD)
 		}
 	}
 }
