--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -17,33 +17,34 @@
 )
 
 const (
-	// dialTimeout bounds the connection to the discovery service.
+	// dialTimeout bounds the time to connect to the discovery service.
 	dialTimeout = 2 * time.Second
-	// maxHeadBytes bounds the head of its response.
+	// maxHeadBytes bounds the size of the head of the response.
 	maxHeadBytes = 16 << 10
-	// maxMessageBytes bounds a message of a watch.
+	// maxMessageBytes bounds the size of a message of a watch.
 	maxMessageBytes = 4 << 20
 )
 
 var (
-	// ErrSilenceTimeout is that the discovery service has said nothing for as long as it may: the call or the watch is given up. It
-	// may be there all the same, for the next call.
+	// ErrSilenceTimeout reports that the discovery service has sent nothing for the longest allowed time, so that the call or the watch
+	// was aborted. The service may still be available to the next call.
 	ErrSilenceTimeout = errors.New("discovery is silent")
 
-	errMessageTooLong = errors.New("a message is too long")
+	errMessageTooLong = errors.New("head or message exceeds the size limit")
 )
 
 // Client watches a service that speaks the platform's discovery protocol. It implements Source.
 type Client struct {
 	Address   string          // host and port
-	Staleness staleness.Bound // how long the service may say nothing
+	Staleness staleness.Bound // bounds how long the service may send nothing
 }
 
-// Watch implements Source. The error names the address; it is an ErrSilenceTimeout where time has run out.
+// Watch implements Source. The error contains the address. It wraps ErrSilenceTimeout if the service was silent for too long.
 func (d Client) Watch(ctx context.Context, since int64, receive func(*EndpointList)) error {
 	return fmt.Errorf("discovery %s: %w", d.Address, d.watch(ctx, since, receive))
 }
 
+// watch is Watch without the address in its error.
 func (d Client) watch(ctx context.Context, since int64, receive func(*EndpointList)) (err error) {
 	conn, err := d.dial(ctx)
 	if err != nil {
@@ -52,7 +53,7 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer func() {
-		if conn.timedOut { // whatever the readers above the connection made of it
+		if conn.timedOut { // the readers above the connection may have replaced the error
 			err = ErrSilenceTimeout
 		}
 	}()
@@ -63,7 +64,7 @@
 	return receiveMessages(ctx, conn, response.Body, receive)
 }
 
-// dial connects to the service. The call that follows has to be answered within its time, which starts now.
+// dial connects to the service. The time limit of the call that follows starts before dialing.
 func (d Client) dial(ctx context.Context) (*watchConn, error) {
 	started := time.Now()
 	dialer := net.Dialer{Timeout: min(dialTimeout, d.Staleness.CallTimeout)}
@@ -78,7 +79,7 @@
 	return newWatchConn(nc, d.Staleness, started), nil
 }
 
-// call asks for what has changed after version since, and returns the response, whose body is the watch.
+// call requests the changes after version since. The body of the response is the watch.
 func (d Client) call(conn *watchConn, since int64) (*http.Response, error) {
 	request := &http.Request{
 		Method: http.MethodGet, Host: d.Address,
@@ -97,10 +98,10 @@
 	return response, nil
 }
 
-// receiveMessages hands the messages of a watch on until it breaks off or ctx ends.
+// receiveMessages calls receive with each message of a watch until the watch fails or ctx is done.
 func receiveMessages(ctx context.Context, conn *watchConn, body io.Reader, receive func(*EndpointList)) error {
 	conn.expectMessage()
-	messages := json.NewDecoder(messageObserver{Reader: body, conn: conn}) // a message may stand on several lines
+	messages := json.NewDecoder(messageObserver{Reader: body, conn: conn}) // a message may span several lines
 	for {
 		l, err := decodeEndpointList(messages)
 		if err != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,14 +1,14 @@
-// Package discovery holds the sources of a pool's endpoint list: the platform's discovery service, or a list of the operator's. A source
-// is watched and sends what it knows until the watch ends; when to watch again is for the decision module to say. The package knows
-// nothing of pools or of connections to endpoints.
+// Package discovery implements the sources of a pool's endpoint list: the platform's discovery service, or a list that the operator
+// configures. A watch of a source delivers lists and changes until it ends. The decision module decides when to watch again. The package
+// does not depend on pools or on connections to endpoints.
 package discovery
 
 import "context"
 
-// Source is where an endpoint list comes from.
+// Source is a source of endpoint lists.
 type Source interface {
-	// Watch calls receive with what has changed after version since, or with the complete list, and then with each change, until ctx
-	// ends or the source fails; it returns why, never nil. Once ctx has ended it does not call receive, but for a call that crosses
-	// that.
+	// Watch calls receive with the changes after version since or with the complete list, and then with each change. It returns once ctx
+	// is done or the source fails; its error is never nil. Once ctx is done it does not call receive, except for a call that has already
+	// begun or begins at the same moment.
 	Watch(ctx context.Context, since int64, receive func(*EndpointList)) error
 }
--- a/internal/discovery/form_test.go
+++ b/internal/discovery/form_test.go
@@ -28,7 +28,7 @@
 	return text
 }
 
-// TestListForm holds the keys of a list and the words for the states of servers.
+// TestListForm guards against a change of the keys of an endpoint list and of the names of the endpoint states.
 func TestListForm(t *testing.T) {
 	text := readGolden(t, "testdata/list.json")
 	want := &EndpointList{Version: seq(41), Complete: true, Endpoints: []Endpoint{
@@ -44,16 +44,16 @@
 	}
 	keys := []string{"block", "born_ms", "class", "dial", "health", "host", "share", "site"}
 	if got := slices.Sorted(maps.Keys(list.Hosts[0])); !slices.Equal(got, keys) || reflect.TypeFor[Endpoint]().NumField() != len(keys) {
-		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Entry", got, keys)
+		t.Errorf("keys of an entry in the example: %q, want %q, one for each field of Endpoint", got, keys)
 	}
 	states := map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Removed}
 	if !maps.Equal(endpointStates, states) {
-		t.Errorf("states %v, want %v", endpointStates, states)
+		t.Errorf("endpoint states: got %v, want %v", endpointStates, states)
 	}
 }
 
-// TestWatchForm holds the call for a watch and its messages: the whole list, changes of one and of several servers, an empty
-// line, and an empty list.
+// TestWatchForm guards against a change of the request of a watch and of its messages: the complete list, changes of one and of several
+// endpoints, an empty line, and an empty list.
 func TestWatchForm(t *testing.T) {
 	messages := readGolden(t, "testdata/watch.txt")
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	asked := make(chan string, 1)
+	requests := make(chan string, 1)
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
@@ -69,17 +69,17 @@
 		}
 		defer c.Close()
 		if q, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			asked <- q.Method + " " + q.RequestURI + " " + q.Host
+			requests <- q.Method + " " + q.RequestURI + " " + q.Host
 			write(t, c, "HTTP/1.1 200 OK\r\n\r\n"+string(messages))
 		}
 	}()
 	var got []*EndpointList
-	err = ask(ln.Addr().String()).Watch(context.Background(), 41, func(l *EndpointList) { got = append(got, l) })
+	err = newClient(ln.Addr().String()).Watch(context.Background(), 41, func(l *EndpointList) { got = append(got, l) })
 	if !errors.Is(err, io.EOF) {
-		t.Fatalf("the watch ended with %v", err)
+		t.Fatalf("Watch returned %v, want EOF", err)
 	}
-	if call, want := <-asked, "GET /v1/servers?follow=1&since=41 "+ln.Addr().String(); call != want {
-		t.Errorf("asked %s, want %s", call, want)
+	if call, want := <-requests, "GET /v1/servers?follow=1&since=41 "+ln.Addr().String(); call != want {
+		t.Errorf("request: got %s, want %s", call, want)
 	}
 	want := []*EndpointList{
 		{Version: seq(42), Complete: true, Endpoints: []Endpoint{
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,23 +10,23 @@
 	"sorrelrudder/policy"
 )
 
-// EndpointList is a message of a source: the complete list, or what has changed since the message before.
+// EndpointList is a message of a source: the complete list, or the changes since the previous message.
 type EndpointList struct {
-	Version   *int64     `json:"seq"` // rises with each message; never nil in a list that was parsed
+	Version   *int64     `json:"seq"` // increases with each message; never nil in a parsed list
 	Complete  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Endpoint is what a source says of an endpoint. The names of the platform's protocol are mapped to the terms of the field here.
+// Endpoint is an entry of an endpoint list. Its tags map the keys of the platform's protocol to the usual terms.
 type Endpoint struct {
 	ID          string  `json:"host"`
 	Address     string  `json:"dial"` // host and port
 	Zone        string  `json:"site"`
 	Cell        int     `json:"block"`
 	MachineType string  `json:"class"`
-	Health      string  `json:"health"` // one of the constants below
+	Health      string  `json:"health"` // one of HealthActive, HealthLeaving and HealthLeft
 	Weight      float64 `json:"share"`
-	StartedMs   int64   `json:"born_ms"` // Unix milliseconds; 0: not known
+	StartedMs   int64   `json:"born_ms"` // start time in Unix milliseconds; 0: unknown
 }
 
 // The values of Endpoint.Health.
@@ -44,22 +44,23 @@
 // State returns the state that Health names.
 func (e *Endpoint) State() policy.EndpointState { return endpointStates[e.Health] }
 
-// The errors of a list that lacks something.
+// Errors of a malformed message.
 var (
-	errTrailingData = errors.New("something follows it")
-	errNoVersion    = errors.New("no seq")
+	errTrailingData = errors.New("unexpected data after the list")
+	errNoVersion    = errors.New("key seq is missing, want the version of the list")
 )
 
-// InvalidListError is that a message could not be read as an endpoint list.
+// InvalidListError reports that a message is not a valid endpoint list.
 type InvalidListError struct{ Err error }
 
-func (e InvalidListError) Error() string { return "server list: " + e.Err.Error() }
+// Error implements error.
+func (e InvalidListError) Error() string { return "invalid endpoint list: " + e.Err.Error() }
 
-// Unwrap returns what is wrong with it.
+// Unwrap returns the reason.
 func (e InvalidListError) Unwrap() error { return e.Err }
 
-// ParseEndpointList reads one message. It rejects a message that is malformed anywhere, so that a list is never taken over in part. The
-// error is an InvalidListError, or io.EOF for an empty text.
+// ParseEndpointList decodes one message. It rejects a message with any invalid entry, so that a list is never used in part. The error is an
+// InvalidListError, or io.EOF for an empty text.
 func ParseEndpointList(text []byte) (*EndpointList, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	l, err := decodeEndpointList(decoder)
@@ -72,7 +73,7 @@
 	return l, nil
 }
 
-// decodeEndpointList reads the next message. The error is an InvalidListError, or io.EOF if there is none.
+// decodeEndpointList decodes the next message. The error is an InvalidListError, or io.EOF if there is none.
 func decodeEndpointList(decoder *json.Decoder) (*EndpointList, error) {
 	var l EndpointList
 	err := decoder.Decode(&l)
@@ -92,14 +93,14 @@
 	return &l, nil
 }
 
-// validate checks an endpoint, which is the one of that index in its list.
+// validate checks an endpoint. The index is its position in the list.
 func (e *Endpoint) validate(index int) error {
 	state, known := endpointStates[e.Health]
 	switch {
 	case !known:
-		return fmt.Errorf("host %q has health %q", e.ID, e.Health)
+		return fmt.Errorf("host %q has health %q, want active, leaving or left", e.ID, e.Health)
 	case e.ID == "" || e.Address == "" && state != policy.Removed:
-		return fmt.Errorf("entry %d lacks host or dial", index)
+		return fmt.Errorf("entry %d has no host or no dial, want both", index)
 	}
 	return nil
 }
--- a/internal/discovery/watchconn.go
+++ b/internal/discovery/watchconn.go
@@ -11,25 +11,25 @@
 	"sorrelrudder/internal/staleness"
 )
 
-// watchConn is the connection of a watch. It bounds messages in bytes, and the wait for what never comes: every byte, of an empty line
-// too, moves the time on by which the next must have come, but for a message that has begun, or a first one, which has to be complete
-// in its own time.
+// watchConn is the connection of a watch. It bounds the size of messages and the time without data. Each received byte, also of an empty
+// line, extends the read deadline. A message that has begun and the first message have a deadline of their own, which further bytes do not
+// extend.
 type watchConn struct {
 	net.Conn
 	staleness       staleness.Bound
-	readBudget      int       // bytes that may still come of the head or the present message
-	messageDeadline time.Time // the message has to be complete by then; zero: none has begun
+	readBudget      int       // bytes that the rest of the head or of the current message may have
+	messageDeadline time.Time // deadline for completing the current message; zero: none has begun
 	timedOut        bool
 }
 
-// newWatchConn returns the connection of a call that started at the time given.
+// newWatchConn returns the connection of a call that started at the given time.
 func newWatchConn(nc net.Conn, bound staleness.Bound, started time.Time) *watchConn {
 	c := &watchConn{Conn: nc, staleness: bound, messageDeadline: started.Add(bound.CallTimeout), readBudget: maxHeadBytes}
 	c.SetDeadline(c.messageDeadline)
 	return c
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It extends the read deadline if bytes arrive.
 func (c *watchConn) Read(p []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, errMessageTooLong
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-// nextByteDeadline returns by when the next byte has to come.
+// nextByteDeadline returns the deadline for the next byte.
 func (c *watchConn) nextByteDeadline() time.Time {
 	deadline := time.Now().Add(c.staleness.WatchTimeout)
 	if !c.messageDeadline.IsZero() && c.messageDeadline.Before(deadline) {
@@ -52,24 +52,24 @@
 	return deadline
 }
 
-// expectMessage notes that messages follow, and no head any more.
+// expectMessage sets the size limit of a message in place of that of the head.
 func (c *watchConn) expectMessage() { c.readBudget = maxMessageBytes }
 
-// messageBegun notes that a message has begun.
+// messageBegun starts the deadline of a message.
 func (c *watchConn) messageBegun() {
 	if c.messageDeadline.IsZero() {
 		c.messageDeadline = time.Now().Add(c.staleness.WatchTimeout)
 	}
 }
 
-// messageComplete notes that a message is complete.
+// messageComplete ends the deadline of a message and resets the size limit.
 func (c *watchConn) messageComplete() {
 	c.expectMessage()
 	c.messageDeadline = time.Time{}
 	c.SetReadDeadline(time.Now().Add(c.staleness.WatchTimeout))
 }
 
-// messageObserver is the body of a watch: it notes on the connection when a message begins.
+// messageObserver is the body of a watch. It starts the deadline of a message on the connection when the message begins.
 type messageObserver struct {
 	io.Reader
 	conn *watchConn
@@ -84,5 +84,6 @@
 	return n, err
 }
 
-// beginsMessage reports whether a message begins in text, which follows one, or goes on there.
+// beginsMessage reports whether text, which follows a message, contains the start of the next one. It may also be true for text within a
+// message.
 func beginsMessage(text []byte) bool { return bytes.IndexByte(text, '{') >= 0 }
