--- a/internal/process/descriptors.go
+++ b/internal/process/descriptors.go
@@ -1,6 +1,6 @@
-// Package process holds what one process has once and its pools share: its file descriptors, what it knows of sibling processes, and a
-// look at a socket without reading from it. How many descriptors each pool may have is decided by package quota; this package carries
-// that out. It knows nothing of requests or endpoints.
+// Package process manages resources of the process that its pools share: the budget of file descriptors and the detection of sibling
+// processes. It also inspects sockets without reading from them. Package quota decides how many descriptors each pool may hold, and this
+// package enforces that. It does not depend on requests or endpoints.
 package process
 
 import (
@@ -17,47 +17,49 @@
 )
 
 const (
-	// ReservedDescriptors are not counted: those of the listener, discovery, the log and the runtime's poller.
+	// ReservedDescriptors is the number of descriptors outside the budget: those of the listener, discovery, the log and the runtime's
+	// poller.
 	ReservedDescriptors = 16
-	// clientFraction is the part of the descriptors that clients may hold. It is more than a third, which those with requests need,
-	// since others connect too; the rest is left for upstreams, so that accepted requests, their retries and health checks go on.
+	// clientFraction is the fraction of the descriptors that clients may hold. Clients with open requests need a third. The fraction is
+	// higher because idle clients connect too. The rest is left for upstream connections, so that accepted requests, their retries and
+	// health checks can proceed.
 	clientFraction = 0.45
-	// scarceFraction is the part in use from which idle connections are not kept.
+	// scarceFraction is the fraction of descriptors in use above which idle connections are not kept.
 	scarceFraction = 0.9
-	// evictionRetryInterval is how often one that waits for a descriptor looks for idle connections to close.
+	// evictionRetryInterval is how often a caller that waits for a descriptor looks for an idle connection to close.
 	evictionRetryInterval = 10 * time.Millisecond
-	// clientKey counts the clients' connections; no pool has it.
+	// clientKey is the key of client connections in the budget. No pool has this key.
 	clientKey quota.PoolID = 0
 )
 
-// ErrNoDescriptor is that no descriptor was free in time.
-var ErrNoDescriptor = errors.New("no free descriptor")
+// ErrNoDescriptor reports that no descriptor became free before the context was done.
+var ErrNoDescriptor = errors.New("acquire file descriptor: none became free")
 
-// Descriptors counts the file descriptors of connections. Near the limit idle connections make room: those to upstreams first, of the
-// pool that exceeds its quota by most before others, and then those of clients. At the limit Acquire waits. Its methods may be called
-// from any goroutine.
+// Descriptors is the budget of file descriptors for connections. When no descriptor is free, idle connections are evicted: first upstream
+// connections, starting with the pool that exceeds its quota by the most, and then client connections. Acquire waits until a descriptor is
+// free. The methods are safe for concurrent use.
 type Descriptors struct {
-	waiting atomic.Int32 // callers that wait for a descriptor
-	// inUse and total are written under mu, and read without it.
+	waiting atomic.Int32 // number of callers that wait for a descriptor
+	// inUse and total are written with mu held, and read without it.
 	inUse atomic.Int64
 	total atomic.Int64
 
-	// mu guards the fields below. No evict function is called under it.
+	// mu guards the fields below. No evict function is called with mu held.
 	mu          sync.Mutex
 	budget      quota.Budget
-	freed       chan struct{}                // closed, and made anew, when a descriptor is released while others wait
-	evictPool   map[quota.PoolID]func() bool // each closes an idle connection and reports whether there was one
-	evictClient func() bool                  // the same for clients; nil: there are none
+	freed       chan struct{}                // closed and replaced when a descriptor is released while callers wait
+	evictPool   map[quota.PoolID]func() bool // by pool: closes an idle connection and reports whether there was one
+	evictClient func() bool                  // the same for client connections; nil: none to evict
 }
 
-// NewDescriptors returns the descriptors of a process that may hold limit.
+// NewDescriptors returns the budget of a process that may have limit descriptors open.
 func NewDescriptors(limit int) *Descriptors {
 	d := &Descriptors{freed: make(chan struct{}), evictPool: map[quota.PoolID]func() bool{}, budget: quota.NewBudget(0)}
 	d.Resize(limit)
 	return d
 }
 
-// Resize sets how many descriptors the process may hold.
+// Resize sets how many descriptors the process may have open.
 func (d *Descriptors) Resize(limit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,29 +69,29 @@
 	d.total.Store(n)
 }
 
-// MaxClientDescriptors returns how many descriptors clients may hold where the process may hold limit.
+// MaxClientDescriptors returns how many descriptors clients may hold in a process that may have limit open.
 func MaxClientDescriptors(limit int) int64 {
 	return max(1, int64(float64(limit-ReservedDescriptors)*clientFraction))
 }
 
-// MaxClients returns how many descriptors clients may hold now.
+// MaxClients returns how many descriptors clients may hold under the current limit.
 func (d *Descriptors) MaxClients() int64 {
 	return MaxClientDescriptors(int(d.total.Load()) + ReservedDescriptors)
 }
 
-// MinUpstreamDescriptors returns how many of limit are left for connections to upstreams whatever clients hold.
+// MinUpstreamDescriptors returns how many of limit descriptors are left for upstream connections if clients hold all that they may.
 func MinUpstreamDescriptors(limit int) int64 {
 	return max(0, int64(limit-ReservedDescriptors)-MaxClientDescriptors(limit))
 }
 
-// SetClientEvictor sets the function that closes an idle connection of a client and reports whether there was one.
+// SetClientEvictor sets the function that closes an idle client connection and reports whether there was one.
 func (d *Descriptors) SetClientEvictor(evict func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.evictClient = evict
 }
 
-// Register adds a pool with its claim; evict closes an idle one of its connections and reports whether there was one.
+// Register adds a pool with its claim. The function evict closes an idle connection of the pool and reports whether there was one.
 func (d *Descriptors) Register(k quota.PoolID, c quota.Claim, evict func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,7 +106,7 @@
 	d.budget.Set(k, c)
 }
 
-// Unregister removes a pool that opens no connection any more.
+// Unregister removes a pool, which must not open connections any more.
 func (d *Descriptors) Unregister(k quota.PoolID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,34 +114,36 @@
 	delete(d.evictPool, k)
 }
 
-// Pool returns the descriptors of one pool.
+// Pool returns access to the budget for one pool.
 func (d *Descriptors) Pool(k quota.PoolID) *PoolDescriptors {
 	return &PoolDescriptors{descriptors: d, key: k}
 }
 
-// PoolDescriptors are a pool's descriptors. It implements upstream.Descriptors.
+// PoolDescriptors acquires descriptors for one pool. It implements upstream.Descriptors. Its methods are safe for concurrent use.
 type PoolDescriptors struct {
 	descriptors *Descriptors
 	key         quota.PoolID
 }
 
-// Acquire takes a descriptor, and returns the function that releases it. It waits until ctx ends; the error is then an ErrNoDescriptor.
+// Acquire acquires a descriptor and returns the function that releases it; further calls of that function have no effect. It waits until
+// ctx is done, and then returns an error that wraps ErrNoDescriptor.
 func (p *PoolDescriptors) Acquire(ctx context.Context) (release func(), err error) {
 	return p.descriptors.acquire(ctx, p.key)
 }
 
-// Scarce reports whether descriptors are so few that idle connections should not be kept.
+// Scarce reports whether so few descriptors are free that idle connections should not be kept.
 func (p *PoolDescriptors) Scarce() bool {
 	d := p.descriptors
 	used, total := d.inUse.Load(), d.total.Load()
 	return d.waiting.Load() > 0 && used > int64(scarceFraction*float64(total)) || used >= total
 }
 
-// AcquireClient is Acquire for a client's connection.
+// AcquireClient is Acquire for a client connection.
 func (d *Descriptors) AcquireClient(ctx context.Context) (release func(), err error) {
 	return d.acquire(ctx, clientKey)
 }
 
+// acquire implements Acquire and AcquireClient.
 func (d *Descriptors) acquire(ctx context.Context, k quota.PoolID) (release func(), err error) {
 	if !d.tryAcquire(k) {
 		if err := d.waitAcquire(ctx, k); err != nil {
@@ -149,6 +153,7 @@
 	return sync.OnceFunc(func() { d.release(k) }), nil
 }
 
+// tryAcquire acquires a descriptor without waiting, and reports whether it did.
 func (d *Descriptors) tryAcquire(k quota.PoolID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,6 +162,7 @@
 	return ok
 }
 
+// release returns a descriptor of pool k and wakes all waiting callers.
 func (d *Descriptors) release(k quota.PoolID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,13 +174,13 @@
 	}
 }
 
-// waitAcquire has idle connections make room until there is a descriptor for pool k.
+// waitAcquire evicts idle connections until it can acquire a descriptor for pool k, or ctx is done.
 func (d *Descriptors) waitAcquire(ctx context.Context, k quota.PoolID) error {
 	d.waiting.Add(1)
 	defer d.waiting.Add(-1)
 	for {
 		freed := d.freedChannel()
-		if d.tryAcquire(k) { // one released before freed was read wakes nobody
+		if d.tryAcquire(k) { // a release before freed was read does not close freed
 			return nil
 		}
 		d.evictFor(k)
@@ -200,7 +206,7 @@
 	return d.freed
 }
 
-// evictFor closes an idle connection to make room for pool k, if there is one.
+// evictFor closes an idle connection to free a descriptor for pool k, if there is one.
 func (d *Descriptors) evictFor(k quota.PoolID) {
 	for _, evict := range d.evictionOrder(k) {
 		if evict() {
@@ -209,7 +215,8 @@
 	}
 }
 
-// evictionOrder returns the functions that may make room for pool k, in order: where it has reached its own limit, only its own.
+// evictionOrder returns the evict functions that can free a descriptor for pool k, in the order in which to call them. If the pool has
+// reached its own limit, only its own connections can help.
 func (d *Descriptors) evictionOrder(k quota.PoolID) []func() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -233,7 +240,7 @@
 	return appendEvictor(order, d.evictClient)
 }
 
-// appendEvictor appends evict, if there is one.
+// appendEvictor appends evict unless it is nil.
 func appendEvictor(order []func() bool, evict func() bool) []func() bool {
 	if evict == nil {
 		return order
--- a/internal/process/descriptors_test.go
+++ b/internal/process/descriptors_test.go
@@ -11,12 +11,12 @@
 	"sorrelrudder/internal/quota"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestAcquireWaits guards against a waiter that is not woken when a descriptor is given back, and against counting wrongly while
-// many take and give.
+// TestAcquireWaits guards against a waiting caller that is not woken when a descriptor is released, and against wrong counts under
+// concurrent acquisition and release.
 func TestAcquireWaits(t *testing.T) {
 	d := NewDescriptors(ReservedDescriptors + 4)
 	for k := range quota.PoolID(3) {
@@ -27,7 +27,7 @@
 		all.Go(func() {
 			p := d.Pool(quota.PoolID(i%3 + 1))
 			for range 50 {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 				release, err := p.Acquire(ctx)
 				cancel()
 				if err != nil {
@@ -35,27 +35,27 @@
 					return
 				}
 				if n := d.inUse.Load(); n > 4 {
-					t.Errorf("%d of 4 are in use", n)
+					t.Errorf("%d descriptors are in use, want at most 4", n)
 				}
 				release()
-				release() // a second time is of no effect
+				release() // a second call has no effect
 			}
 		})
 	}
 	all.Wait()
 	if n := d.budget.TotalUsed(); n != 0 {
-		t.Errorf("%d are still in use", n)
+		t.Errorf("%d descriptors are still in use, want 0", n)
 	}
 }
 
-// TestEvictionOrder guards against taking a connection of a pool within its part while another has more than its own, and of
-// others' where a pool is at its own limit.
+// TestEvictionOrder guards against evicting a connection of a pool within its quota while another pool exceeds its own, and against
+// evicting connections of other pools if the pool itself is at its limit.
 func TestEvictionOrder(t *testing.T) {
 	d := NewDescriptors(ReservedDescriptors + 10)
 	var evicted []string
 	ctx := context.Background()
 	var held []func()
-	take := func(k quota.PoolID, n int) {
+	acquire := func(k quota.PoolID, n int) {
 		for range n {
 			release, err := d.Pool(k).Acquire(ctx)
 			if err != nil {
@@ -67,28 +67,28 @@
 	evict := func(name string, k quota.PoolID) func() bool {
 		return func() bool {
 			evicted = append(evicted, name)
-			d.release(k) // as a connection that closes
+			d.release(k) // like a connection that closes
 			return true
 		}
 	}
 	d.Register(1, quota.Claim{Reserved: 2, Limit: quota.Unlimited}, evict("big", 1))
 	d.Register(2, quota.Claim{Reserved: 2, Limit: 3}, evict("small", 2))
-	take(1, 8)
-	take(2, 2)
-	take(2, 1) // all are taken: the big one gives way
+	acquire(1, 8)
+	acquire(2, 2)
+	acquire(2, 1) // all descriptors are in use: the pool with the largest excess is evicted from
 	if len(evicted) != 1 || evicted[0] != "big" {
-		t.Errorf("evicted %v, want of the big one", evicted)
+		t.Errorf("evicted %v, want one connection of pool big", evicted)
 	}
-	take(2, 1) // it has its most: only its own can help
+	acquire(2, 1) // the pool is at its limit: only its own connections can help
 	if len(evicted) != 2 || evicted[1] != "small" {
-		t.Errorf("evicted %v, want of its own", evicted)
+		t.Errorf("evicted %v, want a connection of pool small next", evicted)
 	}
 	for _, release := range held {
 		release()
 	}
 }
 
-// TestClientsLeaveRoom guards against clients that take the descriptors which answers need.
+// TestClientsLeaveRoom guards against clients that hold the descriptors that upstream connections need.
 func TestClientsLeaveRoom(t *testing.T) {
 	const limit = 64
 	d := NewDescriptors(limit)
@@ -101,7 +101,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	if _, err := d.AcquireClient(ctx); err == nil {
-		t.Error("clients took more than their part")
+		t.Error("clients acquired more descriptors than their share")
 	}
 	for range MinUpstreamDescriptors(limit) {
 		if _, err := d.Pool(1).Acquire(context.Background()); err != nil {
@@ -109,11 +109,11 @@
 		}
 	}
 	if !d.Pool(1).Scarce() {
-		t.Error("all are taken, and not scarce")
+		t.Error("all descriptors are in use but Scarce is false")
 	}
 	d.Unregister(1)
 	d.Resize(2 * limit)
 	if _, err := d.AcquireClient(context.Background()); err != nil {
-		t.Errorf("with more descriptors: %v", err)
+		t.Errorf("acquire after the limit was raised: %v", err)
 	}
 }
--- a/internal/process/siblings.go
+++ b/internal/process/siblings.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// siblingFilePrefix begins the names of the files by which the processes of one sidecar know of each other.
+	// siblingFilePrefix is the prefix of the names of the files by which the processes of one sidecar detect each other.
 	siblingFilePrefix = "sorrelrudder-process-"
-	// joiningFilePrefix begins the name of such a file until it is locked.
+	// joiningFilePrefix is the prefix of the name of such a file until it is locked.
 	joiningFilePrefix = "joining-"
 )
 
-// SiblingGroup is the membership of this process among those that share a folder: while one takes the place of another, both together
-// may hold no more than either alone. Each keeps a file there locked for as long as it lives. A lock ends with its process, however
-// that ends, and holds across whatever hides one process from another; a process number would do neither.
+// SiblingGroup is the membership of this process in the group of processes that share a directory. While one process replaces another, both
+// together must stay within the limits of one. Each process keeps a file in the directory locked while it runs. The lock is released
+// however the process ends, and it also works between processes that cannot see each other. Neither holds for a process id.
 type SiblingGroup struct {
 	dir  string
-	name string // of this process's file; empty: the others do not know of this process
+	name string // name of this process's file; empty: other processes cannot detect this process
 	file *os.File
 }
 
-// JoinSiblingGroup joins the processes that share dir. It ends with Leave.
+// JoinSiblingGroup joins the group of the processes that share dir. The caller ends the membership with Leave.
 func JoinSiblingGroup(dir string) (*SiblingGroup, error) {
 	file, err := os.CreateTemp(dir, joiningFilePrefix+"*")
 	if err != nil {
-		return nil, fmt.Errorf("company: %w", err)
+		return nil, fmt.Errorf("join sibling processes: %w", err)
 	}
 	g := &SiblingGroup{dir: dir, file: file}
-	// Locked before it has its name: a file found unlocked under such a name counts as left over. Errors of the lock and of the
-	// renaming are not reported; the others then do not know of this process.
+	// The file is locked before it gets its final name, because an unlocked file with such a name counts as left by an ended process.
+	// Errors of locking and renaming are ignored; other processes then cannot detect this process.
 	if lockExclusive(file) == nil {
 		g.name = siblingFilePrefix + strings.TrimPrefix(filepath.Base(file.Name()), joiningFilePrefix)
 		_ = os.Rename(file.Name(), filepath.Join(dir, g.name))
@@ -41,41 +41,41 @@
 	return g, nil
 }
 
-// Others returns how many other processes there are now. It removes the files of those that have ended.
+// Others returns the number of other running processes of the group. It removes the files of processes that have ended.
 func (g *SiblingGroup) Others() (int, error) {
 	entries, err := os.ReadDir(g.dir)
 	if err != nil {
-		return 0, fmt.Errorf("company: %w", err)
+		return 0, fmt.Errorf("count sibling processes: %w", err)
 	}
 	others := 0
 	for _, e := range entries {
 		if !strings.HasPrefix(e.Name(), siblingFilePrefix) || e.Name() == g.name {
 			continue
 		}
-		lives, err := siblingLives(filepath.Join(g.dir, e.Name()))
+		running, err := siblingRunning(filepath.Join(g.dir, e.Name()))
 		if err != nil {
-			return 0, fmt.Errorf("company: %w", err)
+			return 0, fmt.Errorf("count sibling processes: %w", err)
 		}
-		if lives {
+		if running {
 			others++
 		}
 	}
 	return others, nil
 }
 
-// Leave ends the membership.
+// Leave ends the membership. Other processes no longer count this process.
 func (g *SiblingGroup) Leave() {
 	_ = os.Remove(filepath.Join(g.dir, g.name))
 	g.file.Close()
 }
 
-// lockExclusive locks a file for as long as it is open, without waiting.
+// lockExclusive locks a file exclusively until it is closed. It fails at once if the file is already locked.
 func lockExclusive(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// siblingLives reports whether a process holds the lock of the file at path, and removes the file if none does.
-func siblingLives(path string) (bool, error) {
+// siblingRunning reports whether a process holds the lock of the file at path. It removes the file if no process does.
+func siblingRunning(path string) (bool, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
@@ -87,6 +87,6 @@
 	if syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil {
 		return true, nil
 	}
-	_ = os.Remove(path) // another process may have been faster
+	_ = os.Remove(path) // another process may have removed the file already
 	return false, nil
 }
--- a/internal/process/siblings_test.go
+++ b/internal/process/siblings_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestSiblingGroup guards against counting oneself or those that have ended, by whatever way, and against missing one that lives.
+// TestSiblingGroup guards against counting the process itself or a process that has ended in any way, and against missing a running
+// process.
 func TestSiblingGroup(t *testing.T) {
 	dir := t.TempDir()
 	join := func() *SiblingGroup {
@@ -20,7 +21,7 @@
 	count := func(c *SiblingGroup, want int) {
 		t.Helper()
 		if n, err := c.Others(); err != nil || n != want {
-			t.Errorf("%d others, %v, want %d", n, err, want)
+			t.Errorf("got %d other processes, %v, want %d", n, err, want)
 		}
 	}
 	a := join()
@@ -28,19 +29,19 @@
 	b := join()
 	count(a, 1)
 	count(b, 1)
-	b.file.Close() // as if it had been killed: its file stays, its lock does not
+	b.file.Close() // like a killed process: its file remains, its lock is released
 	count(a, 0)
 	if _, err := os.Stat(filepath.Join(dir, b.name)); !os.IsNotExist(err) {
-		t.Errorf("the file of one that has ended stays: %v", err)
+		t.Errorf("the file of an ended process was not removed: %v", err)
 	}
 	d := join()
 	a.Leave()
 	count(d, 0)
 	d.Leave()
 	if left, _ := os.ReadDir(dir); len(left) > 0 {
-		t.Errorf("%d files are left", len(left))
+		t.Errorf("%d files are left, want none", len(left))
 	}
 	if _, err := JoinSiblingGroup(filepath.Join(dir, "missing")); err == nil {
-		t.Error("joined in a folder that is not there")
+		t.Error("joined a group in a missing directory, want an error")
 	}
 }
--- a/internal/process/socket_test.go
+++ b/internal/process/socket_test.go
@@ -14,52 +14,52 @@
 	}
 }
 
-// TestNothingToRead guards against using a connection again on which bytes or the end have come.
+// TestNothingToRead guards against reusing a connection on which unread bytes or its end have arrived.
 func TestNothingToRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	near, err := net.Dial("tcp", ln.Addr().String())
+	local, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	far, err := ln.Accept()
+	defer local.Close()
+	remote, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !NothingToRead(near) {
-		t.Error("a connection on which nothing came is not quiet")
+	if !NothingToRead(local) {
+		t.Error("new connection: got false, want true")
 	}
-	loud := func(what string) {
+	awaitReadable := func(what string) {
 		t.Helper()
-		for end := time.Now().Add(patience); NothingToRead(near); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); NothingToRead(local); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("quiet after %s", what)
+				t.Fatalf("timed out waiting for false after %s", what)
 			}
 		}
 	}
-	write(t, far, "x")
-	loud("a byte came")
-	if _, err := near.Read(make([]byte, 1)); err != nil {
+	write(t, remote, "x")
+	awaitReadable("a received byte")
+	if _, err := local.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if !NothingToRead(near) {
-		t.Error("not quiet once the byte was read")
+	if !NothingToRead(local) {
+		t.Error("after the byte was read: got false, want true")
 	}
-	far.Close()
-	loud("the end")
+	remote.Close()
+	awaitReadable("the end")
 	pipe, other := net.Pipe()
 	defer other.Close()
 	defer pipe.Close()
 	if NothingToRead(pipe) {
-		t.Error("what cannot be looked at must not count as quiet")
+		t.Error("connection that cannot be inspected: got true, want false")
 	}
 }
 
-// TestPeerClosed guards against taking a client for one that is still there because bytes stand before its end.
+// TestPeerClosed guards against treating a disconnected client as connected because unread bytes precede the end of its connection.
 func TestPeerClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,40 +67,40 @@
 	}
 	defer ln.Close()
 	for name, end := range map[string]func(*net.TCPConn){
-		"closed":             func(c *net.TCPConn) { _ = c.Close() },
-		"closed with bytes":  func(c *net.TCPConn) { write(t, c, "more"); _ = c.Close() },
-		"reset":              func(c *net.TCPConn) { c.SetLinger(0); _ = c.Close() },
-		"reset behind bytes": func(c *net.TCPConn) { write(t, c, "more"); c.SetLinger(0); _ = c.Close() },
+		"closed":            func(c *net.TCPConn) { _ = c.Close() },
+		"closed with bytes": func(c *net.TCPConn) { write(t, c, "more"); _ = c.Close() },
+		"reset":             func(c *net.TCPConn) { c.SetLinger(0); _ = c.Close() },
+		"reset after bytes": func(c *net.TCPConn) { write(t, c, "more"); c.SetLinger(0); _ = c.Close() },
 	} {
-		far, err := net.Dial("tcp", ln.Addr().String())
+		remote, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		near, err := ln.Accept()
+		local, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if PeerClosed(near) {
-			t.Errorf("%s: ended before it was", name)
+		if PeerClosed(local) {
+			t.Errorf("%s: got true before the peer closed the connection", name)
 		}
-		write(t, far, "x")
-		for end := time.Now().Add(patience); NothingToRead(near) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		write(t, remote, "x")
+		for end := time.Now().Add(testTimeout); NothingToRead(local) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
-		if PeerClosed(near) {
-			t.Errorf("%s: ended when a byte had come", name)
+		if PeerClosed(local) {
+			t.Errorf("%s: got true after a byte was received", name)
 		}
-		end(far.(*net.TCPConn))
-		for end := time.Now().Add(patience); !PeerClosed(near); time.Sleep(time.Millisecond) {
+		end(remote.(*net.TCPConn))
+		for end := time.Now().Add(testTimeout); !PeerClosed(local); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never seen to end", name)
+				t.Fatalf("%s: timed out waiting for true after the peer closed the connection", name)
 			}
 		}
-		near.Close()
+		local.Close()
 	}
 	pipe, other := net.Pipe()
 	defer other.Close()
 	defer pipe.Close()
 	if PeerClosed(pipe) {
-		t.Error("what cannot be looked at must not count as ended")
+		t.Error("connection that cannot be inspected: got true, want false")
 	}
 }
