--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP server for operators: whether the process can serve, and its metrics. It is answered however
-// busy the process is, and so neither takes descriptors from clients nor waits behind them.
+// Package admin implements the HTTP server for operators. It reports whether the process can serve, and its metrics. It responds however
+// busy the process is, so it neither uses the descriptors of clients nor waits for them.
 package admin
 
 import (
@@ -16,24 +16,24 @@
 )
 
 const (
-	// connectionTimeout bounds a connection, which carries one request.
+	// connectionTimeout bounds the reading and the writing of a connection, which carries one request.
 	connectionTimeout = 2 * time.Second
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes bounds the size of the header of a request.
 	maxHeaderBytes = 4 << 10
 )
 
 // Vars is the response to GET /_vars.
 type Vars struct {
-	Results     map[string]metrics.ClassCounts `json:"results"`     // by class
-	Forwards    int64                          `json:"forwards"`    // attempts written to servers completely
-	Outstanding int                            `json:"outstanding"` // requests that have not ended
-	Discovered  int                            `json:"discovered"`  // servers on the lists
-	Ejected     int                            `json:"ejected"`     // of them, those that are ejected now; 0 while more than half would be
+	Results     map[string]metrics.ClassCounts `json:"results"`     // by class name
+	Forwards    int64                          `json:"forwards"`    // attempts that were written to an endpoint completely
+	Outstanding int                            `json:"outstanding"` // requests in progress
+	Discovered  int                            `json:"discovered"`  // endpoints on the endpoint lists
+	Ejected     int                            `json:"ejected"`     // endpoints that are ejected now; 0 while more than half would be
 }
 
-// Process is the process that a Server reports on. Its methods are called from many goroutines at once.
+// Process is the process on which a Server reports. Its methods must be safe for concurrent use.
 type Process interface {
-	// Ready returns nil if the process can serve, and else the reason.
+	// Ready returns nil if the process can serve, or else the reason why not.
 	Ready() error
 	// Vars returns the metrics.
 	Vars() Vars
@@ -43,14 +43,14 @@
 type Server struct {
 	listener *limitedListener
 	http     *http.Server
-	done     chan struct{} // closed once it serves no more
+	done     chan struct{} // closed once the server has stopped serving
 }
 
-// Listen starts a server at an address. It ends with Close.
+// Listen starts a server on the TCP address. The caller stops it with Close.
 func Listen(address string, p Process, log *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("admin: %w", err)
+		return nil, fmt.Errorf("start admin server: %w", err)
 	}
 	s := &Server{
 		listener: &limitedListener{Listener: ln},
@@ -87,17 +87,18 @@
 	return mux
 }
 
+// serve serves until the server is closed.
 func (s *Server) serve(log *slog.Logger) {
 	defer close(s.done)
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-		log.Error("admin: the server has ended", "err", err)
+		log.Error("admin: the server stopped unexpectedly", "err", err)
 	}
 }
 
-// Addr returns the address of the server.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends the server once the requests that are being answered have been, or with ctx.
+// Close shuts the server down. It waits for requests in progress until ctx is done, and then aborts them.
 func (s *Server) Close(ctx context.Context) {
 	if s.http.Shutdown(ctx) != nil {
 		s.http.Close()
--- a/internal/admin/form_test.go
+++ b/internal/admin/form_test.go
@@ -14,7 +14,7 @@
 	"sorrelrudder/internal/metrics"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // fixedVars is a process with these metrics.
 type fixedVars Vars
@@ -22,7 +22,7 @@
 func (f fixedVars) Ready() error { return errors.New("unused") }
 func (f fixedVars) Vars() Vars   { return Vars(f) }
 
-// TestVarsForm holds the response to GET /_vars.
+// TestVarsForm guards against a change of the response to GET /_vars.
 func TestVarsForm(t *testing.T) {
 	value := Vars{
 		Results: map[string]metrics.ClassCounts{
@@ -32,7 +32,7 @@
 	}
 	for field, v := range reflect.ValueOf(value).Fields() {
 		if v.IsZero() {
-			t.Errorf("%s is not in the example", field.Name)
+			t.Errorf("field %s is not set in the example", field.Name)
 		}
 	}
 	server, err := Listen("127.0.0.1:0", fixedVars(value), slog.New(slog.DiscardHandler))
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// MaxConnections bounds the connections that are open at once, and so the descriptors that a Server takes beside its
-// listener. One more closes the oldest: a request takes no time, so that the oldest is one that never completes its own.
+// MaxConnections bounds the number of simultaneously open connections, and so the descriptors that a Server uses in addition to its
+// listener. A further connection closes the oldest one. Requests take almost no time, so the oldest connection is one whose client does not
+// complete its request.
 const MaxConnections = 6
 
 // limitedListener is a listener with at most MaxConnections open connections.
@@ -32,12 +33,12 @@
 	}
 	c := &limitedConn{conn, l}
 	if oldest := l.add(c); oldest != nil {
-		_ = oldest.Close() // its peer has not completed a request
+		_ = oldest.Close() // the client has not completed its request
 	}
 	return c, nil
 }
 
-// add adds a connection, and returns the one that has to close for it, or nil.
+// add adds a connection. It returns the oldest connection if the limit is exceeded, or else nil. The caller closes that connection.
 func (l *limitedListener) add(c *limitedConn) (oldest *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +49,7 @@
 	return oldest
 }
 
-// remove removes a connection, if it is still there.
+// remove removes a connection, if it has not been removed yet.
 func (l *limitedListener) remove(c *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It may be called more than once.
 func (c *limitedConn) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts, for operators, how the requests of one process have ended, by class. It knows neither sockets nor
-// clocks, nor how its counts are published.
+// Package metrics counts the requests of one process by class and outcome, for operators. It does not depend on sockets, clocks or the way
+// in which the counts are published.
 package metrics
 
 import (
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request has ended, as its client was told.
+// Outcome is the result of a request as its client sees it.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	Succeeded Outcome = iota
 	Rejected          // not served; a retry is harmless
 	Failed
 )
 
-// OutcomeOfStatus returns the outcome that an HTTP status tells a client by the platform's protocol.
+// OutcomeOfStatus returns the outcome that an HTTP status has in the platform's protocol.
 func OutcomeOfStatus(status int) Outcome {
 	switch status {
 	case http.StatusOK:
@@ -29,34 +29,34 @@
 	return Failed
 }
 
-// ClassCounts is how many requests of one class have ended in each way since the process started. Its JSON names are those
-// of the platform's protocol.
+// ClassCounts holds the number of requests of one class by outcome since the process started. Its JSON keys are those of the platform's
+// protocol.
 type ClassCounts struct {
 	Succeeded int64 `json:"succeeded"`
 	Rejected  int64 `json:"declined"`
 	Failed    int64 `json:"aborted"`
 }
 
-// maxClasses bounds the classes that are counted: where the settings name none, clients could name one with each request.
+// maxClasses bounds the number of classes that are counted. If the settings define no classes, a client could name a new one with each
+// request.
 const maxClasses = 256
 
-// RequestCounters are the counts of one process. The zero value has counted nothing. Its methods are safe for concurrent
-// use.
+// RequestCounters counts the requests and attempts of one process. The zero value is ready to use. Its methods are safe for concurrent use.
 type RequestCounters struct {
 	forwardedAttempts atomic.Int64
 
-	mu      sync.Mutex // guards classes and what it points to
+	mu      sync.Mutex // guards classes and the counts in it
 	classes map[string]*ClassCounts
 }
 
-// Register makes a class appear in Snapshot before a request of it has ended.
+// Register adds a class to Snapshot before its first request has ended.
 func (c *RequestCounters) Register(class string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.countsOf(class)
 }
 
-// countsOf returns the counts of a class, or nil if there are too many classes. The caller holds mu.
+// countsOf returns the counts of a class, which it adds if necessary, or nil if there are too many classes. The caller holds mu.
 func (c *RequestCounters) countsOf(class string) *ClassCounts {
 	counts := c.classes[class]
 	if counts == nil && len(c.classes) < maxClasses {
@@ -69,7 +69,7 @@
 	return counts
 }
 
-// RecordOutcome counts a request of a class that has had its final response.
+// RecordOutcome counts a request of a class whose final response was sent.
 func (c *RequestCounters) RecordOutcome(class string, o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,13 +87,13 @@
 	}
 }
 
-// RecordAttemptWritten counts an attempt whose last byte was written to an endpoint.
+// RecordAttemptWritten counts an attempt that was written to an endpoint completely.
 func (c *RequestCounters) RecordAttemptWritten() { c.forwardedAttempts.Add(1) }
 
-// ForwardedAttempts returns the number of such attempts.
+// ForwardedAttempts returns the number of attempts that were written completely.
 func (c *RequestCounters) ForwardedAttempts() int64 { return c.forwardedAttempts.Load() }
 
-// Snapshot returns a copy of the counts, by class.
+// Snapshot returns a copy of the counts by class.
 func (c *RequestCounters) Snapshot() map[string]ClassCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,8 +9,8 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// TestRequestCounters holds the counts against a plain account of the same events: each request counts once, under its own class, and
-// what was handed out before does not change.
+// TestRequestCounters compares the counts with a simple model of the same events. It guards against requests that are counted twice or
+// under another class, and against a snapshot that changes after it was returned.
 func TestRequestCounters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c RequestCounters
@@ -39,11 +39,11 @@
 			"": func(t *rapid.T) {
 				got := c.Snapshot()
 				if n := c.ForwardedAttempts(); n != forwards {
-					t.Fatalf("%d forwards, want %d", n, forwards)
+					t.Fatalf("got %d forwarded attempts, want %d", n, forwards)
 				}
 				for name, k := range want {
 					if got[name] != k {
-						t.Fatalf("%s: %+v, want %+v", name, got[name], k)
+						t.Fatalf("class %s: got %+v, want %+v", name, got[name], k)
 					}
 				}
 			},
@@ -51,7 +51,7 @@
 	})
 }
 
-// TestBounded guards against clients that name a new class with each request.
+// TestBounded guards against unbounded memory if clients name a new class with each request.
 func TestBounded(t *testing.T) {
 	var c RequestCounters
 	c.Register("order")
@@ -61,6 +61,6 @@
 	c.RecordOutcome("order", Succeeded)
 	all := c.Snapshot()
 	if len(all) > maxClasses || all["order"].Succeeded != 1 {
-		t.Errorf("%d classes, %+v", len(all), all["order"])
+		t.Errorf("got %d classes, and for order %+v", len(all), all["order"])
 	}
 }
--- a/internal/statslog/form_test.go
+++ b/internal/statslog/form_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestLineForm holds the log line of a full Row both ways: 'sorrelrudder fleet' reads the logs of older versions too.
+// TestLineForm guards against a change of the encoding or decoding of a log line of statistics. The command 'sorrelrudder fleet' also reads
+// logs of older versions.
 func TestLineForm(t *testing.T) {
 	at, row := time.Date(2026, 1, 2, 3, 4, 5, 678e6, time.UTC), IntervalStats{
 		Counters: [...]int{
@@ -46,7 +47,7 @@
 	}
 	for count, n := range row.Counters {
 		if n == 0 {
-			t.Errorf("%v is not in the example", Counter(count))
+			t.Errorf("counter %v is not set in the example", Counter(count))
 		}
 	}
 }
--- a/internal/statslog/line.go
+++ b/internal/statslog/line.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Message is the message of a log line of IntervalStats.
+// Message is the message of a log line of statistics.
 const Message = "figures"
 
-// Keys of the attributes beside the counters.
+// Keys of the attributes other than the counters.
 const (
 	keyReady    = "listed"
 	keyWarming  = "warming"
@@ -19,7 +19,7 @@
 	keyShortage = "short"
 )
 
-// Attrs returns the attributes of a log line of s. Counters at 0 are left out.
+// Attrs returns the attributes of the log line of s, as key and value in turn. It omits counters that are 0.
 func (s *IntervalStats) Attrs() []any {
 	attrs := make([]any, 0, 2*(int(counterCount)+6))
 	for i, n := range s.Counters {
@@ -33,9 +33,9 @@
 		keyShortage, strconv.FormatFloat(s.CapacityShortage, 'f', 2, 64))
 }
 
-// Parse reads a log line in slog's text form, and reports whether it is one of IntervalStats: of which pool, and when it was
-// written. Unknown attributes are skipped, so that lines of later versions can be read; a value that cannot be read makes
-// it no such line.
+// Parse parses a log line in slog's text format. It returns the time of the line, the pool and the statistics, and reports whether the line
+// is a valid log line of statistics. Unknown attributes are ignored, so that lines of later versions can be read. A malformed value makes
+// the line invalid.
 func Parse(line string) (at time.Time, pool string, s IntervalStats, ok bool) {
 	isStats := false
 	for _, field := range strings.Fields(line) {
@@ -61,7 +61,7 @@
 	return at, pool, s, isStats && !at.IsZero()
 }
 
-// parseAttr reads one attribute of Attrs. Another one is no error.
+// parseAttr parses one attribute of Attrs. It ignores an unknown attribute.
 func (s *IntervalStats) parseAttr(key, value string) (err error) {
 	switch key {
 	case keyReady:
--- a/internal/statslog/stats.go
+++ b/internal/statslog/stats.go
@@ -1,33 +1,33 @@
-// Package statslog holds the statistics of one pool over one interval: it counts, writes them as the attributes of a log
-// line, and reads such lines back, so that those of a whole fleet can be added up. It knows neither sockets nor clocks.
+// Package statslog collects the statistics of one pool over one interval. It formats them as the attributes of a log line and parses such
+// lines, so that the statistics of a whole fleet can be summed. It uses neither sockets nor clocks.
 package statslog
 
 import "time"
 
-// Counter names one of the counters of an interval.
+// Counter identifies one of the counters of an interval.
 type Counter int
 
 // The counters.
 const (
-	Requests               Counter = iota // taken over by the pool; what is rejected before is not counted here
-	WithinObjective                       // succeeded within the latency objective of their class
-	BeyondObjective                       // succeeded after it
-	Rejected                              // a retry is harmless
-	Failed                                // requests
-	ClientGone                            // the client had gone
-	Attempts                              // begun
-	SlowStartAttempts                     // of them, to servers that are still warming up
-	FurtherAttempts                       // of them, those after a request's first
-	ConnectFailures                       // attempts that did not reach their server
-	Timeouts                              // attempts
-	ErrorResponses                        // attempts answered with an error
-	OverloadRejections                    // attempts that the server rejected
-	ConnectionResets                      // attempts whose connection broke
-	HealthChecks                          // sent
-	HealthChecksUnanswered                // of them, those that told nothing
-	Dials                                 // connections to servers that were opened, or tried
-	DiscoveryCalls                        // for the endpoint list
-	DiscoveryFailures                     // calls and watches that failed
+	Requests               Counter = iota // requests that the pool accepted; earlier rejections are not counted here
+	WithinObjective                       // requests that succeeded within the latency objective of their class
+	BeyondObjective                       // requests that succeeded after the latency objective
+	Rejected                              // requests that were rejected; a retry is harmless
+	Failed                                // requests that failed
+	ClientGone                            // requests whose client disconnected
+	Attempts                              // attempts that were started
+	SlowStartAttempts                     // attempts to endpoints that were warming up
+	FurtherAttempts                       // attempts after the first one of a request
+	ConnectFailures                       // attempts that could not connect to their endpoint
+	Timeouts                              // attempts that timed out
+	ErrorResponses                        // attempts with an error response
+	OverloadRejections                    // attempts that the endpoint rejected because of overload
+	ConnectionResets                      // attempts whose connection was reset or closed
+	HealthChecks                          // health checks that were sent
+	HealthChecksUnanswered                // health checks without a usable response
+	Dials                                 // connection attempts to endpoints
+	DiscoveryCalls                        // calls of discovery for the endpoint list
+	DiscoveryFailures                     // calls and watches of discovery that failed
 	counterCount
 )
 
@@ -40,7 +40,7 @@
 	Dials: "dials", DiscoveryCalls: "calls", DiscoveryFailures: "callsfailed",
 }
 
-// counterByName is counterNames the other way round.
+// counterByName is the inverse of counterNames.
 var counterByName = func() map[string]Counter {
 	m := make(map[string]Counter, counterCount)
 	for i, name := range counterNames {
@@ -52,7 +52,7 @@
 // String returns the counter's name in log lines.
 func (c Counter) String() string { return counterNames[c] }
 
-// Counters returns all counters, in the order in which log lines have them.
+// Counters returns all counters in the order in which they appear in log lines.
 func Counters() []Counter {
 	all := make([]Counter, counterCount)
 	for i := range all {
@@ -61,27 +61,27 @@
 	return all
 }
 
-// IntervalStats is what one pool saw and did in one interval. It is not safe for concurrent use.
+// IntervalStats holds the statistics of one pool over one interval. It is not safe for concurrent use.
 type IntervalStats struct {
 	Counters [counterCount]int
 
-	// At the end of the interval.
-	ReadyEndpoints   int           // named ready by the list
-	WarmingEndpoints int           // of them, those that are still warming up
-	EjectedEndpoints int           // of them, those that are ejected; 0 while more than half would be: ejections are ignored then
-	OpenRequests     int           // not ended
-	TypicalDelay     time.Duration // of responses
-	CapacityShortage float64       // of the servers, 0 to 1
+	// Values at the end of the interval.
+	ReadyEndpoints   int           // endpoints that the endpoint list reports as ready
+	WarmingEndpoints int           // ready endpoints that are warming up
+	EjectedEndpoints int           // ready endpoints that are ejected; 0 while more than half would be, because ejections are ignored then
+	OpenRequests     int           // requests in progress
+	TypicalDelay     time.Duration // typical delay of a response
+	CapacityShortage float64       // capacity shortage of the endpoints, 0 to 1
 }
 
 // Add adds n to a counter.
 func (s *IntervalStats) Add(c Counter, n int) { s.Counters[c] += n }
 
-// Empty reports whether nothing was counted.
+// Empty reports whether all counters are 0.
 func (s *IntervalStats) Empty() bool { return s.Counters == [counterCount]int{} }
 
-// Merge adds the statistics of another pool or interval: counters, endpoints and requests are summed, delay and shortage
-// averaged by the number of requests.
+// Merge adds the statistics of another pool or interval. It sums counters, endpoints and requests. Delay and shortage become averages that
+// are weighted by the number of requests.
 func (s *IntervalStats) Merge(o IntervalStats) {
 	own, other := float64(s.Counters[Requests]), float64(o.Counters[Requests])
 	if own+other > 0 {
--- a/internal/statslog/stats_test.go
+++ b/internal/statslog/stats_test.go
@@ -11,7 +11,8 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
-// What is written is read back as it was, also with a prefix and with fields of a later version.
+// TestRoundTrip guards against a log line that is parsed with other values than were written, also if it has a prefix or fields of a later
+// version.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r IntervalStats
@@ -30,18 +31,20 @@
 	})
 }
 
-func TestParseRefusesOthers(t *testing.T) {
+// TestParseRejectsOtherLines guards against parsing lines with another message, without a time or with malformed values.
+func TestParseRejectsOtherLines(t *testing.T) {
 	for _, line := range []string{
 		"", "figures", "msg=figures taken=1", "time=2026-01-02T03:04:05Z msg=ready taken=1",
 		"time=2026-01-02T03:04:05Z msg=figures taken=many", "time=yesterday msg=figures taken=1",
 	} {
 		if _, _, _, ok := Parse(line); ok {
-			t.Errorf("%q is taken for figures", line)
+			t.Errorf("line %q was parsed as statistics", line)
 		}
 	}
 }
 
-func TestMergeWeighsByTaken(t *testing.T) {
+// TestMergeWeightedByRequests guards against averages that ignore the number of requests, and against a division by zero without requests.
+func TestMergeWeightedByRequests(t *testing.T) {
 	a := IntervalStats{TypicalDelay: 100 * time.Millisecond, ReadyEndpoints: 2}
 	a.Add(Requests, 1)
 	b := IntervalStats{TypicalDelay: 200 * time.Millisecond, CapacityShortage: 1, ReadyEndpoints: 3}
