--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -15,12 +15,12 @@
 	"sorrelrudder/policy"
 )
 
-// without drops what is empty: the simulator's messages hold only the fields of their kind.
-func without(v any) any {
+// dropEmpty removes zero values from decoded JSON, since the simulator's messages contain only the fields of their kind.
+func dropEmpty(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, x := range v {
-			if x = without(x); x == nil {
+			if x = dropEmpty(x); x == nil {
 				delete(v, key)
 			} else {
 				v[key] = x
@@ -31,7 +31,7 @@
 		}
 	case []any:
 		for i := range v {
-			v[i] = without(v[i])
+			v[i] = dropEmpty(v[i])
 		}
 		if len(v) == 0 {
 			return nil
@@ -52,7 +52,7 @@
 	return v
 }
 
-// eventForm is a batch of one event to one instance, as one line.
+// eventForm returns the form of a batch with one message to one instance, as one line.
 func eventForm(name string, e message, full bool) goldentest.Form {
 	at := int64(20000)
 	b := messageBatch{TimeUs: &at, Groups: []messageGroup{{Instance: "sidecar/0", Messages: []message{e}}}}
@@ -66,7 +66,7 @@
 	if err := d.Decode(&fields); err != nil {
 		panic(err)
 	}
-	if text, err = json.Marshal(without(fields)); err != nil {
+	if text, err = json.Marshal(dropEmpty(fields)); err != nil {
 		panic(err)
 	}
 	read := func(text string) (any, error) {
@@ -77,7 +77,7 @@
 	return goldentest.Form{Name: name, Written: string(text), Read: read, Value: b, Full: full}
 }
 
-// session is one of every event, and of each value of every enumeration, in an order in which an instance can take them.
+// session returns a message of each kind and with each value of each enumeration, in an order that an instance accepts.
 func session() []goldentest.Form {
 	const server = "10.0.0.1:80"
 	lines := []endpoint{
@@ -111,12 +111,12 @@
 	)
 }
 
-// sessionSettings has its fields in order, as the forms are written.
+// sessionSettings has its keys in alphabetical order, like the encoded forms.
 const sessionSettings = `{"GroupSize":1,"Limits":{"Cancelling":true,"MayDuplicate":true,"Probes":true,"SendCap":3},` +
 	`"MembershipMode":"on_request","RequestClasses":[{"AimUs":250000,"DeadlineUs":500000,"Effect":"read_like","Group":"all","Name":"q","Worth":2}],` +
 	`"Safety":{"AskEveryUs":10000000,"GraceToAnswerUs":20000},"Telemetry":{"Fields":["queue","latency_ms"],"Via":"on_probe"},"TickUs":5000,"Zone":"a"}`
 
-// TestEventForm pins every event that comes in.
+// TestEventForm guards against a change of the decoding of any message.
 func TestEventForm(t *testing.T) {
 	full := message{
 		Command: "Demand", Seed: 1, Settings: json.RawMessage(`{"GroupSize":1}`), ListNumber: 2,
@@ -127,8 +127,8 @@
 	goldentest.CheckForms(t, "events.golden", append([]goldentest.Form{eventForm("all fields", full, true)}, session()...))
 }
 
-// TestSessionForm pins what an instance answers to these events: that each field gets where it counts. The answers are package policy's, and
-// change where its decisions are meant to.
+// TestSessionForm guards against a field of a message that is not passed to the policy. It pins the actions that an instance returns for
+// these messages. The actions are decided by package policy, and change with intended changes of its decisions.
 func TestSessionForm(t *testing.T) {
 	var forms []goldentest.Form
 	h := &host{instances: map[string]*instance{}}
@@ -145,11 +145,11 @@
 		{ID: "10.0.0.2:80", State: policy.Draining, Zone: "a", Weight: 1}, {ID: "10.0.0.3:80", State: policy.Removed, Zone: "b"},
 	}
 	if !reflect.DeepEqual(h.endpointLists[2], want) {
-		t.Errorf("the list is %+v, want %+v", h.endpointLists[2], want)
+		t.Errorf("endpoint list 2: got %+v, want %+v", h.endpointLists[2], want)
 	}
 }
 
-// TestActionForm pins every action that goes out.
+// TestActionForm guards against a change of the encoding of any action.
 func TestActionForm(t *testing.T) {
 	var forms []goldentest.Form
 	add := func(name string, act func(*instance)) {
@@ -179,7 +179,7 @@
 	add("watch", func(i *instance) { i.WatchEndpoints(true) })
 	add("watch no more", func(i *instance) { i.WatchEndpoints(false) })
 	add("log", func(i *instance) { i.Log("hello") })
-	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // no balancer: any event panics
+	h := &host{instances: map[string]*instance{"sidecar/0": {}}} // without a balancer any message panics
 	got, err := h.dispatch(0, "sidecar/0", &message{Command: "Demand"})
 	if err != nil {
 		t.Fatal(err)
@@ -189,23 +189,23 @@
 	goldentest.CheckForms(t, "orders.golden", forms)
 }
 
-// TestWords pins what each word of the simulator means, and that there are no others.
-func TestWords(t *testing.T) {
-	checkWords(t, "outcome", statusByName, map[string]policy.Status{
+// TestProtocolNames guards against a change of the names of the protocol: their meaning, and missing or additional names.
+func TestProtocolNames(t *testing.T) {
+	checkNames(t, "outcome", statusByName, map[string]policy.Status{
 		"delivered": policy.StatusOK, "app_error": policy.StatusApplicationError, "shed": policy.StatusOverloaded, "expired": policy.StatusTimeout,
 		"dial_failed": policy.StatusConnectFailed, "dropped": policy.StatusReset, "revoked": policy.StatusCanceled, "unused": policy.StatusNotSent,
 	})
-	checkWords(t, "state", stateByName, map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed})
-	checkWords(t, "list", updateKindByName, map[string]policy.UpdateKind{
+	checkNames(t, "state", stateByName, map[string]policy.EndpointState{"on": policy.Ready, "fading": policy.Draining, "off": policy.Removed})
+	checkNames(t, "list", updateKindByName, map[string]policy.UpdateKind{
 		"patch": policy.UpdateDelta, "whole": policy.UpdateFull, "stale_copy": policy.UpdateCached, "broken": policy.UpdatePollFailed,
 	})
 	events := slices.Sorted(maps.Keys(instanceHandlers))
 	if got := fmt.Sprint(events); got != "[BackendsChanged DeadlineHit Demand Halt HealthResult Memo Opened ReportBack Withdrawn]" {
-		t.Errorf("events %s", got)
+		t.Errorf("handled messages: got %s", got)
 	}
 }
 
-func checkWords[T comparable](t *testing.T, what string, got, want map[string]T) {
+func checkNames[T comparable](t *testing.T, what string, got, want map[string]T) {
 	t.Helper()
 	if !maps.Equal(got, want) {
 		t.Errorf("%s: %v, want %v", what, got, want)
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -8,13 +8,14 @@
 	"sorrelrudder/policy"
 )
 
-// instance is an instance of the policy. It implements policy.Actions by recording the actions.
+// instance is an instance of the policy. It implements policy.Actions by recording the actions. It is not safe for concurrent use.
 type instance struct {
 	balancer   *policy.Balancer
 	loadFields []string // names of the values in a load report, in their order
-	actions    []action // of the present message
+	actions    []action // recorded while handling the current message
 }
 
+// newInstance creates an instance with the settings and the seed of m.
 func newInstance(m *message) (*instance, error) {
 	s, err := settings.Parse(m.Settings)
 	if err != nil {
@@ -27,10 +28,10 @@
 	return &instance{balancer: b, loadFields: s.LoadReportFields}, nil
 }
 
-// handler hands a message to the balancer of an instance.
+// handler passes a message to the balancer of an instance.
 type handler func(i *instance, now policy.Time, h *host, m *message) error
 
-// instanceHandlers are those of all messages to an open instance.
+// instanceHandlers holds the handlers of all messages to an open instance.
 var instanceHandlers = map[command]handler{
 	commandEndpointUpdate:    (*instance).updateEndpoints,
 	commandRequest:           (*instance).handleRequest,
@@ -43,7 +44,7 @@
 	commandClose:             ignore, // host.dispatch removes the instance
 }
 
-// handle handles a message, and returns the actions of the policy. If the policy panics, that is the one action.
+// handle handles a message and returns the actions of the policy. If the policy panics, the only action is a commandPanic.
 func (i *instance) handle(now policy.Time, f handler, h *host, m *message) (actions []action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -58,12 +59,12 @@
 func (i *instance) updateEndpoints(now policy.Time, h *host, m *message) error {
 	kind, ok := updateKindByName[m.UpdateKind]
 	if !ok {
-		return fmt.Errorf("unknown kind of list %q", m.UpdateKind)
+		return fmt.Errorf("unknown kind of endpoint update %q, want patch, whole, stale_copy or broken", m.UpdateKind)
 	}
 	var list []policy.Endpoint
 	if kind != policy.UpdatePollFailed {
 		if m.ListNumber < 0 || m.ListNumber >= len(h.endpointLists) {
-			return fmt.Errorf("no list %d", m.ListNumber)
+			return fmt.Errorf("endpoint list number %d is out of range", m.ListNumber)
 		}
 		list = h.endpointLists[m.ListNumber]
 	}
@@ -131,17 +132,19 @@
 	return nil
 }
 
+// ignore is the handler of messages without effect on the balancer.
 func ignore(*instance, policy.Time, *host, *message) error { return nil }
 
+// parseStatus returns the status of an attempt or a health check that has the given name in the protocol.
 func parseStatus(name string) (policy.Status, error) {
 	status, ok := statusByName[name]
 	if !ok {
-		return 0, fmt.Errorf("unknown outcome %q", name)
+		return 0, fmt.Errorf("unknown outcome %q of an attempt or a health check", name)
 	}
 	return status, nil
 }
 
-// parseLoad reads a load report by the names of its fields.
+// parseLoad returns the load report with these values, in the order of i.loadFields, or nil without values.
 func (i *instance) parseLoad(values []float64) *policy.LoadReport {
 	if len(values) == 0 {
 		return nil
@@ -153,6 +156,7 @@
 	return &load
 }
 
+// add records an action.
 func (i *instance) add(a action) { i.actions = append(i.actions, a) }
 
 // StartAttempt implements policy.Actions.
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -9,11 +9,11 @@
 // command is the kind of a message or of an action.
 type command string
 
-// Messages of the simulator.
+// Commands of the simulator's messages.
 const (
 	commandOpen              command = "OpenInstance"
 	commandClose             command = "Halt"
-	commandEndpointList      command = "Pool" // a list, for messages of updates to refer to
+	commandEndpointList      command = "Pool" // an endpoint list, to which commandEndpointUpdate refers
 	commandEndpointUpdate    command = "BackendsChanged"
 	commandRequest           command = "Demand"
 	commandResponseStarted   command = "Opened"
@@ -21,10 +21,10 @@
 	commandClientGone        command = "Withdrawn"
 	commandTimer             command = "DeadlineHit"
 	commandHealthCheckResult command = "HealthResult"
-	commandNote              command = "Memo" // of another process; it is ignored
+	commandNote              command = "Memo" // a note of another process; it is ignored
 )
 
-// Actions of the instances.
+// Commands of the instances' actions.
 const (
 	commandStartAttempt   command = "Route"
 	commandReject         command = "OverloadReply"
@@ -37,19 +37,19 @@
 	commandPanic          command = "Fault"
 )
 
-// messageBatch is one line from the simulator: what happens at one time.
+// messageBatch is one line from the simulator: the messages of one point in time.
 type messageBatch struct {
 	TimeUs *int64         `json:"AtTimeUs"`
 	Groups []messageGroup `json:"groups"`
 }
 
-// messageGroup is the messages to one instance.
+// messageGroup holds the messages to one instance.
 type messageGroup struct {
 	Instance string    `json:"Sidecar"`
 	Messages []message `json:"msgs"`
 }
 
-// message holds the fields of all messages; Command says which are set.
+// message has the fields of all kinds of messages. Command determines which are set.
 type message struct {
 	Command        command         `json:"cmd"`
 	Seed           uint64          `json:"Salt"`
@@ -62,7 +62,7 @@
 	ExpiresUs      int64           `json:"ExpiresUs"`
 	IsRetry        bool            `json:"IsRetry"`
 	Key            string          `json:"Item"`
-	Tenant         any             `json:"Project"` // a name, or 0 at sites without tenants
+	Tenant         any             `json:"Project"` // the name as a string, or the number 0 at sites without tenants
 	Class          string          `json:"Type"`
 	Attempt        int             `json:"Shot"`
 	RequestEnded   bool            `json:"Terminal"`
@@ -84,18 +84,18 @@
 	MachineType string  `json:"GenerationHw"`
 }
 
-// actionBatch is the line that answers a messageBatch.
+// actionBatch is the response line to a messageBatch.
 type actionBatch struct {
 	Groups []actionGroup `json:"groups"`
 }
 
-// actionGroup is the actions of one instance.
+// actionGroup holds the actions of one instance.
 type actionGroup struct {
 	Instance string   `json:"Sidecar"`
 	Actions  []action `json:"orders"`
 }
 
-// action holds the fields of all actions. Pointers are fields whose zero value is written too.
+// action has the fields of all kinds of actions. Fields whose zero value must be encoded are pointers.
 type action struct {
 	Command      command           `json:"cmd"`
 	RequestID    *policy.RequestID `json:"Corr,omitempty"`
@@ -109,6 +109,7 @@
 	Text         string            `json:"Text,omitzero"`
 }
 
+// statusByName maps the values of Disposition.
 var statusByName = map[string]policy.Status{
 	"delivered":   policy.StatusOK,
 	"app_error":   policy.StatusApplicationError,
@@ -120,12 +121,14 @@
 	"unused":      policy.StatusNotSent,
 }
 
+// stateByName maps the values of Lifecycle.
 var stateByName = map[string]policy.EndpointState{
 	"on":     policy.Ready,
 	"fading": policy.Draining,
 	"off":    policy.Removed,
 }
 
+// updateKindByName maps the values of How.
 var updateKindByName = map[string]policy.UpdateKind{
 	"patch":      policy.UpdateDelta,
 	"whole":      policy.UpdateFull,
--- a/internal/simwire/serve.go
+++ b/internal/simwire/serve.go
@@ -1,6 +1,5 @@
-// Package simwire speaks the simulator's line protocol: it decodes batches of messages, hands them to the instances of the
-// policy that it hosts, and encodes their actions. The names of the protocol are mapped to those of the policy here, and
-// nowhere else.
+// Package simwire implements the simulator's line protocol. It decodes batches of messages, passes them to the hosted instances of the
+// policy, and encodes their actions. This package alone maps the names of the protocol to those of the policy.
 package simwire
 
 import (
@@ -15,19 +14,19 @@
 	"sorrelrudder/policy"
 )
 
-// readBufferBytes is the size of the buffer of input. Longer lines are read too.
+// readBufferBytes is the size of the input buffer. Lines may be longer.
 const readBufferBytes = 1 << 20
 
-// maxEndpointLists is how many endpoint lists the simulator keeps here.
+// maxEndpointLists is the number of endpoint lists that the simulator may store in the process at the same time.
 const maxEndpointLists = 16
 
 var (
-	errUnknownMessage = errors.New("unknown message")
-	errNoSuchInstance = errors.New("no such instance is open")
+	errUnknownMessage = errors.New("unknown kind of message")
+	errNoSuchInstance = errors.New("the instance is not open")
 )
 
-// Serve answers the batches read from r on w until r ends. An error means that the input was malformed, and names the
-// message, or that r or w failed.
+// Serve reads batches from r and writes the response to each to w, until r ends. It returns an error if the input is malformed, which then
+// names the message, or if r or w fails.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{instances: map[string]*instance{}}
 	in := bufio.NewReaderSize(r, readBufferBytes)
@@ -52,20 +51,20 @@
 	}
 }
 
-// host holds the instances of the process, and the endpoint lists that messages refer to.
+// host holds the instances of the process, and the endpoint lists to which messages refer. It is not safe for concurrent use.
 type host struct {
 	instances     map[string]*instance
 	endpointLists [maxEndpointLists][]policy.Endpoint
 }
 
-// handleBatch answers one line.
+// handleBatch handles one line and returns the response line.
 func (h *host) handleBatch(line []byte) ([]byte, error) {
 	var batch messageBatch
 	if err := json.Unmarshal(line, &batch); err != nil {
-		return nil, fmt.Errorf("batch: %w", err)
+		return nil, fmt.Errorf("decode batch: %w", err)
 	}
 	if batch.TimeUs == nil {
-		return nil, fmt.Errorf("batch: no AtTimeUs in %.80q", line)
+		return nil, fmt.Errorf("decode batch: AtTimeUs is missing in %.80q", line)
 	}
 	out := actionBatch{Groups: []actionGroup{}}
 	now := settings.Micros(*batch.TimeUs)
@@ -82,19 +81,20 @@
 	return append(text, '\n'), err
 }
 
+// handleGroup handles the messages to one instance and returns its actions.
 func (h *host) handleGroup(now policy.Time, g messageGroup) (actions []action, err error) {
 	for i := range g.Messages {
 		m := &g.Messages[i]
 		got, err := h.dispatch(now, g.Instance, m)
 		if err != nil {
-			return nil, fmt.Errorf("message %q to %s: %w", m.Command, g.Instance, err)
+			return nil, fmt.Errorf("handle message %q to instance %s: %w", m.Command, g.Instance, err)
 		}
 		actions = append(actions, got...)
 	}
 	return actions, nil
 }
 
-// dispatch handles one message to the instance of that name, and returns the instance's actions.
+// dispatch handles one message to the named instance and returns the actions of the instance.
 func (h *host) dispatch(now policy.Time, name string, m *message) ([]action, error) {
 	switch m.Command {
 	case commandEndpointList:
@@ -117,7 +117,7 @@
 	return inst.handle(now, handle, h, m)
 }
 
-// open opens an instance. One of the same name is replaced.
+// open creates an instance. It replaces an open instance of the same name.
 func (h *host) open(name string, m *message) error {
 	inst, err := newInstance(m)
 	if err == nil {
@@ -126,16 +126,16 @@
 	return err
 }
 
-// setEndpointList decodes a list, and keeps it under its number.
+// setEndpointList decodes an endpoint list and stores it under its number.
 func (h *host) setEndpointList(m *message) error {
 	if m.ListNumber < 0 || m.ListNumber >= len(h.endpointLists) {
-		return fmt.Errorf("list number %d out of range", m.ListNumber)
+		return fmt.Errorf("endpoint list number %d is out of range", m.ListNumber)
 	}
 	list := make([]policy.Endpoint, len(m.Endpoints))
 	for i, e := range m.Endpoints {
 		state, ok := stateByName[e.State]
 		if !ok {
-			return fmt.Errorf("unknown state %q of %s", e.State, e.ID)
+			return fmt.Errorf("unknown state %q of endpoint %s, want on, fading or off", e.State, e.ID)
 		}
 		list[i] = policy.Endpoint{
 			ID:          policy.EndpointID(e.ID),
