--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,6 +1,5 @@
-// Command sidecar is a proxy beside one client application: it takes the application's requests, and sends each to the
-// endpoint that the policy picks. SIGHUP makes it read its configuration again; SIGTERM and an interrupt shut it down
-// gracefully.
+// Command sidecar is a proxy for one client application on the same host. It accepts the application's requests and forwards each to the
+// endpoint that the policy selects. SIGHUP reloads the configuration. SIGTERM and SIGINT shut the process down gracefully.
 package main
 
 import (
@@ -22,8 +21,9 @@
 	}
 }
 
+// run serves until SIGTERM or SIGINT, and returns once the sidecar has drained.
 func run() error {
-	// Signals are caught before all else: a signal that is not would end the process at once.
+	// Signal handlers are installed first: an unhandled signal would end the process at once.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	// The platform gives the process one core: more threads that run Go code would take turns on it.
+	// The platform gives the process one core. More threads running Go code would only compete for that core.
 	runtime.GOMAXPROCS(1)
 
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -45,8 +45,8 @@
 	return s.Run(ctx)
 }
 
-// reloadOnSignal reloads the configuration at each signal until ctx ends. One that is invalid leaves the present one in
-// force.
+// reloadOnSignal reloads the configuration at each signal until ctx is done. An invalid configuration is logged, and the current one stays
+// in force.
 func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, s *sidecar.Sidecar, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// patience is how long the test waits for what must come.
-const patience = 20 * time.Second
+// testTimeout bounds the wait for an expected event.
+const testTimeout = 20 * time.Second
 
-// TestSignals guards against ending on SIGHUP, be the new configuration good or bad, and for the order in which it ends
-// on SIGTERM. The program shows that it goes on by asking where the file says that discovery is.
+// TestSignals guards against a process that ends on SIGHUP, with a valid or an invalid new configuration, and against an error on SIGTERM.
+// The process shows that it still runs by calling discovery at the address in the file.
 func TestSignals(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
@@ -25,14 +25,14 @@
 			t.Fatal(err)
 		}
 	}
-	asked := func(ln net.Listener) {
+	awaitCall := func(ln net.Listener) {
 		t.Helper()
-		if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		c, err := ln.Accept()
 		if err != nil {
-			t.Fatalf("discovery was not asked: %v", err)
+			t.Fatalf("discovery was not called: %v", err)
 		}
 		t.Cleanup(func() { c.Close() })
 	}
@@ -54,10 +54,10 @@
 
 	write(discovery[0].Addr().String())
 	t.Setenv("GW_CONFIG", path)
-	t.Setenv("GW_DISCOVERY", discovery[0].Addr().String()) // stays what it was
+	t.Setenv("GW_DISCOVERY", discovery[0].Addr().String()) // unchanged by the reload
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	asked(discovery[0])
+	awaitCall(discovery[0])
 
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	signal(syscall.SIGHUP)
 	write(discovery[1].Addr().String())
 	signal(syscall.SIGHUP)
-	asked(discovery[1])
+	awaitCall(discovery[1])
 
 	signal(syscall.SIGTERM)
 	select {
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
-		t.Error("still there after SIGTERM")
+	case <-time.After(testTimeout):
+		t.Error("timed out waiting for the end after SIGTERM")
 	}
 }
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -20,25 +20,25 @@
 	"time"
 )
 
-// asProgram is the variable by which this test's program is the sidecar itself, in a process of its own.
-const asProgram = "SIDECAR_TEST_AS_PROGRAM"
+// runAsSidecar is the environment variable with which the test binary runs as the sidecar, in a process of its own.
+const runAsSidecar = "SIDECAR_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsSidecar) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// process is a sidecar as a process of its own.
+// process is a sidecar in a process of its own.
 type process struct {
 	cmd    *exec.Cmd
-	listen chan string // its address, once it is ready
+	listen chan string // receives the listening address once the sidecar is ready
 	ended  chan error
 }
 
-// startProcess starts one that reads the file, and may hold so many descriptors.
+// startProcess starts a sidecar with a configuration file and a limit of open descriptors.
 func startProcess(t *testing.T, config string, descriptors int) *process {
 	t.Helper()
 	program, err := os.Executable()
@@ -47,7 +47,7 @@
 	}
 	p := &process{listen: make(chan string, 1), ended: make(chan error, 1)}
 	p.cmd = exec.Command("sh", "-c", `ulimit -n "$1" && exec "$2"`, "sh", strconv.Itoa(descriptors), program)
-	p.cmd.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+config)
+	p.cmd.Env = append(os.Environ(), runAsSidecar+"=1", "GW_CONFIG="+config)
 	log, err := p.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		p.ended <- p.cmd.Wait()
 	}()
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // the process may have ended already
 		read.Wait()
 		if t.Failed() {
 			t.Log(strings.Join(lines, "\n"))
@@ -80,6 +80,7 @@
 	return p
 }
 
+// signal sends a signal to the process.
 func (p *process) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -87,30 +88,32 @@
 	}
 }
 
+// ready waits until the sidecar is ready, and returns its address.
 func (p *process) ready(t *testing.T) (addr string) {
 	t.Helper()
 	return wait(t, "the sidecar to be ready", p.listen)
 }
 
-// endsInOrder waits for the process to end by itself.
-func (p *process) endsInOrder(t *testing.T) {
+// awaitExit waits for the process to exit with status 0.
+func (p *process) awaitExit(t *testing.T) {
 	t.Helper()
-	if err := wait(t, "the sidecar to end", p.ended); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := wait(t, "the sidecar to exit", p.ended); err != nil {
+		t.Errorf("sidecar exited with %v, want status 0", err)
 	}
 }
 
+// wait returns the next value of a channel, and fails the test after testTimeout.
 func wait[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
-// hangingServer reads requests, tells of each, and answers once release is closed.
+// hangingServer starts a server that sends the id of each request on the channel came, and responds once release is closed.
 func hangingServer(t *testing.T, release <-chan struct{}) (addr string, came <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,7 +125,7 @@
 		ids <- q.Header.Get("X-Request-Id")
 		select {
 		case <-release:
-			_, _ = io.WriteString(w, q.Header.Get("X-Request-Id")) // the other side may have gone
+			_, _ = io.WriteString(w, q.Header.Get("X-Request-Id")) // the peer may have disconnected
 		case <-q.Context().Done():
 		}
 	})}
@@ -138,10 +141,10 @@
 	}
 }
 
-// send writes to a connection. Where the process has closed it, reading the response tells.
+// send writes to a connection. Write errors are ignored: if the process has closed the connection, reading the response fails.
 func send(c io.Writer, text string) { _, _ = io.WriteString(c, text) }
 
-// configText is a configuration with one class, whose list names the servers.
+// configText returns a configuration with one class and a cached endpoint list of the servers.
 func configText(t *testing.T, discovery string, sockets int, servers ...string) string {
 	t.Helper()
 	hosts := []map[string]any{}
@@ -157,10 +160,12 @@
 		"RequestClasses":[{"Name":"check","Effect":"read_like","AimUs":10000000,"DeadlineUs":10000000,"Worth":1,"LateShare":1}]}}`, discovery, sockets, known)
 }
 
+// get returns a request with the given id.
 func get(id string) string {
 	return "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Timeout-Ms: 10000\r\n\r\n"
 }
 
+// dial connects to addr. The connection has a deadline of testTimeout.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -168,12 +173,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// answerOn reads an answer; status 0 is a close with none.
-func answerOn(t *testing.T, c net.Conn) (status int, body string) {
+// readResponse reads a response. Status 0 means that the connection was closed without a complete one.
+func readResponse(t *testing.T, c net.Conn) (status int, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -187,8 +192,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// TestSIGTERMBeforeItIsReady guards against a process that is killed by the signal, and is not heard of again, because it came while the
-// configuration was being read: it starts, serves nobody, and ends in order.
+// TestSIGTERMBeforeItIsReady guards against a process that is killed by a SIGTERM that arrives while the configuration is being read. The
+// process must start, serve no request and exit with status 0.
 func TestSIGTERMBeforeItIsReady(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -197,7 +202,7 @@
 	p := startProcess(t, path, 256)
 	opened := make(chan *os.File, 1)
 	go func() {
-		f, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the process reads there
+		f, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the process has opened the file for reading
 		if err != nil {
 			t.Error(err)
 		}
@@ -209,17 +214,17 @@
 		t.Error(err)
 	}
 	f.Close()
-	p.endsInOrder(t)
+	p.awaitExit(t)
 }
 
-// TestSignalsUnderARequest guards against losing a request that is open as signals come, alone, together or twice.
+// TestSignalsUnderARequest guards against losing a request in progress when signals arrive, one or several of them.
 func TestSignalsUnderARequest(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
-		"SIGTERM":             {syscall.SIGTERM},
-		"SIGTERM twice":       {syscall.SIGTERM, syscall.SIGTERM},
-		"SIGHUP and SIGTERM":  {syscall.SIGHUP, syscall.SIGTERM},
-		"SIGTERM and SIGHUP":  {syscall.SIGTERM, syscall.SIGHUP},
-		"SIGHUP in the drain": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
+		"SIGTERM":               {syscall.SIGTERM},
+		"SIGTERM twice":         {syscall.SIGTERM, syscall.SIGTERM},
+		"SIGHUP and SIGTERM":    {syscall.SIGHUP, syscall.SIGTERM},
+		"SIGTERM and SIGHUP":    {syscall.SIGTERM, syscall.SIGHUP},
+		"SIGHUP while draining": {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -235,38 +240,39 @@
 			write("127.0.0.1:1")
 			p := startProcess(t, path, 256)
 			addr := p.ready(t)
-			open, resting, slow := dial(t, addr), dial(t, addr), dial(t, addr)
+			open, idle, slow := dial(t, addr), dial(t, addr), dial(t, addr)
 			half := len(get("slow")) / 2
 			send(slow, get("slow")[:half])
 			send(open, get("open"))
-			wait(t, "the request", came)
-			send(resting, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
-			write("127.0.0.1:2") // what a reload finds
+			wait(t, "the request in progress", came)
+			send(idle, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
+			write("127.0.0.1:2") // the configuration that a reload reads
 			for _, s := range signals {
 				p.signal(t, s)
 			}
-			// One that crosses the end of its connection comes again on a new one, as clients do.
-			if _, err := io.Copy(io.Discard, resting); err != nil {
-				t.Errorf("a resting connection ended with %v", err)
+			// A request that is sent while its connection is being closed is retried on a new one, as clients do.
+			if _, err := io.Copy(io.Discard, idle); err != nil {
+				t.Errorf("read on an idle connection: got %v, want EOF", err)
 			}
 			during := dial(t, addr)
 			send(during, get("during"))
-			wait(t, "the other request", came)
+			wait(t, "the request during the drain", came)
 			send(slow, get("slow")[half:])
-			wait(t, "the request that had half come", came)
+			wait(t, "the request that was half received", came)
 			close(release)
 			for id, c := range map[string]net.Conn{"open": open, "during": during, "slow": slow} {
-				if status, body := answerOn(t, c); status != 200 || body != id {
-					t.Errorf("%s: answered %d %q", id, status, body)
+				if status, body := readResponse(t, c); status != 200 || body != id {
+					t.Errorf("request %s: got status %d, body %q, want 200 and its id", id, status, body)
 				}
 			}
-			p.endsInOrder(t)
+			p.awaitExit(t)
 		})
 	}
 }
 
-// TestIdleClientsWhileDiscoveryIsDown guards against clients that take every descriptor while discovery cannot be reached: at its
-// return the list is asked for and told all the same, and what it names is sent to. The process is held to its limit.
+// TestIdleClientsWhileDiscoveryIsDown guards against clients that exhaust the descriptors while discovery is unreachable. Once discovery is
+// back, the sidecar must still be able to fetch the list and to forward requests to its endpoints. The operating system enforces the limit
+// of descriptors.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 64
 	release := make(chan struct{})
@@ -277,7 +283,7 @@
 		t.Fatal(err)
 	}
 	discovery := reserved.Addr().String()
-	reserved.Close() // nobody is there yet
+	reserved.Close() // discovery is not running yet
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText(t, discovery, sockets)), 0o600); err != nil {
 		t.Fatal(err)
@@ -303,18 +309,18 @@
 	})}
 	go serveHTTP(t, back, ln)
 	t.Cleanup(func() { back.Close() })
-	status, body := answerOn(t, waiting)
-	for tries := 0; status == 0 && tries < 100; tries++ { // closed to make room before it was read: it comes again
+	status, body := readResponse(t, waiting)
+	for tries := 0; status == 0 && tries < 100; tries++ { // closed to free a descriptor before the request was read: retry
 		c := dial(t, addr)
 		send(c, get("again"+strconv.Itoa(tries)))
-		status, body = answerOn(t, c)
+		status, body = readResponse(t, c)
 	}
 	if status != 200 {
-		t.Errorf("answered %d %q", status, body)
+		t.Errorf("got status %d, body %q, want 200", status, body)
 	}
 	p.signal(t, syscall.SIGTERM)
 	for _, c := range idle {
 		c.Close()
 	}
-	p.endsInOrder(t)
+	p.awaitExit(t)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs instances of the policy for the simulator, whose line protocol it speaks on standard input and
+// Command simadapter runs instances of the policy for the simulator. It implements the simulator's line protocol on standard input and
 // output. It exits with status 1 on malformed input.
 package main
 
