--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command sidecar is a proxy for one client application on the same host. It accepts the application's requests and forwards each to the
+// Command sidecar is a sidecar proxy for one client application. It accepts the application's requests and forwards each to the
 // endpoint that the policy selects. SIGHUP reloads the configuration. SIGTERM and SIGINT shut the process down gracefully.
 package main
 
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -74,6 +74,6 @@
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("timed out waiting for the end after SIGTERM")
+		t.Error("timed out waiting for run to return after SIGTERM")
 	}
 }
--- a/cmd/sidecar/process_test.go
+++ b/cmd/sidecar/process_test.go
@@ -113,8 +113,8 @@
 	return v
 }
 
-// hangingServer starts a server that sends the id of each request on the channel came, and responds once release is closed.
-func hangingServer(t *testing.T, release <-chan struct{}) (addr string, came <-chan string) {
+// hangingServer starts a server that sends the id of each request on the channel requests, and responds once release is closed.
+func hangingServer(t *testing.T, release <-chan struct{}) (addr string, requests <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -229,7 +229,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			server, came := hangingServer(t, release)
+			server, requests := hangingServer(t, release)
 			path := filepath.Join(t.TempDir(), "config.json")
 			write := func(discovery string) {
 				t.Helper()
@@ -244,7 +244,7 @@
 			half := len(get("slow")) / 2
 			send(slow, get("slow")[:half])
 			send(open, get("open"))
-			wait(t, "the request in progress", came)
+			wait(t, "the request in progress", requests)
 			send(idle, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
 			write("127.0.0.1:2") // the configuration that a reload reads
 			for _, s := range signals {
@@ -256,9 +256,9 @@
 			}
 			during := dial(t, addr)
 			send(during, get("during"))
-			wait(t, "the request during the drain", came)
+			wait(t, "the request during the drain", requests)
 			send(slow, get("slow")[half:])
-			wait(t, "the request that was half received", came)
+			wait(t, "the request that was half received", requests)
 			close(release)
 			for id, c := range map[string]net.Conn{"open": open, "during": during, "slow": slow} {
 				if status, body := readResponse(t, c); status != 200 || body != id {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -91,7 +91,7 @@
 	d.Close()
 }
 
-// TestBadDiscovery guards against using a part of an invalid list, and against waiting for ever.
+// TestBadDiscovery guards against using a part of an invalid list, and against waiting indefinitely.
 func TestBadDiscovery(t *testing.T) {
 	for name, answer := range map[string]func(w io.Writer){
 		"error status":  func(w io.Writer) { w.(http.ResponseWriter).WriteHeader(503) },
@@ -197,8 +197,8 @@
 	close(release)
 }
 
-// TestSilentDiscovery guards against waiting for ever on a service that stops sending at any point of a watch, and against aborting a watch
-// that has no changes to send but is kept alive by empty lines.
+// TestSilentDiscovery guards against waiting indefinitely for a service that stops sending at any point of a watch, and against aborting a
+// watch that has no changes to send but is kept alive by empty lines.
 func TestSilentDiscovery(t *testing.T) {
 	bound := staleness.Bound{WatchTimeout: 300 * time.Millisecond, CallTimeout: 300 * time.Millisecond}
 	const head, list = "HTTP/1.1 200 OK\r\n\r\n", `{"seq":1,"whole":true,"hosts":[]}` + "\n"
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -63,7 +63,7 @@
 type notSetError string
 
 // Error implements error.
-func (e notSetError) Error() string { return string(e) + " is not set, want a value" }
+func (e notSetError) Error() string { return string(e) + " is not set" }
 
 // LoadConfig reads the configuration file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN take precedence over the
 // file. GW_FD is the descriptor of the listening socket if the platform holds it. An error names the invalid variable or key.
@@ -199,7 +199,7 @@
 		return nil
 	}
 	if c.CachedList, err = discovery.ParseEndpointList(text); err != nil {
-		return fmt.Errorf("parse endpoint list in known: %w", err)
+		return fmt.Errorf("key known: %w", err)
 	}
 	return nil
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -149,7 +149,7 @@
 	s := start(t, config(t, "127.0.0.1:1", 256, listOf(t, u)))
 	c := s.dial(t)
 	if status, _ := c.roundTrip(t, get("first")); status != 200 {
-		return fmt.Errorf("request before the aborted one: got status %d, want 200", status)
+		return fmt.Errorf("first request: got status %d, want 200", status)
 	}
 	// Over loopback, written bytes can be read at the other end once the write returns.
 	if _, err := io.WriteString(<-conns, text); err != nil {
--- a/internal/sidecar/learned_state.go
+++ b/internal/sidecar/learned_state.go
@@ -12,7 +12,7 @@
 const (
 	// learnedStateFile is the name of the file in the shared directory by which a process passes its learned state to its successor.
 	learnedStateFile = "sorrelrudder-learnt.json"
-	// maxLearnedStateAge is the age from which that file is ignored.
+	// maxLearnedStateAge is the age above which that file is ignored.
 	maxLearnedStateAge = 5 * time.Second
 )
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxDrainTime bounds draining even if the settings have longer deadlines: the platform kills a process some time after it has asked it
-	// to shut down.
+	// maxDrainTime bounds draining even if the settings have longer deadlines: the platform kills a process that does not exit soon after
+	// it was asked to shut down.
 	maxDrainTime = 3 * time.Second
 	// poolName is the name of the only pool.
 	poolName = "platform"
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -643,7 +643,7 @@
 }
 
 // TestShortClientTimeouts guards against sending a request to an endpoint that is not expected to respond within the client's timeout. This
-// comes about if only the latency objective of the class counts, or if a request with a short timeout is taken for the last, late attempt
+// happens if only the latency objective of the class counts, or if a request with a short timeout is taken for the last, late attempt
 // of an older request.
 func TestShortClientTimeouts(t *testing.T) {
 	const shortTimeout = 250 * time.Millisecond
@@ -656,7 +656,7 @@
 	cfg.Settings.Config.Classes[0].LatencyObjective = 2 * shortTimeout
 	s := start(t, cfg)
 	// Send requests until the slow upstream is known to be slow: for some rounds it gets none, or it has responded often enough to be
-	// known. An upstream that responds just within the latency objective may correctly get some ordinary requests for ever.
+	// known. An upstream that responds just within the latency objective may correctly get some ordinary requests indefinitely.
 	for i, quietRounds := 0, 0; quietRounds < 3 && slow.runs.Load() < 40; i++ {
 		before := slow.runs.Load()
 		var clients [12]*client
