--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -86,7 +86,7 @@
 		"shared store file":      {"[[tasks]]", "[tier.copies]\nstore = \"a.db\"\n[[tasks]]", "tier.copies.store: must differ from the store in [tier]"},
 		"zones without copies":   {"[[tasks]]", "[tier.zones]\n[[tasks]]", "tier.zones: requires the table [tier.copies]"},
 		"members without zones":  {"[[tasks]]", "[tier.copies]\n[tier.zones]\n[[tasks]]", "tier.zones: no zone is configured for members a, b, c"},
-		"invalid threshold":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "which is not below the 0.6"},
+		"invalid threshold":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nothers = 0.9\n[[tasks]]", "maximum fraction of unreachable endpoints in other zones is 0.9, want at least 0 and below the threshold 0.6"},
 		"invalid grey":           {"[[tasks]]", "[tier.copies]\n[tier.zones]\ngrey = \"some\"\n[[tasks]]", "tier.zones.grey"},
 		"invalid automatic":      {"[[tasks]]", "[tier.copies]\n[tier.zones]\nautomatic = \"perhaps\"\n[[tasks]]", "tier.zones.automatic"},
 		"tasks without fleet":    {fleetFile[strings.Index(fleetFile, "[tier]"):strings.Index(fleetFile, "[[tasks]]")], "", "tasks: requires the table [tier]"},
