--- a/internal/fleet/sharedstate_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -25,7 +25,7 @@
 	excluded             map[string]bool
 	recovering           map[string]bool   // endpoints that count as warming up
 	rejectExclusions     bool              // as if no ready endpoint would be left
-	endpointZones        map[string]string // zones by endpoint
+	zones                map[string]string // by endpoint
 	downZones            map[string]bool   // zones whose endpoints fail health checks
 }
 
@@ -45,10 +45,10 @@
 	f.hints[pool+"/"+endpoint]++
 }
 
-func (f *fakePools) ExcludeEndpoints(_ string, excluded, recovering, _ map[string]bool) bool {
+func (f *fakePools) ExcludeEndpoints(_ string, excludedEndpoints, recoveringEndpoints, _ map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.excluded, f.recovering = maps.Clone(excluded), maps.Clone(recovering)
+	f.excluded, f.recovering = maps.Clone(excludedEndpoints), maps.Clone(recoveringEndpoints)
 	return !f.rejectExclusions
 }
 
@@ -57,13 +57,13 @@
 func (f *fakePools) ReadyEndpoints(string) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.endpointZones)
+	return maps.Clone(f.zones)
 }
 
 func (f *fakePools) CheckHealth(_, endpoint string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.downZones[f.endpointZones[endpoint]]
+	return !f.downZones[f.zones[endpoint]]
 }
 
 func (f *fakePools) AttemptOutcomes(string, func(string, int64, int64, time.Duration)) {}
@@ -286,10 +286,10 @@
 	for i := range cfgs {
 		cfgs[i].Zones = &ZonesConfig{Automatic: ZonesOn, Rules: rules, Members: zones}
 		f := newFakePools()
-		f.endpointZones, f.downZones = map[string]string{}, map[string]bool{}
+		f.zones, f.downZones = map[string]string{}, map[string]bool{}
 		for _, z := range []string{"a", "b", "c"} {
 			for n := range 4 {
-				f.endpointZones[fmt.Sprint(z, n)] = z
+				f.zones[fmt.Sprint(z, n)] = z
 			}
 		}
 		pools = append(pools, f)
@@ -372,7 +372,7 @@
 	var all []*Host
 	newPools := func() *fakePools {
 		f := newFakePools()
-		f.endpointZones, f.downZones = map[string]string{"a0": "a", "b0": "b", "b1": "b", "c0": "c"}, map[string]bool{}
+		f.zones, f.downZones = map[string]string{"a0": "a", "b0": "b", "b1": "b", "c0": "c"}, map[string]bool{}
 		return f
 	}
 	for i := range cfgs {
@@ -402,15 +402,15 @@
 			return len(z) == 3 && z[1].Epoch >= epoch && z[1].WarmingUp == warmingUp
 		}
 		eventually(t, "the restarted process knows the decision", known)
-		recovering := func() map[string]bool {
+		recoveringEndpoints := func() map[string]bool {
 			restarted.mu.Lock()
 			defer restarted.mu.Unlock()
 			return maps.Clone(restarted.recovering)
 		}
 		if warmingUp {
-			eventually(t, "the zone's endpoints count as warming up", func() bool { return maps.Equal(recovering(), map[string]bool{"b0": true, "b1": true}) })
-		} else if endpoints := recovering(); len(endpoints) > 0 {
-			t.Errorf("%v still count as warming up", endpoints)
+			eventually(t, "the zone's endpoints count as warming up", func() bool { return maps.Equal(recoveringEndpoints(), map[string]bool{"b0": true, "b1": true}) })
+		} else if recovering := recoveringEndpoints(); len(recovering) > 0 {
+			t.Errorf("%v still count as warming up", recovering)
 		}
 	}
 }
--- a/internal/gossip/antientropy_test.go
+++ b/internal/gossip/antientropy_test.go
@@ -61,7 +61,7 @@
 		w.until("all have the entries", 20*time.Second, w.equal)
 		w.start("c")
 		passed, breaks := 0, 0
-		w.blocked = func(_, to string) bool {
+		w.cut = func(_, to string) bool {
 			if to != "c" {
 				return false
 			}
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -13,7 +13,7 @@
 	w.nodes["j"].Put("dead/old", []byte("1"))
 	w.until("all have the entries", 5*time.Second, w.equal)
 	side := func(name string) bool { return name < "f" }
-	w.blocked = func(from, to string) bool { return side(from) != side(to) }
+	w.cut = func(from, to string) bool { return side(from) != side(to) }
 	w.run(time.Second)
 	w.nodes["b"].Put("dead/endpoint", []byte("1"))
 	w.nodes["i"].Put("dead/endpoint", []byte("2"))
@@ -23,7 +23,7 @@
 		n := w.nodes["b"]
 		return n.Count(Dead) == 5 && !w.holds("b", "j", "dead/old") && !w.holds("h", "a", "dead/old")
 	})
-	w.blocked = nil
+	w.cut = nil
 	took := w.until("all members are alive and all replicas equal", 20*time.Second, func() bool {
 		for _, n := range w.nodes {
 			if n.Count(Alive) != 9 {
@@ -49,11 +49,11 @@
 	w := newNetwork(t, 30)
 	w.nodes["c"].Put("dead/x", []byte("1"))
 	w.until("all have the entries", 5*time.Second, w.equal)
-	w.blocked = func(from, to string) bool { return from == "c" || to == "c" }
+	w.cut = func(from, to string) bool { return from == "c" || to == "c" }
 	w.until("the isolated member is dead and its entries are reaped", 2*time.Minute, func() bool { return !w.holds("a", "c", "dead/x") })
 	incarnation := w.nodes["c"].Incarnation()
 	w.nodes["c"].Put("dead/y", []byte("1"))
-	w.blocked = nil
+	w.cut = nil
 	w.until("all have the entries of the isolated member", 30*time.Second, func() bool { return w.equal() && w.holds("a", "c", "dead/x") && w.holds("a", "c", "dead/y") })
 	if w.nodes["c"].Incarnation() <= incarnation {
 		t.Error("the member continues with its reaped incarnation")
@@ -63,7 +63,7 @@
 // TestOneWayPartition checks that no member is declared dead if only the messages from one member to another are lost.
 func TestOneWayPartition(t *testing.T) {
 	w := newNetwork(t, 8)
-	w.blocked = func(from, to string) bool { return from == "a" && to == "b" }
+	w.cut = func(from, to string) bool { return from == "a" && to == "b" }
 	w.run(time.Minute)
 	for name, n := range w.nodes {
 		if n.Count(Dead) > 0 {
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -39,8 +39,8 @@
 	rng   *rand.Rand
 	nodes map[string]*Node // running processes, by name
 	size  int
-	// blocked reports whether messages between two members are lost; nil if none are.
-	blocked   func(from, to string) bool
+	// cut reports whether the link from one member to another is cut, so that its messages are lost; nil if no link is.
+	cut       func(from, to string) bool
 	maxDelay  time.Duration           // maximum additional delay of a message
 	duplicate bool                    // deliver each message twice
 	bytes     map[string]int          // number of bytes sent to each member
@@ -50,11 +50,11 @@
 	twinOf string
 }
 
-// event is a function that is scheduled at a time. seq preserves the order of events at the same time.
+// event is a callback that is scheduled at a time. seq preserves the order of events at the same time.
 type event struct {
-	at  time.Duration
-	seq int
-	run func()
+	at       time.Duration
+	seq      int
+	callback func()
 }
 
 // eventQueue is a heap of events, ordered by time.
@@ -94,10 +94,10 @@
 	return w
 }
 
-// schedule runs a function after a delay.
-func (w *network) schedule(delay time.Duration, run func()) {
+// schedule runs a callback after a delay.
+func (w *network) schedule(delay time.Duration, callback func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.now + delay, w.seq, run})
+	heap.Push(&w.queue, event{w.now + delay, w.seq, callback})
 }
 
 // start starts a process with an empty store. It replaces a running process with the same name.
@@ -131,7 +131,7 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		if w.blocked != nil && w.blocked(from, o.To) {
+		if w.cut != nil && w.cut(from, o.To) {
 			continue
 		}
 		w.bytes[o.To] += len(o.Message.Encode())
@@ -160,7 +160,7 @@
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.run()
+		e.callback()
 	}
 	w.now = end
 }
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -172,8 +172,8 @@
 	}
 	tree := s.digests[KindOf(e.Key)]
 	if current := owner.entries[e.Key]; current != nil {
-		merged, changed := s.combine(current, e)
-		if !changed {
+		merged, modified := s.combine(current, e)
+		if !modified {
 			s.Counts.Stale++
 			return false
 		}
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -93,19 +93,19 @@
 		p.completeBroken(a, err)
 		return
 	}
-	clientResponse := p.clientResponse(response, body)
+	converted := p.clientResponse(response, body)
 	if complete {
 		p.releaseConn(a, conn, response, true)
-		p.completeAttempt(a, policy.StatusOK, load, clientResponse)
+		p.completeAttempt(a, policy.StatusOK, load, converted)
 		return
 	}
-	clientResponse.Remainder = &responseStream{pool: p, attempt: a, conn: conn, response: response, body: upstreamBody, bytesRead: int64(len(body))}
+	converted.Remainder = &responseStream{pool: p, attempt: a, conn: conn, response: response, body: upstreamBody, bytesRead: int64(len(body))}
 	if !a.setInterrupt(conn.Discard) {
 		conn.Discard()
 		p.failAttempt(a, policy.StatusCanceled, nil)
 		return
 	}
-	used := p.completeAttempt(a, policy.StatusOK, load, clientResponse)
+	used := p.completeAttempt(a, policy.StatusOK, load, converted)
 	if !used { // another attempt has succeeded, or the client has disconnected
 		conn.Discard()
 	}
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -72,22 +72,22 @@
 func (p *Pool) takeStats() statslog.IntervalStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	stats := p.stats
+	snapshot := p.stats
 	p.stats = statslog.IntervalStats{}
 	now := p.clock.now()
 	summary := p.balancer.Summarize(now)
-	stats.TypicalDelay, stats.CapacityShortage, stats.EjectedEndpoints = summary.TypicalLatency, summary.CapacityShortage, summary.EjectedEndpoints
-	stats.OpenRequests = len(p.requests)
+	snapshot.TypicalDelay, snapshot.CapacityShortage, snapshot.EjectedEndpoints = summary.TypicalLatency, summary.CapacityShortage, summary.EjectedEndpoints
+	snapshot.OpenRequests = len(p.requests)
 	for id, e := range p.endpoints {
 		if e.State() != policy.Ready {
 			continue
 		}
-		stats.ReadyEndpoints++
+		snapshot.ReadyEndpoints++
 		if p.warmingUp(now, id) {
-			stats.WarmingEndpoints++
+			snapshot.WarmingEndpoints++
 		}
 	}
-	return stats
+	return snapshot
 }
 
 // Stats is a snapshot of a pool's gauges.
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -187,16 +187,16 @@
 		return
 	}
 	r := p.requests[p.ids[len(p.ids)-1-p.rng.IntN(min(len(p.ids), 8))]]
-	sending := slices.IndexFunc(r.attempts, func(a openAttempt) bool { return a.inFlight })
+	inFlight := slices.IndexFunc(r.attempts, func(a openAttempt) bool { return a.inFlight })
 	switch {
-	case !r.StreamedBody || r.ended || sending < 0:
+	case !r.StreamedBody || r.ended || inFlight < 0:
 	case !r.bodyConsumed:
 		r.bodyConsumed, r.bodySending = true, true
-		p.b.HandleBodyStarted(p.now, r.ID, sending)
+		p.b.HandleBodyStarted(p.now, r.ID, inFlight)
 	case r.bodySending:
 		r.bodySending = false
 		r.Expires = p.now + time.Duration(1+p.rng.IntN(900))*time.Millisecond
-		r.attempts[sending].sentAt = p.now
+		r.attempts[inFlight].sentAt = p.now
 		p.b.HandleBodyFinished(p.now, r.ID, r.Expires, p.checker)
 	}
 }
