--- a/internal/sitelink/certificates_test.go
+++ b/internal/sitelink/certificates_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// certificateAuthority makes certificates.
+// certificateAuthority issues the certificates of a test and writes them to dir.
 type certificateAuthority struct {
 	t    *testing.T
 	dir  string
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestMutualTLS guards links with certificates on both sides: peers cross, and who has none of the authority's, or one of
-// another name, is not let in.
+// TestMutualTLS guards the authentication of links with mutual TLS. Requests of a peer are served. A client with no certificate of the
+// authority fails the handshake, and a client whose certificate has another name is rejected.
 func TestMutualTLS(t *testing.T) {
 	a := newAuthority(t)
 	p := startPair(t, 0, [2]*TLS{a.files("near"), a.files("far")})
@@ -114,9 +114,9 @@
 		return resp.StatusCode, nil
 	}
 	if status, err := request(stranger); err != nil || status != 403 {
-		t.Errorf("a certificate of another name: %d, %v, want 403", status, err)
+		t.Errorf("certificate with another common name: status %d, error %v, want status 403", status, err)
 	}
 	if status, err := request(); err == nil {
-		t.Errorf("no certificate: %d, want none to be let in", status)
+		t.Errorf("no certificate: status %d, want an error of the handshake", status)
 	}
 }
--- a/internal/sitelink/config.go
+++ b/internal/sitelink/config.go
@@ -11,7 +11,7 @@
 
 // Config describes this site and its peers.
 type Config struct {
-	Site  string // the name of this site
+	Site  string // name of this site
 	Peers []Peer
 	TLS   *TLS            // nil: no TLS; peers are identified by their source addresses
 	Pools map[string]Pool // by name
@@ -19,47 +19,48 @@
 
 // Peer is the gateway of another site.
 type Peer struct {
-	Name            string       // of its site
-	Address         string       // host:port of its listener for other sites
-	SourceAddresses []netip.Addr // from which it connects; identify it without TLS
-	Subject         string       // common name of its certificate; identifies it with TLS
+	Name            string       // name of the peer's site
+	Address         string       // host:port of the peer's inter-site listener
+	SourceAddresses []netip.Addr // addresses that the peer connects from; identify the peer without TLS
+	Subject         string       // common name of the peer's certificate; identifies the peer with TLS
 }
 
-// zone is the zone of the peer's endpoint. No endpoint of this site is in it.
+// zone returns the zone of the peer's endpoint. No endpoint of this site is in that zone.
 func (p *Peer) zone() string { return "site:" + p.Name }
 
-// TLS names PEM files: the certificate that this site presents to its peers, its key, and the authorities of the peers' certificates.
+// TLS holds the paths of PEM files: the certificate that this site presents to its peers, the private key of that certificate, and the
+// CA certificates that verify the certificates of the peers.
 type TLS struct{ CertFile, KeyFile, CAFile string }
 
 // Pool configures how one pool exchanges requests with other sites.
 type Pool struct {
 	Settings  settings.Settings
-	Peer      string // the site to which rejected requests may be forwarded; "": none
+	Peer      string // site to which rejected requests may be forwarded; "": none
 	Spillover spillover.Config
 	Grant     spillover.GrantConfig
-	// SharedDedupClasses are the classes with idempotency keys whose repeats the servers of both sites drop together.
+	// SharedDedupClasses are the classes with idempotency keys whose requests the servers of both sites deduplicate together.
 	SharedDedupClasses []string
 }
 
-// Validate returns all errors of cfg, joined; nil if there are none.
+// Validate returns all errors of cfg, joined, or nil if cfg is valid.
 func (cfg *Config) Validate() error {
 	var errs []error
 	seen := map[string]bool{cfg.Site: true}
 	for _, p := range cfg.Peers {
 		if seen[p.Name] {
-			errs = append(errs, fmt.Errorf("site %q is there twice", p.Name))
+			errs = append(errs, fmt.Errorf("duplicate site %q", p.Name))
 		}
 		seen[p.Name] = true
 		if cfg.TLS == nil && len(p.SourceAddresses) == 0 {
-			errs = append(errs, fmt.Errorf("peer %q can be known neither by a certificate nor by an address", p.Name))
+			errs = append(errs, fmt.Errorf("peer %q cannot be identified: without TLS it needs at least one source address", p.Name))
 		}
 		if cfg.TLS != nil && p.Subject == "" {
-			errs = append(errs, fmt.Errorf("peer %q has no subject", p.Name))
+			errs = append(errs, fmt.Errorf("peer %q has no subject: with TLS it is identified by the common name of its certificate", p.Name))
 		}
 	}
 	for name, p := range cfg.Pools {
 		if p.Peer != "" && (!seen[p.Peer] || p.Peer == cfg.Site) {
-			errs = append(errs, fmt.Errorf("pool %q spills to %q, which is no peer", name, p.Peer))
+			errs = append(errs, fmt.Errorf("pool %q forwards requests to %q, which is not a configured peer", name, p.Peer))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/sitelink/exchange.go
+++ b/internal/sitelink/exchange.go
@@ -10,7 +10,7 @@
 	"sorrelrudder/internal/siteheader"
 )
 
-// availableCredits are the requests that the pool takes from other sites now, beside those in flight.
+// availableCredits returns the number of requests that the pool currently accepts from other sites in addition to those in flight.
 func (l *poolLink) availableCredits() int {
 	now := l.extension.now()
 	l.mu.Lock()
@@ -18,7 +18,8 @@
 	return l.grant.Available(now)
 }
 
-// withCredits adds the field with the present credits to an error that is an httpmsg.RejectionError; others it returns as they are.
+// withCredits adds the ResponseField with the current credits to err if err is an httpmsg.RejectionError. It returns other errors
+// unchanged.
 func (l *poolLink) withCredits(err error) error {
 	var rejection httpmsg.RejectionError
 	if !errors.As(err, &rejection) {
@@ -28,7 +29,7 @@
 	return rejection
 }
 
-// admittedRequest is a request of another site that the pool's limits have admitted.
+// admittedRequest is a request from another site that the pool's limits have admitted.
 type admittedRequest struct {
 	downstream.AdmittedRequest
 	link *poolLink
@@ -46,7 +47,7 @@
 	return newExchange(a.link, x), nil
 }
 
-// exchange is a request of another site that the pool has taken. Its response gets the ResponseField.
+// exchange is a request from another site that was dispatched to the pool. It adds the ResponseField to the response.
 type exchange struct {
 	downstream.Exchange
 	link       *poolLink
@@ -54,12 +55,13 @@
 	clientGone chan struct{}
 }
 
-// attemptSummarizer is a downstream.Exchange that knows what was attempted for its request.
+// attemptSummarizer is a downstream.Exchange that reports the attempts made for its request.
 type attemptSummarizer interface {
 	AttemptSummary() (attempts int, mayHaveExecuted bool)
 }
 
-// The exchanges of a pool are found to be attemptSummarizers by a type assertion at run time.
+// withResponseField detects an attemptSummarizer by a type assertion at run time, so this line checks at compile time that the exchanges
+// of a pool implement the interface.
 var _ attemptSummarizer = (*pool.Exchange)(nil)
 
 func newExchange(l *poolLink, x downstream.Exchange) *exchange {
@@ -75,7 +77,7 @@
 	return e
 }
 
-// recordDone returns the credit of the request, and returns those that are available then.
+// recordDone releases the credit of the request and returns the number of credits that are then available.
 func (e *exchange) recordDone(rejected bool) int {
 	now := e.link.extension.now()
 	e.link.mu.Lock()
@@ -84,7 +86,7 @@
 	return e.link.grant.Available(now)
 }
 
-// withResponseField returns response with the field that says what was attempted.
+// withResponseField returns response with the ResponseField, which states the outcome, the number of attempts and the credits.
 func (e *exchange) withResponseField(response httpmsg.Response) httpmsg.Response {
 	rejected := response.Status == http.StatusTooManyRequests || response.Status == http.StatusServiceUnavailable
 	r := siteheader.Response{Outcome: siteheader.MayHaveExecuted, Credits: e.recordDone(rejected)}
--- a/internal/sitelink/forward.go
+++ b/internal/sitelink/forward.go
@@ -14,8 +14,8 @@
 
 var _ gateway.Spillover = (*poolLink)(nil)
 
-// returnMargin is kept of a request's time for its response's way back to the client. The remote site allows for the way between
-// the sites.
+// returnMargin is the part of a request's remaining time that is reserved for returning the response to the client. The remote site
+// accounts for the delay between the sites.
 const returnMargin = 3 * time.Millisecond
 
 // RecordRequest implements gateway.Spillover.
@@ -29,7 +29,7 @@
 	}
 }
 
-// Forward implements gateway.Spillover: it forwards the request to the peer if it may, and otherwise passes on its rejection.
+// Forward implements gateway.Spillover. It forwards the request to the peer if that is allowed, and otherwise responds with the rejection.
 func (l *poolLink) Forward(ctx context.Context, r *pool.RejectedRequest) {
 	if !l.tryForward(r) {
 		r.Respond(r.Rejection)
@@ -44,12 +44,12 @@
 	l.spillover.RecordReturn(l.extension.now(), false, 0)
 	l.mu.Unlock()
 	if response.Status == http.StatusServiceUnavailable {
-		response = r.Rejection // equally true, and its Retry-After is of this site
+		response = r.Rejection // the local rejection is still valid, and its Retry-After applies to this site
 	}
 	r.Respond(response)
 }
 
-// tryForward records a rejected request, and reports whether it may be forwarded; if so it counts as in flight.
+// tryForward records a rejected request and reports whether it may be forwarded. If so, the request counts as in flight.
 func (l *poolLink) tryForward(r *pool.RejectedRequest) bool {
 	now := l.extension.now()
 	class := r.PolicyRequest.Class
@@ -65,8 +65,8 @@
 		l.spillover.TryForward(now, class)
 }
 
-// submit gives a request to the pool of the peer, and returns its response; the rejection, if the request is not taken, its client
-// leaves or ctx ends.
+// submit sends a request through the peer's pool and returns the response. It returns the local rejection if the peer's pool does not
+// accept the request, the client disconnects or ctx ends.
 func (l *poolLink) submit(ctx context.Context, r *pool.RejectedRequest) httpmsg.Response {
 	response := r.Rejection
 	x, err := l.remotePool.SubmitRejected(r, time.Until(r.Deadline), len(r.PriorAttempts)+1)
@@ -86,8 +86,8 @@
 	return response
 }
 
-// republishIfUnused publishes the peer's endpoint anew where the decision module sends it nothing although it grants credits:
-// without attempts, what the module thinks of its only endpoint could not improve.
+// republishIfUnused publishes the peer's endpoint again if the link is open but the decision module makes no attempts although the peer
+// grants credits. Without attempts, the module's assessment of its only endpoint could not improve.
 func (l *poolLink) republishIfUnused() {
 	l.mu.Lock()
 	unused := l.spillover.State() == spillover.Open && l.extension.now()-l.publishedAt >= minPublishInterval
@@ -97,7 +97,7 @@
 	}
 }
 
-// forwardRules says how requests of a class may be repeated. It changes nothing and needs no lock.
+// forwardRules returns the rules for repeating requests of a class. It reads only immutable fields and needs no lock.
 func (l *poolLink) forwardRules(class string) spillover.Rules {
 	c, known := l.classes[class]
 	return spillover.Rules{
--- a/internal/sitelink/handler.go
+++ b/internal/sitelink/handler.go
@@ -13,7 +13,7 @@
 	"sorrelrudder/policy"
 )
 
-// handler takes the requests that arrive at the listeners for other sites.
+// handler handles the requests that arrive at the inter-site listeners.
 type handler struct {
 	extension *Extension
 	gateway   *gateway.Gateway
@@ -21,7 +21,7 @@
 
 var _ downstream.Handler = (*handler)(nil)
 
-// responseHeader returns a header with only the field of a response between sites.
+// responseHeader returns a header that contains only the ResponseField. It returns nil if r cannot be encoded.
 func (e *Extension) responseHeader(r siteheader.Response) http.Header {
 	r.Stamp = e.now()
 	text, err := r.String()
@@ -31,13 +31,13 @@
 	return http.Header{siteheader.ResponseField: {text}}
 }
 
-// rejection rejects a request of which nothing was executed.
+// rejection returns the rejection of a request that was not executed.
 func (h *handler) rejection(status int, text string) httpmsg.RejectionError {
 	header := h.extension.responseHeader(siteheader.Response{Outcome: siteheader.Rejected})
 	return httpmsg.RejectionError{Status: status, Text: text, Header: header}
 }
 
-// Admit implements downstream.Handler. The error is an httpmsg.RejectionError that says that nothing was executed.
+// Admit implements downstream.Handler. The error is an httpmsg.RejectionError whose header states that the request was not executed.
 func (h *handler) Admit(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	if h.extension.peer(q.Peer) == nil {
 		return nil, 0, h.rejection(http.StatusForbidden, "not a peer of this site")
@@ -55,7 +55,7 @@
 	}
 	delay := r.Delay(h.extension.now())
 	if delay > r.StallTimeout || delay >= r.TimeLeft {
-		// The sender has given it up and answered it by now: it must not be executed.
+		// The sender has already given up the request and responded to its client, so the request must not be executed.
 		return nil, 0, h.rejection(http.StatusServiceUnavailable, "it was on its way for too long")
 	}
 	r.TimeLeft -= delay
@@ -70,7 +70,7 @@
 	return &admittedRequest{AdmittedRequest: a, link: l}, poolID, nil
 }
 
-// parseField parses the RequestField. The error is an httpmsg.RejectionError.
+// parseField parses the RequestField and checks that its origin is the sending peer. The error is an httpmsg.RejectionError.
 func (h *handler) parseField(q *httpmsg.Request) (*siteheader.Request, error) {
 	r, err := siteheader.ParseRequest(q.Header.Values(siteheader.RequestField), h.extension.cfg.Site)
 	switch {
@@ -86,7 +86,8 @@
 	return r, nil
 }
 
-// targetLink returns the link of the pool that a request is for, if that takes it now. The error is an httpmsg.RejectionError.
+// targetLink returns the link of the pool that a request is for. It rejects a request that the pool does not currently accept from other
+// sites; the error is an httpmsg.RejectionError.
 func (h *handler) targetLink(r *siteheader.Request) (*poolLink, error) {
 	l := h.extension.links[r.Pool]
 	if l == nil {
@@ -101,7 +102,7 @@
 	return l, nil
 }
 
-// forwardedAttributes are the attributes of a forwarded request, as the pool reads them.
+// forwardedAttributes converts the attributes of a forwarded request to those that the pool expects.
 func forwardedAttributes(r *siteheader.Request) pool.ForwardedAttributes {
 	f := pool.ForwardedAttributes{Timeout: r.TimeLeft, PolicyRequest: policy.Request{
 		Class:        r.Class,
@@ -121,7 +122,7 @@
 	return f
 }
 
-// answerHealthCheck answers a health check with the credits of the pool that it asks about.
+// answerHealthCheck responds to a health check with the credits of the pool that its healthCheckPoolField names.
 func (h *handler) answerHealthCheck(q *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	name := q.Header.Get(healthCheckPoolField)
 	l := h.extension.links[name]
@@ -150,7 +151,7 @@
 // ConnectionExcess implements downstream.Handler.
 func (*handler) ConnectionExcess(downstream.PoolID) int64 { return 0 }
 
-// fixedResponse is a request whose response is known at once.
+// fixedResponse is a request whose response is known without dispatching it.
 type fixedResponse struct{ response httpmsg.Response }
 
 // Dispatch implements downstream.AdmittedRequest.
--- a/internal/sitelink/harness_test.go
+++ b/internal/sitelink/harness_test.go
@@ -32,12 +32,12 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// site is one site on loopback: a gateway of one pool, "farm", with backends.
+// site is one site on the loopback interface: a gateway with one pool, "farm", and its backends.
 type site struct {
 	name      string
 	extension *Extension
@@ -49,7 +49,7 @@
 
 func (s *site) addr(listener string) string { return s.gw.ListenerAddr(listener).String() }
 
-// testSettings are the classes of the tests' pool, with a latency objective so long that nothing is rejected for being late.
+// testSettings returns the settings of the tests' pool. The latency objective is so long that no request is rejected for being late.
 func testSettings(zone string) settings.Settings {
 	class := func(name string, e policy.Idempotency) policy.Class {
 		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 2 * time.Second, Deadline: 3 * time.Second, PriorityWeight: 1}
@@ -61,7 +61,7 @@
 	}}
 }
 
-// startSite starts a site whose peer is at peerAddress, with a list of backends. Its link forwards whatever is rejected.
+// startSite starts a site whose peer is at peerAddress, with the given backends. Its link forwards every rejected request.
 func startSite(t *testing.T, name, peer, peerAddress, sitesAddress string, backends []*fake.Backend, files *TLS) *site {
 	t.Helper()
 	s := &site{name: name, backends: backends, stopped: make(chan struct{})}
@@ -91,12 +91,12 @@
 		e := b.Endpoint()
 		hosts = append(hosts, discovery.Endpoint{ID: e.Host, Address: e.Address, Zone: name, Health: "active", Weight: 1})
 	}
-	gcfg := gateway.Config{
+	gatewayConfig := gateway.Config{
 		Name: name, MemoryMB: 64, Descriptors: 512,
 		Listeners: []gateway.Listener{{Name: "farm", Address: "127.0.0.1:0"}, {Name: "sites", Address: sitesAddress, InterSite: true}},
 		Pools:     []gateway.Pool{{Name: "farm", Settings: set, StaticEndpoints: hosts, Limits: gateway.Limits{Weight: 1}}},
 	}
-	if s.gw, err = gateway.NewWithOptions(gcfg, log, gateway.Options{Extension: s.extension}); err != nil {
+	if s.gw, err = gateway.NewWithOptions(gatewayConfig, log, gateway.Options{Extension: s.extension}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.extension.Start(s.gw); err != nil {
@@ -130,11 +130,11 @@
 	return ln.Addr().String()
 }
 
-var effects = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "order-here": fake.IdempotentByKey, "book": fake.NonIdempotent}
+var idempotencies = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "order-here": fake.IdempotentByKey, "book": fake.NonIdempotent}
 
-func startBackend(t *testing.T, name string, l *fake.EffectRecorder, r *fake.Deduplicator) *fake.Backend {
+func startBackend(t *testing.T, name string, recorder *fake.EffectRecorder, deduplicator *fake.Deduplicator) *fake.Backend {
 	t.Helper()
-	b, err := fake.StartBackend(fake.BackendConfig{Name: name, Cores: 50, QueueLimit: 100, Idempotency: effects, Recorder: l, Deduplicator: r})
+	b, err := fake.StartBackend(fake.BackendConfig{Name: name, Cores: 50, QueueLimit: 100, Idempotency: idempotencies, Recorder: recorder, Deduplicator: deduplicator})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	return b
 }
 
-// pair is two sites with a link from the first to the second.
+// pair consists of two sites and a link from near to far.
 type pair struct {
 	near, far *site
 	link      *fake.Proxy
@@ -152,12 +152,12 @@
 func startPair(t *testing.T, nearBackends int, files [2]*TLS) *pair {
 	t.Helper()
 	p := &pair{recorder: fake.NewEffectRecorder()}
-	repeats := fake.NewDeduplicator(time.Minute)
+	deduplicator := fake.NewDeduplicator(time.Minute)
 	var near, far []*fake.Backend
 	for i := range nearBackends {
-		near = append(near, startBackend(t, fmt.Sprintf("near-%d", i), p.recorder, repeats))
+		near = append(near, startBackend(t, fmt.Sprintf("near-%d", i), p.recorder, deduplicator))
 	}
-	far = append(far, startBackend(t, "far-0", p.recorder, repeats), startBackend(t, "far-1", p.recorder, repeats))
+	far = append(far, startBackend(t, "far-0", p.recorder, deduplicator), startBackend(t, "far-1", p.recorder, deduplicator))
 	sitesAddresses := [2]string{freeAddress(t), freeAddress(t)}
 	var err error
 	if p.link, err = fake.StartProxy(sitesAddresses[1]); err != nil {
@@ -171,10 +171,10 @@
 }
 
 func (p *pair) state() spillover.State {
-	c := p.near.extension.links["farm"]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.spillover.State()
+	link := p.near.extension.links["farm"]
+	link.mu.Lock()
+	defer link.mu.Unlock()
+	return link.spillover.State()
 }
 
 func (p *pair) awaitOpen(t *testing.T) {
@@ -182,7 +182,7 @@
 	waitFor(t, "the link to open", func() bool { return p.state() == spillover.Open })
 }
 
-// send sends one request to an address and returns its status.
+// send sends one request to an address and returns the status of the response.
 func (p *pair) send(t *testing.T, addr, class, id, key string, timeout time.Duration, more ...string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -191,9 +191,9 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
-	method, tail := "POST", "Content-Length: 2\r\n\r\nok"
+	method, rest := "POST", "Content-Length: 2\r\n\r\nok"
 	if class == "check" {
-		method, tail = "GET", "\r\n"
+		method, rest = "GET", "\r\n"
 	}
 	text := fmt.Sprintf("%s /%s/%s HTTP/1.1\r\nHost: h\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n", method, class, id, id, timeout.Milliseconds())
 	if key != "" {
@@ -202,8 +202,8 @@
 	for _, m := range more {
 		text += m + "\r\n"
 	}
-	p.recorder.RecordSent(p.recorder.BeginOperation(effects[class]), id, timeout)
-	io.WriteString(c, text+tail)
+	p.recorder.RecordSent(p.recorder.BeginOperation(idempotencies[class]), id, timeout)
+	io.WriteString(c, text+rest)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
@@ -213,17 +213,17 @@
 		t.Fatal(err)
 	}
 	if addr == p.near.addr("farm") && resp.Header.Get(siteheader.ResponseField) != "" {
-		t.Errorf("%s: the client is told %s", id, resp.Header.Get(siteheader.ResponseField))
+		t.Errorf("%s: the client received the response field %s", id, resp.Header.Get(siteheader.ResponseField))
 	}
 	p.recorder.RecordResponse(id, resp.StatusCode, strings.HasPrefix(string(body), fake.ResponseBody(class, id, key)))
 	return resp.StatusCode
 }
 
-// untilServed sends requests until one has been served by the peer: the first ones only show that the site lacks capacity.
+// untilServed sends requests until the peer has served one. The first requests only establish that the site lacks capacity.
 func (p *pair) untilServed(t *testing.T, class string) {
 	t.Helper()
 	n := 0
-	waitFor(t, "a request to cross", func() bool {
+	waitFor(t, "a request to be forwarded and served", func() bool {
 		n++
 		key := ""
 		if class == "order" {
@@ -236,7 +236,7 @@
 
 func (p *pair) checkRecorder(t *testing.T) {
 	t.Helper()
-	for _, b := range p.recorder.Check(fake.Tolerance{LateResponse: 500 * time.Millisecond, AttemptAfterResponse: 500 * time.Millisecond, AfterDrainGrace: time.Second}).Violations {
-		t.Error(b)
+	for _, violation := range p.recorder.Check(fake.Tolerance{LateResponse: 500 * time.Millisecond, AttemptAfterResponse: 500 * time.Millisecond, AfterDrainGrace: time.Second}).Violations {
+		t.Error(violation)
 	}
 }
--- a/internal/sitelink/healthcheck.go
+++ b/internal/sitelink/healthcheck.go
@@ -16,48 +16,48 @@
 const (
 	// healthCheckTarget is the request target of health checks.
 	healthCheckTarget = "/hop"
-	// healthCheckPoolField names, on a health check, the pool whose credits are wanted.
+	// healthCheckPoolField is the header field of a health check that names the pool whose credits are requested.
 	healthCheckPoolField = "Sorrel-Hop-Pool"
 )
 
 const (
-	// idleCheckInterval is the time between health checks of an open link that carries nothing, busyCheckInterval of one that
-	// carries requests.
+	// idleCheckInterval is the interval between health checks of an open link without requests; busyCheckInterval is that of an open link
+	// that carries requests.
 	idleCheckInterval = 500 * time.Millisecond
 	busyCheckInterval = 50 * time.Millisecond
-	// idleTickInterval and busyTickInterval are how often the link's timers are looked at. Each look costs a wake-up, so a link
-	// that carries nothing is looked at rarely.
+	// idleTickInterval and busyTickInterval are the intervals at which the link's timers are checked. Each check wakes up the process, so
+	// the timers of a link without requests are checked less often.
 	idleTickInterval = idleCheckInterval / 5
 	busyTickInterval = busyCheckInterval / 5
-	// baseStallTimeout is how long, beside two round trips, nothing may come back until a link that carries requests is stalled.
+	// baseStallTimeout plus two round trips is the time without a response after which a link that carries requests counts as stalled.
 	baseStallTimeout = 200 * time.Millisecond
-	// maxCheckTimeout bounds the time of a health check.
+	// maxCheckTimeout bounds the timeout of a health check.
 	maxCheckTimeout = time.Second
-	// roundTripSmoothing is the divisor of the moving average of round trips: each new one weighs 1/8.
+	// roundTripSmoothing is the divisor of the moving average of round trips: each new measurement has a weight of 1/8.
 	roundTripSmoothing = 8
 )
 
 // checkResult is the outcome of one health check.
 type checkResult struct {
 	passed    bool
-	draining  bool // the peer answered that it drains
-	credits   int  // that the peer grants
+	draining  bool // the peer responded that it is draining
+	credits   int  // granted by the peer
 	peerClock time.Duration
 	roundTrip time.Duration
 	err       error
 }
 
-// healthChecker is the state of runHealthChecks, which alone uses it.
+// healthChecker is the state of runHealthChecks. Only the goroutine of runHealthChecks uses it.
 type healthChecker struct {
 	link         *poolLink
-	results      chan checkResult // of the one health check in flight
+	results      chan checkResult // result of the health check in flight, at most one
 	inFlight     bool
 	lastSent     time.Duration
 	ticker       *time.Ticker
 	tickInterval time.Duration
 }
 
-// runHealthChecks checks the peer and drives the link's timers until the extension is closed.
+// runHealthChecks sends health checks to the peer and runs the link's timers until the extension is closed.
 func (l *poolLink) runHealthChecks() {
 	h := &healthChecker{
 		link:         l,
@@ -91,7 +91,7 @@
 	}
 }
 
-// tick runs the link's timers, and sends a health check if one is due.
+// tick runs the link's timers and sends a health check if one is due.
 func (h *healthChecker) tick() {
 	l := h.link
 	l.mu.Lock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkTimeout is the time that a health check may take. The caller holds mu.
+// checkTimeout returns the timeout of a health check. The caller holds mu.
 func (l *poolLink) checkTimeout() time.Duration {
 	if l.roundTrip == 0 {
 		return maxCheckTimeout
@@ -124,13 +124,13 @@
 	return min(maxCheckTimeout, baseStallTimeout+4*l.roundTrip)
 }
 
-// send starts a health check, whose result goes to results.
+// send starts a health check in a goroutine, which sends the outcome to results.
 func (h *healthChecker) send(now, timeout time.Duration) {
 	h.inFlight, h.lastSent = true, now
 	h.link.extension.goroutines.Go(func() { h.results <- h.link.timedCheck(timeout) })
 }
 
-// timedCheck runs a health check and measures it.
+// timedCheck runs a health check and measures its round trip.
 func (l *poolLink) timedCheck(timeout time.Duration) checkResult {
 	start := time.Now()
 	r, status, err := l.checkPeer(timeout)
@@ -144,7 +144,7 @@
 	}
 }
 
-// recordCheck takes in the result of a health check.
+// recordCheck applies the result of a health check to the state of the link.
 func (l *poolLink) recordCheck(r checkResult) {
 	var transitions []*spillover.Transition
 	l.mu.Lock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// recordRoundTrip takes in the duration of a health check that passed. The caller holds mu.
+// recordRoundTrip updates the average round trip with the duration of a health check that passed. The caller holds mu.
 func (l *poolLink) recordRoundTrip(measured time.Duration) {
 	if l.roundTrip == 0 {
 		l.roundTrip = measured
@@ -175,8 +175,8 @@
 	l.spillover.SetStallTimeout(baseStallTimeout + 2*l.roundTrip)
 }
 
-// checkPeer sends one health check. It returns what the peer answers about the pool, and the HTTP status. The error says why the
-// answer cannot be used.
+// checkPeer sends one health check. It returns the peer's response about the pool and the HTTP status. The error says why the response
+// cannot be used.
 func (l *poolLink) checkPeer(timeout time.Duration) (siteheader.Response, int, error) {
 	ctx, cancel := context.WithTimeout(l.extension.ctx, timeout)
 	defer cancel()
@@ -191,11 +191,11 @@
 	}
 	defer response.Body.Close()
 	if _, err := io.CopyN(io.Discard, response.Body, httpmsg.MaxBufferedBodyBytes); !errors.Is(err, io.EOF) {
-		return siteheader.Response{}, 0, fmt.Errorf("body of a health check's response: %w", err)
+		return siteheader.Response{}, 0, fmt.Errorf("read body of health check response: %w", err)
 	}
 	r, err := siteheader.ParseResponse(response.Header.Values(siteheader.ResponseField), 0)
 	if err == nil && r.Outcome == siteheader.Rejected && response.StatusCode != http.StatusServiceUnavailable {
-		err = fmt.Errorf("the peer rejects health checks with %s", response.Status)
+		err = fmt.Errorf("peer rejected health check with unexpected status %s", response.Status)
 	}
 	return r, response.StatusCode, err
 }
--- a/internal/sitelink/link.go
+++ b/internal/sitelink/link.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// peerConnIdle is the idle timeout of connections to peers. A listener for other sites closes them after two seconds.
+	// peerConnIdle is the idle timeout of connections to peers. An inter-site listener closes idle connections after two seconds.
 	peerConnIdle = 2 * time.Second
-	// minPublishInterval is the least time between two publications of the peer's endpoint by republishIfUnused.
+	// minPublishInterval is the minimum time between two publications of the peer's endpoint by republishIfUnused.
 	minPublishInterval = time.Second
 	// peerEndpointID is the ID of the peer's endpoint.
 	peerEndpointID = "far"
-	// remoteMaxAttempts leaves the limit on attempts to the request, which has its own over both sites.
+	// remoteMaxAttempts is so high that only the request's own limit applies, which covers the attempts at both sites.
 	remoteMaxAttempts = 16
-	// remoteHealthCheckCost is so high that the decision module hardly sends health checks: runHealthChecks does.
+	// remoteHealthCheckCost is so high that the decision module rarely sends health checks. runHealthChecks sends them instead.
 	remoteHealthCheckCost = 1000
 )
 
-// Health states of an endpoint, as discovery's lists have them.
+// Health states of an endpoint as encoded in endpoint lists.
 const (
 	healthActive   = "active"
 	healthDraining = "leaving"
 )
 
-// poolLink is the exchange of one pool with other sites: the link over which its rejected requests are forwarded, if it has a peer,
-// and the credits that it grants to other sites.
+// poolLink exchanges the requests of one pool with other sites. It consists of the link over which rejected requests are forwarded, if the
+// pool has a peer, and the credits that the pool grants to other sites.
 type poolLink struct {
 	extension   *Extension
-	name        string // of the pool
+	name        string // name of the pool
 	cfg         Pool
 	classes     map[string]policy.Class
-	maxAttempts int // of a request, over both sites
+	maxAttempts int // of a request at both sites together
 	log         *slog.Logger
 
 	// Set by start; nil without a peer.
@@ -53,7 +53,7 @@
 
 	forwarded chan struct{} // signals runHealthChecks that a request is being forwarded
 
-	// mu guards the fields below. No method of a pool, a gateway or the endpoint list's source is called while it is held.
+	// mu guards the fields below. No method of a pool, a gateway or the source of the endpoint list is called while mu is held.
 	mu              sync.Mutex
 	spillover       *spillover.Link
 	grant           *spillover.Grant
@@ -113,13 +113,13 @@
 	return nil
 }
 
-// remotePolicy is the pool's configuration of the decision module, changed for a pool whose only endpoint is the peer.
+// remotePolicy returns the pool's configuration of the decision module, adapted to a pool whose only endpoint is the peer.
 func (l *poolLink) remotePolicy() policy.Config {
 	cfg := l.cfg.Settings.Config
 	cfg.Classes = slices.Clone(cfg.Classes)
 	for i := range cfg.Classes {
 		if c := &cfg.Classes[i]; c.Idempotency == policy.IdempotentByKey && !l.sharesDedup(c.Name) {
-			c.DedupScope = policy.DedupZone // of this site, in which the peer is not
+			c.DedupScope = policy.DedupZone // covers only this site; the peer deduplicates separately
 		}
 	}
 	cfg.MaxAttempts = remoteMaxAttempts
@@ -140,7 +140,7 @@
 	return cfg
 }
 
-// sharesDedup reports whether the servers of both sites drop repeats of a class together.
+// sharesDedup reports whether the servers of both sites deduplicate requests of a class together.
 func (l *poolLink) sharesDedup(class string) bool {
 	return slices.Contains(l.cfg.SharedDedupClasses, class)
 }
@@ -162,8 +162,8 @@
 	l.applyTransition(transition, nil)
 }
 
-// applyTransition carries out a change of the link's state, nil for none: the peer's endpoint is published or withdrawn, and
-// attempts in flight over a link that has closed are aborted. err is the error of the health check that caused it, if any.
+// applyTransition carries out a state change of the link; a nil transition is no change. It publishes or withdraws the peer's endpoint,
+// and aborts the attempts in flight if the link has closed. err is the error of the health check that caused the change, if any.
 func (l *poolLink) applyTransition(transition *spillover.Transition, err error) {
 	if transition == nil {
 		return
@@ -183,8 +183,8 @@
 	}
 }
 
-// publishEndpoint makes the peer the only endpoint of the list. An active one is published as just started, so that the decision
-// module holds nothing of its past against it.
+// publishEndpoint makes the peer the only endpoint of the list. An active endpoint is published with a new start time, so that the decision
+// module discards its record of earlier failures.
 func (l *poolLink) publishEndpoint(health string) {
 	l.mu.Lock()
 	if health == healthActive {
--- a/internal/sitelink/peer.go
+++ b/internal/sitelink/peer.go
@@ -11,36 +11,36 @@
 	"slices"
 )
 
-// unknownPeer is the name of whoever is no peer of this site.
+// unknownPeer stands for the name of a client that is not a peer of this site.
 const unknownPeer = "?"
 
-// loadTLS reads the certificates for both directions.
+// loadTLS loads the certificates for connections from and to peers.
 func (e *Extension) loadTLS(files *TLS) error {
 	cert, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 	if err != nil {
-		return fmt.Errorf("the site's certificate: %w", err)
+		return fmt.Errorf("load certificate of this site: %w", err)
 	}
 	text, err := os.ReadFile(files.CAFile)
 	if err != nil {
-		return fmt.Errorf("the authorities of peers: %w", err)
+		return fmt.Errorf("read CA certificates of peers: %w", err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return fmt.Errorf("the authorities of peers: %s holds no certificate", files.CAFile)
+		return fmt.Errorf("read CA certificates of peers: %s contains no PEM certificate", files.CAFile)
 	}
 	e.serverTLS = &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{cert},
 		ClientCAs:    authorities,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		// A ticket arrives unasked on an idle connection, which the peer would then take for closed.
+		// A session ticket is unsolicited data on an idle connection, so the peer would treat the connection as closed.
 		SessionTicketsDisabled: true,
 	}
 	e.clientTLS = &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: authorities}
 	return nil
 }
 
-// peer returns the peer of that name, or nil.
+// peer returns the peer with the given name, or nil.
 func (e *Extension) peer(name string) *Peer {
 	return e.findPeer(func(p *Peer) bool { return p.Name == name })
 }
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// PeerName implements gateway.Extension. It returns "?" for a connection that is not of a peer.
+// PeerName implements gateway.Extension. It returns "?" if the connection is not from a peer.
 func (e *Extension) PeerName(c net.Conn) string {
 	var peer *Peer
 	if t, ok := c.(*tls.Conn); ok {
@@ -94,10 +94,10 @@
 	return tls.NewListener(ln, e.serverTLS)
 }
 
-// dialFunc opens a connection to an address, host:port.
+// dialFunc opens a connection to an address of the form host:port.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// dialer returns a function that connects to p, by TLS if the site has certificates.
+// dialer returns a function that connects to p, with TLS if the site has certificates.
 func (e *Extension) dialer(p *Peer) dialFunc {
 	tcp := net.Dialer{KeepAlive: -1}
 	if e.clientTLS == nil {
--- a/internal/sitelink/protocol.go
+++ b/internal/sitelink/protocol.go
@@ -10,13 +10,14 @@
 	"sorrelrudder/policy"
 )
 
-// A poolLink is the protocol of the pool whose only endpoint is the peer.
+// poolLink implements the protocol of the pool whose only endpoint is the peer.
 var _ pool.BackendProtocol = (*poolLink)(nil)
 
 // HealthCheckTarget implements pool.BackendProtocol.
 func (l *poolLink) HealthCheckTarget() string { return healthCheckTarget }
 
-// ExtraFields implements pool.BackendProtocol: the RequestField of a forwarded request.
+// ExtraFields implements pool.BackendProtocol. It returns the RequestField of a forwarded request, or nil if an attribute of the request
+// cannot be encoded.
 func (l *poolLink) ExtraFields(q *policy.Request, _ http.Header, left time.Duration) []upstream.Field {
 	now := l.extension.now()
 	l.mu.Lock()
@@ -39,20 +40,20 @@
 		Path:            []string{l.extension.cfg.Site},
 	}
 	for _, p := range q.PriorAttempts {
-		// Only of classes whose repeats both sites drop alike, see spillover.MayForward.
+		// spillover.MayForward allows a prior execution only if the class is idempotent or both sites deduplicate it together.
 		if !p.NotExecuted {
 			r.Executions = append(r.Executions, siteheader.Execution{DedupRemaining: p.DedupRemaining})
 		}
 	}
 	text, err := r.String()
-	if err != nil { // a name that no field can hold; the peer rejects a request without the field
-		l.log.Warn("request cannot be forwarded: its attributes do not fit a header field", "err", err)
+	if err != nil { // a name cannot be encoded in a header field; the peer rejects a request without the field
+		l.log.Warn("request cannot be forwarded: its attributes cannot be encoded in a header field", "err", err)
 		return nil
 	}
 	return []upstream.Field{{Name: siteheader.RequestField, Value: text}}
 }
 
-// ClassifyResponse implements pool.BackendProtocol.
+// ClassifyResponse implements pool.BackendProtocol. It also records the peer's credits and clock from the ResponseField.
 func (l *poolLink) ClassifyResponse(status int, h http.Header) (policy.Status, *policy.LoadReport) {
 	r, err := siteheader.ParseResponse(h.Values(siteheader.ResponseField), l.maxAttempts)
 	now := l.extension.now()
--- a/internal/sitelink/sitelink.go
+++ b/internal/sitelink/sitelink.go
@@ -1,7 +1,7 @@
-// Package sitelink links the process to its peers at other sites: it forwards requests that a pool has rejected to the gateway of
-// another site, and takes those that other sites forward. It implements gateway.Extension; only the product links it. Package
-// spillover decides when requests are forwarded, how many and of which class; the decision module decides whether an attempt may
-// begin, and sees the remote site as the only endpoint of a pool of its own.
+// Package sitelink connects the gateway to its peers at other sites. It forwards requests that a pool has rejected to the gateway of
+// another site, and accepts requests that other sites forward. It implements gateway.Extension; only the sorrelrudder command imports it.
+// Package spillover decides when requests are forwarded, how many and of which class. The decision module decides whether an attempt may
+// start, and sees the remote site as the only endpoint of a separate pool.
 package sitelink
 
 import (
@@ -24,7 +24,7 @@
 type Extension struct {
 	cfg       Config
 	log       *slog.Logger
-	origin    time.Time // zero of the clock that spillover and the header fields use
+	origin    time.Time // zero point of the clock that spillover and the header fields use
 	serverTLS *tls.Config
 	clientTLS *tls.Config // both nil: no TLS
 
@@ -33,11 +33,11 @@
 	goroutines sync.WaitGroup // of all links
 	draining   atomic.Bool
 
-	links map[string]*poolLink // by the pool's name; never changed after New
+	links map[string]*poolLink // by name of the pool; not modified after New
 }
 
-// New returns the extension of a process that uses cfg, which Validate must have accepted. It reads the certificates and connects
-// to nothing yet.
+// New returns the extension of a process with the configuration cfg, which Validate must have accepted. It reads the certificates and
+// opens no connections.
 func New(cfg Config, log *slog.Logger) (*Extension, error) {
 	e := &Extension{cfg: cfg, log: log, origin: time.Now().Add(-time.Hour), links: map[string]*poolLink{}}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
@@ -52,10 +52,10 @@
 	return e, nil
 }
 
-// now is the time of the clock that spillover and the header fields use.
+// now returns the current time of the clock that spillover and the header fields use.
 func (e *Extension) now() time.Duration { return time.Since(e.origin) }
 
-// Start opens the links of g, whose pools must have started.
+// Start opens the links of g. The pools of g must have been started.
 func (e *Extension) Start(g *gateway.Gateway) error {
 	for name, l := range e.links {
 		if l.cfg.Peer == "" {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Close implements gateway.Extension. It returns once all goroutines of the links have ended.
+// Close implements gateway.Extension. It returns after all goroutines of the links have ended.
 func (e *Extension) Close() {
 	e.cancel()
 	e.goroutines.Wait()
--- a/internal/sitelink/sitelink_test.go
+++ b/internal/sitelink/sitelink_test.go
@@ -14,27 +14,29 @@
 	"sorrelrudder/internal/spillover"
 )
 
-// TestForwardAllClasses guards forwarding as a whole: a site without a backend has requests of all classes served at the other.
+// TestForwardAllClasses guards against a class whose requests are not forwarded: a site without backends has requests of every class served
+// at the peer, and the peer still serves its own clients.
 func TestForwardAllClasses(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for _, class := range []string{"check", "order", "book"} {
 		p.untilServed(t, class)
 	}
 	if status := p.send(t, p.far.addr("farm"), "check", "own", "", time.Second); status != 200 {
-		t.Errorf("the far site's own client got %d", status)
+		t.Errorf("client of the remote site got status %d, want 200", status)
 	}
 	p.checkRecorder(t)
 }
 
-// TestKeyedClassOfOneSite guards against a keyed request that is forwarded although its client's retry, with the same key, may run here:
-// the sites do not drop its repeats together. What a peer sends of it all the same is not taken.
+// TestKeyedClassOfOneSite guards against double execution of a keyed class that the sites do not deduplicate together. If a request of this
+// class were forwarded, the client's retry with the same key could be executed at the local site as well. The remote site rejects a
+// forwarded request of this class.
 func TestKeyedClassOfOneSite(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "order")
 	for n := range 20 {
 		key := fmt.Sprint("here-", n)
 		if status := p.send(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.recorder.ArrivalCount(key) > 0 {
-			t.Fatalf("got %d, and %d attempts", status, p.recorder.ArrivalCount(key))
+			t.Fatalf("got status %d and %d attempts, want status 503 and no attempt", status, p.recorder.ArrivalCount(key))
 		}
 	}
 	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
@@ -43,13 +45,13 @@
 		t.Fatal(err)
 	}
 	if status := p.send(t, p.far.addr("sites"), "order-here", "forced", "forced", time.Second, siteheader.RequestField+": "+text); status != 403 {
-		t.Errorf("a peer that sends it got %d", status)
+		t.Errorf("peer that forwards the class got status %d, want 403", status)
 	}
 	p.checkRecorder(t)
 }
 
-// TestDeadlineAtPeer guards the answer of a client whose time ends while its request is at the far site, and against a late
-// response being taken for that of another request.
+// TestDeadlineAtPeer guards the response to a client whose deadline passes while its request is at the remote site. It also guards against
+// a late response that is delivered for another request.
 func TestDeadlineAtPeer(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "book")
@@ -57,14 +59,14 @@
 		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 500 * time.Millisecond})
 	}
 	for n := range 5 {
-		from := time.Now()
+		start := time.Now()
 		id := fmt.Sprint("late-", n)
 		status := p.send(t, p.near.addr("farm"), "book", id, "", 200*time.Millisecond)
-		if took := time.Since(from); took > 450*time.Millisecond {
-			t.Errorf("answered after %v of 200 ms", took)
+		if elapsed := time.Since(start); elapsed > 450*time.Millisecond {
+			t.Errorf("responded after %v, timeout 200 ms", elapsed)
 		}
 		if p.recorder.ArrivalCount(id) > 0 && status != 502 {
-			t.Errorf("a booking that may have run was answered %d", status)
+			t.Errorf("a booking that may have been executed got status %d, want 502", status)
 		}
 	}
 	for _, b := range p.far.backends {
@@ -74,8 +76,8 @@
 	p.checkRecorder(t)
 }
 
-// TestLinkStalls guards against a request that is lost, or has two effects, to a link that stands still after its last byte: an
-// order may have run there, and is failed or refused at once, long before its client's time is up.
+// TestLinkStalls guards against lost requests and double execution on a link that stalls after the last byte of a request. An order may have
+// been executed at the remote site; it must be failed or rejected long before the client's deadline.
 func TestLinkStalls(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
@@ -83,58 +85,58 @@
 	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 1500 * time.Millisecond})
 	}
-	var asking sync.WaitGroup
-	var there sync.WaitGroup
+	var clients sync.WaitGroup
+	var arrived sync.WaitGroup
 	for _, class := range []string{"check", "order", "book"} {
-		there.Add(1)
-		asking.Go(func() {
-			for n := 0; ; n++ { // what does not cross is refused at once
+		arrived.Add(1)
+		clients.Go(func() {
+			for n := 0; ; n++ { // requests that are not forwarded are rejected immediately
 				id, key := fmt.Sprintf("stalled-%s-%d", class, n), ""
 				if class == "order" {
 					key = id
 				}
-				crossed := make(chan struct{})
+				observed := make(chan struct{})
 				go func() {
-					defer close(crossed)
+					defer close(observed)
 					for p.recorder.ArrivalCount(id) == 0 && !p.recorder.HasResponse(id) {
 						time.Sleep(time.Millisecond)
 					}
 					if p.recorder.ArrivalCount(id) > 0 {
-						there.Done()
+						arrived.Done()
 					}
 				}()
-				from := time.Now()
+				start := time.Now()
 				status := p.send(t, p.near.addr("farm"), class, id, key, 3*time.Second)
-				<-crossed
+				<-observed
 				if p.recorder.ArrivalCount(id) == 0 && n < 1000 {
 					continue
 				}
-				if took := time.Since(from); took > time.Second {
-					t.Errorf("%s: answered %d only after %v", class, status, took)
+				if elapsed := time.Since(start); elapsed > time.Second {
+					t.Errorf("%s: got status %d only after %v, want at most 1 s", class, status, elapsed)
 				}
 				if class == "book" && status != 502 || status == 200 {
-					t.Errorf("%s that may have run was answered %d", class, status)
+					t.Errorf("%s that may have been executed got status %d", class, status)
 				}
 				return
 			}
 		})
 	}
-	there.Wait()
+	arrived.Wait()
 	p.link.SetStalled(true)
-	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the link holds these up, and delivers them later
-		asking.Go(func() {
+	for n := 0; n < 20 && p.state() == spillover.Open; n++ { // the stalled link delays these requests and delivers them later
+		clients.Go(func() {
 			status := p.send(t, p.near.addr("farm"), "order", fmt.Sprintf("held-%d", n), fmt.Sprintf("held-%d", n), 3*time.Second)
 			if status == 200 {
-				t.Errorf("an order that the link held up was answered %d", status)
+				t.Errorf("order delayed by the stalled link got status %d, want an error", status)
 			}
 		})
 	}
-	asking.Wait()
+	clients.Wait()
 	if p.state() == spillover.Open {
-		t.Error("the link counts as open")
+		t.Error("link still open after the stall")
 	}
 	if status := p.send(t, p.near.addr("farm"), "check", "after", "", time.Second); status != 503 {
-		t.Errorf("a request beside a stalled link got %d, want a refusal at once", status)
+		t.Errorf("request during the stall got status %d, want an immediate 503", status)
 	}
 	for _, b := range p.far.backends {
 		b.SetFault(fake.Fault{})
@@ -144,31 +146,31 @@
 	p.untilServed(t, "order")
 	for n := range 20 {
 		if p.recorder.ArrivalCount(fmt.Sprintf("held-%d", n)) > 0 {
-			t.Errorf("held-%d went on at the far site after it had been given up here", n)
+			t.Errorf("held-%d was executed at the remote site after the local site had given it up", n)
 		}
 	}
 	p.checkRecorder(t)
 }
 
-// TestPeerDrains guards against sending to a remote gateway that drains.
+// TestPeerDrains guards against forwarding requests to a remote gateway that is draining.
 func TestPeerDrains(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
 	p.far.stop()
 	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
 	if status := p.send(t, p.near.addr("farm"), "order", "late", "late", time.Second); status != 503 {
-		t.Errorf("got %d, want a refusal", status)
+		t.Errorf("got status %d, want 503", status)
 	}
 	p.checkRecorder(t)
 }
 
-// TestPeerRestarts guards against a far gateway that is killed with requests in hand, and that stays forgotten once another process
-// stands at its address.
+// TestPeerRestarts guards against a link that stays closed after the remote gateway was killed with requests in flight and another process
+// has started at the same address.
 func TestPeerRestarts(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
 	sitesAddress := p.far.addr("sites")
-	p.far.gw.Close() // at once, like a process that dies, but for its connections' ends
+	p.far.gw.Close() // without draining, like a killed process, except that connections are closed
 	p.far.stop()
 	<-p.far.stopped
 	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
@@ -178,7 +180,8 @@
 	p.checkRecorder(t)
 }
 
-// TestSilentPeer guards against a peer that accepts and never reads: nothing is forwarded, and clients are rejected at once.
+// TestSilentPeer guards against waiting for a peer that accepts connections and never reads. Nothing is forwarded, and clients are rejected
+// without delay.
 func TestSilentPeer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -204,21 +207,21 @@
 	p := &pair{recorder: fake.NewEffectRecorder()}
 	p.near = startSite(t, "near", "far", ln.Addr().String(), freeAddress(t), nil, nil)
 	for n := range 20 {
-		from := time.Now()
+		start := time.Now()
 		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprint("silent-", n), "", 3*time.Second); status != 503 {
-			t.Fatalf("got %d, want a refusal", status)
+			t.Fatalf("got status %d, want 503", status)
 		}
-		if took := time.Since(from); took > time.Second {
-			t.Fatalf("refused only after %v", took)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Fatalf("rejected only after %v, want at most 1 s", elapsed)
 		}
 	}
 	if p.state() == spillover.Open {
-		t.Error("the link to a peer that says nothing counts as open")
+		t.Error("link to a peer that never responds is open")
 	}
 	p.checkRecorder(t)
 }
 
-// TestIdleConnectionsAtListener guards against idle connections that use up the listener for other sites: the peer is still served.
+// TestIdleConnectionsAtListener guards against idle connections that exhaust the inter-site listener: the peer must still be served.
 func TestIdleConnectionsAtListener(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	for range 1000 {
@@ -232,7 +235,7 @@
 	p.checkRecorder(t)
 }
 
-// TestForwardedOnce guards against requests that go to and fro: a site without capacity rejects forwarded requests.
+// TestForwardedOnce guards against requests that loop between sites: a site without capacity rejects forwarded requests.
 func TestForwardedOnce(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
@@ -241,16 +244,16 @@
 	}
 	for i := range 20 {
 		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprintf("full-%d", i), "", time.Second); status != 503 {
-			t.Fatalf("got %d, want a refusal", status)
+			t.Fatalf("got status %d, want 503", status)
 		}
 	}
 	if n := p.recorder.Check(fake.DefaultTolerance).Arrivals; n > 200 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("%d attempts, want at most 200", n)
 	}
 	p.checkRecorder(t)
 }
 
-// TestInvalidHeaderFields guards against forged and malformed fields: nothing is executed, and other requests are served.
+// TestInvalidHeaderFields guards against forged and malformed fields: the request is not executed, and other requests are still served.
 func TestInvalidHeaderFields(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
 	field := func(change func(*siteheader.Request)) string {
@@ -269,22 +272,22 @@
 		field string
 		want  int
 	}{
-		"good":             {plain, 200},
-		"none":             {"X-None: 1", 400},
-		"version":          {strings.Replace(plain, "v=1", "v=9", 1), 505},
-		"negative time":    {strings.Replace(plain, "left=1000000", "left=-5", 1), 400},
-		"huge time":        {strings.Replace(plain, "left=1000000", "left=999999999999999", 1), 400},
-		"attempts":         {field(func(r *siteheader.Request) { r.AttemptsMade = 4000 }), 400},
-		"more ran":         {field(func(r *siteheader.Request) { r.Executions = []siteheader.Execution{{DedupRemaining: time.Second}} }), 400},
-		"another's origin": {field(func(r *siteheader.Request) { r.Origin, r.Path = "else", []string{"else"} }), 403},
-		"a second hop":     {field(func(r *siteheader.Request) { r.Path = []string{"near", "else"} }), 508},
-		"a loop":           {field(func(r *siteheader.Request) { r.Origin, r.Path = "far", []string{"far"} }), 508},
-		"held up":          {field(func(r *siteheader.Request) { r.Stamp -= 1500 * time.Millisecond }), 503},
-		"given up": {field(func(r *siteheader.Request) {
+		"good":                          {plain, 200},
+		"none":                          {"X-None: 1", 400},
+		"version":                       {strings.Replace(plain, "v=1", "v=9", 1), 505},
+		"negative time":                 {strings.Replace(plain, "left=1000000", "left=-5", 1), 400},
+		"huge time":                     {strings.Replace(plain, "left=1000000", "left=999999999999999", 1), 400},
+		"attempts":                      {field(func(r *siteheader.Request) { r.AttemptsMade = 4000 }), 400},
+		"more executions than attempts": {field(func(r *siteheader.Request) { r.Executions = []siteheader.Execution{{DedupRemaining: time.Second}} }), 400},
+		"origin is not the peer":        {field(func(r *siteheader.Request) { r.Origin, r.Path = "else", []string{"else"} }), 403},
+		"forwarded before":              {field(func(r *siteheader.Request) { r.Path = []string{"near", "else"} }), 508},
+		"origin is the receiver":        {field(func(r *siteheader.Request) { r.Origin, r.Path = "far", []string{"far"} }), 508},
+		"delayed past the deadline":     {field(func(r *siteheader.Request) { r.Stamp -= 1500 * time.Millisecond }), 503},
+		"delayed past the stall timeout": {field(func(r *siteheader.Request) {
 			r.Stamp, r.StallTimeout = r.Stamp-500*time.Millisecond, 400*time.Millisecond
 		}), 503},
-		"no such pool": {field(func(r *siteheader.Request) { r.Pool = "none" }), 404},
-		"unsafe, ran": {field(func(r *siteheader.Request) {
+		"unknown pool": {field(func(r *siteheader.Request) { r.Pool = "none" }), 404},
+		"not idempotent, may have been executed": {field(func(r *siteheader.Request) {
 			r.Class, r.AttemptsMade, r.Executions = "book", 1, []siteheader.Execution{{DedupRemaining: time.Minute}}
 		}), 400},
 		"no attempt left": {strings.Replace(plain, "may=1", "may=0", 1), 400},
@@ -295,21 +298,21 @@
 		}
 		status := p.send(t, p.far.addr("sites"), class, strings.ReplaceAll(name, " ", "-"), "", time.Second, c.field)
 		if status != c.want {
-			t.Errorf("%s: %d, want %d", name, status, c.want)
+			t.Errorf("%s: got status %d, want %d", name, status, c.want)
 		}
 	}
-	// At a listener of clients the field means nothing.
+	// The listener for clients ignores the field.
 	if status := p.send(t, p.far.addr("farm"), "check", "client", "", time.Second, strings.Replace(plain, `"check"`, `"book"`, 1)); status != 200 {
-		t.Errorf("a client that sends the field got %d", status)
+		t.Errorf("client that sends the field got status %d, want 200", status)
 	}
 	p.checkRecorder(t)
 }
 
-// TestNotAPeer guards the listener for other sites against everyone else.
+// TestNotAPeer guards the inter-site listener against clients that are not peers.
 func TestNotAPeer(t *testing.T) {
 	p := startPair(t, 1, [2]*TLS{})
 	p.far.extension.cfg.Peers[0].SourceAddresses = []netip.Addr{netip.MustParseAddr("127.9.9.9")}
 	if status := p.send(t, p.far.addr("sites"), "check", "x", "", time.Second); status != 403 {
-		t.Errorf("got %d", status)
+		t.Errorf("client that is not a peer got status %d, want 403", status)
 	}
 }
