--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,11 +1,11 @@
-// Package fixedseed is imported by the tests of a package and gives their properties the same draws at every run, so that CI gives the same
-// verdict every time. `go test ./internal/keepalive -rapid.seed=0` draws others.
+// Package fixedseed fixes the seed of the rapid property tests in a test binary that imports it, so that every run in CI gives the same
+// result. The flag -rapid.seed overrides the seed: `go test ./internal/keepalive -rapid.seed=0` draws a new one.
 package fixedseed
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // its flags must be there
+	_ "pgregory.net/rapid" // registers the flag rapid.seed
 )
 
 func init() {
--- a/internal/goldentest/cases.go
+++ b/internal/goldentest/cases.go
@@ -13,10 +13,11 @@
 	"testing"
 )
 
-// Update reports whether golden files are to be written anew. Those that an earlier version has written, for a later one to read, are not.
+// Update reports whether the tests rewrite their golden files. Golden files that an earlier version has written, for later versions to
+// read, must not be rewritten.
 func Update() bool { return *update }
 
-// Case is a value with functions that encode and decode it.
+// Case is a test value with functions that encode and decode it.
 type Case struct {
 	Name   string
 	Value  any
@@ -25,7 +26,7 @@
 	Equal  func(decoded, value any) bool // nil: reflect.DeepEqual
 }
 
-// JSONCase is a Case of a value that is stored or sent as JSON.
+// JSONCase returns the Case of a value that is stored or sent as JSON.
 func JSONCase[T any](name string, value T) Case {
 	return Case{
 		Name:   name,
@@ -39,8 +40,8 @@
 	}
 }
 
-// Lines returns the lines of a golden file by their names, which must be those given; with -update it writes them first. A line is a name, a
-// space and a form.
+// Lines returns the encoded forms in a golden file, keyed by name. It reports an error for each line whose name is not in names. With
+// -update it first writes the file. A line consists of a name, a space and the encoded form.
 func Lines(t *testing.T, file string, names []string, form func(name string) string) map[string]string {
 	t.Helper()
 	if *update {
@@ -63,16 +64,16 @@
 	}
 	for name := range lines {
 		if !slices.Contains(names, name) {
-			t.Errorf("%s: %s has no case", file, name)
+			t.Errorf("%s: line %q has no test case", file, name)
 		}
 	}
 	return lines
 }
 
-// hexPrefix begins a form that is not JSON.
+// hexPrefix marks an encoded form that is not JSON.
 const hexPrefix = "hex:"
 
-// CheckCases compares each value with its line in file, both ways.
+// CheckCases compares the encoded form of each case with the line of that name in file. It also checks that the line decodes to the value.
 func CheckCases(t *testing.T, file string, cases []Case) {
 	t.Helper()
 	forms := map[string]string{}
@@ -98,19 +99,19 @@
 			}
 		}
 		if forms[c.Name] != lines[c.Name] {
-			t.Errorf("%s: encoded\n got %s\nwant %s", c.Name, forms[c.Name], lines[c.Name])
+			t.Errorf("%s: encoded form\n got %s\nwant %s", c.Name, forms[c.Name], lines[c.Name])
 		}
 		equal := c.Equal
 		if equal == nil {
 			equal = reflect.DeepEqual
 		}
 		if got, err := c.Decode(want); err != nil || !equal(got, c.Value) {
-			t.Errorf("%s: decoded, %v\n got %+v\nwant %+v", c.Name, err, got, c.Value)
+			t.Errorf("%s: decoded value, error %v\n got %+v\nwant %+v", c.Name, err, got, c.Value)
 		}
 	}
 }
 
-// CheckFile compares a value with a golden file that holds its form alone, both ways.
+// CheckFile compares the encoded form of c with a golden file that holds only this form. It also checks that the file decodes to the value.
 func CheckFile(t *testing.T, file string, c Case) {
 	t.Helper()
 	got, err := c.Encode()
@@ -127,15 +128,16 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("encoded\n got %s\nwant %s", got, want)
+		t.Errorf("encoded form\n got %s\nwant %s", got, want)
 	}
 	if read, err := c.Decode(want); err != nil || !reflect.DeepEqual(read, c.Value) {
-		t.Errorf("decoded, %v\n got %+v\nwant %+v", err, read, c.Value)
+		t.Errorf("decoded value, error %v\n got %+v\nwant %+v", err, read, c.Value)
 	}
 }
 
-// CheckFields fails for each exported field of a struct in the cases that no case sets, so that its form is not checked, or that has no json
-// tag, so that its form changes with its name. It looks at structs of packages whose path the function accepts.
+// CheckFields reports an error for each exported field of a struct in the cases that no case sets, since the encoding of the field is then
+// not checked. It also reports an error for each such field without a json tag, since its encoding changes when the field is renamed. It
+// checks structs of packages whose path accepts returns true for.
 func CheckFields(t *testing.T, cases []Case, accepts func(pkgPath string) bool) {
 	t.Helper()
 	fields := fieldForms{accepts: accepts, set: map[string]bool{}, untagged: map[string]bool{}}
@@ -144,15 +146,15 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields.set)) {
 		if !fields.set[name] {
-			t.Errorf("%s is not set in any example", name)
+			t.Errorf("%s is not set in any test case", name)
 		}
 		if fields.untagged[name] {
-			t.Errorf("%s has no json tag: its form would change with its name", name)
+			t.Errorf("%s has no json tag: its encoding would change when the field is renamed", name)
 		}
 	}
 }
 
-// fieldForms notes of exported fields whether any example sets them, and whether they have no tag.
+// fieldForms records which exported fields are set in any test case and which have no json tag, keyed by type and field name.
 type fieldForms struct {
 	accepts       func(pkgPath string) bool
 	set, untagged map[string]bool
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest is used by tests alone and holds the serialized forms of values against golden files: what another process or the next
-// version reads must not change with a name in the code.
+// Package goldentest compares the serialized forms of values with golden files. Tests use it to guard against a change of data that another
+// process or the next version reads, such as one caused by renaming an identifier.
 package goldentest
 
 import (
@@ -12,19 +12,19 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Form is a value with its serialized form: one line of a golden file.
+// Form is a value and its serialized form, which is one line of a golden file.
 type Form struct {
 	Name    string
 	Written string
-	Read    func(text string) (any, error) // nil: the form is only written
-	Value   any                            // that Read is to return
-	Full    bool                           // no field of Value may be left at zero, so that each has been pinned
+	Read    func(text string) (any, error) // nil: the form is not parsed
+	Value   any                            // expected result of Read
+	Full    bool                           // each field of Value must be non-zero, so that its encoding is checked
 }
 
-// CheckForms holds each form against its line in a golden file, both ways. The file is what the other end, or the next version, reads: it
-// changes with the protocol alone, never with a name in the code.
+// CheckForms compares each form with its line in testdata/file, and checks that Read parses the line as Value. The file holds data that a
+// peer or the next version reads. It changes only with the protocol, never because an identifier in the code is renamed.
 func CheckForms(t *testing.T, file string, forms []Form) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -46,29 +46,29 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(lines) != len(forms) {
-		t.Fatalf("%s has %d lines, and there are %d forms", path, len(lines), len(forms))
+		t.Fatalf("%s has %d lines, want %d, one for each form", path, len(lines), len(forms))
 	}
 	for i, f := range forms {
 		name, want, _ := strings.Cut(lines[i], "\t")
 		if name != f.Name {
-			t.Errorf("%s: line %d is of %q, want %q", path, i+1, name, f.Name)
+			t.Errorf("%s: line %d has the name %q, want %q", path, i+1, name, f.Name)
 		}
 		if f.Written != want {
-			t.Errorf("%s is written\n%s\nwant\n%s", f.Name, f.Written, want)
+			t.Errorf("%s is encoded as\n%s\nwant\n%s", f.Name, f.Written, want)
 		}
 		if f.Read == nil {
 			continue
 		}
 		if got, err := f.Read(want); err != nil || !reflect.DeepEqual(got, f.Value) {
-			t.Errorf("%s is read as\n%+v, %v\nwant\n%+v", f.Name, got, err, f.Value)
+			t.Errorf("%s is parsed as\n%+v, error %v\nwant\n%+v", f.Name, got, err, f.Value)
 		}
 		if field := unset(reflect.ValueOf(f.Value), f.Name); f.Full && field != "" {
-			t.Errorf("%s is left at zero: nothing pins it", field)
+			t.Errorf("%s is zero: its encoding is not checked", field)
 		}
 	}
 }
 
-// unset is the path of a field that is zero, in v or in the first element of a list in it; empty: there is none.
+// unset returns the path of a field that is zero in v or in the first element of a slice in v. It returns "" if there is none.
 func unset(v reflect.Value, path string) string {
 	if !v.IsValid() || v.IsZero() {
 		return path
--- a/internal/siteheader/decode.go
+++ b/internal/siteheader/decode.go
@@ -7,13 +7,13 @@
 	"github.com/dunglas/httpsfv"
 )
 
-// Whether a key must be in the dictionary.
+// Values of the isRequired parameters: whether a key must be present in the dictionary.
 const (
 	required = true
 	optional = false
 )
 
-// ParseRequest decodes the values of a RequestField at the site self. The error wraps ErrVersion, ErrLoop or ErrMalformed.
+// ParseRequest decodes the values of a RequestField that the site self has received. The error wraps ErrVersion, ErrLoop or ErrMalformed.
 func ParseRequest(values []string, self string) (*Request, error) {
 	d, err := newDecoder(values)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return r, nil
 }
 
-// ParseResponse decodes the values of a ResponseField, which answers a request for which at most so many attempts were allowed. With
-// an error, which wraps ErrVersion or ErrMalformed, the response is the worst case: it may have been executed, all attempts were
-// made, and there are no credits.
+// ParseResponse decodes the values of a ResponseField. attemptsAllowed is the number of attempts that the request allowed. The error wraps
+// ErrVersion or ErrMalformed. With an error, the returned response is the worst case: the request may have been executed, all allowed
+// attempts were made, and there are no credits.
 func ParseResponse(values []string, attemptsAllowed int) (Response, error) {
 	worst := Response{Outcome: MayHaveExecuted, Attempts: attemptsAllowed}
 	d, err := newDecoder(values)
@@ -68,7 +68,7 @@
 		Outcome:    d.outcome("how"),
 	}
 	if d.err == nil && r.Attempts > attemptsAllowed {
-		d.fail("spent", "is more than was allowed")
+		d.fail("spent", "is more than the attempts allowed")
 	}
 	if d.err != nil {
 		return worst, d.err
@@ -76,13 +76,13 @@
 	return r, nil
 }
 
-// decoder decodes the items of a dictionary and keeps the first error. After an error its results mean nothing.
+// decoder decodes the items of a dictionary and records the first error. Its results are invalid after an error.
 type decoder struct {
 	dictionary *httpsfv.Dictionary
 	err        error
 }
 
-// newDecoder parses the values of a field and checks its version.
+// newDecoder parses the values of a field and checks the version of the field.
 func newDecoder(values []string) (*decoder, error) {
 	size := 0
 	for _, v := range values {
@@ -103,14 +103,14 @@
 	return d, d.err
 }
 
-// fail keeps an error, if it is the first.
+// fail records an error unless an earlier one is recorded.
 func (d *decoder) fail(key, problem string) {
 	if d.err == nil {
 		d.err = fmt.Errorf("%w: %s %s", ErrMalformed, key, problem)
 	}
 }
 
-// item returns the value of an item, or nil.
+// item returns the value of an item, or nil if the key is missing or its value is a list.
 func (d *decoder) item(key string, isRequired bool) any {
 	member, ok := d.dictionary.Get(key)
 	if !ok {
@@ -127,7 +127,7 @@
 	return item.Value
 }
 
-// integer returns an integer from 0 to limit.
+// integer returns an integer from 0 to limit, inclusive.
 func (d *decoder) integer(key string, isRequired bool, limit int64) int64 {
 	switch v := d.item(key, isRequired).(type) {
 	case nil:
@@ -146,12 +146,12 @@
 	return time.Duration(d.integer(key, isRequired, maxDuration.Microseconds())) * time.Microsecond
 }
 
-// stamp returns a required time of a clock that may have run for years.
+// stamp returns a required reading of a clock. The clock may have run for years, so the bound is maxStamp instead of maxDuration.
 func (d *decoder) stamp(key string) time.Duration {
 	return time.Duration(d.integer(key, required, maxStamp.Microseconds())) * time.Microsecond
 }
 
-// text returns a string, which must not be empty if it is required.
+// text returns a string. A required string must not be empty.
 func (d *decoder) text(key string, isRequired bool) string {
 	switch v := d.item(key, isRequired).(type) {
 	case nil:
@@ -182,7 +182,7 @@
 	token, ok := d.item(key, required).(httpsfv.Token)
 	outcome := Outcome(token)
 	if !ok || outcome != Served && outcome != Rejected && outcome != MayHaveExecuted {
-		d.fail(key, "is no word of this version")
+		d.fail(key, "is not an outcome of this version")
 	}
 	return outcome
 }
@@ -204,7 +204,7 @@
 	return list.Items
 }
 
-// executions returns an optional list of executions.
+// executions returns the executions of an optional list.
 func (d *decoder) executions(key string) []Execution {
 	var executions []Execution
 	for _, item := range d.list(key, optional) {
@@ -217,7 +217,7 @@
 		}
 		group, err := parseDedupGroup(text)
 		if err != nil {
-			d.err = err // more specific than an earlier one
+			d.err = err // replaces an earlier error, which is less specific
 			break
 		}
 		executions = append(executions, Execution{group, time.Duration(remaining) * time.Microsecond})
@@ -225,7 +225,7 @@
 	return executions
 }
 
-// sites returns a required list of sites.
+// sites returns the site names of a required list.
 func (d *decoder) sites(key string) []string {
 	var sites []string
 	for _, item := range d.list(key, required) {
--- a/internal/siteheader/dedupgroup.go
+++ b/internal/siteheader/dedupgroup.go
@@ -10,18 +10,18 @@
 	allGroups  = "all"
 	zonePrefix = "zone:"
 	cellPrefix = "cell:"
-	// cellBits bounds the number of a cell.
+	// cellBits is the maximum size of a cell number, in bits.
 	cellBits = 20
 )
 
-// DedupGroup names the servers that drop repeats of a request together: all (the zero value), those of a zone, or those of a cell.
+// DedupGroup identifies the servers that deduplicate a request together: all servers (the zero value), those of a zone, or those of a cell.
 type DedupGroup struct {
 	Zone   string
 	Cell   int // in Zone, if InCell
 	InCell bool
 }
 
-// String returns the group as it is encoded.
+// String returns the encoded form of the group.
 func (g DedupGroup) String() string {
 	switch {
 	case g.Zone == "" && !g.InCell:
@@ -32,7 +32,7 @@
 	return zonePrefix + g.Zone
 }
 
-// parseDedupGroup is the inverse of String. The error is ErrMalformed.
+// parseDedupGroup is the inverse of String. The error wraps ErrMalformed.
 func parseDedupGroup(text string) (DedupGroup, error) {
 	if text == allGroups {
 		return DedupGroup{}, nil
@@ -50,7 +50,7 @@
 	return DedupGroup{}, fmt.Errorf("%w: group %.80q", ErrMalformed, text)
 }
 
-// Contains reports whether a server of that zone and cell is in the group.
+// Contains reports whether a server in the given zone and cell belongs to the group.
 func (g DedupGroup) Contains(zone string, cell int) bool {
 	return g.Zone == "" && !g.InCell || g.Zone == zone && (!g.InCell || g.Cell == cell)
 }
--- a/internal/siteheader/encode.go
+++ b/internal/siteheader/encode.go
@@ -2,8 +2,8 @@
 
 import "github.com/dunglas/httpsfv"
 
-// String encodes the request. It is the inverse of ParseRequest for what that accepts. The error says that a text cannot be put in
-// a header field.
+// String encodes the request as the value of a RequestField. It is the inverse of ParseRequest for every request that ParseRequest
+// accepts. It returns an error if a string of the request cannot be represented in a header field.
 func (r *Request) String() (string, error) {
 	d := httpsfv.NewDictionary()
 	add := func(key string, v any) { d.Add(key, httpsfv.NewItem(v)) }
@@ -50,7 +50,8 @@
 	return list
 }
 
-// String encodes the response. It is the inverse of ParseResponse for what that accepts.
+// String encodes the response as the value of a ResponseField. It is the inverse of ParseResponse for every response that ParseResponse
+// accepts.
 func (r *Response) String() (string, error) {
 	d := httpsfv.NewDictionary()
 	add := func(key string, v any) { d.Add(key, httpsfv.NewItem(v)) }
--- a/internal/siteheader/siteheader_test.go
+++ b/internal/siteheader/siteheader_test.go
@@ -38,7 +38,8 @@
 	return q
 }
 
-// TestRoundTrip guards against anything of a request that is lost or changed on its way.
+// TestRoundTrip guards against encoding that loses or changes a part of a request or response. It also guards against accepting a request
+// that has returned to its origin or was forwarded before.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := drawRequest(t)
@@ -51,17 +52,17 @@
 			t.Fatalf("%s: %v", text, err)
 		}
 		if !reflect.DeepEqual(q, got) {
-			t.Fatalf("sent %+v, got %+v", q, got)
+			t.Fatalf("encoded %+v, decoded %+v", q, got)
 		}
 		if _, err := ParseRequest([]string{text}, q.Origin); !errors.Is(err, ErrLoop) {
-			t.Fatalf("a request that is back where it began: %v", err)
+			t.Fatalf("request that has returned to its origin: got error %v, want ErrLoop", err)
 		}
 		q.Path = append(q.Path, "third")
 		if text, err = q.String(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ParseRequest([]string{text}, "fourth"); !errors.Is(err, ErrLoop) {
-			t.Fatalf("a second hop: %v", err)
+			t.Fatalf("request that was forwarded before: got error %v, want ErrLoop", err)
 		}
 		a := Response{
 			Outcome: rapid.SampledFrom([]Outcome{Served, Rejected, MayHaveExecuted}).Draw(t, "how"), Attempts: rapid.IntRange(0, q.AttemptsAllowed).Draw(t, "spent"),
@@ -71,14 +72,14 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseResponse([]string{text}, q.AttemptsAllowed); err != nil || got != a {
-			t.Fatalf("%s: %+v, %v", text, got, err)
+			t.Fatalf("decode %s: got %+v, error %v", text, got, err)
 		}
 	})
 }
 
 const validField = `v=1, left=400000, pool="orders", class="order", used=1, may=2, stamp=5, ago=1, within=200000, origin="a", passed=("a")`
 
-// TestInvalidRequests guards against taking over what a peer cannot have meant.
+// TestInvalidRequests guards against accepting malformed request fields or values out of bounds.
 func TestInvalidRequests(t *testing.T) {
 	if _, err := ParseRequest([]string{validField}, "b"); err != nil {
 		t.Fatal(err)
@@ -112,23 +113,24 @@
 		validField + `, x="` + strings.Repeat("k", maxFieldBytes) + `"`:      ErrMalformed,
 	} {
 		if q, err := ParseRequest([]string{text}, "b"); !errors.Is(err, want) {
-			t.Errorf("%.120s: got %+v, %v, want %v", text, q, err, want)
+			t.Errorf("decode %.120s: got %+v, error %v, want error %v", text, q, err, want)
 		}
 	}
 }
 
-// TestInvalidResponses guards against believing that nothing ran where the answer does not say so.
+// TestInvalidResponses guards against treating a request as not executed if the response field does not state so.
 func TestInvalidResponses(t *testing.T) {
 	for _, text := range []string{
 		"", "v=2, how=refused, spent=0, room=5", "v=1, spent=0, room=5", `v=1, how="refused", spent=0, room=5`, "v=1, how=gone, spent=0, room=5",
 		"v=1, how=refused, room=5", "v=1, how=refused, spent=3, room=5", "v=1, how=refused, spent=0", "how=refused", "v=1, how=refused, spent=0, room=-1",
 	} {
 		if a, err := ParseResponse([]string{text}, 2); err == nil || a != (Response{Outcome: MayHaveExecuted, Attempts: 2}) {
-			t.Errorf("%q: %+v, %v", text, a, err)
+			t.Errorf("decode %q: got %+v, error %v, want the worst case and an error", text, a, err)
 		}
 	}
 }
 
+// TestDedupGroupContains guards against a wrong encoding of a dedup group, and against a group that includes a server outside of it.
 func TestDedupGroupContains(t *testing.T) {
 	for _, c := range []struct {
 		group string
@@ -141,12 +143,12 @@
 	} {
 		g, err := parseDedupGroup(c.group)
 		if err != nil || g.String() != c.group || g.Contains(c.zone, c.cell) != c.want {
-			t.Errorf("%s and %s/%d: %v, %v", c.group, c.zone, c.cell, g, err)
+			t.Errorf("group %s, server in %s/%d: parsed group %v, error %v", c.group, c.zone, c.cell, g, err)
 		}
 	}
 }
 
-// FuzzParse guards against a panic, and against accepting what is then written otherwise.
+// FuzzParse guards against a panic, and against a field that is accepted but changes when it is encoded again.
 func FuzzParse(f *testing.F) {
 	f.Add(validField, "b")
 	f.Add(validField+`, ran=("all";for=5 "zone:x";for=7 "cell:x/3";for=0), tenant="t", key="k", cost=9, retry`, "b")
@@ -155,15 +157,15 @@
 		if q, err := ParseRequest([]string{text}, self); err == nil {
 			again, err := q.String()
 			if err != nil {
-				t.Fatalf("%q is read and cannot be written: %v", text, err)
+				t.Fatalf("decoded %q cannot be encoded: %v", text, err)
 			}
 			back, err := ParseRequest([]string{again}, self)
 			if err != nil || !reflect.DeepEqual(q, back) {
-				t.Fatalf("%q became %q: %+v, %+v, %v", text, again, q, back, err)
+				t.Fatalf("%q was encoded again as %q: first %+v, then %+v, error %v", text, again, q, back, err)
 			}
 		}
 		if a, err := ParseResponse([]string{text}, 3); err != nil && (a.Outcome != MayHaveExecuted || a.Attempts != 3 || a.Credits != 0) {
-			t.Fatalf("%q cannot be read and is taken for %+v", text, a)
+			t.Fatalf("invalid response field %q: got %+v, want the worst case", text, a)
 		}
 	})
 }
