--- a/internal/emulator/actions.go
+++ b/internal/emulator/actions.go
@@ -27,7 +27,7 @@
 	in.connect(target, func(connected bool) { in.transmit(a, connected) })
 }
 
-// rejectUnknownEndpoint ends an attempt at an endpoint that the process has no backend for.
+// rejectUnknownEndpoint ends an attempt at an endpoint for which the instance has no backend.
 func (in *instance) rejectUnknownEndpoint(a *attempt, endpoint policy.EndpointID) {
 	a.finished = true
 	in.deferred = append(in.deferred, func() {
@@ -50,15 +50,15 @@
 // Fail answers a request with an error.
 func (in *instance) Fail(id policy.RequestID) { in.end(id, answerFailed, 0) }
 
-// end answers a request by the balancer's decision.
-func (in *instance) end(id policy.RequestID, how answer, retryAfter time.Duration) {
+// end answers a request as the balancer has decided.
+func (in *instance) end(id policy.RequestID, outcome answer, retryAfter time.Duration) {
 	if r := in.requests[id]; r != nil {
-		r.answer(how, retryAfter)
+		r.answer(outcome, retryAfter)
 		in.deferred = append(in.deferred, func() { in.forget(r) })
 	}
 }
 
-// CancelAttempt gives an attempt up. The backend works on.
+// CancelAttempt ends an attempt. The backend continues to execute it.
 func (in *instance) CancelAttempt(id policy.RequestID, number int) {
 	if r := in.requests[id]; r != nil && number < len(r.attempts) {
 		a := r.attempts[number]
@@ -66,7 +66,7 @@
 	}
 }
 
-// SetTimer schedules a timer of the balancer. It ends with the process.
+// SetTimer schedules a timer of the balancer. The timer does not fire after the instance has been killed.
 func (in *instance) SetTimer(delay time.Duration, token string) {
 	balancer := in.balancer
 	in.emulation.after(delay, func() {
@@ -76,7 +76,7 @@
 	})
 }
 
-// WatchEndpoints opens a watch of the endpoint list in place of the one that is open, or only closes that.
+// WatchEndpoints cancels the open watch of the endpoint list, if any. If open is true, it then opens a new watch.
 func (in *instance) WatchEndpoints(open bool) {
 	if in.watch != nil {
 		in.watch.canceled = true
@@ -87,5 +87,5 @@
 	}
 }
 
-// Log ignores the balancer's messages.
+// Log discards the balancer's log messages.
 func (in *instance) Log(string) {}
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -6,18 +6,18 @@
 	"sorrelrudder/policy"
 )
 
-// attempt is one sending of a request to a backend.
+// attempt is one attempt of an instance to have a request served by a backend.
 type attempt struct {
 	request     *request
-	number      int      // from 0, within its request
-	backend     *backend // nil: the process knows none of that name
+	number      int      // index within the request, from 0
+	backend     *backend // nil: the instance has no backend of that name
 	sentAt      policy.Time
-	transmitted bool // there was a connection, and the request was written to it
-	executed    bool // the backend has begun to work on it
-	finished    bool // the balancer has its result
+	transmitted bool // the request was written to a connection
+	executed    bool // the backend has started to execute it
+	finished    bool // the result was passed to the balancer
 }
 
-// countAttempt counts an attempt that starts.
+// countAttempt counts an attempt when it starts.
 func (in *instance) countAttempt(a *attempt) {
 	counts := in.emulation.counts()
 	counts.Attempts++
@@ -35,7 +35,7 @@
 	}
 }
 
-// delayTo returns the network delay to a backend, one way.
+// delayTo returns the one-way network delay to a backend.
 func (in *instance) delayTo(target *backend) time.Duration {
 	if target.zone == in.zone {
 		return in.emulation.scenario.SameZoneDelay
@@ -43,7 +43,7 @@
 	return in.emulation.scenario.CrossZoneDelay
 }
 
-// connect takes an idle connection to a backend or opens one, and then calls done.
+// connect reuses an idle connection to a backend or opens a new one, and then calls done.
 func (in *instance) connect(target *backend, done func(connected bool)) {
 	e := in.emulation
 	if in.idleConnections[target] > 0 && !target.stopped {
@@ -64,7 +64,8 @@
 	}
 }
 
-// transmit writes the request to the connection, if there is one and the attempt is still wanted.
+// transmit writes the request to the connection. It ends the attempt if there is no connection, and keeps the connection idle if the attempt
+// has already ended.
 func (in *instance) transmit(a *attempt, connected bool) {
 	switch {
 	case !connected:
@@ -82,7 +83,7 @@
 	}
 }
 
-// respond sends the backend's answer to the instance; it may be lost on the way.
+// respond sends the backend's response to the instance. The response may be lost if responses are being dropped.
 func (a *attempt) respond(e *Emulation, status policy.Status) {
 	in := a.request.instance
 	if status == policy.StatusOK && e.dropFraction > 0 && e.rng.Float64() < e.dropFraction {
@@ -91,7 +92,7 @@
 	e.after(in.delayTo(a.backend), func() { in.finish(a, status) })
 }
 
-// finish ends an attempt, and passes its result to the balancer. Of several results the first one counts.
+// finish ends an attempt and passes its result to the balancer. Only the first result of an attempt counts.
 func (in *instance) finish(a *attempt, status policy.Status) {
 	if a.finished {
 		return
@@ -120,7 +121,7 @@
 	}
 }
 
-// releaseConnection keeps the attempt's connection if the backend has answered on it, and closes it otherwise.
+// releaseConnection returns the attempt's connection to the idle ones if the backend has responded on it, and closes it otherwise.
 func (in *instance) releaseConnection(a *attempt, status policy.Status) {
 	if status == policy.StatusConnectFailed && !a.transmitted {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// handleResult answers the client of a successful attempt, and passes the result to the balancer and to the other instances.
+// handleResult answers the client if the attempt was successful, and passes the result to the balancer and the other instances.
 func (in *instance) handleResult(now policy.Time, a *attempt, status policy.Status) {
 	r := a.request
 	if status == policy.StatusOK && !r.ended {
@@ -152,7 +153,7 @@
 	in.shareFailure(now, a.backend, status)
 }
 
-// resetConnections breaks all connections to a backend whose process has ended or was unreachable.
+// resetConnections resets all connections to a backend whose process has ended or which was partitioned.
 func (in *instance) resetConnections(target *backend) {
 	delete(in.idleConnections, target)
 	for _, r := range in.openRequests() {
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -7,64 +7,64 @@
 )
 
 const (
-	// cellsPerZone is the number of cells that a zone's backends are divided into.
+	// cellsPerZone is the number of cells into which the backends of a zone are divided.
 	cellsPerZone = 4
-	// errorResponseTime is how long a backend takes for an injected error.
+	// errorResponseTime is the time that a backend takes to respond with an injected error.
 	errorResponseTime = 2 * time.Millisecond
 )
 
 // backend is one process of a backend server.
 type backend struct {
 	id      string
-	place   int // of its machine in the fleet; a successor takes the same one
+	index   int // index in the fleet; a replacement takes over the index of its predecessor
 	machine MachineType
 	zone    string
 	cell    int
-	started policy.Time // 0: before the run
+	started policy.Time // 0: before the start of the run
 
 	draining      bool
-	stopped       bool    // its process has ended: connections are refused
-	silent        bool    // it neither answers nor accepts connections, and what runs there is lost
-	collapsed     bool    // as silent, after too much load while it was warming up
-	partitioned   bool    // it works, but no instance reaches it
-	errorFraction float64 // of the requests that it answers with an error at once
+	stopped       bool    // the process has ended and connections are refused
+	silent        bool    // the backend neither responds nor accepts connections, and requests in execution are lost
+	collapsed     bool    // like silent, caused by too much load during warming up
+	partitioned   bool    // the backend works but is unreachable for every instance
+	errorFraction float64 // fraction of requests that get an immediate error response
 
-	busy         int // cores
+	busy         int // busy cores
 	queue        []*job
 	connections  int
-	queueHistory []queueSample // the newest last
-	warmingWork  []arrival     // within the collapse window, while it is warming up
+	queueHistory []queueSample // newest last
+	warmingWork  []arrival     // work received within the collapse window while warming up
 }
 
-// job is an attempt that waits or runs at a backend.
+// job is an attempt that is queued or executed at a backend.
 type job struct {
 	attempt *attempt
 	work    time.Duration
 }
 
-// queueSample is the length of a backend's queue at a time.
+// queueSample is the length of a backend's queue at a point in time.
 type queueSample struct {
 	at     policy.Time
 	length int
 }
 
-// newBackend returns a backend whose zone, cell and machine type follow from its place. The machine types are scattered, so that any
-// range of places has all of them.
-func (e *Emulation) newBackend(id string, place int, started policy.Time) *backend {
+// newBackend returns a backend whose zone, cell and machine type follow from its index. Machine types are scattered over the indexes, so
+// that any range of indexes contains all types.
+func (e *Emulation) newBackend(id string, index int, started policy.Time) *backend {
 	zones := e.scenario.Zones
 	return &backend{
 		id:      id,
-		place:   place,
-		machine: e.scenario.machineAt(place),
-		zone:    zones[place%len(zones)],
-		cell:    place % (cellsPerZone * len(zones)),
+		index:   index,
+		machine: e.scenario.machineAt(index),
+		zone:    zones[index%len(zones)],
+		cell:    index % (cellsPerZone * len(zones)),
 		started: started,
 	}
 }
 
-// machineAt returns the machine type of a place.
-func (s *Scenario) machineAt(place int) MachineType {
-	position := float64(scatter(place)) / scatterRange
+// machineAt returns the machine type of the backend at an index.
+func (s *Scenario) machineAt(index int) MachineType {
+	position := float64(scatter(index)) / scatterRange
 	sum := 0.0
 	for _, machine := range s.MachineTypes {
 		if sum += machine.Fraction; position < sum {
@@ -74,7 +74,8 @@
 	return s.MachineTypes[len(s.MachineTypes)-1]
 }
 
-// backendByID returns the newest running backend of that name, or the newest of all if none runs; nil if there was none.
+// backendByID returns the newest running backend with the given ID. If none is running, it returns the oldest stopped one, or nil if there
+// is none.
 func (e *Emulation) backendByID(id policy.EndpointID) *backend {
 	var found *backend
 	for _, b := range e.backends {
@@ -85,31 +86,31 @@
 	return found
 }
 
-// capacityFraction returns the fraction of its capacity that the backend has now.
+// capacityFraction returns the fraction of its full capacity that the backend currently has.
 func (b *backend) capacityFraction(e *Emulation) float64 {
 	age := e.now - b.started
 	if b.started == 0 || age >= e.scenario.SlowStartDuration {
 		return 1
 	}
-	least := e.scenario.SlowStartMinCapacity
-	return least + (1-least)*float64(age)/float64(e.scenario.SlowStartDuration)
+	minimum := e.scenario.SlowStartMinCapacity
+	return minimum + (1-minimum)*float64(age)/float64(e.scenario.SlowStartDuration)
 }
 
-// capacity returns the work that the backend does in a second, in seconds.
+// capacity returns the work that the backend executes per second, in seconds of work.
 func (b *backend) capacity(e *Emulation) float64 {
 	return float64(b.machine.Cores) * b.machine.Speed * b.capacityFraction(e)
 }
 
-// unreachable reports whether the backend answers nothing.
+// unreachable reports whether the backend responds to no request and no health check.
 func (b *backend) unreachable() bool {
 	return b.stopped || b.silent || b.collapsed || b.partitioned
 }
 
-// receive handles an attempt whose last byte has arrived.
+// receive handles an attempt whose request has arrived completely.
 func (b *backend) receive(e *Emulation, a *attempt) {
 	switch {
 	case b.unreachable():
-		return // the connection stays open, or resetConnections breaks it
+		return // the connection stays open until resetConnections resets it
 	case b.draining:
 		a.respond(e, policy.StatusOverloaded)
 		return
@@ -126,7 +127,7 @@
 	b.startJobs(e)
 }
 
-// startJobs starts jobs while there are free cores. Neither a timeout nor a cancellation stops a job.
+// startJobs starts queued jobs on free cores. Neither a timeout nor a cancellation stops a job.
 func (b *backend) startJobs(e *Emulation) {
 	for b.busy < b.machine.Cores && len(b.queue) > 0 && (b.partitioned || !b.unreachable()) {
 		next := b.queue[0]
@@ -144,7 +145,7 @@
 	b.recordQueueLength(e)
 }
 
-// recordQueueLength keeps the length of the queue for load reports.
+// recordQueueLength records the length of the queue for load reports.
 func (b *backend) recordQueueLength(e *Emulation) {
 	for len(b.queueHistory) > 1 && b.queueHistory[1].at <= e.now-e.scenario.LoadReportAge {
 		b.queueHistory = b.queueHistory[1:]
@@ -152,7 +153,7 @@
 	b.queueHistory = append(b.queueHistory, queueSample{e.now, len(b.queue)})
 }
 
-// reportedQueueLength returns the queue length in the answer to a health check: that of LoadReportAge ago.
+// reportedQueueLength returns the queue length that a health check reports. It is the length of LoadReportAge ago.
 func (b *backend) reportedQueueLength(e *Emulation) float64 {
 	length := 0
 	for _, sample := range b.queueHistory {
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,17 +9,17 @@
 	"sorrelrudder/policy"
 )
 
-// answer is how an instance ends a client's attempt.
+// answer is the outcome of a client's attempt at an instance.
 type answer int
 
 const (
 	answerServed answer = iota
 	answerRejected
 	answerFailed
-	answerNone // the client's timeout, or the instance is down
+	answerNone // the client timed out, or the instance is down
 )
 
-// weightOf returns the weight by which an instance is sent requests.
+// weightOf returns the weight of an instance in the distribution of requests.
 func (c *Clients) weightOf(index int, zone string) float64 {
 	if c.InstanceWeight != nil {
 		return c.InstanceWeight(index, zone)
@@ -27,18 +27,18 @@
 	return 1 + c.RateSpread*float64(index%10)/9
 }
 
-// clientRequest is a client's request with all its attempts at an instance.
+// clientRequest is a client's request. All its attempts go to the same instance.
 type clientRequest struct {
 	class       *Class
 	instance    *instance
 	startedAt   policy.Time
 	retriesLeft int
 	work        time.Duration
-	second      int // in which it is counted
+	second      int // second of the run in which the request is counted
 	done        bool
 }
 
-// arrive sends a client's request, and schedules the next one.
+// arrive sends a client's request and schedules the next arrival.
 func (e *Emulation) arrive() {
 	if e.arrivalsClosed {
 		return
@@ -59,7 +59,7 @@
 	request.send(e)
 }
 
-// drawClass draws a class by the classes' fractions.
+// drawClass draws a class at random, weighted by the fractions of the classes.
 func (e *Emulation) drawClass() *Class {
 	remaining := e.rng.Float64()
 	class := 0
@@ -70,23 +70,23 @@
 	return &e.scenario.Classes[class]
 }
 
-// drawInstance draws an instance by the instances' weights.
+// drawInstance draws an instance at random, weighted by the instances' weights.
 func (e *Emulation) drawInstance() *instance {
 	total := e.cumulativeWeights[len(e.cumulativeWeights)-1]
 	index, _ := slices.BinarySearch(e.cumulativeWeights, e.rng.Float64()*total)
 	return e.instances[min(index, len(e.instances)-1)]
 }
 
-// lognormal draws a duration of that mean and coefficient of variation.
+// lognormal draws a duration from the lognormal distribution with the given mean and coefficient of variation.
 func lognormal(rng *rand.Rand, mean time.Duration, variation float64) time.Duration {
 	sigma := math.Sqrt(math.Log(1 + variation*variation))
 	return time.Duration(float64(mean) * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2))
 }
 
-// weight returns the request's priority weight times its work in seconds.
+// weight returns the priority weight of the request's class times the work of the request in seconds.
 func (r *clientRequest) weight() float64 { return r.class.PriorityWeight * r.work.Seconds() }
 
-// send makes one attempt at the instance.
+// send sends one attempt to the instance.
 func (r *clientRequest) send(e *Emulation) {
 	timeout := time.Duration(e.scenario.Clients.AttemptTimeoutFraction * float64(r.class.Deadline))
 	if e.scenario.Clients.AttemptTimeoutFraction <= 0 || r.retriesLeft == 0 {
@@ -97,12 +97,12 @@
 	r.instance.receive(r, timeout)
 }
 
-// handleAnswer handles the end of an attempt.
-func (r *clientRequest) handleAnswer(e *Emulation, how answer, retryAfter time.Duration) {
+// handleAnswer handles the outcome of an attempt.
+func (r *clientRequest) handleAnswer(e *Emulation, outcome answer, retryAfter time.Duration) {
 	if r.done {
 		return
 	}
-	if how != answerServed {
+	if outcome != answerServed {
 		r.retry(e, retryAfter)
 		return
 	}
@@ -117,7 +117,7 @@
 	counts.ServedWeight += r.weight() * r.class.LateWeightFraction
 }
 
-// retry schedules the next attempt, or gives up if the client has no retry left or would be past its deadline.
+// retry schedules the next attempt. It ends the request as unserved if no retries are left or the attempt would start after the deadline.
 func (r *clientRequest) retry(e *Emulation, retryAfter time.Duration) {
 	delay := e.scenario.Clients.RetryDelay
 	if e.scenario.Clients.HonorRetryAfter && retryAfter > 0 {
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -9,20 +9,20 @@
 // discoveryService serves the endpoint list and its changes to the instances.
 type discoveryService struct {
 	emulation *Emulation
-	revision  int // of the newest change
+	revision  int // revision of the newest change
 	changes   []listChange
-	idleAt    policy.Time // when it has served the watch requests so far
+	idleAt    policy.Time // time at which all accepted watch requests have been served
 	watches   []*endpointWatch
 }
 
-// listChange is a new state of an endpoint. Those of revision 0 are the list at the start of the run.
+// listChange is a new state of an endpoint. Changes of revision 0 form the list at the start of the run.
 type listChange struct {
 	revision    int
 	visibleFrom policy.Time
 	endpoint    policy.Endpoint
 }
 
-// endpointWatch is an instance's watch of the list.
+// endpointWatch is an instance's watch of the endpoint list.
 type endpointWatch struct {
 	instance *instance
 	canceled bool
@@ -49,7 +49,7 @@
 	}
 }
 
-// change records a new state of a backend, and notifies the watches of it after the notification delay.
+// change records a new state of a backend and notifies the watches after the notification delay.
 func (d *discoveryService) change(b *backend, state policy.EndpointState) {
 	e := d.emulation
 	d.revision++
@@ -77,7 +77,7 @@
 	return initial
 }
 
-// endpoints returns the list as it is visible now, in the order in which the endpoints were first listed.
+// endpoints returns the currently visible list, in the order in which the endpoints were first listed.
 func (d *discoveryService) endpoints() []policy.Endpoint {
 	positions := map[policy.EndpointID]int{}
 	var all []policy.Endpoint
@@ -101,8 +101,8 @@
 	return present
 }
 
-// watch handles an instance's request to watch the list. Requests are served one after the other; one that would wait too long is
-// rejected.
+// watch handles an instance's request to watch the list. Requests are served one after the other. A request that would wait for longer than
+// MaxQueueDelay is rejected.
 func (d *discoveryService) watch(in *instance) *endpointWatch {
 	e := d.emulation
 	watch := &endpointWatch{instance: in}
@@ -123,7 +123,7 @@
 	return watch
 }
 
-// reject ends a watch that was not served.
+// reject rejects a watch request, which ends the watch.
 func (d *discoveryService) reject(watch *endpointWatch) {
 	e := d.emulation
 	e.counts().WatchRequestsRejected++
--- a/internal/emulator/emulation.go
+++ b/internal/emulator/emulation.go
@@ -1,8 +1,9 @@
-// Package emulator runs a fleet in virtual time: instances that each drive a policy.Balancer, backends that are slow, warming up, silent,
-// failing or stopped, clients that time out and retry, and a discovery service that is late or overloaded. Equal scenarios give equal
-// runs. An observer that shares no code with the balancer checks the rules that each instance has to keep.
+// Package emulator emulates a fleet in virtual time. The fleet consists of instances that each run a policy.Balancer, backends that can be
+// slow, warming up, silent, failing or stopped, clients that time out and retry, and a discovery service that can be late or overloaded.
+// Runs are deterministic: equal scenarios give equal results. An observer that shares no code with the balancer checks the rules that each
+// instance has to follow.
 //
-// An Emulation and all its parts belong to one goroutine.
+// An Emulation is not safe for concurrent use.
 package emulator
 
 import (
@@ -13,10 +14,10 @@
 	"sorrelrudder/policy"
 )
 
-// startTime is the clock at the start of a run. Policy takes times of zero for unset ones.
+// startTime is the clock reading at the start of a run. It is not zero because package policy treats a zero time as unset.
 const startTime policy.Time = time.Hour
 
-// drainDuration is how long a run goes on once the last request has reached its deadline.
+// drainDuration is the time for which a run continues after the last request has reached its deadline.
 const drainDuration = 2 * time.Second
 
 // Emulation is a run of a scenario.
@@ -24,27 +25,27 @@
 	scenario       Scenario
 	now            policy.Time
 	queue          eventQueue
-	sequence       uint64     // of the newest event
-	rng            *rand.Rand // of the environment; each balancer has a source of its own
+	sequence       uint64     // sequence number of the newest event
+	rng            *rand.Rand // random source of the environment; each balancer has its own source
 	arrivalsClosed bool
 
-	dropFraction  float64 // of the responses that never arrive
-	resetFraction float64 // of the attempts whose connection is reset after transmission
+	dropFraction  float64 // fraction of the successful responses that are lost
+	resetFraction float64 // fraction of the attempts whose connection is reset after transmission
 
 	backends          []*backend
 	discovery         *discoveryService
 	instances         []*instance
-	cumulativeWeights []float64 // of the instances, in order
+	cumulativeWeights []float64 // of the instances, in the order of instances
 	observer          *observer
 	failureReporters  map[policy.EndpointID][]failureReporter
-	zones             *zoneController // nil: zones are not decided on
+	zones             *zoneController // nil: zone failover is disabled
 	// onAttemptFinished is called at the end of each attempt, unless it is nil.
 	onAttemptFinished func(*attempt, policy.Status)
 
 	Result Result
 }
 
-// New returns a run of the scenario that has not started. The error wraps ErrInvalidScenario, or is that of policy.New.
+// New returns a run of the scenario that has not started. The error wraps ErrInvalidScenario or is an error of policy.New.
 func New(scenario Scenario) (*Emulation, error) {
 	if err := scenario.validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidScenario, err)
@@ -52,8 +53,8 @@
 	e := &Emulation{scenario: scenario, now: startTime, rng: rand.New(rand.NewPCG(scenario.Seed, 1))}
 	e.Result.Seconds = make([]Counts, int((scenario.Duration+time.Second-1)/time.Second)+1)
 	e.observer = newObserver(e)
-	for place := range scenario.BackendCount {
-		e.backends = append(e.backends, e.newBackend(fmt.Sprintf("s%03d", place), place, 0))
+	for index := range scenario.BackendCount {
+		e.backends = append(e.backends, e.newBackend(fmt.Sprintf("s%03d", index), index, 0))
 	}
 	e.discovery = newDiscoveryService(e)
 	if scenario.Sharing.ZoneFailover {
@@ -65,7 +66,7 @@
 	return e, nil
 }
 
-// addInstances makes the instances and the weights by which requests are distributed among them.
+// addInstances creates the instances and the cumulative weights by which requests are distributed among them.
 func (e *Emulation) addInstances() error {
 	weight := 0.0
 	for index := range e.scenario.InstanceCount {
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// Run plays the scenario until every request has been answered or has reached its deadline, and returns the result. It is called once.
+// Run runs the scenario until every request has been answered or has reached its deadline, and returns the result. It must be called at
+// most once.
 func (e *Emulation) Run() *Result {
 	e.schedule()
 	end := startTime + e.scenario.Duration + e.scenario.maxDeadline() + drainDuration
@@ -94,7 +96,7 @@
 	return &e.Result
 }
 
-// schedule adds the events that the scenario itself determines.
+// schedule schedules the events that the scenario determines: starts, faults and arrivals.
 func (e *Emulation) schedule() {
 	for _, in := range e.instances {
 		e.after(time.Duration(e.rng.Float64()*float64(e.scenario.StartupWindow)), in.start)
@@ -106,7 +108,7 @@
 	e.after(e.scenario.Duration, func() { e.arrivalsClosed = true })
 }
 
-// Elapsed returns the time since the start.
+// Elapsed returns the virtual time since the start of the run.
 func (e *Emulation) Elapsed() time.Duration { return e.now - startTime }
 
 // counts returns the counts of the current second.
--- a/internal/emulator/exclusion.go
+++ b/internal/emulator/exclusion.go
@@ -7,16 +7,17 @@
 	"sorrelrudder/policy"
 )
 
-// startUnknown stands for the start of an endpoint that was first listed after its zone was left. It equals no endpoint's start.
+// startUnknown stands for the start time of an endpoint that was first listed after endpoints of its zone had been excluded. It differs from
+// the start time of every endpoint.
 const startUnknown policy.Time = -1
 
-// exclusions says which endpoints of its list an instance does not use by the zone controller's decisions.
+// exclusions records which endpoints of the list an instance does not use because of the zone controller's decisions.
 type exclusions struct {
-	list       map[policy.EndpointID]policy.Endpoint // as the instance was notified of it
+	list       map[policy.EndpointID]policy.Endpoint // as received by the instance
 	excluded   map[string]bool
-	readmitted map[policy.EndpointID]policy.Time // when; they count as started then
-	// startWhenExcluded has the starts of the excluded endpoints as the list had them then. An endpoint that has restarted since is
-	// not shown to the balancer as draining.
+	readmitted map[policy.EndpointID]policy.Time // time of readmission, which replaces the start time
+	// startWhenExcluded has the start times of the excluded endpoints at the time of their exclusion. An endpoint that has restarted since
+	// then is not presented to the balancer as draining.
 	startWhenExcluded map[policy.EndpointID]policy.Time
 }
 
@@ -28,8 +29,8 @@
 	}
 }
 
-// applyExclusions updates the balancer's endpoints by the zone controller's decisions. What is used again counts as started now, so that
-// it gets its traffic back by slow start.
+// applyExclusions updates the balancer's endpoints according to the zone controller's decisions. A readmitted endpoint counts as started
+// now, so that its traffic returns by slow start.
 func (in *instance) applyExclusions() {
 	zones := in.emulation.zones
 	if !in.up || zones == nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// usedEndpoints returns the endpoints that the balancer sees as ready.
+// usedEndpoints returns the endpoints that are presented to the balancer as ready.
 func (x *exclusions) usedEndpoints() map[policy.EndpointID]bool {
 	used := map[policy.EndpointID]bool{}
 	for id, endpoint := range x.list {
@@ -75,13 +76,14 @@
 	delete(x.startWhenExcluded, id)
 }
 
-// exclude begins the exclusion of an endpoint.
+// exclude starts the exclusion of an endpoint.
 func (x *exclusions) exclude(endpoint policy.Endpoint) {
 	x.startWhenExcluded[endpoint.ID] = endpoint.Started
 	delete(x.readmitted, endpoint.ID)
 }
 
-// overlay returns the endpoint as the balancer sees it: an excluded one is draining, and one that was readmitted has started then.
+// overlay returns the endpoint as it is presented to the balancer. An excluded endpoint is draining. A readmitted endpoint has the time of
+// its readmission as its start time, unless it has restarted since.
 func (x *exclusions) overlay(endpoint policy.Endpoint) policy.Endpoint {
 	started, known := x.startWhenExcluded[endpoint.ID]
 	restarted := known && started != endpoint.Started
@@ -94,7 +96,7 @@
 	return endpoint
 }
 
-// filterUpdate records an update of the endpoint list, and returns what the balancer is to see of it.
+// filterUpdate records an update of the endpoint list and returns the endpoints as they are presented to the balancer.
 func (in *instance) filterUpdate(kind policy.UpdateKind, endpoints []policy.Endpoint) []policy.Endpoint {
 	zones := in.emulation.zones
 	if zones == nil {
@@ -109,7 +111,7 @@
 			delete(x.list, endpoint.ID)
 			continue
 		}
-		if _, listed := x.list[endpoint.ID]; !listed && kind == policy.UpdateDelta && zones.left(endpoint.Zone) {
+		if _, listed := x.list[endpoint.ID]; !listed && kind == policy.UpdateDelta && zones.hasExclusions(endpoint.Zone) {
 			x.startWhenExcluded[endpoint.ID] = startUnknown
 		}
 		x.list[endpoint.ID] = endpoint
@@ -123,7 +125,7 @@
 	return visible
 }
 
-// dropReadmittedStarts forgets the starts of listed endpoints that are no longer excluded.
+// dropReadmittedStarts deletes the recorded start times of listed endpoints that are no longer excluded.
 func (x *exclusions) dropReadmittedStarts() {
 	for id := range x.startWhenExcluded {
 		if _, listed := x.list[id]; listed && !x.excluded[string(id)] {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -6,17 +6,17 @@
 	"sorrelrudder/policy"
 )
 
-// FailSilently makes the backends that match neither answer nor accept connections from now on. What runs there is lost.
-func (e *Emulation) FailSilently(match func(place int, zone string) bool) {
+// FailSilently makes the backends that match stop responding and accepting connections. Requests in execution there are lost.
+func (e *Emulation) FailSilently(match func(index int, zone string) bool) {
 	for _, b := range e.backends {
-		if !b.stopped && match(b.place, b.zone) {
+		if !b.stopped && match(b.index, b.zone) {
 			b.silent = true
 			e.discovery.change(b, policy.Removed)
 		}
 	}
 }
 
-// RestoreSilent replaces the silent backends by new processes, which warm up. Every other one is a new machine with a new name.
+// RestoreSilent replaces each silent backend by a new process, which warms up. Every other replacement is a new machine with a new name.
 func (e *Emulation) RestoreSilent() {
 	for i, b := range e.backends {
 		if !b.silent || b.stopped {
@@ -27,32 +27,32 @@
 		if i%2 == 1 {
 			id += "n"
 		}
-		e.startBackend(id, b.place)
+		e.startBackend(id, b.index)
 	}
 }
 
-// startBackend adds a backend that starts now.
-func (e *Emulation) startBackend(id string, place int) *backend {
-	started := e.newBackend(id, place, e.now)
+// startBackend adds a backend that starts at the current time.
+func (e *Emulation) startBackend(id string, index int) *backend {
+	started := e.newBackend(id, index, e.now)
 	e.backends = append(e.backends, started)
 	e.discovery.change(started, policy.Ready)
 	return started
 }
 
-// ReplaceBackend drains the backend at a place, which stops after the grace period, and starts a new one under a new name.
-func (e *Emulation) ReplaceBackend(place int, grace time.Duration) {
+// ReplaceBackend drains the backend at an index, which stops after the grace period, and starts a replacement under a new name.
+func (e *Emulation) ReplaceBackend(index int, grace time.Duration) {
 	for _, b := range e.backends {
-		if b.place == place && !b.stopped && !b.draining {
+		if b.index == index && !b.stopped && !b.draining {
 			b.draining = true
 			e.discovery.change(b, policy.Draining)
 			e.after(grace, func() { e.StopBackend(b.id) })
-			e.startBackend(b.id+"r", place)
+			e.startBackend(b.id+"r", index)
 			return
 		}
 	}
 }
 
-// StopBackend ends a backend's process, which resets its connections.
+// StopBackend ends the process of a backend, which resets the connections to it.
 func (e *Emulation) StopBackend(id string) {
 	for _, b := range e.backends {
 		if b.id == id && !b.stopped {
@@ -65,18 +65,18 @@
 	}
 }
 
-// Partition separates all instances from the backends that match: connections stay open and silent, and none is established. The
-// backends work on; discovery reports them as removed.
-func (e *Emulation) Partition(match func(place int, zone string) bool) {
+// Partition separates all instances from the backends that match. Connections stay open without traffic, and no new ones are established.
+// The backends continue to work. Discovery reports them as removed.
+func (e *Emulation) Partition(match func(index int, zone string) bool) {
 	for _, b := range e.backends {
-		if !b.unreachable() && match(b.place, b.zone) {
+		if !b.unreachable() && match(b.index, b.zone) {
 			b.partitioned = true
 			e.discovery.change(b, policy.Removed)
 		}
 	}
 }
 
-// HealPartition ends all partitions. Connections from before are reset.
+// HealPartition ends all partitions. Connections from before the partition are reset.
 func (e *Emulation) HealPartition() {
 	for _, b := range e.backends {
 		if b.partitioned {
@@ -90,42 +90,43 @@
 	}
 }
 
-// DropResponses loses a fraction of the successful responses from now on.
+// DropResponses drops the given fraction of successful responses from now on.
 func (e *Emulation) DropResponses(fraction float64) { e.dropFraction = fraction }
 
-// ResetConnections resets the connection of a fraction of the attempts from now on, once the request has arrived. It runs all the same.
+// ResetConnections resets the connections of the given fraction of attempts from now on, after the request has arrived. The backend executes
+// the request nevertheless.
 func (e *Emulation) ResetConnections(fraction float64) { e.resetFraction = fraction }
 
-// InjectErrors makes the backend at a place answer a fraction of its requests with an error at once.
-func (e *Emulation) InjectErrors(place int, fraction float64) {
+// InjectErrors makes the backend at an index respond to the given fraction of its requests with an immediate error.
+func (e *Emulation) InjectErrors(index int, fraction float64) {
 	for _, b := range e.backends {
-		if b.place == place {
+		if b.index == index {
 			b.errorFraction = fraction
 		}
 	}
 }
 
-// RestartAllBackends starts all backends anew at once, under their names. They warm up.
+// RestartAllBackends restarts all backends at the same time, with unchanged names. They warm up.
 func (e *Emulation) RestartAllBackends() { e.RestartBackends(1) }
 
-// RestartBackends starts the backends of a fraction of the places anew at once, under their names. They warm up.
+// RestartBackends restarts the given fraction of backends at the same time, with unchanged names. They warm up.
 func (e *Emulation) RestartBackends(fraction float64) {
 	for _, b := range e.backends {
-		if !b.stopped && InFraction(b.place, fraction) {
+		if !b.stopped && InFraction(b.index, fraction) {
 			b.started = e.now
 			e.discovery.change(b, policy.Ready)
 		}
 	}
 }
 
-// RestartInstances kills the instances that match, and starts them again after downtime. Their clients get no answer and retry.
+// RestartInstances kills the instances that match and starts them again after downtime. Their clients get no answer and retry.
 func (e *Emulation) RestartInstances(match func(index int) bool, downtime time.Duration) {
 	for _, in := range e.instances {
 		if !match(in.index) || !in.up {
 			continue
 		}
 		if err := in.kill(); err != nil {
-			panic(err) // the same configuration was valid at the start
+			panic(err) // impossible: New has accepted the same configuration
 		}
 		e.after(downtime, in.start)
 	}
--- a/internal/emulator/healthcheck.go
+++ b/internal/emulator/healthcheck.go
@@ -6,15 +6,15 @@
 	"sorrelrudder/policy"
 )
 
-// healthCheckTimeout is how long an instance waits for the answer to a health check.
+// healthCheckTimeout is the time that an instance waits for the response to a health check.
 const healthCheckTimeout = 400 * time.Millisecond
 
 // healthCheck is a health check that an instance has started.
 type healthCheck struct {
 	instance *instance
-	balancer *policy.Balancer // that asked for it
+	balancer *policy.Balancer // balancer that requested the check
 	endpoint policy.EndpointID
-	backend  *backend // nil: the process knows none of that name
+	backend  *backend // nil: the instance has no backend of that name
 }
 
 // CheckHealth sends a health check to a backend.
@@ -34,7 +34,7 @@
 	})
 }
 
-// arrive has the backend answer the check, or not.
+// arrive handles the arrival of the check at the backend, which responds unless it is unreachable.
 func (c *healthCheck) arrive() {
 	in := c.instance
 	if c.backend.unreachable() {
@@ -51,7 +51,8 @@
 	})
 }
 
-// finish passes the result to the balancer that asked for it, and to the other instances.
+// finish passes the result to the balancer that requested the check, and to the other instances. It drops the result if the instance was
+// killed in the meantime.
 func (c *healthCheck) finish(status policy.Status, load *policy.LoadReport) {
 	in := c.instance
 	if in.balancer != c.balancer {
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -6,32 +6,32 @@
 	"sorrelrudder/policy"
 )
 
-// instance is a process that hosts a balancer. It implements policy.Actions.
+// instance is a process that runs a balancer. It implements policy.Actions.
 type instance struct {
 	emulation *Emulation
 	index     int
 	zone      string
 	up        bool
-	seed      uint64 // of the next balancer
+	seed      uint64 // seed of the balancer; incremented for each new one
 	balancer  *policy.Balancer
 
-	// The balancer is not reentrant: what its actions cause at once is deferred until the event is handled.
+	// The balancer is not reentrant. Immediate consequences of its actions are deferred until the event has been handled.
 	handling bool
 	deferred []func()
 
 	requests    map[policy.RequestID]*request
 	lastRequest policy.RequestID
 
-	watch           *endpointWatch                    // nil: none is open
-	backends        map[policy.EndpointID]*backend    // of the endpoint list that it was notified of
-	notifiedStarts  map[policy.EndpointID]policy.Time // of the backends
+	watch           *endpointWatch                    // nil: no watch is open
+	backends        map[policy.EndpointID]*backend    // backends of the received endpoint list
+	notifiedStarts  map[policy.EndpointID]policy.Time // start times of the backends in the received list
 	idleConnections map[*backend]int
-	lastHint        map[policy.EndpointID]policy.Time // when it last reported a backend to the others
+	lastHint        map[policy.EndpointID]policy.Time // time of the last report of a backend to the other instances
 
 	exclusions exclusions
 }
 
-// request is a client's attempt, as an instance sees it.
+// request is a client's attempt at an instance.
 type request struct {
 	client     *clientRequest
 	instance   *instance
@@ -39,8 +39,8 @@
 	class      policy.Class
 	expires    policy.Time
 	attempts   []*attempt
-	ended      bool // by the balancer, or with the instance
-	clientDone bool // the client has its answer, or has timed out
+	ended      bool // answered by the balancer, or the instance was killed
+	clientDone bool // the client has received an answer or has timed out
 }
 
 func newInstance(e *Emulation, index int) (*instance, error) {
@@ -53,7 +53,7 @@
 	return in, in.resetState()
 }
 
-// resetState replaces all that the process holds in memory, its balancer included.
+// resetState replaces the in-memory state of the process, including its balancer.
 func (in *instance) resetState() error {
 	in.seed++
 	balancer, err := policy.New(in.config(), in.seed)
@@ -84,7 +84,8 @@
 	return cfg
 }
 
-// start starts the process with a cached endpoint list: that of the start of the run, unless lists are shared.
+// start starts the process with a cached endpoint list. This is the list at the start of the run or, if lists are shared and other instances
+// have been running for a while, the current one.
 func (in *instance) start() {
 	in.up = true
 	cached := in.emulation.discovery.initialEndpoints()
@@ -115,7 +116,7 @@
 	return in.resetState()
 }
 
-// openRequests returns the requests in the order in which they came.
+// openRequests returns the requests in the order of their arrival.
 func (in *instance) openRequests() []*request {
 	var open []*request
 	for id := policy.RequestID(1); id <= in.lastRequest; id++ {
@@ -141,7 +142,8 @@
 	}
 }
 
-// handle passes an event to the balancer, and then runs what its actions have deferred. It does nothing while the process is down.
+// handle passes an event to the balancer and then runs the functions that its actions have deferred. It does nothing while the process is
+// down.
 func (in *instance) handle(event func(now policy.Time)) {
 	if !in.up {
 		return
@@ -189,7 +191,7 @@
 	})
 }
 
-// receive handles a client's attempt that times out after timeout.
+// receive handles a client's attempt, which the client abandons after timeout.
 func (in *instance) receive(client *clientRequest, timeout time.Duration) {
 	e := in.emulation
 	if !in.up {
@@ -212,12 +214,12 @@
 	})
 }
 
-// answer gives the client the final answer, unless it has timed out.
-func (r *request) answer(how answer, retryAfter time.Duration) {
+// answer ends a request and sends the final answer to the client, unless the client has timed out.
+func (r *request) answer(outcome answer, retryAfter time.Duration) {
 	e := r.instance.emulation
 	r.ended = true
-	e.observer.requestAnswered(r, how)
-	switch how {
+	e.observer.requestAnswered(r, outcome)
+	switch outcome {
 	case answerRejected:
 		e.counts().Rejected++
 	case answerFailed:
@@ -225,11 +227,11 @@
 	}
 	if !r.clientDone {
 		r.clientDone = true
-		r.client.handleAnswer(e, how, retryAfter)
+		r.client.handleAnswer(e, outcome, retryAfter)
 	}
 }
 
-// forget drops a request that has ended, with all its attempts.
+// forget deletes a request once it has been answered and all its attempts have finished.
 func (in *instance) forget(r *request) {
 	if !r.ended {
 		return
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// maxViolationTexts bounds the violations whose texts are kept.
+	// maxViolationTexts is the maximum number of violations whose descriptions are kept.
 	maxViolationTexts = 20
-	// drainGrace is how long attempts may still go to an endpoint after the notification that it is draining or removed.
+	// drainGrace is the time for which attempts may still go to an endpoint after the notification that it is draining or removed.
 	drainGrace = 2 * time.Second
-	// answerGrace is how long after its deadline a request may still be answered.
+	// answerGrace is the time after its deadline within which a request may still be answered.
 	answerGrace = 50 * time.Millisecond
 )
 
-// rule is the number of a rule that each instance has to keep.
+// rule is the number of a rule that each instance must follow.
 type rule int
 
 const (
-	// ruleOneAnswer: each request gets one answer, within its deadline, and no attempt starts after either.
+	// ruleOneAnswer: each request gets exactly one answer, within its deadline. No attempt starts after the answer or the deadline.
 	ruleOneAnswer rule = 1
-	// ruleNoRepeat: a request that may have been executed is repeated, or rejected, only if its class allows it.
+	// ruleNoRepeat: a request that may have been executed is repeated or rejected only if its class allows that.
 	ruleNoRepeat rule = 2
 	// ruleDraining: no attempt goes to an endpoint that is draining or removed.
 	ruleDraining rule = 3
-	// ruleSlowStart: the instances together do not overload a backend that is warming up.
+	// ruleSlowStart: all instances together do not overload a backend that is warming up.
 	ruleSlowStart rule = 4
 )
 
-// observer checks the rules. It keeps its own records, and reads nothing of the balancers.
+// observer checks the rules. It keeps its own records and does not read the state of the balancers.
 type observer struct {
 	emulation *Emulation
-	// notAccepting has, by instance, the endpoints that it knows to be draining or removed, and since when.
+	// notAccepting has the endpoints of which an instance was notified that they are draining or removed, with the time of the
+	// notification.
 	notAccepting map[*instance]map[policy.EndpointID]policy.Time
 	requests     map[*request]*requestRecord
 }
 
-// requestRecord is what the observer knows of a request.
+// requestRecord is the observer's record of a request.
 type requestRecord struct {
 	answers          int
-	possiblyExecuted map[*attempt]bool // by what the instance can know
+	possiblyExecuted map[*attempt]bool // as far as the instance can tell
 }
 
 func newObserver(e *Emulation) *observer {
@@ -52,7 +53,7 @@
 	}
 }
 
-// violation records that a rule was broken.
+// violation records the violation of a rule.
 func (o *observer) violation(broken rule, format string, args ...any) {
 	result := &o.emulation.Result
 	result.ViolationCount++
@@ -62,9 +63,10 @@
 	}
 }
 
-// The events that the observer is notified of, in the order of a request's life.
+// Notifications of events, in the order of a request's lifecycle.
 
-// endpointsUpdated records which endpoints an instance may no longer send to. It is called before the instance applies the update.
+// endpointsUpdated records the endpoints to which an instance may no longer send attempts. It is called before the instance applies the
+// update.
 func (o *observer) endpointsUpdated(in *instance, kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	since := o.notAccepting[in]
 	if since == nil {
@@ -90,15 +92,15 @@
 	}
 }
 
-// requestReceived records a request that an instance has to answer.
+// requestReceived records a request that an instance must answer.
 func (o *observer) requestReceived(r *request) {
 	o.requests[r] = &requestRecord{possiblyExecuted: map[*attempt]bool{}}
 }
 
-// instanceKilled drops a request whose process was killed. Its client may retry it as if it had not been sent.
+// instanceKilled deletes the record of a request whose instance was killed. The client may retry the request as if it had not been sent.
 func (o *observer) instanceKilled(r *request) { delete(o.requests, r) }
 
-// attemptStarted checks an attempt before it is added to its request's.
+// attemptStarted checks an attempt before it is added to the attempts of its request.
 func (o *observer) attemptStarted(a *attempt, endpoint policy.EndpointID) {
 	record := o.requests[a.request]
 	if !o.checkRequestOpen(a, record) {
@@ -114,10 +116,11 @@
 	record.possiblyExecuted[a] = true
 }
 
-// attemptExecuted records that a backend has begun to work on an attempt.
+// attemptExecuted records that a backend has started to execute an attempt.
 func (o *observer) attemptExecuted(a *attempt) { a.executed = true }
 
-// attemptFinished records what an instance learns of an attempt. After any status but these three it may have been executed.
+// attemptFinished records the result of an attempt. The statuses StatusOverloaded, StatusConnectFailed and StatusNotSent mean that the
+// attempt was not executed. After any other status it may have been executed.
 func (o *observer) attemptFinished(a *attempt, status policy.Status) {
 	record := o.requests[a.request]
 	if record == nil {
@@ -131,7 +134,7 @@
 }
 
 // requestAnswered checks a final answer.
-func (o *observer) requestAnswered(r *request, how answer) {
+func (o *observer) requestAnswered(r *request, outcome answer) {
 	record := o.requests[r]
 	if record == nil {
 		o.violation(ruleOneAnswer, "an answer to a request that nobody asks (instance %d)", r.instance.index)
@@ -140,12 +143,12 @@
 	record.answers++
 	o.checkAnsweredOnce(r, record)
 	o.checkAnsweredInTime(r)
-	if how == answerRejected {
+	if outcome == answerRejected {
 		o.checkRejectionAllowed(r, record)
 	}
 }
 
-// clientTimedOut checks, a little after the deadline, that a request was answered.
+// clientTimedOut checks that a request is answered within answerGrace after its deadline.
 func (o *observer) clientTimedOut(r *request) {
 	o.emulation.after(answerGrace, func() {
 		if record := o.requests[r]; record != nil && record.answers == 0 {
@@ -154,7 +157,7 @@
 	})
 }
 
-// finish checks, at the end of the run, that no request is left without an answer.
+// finish checks at the end of the run that every request has been answered.
 func (o *observer) finish() {
 	unanswered := 0
 	for r, record := range o.requests {
@@ -167,14 +170,14 @@
 	}
 }
 
-// The checks of ruleOneAnswer.
+// Checks of ruleOneAnswer.
 
-// unknownRequestSent reports an attempt of a request that the instance does not have.
+// unknownRequestSent records a violation by an instance that starts an attempt of a request that it does not have.
 func (o *observer) unknownRequestSent(in *instance) {
 	o.violation(ruleOneAnswer, "%d sent something of a request that it has not", in.index)
 }
 
-// checkRequestOpen checks that an attempt's request is not answered yet, and reports whether it is so.
+// checkRequestOpen checks that the request of an attempt has not been answered. It returns the result of the check.
 func (o *observer) checkRequestOpen(a *attempt, record *requestRecord) bool {
 	open := record != nil && record.answers == 0
 	if !open {
@@ -190,24 +193,24 @@
 	}
 }
 
-// checkAnsweredOnce checks that an answer is the request's first one.
+// checkAnsweredOnce checks that an answer is the first one of its request.
 func (o *observer) checkAnsweredOnce(r *request, record *requestRecord) {
 	if record.answers > 1 {
 		o.violation(ruleOneAnswer, "%d answers to one request (instance %d)", record.answers, r.instance.index)
 	}
 }
 
-// checkAnsweredInTime checks that an answer comes by the deadline.
+// checkAnsweredInTime checks that a request is answered no later than answerGrace after its deadline.
 func (o *observer) checkAnsweredInTime(r *request) {
 	if o.emulation.now > r.expires+answerGrace {
 		o.violation(ruleOneAnswer, "an answer %v too late (instance %d)", o.emulation.now-r.expires, r.instance.index)
 	}
 }
 
-// The checks of ruleNoRepeat.
+// Checks of ruleNoRepeat.
 
-// checkRepeatAllowed checks an attempt against an earlier one that may have been executed: its class has to be idempotent, or idempotent
-// by key with the attempt in the same dedup scope and within the dedup window.
+// checkRepeatAllowed checks an attempt that follows an earlier one that may have been executed. The class must be idempotent, or it must be
+// idempotent by key and the attempt must be in the same dedup scope and within the dedup window.
 func (o *observer) checkRepeatAllowed(a, earlier *attempt) {
 	if a.backend == nil || earlier.backend == nil {
 		return
@@ -223,7 +226,7 @@
 	}
 }
 
-// sameDedupScope reports whether two backends drop each other's repeats of a key.
+// sameDedupScope reports whether two backends deduplicate requests of the same key together.
 func sameDedupScope(scope policy.DedupScope, a, b *backend) bool {
 	switch scope {
 	case policy.DedupZone:
@@ -234,7 +237,7 @@
 	return true
 }
 
-// checkRejectionAllowed checks that a request that may have been executed is rejected only where the client may repeat it anywhere.
+// checkRejectionAllowed checks that a request that may have been executed is rejected only if the client may repeat it at any backend.
 func (o *observer) checkRejectionAllowed(r *request, record *requestRecord) {
 	repeatable := r.class.Idempotency == policy.Idempotent ||
 		r.class.Idempotency == policy.IdempotentByKey && r.class.DedupScope == policy.DedupEverywhere
@@ -243,16 +246,17 @@
 	}
 }
 
-// checkNotExecuted checks the emulator itself: an attempt that it reports as not executed must not have been executed.
+// checkNotExecuted checks the emulator itself: it must not report an executed attempt as not executed.
 func (o *observer) checkNotExecuted(a *attempt) {
 	if a.executed {
 		o.violation(ruleNoRepeat, "the emulator itself told as not run what has run")
 	}
 }
 
-// The check of ruleDraining.
+// Check of ruleDraining.
 
-// checkEndpointAccepts checks that the instance has not known for longer than drainGrace that the endpoint is draining or removed.
+// checkEndpointAccepts checks that an attempt starts no later than drainGrace after the instance was notified that the endpoint is draining
+// or removed.
 func (o *observer) checkEndpointAccepts(a *attempt, endpoint policy.EndpointID) {
 	since, known := o.notAccepting[a.request.instance][endpoint]
 	if known && o.emulation.now > since+drainGrace {
@@ -260,9 +264,9 @@
 	}
 }
 
-// The check of ruleSlowStart.
+// Check of ruleSlowStart.
 
-// backendCollapsed reports a backend that collapsed under its load while it was warming up.
+// backendCollapsed records a violation if a backend has collapsed under its load while warming up.
 func (o *observer) backendCollapsed(b *backend) {
 	o.violation(ruleSlowStart, "%s was pushed over while it was cold", b.id)
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -7,14 +7,14 @@
 	"sorrelrudder/policy"
 )
 
-// event is a function that is due at a time. Events of one time run in the order in which they were scheduled.
+// event is a function that runs at a scheduled time. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	at       policy.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+// eventQueue is a heap of events with the next event first. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -35,7 +35,7 @@
 	return popped
 }
 
-// after schedules run after a delay; a negative delay counts as 0.
+// after schedules run after a delay. A negative delay counts as 0.
 func (e *Emulation) after(delay time.Duration, run func()) {
 	e.sequence++
 	heap.Push(&e.queue, event{e.now + max(0, delay), e.sequence, run})
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// hintInterval is the least time between two reports of one instance on a backend.
+	// hintInterval is the minimum time between two reports of one instance on the same backend.
 	hintInterval = time.Second
-	// hintRepeats is how often the other instances are given a hint within hintInterval.
+	// hintRepeats is the number of times that the other instances receive a hint within hintInterval.
 	hintRepeats = 5
-	// learnedStateDraws bounds the draws of an instance to import learned state from.
+	// learnedStateDraws is the maximum number of random draws of an instance to import learned state from.
 	learnedStateDraws = 20
 )
 
-// indicatesFailure reports whether a status says that the backend did not answer.
+// indicatesFailure reports whether a status means that the backend did not respond.
 func indicatesFailure(status policy.Status) bool {
 	return status == policy.StatusConnectFailed || status == policy.StatusTimeout || status == policy.StatusReset
 }
 
-// shareFailure reports the status of an attempt or a health check to the zone controller, and a backend that did not answer to the
-// other instances.
+// shareFailure reports the status of an attempt or a health check to the zone controller. It also reports a backend that did not respond to
+// the other instances.
 func (in *instance) shareFailure(now policy.Time, target *backend, status policy.Status) {
 	e := in.emulation
 	if e.zones != nil && target != nil {
@@ -42,8 +42,8 @@
 	})
 }
 
-// hintOthers gives the other instances the hint that an endpoint is unreachable. It is repeated, since a balancer ignores a hint for a
-// while after an answer of its own.
+// hintOthers sends the other instances the hint that an endpoint is unreachable. The hint is repeated because a balancer ignores hints for a
+// while after it has received a response from the endpoint itself.
 func (in *instance) hintOthers(endpoint policy.EndpointID) {
 	e := in.emulation
 	for repeat := range hintRepeats {
@@ -57,13 +57,13 @@
 	}
 }
 
-// failureReporter is an instance that has reported a backend, and when.
+// failureReporter is an instance that has reported a backend, with the time of the report.
 type failureReporter struct {
 	instance *instance
 	at       policy.Time
 }
 
-// addFailureReport adds an instance's report of an endpoint, and returns the number of instances that have reported it within
+// addFailureReport records an instance's report of an endpoint. It returns the number of instances that have reported the endpoint within
 // hintInterval.
 func (e *Emulation) addFailureReport(endpoint policy.EndpointID, in *instance) int {
 	recent := e.failureReporters[endpoint][:0]
@@ -79,8 +79,8 @@
 	return len(e.failureReporters[endpoint])
 }
 
-// shareLoadReport passes a load report to the other instances of the backend's zone, as if it came from health checks of their own. It
-// bounds from above what sharing the reports can gain.
+// shareLoadReport passes a load report to the other instances of the backend's zone as if it came from their own health checks. The gain
+// measured this way is an upper bound of the gain of sharing load reports.
 func (in *instance) shareLoadReport(endpoint policy.EndpointID, status policy.Status, load *policy.LoadReport) {
 	e := in.emulation
 	if !e.scenario.Sharing.LoadReports || status != policy.StatusOK {
@@ -99,7 +99,7 @@
 	})
 }
 
-// importLearnedState gives an instance that starts late the learned state of another one, without the ejections.
+// importLearnedState gives an instance that starts late the learned state of another instance, without the ejections.
 func (in *instance) importLearnedState() {
 	if !in.emulation.scenario.Sharing.LearnedState || !in.startsLate() {
 		return
--- a/internal/emulator/warming.go
+++ b/internal/emulator/warming.go
@@ -8,21 +8,22 @@
 	"sorrelrudder/policy"
 )
 
-// arrival is work that a backend has received while it was warming up.
+// arrival is the work of a request that a backend has received while warming up.
 type arrival struct {
 	at             policy.Time
 	work           time.Duration
-	senderNotified bool // the sender knew of the backend's start
+	senderNotified bool // the sending instance had been notified of the backend's start
 }
 
-// warmingLoad is what a backend that warms up has received within the collapse window.
+// warmingLoad is the load that a backend has received within the collapse window while warming up.
 type warmingLoad struct {
 	work         time.Duration
-	notifiedWork time.Duration // from instances that had been notified of its start
-	largest      time.Duration
+	notifiedWork time.Duration // from instances that had been notified of the backend's start
+	largest      time.Duration // work of the largest request
 }
 
-// recordWarmingWork records work that a backend receives. If it is warming up and has received too much, it collapses.
+// recordWarmingWork records the work of a request that a backend receives while warming up. The backend collapses if it has received too
+// much work.
 func (b *backend) recordWarmingWork(e *Emulation, work time.Duration, senderNotified bool) {
 	if e.scenario.CollapseFactor <= 0 || b.capacityFraction(e) == 1 {
 		return
@@ -35,7 +36,7 @@
 	e.recordWarmingLoad(load, len(b.warmingWork), limit)
 }
 
-// warmingLoad sums up the recorded work.
+// warmingLoad returns the sums of the recorded work.
 func (b *backend) warmingLoad() warmingLoad {
 	var load warmingLoad
 	for _, a := range b.warmingWork {
@@ -48,8 +49,8 @@
 	return load
 }
 
-// collapseAbove has the backend collapse if its load exceeds limit, in seconds of work. The largest request does not count: no sender
-// can foresee it.
+// collapseAbove makes the backend collapse if its load exceeds limit, in seconds of work. The largest request does not count because no
+// instance can predict it.
 func (b *backend) collapseAbove(e *Emulation, load warmingLoad, limit float64) {
 	if e.scenario.CollapseDisabled || b.collapsed || (load.work-load.largest).Seconds() <= limit {
 		return
@@ -58,14 +59,14 @@
 	e.observer.backendCollapsed(b)
 }
 
-// recordWarmingLoad raises the result's maxima to a load, as a multiple of what chance explains. Loads count only where over two thirds
-// come from instances that had been notified of the backend's start.
+// recordWarmingLoad updates MaxWarmingRequests and MaxWarmingWork of the result with a load. A load counts only if over two thirds of its
+// work come from instances that had been notified of the backend's start.
 func (e *Emulation) recordWarmingLoad(load warmingLoad, requests int, limit float64) {
 	if 3*load.notifiedWork <= 2*load.work {
 		return
 	}
 	meanWork := e.scenario.meanWork().Seconds()
-	budget := limit / meanWork // requests
+	budget := limit / meanWork // number of requests of mean work
 	explained := budget + 2*math.Sqrt(budget) + 2
 	e.Result.MaxWarmingRequests = max(e.Result.MaxWarmingRequests, float64(requests)/explained)
 	e.Result.MaxWarmingWork = max(e.Result.MaxWarmingWork, load.work.Seconds()/meanWork/explained)
--- a/internal/emulator/zonefailover.go
+++ b/internal/emulator/zonefailover.go
@@ -11,20 +11,20 @@
 const (
 	// decisionInterval is the time between two evaluations of the zones.
 	decisionInterval = 200 * time.Millisecond
-	// failureExpiry is how long a failure counts that is not observed again.
+	// failureExpiry is the time after which a failure that was not observed again is dropped.
 	failureExpiry = 5 * time.Second
 	// checkersPerZone is the number of instances that check a zone's backends.
 	checkersPerZone = 5
-	// checksPerChecker is the number of backends of a zone that each of them checks.
+	// checksPerChecker is the maximum number of backends of a zone that each of these instances checks.
 	checksPerChecker = 3
 )
 
-// zoneController decides for all instances which zones they use, as the lease holder does in the product. Reports reach it, and its
-// decisions take effect, after the sharing delay. Consensus on the decisions is taken for granted.
+// zoneController decides for all instances which zones they use, like the lease holder of a real fleet. Reports reach the controller after
+// the sharing delay, and its decisions take effect after the same delay. Consensus on the decisions is not emulated.
 type zoneController struct {
 	emulation  *Emulation
 	controller *zonefailover.Controller
-	failures   map[int]map[policy.EndpointID]policy.Time // by instance: when it last saw an endpoint fail
+	failures   map[int]map[policy.EndpointID]policy.Time // by instance index: time of the last failure of an endpoint
 	states     map[string]zonefailover.State             // by zone
 	revision   uint64
 	revisions  map[string]uint64 // of the states
@@ -42,7 +42,8 @@
 	return c
 }
 
-// recordOutcome records what an instance has observed of an endpoint. Instances report nothing on endpoints that they exclude.
+// recordOutcome records the result of an instance's attempt or health check at an endpoint. Instances do not report on endpoints that they
+// exclude.
 func (c *zoneController) recordOutcome(in *instance, endpoint policy.EndpointID, status policy.Status) {
 	if in.exclusions.excluded[string(endpoint)] {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// decide makes at most one decision, and applies it to all instances.
+// decide makes at most one decision and applies it to all instances. It schedules its next call.
 func (c *zoneController) decide() {
 	e := c.emulation
 	e.after(decisionInterval, c.decide)
@@ -78,7 +79,7 @@
 	})
 }
 
-// snapshot returns what the controller knows.
+// snapshot returns the current input of the controller.
 func (c *zoneController) snapshot() zonefailover.Snapshot {
 	e := c.emulation
 	s := zonefailover.Snapshot{
@@ -104,8 +105,8 @@
 	return s
 }
 
-// unreachableReports returns the failures that an instance has observed, without those that have not arrived yet, and drops those that
-// have expired.
+// unreachableReports returns the failures that an instance has observed and that have reached the controller. It deletes the expired
+// failures.
 func (c *zoneController) unreachableReports(in *instance) []zonefailover.UnreachableReport {
 	var reports []zonefailover.UnreachableReport
 	for endpoint, at := range c.failures[in.index] {
@@ -133,7 +134,7 @@
 	return checks
 }
 
-// zoneCheck has an instance check the backends that fall to one of a zone's checkers.
+// zoneCheck returns the result of an instance's check of those backends of a zone that are assigned to the given checker.
 func (c *zoneController) zoneCheck(in *instance, zone string, checker int) zonefailover.ZoneCheck {
 	checked, healthy := 0, 0
 	for i, b := range c.emulation.backends {
@@ -148,7 +149,7 @@
 	return zonefailover.ZoneCheck{Member: in.name(), Zone: zone, AllHealthy: healthy == checked, NoneHealthy: healthy == 0}
 }
 
-// excludedEndpoints returns the endpoints of a list that the zones' states exclude.
+// excludedEndpoints returns the names of the endpoints of a list that the states of the zones exclude.
 func (c *zoneController) excludedEndpoints(list map[policy.EndpointID]policy.Endpoint) map[string]bool {
 	var ready []zonefailover.Endpoint
 	for id, endpoint := range list {
@@ -159,11 +160,11 @@
 	return zonefailover.ExcludedEndpoints(ready, c.states)
 }
 
-// left reports whether a zone is not wholly in use.
-func (c *zoneController) left(zone string) bool {
+// hasExclusions reports whether endpoints of a zone may currently be excluded.
+func (c *zoneController) hasExclusions(zone string) bool {
 	state, decided := c.states[zone]
 	return decided && state.Step < zonefailover.FullStep
 }
 
-// name returns the instance's name as a member.
+// name returns the name of the instance as a member of the fleet.
 func (in *instance) name() string { return strconv.Itoa(in.index) }
