--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -137,7 +137,7 @@
 func (o *observer) requestAnswered(r *request, outcome answer) {
 	record := o.requests[r]
 	if record == nil {
-		o.violation(ruleOneAnswer, "an answer to a request that nobody asks (instance %d)", r.instance.index)
+		o.violation(ruleOneAnswer, "instance %d answered a request that it does not have", r.instance.index)
 		return
 	}
 	record.answers++
@@ -152,7 +152,7 @@
 func (o *observer) clientTimedOut(r *request) {
 	o.emulation.after(answerGrace, func() {
 		if record := o.requests[r]; record != nil && record.answers == 0 {
-			o.violation(ruleOneAnswer, "a request was never answered (instance %d)", r.instance.index)
+			o.violation(ruleOneAnswer, "instance %d did not answer a request within its deadline", r.instance.index)
 		}
 	})
 }
@@ -166,7 +166,7 @@
 		}
 	}
 	if unanswered > 0 {
-		o.violation(ruleOneAnswer, "%d requests were not answered by the end", unanswered)
+		o.violation(ruleOneAnswer, "%d requests were not answered by the end of the run", unanswered)
 	}
 }
 
@@ -174,14 +174,14 @@
 
 // unknownRequestSent records a violation by an instance that starts an attempt of a request that it does not have.
 func (o *observer) unknownRequestSent(in *instance) {
-	o.violation(ruleOneAnswer, "%d sent something of a request that it has not", in.index)
+	o.violation(ruleOneAnswer, "instance %d started an attempt of a request that it does not have", in.index)
 }
 
 // checkRequestOpen checks that the request of an attempt has not been answered. It returns the result of the check.
 func (o *observer) checkRequestOpen(a *attempt, record *requestRecord) bool {
 	open := record != nil && record.answers == 0
 	if !open {
-		o.violation(ruleOneAnswer, "something was sent of a request that is answered (instance %d)", a.request.instance.index)
+		o.violation(ruleOneAnswer, "instance %d started an attempt of a request that was already answered", a.request.instance.index)
 	}
 	return open
 }
@@ -189,21 +189,21 @@
 // checkStartsBeforeDeadline checks that no attempt starts at or after the request's deadline.
 func (o *observer) checkStartsBeforeDeadline(a *attempt) {
 	if o.emulation.now >= a.request.expires {
-		o.violation(ruleOneAnswer, "something was sent of a request whose time is up (instance %d)", a.request.instance.index)
+		o.violation(ruleOneAnswer, "instance %d started an attempt after the deadline of the request", a.request.instance.index)
 	}
 }
 
 // checkAnsweredOnce checks that an answer is the first one of its request.
 func (o *observer) checkAnsweredOnce(r *request, record *requestRecord) {
 	if record.answers > 1 {
-		o.violation(ruleOneAnswer, "%d answers to one request (instance %d)", record.answers, r.instance.index)
+		o.violation(ruleOneAnswer, "%d answers to one request, want 1 (instance %d)", record.answers, r.instance.index)
 	}
 }
 
 // checkAnsweredInTime checks that a request is answered no later than answerGrace after its deadline.
 func (o *observer) checkAnsweredInTime(r *request) {
 	if o.emulation.now > r.expires+answerGrace {
-		o.violation(ruleOneAnswer, "an answer %v too late (instance %d)", o.emulation.now-r.expires, r.instance.index)
+		o.violation(ruleOneAnswer, "answer %v after the deadline (instance %d)", o.emulation.now-r.expires, r.instance.index)
 	}
 }
 
@@ -218,11 +218,11 @@
 	class := a.request.class
 	switch {
 	case class.Idempotency == policy.NonIdempotent:
-		o.violation(ruleNoRepeat, "%s was sent again though it may have run", class.Name)
+		o.violation(ruleNoRepeat, "class %s: a request that may have been executed was sent again", class.Name)
 	case class.Idempotency == policy.IdempotentByKey && !sameDedupScope(class.DedupScope, a.backend, earlier.backend):
-		o.violation(ruleNoRepeat, "%s was sent to another group though it may have run", class.Name)
+		o.violation(ruleNoRepeat, "class %s: a request that may have been executed was sent to another dedup group", class.Name)
 	case class.Idempotency == policy.IdempotentByKey && o.emulation.now > earlier.sentAt+class.DedupWindow:
-		o.violation(ruleNoRepeat, "%s was sent again %v after a try that may have run", class.Name, o.emulation.now-earlier.sentAt)
+		o.violation(ruleNoRepeat, "class %s: a request was sent again %v after an attempt that may have been executed, beyond the dedup window", class.Name, o.emulation.now-earlier.sentAt)
 	}
 }
 
@@ -242,14 +242,14 @@
 	repeatable := r.class.Idempotency == policy.Idempotent ||
 		r.class.Idempotency == policy.IdempotentByKey && r.class.DedupScope == policy.DedupEverywhere
 	if !repeatable && len(record.possiblyExecuted) > 0 {
-		o.violation(ruleNoRepeat, "%s was refused though it may have run", r.class.Name)
+		o.violation(ruleNoRepeat, "class %s: a request that may have been executed was rejected", r.class.Name)
 	}
 }
 
 // checkNotExecuted checks the emulator itself: it must not report an executed attempt as not executed.
 func (o *observer) checkNotExecuted(a *attempt) {
 	if a.executed {
-		o.violation(ruleNoRepeat, "the emulator itself told as not run what has run")
+		o.violation(ruleNoRepeat, "emulator fault: an executed attempt was reported as not executed")
 	}
 }
 
@@ -260,7 +260,7 @@
 func (o *observer) checkEndpointAccepts(a *attempt, endpoint policy.EndpointID) {
 	since, known := o.notAccepting[a.request.instance][endpoint]
 	if known && o.emulation.now > since+drainGrace {
-		o.violation(ruleDraining, "%s was sent something %v after it was told to take nothing", endpoint, o.emulation.now-since)
+		o.violation(ruleDraining, "endpoint %s received an attempt %v after the instance was notified that it is draining or removed", endpoint, o.emulation.now-since)
 	}
 }
 
@@ -268,5 +268,5 @@
 
 // backendCollapsed records a violation if a backend has collapsed under its load while warming up.
 func (o *observer) backendCollapsed(b *backend) {
-	o.violation(ruleSlowStart, "%s was pushed over while it was cold", b.id)
+	o.violation(ruleSlowStart, "backend %s collapsed under its load while warming up", b.id)
 }
--- a/internal/emulator/observer_test.go
+++ b/internal/emulator/observer_test.go
@@ -8,13 +8,13 @@
 	"sorrelrudder/policy"
 )
 
-// observed is an emulation whose first instance is driven by hand.
+// observed is an emulation whose first instance is controlled by the test.
 type observed struct {
 	*Emulation
 	instance *instance
 }
 
-// receive has the instance receive a request of a class. It expires after a second.
+// receive makes the instance receive a request of a class. The request's deadline is in one second.
 func (o *observed) receive(class policy.Class) *request {
 	o.instance.lastRequest++
 	r := &request{
@@ -29,7 +29,7 @@
 	return r
 }
 
-// send has the instance send a request to the backend of that index.
+// send makes the instance send a request to the backend at an index.
 func (o *observed) send(r *request, index int) *attempt {
 	target := o.backends[index]
 	a := &attempt{request: r, backend: target, sentAt: o.now}
@@ -38,7 +38,7 @@
 	return a
 }
 
-// TestObserverReportsViolations checks that the observer reports each kind of violation, and by what rule.
+// TestObserverReportsViolations guards against a violation that the observer does not report, or reports under another rule.
 func TestObserverReportsViolations(t *testing.T) {
 	safe := policy.Class{Name: "safe"}
 	unsafe := policy.Class{Name: "unsafe", Idempotency: policy.NonIdempotent}
@@ -53,75 +53,75 @@
 			r := o.receive(safe)
 			o.observer.requestAnswered(r, answerRejected)
 			o.observer.requestAnswered(r, answerRejected)
-		}, "rule 1: 2 answers to one request"},
+		}, "rule 1: 2 answers to one request, want 1"},
 		"attempt after the answer": {func(o *observed) {
 			r := o.receive(safe)
 			o.observer.requestAnswered(r, answerRejected)
 			o.send(r, 0)
-		}, "rule 1: something was sent of a request that is answered"},
+		}, "rule 1: instance 0 started an attempt of a request that was already answered"},
 		"attempt after the deadline": {func(o *observed) {
 			r := o.receive(safe)
 			o.now += time.Second
 			o.send(r, 0)
-		}, "rule 1: something was sent of a request whose time is up"},
+		}, "rule 1: instance 0 started an attempt after the deadline of the request"},
 		"attempt of an unknown request": {func(o *observed) {
 			o.instance.StartAttempt(o.instance.lastRequest+1, "s000", time.Second)
-		}, "rule 1: 0 sent something of a request that it has not"},
+		}, "rule 1: instance 0 started an attempt of a request that it does not have"},
 		"answer to an unknown request": {func(o *observed) {
 			o.observer.requestAnswered(&request{instance: o.instance}, answerFailed)
-		}, "rule 1: an answer to a request that nobody asks"},
+		}, "rule 1: instance 0 answered a request that it does not have"},
 		"answered too late": {func(o *observed) {
 			r := o.receive(safe)
 			o.now += 1100 * ms
 			o.observer.requestAnswered(r, answerFailed)
-		}, "rule 1: an answer 100ms too late"},
+		}, "rule 1: answer 100ms after the deadline"},
 		"not answered by the end": {func(o *observed) {
 			o.receive(safe)
 			o.now += 1100 * ms
 			o.observer.finish()
-		}, "rule 1: 1 requests were not answered by the end"},
+		}, "rule 1: 1 requests were not answered by the end of the run"},
 		"repeat of a request that is not idempotent": {func(o *observed) {
 			r := o.receive(unsafe)
 			o.send(r, 0)
 			o.send(r, 1)
-		}, "rule 2: unsafe was sent again though it may have run"},
+		}, "rule 2: class unsafe: a request that may have been executed was sent again"},
 		"repeat in another cell": {func(o *observed) {
 			r := o.receive(cellKeyed)
 			o.observer.attemptExecuted(o.send(r, 0))
 			o.send(r, 1)
-		}, "rule 2: cell-keyed was sent to another group"},
+		}, "rule 2: class cell-keyed: a request that may have been executed was sent to another dedup group"},
 		"repeat in another zone": {func(o *observed) {
 			r := o.receive(zoneKeyed)
 			o.send(r, 0)
 			o.send(r, 1)
-		}, "rule 2: zone-keyed was sent to another group"},
+		}, "rule 2: class zone-keyed: a request that may have been executed was sent to another dedup group"},
 		"repeat after the dedup window": {func(o *observed) {
 			r := o.receive(keyed)
 			o.send(r, 0)
 			o.now += 150 * ms
 			o.send(r, 1)
-		}, "rule 2: keyed was sent again 150ms after a try that may have run"},
+		}, "rule 2: class keyed: a request was sent again 150ms after an attempt that may have been executed"},
 		"rejected though possibly executed": {func(o *observed) {
 			r := o.receive(cellKeyed)
 			o.send(r, 0)
 			o.observer.requestAnswered(r, answerRejected)
-		}, "rule 2: cell-keyed was refused though it may have run"},
+		}, "rule 2: class cell-keyed: a request that may have been executed was rejected"},
 		"reported as not executed": {func(o *observed) {
 			a := o.send(o.receive(safe), 0)
 			o.observer.attemptExecuted(a)
 			o.observer.attemptFinished(a, policy.StatusOverloaded)
-		}, "rule 2: the emulator itself told as not run what has run"},
+		}, "rule 2: emulator fault: an executed attempt was reported as not executed"},
 		"attempt at a draining endpoint": {func(o *observed) {
 			o.observer.endpointsUpdated(o.instance, policy.UpdateDelta, []policy.Endpoint{{ID: "s005", State: policy.Draining}})
 			o.now += 2100 * ms
 			o.send(o.receive(safe), 5)
-		}, "rule 3: s005 was sent something 2.1s after it was told to take nothing"},
+		}, "rule 3: endpoint s005 received an attempt 2.1s after the instance was notified that it is draining or removed"},
 		"backend collapsed": {func(o *observed) {
 			b := o.startBackend("new", 3)
 			for range 200 {
 				b.recordWarmingWork(o.Emulation, 100*ms, true)
 			}
-		}, "rule 4: new was pushed over while it was cold"},
+		}, "rule 4: backend new collapsed under its load while warming up"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, err := New(fleetScenario())
@@ -132,13 +132,13 @@
 			o.instance.start()
 			c.violate(o)
 			if e.Result.ViolationCount != 1 || len(e.Result.Violations) != 1 || !strings.Contains(e.Result.Violations[0], c.want) {
-				t.Errorf("%d violations %q, want %q", e.Result.ViolationCount, e.Result.Violations, c.want)
+				t.Errorf("%d violations %q, want one that contains %q", e.Result.ViolationCount, e.Result.Violations, c.want)
 			}
 		})
 	}
 }
 
-// TestObserverAcceptsRepeats checks repeats that the rules allow.
+// TestObserverAcceptsRepeats guards against a violation that is reported for a repeat which the rules allow.
 func TestObserverAcceptsRepeats(t *testing.T) {
 	e, err := New(fleetScenario())
 	if err != nil {
