--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// transmit writes the request to the connection. It ends the attempt if there is no connection, and keeps the connection idle if the attempt
-// has already ended.
+// transmit writes the request to the connection. It ends the attempt if there is no connection, and keeps the connection idle if the
+// attempt has already ended.
 func (in *instance) transmit(a *attempt, connected bool) {
 	switch {
 	case !connected:
--- a/internal/emulator/emulation_test.go
+++ b/internal/emulator/emulation_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// fleetScenario returns a scenario of 80 instances and 60 backends at about 60% of their capacity.
+// fleetScenario returns a scenario with 80 instances and 60 backends. The load is about 60% of the backends' capacity.
 func fleetScenario() Scenario {
 	return Scenario{
 		Seed:                 1,
@@ -50,21 +50,21 @@
 	return Class{Class: class, Fraction: 0.47, MeanWork: 90 * ms, WorkVariation: 1}
 }
 
-// orderClass returns a class of requests whose key is known to all backends.
+// orderClass returns a class of requests with keys that all backends deduplicate together.
 func orderClass() Class {
 	class := policy.Class{Name: "order", LatencyObjective: 450 * ms, Deadline: 1840 * ms, PriorityWeight: 10, LateWeightFraction: 0.5}
 	class.Idempotency, class.DedupWindow = policy.IdempotentByKey, 1500*ms
 	return Class{Class: class, Fraction: 0.34, MeanWork: 75 * ms, WorkVariation: 1}
 }
 
-// bookingClass returns a class of requests whose key is known to the backends of a cell.
+// bookingClass returns a class of requests with keys that the backends of a cell deduplicate together.
 func bookingClass() Class {
 	class := policy.Class{Name: "booking", LatencyObjective: 890 * ms, Deadline: 1840 * ms, PriorityWeight: 3, LateWeightFraction: 0.3}
 	class.Idempotency, class.DedupScope, class.DedupWindow = policy.IdempotentByKey, policy.DedupCell, 12*time.Second
 	return Class{Class: class, Fraction: 0.19, MeanWork: 140 * ms, WorkVariation: 1}
 }
 
-// run runs a scenario, and fails the test on any violation.
+// run runs a scenario and fails the test on any violation.
 func run(t *testing.T, scenario Scenario) *Result {
 	t.Helper()
 	e, err := New(scenario)
@@ -72,31 +72,33 @@
 		t.Fatal(err)
 	}
 	r := e.Run()
-	for _, b := range r.Violations {
-		t.Error(b)
+	for _, violation := range r.Violations {
+		t.Error(violation)
 	}
 	if r.ViolationCount > 0 {
-		t.Errorf("%d violations in all", r.ViolationCount)
+		t.Errorf("%d violations in total, want 0", r.ViolationCount)
 	}
 	if testing.Verbose() {
 		for i, s := range r.Seconds {
-			t.Logf("%2d served fraction %.2f %+v", i, s.ServedFraction(), s)
+			t.Logf("second %2d: served fraction %.2f, %+v", i, s.ServedFraction(), s)
 		}
 	}
 	return r
 }
 
+// TestHealthyFleet guards against unserved requests, too many health checks and too many attempts across zones in a fleet without faults.
 func TestHealthyFleet(t *testing.T) {
 	t.Parallel()
 	r := run(t, fleetScenario())
 	if s := r.Sum(2, 20); s.ServedFraction() < 0.93 || s.HealthChecks > s.ClientAttempts {
-		t.Errorf("served fraction %.3f, %+v", s.ServedFraction(), s)
+		t.Errorf("served fraction %.3f, want at least 0.93; counts %+v", s.ServedFraction(), s)
 	}
-	if s := r.Sum(2, 20); s.CrossZoneAttempts > s.Attempts*3/10 { // half, if subsets ignored zones
-		t.Errorf("%d of %d attempts leave the zone", s.CrossZoneAttempts, s.Attempts)
+	if s := r.Sum(2, 20); s.CrossZoneAttempts > s.Attempts*3/10 { // about half if subsets ignored zones
+		t.Errorf("%d of %d attempts go to another zone, want at most 30%%", s.CrossZoneAttempts, s.Attempts)
 	}
 }
 
+// TestSameSeedSameRun guards against nondeterminism: runs of one scenario must be equal, and runs with different seeds must differ.
 func TestSameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	scenario := fleetScenario()
@@ -104,15 +106,15 @@
 	scenario.Events = []ScheduledEvent{{2 * time.Second, func(e *Emulation) { e.RestartInstances(func(index int) bool { return index%3 > 0 }, 500*ms) }}}
 	a, b := run(t, scenario), run(t, scenario)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("one seed gave two runs")
+		t.Error("two runs with the same seed differ")
 	}
 	scenario.Seed++
 	if c := run(t, scenario); reflect.DeepEqual(a, c) {
-		t.Error("two seeds gave one run")
+		t.Error("two runs with different seeds are equal")
 	}
 }
 
-// largeScenario returns a scenario of 300 instances and 200 backends, with the same load for each backend.
+// largeScenario returns a scenario with 300 instances and 200 backends. The load of each backend is that of fleetScenario.
 func largeScenario(seed uint64) Scenario {
 	scenario := fleetScenario()
 	scenario.Seed, scenario.InstanceCount, scenario.BackendCount, scenario.Duration = seed, 300, 200, 12*time.Second
--- a/internal/emulator/exclusion.go
+++ b/internal/emulator/exclusion.go
@@ -7,8 +7,8 @@
 	"sorrelrudder/policy"
 )
 
-// startUnknown stands for the start time of an endpoint that was first listed after endpoints of its zone had been excluded. It differs from
-// the start time of every endpoint.
+// startUnknown stands for the start time of an endpoint that was first listed after endpoints of its zone had been excluded. It differs
+// from the start time of every endpoint.
 const startUnknown policy.Time = -1
 
 // exclusions records which endpoints of the list an instance does not use because of the zone controller's decisions.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -93,8 +93,8 @@
 // DropResponses drops the given fraction of successful responses from now on.
 func (e *Emulation) DropResponses(fraction float64) { e.dropFraction = fraction }
 
-// ResetConnections resets the connections of the given fraction of attempts from now on, after the request has arrived. The backend executes
-// the request nevertheless.
+// ResetConnections resets the connections of the given fraction of attempts from now on, after the request has arrived. The backend
+// executes the request nevertheless.
 func (e *Emulation) ResetConnections(fraction float64) { e.resetFraction = fraction }
 
 // InjectErrors makes the backend at an index respond to the given fraction of its requests with an immediate error.
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -84,8 +84,8 @@
 	return cfg
 }
 
-// start starts the process with a cached endpoint list. This is the list at the start of the run or, if lists are shared and other instances
-// have been running for a while, the current one.
+// start starts the process with a cached endpoint list. This is the list at the start of the run or, if lists are shared and other
+// instances have been running for a while, the current one.
 func (in *instance) start() {
 	in.up = true
 	cached := in.emulation.discovery.initialEndpoints()
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// hintOthers sends the other instances the hint that an endpoint is unreachable. The hint is repeated because a balancer ignores hints for a
-// while after it has received a response from the endpoint itself.
+// hintOthers sends the other instances the hint that an endpoint is unreachable. The hint is repeated because a balancer ignores hints for
+// a while after it has received a response from the endpoint itself.
 func (in *instance) hintOthers(endpoint policy.EndpointID) {
 	e := in.emulation
 	for repeat := range hintRepeats {
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -7,20 +7,21 @@
 	"sorrelrudder/policy"
 )
 
-// Hints with a quorum of two avoid at least half of the attempts at unreachable backends, and cost no service. Constant false hints on every
-// backend cost little, even without a quorum.
+// TestUnreachableHints guards the benefit of hints and the tolerance of false ones. Hints with a quorum of two avoid at least half of the
+// lost attempts at unreachable backends without reducing service. Constant false hints about every backend reduce service only a little,
+// even without a quorum.
 func TestUnreachableHints(t *testing.T) {
 	t.Parallel()
-	cut := func(h Sharing, liar bool) *Result {
+	partition := func(sharing Sharing, falseHints bool) *Result {
 		scenario := fleetScenario()
-		scenario.Duration, scenario.Sharing = 12*time.Second, h
+		scenario.Duration, scenario.Sharing = 12*time.Second, sharing
 		scenario.Discovery.NotificationDelay = 5 * time.Second
 		scenario.Events = []ScheduledEvent{
 			{0, func(e *Emulation) { e.DropResponses(0.005); e.ResetConnections(0.005) }},
 			{3 * time.Second, func(e *Emulation) { e.Partition(inFifth) }},
 			{9 * time.Second, func(e *Emulation) { e.HealPartition() }},
 		}
-		for at := 2 * time.Second; liar && at < scenario.Duration; at += 200 * ms {
+		for at := 2 * time.Second; falseHints && at < scenario.Duration; at += 200 * ms {
 			scenario.Events = append(scenario.Events, ScheduledEvent{at, func(e *Emulation) {
 				for _, s := range e.backends {
 					for _, in := range e.instances {
@@ -31,15 +32,15 @@
 		}
 		return run(t, scenario)
 	}
-	alone := cut(Sharing{}, false)
-	heard := cut(Sharing{Delay: 100 * ms, Unreachable: true, Quorum: 2}, false)
-	lied := cut(Sharing{}, true)
+	withoutHints := partition(Sharing{}, false)
+	withHints := partition(Sharing{Delay: 100 * ms, Unreachable: true, Quorum: 2}, false)
+	withFalseHints := partition(Sharing{}, true)
 	lost := func(r *Result) int { return r.Total.ConnectFailures + r.Total.Timeouts }
-	t.Logf("alone: served fraction %.3f, %d lost; with hints: %.3f, %d; with a false reporter: %.3f", alone.Total.ServedFraction(), lost(alone), heard.Total.ServedFraction(), lost(heard), lied.Total.ServedFraction())
-	if 2*lost(heard) > lost(alone) || heard.Total.ServedFraction() < alone.Total.ServedFraction()-0.02 {
-		t.Errorf("hints: %d attempts lost for %d, served fraction %.3f for %.3f", lost(heard), lost(alone), heard.Total.ServedFraction(), alone.Total.ServedFraction())
+	t.Logf("without hints: served fraction %.3f, %d attempts lost; with hints: %.3f, %d; with false hints: %.3f", withoutHints.Total.ServedFraction(), lost(withoutHints), withHints.Total.ServedFraction(), lost(withHints), withFalseHints.Total.ServedFraction())
+	if 2*lost(withHints) > lost(withoutHints) || withHints.Total.ServedFraction() < withoutHints.Total.ServedFraction()-0.02 {
+		t.Errorf("with hints %d attempts lost, without %d, want at most half; served fraction %.3f, without hints %.3f", lost(withHints), lost(withoutHints), withHints.Total.ServedFraction(), withoutHints.Total.ServedFraction())
 	}
-	if lied.Total.ServedFraction() < alone.Total.ServedFraction()-0.1 {
-		t.Errorf("a false reporter costs %.3f of the service", alone.Total.ServedFraction()-lied.Total.ServedFraction())
+	if withFalseHints.Total.ServedFraction() < withoutHints.Total.ServedFraction()-0.1 {
+		t.Errorf("false hints reduce the served fraction by %.3f, want at most 0.1", withoutHints.Total.ServedFraction()-withFalseHints.Total.ServedFraction())
 	}
 }
--- a/internal/emulator/subset_test.go
+++ b/internal/emulator/subset_test.go
@@ -8,7 +8,8 @@
 	"sorrelrudder/policy"
 )
 
-// singleInstanceScenario returns a scenario in which the first instance gets rate requests a second, and the others the usual load.
+// singleInstanceScenario returns a scenario in which the first instance receives rate requests per second. The other 39 receive 600
+// requests per second together.
 func singleInstanceScenario(rate float64) Scenario {
 	scenario := fleetScenario()
 	scenario.InstanceCount, scenario.BackendCount, scenario.Duration = 40, 30, 14*time.Second
@@ -22,7 +23,7 @@
 	return scenario
 }
 
-// subsetOf returns the places of n backends of the first instance's subset. It finds them by sending requests for a while.
+// subsetOf returns the indexes of n backends of the first instance's subset. It sends requests for a while to determine the subset.
 func subsetOf(t *testing.T, scenario Scenario, n int) []int {
 	t.Helper()
 	e, err := New(scenario)
@@ -41,26 +42,26 @@
 		e.now += 100 * ms
 	}
 	var all []int
-	for place, s := range e.backends {
+	for i, s := range e.backends {
 		if in.idleConnections[s] > 0 {
-			all = append(all, place)
+			all = append(all, i)
 		}
 	}
 	if len(all) < n {
-		t.Fatalf("the instance has met %v, fewer than %d", all, n)
+		t.Fatalf("the instance has connections to backends %v, want at least %d backends", all, n)
 	}
 	return all[:n]
 }
 
-// An instance with three requests a second, and one with sixty, have a partitioned backend in their subset. The attempts that each loses
-// to it are bounded by number, not by time.
+// TestUnreachableEndpointInSubset guards against losing attempts repeatedly at a partitioned backend of the subset. The number of lost
+// attempts must be bounded for an instance with 3 requests per second as well as for one with 60, independent of the duration.
 func TestUnreachableEndpointInSubset(t *testing.T) {
 	t.Parallel()
-	for rate, most := range map[float64]int{3: 1, 60: 4} {
+	for rate, limit := range map[float64]int{3: 1, 60: 4} {
 		scenario := singleInstanceScenario(rate)
-		dead := subsetOf(t, scenario, 1)[0]
+		target := subsetOf(t, scenario, 1)[0]
 		scenario.Discovery.NotificationDelay = time.Minute
-		scenario.Events = []ScheduledEvent{{3 * time.Second, func(e *Emulation) { e.Partition(func(place int, _ string) bool { return place == dead }) }}}
+		scenario.Events = []ScheduledEvent{{3 * time.Second, func(e *Emulation) { e.Partition(func(i int, _ string) bool { return i == target }) }}}
 		e, err := New(scenario)
 		if err != nil {
 			t.Fatal(err)
@@ -72,36 +73,37 @@
 			}
 		}
 		r := e.Run()
-		t.Logf("%g a second: %d lost at the dead server", rate, lost)
-		if lost > most || r.ViolationCount > 0 {
-			t.Errorf("%g a second: %d lost, at most %d wanted; %v", rate, lost, most, r.Violations)
+		t.Logf("%g requests per second: %d attempts lost at the partitioned backend", rate, lost)
+		if lost > limit || r.ViolationCount > 0 {
+			t.Errorf("%g requests per second: %d attempts lost, want at most %d; violations %v", rate, lost, limit, r.Violations)
 		}
 	}
 }
 
-// All backends of an instance's subset are partitioned: others take their place within three seconds.
+// TestWholeSubsetUnreachable guards against an instance that keeps a subset of unreachable backends. Other backends must replace a
+// partitioned subset within three seconds.
 func TestWholeSubsetUnreachable(t *testing.T) {
 	t.Parallel()
 	scenario := singleInstanceScenario(20)
-	set := subsetOf(t, scenario, 5)
+	subset := subsetOf(t, scenario, 5)
 	scenario.Discovery.NotificationDelay = time.Minute
-	scenario.Events = []ScheduledEvent{{3 * time.Second, func(e *Emulation) { e.Partition(func(place int, _ string) bool { return slices.Contains(set, place) }) }}}
+	scenario.Events = []ScheduledEvent{{3 * time.Second, func(e *Emulation) { e.Partition(func(i int, _ string) bool { return slices.Contains(subset, i) }) }}}
 	e, err := New(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, bad := 0, 0
+	succeeded, failed := 0, 0
 	e.onAttemptFinished = func(a *attempt, status policy.Status) {
 		switch {
 		case a.request.instance.index != 0 || e.Elapsed() < 6*time.Second:
 		case status == policy.StatusOK:
-			good++
+			succeeded++
 		case status != policy.StatusCanceled:
-			bad++
+			failed++
 		}
 	}
 	r := e.Run()
-	if t.Logf("from three seconds on: %d answered, %d not", good, bad); good < 100 || bad > good/30 || r.ViolationCount > 0 {
-		t.Errorf("%d answered, %d not; %v", good, bad, r.Violations)
+	if t.Logf("from three seconds on: %d attempts succeeded, %d failed", succeeded, failed); succeeded < 100 || failed > succeeded/30 || r.ViolationCount > 0 {
+		t.Errorf("from three seconds on: %d attempts succeeded, %d failed, want at least 100 and at most 1 failure in 30; violations %v", succeeded, failed, r.Violations)
 	}
 }
--- a/internal/sitelink/sitelink_test.go
+++ b/internal/sitelink/sitelink_test.go
@@ -76,8 +76,8 @@
 	p.checkRecorder(t)
 }
 
-// TestLinkStalls guards against lost requests and double execution on a link that stalls after the last byte of a request. An order may have
-// been executed at the remote site; it must be failed or rejected long before the client's deadline.
+// TestLinkStalls guards against lost requests and double execution on a link that stalls after the last byte of a request. An order may
+// have been executed at the remote site; it must be failed or rejected long before the client's deadline.
 func TestLinkStalls(t *testing.T) {
 	p := startPair(t, 0, [2]*TLS{})
 	p.untilServed(t, "check")
