--- a/internal/scenario/convert.go
+++ b/internal/scenario/convert.go
@@ -12,7 +12,7 @@
 	"sorrelrudder/policy"
 )
 
-// The largest scenario that is accepted.
+// Upper limits of an accepted scenario.
 const (
 	maxBackends          = 2000
 	maxInstances         = 10000
@@ -20,7 +20,7 @@
 	maxRequestsPerSecond = 100000
 )
 
-// What a file does not set.
+// Values of a scenario that a file cannot set.
 const (
 	startupWindow          = 100 * time.Millisecond
 	handshakeDuration      = 2 * time.Millisecond
@@ -31,22 +31,22 @@
 	watchMaxQueueDelay     = 2 * time.Second
 )
 
-// validator collects the errors of a file's keys.
+// validator collects the errors of the keys of a file.
 type validator struct{ errs []error }
 
-// reject adds an error of a key.
+// reject adds an error about a key.
 func (v *validator) reject(key, format string, args ...any) {
 	v.errs = append(v.errs, fmt.Errorf(key+": "+format, args...))
 }
 
-// within rejects a value outside of a range, and NaN.
-func (v *validator) within(key string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		v.reject(key, "is %g, outside %g to %g", value, least, most)
+// within rejects a value outside of the range from minimum to maximum, and NaN.
+func (v *validator) within(key string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		v.reject(key, "invalid value %g, must be between %g and %g", value, minimum, maximum)
 	}
 }
 
-// Scenario returns the scenario that the file describes. The error names every key whose value is not accepted.
+// Scenario returns the scenario that the file describes. The error names every key with an invalid value.
 func (f *File) Scenario() (emulator.Scenario, error) {
 	v := &validator{}
 	f.validateFleet(v)
@@ -57,7 +57,7 @@
 	return scenario, errors.Join(v.errs...)
 }
 
-// validateFleet checks all keys outside of the lists.
+// validateFleet checks all keys except those of machine types, classes and faults.
 func (f *File) validateFleet(v *validator) {
 	v.within("length", f.Duration.seconds(), 1, maxDuration.Seconds())
 	v.within("instances", float64(f.InstanceCount), 1, maxInstances)
@@ -69,7 +69,7 @@
 	v.within("room", float64(f.MaxQueueLength), 0, 1e6)
 	v.within("most_connections", float64(f.MaxConnections), 0, 1e6)
 	if len(f.Zones) == 0 {
-		v.reject("zones", "names none")
+		v.reject("zones", "must name at least one zone")
 	}
 }
 
@@ -111,7 +111,7 @@
 	return scenario
 }
 
-// machineTypes returns the machine types, or a single one if the file has none.
+// machineTypes returns the machine types of the file, or a default one if the file has none.
 func (f *File) machineTypes(v *validator) []emulator.MachineType {
 	if len(f.MachineTypes) == 0 {
 		return []emulator.MachineType{{Name: "even", Fraction: 1, Cores: 3, Speed: 1.2}}
@@ -127,7 +127,7 @@
 	return all
 }
 
-// classes returns the classes, or a single one if the file has none.
+// classes returns the classes of the file, or defaultClass if the file has none.
 func (f *File) classes(v *validator) []emulator.Class {
 	if len(f.Classes) == 0 {
 		return []emulator.Class{defaultClass()}
@@ -139,7 +139,7 @@
 	return all
 }
 
-// defaultClass returns the class of a file that has none.
+// defaultClass returns the class that is used if the file has none.
 func defaultClass() emulator.Class {
 	return emulator.Class{
 		Class: policy.Class{
@@ -155,7 +155,7 @@
 	}
 }
 
-// The names of idempotencies and dedup scopes in a file.
+// Names of idempotencies and dedup scopes in a file.
 var (
 	idempotencies = map[string]policy.Idempotency{
 		"":       policy.Idempotent,
@@ -171,18 +171,18 @@
 	}
 )
 
-// convert returns the class; prefix is that of its keys in errors.
+// convert returns the class. prefix is prepended to the keys in errors.
 func (c *Class) convert(v *validator, prefix string) emulator.Class {
 	idempotency, known := idempotencies[c.Idempotency]
 	if !known {
-		v.reject(prefix+"effect", "is %q, none of safe, keyed, unsafe", c.Idempotency)
+		v.reject(prefix+"effect", "invalid value %q, must be one of safe, keyed, unsafe", c.Idempotency)
 	}
 	scope, known := dedupScopes[c.DedupScope]
 	if !known {
-		v.reject(prefix+"repeats_dropped_by", "is %q, none of all, zone, cell", c.DedupScope)
+		v.reject(prefix+"repeats_dropped_by", "invalid value %q, must be one of all, zone, cell", c.DedupScope)
 	}
 	if c.Name == "" {
-		v.reject(prefix+"name", "is missing")
+		v.reject(prefix+"name", "required key is missing or empty")
 	}
 	v.within(prefix+"aim", c.LatencyObjective.seconds(), 0.001, 60)
 	v.within(prefix+"deadline", c.Deadline.seconds(), c.LatencyObjective.seconds(), 60)
@@ -207,14 +207,14 @@
 	}
 }
 
-// events returns the events of all faults, in the order of the file.
+// events returns the events of all faults in the order of the file.
 func (f *File) events(v *validator) []emulator.ScheduledEvent {
 	var all []emulator.ScheduledEvent
 	for i, fault := range f.Faults {
 		prefix := fmt.Sprintf("faults[%d].", i+1)
 		events, known := faultKinds[fault.Kind]
 		if !known {
-			v.reject(prefix+"kind", "is %q, none of %s", fault.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
+			v.reject(prefix+"kind", "invalid value %q, must be one of %s", fault.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 			continue
 		}
 		f.validateFault(v, prefix, &fault)
@@ -223,14 +223,14 @@
 	return all
 }
 
-// validateFault checks the fields of a fault of a known kind.
+// validateFault checks the fields of a fault whose kind is known.
 func (f *File) validateFault(v *validator, prefix string, fault *Fault) {
 	v.within(prefix+"servers", float64(fault.Backends), 0, float64(f.BackendCount))
 	v.within(prefix+"share", fault.Fraction, 0, 1)
 	if fault.At > f.Duration {
-		v.reject(prefix+"at", "is %v, after the day's end", time.Duration(fault.At))
+		v.reject(prefix+"at", "invalid value %v, must not be later than the end of the scenario", time.Duration(fault.At))
 	}
 	if fault.readsZone() && !slices.Contains(f.Zones, fault.Zone) {
-		v.reject(prefix+"zone", "is %q, none of zones", fault.Zone)
+		v.reject(prefix+"zone", "invalid value %q, must be listed in zones", fault.Zone)
 	}
 }
--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -6,13 +6,13 @@
 	"sorrelrudder/internal/emulator"
 )
 
-// replacementGrace is how long a backend that is being replaced drains.
+// replacementGrace is the time for which a backend that is being replaced drains.
 const replacementGrace = 3 * time.Second
 
-// The kinds of faults as a file names them.
+// Kinds of faults as named in a file.
 const (
 	faultZoneLost        = "zone-lost"    // the backends of a zone fail silently
-	faultZoneBack        = "zone-back"    // they are replaced by new processes, which warm up
+	faultZoneBack        = "zone-back"    // the silent backends are replaced by new processes, which warm up
 	faultCutOff          = "cut-off"      // a zone, or a fraction of the backends, is partitioned for a duration
 	faultLostAnswers     = "lost-answers" // a fraction of the responses is lost
 	faultResets          = "resets"       // a fraction of the connections is reset after transmission
@@ -22,7 +22,7 @@
 	faultReplaceBackends = "replace"      // some backends are replaced, spread over a duration
 )
 
-// faultKinds has, by kind, the events that a fault consists of.
+// faultKinds maps each kind of fault to the function that returns its events.
 var faultKinds = map[string]func(Fault) []emulator.ScheduledEvent{
 	faultZoneLost:        Fault.loseZone,
 	faultZoneBack:        func(f Fault) []emulator.ScheduledEvent { return f.once((*emulator.Emulation).RestoreSilent) },
@@ -35,7 +35,7 @@
 	faultReplaceBackends: Fault.replaceBackends,
 }
 
-// readsZone reports whether the fault happens to a zone.
+// readsZone reports whether the fault affects the zone that it names.
 func (f Fault) readsZone() bool {
 	return f.Kind == faultZoneLost || f.Kind == faultCutOff && f.Zone != ""
 }
@@ -52,11 +52,11 @@
 }
 
 func (f Fault) partition() []emulator.ScheduledEvent {
-	partitioned := func(place int, zone string) bool {
+	partitioned := func(index int, zone string) bool {
 		if f.Zone != "" {
 			return zone == f.Zone
 		}
-		return emulator.InFraction(place, f.Fraction)
+		return emulator.InFraction(index, f.Fraction)
 	}
 	end := f
 	end.At += f.Duration
@@ -73,8 +73,8 @@
 
 func (f Fault) injectErrors() []emulator.ScheduledEvent {
 	return f.once(func(e *emulator.Emulation) {
-		for place := range f.Backends {
-			e.InjectErrors(place, f.Fraction)
+		for index := range f.Backends {
+			e.InjectErrors(index, f.Fraction)
 		}
 	})
 }
@@ -87,9 +87,9 @@
 
 func (f Fault) replaceBackends() []emulator.ScheduledEvent {
 	var all []emulator.ScheduledEvent
-	for place := range f.Backends {
-		at := time.Duration(f.At) + time.Duration(place)*time.Duration(f.Duration)/time.Duration(max(f.Backends, 1))
-		all = append(all, emulator.ScheduledEvent{At: at, Apply: func(e *emulator.Emulation) { e.ReplaceBackend(place, replacementGrace) }})
+	for index := range f.Backends {
+		at := time.Duration(f.At) + time.Duration(index)*time.Duration(f.Duration)/time.Duration(max(f.Backends, 1))
+		all = append(all, emulator.ScheduledEvent{At: at, Apply: func(e *emulator.Emulation) { e.ReplaceBackend(index, replacementGrace) }})
 	}
 	return all
 }
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -1,5 +1,5 @@
-// Package scenario reads an emulator's scenario from a TOML file. Errors name the file, the key and, where the file cannot be decoded, the
-// line. Keys that are left out have the values of Default.
+// Package scenario reads a scenario of the emulator from a TOML file. Errors name the file and the key. If the file cannot be decoded, they
+// also name the line. Keys that a file does not set have the values of Default.
 package scenario
 
 import (
@@ -16,14 +16,14 @@
 	"sorrelrudder/internal/emulator"
 )
 
-// Duration is a time.Duration that is written as time.ParseDuration reads it. It is not negative.
+// Duration is a non-negative time.Duration that is encoded in the format of time.ParseDuration.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err == nil && v < 0 {
-		err = fmt.Errorf("%q is below 0", text)
+		err = fmt.Errorf("invalid duration %q, must not be negative", text)
 	}
 	*d = Duration(v)
 	return err
@@ -35,7 +35,7 @@
 // seconds returns the duration in seconds.
 func (d Duration) seconds() float64 { return time.Duration(d).Seconds() }
 
-// File is the content of a scenario file. The fields mean what those of emulator.Scenario mean.
+// File is the content of a scenario file. The fields have the meaning of the fields of emulator.Scenario.
 type File struct {
 	Seed                 uint64        `toml:"seed"`
 	Duration             Duration      `toml:"length"`
@@ -56,7 +56,7 @@
 	Faults               []Fault       `toml:"faults"`
 }
 
-// Clients says how the clients behave.
+// Clients describes the behavior of the clients.
 type Clients struct {
 	RequestsPerSecond float64  `toml:"rate"`
 	MaxRetries        int      `toml:"retries"`
@@ -64,7 +64,7 @@
 	HonorRetryAfter   bool     `toml:"heed_retry_after"`
 }
 
-// Discovery is the capacity and the delay of the discovery service.
+// Discovery describes the capacity and the notification delay of the discovery service.
 type Discovery struct {
 	WatchesPerSecond  float64  `toml:"calls"`
 	NotificationDelay Duration `toml:"notice"`
@@ -93,7 +93,7 @@
 	WorkVariation      float64  `toml:"work_cv"`
 }
 
-// Fault is a fault, or a change of the fleet, at a time. Which of the other fields it reads depends on its kind.
+// Fault is a fault, or another change of the fleet, at a scheduled time. The kind determines which of the other fields apply.
 type Fault struct {
 	At       Duration `toml:"at"`
 	Kind     string   `toml:"kind"`
@@ -103,7 +103,7 @@
 	Duration Duration `toml:"over"`
 }
 
-// Default returns the scenario of a file that sets nothing: a fleet of middle size without faults.
+// Default returns the content of an empty file: a fleet of medium size without faults.
 func Default() File {
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	return File{
@@ -124,7 +124,8 @@
 	}
 }
 
-// LoadScaled reads a scenario file, with factor times as many instances, backends, requests and watch requests as it says.
+// LoadScaled reads a scenario file and multiplies the numbers of instances and backends and the rates of requests and watch requests by
+// factor.
 func LoadScaled(path string, factor float64) (emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -133,7 +134,7 @@
 	return parse(path, text, factor)
 }
 
-// Parse reads the text of a scenario file. Errors call the file name.
+// Parse parses the text of a scenario file. Errors refer to the file by name.
 func Parse(name string, text []byte) (emulator.Scenario, error) { return parse(name, text, 1) }
 
 func parse(name string, text []byte, factor float64) (emulator.Scenario, error) {
@@ -153,7 +154,7 @@
 	return scenario, nil
 }
 
-// scale multiplies the size of the fleet and its load by factor.
+// scale multiplies the size of the fleet, its load and the number of backends in each fault by factor.
 func (f *File) scale(factor float64) {
 	scaled := func(n int) int { return int(math.Round(float64(n) * factor)) }
 	f.InstanceCount = scaled(f.InstanceCount)
