--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -6,7 +6,7 @@
 	"sorrelrudder/policy"
 )
 
-// attempt is one attempt of an instance to have a request served by a backend.
+// attempt is a single attempt of an instance to execute a request at a backend.
 type attempt struct {
 	request     *request
 	number      int      // index within the request, from 0
@@ -121,7 +121,7 @@
 	}
 }
 
-// releaseConnection returns the attempt's connection to the idle ones if the backend has responded on it, and closes it otherwise.
+// releaseConnection keeps the attempt's connection as an idle one if the backend has responded on it. Otherwise it closes the connection.
 func (in *instance) releaseConnection(a *attempt, status policy.Status) {
 	if status == policy.StatusConnectFailed && !a.transmitted {
 		return
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -117,7 +117,8 @@
 	counts.ServedWeight += r.weight() * r.class.LateWeightFraction
 }
 
-// retry schedules the next attempt. It ends the request as unserved if no retries are left or the attempt would start after the deadline.
+// retry schedules the next attempt. It ends the request as unserved if no retries are left, or if the attempt
+// would start at or after the deadline.
 func (r *clientRequest) retry(e *Emulation, retryAfter time.Duration) {
 	delay := e.scenario.Clients.RetryDelay
 	if e.scenario.Clients.HonorRetryAfter && retryAfter > 0 {
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -189,7 +189,7 @@
 // checkStartsBeforeDeadline checks that no attempt starts at or after the request's deadline.
 func (o *observer) checkStartsBeforeDeadline(a *attempt) {
 	if o.emulation.now >= a.request.expires {
-		o.violation(ruleOneAnswer, "instance %d started an attempt after the deadline of the request", a.request.instance.index)
+		o.violation(ruleOneAnswer, "instance %d started an attempt at or after the deadline of the request", a.request.instance.index)
 	}
 }
 
--- a/internal/emulator/observer_test.go
+++ b/internal/emulator/observer_test.go
@@ -63,7 +63,7 @@
 			r := o.receive(safe)
 			o.now += time.Second
 			o.send(r, 0)
-		}, "rule 1: instance 0 started an attempt after the deadline of the request"},
+		}, "rule 1: instance 0 started an attempt at or after the deadline of the request"},
 		"attempt of an unknown request": {func(o *observed) {
 			o.instance.StartAttempt(o.instance.lastRequest+1, "s000", time.Second)
 		}, "rule 1: instance 0 started an attempt of a request that it does not have"},
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -17,16 +17,21 @@
 // eventQueue is a heap of events with the next event first. It implements heap.Interface.
 type eventQueue []event
 
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
+// Less implements heap.Interface.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	popped := (*q)[last]
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -20,8 +20,8 @@
 	return status == policy.StatusConnectFailed || status == policy.StatusTimeout || status == policy.StatusReset
 }
 
-// shareFailure reports the status of an attempt or a health check to the zone controller. It also reports a backend that did not respond to
-// the other instances.
+// shareFailure reports the status of an attempt or a health check to the zone controller. If the backend did not respond, it also reports
+// the backend to the other instances.
 func (in *instance) shareFailure(now policy.Time, target *backend, status policy.Status) {
 	e := in.emulation
 	if e.zones != nil && target != nil {
--- a/internal/siteheader/siteheader.go
+++ b/internal/siteheader/siteheader.go
@@ -10,7 +10,9 @@
 
 // The names of the header fields.
 const (
-	RequestField  = "Sorrel-Hop"
+	// RequestField is the field of a forwarded request.
+	RequestField = "Sorrel-Hop"
+	// ResponseField is the field of the response to a forwarded request or a health check.
 	ResponseField = "Sorrel-Hop-Answer"
 )
 
@@ -72,9 +74,12 @@
 
 // The outcomes of a request.
 const (
-	Served          Outcome = "served"
-	Rejected        Outcome = "refused"      // nothing was executed
-	MayHaveExecuted Outcome = "may-have-run" // also assumed if the response cannot be decoded
+	// Served means that the request was executed successfully.
+	Served Outcome = "served"
+	// Rejected means that the request was not executed.
+	Rejected Outcome = "refused"
+	// MayHaveExecuted means that the request may have been executed. It is also assumed if the response cannot be decoded.
+	MayHaveExecuted Outcome = "may-have-run"
 )
 
 // Response is the content of a ResponseField. Durations are encoded in whole microseconds.
--- a/internal/sitelink/healthcheck.go
+++ b/internal/sitelink/healthcheck.go
@@ -29,7 +29,8 @@
 	// the timers of a link without requests are checked less often.
 	idleTickInterval = idleCheckInterval / 5
 	busyTickInterval = busyCheckInterval / 5
-	// baseStallTimeout plus two round trips is the time without a response after which a link that carries requests counts as stalled.
+	// baseStallTimeout plus two round trips is the time without any response from the peer after which a link that carries requests counts
+	// as stalled.
 	baseStallTimeout = 200 * time.Millisecond
 	// maxCheckTimeout bounds the timeout of a health check.
 	maxCheckTimeout = time.Second
--- a/internal/sitelink/sitelink.go
+++ b/internal/sitelink/sitelink.go
@@ -1,5 +1,5 @@
 // Package sitelink connects the gateway to its peers at other sites. It forwards requests that a pool has rejected to the gateway of
-// another site, and accepts requests that other sites forward. It implements gateway.Extension; only the sorrelrudder command imports it.
+// another site, and accepts requests that other sites forward. It implements gateway.Extension; only the sorrelrudder binary includes it.
 // Package spillover decides when requests are forwarded, how many and of which class. The decision module decides whether an attempt may
 // start, and sees the remote site as the only endpoint of a separate pool.
 package sitelink
