--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -96,7 +96,7 @@
 	in.importLearnedState()
 }
 
-// startsLate reports whether other instances have been running for a while.
+// startsLate reports whether the startup window is over, so that other instances have been running for a while.
 func (in *instance) startsLate() bool {
 	return in.emulation.Elapsed() > in.emulation.scenario.StartupWindow
 }
--- a/internal/emulator/warming_test.go
+++ b/internal/emulator/warming_test.go
@@ -18,7 +18,7 @@
 		if size.instances > 30 && *warmingSeeds < 2 {
 			continue // takes minutes with -race
 		}
-		// A collapse factor below the usual 2.5 makes the budget smaller.
+		// A collapse factor below the 2.5 of fleetScenario makes the budget smaller.
 		for _, warming := range []struct{ fraction, collapseFactor float64 }{{1, 2.5}, {1, 2}, {0.5, 2.5}, {0.5, 1.5}} {
 			t.Run(fmt.Sprintf("%d instances, %.0f%% warming up, collapse factor %v", size.instances, 100*warming.fraction, warming.collapseFactor), func(t *testing.T) {
 				t.Parallel()
--- a/internal/emulator/zonefailover.go
+++ b/internal/emulator/zonefailover.go
@@ -13,7 +13,7 @@
 	decisionInterval = 200 * time.Millisecond
 	// failureExpiry is the time after which a failure that was not observed again is dropped.
 	failureExpiry = 5 * time.Second
-	// checkersPerZone is the number of instances that check a zone's backends.
+	// checkersPerZone is the maximum number of instances that check a zone's backends.
 	checkersPerZone = 5
 	// checksPerChecker is the maximum number of backends of a zone that each of these instances checks.
 	checksPerChecker = 3
--- a/internal/goldentest/cases.go
+++ b/internal/goldentest/cases.go
@@ -81,7 +81,7 @@
 	for _, c := range cases {
 		data, err := c.Encode()
 		if err != nil {
-			t.Fatalf("%s: %v", c.Name, err)
+			t.Fatalf("%s: encode value: %v", c.Name, err)
 		}
 		forms[c.Name] = string(data)
 		if !json.Valid(data) {
@@ -95,7 +95,7 @@
 		if digits, isHex := strings.CutPrefix(lines[c.Name], hexPrefix); isHex {
 			var err error
 			if want, err = hex.DecodeString(digits); err != nil {
-				t.Fatalf("%s: %s: %v", file, c.Name, err)
+				t.Fatalf("%s: %s: decode hexadecimal digits: %v", file, c.Name, err)
 			}
 		}
 		if forms[c.Name] != lines[c.Name] {
--- a/internal/siteheader/siteheader_test.go
+++ b/internal/siteheader/siteheader_test.go
@@ -49,7 +49,7 @@
 		}
 		got, err := ParseRequest([]string{text}, q.Origin+" not")
 		if err != nil {
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("decode %s: unexpected error: %v", text, err)
 		}
 		if !reflect.DeepEqual(q, got) {
 			t.Fatalf("encoded %+v, decoded %+v", q, got)
--- a/internal/sitelink/harness_test.go
+++ b/internal/sitelink/harness_test.go
@@ -206,7 +206,7 @@
 	io.WriteString(c, text+rest)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%s: %v", id, err)
+		t.Fatalf("request %s: read response: %v", id, err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/internal/sitelink/sitelink.go
+++ b/internal/sitelink/sitelink.go
@@ -19,8 +19,7 @@
 
 var _ gateway.Extension = (*Extension)(nil)
 
-// Extension implements gateway.Extension for one process. Its methods may be called from several goroutines at once, except New,
-// Start and Close.
+// Extension implements gateway.Extension for one process. Its methods are safe for concurrent use, except Start and Close.
 type Extension struct {
 	cfg       Config
 	log       *slog.Logger
