--- a/internal/simulation/bug.go
+++ b/internal/simulation/bug.go
@@ -24,14 +24,14 @@
 
 // The bugs of zone failover.
 const (
-	BugLocalRanking    InjectedBug = "own-rank"         // each process ranks the servers of a zone in an order of its own
-	BugMinorityDecides InjectedBug = "minority-decides" // a process that cannot reach the consensus group decides by itself
-	BugWallClockRamp   InjectedBug = "wall-return"      // a recovery ramp is paced by a wall clock
-	BugNoRelapse       InjectedBug = "no-way-back"      // a recovery that fails is not taken back
-	BugBlindRamp       InjectedBug = "blind-steps"      // a recovery ramp ignores the zone checks
-	BugTwoZonesLeft    InjectedBug = "two-at-once"      // the capacity of the remaining zones is ignored
-	BugCommandRepeated InjectedBug = "word-repeated"    // an operator's command is applied as often as it arrives
-	BugNoWarmUp        InjectedBug = "warm-at-once"     // a zone counts as warmed up with the last step of its ramp
+	BugLocalRanking            InjectedBug = "own-rank"         // each process ranks the servers of a zone in an order of its own
+	BugMinorityDecides         InjectedBug = "minority-decides" // a process that cannot reach the consensus group decides by itself
+	BugWallClockRamp           InjectedBug = "wall-return"      // a recovery ramp is paced by a wall clock
+	BugNoRelapse               InjectedBug = "no-way-back"      // a recovery that fails is not taken back
+	BugRampIgnoresChecks       InjectedBug = "blind-steps"      // a recovery ramp ignores the zone checks
+	BugIgnoreRemainingCapacity InjectedBug = "two-at-once"      // the capacity of the remaining zones is ignored
+	BugCommandRepeated         InjectedBug = "word-repeated"    // an operator's command is applied as often as it arrives
+	BugNoWarmUp                InjectedBug = "warm-at-once"     // a zone counts as warmed up with the last step of its ramp
 )
 
 var (
@@ -39,7 +39,7 @@
 		BugLongTTL, BugStaleDisk, BugNoSync, BugNoLeaseGrace, BugWallClock, BugUnconfirmedLeader, BugEarlyCompletion, BugNoFencing,
 	}
 	zoneBugs = []InjectedBug{
-		BugLocalRanking, BugMinorityDecides, BugWallClockRamp, BugNoRelapse, BugBlindRamp, BugTwoZonesLeft, BugCommandRepeated, BugNoWarmUp,
+		BugLocalRanking, BugMinorityDecides, BugWallClockRamp, BugNoRelapse, BugRampIgnoresChecks, BugIgnoreRemainingCapacity, BugCommandRepeated, BugNoWarmUp,
 	}
 )
 
--- a/internal/simulation/zonemember.go
+++ b/internal/simulation/zonemember.go
@@ -45,7 +45,7 @@
 	switch s.options.Bug {
 	case BugNoWarmUp:
 		r.WarmUp = 1
-	case BugTwoZonesLeft:
+	case BugIgnoreRemainingCapacity:
 		r.MinRemainingCapacity, r.MaxUnreachableElsewhere = 0, 0.59
 	}
 	return r
@@ -187,7 +187,7 @@
 // falsifySnapshot changes what the lease holder sees as the run's bug has it.
 func (s *simulation) falsifySnapshot(snapshot *zonefailover.Snapshot) {
 	switch s.options.Bug {
-	case BugBlindRamp:
+	case BugRampIgnoresChecks:
 		falsifyZoneChecks(snapshot)
 	case BugMinorityDecides:
 		snapshot.FleetSize = len(snapshot.MemberZones)
