--- a/internal/simulation/bug.go
+++ b/internal/simulation/bug.go
@@ -6,32 +6,32 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// InjectedBug is a deliberate mistake in the code under test, which the observer has to find.
+// InjectedBug is a deliberate mistake in the code under test. The observer must report a violation of an invariant because of it.
 type InjectedBug string
 
-// The bugs of leases and tasks.
+// Bugs in leases and tasks.
 const (
-	BugNone              InjectedBug = ""
-	BugLongTTL           InjectedBug = "margin"       // holders take the TTL for longer than the consensus group does
-	BugStaleDisk         InjectedBug = "token-reuse"  // a process restarts with an older copy of its disk, and votes
-	BugNoSync            InjectedBug = "no-sync"      // messages are sent before the state that they rely on is synced
-	BugNoLeaseGrace      InjectedBug = "hurry"        // a new leader lets the leases that it finds expire before a whole TTL
-	BugWallClock         InjectedBug = "wall"         // the leader judges leases by a wall clock, which is set now and then
-	BugUnconfirmedLeader InjectedBug = "lax"          // a leader renews leases without asking a quorum whether it still leads
-	BugEarlyCompletion   InjectedBug = "early-finish" // a slot is recorded as done before its answer has come
+	BugNone              InjectedBug = ""             // no bug is injected
+	BugLongTTL           InjectedBug = "margin"       // holders assume a longer TTL than the consensus group
+	BugStaleDisk         InjectedBug = "token-reuse"  // a restarted process votes with an older copy of its disk
+	BugNoSync            InjectedBug = "no-sync"      // messages are sent before the state they depend on is synced to disk
+	BugNoLeaseGrace      InjectedBug = "hurry"        // a new leader expires existing leases before a full TTL has passed
+	BugWallClock         InjectedBug = "wall"         // the leader expires leases by a wall clock, which is adjusted occasionally
+	BugUnconfirmedLeader InjectedBug = "lax"          // a leader renews leases without a quorum's confirmation that it still leads
+	BugEarlyCompletion   InjectedBug = "early-finish" // a slot is recorded as done before its response has arrived
 	BugNoFencing         InjectedBug = "unfenced"     // the resource ignores fencing tokens
 )
 
-// The bugs of zone failover.
+// Bugs in zone failover.
 const (
-	BugLocalRanking            InjectedBug = "own-rank"         // each process ranks the servers of a zone in an order of its own
-	BugMinorityDecides         InjectedBug = "minority-decides" // a process that cannot reach the consensus group decides by itself
+	BugLocalRanking            InjectedBug = "own-rank"         // each process ranks the servers of a zone in a different order
+	BugMinorityDecides         InjectedBug = "minority-decides" // a process that cannot reach the consensus group decides on its own
 	BugWallClockRamp           InjectedBug = "wall-return"      // a recovery ramp is paced by a wall clock
-	BugNoRelapse               InjectedBug = "no-way-back"      // a recovery that fails is not taken back
+	BugNoRelapse               InjectedBug = "no-way-back"      // a failed recovery is not reversed
 	BugRampIgnoresChecks       InjectedBug = "blind-steps"      // a recovery ramp ignores the zone checks
 	BugIgnoreRemainingCapacity InjectedBug = "two-at-once"      // the capacity of the remaining zones is ignored
-	BugCommandRepeated         InjectedBug = "word-repeated"    // an operator's command is applied as often as it arrives
-	BugNoWarmUp                InjectedBug = "warm-at-once"     // a zone counts as warmed up with the last step of its ramp
+	BugCommandRepeated         InjectedBug = "word-repeated"    // each duplicate of an operator's command is applied again
+	BugNoWarmUp                InjectedBug = "warm-at-once"     // a zone counts as warmed up as soon as its ramp reaches the last step
 )
 
 var (
@@ -43,10 +43,10 @@
 	}
 )
 
-// InjectedBugs are all bugs but BugNone.
+// InjectedBugs lists all bugs except BugNone.
 var InjectedBugs = slices.Concat(leaseBugs, gossipBugs(), zoneBugs)
 
-// gossipBugs returns the bugs of gossip, by the names that they have there.
+// gossipBugs returns the faults that the gossip package can inject, as bugs of the same names.
 func gossipBugs() []InjectedBug {
 	var all []InjectedBug
 	for _, fault := range gossip.InjectedFaults {
@@ -55,10 +55,10 @@
 	return all
 }
 
-// NeedsSharedState reports whether the bug shows only in runs with Options.SharedState.
+// NeedsSharedState reports whether the bug has an effect only in runs with Options.SharedState.
 func (b InjectedBug) NeedsSharedState() bool {
 	return slices.Contains(gossipBugs(), b) || b.NeedsZoneFailover()
 }
 
-// NeedsZoneFailover reports whether the bug shows only in runs with Options.ZoneFailover.
+// NeedsZoneFailover reports whether the bug has an effect only in runs with Options.ZoneFailover.
 func (b InjectedBug) NeedsZoneFailover() bool { return slices.Contains(zoneBugs, b) }
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// maxPendingCalls is the number of a process' newest calls whose answers are still taken.
+	// maxPendingCalls is the number of newest calls that a process keeps pending. It ignores responses to older calls.
 	maxPendingCalls = 64
-	// maxRedirects bounds the voters that a call is redirected to.
+	// maxRedirects bounds how often a call is redirected to another voter.
 	maxRedirects = 3
 
-	// A call's handle consists of the process, its start and the call's number.
+	// A call's handle consists of the index of the process, the number of its start and the sequence number of the call. The constants are
+	// the bit positions of the first two.
 	handleProcessShift = 56
 	handleStartShift   = 40
 )
 
-// call is a request to the consensus group that has no answer yet.
+// call is a request to the consensus group without a response yet.
 type call struct {
 	request   consensus.Request
 	done      func(consensus.Response)
-	voter     string // it was sent to
+	voter     string // that received the latest attempt
 	redirects int
 }
 
-// call sends a request to the voter that is taken for the leader. Without an answer done is never called.
+// call sends a request to the presumed leader, and passes its response to done. If no response arrives, done is not called.
 func (p *process) call(request consensus.Request, done func(consensus.Response)) {
 	p.lastCall++
-	handle := uint64(p.index)<<handleProcessShift | uint64(p.starts)<<handleStartShift | p.lastCall
+	handle := uint64(p.index)<<handleProcessShift | uint64(p.startCount)<<handleStartShift | p.lastCall
 	c := &call{request: request, done: done}
 	p.calls[handle] = c
 	delete(p.calls, handle-maxPendingCalls)
@@ -40,7 +41,7 @@
 	})
 }
 
-// sendCall sends a call to a voter. One that does not vote at the moment redirects it.
+// sendCall sends a call to the presumed leader. A process that does not run a voter responds that it is not the leader.
 func (p *process) sendCall(handle uint64, c *call) {
 	s := p.simulation
 	c.voter = p.leaders.Pick(p.clock())
@@ -55,7 +56,7 @@
 	})
 }
 
-// handleResponse handles the answer to a call.
+// handleResponse handles the response to a call. It redirects the call if the voter is not the leader.
 func (p *process) handleResponse(handle uint64, response consensus.Response) {
 	c := p.calls[handle]
 	if c == nil {
@@ -75,8 +76,8 @@
 	c.done(response)
 }
 
-// sendOutput sends what a voter's processing has returned: messages to other voters, answers, and notices to processes whose leases have
-// changed.
+// sendOutput sends the output of the process's voter: messages to other voters, responses to calls, and notifications to members whose
+// leases have changed.
 func (p *process) sendOutput(out consensus.Output) {
 	s := p.simulation
 	for _, m := range out.Messages {
@@ -105,13 +106,14 @@
 	}
 }
 
-// An operator submits a command every operatorInterval, at most maxOperatorCalls times.
+// An operator resubmits a command every operatorInterval, at most maxOperatorCalls times in all.
 const (
 	operatorInterval = 200 * time.Millisecond
 	maxOperatorCalls = 100
 )
 
-// submitUntilDone has an operator submit a request until done says so. The request is made anew for each call.
+// submitUntilDone has an operator submit a request repeatedly until done returns true for a response. request is called for each attempt.
+// An attempt is skipped while the process that the operator uses is down or paused.
 func (s *simulation) submitUntilDone(request func() consensus.Request, done func(consensus.Response) bool) {
 	from := s.processes[len(s.processes)-1]
 	calls := 0
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -7,21 +7,22 @@
 	"sorrelrudder/internal/consensus"
 )
 
-// errSync is the error of a sync that a fault makes fail.
+// errSync is returned by Save when FaultSync makes a sync fail.
 var errSync = errors.New("sync failed")
 
-// disk holds a voter's persistent state. What was not synced is lost when the process ends.
+// disk holds a voter's persistent state. Writes that were not synced are lost when the process ends.
 type disk struct {
 	simulation *simulation
 	process    *process
 	written    consensus.PersistentState
 	synced     consensus.PersistentState
-	stale      consensus.PersistentState // what was synced at an earlier start
+	stale      consensus.PersistentState // the synced state at an earlier start; BugStaleDisk restores it
 }
 
 var _ consensus.Storage = (*disk)(nil)
 
-// Save writes a change of the state. As in the product, a change that needs no sync is not written: it would be learnt anew.
+// Save writes a change of the state and syncs it. A change that needs no sync is not written, as in the production storage: the voter
+// learns it again after a restart.
 func (d *disk) Save(change consensus.PersistentState, sync bool) error {
 	s := d.simulation
 	if s.failNextSync[d.process.index] && sync {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// writeSnapshot writes a snapshot, and drops the entries that it covers or replaces.
+// writeSnapshot writes a snapshot, and removes the log entries that the snapshot covers or replaces.
 func (d *disk) writeSnapshot(change consensus.PersistentState) {
 	d.written.Snapshot = change.Snapshot
 	if change.ReplaceLog {
@@ -64,7 +65,7 @@
 	}
 }
 
-// writeEntries appends entries, in place of those that have their indexes and all later ones.
+// writeEntries appends log entries. They replace all existing entries from their first index on.
 func (d *disk) writeEntries(change consensus.PersistentState) {
 	entries, keep := d.written.Entries, 0
 	if len(entries) > 0 && change.Entries[0].GetIndex() > entries[0].GetIndex() {
@@ -73,7 +74,7 @@
 	d.written.Entries = append(entries[:keep:keep], change.Entries...)
 }
 
-// open returns what a process that starts finds on the disk.
+// open returns the state that a starting process reads from the disk.
 func (d *disk) open() consensus.PersistentState {
 	if d.simulation.options.Bug == BugStaleDisk && d.stale.Snapshot != nil {
 		d.synced = d.stale
--- a/internal/simulation/events.go
+++ b/internal/simulation/events.go
@@ -2,7 +2,7 @@
 
 import "sorrelrudder/internal/consensus"
 
-// eventTexts are the words of events in a time line. A run's hash is over them.
+// eventTexts are the texts of consensus events in a trace. The hash of a run includes them, so they must not change.
 var eventTexts = map[consensus.EventKind]string{
 	consensus.EventLeaderElected:        "the council has a leader",
 	consensus.EventLeaderUnknown:        "the council has no leader that this process knows of",
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -8,55 +8,56 @@
 	"time"
 )
 
-// FaultKind says what goes wrong.
+// FaultKind identifies a kind of fault, in traces and in encoded outcomes.
 type FaultKind string
 
-// The faults of processes and their network.
+// Faults of processes and of the network between them.
 const (
-	FaultPause     FaultKind = "pause"   // a process stands still for a while, and goes on as if nothing had happened
-	FaultKill      FaultKind = "kill"    // a process ends, and restarts after a while with what its disk had synced
-	FaultWipe      FaultKind = "wipe"    // the same, with an empty disk
+	FaultPause     FaultKind = "pause"   // a process stops for a while, and then continues where it stopped
+	FaultKill      FaultKind = "kill"    // a process ends, and later restarts with the synced state of its disk
+	FaultWipe      FaultKind = "wipe"    // a process ends, and later restarts with an empty disk
 	FaultOneWay    FaultKind = "oneway"  // messages from one process to another are lost
-	FaultIsolate   FaultKind = "cut"     // one process is isolated from all others
-	FaultPartition FaultKind = "split"   // the processes whose bits are set are isolated from the others
+	FaultIsolate   FaultKind = "cut"     // a process is isolated from all others
+	FaultPartition FaultKind = "split"   // the processes whose bits are set in Target are isolated from the others
 	FaultLoss      FaultKind = "loss"    // a fraction of all messages is lost
 	FaultDelay     FaultKind = "storm"   // messages are delayed, duplicated and reordered
-	FaultSync      FaultKind = "sync"    // the next sync of a process' disk fails
+	FaultSync      FaultKind = "sync"    // the next sync of a process's disk fails
 	FaultRevoke    FaultKind = "revoke"  // an operator revokes a lease
-	FaultLeave     FaultKind = "leave"   // a process shuts down in order, and restarts after a while
-	FaultKillAll   FaultKind = "killall" // all processes end at once, and restart one after the other
-	FaultReplace   FaultKind = "replace" // an operator makes the new identity of a process a voter
+	FaultLeave     FaultKind = "leave"   // a process shuts down gracefully, and later restarts
+	FaultKillAll   FaultKind = "killall" // all processes end at once, and later restart one after the other
+	FaultReplace   FaultKind = "replace" // an operator replaces a voter's former identity by its new one
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a run. At is the virtual time since the start of the run.
 type Fault struct {
 	At       time.Duration `json:"at"`
 	Kind     FaultKind     `json:"kind"`
-	Target   int           `json:"p"`           // a process, a zone, or a process' bit each
-	Peer     int           `json:"q,omitempty"` // another process, a lease or a zone
+	Target   int           `json:"p"`           // index of a process or zone; for FaultPartition a bit set of processes
+	Peer     int           `json:"q,omitempty"` // index of another process, a lease or another zone
 	Duration time.Duration `json:"for,omitempty"`
 }
 
-// String returns the fault as the trace has it.
+// String returns the fault in the format of the trace.
 func (f Fault) String() string {
 	return fmt.Sprintf("%7.3fs %-8s p=%d q=%d for %.3fs", f.At.Seconds(), f.Kind, f.Target, f.Peer, f.Duration.Seconds())
 }
 
-// drawFaults draws faults among so many processes, of which the first ones are voters, in the order of their times.
+// drawFaults draws random faults between the times from and until, for a fleet whose first processes are the voters. It returns them sorted
+// by time.
 func drawFaults(rng *rand.Rand, voters, processes int, from, until time.Duration) []Fault {
 	var all []Fault
 	wiped := 0
 	for n := 3 + rng.IntN(14); n > 0; n-- {
 		fault := Fault{At: from + time.Duration(rng.Int64N(int64(until-from))), Target: rng.IntN(processes), Peer: rng.IntN(processes)}
 		fault.Duration = time.Duration(50+rng.IntN(4000)) * time.Millisecond
-		fault.Kind = faultKindOf(rng.IntN(100))
+		fault.Kind = faultKindForDraw(rng.IntN(100))
 		switch fault.Kind {
 		case FaultPartition:
 			fault.Target = 1 + rng.IntN(1<<processes-2)
 		case FaultSync:
 			fault.Target = rng.IntN(voters)
 		case FaultWipe:
-			// A group that has lost most of its disks cannot know what it has acknowledged: no fault does that.
+			// A majority of the disks must survive: a group that has lost most of its disks cannot know which writes it has acknowledged.
 			if wiped >= (voters-1)/2 {
 				continue
 			}
@@ -70,8 +71,8 @@
 	return all
 }
 
-// faultKindOf returns the kind of a draw below 100.
-func faultKindOf(draw int) FaultKind {
+// faultKindForDraw maps a random number, 0 to 99, to a kind of fault.
+func faultKindForDraw(draw int) FaultKind {
 	switch {
 	case draw < 18:
 		return FaultPause
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -6,27 +6,27 @@
 	"sorrelrudder/internal/lease"
 )
 
-// Operation is an operation on the leases as its process saw it: a grant with its token, or a read (Token 0) of the largest token that had
-// been granted.
+// Operation is a completed operation on the leases, as the process that requested it saw it. It is either a grant with its fencing token,
+// or, with Token 0, a read of the largest token granted so far. Start and End are virtual times since the start of the run.
 type Operation struct {
 	Process       int
 	Start, End    time.Duration
 	Token, LastID uint64
 }
 
-// commandID identifies a command on the leases; a retry has the same one.
+// commandID identifies a command on the leases. A retry has the same ID.
 type commandID struct {
 	process           int
 	session, sequence uint64
 }
 
-// history is the operations of a run, in the order of their ends.
+// history records the operations of a run, in the order in which they ended.
 type history struct {
 	operations     []Operation
 	firstSubmitted map[commandID]time.Duration
 }
 
-// recordSubmission records when a command was submitted first.
+// recordSubmission records the time of the first submission of a command.
 func (s *simulation) recordSubmission(process int, request lease.Request) {
 	if !s.options.RecordHistory || request.Command == nil {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// recordOperation records an answered request. A command that was submitted several times began with the first of them.
+// recordOperation records a request whose response has arrived. A command that was submitted several times starts at its first submission.
 func (s *simulation) recordOperation(process int, request lease.Request, response lease.Response, start time.Duration) {
 	if !s.options.RecordHistory {
 		return
@@ -59,7 +59,7 @@
 
 func (h *history) add(o Operation) { h.operations = append(h.operations, o) }
 
-// granted reports whether a response is a new grant of a lease.
+// granted reports whether a response newly grants a lease.
 func granted(request lease.Request, response lease.Response) bool {
 	result := response.Result
 	return request.Command.Op == lease.OpAcquire && result != nil && result.Token != 0 && result.PreviousVersion != result.Version
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -7,8 +7,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// tokenModel is the leases as a client sees them: a number that only grows. A grant returns a larger one than all before it, and a read
-// none that is smaller than one before: a leader that another has replaced would return one.
+// tokenModel is the sequential specification of the leases: a token that only grows. A grant returns a larger token than all operations
+// before it. A read returns no smaller token than any operation before it; a leader that has been replaced could return one.
 var tokenModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -24,33 +24,34 @@
 func porcupineOperations(ops []Operation) []porcupine.Operation {
 	var all []porcupine.Operation
 	for i, op := range ops {
-		// A process may have several operations in flight, which porcupine allows only of several clients.
+		// Each operation gets its own client ID: a process may have several operations in flight, and porcupine allows a client only one.
 		all = append(all, porcupine.Operation{ClientId: i, Call: int64(op.Start), Return: int64(op.End), Output: op})
 	}
 	return all
 }
 
-// maxCheckDuration bounds the check of one history.
+// maxCheckDuration bounds the time for checking one history.
 const maxCheckDuration = 20 * time.Second
 
-// TestLinearizable checks the histories of grants and reads, under drawn faults, against the model.
+// TestLinearizable checks that grants and reads of the leases are linearizable under random faults. It guards against a replaced leader
+// that still responds to reads, and against fencing tokens that do not grow.
 func TestLinearizable(t *testing.T) {
 	total := 0
 	for seed := range seeds(8) {
 		o := Run(Options{Seed: uint64(seed), RecordHistory: true})
 		total += len(o.History)
 		if got := porcupine.CheckOperationsTimeout(tokenModel, porcupineOperations(o.History), maxCheckDuration); got != porcupine.Ok {
-			t.Errorf("seed %d: %v of %d operations", seed, got, len(o.History))
+			t.Errorf("seed %d: linearizability check: %v for %d operations, want Ok", seed, got, len(o.History))
 		}
 	}
 	t.Logf("%d operations", total)
 	if total < 100 {
-		t.Error("there are hardly any operations")
+		t.Error("fewer than 100 operations in all histories")
 	}
 }
 
-// TestLinearizableRejectsStaleRead checks that the model rejects a read that returns an older state than an operation that ended before
-// the read began.
+// TestLinearizableRejectsStaleRead checks that the model rejects a stale read: one that returns a smaller token than a grant that ended
+// before the read started. Without it a model that accepts everything would pass TestLinearizable.
 func TestLinearizableRejectsStaleRead(t *testing.T) {
 	o := Run(Options{Seed: 1, RecordHistory: true})
 	var newest Operation
@@ -64,6 +65,6 @@
 		}
 	}
 	if got := porcupine.CheckOperationsTimeout(tokenModel, porcupineOperations(o.History), maxCheckDuration); got != porcupine.Illegal {
-		t.Errorf("a stale read is accepted: %v", got)
+		t.Errorf("linearizability check of a history with a stale read: %v, want Illegal", got)
 	}
 }
--- a/internal/simulation/inject.go
+++ b/internal/simulation/inject.go
@@ -8,10 +8,11 @@
 	"sorrelrudder/internal/lease"
 )
 
-// chooseFaults takes the faults of the options, or draws them. It always draws, so that the later draws of setup do not depend on it.
+// chooseFaults takes the faults from the options or, if there are none, draws them. It always draws from setup, so that later draws from
+// setup are the same in both cases.
 func (s *simulation) chooseFaults(setup *rand.Rand, processCount int) {
 	s.faults = s.options.Faults
-	drawn := drawFaults(setup, s.voters, processCount, faultsFrom, faultsUntil)
+	drawn := drawFaults(setup, s.voterCount, processCount, faultsFrom, faultsUntil)
 	if s.faults != nil {
 		return
 	}
@@ -23,10 +24,10 @@
 	if onlyZones {
 		s.faults = []Fault{}
 	}
-	s.faults = append(s.faults, drawZoneFaults(random(s.options.Seed, zoneFaultStream), onlyZones)...)
+	s.faults = append(s.faults, drawZoneFaults(randomStream(s.options.Seed, zoneFaultStream), onlyZones)...)
 }
 
-// inject has a fault happen.
+// inject starts a fault. It ignores faults from healedAt on.
 func (s *simulation) inject(f Fault) {
 	if s.now >= healedAt {
 		return
@@ -48,7 +49,7 @@
 	case FaultKillAll:
 		s.killAll(f.Duration)
 	case FaultLeave:
-		p.deliver(p.leave)
+		p.deliver(p.shutDown)
 		s.after(f.Duration+time.Second, p.start)
 	case FaultOneWay:
 		s.block(p.index, f.Peer%len(s.processes), f.Duration)
@@ -57,9 +58,9 @@
 	case FaultPartition:
 		s.partition(f.Target, f.Duration)
 	case FaultLoss:
-		s.countWhile(&s.lossFaults, f.Duration)
+		s.activateFor(&s.lossFaults, f.Duration)
 	case FaultDelay:
-		s.countWhile(&s.delayFaults, f.Duration)
+		s.activateFor(&s.delayFaults, f.Duration)
 	case FaultSync:
 		s.failNextSync[f.Target] = true
 	case FaultRevoke:
@@ -69,7 +70,7 @@
 	}
 }
 
-// killAll ends all processes, and restarts them one after the other.
+// killAll ends all processes, and restarts them one after the other from a quarter of the duration on.
 func (s *simulation) killAll(duration time.Duration) {
 	for i, p := range s.processes {
 		p.kill()
@@ -77,7 +78,7 @@
 	}
 }
 
-// isolate blocks all links of a process.
+// isolate blocks the links of a process to and from all others.
 func (s *simulation) isolate(p *process, duration time.Duration) {
 	for _, other := range s.processes {
 		s.block(p.index, other.index, duration)
@@ -85,7 +86,7 @@
 	}
 }
 
-// partition blocks the links between the processes whose bits are set and the others.
+// partition blocks the links in both directions between the processes whose bits are set in bits and all others.
 func (s *simulation) partition(bits int, duration time.Duration) {
 	for _, a := range s.processes {
 		for _, b := range s.processes {
@@ -96,28 +97,28 @@
 	}
 }
 
-// countWhile counts an active fault for its duration.
-func (s *simulation) countWhile(active *int, duration time.Duration) {
+// activateFor increments a count of active faults for a duration.
+func (s *simulation) activateFor(active *int, duration time.Duration) {
 	*active++
 	s.after(duration, func() { *active-- })
 }
 
-// revoke has an operator revoke a lease.
+// revoke submits an operator's command that revokes a lease.
 func (s *simulation) revoke(name string) {
 	s.submitOnce(consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: name}}})
 }
 
-// replaceVoter has an operator make the present identity of a process a voter, in place of its former one.
+// replaceVoter submits an operator's command that makes the current identity of a process a voter, in place of its former identity.
 func (s *simulation) replaceVoter(p *process) {
 	s.submitOnce(consensus.Request{Voter: &consensus.VoterCommand{Op: consensus.OpReplace, Name: p.name}})
 }
 
-// submitOnce has an operator submit a request until it is answered.
+// submitOnce has an operator submit a request until its first response arrives.
 func (s *simulation) submitOnce(request consensus.Request) {
 	s.submitUntilDone(func() consensus.Request { return request }, func(consensus.Response) bool { return true })
 }
 
-// heal ends all faults, and starts the processes that are down.
+// heal ends the blocked links, failing syncs and pauses, and starts the processes that are down. Other faults end by themselves.
 func (s *simulation) heal() {
 	s.trace("all is well from here on")
 	clear(s.blockedLinks)
@@ -126,7 +127,7 @@
 		p.pausedUntil = min(p.pausedUntil, s.now)
 		p.start()
 	}
-	for _, f := range s.faults { // the operator may have had no answer before
+	for _, f := range s.faults { // the earlier attempts may have had no response
 		if f.Kind == FaultReplace {
 			s.replaceVoter(s.processes[f.Target%len(s.processes)])
 		}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// link is the direction from one process to another, by their indexes.
+// link is the one-way connection between two processes, identified by their indexes.
 type link struct{ from, to int }
 
-// transmit carries a message from one process to another, or loses it. What says what it is, in the trace of messages.
-func (s *simulation) transmit(from, to *process, what string, receive func()) {
+// transmit sends a message from one process to another: it calls receive in the receiving process after a random delay. The message may be
+// lost or, while delay faults are active, duplicated. description names the message in the trace.
+func (s *simulation) transmit(from, to *process, description string, receive func()) {
 	s.counts["messages"]++
 	if s.options.TraceMessages {
-		s.trace("%s to %s: %s", from.name, to.name, what)
+		s.trace("%s to %s: %s", from.name, to.name, description)
 	}
-	if s.loses(from, to) {
+	if s.dropsMessage(from, to) {
 		s.counts["lost"]++
 		return
 	}
@@ -31,14 +32,14 @@
 	}
 }
 
-// loses reports whether a message is lost as it is sent.
-func (s *simulation) loses(from, to *process) bool {
+// dropsMessage reports whether a message is lost when it is sent.
+func (s *simulation) dropsMessage(from, to *process) bool {
 	return s.blockedLinks[link{from.index, to.index}] > 0 ||
 		s.lossFaults > 0 && s.networkRandom.IntN(100) < 30 ||
 		s.networkRandom.IntN(1000) < 2 && s.now < randomLossUntil
 }
 
-// drawDelay draws the time that a message takes.
+// drawDelay draws the transmission delay of a message.
 func (s *simulation) drawDelay() time.Duration {
 	delay := time.Duration(500+s.networkRandom.IntN(2500)) * time.Microsecond
 	if s.delayFaults > 0 {
@@ -50,7 +51,7 @@
 	return delay
 }
 
-// block blocks the link from one process to another for a while. Links are blocked as long as one fault blocks them.
+// block blocks the link from one process to another for a duration. A link stays blocked as long as any fault blocks it.
 func (s *simulation) block(from, to int, duration time.Duration) {
 	if from == to {
 		return
@@ -64,5 +65,5 @@
 	})
 }
 
-// processName returns the name of the process of that index.
+// processName returns the name of the process with the given index.
 func processName(index int) string { return fmt.Sprintf("p%d", index) }
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -10,26 +10,27 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// maxSlotGap is how long before the end the last slot has to be sent.
+// maxSlotGap is the longest allowed time between the last slot that was sent and the end of a run.
 const maxSlotGap = 3 * time.Second
 
-// observer checks what has to hold at all times. Of the processes it sees only what they act on; the rest it records itself.
+// observer checks the invariants of a run. Of the processes it reads only the state that they act on, such as held leases and applied
+// decisions. It records everything else itself.
 type observer struct {
 	simulation *simulation
 
 	// Leases.
 	leases      []leaseSlots
-	clocks      []time.Duration   // of the processes, at the present event
-	checkedAt   time.Duration     // the last time
-	tokenOwners map[uint64]string // the incarnation that has held each token
-	maxTokens   map[string]uint64 // the largest that a resource has accepted, by lease
+	clocks      []time.Duration   // clocks of the processes at the current event
+	checkedAt   time.Duration     // time of the latest checkHolders
+	tokenOwners map[uint64]string // by token: the incarnation that has held it
+	maxTokens   map[string]uint64 // by lease: the largest token that its resource has accepted
 
-	// The task.
+	// Task.
 	lastSlotSent time.Duration
-	executions   map[int64][]time.Duration // of slots, without the repeats that servers drop
-	dedupKeys    map[string]time.Duration  // when servers first received a key
+	executions   map[int64][]time.Duration // by slot: times of its executions, without duplicates that the server dropped
+	dedupKeys    map[string]time.Duration  // by idempotency key: when the server first received it
 
-	zones *zoneObserver // nil: there are no zones
+	zones *zoneObserver // nil without zone failover
 }
 
 func newObserver(s *simulation) *observer {
@@ -48,10 +49,10 @@
 	return o
 }
 
-// The checks of leases.
+// Checks of leases.
 
-// checkHolders checks after each event that no lease has more holders than it has slots, by the clocks and the knowledge of the processes
-// themselves. A process that is paused counts as one that acts the moment it goes on.
+// checkHolders checks that no lease has more holders than slots. It runs after each event, and judges each process by the process's own
+// clock and session. A paused process counts as a holder too, since it may use the lease as soon as it continues.
 func (o *observer) checkHolders() {
 	s := o.simulation
 	o.readClocks()
@@ -78,7 +79,7 @@
 	o.checkedAt = s.now
 }
 
-// readClocks reads the clocks of all processes.
+// readClocks stores the current time of each process's clock in clocks.
 func (o *observer) readClocks() {
 	o.clocks = o.clocks[:0]
 	for _, p := range o.simulation.processes {
@@ -86,7 +87,7 @@
 	}
 }
 
-// checkTokenOwner checks that a token belongs to one incarnation of one process for ever.
+// checkTokenOwner checks that only one incarnation of one process ever holds a token.
 func (o *observer) checkTokenOwner(l leaseSlots, p *process, token uint64) {
 	switch owner := o.tokenOwners[token]; owner {
 	case "":
@@ -98,9 +99,10 @@
 	}
 }
 
-// acted checks an act on a lease's resource, which accepts no token that is smaller than one before it. A holder that does not act late
-// never has such a token. Resources of leases with several slots accept all.
-func (o *observer) acted(l leaseSlots, p *process, token uint64, late bool) {
+// checkAccess checks an access to the resource that a lease protects. The resource rejects a token that is smaller than one that it has
+// accepted before. Only a late access, delayed after the holder checked its lease, may be rejected. The resource of a lease with several
+// slots accepts all tokens.
+func (o *observer) checkAccess(l leaseSlots, p *process, token uint64, late bool) {
 	s := o.simulation
 	s.counts["acts"]++
 	if l.limit > 1 {
@@ -120,7 +122,8 @@
 	}
 }
 
-// checkAllHeld checks at the end that all slots of the leases are held, since there are enough processes that want them.
+// checkAllHeld checks at the end of a run that all slots of each lease are held: every process wants every lease, and there are more
+// processes than slots.
 func (o *observer) checkAllHeld() {
 	for _, l := range o.leases {
 		holders := 0
@@ -135,16 +138,16 @@
 	}
 }
 
-// The checks of the task.
+// Checks of the task.
 
-// slotSent records that a slot's request was sent.
+// slotSent records that the request for a slot was sent.
 func (o *observer) slotSent() {
 	o.lastSlotSent = o.simulation.now
 	o.simulation.counts["slots_sent"]++
 }
 
-// slotReceived checks that a slot is executed only once, unless the task is idempotent. A server drops repeats of a key within the dedup
-// window.
+// slotReceived records that a server received the request for a slot, and checks that a slot is executed only once unless the task is
+// idempotent. The server drops duplicates of an idempotency key within the dedup window.
 func (o *observer) slotReceived(slot task.SlotRequest) {
 	s := o.simulation
 	if s.task.Idempotency == task.IdempotentByKey {
@@ -161,14 +164,14 @@
 	}
 }
 
-// checkSlotsSent checks at the end that slots are still sent.
+// checkSlotsSent checks at the end of a run that slots are still being sent.
 func (o *observer) checkSlotsSent() {
 	if idle := o.simulation.now - o.lastSlotSent; idle > maxSlotGap {
 		o.simulation.reportViolation("no slot was sent in the last %v, and one is due every %v", idle, o.simulation.task.Interval)
 	}
 }
 
-// checkSlotRecord checks at the end that no slot is recorded as done that was not executed.
+// checkSlotRecord checks at the end of a run that the task's record counts no more slots as done than were executed.
 func (o *observer) checkSlotRecord(record task.Record) {
 	s := o.simulation
 	executed := int64(len(o.executions))
@@ -180,9 +183,9 @@
 	}
 }
 
-// The checks of the end.
+// Checks at the end of a run.
 
-// finish checks the end of the run, by which all faults have been over for a while.
+// finish runs the checks at the end of a run, when all faults have been over since healedAt.
 func (o *observer) finish() {
 	decided := o.checkReplicasEqual()
 	if o.simulation.options.SharedState {
@@ -200,7 +203,8 @@
 	o.checkSlotRecord(record)
 }
 
-// checkReplicasEqual checks that all voters that have applied the whole log hold the same state, and returns it; nil if there is none.
+// checkReplicasEqual checks that all voters that have applied the whole log hold the same state. It returns this state, or nil if there is
+// no such voter.
 func (o *observer) checkReplicasEqual() *consensus.StateMachine {
 	s := o.simulation
 	applied := o.maxApplied()
@@ -223,7 +227,7 @@
 	return decided
 }
 
-// maxApplied returns the largest index that a voter has applied.
+// maxApplied returns the largest log index that any voter has applied.
 func (o *observer) maxApplied() uint64 {
 	var applied uint64
 	for _, p := range o.simulation.processes {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// shutdownTime is how long a process that leaves goes on.
+	// shutdownTime is the time from the start of a graceful shutdown until the process ends.
 	shutdownTime = 500 * time.Millisecond
-	// maxWallClockOffset bounds the offset of a process' wall clock, in milliseconds.
+	// maxWallClockOffset is the exclusive upper bound of the offset of a process's wall clock, in milliseconds.
 	maxWallClockOffset = 500
 )
 
-// process is one process of the fleet.
+// process is one process of the fleet, with its clocks, disk, voter, session and shared state. The disk and the clocks outlive a restart.
 type process struct {
 	simulation  *simulation
 	index       int
 	name        string
-	clockRate   float64 // of its monotonic clock
+	clockRate   float64 // rate of the monotonic clock; 1 is true time
 	clockOffset time.Duration
-	starts      int    // what an earlier start has scheduled is void
-	incarnation string // of this start
+	startCount  int    // number of starts; events that an earlier start scheduled are dropped
+	incarnation string // identity of the current start
 	up          bool
 	pausedUntil time.Duration
 	leaving     bool
 
-	voter     bool // by the fleet's configuration
+	voter     bool // the fleet's configuration lets the process vote
 	disk      *disk
 	diskCount int
-	raftID    uint64          // 0: it has not been admitted
-	node      *consensus.Node // nil: it does not vote
+	raftID    uint64          // 0: not admitted as a voter yet
+	node      *consensus.Node // nil: the process runs no voter
 	wasLeader bool
 
 	leaders  *consensus.LeaderTracker
-	calls    map[uint64]*call // by handle
-	lastCall uint64
+	calls    map[uint64]*call // pending calls by handle
+	lastCall uint64           // number of the latest call
 
 	session      *lease.Client
-	sessionRound int // only the newest one is due
-	nextAct      map[string]time.Duration
+	advanceRound int // number of the latest scheduled advance; earlier ones are dropped
+	nextAccess   map[string]time.Duration
 	runner       *task.Runner
-	shared       *sharedState // nil: no state is shared
+	shared       *sharedState // nil without Options.SharedState
 }
 
-// newProcess draws a process' clock. The first process bootstraps the fleet.
+// newProcess returns a process that has not been started, with a clock drawn from setup. The process with index 0 bootstraps the fleet.
 func newProcess(s *simulation, index int, setup *rand.Rand) *process {
-	p := &process{simulation: s, index: index, name: processName(index), voter: index < s.voters}
+	p := &process{simulation: s, index: index, name: processName(index), voter: index < s.voterCount}
 	p.clockRate = 1 + maxClockDrift*(2*setup.Float64()-1)
-	if setup.IntN(2) == 0 { // as often as not at the bound
+	if setup.IntN(2) == 0 { // half of the clocks run at one of the two bounds of the drift
 		p.clockRate = []float64{1 - maxClockDrift, 1 + maxClockDrift}[setup.IntN(2)]
 	}
 	p.clockOffset = time.Duration(setup.Int64N(int64(time.Hour)))
@@ -64,49 +64,49 @@
 	return p
 }
 
-// clock returns the time by the process' monotonic clock.
+// clock returns the time of the process's monotonic clock.
 func (p *process) clock() time.Duration {
 	return p.clockOffset + time.Duration(float64(p.simulation.now)*p.clockRate)
 }
 
-// elapsing returns how long it takes until the process' clock has advanced by d.
-func (p *process) elapsing(d time.Duration) time.Duration {
+// virtualDuration returns the virtual time in which the process's monotonic clock advances by d.
+func (p *process) virtualDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / p.clockRate)
 }
 
-// wallClock returns the time by the process' wall clock.
+// wallClock returns the time of the process's wall clock.
 func (p *process) wallClock() time.Time {
 	offset := time.Duration(p.index*83%maxWallClockOffset) * time.Millisecond
 	return time.Unix(1_800_000_000, 0).Add(p.simulation.now + offset)
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is already running.
 func (p *process) start() {
 	if p.up {
 		return
 	}
 	s := p.simulation
-	p.starts++
-	p.incarnation = fmt.Sprintf("%s/%d", p.name, p.starts)
+	p.startCount++
+	p.incarnation = fmt.Sprintf("%s/%d", p.name, p.startCount)
 	p.up, p.leaving, p.wasLeader = true, false, false
 	s.trace("%s starts", p.name)
-	p.calls, p.nextAct = map[uint64]*call{}, map[string]time.Duration{}
+	p.calls, p.nextAccess = map[uint64]*call{}, map[string]time.Duration{}
 	p.startSession()
 	p.runner = task.NewRunner(s.task, 200*time.Millisecond, 500*time.Millisecond)
-	p.leaders = consensus.NewLeaderTracker(s.voterNames(), s.processRandom.IntN(s.voters), leaseTiming.KeepAliveInterval())
+	p.leaders = consensus.NewLeaderTracker(s.voterNames(), s.processRandom.IntN(s.voterCount), leaseTiming.KeepAliveInterval())
 	p.startNode()
 	p.startSharing()
 	p.schedule(time.Duration(s.processRandom.IntN(50))*time.Millisecond, p.tick)
 	p.schedule(0, p.advance)
 }
 
-// startSession makes a new session, which acquires all leases.
+// startSession creates a new lease client, which opens a session and acquires all leases.
 func (p *process) startSession() {
 	timing := leaseTiming
 	if p.simulation.options.Bug == BugLongTTL {
 		timing.TTL = timing.TTL * 3 / 2
 	}
-	p.session = lease.NewClient(timing, p.name, fmt.Sprintf("start-%d", p.starts))
+	p.session = lease.NewClient(timing, p.name, fmt.Sprintf("start-%d", p.startCount))
 	for _, l := range p.simulation.leases {
 		p.session.Acquire(l.name, l.limit)
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// kill ends the process without notice.
+// kill ends the process without a shutdown.
 func (p *process) kill() {
 	if p.up {
 		p.simulation.trace("%s ends", p.name)
@@ -124,15 +124,15 @@
 	p.up, p.node = false, nil
 }
 
-// wipe replaces the process' disk by an empty one.
+// wipe replaces the process's disk by an empty one. The process must be admitted as a voter again.
 func (p *process) wipe() {
 	p.disk = &disk{simulation: p.simulation, process: p}
 	p.raftID = 0
 	p.diskCount++
 }
 
-// leave shuts the process down in order.
-func (p *process) leave() {
+// shutDown begins a graceful shutdown, which ends the process after shutdownTime.
+func (p *process) shutDown() {
 	p.leaving = true
 	if p.shared != nil {
 		p.sendGossip(p.shared.node.Leave(p.clock()))
@@ -146,12 +146,12 @@
 	p.schedule(shutdownTime, p.kill)
 }
 
-// deliver runs something in the process now, or once its pause is over. It is dropped if the process ends before.
+// deliver calls run now or, if the process is paused, at the end of the pause. The call is dropped if the process ends or restarts before.
 func (p *process) deliver(run func()) {
-	start := p.starts
+	start := p.startCount
 	var attempt func()
 	attempt = func() {
-		if !p.up || p.starts != start {
+		if !p.up || p.startCount != start {
 			return
 		}
 		if now := p.simulation.now; now < p.pausedUntil {
@@ -163,11 +163,11 @@
 	attempt()
 }
 
-// schedule runs something in the process after a delay, unless it has ended by then.
+// schedule calls run in the process after a delay, as deliver does. The call is dropped if the process ends or restarts before.
 func (p *process) schedule(delay time.Duration, run func()) {
-	start := p.starts
+	start := p.startCount
 	p.simulation.after(delay, func() {
-		if p.starts == start {
+		if p.startCount == start {
 			p.deliver(run)
 		}
 	})
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is a function that is due at a time. Events of one time run in the order in which they were scheduled.
+// event is a function that runs at a virtual time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first. It implements heap.Interface.
+// eventQueue is a heap of events with the earliest at index 0. It implements heap.Interface.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -32,25 +32,25 @@
 	return popped
 }
 
-// scheduler is a virtual clock and the events that are due. Its zero value is ready to use.
+// scheduler is a virtual clock with a queue of scheduled events. Its zero value is ready to use. It is not safe for concurrent use.
 type scheduler struct {
 	now      time.Duration
 	queue    eventQueue
-	sequence uint64 // of the newest event
+	sequence uint64 // sequence number of the event that was scheduled last
 }
 
-// after schedules run after a delay.
+// after schedules a call of run after a delay from now.
 func (s *scheduler) after(delay time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.queue, &event{s.now + delay, s.sequence, run})
 }
 
-// dueBy reports whether there is an event that is due by a time.
+// dueBy reports whether an event is scheduled for the time until or earlier.
 func (s *scheduler) dueBy(until time.Duration) bool {
 	return len(s.queue) > 0 && s.queue[0].at <= until
 }
 
-// step sets the clock to the next event and runs it.
+// step advances the clock to the earliest event and runs it. The queue must not be empty.
 func (s *scheduler) step() {
 	next := heap.Pop(&s.queue).(*event)
 	s.now = next.at
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceEnabled says whether the race detector is on.
+// raceEnabled reports whether the test binary was built with the race detector.
 const raceEnabled = true
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -6,15 +6,15 @@
 	mathrand "math/rand/v2"
 )
 
-// seedRaft makes raft draw its election timeouts from the seed instead of crypto/rand, whose reader is a variable of the whole process.
-// restore undoes it.
+// seedRaft makes raft draw its election timeouts from a stream of the seed. Raft draws them from crypto/rand, so seedRaft replaces
+// crypto/rand.Reader, which the whole operating-system process shares. restore sets the original reader again.
 func seedRaft(seed uint64) (restore func()) {
 	original := rand.Reader
-	rand.Reader = seededReader{random(seed, raftStream)}
+	rand.Reader = seededReader{randomStream(seed, raftStream)}
 	return func() { rand.Reader = original }
 }
 
-// seededReader reads the draws of a random source. It never fails.
+// seededReader returns bytes from a random source. Its Read never fails.
 type seededReader struct{ source *mathrand.Rand }
 
 var _ io.Reader = seededReader{}
--- a/internal/simulation/scale.go
+++ b/internal/simulation/scale.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// firstKey is the entry that each process writes as it starts.
-	firstKey = "dead/first"
-	// firstKind is the kind of all entries that are written.
-	firstKind = "dead"
+	// startupKey is the key of the entry that each process writes when it starts.
+	startupKey = "dead/first"
+	// entryKind is the kind of all entries that processes write.
+	entryKind = "dead"
 
-	maxConvergence   = 5 * time.Minute  // until the fleet has converged
-	settleDuration   = 20 * time.Second // until nothing that was new at the start is sent any more
-	maxWriteDuration = 20 * time.Second // until a write is complete
-	maxDetection     = time.Minute      // until a death is known everywhere
-	downtime         = time.Second      // of processes that restart; shorter than the detection of a death
-	maxCatchUp       = time.Minute      // until they have all entries
+	maxConvergence   = 5 * time.Minute  // time limit for convergence, since the start of the run
+	settleDuration   = 20 * time.Second // time after which gossip no longer spreads updates from the start of the fleet
+	maxWriteDuration = 20 * time.Second // time limit for a write to reach all processes
+	maxDetection     = time.Minute      // time limit for all processes to detect a death
+	downtime         = time.Second      // how long restarted processes are down; shorter than the time to detect a death
+	maxCatchUp       = time.Minute      // time limit for restarted processes to receive all entries
 )
 
-// ScaleOptions say what a fleet is put through that only shares state by gossip.
+// ScaleOptions are the parameters of a scale run: a fleet whose processes only share state by gossip, and its load and faults.
 type ScaleOptions struct {
 	Seed          uint64
 	Size          int
-	Loss          float64       // fraction of all messages
-	SlowFraction  float64       // of the processes: they handle some messages later than a probe waits
-	StartupWindow time.Duration // over which all start
-	RestDuration  time.Duration // over which the traffic at rest is measured
-	WriteCount    int           // entries that are written one after the other once the fleet has converged
-	KillCount     int           // processes that are then killed one after the other
-	RestartCount  int           // processes that are then restarted at once, with no state
+	Loss          float64       // fraction of all messages that is lost
+	SlowFraction  float64       // fraction of processes that handle some messages later than the time-out of a probe
+	StartupWindow time.Duration // time over which the starts are spread
+	RestDuration  time.Duration // time over which the traffic of an idle fleet is measured
+	WriteCount    int           // entries written one after the other after the fleet has converged
+	KillCount     int           // processes killed one after the other after the writes
+	RestartCount  int           // processes restarted at once, without state, after the kills
 	Gossip        gossip.Config
 }
 
-// ScaleResult is what was measured. Times are virtual, except for ElapsedSeconds.
+// ScaleResult holds the measurements of a scale run. All times are virtual except ElapsedSeconds. Without writes, kills or restarts the
+// fields about them are 0.
 type ScaleResult struct {
 	Size                int     `json:"size"`
 	Loss                float64 `json:"loss"`
-	ConvergedSeconds    float64 `json:"in_step_s"`      // from the start until all hold the same entries and see each other
-	WriteP50Seconds     float64 `json:"converge_p50_s"` // from a write until all processes have it
+	ConvergedSeconds    float64 `json:"in_step_s"`      // from the start until all processes hold the same entries and see each other
+	WriteP50Seconds     float64 `json:"converge_p50_s"` // from a write until all processes hold it
 	WriteP99Seconds     float64 `json:"converge_p99_s"`
-	IncompleteWrites    int     `json:"missed"` // writes that some process did not get in time
+	IncompleteWrites    int     `json:"missed"` // writes that did not reach all processes within the time limit
 	DetectionP50Seconds float64 `json:"dead_p50_s"`
-	DetectionMaxSeconds float64 `json:"dead_most_s"` // from a death until all processes know of it
+	DetectionMaxSeconds float64 `json:"dead_most_s"` // from a death until all processes have detected it
 	FalseDeaths         int     `json:"false_deaths"`
 	Suspicions          int     `json:"suspicions"`
-	BytesPerSecond      float64 `json:"bytes_a_second"` // that a process sends at rest
+	BytesPerSecond      float64 `json:"bytes_a_second"` // sent by each process in an idle fleet
 	BusyBytesPerSecond  float64 `json:"bytes_a_second_busy"`
 	FramesPerSecond     float64 `json:"frames_a_second"`
-	CatchUpSeconds      float64 `json:"catchup_s"`     // of the slowest process that restarted
-	CatchUpBytes        float64 `json:"catchup_bytes"` // that one of them received at most
+	CatchUpSeconds      float64 `json:"catchup_s"`     // until the slowest restarted process had all entries
+	CatchUpBytes        float64 `json:"catchup_bytes"` // the most that one restarted process received until it had all entries
 	ElapsedSeconds      float64 `json:"real_s"`
 }
 
-// RunScale plays a fleet, and measures one phase after the other.
+// RunScale runs a fleet in virtual time and measures one phase after the other: convergence, rest, writes, detection and catch-up.
 func RunScale(o ScaleOptions) ScaleResult {
 	startedAt := time.Now()
 	f := newScaleFleet(o)
@@ -70,14 +71,14 @@
 	return r
 }
 
-// measureConvergence runs the fleet until all processes see each other and hold the same.
+// measureConvergence runs the fleet until all processes see each other and hold the same entries, until maxConvergence at most.
 func (f *scaleFleet) measureConvergence(r *ScaleResult) {
 	f.run(f.now+f.options.StartupWindow, nil)
 	f.run(maxConvergence, func() bool { return f.allAlive() && f.converged() })
 	r.ConvergedSeconds = f.now.Seconds()
 }
 
-// measureRest measures the traffic of a fleet in which nothing changes.
+// measureRest measures the gossip traffic of an idle fleet.
 func (f *scaleFleet) measureRest(r *ScaleResult) {
 	f.run(f.now+settleDuration, nil)
 	start, framesBefore := f.now, f.frames
@@ -88,8 +89,8 @@
 	r.BytesPerSecond, r.FramesPerSecond = sent/processSeconds, (f.frames-framesBefore)/processSeconds
 }
 
-// measureWrites writes entries one after the other, and measures how long each takes to reach all processes, the traffic and the members
-// that were suspected or taken for dead meanwhile.
+// measureWrites writes entries one after the other. It measures the time until each entry has reached all processes, the traffic, and the
+// number of members that were suspected or declared dead meanwhile.
 func (f *scaleFleet) measureWrites(r *ScaleResult) {
 	before := make(map[string]gossip.Stats)
 	for _, p := range f.processes {
@@ -98,7 +99,7 @@
 	start, sent := f.now, -f.bytesSent()
 	var seconds []float64
 	for i := range f.options.WriteCount {
-		duration, complete := f.write(fmt.Sprintf("%s/w%d", firstKind, i))
+		duration, complete := f.write(fmt.Sprintf("%s/w%d", entryKind, i))
 		if !complete {
 			r.IncompleteWrites++
 		}
@@ -117,7 +118,8 @@
 	}
 }
 
-// write has a process write an entry, and returns how long it took until all had it, or that it was not complete in time.
+// write has a random process write an entry. It returns the time until all processes held the entry, and whether that was within
+// maxWriteDuration.
 func (f *scaleFleet) write(key string) (duration time.Duration, complete bool) {
 	writer := f.processes[f.rng.IntN(len(f.processes))]
 	writer.node.Put(key, []byte("x"))
@@ -134,7 +136,8 @@
 	return f.now - start, complete
 }
 
-// measureDetection kills processes one after the other, measures how long it takes until all know of it, and returns them.
+// measureDetection kills processes one after the other, and measures the time until all others have detected each death. It returns the
+// killed processes.
 func (f *scaleFleet) measureDetection(r *ScaleResult) []*scaleProcess {
 	var killed []*scaleProcess
 	var seconds []float64
@@ -162,7 +165,8 @@
 	return killed
 }
 
-// measureCatchUp restarts processes that were not killed, and measures how long they take to get all entries, and how much they receive.
+// measureCatchUp restarts processes that were not killed. It measures the time until they have received all entries, and the bytes that
+// they receive meanwhile.
 func (f *scaleFleet) measureCatchUp(r *ScaleResult, killed []*scaleProcess) {
 	if f.options.RestartCount == 0 {
 		return
--- a/internal/simulation/scalefleet.go
+++ b/internal/simulation/scalefleet.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// scaleStream is the random stream of a seed that scale runs draw from.
+	// scaleStream is the number of the random stream that scale runs use.
 	scaleStream = 77
-	// conditionInterval is the virtual time between two looks at the condition that a run waits for.
+	// conditionInterval is the virtual time between two checks of the condition that run waits for.
 	conditionInterval = 10 * time.Millisecond
 )
 
-// scaleFleet is a fleet of processes that only share state by gossip, in virtual time.
+// scaleFleet is a fleet in virtual time whose processes only share state by gossip.
 type scaleFleet struct {
 	scheduler
 	options   ScaleOptions
@@ -23,23 +23,23 @@
 	names     []string
 	processes []*scaleProcess
 	byName    map[string]*scaleProcess
-	frames    float64 // that were sent
+	frames    float64 // number of messages sent
 }
 
-// scaleProcess is one process of it.
+// scaleProcess is one process of a scaleFleet.
 type scaleProcess struct {
 	name          string
 	node          *gossip.Node
 	up            bool
 	slow          bool
-	ticks         uint64 // that were scheduled; only the newest one is due
+	latestTick    uint64 // number of the latest scheduled tick; earlier ones are dropped
 	bytesSent     float64
 	bytesReceived float64
 }
 
-// newScaleFleet makes a fleet whose processes start over the startup window.
+// newScaleFleet returns a fleet whose processes start at random times within the startup window.
 func newScaleFleet(o ScaleOptions) *scaleFleet {
-	f := &scaleFleet{options: o, rng: random(o.Seed, scaleStream), byName: map[string]*scaleProcess{}}
+	f := &scaleFleet{options: o, rng: randomStream(o.Seed, scaleStream), byName: map[string]*scaleProcess{}}
 	f.names = make([]string, o.Size)
 	for i := range f.names {
 		f.names[i] = fmt.Sprintf("p%05d", i)
@@ -53,13 +53,14 @@
 	return f
 }
 
-// run runs the events until a time, or until done reports true, and returns whether it did. done may be nil.
+// run runs all events up to the virtual time until, or stops early when done returns true. It returns the last result of done. done may be
+// nil: then run does not stop early and returns false.
 func (f *scaleFleet) run(until time.Duration, done func() bool) bool {
-	nextLook := f.now
+	nextCheck := f.now
 	for f.dueBy(until) {
 		f.step()
-		if done != nil && f.now >= nextLook {
-			nextLook = f.now + conditionInterval
+		if done != nil && f.now >= nextCheck {
+			nextCheck = f.now + conditionInterval
 			if done() {
 				return true
 			}
@@ -69,28 +70,28 @@
 	return done != nil && done()
 }
 
-// start starts a process with no state but an entry of its own.
+// start starts a process without state, and has it write its startup entry.
 func (f *scaleFleet) start(p *scaleProcess) {
 	cfg := f.options.Gossip
 	cfg.Name, cfg.Members, cfg.Seed = p.name, f.names, f.rng.Uint64()
 	p.node, p.up = gossip.New(f.now, cfg), true
 	f.scheduleTick(p)
-	p.node.Put(firstKey, []byte(p.name))
+	p.node.Put(startupKey, []byte(p.name))
 }
 
-// scheduleTick schedules the next tick of a process, in place of the one that is due.
+// scheduleTick schedules the next tick of a process. It replaces the tick that is already scheduled.
 func (f *scaleFleet) scheduleTick(p *scaleProcess) {
-	p.ticks++
-	tick := p.ticks
+	p.latestTick++
+	tick := p.latestTick
 	f.after(max(0, p.node.NextTick()-f.now), func() {
-		if p.up && p.ticks == tick {
+		if p.up && p.latestTick == tick {
 			f.send(p, p.node.Tick(f.now))
 			f.scheduleTick(p)
 		}
 	})
 }
 
-// send sends messages of a process, some of which are lost, or late at a slow process.
+// send sends messages of a process. It loses the configured fraction of them, and delays some messages to slow processes.
 func (f *scaleFleet) send(from *scaleProcess, out []gossip.Envelope) {
 	for _, envelope := range out {
 		size := float64(len(envelope.Message.Encode()))
@@ -114,7 +115,7 @@
 	}
 }
 
-// bytesSent returns the bytes that all processes have sent.
+// bytesSent returns the number of bytes that all processes have sent.
 func (f *scaleFleet) bytesSent() float64 {
 	sent := 0.0
 	for _, p := range f.processes {
@@ -134,14 +135,14 @@
 			first = p
 			continue
 		}
-		if p.node.Store().Digest(firstKind) != first.node.Store().Digest(firstKind) {
+		if p.node.Store().Digest(entryKind) != first.node.Store().Digest(entryKind) {
 			return false
 		}
 	}
 	return true
 }
 
-// allAlive reports whether each running process sees all others that run.
+// allAlive reports whether each running process sees as many live or suspected members as there are other running processes.
 func (f *scaleFleet) allAlive() bool {
 	up := 0
 	for _, p := range f.processes {
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// minAdvance and maxAdvance bound the time between two rounds of advance.
+	// minAdvance and maxAdvance bound the time between two calls of advance.
 	minAdvance = time.Millisecond
 	maxAdvance = 50 * time.Millisecond
-	// actInterval is the time between two acts of a lease holder.
-	actInterval = 30 * time.Millisecond
-	// retryDelay is how long after its result a slot may be sent again.
+	// accessInterval is the least time between two accesses of a lease holder to the protected resource.
+	accessInterval = 30 * time.Millisecond
+	// retryDelay is the delay after the outcome of a slot before the runner may send the slot again.
 	retryDelay = 20 * time.Millisecond
 )
 
-// advance does what is due for the process' leases and its task, and schedules its next round.
+// advance sends the due lease requests, accesses the protected resources, runs the due task action, and schedules its next call.
 func (p *process) advance() {
 	now := p.clock()
 	requests, next := p.session.Next(now)
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, l := range p.simulation.leases {
-		p.act(l)
+		p.accessResource(l)
 	}
 	token, validUntil, _ := p.session.Token(now, taskLease)
 	action, nextAction := p.runner.Next(now, p.wallClock(), token, validUntil)
@@ -41,18 +41,19 @@
 	p.scheduleAdvance(next - now)
 }
 
-// scheduleAdvance schedules the next round once the process' clock has advanced by d. It replaces those that are due.
+// scheduleAdvance schedules the next call of advance for when the process's clock has advanced by d, within minAdvance and maxAdvance. It
+// replaces the call that is already scheduled.
 func (p *process) scheduleAdvance(d time.Duration) {
-	p.sessionRound++
-	round, start := p.sessionRound, p.starts
-	p.simulation.after(max(minAdvance, min(p.elapsing(d), maxAdvance)), func() {
-		if p.starts == start && p.sessionRound == round {
+	p.advanceRound++
+	round, start := p.advanceRound, p.startCount
+	p.simulation.after(max(minAdvance, min(p.virtualDuration(d), maxAdvance)), func() {
+		if p.startCount == start && p.advanceRound == round {
 			p.deliver(p.advance)
 		}
 	})
 }
 
-// submitLeaseRequest sends a request of the session to the consensus group.
+// submitLeaseRequest sends a request of the lease client to the consensus group, and passes the response back.
 func (p *process) submitLeaseRequest(request lease.Request) {
 	start := p.simulation.now
 	p.simulation.recordSubmission(p.index, request)
@@ -65,23 +66,23 @@
 	})
 }
 
-// act has a lease holder act on the resource that the lease protects. Now and then the act comes late, as if the process had been paused
-// after it had looked at its lease.
-func (p *process) act(l leaseSlots) {
+// accessResource has a lease holder access the resource that the lease protects. One access in 20 is delayed, as if the process had been
+// paused after checking its lease.
+func (p *process) accessResource(l leaseSlots) {
 	s, now := p.simulation, p.clock()
 	token, _, held := p.session.Token(now, l.name)
-	if !held || now < p.nextAct[l.name] {
+	if !held || now < p.nextAccess[l.name] {
 		return
 	}
-	p.nextAct[l.name] = now + actInterval
+	p.nextAccess[l.name] = now + accessInterval
 	delay := time.Duration(0)
 	if s.processRandom.IntN(20) == 0 {
 		delay = time.Duration(s.processRandom.IntN(3000)) * time.Millisecond
 	}
-	s.after(delay, func() { s.observer.acted(l, p, token, delay > 0) })
+	s.after(delay, func() { s.observer.checkAccess(l, p, token, delay > 0) })
 }
 
-// runTask carries out what the task's runner wants.
+// runTask executes an action that the task's runner has returned.
 func (p *process) runTask(action task.Action) {
 	switch {
 	case action.FetchRecord:
@@ -104,7 +105,7 @@
 	})
 }
 
-// submitTaskCommand submits a command on a slot to the consensus group.
+// submitTaskCommand submits a command on a slot to the consensus group, and passes the result to the runner.
 func (p *process) submitTaskCommand(c task.Command) {
 	s := p.simulation
 	s.trace("%s asks: %s slot %d by %d %s", p.name, c.Op, c.Slot, c.Token, c.Outcome)
@@ -118,14 +119,15 @@
 	})
 }
 
-// sendSlot sends the request of a slot to a server, which executes it or not, and whose answer may be lost.
+// sendSlot sends the request for a slot to a server. The request may be lost, the server may reject it, and the response may be lost or too
+// late.
 func (p *process) sendSlot(slot task.SlotRequest) {
 	s := p.simulation
 	s.observer.slotSent()
 	s.trace("%s sends slot %d by %d, attempt %d", p.name, slot.Slot, slot.Token, slot.Attempt)
 	draw := s.networkRandom.IntN(100)
-	took := time.Duration(5+s.networkRandom.IntN(60)) * time.Millisecond
-	timeout := p.elapsing(slot.Deadline - p.clock())
+	latency := time.Duration(5+s.networkRandom.IntN(60)) * time.Millisecond
+	timeout := p.virtualDuration(slot.Deadline - p.clock())
 	if s.options.Bug == BugEarlyCompletion {
 		p.completeSlot(task.OutcomeDone, 0)
 	}
@@ -133,17 +135,17 @@
 	case draw < 10: // the request is lost
 		p.completeSlot(task.OutcomeUnknown, timeout)
 	case draw < 20:
-		p.completeSlot(task.OutcomeRejected, took)
-	case draw < 30 || took >= timeout: // the answer is lost
-		s.after(took, func() { s.observer.slotReceived(slot) })
+		p.completeSlot(task.OutcomeRejected, latency)
+	case draw < 30 || latency >= timeout: // the response is lost or late
+		s.after(latency, func() { s.observer.slotReceived(slot) })
 		p.completeSlot(task.OutcomeUnknown, timeout)
 	default:
-		s.after(took, func() { s.observer.slotReceived(slot) })
-		p.completeSlot(task.OutcomeDone, took+time.Millisecond)
+		s.after(latency, func() { s.observer.slotReceived(slot) })
+		p.completeSlot(task.OutcomeDone, latency+time.Millisecond)
 	}
 }
 
-// completeSlot passes the outcome of the slot that was sent to the runner after a delay.
+// completeSlot passes the outcome of the slot that was sent to the task's runner after a delay.
 func (p *process) completeSlot(outcome task.Outcome, delay time.Duration) {
 	p.schedule(delay, func() {
 		p.runner.HandleOutcome(p.clock(), outcome, p.clock()+retryDelay)
--- a/internal/simulation/sharedstate.go
+++ b/internal/simulation/sharedstate.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// writtenKind is the kind of the entries that processes write.
+	// writtenKind is the kind of the gossip entries that processes write.
 	writtenKind = "dead"
-	// writesUntil is when the last entry is written; at the end all processes have to hold the same.
+	// writesUntil is the time of the last write. The rest of the run suffices for all processes to converge to the same entries.
 	writesUntil = 26 * time.Second
 )
 
-// sharedState is a process' part in the shared state, and what the observer has seen of it since the process started.
+// sharedState is a process's replica of the shared state, with the observer's records of it since the process started.
 type sharedState struct {
-	node          *gossip.Node
-	scheduled     uint64        // ticks that were scheduled; only the newest one is due
-	nextTick      time.Duration // by the process' clock; below 0: none is due
-	lastDecision  uint64        // of the consensus group, that was applied
-	versions      map[gossip.EntryID]gossip.Version
-	deleted       map[gossip.EntryID]bool
-	zoneDecisions *zoneMember // nil: there are no zones
+	node         *gossip.Node
+	latestTick   uint64                            // number of the latest scheduled tick; earlier ones are dropped
+	nextTick     time.Duration                     // by the process's clock; below 0: none is scheduled
+	lastDecision uint64                            // number of the latest decision applied from the voter's log
+	versions     map[gossip.EntryID]gossip.Version // latest version that the observer has seen
+	deleted      map[gossip.EntryID]bool           // entries that the observer has seen removed from the store
+	zoneFailover *zoneMember                       // nil without zone failover
 }
 
-// startSharing joins the shared state, if the run has one.
+// startSharing starts the gossip node, the writes and, with zone failover, the observation of zones. It does nothing without
+// Options.SharedState.
 func (p *process) startSharing() {
 	s := p.simulation
 	if !s.options.SharedState {
@@ -43,12 +44,12 @@
 	p.scheduleGossip()
 	p.schedule(time.Duration(s.gossipRandom.IntN(800))*time.Millisecond, p.writeSharedState)
 	if s.options.ZoneFailover {
-		p.shared.zoneDecisions = newZoneMember()
+		p.shared.zoneFailover = newZoneMember()
 		p.schedule(time.Duration(s.gossipRandom.IntN(300))*time.Millisecond, p.observeZones)
 	}
 }
 
-// gossipConfig returns the configuration of the process' part in the shared state.
+// gossipConfig returns the configuration of the process's gossip node.
 func (p *process) gossipConfig() gossip.Config {
 	s := p.simulation
 	cfg := gossip.DefaultConfig()
@@ -68,7 +69,7 @@
 	return cfg
 }
 
-// scheduleGossip schedules the next tick of gossip, unless one is due before.
+// scheduleGossip schedules the next tick of the gossip node, unless an earlier or equal one is already scheduled.
 func (p *process) scheduleGossip() {
 	shared := p.shared
 	next := shared.node.NextTick()
@@ -76,17 +77,17 @@
 		return
 	}
 	shared.nextTick = next
-	shared.scheduled++
-	tick := shared.scheduled
-	p.schedule(max(time.Millisecond, p.elapsing(next-p.clock())), func() {
-		if p.shared == shared && shared.scheduled == tick {
+	shared.latestTick++
+	tick := shared.latestTick
+	p.schedule(max(time.Millisecond, p.virtualDuration(next-p.clock())), func() {
+		if p.shared == shared && shared.latestTick == tick {
 			shared.nextTick = -1
 			p.sendGossip(shared.node.Tick(p.clock()))
 		}
 	})
 }
 
-// sendGossip sends messages, and has the observer check what has changed.
+// sendGossip sends gossip messages, and has the observer check the changes of the process's shared state.
 func (p *process) sendGossip(out []gossip.Envelope) {
 	s := p.simulation
 	for _, envelope := range out {
@@ -100,13 +101,14 @@
 	p.sharedStateChanged()
 }
 
-// sharedStateChanged has the observer check what has changed, and schedules the gossip of it.
+// sharedStateChanged has the observer check the changes of the process's shared state, and schedules the next gossip tick.
 func (p *process) sharedStateChanged() {
 	p.simulation.observer.sharedStateChanged(p)
 	p.scheduleGossip()
 }
 
-// writeSharedState has the process write or delete entries, and submit operators' commands, until writesUntil.
+// writeSharedState writes or deletes a random entry, occasionally submits an operator's command, and schedules its next call, until
+// writesUntil.
 func (p *process) writeSharedState() {
 	s, rng := p.simulation, p.simulation.gossipRandom
 	if s.now > writesUntil {
@@ -127,7 +129,7 @@
 	p.schedule(200*time.Millisecond+time.Duration(rng.IntN(1500))*time.Millisecond, p.writeSharedState)
 }
 
-// applyDecisions copies what the consensus group has decided from the voter's log to the shared state.
+// applyDecisions copies new decisions of the consensus group from the state of the process's voter to the shared state.
 func (p *process) applyDecisions() {
 	if p.shared == nil || p.node == nil || p.node.StateMachine() == nil {
 		return
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -1,7 +1,7 @@
 package simulation
 
-// Shrink removes faults from a run that has violated a rule, as long as the run still violates one, which may be another. It plays at most
-// maxRuns runs, and returns the outcome with the fewest faults.
+// Shrink reduces the faults of a run that has violated an invariant. It removes faults as long as the run still violates an invariant,
+// which may be a different one. It runs at most maxRuns simulations, and returns the outcome with the fewest faults.
 func Shrink(o Options, violated Outcome, maxRuns int) Outcome {
 	best := violated
 	for size := max(1, len(best.Faults)/2); size >= 1 && maxRuns > 0; {
@@ -22,12 +22,12 @@
 	return best
 }
 
-// withFaults returns the options of a run with these faults, and without trace and history.
+// withFaults returns the options with the given faults, without trace and history.
 func (o Options) withFaults(faults []Fault) Options {
 	return Options{Seed: o.Seed, Bug: o.Bug, Faults: faults, SharedState: o.SharedState, ZoneFailover: o.ZoneFailover}
 }
 
-// without returns a copy of the faults without those of a range, which may exceed them.
+// without returns a copy of the faults without size faults from index start on. The range may extend past the end.
 func without(faults []Fault, start, size int) []Fault {
 	rest := append([]Fault{}, faults[:start]...)
 	return append(rest, faults[min(len(faults), start+size):]...)
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,8 +1,9 @@
-// Package simulation runs fleets in virtual time: the consensus group, leases, tasks, gossip and zone failover as they are, on a network,
-// disks and clocks that a seed makes fail. An observer that reads none of their internal state checks what has to hold at all times.
-// Equal options give equal runs, byte for byte.
+// Package simulation runs fleets in virtual time. It runs the production code of consensus, leases, tasks, gossip and zone failover on a
+// simulated network, simulated disks and simulated clocks, whose faults are drawn from a seed. An observer checks the invariants of the
+// fleet throughout the run. It relies on no internal state of the code under test. Equal options give equal runs, byte for byte.
 //
-// One process plays one run at a time, since raft draws its election timeouts from a source that all of the process shares.
+// An operating-system process can run only one simulation at a time, since raft draws its election timeouts from a random source that the
+// whole process shares.
 package simulation
 
 import (
@@ -17,25 +18,25 @@
 	"sorrelrudder/internal/task"
 )
 
-// The phases of a run, since its start.
+// Phases of a run, as virtual times since its start.
 const (
-	faultsFrom      = 6 * time.Second // by then the consensus group is complete
+	faultsFrom      = 6 * time.Second // all voters have been admitted by then
 	faultsUntil     = 18 * time.Second
-	healedAt        = 23 * time.Second // faults have ended, and all processes run
+	healedAt        = 23 * time.Second // all faults have ended, and all processes run
 	endAt           = 33 * time.Second
-	randomLossUntil = endAt - 4*time.Second // two losses after it could leave a member suspected at the end
+	randomLossUntil = endAt - 4*time.Second // two random losses after this time could leave a member suspected at the end
 )
 
 const (
-	// raftTick is the interval of the consensus group's ticks.
+	// raftTick is the interval between two ticks of a voter.
 	raftTick = 50 * time.Millisecond
-	// maxClockDrift bounds the rate by which a process' clock is fast or slow.
+	// maxClockDrift bounds how far the rate of a process's clock is from true time, as a fraction.
 	maxClockDrift = 0.05
-	// maxEvents bounds a run.
+	// maxEvents bounds the number of events of a run.
 	maxEvents = 2_000_000
 )
 
-// taskName is the name of the task that the processes run, and taskLease that of its lease.
+// taskName is the name of the task that the processes run. taskLease is the name of the task's lease.
 const (
 	taskName  = "t"
 	taskLease = "task/t"
@@ -43,7 +44,7 @@
 
 var leaseTiming = lease.Timing{TTL: 1500 * time.Millisecond, MaxClockDrift: maxClockDrift, SafetyMargin: 10 * time.Millisecond}
 
-// The random streams of a seed. Draws of one do not move those of another.
+// Numbers of the random streams of a seed. Draws from one stream do not change the draws from another.
 const (
 	networkStream = iota + 1
 	processStream
@@ -54,61 +55,61 @@
 	zoneFaultStream
 )
 
-// random returns a stream of a seed.
-func random(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+// randomStream returns a new random source for a stream of a seed.
+func randomStream(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Options say what is run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed          uint64
 	Bug           InjectedBug
-	Faults        []Fault   // in place of those that the seed draws, unless nil
-	Trace         io.Writer // takes the events of the run as lines, unless nil
-	TraceMessages bool      // also each message
-	RecordHistory bool      // keep the operations on the leases
-	SharedState   bool      // the processes share state by gossip
-	ZoneFailover  bool      // and decide which zones of servers to use; needs SharedState
+	Faults        []Fault   // used instead of the faults drawn from the seed, unless nil
+	Trace         io.Writer // receives the trace, one line per event, unless nil
+	TraceMessages bool      // the trace also has each message
+	RecordHistory bool      // record the operations on the leases in Outcome.History
+	SharedState   bool      // processes share state by gossip
+	ZoneFailover  bool      // processes fail over between zones of servers; requires SharedState
 }
 
-// Outcome is what came of a run.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed         uint64             `json:"seed"`
 	SharedState  bool               `json:"copies,omitempty"`
 	ZoneFailover bool               `json:"zones,omitempty"`
-	Violation    string             `json:"broken,omitempty"` // the first one; it ends the run
+	Violation    string             `json:"broken,omitempty"` // the first violation, which ends the run; empty: none
 	ViolatedAt   time.Duration      `json:"at,omitempty"`
 	Faults       []Fault            `json:"faults"`
-	Hash         uint64             `json:"hash"` // of the trace
+	Hash         uint64             `json:"hash"` // over the trace
 	Counts       map[string]float64 `json:"counts"`
-	History      []Operation        `json:"-"` // with Options.RecordHistory
+	History      []Operation        `json:"-"` // nil without Options.RecordHistory
 }
 
-// leaseSlots is a lease and the number of processes that may hold it at once.
+// leaseSlots is the name of a lease and the number of processes that may hold it at once.
 type leaseSlots struct {
 	name  string
 	limit int
 }
 
-// simulation is one run. It belongs to one goroutine.
+// simulation is one run. It is not safe for concurrent use.
 type simulation struct {
 	scheduler
 	options Options
 
-	networkRandom *rand.Rand // what happens to messages and requests
-	processRandom *rand.Rand // what processes draw
-	gossipRandom  *rand.Rand // what they draw for shared state and zones
+	networkRandom *rand.Rand // fates and delays of messages and requests
+	processRandom *rand.Rand // random choices of processes
+	gossipRandom  *rand.Rand // random choices of processes about shared state and zones
 
-	voters    int // the first ones of the processes
-	processes []*process
-	leases    []leaseSlots
-	task      task.Spec
-	servers   *zoneServers // nil: there are no zones
+	voterCount int // the first voterCount processes are voters
+	processes  []*process
+	leases     []leaseSlots
+	task       task.Spec
+	servers    *zoneServers // nil without zone failover
 
 	faults       []Fault
-	blockedLinks map[link]int // and by how many faults
-	lossFaults   int          // that are active
-	delayFaults  int
-	failNextSync map[int]bool      // by process
-	zoneCommands [zoneCount]uint64 // that operators have given on zones
+	blockedLinks map[link]int      // number of faults that block each link
+	lossFaults   int               // number of active FaultLoss faults
+	delayFaults  int               // number of active FaultDelay faults
+	failNextSync map[int]bool      // by index of the process
+	zoneCommands [zoneCount]uint64 // by zone: number of operators' commands so far
 
 	observer   *observer
 	traceHash  hash.Hash64
@@ -118,7 +119,7 @@
 	history    history
 }
 
-// Run plays one run.
+// Run runs one simulation. A panic counts as a violation. It must not be called concurrently, since it replaces crypto/rand.Reader.
 func Run(o Options) (out Outcome) {
 	restore := seedRaft(o.Seed)
 	defer restore()
@@ -133,22 +134,22 @@
 	return out
 }
 
-// newSimulation draws the fleet and its faults, and starts the processes.
+// newSimulation draws the fleet and its faults from the seed, starts the processes, and schedules the faults.
 func newSimulation(o Options) *simulation {
 	s := &simulation{
 		options:       o,
-		networkRandom: random(o.Seed, networkStream),
-		processRandom: random(o.Seed, processStream),
-		gossipRandom:  random(o.Seed, gossipStream),
+		networkRandom: randomStream(o.Seed, networkStream),
+		processRandom: randomStream(o.Seed, processStream),
+		gossipRandom:  randomStream(o.Seed, gossipStream),
 		blockedLinks:  map[link]int{},
 		failNextSync:  map[int]bool{},
 		traceHash:     fnv.New64a(),
 		counts:        map[string]float64{},
 		history:       history{firstSubmitted: map[commandID]time.Duration{}},
 	}
-	setup := random(o.Seed, setupStream)
-	s.voters = []int{1, 3, 3, 5, 5}[setup.IntN(5)]
-	processCount := s.voters + 2 + setup.IntN(3)
+	setup := randomStream(o.Seed, setupStream)
+	s.voterCount = []int{1, 3, 3, 5, 5}[setup.IntN(5)]
+	processCount := s.voterCount + 2 + setup.IntN(3)
 	s.leases = []leaseSlots{{"one", 1}, {"two", 2}}
 	s.task = drawTask(setup)
 	if o.ZoneFailover {
@@ -183,7 +184,7 @@
 	}
 }
 
-// play runs all events until the end, or until a violation.
+// play runs all events until endAt, and then the checks at the end of a run. A violation ends it early.
 func (s *simulation) play() {
 	for played := 0; len(s.queue) > 0 && s.violation == ""; played++ {
 		if played > maxEvents {
@@ -200,7 +201,7 @@
 	}
 }
 
-// outcome returns what came of the run.
+// outcome returns the result of the run so far.
 func (s *simulation) outcome() Outcome {
 	return Outcome{
 		Seed:         s.options.Seed,
@@ -215,7 +216,7 @@
 	}
 }
 
-// reportViolation records the first thing that must not happen.
+// reportViolation records a violation of an invariant, if it is the first one of the run.
 func (s *simulation) reportViolation(format string, args ...any) {
 	if s.violation == "" {
 		s.violation, s.violatedAt = fmt.Sprintf(format, args...), s.now
@@ -223,7 +224,7 @@
 	}
 }
 
-// trace adds a line to the trace.
+// trace adds a line to the trace and its hash.
 func (s *simulation) trace(format string, args ...any) {
 	line := fmt.Sprintf("%10.6f %s\n", s.now.Seconds(), fmt.Sprintf(format, args...))
 	s.traceHash.Write([]byte(line))
@@ -232,7 +233,7 @@
 	}
 }
 
-// process returns the process of that name, or nil.
+// process returns the process with the given name, or nil if there is none.
 func (s *simulation) process(name string) *process {
 	for _, p := range s.processes {
 		if p.name == name {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// seeds returns the number of seeds that a test runs: usual, or that of SORRELRUDDER_SEEDS.
+// seeds returns the number of seeds that a test runs: SORRELRUDDER_SEEDS if set, 1 with the race detector, or else usual.
 func seeds(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("SORRELRUDDER_SEEDS")); err == nil {
 		return n
 	}
-	if raceEnabled { // a run is one goroutine; .ci/run runs more seeds without the detector
+	if raceEnabled { // a run is a single goroutine, so one seed suffices here; .ci/run runs more seeds without the race detector
 		return 1
 	}
 	return usual
 }
 
+// TestNoViolations checks that runs without an injected bug violate no invariant.
 func TestNoViolations(t *testing.T) {
 	for seed := range seeds(40) {
 		if o := Run(Options{Seed: uint64(seed), SharedState: seed%2 == 1, ZoneFailover: seed%4 == 3}); o.Violation != "" {
@@ -26,21 +27,23 @@
 	}
 }
 
+// TestSameSeedSameRun checks that runs with equal options have equal traces. It guards against dependence on map order, real time or
+// unseeded random numbers.
 func TestSameSeedSameRun(t *testing.T) {
 	for seed := uint64(1); seed <= 1; seed++ {
 		var a, b bytes.Buffer
 		x, y := Run(Options{Seed: seed, Trace: &a, SharedState: true, ZoneFailover: true}), Run(Options{Seed: seed, Trace: &b, SharedState: true, ZoneFailover: true})
 		if x.Hash != y.Hash || !bytes.Equal(a.Bytes(), b.Bytes()) {
-			t.Errorf("seed %d: two runs differ", seed)
+			t.Errorf("seed %d: two runs with equal options have different traces", seed)
 		}
 	}
 }
 
-// firstSeeds are seeds shortly before those that find a bug that shows only in one of hundreds of runs. With SORRELRUDDER_SEEDS all start
-// at 0.
+// firstSeeds are the first seeds to try for bugs that cause a violation in only one of hundreds of runs. They are shortly before a
+// seed that finds the bug. If SORRELRUDDER_SEEDS is set, all bugs start at seed 0.
 var firstSeeds = map[InjectedBug]uint64{BugUnconfirmedLeader: 126, BugWallClockRamp: 52, BugCommandRepeated: 85}
 
-// TestInjectedBugsAreFound checks that the observer finds each injected bug.
+// TestInjectedBugsAreFound checks that each injected bug leads to a violation. It guards against checks of the observer that never fail.
 func TestInjectedBugsAreFound(t *testing.T) {
 	for _, bug := range InjectedBugs {
 		t.Run(string(bug), func(t *testing.T) {
@@ -57,7 +60,7 @@
 					return
 				}
 			}
-			t.Error("not found in 2000 seeds")
+			t.Error("no violation in the seeds below 2000")
 		})
 	}
 }
--- a/internal/simulation/stateobserver.go
+++ b/internal/simulation/stateobserver.go
@@ -8,12 +8,13 @@
 	"sorrelrudder/internal/gossip"
 )
 
-// sharedStateChanged checks what has changed in a process' shared state.
+// sharedStateChanged checks the changes of a process's shared state since the previous call. With zone failover it also passes them to the
+// process's failure reports.
 func (o *observer) sharedStateChanged(p *process) {
 	store := p.shared.node.Store()
 	changed := store.TakeChanges()
-	if p.shared.zoneDecisions != nil {
-		p.shared.zoneDecisions.reports.Update(p.clock(), p.shared.node, changed)
+	if p.shared.zoneFailover != nil {
+		p.shared.zoneFailover.reports.Update(p.clock(), p.shared.node, changed)
 	}
 	if slices.ContainsFunc(changed, func(id gossip.EntryID) bool { return id.Owner() == gossip.ConsensusOwner }) {
 		o.checkZoneDecisionsHeld(p)
@@ -27,8 +28,8 @@
 	}
 }
 
-// checkVersionAdvances checks that a version of an entry never goes back, and that an entry that was deleted does not come back with the
-// version that it had.
+// checkVersionAdvances checks that the version of an entry never decreases, and that a deleted entry does not reappear with the version
+// that it had before.
 func (o *observer) checkVersionAdvances(p *process, id gossip.EntryID, entry gossip.Entry) {
 	before, known := p.shared.versions[id]
 	switch order := entry.Compare(before); {
@@ -42,8 +43,8 @@
 	o.simulation.counts["copies"]++
 }
 
-// checkSharedStateEqual checks at the end that all processes see each other alive and hold the same entries, and that these agree with what
-// the consensus group has decided.
+// checkSharedStateEqual checks at the end of a run that all processes see each other alive and hold the same entries, and that the entries
+// agree with the decisions of the consensus group.
 func (o *observer) checkSharedStateEqual(decided *consensus.StateMachine) {
 	var first *process
 	for _, p := range o.simulation.processes {
@@ -63,7 +64,7 @@
 	}
 }
 
-// checkMembersAlive checks that a process sees all others alive.
+// checkMembersAlive checks that a process sees all other members alive.
 func (o *observer) checkMembersAlive(p *process) {
 	for _, other := range o.simulation.processes {
 		if state := p.shared.node.Member(other.name).State; other != p && state != gossip.Alive {
@@ -72,19 +73,19 @@
 	}
 }
 
-// checkEntriesEqual checks that two processes hold the same entries, and reports whether they do.
+// checkEntriesEqual checks that two processes hold the same entries, and returns whether they do.
 func (o *observer) checkEntriesEqual(a, b *process) bool {
 	entriesB, entriesA := b.describeEntries(), a.describeEntries()
 	for i := range max(len(entriesB), len(entriesA)) {
 		if i >= len(entriesB) || i >= len(entriesA) || entriesB[i] != entriesA[i] {
-			o.simulation.reportViolation("copies of %s and %s differ at the end: %.200q, %.200q", a.name, b.name, from(entriesA, i), from(entriesB, i))
+			o.simulation.reportViolation("copies of %s and %s differ at the end: %.200q, %.200q", a.name, b.name, excerpt(entriesA, i), excerpt(entriesB, i))
 			return false
 		}
 	}
 	return true
 }
 
-// describeEntries returns the entries of a process' shared state as texts.
+// describeEntries returns the entries of a process's shared state as text, one string per entry.
 func (p *process) describeEntries() []string {
 	var texts []string
 	p.shared.node.Store().ForEach("", func(e *gossip.Entry) bool {
@@ -94,12 +95,12 @@
 	return texts
 }
 
-// from returns at most two of the texts from an index on.
-func from(texts []string, index int) []string {
+// excerpt returns at most two of the texts, starting at index.
+func excerpt(texts []string, index int) []string {
 	return texts[min(index, len(texts)):min(index+2, len(texts))]
 }
 
-// checkDecisionsHeld checks that a process' shared state has all decisions of the consensus group.
+// checkDecisionsHeld checks that a process's shared state contains all decisions of the consensus group.
 func (o *observer) checkDecisionsHeld(p *process, decided *consensus.StateMachine) {
 	for key, decision := range decided.Decisions {
 		entry, stored := p.shared.node.Store().Get(gossip.ConsensusOwner, key)
--- a/internal/simulation/voter.go
+++ b/internal/simulation/voter.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// fleetID is the fleet's name.
+	// fleetID is the ID of the simulated fleet.
 	fleetID = "fleet"
-	// snapshotEntries is the number of log entries after which a voter makes a snapshot.
+	// snapshotEntries is the number of log entries after which a voter takes a snapshot.
 	snapshotEntries = 64
-	// restartDelay is how long a process is down whose disk has failed.
+	// restartDelay is how long a process is down after its voter has failed.
 	restartDelay = 700 * time.Millisecond
 )
 
 // voterNames returns the names of the voters.
 func (s *simulation) voterNames() []string {
-	names := make([]string, s.voters)
+	names := make([]string, s.voterCount)
 	for i := range names {
 		names[i] = processName(i)
 	}
 	return names
 }
 
-// bootstrap writes the fleet's first state to the process' disk.
+// bootstrap writes the initial state of the fleet to the process's disk. The process becomes the first voter.
 func (p *process) bootstrap() {
 	p.raftID = 1
 	snapshot, err := consensus.BootstrapSnapshot(consensus.NewStateMachine(fleetID, p.name, p.storeID(), p.simulation.voterNames()))
@@ -42,20 +42,20 @@
 	p.disk.synced = p.disk.written
 }
 
-// storeID returns the identity of the process' disk.
+// storeID returns the identity of the process's current disk.
 func (p *process) storeID() string { return fmt.Sprintf("%s-disk-%d", p.name, p.diskCount) }
 
-// raftClock returns the time that the voter judges leases by.
+// raftClock returns the time by which the voter expires leases.
 func (p *process) raftClock() time.Duration {
 	now := p.clock()
-	if p.simulation.options.Bug == BugWallClock { // set forward by 2 s every 5 s, at times that differ between processes
+	if p.simulation.options.Bug == BugWallClock { // jumps forward by 2 s every 5 s, at different times in each process
 		stagger := time.Duration(p.index) * 700 * time.Millisecond
 		now += (p.simulation.now + stagger) / (5 * time.Second) * 2 * time.Second
 	}
 	return now
 }
 
-// startNode starts the voter, if the process has been admitted as one.
+// startNode starts the voter from the state on its disk, if the process has been admitted as a voter.
 func (p *process) startNode() {
 	p.node = nil
 	if !p.voter || p.raftID == 0 {
@@ -75,7 +75,7 @@
 	p.node = node
 }
 
-// tick passes the time to the voter, or has the process ask to be admitted as one.
+// tick advances the voter's clock. If the process may vote but is not admitted yet, tick requests the admission instead.
 func (p *process) tick() {
 	p.schedule(raftTick, p.tick)
 	if p.node != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// requestAdmission asks the consensus group for an identity, now and then.
+// requestAdmission asks the consensus group for a raft ID, in one of four calls on average, and starts the voter with it.
 func (p *process) requestAdmission() {
 	if p.simulation.processRandom.IntN(4) > 0 {
 		return
@@ -101,7 +101,7 @@
 	})
 }
 
-// processNode saves what the voter has to save, and carries out what it returns.
+// processNode lets the voter process its input and save its state, and handles its output. An error restarts the process.
 func (p *process) processNode() {
 	if p.node == nil {
 		return
@@ -112,7 +112,7 @@
 		return
 	}
 	if p.node.IsLeader() && !p.wasLeader && p.simulation.options.Bug == BugNoLeaseGrace {
-		p.clockOffset += 2 * leaseTiming.TTL // as if the leases that it finds had expired
+		p.clockOffset += 2 * leaseTiming.TTL // the leader's clock jumps, so that the leases it has taken over expire
 	}
 	p.wasLeader = p.node.IsLeader()
 	p.simulation.observer.decisionsApplied(p.node.StateMachine())
@@ -123,7 +123,7 @@
 	p.sendOutput(out)
 }
 
-// restartAfter restarts the process after an error of its voter. Only a failed sync is expected.
+// restartAfter restarts the process after an error of its voter. Any error but a failed sync is a violation.
 func (p *process) restartAfter(err error) {
 	p.simulation.trace("%s: %v", p.name, err)
 	if !errors.Is(err, errSync) {
@@ -133,7 +133,7 @@
 	p.simulation.after(restartDelay, p.start)
 }
 
-// stepNode passes a message of another voter to this one.
+// stepNode passes a message from another voter to this process's voter.
 func (p *process) stepNode(from *process, fromID uint64, data []byte) {
 	if p.node == nil {
 		return
--- a/internal/simulation/zonemember.go
+++ b/internal/simulation/zonemember.go
@@ -12,24 +12,24 @@
 	"sorrelrudder/internal/zoneview"
 )
 
-// reporterQuorum is the number of members whose reports make a server count as unreachable.
+// reporterQuorum is the number of members that must report a server before it counts as unreachable.
 const reporterQuorum = 2
 
-// zoneMember is a process' part in zone failover.
+// zoneMember is a process's state for zone failover.
 type zoneMember struct {
 	reports     *gossip.FailureReports
-	controller  *zonefailover.Controller // nil: the process does not hold the lease
-	submittedAt time.Duration            // of the pending decision; below 0: none is pending
-	checks      map[string]bool          // entries of its zone checks
-	round       int
-	decisionIDs string // of the decisions by which the observer has checked what it excludes
+	controller  *zonefailover.Controller // nil if the process does not hold the lease
+	submittedAt time.Duration            // when the pending decision was submitted, by the process's clock; below 0: none is pending
+	checks      map[string]bool          // keys of the entries with the results of its zone checks
+	round       int                      // number of the current round of zone checks
+	decisionIDs string                   // decisions for which the observer has already checked the excluded servers
 }
 
 func newZoneMember() *zoneMember {
 	return &zoneMember{reports: gossip.NewFailureReports(reporterQuorum), submittedAt: -1, checks: map[string]bool{}}
 }
 
-// zoneRules returns the rules of zone failover. Their times are short, so that a run has recoveries and relapses.
+// zoneRules returns the rules of zone failover. Their durations are short, so that recoveries and relapses fit into a run.
 func zoneRules() zonefailover.Rules {
 	r := zonefailover.DefaultRules()
 	r.StepDuration = 300 * time.Millisecond
@@ -39,8 +39,8 @@
 	return r
 }
 
-// buggyZoneRules returns the rules as the run's bug has them.
-func (s *simulation) buggyZoneRules() zonefailover.Rules {
+// zoneRulesWithBug returns the rules as changed by the injected bug, if any.
+func (s *simulation) zoneRulesWithBug() zonefailover.Rules {
 	r := zoneRules()
 	switch s.options.Bug {
 	case BugNoWarmUp:
@@ -51,10 +51,10 @@
 	return r
 }
 
-// zone returns the index of the process' zone.
+// zone returns the index of the process's zone.
 func (p *process) zone() int { return p.index % zoneCount }
 
-// memberZones returns the zones of all processes.
+// memberZones returns the zone of each process, by the name of the process.
 func (s *simulation) memberZones() map[string]string {
 	zones := map[string]string{}
 	for _, p := range s.processes {
@@ -63,7 +63,7 @@
 	return zones
 }
 
-// excludedServers returns the servers that the process does not use.
+// excludedServers returns the servers that the process excludes by the zone decisions it holds.
 func (p *process) excludedServers() map[string]bool {
 	servers := p.simulation.servers.zones
 	if p.simulation.options.Bug == BugLocalRanking {
@@ -73,7 +73,8 @@
 	return excluded
 }
 
-// excludedByLocalRanking ranks the servers of each zone in an order that differs between processes.
+// excludedByLocalRanking returns the excluded servers as BugLocalRanking determines them: each process ranks the servers of a zone in a
+// different order.
 func (p *process) excludedByLocalRanking(servers map[string]string) map[string]bool {
 	ranked, original := map[string]string{}, map[string]string{}
 	for server, zone := range servers {
@@ -88,7 +89,8 @@
 	return local
 }
 
-// observeZones has the process use servers, check the zones that were left, and decide on zones if it holds the lease.
+// observeZones reports unreachable servers, checks the zones assigned to the process, decides on zones if the process holds the lease, and
+// schedules its next call.
 func (p *process) observeZones() {
 	now := p.clock()
 	p.reportServers(now)
@@ -98,9 +100,10 @@
 	p.schedule(150*time.Millisecond+time.Duration(p.simulation.gossipRandom.IntN(200))*time.Millisecond, p.observeZones)
 }
 
-// reportServers reports which of the servers that the process uses answer. It withdraws its reports on those that it excludes.
+// reportServers tries each server in use with probability one half, and records in the process's failure reports whether the server
+// responds. It withdraws the reports on excluded servers.
 func (p *process) reportServers(now time.Duration) {
-	s, member, node := p.simulation, p.shared.zoneDecisions, p.shared.node
+	s, member, node := p.simulation, p.shared.zoneFailover, p.shared.node
 	excluded := p.excludedServers()
 	for _, server := range slices.Sorted(maps.Keys(s.servers.zones)) {
 		key := gossip.PoolKey(gossip.UnreachableKind, poolName, server)
@@ -112,11 +115,12 @@
 	}
 }
 
-// checkZones checks the servers that are assigned to the process, and deletes the results of checks that no longer are.
+// checkZones runs the health checks that are assigned to the process, writes their results to the shared state, and deletes the results of
+// checks that are no longer assigned.
 func (p *process) checkZones() {
-	s, member, node := p.simulation, p.shared.zoneDecisions, p.shared.node
+	s, member, node := p.simulation, p.shared.zoneFailover, p.shared.node
 	member.round++
-	rules := s.buggyZoneRules()
+	rules := s.zoneRulesWithBug()
 	assigned := zoneview.AssignedChecks(node, &rules, s.memberZones(), p.name, poolName, s.servers.zones, member.round)
 	current := map[string]bool{}
 	for _, zone := range slices.Sorted(maps.Keys(assigned)) {
@@ -139,9 +143,9 @@
 	}
 }
 
-// decideZones has the lease holder submit a change of a zone's state.
+// decideZones submits the next transition of a zone's state, if there is one and the process holds the lease.
 func (p *process) decideZones(now time.Duration) {
-	s, member := p.simulation, p.shared.zoneDecisions
+	s, member := p.simulation, p.shared.zoneFailover
 	token, _, held := p.session.Token(now, zoneview.LeaseName)
 	withoutLease := s.options.Bug == BugMinorityDecides && !held && p.session.SessionID() != 0 && now >= p.session.ValidUntil()
 	if (!held || p.leaving) && !withoutLease {
@@ -149,13 +153,13 @@
 		return
 	}
 	if member.controller == nil {
-		member.controller = zonefailover.NewController(s.buggyZoneRules())
+		member.controller = zonefailover.NewController(s.zoneRulesWithBug())
 	}
 	snapshot := zoneview.Snapshot(p.shared.node, s.memberZones(), poolName, s.servers.zones)
-	if s.options.Bug == BugWallClockRamp { // set forward now and then
+	if s.options.Bug == BugWallClockRamp { // jumps forward by 400 ms every 700 ms
 		now += s.now / (700 * time.Millisecond) * 400 * time.Millisecond
 	}
-	s.falsifySnapshot(&snapshot)
+	s.applySnapshotBug(&snapshot)
 	change, _ := member.controller.Next(now, snapshot)
 	if change == nil || member.submittedAt >= 0 && p.clock() < member.submittedAt+leaseTiming.KeepAliveInterval() {
 		return
@@ -171,9 +175,9 @@
 	p.submitZoneDecision(command)
 }
 
-// submitZoneDecision submits a decision to the consensus group, and applies it to the shared state once it is decided.
+// submitZoneDecision submits a decision to the consensus group, and applies it to the shared state when the group has accepted it.
 func (p *process) submitZoneDecision(command consensus.DecisionCommand) {
-	member, node := p.shared.zoneDecisions, p.shared.node
+	member, node := p.shared.zoneFailover, p.shared.node
 	member.submittedAt = p.clock()
 	p.call(consensus.Request{Decision: &command}, func(r consensus.Response) {
 		member.submittedAt = -1
@@ -184,8 +188,8 @@
 	})
 }
 
-// falsifySnapshot changes what the lease holder sees as the run's bug has it.
-func (s *simulation) falsifySnapshot(snapshot *zonefailover.Snapshot) {
+// applySnapshotBug changes the lease holder's view of the zones as the injected bug requires.
+func (s *simulation) applySnapshotBug(snapshot *zonefailover.Snapshot) {
 	switch s.options.Bug {
 	case BugRampIgnoresChecks:
 		falsifyZoneChecks(snapshot)
@@ -194,16 +198,16 @@
 	}
 }
 
-// falsifyZoneChecks has all members find all zones healthy that were left.
+// falsifyZoneChecks replaces the zone checks of zones that are not wholly in service: all members find them healthy.
 func falsifyZoneChecks(snapshot *zonefailover.Snapshot) {
-	left := func(zone string) bool {
+	shifted := func(zone string) bool {
 		state, decided := snapshot.States[zone]
 		return decided && state.Step < zonefailover.FullStep
 	}
-	snapshot.ZoneChecks = slices.DeleteFunc(snapshot.ZoneChecks, func(c zonefailover.ZoneCheck) bool { return left(c.Zone) })
+	snapshot.ZoneChecks = slices.DeleteFunc(snapshot.ZoneChecks, func(c zonefailover.ZoneCheck) bool { return shifted(c.Zone) })
 	for _, member := range slices.Sorted(maps.Keys(snapshot.MemberZones)) {
 		for zone := range zoneCount {
-			if left(zoneName(zone)) {
+			if shifted(zoneName(zone)) {
 				check := zonefailover.ZoneCheck{Member: member, Zone: zoneName(zone), AllHealthy: true}
 				snapshot.ZoneChecks = append(snapshot.ZoneChecks, check)
 			}
--- a/internal/simulation/zoneobserver.go
+++ b/internal/simulation/zoneobserver.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// zoneReportDelay is how long the lease holder may take to learn of a zone that is down, if nothing else fails.
+	// zoneReportDelay bounds the time until the lease holder learns that a zone is down, if nothing else fails.
 	zoneReportDelay = 2500 * time.Millisecond
-	// maxZoneReportDelay is how long it may take, whatever else fails.
+	// maxZoneReportDelay bounds the same time under any other faults.
 	maxZoneReportDelay = 6 * time.Second
-	// reportExpiry is how long members' reports of a server may outlive its recovery, including the time in which a member that has
-	// ended is detected.
+	// reportExpiry bounds how long members' reports on a server outlive the server's recovery. It includes the time to detect the death of
+	// a reporting member.
 	reportExpiry = 9 * time.Second
-	// faultAftermath is how long after its end a fault may still have effects.
-	faultAftermath = 4 * time.Second
+	// faultEffectDuration bounds how long a fault has effects after its end.
+	faultEffectDuration = 4 * time.Second
 )
 
-// zoneObserver is what the observer records of zone failover. It reads the consensus group's log and what processes exclude, and knows the
-// true state of the servers.
+// zoneObserver holds the observer's records of zone failover. They come from the decisions in the consensus log and from the servers that
+// processes exclude. The checks compare them with the true state of the servers.
 type zoneObserver struct {
-	lastDecision uint64            // that was read from the log
+	lastDecision uint64            // number of the latest decision read from the log
 	decisions    map[uint64]string // by number: key and value
 	states       [zoneCount]zonefailover.State
 	decidedAt    [zoneCount]time.Duration
-	exclusions   map[string]string // what the first process to apply some decisions excludes, by these decisions
+	exclusions   map[string]string // by decisions: servers excluded by the first process that held these decisions
 }
 
 func newZoneObserver() *zoneObserver {
@@ -41,31 +41,31 @@
 	return z
 }
 
-// zoneChange is a decision on a zone's state.
+// zoneChange is a decided transition of a zone's state.
 type zoneChange struct {
 	zone          int
 	before, after zonefailover.State
-	since         time.Duration // of the state before
+	since         time.Duration // when the state before was decided
 }
 
-// forward reports whether the change is a step of the recovery ramp.
-func (c zoneChange) forward() bool { return c.after.Step > c.before.Step }
+// advances reports whether the change is a step forward on the recovery ramp.
+func (c zoneChange) advances() bool { return c.after.Step > c.before.Step }
 
-// warmedUp reports whether the change ends the warming up after the last step.
-func (c zoneChange) warmedUp() bool {
+// endsWarmUp reports whether the change ends the warm-up after the last step of the ramp.
+func (c zoneChange) endsWarmUp() bool {
 	return c.before.WarmingUp && !c.after.WarmingUp && c.after.Step == c.before.Step
 }
 
-// leaves reports whether the change shifts traffic away from a zone that was wholly in use.
-func (c zoneChange) leaves() bool { return !c.forward() && c.before.Step == zonefailover.FullStep }
+// shifts reports whether the change shifts traffic away from a zone that was wholly in service.
+func (c zoneChange) shifts() bool { return !c.advances() && c.before.Step == zonefailover.FullStep }
 
-// decisionsApplied checks the decisions that are new in a voter's state.
+// decisionsApplied checks the decisions in a voter's state that no voter had applied before.
 func (o *observer) decisionsApplied(state *consensus.StateMachine) {
 	z := o.zones
 	if z == nil || state == nil || state.LastDecision <= z.lastDecision {
 		return
 	}
-	complete := true // no decision before was overwritten in a snapshot
+	complete := true // false after a gap in the numbers: a snapshot lacks decisions that later ones have overwritten
 	previous := z.lastDecision
 	state.DecisionsSince(z.lastDecision, func(key string, d consensus.Decision) {
 		complete = complete && d.Number == previous+1
@@ -85,7 +85,8 @@
 	z.lastDecision = state.LastDecision
 }
 
-// zoneDecided checks a decision on a zone. An operator's may be any; of others the state before has to be known.
+// zoneDecided records and checks a decision on a zone. It does not check operators' decisions, which may set any state, nor decisions after
+// a gap in the numbers, since the state before is then unknown.
 func (o *observer) zoneDecided(zone int, decided zonefailover.State, d consensus.Decision, complete bool) {
 	z, s := o.zones, o.simulation
 	change := zoneChange{zone: zone, before: z.states[zone], after: decided, since: z.decidedAt[zone]}
@@ -97,55 +98,56 @@
 	}
 	o.checkZoneChange(change)
 	o.checkRampPace(change)
-	if change.warmedUp() {
+	if change.endsWarmUp() {
 		s.counts["zones_warm"]++
 		return
 	}
-	if change.leaves() {
+	if change.shifts() {
 		s.counts["zones_left"]++
 		o.checkOtherZonesInUse(change)
 	}
-	if !change.forward() && change.before.Step < zonefailover.FullStep {
+	if !change.advances() && change.before.Step < zonefailover.FullStep {
 		s.counts["zone_relapses"]++
 	}
-	if change.forward() && decided.Step == zonefailover.FullStep {
+	if change.advances() && decided.Step == zonefailover.FullStep {
 		s.counts["zones_returned"]++
 	}
 }
 
-// checkZoneChange checks that a change is a legal one, and that the true state of the zone gives reason for it.
+// checkZoneChange checks that a change is a legal transition, and that the true state of the zone justifies it.
 func (o *observer) checkZoneChange(c zoneChange) {
 	s := o.simulation
 	switch {
 	case c.before.Manual:
 		s.reportViolation("zone %s is decided by itself against an operator's word", zoneName(c.zone))
-	case c.after.WarmingUp != (c.forward() && c.after.Step == zonefailover.FullStep):
+	case c.after.WarmingUp != (c.advances() && c.after.Step == zonefailover.FullStep):
 		s.reportViolation("zone %s is decided to be at step %d, cold: %v", zoneName(c.zone), c.after.Step, c.after.WarmingUp)
-	case c.warmedUp():
-	case !legalStep(c.before.Step, c.after.Step, c.forward()):
+	case c.endsWarmUp():
+	case !legalStep(c.before.Step, c.after.Step, c.advances()):
 		s.reportViolation("zone %s goes from step %d to %d", zoneName(c.zone), c.before.Step, c.after.Step)
 	default:
-		o.checkReasonToLeave(c)
-		o.checkReasonToReturn(c)
+		o.checkShiftReason(c)
+		o.checkRecoveryReason(c)
 	}
 }
 
-// checkReasonToLeave checks that a zone that is left was down, or seen so from two zones, within reportExpiry.
-func (o *observer) checkReasonToLeave(c zoneChange) {
+// checkShiftReason checks that a shift away from a zone is justified: the zone is down, or it was unreachable from two zones within
+// reportExpiry.
+func (o *observer) checkShiftReason(c zoneChange) {
 	if c.before.Step != zonefailover.FullStep {
 		return
 	}
 	s := o.simulation
-	last := s.servers.mostlyUnseenAt[c.zone]
+	last := s.servers.widelyUnreachableAt[c.zone]
 	if s.now > last+reportExpiry && !s.servers.down[c.zone] {
 		s.reportViolation("zone %s is left, and was well to all but one zone for %v", zoneName(c.zone), s.now-last)
 	}
 }
 
-// checkReasonToReturn checks that a zone that recovers by a step is not known to be down.
-func (o *observer) checkReasonToReturn(c zoneChange) {
+// checkRecoveryReason checks that a zone does not advance on the recovery ramp after the lease holder must have learned that it is down.
+func (o *observer) checkRecoveryReason(c zoneChange) {
 	s := o.simulation
-	if !c.forward() || !s.servers.down[c.zone] {
+	if !c.advances() || !s.servers.down[c.zone] {
 		return
 	}
 	since := s.servers.downChangedAt[c.zone]
@@ -154,15 +156,16 @@
 	}
 }
 
-// checkRampPace checks that a zone recovers no faster than the rules say, by any clock within the bound on drift.
+// checkRampPace checks that a zone recovers no faster than the rules allow. A clock that is fast by maxClockDrift shortens the minimum
+// durations in true time.
 func (o *observer) checkRampPace(c zoneChange) {
-	if !c.forward() && !c.warmedUp() {
+	if !c.advances() && !c.endsWarmUp() {
 		return
 	}
 	s, rules := o.simulation, zoneRules()
 	least := rules.StepDuration
 	switch {
-	case c.warmedUp():
+	case c.endsWarmUp():
 		least = rules.WarmUp
 	case c.before.Step == 0:
 		least = min(rules.HoldDown<<min(c.before.Relapses, 20), rules.MaxHoldDown)
@@ -172,7 +175,8 @@
 	}
 }
 
-// checkOtherZonesInUse checks that a zone is left only while all others are wholly in use, or were shifted by an operator.
+// checkOtherZonesInUse checks that traffic is shifted away from a zone only while all other zones are wholly in service or were shifted by
+// an operator.
 func (o *observer) checkOtherZonesInUse(c zoneChange) {
 	for other, state := range o.zones.states {
 		if other != c.zone && state.Step < zonefailover.FullStep && !state.Manual {
@@ -181,15 +185,16 @@
 	}
 }
 
-// legalStep reports whether a zone may go from one step of the ramp to another: it is left, recovers by a step, or falls back by two.
-func legalStep(from, to int, forward bool) bool {
+// legalStep reports whether a zone may go from one step of the recovery ramp to another. Legal transitions are a shift (to step 0), one
+// step forward, and a relapse by two steps.
+func legalStep(from, to int, recovery bool) bool {
 	return from == zonefailover.FullStep && to == 0 ||
-		forward && to == from+1 ||
+		recovery && to == from+1 ||
 		from > 0 && to == max(0, from-2)
 }
 
-// checkZoneDecisionsHeld checks that a process holds only decisions that the consensus group has made, and that it excludes the same
-// servers as all other processes that hold the same decisions.
+// checkZoneDecisionsHeld checks that a process holds only zone decisions that the consensus group has made, and that it excludes the same
+// servers as all other processes with the same decisions.
 func (o *observer) checkZoneDecisionsHeld(p *process) {
 	if o.zones == nil {
 		return
@@ -197,17 +202,17 @@
 	ids := ""
 	p.shared.node.Store().ForEachOf(gossip.ConsensusOwner, consensus.ZoneKind+"/", func(e *gossip.Entry) bool {
 		ids += fmt.Sprint(e.Key, e.Sequence, " ")
-		o.checkDecided(p, e)
+		o.checkEntryDecided(p, e)
 		return true
 	})
-	if ids != p.shared.zoneDecisions.decisionIDs {
-		p.shared.zoneDecisions.decisionIDs = ids
+	if ids != p.shared.zoneFailover.decisionIDs {
+		p.shared.zoneFailover.decisionIDs = ids
 		o.checkExclusionsAgree(p, ids)
 	}
 }
 
-// checkDecided checks that the consensus group has decided an entry.
-func (o *observer) checkDecided(p *process, e *gossip.Entry) {
+// checkEntryDecided checks that an entry of the shared state is a decision of the consensus group.
+func (o *observer) checkEntryDecided(p *process, e *gossip.Entry) {
 	decision, known := o.zones.decisions[e.Sequence]
 	differs := known && len(e.Values()) == 1 && decision != e.Key+" "+string(e.Values()[0])
 	if e.Sequence > o.zones.lastDecision || differs {
@@ -215,7 +220,7 @@
 	}
 }
 
-// checkExclusionsAgree checks that a process excludes the servers that the first process with the same decisions did.
+// checkExclusionsAgree checks that a process excludes the same servers as the first process that held the same decisions.
 func (o *observer) checkExclusionsAgree(p *process, ids string) {
 	excluded := fmt.Sprint(slices.Sorted(maps.Keys(p.excludedServers())))
 	if first, known := o.zones.exclusions[ids]; known && first != excluded {
@@ -224,8 +229,8 @@
 	o.zones.exclusions[ids] = excluded
 }
 
-// checkRelapses checks after each event that no zone stays at a step of its ramp that has been down for zoneReportDelay while nothing else
-// failed.
+// checkRelapses checks that a recovering zone that goes down again is taken out of service within zoneReportDelay, as long as nothing else
+// fails. It runs after each event.
 func (o *observer) checkRelapses() {
 	if o.zones == nil {
 		return
@@ -233,7 +238,7 @@
 	s := o.simulation
 	for zone, state := range o.zones.states {
 		ramping := state.Step > 0 && state.Step < zonefailover.FullStep && !state.Manual
-		if !ramping || !s.servers.down[zone] || o.failsWithAnother(zone) {
+		if !ramping || !s.servers.down[zone] || o.anotherZoneFailedRecently(zone) {
 			continue
 		}
 		downSince := s.servers.downChangedAt[zone]
@@ -244,9 +249,10 @@
 	}
 }
 
-// failsWithAnother reports whether another zone has failed of late; zones that fail together may not be left.
-func (o *observer) failsWithAnother(zone int) bool {
-	for other, last := range o.simulation.servers.mostlyUnseenAt {
+// anotherZoneFailedRecently reports whether another zone may still be reported as failing. The rules allow no shift away from zones that
+// fail together.
+func (o *observer) anotherZoneFailedRecently(zone int) bool {
+	for other, last := range o.simulation.servers.widelyUnreachableAt {
 		if other != zone && o.simulation.now <= last+zoneReportDelay+reportExpiry {
 			return true
 		}
@@ -254,13 +260,13 @@
 	return false
 }
 
-// onlyZoneFaultsSince reports whether nothing but servers has failed since then.
+// onlyZoneFaultsSince reports whether only faults of servers have had effects since the given time.
 func (s *simulation) onlyZoneFaultsSince(since time.Duration) bool {
 	for _, f := range s.faults {
 		switch f.Kind {
 		case FaultZoneDown, FaultZonePartition, FaultBadRelease, FaultZoneShift:
 		default:
-			if f.At <= s.now && f.At+f.Duration+faultAftermath > since {
+			if f.At <= s.now && f.At+f.Duration+faultEffectDuration > since {
 				return false
 			}
 		}
@@ -268,7 +274,7 @@
 	return true
 }
 
-// checkZonesRecovered checks at the end that all zones are wholly in use, and that no process excludes servers.
+// checkZonesRecovered checks at the end of a run that all zones are wholly in service, and that no process excludes servers.
 func (o *observer) checkZonesRecovered() {
 	if o.zones == nil {
 		return
--- a/internal/simulation/zoneservers.go
+++ b/internal/simulation/zoneservers.go
@@ -10,12 +10,12 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// The faults of servers. They are drawn only with Options.ZoneFailover.
+// Faults of servers. They are drawn only with Options.ZoneFailover.
 const (
-	FaultZoneDown      FaultKind = "zone-down" // no server of a zone answers
-	FaultZonePartition FaultKind = "zone-torn" // members of one zone get no answer from another
-	FaultBadRelease    FaultKind = "release"   // two servers of each zone answer nobody
-	FaultZoneShift     FaultKind = "zone-word" // an operator shifts a zone, and ends it after a while
+	FaultZoneDown      FaultKind = "zone-down" // no server of a zone responds
+	FaultZonePartition FaultKind = "zone-torn" // members of one zone get no response from servers of another zone
+	FaultBadRelease    FaultKind = "release"   // two servers of each zone respond to no member
+	FaultZoneShift     FaultKind = "zone-word" // an operator shifts traffic away from a zone, and later ends the shift
 )
 
 const (
@@ -24,36 +24,36 @@
 	serversPerZone = 3
 )
 
-// zoneName returns the name of the zone of that index.
+// zoneName returns the name of the zone with the given index.
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// zoneIndex returns the index of the zone of that name, or of the zone of a server of that name.
+// zoneIndex returns the index of a zone from its name or from the name of one of its servers.
 func zoneIndex(name string) int { return int(name[0] - 'a') }
 
-// zoneServers is the true state of the servers.
+// zoneServers holds the true state of the servers, which the observer compares with the decisions on zones.
 type zoneServers struct {
-	zones map[string]string // by server
+	zones map[string]string // by server: its zone
 
-	// Active faults.
+	// Numbers of active faults, by kind and zone.
 	downFaults      [zoneCount]int
-	partitionFaults [zoneCount][zoneCount]int // by the zones of the members and of the servers
+	partitionFaults [zoneCount][zoneCount]int // by zone of the members, then zone of the servers
 	badReleases     int
 
-	down           [zoneCount]bool
-	downChangedAt  [zoneCount]time.Duration
-	unreachableAt  [zoneCount][zoneCount]time.Duration // by the zones of the servers and of the members: when last
-	mostlyUnseenAt [zoneCount]time.Duration            // when members of two zones or more last saw the zone fail
+	down                [zoneCount]bool
+	downChangedAt       [zoneCount]time.Duration
+	lastUnreachableAt   [zoneCount][zoneCount]time.Duration // when last, by zone of the servers, then zone of the members
+	widelyUnreachableAt [zoneCount]time.Duration            // when the zone last was unreachable from two or more zones
 }
 
-// neverSeen is a time long before the start of a run.
-const neverSeen = -time.Hour
+// longBeforeStart is the initial value of the times of events that have not happened. It is older than any period that a check looks back.
+const longBeforeStart = -time.Hour
 
 func newZoneServers() *zoneServers {
 	z := &zoneServers{zones: map[string]string{}}
 	for zone := range zoneCount {
-		z.mostlyUnseenAt[zone] = neverSeen
+		z.widelyUnreachableAt[zone] = longBeforeStart
 		for from := range zoneCount {
-			z.unreachableAt[zone][from] = neverSeen
+			z.lastUnreachableAt[zone][from] = longBeforeStart
 		}
 		for i := range serversPerZone {
 			z.zones[fmt.Sprint(zoneName(zone), i)] = zoneName(zone)
@@ -62,27 +62,27 @@
 	return z
 }
 
-// answers reports whether a server answers the members of a zone.
+// answers reports whether a server responds to the members of the zone with index from.
 func (z *zoneServers) answers(server string, from int) bool {
 	zone := zoneIndex(server)
 	return z.downFaults[zone] == 0 && z.partitionFaults[from][zone] == 0 && (z.badReleases == 0 || server[1] == '0')
 }
 
-// record records the state of the zones now. Members may report a zone for zoneReportDelay after it has recovered; a bad release counts for
-// each zone, since its servers may recover in the members' view one zone at a time.
+// record records the current state of the zones. A zone counts as unreachable for zoneReportDelay after its recovery, since members may
+// report it until then. A bad release counts as a failure of each zone, since members may see the servers recover one zone at a time.
 func (z *zoneServers) record(now time.Duration) {
 	for zone := range zoneCount {
 		unreachableFrom := 0
 		for from := range zoneCount {
 			if z.partitionFaults[from][zone] > 0 || z.downFaults[zone] > 0 || z.badReleases > 0 {
-				z.unreachableAt[zone][from] = now
+				z.lastUnreachableAt[zone][from] = now
 			}
-			if now <= z.unreachableAt[zone][from]+zoneReportDelay {
+			if now <= z.lastUnreachableAt[zone][from]+zoneReportDelay {
 				unreachableFrom++
 			}
 		}
 		if unreachableFrom > 1 {
-			z.mostlyUnseenAt[zone] = now
+			z.widelyUnreachableAt[zone] = now
 		}
 		if down := z.downFaults[zone] > 0; down != z.down[zone] {
 			z.down[zone], z.downChangedAt[zone] = down, now
@@ -90,7 +90,8 @@
 	}
 }
 
-// drawZoneFaults draws the faults of servers. With onlyZones there are no other faults in the run, and a zone fails again while it recovers.
+// drawZoneFaults draws the faults of servers. With onlyZones, when the run has no other faults, it draws a zone that fails again during its
+// recovery.
 func drawZoneFaults(rng *rand.Rand, onlyZones bool) []Fault {
 	if onlyZones {
 		return drawRelapse(rng)
@@ -110,7 +111,7 @@
 	return all
 }
 
-// drawRelapse draws a zone that fails twice, the second time about when its recovery ramp is under way.
+// drawRelapse draws two failures of one zone. The second one starts at about the time of the recovery ramp after the first.
 func drawRelapse(rng *rand.Rand) []Fault {
 	zone := rng.IntN(zoneCount)
 	first := Fault{Kind: FaultZoneDown, Target: zone}
@@ -122,30 +123,31 @@
 	return []Fault{first, second}
 }
 
-// injectZoneFault has a fault of servers happen, and reports whether it is one.
+// injectZoneFault starts a fault of servers. It returns false for faults of other kinds, and in a run without zones.
 func (s *simulation) injectZoneFault(f Fault) bool {
 	if s.servers == nil {
 		return false
 	}
 	switch f.Kind {
 	case FaultZoneDown:
-		s.countZoneFault(&s.servers.downFaults[f.Target%zoneCount], f.Duration)
+		s.activateZoneFault(&s.servers.downFaults[f.Target%zoneCount], f.Duration)
 	case FaultZonePartition:
-		s.countZoneFault(&s.servers.partitionFaults[f.Peer%zoneCount][f.Target%zoneCount], f.Duration)
+		s.activateZoneFault(&s.servers.partitionFaults[f.Peer%zoneCount][f.Target%zoneCount], f.Duration)
 	case FaultBadRelease:
-		s.countZoneFault(&s.servers.badReleases, f.Duration)
+		s.activateZoneFault(&s.servers.badReleases, f.Duration)
 	case FaultZoneShift:
 		zone := f.Target % zoneCount
-		s.commandZone(zone, zonefailover.State{Manual: true, Reason: "an operator"})
-		s.after(f.Duration, func() { s.commandZone(zone, zonefailover.State{Reason: "an operator lets go"}) })
+		s.submitZoneCommand(zone, zonefailover.State{Manual: true, Reason: "an operator"})
+		s.after(f.Duration, func() { s.submitZoneCommand(zone, zonefailover.State{Reason: "an operator lets go"}) })
 	default:
 		return false
 	}
 	return true
 }
 
-// countZoneFault counts an active fault of servers for its duration, and records the state of the zones around both changes.
-func (s *simulation) countZoneFault(active *int, duration time.Duration) {
+// activateZoneFault increments a count of active faults of servers for a duration. It records the state of the zones before and after both
+// changes.
+func (s *simulation) activateZoneFault(active *int, duration time.Duration) {
 	change := func(by int) {
 		s.servers.record(s.now)
 		*active += by
@@ -155,9 +157,9 @@
 	s.after(duration, func() { change(-1) })
 }
 
-// commandZone has an operator set the state of a zone. A later command on the zone ends the attempts at an earlier one, though copies of it
-// may still be under way.
-func (s *simulation) commandZone(zone int, state zonefailover.State) {
+// submitZoneCommand has an operator submit a state of a zone until the consensus group accepts it. A later command on the same zone stops
+// the retries of an earlier one, but messages with the earlier command may still arrive.
+func (s *simulation) submitZoneCommand(zone int, state zonefailover.State) {
 	command := consensus.DecisionCommand{
 		Key:         gossip.PoolKey(consensus.ZoneKind, poolName, zoneName(zone)),
 		Value:       state.Encode(),
