--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -50,14 +50,14 @@
 			h.ZoneFailover, h.ZoneRules = true, zonefailover.DefaultRules()
 			h.ZoneRules.StepDuration, h.ZoneRules.HoldDown = c.ZoneStep, c.ZoneHold
 			if err := h.ZoneRules.Validate(); err != nil {
-				return h, fmt.Errorf("%w: %w", errUsage, err)
+				return h, fmt.Errorf("%w: %w", errInvalidInput, err)
 			}
 		default:
-			return h, fmt.Errorf("%w: --share %s: there are dead, room, learn, list and zones", errUsage, kind)
+			return h, fmt.Errorf("%w: --share %s: there are dead, room, learn, list and zones", errInvalidInput, kind)
 		}
 	}
 	if c.Lag <= 0 {
-		return h, fmt.Errorf("%w: --lag %v: nobody knows it sooner than it is learnt", errUsage, c.Lag)
+		return h, fmt.Errorf("%w: --lag %v: nobody knows it sooner than it is learnt", errInvalidInput, c.Lag)
 	}
 	return h, nil
 }
@@ -66,10 +66,10 @@
 func (c *emulateCmd) Run(s *streams) error {
 	day, err := scenario.LoadScaled(c.File, c.Scale)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return fmt.Errorf("%w: %w", errInvalidInput, err)
 	}
 	if c.Runs < 1 || c.Runs > maxRuns {
-		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errUsage, c.Runs, maxRuns)
+		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errInvalidInput, c.Runs, maxRuns)
 	}
 	hearsay, err := c.sharing()
 	if err != nil {
@@ -124,7 +124,7 @@
 			d.Seed += uint64(i)
 			w, err := emulator.New(d)
 			if err != nil {
-				errs[i] = fmt.Errorf("%w: %w", errUsage, err)
+				errs[i] = fmt.Errorf("%w: %w", errInvalidInput, err)
 				return
 			}
 			results[i] = w.Run()
--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -74,7 +74,7 @@
 // simulateFleets plays fleets in virtual time, in worker processes on all cores.
 func (c *labCmd) simulateFleets(ctx context.Context, s *streams, self string) error {
 	if c.Plant != "" && !slices.Contains(simulation.InjectedBugs, simulation.InjectedBug(c.Plant)) {
-		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errUsage, c.Plant, simulation.InjectedBugs)
+		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errInvalidInput, c.Plant, simulation.InjectedBugs)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
@@ -249,7 +249,7 @@
 	}
 	var o simulation.Outcome
 	if err := json.Unmarshal(text, &o); err != nil {
-		return fmt.Errorf("%w: %s: %w", errUsage, c.Replay, err)
+		return fmt.Errorf("%w: %s: %w", errInvalidInput, c.Replay, err)
 	}
 	if o.Faults == nil {
 		o.Faults = []simulation.Fault{}
@@ -280,7 +280,7 @@
 	for _, size := range c.Sizes {
 		for _, loss := range c.Loss {
 			if size < 2 || size > maxScale || !(loss >= 0 && loss < 1) {
-				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errUsage, size, loss, maxScale)
+				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errInvalidInput, size, loss, maxScale)
 			}
 			r := simulation.RunScale(simulation.ScaleOptions{
 				Seed: c.Seed, Size: size, Loss: loss, WriteCount: 10, KillCount: 2, RestDuration: 10 * time.Second, StartupWindow: time.Second, Gossip: cfg, RestartCount: max(1, min(100, size/10)),
--- a/cmd/sorrelrudder/fleet_pools.go
+++ b/cmd/sorrelrudder/fleet_pools.go
@@ -5,5 +5,5 @@
 	"sorrelrudder/internal/gateway"
 )
 
-// The fleet's host takes the gateway for its pools by a type assertion at run time: this holds at compile time that it can.
+// fleet.Host finds out by a type assertion at run time that the gateway implements fleet.Pools. This line checks it at compile time.
 var _ fleet.Pools = (*gateway.Gateway)(nil)
--- a/cmd/sorrelrudder/lab.go
+++ b/cmd/sorrelrudder/lab.go
@@ -12,26 +12,27 @@
 	"sorrelrudder/internal/e2e"
 )
 
-// labCmd plays an end-to-end scenario.
+// labCmd runs an end-to-end scenario or a simulation.
 type labCmd struct {
-	Scenario string        `arg:"" optional:"" default:"list" help:"The scenario to play; 'list' lists them."`
-	Seed     uint64        `default:"1" help:"What the day is drawn from."`
-	Duration time.Duration `help:"How long the load lasts; 0 for the scenario's usual time."`
-	JSON     bool          `help:"Print one JSON object in place of the table."`
-	Faults   string        `help:"Do the faults of this file to a fleet in place of drawn ones; --json prints them as it wants them."`
-	Seeds    uint64        `default:"1000" help:"tier-explore: how many seeds, from --seed on."`
-	Workers  int           `default:"${cores}" help:"tier-explore: how many processes play them."`
-	Plant    string        `help:"tier-explore: a mistake to plant, which it has to find."`
-	Copies   bool          `help:"tier-explore: the processes also share state, and what must not be of that is looked for too."`
-	Zones    bool          `help:"tier-explore: and leave zones of servers that fail, and return to them."`
-	Sizes    []int         `default:"10,60,300" help:"replica-scale: processes of each fleet."`
-	Loss     []float64     `default:"0,0.1,0.3" help:"replica-scale: shares of all messages that are lost."`
-	Replay   string        `help:"tier-explore: play this saved run, as a time line; -v with each message."`
-	Verbose  bool          `short:"v" help:"Show the program's log."`
+	Scenario string        `arg:"" optional:"" default:"list" help:"Run this scenario; 'list' lists all scenarios."`
+	Seed     uint64        `default:"1" help:"Set the seed of the random load and faults."`
+	Duration time.Duration `help:"Run the load for this time, such as 30s; 0 means the duration that 'lab list' shows."`
+	JSON     bool          `help:"Print one JSON object instead of a table."`
+	Faults   string        `help:"Inject the faults of this JSON file into a fleet, instead of random ones. The report of --json has the faults of a run in the same format."`
+	Seeds    uint64        `default:"1000" help:"tier-explore: simulate this many seeds, beginning with --seed."`
+	Workers  int           `default:"${cores}" help:"tier-explore: run this many worker processes; the default is the number of cores."`
+	Plant    string        `help:"tier-explore: inject this known bug, which the simulation is expected to find."`
+	Copies   bool          `help:"tier-explore: simulate shared state too, and check its rules."`
+	Zones    bool          `help:"tier-explore: simulate zone failover and recovery too, and check its rules; implies --copies."`
+	Sizes    []int         `default:"10,60,300" help:"replica-scale: simulate a fleet of each of these sizes, in processes (2 to 5000)."`
+	Loss     []float64     `default:"0,0.1,0.3" help:"replica-scale: simulate each size with each of these shares of messages lost (0 to below 1)."`
+	Replay   string        `help:"tier-explore: replay the run that this file has saved and print its events with their times; with -v also each message."`
+	Verbose  bool          `short:"v" help:"Print the logs of the processes under test."`
 }
 
-// errScenario is a scenario that ran and did not pass. Its report says why.
-var errScenario = errors.New("the scenario did not pass")
+// errScenario tells that a scenario ran and failed, or that no route or class matches a request. What was printed says why, so that
+// the error itself is not printed.
+var errScenario = errors.New("the scenario failed")
 
 // Run implements the command.
 func (c *labCmd) Run(s *streams) error {
@@ -39,8 +40,8 @@
 		for _, sc := range e2e.List() {
 			fmt.Fprintf(s.out, "%-16s %6s  %s\n", sc.Name, sc.Duration, sc.Summary)
 		}
-		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "tier-explore", "", "fleets in virtual time under drawn faults, thousands of seeds; see --seeds, --plant, --copies, --zones, --replay")
-		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "replica-scale", "", "shared state in virtual time: how soon all have what one writes, what it costs, how the dead are missed; see --sizes, --loss")
+		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "tier-explore", "", "fleets in virtual time under random faults, with thousands of seeds; see --seeds, --plant, --copies, --zones, --replay")
+		fmt.Fprintf(s.out, "%-16s %6s  %s\n", "replica-scale", "", "shared state in virtual time: time until all processes have a write, traffic, time until dead processes are detected; see --sizes, --loss")
 		return nil
 	}
 	self, err := os.Executable()
@@ -78,6 +79,7 @@
 	return err
 }
 
+// isTerminal reports whether f is a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -1,4 +1,5 @@
-// Command sorrelrudder is the product: a gateway of several pools from an operator's file, and its laboratory.
+// Command sorrelrudder runs a client-side load balancer with several pools from an operator's file. It also checks that file, operates
+// a fleet, and tests the load balancer in end-to-end scenarios and simulations.
 package main
 
 import (
@@ -18,28 +19,29 @@
 
 // The exit codes.
 const (
-	exitFailed = 1 // the work failed, or a scenario broke a rule or missed a bound
-	exitUsage  = 2 // the command line or the file is wrong
+	exitFailed = 1 // the command failed, or a scenario violated a rule or missed a bound
+	exitUsage  = 2 // the command line or a file is invalid
 )
 
-// cli is the command line.
+// cli defines the commands of the program.
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Run a gateway from an operator's file. SIGHUP reads the file again, SIGTERM drains and ends."`
-	Check   checkCmd   `cmd:"" help:"Check an operator's file: every error with file, line and key; exit 2 if there is any."`
-	Route   routeCmd   `cmd:"" help:"Tell which route and class of an operator's file take a request."`
-	Fleet   fleetCmd   `cmd:"" help:"Count over a fleet what its processes tell in their logs (figures_every, GW_FIGURES_EVERY)."`
-	Emulate emulateCmd `cmd:"" help:"Play a day's file in virtual time with several seeds; exit 1 if a rule was broken."`
-	Tier    tierCmd    `cmd:"" help:"Found a fleet; ask a running process of its council, leases and tasks, and change them."`
-	Lab     labCmd     `cmd:"" help:"Play a scenario on loopback against stand-ins and check the four rules; exit 1 if one broke or a bound was missed."`
-	Version versionCmd `cmd:"" help:"Print the version."`
-	Worker  workerCmd  `cmd:"" name:"explore-worker" hidden:"" help:"Play seeds for 'lab tier-explore'."`
-	Proxy   proxyCmd   `cmd:"" hidden:"" help:"The plain reverse proxy that 'lab cost' compares with."`
+	Run     runCmd     `cmd:"" help:"Run a gateway from an operator's file. SIGHUP reloads the file. SIGTERM drains the gateway: it answers the requests that it has accepted, then exits."`
+	Check   checkCmd   `cmd:"" help:"Check an operator's file and print every error with its file, line and key; exit 2 if there is an error."`
+	Route   routeCmd   `cmd:"" help:"Print the route, the pool and the class that an operator's file selects for a request."`
+	Fleet   fleetCmd   `cmd:"" help:"Add up the statistics in the logs of all processes of a fleet, by interval. The processes log them if figures_every or GW_FIGURES_EVERY is set."`
+	Emulate emulateCmd `cmd:"" help:"Emulate the clients, instances and servers of a scenario file in virtual time, with several seeds; exit 1 if a rule is violated."`
+	Tier    tierCmd    `cmd:"" help:"Found a fleet; show and change its consensus group, leases, tasks, shared state and zones through a running member."`
+	Lab     labCmd     `cmd:"" help:"Run an end-to-end scenario on loopback against fake servers and check the four rules: one response per request, no duplicate effect, no work past the deadline, no overload during slow start. Exit 1 if a rule is violated or a bound is missed."`
+	Version versionCmd `cmd:"" help:"Print the version, the revision and the Go version."`
+	Worker  workerCmd  `cmd:"" name:"explore-worker" hidden:"" help:"Simulate a range of seeds for 'lab tier-explore' and print each outcome as a line of JSON."`
+	Proxy   proxyCmd   `cmd:"" hidden:"" help:"Run the plain reverse proxy that 'lab cost' compares the gateway with."`
 }
 
-// errUsage is wrapped by errors on arguments that the command line's syntax cannot tell, and on day files. The program ends with exitUsage.
-var errUsage = errors.New("emulate")
+// errInvalidInput is wrapped by errors about argument values that the command-line parser accepts, and about scenario files. The program
+// then exits with exitUsage.
+var errInvalidInput = errors.New("invalid input")
 
-// streams are where commands print.
+// streams are the writers that commands print to.
 type streams struct{ out, err io.Writer }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -49,7 +51,7 @@
 	var c cli
 	exited := -1
 	parser, err := kong.New(&c, kong.Name("sorrelrudder"), kong.Writers(stdout, stderr), kong.Vars{"cores": strconv.Itoa(runtime.NumCPU())},
-		kong.Description("A gateway between applications and their services, built for large scale and for failure."),
+		kong.Description("A client-side load balancer between applications and the services they call, built for large scale and for failure."),
 		kong.Exit(func(code int) { exited = code }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
@@ -74,7 +76,7 @@
 	case errors.As(err, &bad):
 		fmt.Fprintln(stderr, bad)
 		return exitUsage
-	case errors.Is(err, errUsage):
+	case errors.Is(err, errInvalidInput):
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
 		return exitUsage
 	case errors.Is(err, errScenario):
@@ -87,10 +89,10 @@
 	return exitFailed
 }
 
-// checkCmd checks an operator's file.
+// checkCmd checks an operator's file, and prints its summary or its settings with all defaults.
 type checkCmd struct {
-	File  string `arg:"" help:"The operator's file."`
-	Print bool   `help:"Write the file out with all defaults."`
+	File  string `arg:"" help:"Read this operator's file."`
+	Print bool   `help:"Print the file with all its settings, defaults included."`
 }
 
 // Run implements the command.
@@ -107,11 +109,11 @@
 		return err
 	}
 	g := &f.Gateway
-	_, err = fmt.Fprintf(s.out, "%s is right: %d listeners, %d pools, %d routes\n", c.File, len(g.Listeners), len(g.Pools), len(g.Routes))
+	_, err = fmt.Fprintf(s.out, "%s is valid: %d listeners, %d pools, %d routes\n", c.File, len(g.Listeners), len(g.Pools), len(g.Routes))
 	return err
 }
 
-// versionCmd prints the version.
+// versionCmd prints the versions of the program and of Go.
 type versionCmd struct{}
 
 // Run implements the command.
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -426,10 +426,10 @@
 		t.Fatal(err)
 	}
 	for want, args := range map[string][]string{
-		"class   item\neffect  safe":                  {"GET", "http://h/items/7?x"},
-		"class   order\neffect  keyed":                {"POST", "http://h/orders", "-H", "Idempotency-Key: k"},
-		"class   order without a key\neffect  unsafe": {"POST", "http://h/orders"},
-		"class   other\neffect  unsafe":               {"PUT", "http://h/items/7"},
+		"class     item\neffect    safe":                  {"GET", "http://h/items/7?x"},
+		"class     order\neffect    keyed":                {"POST", "http://h/orders", "-H", "Idempotency-Key: k"},
+		"class     order without a key\neffect    unsafe": {"POST", "http://h/orders"},
+		"class     other\neffect    unsafe":               {"PUT", "http://h/items/7"},
 	} {
 		code, out, errs := call(append([]string{"route", file}, args...)...)
 		if code != 0 || !strings.Contains(out, want) {
--- a/cmd/sorrelrudder/proxy.go
+++ b/cmd/sorrelrudder/proxy.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// proxyCmd is the standard library's reverse proxy with round robin: what 'lab cost' measures the program against.
+// proxyCmd runs the standard library's reverse proxy with round robin, the baseline that 'lab cost' compares the gateway with.
 type proxyCmd struct {
-	Servers []string `arg:"" help:"Where the servers listen."`
+	Servers []string `arg:"" help:"Forward to the servers that listen at these addresses (HOST:PORT), by round robin."`
 }
 
-// Run implements the command.
+// Run implements the command. The proxy uses one core and listens on a free port of loopback, which it logs.
 func (c *proxyCmd) Run(s *streams) error {
 	runtime.GOMAXPROCS(1)
 	log := slog.New(slog.NewTextHandler(s.err, nil))
--- a/cmd/sorrelrudder/run.go
+++ b/cmd/sorrelrudder/run.go
@@ -20,14 +20,14 @@
 	"sorrelrudder/internal/tlsfiles"
 )
 
-// runCmd runs a gateway.
+// runCmd runs a gateway, and its host in a fleet if the file has a fleet.
 type runCmd struct {
-	File string `arg:"" help:"The operator's file."`
+	File string `arg:"" help:"Read this operator's file."`
 }
 
-// Run implements the command.
+// Run implements the command. It returns once the gateway has drained.
 func (c *runCmd) Run(s *streams) error {
-	// Caught from the first moment on: left alone, it would end the process.
+	// The signal is caught before the file is read: its default action would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	running := ctx
+	gatewayCtx := ctx
 	if f.Fleet != nil {
 		t, err := startFleetHost(*f.Fleet, g, log)
 		if err != nil {
@@ -51,28 +51,28 @@
 			return err
 		}
 		defer t.Close()
-		// What this process holds is given up before it takes no more requests: tasks that are out end first.
-		left, end := context.WithCancel(context.Background())
-		defer end()
-		running = left
+		// The process gives up its leases before the gateway drains, once the task requests in flight have ended.
+		drainCtx, startDrain := context.WithCancel(context.Background())
+		defer startDrain()
+		gatewayCtx = drainCtx
 		go func() {
 			<-ctx.Done()
 			t.Leave()
-			end()
+			startDrain()
 		}()
 	}
-	followed := make(chan struct{})
+	reloadDone := make(chan struct{})
 	go func() {
-		defer close(followed)
+		defer close(reloadDone)
 		reloadOnSignal(ctx, reload, c.File, f, g, log)
 	}()
-	err = g.Run(running)
+	err = g.Run(gatewayCtx)
 	stop()
-	<-followed
+	<-reloadDone
 	return err
 }
 
-// startFleetHost starts the part of the process in its fleet.
+// startFleetHost starts the host of the process in its fleet.
 func startFleetHost(cfg fleet.Config, g *gateway.Gateway, log *slog.Logger) (*fleet.Host, error) {
 	t, err := fleet.New(cfg, log)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return t, nil
 }
 
-// startGateway makes the gateway of a file and opens its listeners and links.
+// startGateway makes the gateway of a file and opens its listeners and site links.
 func startGateway(f *config.File, log *slog.Logger) (*gateway.Gateway, error) {
 	protocols := gateway.ListenerProtocols{Multiplexed: h2.Protocol{Log: log}, TLSConfig: tlsConfigWith(log)}
 	if f.SiteLinks == nil {
@@ -110,10 +110,11 @@
 	return g, closeOnError(g, g.Listen())
 }
 
-// certificateCheckInterval is the time between two checks of the certificates' files.
+// certificateCheckInterval is the time between two checks of the certificate files for changes.
 const certificateCheckInterval = time.Second
 
-// tlsConfigWith returns the TLS configuration of listeners from files, which are read again when they change.
+// tlsConfigWith returns a function that makes the TLS configuration of a listener from files and reloads these when they change, until its
+// context ends.
 func tlsConfigWith(log *slog.Logger) func(context.Context, gateway.TLS) (*tls.Config, error) {
 	return func(ctx context.Context, t gateway.TLS) (*tls.Config, error) {
 		s, err := tlsfiles.Load(config.CertificateConfig(t), log)
@@ -125,7 +126,7 @@
 	}
 }
 
-// closeOnError closes g if there was an error, which it returns.
+// closeOnError closes g if err is not nil, and returns err.
 func closeOnError(g *gateway.Gateway, err error) error {
 	if err != nil {
 		g.Close()
@@ -133,14 +134,15 @@
 	return err
 }
 
-// applyLimits keeps the process to the cores and the memory of the file.
+// applyLimits limits the process to the cores and the memory of the file.
 func applyLimits(f *config.File) {
 	runtime.GOMAXPROCS(f.Cores)
-	// The last quarter is for the runtime, the code and the kernel.
+	// A quarter of the memory is left for the runtime, the code and the kernel.
 	debug.SetMemoryLimit(int64(f.Gateway.MemoryMB) << 20 / 4 * 3)
 }
 
-// reloadOnSignal applies the file anew at each signal until ctx ends. A file with errors leaves the running configuration in force.
+// reloadOnSignal reads the file and applies it at each signal until ctx ends. A file with errors leaves the running configuration in
+// force. Changes of sites, peers, spillover, the fleet and its tasks take effect at the next start only.
 func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, file string, first *config.File, g *gateway.Gateway, log *slog.Logger) {
 	for {
 		select {
@@ -153,10 +155,10 @@
 			err = g.Apply(f.Gateway)
 		}
 		if err == nil && !reflect.DeepEqual(f.SiteLinks, first.SiteLinks) {
-			log.Warn("what the file says of sites, peers and spilling has changed, and waits for the next start")
+			log.Warn("reload: changes of sites, peers and spillover take effect at the next start")
 		}
 		if err == nil && !reflect.DeepEqual(f.Fleet, first.Fleet) {
-			log.Warn("what the file says of the tier and its tasks has changed, and waits for the next start")
+			log.Warn("reload: changes of the fleet (tier) and its tasks take effect at the next start")
 		}
 		if err != nil {
 			log.Error("reload: the running configuration stays in force", "err", err)
--- a/cmd/sorrelrudder/tier_leases.go
+++ b/cmd/sorrelrudder/tier_leases.go
@@ -99,7 +99,7 @@
 func (c *leaseHoldCmd) Run(s *streams) error {
 	r := lease.Timing{TTL: c.Term, MaxClockDrift: c.Drift, SafetyMargin: 50 * time.Millisecond}
 	if err := r.Validate(); err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return fmt.Errorf("%w: %w", errInvalidInput, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/sorrelrudder/tier_state.go
+++ b/cmd/sorrelrudder/tier_state.go
@@ -218,7 +218,7 @@
 func (c *operatorDecision) decide(s *streams, value string, lift bool) error {
 	key := gossip.PoolKey(consensus.OperatorKind, c.Pool, c.Server)
 	if key == "" {
-		return fmt.Errorf("%w: no order can be given on the server %q of %q", errUsage, c.Server, c.Pool)
+		return fmt.Errorf("%w: no order can be given on the server %q of %q", errInvalidInput, c.Server, c.Pool)
 	}
 	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Command(ctx, consensus.DecisionCommand{Key: key, Value: value, Withdraw: lift})
--- a/cmd/sorrelrudder/tier_zones.go
+++ b/cmd/sorrelrudder/tier_zones.go
@@ -128,7 +128,7 @@
 	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
 		switch {
 		case c.Step < 1 || c.Step > zonefailover.FullStep:
-			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errUsage, c.Step, zonefailover.FullStep)
+			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errInvalidInput, c.Step, zonefailover.FullStep)
 		case c.Step > z.Step+1 && !c.Force:
 			return zonefailover.State{}, fmt.Errorf("%s is at step %d: its servers may be cold, and %d at once is more than a step; nothing was changed (--force does it all the same)", c.Zone, z.Step, c.Step-z.Step)
 		}
