--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -16,24 +16,24 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// maxRuns bounds the runs of one call.
+// maxRuns bounds the runs of one command.
 const maxRuns = 10000
 
-// emulateCmd plays days in virtual time.
+// emulateCmd emulates a scenario file in virtual time.
 type emulateCmd struct {
-	File string `arg:"" help:"The day's file, such as deploy/day.toml."`
-	Runs int    `default:"5" help:"Runs, each with the next seed; the figures are their means."`
-	JSON bool   `name:"json" help:"Print as JSON, one object a run."`
+	File string `arg:"" help:"Read this scenario file, such as deploy/day.toml."`
+	Runs int    `default:"5" help:"Run this many times (1 to 10000), each time with the next seed, and print the means of the runs."`
+	JSON bool   `name:"json" help:"Print one JSON object per run instead of a table; with --share one object for all runs."`
 
-	Scale     float64       `default:"1" help:"Times as many instances, servers, requests and calls for the list."`
-	Share     []string      `help:"Play each seed also with this known to all instances, and print the difference: dead (servers that do not answer), room (what probes are told), learn (slowness, for one that starts), list (for one that starts), zones (a zone that fails is left by one decision and returned to step by step)."`
-	Witnesses int           `default:"2" help:"How many have to tell of a server within a second for others to believe that it is dead."`
-	ZoneStep  time.Duration `default:"2s" help:"--share zones: how long a step of a return is looked at."`
-	ZoneHold  time.Duration `default:"2s" help:"--share zones: how long a zone that was left stays so at least."`
-	Lag       time.Duration `default:"100ms" help:"How long after one has learnt it the others know what --share names."`
+	Scale     float64       `default:"1" help:"Multiply the numbers of instances, servers, requests and watch requests for the endpoint list by this factor."`
+	Share     []string      `help:"Run each seed a second time with these kinds of state shared among all instances, and print the difference: dead (servers that do not answer), room (load reports of health checks), learn (learned latencies, for an instance that starts), list (the endpoint list, for an instance that starts), zones (one decision for all instances to leave a zone that fails, and to return to it in steps)."`
+	Witnesses int           `default:"2" help:"--share dead: require reports of this many instances within a second before the other instances are told that a server is unreachable."`
+	ZoneStep  time.Duration `default:"2s" help:"--share zones: observe each step of the return to a zone for this time."`
+	ZoneHold  time.Duration `default:"2s" help:"--share zones: keep a zone out of use for at least this time after it was left."`
+	Lag       time.Duration `default:"100ms" help:"Set the delay from the observation of an instance to its arrival at the other instances (--share); above 0."`
 }
 
-// sharing is what --share names.
+// sharing returns the state that --share selects. The error wraps errInvalidInput.
 func (c *emulateCmd) sharing() (emulator.Sharing, error) {
 	h := emulator.Sharing{Delay: c.Lag, Quorum: c.Witnesses}
 	for _, kind := range c.Share {
@@ -53,43 +53,43 @@
 				return h, fmt.Errorf("%w: %w", errInvalidInput, err)
 			}
 		default:
-			return h, fmt.Errorf("%w: --share %s: there are dead, room, learn, list and zones", errInvalidInput, kind)
+			return h, fmt.Errorf("%w: --share %s: expected dead, room, learn, list or zones", errInvalidInput, kind)
 		}
 	}
 	if c.Lag <= 0 {
-		return h, fmt.Errorf("%w: --lag %v: nobody knows it sooner than it is learnt", errInvalidInput, c.Lag)
+		return h, fmt.Errorf("%w: --lag %v: expected a time above 0", errInvalidInput, c.Lag)
 	}
 	return h, nil
 }
 
-// Run plays the day with several seeds, on all cores.
+// Run emulates the scenario with several seeds, on all cores. The error wraps errScenario if a rule was violated.
 func (c *emulateCmd) Run(s *streams) error {
 	day, err := scenario.LoadScaled(c.File, c.Scale)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errInvalidInput, err)
 	}
 	if c.Runs < 1 || c.Runs > maxRuns {
-		return fmt.Errorf("%w: --runs %d, outside 1 to %d", errInvalidInput, c.Runs, maxRuns)
+		return fmt.Errorf("%w: --runs %d: expected 1 to %d", errInvalidInput, c.Runs, maxRuns)
 	}
-	hearsay, err := c.sharing()
+	sharingOptions, err := c.sharing()
 	if err != nil {
 		return err
 	}
-	results, err := playRuns(day, c.Runs)
+	results, err := emulateRuns(day, c.Runs)
 	if err != nil {
 		return err
 	}
 	if len(c.Share) > 0 {
-		day.Sharing = hearsay
-		shared, err := playRuns(day, c.Runs)
+		day.Sharing = sharingOptions
+		sharedResults, err := emulateRuns(day, c.Runs)
 		if err != nil {
 			return err
 		}
-		return c.printPairs(s, results, shared)
+		return c.printPairs(s, results, sharedResults)
 	}
-	breaks := 0
+	violationCount := 0
 	for i, r := range results {
-		breaks += r.ViolationCount
+		violationCount += r.ViolationCount
 		for _, b := range r.Violations {
 			fmt.Fprintf(s.err, "seed %d: %s\n", day.Seed+uint64(i), b)
 		}
@@ -101,25 +101,25 @@
 				return err
 			}
 		}
-	} else if err := printDay(s, results); err != nil {
+	} else if err := printRuns(s, results); err != nil {
 		return err
 	}
-	if breaks > 0 {
-		return fmt.Errorf("%w: %d breaches of the rules", errScenario, breaks)
+	if violationCount > 0 {
+		return fmt.Errorf("%w: %d violations of the rules", errScenario, violationCount)
 	}
 	return nil
 }
 
-// playRuns plays a day with so many seeds, on all cores.
-func playRuns(day emulator.Scenario, runs int) ([]*emulator.Result, error) {
+// emulateRuns emulates a scenario with as many consecutive seeds as there are runs, on all cores. Its results are in the order of the seeds.
+func emulateRuns(day emulator.Scenario, runs int) ([]*emulator.Result, error) {
 	results := make([]*emulator.Result, runs)
 	errs := make([]error, runs)
-	var work sync.WaitGroup
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var workers sync.WaitGroup
+	freeSlots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range results {
-		slots <- struct{}{}
-		work.Go(func() {
-			defer func() { <-slots }()
+		freeSlots <- struct{}{}
+		workers.Go(func() {
+			defer func() { <-freeSlots }()
 			d := day
 			d.Seed += uint64(i)
 			w, err := emulator.New(d)
@@ -130,15 +130,16 @@
 			results[i] = w.Run()
 		})
 	}
-	work.Wait()
+	workers.Wait()
 	return results, errors.Join(errs...)
 }
 
-// worstSeconds is how many seconds the worst part of a day lasts that is told.
+// worstSeconds is the length of the worst interval of a run that printPairs prints, in seconds.
 const worstSeconds = 3
 
-// pairFigures is what a run came to, as far as pairs are compared by it.
-func pairFigures(r *emulator.Result) (share, worst, lost, refused float64) {
+// pairMetrics returns the metrics by which the runs of a pair are compared: the fraction of the priority weight that was served, the same
+// in the worst interval of worstSeconds, the fraction of attempts that were lost, and the fraction of clients' attempts that were rejected.
+func pairMetrics(r *emulator.Result) (share, worst, lost, refused float64) {
 	worst = 1
 	for at := 2; at+worstSeconds <= len(r.Seconds)-1; at++ {
 		if s := r.Sum(at, at+worstSeconds); s.Requests > 0 {
@@ -149,18 +150,18 @@
 	return t.ServedFraction(), worst, float64(t.ConnectFailures+t.Timeouts) / float64(max(1, t.Attempts)), float64(t.Rejected) / float64(max(1, t.ClientAttempts))
 }
 
-// printPairs prints what sharing gains, in pairs of equal seeds: the mean of the differences and its standard error.
+// printPairs prints what sharing changes, in pairs of runs with equal seeds: the mean of the differences and its standard error.
 func (c *emulateCmd) printPairs(s *streams, without, with []*emulator.Result) error {
 	names := [4]string{"worth served", fmt.Sprintf("worst %d s", worstSeconds), "sends lost", "tries refused"}
 	var base, diff, squares [4]float64
-	breaks := 0
+	violationCount := 0
 	n := float64(len(with))
 	rows := make([][4]float64, len(with))
 	for i := range with {
 		a, b := [4]float64{}, [4]float64{}
-		a[0], a[1], a[2], a[3] = pairFigures(without[i])
-		b[0], b[1], b[2], b[3] = pairFigures(with[i])
-		breaks += with[i].ViolationCount
+		a[0], a[1], a[2], a[3] = pairMetrics(without[i])
+		b[0], b[1], b[2], b[3] = pairMetrics(with[i])
+		violationCount += with[i].ViolationCount
 		for k := range a {
 			base[k] += a[k] / n
 			rows[i][k] = b[k] - a[k]
@@ -173,10 +174,10 @@
 		}
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(map[string]any{"share": c.Share, "lag_s": c.Lag.Seconds(), "runs": len(with), "without": base, "difference": diff, "columns": names, "breaks": breaks})
+		return json.NewEncoder(s.out).Encode(map[string]any{"share": c.Share, "lag_s": c.Lag.Seconds(), "runs": len(with), "without": base, "difference": diff, "columns": names, "breaks": violationCount})
 	}
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "\twithout\twith %s after %v\n", strings.Join(c.Share, ", "), c.Lag)
+	fmt.Fprintf(t, "\twithout sharing\tdifference with %s after %v\n", strings.Join(c.Share, ", "), c.Lag)
 	for k, name := range names {
 		spread := ""
 		if len(with) > 1 {
@@ -187,14 +188,14 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if breaks > 0 {
-		return fmt.Errorf("%w: %d breaches of the rules with it", errScenario, breaks)
+	if violationCount > 0 {
+		return fmt.Errorf("%w: %d violations of the rules with shared state", errScenario, violationCount)
 	}
 	return nil
 }
 
-// printDay prints the means of all runs by second, and the worth served with its confidence interval.
-func printDay(s *streams, results []*emulator.Result) error {
+// printRuns prints the means of all runs by second, and the fraction of the priority weight that was served with its 95% confidence interval.
+func printRuns(s *streams, results []*emulator.Result) error {
 	t := tabwriter.NewWriter(s.out, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "s\tworth\trequests\taim\tlate\tunserved\ttries\trefused\tfailed\tsends\tcold\tunreached\ttimedout\terred\tprobes\tdials\tcalls\tcallslost\t")
 	n := float64(len(results))
@@ -226,7 +227,7 @@
 		squares += (r.Total.ServedFraction() - mean) * (r.Total.ServedFraction() - mean)
 	}
 	spread := ""
-	if n > 1 { // 1.96 errors of the mean; of few runs it is too narrow
+	if n > 1 { // 1.96 standard errors of the mean; the interval is too narrow for few runs
 		spread = fmt.Sprintf(" +- %.3f", 1.96*math.Sqrt(squares/(n-1)/n))
 	}
 	_, err := fmt.Fprintf(s.out, "worth served: %.3f%s over %d runs\n", mean, spread, len(results))
--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -24,32 +24,33 @@
 )
 
 const (
-	// exploreBatch is the number of seeds that a worker plays in one process.
-	exploreBatch = 100
-	// shrinkRuns bounds the runs in which a failing one is reduced to fewer faults.
-	shrinkRuns = 300
+	// exploreBatchSize is the number of seeds that a worker process simulates.
+	exploreBatchSize = 100
+	// maxShrinkRuns bounds the simulations that reduce the faults of a run that violates a rule.
+	maxShrinkRuns = 300
 )
 
-// workerCmd plays some seeds and prints the outcome of each as a line of JSON. It is a process of its own for each core, since raft draws from
-// one random source of the process, which a run replaces.
+// workerCmd simulates a range of seeds and prints the outcome of each as a line of JSON. Each core has a worker process of its own: raft
+// draws from a random source that the whole process shares, and each run replaces that source.
 type workerCmd struct {
-	First uint64 `arg:""`
-	Count uint64 `arg:""`
-	Plant string `arg:"" optional:""`
+	First uint64 `arg:"" help:"Begin with this seed."`
+	Count uint64 `arg:"" help:"Simulate this many seeds."`
+	Plant string `arg:"" optional:"" help:"Inject this known bug."`
 
-	Copies bool
-	Zones  bool
+	Copies bool `help:"Simulate shared state."`
+	Zones  bool `help:"Simulate zone failover; needs --copies."`
 }
 
+// Run implements the command.
 func (c *workerCmd) Run(s *streams) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(800) // a run has some MB
+	debug.SetGCPercent(800) // a run needs only a few MB, and rarer garbage collections save time
 	out := json.NewEncoder(s.out)
 	for seed := c.First; seed < c.First+c.Count; seed++ {
 		o := simulation.Options{Seed: seed, Bug: simulation.InjectedBug(c.Plant), SharedState: c.Copies, ZoneFailover: c.Zones}
 		got := simulation.Run(o)
 		if got.Violation != "" {
-			got = simulation.Shrink(o, got, shrinkRuns)
+			got = simulation.Shrink(o, got, maxShrinkRuns)
 		}
 		if err := out.Encode(got); err != nil {
 			return err
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// exploreReport is what many runs came to.
+// exploreReport is the result of many simulations. Its JSON names are read by other tools.
 type exploreReport struct {
 	Scenario  string               `json:"scenario"`
 	First     uint64               `json:"seed"`
@@ -68,31 +69,31 @@
 	Pass      bool                 `json:"pass"`
 	Broken    []simulation.Outcome `json:"broken"`
 	Counts    map[string]float64   `json:"counts"`
-	Hash      uint64               `json:"hash"` // over all runs in the order of their seeds
+	Hash      uint64               `json:"hash"` // combines the hashes of all runs in the order of their seeds
 }
 
-// simulateFleets plays fleets in virtual time, in worker processes on all cores.
+// simulateFleets simulates fleets in virtual time, in worker processes on all cores. The error wraps errScenario if a run violated a rule.
 func (c *labCmd) simulateFleets(ctx context.Context, s *streams, self string) error {
 	if c.Plant != "" && !slices.Contains(simulation.InjectedBugs, simulation.InjectedBug(c.Plant)) {
-		return fmt.Errorf("%w: no mistake to plant is named %q; there are %v", errInvalidInput, c.Plant, simulation.InjectedBugs)
+		return fmt.Errorf("%w: --plant %q: unknown bug; expected one of %v", errInvalidInput, c.Plant, simulation.InjectedBugs)
 	}
 	if c.Replay != "" {
 		return c.replay(s)
 	}
 	e := exploration{
-		report: exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []simulation.Outcome{}, Counts: map[string]float64{}},
-		began:  time.Now(),
-		seeds:  c.Seeds,
-		hashes: map[uint64]uint64{},
+		report:  exploreReport{Scenario: "tier-explore", First: c.Seed, Broken: []simulation.Outcome{}, Counts: map[string]float64{}},
+		started: time.Now(),
+		seeds:   c.Seeds,
+		hashes:  map[uint64]uint64{},
 	}
 	if f, ok := s.err.(*os.File); ok && isTerminal(f) {
 		e.progress = f
 	}
-	if err := c.playBatches(ctx, self, &e); err != nil {
+	if err := c.simulateBatches(ctx, self, &e); err != nil {
 		return err
 	}
 	r := e.finish()
-	if err := c.tellExplored(s, r); err != nil {
+	if err := c.printExploration(s, r); err != nil {
 		return err
 	}
 	if !r.Pass {
@@ -101,17 +102,17 @@
 	return nil
 }
 
-// playBatches plays all seeds, batch by batch, and returns the first error of a worker.
-func (c *labCmd) playBatches(ctx context.Context, self string, e *exploration) error {
+// simulateBatches simulates all seeds in batches, and returns the first error of a worker.
+func (c *labCmd) simulateBatches(ctx context.Context, self string, e *exploration) error {
 	plant := simulation.InjectedBug(c.Plant)
 	zones := c.Zones || plant.NeedsZoneFailover()
 	copies := c.Copies || c.Zones || plant.NeedsSharedState()
 	batches := make(chan [2]uint64)
 	go func() {
 		defer close(batches)
-		for first := c.Seed; first < c.Seed+c.Seeds; first += exploreBatch {
+		for first := c.Seed; first < c.Seed+c.Seeds; first += exploreBatchSize {
 			select {
-			case batches <- [2]uint64{first, min(exploreBatch, c.Seed+c.Seeds-first)}:
+			case batches <- [2]uint64{first, min(exploreBatchSize, c.Seed+c.Seeds-first)}:
 			case <-ctx.Done():
 				return
 			}
@@ -135,18 +136,18 @@
 	return <-failures
 }
 
-// exploration collects the outcomes of runs.
+// exploration collects the outcomes of simulations.
 type exploration struct {
 	seeds    uint64
-	began    time.Time
-	progress *os.File // a terminal; nil: none
+	started  time.Time
+	progress *os.File // the terminal to show progress on; nil: there is none
 
 	mu     sync.Mutex // guards the fields below
 	report exploreReport
 	hashes map[uint64]uint64 // by seed
 }
 
-// add takes the outcome of a run. It is safe for concurrent use.
+// add adds the outcome of a run to the report. It is safe for concurrent use.
 func (e *exploration) add(o simulation.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,11 +161,11 @@
 		r.Broken = append(r.Broken, o)
 	}
 	if e.progress != nil && r.Seeds%10 == 0 {
-		fmt.Fprintf(e.progress, "\r%d of %d seeds, %d broken, %.0f a minute", r.Seeds, e.seeds, len(r.Broken), float64(r.Seeds)/time.Since(e.began).Minutes())
+		fmt.Fprintf(e.progress, "\r%d of %d seeds, %d broken, %.0f per minute", r.Seeds, e.seeds, len(r.Broken), float64(r.Seeds)/time.Since(e.started).Minutes())
 	}
 }
 
-// finish returns the report over all runs.
+// finish completes the report on all runs and returns it.
 func (e *exploration) finish() *exploreReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -173,14 +174,14 @@
 	for _, seed := range slices.Sorted(maps.Keys(e.hashes)) {
 		r.Hash = r.Hash*prime ^ e.hashes[seed]
 	}
-	r.Seconds = time.Since(e.began).Seconds()
-	r.PerMinute = float64(r.Seeds) / time.Since(e.began).Minutes()
+	r.Seconds = time.Since(e.started).Seconds()
+	r.PerMinute = float64(r.Seeds) / time.Since(e.started).Minutes()
 	slices.SortFunc(r.Broken, func(a, b simulation.Outcome) int { return int(int64(a.Seed - b.Seed)) })
 	r.Pass = len(r.Broken) == 0 && r.Seeds > 0
 	return r
 }
 
-// exploreInWorker plays a batch of seeds in a process of its own and calls each with the outcomes.
+// exploreInWorker simulates a batch of seeds, its first seed and its size, in a process of its own. It calls each with the outcomes.
 func exploreInWorker(ctx context.Context, self string, batch [2]uint64, plant string, copies, zones bool, each func(simulation.Outcome)) error {
 	args := []string{"explore-worker", strconv.FormatUint(batch[0], 10), strconv.FormatUint(batch[1], 10)}
 	if plant != "" {
@@ -212,11 +213,11 @@
 	return cmd.Wait()
 }
 
-// maxSavedRuns bounds the broken runs that are saved to files.
+// maxSavedRuns bounds the violating runs that are saved to files.
 const maxSavedRuns = 20
 
-// tellExplored saves broken runs, and prints the report.
-func (c *labCmd) tellExplored(s *streams, r *exploreReport) error {
+// printExploration saves the runs that violated a rule to files for --replay, and prints the report.
+func (c *labCmd) printExploration(s *streams, r *exploreReport) error {
 	for i, o := range r.Broken {
 		if i == maxSavedRuns {
 			break
@@ -229,7 +230,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.err, "seed %d: %v: %s\n  %d faults left of it, saved as %s: lab tier-explore --replay %s\n", o.Seed, o.ViolatedAt, o.Violation, len(o.Faults), name, name)
+		fmt.Fprintf(s.err, "seed %d: at %v: %s\n  reduced to %d faults and saved as %s; replay it with: lab tier-explore --replay %s\n", o.Seed, o.ViolatedAt, o.Violation, len(o.Faults), name, name)
 	}
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
@@ -241,7 +242,7 @@
 	return nil
 }
 
-// replay plays a saved run and prints its time line.
+// replay simulates a saved run again and prints its events with their times. The error wraps errScenario if it violates a rule again.
 func (c *labCmd) replay(s *streams) error {
 	text, err := os.ReadFile(c.Replay)
 	if err != nil {
@@ -262,25 +263,26 @@
 	if got.Violation != "" {
 		return errScenario
 	}
-	_, err = io.WriteString(s.out, "nothing broke\n")
+	_, err = io.WriteString(s.out, "no rule was violated\n")
 	return err
 }
 
-// maxScale bounds a fleet of copies: each process holds what is known of every other.
-const maxScale = 5000
+// maxScaleProcesses bounds the size of a simulated fleet that shares state. Its memory grows with the square of the size: each process
+// holds what it knows of every other.
+const maxScaleProcesses = 5000
 
-// replicaScale plays fleets of copies of several sizes.
+// replicaScale simulates fleets that share state, of several sizes and with several fractions of messages lost.
 func (c *labCmd) replicaScale(s *streams) error {
 	cfg := gossip.DefaultConfig()
 	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind}, []string{consensus.OperatorKind}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	if !c.JSON {
-		fmt.Fprintln(w, "processes\tlost\tin step s\twrite everywhere, p50 s\tp99 s\tdead known, p50 s\tmost s\tliving held for dead\tsuspected\tB/s at rest\tB/s busy\tcaught up s\tB each\tplayed in s")
+		fmt.Fprintln(w, "processes\tmessages lost\tconverged s\twrite at all, p50 s\tp99 s\tdeath known to all, p50 s\tmax s\tfalse deaths\tsuspicions\tB/s at rest\tB/s busy\tcatch-up s\tcatch-up B\trun time s")
 	}
 	for _, size := range c.Sizes {
 		for _, loss := range c.Loss {
-			if size < 2 || size > maxScale || !(loss >= 0 && loss < 1) {
-				return fmt.Errorf("%w: %d processes with %g lost: 2 to %d, and a share below 1", errInvalidInput, size, loss, maxScale)
+			if size < 2 || size > maxScaleProcesses || !(loss >= 0 && loss < 1) {
+				return fmt.Errorf("%w: --sizes %d, --loss %g: expected 2 to %d processes and a loss from 0 to below 1", errInvalidInput, size, loss, maxScaleProcesses)
 			}
 			r := simulation.RunScale(simulation.ScaleOptions{
 				Seed: c.Seed, Size: size, Loss: loss, WriteCount: 10, KillCount: 2, RestDuration: 10 * time.Second, StartupWindow: time.Second, Gossip: cfg, RestartCount: max(1, min(100, size/10)),
--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -20,42 +20,42 @@
 	"sorrelrudder/internal/statslog"
 )
 
-// maxLogLineBytes bounds a line of a log; a longer one ends the reading of that file.
+// maxLogLineBytes bounds a line of a log or of a worker's output. A longer line ends the reading.
 const maxLogLineBytes = 1 << 20
 
-// fleetCmd counts the statistics in the logs of many processes by intervals.
+// fleetCmd adds up the statistics in the logs of many processes by interval.
 type fleetCmd struct {
-	Logs  []string      `arg:"" help:"Logs of processes that tell their figures, or folders of them."`
-	Every time.Duration `default:"1s" help:"Length of a row."`
-	Pool  string        `help:"Count this pool only."`
-	JSON  bool          `name:"json" help:"Print as JSON, one object a row."`
+	Logs  []string      `arg:"" help:"Read these logs of processes, or all files in these directories and below."`
+	Every time.Duration `default:"1s" help:"Set the length of the interval that each row covers; at least 1ms."`
+	Pool  string        `help:"Count the statistics of this pool only; the default is all pools."`
+	JSON  bool          `name:"json" help:"Print one JSON object per interval instead of a table."`
 }
 
-// fleetInterval is what a fleet did in one interval.
+// fleetInterval is the statistics of a fleet in one interval.
 type fleetInterval struct {
-	At        float64            `json:"at_s"` // since the first line
-	Processes int                `json:"processes"`
-	Counts    map[string]int     `json:"counts"`
-	UsualMs   float64            `json:"usual_ms"`
-	Short     float64            `json:"short"`
-	Listed    float64            `json:"listed_each"`
-	Warming   float64            `json:"warming_each"`
-	Avoided   float64            `json:"avoided_each"`
-	Shared    *sharedStateCounts `json:"shared,omitempty"` // nil: no process shares state
+	StartSeconds   float64            `json:"at_s"` // start of the interval, in seconds from the first line of statistics
+	Processes      int                `json:"processes"`
+	Counts         map[string]int     `json:"counts"`
+	TypicalDelayMs float64            `json:"usual_ms"`
+	Shortage       float64            `json:"short"`
+	ReadyEach      float64            `json:"listed_each"`
+	WarmingEach    float64            `json:"warming_each"`
+	EjectedEach    float64            `json:"avoided_each"`
+	Shared         *sharedStateCounts `json:"shared,omitempty"` // nil: no process shares state
 }
 
 // sharedStateCounts are the statistics of shared state in an interval, over all processes.
 type sharedStateCounts struct {
-	Frames  int64 `json:"frames"`
-	Bytes   int64 `json:"bytes"`
-	InStep  int64 `json:"most_in_step_ms"` // age of the oldest copy of a process that was seen equal to another's; -1: never
-	Decided int64 `json:"most_decided_ms"` // the same of the decisions known
-	Lost    int64 `json:"fewest_alive"`    // live members as seen by the process that sees the fewest
-	Dead    int64 `json:"most_dead"`       // reports of unreachable endpoints at the process that holds most
-	Differ  int64 `json:"differ"`          // conflicting contents of one version, since the starts
+	Frames                int64 `json:"frames"`
+	Bytes                 int64 `json:"bytes"`
+	MaxInSyncAgeMs        int64 `json:"most_in_step_ms"` // largest time, over all processes, since the replica was seen equal to another member's; -1: never at one of them
+	MaxDecisionsAgeMs     int64 `json:"most_decided_ms"` // largest age, over all processes, of the moment up to which all decisions are known; -1: unknown at one of them
+	MinAlive              int64 `json:"fewest_alive"`    // live members at the process that sees the fewest
+	MaxUnreachableReports int64 `json:"most_dead"`       // reports of unreachable endpoints at the process that has the most
+	Conflicts             int64 `json:"differ"`          // conflicting values of one version, since the processes started
 }
 
-// add adds a log line of one process.
+// add adds the statistics of a log line of one process. A field that is missing counts as 0.
 func (r *sharedStateCounts) add(line string) {
 	field := func(key string) int64 {
 		n, err := strconv.ParseInt(e2e.LogField(line, key), 10, 64)
@@ -72,18 +72,18 @@
 	}
 	r.Frames += field("frames")
 	r.Bytes += field("bytes")
-	r.InStep, r.Decided = oldest(r.InStep, field("in_step_ms")), oldest(r.Decided, field("decided_ms"))
-	if n := field("alive"); r.Lost == 0 || n < r.Lost {
-		r.Lost = n
+	r.MaxInSyncAgeMs, r.MaxDecisionsAgeMs = oldest(r.MaxInSyncAgeMs, field("in_step_ms")), oldest(r.MaxDecisionsAgeMs, field("decided_ms"))
+	if n := field("alive"); r.MinAlive == 0 || n < r.MinAlive {
+		r.MinAlive = n
 	}
-	r.Dead = max(r.Dead, field("dead"))
-	r.Differ += field("differ")
+	r.MaxUnreachableReports = max(r.MaxUnreachableReports, field("dead"))
+	r.Conflicts += field("differ")
 }
 
-// Run reads all logs and prints a row for each interval.
+// Run reads all logs and prints a row for each interval that has statistics.
 func (c *fleetCmd) Run(s *streams) error {
 	if c.Every < time.Millisecond {
-		return fmt.Errorf("--every %v: less than a millisecond", c.Every)
+		return fmt.Errorf("--every %v: expected at least 1ms", c.Every)
 	}
 	var files []string
 	for _, path := range c.Logs {
@@ -103,7 +103,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return fmt.Errorf("no line of %d logs tells figures: is figures_every set?", len(files))
+		return fmt.Errorf("no statistics in %d log files: set figures_every or GW_FIGURES_EVERY at the processes", len(files))
 	}
 	if c.JSON {
 		out := json.NewEncoder(s.out)
@@ -117,15 +117,15 @@
 	return printFleet(s.out, rows)
 }
 
-// fleetLine is a line of statistics in a log: of a pool, or of shared state.
+// fleetLine is a line of statistics in a log, either of a pool or of shared state.
 type fleetLine struct {
 	at     time.Time
 	file   string
 	pool   statslog.IntervalStats
-	shared string // the line's text; empty: it is of a pool
+	shared string // text of a line of shared state; empty: the line is of a pool
 }
 
-// count reads the logs and returns the intervals in which a process told something.
+// count reads the logs and returns the intervals that have statistics.
 func (c *fleetCmd) count(files []string) ([]fleetInterval, error) {
 	var lines []fleetLine
 	for _, name := range files {
@@ -176,7 +176,7 @@
 	return lines, nil
 }
 
-// parseLine reports whether a line has statistics that are to be counted.
+// parseLine returns the statistics of a line, and false if it has none or is of a pool that is not counted.
 func (c *fleetCmd) parseLine(text string) (fleetLine, bool) {
 	if e2e.LogField(text, "msg") == fleet.SharedStateLogMessage {
 		at, err := time.Parse(time.RFC3339Nano, e2e.LogField(text, "time"))
@@ -190,9 +190,10 @@
 type fleetSums struct {
 	pools     statslog.IntervalStats
 	shared    *sharedStateCounts // nil: no process shares state
-	processes map[string]bool    // by log
+	processes map[string]bool    // by name of the log
 }
 
+// add adds a line.
 func (f *fleetSums) add(l fleetLine) {
 	f.processes[l.file] = true
 	if l.shared == "" {
@@ -205,18 +206,19 @@
 	f.shared.add(l.shared)
 }
 
+// row returns the sums as the interval that starts at the given time.
 func (f *fleetSums) row(at time.Duration) fleetInterval {
 	processes := float64(len(f.processes))
 	row := fleetInterval{
-		At:        at.Seconds(),
-		Processes: len(f.processes),
-		Counts:    map[string]int{},
-		UsualMs:   float64(f.pools.TypicalDelay) / float64(time.Millisecond),
-		Short:     f.pools.CapacityShortage,
-		Listed:    float64(f.pools.ReadyEndpoints) / processes,
-		Warming:   float64(f.pools.WarmingEndpoints) / processes,
-		Avoided:   float64(f.pools.EjectedEndpoints) / processes,
-		Shared:    f.shared,
+		StartSeconds:   at.Seconds(),
+		Processes:      len(f.processes),
+		Counts:         map[string]int{},
+		TypicalDelayMs: float64(f.pools.TypicalDelay) / float64(time.Millisecond),
+		Shortage:       f.pools.CapacityShortage,
+		ReadyEach:      float64(f.pools.ReadyEndpoints) / processes,
+		WarmingEach:    float64(f.pools.WarmingEndpoints) / processes,
+		EjectedEach:    float64(f.pools.EjectedEndpoints) / processes,
+		Shared:         f.shared,
 	}
 	for _, counter := range statslog.Counters() {
 		row.Counts[counter.String()] = f.pools.Counters[counter]
@@ -224,7 +226,7 @@
 	return row
 }
 
-// printFleet prints a table, with a last row for the whole time.
+// printFleet prints the intervals as a table whose last row is the sum over all, and a second table of shared state if there is any.
 func printFleet(w io.Writer, rows []fleetInterval) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "s\tprocs\t")
@@ -234,12 +236,12 @@
 	fmt.Fprintln(t, "usual\tshort\tlisted\twarming\tavoided\t")
 	sum := map[string]int{}
 	for _, r := range rows {
-		fmt.Fprintf(t, "%g\t%d\t", r.At, r.Processes)
+		fmt.Fprintf(t, "%g\t%d\t", r.StartSeconds, r.Processes)
 		for _, k := range statslog.Counters() {
 			fmt.Fprintf(t, "%d\t", r.Counts[k.String()])
 			sum[k.String()] += r.Counts[k.String()]
 		}
-		fmt.Fprintf(t, "%.0fms\t%.2f\t%.1f\t%.1f\t%.1f\t\n", r.UsualMs, r.Short, r.Listed, r.Warming, r.Avoided)
+		fmt.Fprintf(t, "%.0fms\t%.2f\t%.1f\t%.1f\t%.1f\t\n", r.TypicalDelayMs, r.Shortage, r.ReadyEach, r.WarmingEach, r.EjectedEach)
 	}
 	most := slices.MaxFunc(rows, func(a, b fleetInterval) int { return cmp.Compare(a.Processes, b.Processes) })
 	fmt.Fprintf(t, "all\t%d\t", most.Processes)
@@ -250,11 +252,11 @@
 	if err := t.Flush(); err != nil || !slices.ContainsFunc(rows, func(r fleetInterval) bool { return r.Shared != nil }) {
 		return err
 	}
-	fmt.Fprintln(w, "\nshared state; the last four are of the process that is worst off")
-	fmt.Fprintln(t, "s\tframes\tbytes\tdiffer\tin step ms ago\tdecided ms ago\talive\tdead words\t")
+	fmt.Fprintln(w, "\nshared state; the last four columns show the worst value of all processes")
+	fmt.Fprintln(t, "s\tframes\tbytes\tconflicts\tin sync ms ago\tdecisions as of ms ago\talive members\tunreachable reports\t")
 	for _, r := range rows {
 		if x := r.Shared; x != nil {
-			fmt.Fprintf(t, "%g\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.At, x.Frames, x.Bytes, x.Differ, x.InStep, x.Decided, x.Lost, x.Dead)
+			fmt.Fprintf(t, "%g\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.StartSeconds, x.Frames, x.Bytes, x.Conflicts, x.MaxInSyncAgeMs, x.MaxDecisionsAgeMs, x.MinAlive, x.MaxUnreachableReports)
 		}
 	}
 	return t.Flush()
--- a/cmd/sorrelrudder/fleet_test.go
+++ b/cmd/sorrelrudder/fleet_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Two processes are counted together by spell; what is no line of figures is passed over, a log cut off within a line too.
+// TestFleetCountsOverLogs guards against statistics of several processes that are not added up by interval, and against logs that fail as a
+// whole because of a line that has no statistics or is cut off.
 func TestFleetCountsOverLogs(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
@@ -36,7 +37,8 @@
 	}
 }
 
-// Lines of shared state are counted over all processes: sums of what was sent, and of the rest what holds for the one that is worst off.
+// TestFleetCountsSharedState guards against wrong totals of shared state: what was sent is added up over all processes, and of the other
+// fields the worst value of all processes counts.
 func TestFleetCountsSharedState(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
