--- a/cmd/sorrelrudder/tier.go
+++ b/cmd/sorrelrudder/tier.go
@@ -1,36 +1,37 @@
 package main
 
+// tierCmd groups the commands that found, inspect and change a fleet.
 type tierCmd struct {
-	Init    fleetInitCmd      `cmd:"" help:"Found a fleet, once, at one member of its council that does not run: the others are admitted as they start."`
-	Found   fleetBootstrapCmd `cmd:"" help:"Found a fleet whose council is in memory, once, at one member of the council that runs."`
-	Status  memberStatusCmd   `cmd:"" help:"What a process knows: its session, what it holds, who leads."`
-	Members votersCmd         `cmd:"" help:"Who has a seat in the council, who votes, who listens."`
-	Leases  leasesCmd         `cmd:"" help:"Who holds and who waits for what."`
-	Tasks   tasksCmd          `cmd:"" help:"What became of the tasks' slots."`
+	Init    fleetInitCmd      `cmd:"" help:"Found a fleet, once, from the file of one member of its consensus group ('council' in the file) while that member does not run. The other members are admitted as they start."`
+	Found   fleetBootstrapCmd `cmd:"" help:"Found a fleet whose consensus group is kept in memory ('council_in_memory' in the file), once, at one running member of the group."`
+	Status  memberStatusCmd   `cmd:"" help:"Show what a process knows: its session, its leases, its running tasks, its voter and the leader."`
+	Members votersCmd         `cmd:"" help:"List the members of the consensus group with their roles (voter, learner)."`
+	Leases  leasesCmd         `cmd:"" help:"List the leases with their holders, their fencing tokens and the number of waiting sessions."`
+	Tasks   tasksCmd          `cmd:"" help:"List the tasks with their newest slot and the number of slots by outcome."`
 	Lease   struct {
-		Hold     leaseHoldCmd     `cmd:"" help:"Hold a lease until SIGTERM or SIGINT: print its token once it is held. Exit 1 if it is lost. For scripts, as patching three hosts at a time."`
-		Handover leaseHandoverCmd `cmd:"" help:"Have the holder at ADDRESS give a lease to a member, as soon as nothing of its task is out."`
-		Revoke   leaseRevokeCmd   `cmd:"" help:"Take a lease from its holder: it is free once the holder has surely stopped."`
-	} `cmd:"" help:"Change a lease."`
+		Hold     leaseHoldCmd     `cmd:"" help:"Hold a lease for a script, such as one that patches three hosts at a time: wait for the lease, print its fencing token, and keep the lease until SIGTERM or SIGINT. Exit 1 if the lease is lost."`
+		Handover leaseHandoverCmd `cmd:"" help:"Hand a lease over from its holder, the process at ADDRESS, to another member, once no request of the lease's task is in flight."`
+		Revoke   leaseRevokeCmd   `cmd:"" help:"Revoke a lease. It becomes free once its holder has certainly stopped acting on it, after one lease term."`
+	} `cmd:"" help:"Hold, hand over or revoke a lease."`
 	Task struct {
-		Run taskRunCmd `cmd:"" help:"Have the next slot of a task done now, by whoever holds the task's lease."`
-	} `cmd:"" help:"Have a task done."`
-	State  sharedStateCmd `cmd:"" help:"What is shared among the members, as a process has it; --diff: what another has differently, and which rule will settle it."`
-	Forget forgetEntryCmd `cmd:"" help:"Have the process at ADDRESS take back what it says under a key."`
+		Run taskRunCmd `cmd:"" help:"Run the next slot of a task now, at the process that holds the task's lease."`
+	} `cmd:"" help:"Run a task now."`
+	State  sharedStateCmd `cmd:"" help:"Show the shared state as one process has it. With --diff, show the entries that another process has differently and the rule that settles each difference; exit 1 if there are any."`
+	Forget forgetEntryCmd `cmd:"" help:"Withdraw the entry that the process at ADDRESS has written under a key."`
 	Order  struct {
-		Avoid excludeCmd `cmd:"" help:"Have all processes send nothing new to a server, until the order is lifted."`
-		Lift  includeCmd `cmd:"" help:"Lift such an order."`
-	} `cmd:"" help:"Orders on servers, which the council decides and all members carry out."`
+		Avoid excludeCmd `cmd:"" help:"Order all processes to send no new requests to a server, until the order is lifted."`
+		Lift  includeCmd `cmd:"" help:"Lift the order to avoid a server."`
+	} `cmd:"" help:"Order all processes to avoid a server, or lift such an order. The consensus group decides orders, and all members apply them."`
 	Zone struct {
-		Status zoneStatusCmd `cmd:"" help:"What is decided of each zone, and how far this process has followed."`
-		Plan   zonePlanCmd   `cmd:"" help:"What leaving a zone would do: which servers take nothing more, and how much more the others would have. Changes nothing."`
-		Leave  zoneLeaveCmd  `cmd:"" help:"Have all processes leave a zone, until 'zone return' or 'zone auto'."`
-		Return zoneReturnCmd `cmd:"" help:"Have all processes use a zone wholly or up to a step, until 'zone leave' or 'zone auto'."`
-		Auto   zoneAutoCmd   `cmd:"" help:"Leave a zone to the fleet's own judgement again, from the step where it is."`
-	} `cmd:"" help:"Leaving zones, and returning to them."`
+		Status zoneStatusCmd `cmd:"" help:"Show the decision on each zone and how far this process has applied it."`
+		Plan   zonePlanCmd   `cmd:"" help:"Show what leaving a zone would do, and change nothing: how many servers would get no new requests, and how much the load of the others would grow."`
+		Leave  zoneLeaveCmd  `cmd:"" help:"Order all processes to leave a zone, that is to send it no new requests, until 'zone return' or 'zone auto'."`
+		Return zoneReturnCmd `cmd:"" help:"Order all processes to use a zone again, fully or up to a step, until 'zone leave' or 'zone auto'."`
+		Auto   zoneAutoCmd   `cmd:"" help:"Let the fleet decide on a zone automatically again, from the zone's current step."`
+	} `cmd:"" help:"Show zones, leave them and return to them."`
 	Member struct {
-		Add     voterAddCmd     `cmd:"" help:"Let a member have a seat in the council."`
-		Remove  voterRemoveCmd  `cmd:"" help:"Take a member's seat away."`
-		Replace voterReplaceCmd `cmd:"" help:"Have a member's new store vote, and its former one no more. Only once that is gone for good."`
-	} `cmd:"" help:"Change who has a seat in the council."`
+		Add     voterAddCmd     `cmd:"" help:"Let a member join the consensus group as a voter."`
+		Remove  voterRemoveCmd  `cmd:"" help:"Remove a member from the consensus group."`
+		Replace voterReplaceCmd `cmd:"" help:"Let the new store of a member vote in place of its former store. Use this only once the former store is lost for good."`
+	} `cmd:"" help:"Add, remove or replace a member of the consensus group."`
 }
--- a/cmd/sorrelrudder/tier_leases.go
+++ b/cmd/sorrelrudder/tier_leases.go
@@ -16,12 +16,12 @@
 	"sorrelrudder/internal/lease"
 )
 
-// leasesCmd prints the leases with their holders.
+// leasesCmd lists the leases with their holders.
 type leasesCmd struct{ memberAddress }
 
 // Run implements the command.
 func (c *leasesCmd) Run(s *streams) error {
-	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
+	return c.printStatus(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		f := stateMachineOf(st, w)
 		if f == nil {
 			return
@@ -43,16 +43,16 @@
 	})
 }
 
-// leaseRevokeCmd revokes a lease.
+// leaseRevokeCmd revokes a lease from one or all of its holders.
 type leaseRevokeCmd struct {
-	Name string `arg:"" help:"The lease."`
+	Name string `arg:"" help:"Revoke this lease."`
 	memberAddress
-	Token uint64 `help:"Only from the holder with this token; 0: from all that hold it."`
+	Token uint64 `help:"Revoke the lease only from the holder with this fencing token; 0 means from all holders."`
 }
 
 // Run implements the command.
 func (c *leaseRevokeCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Request(ctx, consensus.Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpRevoke, Name: c.Name, Token: c.Token}}})
 		if err != nil {
 			return err
@@ -61,38 +61,38 @@
 			return fleet.ErrNoLeader
 		}
 		if r.Lease.Result.Refusal != "" {
-			return fmt.Errorf("%s: %s", c.Name, r.Lease.Result.Refusal)
+			return fmt.Errorf("lease %s was not revoked: %s", c.Name, r.Lease.Result.Refusal)
 		}
-		_, err = fmt.Fprintf(s.out, "%s is revoked, and free after one term\n", c.Name)
+		_, err = fmt.Fprintf(s.out, "lease %s is revoked and becomes free after one lease term\n", c.Name)
 		return err
 	})
 }
 
-// leaseHandoverCmd has the holder hand a lease over.
+// leaseHandoverCmd has the holder of a lease hand it over to another member.
 type leaseHandoverCmd struct {
-	Name string `arg:"" help:"The lease."`
-	To   string `arg:"" help:"The member."`
+	Name string `arg:"" help:"Hand over this lease."`
+	To   string `arg:"" help:"Hand the lease over to this member."`
 	memberAddress
 }
 
 // Run implements the command.
 func (c *leaseHandoverCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		if err := o.Handover(ctx, c.Name, c.To); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintf(s.out, "%s goes to %s as soon as nothing of it is out\n", c.Name, c.To)
+		_, err := fmt.Fprintf(s.out, "lease %s moves to %s once no request of its task is in flight\n", c.Name, c.To)
 		return err
 	})
 }
 
-// leaseHoldCmd holds a lease for a script.
+// leaseHoldCmd holds a lease for a script until a signal ends it.
 type leaseHoldCmd struct {
-	Name string `arg:"" help:"The lease."`
+	Name string `arg:"" help:"Hold this lease."`
 	memberAddress
-	Limit int           `default:"1" help:"How many may hold it at once; all that ask must say the same."`
-	Term  time.Duration `default:"3s" help:"The fleet's term, as its file has it."`
-	Drift float64       `default:"0.01" help:"The fleet's bound on clocks."`
+	Limit int           `default:"1" help:"Allow this many holders at once. All that ask for the lease must give the same limit."`
+	Term  time.Duration `default:"3s" help:"Set the lease term, as the fleet's file has it (tier.term)."`
+	Drift float64       `default:"0.01" help:"Set the bound on clock drift as a share, as the fleet's file has it (tier.drift); 0.01 allows a clock to run 1% fast or slow."`
 }
 
 // Run implements the command.
@@ -103,9 +103,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	connecting, cancel := context.WithTimeout(ctx, c.Timeout)
+	connectCtx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	o, err := fleet.Connect(connecting, c.Address, c.Secret)
+	o, err := fleet.Connect(connectCtx, c.Address, c.Secret)
 	if err != nil {
 		return err
 	}
--- a/cmd/sorrelrudder/tier_member.go
+++ b/cmd/sorrelrudder/tier_member.go
@@ -15,9 +15,9 @@
 	"sorrelrudder/internal/fleet"
 )
 
-// fleetInitCmd founds a fleet at a member that does not run.
+// fleetInitCmd founds a fleet in the store of a member that does not run.
 type fleetInitCmd struct {
-	File string `arg:"" help:"The operator's file of the process."`
+	File string `arg:"" help:"Read the operator's file of this member."`
 }
 
 // Run implements the command.
@@ -27,7 +27,7 @@
 		return err
 	}
 	if f.Fleet == nil || f.Fleet.Store == "" {
-		return fmt.Errorf("%s: no member of a council: [tier] with a store is missing", c.File)
+		return fmt.Errorf("%s: the process is not a member of the consensus group: the file has no [tier] section with a store", c.File)
 	}
 	store, err := fleet.OpenStore(f.Fleet.Store, f.Fleet.Name)
 	if err != nil {
@@ -37,19 +37,20 @@
 	if err := store.Bootstrap(f.Fleet.Voters); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; seats for %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
+	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; members of the consensus group: %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
 	return err
 }
 
-// memberAddress is how a process is asked.
+// memberAddress names a running process of the fleet and how to connect to it.
 type memberAddress struct {
-	Address string        `arg:"" help:"The address of a member: any that runs."`
-	Secret  string        `required:"" type:"existingfile" help:"The file of the tier's secret."`
-	JSON    bool          `help:"Print JSON."`
-	Timeout time.Duration `default:"5s" help:"How long an answer is waited for."`
+	Address string        `arg:"" help:"Connect to a running member at this address (HOST:PORT)."`
+	Secret  string        `required:"" type:"existingfile" help:"Read the fleet's shared secret (tier.secret) from this file."`
+	JSON    bool          `help:"Print JSON instead of a table, where the command prints a table."`
+	Timeout time.Duration `default:"5s" help:"Wait at most this long for the answer."`
 }
 
-func (a *memberAddress) ask(do func(ctx context.Context, o *fleet.Operator) error) error {
+// withOperator connects to the process as an operator and calls do, both within the timeout.
+func (a *memberAddress) withOperator(do func(ctx context.Context, o *fleet.Operator) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	o, err := fleet.Connect(ctx, a.Address, a.Secret)
@@ -60,9 +61,9 @@
 	return do(ctx, o)
 }
 
-// status asks for what the process knows, and prints it as JSON or by table.
-func (a *memberAddress) status(s *streams, table func(*fleet.Status, *tabwriter.Writer)) error {
-	return a.ask(func(ctx context.Context, o *fleet.Operator) error {
+// printStatus asks the process for its status and prints it as JSON, or as the table that the function writes.
+func (a *memberAddress) printStatus(s *streams, table func(*fleet.Status, *tabwriter.Writer)) error {
+	return a.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := o.Status(ctx)
 		if err != nil {
 			return err
@@ -76,45 +77,45 @@
 	})
 }
 
-// memberStatusCmd prints what a process knows.
+// memberStatusCmd prints what a process knows, without asking others.
 type memberStatusCmd struct{ memberAddress }
 
 // Run implements the command.
 func (c *memberStatusCmd) Run(s *streams) error {
-	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
+	return c.printStatus(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		fmt.Fprintf(w, "process\t%s\nincarnation\t%s\nfleet\t%s\nsession\t%d\nleader\t%s\n", st.Name, st.Incarnation,
 			cmp.Or(st.Fleet, "unknown"), st.Session, cmp.Or(st.Leader, "unknown"))
 		if st.Superseded {
-			fmt.Fprintf(w, "superseded\tanother process has this name\n")
+			fmt.Fprintf(w, "superseded\tanother process has taken over this name\n")
 		}
 		if st.VoterError != "" {
-			fmt.Fprintf(w, "failed\t%s\n", st.VoterError)
+			fmt.Fprintf(w, "voter failed\t%s\n", st.VoterError)
 		}
 		if k := st.Voter; k != nil {
-			fmt.Fprintf(w, "seat\t%d, %s, term %d, applied %d of %d\n", k.ID, k.Role, k.Term, k.Applied, k.Commit)
+			fmt.Fprintf(w, "voter\traft ID %d, %s, term %d, applied %d of %d committed entries\n", k.ID, k.Role, k.Term, k.Applied, k.Commit)
 		}
 		for _, name := range slices.Sorted(maps.Keys(st.HeldLeases)) {
-			fmt.Fprintf(w, "holds\t%s by %d for %d ms\n", name, st.HeldLeases[name].Token, st.HeldLeases[name].LeftMs)
+			fmt.Fprintf(w, "lease held\t%s with token %d for another %d ms\n", name, st.HeldLeases[name].Token, st.HeldLeases[name].LeftMs)
 		}
 		for _, name := range slices.Sorted(maps.Keys(st.RunningSlots)) {
-			fmt.Fprintf(w, "runs\t%s, slot %d\n", name, st.RunningSlots[name])
+			fmt.Fprintf(w, "task running\t%s, slot %d\n", name, st.RunningSlots[name])
 		}
 		for _, name := range slices.Sorted(maps.Keys(st.LinkErrors)) {
-			fmt.Fprintf(w, "last trouble with\t%s: %s\n", name, st.LinkErrors[name])
+			fmt.Fprintf(w, "last link error\t%s: %s\n", name, st.LinkErrors[name])
 		}
 	})
 }
 
-// fleetBootstrapCmd founds a fleet whose voters are in memory.
+// fleetBootstrapCmd founds a fleet whose voters keep their state in memory, at a running member.
 type fleetBootstrapCmd struct{ memberAddress }
 
 // Run implements the command.
 func (c *fleetBootstrapCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		if err := o.Bootstrap(ctx); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintln(s.out, "founded; the other members of the council are admitted as they ask")
+		_, err := fmt.Fprintln(s.out, "founded the fleet; the other members of the consensus group are admitted when they ask")
 		return err
 	})
 }
--- a/cmd/sorrelrudder/tier_test.go
+++ b/cmd/sorrelrudder/tier_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestFleetOfProcesses plays a short fleet of real processes whose holder is killed and ends in order. How soon another takes over depends
-// on the machine; that no two act at once does not.
+// TestFleetOfProcesses guards against two processes that act on one lease at once. It runs a short scenario with a fleet of real processes: a
+// lease holder is killed, and a later one shuts down in order. How soon another process takes over depends on the machine, so missed
+// bounds are ignored.
 func TestFleetOfProcesses(t *testing.T) {
 	for _, scenario := range []string{"lease-quickstart"} {
 		code, out, errs := call("lab", scenario, "--duration", "3s", "--seed", "2", "--json")
@@ -33,6 +34,7 @@
 	}
 }
 
+// TestTierCommands guards against commands of fleets and simulations that exit with the wrong code, or do not say what is wrong.
 func TestTierCommands(t *testing.T) {
 	dir := t.TempDir()
 	secret := filepath.Join(dir, "secret")
@@ -55,8 +57,8 @@
 		{[]string{"tier", "--help"}, 0, "Found a fleet"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret + "x"}, 2, "no such file"},
-		{[]string{"tier", "init", filepath.Join("..", "..", "deploy", "sorrelrudder.toml")}, 1, "no member of a council"},
-		{[]string{"tier", "init", file}, 0, "seats for p1, p2, p3"},
+		{[]string{"tier", "init", filepath.Join("..", "..", "deploy", "sorrelrudder.toml")}, 1, "not a member of the consensus group"},
+		{[]string{"tier", "init", file}, 0, "members of the consensus group: p1, p2, p3"},
 		{[]string{"tier", "init", file}, 1, "nothing was changed"},
 		{[]string{"tier", "state", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "zone", "plan", "farm", "b", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
--- a/cmd/sorrelrudder/tier_voters.go
+++ b/cmd/sorrelrudder/tier_voters.go
@@ -10,26 +10,26 @@
 	"sorrelrudder/internal/fleet"
 )
 
-// stateMachineOf is the replicated state as the process knows it.
+// stateMachineOf returns the replicated state as the process knows it. If the process knows none, it writes that and returns nil.
 func stateMachineOf(st *fleet.Status, w *tabwriter.Writer) *consensus.StateMachine {
 	if st.Voter == nil || st.Voter.StateMachine == nil {
-		fmt.Fprintf(w, "%s has no seat in the council, or has not heard of its state yet: ask another\n", st.Name)
+		fmt.Fprintf(w, "%s is not a member of the consensus group, or does not know its state yet: ask another member\n", st.Name)
 		return nil
 	}
 	return st.Voter.StateMachine
 }
 
-// votersCmd prints the voters.
+// votersCmd lists the members of the consensus group with their raft IDs and roles.
 type votersCmd struct{ memberAddress }
 
 // Run implements the command.
 func (c *votersCmd) Run(s *streams) error {
-	return c.status(s, func(st *fleet.Status, w *tabwriter.Writer) {
+	return c.printStatus(s, func(st *fleet.Status, w *tabwriter.Writer) {
 		f := stateMachineOf(st, w)
 		if f == nil {
 			return
 		}
-		fmt.Fprintln(w, "member\tidentity\tvotes\tformer identity")
+		fmt.Fprintln(w, "member\traft ID\tvoter\tformer raft ID")
 		for _, name := range f.VoterNames {
 			voter := f.Voters[name]
 			if voter == nil {
@@ -42,16 +42,16 @@
 			}
 			former := ""
 			if voter.ReplacedID != 0 {
-				former = fmt.Sprintf("%d, lost with its store", voter.ReplacedID)
+				former = fmt.Sprintf("%d, its store is lost", voter.ReplacedID)
 			}
 			fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", name, voter.RaftID, votes, former)
 		}
 	})
 }
 
-// voterChange is a configuration change of the consensus group.
+// voterChange selects the member of a command that changes the consensus group.
 type voterChange struct {
-	Name string `arg:"" help:"The member."`
+	Name string `arg:"" help:"Change this member."`
 	memberAddress
 }
 
@@ -70,8 +70,9 @@
 // Run implements the command.
 func (c *voterReplaceCmd) Run(s *streams) error { return c.change(s, consensus.OpReplace) }
 
+// change has the consensus group carry out a configuration change.
 func (c *voterChange) change(s *streams, op consensus.VoterOp) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Request(ctx, consensus.Request{Voter: &consensus.VoterCommand{Op: op, Name: c.Name}})
 		if err != nil {
 			return err
@@ -80,9 +81,9 @@
 			return fleet.ErrNoLeader
 		}
 		if r.Voter.Refusal != "" {
-			return fmt.Errorf("nothing was changed: %s", r.Voter.Refusal)
+			return fmt.Errorf("the consensus group was not changed: %s", r.Voter.Refusal)
 		}
-		_, err = fmt.Fprintf(s.out, "%s: %s; 'tier members' shows when it is carried out\n", c.Name, op)
+		_, err = fmt.Fprintf(s.out, "member %s: %s accepted; 'tier members' shows when it has taken effect\n", c.Name, op)
 		return err
 	})
 }
--- a/cmd/sorrelrudder/tier_zones.go
+++ b/cmd/sorrelrudder/tier_zones.go
@@ -13,12 +13,12 @@
 	"sorrelrudder/internal/zonefailover"
 )
 
-// zoneStatusCmd prints what is decided of each zone and how far the process has followed.
+// zoneStatusCmd prints the decision on each zone and how far the process has applied it.
 type zoneStatusCmd struct{ memberAddress }
 
 // Run implements the command.
 func (c *zoneStatusCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := statusWithSharedState(ctx, o)
 		if err != nil {
 			return err
@@ -27,14 +27,14 @@
 			return json.NewEncoder(s.out).Encode(st.SharedState.Zones)
 		}
 		w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "pool\tzone\tservers\tavoided here\tepoch\tstep\tfalls\twhy\tjudged")
+		fmt.Fprintln(w, "pool\tzone\tready servers\texcluded here\tepoch\tstep\trelapses\treason\tlatest verdict")
 		for _, z := range st.SharedState.Zones {
 			step := fmt.Sprintf("%d of %d", z.Step, zonefailover.FullStep)
 			if z.Pinned {
-				step += ", pinned"
+				step += ", set by an operator"
 			}
 			if z.WarmingUp {
-				step += ", cold"
+				step += ", warming up"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%d\t%s\t%s\n", z.Pool, z.Zone, z.Endpoints, z.Excluded, z.Epoch, step, z.Relapses, z.Reason, z.Cause)
 		}
@@ -42,82 +42,82 @@
 	})
 }
 
-// statusWithSharedState returns the status of a process that shares state, or an error.
+// statusWithSharedState returns the status of a process, or an error if the process has no shared state.
 func statusWithSharedState(ctx context.Context, o *fleet.Operator) (*fleet.Status, error) {
 	st, err := o.Status(ctx)
 	if err == nil && st.SharedState == nil {
-		err = fmt.Errorf("%s shares no state: [tier.copies] is missing in its file", st.Name)
+		err = fmt.Errorf("process %s has no shared state: its file has no [tier.copies] section", st.Name)
 	}
 	return st, err
 }
 
-// zoneDecision is a decision of an operator about a zone.
+// zoneDecision selects the zone of an operator's command.
 type zoneDecision struct {
-	Pool string `arg:"" help:"The pool."`
-	Zone string `arg:"" help:"The zone, as the pool's list names it."`
+	Pool string `arg:"" help:"Select this pool."`
+	Zone string `arg:"" help:"Select this zone, by its name in the pool's endpoint list."`
 	memberAddress
-	Force bool `help:"Also where the fleet would not do it itself; the log says who asked."`
+	Force bool `help:"Skip the checks that keep the fleet from doing this by itself. The recorded reason, which 'tier zone status' shows, ends with 'by force'."`
 }
 
-// plan returns the zone, and the ready endpoints in zones that would stay wholly in use without it.
-func (c *zoneDecision) plan(st *fleet.Status) (of *fleet.ZoneStatus, rest int, err error) {
+// plan returns the status of the zone, and the number of ready endpoints in the other zones that are fully in use.
+func (c *zoneDecision) plan(st *fleet.Status) (target *fleet.ZoneStatus, remaining int, err error) {
 	for i := range st.SharedState.Zones {
 		z := &st.SharedState.Zones[i]
 		switch {
 		case z.Pool != c.Pool:
 		case z.Zone == c.Zone:
-			of = z
+			target = z
 		case z.Step == zonefailover.FullStep:
-			rest += z.Endpoints
+			remaining += z.Endpoints
 		}
 	}
-	if of == nil {
+	if target == nil {
 		var names []string
 		for _, z := range st.SharedState.Zones {
 			names = append(names, z.Pool+" "+z.Zone)
 		}
-		return nil, 0, fmt.Errorf("no zone %q of a pool %q; there are: %s", c.Zone, c.Pool, strings.Join(names, ", "))
+		return nil, 0, fmt.Errorf("unknown zone %q of pool %q; known pools and zones: %s", c.Zone, c.Pool, strings.Join(names, ", "))
 	}
-	return of, rest, nil
+	return target, remaining, nil
 }
 
-// zonePlanCmd prints what leaving a zone would do.
+// zonePlanCmd prints what leaving a zone would do to the load of the other zones.
 type zonePlanCmd struct{ zoneDecision }
 
 // Run implements the command.
 func (c *zonePlanCmd) Run(s *streams) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := statusWithSharedState(ctx, o)
 		if err != nil {
 			return err
 		}
-		z, rest, err := c.plan(st)
+		z, remaining, err := c.plan(st)
 		if err != nil {
 			return err
 		}
-		if rest == 0 {
-			return fmt.Errorf("without %s no zone of %s would be wholly in use: it can't be left", c.Zone, c.Pool)
+		if remaining == 0 {
+			return fmt.Errorf("zone %s can't be left: no other zone of pool %s is fully in use", c.Zone, c.Pool)
 		}
-		_, err = fmt.Fprintf(s.out, "%d servers of %s take nothing new; the %d others have %.2f times as much each, if all are used alike\n", z.Endpoints, c.Zone, rest, float64(rest+z.Endpoints)/float64(rest))
+		_, err = fmt.Fprintf(s.out, "%d servers of zone %s would get no new requests; the %d servers of fully used zones would each get %.2f times as many, if all are used equally\n", z.Endpoints, c.Zone, remaining, float64(remaining+z.Endpoints)/float64(remaining))
 		return err
 	})
 }
 
-// The decisions of operators about zones.
+// The commands that decide on a zone.
 type (
 	zoneLeaveCmd  struct{ zoneDecision }
 	zoneReturnCmd struct {
 		zoneDecision
-		Step int `default:"4" help:"1: a tenth of the servers, 2: a quarter, 3: a half, 4: all."`
+		Step int `default:"4" help:"Return up to this step: 1: a tenth of the servers, 2: a quarter, 3: a half, 4: all."`
 	}
 	zoneAutoCmd struct{ zoneDecision }
 )
 
 // Run implements the command.
 func (c *zoneLeaveCmd) Run(s *streams) error {
-	return c.decide(s, func(_ *fleet.ZoneStatus, rest int) (zonefailover.State, error) {
-		if rest == 0 && !c.Force {
-			return zonefailover.State{}, fmt.Errorf("without %s no zone of %s would be wholly in use; nothing was changed (--force does it all the same)", c.Zone, c.Pool)
+	return c.decide(s, func(_ *fleet.ZoneStatus, remaining int) (zonefailover.State, error) {
+		if remaining == 0 && !c.Force {
+			return zonefailover.State{}, fmt.Errorf("zone %s was not left: no other zone of pool %s is fully in use (use --force to leave it anyway)", c.Zone, c.Pool)
 		}
 		return zonefailover.State{Step: 0, Manual: true, Reason: "an operator"}, nil
 	})
@@ -128,9 +128,9 @@
 	return c.decide(s, func(z *fleet.ZoneStatus, _ int) (zonefailover.State, error) {
 		switch {
 		case c.Step < 1 || c.Step > zonefailover.FullStep:
-			return zonefailover.State{}, fmt.Errorf("%w: step %d, outside 1 to %d", errInvalidInput, c.Step, zonefailover.FullStep)
+			return zonefailover.State{}, fmt.Errorf("%w: --step %d: expected 1 to %d", errInvalidInput, c.Step, zonefailover.FullStep)
 		case c.Step > z.Step+1 && !c.Force:
-			return zonefailover.State{}, fmt.Errorf("%s is at step %d: its servers may be cold, and %d at once is more than a step; nothing was changed (--force does it all the same)", c.Zone, z.Step, c.Step-z.Step)
+			return zonefailover.State{}, fmt.Errorf("zone %s stays at step %d: its servers may be cold, and a return by %d steps at once is more than one step (use --force to return anyway)", c.Zone, z.Step, c.Step-z.Step)
 		}
 		return zonefailover.State{Step: c.Step, Manual: true, Reason: "an operator"}, nil
 	})
@@ -143,18 +143,19 @@
 	})
 }
 
-// decide asks the consensus group for the state that next returns, given the zone and the ready endpoints elsewhere.
-func (c *zoneDecision) decide(s *streams, next func(z *fleet.ZoneStatus, rest int) (zonefailover.State, error)) error {
-	return c.ask(func(ctx context.Context, o *fleet.Operator) error {
+// decide has the consensus group record the state that next returns. next is given the status of the zone and the number of ready endpoints
+// in the other zones that are fully in use.
+func (c *zoneDecision) decide(s *streams, next func(z *fleet.ZoneStatus, remaining int) (zonefailover.State, error)) error {
+	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		st, err := statusWithSharedState(ctx, o)
 		if err != nil {
 			return err
 		}
-		z, rest, err := c.plan(st)
+		z, remaining, err := c.plan(st)
 		if err != nil {
 			return err
 		}
-		state, err := next(z, rest)
+		state, err := next(z, remaining)
 		if err != nil {
 			return err
 		}
@@ -165,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(s.out, "epoch %d: %s of %s is at step %d of %d\n", r.Number, c.Zone, c.Pool, state.Step, zonefailover.FullStep)
+		_, err = fmt.Fprintf(s.out, "epoch %d: zone %s of pool %s is set to step %d of %d\n", r.Number, c.Zone, c.Pool, state.Step, zonefailover.FullStep)
 		return err
 	})
 }
