--- a/cmd/sorrelrudder/curl_test.go
+++ b/cmd/sorrelrudder/curl_test.go
@@ -13,11 +13,11 @@
 	"testing"
 )
 
-// TestCurl holds what curl has through the program, by HTTP/1.1 and HTTP/2, against the same straight from the server. It is run
-// where curl is.
+// TestCurl guards against responses that change on their way through the program: what curl receives through it by HTTP/1.1 and HTTP/2 must
+// equal what it receives directly from the server. It is skipped where curl is not installed.
 func TestCurl(t *testing.T) {
 	if _, err := exec.LookPath("curl"); err != nil {
-		t.Skip("there is no curl here")
+		t.Skip("curl is not installed")
 	}
 	versions, err := exec.Command("curl", "--version").Output()
 	if err != nil {
@@ -39,22 +39,22 @@
 	defer server.Close()
 	a := newAuthority(t)
 	a.issue(t, "shop", "shop.example.org")
-	straight := server.Listener.Addr().String()
-	plain, secure := startPlain(t, "", straight), startTLS(t, a.listenerTLS("", "shop"), straight)
+	directAddr := server.Listener.Addr().String()
+	plain, secure := startPlain(t, "", directAddr), startTLS(t, a.listenerTLS("", "shop"), directAddr)
 	curl := func(addr, scheme string, args ...string) string {
 		t.Helper()
 		_, port, err := net.SplitHostPort(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := append([]string{"-sS", "-i", "--max-time", "20", "--cacert", a.Path("ca.pem"), "--noproxy", "*",
+		curlArgs := append([]string{"-sS", "-i", "--max-time", "20", "--cacert", a.Path("ca.pem"), "--noproxy", "*",
 			"--resolve", "shop.example.org:" + port + ":127.0.0.1", "-H", "X-Own: 1"}, args...)
-		all[len(all)-1] = scheme + "://shop.example.org:" + port + all[len(all)-1]
-		out, err := exec.Command("curl", all...).CombinedOutput()
+		curlArgs[len(curlArgs)-1] = scheme + "://shop.example.org:" + port + curlArgs[len(curlArgs)-1]
+		out, err := exec.Command("curl", curlArgs...).CombinedOutput()
 		if err != nil {
-			t.Fatalf("curl %v: %v\n%s", all, err, out)
+			t.Fatalf("curl %v: %v\n%s", curlArgs, err, out)
 		}
-		// The version in the first line, and what RFC 9110 asks an intermediary to add, may differ; so may the case and order of fields.
+		// These may differ: the version in the first line, the fields that RFC 9110 asks an intermediary to add, and the case and order of fields.
 		head, body, _ := strings.Cut(strings.ReplaceAll(string(out), "\r\n", "\n"), "\n\n")
 		lines := strings.Split(strings.ToLower(head), "\n")
 		_, status, _ := strings.Cut(lines[0], " ")
@@ -70,13 +70,13 @@
 		"expects": {"-H", "Expect: 100-continue", "-d", big, "/long"}, "chunked": {"-H", "Transfer-Encoding: chunked", "-H", "Expect:", "-d", big, "/long"},
 		"201": {"/status/201"}, "204": {"/status/204"}, "304": {"/status/304"}, "404": {"/status/404"}, "500": {"/status/500"},
 	} {
-		want := curl(straight, "http", append([]string{"--http1.1"}, args...)...)
+		want := curl(directAddr, "http", append([]string{"--http1.1"}, args...)...)
 		got := map[string]string{"HTTP/1.1": curl(plain, "http", append([]string{"--http1.1"}, args...)...),
 			"HTTP/1.1 by TLS": curl(secure, "https", append([]string{"--http1.1"}, args...)...)}
 		if strings.Contains(string(versions), "HTTP2") && name != "chunked" {
 			got["HTTP/2"] = curl(secure, "https", append([]string{"--http2"}, args...)...)
 		}
-		if name == "expects" { // an interim answer comes first, straight and through
+		if name == "expects" { // an interim response comes first, both directly and through the program
 			for v, text := range got {
 				got[v] = text[strings.LastIndex(text, "\n\n"):]
 			}
@@ -84,7 +84,7 @@
 		}
 		for version, text := range got {
 			if text != want {
-				t.Errorf("%s by %s:\n%s\nstraight:\n%s", name, version, text, want)
+				t.Errorf("%s by %s:\n%s\ndirectly:\n%s", name, version, text, want)
 			}
 		}
 	}
--- a/cmd/sorrelrudder/fleet_test.go
+++ b/cmd/sorrelrudder/fleet_test.go
@@ -20,19 +20,19 @@
 			t.Fatal(err)
 		}
 	}
-	code, out, errs := call("fleet", "--json", "--pool", "p", dir)
+	code, out, errs := runCLI("fleet", "--json", "--pool", "p", dir)
 	want := `{"at_s":0,"processes":2,"counts":{"again":0,"aim":2,`
 	if code != 0 || !strings.HasPrefix(out, want) || strings.Count(out, "\n") != 1 || !strings.Contains(out, `"taken":4,`) ||
 		!strings.Contains(out, `"usual_ms":150,`) || !strings.Contains(out, `"warming_each":15,`) || !strings.Contains(out, `"dials":4,`) {
 		t.Errorf("exit %d\n%s%s", code, out, errs)
 	}
-	if code, out, errs = call("fleet", dir); code != 0 || !strings.Contains(out, "all") || !strings.Contains(out, "13") {
+	if code, out, errs = runCLI("fleet", dir); code != 0 || !strings.Contains(out, "all") || !strings.Contains(out, "13") {
 		t.Errorf("exit %d\n%s%s", code, out, errs)
 	}
-	if code, _, errs = call("fleet", "--pool", "none", dir); code != 1 || !strings.Contains(errs, "figures_every") {
+	if code, _, errs = runCLI("fleet", "--pool", "none", dir); code != 1 || !strings.Contains(errs, "figures_every") {
 		t.Errorf("exit %d: %s", code, errs)
 	}
-	if code, _, errs = call("fleet", dir+"/none"); code != 2 {
+	if code, _, errs = runCLI("fleet", dir+"/none"); code != 2 {
 		t.Errorf("exit %d: %s", code, errs)
 	}
 }
@@ -49,12 +49,12 @@
 			t.Fatal(err)
 		}
 	}
-	code, out, errs := call("fleet", "--json", dir)
+	code, out, errs := runCLI("fleet", "--json", dir)
 	want := `"shared":{"frames":11,"bytes":1000,"most_in_step_ms":900,"most_decided_ms":-1,"fewest_alive":2,"most_dead":4,"differ":1}`
 	if code != 0 || !strings.Contains(out, want) {
 		t.Errorf("exit %d\n%s%s", code, out, errs)
 	}
-	if code, out, _ := call("fleet", dir); code != 0 || !strings.Contains(out, "1000") {
+	if code, out, _ := runCLI("fleet", dir); code != 0 || !strings.Contains(out, "1000") {
 		t.Errorf("exit %d\n%s", code, out)
 	}
 }
--- a/cmd/sorrelrudder/golden_test.go
+++ b/cmd/sorrelrudder/golden_test.go
@@ -22,10 +22,10 @@
 	"sorrelrudder/internal/scenario"
 )
 
-// The golden files hold what operators and their scripts see: a renaming inside the program leaves them as they are.
-var update = flag.Bool("update", false, "write the golden files of testdata anew")
+// The golden files hold what operators and their scripts see. A rename inside the program must not change them.
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// compareGolden compares got with testdata/NAME.golden, whole.
+// compareGolden checks that got equals the whole of testdata/NAME.golden. With -update it writes the file instead.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -52,9 +52,9 @@
 		strings.Join(gotLines[line:min(line+after, len(gotLines))], "\n"))
 }
 
-// transcript is what a command line prints and the code that it exits with; lines on standard error begin with "! ".
+// transcript returns a command line, its exit code and what it prints. Lines on standard error begin with "! ".
 func transcript(args ...string) string {
-	code, out, errs := call(args...)
+	code, out, errs := runCLI(args...)
 	var b strings.Builder
 	fmt.Fprintf(&b, "$ %s\nexit %d\n%s", strings.Join(args, " "), code, out)
 	for line := range strings.Lines(errs) {
@@ -63,10 +63,10 @@
 	return b.String() + "\n"
 }
 
-// measured is what differs from run to run: it is replaced by "*".
-var measured = regexp.MustCompile(`("(?:seconds|seeds_a_minute|real_s)":)[0-9.e+-]+|(seeds from \d+ in )\d+ s, \d+ a minute`)
+// measuredValues matches the values that differ from run to run. Each is replaced by "*".
+var measuredValues = regexp.MustCompile(`("(?:seconds|seeds_a_minute|real_s)":)[0-9.e+-]+|(seeds from \d+ in )\d+ s, \d+ a minute`)
 
-// TestCommandOutput compares all that some command lines print, and their exit codes.
+// TestCommandOutput guards against unintended changes of what commands print and of their exit codes.
 func TestCommandOutput(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
 	deploy := func(name string) string { return filepath.Join("..", "..", "deploy", name) }
@@ -114,7 +114,7 @@
 			{"emulate", "--runs", "0", data("day.toml")}, {"emulate", "--share", "all", data("day.toml")}, {"emulate", "--lag", "0s", data("day.toml")},
 			{"emulate", data("bad-day.toml")}, {"emulate", data("unknown-day.toml")}, {"emulate", data("none.toml")},
 		},
-		"explore": { // the hash is over the words of the trace too, the counts are not
+		"explore": { // the hash covers the text of the trace; the counts do not
 			{"lab", "tier-explore", "--seeds", "4", "--workers", "1", "--json"},
 			{"lab", "tier-explore", "--seeds", "2", "--workers", "1"},
 			{"lab", "tier-explore", "--copies", "--seeds", "4", "--workers", "1", "--json"},
@@ -127,12 +127,12 @@
 			for _, args := range commands {
 				all.WriteString(transcript(args...))
 			}
-			compareGolden(t, name, measured.ReplaceAllString(all.String(), "$1$2*"))
+			compareGolden(t, name, measuredValues.ReplaceAllString(all.String(), "$1$2*"))
 		})
 	}
 }
 
-// TestHelp compares the help of the program and of every command, hidden ones included.
+// TestHelp guards against unintended changes of the help of the program and of every command, hidden ones included.
 func TestHelp(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
 	grammar, err := kong.New(&cli{}, kong.Vars{"cores": "1"})
@@ -148,14 +148,14 @@
 		}
 	}
 	walk(nil, grammar.Model.Node)
-	cores := regexp.MustCompile(`--workers=\d+ +`) // as many as the machine has
+	cores := regexp.MustCompile(`--workers=\d+ +`) // the default depends on the machine
 	compareGolden(t, "help", cores.ReplaceAllString(all.String(), "--workers=* "))
 }
 
-// TestOperatorFileKeys compares the keys that each section of an operator's file may have. testdata/unknown.toml has all sections,
-// and in each a key that is unknown: the error says which are known.
+// TestOperatorFileKeys guards against unintended changes of the keys that each section of an operator's file may have. testdata/unknown.toml
+// has all sections with an unknown key in each: the errors list the known keys.
 func TestOperatorFileKeys(t *testing.T) {
-	_, _, errs := call("check", filepath.Join("testdata", "unknown.toml"))
+	_, _, errs := runCLI("check", filepath.Join("testdata", "unknown.toml"))
 	index := regexp.MustCompile(`\[\d+\]`)
 	var keys []string
 	for _, m := range regexp.MustCompile(`(?m)^\S+:\d+: (\S*)zzzzzzzzzz: unknown key; known here: (.*)$`).FindAllStringSubmatch(errs, -1) {
@@ -167,7 +167,7 @@
 	compareGolden(t, "operator-keys", strings.Join(slices.Compact(keys), "\n")+"\n")
 }
 
-// TestDayFileKeys compares the keys of a day's file, and their usual values.
+// TestDayFileKeys guards against unintended changes of the keys of a scenario file and of their default values.
 func TestDayFileKeys(t *testing.T) {
 	var keys []string
 	var walk func(path string, of reflect.Type)
@@ -187,16 +187,16 @@
 	}
 	walk("", reflect.TypeFor[scenario.File]())
 	slices.Sort(keys)
-	usual, err := toml.Marshal(scenario.Default())
+	defaults, err := toml.Marshal(scenario.Default())
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "day-keys", strings.Join(keys, "\n")+"\n\n"+string(usual))
+	compareGolden(t, "day-keys", strings.Join(keys, "\n")+"\n\n"+string(defaults))
 }
 
-// TestQuickstartReport compares the keys of the report of a scenario that is played; its figures are measured.
+// TestQuickstartReport guards against unintended changes of the keys of a scenario's report. Its values are measured and not compared.
 func TestQuickstartReport(t *testing.T) {
-	_, out, errs := call("lab", "quickstart", "--duration", "2s", "--json")
+	_, out, errs := runCLI("lab", "quickstart", "--duration", "2s", "--json")
 	var report struct{ Measures map[string]float64 }
 	var whole map[string]json.RawMessage
 	for _, into := range []any{&report, &whole} {
@@ -214,8 +214,8 @@
 	compareGolden(t, "quickstart", b.String())
 }
 
-// TestMeasureNames compares the names of all measures of the laboratory as its sources spell them, since playing all scenarios takes
-// too long: what is no literal stands as "*". Where a name is spelled in another way in the source, it is still to be the same.
+// TestMeasureNames guards against unintended changes of the names of scenario measures. It takes them from the sources, since running all
+// scenarios takes too long; what is not a literal is shown as "*". A name that the source spells in another way must stay the same.
 func TestMeasureNames(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "internal", "e2e", "*.go"))
 	if err != nil || len(files) == 0 {
@@ -233,7 +233,7 @@
 		ast.Inspect(tree, func(n ast.Node) bool {
 			if c, ok := n.(*ast.CallExpr); ok && len(c.Args) > 0 {
 				if f, ok := c.Fun.(*ast.SelectorExpr); ok && slices.Contains([]string{"Measure", "AtLeast", "AtMost"}, f.Sel.Name) {
-					names = append(names, spelled(c.Args[0]))
+					names = append(names, literalText(c.Args[0]))
 				}
 			}
 			return true
@@ -243,16 +243,16 @@
 	compareGolden(t, "measures", strings.Join(slices.Compact(names), "\n")+"\n")
 }
 
-// spelled is the text of an expression as far as it is literal.
-func spelled(e ast.Expr) string {
+// literalText returns the literal parts of an expression, with "*" for the others.
+func literalText(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.BasicLit:
 		return strings.Trim(e.Value, "\"`")
 	case *ast.BinaryExpr:
-		return spelled(e.X) + spelled(e.Y)
-	case *ast.CallExpr: // fmt.Sprintf: its format
+		return literalText(e.X) + literalText(e.Y)
+	case *ast.CallExpr: // the format of fmt.Sprintf
 		if f, ok := e.Fun.(*ast.SelectorExpr); ok && f.Sel.Name == "Sprintf" {
-			return spelled(e.Args[0])
+			return literalText(e.Args[0])
 		}
 	}
 	return "*"
--- a/cmd/sorrelrudder/main_test.go
+++ b/cmd/sorrelrudder/main_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// asProgram is set in the environment of the test's own binary when the laboratory starts it as the program.
+// asProgram is the environment variable that makes the test binary run as the program. Scenarios start the binary with it.
 const asProgram = "SORRELRUDDER_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -23,12 +23,14 @@
 	os.Exit(m.Run())
 }
 
-func call(args ...string) (code int, out, errs string) {
+// runCLI runs a command line and returns its exit code and what it printed.
+func runCLI(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
+// TestCommandLine guards against command lines that exit with the wrong code or do not say what is wrong.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("[[listeners]]\nname = \"a\"\naddress = \"nowhere\"\nport = 1\n"), 0o600); err != nil {
@@ -38,7 +40,7 @@
 	for name, c := range map[string]struct {
 		args []string
 		code int
-		want string // in what is printed
+		want string // part of the output
 	}{
 		"help":         {[]string{"--help"}, 0, "check"},
 		"nothing":      {nil, 0, "Usage"},
@@ -55,16 +57,16 @@
 		"run bad file": {[]string{"run", bad}, 2, "bad.toml:4"},
 		"no argument":  {[]string{"run"}, 2, "file"},
 	} {
-		code, out, errs := call(c.args...)
+		code, out, errs := runCLI(c.args...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%s: exit %d, want %d and %q in\n%s%s", name, code, c.code, c.want, out, errs)
 		}
 	}
 }
 
-// TestQuickstart plays the README's first command, shorter, against the real program.
+// TestQuickstart guards against a broken first command of the README. It runs a shorter form of it against the real program.
 func TestQuickstart(t *testing.T) {
-	code, out, errs := call("lab", "quickstart", "--duration", "2s", "--seed", "3", "--json")
+	code, out, errs := runCLI("lab", "quickstart", "--duration", "2s", "--seed", "3", "--json")
 	var report struct {
 		Scenario string
 		Seed     uint64
@@ -75,7 +77,7 @@
 	if err := json.Unmarshal([]byte(out), &report); err != nil {
 		t.Fatalf("%v: %s%s", err, out, errs)
 	}
-	for _, b := range report.Broken { // how much is served in time depends on the machine
+	for _, b := range report.Broken { // bounds on what is served in time depend on the machine
 		if !strings.HasPrefix(b, "bound: ") {
 			t.Error(b)
 		}
@@ -85,8 +87,8 @@
 	}
 }
 
-// needs are all packages that a command links.
-func needs(t *testing.T, command string) []string {
+// linkedPackages returns all packages that a command links.
+func linkedPackages(t *testing.T, command string) []string {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-deps", "sorrelrudder/cmd/"+command).Output()
 	if err != nil {
@@ -95,10 +97,10 @@
 	return strings.Fields(string(out))
 }
 
-// TestSidecarLinksNothingHeavy guards the memory of the sidecar: what only the product needs is never linked into it.
+// TestSidecarLinksNothingHeavy guards against packages in the sidecar that only the product needs: they would cost memory.
 func TestSidecarLinksNothingHeavy(t *testing.T) {
 	for _, command := range []string{"sidecar", "simadapter"} {
-		for _, p := range needs(t, command) {
+		for _, p := range linkedPackages(t, command) {
 			for _, heavy := range []string{
 				"github.com/", "google.golang.org/", "go.uber.org/", "pgregory.net/", "sorrelrudder/internal/e2e", "sorrelrudder/internal/emulator", "sorrelrudder/internal/config",
 				"sorrelrudder/internal/fake", "sorrelrudder/internal/httpservice", "sorrelrudder/internal/classify", "sorrelrudder/internal/h2", "sorrelrudder/internal/tlsfiles", "golang.org/x/net/", "sorrelrudder/internal/siteheader", "sorrelrudder/internal/sitelink",
@@ -110,13 +112,13 @@
 			}
 		}
 	}
-	if !slices.Contains(needs(t, "sorrelrudder"), "github.com/alecthomas/kong") {
-		t.Error("the list of packages is not what this test takes it for")
+	if !slices.Contains(linkedPackages(t, "sorrelrudder"), "github.com/alecthomas/kong") {
+		t.Error("the list of packages lacks kong: it is not the list that this test expects")
 	}
 }
 
-// mayImport says which of the project's packages a package may import; docs/ARCHITECTURE.md says why.
-var mayImport = map[string][]string{
+// allowedImports names the project's packages that each package may import. docs/ARCHITECTURE.md gives the reasons.
+var allowedImports = map[string][]string{
 	"policy":                {},
 	"internal/route":        {},
 	"internal/quota":        {},
@@ -162,17 +164,17 @@
 	"internal/config":     {"internal/consensus", "internal/zonefailover", "internal/lease", "internal/task", "internal/fleet", "internal/tlsfiles", "policy", "internal/classify", "internal/httpservice", "internal/sitelink", "internal/spillover", "internal/gateway", "internal/httpmsg", "internal/route", "internal/discovery"},
 	"internal/siteheader": {},
 	"internal/spillover":  {"policy"},
-	"internal/fake":       {}, // shares no code with what it watches
+	"internal/fake":       {}, // shares no code with the program that it observes
 	"internal/e2e":        {"internal/fake"},
 	"cmd/simadapter":      {"internal/simwire"},
 	"cmd/sidecar":         {"internal/sidecar"},
 	"cmd/sorrelrudder":    {"internal/consensus", "internal/zonefailover", "internal/gossip", "internal/simulation", "internal/lease", "internal/task", "internal/fleet", "internal/h2", "internal/tlsfiles", "internal/httpservice", "internal/route", "internal/sitelink", "internal/gateway", "internal/e2e", "internal/config", "internal/statslog", "internal/scenario", "internal/emulator"},
 }
 
-// pure modules read no clock, open nothing and start nothing.
-var pure = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/quota", "internal/spillover", "internal/staleness", "internal/statslog", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
+// purePackages read no clock, open no files or connections, and start no goroutines.
+var purePackages = []string{"policy", "internal/classify", "internal/keepalive", "internal/route", "internal/quota", "internal/spillover", "internal/staleness", "internal/statslog", "internal/emulator", "internal/lease", "internal/task", "internal/consensus", "internal/gossip", "internal/zonefailover", "internal/zoneview"}
 
-// TestImports holds the rules of docs/ARCHITECTURE.md.
+// TestImports guards against imports that the rules of docs/ARCHITECTURE.md do not allow.
 func TestImports(t *testing.T) {
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`, "sorrelrudder/...").Output()
 	if err != nil {
@@ -181,9 +183,9 @@
 	for line := range strings.Lines(string(out)) {
 		fields := strings.Fields(line)
 		name := strings.TrimPrefix(fields[0], "sorrelrudder/")
-		allowed, known := mayImport[name]
+		allowed, known := allowedImports[name]
 		if !known {
-			t.Errorf("package %s has no rule: say in docs/ARCHITECTURE.md and here what it may import", name)
+			t.Errorf("package %s has no rule: add its allowed imports to docs/ARCHITECTURE.md and here", name)
 			continue
 		}
 		for _, p := range fields[1:] {
@@ -191,16 +193,16 @@
 			if is && !slices.Contains(allowed, own) {
 				t.Errorf("%s imports %s", name, own)
 			}
-			if slices.Contains(pure, name) && slices.Contains([]string{"net", "net/http", "os", "sync", "context", "log/slog", "syscall"}, p) {
+			if slices.Contains(purePackages, name) && slices.Contains([]string{"net", "net/http", "os", "sync", "context", "log/slog", "syscall"}, p) {
 				t.Errorf("the pure module %s imports %s", name, p)
 			}
 		}
 	}
 }
 
-// TestPureModules guards against clocks and goroutines in modules that decide.
+// TestPureModules guards against clocks and goroutines in pure packages.
 func TestPureModules(t *testing.T) {
-	for _, dir := range pure {
+	for _, dir := range purePackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %v, %v", dir, files, err)
@@ -222,8 +224,8 @@
 	}
 }
 
-// TestFittedToNoDeployment guards against code that knows a deployment: no class, tenant, zone, tier or kind of machine of any
-// stands in what the sidecar and the adapter are built of. Names come from the settings alone.
+// TestFittedToNoDeployment guards against code that is fitted to one deployment: the sources of the sidecar and the adapter must not contain
+// the name of a class, tenant, zone, tier or machine type of any deployment. Such names come from the settings alone.
 func TestFittedToNoDeployment(t *testing.T) {
 	names := []string{
 		"allocation-check", "delivery-order", "meter-booking", "clare-pump", "giru-office", "water-orders", "big-box", "small-box", "slow-box",
@@ -244,8 +246,8 @@
 			names = append(names, m[1]+m[2])
 		}
 	}
-	looked := 0
-	for _, p := range append(needs(t, "sidecar"), needs(t, "simadapter")...) {
+	searched := 0
+	for _, p := range append(linkedPackages(t, "sidecar"), linkedPackages(t, "simadapter")...) {
 		dir, own := strings.CutPrefix(p, "sorrelrudder/")
 		if !own {
 			continue
@@ -262,15 +264,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			looked++
+			searched++
 			for _, name := range names {
 				if bytes.Contains(text, []byte(`"`+name+`"`)) {
-					t.Errorf("%s knows %q of a deployment", file, name)
+					t.Errorf("%s contains the name %q of a deployment", file, name)
 				}
 			}
 		}
 	}
-	if looked < 20 || len(names) < 40 {
-		t.Errorf("looked for %d names in %d files: too few to be all", len(names), looked)
+	if searched < 20 || len(names) < 40 {
+		t.Errorf("searched for %d names in %d files: too few to be all of them", len(names), searched)
 	}
 }
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -22,22 +22,23 @@
 	"sorrelrudder/internal/config"
 )
 
-const patience = 20 * time.Second
+// testTimeout bounds the wait for an expected event.
+const testTimeout = 20 * time.Second
 
-// startPlain runs a gateway with one pool of ordinary HTTP servers, and returns where it listens.
+// startPlain starts a gateway with one pool of ordinary HTTP servers, and returns its listener's address. more is added to the file.
 func startPlain(t *testing.T, more string, servers ...string) string {
 	t.Helper()
 	return startFile(t, "[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n[pools.shop]\nprotocol = \"http\"\n", more, servers...)
 }
 
-// startFile is startPlain where the file begins otherwise.
+// startFile is startPlain with another beginning of the file.
 func startFile(t *testing.T, begin, more string, servers ...string) string {
 	t.Helper()
-	return startStopped(t, nil, begin, more, servers...)
+	return startStoppable(t, nil, begin, more, servers...)
 }
 
-// startStopped is startFile for a process that is told to end once stop is closed.
-func startStopped(t *testing.T, stop <-chan struct{}, begin, more string, servers ...string) string {
+// startStoppable is startFile for a gateway that drains once stop is closed.
+func startStoppable(t *testing.T, stop <-chan struct{}, begin, more string, servers ...string) string {
 	t.Helper()
 	for i, s := range servers {
 		begin += fmt.Sprintf("[[pools.shop.servers]]\nname = \"s%d\"\naddress = %q\n", i, s)
@@ -72,7 +73,7 @@
 	return g.ListenerAddr("farm").String()
 }
 
-// echoService answers with what its path asks for and keeps the last request's fields.
+// echoService responds with the status that the path names, and keeps the fields and the body of the last request.
 type echoService struct {
 	mu   sync.Mutex
 	seen http.Header
@@ -101,27 +102,27 @@
 	}
 }
 
-// TestPlainAsStraight holds what clients and servers have through the program against the same straight from the server: the
-// differences are those that RFC 9110 asks of an intermediary.
+// TestPlainAsStraight guards against requests and responses that change on their way through the program: except for the changes that RFC 9110
+// asks of an intermediary, they must equal those of a direct exchange.
 func TestPlainAsStraight(t *testing.T) {
 	service := &echoService{}
 	server := httptest.NewServer(service)
 	defer server.Close()
-	through := startPlain(t, "", server.Listener.Addr().String())
+	gatewayAddr := startPlain(t, "", server.Listener.Addr().String())
 	client := &http.Client{
-		Transport: &http.Transport{DisableCompression: true}, Timeout: patience,
+		Transport: &http.Transport{DisableCompression: true}, Timeout: testTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	defer client.CloseIdleConnections()
 	type seen struct {
-		status  int
-		head    http.Header
-		body    string
-		length  int64
-		there   http.Header
-		written string
+		status       int
+		head         http.Header
+		body         string
+		length       int64
+		serverHeader http.Header
+		serverBody   string
 	}
-	ask := func(addr, method, path, body string) seen {
+	sendRequest := func(addr, method, path, body string) seen {
 		t.Helper()
 		q, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
 		if err != nil {
@@ -152,37 +153,37 @@
 			if method == "POST" || method == "PUT" || method == "PATCH" {
 				body = strings.Repeat("b", 1000)
 			}
-			straight, passed := ask(server.Listener.Addr().String(), method, path, body), ask(through, method, path, body)
+			direct, passed := sendRequest(server.Listener.Addr().String(), method, path, body), sendRequest(gatewayAddr, method, path, body)
 			if passed.head.Get("Via") != "1.1 sorrelrudder" {
-				t.Errorf("%s %s: the answer's Via is %q", method, path, passed.head.Get("Via"))
+				t.Errorf("%s %s: the response's Via is %q", method, path, passed.head.Get("Via"))
 			}
 			passed.head.Del("Via")
-			if straight.status != passed.status || straight.body != passed.body || straight.length != passed.length || !reflect.DeepEqual(straight.head, passed.head) {
-				t.Errorf("%s %s:\n%d %q %d %v\nthrough the program:\n%d %q %d %v", method, path, straight.status, straight.body, straight.length, straight.head,
+			if direct.status != passed.status || direct.body != passed.body || direct.length != passed.length || !reflect.DeepEqual(direct.head, passed.head) {
+				t.Errorf("%s %s:\n%d %q %d %v\nthrough the program:\n%d %q %d %v", method, path, direct.status, direct.body, direct.length, direct.head,
 					passed.status, passed.body, passed.length, passed.head)
 			}
 			for _, added := range []string{"Via", "X-Request-Id", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto", "Forwarded"} {
-				if passed.there.Get(added) == "" {
-					t.Errorf("%s %s: the server had no %s", method, path, added)
+				if passed.serverHeader.Get(added) == "" {
+					t.Errorf("%s %s: the server received no %s", method, path, added)
 				}
-				passed.there.Del(added)
+				passed.serverHeader.Del(added)
 			}
-			maps.DeleteFunc(straight.there, func(name string, _ []string) bool { return name == "Connection" || name == "X-Hop" })
-			if straight.written != passed.written || !reflect.DeepEqual(straight.there, passed.there) {
-				t.Errorf("%s %s: the server had\n%v\nthrough the program\n%v", method, path, straight.there, passed.there)
+			maps.DeleteFunc(direct.serverHeader, func(name string, _ []string) bool { return name == "Connection" || name == "X-Hop" })
+			if direct.serverBody != passed.serverBody || !reflect.DeepEqual(direct.serverHeader, passed.serverHeader) {
+				t.Errorf("%s %s: the server received\n%v\nthrough the program\n%v", method, path, direct.serverHeader, passed.serverHeader)
 			}
 		}
 	}
 }
 
-// rawServer answers each connection by a script and counts the requests that came.
-func rawServer(t *testing.T, f func(n int64, c net.Conn, q *http.Request)) (addr string, asked *atomic.Int64) {
+// rawServer starts a server that handles each request with f, which is given the request's number from 1. It counts the requests received.
+func rawServer(t *testing.T, f func(n int64, c net.Conn, q *http.Request)) (addr string, received *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked = new(atomic.Int64)
+	received = new(atomic.Int64)
 	var open sync.WaitGroup
 	open.Go(func() {
 		for {
@@ -190,7 +191,7 @@
 			if err != nil {
 				return
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			open.Go(func() {
 				defer c.Close()
 				r := bufio.NewReader(c)
@@ -200,7 +201,7 @@
 						return
 					}
 					io.Copy(io.Discard, q.Body)
-					n := asked.Add(1)
+					n := received.Add(1)
 					f(n, c, q)
 				}
 			})
@@ -210,22 +211,24 @@
 		ln.Close()
 		open.Wait()
 	})
-	return ln.Addr().String(), asked
+	return ln.Addr().String(), received
 }
 
-func answer(c net.Conn, status int, body string) {
+// respond writes a response.
+func respond(c net.Conn, status int, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// ask sends a request on a new connection and returns the status and the body of its answer; err tells that it is not whole.
-func ask(t *testing.T, addr, method, path, more, body string) (status int, text string, err error) {
+// sendRequest sends a request on a new connection and returns the status and the body of the response. err tells that the response is
+// missing or incomplete.
+func sendRequest(t *testing.T, addr, method, path, more, body string) (status int, text string, err error) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: shop.example.org\r\n%sContent-Length: %d\r\n\r\n%s", method, path, more, len(body), body)
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: method})
 	if err != nil {
@@ -235,24 +238,24 @@
 	return resp.StatusCode, string(b), err
 }
 
-// TestPlainLostAnswers guards against a second effect where the answer to a request is lost, whatever the method promises: a
-// server that closes as a request comes may have run it.
+// TestPlainLostAnswers guards against a second effect when the response to a request is lost, whatever the method promises: a server that
+// closes the connection when a request arrives may have executed it.
 func TestPlainLostAnswers(t *testing.T) {
 	for _, method := range []string{"POST", "PUT", "PATCH", "DELETE"} {
-		addr, asked := rawServer(t, func(n int64, c net.Conn, _ *http.Request) {
+		addr, received := rawServer(t, func(n int64, c net.Conn, _ *http.Request) {
 			if n == 1 {
-				answer(c, 200, "warm")
+				respond(c, 200, "warm")
 				return
 			}
 			c.Close()
 		})
-		through := startPlain(t, "", addr, addr)
-		if status, _, err := ask(t, through, "GET", "/", "", ""); status != 200 {
+		gatewayAddr := startPlain(t, "", addr, addr)
+		if status, _, err := sendRequest(t, gatewayAddr, "GET", "/", "", ""); status != 200 {
 			t.Fatalf("%d, %v", status, err)
 		}
-		status, _, err := ask(t, through, method, "/orders", "", "x")
-		if status != 502 || asked.Load() != 2 {
-			t.Errorf("%s: %d, %v; the server had it %d times", method, status, err, asked.Load()-1)
+		status, _, err := sendRequest(t, gatewayAddr, method, "/orders", "", "x")
+		if status != 502 || received.Load() != 2 {
+			t.Errorf("%s: %d, %v; the server received it %d times", method, status, err, received.Load()-1)
 		}
 	}
 	addr, _ := rawServer(t, func(n int64, c net.Conn, _ *http.Request) {
@@ -260,32 +263,33 @@
 			c.Close()
 			return
 		}
-		answer(c, 200, "again")
+		respond(c, 200, "again")
 	})
-	if status, body, err := ask(t, startPlain(t, "", addr, addr), "GET", "/", "", ""); status != 200 || body != "again" {
-		t.Errorf("a read is asked again: %d %q, %v", status, body, err)
+	if status, body, err := sendRequest(t, startPlain(t, "", addr, addr), "GET", "/", "", ""); status != 200 || body != "again" {
+		t.Errorf("a read is not retried: %d %q, %v", status, body, err)
 	}
 }
 
-// TestPlainKeys guards against sending a keyed request again without its key, or not with it.
+// TestPlainKeys guards against a retry of a keyed request that has no key, and against no retry of one that has a key.
 func TestPlainKeys(t *testing.T) {
 	const classes = "[[pools.shop.classes]]\nname = \"order\"\nmatch = [\"POST /orders\"]\neffect = \"keyed\"\ndeadline = \"10s\"\naim = \"10s\"\n"
 	for more, want := range map[string]int{"Idempotency-Key: k\r\n": 200, "": 502} {
-		addr, asked := rawServer(t, func(n int64, c net.Conn, _ *http.Request) {
+		addr, received := rawServer(t, func(n int64, c net.Conn, _ *http.Request) {
 			if n == 1 {
 				c.Close()
 				return
 			}
-			answer(c, 200, "done")
+			respond(c, 200, "done")
 		})
-		status, _, err := ask(t, startPlain(t, classes, addr, addr), "POST", "/orders", more, "x")
-		if status != want || (want == 502) != (asked.Load() == 1) {
-			t.Errorf("%q: %d, %v; the server had it %d times", more, status, err, asked.Load())
+		status, _, err := sendRequest(t, startPlain(t, classes, addr, addr), "POST", "/orders", more, "x")
+		if status != want || (want == 502) != (received.Load() == 1) {
+			t.Errorf("%q: %d, %v; the server received it %d times", more, status, err, received.Load())
 		}
 	}
 }
 
-// TestPlainRefusals guards against passing on a server's 503 as a promise that asking again is harmless, where it proves nothing.
+// TestPlainRefusals guards against a server's 503 that is passed on for an unsafe request although it does not prove that the request was not
+// executed: clients would take it as a promise that a retry is harmless.
 func TestPlainRefusals(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, more string
@@ -296,31 +300,31 @@
 		"unsafe":         {"POST", "", 502, ""},
 		"unsafe, proven": {"POST", "[pools.shop.http]\nnot_run = [503]\n", 503, "busy"},
 	} {
-		addr, asked := rawServer(t, func(_ int64, c net.Conn, _ *http.Request) { answer(c, 503, "busy") })
-		status, body, err := ask(t, startPlain(t, c.more, addr, addr), c.method, "/orders", "", "")
+		addr, received := rawServer(t, func(_ int64, c net.Conn, _ *http.Request) { respond(c, 503, "busy") })
+		status, body, err := sendRequest(t, startPlain(t, c.more, addr, addr), c.method, "/orders", "", "")
 		if status != c.status || body != c.body {
 			t.Errorf("%s: %d %q, %v, want %d %q", name, status, body, err, c.status, c.body)
 		}
-		if n := asked.Load(); (n > 1) != (name != "unsafe") {
-			t.Errorf("%s: the server had it %d times", name, n)
+		if n := received.Load(); (n > 1) != (name != "unsafe") {
+			t.Errorf("%s: the server received it %d times", name, n)
 		}
 	}
 }
 
-// TestPlainEarlyAnswer guards against hiding what a server says of a long body that it does not want to the end.
+// TestPlainEarlyAnswer guards against a lost response of a server that rejects a long request body before its end.
 func TestPlainEarlyAnswer(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "no more than so much", http.StatusRequestEntityTooLarge)
 	}))
 	defer server.Close()
-	through := startPlain(t, "", server.Listener.Addr().String())
-	c, err := net.Dial("tcp", through)
+	gatewayAddr := startPlain(t, "", server.Listener.Addr().String())
+	c, err := net.Dial("tcp", gatewayAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	go func() {
 		fmt.Fprintf(c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 30000000\r\n\r\n")
 		for piece := make([]byte, 50_000); ; time.Sleep(time.Millisecond) {
@@ -338,22 +342,23 @@
 	}
 }
 
-// TestPlainBreaksOff guards against an answer that seems whole though its server broke off after the head had gone to the client.
+// TestPlainBreaksOff guards against a response that looks complete although its server closed the connection after the header had gone to the
+// client.
 func TestPlainBreaksOff(t *testing.T) {
 	addr, _ := rawServer(t, func(_ int64, c net.Conn, _ *http.Request) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 100_000))
 		c.Close()
 	})
-	status, body, err := ask(t, startPlain(t, "", addr), "GET", "/", "", "")
+	status, body, err := sendRequest(t, startPlain(t, "", addr), "GET", "/", "", "")
 	if status != 200 || err == nil || len(body) == 0 {
 		t.Errorf("%d, %d bytes, %v", status, len(body), err)
 	}
 }
 
-// TestPlainSmuggling guards against what could be read in two ways, by a server behind, as another request.
+// TestPlainSmuggling guards against request smuggling: input that a server behind the program could read as another request.
 func TestPlainSmuggling(t *testing.T) {
-	addr, asked := rawServer(t, func(_ int64, c net.Conn, q *http.Request) { answer(c, 200, q.RequestURI+" of "+q.Host) })
-	through := startPlain(t, "", addr)
+	addr, received := rawServer(t, func(_ int64, c net.Conn, q *http.Request) { respond(c, 200, q.RequestURI+" of "+q.Host) })
+	gatewayAddr := startPlain(t, "", addr)
 	const host = "Host: h\r\n"
 	for name, c := range map[string]struct {
 		text   string
@@ -371,29 +376,29 @@
 		"chunk of 1 MB name":  {"POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1;x=" + strings.Repeat("y", 1<<20) + "\r\na\r\n0\r\n\r\n", 400},
 		"HTTP/2 on 1.1":       {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400},
 	} {
-		before := asked.Load()
-		conn, err := net.Dial("tcp", through)
+		before := received.Load()
+		conn, err := net.Dial("tcp", gatewayAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		go io.WriteString(conn, c.text)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode/100 != 4 && resp.StatusCode != http.StatusHTTPVersionNotSupported {
 			t.Errorf("%s: %v, %+v", name, err, resp)
 		}
 		conn.Close()
-		if n := asked.Load(); n != before {
-			t.Errorf("%s: the server was asked", name)
+		if n := received.Load(); n != before {
+			t.Errorf("%s: the request reached the server", name)
 		}
 	}
-	conn, err := net.Dial("tcp", through)
+	conn, err := net.Dial("tcp", gatewayAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
-	io.WriteString(conn, "GET http://shop.example.org/a?b HTTP/1.1\r\nHost: other\r\n\r\n") // the target's host counts
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	io.WriteString(conn, "GET http://shop.example.org/a?b HTTP/1.1\r\nHost: other\r\n\r\n") // the host of the target has precedence
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -403,7 +408,7 @@
 	}
 }
 
-// TestRouteCommand holds which rule takes a request, as the command tells it.
+// TestRouteCommand guards against a class or effect that the route command reports wrongly.
 func TestRouteCommand(t *testing.T) {
 	file := t.TempDir() + "/f.toml"
 	text := `[[listeners]]
@@ -431,12 +436,12 @@
 		"class     order without a key\neffect    unsafe": {"POST", "http://h/orders"},
 		"class     other\neffect    unsafe":               {"PUT", "http://h/items/7"},
 	} {
-		code, out, errs := call(append([]string{"route", file}, args...)...)
+		code, out, errs := runCLI(append([]string{"route", file}, args...)...)
 		if code != 0 || !strings.Contains(out, want) {
 			t.Errorf("%v: exit %d, %s%s, want %q", args, code, out, errs, want)
 		}
 	}
-	if code, _, errs := call("route", file, "GET", "nowhere"); code == 0 {
-		t.Errorf("no URL: exit %d, %s", code, errs)
+	if code, _, errs := runCLI("route", file, "GET", "nowhere"); code == 0 {
+		t.Errorf("an invalid URL: exit %d, %s", code, errs)
 	}
 }
--- a/cmd/sorrelrudder/tier_test.go
+++ b/cmd/sorrelrudder/tier_test.go
@@ -13,7 +13,7 @@
 // bounds are ignored.
 func TestFleetOfProcesses(t *testing.T) {
 	for _, scenario := range []string{"lease-quickstart"} {
-		code, out, errs := call("lab", scenario, "--duration", "3s", "--seed", "2", "--json")
+		code, out, errs := runCLI("lab", scenario, "--duration", "3s", "--seed", "2", "--json")
 		var report struct {
 			Pass     bool
 			Broken   []string
@@ -73,7 +73,7 @@
 		{[]string{"lab", "tier-explore", "--seeds", "3", "--workers", "2"}, 0, "3 seeds from 1"},
 		{[]string{"lab", "tier-explore", "--replay", secret}, 2, "secret"},
 	} {
-		code, out, errs := call(c.args...)
+		code, out, errs := runCLI(c.args...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%v: exit %d, want %d and %q in\n%s%s", c.args, code, c.code, c.want, out, errs)
 		}
