--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// exploreReport is the result of many simulations. Its JSON names are read by other tools.
+// exploreReport is the result of many simulations, as --json prints it.
 type exploreReport struct {
 	Scenario  string               `json:"scenario"`
 	First     uint64               `json:"seed"`
--- a/cmd/sorrelrudder/golden_test.go
+++ b/cmd/sorrelrudder/golden_test.go
@@ -215,7 +215,8 @@
 }
 
 // TestMeasureNames guards against unintended changes of the names of scenario measures. It takes them from the sources, since running all
-// scenarios takes too long; what is not a literal is shown as "*". A name that the source spells in another way must stay the same.
+// scenarios takes too long; what is not a literal is shown as "*". Where the sources come to
+// build a name in another way, the name itself must stay the same.
 func TestMeasureNames(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "internal", "e2e", "*.go"))
 	if err != nil || len(files) == 0 {
--- a/cmd/sorrelrudder/plain_test.go
+++ b/cmd/sorrelrudder/plain_test.go
@@ -270,7 +270,8 @@
 	}
 }
 
-// TestPlainKeys guards against a retry of a keyed request that has no key, and against no retry of one that has a key.
+// TestPlainKeys guards against a keyed request that is retried although it has no key, and against one that is not retried although it has a
+// key.
 func TestPlainKeys(t *testing.T) {
 	const classes = "[[pools.shop.classes]]\nname = \"order\"\nmatch = [\"POST /orders\"]\neffect = \"keyed\"\ndeadline = \"10s\"\naim = \"10s\"\n"
 	for more, want := range map[string]int{"Idempotency-Key: k\r\n": 200, "": 502} {
