--- a/cmd/sorrelrudder/tier_test.go
+++ b/cmd/sorrelrudder/tier_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// TestFleetOfProcesses plays a short fleet of real processes whose holder is killed and ends in order. How soon another takes over depends
-// on the machine; that no two act at once does not.
+// TestFleetOfProcesses guards against two processes that act on one lease at once. It runs a short scenario with a fleet of real processes: a
+// lease holder is killed, and a later one shuts down in order. How soon another process takes over depends on the machine, so missed
+// bounds are ignored.
 func TestFleetOfProcesses(t *testing.T) {
 	for _, scenario := range []string{"lease-quickstart"} {
-		code, out, errs := call("lab", scenario, "--duration", "3s", "--seed", "2", "--json")
+		code, out, errs := runCLI("lab", scenario, "--duration", "3s", "--seed", "2", "--json")
 		var report struct {
 			Pass     bool
 			Broken   []string
@@ -33,6 +34,7 @@
 	}
 }
 
+// TestTierCommands guards against commands of fleets and simulations that exit with the wrong code, or do not say what is wrong.
 func TestTierCommands(t *testing.T) {
 	dir := t.TempDir()
 	secret := filepath.Join(dir, "secret")
@@ -55,23 +57,23 @@
 		{[]string{"tier", "--help"}, 0, "Found a fleet"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret + "x"}, 2, "no such file"},
-		{[]string{"tier", "init", filepath.Join("..", "..", "deploy", "sorrelrudder.toml")}, 1, "no member of a council"},
-		{[]string{"tier", "init", file}, 0, "seats for p1, p2, p3"},
+		{[]string{"tier", "init", filepath.Join("..", "..", "deploy", "sorrelrudder.toml")}, 1, "not a member of the consensus group"},
+		{[]string{"tier", "init", file}, 0, "members of the consensus group: p1, p2, p3"},
 		{[]string{"tier", "init", file}, 1, "nothing was changed"},
 		{[]string{"tier", "state", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "zone", "plan", "farm", "b", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "order", "avoid", "a/b", "box", "127.0.0.1:1", "--secret", secret}, 2, "no order can be given"},
-		{[]string{"emulate", filepath.Join("..", "..", "deploy", "day.toml"), "--share", "weather"}, 2, "there are dead, room, learn, list and zones"},
+		{[]string{"emulate", filepath.Join("..", "..", "deploy", "day.toml"), "--share", "weather"}, 2, "expected dead, room, learn, list or zones"},
 		{[]string{"emulate", filepath.Join("..", "..", "deploy", "day.toml"), "--share", "dead", "--lag", "0s"}, 2, "--lag 0s"},
 		{[]string{"emulate", filepath.Join("..", "..", "deploy", "day.toml"), "--share", "dead", "--runs", "2", "--scale", "0.1"}, 0, "sends lost"},
 		{[]string{"lab", "replica-scale", "--sizes", "1"}, 2, "2 to 5000"},
-		{[]string{"lab", "replica-scale", "--sizes", "5", "--loss", "0"}, 0, "dead known"},
+		{[]string{"lab", "replica-scale", "--sizes", "5", "--loss", "0"}, 0, "death known"},
 		{[]string{"lab", "tier-explore", "--plant", "forget-deleted", "--seeds", "3", "--workers", "2"}, 1, "was gone and is there again"},
-		{[]string{"lab", "tier-explore", "--plant", "nonsense"}, 2, "no mistake to plant"},
+		{[]string{"lab", "tier-explore", "--plant", "nonsense"}, 2, "unknown bug"},
 		{[]string{"lab", "tier-explore", "--seeds", "3", "--workers", "2"}, 0, "3 seeds from 1"},
 		{[]string{"lab", "tier-explore", "--replay", secret}, 2, "secret"},
 	} {
-		code, out, errs := call(c.args...)
+		code, out, errs := runCLI(c.args...)
 		if code != c.code || !strings.Contains(out+errs, c.want) {
 			t.Errorf("%v: exit %d, want %d and %q in\n%s%s", c.args, code, c.code, c.want, out, errs)
 		}
