--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -13,58 +13,59 @@
 	"time"
 )
 
-// LoadReporting is how a backend reports its load, and thereby which protocol it speaks.
+// LoadReporting is the format in which a backend reports its load. It also selects the protocol that the backend speaks.
 type LoadReporting int
 
-// The kinds of load reports.
+// The load report formats.
 const (
-	ReportPlatform LoadReporting = iota // X-Server-Load; rejections carry X-Not-Processed
-	ReportORCA                          // an ordinary HTTP service with endpoint-load-metrics
-	ReportNone                          // an ordinary HTTP service that reports nothing
+	ReportPlatform LoadReporting = iota // the platform's protocol: X-Server-Load; rejections carry X-Not-Processed
+	ReportORCA                          // plain HTTP with endpoint-load-metrics
+	ReportNone                          // plain HTTP without load reports
 )
 
 const (
-	maxBodyBytes          = 1 << 20 // of a request or a response
+	maxBodyBytes          = 1 << 20 // largest request or response body
 	responseWriteTimeout  = 5 * time.Second
 	defaultDedupWindow    = time.Minute
 	notProcessedHeader    = "X-Not-Processed: 1\r\n"
 	loadReportPath        = "/load"
 	healthCheckPath       = "/healthz"
-	minCapacityFraction   = 0.01 // bounds the time of a request at a backend that has hardly any capacity
-	slowStartWindow       = time.Second
-	slowStartBudgetFactor = 2.5 // of what the backend can execute in a window
-	slowStartBudgetBurst  = 5   // requests, beside that
+	minCapacityFraction   = 0.01        // lower bound; it limits the service time at a backend with almost no capacity
+	slowStartWindow       = time.Second // in which the recorder compares arrivals with the budget
+	slowStartBudgetFactor = 2.5         // multiple of the requests that the backend can execute in a window
+	slowStartBudgetBurst  = 5           // requests allowed in a window in addition
 )
 
-// BackendConfig describes a backend.
+// BackendConfig configures a Backend.
 type BackendConfig struct {
 	Name                 string
 	Zone                 string
 	Cell                 int
-	Cores                int           // requests executed at once
-	QueueLimit           int           // requests that may wait
-	ServiceTime          time.Duration // mean of a request on one core, drawn evenly between a half and one and a half of it
-	SlowStartMinCapacity float64       // fraction of its capacity at its start
-	SlowStart            time.Duration // until it is warm; 0: it starts warm
-	Idempotency          map[string]Idempotency
-	Deduplicator         *Deduplicator // may be shared by backends; nil: one of its own
-	Seed                 uint64
-	Recorder             *EffectRecorder // may be nil
-	MinResponseBytes     int
+	Cores                int                    // requests executed concurrently; values below 1 mean 1
+	QueueLimit           int                    // requests that may wait for a core
+	ServiceTime          time.Duration          // mean for a request at full capacity; drawn uniformly from 0.5 to 1.5 times the mean
+	SlowStartMinCapacity float64                // fraction of full capacity at the beginning of slow start
+	SlowStart            time.Duration          // duration of slow start; 0: full capacity from the start
+	Idempotency          map[string]Idempotency // by request class
+	Deduplicator         *Deduplicator          // may be shared by backends; nil: a separate one for this backend
+	Seed                 uint64                 // of faults and service times
+	Recorder             *EffectRecorder        // may be nil
+	MinResponseBytes     int                    // shorter bodies of successful responses are padded to this length
 	LoadReporting        LoadReporting
-	Resource             *FencedResource // what requests with a fencing token act on, or nil
-	// CrashDuration makes the backend crash, for so long, when it gets more requests than it can bear while it warms up; it warms up
-	// again afterwards. It starts warm, and the recorder does not check it, since the endpoint list need not tell when it started.
-	// 0: it never crashes.
+	Resource             *FencedResource // resource that requests with a fencing token act on; may be nil
+	// CrashDuration is how long the backend stays unreachable after a crash. The backend crashes when it receives more requests
+	// during slow start than it can bear. It repeats slow start after the crash. With CrashDuration above 0, the backend starts
+	// at full capacity. The recorder then does not check the slow-start budget, because the endpoint list may lack the time at
+	// which slow start began. 0: the backend never crashes.
 	CrashDuration time.Duration
 }
 
-// Backend is a fake of a server that does work. It listens on a loopback address. Its methods may be called concurrently.
+// Backend is a fake server that executes requests. It listens on a loopback address. Its methods may be called concurrently.
 type Backend struct {
 	cfg          BackendConfig
 	listener     net.Listener
-	started      atomic.Int64 // when it began to warm up, in Unix nanoseconds
-	crashedUntil atomic.Int64 // in Unix nanoseconds
+	started      atomic.Int64 // beginning of slow start, in Unix nanoseconds
+	crashedUntil atomic.Int64 // end of the last crash, in Unix nanoseconds
 	cores        chan struct{}
 	queued       atomic.Int64
 	running      atomic.Int64
@@ -82,7 +83,7 @@
 	closed    bool
 }
 
-// StartBackend starts a backend at a free port.
+// StartBackend starts a backend on a free loopback port.
 func StartBackend(cfg BackendConfig) (*Backend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +118,7 @@
 // Addr returns the address where the backend listens.
 func (b *Backend) Addr() string { return b.listener.Addr().String() }
 
-// Endpoint returns the backend as the endpoint list describes it.
+// Endpoint returns the entry of the backend for the endpoint list.
 func (b *Backend) Endpoint() Endpoint {
 	endpoint := Endpoint{
 		Host: b.cfg.Name, Address: b.Addr(), Zone: b.cfg.Zone, Cell: b.cfg.Cell, Health: healthActive, Weight: 1,
@@ -131,13 +132,13 @@
 	return endpoint
 }
 
-// SetFault sets the fault of the requests that come from now on.
+// SetFault sets the fault for requests that arrive from now on.
 func (b *Backend) SetFault(f Fault) { b.fault.Store(&f) }
 
-// Drain makes the backend reject new requests, as one that shuts down does, or accept them again.
+// Drain starts or ends draining. A draining backend rejects new requests, like a server that shuts down.
 func (b *Backend) Drain(on bool) { b.draining.Store(on) }
 
-// RestartSlowStart makes the backend warm up as at its start.
+// RestartSlowStart begins slow start anew. It also records the slow-start budget, unless the backend may crash.
 func (b *Backend) RestartSlowStart() {
 	cfg := b.cfg
 	b.started.Store(time.Now().UnixNano())
@@ -149,32 +150,32 @@
 	})
 }
 
-// fullRate is how many requests a second the backend executes when it is warm.
+// fullRate returns the throughput at full capacity, in requests per second.
 func (b *Backend) fullRate() float64 { return float64(b.cfg.Cores) / b.cfg.ServiceTime.Seconds() }
 
-// capacityFraction is the fraction of its capacity that the backend has at an age. It warms up in a straight line.
+// capacityFraction returns the fraction of full capacity at an age. The fraction rises linearly during slow start.
 func (b *Backend) capacityFraction(age time.Duration) float64 {
-	least := b.cfg.SlowStartMinCapacity
-	return min(1, least+(1-least)*float64(age)/float64(b.cfg.SlowStart))
+	initial := b.cfg.SlowStartMinCapacity
+	return min(1, initial+(1-initial)*float64(age)/float64(b.cfg.SlowStart))
 }
 
-// age is how long ago the backend began to warm up; negative while it is crashed.
+// age returns the time since slow start began. It is negative during a crash.
 func (b *Backend) age(now time.Time) time.Duration { return now.Sub(time.Unix(0, b.started.Load())) }
 
-// Crashes returns how often the backend crashed while it warmed up, and the most requests that it got in a second of that time, as
-// a multiple of what it could bear.
+// Crashes returns how often the backend crashed during slow start. peakLoad is the largest number of requests in one second of
+// slow start, as a multiple of the number that the backend can bear.
 func (b *Backend) Crashes() (n int64, peakLoad float64) { return b.crash.stats() }
 
-// LostRequests returns how many requests came while the backend was unreachable or crashed.
+// LostRequests returns how many requests arrived while the backend was unreachable or crashed.
 func (b *Backend) LostRequests() int64 { return b.lostRequests.Load() }
 
-// Served returns how many requests the backend has answered with 200.
+// Served returns how many requests the backend has answered with status 200.
 func (b *Backend) Served() int64 { return b.served.Load() }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (b *Backend) Connections() int64 { return b.connCount.Load() }
 
-// Close ends the backend like a process that is killed: its connections are reset and new ones are refused.
+// Close stops the backend like a killed process: it resets open connections and refuses new ones.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	b.closed = true
@@ -192,7 +193,7 @@
 	c.Close()
 }
 
-// resetOnClose makes the later close of a connection a TCP reset.
+// resetOnClose makes a later Close of a connection send a TCP reset.
 func resetOnClose(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -221,7 +222,7 @@
 	}
 }
 
-// untrack closes a connection that has ended.
+// untrack closes a connection and removes it from openConns.
 func (b *Backend) untrack(c net.Conn) {
 	c.Close()
 	b.connCount.Add(-1)
@@ -230,7 +231,7 @@
 	delete(b.openConns, c)
 }
 
-// serve answers the requests of a connection until one side ends it.
+// serve answers the requests on a connection until the connection ends.
 func (b *Backend) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	for {
@@ -250,7 +251,7 @@
 			if isWork {
 				b.recordLost(request)
 			}
-			io.Copy(io.Discard, c) // until the other side closes it
+			io.Copy(io.Discard, c) // until the other side closes the connection
 			return
 		}
 		text, keepOpen := b.respond(c, request)
@@ -270,7 +271,7 @@
 
 func (b *Backend) crashed(now time.Time) bool { return now.UnixNano() < b.crashedUntil.Load() }
 
-// crashIfOverloaded counts a request, and makes the backend crash if it is one too many.
+// crashIfOverloaded counts a request and crashes the backend if the load exceeds what the backend can bear.
 func (b *Backend) crashIfOverloaded() {
 	now := time.Now()
 	if b.cfg.SlowStart <= 0 || b.unreachable() {
@@ -284,7 +285,7 @@
 	}
 }
 
-// recordLost counts a request that came to an unreachable backend.
+// recordLost counts a request that arrived at an unreachable backend.
 func (b *Backend) recordLost(request *http.Request) {
 	b.lostRequests.Add(1)
 	b.recordArrival(request)
@@ -296,7 +297,7 @@
 	}
 }
 
-// respond returns the response to a request. With keepOpen false the connection ends without one.
+// respond returns the response to a request. If keepOpen is false, the connection is closed without a response.
 func (b *Backend) respond(c net.Conn, request *http.Request) (text string, keepOpen bool) {
 	switch request.URL.Path {
 	case healthCheckPath:
@@ -310,13 +311,13 @@
 
 func (b *Backend) inFlight() int64 { return b.running.Load() + b.queued.Load() }
 
-// loadReport is the body of the backend's load report.
+// loadReport returns the text of the load report.
 func (b *Backend) loadReport() string {
 	return fmt.Sprintf("TEXT inflight=%d, queue=%d, util=%.2f", b.inFlight(), b.queued.Load(),
 		float64(b.running.Load())/float64(b.cfg.Cores))
 }
 
-// response is the text of a response. platformFields are header lines that only the platform's protocol has.
+// response returns the text of a response. platformFields contains header lines that only the platform's protocol has.
 func (b *Backend) response(status int, platformFields, body string) string {
 	fields := ""
 	switch b.cfg.LoadReporting {
@@ -330,12 +331,13 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), fields, len(body), body)
 }
 
-// rejection is the response to a request that is not executed.
+// rejection returns the response to a request that is not executed.
 func (b *Backend) rejection() string {
 	return b.response(http.StatusServiceUnavailable, notProcessedHeader, "")
 }
 
-// handle executes a request, or strikes it with the backend's fault. With keepOpen false the connection ends without a response.
+// handle executes a request, or applies the fault of the backend to the request. If keepOpen is false, the connection is closed
+// without a response.
 func (b *Backend) handle(c net.Conn, request *http.Request) (text string, keepOpen bool) {
 	b.recordArrival(request)
 	if request.Header.Get("X-Request-Id") == "" {
@@ -361,7 +363,7 @@
 	return b.deliver(c, fault, body)
 }
 
-// enqueue takes a place in the queue, if there is one.
+// enqueue reserves a place in the queue. It returns false if the queue is full.
 func (b *Backend) enqueue() bool {
 	if b.queued.Add(1) > int64(b.cfg.QueueLimit)+int64(b.cfg.Cores)-b.running.Load() {
 		b.queued.Add(-1)
@@ -370,7 +372,8 @@
 	return true
 }
 
-// executeQueued executes a request of the queue once a core is free. It is not accepted if its fencing token is stale.
+// executeQueued waits for a free core and executes a queued request. accepted is false if the fencing token of the request is
+// stale.
 func (b *Backend) executeQueued(request *http.Request, serviceDraw float64) (body string, accepted bool) {
 	b.cores <- struct{}{}
 	b.queued.Add(-1)
@@ -390,13 +393,13 @@
 	return b.execute(request, serviceDraw), true
 }
 
-// deliver returns the response to an executed request as the fault has it.
+// deliver returns the response to an executed request after applying the fault.
 func (b *Backend) deliver(c net.Conn, fault Fault, body string) (text string, keepOpen bool) {
 	switch fault.Kind {
 	case FaultDelay:
 		time.Sleep(fault.Delay)
 	case FaultUnanswered:
-		io.Copy(io.Discard, c) // until the other side closes it
+		io.Copy(io.Discard, c) // until the other side closes the connection
 		return "", false
 	case FaultReset:
 		resetOnClose(c)
@@ -408,7 +411,8 @@
 	return b.response(http.StatusOK, "", pad(body, b.cfg.MinResponseBytes)), true
 }
 
-// ResponseBody is the beginning of the body of the response to a request. Padding may follow.
+// ResponseBody returns the first line of the body of a response. key is the idempotency key of the request, or empty. Padding
+// may follow the line.
 func ResponseBody(class, id, key string) string {
 	if key != "" {
 		id = "key " + key
@@ -416,6 +420,7 @@
 	return class + " " + id + "\n"
 }
 
+// pad appends dots to s until it is n bytes long.
 func pad(s string, n int) string {
 	if len(s) < n {
 		s += strings.Repeat(".", n-len(s))
@@ -423,7 +428,7 @@
 	return s
 }
 
-// execute does the work of a request, which has its effect unless it is a repeat that is dropped. It returns the response's body.
+// execute does the work of a request and returns the response body. A repetition that the Deduplicator drops has no effect.
 func (b *Backend) execute(request *http.Request, serviceDraw float64) string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	id, key := request.Header.Get("X-Request-Id"), request.Header.Get("Idempotency-Key")
@@ -435,7 +440,7 @@
 	return ResponseBody(class, id, key)
 }
 
-// work takes the time of a request, then has its effect.
+// work sleeps for the service time of a request, then records the effect.
 func (b *Backend) work(request *http.Request, class, id string, serviceDraw float64) {
 	fraction := 1.0
 	if b.cfg.SlowStart > 0 {
@@ -450,7 +455,7 @@
 	}
 }
 
-// drawFault draws the fault of a request, and its service time between 0 and 1.
+// drawFault draws the fault of a request, and a number between 0 and 1 for its service time.
 func (b *Backend) drawFault() (fault Fault, serviceDraw float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/certauthority.go
+++ b/internal/fake/certauthority.go
@@ -22,7 +22,8 @@
 	pemPrivateKey       = "EC PRIVATE KEY"
 )
 
-// CertificateAuthority issues certificates that are valid for a day, as files of a directory. It is not safe for concurrent use.
+// CertificateAuthority issues certificates that are valid for a day and writes them as files to a directory. It is not safe for
+// concurrent use.
 type CertificateAuthority struct {
 	cert   *x509.Certificate
 	key    *ecdsa.PrivateKey
@@ -30,7 +31,7 @@
 	serial int64 // of the last certificate issued
 }
 
-// NewCertificateAuthority makes a certificate authority and writes its own certificate to ca.pem in dir.
+// NewCertificateAuthority creates a certificate authority and writes its own certificate to ca.pem in dir.
 func NewCertificateAuthority(dir string) (*CertificateAuthority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -49,7 +50,7 @@
 	return a, a.writePEM(caCertificateFile, pemCertificate, der)
 }
 
-// nextTemplate returns what all certificates have in common, with the next serial number.
+// nextTemplate returns the fields that all certificates share, with the next serial number.
 func (a *CertificateAuthority) nextTemplate(commonName string) *x509.Certificate {
 	a.serial++
 	return &x509.Certificate{
@@ -63,14 +64,15 @@
 // Path returns the path of a file that the authority has written.
 func (a *CertificateAuthority) Path(name string) string { return filepath.Join(a.dir, name) }
 
-// CertPool returns a pool that trusts the authority and nobody else.
+// CertPool returns a pool that trusts only this authority.
 func (a *CertificateAuthority) CertPool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue writes NAME.key and NAME.pem for a host, in this order, and replaces each atomically: in between they do not match.
+// Issue writes NAME.key and then NAME.pem for a host. Each file is replaced atomically. Between the two replacements, the key
+// and the certificate do not match.
 func (a *CertificateAuthority) Issue(name, host string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return a.writePEM(name+".pem", pemCertificate, cert)
 }
 
-// writePEM replaces a file atomically.
+// writePEM writes a PEM block to a file, which it replaces atomically.
 func (a *CertificateAuthority) writePEM(name, blockType string, der []byte) error {
 	path := a.Path(name)
 	text := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
--- a/internal/fake/clientconn.go
+++ b/internal/fake/clientconn.go
@@ -13,35 +13,36 @@
 )
 
 var (
-	// errConnectionLimit tells that the clients may open no further connection.
-	errConnectionLimit = errors.New("the clients' own bound on connections")
+	// errConnectionLimit reports that the clients have reached their limit of open connections.
+	errConnectionLimit = errors.New("limit of open client connections reached")
 
-	// errClosedUnanswered tells that a connection ended before the first byte of a response.
-	errClosedUnanswered = errors.New("the connection ended without an answer")
+	// errClosedUnanswered reports that a connection ended before the first byte of a response.
+	errClosedUnanswered = errors.New("connection closed before the first byte of a response")
 )
 
-// maxUnexpectedBytes bounds what is shown of bytes after a response.
+// maxUnexpectedBytes limits how many bytes after a response are recorded.
 const maxUnexpectedBytes = 80
 
 // clientConn is a connection of a client.
 type clientConn struct {
 	net.Conn
 	reader  *bufio.Reader
-	reused  bool
-	onClose func() // idempotent
+	reused  bool   // an earlier attempt used the connection
+	onClose func() // decrements the open count of the pool; idempotent
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection. The pool no longer counts it as open.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.onClose()
 	return err
 }
 
-// roundTrip writes a request and reads its response. Interim responses are skipped.
+// roundTrip writes a request and reads the response. It skips interim responses. The error is errClosedUnanswered if the
+// connection ended before the first byte of a response.
 func (c *clientConn) roundTrip(request string) (*http.Response, []byte, error) {
 	_, writeErr := io.WriteString(c, request)
-	if _, err := c.reader.Peek(1); err != nil { // there may be a response although the request was not written to its end
+	if _, err := c.reader.Peek(1); err != nil { // a response may arrive before the whole request is written
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() {
 			return nil, nil, err
@@ -61,11 +62,11 @@
 	}
 }
 
-// connPool holds the clients' connections.
+// connPool holds the connections of the clients.
 type connPool struct {
 	addr     string
-	limit    int  // of open connections; 0: none
-	abandon  bool // keep connections open that are never used again
+	limit    int  // of open connections; 0: no limit
+	abandon  bool // keep connections open after their first use, without reusing them
 	recorder *EffectRecorder
 	results  *ClientResults
 
@@ -77,7 +78,7 @@
 	abandoned map[*clientConn]struct{}
 }
 
-// dial opens a connection. The error is errConnectionLimit if the limit is reached.
+// dial opens a connection. It returns errConnectionLimit if the limit is reached.
 func (p *connPool) dial(timeout time.Duration) (*clientConn, error) {
 	if n := p.open.Add(1); p.limit > 0 && n > int64(p.limit) {
 		p.open.Add(-1)
@@ -93,7 +94,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), onClose: onClose}, nil
 }
 
-// acquire returns an idle connection, or a new one.
+// acquire returns an idle connection, or a new one if none is idle. Bytes that arrived on an idle connection are recorded as
+// unexpected, and the connection is closed.
 func (p *connPool) acquire(timeout time.Duration) (*clientConn, error) {
 	for {
 		conn := p.popIdle()
@@ -111,7 +113,7 @@
 	}
 }
 
-// popIdle takes the connection that was released last, nil if there is none.
+// popIdle removes and returns the connection that was released last. It returns nil if no connection is idle.
 func (p *connPool) popIdle() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +126,8 @@
 	return conn
 }
 
-// release takes a connection back whose response was read to its end.
+// release returns a connection to the pool. The response on it must have been read completely. If the pool abandons
+// connections, a goroutine reads from the connection until the program closes it.
 func (p *connPool) release(conn *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +140,7 @@
 	p.abandonedReaders.Go(func() { p.awaitClose(conn) })
 }
 
-// awaitClose reads an abandoned connection until the program closes it.
+// awaitClose reads from an abandoned connection until the program closes it. Bytes that arrive are recorded as unexpected.
 func (p *connPool) awaitClose(conn *clientConn) {
 	if n, _ := io.Copy(io.Discard, conn.reader); n > 0 {
 		p.recorder.RecordUnexpected(fmt.Sprintf("%d bytes behind an answer", n))
@@ -148,7 +151,7 @@
 	delete(p.abandoned, conn)
 }
 
-// closeAll closes all connections, once none is in use.
+// closeAll closes all connections. No connection may be in use.
 func (p *connPool) closeAll() {
 	p.mu.Lock()
 	for _, conn := range p.idle {
--- a/internal/fake/crash.go
+++ b/internal/fake/crash.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// overloadWindow is the time over which a backend that may crash counts its requests.
+// overloadWindow is the period over which a crashModel counts arrivals.
 const overloadWindow = time.Second
 
-// crashModel has a backend that warms up crash if it gets more requests than it can bear. It starts warm.
+// crashModel decides when a backend crashes because it received too many requests during slow start. The backend starts at full
+// capacity.
 type crashModel struct {
 	mu       sync.Mutex  // guards the fields below
-	arrivals []time.Time // of the last overloadWindow
-	peak     float64     // the largest number of them while it warmed up, as a multiple of what it could bear
+	arrivals []time.Time // within the last overloadWindow
+	peak     float64     // largest number of arrivals in a window during slow start, as a multiple of the number that can be borne
 	crashes  int64
 }
 
-// recordArrival counts a request that comes while the backend bears rate requests a second, warming up or not, and reports whether
-// it is one too many. A backend that warms up bears N + 3√N + 3 requests in a second, N being its rate: three standard deviations
-// of evenly spread arrivals, and a few for the smallest rates.
+// recordArrival counts a request and reports whether it crashes the backend. rate is the present throughput of the backend in
+// requests per second. During slow start, a backend bears N + 3√N + 3 requests in a second, where N is the rate. The term 3√N
+// is three standard deviations of Poisson arrivals. The constant 3 allows for the smallest rates. A backend that is not warming
+// up never crashes.
 func (m *crashModel) recordArrival(now time.Time, rate float64, warmingUp bool) (crashes bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -30,10 +32,10 @@
 	if !warmingUp {
 		return false
 	}
-	bearable := rate + 3*math.Sqrt(rate) + 3
+	limit := rate + 3*math.Sqrt(rate) + 3
 	load := float64(len(m.arrivals))
-	m.peak = max(m.peak, load/bearable)
-	if load <= bearable {
+	m.peak = max(m.peak, load/limit)
+	if load <= limit {
 		return false
 	}
 	m.crashes++
@@ -41,6 +43,7 @@
 	return true
 }
 
+// stats returns the number of crashes and the peak load.
 func (m *crashModel) stats() (crashes int64, peak float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/dedup.go
+++ b/internal/fake/dedup.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Deduplicator drops the repeats of requests with an idempotency key, for a time and for all backends that share it.
+// Deduplicator drops repeated requests with the same idempotency key within a time window. The window applies across all
+// backends that share the Deduplicator. Its methods may be called concurrently.
 type Deduplicator struct {
 	window  time.Duration
 	mu      sync.Mutex // guards entries and order
@@ -13,18 +14,19 @@
 	order   []string // keys of entries, the oldest first
 }
 
-// dedupEntry is the first request with a key.
+// dedupEntry describes the first request with a key.
 type dedupEntry struct {
 	started time.Time
-	done    chan struct{} // closed once it has ended
+	done    chan struct{} // closed when the request has ended
 }
 
-// NewDeduplicator returns one that drops repeats for a window, counted from the start of the first request.
+// NewDeduplicator returns a Deduplicator that drops repetitions within window, which begins at the start of the first request.
 func NewDeduplicator(window time.Duration) *Deduplicator {
 	return &Deduplicator{window: window, entries: map[string]*dedupEntry{}}
 }
 
-// Do calls execute unless a call with the same key began within the window, and returns when that call has ended.
+// Do calls execute unless an earlier call with the same key began within the window. In both cases, it returns once the call to
+// execute for the key has ended.
 func (d *Deduplicator) Do(key string, execute func()) {
 	entry, first := d.entry(key)
 	if !first {
@@ -35,7 +37,7 @@
 	close(entry.done)
 }
 
-// entry returns the entry of a key, and whether it was made for this call.
+// entry returns the entry of a key. first reports whether this call created the entry.
 func (d *Deduplicator) entry(key string) (entry *dedupEntry, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,7 +51,7 @@
 	return entry, true
 }
 
-// expire forgets the entries that are older than the window. The caller holds mu.
+// expire removes the entries that are older than the window. The caller holds mu.
 func (d *Deduplicator) expire() {
 	for len(d.order) > 0 && time.Since(d.entries[d.order[0]].started) > d.window {
 		delete(d.entries, d.order[0])
