--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The health of an endpoint on the wire.
+// The values of Endpoint.Health in the platform's protocol.
 const (
 	healthActive   = "active"
 	healthDraining = "leaving"
@@ -21,12 +21,12 @@
 
 const (
 	endpointListPath = "/v1/servers"
-	watchHeartbeat   = 2 * time.Second // between empty lines of a watch
+	watchHeartbeat   = 2 * time.Second // interval between empty lines of a watch
 	headerTimeout    = 5 * time.Second
 	lineEnd          = '\n'
 )
 
-// Endpoint is what discovery says of a backend, in the form of the wire.
+// Endpoint is the entry of a backend in the endpoint list. Its JSON form is that of the platform's discovery protocol.
 type Endpoint struct {
 	Host        string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -35,17 +35,18 @@
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"`
 	Weight      float64 `json:"share"`
-	StartMs     int64   `json:"born_ms"`
+	StartMs     int64   `json:"born_ms"` // start time in Unix milliseconds
 }
 
-// endpointMessage is one line of a list or watch.
+// endpointMessage is one line of an endpoint list or of a watch.
 type endpointMessage struct {
 	Endpoints []Endpoint `json:"hosts"`
 	Version   int64      `json:"seq"`
-	Complete  bool       `json:"whole"`
+	Complete  bool       `json:"whole"` // all endpoints, not only those that changed
 }
 
-// Discovery is a fake of the platform's discovery: it serves endpoint lists and watches. Its methods may be called concurrently.
+// Discovery is a fake of the platform's discovery service. It serves the endpoint list and watches of the list. Its methods may
+// be called concurrently.
 type Discovery struct {
 	recorder   *EffectRecorder
 	server     *http.Server
@@ -54,13 +55,14 @@
 
 	mu        sync.Mutex // guards the fields below
 	version   int64
-	endpoints map[string]Endpoint // by host, those that left included
-	changedIn map[string]int64    // the version in which each changed last
-	delay     time.Duration
-	changed   chan struct{} // closed, and replaced, at each change
+	endpoints map[string]Endpoint // by host; includes endpoints that have left
+	changedIn map[string]int64    // version of the last change, by host
+	delay     time.Duration       // before a change is sent to watches
+	changed   chan struct{}       // closed and replaced at each change
 }
 
-// StartDiscovery starts a discovery that lists the endpoints. It records in recorder, which may be nil, what watchers were notified of.
+// StartDiscovery starts a discovery service that lists the endpoints. It reports to recorder which endpoints it has announced
+// as draining or active. recorder may be nil.
 func StartDiscovery(recorder *EffectRecorder, endpoints ...Endpoint) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,10 +78,10 @@
 	return d, nil
 }
 
-// Addr returns the address where discovery listens.
+// Addr returns the address where the service listens.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// SetEndpoints replaces the endpoint list. Those that it lacks have left.
+// SetEndpoints replaces the endpoint list. Endpoints that the new list lacks are marked as having left.
 func (d *Discovery) SetEndpoints(endpoints ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,40 +103,40 @@
 	d.changed = make(chan struct{})
 }
 
-// setEndpoint stores a change of the present version. The caller holds mu.
+// setEndpoint stores an endpoint that changed in the current version. The caller holds mu.
 func (d *Discovery) setEndpoint(endpoint Endpoint) {
 	d.endpoints[endpoint.Host] = endpoint
 	d.changedIn[endpoint.Host] = d.version
 }
 
-// SetDelay makes discovery notify of changes so much later.
+// SetDelay sets how long after a change the service notifies its watches.
 func (d *Discovery) SetDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
 }
 
-// Close ends discovery and all watches.
+// Close stops the service and ends all watches.
 func (d *Discovery) Close() {
 	d.server.Close()
 	d.goroutines.Wait()
 }
 
-// fullUpdate returns the endpoints that have not left, and a channel that is closed at the next change.
+// fullUpdate returns all endpoints that have not left, and a channel that is closed at the next change.
 func (d *Discovery) fullUpdate() (message endpointMessage, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.message(true, func(e Endpoint) bool { return e.Health != healthLeft }), d.changed
 }
 
-// delta returns what has changed after a version, and a channel that is closed at the next change.
+// delta returns the endpoints that changed after a version, and a channel that is closed at the next change.
 func (d *Discovery) delta(version int64) (message endpointMessage, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.message(false, func(e Endpoint) bool { return d.changedIn[e.Host] > version }), d.changed
 }
 
-// message returns the endpoints that include selects, by host. The caller holds mu.
+// message returns the endpoints for which include returns true, sorted by host. The caller holds mu.
 func (d *Discovery) message(complete bool, include func(Endpoint) bool) endpointMessage {
 	message := endpointMessage{Version: d.version, Complete: complete, Endpoints: []Endpoint{}}
 	for _, endpoint := range d.endpoints {
@@ -146,7 +148,8 @@
 	return message
 }
 
-// ServeHTTP answers a request for the endpoint list, and for a watch of it.
+// ServeHTTP answers a request for the endpoint list. With the query parameters follow and since, it continues with a watch of
+// the list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != endpointListPath {
 		http.NotFound(w, request)
@@ -164,7 +167,7 @@
 	d.watch(request.Context(), w, message.Version, changed)
 }
 
-// watch sends the changes after a version until ctx ends or the client has gone.
+// watch sends the changes after a version until ctx ends or a write fails.
 func (d *Discovery) watch(ctx context.Context, w http.ResponseWriter, version int64, changed <-chan struct{}) {
 	heartbeat := time.NewTicker(watchHeartbeat)
 	defer heartbeat.Stop()
@@ -191,7 +194,7 @@
 	}
 }
 
-// waitDelay waits for the delay of SetDelay, and reports whether it passed before ctx ended.
+// waitDelay waits for the delay set by SetDelay. It returns false if ctx ends first.
 func (d *Discovery) waitDelay(ctx context.Context) bool {
 	d.mu.Lock()
 	delay := d.delay
@@ -199,7 +202,8 @@
 	return sleep(ctx, delay)
 }
 
-// send writes a message, and records what it notifies of.
+// send records the health of the endpoints in a message, then writes the message as one line. It reports whether the write
+// succeeded.
 func (d *Discovery) send(w http.ResponseWriter, message endpointMessage) bool {
 	text, err := json.Marshal(message)
 	if err != nil {
--- a/internal/fake/discovery_test.go
+++ b/internal/fake/discovery_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestDiscovery guards against a discovery that does not speak the platform's protocol: whole list first, then changes, those
-// that left among them, later if it is late.
+// TestDiscovery guards against a discovery fake that deviates from the platform's protocol. A watch starts with the full list.
+// Then it sends changes, including endpoints that have left. With a delay set, it sends changes only after the delay.
 func TestDiscovery(t *testing.T) {
 	recorder := NewEffectRecorder()
 	d, err := StartDiscovery(recorder, Endpoint{Host: "a", Address: "x", Health: "active"}, Endpoint{Host: "b", Address: "y", Health: "active"})
@@ -30,7 +30,7 @@
 		}
 		for _, w := range want {
 			if !strings.Contains(lines.Text(), w) {
-				t.Errorf("%s lacks %s", lines.Text(), w)
+				t.Errorf("message %s does not contain %s", lines.Text(), w)
 			}
 		}
 	}
@@ -38,25 +38,25 @@
 	d.SetEndpoints(Endpoint{Host: "b", Address: "y", Health: "leaving"})
 	next(`"whole":false`, `"health":"left"`, `"health":"leaving"`)
 	d.SetDelay(50 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	d.SetEndpoints(Endpoint{Host: "c", Address: "z", Health: "active"})
 	next(`"host":"c"`, `"host":"b"`)
-	if spent := time.Since(began); spent < 50*time.Millisecond {
-		t.Errorf("told after %v, want it 50ms late", spent)
+	if elapsed := time.Since(start); elapsed < 50*time.Millisecond {
+		t.Errorf("change sent after %v, want at least 50ms", elapsed)
 	}
-	whole, err := http.Get("http://" + d.Addr() + "/v1/servers")
+	fullList, err := http.Get("http://" + d.Addr() + "/v1/servers")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, _ := io.ReadAll(whole.Body)
-	whole.Body.Close()
+	text, _ := io.ReadAll(fullList.Body)
+	fullList.Body.Close()
 	if strings.Contains(string(text), `"left"`) || !strings.Contains(string(text), `"c"`) {
-		t.Errorf("the whole list is %s", text)
+		t.Errorf("endpoint list is %s, want it to contain c and no endpoint that has left", text)
 	}
 	recorder.mu.Lock()
 	defer recorder.mu.Unlock()
 	if recorder.backends["a"].drainingSince.IsZero() || !recorder.backends["c"].drainingSince.IsZero() {
-		t.Error("the recorder does not have what discovery notified of")
+		t.Error("recorder differs from the notifications, want endpoint a draining and endpoint c active")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
--- a/internal/fake/fault.go
+++ b/internal/fake/fault.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// FaultKind is what goes wrong with a request at a backend.
+// FaultKind is a kind of failure that a backend injects into a request.
 type FaultKind int
 
-// The faults. The request may have had its effect with all but FaultReject, FaultClose and FaultUnreachable.
+// The kinds of faults. FaultReject, FaultClose and FaultUnreachable leave the request without effect. After any other fault, the
+// sender must assume that the request may have had its effect.
 const (
-	FaultNone        FaultKind = iota
-	FaultError                 // 500, at once
-	FaultReject                // 503 with X-Not-Processed: the request had no effect
-	FaultDelay                 // answered after a further delay
-	FaultUnanswered            // executed and never answered
-	FaultReset                 // executed, then the connection is reset
-	FaultMalformed             // executed, then the response cannot be parsed
-	FaultClose                 // the connection is closed on the request, which is not executed; no other party can tell
-	FaultUnreachable           // nothing is executed or answered, health checks neither, as of a machine that has vanished
+	FaultNone        FaultKind = iota // no fault
+	FaultError                        // status 500, after Fault.Delay
+	FaultReject                       // status 503 with X-Not-Processed, without execution
+	FaultDelay                        // executed, then answered after Fault.Delay
+	FaultUnanswered                   // executed, but never answered
+	FaultReset                        // executed, then the connection is reset
+	FaultMalformed                    // executed, then answered with an invalid response
+	FaultClose                        // connection closed without execution; no other party can tell that the request was not executed
+	FaultUnreachable                  // nothing is executed or answered, including health checks, as if the machine had vanished
 )
 
-// faultKinds are the words of ParseFault. None is the beginning of another.
+// faultKinds maps the names that ParseFault accepts. No name is a prefix of another.
 var faultKinds = map[string]FaultKind{
 	"errors":     FaultError,
 	"turns away": FaultReject,
@@ -35,27 +36,29 @@
 	"dead":       FaultUnreachable,
 }
 
-// Fault strikes a fraction of the requests of a backend.
+// Fault is a fault that affects a fraction of the requests of a backend.
 type Fault struct {
 	Kind     FaultKind
 	Fraction float64       // 0 to 1
-	Delay    time.Duration // for FaultDelay, and before FaultError
+	Delay    time.Duration // after execution for FaultDelay, before the response for FaultError
 }
 
-// ParseFault reads "KIND [FRACTION [DELAY]]", such as "silent", "errors 0.5" or "slow 1 200ms". The fraction is 1 if it is left out.
+// ParseFault parses "KIND [FRACTION [DELAY]]", such as "silent", "errors 0.5" or "slow 1 200ms". FRACTION defaults to 1.
 func ParseFault(text string) (Fault, error) {
 	for word, kind := range faultKinds {
 		if rest, ok := strings.CutPrefix(text, word); ok {
 			fault, ok := parseFaultParameters(kind, strings.Fields(rest))
 			if !ok {
-				return Fault{}, fmt.Errorf("fault %q: want KIND [SHARE [DELAY]]", text)
+				return Fault{}, fmt.Errorf("parse fault %q: want KIND [FRACTION [DELAY]] with FRACTION from 0 to 1 and DELAY a duration of at least 0", text)
 			}
 			return fault, nil
 		}
 	}
-	return Fault{}, fmt.Errorf("fault %q: no such kind", text)
+	return Fault{}, fmt.Errorf("parse fault %q: unknown kind, want errors, turns away, slow, silent, resets, spoils, closes or dead", text)
 }
 
+// parseFaultParameters parses FRACTION and DELAY. ok is false if there are too many parameters, or if one is invalid or out of
+// range.
 func parseFaultParameters(kind FaultKind, parameters []string) (fault Fault, ok bool) {
 	fault = Fault{Kind: kind, Fraction: 1}
 	var err error
--- a/internal/fake/fencing.go
+++ b/internal/fake/fencing.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// FencedResource is a resource that only one client may act on at a time, and that checks fencing tokens: an action with a token
-// older than the newest seen is rejected. It records what it sees, and Verdict tells of it afterwards. Its methods may be called
-// concurrently. Resources are told apart by the path of the requests.
+// FencedResource is a fake of resources on each of which only one client may act at a time. It checks fencing tokens: it
+// rejects an action whose token is older than the newest token seen for the resource. The path of a request identifies the
+// resource. Verdict summarizes the actions. The methods may be called concurrently.
 type FencedResource struct {
 	mu         sync.Mutex                 // guards all fields
-	newest     map[string]uint64          // tokens by resource
-	running    map[string]map[uint64]int  // actions by resource and token
-	starts     map[string][]time.Time     // of the accepted actions, by resource
+	newest     map[string]uint64          // highest token seen, by resource
+	running    map[string]map[uint64]int  // actions in progress, by resource and token
+	starts     map[string][]time.Time     // of accepted actions, by resource
 	effects    map[string]int             // by task slot
 	tokensSeen map[string]map[uint64]bool // of accepted actions, by resource
-	inProgress int
+	inProgress int                        // actions in progress on all resources
 	verdict    FencingVerdict
 }
 
-// FencingVerdict is what a resource has seen.
+// FencingVerdict summarizes the actions on a FencedResource.
 type FencingVerdict struct {
-	Accepted       int // actions
-	Rejected       int // actions with a stale token
-	Overlaps       int // accepted while one with another token was in progress
-	DuplicateSlots int // slots with more effects than one
-	Slots          int // slots with an effect
-	DistinctTokens int // of accepted actions
-	MaxConcurrent  int // actions in progress at once
-	FirstViolation string
+	Accepted       int    // actions
+	Rejected       int    // actions with a stale token
+	Overlaps       int    // times that an action was accepted while an action with another token was in progress
+	DuplicateSlots int    // task slots with more than one effect where only one is allowed
+	Slots          int    // task slots with an effect
+	DistinctTokens int    // of accepted actions
+	MaxConcurrent  int    // largest number of actions in progress at once
+	FirstViolation string // description; empty if there was no violation
 }
 
-// NewFencedResource returns a resource that nobody has acted on.
+// NewFencedResource returns a FencedResource without recorded actions.
 func NewFencedResource() *FencedResource {
 	return &FencedResource{
 		newest:     map[string]uint64{},
@@ -47,8 +47,9 @@
 	}
 }
 
-// beginAction is called as a request begins to be executed; end as it has been. A request with a stale token is not accepted. One
-// without a token acts on nothing and is not counted.
+// beginAction records that the execution of a request begins. The caller calls end when the execution has ended. If the token
+// is stale, accepted is false and end is nil. A request without a token is accepted and not recorded, since it does not act on
+// the resource.
 func (f *FencedResource) beginAction(request *http.Request) (end func(), accepted bool) {
 	token, err := strconv.ParseUint(request.Header.Get("Fencing-Token"), 10, 64)
 	if err != nil {
@@ -72,7 +73,7 @@
 	}, true
 }
 
-// checkOverlap counts the other tokens with actions in progress. The caller holds mu.
+// checkOverlap counts an overlap for each other token with actions in progress on the resource. The caller holds mu.
 func (f *FencedResource) checkOverlap(resource string, token uint64) {
 	for other, n := range f.running[resource] {
 		if other != token && n > 0 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// recordStart counts an accepted action. The caller holds mu.
+// recordStart records an accepted action. The caller holds mu.
 func (f *FencedResource) recordStart(resource string, token uint64) {
 	if f.running[resource] == nil {
 		f.running[resource], f.tokensSeen[resource] = map[uint64]int{}, map[uint64]bool{}
@@ -95,13 +96,14 @@
 	f.verdict.Accepted++
 }
 
+// setFirst sets FirstViolation unless it is already set.
 func (v *FencingVerdict) setFirst(format string, args ...any) {
 	if v.FirstViolation == "" {
 		v.FirstViolation = fmt.Sprintf(format, args...)
 	}
 }
 
-// recordEffect records that a request has done the work of its task's slot.
+// recordEffect records the effect of a request, if the request belongs to a task slot.
 func (f *FencedResource) recordEffect(request *http.Request) {
 	if slot := request.Header.Get("Task-Slot"); slot != "" {
 		f.mu.Lock()
@@ -110,7 +112,8 @@
 	}
 }
 
-// Verdict returns what has been seen. atMostOnce tells for which slots a second effect is a violation; others may be repeated.
+// Verdict returns a summary of the recorded actions. atMostOnce reports whether a second effect of a slot is a violation. Other
+// slots may be repeated.
 func (f *FencedResource) Verdict(atMostOnce func(slot string) bool) FencingVerdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,8 +131,8 @@
 	return v
 }
 
-// IdleFraction returns the fraction of the time between two moments that lies in gaps, longer than minGap, between actions on a
-// task's resources.
+// IdleFraction returns the fraction of a period that lies in gaps between the starts of actions on the resources of a task.
+// Only gaps longer than minGap count.
 func (f *FencedResource) IdleFraction(task string, minGap time.Duration, from, to time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/frameproxy.go
+++ b/internal/fake/frameproxy.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	maxFrameBytes         = 64 << 20    // without the length
-	frameLengthBytes      = 4           // of the length before each frame
-	frameQueueLength      = 1024        // frames of one connection in transit
+	maxFrameBytes         = 64 << 20    // without the length prefix
+	frameLengthBytes      = 4           // size of the length prefix
+	frameQueueLength      = 1024        // frames in transit in one direction of a connection
 	frameProxyDialTimeout = time.Second // to the target
 )
 
-// errFrameTooLong ends a connection whose next frame exceeds maxFrameBytes.
-var errFrameTooLong = errors.New("frame is too long")
+// errFrameTooLong reports a frame that exceeds maxFrameBytes. It ends the connection.
+var errFrameTooLong = errors.New("frame length exceeds the limit of 64 MiB")
 
-// FrameFaults are what a FrameProxy does to the frames of one direction.
+// FrameFaults are the faults that a FrameProxy injects into one direction.
 type FrameFaults struct {
-	Partitioned       bool          // frames are lost without a sign
-	Stalled           bool          // frames are held, and pass once this ends
-	DropFraction      float64       // of the frames, 0 to 1
-	DuplicateFraction float64       // of the frames, 0 to 1
+	Partitioned       bool          // frames are lost silently
+	Stalled           bool          // frames are held back until the stall ends
+	DropFraction      float64       // fraction of frames that are lost, 0 to 1
+	DuplicateFraction float64       // fraction of frames that are sent twice, 0 to 1
 	Delay             time.Duration // of each frame
-	Jitter            time.Duration // bound of a further delay, drawn for each frame, so that frames are reordered
-	TruncateCount     int           // as many of the next frames are passed in half, and their connection is closed
+	Jitter            time.Duration // upper bound of an additional random delay of each frame, which reorders frames
+	TruncateCount     int           // number of next frames of which only half is sent before their connection is closed
 }
 
-// FrameProxy forwards connections that carry frames, each after its length as four bytes, the most significant first, and injects
-// faults into them. It knows nothing of the frames' contents. Its methods may be called concurrently.
+// FrameProxy forwards connections that carry frames and injects faults. Each frame follows its length, which is four bytes in
+// big-endian order. The proxy does not interpret the contents of frames. Its methods may be called concurrently.
 type FrameProxy struct {
 	target     string
 	listener   net.Listener
@@ -41,14 +41,14 @@
 	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
 	faults        [directions]FrameFaults
-	faultsChanged *sync.Cond // also on Close
+	faultsChanged *sync.Cond // also signaled by Close
 	conns         map[net.Conn]struct{}
 	closed        bool
-	frameCount    int64 // received
-	byteCount     int64
+	frameCount    int64 // received in both directions
+	byteCount     int64 // received in both directions, length prefixes included
 }
 
-// StartFrameProxy starts a proxy in front of target. The seed is that of its random faults.
+// StartFrameProxy starts a proxy in front of target. seed initializes the random faults.
 func StartFrameProxy(target string, seed uint64) (*FrameProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 // Addr returns the address where the proxy listens.
 func (p *FrameProxy) Addr() string { return p.listener.Addr().String() }
 
-// Configure changes the faults of a direction.
+// Configure calls change to modify the faults of a direction. change must not call methods of the proxy.
 func (p *FrameProxy) Configure(direction Direction, change func(*FrameFaults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,14 +73,14 @@
 	p.faultsChanged.Broadcast()
 }
 
-// Traffic returns how many frames and bytes were received, their lengths included.
+// Traffic returns how many frames and bytes the proxy has received. The bytes include the length prefixes.
 func (p *FrameProxy) Traffic() (frames, bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.frameCount, p.byteCount
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and closes its connections.
 func (p *FrameProxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -102,7 +102,7 @@
 	}
 }
 
-// track registers a connection for Close. It closes the connection and returns false if the proxy is closed.
+// track registers a connection for Close. If the proxy is closed, it closes the connection and returns false.
 func (p *FrameProxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,6 +114,7 @@
 	return true
 }
 
+// untrack removes a connection from the open connections.
 func (p *FrameProxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// forward connects a client to the target until one of them ends the connection.
+// forward forwards a client connection to the target until either side ends its connection.
 func (p *FrameProxy) forward(client net.Conn) {
 	defer client.Close()
 	if !p.track(client) {
@@ -152,21 +153,21 @@
 	both.Wait()
 }
 
-// scheduledFrame is a frame with its length, and when it is written.
+// scheduledFrame is a frame, including its length prefix, and the time at which to write it.
 type scheduledFrame struct {
 	deliverAt time.Time
 	data      []byte
-	truncated bool
+	truncated bool // write only half of data, then close the connection
 }
 
-// copyDirection copies the frames of one direction of a connection, with its faults.
+// copyDirection forwards the frames of one direction of a connection and applies the faults of the direction.
 func (p *FrameProxy) copyDirection(to, from net.Conn, direction Direction) {
 	queue := make(chan scheduledFrame, frameQueueLength)
 	var writer sync.WaitGroup
 	writer.Go(func() {
 		defer to.Close()
 		p.deliver(to, queue, direction)
-		from.Close() // ends the reading
+		from.Close() // unblocks the reader
 		for range queue {
 		}
 	})
@@ -184,7 +185,7 @@
 	}
 }
 
-// readFrame reads a frame and returns it with its length.
+// readFrame reads a frame. The result includes the length prefix.
 func readFrame(r io.Reader) ([]byte, error) {
 	var length [frameLengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -200,7 +201,7 @@
 	return data, err
 }
 
-// schedule returns what is to be written of a frame: nothing, the frame, or the frame twice.
+// schedule returns the frames to write for a received frame: none if the frame is lost, two if it is duplicated, otherwise one.
 func (p *FrameProxy) schedule(data []byte, direction Direction) []scheduledFrame {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +222,8 @@
 	return frames
 }
 
-// drawDeliveryTime draws when a frame that has just been read is written. The caller holds mu.
+// drawDeliveryTime returns the time at which to write a frame that has just been read: now plus Delay and a random part of
+// Jitter. The caller holds mu.
 func (p *FrameProxy) drawDeliveryTime(faults *FrameFaults) time.Time {
 	delay := faults.Delay
 	if faults.Jitter > 0 {
@@ -230,7 +232,7 @@
 	return time.Now().Add(delay)
 }
 
-// deliver writes frames at their times until the queue is closed or the connection ends.
+// deliver writes each frame at its delivery time, until the queue is closed or a write ends the connection.
 func (p *FrameProxy) deliver(to net.Conn, queue <-chan scheduledFrame, direction Direction) {
 	var waiting []scheduledFrame
 	for {
@@ -260,7 +262,7 @@
 	}
 }
 
-// earliest returns the index of the frame to be written first, -1 if there is none.
+// earliest returns the index of the frame with the earliest delivery time. It returns -1 if there are no frames.
 func earliest(frames []scheduledFrame) int {
 	next := -1
 	for i, frame := range frames {
@@ -271,7 +273,7 @@
 	return next
 }
 
-// writeFrame writes a frame, and reports whether the connection can go on.
+// writeFrame writes a frame. It returns false if the connection must be closed.
 func writeFrame(to net.Conn, frame scheduledFrame) bool {
 	if frame.truncated {
 		to.Write(frame.data[:len(frame.data)/2])
@@ -282,7 +284,8 @@
 	return err == nil
 }
 
-// waitUntilPassable waits while a direction stalls, and reports whether a frame may pass.
+// waitUntilPassable waits while a direction is stalled, and reports whether a frame may pass. It returns false if the direction
+// is partitioned or the proxy is closed.
 func (p *FrameProxy) waitUntilPassable(direction Direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
