--- a/internal/fake/heldconns.go
+++ b/internal/fake/heldconns.go
@@ -11,19 +11,20 @@
 
 const (
 	slowHeaderInterval   = 100 * time.Millisecond // between header fields of a slow request
-	heldConnStartSpread  = 100 * time.Millisecond // over which the connections are opened at first
-	heldConnRetryPause   = 20 * time.Millisecond  // before a connection is opened again
+	heldConnStartSpread  = 100 * time.Millisecond // period over which the first connections are opened
+	heldConnRetryPause   = 20 * time.Millisecond  // before a closed connection is replaced
 	heldConnDialTimeout  = 2 * time.Second
 	slowRequestFirstLine = "POST /order/slow HTTP/1.1\r\nHost: "
 )
 
-// OpenSlowRequests keeps n connections open on which a request begins and never ends, until ctx ends. One that is closed is
-// replaced. It returns how many were opened.
+// OpenSlowRequests keeps n connections open until ctx ends. It begins a request on each connection and never completes it. A
+// connection that is closed is replaced. OpenSlowRequests returns how many connections it opened.
 func OpenSlowRequests(ctx context.Context, addr, host string, n int) (opened int64) {
 	return maintainConnections(ctx, addr, n, func(c net.Conn) { sendSlowRequest(ctx, c, host) })
 }
 
-// OpenIdleConnections keeps n connections open on which nothing is sent, likewise.
+// OpenIdleConnections keeps n connections open until ctx ends, without sending anything. A connection that is closed is
+// replaced. OpenIdleConnections returns how many connections it opened.
 func OpenIdleConnections(ctx context.Context, addr string, n int) (opened int64) {
 	return maintainConnections(ctx, addr, n, func(c net.Conn) {
 		defer context.AfterFunc(ctx, func() { c.Close() })()
@@ -31,26 +32,27 @@
 	})
 }
 
-// sendSlowRequest sends header fields until the connection or ctx ends.
+// sendSlowRequest sends a header field every slowHeaderInterval until a write fails or ctx ends.
 func sendSlowRequest(ctx context.Context, c net.Conn, host string) {
-	part := slowRequestFirstLine + host + "\r\n"
+	text := slowRequestFirstLine + host + "\r\n"
 	for {
-		if _, err := io.WriteString(c, part); err != nil {
+		if _, err := io.WriteString(c, text); err != nil {
 			return
 		}
 		if !sleep(ctx, slowHeaderInterval) {
 			return
 		}
-		part = "X-Pad: p\r\n"
+		text = "X-Pad: p\r\n"
 	}
 }
 
-// maintainConnections keeps n connections open, each in the hands of use until that returns.
+// maintainConnections keeps n connections open until ctx ends. It calls use for each connection. When use returns, it closes
+// and replaces the connection.
 func maintainConnections(ctx context.Context, addr string, n int, use func(net.Conn)) (opened int64) {
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	var count atomic.Int64
 	for i := range n {
-		all.Go(func() {
+		goroutines.Go(func() {
 			sleep(ctx, heldConnStartSpread*time.Duration(i)/time.Duration(n))
 			for ctx.Err() == nil {
 				dialer := net.Dialer{Timeout: heldConnDialTimeout}
@@ -63,11 +65,11 @@
 			}
 		})
 	}
-	all.Wait()
+	goroutines.Wait()
 	return count.Load()
 }
 
-// sleep waits for d, and reports whether it passed before ctx ended.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/fake/heldconns_test.go
+++ b/internal/fake/heldconns_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestMaintainedConnections guards against connections that are let go: each connection that is closed is followed by another.
+// TestMaintainedConnections guards against connections that are not replaced after the other side has closed them.
 func TestMaintainedConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -16,8 +16,8 @@
 	}
 	defer ln.Close()
 	var accepted atomic.Int64
-	var all sync.WaitGroup
-	all.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -32,14 +32,14 @@
 		func() int64 { return OpenSlowRequests(ctx, ln.Addr().String(), "h", 2) },
 		func() int64 { return OpenIdleConnections(ctx, ln.Addr().String(), 2) },
 	} {
-		all.Go(func() {
+		goroutines.Go(func() {
 			if n := open(); n < 2 {
-				t.Errorf("%d connections were opened", n)
+				t.Errorf("opened %d connections, want at least 2", n)
 			}
 		})
 	}
-	waitFor(t, "connections to be opened anew", func() bool { return accepted.Load() > 12 })
+	waitFor(t, "closed connections to be replaced", func() bool { return accepted.Load() > 12 })
 	cancel()
 	ln.Close()
-	all.Wait()
+	goroutines.Wait()
 }
--- a/internal/fake/hpack.go
+++ b/internal/fake/hpack.go
@@ -6,8 +6,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// EncodeRequestHeaders returns the HPACK block of an HTTP/2 request without a body. It uses no dynamic table, so that it is valid at
-// any place of a connection.
+// EncodeRequestHeaders returns the HPACK header block of an HTTP/2 request without a body. The block does not use the dynamic
+// table, so that it is valid at any point of a connection.
 func EncodeRequestHeaders(method, host, path, id string) []byte {
 	var block bytes.Buffer
 	encoder := hpack.NewEncoder(&block)
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -13,46 +13,46 @@
 	"time"
 )
 
-// ClassLoad is a class of requests that clients send.
+// ClassLoad describes a request class and its part of the load.
 type ClassLoad struct {
 	Name             string
 	Idempotency      Idempotency
-	Weight           float64 // of the operations, relative to the other classes'
+	Weight           float64 // share of the operations, relative to the weights of the other classes
 	LatencyObjective time.Duration
-	Deadline         time.Duration // of an operation, over all its attempts
+	Deadline         time.Duration // of an operation, across all attempts
 	PriorityWeight   float64
-	BodyBytes        int // of a class that is not Idempotent
+	BodyBytes        int // size of request bodies; ignored if the class is Idempotent
 }
 
-// ClientConfig describes a load of clients.
+// ClientConfig configures a group of clients and their load.
 type ClientConfig struct {
-	Name               string // prefix of the request ids
-	Addr               string // where the program listens
-	Host               string
-	Prefix             string // of all paths, without a slash at its end
-	Tenant             string
+	Name               string // prefix of the request IDs and idempotency keys
+	Addr               string // address of the program
+	Host               string // Host header field
+	Prefix             string // of all paths, without a trailing slash
+	Tenant             string // X-Tenant-Id header field; empty: no field
 	Classes            []ClassLoad
-	Rate               float64 // operations a second, whether or not responses come
-	MaxAttempts        int     // of an operation
-	Backoff            time.Duration
-	HonorRetryAfter    bool // a rejected client waits at least for Retry-After
-	NewConnections     bool // for each attempt
-	AbandonConnections bool // for each attempt a new connection, kept open and never used again until the program closes it
-	MaxConnections     int  // open at once; an attempt that needs one more is not sent; 0: no limit
-	MaxInFlight        int  // operations; a further one is not begun and counts as OutcomeUnsent; 0: defaultMaxInFlight
+	Rate               float64       // operations per second, independent of the responses
+	MaxAttempts        int           // per operation; values below 1 mean 1
+	Backoff            time.Duration // mean pause before a retry
+	HonorRetryAfter    bool          // wait at least for the Retry-After of a response before a retry
+	NewConnections     bool          // use a new connection for each attempt
+	AbandonConnections bool          // use a new connection for each attempt, and leave it open and unused until the program closes it
+	MaxConnections     int           // limit of open connections; an attempt that would exceed it is not sent; 0: no limit
+	MaxInFlight        int           // concurrent operations; excess ones are not started and count as OutcomeUnsent; 0: defaultMaxInFlight
 	Recorder           *EffectRecorder
 	Seed               uint64
 }
 
 const (
 	defaultMaxInFlight = 10000
-	minAttemptTimeout  = 5 * time.Millisecond // with less time left, no further attempt is made
-	lateResponseWait   = time.Second          // after an attempt's timeout, so that late responses are seen as such
-	statusNoResponse   = 0
-	statusUnsent       = -1 // the clients had no connection for the attempt
+	minAttemptTimeout  = 5 * time.Millisecond // no further attempt is made with less time left
+	lateResponseWait   = time.Second          // time to wait after the timeout of an attempt, to detect late responses
+	statusNoResponse   = 0                    // no response was received
+	statusUnsent       = -1                   // the attempt was not sent because of the connection limit
 )
 
-// loadGenerator sends operations.
+// loadGenerator starts operations at a given rate and makes their attempts.
 type loadGenerator struct {
 	cfg       ClientConfig
 	weightSum float64 // of the classes
@@ -61,7 +61,7 @@
 	results   *ClientResults
 }
 
-// RunClients sends operations until ctx ends, and returns once the last has ended.
+// RunClients starts operations until ctx ends. It returns the results once the last operation has ended.
 func RunClients(ctx context.Context, cfg ClientConfig) *ClientResults {
 	if cfg.MaxAttempts < 1 {
 		cfg.MaxAttempts = 1
@@ -83,7 +83,7 @@
 	return results
 }
 
-// run begins operations at the times of a Poisson process until ctx ends, and waits for them.
+// run starts operations as a Poisson process until ctx ends, then waits for them.
 func (g *loadGenerator) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(g.cfg.Seed, 2))
 	var operations sync.WaitGroup
@@ -112,41 +112,41 @@
 	}
 }
 
-// pickClass draws a class by weight.
+// pickClass draws a class in proportion to the class weights.
 func (g *loadGenerator) pickClass(rng *rand.Rand) *ClassLoad {
-	at := rng.Float64() * g.weightSum
+	remaining := rng.Float64() * g.weightSum
 	for i := range g.cfg.Classes {
-		if at -= g.cfg.Classes[i].Weight; at < 0 {
+		if remaining -= g.cfg.Classes[i].Weight; remaining < 0 {
 			return &g.cfg.Classes[i]
 		}
 	}
 	return &g.cfg.Classes[len(g.cfg.Classes)-1]
 }
 
-// runOperation makes the attempts of an operation as a client of its class does.
+// runOperation makes the attempts of an operation. A NonIdempotent operation is not retried after a failure.
 func (g *loadGenerator) runOperation(class *ClassLoad, rng *rand.Rand) {
-	began := time.Now()
+	start := time.Now()
 	request := &clientRequest{class: class, operation: g.cfg.Recorder.BeginOperation(class.Idempotency)}
 	if class.Idempotency == IdempotentByKey {
 		request.key = fmt.Sprintf("%s-k%d", g.cfg.Name, g.lastID.Add(1))
 	}
 	outcome := OutcomeFailed
 	for n := range g.cfg.MaxAttempts {
-		left := class.Deadline - time.Since(began)
-		if left < minAttemptTimeout {
+		remaining := class.Deadline - time.Since(start)
+		if remaining < minAttemptTimeout {
 			break
 		}
 		isLast := n == g.cfg.MaxAttempts-1
-		request.timeout, request.retry = left, n > 0
+		request.timeout, request.retry = remaining, n > 0
 		if !isLast {
-			request.timeout = left / 2 // leaves time for a retry
+			request.timeout = remaining / 2 // leaves time for a retry
 		}
 		sent := time.Now()
 		status, retryAfter := g.attempt(request)
 		outcome = attemptOutcome(status)
 		switch {
 		case outcome == OutcomeServed:
-			latency := time.Since(began)
+			latency := time.Since(start)
 			if latency > class.LatencyObjective {
 				outcome = OutcomeLate
 			}
@@ -154,19 +154,19 @@
 			return
 		case outcome == OutcomeRejected:
 			g.results.recordRejection(time.Since(sent))
-		case outcome == OutcomeFailed && class.Idempotency == NonIdempotent: // it may have had its effect
+		case outcome == OutcomeFailed && class.Idempotency == NonIdempotent: // the failed attempt may have had its effect
 			g.results.recordOperation(class, OutcomeFailed, 0)
 			return
 		}
 		pause := g.retryPause(rng, retryAfter)
-		if !isLast && pause < class.Deadline-time.Since(began) {
+		if !isLast && pause < class.Deadline-time.Since(start) {
 			time.Sleep(pause)
 		}
 	}
 	g.results.recordOperation(class, outcome, 0)
 }
 
-// attemptOutcome is how an operation ends whose last attempt had a status.
+// attemptOutcome returns the outcome of an operation whose last attempt ended with status.
 func attemptOutcome(status int) Outcome {
 	switch status {
 	case statusUnsent:
@@ -180,7 +180,8 @@
 	}
 }
 
-// retryPause draws the pause before a retry: the backoff, half of it more or less, or a longer Retry-After.
+// retryPause returns the pause before a retry: a random value from 0.5 to 1.5 times the backoff. Retry-After replaces the pause
+// if it is longer and HonorRetryAfter is set.
 func (g *loadGenerator) retryPause(rng *rand.Rand, retryAfter time.Duration) time.Duration {
 	pause := time.Duration((0.5 + rng.Float64()) * float64(g.cfg.Backoff))
 	if g.cfg.HonorRetryAfter {
@@ -189,16 +190,17 @@
 	return pause
 }
 
-// clientRequest is what an attempt sends.
+// clientRequest holds the parameters of an attempt.
 type clientRequest struct {
 	class     *ClassLoad
 	operation *Operation
-	key       string // idempotency key, "" if there is none
+	key       string // idempotency key; empty: none
 	timeout   time.Duration
 	retry     bool
 }
 
-// attempt sends a request and waits for its response. The status is statusNoResponse or statusUnsent if there is none.
+// attempt sends a request and waits for its response. status is statusUnsent if the connection limit was reached, and
+// statusNoResponse if there was no response for another reason.
 func (g *loadGenerator) attempt(request *clientRequest) (status int, retryAfter time.Duration) {
 	id := fmt.Sprintf("%s-%d", g.cfg.Name, g.lastID.Add(1))
 	conn, err := g.conns.acquire(request.timeout)
@@ -214,7 +216,7 @@
 	g.results.recordAttempt(conn.reused)
 	response, body, err := exchange(conn, text, request.timeout)
 	if conn.reused && errors.Is(err, errClosedUnanswered) {
-		// The program closed the idle connection before it could read the request, so that it may be sent again.
+		// The program closed the idle connection before reading the request, so the request may be sent again.
 		conn.Close()
 		g.results.recordClosedBeforeReuse()
 		if conn, err = g.conns.dial(request.timeout); err != nil {
@@ -225,7 +227,7 @@
 	}
 	if err != nil {
 		if errors.Is(err, errClosedUnanswered) && !conn.reused {
-			g.cfg.Recorder.RecordUnsent(id) // a new connection may be closed unread to make room for another
+			g.cfg.Recorder.RecordUnsent(id) // the program may close a new connection unread to make room for another connection
 		}
 		conn.Close()
 		return statusNoResponse, 0
@@ -241,13 +243,13 @@
 	return response.StatusCode, parseRetryAfter(response)
 }
 
-// exchange sends a request and reads its response, until a while after its timeout.
+// exchange sends a request and reads its response. It stops reading lateResponseWait after the timeout.
 func exchange(conn *clientConn, text string, timeout time.Duration) (*http.Response, []byte, error) {
 	conn.SetDeadline(time.Now().Add(timeout + lateResponseWait))
 	return conn.roundTrip(text)
 }
 
-// parseRetryAfter returns the Retry-After of a response, 0 if it has none in seconds.
+// parseRetryAfter returns the Retry-After of a response. It returns 0 if the field is missing or not a number of seconds.
 func parseRetryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -256,7 +258,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// requestText is the text of a request.
+// requestText returns the text of a request with its body.
 func (g *loadGenerator) requestText(request *clientRequest, id string) string {
 	class, hasBody := request.class, request.class.Idempotency != Idempotent
 	method := http.MethodGet
--- a/internal/fake/pace.go
+++ b/internal/fake/pace.go
@@ -10,48 +10,50 @@
 	"time"
 )
 
-// Pace is how a peer reads or writes a long body: in pieces of a random size, at a limited rate.
+// Pace is how a client or backend reads or writes a long body: in chunks of random size, at a limited rate.
 type Pace struct {
 	BytesPerSecond int // 0: no limit
-	MaxChunk       int // bytes of a piece, above 0
+	MaxChunk       int // largest chunk in bytes; must be above 0
 }
 
-// minPacePause is the shortest pause between pieces, so that fast peers do not wait for the timer.
+// minPacePause is the shortest pause between chunks. Shorter pauses are skipped, so that fast transfers do not wait for the
+// timer.
 const minPacePause = 2 * time.Millisecond
 
-// errBodyMismatch tells of a body with other bytes than the pattern of its request.
+// errBodyMismatch reports a body that differs from the pattern of its request.
 var errBodyMismatch = errors.New("other bytes than were sent")
 
-// copyPaced copies n bytes at a pace. It returns the error of the reader or writer, or that of ctx if it ends first.
+// copyPaced copies n bytes from r to w at a pace. It returns the error of the reader or writer, or that of ctx if ctx ends
+// during a pause.
 func copyPaced(ctx context.Context, w io.Writer, r io.Reader, n int64, pace Pace, rng *rand.Rand) error {
-	began, done := time.Now(), int64(0)
+	start, copied := time.Now(), int64(0)
 	buffer := make([]byte, pace.MaxChunk)
-	for done < n {
-		size := min(n-done, int64(1+rng.IntN(pace.MaxChunk)))
-		k, err := io.ReadFull(r, buffer[:size])
-		if k > 0 {
-			if _, writeErr := w.Write(buffer[:k]); writeErr != nil {
+	for copied < n {
+		size := min(n-copied, int64(1+rng.IntN(pace.MaxChunk)))
+		read, err := io.ReadFull(r, buffer[:size])
+		if read > 0 {
+			if _, writeErr := w.Write(buffer[:read]); writeErr != nil {
 				return writeErr
 			}
-			done += int64(k)
+			copied += int64(read)
 		}
 		if err != nil {
 			return err
 		}
-		if err := pace.wait(ctx, began, done); err != nil {
+		if err := pace.wait(ctx, start, copied); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// wait returns once done bytes may have passed since began.
-func (p Pace) wait(ctx context.Context, began time.Time, done int64) error {
+// wait blocks until the pace allows a total of copied bytes since start. It returns the error of ctx if ctx ends first.
+func (p Pace) wait(ctx context.Context, start time.Time, copied int64) error {
 	if p.BytesPerSecond <= 0 {
 		return nil
 	}
-	due := time.Duration(float64(done) / float64(p.BytesPerSecond) * float64(time.Second))
-	pause := due - time.Since(began)
+	due := time.Duration(float64(copied) / float64(p.BytesPerSecond) * float64(time.Second))
+	pause := due - time.Since(start)
 	if pause <= minPacePause {
 		return nil
 	}
@@ -63,7 +65,8 @@
 	}
 }
 
-// pattern returns the bytes of a request's body. No two requests have the same, so that no part can pass for another's.
+// pattern returns the bytes of the body of a request. Each request has a different pattern, so that no part of a body can be
+// mistaken for a part of another body.
 func pattern(id string) io.Reader {
 	hash := fnv.New64a()
 	io.WriteString(hash, id)
@@ -74,7 +77,7 @@
 	return rand.NewChaCha8(seed)
 }
 
-// patternChecker is an io.Writer that accepts the bytes of a pattern and fails with errBodyMismatch on others.
+// patternChecker is an io.Writer that accepts the bytes of a pattern. It fails with errBodyMismatch on other bytes.
 type patternChecker struct {
 	want  io.Reader
 	total int64 // bytes accepted
