--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Direction is a direction of the traffic through a proxy.
+// Direction is a direction of traffic through a proxy.
 type Direction int
 
 // The directions.
 const (
-	ToTarget Direction = iota
-	FromTarget
-	directions
+	ToTarget   Direction = iota // from clients to the target
+	FromTarget                  // from the target to clients
+	directions                  // number of directions
 )
 
 const (
-	proxyBufferBytes  = 32 << 10        // read of a connection at once
-	proxyQueueLength  = 16              // such reads in transit
+	proxyBufferBytes  = 32 << 10        // largest read of a connection
+	proxyQueueLength  = 16              // chunks in transit in one direction of a connection
 	proxyDialTimeout  = 5 * time.Second // to the target
 	proxyWriteTimeout = 5 * time.Second // of a frame
 )
 
-// Proxy forwards TCP connections to a target and injects faults: it can delay, limit, stall or reset them. A stalled connection
-// stays open and silent. Its methods may be called concurrently.
+// Proxy forwards TCP connections to a target and injects faults: it can delay, rate-limit, stall or reset connections. A
+// stalled connection stays open but transfers no bytes. The methods may be called concurrently.
 type Proxy struct {
 	target     string
 	listener   net.Listener
@@ -32,11 +32,11 @@
 
 	mu             sync.Mutex // guards the fields below
 	delay          time.Duration
-	bytesPerSecond int                       // each direction of all connections together; 0: no limit
-	busyUntil      [directions]time.Time     // when what was sent has passed the limit
-	stalledConns   map[net.Conn]bool         // clients' connections that stall for good
-	resumed        [directions]chan struct{} // not nil while a direction stalls; closed as it goes on
-	conns          map[net.Conn]struct{}     // to clients and to the target
+	bytesPerSecond int                       // per direction, across all connections; 0: no limit
+	busyUntil      [directions]time.Time     // when the bytes read so far have passed the rate limit
+	stalledConns   map[net.Conn]bool         // client connections that are stalled permanently
+	resumed        [directions]chan struct{} // nil unless the direction is stalled; closed when the stall ends
+	conns          map[net.Conn]struct{}     // client connections and connections to the target
 	closed         bool
 }
 
@@ -54,27 +54,27 @@
 // Addr returns the address where the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetDelay delays all bytes, in each direction.
+// SetDelay sets the delay of all bytes in each direction.
 func (p *Proxy) SetDelay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = delay
 }
 
-// SetRate limits the bytes a second in each direction, of all connections together. 0 is no limit.
+// SetRate limits the bytes per second in each direction, across all connections. 0 means no limit.
 func (p *Proxy) SetRate(bytesPerSecond int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bytesPerSecond = bytesPerSecond
 }
 
-// StallConnection stalls one of the open connections for good, and reports whether there was one.
+// StallConnection stalls one open connection permanently. It returns false if there is no connection to stall.
 func (p *Proxy) StallConnection() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		isClients := c.LocalAddr().String() == p.listener.Addr().String()
-		if isClients && !p.stalledConns[c] {
+		isClientConn := c.LocalAddr().String() == p.listener.Addr().String()
+		if isClientConn && !p.stalledConns[c] {
 			p.stalledConns[c] = true
 			return true
 		}
@@ -82,20 +82,20 @@
 	return false
 }
 
-// Connections returns how many connections are forwarded.
+// Connections returns the number of forwarded connections.
 func (p *Proxy) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns) / 2
 }
 
-// SetStalled makes both directions stall, or go on; what was held passes then.
+// SetStalled stalls or resumes both directions. Bytes that were held back are forwarded when the stall ends.
 func (p *Proxy) SetStalled(on bool) {
 	p.SetDirectionStalled(ToTarget, on)
 	p.SetDirectionStalled(FromTarget, on)
 }
 
-// SetDirectionStalled makes one direction stall, or go on.
+// SetDirectionStalled stalls or resumes one direction.
 func (p *Proxy) SetDirectionStalled(direction Direction, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	p.SetStalled(false)
 	p.mu.Lock()
@@ -148,7 +148,7 @@
 	return !p.closed
 }
 
-// untrack closes a connection and forgets it.
+// untrack closes a connection and removes it from the open connections.
 func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
@@ -157,7 +157,7 @@
 	delete(p.stalledConns, c)
 }
 
-// forward connects a client to the target until one of them ends the connection.
+// forward forwards a client connection to the target until either side ends its connection.
 func (p *Proxy) forward(client net.Conn) {
 	defer p.untrack(client)
 	if !p.track(client) {
@@ -179,7 +179,7 @@
 	both.Wait()
 }
 
-// waitWhileStalled returns once a direction does not stall.
+// waitWhileStalled blocks while a direction is stalled.
 func (p *Proxy) waitWhileStalled(direction Direction) {
 	for {
 		p.mu.Lock()
@@ -192,14 +192,14 @@
 	}
 }
 
-// chunk is what was read of a connection at once, and when it is to be written.
+// chunk contains the bytes of one read and the time at which to write them.
 type chunk struct {
 	bytes     []byte
 	deliverAt time.Time
 }
 
-// deliveryTime is when n bytes that have just been read are to be written: after the delay, and after what was read before them at
-// the limited rate.
+// deliveryTime returns the time at which to write n bytes that have just been read. With a rate limit, the bytes follow those
+// read before them at the limited rate. The delay is added to that time.
 func (p *Proxy) deliveryTime(n int, direction Direction) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,14 +214,14 @@
 	return at.Add(p.delay)
 }
 
-// isStalled reports whether a client's connection stalls for good.
+// isStalled reports whether a client connection is stalled permanently.
 func (p *Proxy) isStalled(client net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stalledConns[client]
 }
 
-// copyDirection copies one direction of a client's connection.
+// copyDirection forwards one direction of a client connection and applies the faults.
 func (p *Proxy) copyDirection(to, from, client net.Conn, direction Direction) {
 	defer p.untrack(to)
 	chunks := make(chan chunk, proxyQueueLength)
@@ -229,21 +229,21 @@
 		defer close(chunks)
 		p.readChunks(from, direction, chunks)
 	}()
-	broken := false
+	writeFailed := false
 	for c := range chunks {
-		if broken || p.isStalled(client) { // bytes of a connection that stalls for good are dropped
+		if writeFailed || p.isStalled(client) { // drop the bytes of a permanently stalled connection
 			continue
 		}
 		time.Sleep(time.Until(c.deliverAt))
 		p.waitWhileStalled(direction)
 		if _, err := to.Write(c.bytes); err != nil {
-			broken = true
-			p.untrack(from) // ends the reading
+			writeFailed = true
+			p.untrack(from) // unblocks the reader
 		}
 	}
 }
 
-// readChunks reads a connection until it ends.
+// readChunks reads a connection into chunks until the connection ends.
 func (p *Proxy) readChunks(from net.Conn, direction Direction, chunks chan<- chunk) {
 	for {
 		buffer := make([]byte, proxyBufferBytes)
--- a/internal/fake/proxy_test.go
+++ b/internal/fake/proxy_test.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// TestProxy guards against a proxy that passes what it should hold, or loses what it should pass.
+// TestProxy guards against a proxy that forwards bytes during a stall, or loses bytes that it should forward.
 func TestProxy(t *testing.T) {
 	b := startTestBackend(t, BackendConfig{Name: "box"})
-	r, err := StartProxy(b.Addr())
+	proxy, err := StartProxy(b.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
-	if status, _, _ := sendRequest(t, r.Addr(), "check", "a", ""); status != 200 {
-		t.Fatalf("through the proxy: %d", status)
+	defer proxy.Close()
+	if status, _, _ := sendRequest(t, proxy.Addr(), "check", "a", ""); status != 200 {
+		t.Fatalf("request through the proxy: status %d, want 200", status)
 	}
-	r.SetDelay(30 * time.Millisecond)
-	began := time.Now()
-	if status, _, _ := sendRequest(t, r.Addr(), "check", "b", ""); status != 200 || time.Since(began) < 60*time.Millisecond {
-		t.Errorf("%d after %v, want 200 after at least 60ms", status, time.Since(began))
+	proxy.SetDelay(30 * time.Millisecond)
+	start := time.Now()
+	if status, _, _ := sendRequest(t, proxy.Addr(), "check", "b", ""); status != 200 || time.Since(start) < 60*time.Millisecond {
+		t.Errorf("delayed request: status %d after %v, want 200 after at least 60ms", status, time.Since(start))
 	}
-	r.SetDelay(0)
-	r.SetStalled(true)
-	answer := make(chan int)
+	proxy.SetDelay(0)
+	proxy.SetStalled(true)
+	statuses := make(chan int)
 	go func() {
-		status, _, _ := sendRequest(t, r.Addr(), "check", "c", "")
-		answer <- status
+		status, _, _ := sendRequest(t, proxy.Addr(), "check", "c", "")
+		statuses <- status
 	}()
 	waitFor(t, "the connection to reach the proxy", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return len(r.conns) > 0
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		return len(proxy.conns) > 0
 	})
 	if b.Served() != 2 {
-		t.Error("something passed while the proxy stalled")
+		t.Error("backend served a request through the stalled proxy")
 	}
-	r.SetStalled(false)
-	if status := <-answer; status != 200 {
-		t.Errorf("after the stall: %d", status)
+	proxy.SetStalled(false)
+	if status := <-statuses; status != 200 {
+		t.Errorf("request held back by a stall: status %d, want 200", status)
 	}
-	waitFor(t, "the connections of before to be gone", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return len(r.conns) == 0
+	waitFor(t, "the previous connections to be closed", func() bool {
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		return len(proxy.conns) == 0
 	})
-	r.SetStalled(true)
+	proxy.SetStalled(true)
 	go func() {
-		status, _, _ := sendRequest(t, r.Addr(), "check", "d", "")
-		answer <- status
+		status, _, _ := sendRequest(t, proxy.Addr(), "check", "d", "")
+		statuses <- status
 	}()
-	waitFor(t, "the next to reach the proxy", func() bool {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return len(r.conns) > 0
+	waitFor(t, "the next connection to reach the proxy", func() bool {
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		return len(proxy.conns) > 0
 	})
-	r.ResetConnections()
-	if status := <-answer; status != 0 {
-		t.Errorf("after a reset: %d", status)
+	proxy.ResetConnections()
+	if status := <-statuses; status != 0 {
+		t.Errorf("request on a reset connection: status %d, want no response", status)
 	}
 }
--- a/internal/fake/recorder.go
+++ b/internal/fake/recorder.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency is the effect of repeating the requests of a class.
 type Idempotency int
 
-// The kinds of requests.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated at will
+	Idempotent      Idempotency = iota // may be repeated any number of times
 	IdempotentByKey                    // repeats with the same key have one effect
 	NonIdempotent                      // a repeat has a second effect
 )
 
-// String returns the word that reports use.
+// String returns the name used in reports.
 func (i Idempotency) String() string { return [...]string{"safe", "keyed", "unsafe"}[i] }
 
-// EffectRecorder observes a run from outside the program under test: it records what clients sent, which responses they got and
-// what reached the backends. Check then tells which of the four rules were broken. Its methods may be called concurrently.
+// EffectRecorder observes a run from outside the program under test. It records the requests that clients sent, the responses
+// that they received and the requests that backends received. Check then reports which of the four rules were broken. The
+// methods may be called concurrently.
 type EffectRecorder struct {
 	mu         sync.Mutex // guards all fields, and those of the attempts, operations and backends
 	attempts   map[string]*clientAttempt
 	backends   map[string]*backendRecord
-	unexpected []string // events that belong to no attempt
+	unexpected []string // events that belong to no attempt, as texts of violations
 	operations int
 }
 
-// clientAttempt is one request of a client, named by its X-Request-ID. A client's retry is another attempt of the same operation.
+// clientAttempt is one request of a client, identified by its X-Request-ID. A retry by the client is another attempt of the
+// same operation.
 type clientAttempt struct {
 	operation  *Operation
 	sent       time.Time
@@ -42,29 +44,30 @@
 	effects    int
 }
 
-// Operation is what a client wants done once, in one attempt or several.
+// Operation is a unit of work that a client wants to have executed once. It has one or more attempts.
 type Operation struct {
 	idempotency Idempotency
 	effects     int
 	attemptIDs  []string
 }
 
-// arrival is the moment at which a backend received an attempt.
+// arrival records that a backend received an attempt.
 type arrival struct {
 	backend string
 	at      time.Time
 }
 
-// backendRecord is what is known of a backend.
+// backendRecord is the state of a backend as known to the recorder.
 type backendRecord struct {
-	drainingSince     time.Time // when the program was notified that it drains or has left; zero: it does not
-	slowStartSince    time.Time // zero: warm from the beginning
-	budget            SlowStartBudget
-	window            time.Duration
-	slowStartArrivals []time.Time // requests since slowStartSince
+	drainingSince     time.Time       // when the program was notified that the backend drains or has left; zero: the backend is active
+	slowStartSince    time.Time       // zero: full capacity from the start
+	budget            SlowStartBudget // nil: no limit
+	window            time.Duration   // to which budget applies
+	slowStartArrivals []time.Time     // of requests since slowStartSince
 }
 
-// SlowStartBudget returns how many requests a backend may be sent in a window that begins at an age, counted from its start.
+// SlowStartBudget returns how many requests a backend may receive in a window that begins at an age. The age counts from the
+// beginning of slow start.
 type SlowStartBudget func(age, window time.Duration) float64
 
 // NewEffectRecorder returns an empty recorder.
@@ -72,7 +75,7 @@
 	return &EffectRecorder{attempts: map[string]*clientAttempt{}, backends: map[string]*backendRecord{}}
 }
 
-// BeginOperation begins an operation of a client.
+// BeginOperation records that a client begins an operation.
 func (r *EffectRecorder) BeginOperation(idempotency Idempotency) *Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,25 +83,26 @@
 	return &Operation{idempotency: idempotency}
 }
 
-// Operations returns how many operations were begun.
+// Operations returns how many operations have begun.
 func (r *EffectRecorder) Operations() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.operations
 }
 
-// RecordSent records an attempt of an operation whose last byte is about to be written. It panics if the id was used before.
+// RecordSent records an attempt of an operation. It must be called before the last byte of the request is written. It panics if
+// the ID was used before.
 func (r *EffectRecorder) RecordSent(operation *Operation, id string, timeout time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.attempts[id] != nil {
-		panic("fake: a request's id is used twice: " + id)
+		panic("fake: record sent attempt: request ID was used before: " + id)
 	}
 	r.attempts[id] = &clientAttempt{operation: operation, sent: time.Now(), timeout: timeout}
 	operation.attemptIDs = append(operation.attemptIDs, id)
 }
 
-// RecordUnsent withdraws an attempt that the program cannot have read. One that reached a backend stays.
+// RecordUnsent removes an attempt that the program cannot have read. An attempt that has reached a backend is kept.
 func (r *EffectRecorder) RecordUnsent(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,8 +111,8 @@
 	}
 }
 
-// RecordResponse records the response to an attempt. bodyMatches tells whether its body is the one that a backend made for this
-// request; it counts only with status 200.
+// RecordResponse records the response to an attempt. bodyMatches reports whether the body is the one that a backend returned
+// for this request. It is ignored unless status is 200.
 func (r *EffectRecorder) RecordResponse(id string, status int, bodyMatches bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +129,7 @@
 	}
 }
 
-// RecordClientGone records that the client of an attempt has closed its connection and expects no response.
+// RecordClientGone records that the client of an attempt has closed its connection and does not expect a response.
 func (r *EffectRecorder) RecordClientGone(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,7 +171,8 @@
 	}
 }
 
-// RecordDraining records that the program was notified that a backend drains or has left, or, with draining false, that it is active.
+// RecordDraining records that the program was notified of the state of a backend. If draining is true, the backend drains or
+// has left. Otherwise, it is active.
 func (r *EffectRecorder) RecordDraining(backend string, draining bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,7 +185,8 @@
 	}
 }
 
-// RecordSlowStart records that a backend begins to warm up: in each window it may be sent as many requests as budget says.
+// RecordSlowStart records that a backend begins slow start. budget limits the requests that the backend may receive in each
+// window.
 func (r *EffectRecorder) RecordSlowStart(backend string, window time.Duration, budget SlowStartBudget) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +194,7 @@
 	record.slowStartSince, record.window, record.budget, record.slowStartArrivals = time.Now(), window, budget, nil
 }
 
-// backend returns the record of a backend, a new one if there is none. The caller holds mu.
+// backend returns the record of a backend and creates it if necessary. The caller holds mu.
 func (r *EffectRecorder) backend(name string) *backendRecord {
 	record := r.backends[name]
 	if record == nil {
@@ -198,7 +204,7 @@
 	return record
 }
 
-// ArrivalCount returns how often backends received an attempt.
+// ArrivalCount returns how many times backends received an attempt.
 func (r *EffectRecorder) ArrivalCount(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +214,7 @@
 	return 0
 }
 
-// HasResponse reports whether the client of an attempt has its response.
+// HasResponse reports whether the client of an attempt has received its response.
 func (r *EffectRecorder) HasResponse(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -216,14 +222,15 @@
 	return attempt != nil && !attempt.answered.IsZero()
 }
 
-// ArrivalsAt counts the arrivals at the named backends of attempts whose id contains text, such as the name of a load.
+// ArrivalsAt counts the arrivals at the named backends of attempts whose ID contains text, such as the name of a group of
+// clients.
 func (r *EffectRecorder) ArrivalsAt(backends map[string]bool, text string) int {
 	n := 0
 	r.forEachArrivalAt(backends, text, func(time.Time) { n++ })
 	return n
 }
 
-// LastArrivalAt returns when the last of those that ArrivalsAt counts came; zero if there is none.
+// LastArrivalAt returns the time of the last arrival that ArrivalsAt counts. It returns the zero time if there is no arrival.
 func (r *EffectRecorder) LastArrivalAt(backends map[string]bool, text string) (last time.Time) {
 	r.forEachArrivalAt(backends, text, func(at time.Time) {
 		if at.After(last) {
@@ -233,6 +240,7 @@
 	return last
 }
 
+// forEachArrivalAt calls visit for each arrival that ArrivalsAt counts. visit must not call methods of the recorder.
 func (r *EffectRecorder) forEachArrivalAt(backends map[string]bool, text string, visit func(at time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/recorder_test.go
+++ b/internal/fake/recorder_test.go
@@ -7,84 +7,85 @@
 	"time"
 )
 
-// TestEffectRecorder guards against a recorder that sees no rule broken: each is broken once here, and kept once.
+// TestEffectRecorder guards against a recorder that does not report a broken rule, or that reports a rule which was kept. Each
+// rule is broken at least once and kept at least once.
 func TestEffectRecorder(t *testing.T) {
 	ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
 	answered := func(recorder *EffectRecorder, id string, status int) { recorder.RecordResponse(id, status, true) }
 	for name, c := range map[string]struct {
-		play func(recorder *EffectRecorder)
-		want string // a part of what is broken, "" if nothing is
+		record func(recorder *EffectRecorder)
+		want   string // part of the violations; empty: no violation
 	}{
-		"all kept": {func(recorder *EffectRecorder) {
-			for i, e := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
+		"all rules kept": {func(recorder *EffectRecorder) {
+			for i, kind := range []Idempotency{Idempotent, IdempotentByKey, NonIdempotent} {
 				id := strconv.Itoa(i)
-				recorder.RecordSent(recorder.BeginOperation(e), id, time.Second)
+				recorder.RecordSent(recorder.BeginOperation(kind), id, time.Second)
 				recorder.RecordArrival("box", id)
 				recorder.RecordEffect(id)
 				answered(recorder, id, 200)
 			}
 		}, ""},
-		"never answered": {func(recorder *EffectRecorder) {
+		"no response": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 		}, "never answered"},
-		"the client left": {func(recorder *EffectRecorder) {
+		"client disconnected": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			recorder.RecordClientGone("a")
 		}, ""},
-		"answered late": {func(recorder *EffectRecorder) {
+		"late response": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			recorder.attempts["a"].sent = ago(3 * time.Second)
 			answered(recorder, "a", 502)
 		}, "after its time"},
-		"two answers": {func(recorder *EffectRecorder) {
+		"two responses": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			answered(recorder, "a", 200)
 			answered(recorder, "a", 200)
 		}, "a second answer"},
-		"another's answer": {func(recorder *EffectRecorder) {
+		"response of another request": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			recorder.RecordResponse("a", 200, false)
 		}, "no box made for it"},
-		"sent after the answer": {func(recorder *EffectRecorder) {
+		"attempt sent after the response": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			answered(recorder, "a", 502)
 			recorder.attempts["a"].answered = ago(time.Second)
 			recorder.RecordArrival("box", "a")
 		}, "after its answer"},
-		"an invented request": {func(recorder *EffectRecorder) { recorder.RecordArrival("box", "a") }, "no client sent"},
-		"unsafe, twice by one attempt": {func(recorder *EffectRecorder) {
+		"request that no client sent": {func(recorder *EffectRecorder) { recorder.RecordArrival("box", "a") }, "no client sent"},
+		"non-idempotent, two effects of one attempt": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(NonIdempotent), "a", time.Second)
 			recorder.RecordEffect("a")
 			recorder.RecordEffect("a")
 			answered(recorder, "a", 200)
 		}, "2 effects"},
-		"keyed, twice over two attempts": {func(recorder *EffectRecorder) {
-			o := recorder.BeginOperation(IdempotentByKey)
+		"idempotent by key, two effects of two attempts": {func(recorder *EffectRecorder) {
+			operation := recorder.BeginOperation(IdempotentByKey)
 			for _, id := range []string{"a", "b"} {
-				recorder.RecordSent(o, id, time.Second)
+				recorder.RecordSent(operation, id, time.Second)
 				recorder.RecordEffect(id)
 				answered(recorder, id, 200)
 			}
 		}, "2 effects"},
-		"unsafe, run and refused": {func(recorder *EffectRecorder) {
+		"non-idempotent, executed and rejected": {func(recorder *EffectRecorder) {
 			recorder.RecordSent(recorder.BeginOperation(NonIdempotent), "a", time.Second)
 			recorder.RecordEffect("a")
 			answered(recorder, "a", 503)
 		}, "was refused"},
-		"after the grace": {func(recorder *EffectRecorder) {
+		"arrival after the drain grace period": {func(recorder *EffectRecorder) {
 			recorder.RecordDraining("box", true)
 			recorder.backends["box"].drainingSince = ago(3 * time.Second)
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			recorder.RecordArrival("box", "a")
 			answered(recorder, "a", 200)
 		}, "told to leave"},
-		"within the grace": {func(recorder *EffectRecorder) {
+		"arrival within the drain grace period": {func(recorder *EffectRecorder) {
 			recorder.RecordDraining("box", true)
 			recorder.RecordSent(recorder.BeginOperation(Idempotent), "a", time.Second)
 			recorder.RecordArrival("box", "a")
 			answered(recorder, "a", 200)
 		}, ""},
-		"back again": {func(recorder *EffectRecorder) {
+		"active again after draining": {func(recorder *EffectRecorder) {
 			recorder.RecordDraining("box", true)
 			recorder.backends["box"].drainingSince = ago(3 * time.Second)
 			recorder.RecordDraining("box", false)
@@ -92,8 +93,8 @@
 			recorder.RecordArrival("box", "a")
 			answered(recorder, "a", 200)
 		}, ""},
-		"a backend that warms up": {func(recorder *EffectRecorder) {
-			recorder.RecordSlowStart("box", time.Second, func(_, w time.Duration) float64 { return 10 * w.Seconds() })
+		"too many requests during slow start": {func(recorder *EffectRecorder) {
+			recorder.RecordSlowStart("box", time.Second, func(_, window time.Duration) float64 { return 10 * window.Seconds() })
 			for i := range 12 {
 				id := strconv.Itoa(i)
 				recorder.RecordSent(recorder.BeginOperation(Idempotent), id, time.Second)
@@ -103,10 +104,10 @@
 		}, "12 requests in 1s"},
 	} {
 		recorder := NewEffectRecorder()
-		c.play(recorder)
-		broken := strings.Join(recorder.Check(DefaultTolerance).Violations, "; ")
-		if (broken == "") != (c.want == "") || !strings.Contains(broken, c.want) {
-			t.Errorf("%s: broken is %q, want %q", name, broken, c.want)
+		c.record(recorder)
+		got := strings.Join(recorder.Check(DefaultTolerance).Violations, "; ")
+		if (got == "") != (c.want == "") || !strings.Contains(got, c.want) {
+			t.Errorf("%s: violations are %q, want them to contain %q, or none if that is empty", name, got, c.want)
 		}
 	}
 }
--- a/internal/fake/results.go
+++ b/internal/fake/results.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Outcome is how an operation ended for its client.
+// Outcome is the result of an operation as its client sees it.
 type Outcome int
 
 // The outcomes.
@@ -15,29 +15,29 @@
 	OutcomeLate                    // served after the latency objective
 	OutcomeRejected                // the last attempt was rejected
 	OutcomeFailed                  // the last attempt failed
-	OutcomeUnsent                  // not sent, for too many operations in flight or no connection
+	OutcomeUnsent                  // not sent, because of too many operations in flight or the connection limit
 	outcomeCount
 )
 
-// String returns the word that reports use.
+// String returns the name used in reports.
 func (o Outcome) String() string {
 	return [...]string{"served", "late", "refused", "failed", "unsent"}[o]
 }
 
-// ClientResults are what became of the operations of clients. The fields may be read once RunClients has returned.
+// ClientResults are the results of the operations of clients. The fields may be read once RunClients has returned.
 type ClientResults struct {
 	mu                 sync.Mutex // guards all fields while clients run
 	Outcomes           [outcomeCount]int
 	Attempts           int
-	Connections        int             // that were opened
-	Reused             int             // attempts on a connection used before
-	ClosedBeforeReuse  int             // of them, those that found it closed by the program, and were sent once more
-	ConnectionLimited  int             // attempts not sent, at the limit of the clients' connections
-	Statuses           map[int]int     // of all attempts
-	Latencies          []time.Duration // of the operations that were served, from their first attempt on
-	RejectionLatencies []time.Duration // from an attempt to its rejection
+	Connections        int             // opened
+	Reused             int             // attempts on a connection that was used before
+	ClosedBeforeReuse  int             // reused connections that the program had closed, so that the attempt was sent again
+	ConnectionLimited  int             // attempts that were not sent because of the connection limit
+	Statuses           map[int]int     // number of responses by status
+	Latencies          []time.Duration // of served operations, from the start of the operation
+	RejectionLatencies []time.Duration // from the start of an attempt to its rejection
 	OfferedWeight      float64         // priority weight of all operations
-	ServedWeight       float64         // priority weight of those served within the latency objective
+	ServedWeight       float64         // priority weight of operations served within the latency objective
 }
 
 func newClientResults() *ClientResults { return &ClientResults{Statuses: map[int]int{}} }
@@ -52,20 +52,23 @@
 	return r.ServedWeight / r.OfferedWeight
 }
 
-// Percentile returns the latency below which the fraction p, 0 to 1, of the served operations lies; 0 if none was served.
+// Percentile returns the latency below which the fraction p of the served operations lies, with p from 0 to 1. It returns 0 if
+// no operation was served.
 func (r *ClientResults) Percentile(p float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return percentile(r.Latencies, p)
 }
 
-// RejectionPercentile returns the same of rejections.
+// RejectionPercentile returns the latency below which the fraction p of the rejections lies, with p from 0 to 1. It returns 0
+// if there was no rejection.
 func (r *ClientResults) RejectionPercentile(p float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return percentile(r.RejectionLatencies, p)
 }
 
+// percentile returns the value of all below which the fraction p lies, or 0 if all is empty.
 func percentile(all []time.Duration, p float64) time.Duration {
 	if len(all) == 0 {
 		return 0
@@ -74,7 +77,7 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// Operations returns how many operations there were.
+// Operations returns the number of operations.
 func (r *ClientResults) Operations() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +116,7 @@
 	r.ServedWeight += other.ServedWeight
 }
 
-// recordOperation records how an operation ended; the latency counts if it was served.
+// recordOperation records the outcome of an operation. latency is ignored unless the operation was served.
 func (r *ClientResults) recordOperation(class *ClassLoad, outcome Outcome, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/rules.go
+++ b/internal/fake/rules.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Tolerance is what the rules allow for the machine on which program, clients and backends run together.
+// Tolerance contains the delays that the rules allow, because the program, clients and backends run on one machine.
 type Tolerance struct {
-	LateResponse         time.Duration // a response may come so much after the client's timeout
-	AttemptAfterResponse time.Duration // an attempt may reach a backend so much after the response
-	AfterDrainGrace      time.Duration // an attempt may reach a draining backend so much after DrainGrace
+	LateResponse         time.Duration // allowed delay of a response after the timeout of the client
+	AttemptAfterResponse time.Duration // allowed delay of the arrival of an attempt at a backend after the response
+	AfterDrainGrace      time.Duration // allowed delay of the arrival of an attempt at a draining backend after DrainGrace
 }
 
-// DefaultTolerance suits a machine of some cores on which little else runs.
+// DefaultTolerance suits a machine with several cores and little other load.
 var DefaultTolerance = Tolerance{
 	LateResponse:         150 * time.Millisecond,
 	AttemptAfterResponse: 100 * time.Millisecond,
 	AfterDrainGrace:      150 * time.Millisecond,
 }
 
-// DrainGrace is how long after the notice that it drains a backend may be sent new requests.
+// DrainGrace is the time after the notification that a backend drains, during which the backend may still receive new requests.
 const DrainGrace = 2 * time.Second
 
-// Verdict is what a recorder says of a run.
+// Verdict is the summary of a recorded run.
 type Verdict struct {
-	Violations       []string // the rules that were broken, each with their number and first case
+	Violations       []string // broken rules, each with the number of violations and the first case
 	Operations       int
 	Attempts         int
 	Arrivals         int // of attempts at backends
 	Answered         int
 	Effects          int
-	DuplicateEffects int           // operations with more effects than one, of those that may have only one
-	MaxLateness      time.Duration // how far a response came after the client's timeout, at the most
+	DuplicateEffects int           // operations with more than one effect where only one is allowed
+	MaxLateness      time.Duration // largest delay of a response after the timeout of the client
 }
 
-// rule is one of the rules that a run is held to, by its number and name in reports.
+// rule is the number and name of a rule, as shown in reports.
 type rule string
 
 // The four rules.
@@ -46,13 +46,14 @@
 	ruleNoSlowStartOverload rule = "4 no cold box pushed over"
 )
 
-// violations counts the violations of each rule and keeps the first case.
+// violations counts the violations of each rule and keeps the first case of each rule.
 type violations struct {
 	order []rule
 	first map[rule]string
 	count map[rule]int
 }
 
+// add counts a violation of a rule.
 func (v *violations) add(r rule, format string, args ...any) {
 	v.count[r]++
 	if v.count[r] == 1 {
@@ -61,6 +62,7 @@
 	}
 }
 
+// summaries returns a text for each broken rule, in the order of their first violations.
 func (v *violations) summaries() []string {
 	var all []string
 	for _, r := range v.order {
@@ -69,7 +71,7 @@
 	return all
 }
 
-// Check tells whether the rules were kept. It is called once all clients and backends have ended.
+// Check reports whether the rules were kept. It must be called after all clients and backends have ended.
 func (r *EffectRecorder) Check(tolerance Tolerance) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +85,7 @@
 	return verdict
 }
 
-// totals returns a verdict's figures. The caller holds mu.
+// totals returns a Verdict without violations. The caller holds mu.
 func (r *EffectRecorder) totals() Verdict {
 	verdict := Verdict{Attempts: len(r.attempts), Operations: r.operations}
 	seen := map[*Operation]bool{}
@@ -102,19 +104,20 @@
 	return verdict
 }
 
-// lateness is how far the response came after the client's timeout.
+// lateness returns how long after the timeout of the client the response arrived. It is negative if the response arrived in
+// time.
 func (a *clientAttempt) lateness() time.Duration { return a.answered.Sub(a.sent) - a.timeout }
 
-// rejected reports whether the response promises that the request had no effect.
+// rejected reports whether the response guarantees that the request had no effect.
 func (a *clientAttempt) rejected() bool {
 	return a.status == http.StatusTooManyRequests || a.status == http.StatusServiceUnavailable
 }
 
-// hasDuplicateEffect reports whether the operation had more than one effect and may have only one.
+// hasDuplicateEffect reports whether the operation had more than one effect although only one is allowed.
 func (o *Operation) hasDuplicateEffect() bool { return o.idempotency != Idempotent && o.effects > 1 }
 
-// checkOneResponse holds rule 1: each attempt has one response, in time, and no backend receives it after that; clients get nothing
-// else. The caller holds mu.
+// checkOneResponse checks rule 1. Each attempt receives one response, in time. No backend receives the attempt after the
+// response. Clients receive nothing else. The caller holds mu.
 func (r *EffectRecorder) checkOneResponse(tolerance Tolerance, found *violations) {
 	for _, event := range r.unexpected {
 		found.add(ruleOneResponse, "%s", event)
@@ -138,8 +141,8 @@
 	}
 }
 
-// checkNoDuplicateEffect holds rule 2: an operation that may not be repeated has one effect, and a rejected one none. The caller
-// holds mu.
+// checkNoDuplicateEffect checks rule 2. An operation that must not be repeated has at most one effect. A rejected NonIdempotent
+// attempt has no effect. The caller holds mu.
 func (r *EffectRecorder) checkNoDuplicateEffect(found *violations) {
 	seen := map[*Operation]bool{}
 	for id, attempt := range r.attempts {
@@ -155,8 +158,8 @@
 	}
 }
 
-// checkNoWorkAfterGrace holds rule 3: a draining backend receives no request once DrainGrace has passed since the program was
-// notified. The caller holds mu.
+// checkNoWorkAfterGrace checks rule 3. A backend receives no request more than DrainGrace after the program was notified that
+// the backend drains. The caller holds mu.
 func (r *EffectRecorder) checkNoWorkAfterGrace(tolerance Tolerance, found *violations) {
 	for id, attempt := range r.attempts {
 		for _, arrival := range attempt.arrivals {
@@ -172,8 +175,8 @@
 	}
 }
 
-// checkNoSlowStartOverload holds rule 4: a backend that is warming up gets no more requests than its budget in any window, each
-// window beginning with a request. The caller holds mu.
+// checkNoSlowStartOverload checks rule 4. A backend in slow start receives no more requests in any window than its budget
+// allows. Each window begins with the arrival of a request. The caller holds mu.
 func (r *EffectRecorder) checkNoSlowStartOverload(found *violations) {
 	for name, record := range r.backends {
 		if record.budget == nil {
@@ -184,13 +187,13 @@
 			if allowed := record.budget(age, record.window); float64(n) > allowed {
 				found.add(ruleNoSlowStartOverload, "box %s got %d requests in %v at the age of %v, %0.0f allowed",
 					name, n, record.window, age.Round(time.Millisecond), allowed)
-				break // one case for each backend
+				break // report each backend once
 			}
 		}
 	}
 }
 
-// arrivalsInWindow counts the arrivals in the window that begins with the given one.
+// arrivalsInWindow counts the arrivals in the window that begins with the arrival at index first.
 func (b *backendRecord) arrivalsInWindow(first int) int {
 	n := 0
 	for _, at := range b.slowStartArrivals[first:] {
--- a/internal/fake/streaming.go
+++ b/internal/fake/streaming.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 )
 
-// StreamingBackend is a fake of a server with long responses and bodies: GET /CLASS/SIZE/ID is answered with SIZE bytes, the pattern
-// of the request's X-Request-ID, and the body of POST /CLASS/SIZE/ID must be that pattern.
+// StreamingBackend is a fake server for long responses and request bodies. It answers GET /CLASS/SIZE/ID with SIZE bytes of the
+// pattern of the X-Request-ID. It expects the same bytes as the body of POST /CLASS/SIZE/ID.
 type StreamingBackend struct {
 	pace      Pace
 	readLimit int64
@@ -21,11 +21,12 @@
 	server    *http.Server
 	addr      string
 	serveDone chan struct{}
-	completed sync.Map // *atomic.Int64 by request id: bodies that were complete and matched
-	corrupt   atomic.Int64
+	completed sync.Map     // *atomic.Int64 by request ID: bodies that were complete and matched the pattern
+	corrupt   atomic.Int64 // bodies that differed from the pattern
 }
 
-// StartStreamingBackend starts one. With a readLimit above 0 it reads as many bytes of a body, then none, and does not answer.
+// StartStreamingBackend starts a StreamingBackend. If readLimit is above 0, the backend stops reading a request body after
+// readLimit bytes and never answers.
 func StartStreamingBackend(pace Pace, readLimit int64, seed uint64) (*StreamingBackend, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,10 +46,10 @@
 // Addr returns the address where the backend listens.
 func (b *StreamingBackend) Addr() string { return b.addr }
 
-// CorruptBodies returns how many bodies had other bytes than their request's pattern.
+// CorruptBodies returns how many request bodies differed from the pattern of their request.
 func (b *StreamingBackend) CorruptBodies() int64 { return b.corrupt.Load() }
 
-// CompletedBodies returns how often the complete body of a request came.
+// CompletedBodies returns how many times the complete body of a request arrived.
 func (b *StreamingBackend) CompletedBodies(id string) int64 {
 	if n, ok := b.completed.Load(id); ok {
 		return n.(*atomic.Int64).Load()
@@ -56,7 +57,7 @@
 	return 0
 }
 
-// Close ends the backend and its connections.
+// Close stops the backend and closes its connections.
 func (b *StreamingBackend) Close() {
 	b.server.Close()
 	<-b.serveDone
@@ -83,15 +84,15 @@
 	b.serveUpload(w, request, id, size, rng)
 }
 
-// serveDownload answers with the request's pattern. Bodies of an odd size have no Content-Length.
+// serveDownload answers with the pattern of the request. A response of odd size has no Content-Length.
 func (b *StreamingBackend) serveDownload(w http.ResponseWriter, request *http.Request, id string, size int64, rng *rand.Rand) {
 	if size%2 == 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 	}
-	_ = copyPaced(request.Context(), flushWriter{w}, pattern(id), size, b.pace, rng) // the client sees what is missing
+	_ = copyPaced(request.Context(), flushWriter{w}, pattern(id), size, b.pace, rng) // the client detects an incomplete response
 }
 
-// serveUpload reads a body and compares it with the request's pattern.
+// serveUpload reads a request body and compares it with the pattern of the request.
 func (b *StreamingBackend) serveUpload(w http.ResponseWriter, request *http.Request, id string, size int64, rng *rand.Rand) {
 	checker := &patternChecker{want: pattern(id)}
 	limit := size
@@ -106,14 +107,14 @@
 		return
 	}
 	if extra, _ := io.Copy(io.Discard, request.Body); checker.total != size || extra > 0 {
-		return // the body is incomplete
+		return // the body is incomplete, corrupt or too long
 	}
 	n, _ := b.completed.LoadOrStore(id, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	io.WriteString(w, id)
 }
 
-// flushWriter writes each piece to the connection at once.
+// flushWriter flushes each write, so that each chunk is sent at once.
 type flushWriter struct{ w http.ResponseWriter }
 
 // Write writes and flushes p.
--- a/internal/fake/streamingclient.go
+++ b/internal/fake/streamingclient.go
@@ -17,41 +17,42 @@
 	maxUploadResponseBody = 1 << 10
 )
 
-// StreamingRequest is one request of a client with a long body or a long response.
+// StreamingRequest is a request of a client with a long body or a long response.
 type StreamingRequest struct {
 	Addr, Class, ID string
 	Upload          bool
-	Chunked         bool  // of an upload: without a Content-Length
-	Size            int64 // bytes of the body or response
+	Chunked         bool  // send an upload with chunked transfer coding, without Content-Length
+	Size            int64 // bytes of the request body of an upload, otherwise of the response body
 	Pace            Pace
-	Timeout         time.Duration // that the request carries: from its last byte on
-	ClientTimeout   time.Duration // for all of it
+	Timeout         time.Duration // sent as X-Timeout-Ms; counts from the last byte of the request
+	ClientTimeout   time.Duration // of the whole exchange, from dialing to the last byte of the response
 	Seed            uint64
 }
 
-// StreamingResult is what came of a request.
+// StreamingResult is the result of a StreamingRequest.
 type StreamingResult struct {
-	Status   int   // 0: no response
-	Complete bool  // the response was the one expected, to its last byte
-	Err      error // why it is not complete; nil also with a status other than 200
-	Duration time.Duration
+	Status   int           // 0: no response
+	Complete bool          // the response was complete and as expected
+	Err      error         // why the response is not complete; nil for a response with a status other than 200
+	Duration time.Duration // of the whole exchange
 }
 
-// SendStreaming sends a request and reads the response at its pace.
+// SendStreaming sends a request and reads the response at the pace of the request.
 func SendStreaming(ctx context.Context, request StreamingRequest) StreamingResult {
-	began := time.Now()
-	result := request.send(ctx, began)
-	result.Duration = time.Since(began)
+	start := time.Now()
+	result := request.send(ctx, start)
+	result.Duration = time.Since(start)
 	return result
 }
 
-func (s *StreamingRequest) send(ctx context.Context, began time.Time) StreamingResult {
+// send opens a connection, sends the request and reads the response. start is the beginning of ClientTimeout.
+func (s *StreamingRequest) send(ctx context.Context, start time.Time) StreamingResult {
 	conn, err := net.DialTimeout("tcp", s.Addr, streamingDialTimeout)
 	if err != nil {
 		return StreamingResult{Err: err}
 	}
 	defer conn.Close()
-	conn.SetDeadline(began.Add(s.ClientTimeout))
+	conn.SetDeadline(start.Add(s.ClientTimeout))
 	rng := rand.New(rand.NewPCG(s.Seed, 3))
 	if _, err := io.WriteString(conn, s.head()); err != nil {
 		return StreamingResult{Err: err}
@@ -60,7 +61,7 @@
 		sent := make(chan struct{})
 		go func() {
 			defer close(sent)
-			_ = s.sendBody(ctx, conn, rng) // the response tells what became of the request
+			_ = s.sendBody(ctx, conn, rng) // the response shows whether the request succeeded
 		}()
 		defer func() {
 			conn.Close()
@@ -78,7 +79,7 @@
 	return StreamingResult{Status: response.StatusCode, Complete: err == nil, Err: err}
 }
 
-// head is the request up to its body.
+// head returns the request line and the header fields.
 func (s *StreamingRequest) head() string {
 	method, lengthField := http.MethodGet, ""
 	if s.Upload {
@@ -91,7 +92,7 @@
 		method, s.Class, s.Size, s.ID, streamingHost, s.ID, s.Timeout.Milliseconds(), lengthField)
 }
 
-// sendBody writes the body of an upload at the request's pace.
+// sendBody writes the body of an upload at the pace of the request.
 func (s *StreamingRequest) sendBody(ctx context.Context, conn net.Conn, rng *rand.Rand) error {
 	if !s.Chunked {
 		return copyPaced(ctx, conn, pattern(s.ID), s.Size, s.Pace, rng)
@@ -103,7 +104,7 @@
 	return err
 }
 
-// readResponse reads the body of a response, and returns nil if it is the one expected.
+// readResponse reads the body of a response. It returns nil if the body is complete and as expected.
 func (s *StreamingRequest) readResponse(ctx context.Context, response *http.Response, rng *rand.Rand) error {
 	if s.Upload {
 		text, err := io.ReadAll(io.LimitReader(response.Body, maxUploadResponseBody))
@@ -123,7 +124,7 @@
 	return err
 }
 
-// chunkWriter writes each piece as a chunk of the chunked transfer coding.
+// chunkWriter sends each write as one chunk of the chunked transfer coding.
 type chunkWriter struct{ w io.Writer }
 
 // Write writes p as one chunk.
