--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -54,7 +54,7 @@
 	LoadReporting        LoadReporting
 	Resource             *FencedResource // resource that requests with a fencing token act on; may be nil
 	// CrashDuration is how long the backend stays unreachable after a crash. The backend crashes when it receives more requests
-	// during slow start than it can bear. It repeats slow start after the crash. With CrashDuration above 0, the backend starts
+	// during slow start than it can handle. It repeats slow start after the crash. With CrashDuration above 0, the backend starts
 	// at full capacity. The recorder then does not check the slow-start budget, because the endpoint list may lack the time at
 	// which slow start began. 0: the backend never crashes.
 	CrashDuration time.Duration
@@ -138,7 +138,7 @@
 // Drain starts or ends draining. A draining backend rejects new requests, like a server that shuts down.
 func (b *Backend) Drain(on bool) { b.draining.Store(on) }
 
-// RestartSlowStart begins slow start anew. It also records the slow-start budget, unless the backend may crash.
+// RestartSlowStart restarts slow start. It also records the slow-start budget, unless the backend may crash.
 func (b *Backend) RestartSlowStart() {
 	cfg := b.cfg
 	b.started.Store(time.Now().UnixNano())
@@ -163,7 +163,7 @@
 func (b *Backend) age(now time.Time) time.Duration { return now.Sub(time.Unix(0, b.started.Load())) }
 
 // Crashes returns how often the backend crashed during slow start. peakLoad is the largest number of requests in one second of
-// slow start, as a multiple of the number that the backend can bear.
+// slow start, as a multiple of the number that the backend can handle.
 func (b *Backend) Crashes() (n int64, peakLoad float64) { return b.crash.stats() }
 
 // LostRequests returns how many requests arrived while the backend was unreachable or crashed.
@@ -271,7 +271,7 @@
 
 func (b *Backend) crashed(now time.Time) bool { return now.UnixNano() < b.crashedUntil.Load() }
 
-// crashIfOverloaded counts a request and crashes the backend if the load exceeds what the backend can bear.
+// crashIfOverloaded counts a request and crashes the backend if the load exceeds what the backend can handle.
 func (b *Backend) crashIfOverloaded() {
 	now := time.Now()
 	if b.cfg.SlowStart <= 0 || b.unreachable() {
--- a/internal/fake/backend_test.go
+++ b/internal/fake/backend_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestBackendQueue guards against a backend that accepts more requests than its cores and queue hold.
+// TestBackendQueue guards against a backend that accepts more requests than its cores and queue have room for.
 func TestBackendQueue(t *testing.T) {
 	b := startTestBackend(t, BackendConfig{Name: "box", Cores: 2, QueueLimit: 3, ServiceTime: 200 * time.Millisecond})
 	var requests sync.WaitGroup
--- a/internal/fake/crash.go
+++ b/internal/fake/crash.go
@@ -14,12 +14,12 @@
 type crashModel struct {
 	mu       sync.Mutex  // guards the fields below
 	arrivals []time.Time // within the last overloadWindow
-	peak     float64     // largest number of arrivals in a window during slow start, as a multiple of the number that can be borne
+	peak     float64     // largest number of arrivals in a window during slow start, as a multiple of the number that the backend can handle
 	crashes  int64
 }
 
 // recordArrival counts a request and reports whether it crashes the backend. rate is the present throughput of the backend in
-// requests per second. During slow start, a backend bears N + 3√N + 3 requests in a second, where N is the rate. The term 3√N
+// requests per second. During slow start, a backend handles N + 3√N + 3 requests in a second, where N is the rate. The term 3√N
 // is three standard deviations of Poisson arrivals. The constant 3 allows for the smallest rates. A backend that is not warming
 // up never crashes.
 func (m *crashModel) recordArrival(now time.Time, rate float64, warmingUp bool) (crashes bool) {
--- a/internal/fake/fault.go
+++ b/internal/fake/fault.go
@@ -45,8 +45,8 @@
 
 // ParseFault parses "KIND [FRACTION [DELAY]]", such as "silent", "errors 0.5" or "slow 1 200ms". FRACTION defaults to 1.
 func ParseFault(text string) (Fault, error) {
-	for word, kind := range faultKinds {
-		if rest, ok := strings.CutPrefix(text, word); ok {
+	for name, kind := range faultKinds {
+		if rest, ok := strings.CutPrefix(text, name); ok {
 			fault, ok := parseFaultParameters(kind, strings.Fields(rest))
 			if !ok {
 				return Fault{}, fmt.Errorf("parse fault %q: want KIND [FRACTION [DELAY]] with FRACTION from 0 to 1 and DELAY a duration of at least 0", text)
