--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -33,7 +33,7 @@
 	minCapacityFraction   = 0.01        // lower bound; it limits the service time at a backend with almost no capacity
 	slowStartWindow       = time.Second // in which the recorder compares arrivals with the budget
 	slowStartBudgetFactor = 2.5         // multiple of the requests that the backend can execute in a window
-	slowStartBudgetBurst  = 5           // requests allowed in a window in addition
+	slowStartBudgetBurst  = 5           // further requests allowed in a window
 )
 
 // BackendConfig configures a Backend.
--- a/internal/fake/clientconn.go
+++ b/internal/fake/clientconn.go
@@ -38,7 +38,7 @@
 	return err
 }
 
-// roundTrip writes a request and reads the response. It skips interim responses. The error is errClosedUnanswered if the
+// roundTrip writes a request and reads the response. It skips interim responses. The error wraps errClosedUnanswered if the
 // connection ended before the first byte of a response.
 func (c *clientConn) roundTrip(request string) (*http.Response, []byte, error) {
 	_, writeErr := io.WriteString(c, request)
--- a/internal/fake/crash.go
+++ b/internal/fake/crash.go
@@ -14,7 +14,7 @@
 type crashModel struct {
 	mu       sync.Mutex  // guards the fields below
 	arrivals []time.Time // within the last overloadWindow
-	peak     float64     // largest number of arrivals in a window during slow start, as a multiple of the number that the backend can handle
+	peak     float64     // largest number of arrivals in a window during slow start, as a multiple of the allowed number
 	crashes  int64
 }
 
