--- a/internal/e2e/fleet.go
+++ b/internal/e2e/fleet.go
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// settle ends all faults, and waits until a lease is held.
-func (f *fleet) settle(ctx context.Context, lease string) error {
+// repairAndAwaitLease ends all faults, and waits until a lease is held.
+func (f *fleet) repairAndAwaitLease(ctx context.Context, lease string) error {
 	if err := f.repairAll(ctx); err != nil {
 		return err
 	}
--- a/internal/e2e/fleet_cost.go
+++ b/internal/e2e/fleet_cost.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.settle(ctx, sweepLease); err != nil {
+	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
 	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool, and no fleet
--- a/internal/e2e/fleetstart.go
+++ b/internal/e2e/fleetstart.go
@@ -59,7 +59,7 @@
 			return nil, err
 		}
 	}
-	if err := f.foundAndStart(ctx); err != nil {
+	if err := f.bootstrapAndStart(ctx); err != nil {
 		return nil, err
 	}
 	return f, f.awaitCondition(ctx, votersTimeout, "all seats vote", func() bool {
@@ -142,11 +142,11 @@
 	return nil
 }
 
-// foundAndStart starts the members. A fleet with stores is founded before they start, one in memory as its first member is ready.
-func (f *fleet) foundAndStart(ctx context.Context) error {
-	founder := f.members[0]
+// bootstrapAndStart starts the members. A fleet with stores is founded before they start, one in memory as its first member is ready.
+func (f *fleet) bootstrapAndStart(ctx context.Context) error {
+	firstMember := f.members[0]
 	if !f.cfg.votersInMemory {
-		if out, err := f.runCommand("tier", "init", founder.configFile()); err != nil {
+		if out, err := f.runCommand("tier", "init", firstMember.configFile()); err != nil {
 			return fmt.Errorf("founding the fleet: %w: %s", err, out)
 		}
 	}
@@ -160,10 +160,10 @@
 	if !f.cfg.votersInMemory {
 		return nil
 	}
-	if err := founder.awaitReady(ctx); err != nil {
+	if err := firstMember.awaitReady(ctx); err != nil {
 		return err
 	}
-	if out, err := f.commandMember(founder, "found"); err != nil {
+	if out, err := f.commandMember(firstMember, "found"); err != nil {
 		return fmt.Errorf("founding the fleet: %w: %s", err, out)
 	}
 	return nil
--- a/internal/e2e/lease_disk.go
+++ b/internal/e2e/lease_disk.go
@@ -38,7 +38,7 @@
 		{"a sync that fails once", s.failedSync},
 		{"a full disk", s.fullDisk},
 		{"a lost disk, and its seat replaced", s.lostDisk},
-		{"another's disk", s.othersDisk},
+		{"another's disk", s.foreignStore},
 	} {
 		e.Phase(step.phase, s.part)
 		if err := step.play(ctx); err != nil {
@@ -104,7 +104,7 @@
 		return err
 	}
 	pause(ctx, s.part/2)
-	return s.fleet.settle(ctx, sweepLease)
+	return s.fleet.repairAndAwaitLease(ctx, sweepLease)
 }
 
 // lostDisk has a voter start without its store. It must not vote until an operator has replaced its identity.
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// othersDisk has a voter start with the store of another, which it must refuse.
-func (s *diskScenario) othersDisk(ctx context.Context) error {
+// foreignStore has a voter start with the store of another, which it must refuse.
+func (s *diskScenario) foreignStore(ctx context.Context) error {
 	voter := s.drawVoter()
 	voter.kill()
 	other := s.nextVoter(voter)
@@ -172,5 +172,5 @@
 	if err := os.Rename(voter.store+".own", voter.store); err != nil {
 		return err
 	}
-	return s.fleet.settle(ctx, sweepLease)
+	return s.fleet.repairAndAwaitLease(ctx, sweepLease)
 }
--- a/internal/e2e/lease_holders.go
+++ b/internal/e2e/lease_holders.go
@@ -35,7 +35,7 @@
 	f.injectFaults(ctx, faults)
 	to := time.Now()
 	for _, lease := range []string{sweepLease, "task/book"} {
-		if err := f.settle(ctx, lease); err != nil {
+		if err := f.repairAndAwaitLease(ctx, lease); err != nil {
 			return err
 		}
 	}
--- a/internal/e2e/lease_memory.go
+++ b/internal/e2e/lease_memory.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.settle(ctx, sweepLease); err != nil {
+	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
 	if out, err := f.commandMember(f.members[1], "found"); err == nil {
@@ -44,7 +44,7 @@
 		}
 		durations = append(durations, time.Since(at))
 		f.logEvent("%s votes again: %v", voter.name, f.voters())
-		if err := f.settle(ctx, sweepLease); err != nil {
+		if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 			return err
 		}
 	}
--- a/internal/e2e/lease_pause.go
+++ b/internal/e2e/lease_pause.go
@@ -46,7 +46,7 @@
 		pause(ctx, 500*time.Millisecond)
 	}
 	to := time.Now()
-	if err := f.settle(ctx, sweepLease); err != nil {
+	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
 	f.measureFencing(sweepIdempotency, from, to)
--- a/internal/e2e/lease_quickstart.go
+++ b/internal/e2e/lease_quickstart.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	e.Phase("three processes, one task", e.Duration)
-	if err := f.settle(ctx, sweepLease); err != nil {
+	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
 	from := time.Now()
@@ -33,7 +33,7 @@
 	for n := 0; load.Err() == nil; n++ {
 		holder := f.leaseHolder(sweepLease)
 		if holder < 0 {
-			if err := f.settle(ctx, sweepLease); err != nil {
+			if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 				return err
 			}
 			continue
@@ -52,7 +52,7 @@
 	}
 	<-logged
 	to := time.Now()
-	if err := f.settle(ctx, sweepLease); err != nil {
+	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
 	f.measureFencing(sweepIdempotency, from, to)
--- a/internal/e2e/lease_split.go
+++ b/internal/e2e/lease_split.go
@@ -51,7 +51,7 @@
 			e.Fail("split %s: %s holds %s %v later, though no majority stands", s.what, f.members[holder].name, sweepLease, time.Since(at).Round(time.Millisecond))
 		}
 		restore()
-		if err := f.settle(ctx, sweepLease); err != nil {
+		if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 			return err
 		}
 		pause(ctx, part/4)
--- a/internal/e2e/link_protocols.go
+++ b/internal/e2e/link_protocols.go
@@ -203,12 +203,12 @@
 	e.Measure(l.name+"_cpu_us_both_sides", cost)
 	e.Measure(l.name+"_connections", float64(l.proxy.Connections()))
 	if len(results.latencies) == 0 {
-		return 0, l.errNothingCarried()
+		return 0, l.noRequestsError()
 	}
 	return cost, nil
 }
 
-func (l *linkProtocol) errNothingCarried() error { return fmt.Errorf("%s: %w", l.name, errNoRequests) }
+func (l *linkProtocol) noRequestsError() error { return fmt.Errorf("%s: %w", l.name, errNoRequests) }
 
 // measureBesideLong measures short requests beside long ones.
 func (l *linkProtocol) measureBesideLong(ctx context.Context, e *Env, length time.Duration) {
@@ -236,7 +236,7 @@
 	e.Measure(l.name+"_failed_with_one_stalled", float64(results.failed))
 	e.Measure(l.name+"_requests_with_one_stalled", float64(results.requests))
 	if results.requests == 0 {
-		return l.errNothingCarried()
+		return l.noRequestsError()
 	}
 	return nil
 }
--- a/internal/e2e/replica_dead.go
+++ b/internal/e2e/replica_dead.go
@@ -18,11 +18,11 @@
 // replicaDead compares what goes to a vanished backend from members that share state, and from members that do not.
 func replicaDead(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	alone, err := e.playDeadBackend(ctx, false, recorder)
+	alone, err := e.playBackendLoss(ctx, false, recorder)
 	if err != nil {
 		return err
 	}
-	shared, err := e.playDeadBackend(ctx, true, recorder)
+	shared, err := e.playBackendLoss(ctx, true, recorder)
 	if err != nil {
 		return err
 	}
@@ -36,32 +36,32 @@
 	return nil
 }
 
-// deadOutcome is what the loss of a backend cost.
-type deadOutcome struct {
+// backendLossOutcome is what the loss of a backend cost.
+type backendLossOutcome struct {
 	lostRequests int64
 	served       float64
 }
 
-func (e *Env) playDeadBackend(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (deadOutcome, error) {
+func (e *Env) playBackendLoss(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (backendLossOutcome, error) {
 	const rate = 1 // a member that seldom sends to a backend gains most by what others know of it
 	f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
 		processes: 30, voters: 3, backends: 10, recorder: recorder, subsets: true,
 		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 	})
 	if err != nil {
-		return deadOutcome{}, err
+		return backendLossOutcome{}, err
 	}
 	length := e.Duration / 2
 	e.Phase("a server dies silently, "+name, length)
 	load, cancel := context.WithTimeout(ctx, length+2*time.Second)
 	defer cancel()
-	dead := f.loseUsedBackend(load, 2*time.Second)
+	lostBackend := f.loseUsedBackend(load, 2*time.Second)
 	results := f.runClients(load, name, rate, recorder)
-	backend := <-dead
+	backend := <-lostBackend
 	if backend == nil {
-		return deadOutcome{}, ctx.Err()
+		return backendLossOutcome{}, ctx.Err()
 	}
-	outcome := deadOutcome{backend.LostRequests(), results.ServedFraction()}
+	outcome := backendLossOutcome{backend.LostRequests(), results.ServedFraction()}
 	e.measureResults(name+"_", results)
 	if shared {
 		e.Measure("hints", float64(f.hintCount()))
@@ -81,7 +81,7 @@
 		byUse := slices.SortedFunc(slices.Values(f.backends), func(a, b *fake.Backend) int { return int(b.Served() - a.Served()) })
 		backend := byUse[int(f.env.Seed)%3]
 		f.logEvent("%s dies", backend.Name())
-		backend.SetFault(vanished)
+		backend.SetFault(unreachableFault)
 		lost <- backend
 	}()
 	return lost
--- a/internal/e2e/replica_liar.go
+++ b/internal/e2e/replica_liar.go
@@ -17,14 +17,14 @@
 }
 
 const (
-	liarProcesses = 12
-	liarBackends  = 9
+	falseReportProcesses = 12
+	falseReportBackends  = 9
 )
 
 // allBackendsFailed is the false report that all backends have failed.
 func allBackendsFailed() string {
 	var names []string
-	for i := range liarBackends {
+	for i := range falseReportBackends {
 		names = append(names, fmt.Sprintf("farm/box-%d", i+1))
 	}
 	return strings.Join(names, ",")
@@ -34,12 +34,12 @@
 func replicaLiar(ctx context.Context, e *Env) error {
 	served := map[int]float64{}
 	recorder := fake.NewEffectRecorder()
-	for liarCount := range 3 {
+	for falseReporters := range 3 {
 		f, err := e.startFleet(ctx, fleetConfig{
-			processes: liarProcesses, voters: 3, backends: liarBackends, sharedState: defaultSharedState, recorder: recorder, subsets: true,
+			processes: falseReportProcesses, voters: 3, backends: falseReportBackends, sharedState: defaultSharedState, recorder: recorder, subsets: true,
 			configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 			falseReports: func(i int) string {
-				if i >= liarProcesses-liarCount {
+				if i >= falseReportProcesses-falseReporters {
 					return allBackendsFailed()
 				}
 				return ""
@@ -48,20 +48,20 @@
 		if err != nil {
 			return err
 		}
-		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", liarCount)); err != nil {
+		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", falseReporters)); err != nil {
 			return err
 		}
-		e.Phase(fmt.Sprintf("%d liars", liarCount), e.Duration/3)
-		results := f.runClientsFor(ctx, e.Duration/3, fmt.Sprintf("l%d", liarCount), 15, recorder)
-		served[liarCount] = results.ServedFraction()
+		e.Phase(fmt.Sprintf("%d liars", falseReporters), e.Duration/3)
+		results := f.runClientsFor(ctx, e.Duration/3, fmt.Sprintf("l%d", falseReporters), 15, recorder)
+		served[falseReporters] = results.ServedFraction()
 		hinted := f.hintCount()
-		e.Measure(fmt.Sprintf("hints_%d", liarCount), float64(hinted))
-		e.Measure(fmt.Sprintf("served_%d", liarCount), results.ServedFraction())
+		e.Measure(fmt.Sprintf("hints_%d", falseReporters), float64(hinted))
+		e.Measure(fmt.Sprintf("served_%d", falseReporters), results.ServedFraction())
 		f.drainAll()
-		if liarCount == 1 && hinted > 0 {
+		if falseReporters == 1 && hinted > 0 {
 			e.Fail("one liar is believed: %d hints", hinted)
 		}
-		if liarCount == 2 && hinted == 0 {
+		if falseReporters == 2 && hinted == 0 {
 			e.Fail("nobody was lied to: nothing was shown")
 		}
 	}
--- a/internal/e2e/replica_rush.go
+++ b/internal/e2e/replica_rush.go
@@ -15,54 +15,54 @@
 	})
 }
 
-// rushCompareTime is the time after a member's start in which it is compared with its neighbours.
-const rushCompareTime = 3 * time.Second
+// restartCompareTime is the time after a member's start in which it is compared with its neighbours.
+const restartCompareTime = 3 * time.Second
 
-// rushOutcome is what members served that had just been restarted, and the others meanwhile.
-type rushOutcome struct{ restarted, neighbours *fake.ClientResults }
+// restartOutcome is what members served that had just been restarted, and the others meanwhile.
+type restartOutcome struct{ restarted, neighbours *fake.ClientResults }
 
-// behind is how much less the restarted members served.
-func (o rushOutcome) behind() float64 {
+// servedDeficit is how much less the restarted members served.
+func (o restartOutcome) servedDeficit() float64 {
 	return o.neighbours.ServedFraction() - o.restarted.ServedFraction()
 }
 
 // replicaRush restarts members under load, two at a time, while backends have vanished that only those know of which have met them.
 func replicaRush(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	alone, err := e.playRush(ctx, false, recorder)
+	alone, err := e.playRestarts(ctx, false, recorder)
 	if err != nil {
 		return err
 	}
-	shared, err := e.playRush(ctx, true, recorder)
+	shared, err := e.playRestarts(ctx, true, recorder)
 	if err != nil {
 		return err
 	}
-	e.Measure("behind_alone", alone.behind())
-	e.AtMost("behind", shared.behind(), 0.03) // of some 600 requests: 0.01 over many seeds
+	e.Measure("behind_alone", alone.servedDeficit())
+	e.AtMost("behind", shared.servedDeficit(), 0.03) // of some 600 requests: 0.01 over many seeds
 	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
-func (e *Env) playRush(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (outcome rushOutcome, err error) {
+func (e *Env) playRestarts(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (outcome restartOutcome, err error) {
 	f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
 		processes: 10, voters: 3, backends: 9, recorder: recorder,
 		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 	})
 	if err != nil {
-		return rushOutcome{}, err
+		return restartOutcome{}, err
 	}
 	e.Phase("killed and started again in the rush, "+name, e.Duration/2)
 	f.runClientsFor(ctx, 2*time.Second, name+"warm", 20, recorder)
 	for _, backend := range f.backends[:2] {
 		f.logEvent("%s dies", backend.Name())
-		backend.SetFault(vanished)
+		backend.SetFault(unreachableFault)
 	}
 	maxStart := time.Duration(0)
-	for round := range int(e.Duration / 2 / (rushCompareTime + time.Second)) {
+	for round := range int(e.Duration / 2 / (restartCompareTime + time.Second)) {
 		restarted := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
 		startTime, err := f.restartTogether(ctx, restarted)
 		if err != nil {
-			return rushOutcome{}, err
+			return restartOutcome{}, err
 		}
 		maxStart = max(maxStart, startTime)
 		outcome.add(f.compareRestarted(ctx, restarted, name, round, recorder))
@@ -97,9 +97,9 @@
 }
 
 // compareRestarted has clients send requests, without retries, to all members for rushCompareTime.
-func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) rushOutcome {
+func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) restartOutcome {
 	const rate = 30
-	load, cancel := context.WithTimeout(ctx, rushCompareTime)
+	load, cancel := context.WithTimeout(ctx, restartCompareTime)
 	defer cancel()
 	var configs []fake.ClientConfig
 	for i, member := range f.members {
@@ -108,7 +108,7 @@
 		cfg.MaxAttempts, cfg.Backoff, cfg.HonorRetryAfter = 1, 0, false
 		configs = append(configs, cfg)
 	}
-	var outcome rushOutcome
+	var outcome restartOutcome
 	for i, results := range runAll(load, configs) {
 		if restarted[i] {
 			outcome.restarted = mergeOptional(outcome.restarted, results)
@@ -120,7 +120,7 @@
 }
 
 // add adds the results of a round.
-func (o *rushOutcome) add(round rushOutcome) {
+func (o *restartOutcome) add(round restartOutcome) {
 	o.restarted = mergeOptional(o.restarted, round.restarted)
 	o.neighbours = mergeOptional(o.neighbours, round.neighbours)
 }
--- a/internal/e2e/replica_split.go
+++ b/internal/e2e/replica_split.go
@@ -14,8 +14,8 @@
 	})
 }
 
-// splitSize is how many of the members, all voters among them, are on the first side.
-const splitSize = 5
+// firstSideSize is how many of the members, all voters among them, are on the first side.
+const firstSideSize = 5
 
 // replicaSplit cuts a fleet in two while a backend vanishes and orders are given on one side.
 func replicaSplit(ctx context.Context, e *Env) error {
@@ -33,7 +33,7 @@
 	defer cancel()
 	followed := observer.follow(load)
 	clients := f.startClients(load, f.members, 5, recorder)
-	healed, err := f.playSplit(load, part)
+	healed, err := f.playPartition(load, part)
 	if err != nil {
 		return err
 	}
@@ -55,14 +55,14 @@
 	return nil
 }
 
-// playSplit cuts the fleet in two for a time, and returns when that ended.
-func (f *fleet) playSplit(ctx context.Context, length time.Duration) (healed time.Time, err error) {
+// playPartition cuts the fleet in two for a time, and returns when that ended.
+func (f *fleet) playPartition(ctx context.Context, length time.Duration) (healed time.Time, err error) {
 	e := f.env
 	e.Phase("half and half", length)
 	f.logEvent("split")
-	side := func(i int) bool { return i < splitSize }
+	side := func(i int) bool { return i < firstSideSize }
 	restore := f.partition(func(from, to int) bool { return side(from) != side(to) })
-	f.backends[0].SetFault(vanished)
+	f.backends[0].SetFault(unreachableFault)
 	pause(ctx, length/2)
 	for _, order := range []struct {
 		verb    string
--- a/internal/e2e/task_bounds.go
+++ b/internal/e2e/task_bounds.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.settleTasks(ctx, tasks); err != nil {
+	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
 		return err
 	}
 	const lease = "task/work0"
@@ -62,7 +62,7 @@
 	e.Phase("processes are killed, cut off and end in order", e.Duration)
 	from := time.Now()
 	f.injectFaults(ctx, faults)
-	if err := f.settleTasks(ctx, tasks); err != nil {
+	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
 		return err
 	}
 	f.measureFencing(tasks, from, time.Now())
--- a/internal/e2e/task_slots.go
+++ b/internal/e2e/task_slots.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	tasks := map[string]fake.Idempotency{"keyed": fake.IdempotentByKey, "unsafe": fake.NonIdempotent, "safe": fake.Idempotent}
-	if err := f.settleTasks(ctx, tasks); err != nil {
+	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
 		return err
 	}
 	e.Phase("answers get lost, and holders with them", e.Duration)
@@ -51,7 +51,7 @@
 		b.SetFault(fake.Fault{})
 	}
 	to := time.Now()
-	if err := f.settleTasks(ctx, tasks); err != nil {
+	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
--- a/internal/e2e/tasks.go
+++ b/internal/e2e/tasks.go
@@ -21,13 +21,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return f, f.settle(ctx, sweepLease)
+	return f, f.repairAndAwaitLease(ctx, sweepLease)
 }
 
-// settleTasks settles the leases of tasks.
-func (f *fleet) settleTasks(ctx context.Context, tasks map[string]fake.Idempotency) error {
+// repairAndAwaitTaskLeases settles the leases of tasks.
+func (f *fleet) repairAndAwaitTaskLeases(ctx context.Context, tasks map[string]fake.Idempotency) error {
 	for name := range tasks {
-		if err := f.settle(ctx, "task/"+name); err != nil {
+		if err := f.repairAndAwaitLease(ctx, "task/"+name); err != nil {
 			return err
 		}
 	}
--- a/internal/e2e/zone_blind.go
+++ b/internal/e2e/zone_blind.go
@@ -48,7 +48,7 @@
 		voter.kill()
 	}
 	lost := time.Now()
-	setFault(f.backendsIn("b"), vanished)
+	setFault(f.backendsIn("b"), unreachableFault)
 	pause(ctx, part)
 	if n := len(f.exclusionTimes(backendsPerZone, lost)); n > 0 {
 		e.Fail("%d processes have left the zone, though nobody could decide it", n)
--- a/internal/e2e/zone_decider.go
+++ b/internal/e2e/zone_decider.go
@@ -83,8 +83,8 @@
 }
 
 func (s *deciderScenario) play(ctx context.Context) error {
-	isDecided := func() bool { return s.fleet.leaseHolder(zonesLease) >= 0 }
-	if err := s.fleet.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", isDecided); err != nil {
+	hasDecider := func() bool { return s.fleet.leaseHolder(zonesLease) >= 0 }
+	if err := s.fleet.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", hasDecider); err != nil {
 		return err
 	}
 	if err := s.handOver(ctx, s.decider); err != nil {
@@ -120,7 +120,7 @@
 func (s *deciderScenario) loseDecider(ctx context.Context) error {
 	s.env.Phase("the zone of the one who decides is lost with it", s.env.Duration/3)
 	lost := time.Now()
-	setFault(s.fleet.backendsIn(s.zone), vanished)
+	setFault(s.fleet.backendsIn(s.zone), unreachableFault)
 	s.fleet.logEvent("zone %s is lost, and %s is killed, which decides", s.zone, s.decider.name)
 	s.decider.kill()
 	others := slices.DeleteFunc(slices.Clone(s.fleet.members), func(member *fleetMember) bool { return member == s.decider })
--- a/internal/e2e/zone_flap.go
+++ b/internal/e2e/zone_flap.go
@@ -35,7 +35,7 @@
 	e.Phase("the zone goes and comes", e.Duration)
 	began := time.Now()
 	for pause(load, flapHalfPeriod) {
-		setFault(f.backendsIn("b"), vanished)
+		setFault(f.backendsIn("b"), unreachableFault)
 		pause(load, flapHalfPeriod)
 		f.restoreZone("b")
 	}
--- a/internal/e2e/zone_torn.go
+++ b/internal/e2e/zone_torn.go
@@ -31,10 +31,10 @@
 		pause(ctx, part)
 	}
 	one := f.backendsIn("b")[:1]
-	playFault("one of a zone's three servers", vanished, one...)
+	playFault("one of a zone's three servers", unreachableFault, one...)
 	setFault(one, fake.Fault{})
 	oneOfEach := []*fake.Backend{f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0]}
-	playFault("a server of each zone, as a bad release", vanished, oneOfEach...)
+	playFault("a server of each zone, as a bad release", unreachableFault, oneOfEach...)
 	setFault(oneOfEach, fake.Fault{})
 	e.Phase("members that are cut off", part)
 	inSecondZone := func(i int) bool { return i%len(zoneNames) == 1 }
--- a/internal/e2e/zonefleet.go
+++ b/internal/e2e/zonefleet.go
@@ -28,8 +28,8 @@
 // zoneNames are the zones, over which members and backends are spread in turn.
 var zoneNames = []string{"a", "b", "c"}
 
-// vanished is the fault of a backend whose machine has vanished.
-var vanished = fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1}
+// unreachableFault is the fault of a backend whose machine has unreachableFault.
+var unreachableFault = fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1}
 
 // zoneFleetConfig describes a fleet in three zones, with three backends in each.
 type zoneFleetConfig struct {
@@ -187,7 +187,7 @@
 		pause(ctx, after)
 		f.logEvent("zone %s is lost", zone)
 		o.lost = time.Now()
-		setFault(f.backendsIn(zone), vanished)
+		setFault(f.backendsIn(zone), unreachableFault)
 		pause(ctx, length)
 		f.logEvent("zone %s is back, cold", zone)
 		o.restored = time.Now()
