--- a/internal/e2e/paired_test.go
+++ b/internal/e2e/paired_test.go
@@ -12,13 +12,14 @@
 	"sorrelrudder/internal/fake"
 )
 
-// TestPairedSidecars measures two builds of the sidecar against each other, in turn over the same backends. It is run by hand:
+// TestPairedSidecars compares the cost of two builds of the sidecar, which it loads alternately over the same backends. It guards
+// against a build that costs more CPU time or latency than the one before. It is run manually:
 //
 //	SIDECAR_BEFORE=/path/old SIDECAR_AFTER=/path/new go test -run TestPairedSidecars -v ./internal/e2e
 func TestPairedSidecars(t *testing.T) {
 	builds := []string{os.Getenv("SIDECAR_BEFORE"), os.Getenv("SIDECAR_AFTER")}
 	if builds[0] == "" || builds[1] == "" {
-		t.Skip("SIDECAR_BEFORE and SIDECAR_AFTER name no builds")
+		t.Skip("SIDECAR_BEFORE and SIDECAR_AFTER are not both set")
 	}
 	ctx := context.Background()
 	e := &Env{Seed: 1, report: &Report{Measures: map[string]float64{}, bounds: map[string]string{}}}
@@ -66,9 +67,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %.1f us a request, %.0f a second, p50 %.2f ms, p99 %.2f ms, %.1f MB after it, %d failed of %d", strings.Fields("before after")[i],
+		t.Logf("%s: %.1f us CPU time per request, %.0f requests per second, p50 %.2f ms, p99 %.2f ms, %.1f MB memory, %d of %d requests failed", strings.Fields("before after")[i],
 			median(s.cpu), median(s.rate), median(s.p50), median(s.p99), memory, s.failed, s.requests)
 	}
-	t.Logf("after/before: processor time %.3f, rate %.3f, p50 %.3f, p99 %.3f", ratio(sides[1].cpu, sides[0].cpu),
+	t.Logf("after/before: CPU time %.3f, rate %.3f, p50 %.3f, p99 %.3f", ratio(sides[1].cpu, sides[0].cpu),
 		ratio(sides[1].rate, sides[0].rate), ratio(sides[1].p50, sides[0].p50), ratio(sides[1].p99, sides[0].p99))
 }
--- a/internal/e2e/program.go
+++ b/internal/e2e/program.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	readyTimeout = 20 * time.Second // until the program is ready
-	drainTimeout = 20 * time.Second // until it has drained: the longest deadline and some more
-	maxLogLines  = 20000            // that are kept
-	maxLogLine   = 1 << 20          // bytes
+	readyTimeout = 20 * time.Second // for a program to become ready
+	drainTimeout = 20 * time.Second // for a program to drain: the longest deadline of a request and a margin
+	maxLogLines  = 20000            // log lines kept of a program; further ones are dropped
+	maxLogLine   = 1 << 20          // bytes of a log line
 
 	readyMessage = "msg=ready "
 )
@@ -31,17 +31,17 @@
 	ended      chan struct{} // closed once the process has ended
 
 	mu      sync.Mutex    // guards the fields below
-	lines   []string      // of its log
-	changed chan struct{} // closed, and replaced, with each line
-	err     error         // how it ended
+	lines   []string      // of the log
+	changed chan struct{} // closed and replaced with each line
+	err     error         // exit error, valid once ended is closed
 }
 
-// Start starts the program with a configuration and waits until a number of listeners is ready.
+// Start starts the program with a configuration and waits until the given number of listeners is ready.
 func (e *Env) Start(ctx context.Context, text string, listeners int) (*Program, error) {
 	return e.StartNamed(ctx, "sorrelrudder", text, listeners)
 }
 
-// StartNamed does the same with a configuration file of that name, for one of several programs.
+// StartNamed is like Start, with a configuration file of the given name, for scenarios that start several programs.
 func (e *Env) StartNamed(ctx context.Context, name, text string, listeners int) (*Program, error) {
 	file := filepath.Join(e.Dir, name+".toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -63,13 +63,13 @@
 	return p, nil
 }
 
-// errNoProgram tells that Options name no program.
-var errNoProgram = errors.New("lab: no program to start")
+// errNoProgram is returned if Options.Program is empty.
+var errNoProgram = errors.New("lab: Options.Program is empty: no program to start")
 
-// Command starts the program with arguments.
+// Command starts the program with arguments. It does not wait until the program is ready.
 func (e *Env) Command(args ...string) (*Program, error) { return e.CommandWithEnv(nil, args...) }
 
-// CommandWithEnv does the same with more in its environment.
+// CommandWithEnv is like Command, with additional environment variables.
 func (e *Env) CommandWithEnv(env []string, args ...string) (*Program, error) {
 	if len(e.options.Program) == 0 {
 		return nil, errNoProgram
@@ -88,11 +88,11 @@
 		return nil, err
 	}
 	go p.readLog(out)
-	e.Defer(func() { _ = p.Stop() }) // a scenario that needs the result has stopped it before
+	e.Defer(func() { _ = p.Stop() }) // a scenario that checks the exit error has called Stop before
 	return p, nil
 }
 
-// readLog reads the log until the program ends.
+// readLog records the log until the program ends, and then how it ended.
 func (p *Program) readLog(out io.Reader) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, maxLogLine)
@@ -106,7 +106,7 @@
 	close(p.ended)
 }
 
-// Reload replaces the configuration file and signals the program. It does not wait until the configuration is in force.
+// Reload replaces the configuration file and sends the program SIGHUP. It does not wait until the configuration is in force.
 func (p *Program) Reload(text string) error {
 	next := p.ConfigFile + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
@@ -118,16 +118,17 @@
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// errDrainTimeout tells that the program was killed since it did not drain in time.
-var errDrainTimeout = errors.New("the program did not drain in time")
+// errDrainTimeout is returned by Stop if the program did not drain within drainTimeout and was killed.
+var errDrainTimeout = errors.New("program did not drain in time and was killed")
 
-// Stop shuts the program down gracefully, and returns how it ended: errDrainTimeout if it had to be killed. It may be called again.
+// Stop shuts the program down gracefully and returns its exit error. If the program does not end within drainTimeout, Stop kills it and
+// returns errDrainTimeout. Stop may be called again.
 func (p *Program) Stop() error {
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if it has ended
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has ended
 	select {
 	case <-p.ended:
 	case <-time.After(drainTimeout):
-		_ = p.cmd.Process.Kill() // fails if it has ended
+		_ = p.cmd.Process.Kill() // fails if the process has ended
 		<-p.ended
 		return errDrainTimeout
 	}
@@ -136,11 +137,11 @@
 	return p.err
 }
 
-// Signal sends the program a signal, if it runs.
-func (p *Program) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // fails if it has ended
+// Signal sends the program a signal, if it is running.
+func (p *Program) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) } // fails if the process has ended
 
-// Kill kills the program and waits for its end.
+// Kill kills the program and waits until the process has ended.
 func (p *Program) Kill() {
-	_ = p.cmd.Process.Kill() // fails if it has ended
+	_ = p.cmd.Process.Kill() // fails if the process has ended
 	<-p.ended
 }
--- a/internal/e2e/programlog.go
+++ b/internal/e2e/programlog.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// errProgramEnded tells that the program ended before its log had what was awaited.
-var errProgramEnded = errors.New("it has ended")
+// errProgramEnded is returned by AwaitLog if the program ended before its log had the awaited lines.
+var errProgramEnded = errors.New("program has ended")
 
-// appendLine records a line of the log, and wakes those who await one.
+// appendLine records a line of the log and wakes up the callers of AwaitLog.
 func (p *Program) appendLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,8 +25,8 @@
 	p.changed = make(chan struct{})
 }
 
-// AwaitLog waits until the log has n lines that contain text, and returns the last of them. The error is errProgramEnded, or wraps
-// that of ctx.
+// AwaitLog waits until the log has n lines that contain text, and returns the last of them. The error is errProgramEnded, or wraps that of
+// ctx.
 func (p *Program) AwaitLog(ctx context.Context, text string, n int) (string, error) {
 	for {
 		line, found, changed := p.findLine(text, n)
@@ -35,13 +35,13 @@
 		}
 		select {
 		case <-changed:
-		case <-p.ended: // after its last line, which may just have come
+		case <-p.ended: // the last line may have been recorded since findLine
 			if line, found, _ := p.findLine(text, n); found {
 				return line, nil
 			}
 			return "", errProgramEnded
 		case <-ctx.Done():
-			return "", fmt.Errorf("no %d lines with %q: %w", n, text, ctx.Err())
+			return "", fmt.Errorf("waiting for log line %d with %q: %w", n, text, ctx.Err())
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	return "", false, p.changed
 }
 
-// CountLog returns how many lines of the log contain text.
+// CountLog returns the number of log lines that contain text.
 func (p *Program) CountLog(text string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +82,7 @@
 	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
 }
 
-// Addr returns the address where the listener of that name listens, "" if it never was ready.
+// Addr returns the address on which the named listener listens, or "" if it has not become ready.
 func (p *Program) Addr(listener string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// LogField returns the value of a key in a line of the log, without quotes; "" if it has none.
+// LogField returns the unquoted value of a key in a log line, or "" if the line does not have the key.
 func LogField(line, key string) string {
 	_, rest, ok := strings.Cut(" "+line, " "+key+"=")
 	if !ok {
@@ -111,7 +111,7 @@
 	return value
 }
 
-// LogLines returns the lines of the log so far. They must not be changed.
+// LogLines returns the log lines so far. The caller must not modify them.
 func (p *Program) LogLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/e2e/progress.go
+++ b/internal/e2e/progress.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Phase names what is played now, and how long it usually takes.
+// Phase sets the name of the running phase and its expected length, for the progress display.
 func (e *Env) Phase(name string, length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.phase, e.phaseBegan, e.phaseLength = name, time.Now(), length
 }
 
-// progressInterval is how often the terminal is updated.
+// progressInterval is the interval between updates of the progress display.
 const progressInterval = 200 * time.Millisecond
 
-// reportProgress shows on a terminal what is played, until stop is called.
+// reportProgress writes the running phase to Options.Progress, which is a terminal, until stop is called.
 func (e *Env) reportProgress() (stop func()) {
 	if e.options.Progress == nil {
 		return func() {}
@@ -47,7 +47,7 @@
 	}
 }
 
-// progressBar draws how much of a phase is over.
+// progressBar renders the elapsed fraction of a phase as a bar, and the elapsed seconds.
 func progressBar(spent, length time.Duration) string {
 	const width = 24
 	n := width
--- a/internal/e2e/report.go
+++ b/internal/e2e/report.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Report is the result of a scenario. The names of its JSON are those that other tools read.
+// Report is the result of a scenario. Other tools read its JSON form.
 type Report struct {
 	Scenario   string             `json:"scenario"`
 	Seed       uint64             `json:"seed"`
 	Pass       bool               `json:"pass"`
 	Violations []string           `json:"broken"`
 	Measures   map[string]float64 `json:"measures"`
-	Faults     json.RawMessage    `json:"faults,omitempty"` // of a fleet, as Options.Faults reads them
+	Faults     json.RawMessage    `json:"faults,omitempty"` // faults of a fleet, in the format of the file Options.Faults
 
 	measureOrder []string
-	bounds       map[string]string // by measure, in words
+	bounds       map[string]string // texts of the bounds by measure
 }
 
 func newReport(scenario string, seed uint64) *Report {
@@ -28,7 +28,8 @@
 // WriteJSON writes the report as one JSON object.
 func (r *Report) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(r) }
 
-// WriteTable writes the report as a table for people.
+// WriteTable writes the report as a table for people: the measures in the order in which they were recorded, with their bounds, then the
+// violations and the verdict.
 func (r *Report) WriteTable(w io.Writer) error {
 	width := 0
 	for _, name := range r.measureOrder {
@@ -54,7 +55,7 @@
 	return err
 }
 
-// formatMeasure writes whole numbers in full, others with four digits.
+// formatMeasure formats whole numbers in full and other numbers with four significant digits.
 func formatMeasure(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return fmt.Sprintf("%.0f", v)
@@ -62,5 +63,5 @@
 	return fmt.Sprintf("%.4g", v)
 }
 
-// milliseconds converts a duration to milliseconds with two decimals.
+// milliseconds converts a duration to milliseconds, rounded to two decimals.
 func milliseconds(d time.Duration) float64 { return math.Round(float64(d)/1e4) / 100 }
--- a/internal/e2e/report_test.go
+++ b/internal/e2e/report_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestReportTable holds the table of a report, whole: measures in the order in which they were noted, and their bounds.
+// TestReportTable guards against changes of a report's table: its measures in the order in which they were recorded, their bounds, the
+// violations and the verdict.
 func TestReportTable(t *testing.T) {
 	for name, c := range map[string]struct {
 		play func(*Env)
--- a/internal/e2e/scenario.go
+++ b/internal/e2e/scenario.go
@@ -1,5 +1,6 @@
-// Package e2e plays end-to-end scenarios on loopback sockets against the real program, with fakes of all that is around it, and
-// checks the four rules against the fakes' recorder afterwards. A scenario is a file that registers itself.
+// Package e2e runs end-to-end scenarios on loopback sockets. A scenario starts the real program, fakes of the systems around it and proxies
+// that inject faults. Afterwards it checks the four rules against the fakes' recorder, and its measures against their bounds. Each scenario
+// registers itself in the init function of its file.
 package e2e
 
 import (
@@ -14,25 +15,26 @@
 	"time"
 )
 
-// Scenario is an end-to-end test. Run returns an error if it could not be played; what it finds goes into the report of Env.
+// Scenario is an end-to-end test. Run adds measures and violations to the report of Env. It returns an error only if the scenario could not
+// be run.
 type Scenario struct {
 	Name     string
 	Summary  string
-	Duration time.Duration // usual length of its load
+	Duration time.Duration // default length of the load
 	Run      func(ctx context.Context, e *Env) error
 }
 
 var (
 	scenarios = map[string]Scenario{}
 
-	// ErrUnknownScenario tells that there is no scenario of a name.
+	// ErrUnknownScenario is returned by Play for a name that no scenario has.
 	ErrUnknownScenario = errors.New("no such scenario")
 )
 
-// Register adds a scenario. It panics if there is one of that name.
+// Register adds a scenario. It panics if a scenario of that name is registered already.
 func Register(s Scenario) {
 	if _, exists := scenarios[s.Name]; exists {
-		panic("lab: two scenarios are named " + s.Name)
+		panic("lab: duplicate scenario name " + s.Name)
 	}
 	scenarios[s.Name] = s
 }
@@ -46,21 +48,21 @@
 	return all
 }
 
-// Options say how a scenario is played.
+// Options configure a run of a scenario.
 type Options struct {
 	Seed     uint64
-	Duration time.Duration // of the load; 0: the scenario's usual
-	Program  []string      // the command of the program, without its arguments
-	Progress io.Writer     // nil: none
-	Log      io.Writer     // the program's log; nil: only its end, should it fail
-	Faults   string        // file of a fleet's faults, in place of drawn ones; empty: none
+	Duration time.Duration // of the load; 0 means that of the scenario
+	Program  []string      // command that starts the program, without arguments
+	Progress io.Writer     // nil disables the progress display
+	Log      io.Writer     // receives the log of the program; nil discards it, but errors quote its last lines
+	Faults   string        // path of a file with the faults of a fleet; empty means that they are drawn from the seed
 }
 
-// Env is what a scenario plays with. Its methods may be called concurrently.
+// Env is the environment of a running scenario. Its methods may be called concurrently.
 type Env struct {
 	Seed     uint64
 	Duration time.Duration // of the load
-	Dir      string        // for files; removed afterwards
+	Dir      string        // temporary directory, removed after the scenario
 
 	options Options
 	report  *Report
@@ -72,7 +74,8 @@
 	phaseLength time.Duration
 }
 
-// Play plays a scenario and returns its report. The error is ErrUnknownScenario, or tells why the scenario could not be played.
+// Play runs the scenario of a name and returns its report. The error wraps ErrUnknownScenario if no scenario has that name; otherwise it is
+// the reason why the scenario could not be run. Missed bounds and violated rules are in the report and are no error.
 func Play(ctx context.Context, name string, options Options) (*Report, error) {
 	scenario, ok := scenarios[name]
 	if !ok {
@@ -102,7 +105,7 @@
 	return e.report, nil
 }
 
-// Defer has f called once the scenario is over, in reverse order.
+// Defer registers f to be called when the scenario has ended. The functions are called in reverse order of registration.
 func (e *Env) Defer(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/e2e/scenario_test.go
+++ b/internal/e2e/scenario_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// TestReport guards against a report that passes with a rule broken or a bound missed, and for the form that others read.
+// TestReport guards against a report that passes although a rule was violated or a bound missed, and against changes of the JSON form that
+// other tools read.
 func TestReport(t *testing.T) {
 	scenarios["test"] = Scenario{Name: "test", Run: func(_ context.Context, e *Env) error {
 		e.Measure("plain", 3)
@@ -40,24 +41,25 @@
 			t.Errorf("got %s, %v, want %s", b.String(), err, want)
 		}
 		if !json.Valid(b.Bytes()) {
-			t.Error("no JSON")
+			t.Error("WriteJSON wrote invalid JSON")
 		}
 		var table bytes.Buffer
 		if err := r.WriteTable(&table); err != nil {
 			t.Fatal(err)
 		}
 		if ok := strings.Contains(table.String(), "passed"); ok != r.Pass || !strings.Contains(table.String(), "at least 1") {
-			t.Errorf("the table says\n%s", table.String())
+			t.Errorf("WriteTable wrote\n%s", table.String())
 		}
 	}
 	if _, err := Play(context.Background(), "test", Options{Seed: 4}); err == nil {
-		t.Error("a scenario that failed passed")
+		t.Error("Play returned no error for a scenario that failed")
 	}
 	if _, err := Play(context.Background(), "none", Options{}); !errors.Is(err, ErrUnknownScenario) {
-		t.Errorf("got %v", err)
+		t.Errorf("Play of an unknown scenario: got %v, want ErrUnknownScenario", err)
 	}
 }
 
+// TestField guards against a log field that is not unquoted, and against a key that matches the end of another key.
 func TestField(t *testing.T) {
 	line := `time=x level=INFO msg="pool drains" pool=a load="1 requests, \"2\"" last=z`
 	for key, want := range map[string]string{"msg": "pool drains", "pool": "a", "load": `1 requests, "2"`, "last": "z", "none": "", "oad": ""} {
--- a/internal/e2e/script.go
+++ b/internal/e2e/script.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// scriptStep is an action at a time of a phase.
+// scriptStep is an action at a given time of a phase.
 type scriptStep struct {
 	at float64 // fraction of the phase
 	do func()
 }
 
-// runScript runs the steps of a phase, which are in order of time, until ctx ends.
+// runScript runs the steps of a phase, which are ordered by time, and returns early if ctx ends.
 func runScript(ctx context.Context, length time.Duration, steps ...scriptStep) {
 	began := time.Now()
 	for _, s := range steps {
@@ -23,7 +23,7 @@
 	}
 }
 
-// pause waits for d, and reports whether it passed before ctx ended.
+// pause waits for d. It returns false if ctx ended before.
 func pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
