--- a/internal/e2e/acceptlatency.go
+++ b/internal/e2e/acceptlatency.go
@@ -13,12 +13,12 @@
 const (
 	acceptProbeInterval = 10 * time.Millisecond
 	acceptProbeTimeout  = time.Second
-	maxAcceptProbes     = 50 // in flight, which bounds their load
+	maxAcceptProbes     = 50 // in flight, which bounds the load of the probes
 	acceptProbeRequest  = "GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
 )
 
-// acceptTimes connects again and again until ctx ends, and returns how long each took from its SYN to the first byte of the response
-// to a request that needs no backend; acceptProbeTimeout for those without a response.
+// acceptTimes opens connections at acceptProbeInterval until ctx ends, and returns the time that each took from its SYN to the first byte
+// of the response to a request that needs no backend. A connection without a response counts as acceptProbeTimeout.
 func acceptTimes(ctx context.Context, addr string) (all []time.Duration) {
 	var mu sync.Mutex
 	var probes sync.WaitGroup
@@ -46,7 +46,7 @@
 	}
 }
 
-// acceptTime connects once.
+// acceptTime opens one connection and returns the time until the first byte of the response.
 func acceptTime(addr string) time.Duration {
 	began := time.Now()
 	conn, err := net.DialTimeout("tcp", addr, acceptProbeTimeout)
@@ -64,7 +64,7 @@
 	return time.Since(began)
 }
 
-// quantile returns the value below which the fraction of all lies; 0 of none.
+// quantile returns the value below which the given fraction of the values lies, or 0 if there are none.
 func quantile(all []time.Duration, fraction float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/internal/e2e/cost.go
+++ b/internal/e2e/cost.go
@@ -12,19 +12,20 @@
 func init() {
 	Register(Scenario{
 		Name: "cost", Duration: 4 * time.Second, Run: cost,
-		Summary: "the program and the standard library's reverse proxy in turn, 16 connections: processor time and latency",
+		Summary: "CPU time and latency of the program and of the standard library's reverse proxy, measured alternately over 16 connections",
 	})
 }
 
-// costRounds is how often the two processes are measured in turn.
+// costRounds is the number of rounds. Each round measures both processes.
 const costRounds = 5
 
-// errNoRequests tells that nothing was measured.
-var errNoRequests = errors.New("no requests")
+// errNoRequests is returned if a load completed no request, so that nothing was measured.
+var errNoRequests = errors.New("no requests were completed")
 
-// cost compares the program with a plain reverse proxy over the same backends, in turn, so that both see the same machine.
+// cost compares the program with a plain reverse proxy over the same backends. It measures them alternately, so that both run under the
+// same conditions of the machine.
 func cost(ctx context.Context, e *Env) error {
-	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { // without a recorder: the load is too dense for it
+	backends, err := e.startBackends("box", 3, nil, func(c *fake.BackendConfig) { // no recorder: it cannot keep up with the load
 		c.ServiceTime, c.Cores, c.QueueLimit = 0, 64, 1000
 	})
 	if err != nil {
@@ -40,7 +41,7 @@
 	}
 	subjects := []*costSubject{program, proxy}
 	round := e.Duration / costRounds
-	for n := range costRounds + 1 { // the first warms up
+	for n := range costRounds + 1 { // the first round is a warm-up
 		e.Phase(fmt.Sprintf("round %d of %d", n, costRounds), 2*round)
 		for i := range subjects {
 			if err := subjects[(i+n)%2].measureRound(ctx, round, n > 0); err != nil {
@@ -88,7 +89,7 @@
 		return nil, err
 	}
 	if _, err := proxy.AwaitLog(ctx, readyMessage, 1); err != nil {
-		return nil, fmt.Errorf("the proxy: %w\n%s", err, proxy.LogTail(10))
+		return nil, fmt.Errorf("starting the reverse proxy: %w\n%s", err, proxy.LogTail(10))
 	}
 	return &costSubject{program: proxy, addr: proxy.Addr("proxy")}, nil
 }
--- a/internal/e2e/costround.go
+++ b/internal/e2e/costround.go
@@ -23,15 +23,15 @@
 type costSubject struct {
 	program  *Program
 	addr     string
-	cpu      []float64 // microseconds a request, by round
-	rate     []float64 // requests a second, by round
+	cpu      []float64 // microseconds per request, by round
+	rate     []float64 // requests per second, by round
 	p50, p99 []float64 // milliseconds, by round
 	requests int
 	failed   int
 }
 
-// measureRound sends requests over costConns connections for a time. Each connection has one request in flight. The round is
-// recorded if counts is set; else it only warms the process up.
+// measureRound sends requests over costConns connections for a time, with one request in flight on each. The round is recorded if counts is
+// set; otherwise it is a warm-up.
 func (s *costSubject) measureRound(ctx context.Context, length time.Duration, counts bool) error {
 	before, err := s.program.CPU()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return ctx.Err()
 }
 
-// loadConns runs the connections until a moment.
+// loadConns runs the closed loops of all connections until a moment, and returns their latencies and failures.
 func (s *costSubject) loadConns(ctx context.Context, until time.Time) (latencies []time.Duration, failed int) {
 	var conns sync.WaitGroup
 	var mu sync.Mutex
@@ -67,7 +67,7 @@
 	return latencies, failed
 }
 
-// record records a round.
+// record adds the values of a round.
 func (s *costSubject) record(latencies []time.Duration, failed int, cpu, duration time.Duration) {
 	slices.Sort(latencies)
 	n := len(latencies)
@@ -79,7 +79,7 @@
 	s.p99 = append(s.p99, float64(latencies[n*99/100])/1e6)
 }
 
-// measure measures the medians over all rounds; name begins the measures' names.
+// measure measures the medians over all rounds. name is the prefix of the measures' names.
 func (s *costSubject) measure(e *Env, name string) error {
 	memory, err := s.program.MemoryMB()
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// closedLoop sends one request after the other over a connection until a moment, or until the connection fails.
+// closedLoop sends requests one after the other over a connection until a moment, or until the connection fails.
 func closedLoop(ctx context.Context, addr string, index int, until time.Time) (latencies []time.Duration, failed int) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return latencies, failed
 }
 
-// median returns the median, 0 of none.
+// median returns the median of the values, or 0 if there are none.
 func median(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
@@ -133,7 +133,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// ratio returns the median of the rounds' ratios.
+// ratio returns the median of the ratios a/b by round.
 func ratio(a, b []float64) float64 {
 	var all []float64
 	for i := range min(len(a), len(b)) {
--- a/internal/e2e/epochobserver.go
+++ b/internal/e2e/epochobserver.go
@@ -5,11 +5,12 @@
 	"sync"
 )
 
-// epochObserver follows the epochs of zone shifts that members hold, and counts those that go back between two starts of a member.
+// epochObserver tracks the epochs of zone shifts that members report. It counts the regressions: epochs that are lower than one seen before
+// from the same start of the member.
 type epochObserver struct {
 	fleet *fleet
 
-	observing sync.Mutex // held during an observation, so that none records what it saw before another
+	observing sync.Mutex // held during an observation: concurrent ones could record older states after newer ones
 
 	mu           sync.Mutex        // guards the fields below
 	newest       map[string]uint64 // by member, start and zone
@@ -21,7 +22,7 @@
 	return &epochObserver{fleet: f, newest: map[string]uint64{}}
 }
 
-// observe asks members once, and returns what they hold.
+// observe queries members once and returns their shared state.
 func (o *epochObserver) observe(members []*fleetMember) map[int]sharedState {
 	o.observing.Lock()
 	defer o.observing.Unlock()
@@ -36,7 +37,7 @@
 	for i, state := range states {
 		member := o.fleet.members[i]
 		if member.starts() != starts[i] {
-			continue // another start may have answered
+			continue // the member was restarted meanwhile: either start may have answered
 		}
 		for _, zone := range state.Zones {
 			id := fmt.Sprint(member.name, starts[i], zone.Zone)
@@ -49,7 +50,7 @@
 	return states
 }
 
-// measure measures what was observed.
+// measure records the number of regressions, which must be 0, and of observations.
 func (o *epochObserver) measure() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/e2e/farm.go
+++ b/internal/e2e/farm.go
@@ -7,8 +7,8 @@
 	"sorrelrudder/internal/fake"
 )
 
-// startFarm starts a program of one pool of three backends, which it learns of by discovery. sections come
-// first in its configuration.
+// startFarm starts a program with one pool of three backends, which it gets from discovery. sections are placed at the beginning of its
+// configuration.
 func (e *Env) startFarm(ctx context.Context, recorder *fake.EffectRecorder, sections string) (*Program, []*fake.Backend, *fake.Discovery, error) {
 	backends, err := e.startBackends("box", 3, recorder, nil)
 	if err != nil {
--- a/internal/e2e/farmclasses.go
+++ b/internal/e2e/farmclasses.go
@@ -8,7 +8,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// The classes of the farm app, which clients send and backends serve.
+// The request classes of the farm app.
 var (
 	deliveryOrder = fake.ClassLoad{
 		Name: "delivery-order", Idempotency: fake.IdempotentByKey, Weight: 1, PriorityWeight: 5, BodyBytes: 200,
@@ -27,13 +27,13 @@
 	}
 )
 
-// farmClasses are all classes of the farm app.
+// farmClasses lists all classes of the farm app.
 var farmClasses = []fake.ClassLoad{deliveryOrder, meterBooking, allocationCheck}
 
-// farmHost is whom the clients of the farm app ask for.
+// farmHost is the Host of the farm app's requests.
 const farmHost = "farm.example.org"
 
-// farmClients are the usual clients of the farm app: they send all classes, and retry as a rejection tells them.
+// farmClients returns the default clients of the farm app: they send all classes, and retry as rejections tell them to.
 func farmClients(name, addr string, rate float64, recorder *fake.EffectRecorder, seed uint64) fake.ClientConfig {
 	return fake.ClientConfig{
 		Name: name, Addr: addr, Host: farmHost, Classes: farmClasses, Rate: rate, MaxAttempts: 3, Backoff: 30 * time.Millisecond,
@@ -41,7 +41,7 @@
 	}
 }
 
-// classesTOML are all classes as the operator's file of a pool has them.
+// classesTOML returns the sections of all classes in a pool.
 func classesTOML(pool string) string {
 	var b strings.Builder
 	for _, c := range farmClasses {
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// serversTOML are backends as the operator's file of a pool lists them.
+// serversTOML returns the sections of the backends in a pool.
 func serversTOML(pool string, backends []*fake.Backend) string {
 	var b strings.Builder
 	for _, backend := range backends {
@@ -66,8 +66,8 @@
 	return b.String()
 }
 
-// startBackends starts n backends whose names begin with pool, and which share a deduplicator. change, which may be nil, changes what
-// is usual. They are closed as the scenario ends.
+// startBackends starts n backends that share a deduplicator. Their names begin with pool. change modifies the default configuration of a
+// backend and may be nil. The backends are closed when the scenario ends.
 func (e *Env) startBackends(pool string, n int, recorder *fake.EffectRecorder, change func(*fake.BackendConfig)) ([]*fake.Backend, error) {
 	var all []*fake.Backend
 	deduplicator := fake.NewDeduplicator(time.Minute)
@@ -89,7 +89,7 @@
 	return all, nil
 }
 
-// startDiscovery starts a discovery that lists the backends.
+// startDiscovery starts a discovery that lists the backends. It is closed when the scenario ends.
 func (e *Env) startDiscovery(recorder *fake.EffectRecorder, backends []*fake.Backend) (*fake.Discovery, error) {
 	discovery, err := fake.StartDiscovery(recorder, endpoints(backends)...)
 	if err == nil {
@@ -98,7 +98,7 @@
 	return discovery, err
 }
 
-// endpoints returns backends as discovery lists them.
+// endpoints returns the endpoints of backends, as discovery lists them.
 func endpoints(backends []*fake.Backend) []fake.Endpoint {
 	var all []fake.Endpoint
 	for _, backend := range backends {
@@ -107,7 +107,7 @@
 	return all
 }
 
-// measureResults measures what became of a load; prefix begins the measures' names.
+// measureResults measures the outcomes and the latency of a load. prefix is that of the measures' names.
 func (e *Env) measureResults(prefix string, results *fake.ClientResults) {
 	e.Measure(prefix+"operations", float64(results.Operations()))
 	for _, outcome := range []fake.Outcome{fake.OutcomeLate, fake.OutcomeRejected, fake.OutcomeFailed} {
--- a/internal/e2e/fencing.go
+++ b/internal/e2e/fencing.go
@@ -7,15 +7,15 @@
 	"sorrelrudder/internal/fake"
 )
 
-// minUnheldGap is the shortest time without an action that counts as one in which nobody held a task's lease: some slots of the
-// slowest task. Logs cannot tell, since a stopped member's log says that it holds the lease.
+// minUnheldGap is the shortest time without an action that counts as a time without a lease holder. It spans several slots of the slowest
+// task. The logs cannot show such times, since a paused member's log still says that it holds the lease.
 const minUnheldGap = 300 * time.Millisecond
 
-// slotCounts are the results of tasks' slots as the fleet's state has them.
+// slotCounts are the numbers of task slots by result, according to the state of the fleet.
 type slotCounts struct{ done, lost, skipped int64 }
 
-// measureFencing measures what the resource saw of the tasks, and what the fleet's state says of them. The idle times are those
-// between two moments.
+// measureFencing measures the actions that the resource received from tasks, and the slots according to the state of the fleet. Idle times
+// are those between from and to.
 func (f *fleet) measureFencing(tasks map[string]fake.Idempotency, from, to time.Time) {
 	e := f.env
 	v := f.resource.Verdict(func(slot string) bool {
@@ -41,7 +41,7 @@
 	f.measureTraffic()
 }
 
-// measureSlots measures the slots as the fleet's state has them, beside those that had an effect.
+// measureSlots measures the slots according to the state of the fleet, and checks them against the slots that took effect.
 func (f *fleet) measureSlots() {
 	e := f.env
 	counts, ok := f.slotCounts()
@@ -50,13 +50,13 @@
 	}
 	e.Measure("lost_slots", float64(counts.lost))
 	e.Measure("slots_skipped", float64(counts.skipped))
-	// The effects are counted after the state was read: a slot that is done has had its effect.
+	// The effects are counted after the state was read, so that every slot that it marks as done has already taken effect.
 	if slots := f.resource.Verdict(func(string) bool { return false }).Slots; int(counts.done) > slots {
 		e.Fail("%d slots are written down as done, and %d had an effect", counts.done, slots)
 	}
 }
 
-// slotCounts asks the first voter that tells.
+// slotCounts returns the counts of the first voter that reports them. ok is false if none does.
 func (f *fleet) slotCounts() (counts slotCounts, ok bool) {
 	status, ok := f.voterStatus()
 	if !ok {
@@ -70,7 +70,7 @@
 	return counts, true
 }
 
-// measureTraffic measures what the members sent each other since the fleet was started.
+// measureTraffic measures the traffic between the members since the fleet was started.
 func (f *fleet) measureTraffic() {
 	frames, bytes := int64(0), int64(0)
 	for _, proxy := range f.proxies {
--- a/internal/e2e/fleet.go
+++ b/internal/e2e/fleet.go
@@ -16,7 +16,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// The times of fleets in the end-to-end tests: short, so that a run of seconds sees many leases.
+// Timing of the fleets. It is short, so that a run of a few seconds has many leases.
 const (
 	leaseTTL      = time.Second
 	consensusTick = 20 * time.Millisecond
@@ -24,27 +24,28 @@
 )
 
 const (
-	commandTimeout = 10 * time.Second // of an operator's command
-	statusTimeout  = "2s"             // of a question to a member, as the command line has it
+	commandTimeout = 10 * time.Second // for a command of an operator
+	statusTimeout  = "2s"             // for a query to a member, as a value of --timeout
 	conditionPoll  = 10 * time.Millisecond
 )
 
-// errNotRecovered tells that a fleet did not recover after the last fault.
-var errNotRecovered = errors.New("the fleet does not come to itself")
+// errNotRecovered is returned if a fleet does not return to its normal state after a fault.
+var errNotRecovered = errors.New("fleet did not recover")
 
-// fleet is a fleet of real processes, each on a loopback address of its own, with a fault-injecting link between every ordered pair.
+// fleet is a fleet of real processes. Each member listens on a loopback address of its own. A proxy that can inject faults stands between
+// every ordered pair of members.
 type fleet struct {
 	env      *Env
 	cfg      fleetConfig
-	dir      string               // of its files
-	secret   string               // file of the members' common secret
-	resource *fake.FencedResource // what its tasks act on
+	dir      string               // directory of the files of the fleet
+	secret   string               // path of the file with the secret of the members
+	resource *fake.FencedResource // resource on which the tasks act
 	backends []*fake.Backend
 	members  []*fleetMember
-	proxies  map[[2]int]*fake.FrameProxy // by the members' indexes, from and to
+	proxies  map[[2]int]*fake.FrameProxy // by the indexes of the members: from, to
 	started  time.Time
 
-	logMu sync.Mutex // held while a line is written to the log
+	logMu sync.Mutex // serializes writes to the log
 }
 
 func (f *fleet) killAll() {
@@ -53,7 +54,7 @@
 	}
 }
 
-// logEvent writes to the log what is done to the fleet, and when.
+// logEvent writes an action on the fleet and its time since the start to Options.Log.
 func (f *fleet) logEvent(format string, args ...any) {
 	f.logMu.Lock()
 	defer f.logMu.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// runCommand runs the program as an operator does, and returns what it printed.
+// runCommand runs a command of the program, as an operator does, and returns its output.
 func (f *fleet) runCommand(args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -71,33 +72,33 @@
 	return string(out), err
 }
 
-// commandMember runs a command of the fleet at a member, and returns what it printed.
+// commandMember runs a tier command against a member and returns its output.
 func (f *fleet) commandMember(member *fleetMember, args ...string) (string, error) {
 	all := append([]string{"tier"}, args...)
 	return f.runCommand(append(all, member.addr, "--secret", f.secret)...)
 }
 
-// mustCommandMember does the same where a failure ends the scenario.
+// mustCommandMember is like commandMember, with the output in the error. It is for commands whose failure ends the scenario.
 func (f *fleet) mustCommandMember(member *fleetMember, args ...string) error {
 	if out, err := f.commandMember(member, args...); err != nil {
-		return fmt.Errorf("%s: %w: %s", strings.Join(args, " "), err, out)
+		return fmt.Errorf("tier %s: %w: %s", strings.Join(args, " "), err, out)
 	}
 	return nil
 }
 
-// queryMember runs a command that prints JSON at a member, and decodes it into result.
+// queryMember runs a tier command against a member, and decodes the JSON that it prints into result.
 func (f *fleet) queryMember(member *fleetMember, command string, result any) error {
 	out, err := f.commandMember(member, command, "--json", "--timeout", statusTimeout)
 	if err == nil {
 		err = json.Unmarshal([]byte(out), result)
 	}
 	if err != nil {
-		return fmt.Errorf("tier %s of %s: %w: %s", command, member.name, err, out)
+		return fmt.Errorf("tier %s at %s: %w: %s", command, member.name, err, out)
 	}
 	return nil
 }
 
-// awaitCondition waits until a condition holds. The error has the ends of the members' logs.
+// awaitCondition polls until a condition holds. The error of a timeout names the condition and quotes the last log lines of all members.
 func (f *fleet) awaitCondition(ctx context.Context, timeout time.Duration, what string, holds func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -109,12 +110,12 @@
 		for _, member := range f.members {
 			tails = append(tails, member.name+":\n"+member.currentProgram().LogTail(6))
 		}
-		return fmt.Errorf("waited %v in vain: %s\n%s", timeout, what, strings.Join(tails, "\n"))
+		return fmt.Errorf("condition not met within %v: %s\n%s", timeout, what, strings.Join(tails, "\n"))
 	}
 	return nil
 }
 
-// memberStatus is what a scenario reads of a member's status. The names of the fields are those of its JSON.
+// memberStatus is the part of a member's status that scenarios use. The fields have the names of its JSON.
 type memberStatus struct {
 	Holds   map[string]struct{ Token uint64 }
 	Council *struct {
@@ -131,13 +132,13 @@
 	}
 }
 
-// status asks a member for its status.
+// status queries the status of a member.
 func (f *fleet) status(member *fleetMember) (s memberStatus, err error) {
 	err = f.queryMember(member, "status", &s)
 	return s, err
 }
 
-// voterStatus returns the status of the first voter that tells the state of the fleet.
+// voterStatus returns the status of the first voter that reports the state of the fleet. ok is false if none does.
 func (f *fleet) voterStatus() (s memberStatus, ok bool) {
 	for _, voter := range f.members[:f.cfg.voters] {
 		if s, err := f.status(voter); err == nil && s.Council != nil && s.Council.Fleet != nil {
@@ -147,7 +148,7 @@
 	return memberStatus{}, false
 }
 
-// voters returns the identities that vote, nil if no voter tells.
+// voters returns the identities of the voters, or nil if no voter reports them.
 func (f *fleet) voters() []uint64 {
 	if s, ok := f.voterStatus(); ok {
 		return s.Council.Voters
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// repairAndAwaitLease ends all faults, and waits until a lease is held.
+// repairAndAwaitLease ends all faults and waits until a lease is held.
 func (f *fleet) repairAndAwaitLease(ctx context.Context, lease string) error {
 	if err := f.repairAll(ctx); err != nil {
 		return err
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// repairAll ends all faults, and starts the members that do not run.
+// repairAll ends all faults, starts the members that are not running and waits until all are ready.
 func (f *fleet) repairAll(ctx context.Context) error {
 	f.configureProxies(func(int, int) bool { return true }, func(w *fake.FrameFaults) { *w = fake.FrameFaults{} }, func(*fake.FrameFaults) {})
 	for _, member := range f.members {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// drainAll shuts all members down gracefully.
+// drainAll shuts all members down gracefully. An exit error is a violation.
 func (f *fleet) drainAll() {
 	var all sync.WaitGroup
 	for _, member := range f.members {
@@ -196,7 +197,7 @@
 	all.Wait()
 }
 
-// runOrder gives or lifts an order about a server, by a member that reaches the consensus group.
+// runOrder runs the command order avoid or order lift for a backend, against a member that reaches the consensus group.
 func (f *fleet) runOrder(verb, server string, by *fleetMember) error {
 	if err := f.mustCommandMember(by, "order", verb, "farm", server); err != nil {
 		return err
--- a/internal/e2e/fleet_cost.go
+++ b/internal/e2e/fleet_cost.go
@@ -13,47 +13,49 @@
 func init() {
 	Register(Scenario{
 		Name: "tier-cost", Duration: 48 * time.Second, Run: fleetCost,
-		Summary: "processor time a request of a process that leads a fleet of three and shares state with it, at the usual times, and of one alone, in turn at two rates: what it costs by request, and what by time",
+		Summary: "CPU time of the leader of a fleet of three that shares state, with the default intervals, and of a process without a fleet, alternately at two rates: the cost per request and the cost that is independent of requests",
 	})
 }
 
-// fleetCostRounds is how often the two processes are measured in turn, at each of the rates.
+// fleetCostRounds is the number of rounds. Each round measures both processes at each of the rates.
 const fleetCostRounds = 6
 
-// fleetCostRates are requests a second. What a fleet costs by time, such as heartbeats, is the same at each; the rest is by request.
+// fleetCostRates are in requests per second. The part of the cost that depends on time, such as heartbeats, is the same at each rate; the
+// rest depends on the number of requests.
 var fleetCostRates = []float64{500, 2500}
 
-// fleetCostScenario compares the leader of a fleet, which holds the lease of a task and shares state, with a process that has no fleet.
+// fleetCostScenario compares the CPU time of a fleet's leader, which holds the lease of a task and shares state, with that of a process
+// without a fleet.
 type fleetCostScenario struct {
 	env           *Env
 	leader, alone *Program
 	recorder      *fake.EffectRecorder
-	roundLength   time.Duration // of one process at one rate
-	loads         int           // so far
+	roundLength   time.Duration // length of the load on one process at one rate
+	loads         int           // number of loads so far
 
-	ratios    [][]float64 // of the processor time a request, by rate and round
-	byRequest []float64   // ratios of the processor time that a further request costs, by round
-	byTime    []float64   // differences of the processor time a second without requests, by round
+	ratios    [][]float64 // leader to process without a fleet, of the CPU time per request, by rate and round
+	byRequest []float64   // ratios of the CPU time of an additional request, by round
+	byTime    []float64   // differences of the CPU time per second that does not depend on requests, by round
 }
 
-// costPoint is what a process used under a load.
+// costPoint is the CPU usage of a process at a request rate.
 type costPoint struct {
-	cores    float64 // processor seconds a second
-	requests float64 // a second
+	cores    float64 // CPU seconds per second
+	requests float64 // per second
 }
 
-// coresARequest is the processor time that a request costs.
+// coresARequest returns the CPU seconds per request.
 func (p costPoint) coresARequest() float64 { return p.cores / p.requests }
 
-// costLine is what a process used at the least and at the highest rate.
+// costLine is the CPU usage of a process at the lowest and at the highest rate.
 type costLine struct{ low, high costPoint }
 
-// slope is the processor time that a further request costs.
+// slope returns the CPU seconds of an additional request.
 func (l costLine) slope() float64 {
 	return (l.high.cores - l.low.cores) / (l.high.requests - l.low.requests)
 }
 
-// coresWithoutRequests is the processor time a second that does not depend on requests.
+// coresWithoutRequests returns the CPU seconds per second that do not depend on requests.
 func (l costLine) coresWithoutRequests() float64 { return l.low.cores - l.low.requests*l.slope() }
 
 func fleetCost(ctx context.Context, e *Env) error {
@@ -66,7 +68,7 @@
 	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
-	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool, and no fleet
+	text, _, _ := strings.Cut(f.members[0].configText(), "[tier]") // the same pool without a fleet
 	alone, err := e.StartNamed(ctx, "alone", text, 1)
 	if err != nil {
 		return err
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// playRound measures both processes at each rate, in an order that changes from round to round.
+// playRound measures both processes at each rate. Which one is measured first alternates between rates and rounds.
 func (s *fleetCostScenario) playRound(ctx context.Context, round int) error {
 	points := map[*Program][]costPoint{}
 	for i, rate := range fleetCostRates {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// load returns what a process uses under a load.
+// load sends requests to a process at a rate and returns its CPU usage.
 func (s *fleetCostScenario) load(ctx context.Context, program *Program, rate float64) (costPoint, error) {
 	s.loads++
 	before, err := program.CPU()
@@ -147,7 +149,7 @@
 	s.measureSpread("cores_by_time", s.byTime)
 }
 
-// measureSpread measures the least, the median and the largest of the rounds' figures.
+// measureSpread measures the minimum, the median and the maximum of the values of all rounds.
 func (s *fleetCostScenario) measureSpread(name string, all []float64) {
 	slices.Sort(all)
 	s.env.Measure(name+"_least", all[0])
@@ -155,7 +157,7 @@
 	s.env.Measure(name+"_most", all[len(all)-1])
 }
 
-// measureAtRest measures the processor time of both without requests, and their memory.
+// measureAtRest measures the CPU usage of both processes without requests, and their memory.
 func (s *fleetCostScenario) measureAtRest(ctx context.Context) error {
 	leaderBefore, err := s.leader.CPU()
 	if err != nil {
--- a/internal/e2e/fleetfault.go
+++ b/internal/e2e/fleetfault.go
@@ -14,26 +14,26 @@
 	"sorrelrudder/internal/fake"
 )
 
-// fleetFaultKind is a kind of fault, by its name in files of faults.
+// fleetFaultKind is a kind of fault. Its value is its name in files of faults.
 type fleetFaultKind string
 
 // The kinds of faults.
 const (
-	faultKill      fleetFaultKind = "kill"     // a member is killed, and started again
-	faultStop      fleetFaultKind = "stop"     // a member is stopped by a signal, and continued
-	faultIsolate   fleetFaultKind = "cut"      // a member is cut off from all others
-	faultOneWay    fleetFaultKind = "oneway"   // what a member sends to a peer is lost
-	faultStall     fleetFaultKind = "still"    // a member's messages are held, both ways
-	faultPartition fleetFaultKind = "split"    // the members are cut into two sides
-	faultLoss      fleetFaultKind = "loss"     // a fraction of all messages is lost
+	faultKill      fleetFaultKind = "kill"     // a member is killed and restarted
+	faultStop      fleetFaultKind = "stop"     // a member is paused by SIGSTOP and continued
+	faultIsolate   fleetFaultKind = "cut"      // a member is partitioned from all others
+	faultOneWay    fleetFaultKind = "oneway"   // messages from a member to one other are dropped
+	faultStall     fleetFaultKind = "still"    // messages from and to a member are held back
+	faultPartition fleetFaultKind = "split"    // the members are partitioned into two sides
+	faultLoss      fleetFaultKind = "loss"     // a fraction of all messages is dropped
 	faultReorder   fleetFaultKind = "storm"    // messages are delayed, reordered and duplicated
-	faultTruncate  fleetFaultKind = "truncate" // a message on each connection of a member is cut short
-	faultLeave     fleetFaultKind = "leave"    // a member shuts down gracefully, and is started again
-	faultSlowDisk  fleetFaultKind = "slowdisk" // a member's disk is slow
-	faultKillAll   fleetFaultKind = "killall"  // all members are killed at once, and started again
+	faultTruncate  fleetFaultKind = "truncate" // one message is truncated on each proxy from and to a member
+	faultLeave     fleetFaultKind = "leave"    // a member shuts down gracefully and is restarted
+	faultSlowDisk  fleetFaultKind = "slowdisk" // the disk of a member is slow
+	faultKillAll   fleetFaultKind = "killall"  // all members are killed at the same time and restarted
 )
 
-// fleetFaultKinds are all kinds, in the order in which they are drawn.
+// fleetFaultKinds lists all kinds. Draws from a seed depend on their order.
 var fleetFaultKinds = []fleetFaultKind{
 	faultKill, faultStop, faultIsolate, faultOneWay, faultStall, faultPartition,
 	faultLoss, faultReorder, faultTruncate, faultLeave, faultSlowDisk, faultKillAll,
@@ -42,25 +42,25 @@
 const (
 	minFaultDuration = 200 * time.Millisecond
 	maxFaultDuration = minFaultDuration + 3*leaseTTL
-	slowDiskSetting  = "slow 60ms" // as the program's store reads it
+	slowDiskSetting  = "slow 60ms" // in the syntax of the disk fault file that the program reads
 )
 
-// FleetFault is one fault of a fleet, in the form of files of faults.
+// FleetFault is one fault of a fleet, with the JSON form that files of faults have.
 type FleetFault struct {
-	At       time.Duration  `json:"at"` // from the beginning of the load
+	At       time.Duration  `json:"at"` // since the start of the load
 	Kind     fleetFaultKind `json:"kind"`
 	Member   int            `json:"p"`
 	Peer     int            `json:"q,omitempty"`
 	Duration time.Duration  `json:"for,omitempty"`
-	Fraction float64        `json:"share,omitempty"` // of the messages
+	Fraction float64        `json:"share,omitempty"` // of the messages, for faultLoss
 }
 
-// String describes the fault for the log.
+// String formats the fault for the event log, with the member and the peer by name.
 func (f FleetFault) String() string {
 	return fmt.Sprintf("%s p%d q%d for %v share %.2f", f.Kind, f.Member+1, f.Peer+1, f.Duration.Round(time.Millisecond), f.Fraction)
 }
 
-// drawFaults draws n faults of the kinds, evenly spread over a time.
+// drawFaults draws n faults of the given kinds, at equal intervals within a time.
 func drawFaults(rng *rand.Rand, kinds []fleetFaultKind, n, processes int, over time.Duration) []FleetFault {
 	var all []FleetFault
 	for i := range n {
@@ -76,7 +76,7 @@
 	return all
 }
 
-// chooseFaults returns the faults of the file that the caller named, or else the drawn ones.
+// chooseFaults returns the faults of the file Options.Faults, or the drawn ones if no file is given.
 func (e *Env) chooseFaults(drawn []FleetFault) ([]FleetFault, error) {
 	if e.options.Faults == "" {
 		return drawn, nil
@@ -87,17 +87,17 @@
 	}
 	var all []FleetFault
 	if err := json.Unmarshal(text, &all); err != nil {
-		return nil, fmt.Errorf("%s: %w", e.options.Faults, err)
+		return nil, fmt.Errorf("decoding the faults in %s: %w", e.options.Faults, err)
 	}
 	for _, fault := range all {
 		if !slices.Contains(fleetFaultKinds, fault.Kind) {
-			return nil, fmt.Errorf("%s: no fault is named %q", e.options.Faults, fault.Kind)
+			return nil, fmt.Errorf("reading the faults in %s: unknown kind %q", e.options.Faults, fault.Kind)
 		}
 	}
 	return all, nil
 }
 
-// injectFaults injects faults at their times, and returns once all are over.
+// injectFaults injects faults at their times, and returns when all of them have ended. It adds the faults to the report.
 func (f *fleet) injectFaults(ctx context.Context, faults []FleetFault) {
 	if data, err := json.Marshal(faults); err == nil {
 		f.env.report.Faults = data
@@ -114,12 +114,12 @@
 	}
 }
 
-// injectFault injects one fault, and returns once it is over.
+// injectFault injects one fault, and returns when it has ended.
 func (f *fleet) injectFault(ctx context.Context, fault FleetFault) {
 	member := f.members[fault.Member%len(f.members)]
 	peer := f.members[fault.Peer%len(f.members)]
 	if fault.Kind == faultOneWay && member == peer {
-		return // a member has no link to itself
+		return // there is no proxy from a member to itself
 	}
 	switch fault.Kind {
 	case faultKill:
@@ -139,7 +139,7 @@
 		program.Signal(syscall.SIGCONT)
 	case faultSlowDisk:
 		if err := os.WriteFile(member.diskFaultFile, []byte(slowDiskSetting), 0o600); err != nil {
-			return // without the file the disk is not slow
+			return // without the file the fault is not injected
 		}
 		pause(ctx, fault.Duration)
 		os.Remove(member.diskFaultFile)
@@ -152,7 +152,7 @@
 	}
 }
 
-// restart starts members that do not run.
+// restart starts members that are not running. A failed start is a violation.
 func (f *fleet) restart(members ...*fleetMember) {
 	for _, member := range members {
 		if err := member.start(); err != nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// shutDownAndRestart shuts a member down gracefully and starts it again after a while.
+// shutDownAndRestart shuts a member down gracefully and starts it again after a delay.
 func (f *fleet) shutDownAndRestart(ctx context.Context, member *fleetMember, after time.Duration) {
 	if program, wasRunning := member.markStopped(); wasRunning {
 		if err := member.awaitReady(ctx); err != nil {
@@ -176,7 +176,7 @@
 	f.restart(member)
 }
 
-// injectNetworkFault begins a fault of the links, and returns what ends it.
+// injectNetworkFault injects a fault of the connections between members, and returns the function that ends it.
 func (f *fleet) injectNetworkFault(fault FleetFault, member, peer *fleetMember) (restore func()) {
 	everywhere := func(int, int) bool { return true }
 	switch fault.Kind {
@@ -206,12 +206,12 @@
 	}
 }
 
-// connectsTo selects the links of a member, from it and to it.
+// connectsTo returns a predicate that selects the proxies from and to a member.
 func connectsTo(member *fleetMember) (selects func(from, to int) bool) {
 	return func(from, to int) bool { return from == member.index || to == member.index }
 }
 
-// partition loses all messages on the links that selects, and returns what ends that.
+// partition drops all messages on the selected proxies, and returns the function that ends the partition.
 func (f *fleet) partition(selects func(from, to int) bool) (restore func()) {
 	return f.configureProxies(selects, setPartitioned, clearPartitioned)
 }
@@ -219,7 +219,7 @@
 func setPartitioned(w *fake.FrameFaults)   { w.Partitioned = true }
 func clearPartitioned(w *fake.FrameFaults) { w.Partitioned = false }
 
-// dropOneWay loses what a member sends to a peer, over the connections that either may have opened.
+// dropOneWay drops the messages from one member to another, on the connections opened by either, and returns the function that ends it.
 func (f *fleet) dropOneWay(from, to *fleetMember) (restore func()) {
 	forward, reverse := f.proxies[[2]int{from.index, to.index}], f.proxies[[2]int{to.index, from.index}]
 	forward.Configure(fake.ToTarget, setPartitioned)
@@ -230,7 +230,7 @@
 	}
 }
 
-// configureProxies changes both directions of the links that selects, and returns what undoes it.
+// configureProxies applies change to both directions of the selected proxies, and returns the function that applies undo to them.
 func (f *fleet) configureProxies(selects func(from, to int) bool, change, undo func(*fake.FrameFaults)) (restore func()) {
 	var selected []*fake.FrameProxy
 	for pair, proxy := range f.proxies {
--- a/internal/e2e/fleetmember.go
+++ b/internal/e2e/fleetmember.go
@@ -12,32 +12,32 @@
 	"sorrelrudder/internal/fake"
 )
 
-// fleetMember is one member of a fleet, over its restarts.
+// fleetMember is a member of a fleet. It stays the same across restarts of its process. Its methods may be called concurrently.
 type fleetMember struct {
 	fleet         *fleet
 	index         int
 	name          string
 	addr          string
-	store         string // file of its consensus store; empty: it has none
-	diskFaultFile string // what is wrong with its disk, as the program's store reads it
+	store         string // path of its consensus store; empty for a member without a store
+	diskFaultFile string // path of the file from which its store reads a disk fault
 	clockRate     float64
 
 	mu              sync.Mutex // guards the fields below
 	program         *Program
 	startCount      int
-	running         bool // not killed and not shutting down
+	running         bool // started, and neither killed nor shutting down
 	earlierPrograms []*Program
 }
 
 func (p *fleetMember) configFile() string { return filepath.Join(p.fleet.dir, p.name+".toml") }
 
-// configText is the member's configuration. The addresses of the others are those of its links to them.
+// configText returns the configuration of the member. The addresses of the other members are those of the proxies to them.
 func (p *fleetMember) configText() string {
 	cfg := &p.fleet.cfg
 	return p.poolTOML() + cfg.poolSections + p.fleetTOML() + p.membersTOML() + p.sharedStateTOML() + cfg.tasks
 }
 
-// poolTOML is the listener and the pool.
+// poolTOML returns the sections of the listener and the pool.
 func (p *fleetMember) poolTOML() string {
 	const section = "[pools.farm]\n"
 	cfg := &p.fleet.cfg
@@ -55,7 +55,7 @@
 	return pool
 }
 
-// fleetTOML is the section of the fleet itself.
+// fleetTOML returns the [tier] section.
 func (p *fleetMember) fleetTOML() string {
 	cfg := &p.fleet.cfg
 	var voters []string
@@ -75,7 +75,7 @@
 	return b.String()
 }
 
-// membersTOML is the list of members.
+// membersTOML returns the [[tier.members]] sections.
 func (p *fleetMember) membersTOML() string {
 	var b strings.Builder
 	for _, other := range p.fleet.members {
@@ -91,7 +91,7 @@
 	return b.String()
 }
 
-// sharedStateTOML is the section of the shared state, empty if none is shared.
+// sharedStateTOML returns the [tier.copies] section, or "" if no state is shared.
 func (p *fleetMember) sharedStateTOML() string {
 	settings := p.fleet.cfg.sharedState
 	if settings == "" {
@@ -100,7 +100,7 @@
 	return "[tier.copies]\n" + strings.ReplaceAll(settings, memberFilePlaceholder, filepath.Join(p.fleet.dir, p.name))
 }
 
-// start starts the member, if it does not run.
+// start starts the member unless it is running.
 func (p *fleetMember) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,28 +126,28 @@
 	return nil
 }
 
-// currentProgram returns the program that was started last.
+// currentProgram returns the most recently started program.
 func (p *fleetMember) currentProgram() *Program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.program
 }
 
-// programs returns all programs of the member, the first one first.
+// programs returns all programs of the member, from the first to the current one.
 func (p *fleetMember) programs() []*Program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append(p.earlierPrograms[:len(p.earlierPrograms):len(p.earlierPrograms)], p.program)
 }
 
-// starts returns how often the member was started.
+// starts returns the number of times that the member was started.
 func (p *fleetMember) starts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startCount
 }
 
-// markStopped records that the member is about to shut down, and returns its program and whether it was running.
+// markStopped records that the member is about to shut down. It returns the current program and whether the member was running.
 func (p *fleetMember) markStopped() (program *Program, wasRunning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,7 +156,7 @@
 	return p.program, wasRunning
 }
 
-// awaitReady waits until the member takes part in the fleet. Before, it does not handle the signal to shut down.
+// awaitReady waits until the member takes part in the fleet. Before that, it does not handle SIGTERM.
 func (p *fleetMember) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -164,7 +164,7 @@
 	return err
 }
 
-// kill ends the member's process at once.
+// kill kills the process of the member and waits until it has ended.
 func (p *fleetMember) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +174,7 @@
 	p.running = false
 }
 
-// restart kills the member's process and starts it again.
+// restart kills the process of the member and starts a new one.
 func (p *fleetMember) restart() error {
 	p.kill()
 	return p.start()
--- a/internal/e2e/fleetstart.go
+++ b/internal/e2e/fleetstart.go
@@ -19,32 +19,32 @@
 	fleetServiceTime     = 5 * time.Millisecond
 	votersTimeout        = 10 * time.Second
 
-	// memberFilePlaceholder stands in fleetConfig.sharedState for the path of a member's files, without an extension.
+	// memberFilePlaceholder is replaced in fleetConfig.sharedState by the path of a member's files, without an extension.
 	memberFilePlaceholder = "DIR/NAME"
 )
 
-// fleetConfig describes a fleet.
+// fleetConfig configures a fleet.
 type fleetConfig struct {
 	processes        int
-	voters           int                       // the first of the processes
-	tasks            string                    // [[tasks]] of the operator's file
-	configureBackend func(*fake.BackendConfig) // changes what is usual, or nil
-	clockRate        func(i int) float64       // of a process, or nil
+	voters           int                       // number of voters, which are the first processes
+	tasks            string                    // [[tasks]] sections of the configuration
+	configureBackend func(*fake.BackendConfig) // changes the default configuration; may be nil
+	clockRate        func(i int) float64       // clock rate of a process; may be nil
 	votersInMemory   bool
-	ordinaryHTTP     bool                 // the pool's backends are ordinary HTTP services
-	fleetKeys        string               // further keys of [tier]
-	sharedState      string               // keys of [tier.copies]; empty: no state is shared
-	backends         int                  // 0: defaultFleetBackends
-	tick             time.Duration        // of consensus; 0: consensusTick
-	ttl              time.Duration        // of leases; 0: leaseTTL
-	zone             func(i int) string   // of a process, or nil
-	subsets          bool                 // each process chooses among a subset of the backends
-	recorder         *fake.EffectRecorder // of clients, or nil
-	poolSections     string               // further sections of the pool
-	falseReports     func(i int) string   // the servers that a process reports as failed though they are not, or nil
+	ordinaryHTTP     bool                 // the backends are ordinary HTTP services
+	fleetKeys        string               // additional keys of [tier]
+	sharedState      string               // keys of [tier.copies]; empty disables shared state
+	backends         int                  // 0 means defaultFleetBackends
+	tick             time.Duration        // of consensus; 0 means consensusTick
+	ttl              time.Duration        // of leases; 0 means leaseTTL
+	zone             func(i int) string   // zone of a process; may be nil
+	subsets          bool                 // each process uses a subset of the backends
+	recorder         *fake.EffectRecorder // of the clients; may be nil
+	poolSections     string               // additional sections of the pool
+	falseReports     func(i int) string   // backends that a process falsely reports as failed; may be nil
 }
 
-// startFleet starts a fleet that its first process founds, and waits until all voters vote.
+// startFleet starts a fleet that is bootstrapped at its first member, and waits until all voters are in the consensus group.
 func (e *Env) startFleet(ctx context.Context, cfg fleetConfig) (*fleet, error) {
 	dir, err := os.MkdirTemp(e.Dir, "fleet-")
 	if err != nil {
@@ -62,7 +62,7 @@
 	if err := f.bootstrapAndStart(ctx); err != nil {
 		return nil, err
 	}
-	return f, f.awaitCondition(ctx, votersTimeout, "all seats vote", func() bool {
+	return f, f.awaitCondition(ctx, votersTimeout, "all voters are in the consensus group", func() bool {
 		return !slices.ContainsFunc(f.members[:cfg.voters], func(voter *fleetMember) bool { return !voter.sawVoters(cfg.voters) })
 	})
 }
@@ -96,12 +96,12 @@
 	return nil
 }
 
-// freeMemberAddress returns a free port at a loopback address of the member's own.
+// freeMemberAddress returns an address with a free port. Each member has its own loopback IP address.
 func freeMemberAddress(i int) (string, error) {
 	return freeAddressAt(fmt.Sprintf("127.0.%d.%d", 10+i/200, 1+i%200))
 }
 
-// freeAddressAt returns a port of a loopback address on which nothing listens at present.
+// freeAddressAt returns an address with a port on which nothing is listening at the time of the call.
 func freeAddressAt(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -111,7 +111,7 @@
 	return listener.Addr().String(), nil
 }
 
-// startProxies starts a link between every ordered pair of members.
+// startProxies starts a proxy for every ordered pair of members.
 func (f *fleet) startProxies() error {
 	for _, from := range f.members {
 		for _, to := range f.members {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// writeFiles writes the members' secret and configurations.
+// writeFiles writes the secret and the configurations of the members.
 func (f *fleet) writeFiles() error {
 	if err := os.WriteFile(f.secret, []byte("a secret of the laboratory\n"), 0o600); err != nil {
 		return err
@@ -142,12 +142,13 @@
 	return nil
 }
 
-// bootstrapAndStart starts the members. A fleet with stores is founded before they start, one in memory as its first member is ready.
+// bootstrapAndStart starts the members. A fleet with stores is bootstrapped before its members start. A fleet in memory is bootstrapped
+// once its first member is ready.
 func (f *fleet) bootstrapAndStart(ctx context.Context) error {
 	firstMember := f.members[0]
 	if !f.cfg.votersInMemory {
 		if out, err := f.runCommand("tier", "init", firstMember.configFile()); err != nil {
-			return fmt.Errorf("founding the fleet: %w: %s", err, out)
+			return fmt.Errorf("bootstrapping the fleet: tier init: %w: %s", err, out)
 		}
 	}
 	f.env.Defer(f.killAll)
@@ -164,24 +165,24 @@
 		return err
 	}
 	if out, err := f.commandMember(firstMember, "found"); err != nil {
-		return fmt.Errorf("founding the fleet: %w: %s", err, out)
+		return fmt.Errorf("bootstrapping the fleet: tier found: %w: %s", err, out)
 	}
 	return nil
 }
 
-// sawVoters reports whether the member's log tells of a consensus group of n voters.
+// sawVoters reports whether the log of the member shows a consensus group of n voters.
 func (p *fleetMember) sawVoters(n int) bool {
 	return slices.ContainsFunc(p.currentProgram().LogLines(), func(line string) bool {
 		return strings.Contains(line, "consensus configuration changed") && len(logList(line, "voters")) == n
 	})
 }
 
-// logList returns the elements of a list in a line of the log.
+// logList returns the elements of a list attribute of a log line.
 func logList(line, key string) []string {
 	return strings.Fields(strings.Trim(LogField(line, key), "[]"))
 }
 
-// taskTOML is a task of the operator's file.
+// taskTOML returns a [[tasks]] section.
 func taskTOML(name, path, every, more string) string {
 	return fmt.Sprintf("[[tasks]]\nname = %q\npool = \"farm\"\npath = %q\nevery = %q\ndeadline = \"250ms\"\n%s", name, path, every, more)
 }
--- a/internal/e2e/leaselog.go
+++ b/internal/e2e/leaselog.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// leaseSpan is a time in which a member held a lease, by its own log.
+// leaseSpan is a period in which a member held a lease according to its log.
 type leaseSpan struct {
-	holder   int // index of the member
+	holder   int // index of the member that held the lease
 	token    uint64
-	from, to time.Time // to is zero while the member holds it
+	from, to time.Time // to is zero while the lease is held
 }
 
-// logTime returns when a line of the log was written; zero if it does not tell.
+// logTime returns the time attribute of a log line, or the zero time if the line has none.
 func logTime(line string) time.Time {
 	at, _ := time.Parse(time.RFC3339Nano, LogField(line, "time"))
 	return at
 }
 
-// leaseSpans returns the times in which a lease was held, in order.
+// leaseSpans returns the periods in which a lease was held, sorted by their start.
 func (f *fleet) leaseSpans(lease string) []leaseSpan {
 	var all []leaseSpan
 	for _, member := range f.members {
@@ -36,7 +36,8 @@
 	return all
 }
 
-// leaseSpansOf returns the times in which one program held a lease. One that has ended held it until its last line at the latest.
+// leaseSpansOf returns the periods in which one program held a lease. If the program has ended, its last period ends with its last log
+// line.
 func leaseSpansOf(program *Program, lease string, holder int, hasEnded bool) []leaseSpan {
 	var spans []leaseSpan
 	var last time.Time
@@ -66,7 +67,8 @@
 	return spans
 }
 
-// leaseHolder returns the index of the member that holds a lease now, by the newest token; -1 if none is known to.
+// leaseHolder returns the index of the member that holds a lease now, or -1 if no member does. Of several members, it is the one with the
+// newest token.
 func (f *fleet) leaseHolder(lease string) int {
 	holder, newest := -1, uint64(0)
 	for _, span := range f.leaseSpans(lease) {
@@ -77,7 +79,7 @@
 	return holder
 }
 
-// logHolders writes to the log who holds a lease, until ctx ends. The channel is closed afterwards.
+// logHolders logs each change of the holders of a lease until ctx ends. The channel is closed afterwards.
 func (f *fleet) logHolders(ctx context.Context, lease string) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -94,18 +96,18 @@
 	return done
 }
 
-// describeHolders lists the members that say that they hold a lease.
+// describeHolders lists the members that hold a lease according to their logs.
 func (f *fleet) describeHolders(lease string) string {
 	var holders []string
 	for _, span := range f.leaseSpans(lease) {
 		if span.to.IsZero() {
-			holders = append(holders, fmt.Sprintf("%s by %d", f.members[span.holder].name, span.token))
+			holders = append(holders, fmt.Sprintf("%s with token %d", f.members[span.holder].name, span.token))
 		}
 	}
 	return strings.Join(holders, ", ")
 }
 
-// consensusLeader returns the index of the member that leads the consensus group, by the newest term in the logs; 0 if none is known.
+// consensusLeader returns the index of the leader of the consensus group, by the newest term in the logs, or 0 if no leader is known.
 func (f *fleet) consensusLeader() int {
 	leader, newest := 0, 0
 	for _, member := range f.members {
@@ -125,7 +127,7 @@
 	return leader
 }
 
-// indexOf returns the index of the member with a name, -1 if there is none.
+// indexOf returns the index of the named member, or -1 if there is none.
 func (f *fleet) indexOf(name string) int {
 	return slices.IndexFunc(f.members, func(member *fleetMember) bool { return member.name == name })
 }
--- a/internal/e2e/sharedstate.go
+++ b/internal/e2e/sharedstate.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// defaultSharedState are the settings of the shared state: short times, so that a run of seconds sees many rounds of gossip.
+	// defaultSharedState is the configuration of the shared state. Its intervals are short, so that a run of a few seconds has many
+	// rounds of gossip.
 	defaultSharedState = "gossip = \"50ms\"\nprobe = \"250ms\"\nsync = \"500ms\"\nkeep = \"4s\"\n"
 
-	// maxConcurrentQueries bounds the commands that ask members at once.
+	// maxConcurrentQueries bounds the query commands that run concurrently.
 	maxConcurrentQueries = 6
 
 	memberAlive = "alive"
 )
 
-// sharedState is what a scenario reads of a member's shared state. The names of the fields are those of its JSON.
+// sharedState is the part of a member's shared state that scenarios use. The fields have the names of its JSON.
 type sharedState struct {
 	Incarnation uint64
 	Members     map[string]string
@@ -38,7 +39,7 @@
 	}
 }
 
-// allAlive reports whether the member holds all members for alive.
+// allAlive reports whether the member considers all members alive.
 func (s *sharedState) allAlive() bool {
 	for _, state := range s.Members {
 		if state != memberAlive {
@@ -48,13 +49,13 @@
 	return true
 }
 
-// sharedState asks a member for its shared state.
+// sharedState queries the shared state of a member.
 func (f *fleet) sharedState(member *fleetMember) (s sharedState, err error) {
 	err = f.queryMember(member, "state", &s)
 	return s, err
 }
 
-// sharedStates asks members at the same time, and returns the answers by the members' indexes. One that does not answer is left out.
+// sharedStates queries members concurrently, and returns their shared state by member index. Members that do not answer are omitted.
 func (f *fleet) sharedStates(members []*fleetMember) map[int]sharedState {
 	var mu sync.Mutex
 	var queries sync.WaitGroup
@@ -77,7 +78,7 @@
 	return states
 }
 
-// hintCount returns how many hints all members have taken.
+// hintCount returns the number of hints that all members have used.
 func (f *fleet) hintCount() int {
 	hints := 0
 	for _, state := range f.sharedStates(f.members) {
@@ -86,10 +87,10 @@
 	return hints
 }
 
-// differingEntries returns how many entries are not the same at all members.
+// differingEntries returns the number of entries that are missing at a member or differ between members.
 func differingEntries(states map[int]sharedState) int {
 	type entryID struct{ owner, key string }
-	versions := map[entryID]map[string]int{} // members by version
+	versions := map[entryID]map[string]int{} // number of members by version
 	for _, state := range states {
 		for _, entry := range state.Entries {
 			id := entryID{entry.Owner, entry.Key}
@@ -112,8 +113,8 @@
 	return differing
 }
 
-// startSharedStateFleet starts a fleet whose members share state, or not, and waits until all take part. It returns the word that
-// names the measures of such a fleet.
+// startSharedStateFleet starts a fleet with or without shared state, and waits until all members are ready. name is the prefix of its
+// measures.
 func (e *Env) startSharedStateFleet(ctx context.Context, shared bool, cfg fleetConfig) (f *fleet, name string, err error) {
 	name = "alone"
 	if shared {
@@ -125,7 +126,7 @@
 	return f, name, f.awaitAllReady(ctx)
 }
 
-// awaitAllReady waits until all members take part in the fleet.
+// awaitAllReady waits until all members are ready.
 func (f *fleet) awaitAllReady(ctx context.Context) error {
 	for _, member := range f.members {
 		if err := member.awaitReady(ctx); err != nil {
--- a/internal/e2e/takeover.go
+++ b/internal/e2e/takeover.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// maxTakeover is the target for a takeover after the holder was killed: the TTL by the slowest clock, counted anew by a new leader,
-// an election of at most twenty ticks, and some time for the machine.
+// maxTakeover is the target for the time of a takeover after the holder was killed. It is the sum of the TTL by the slowest clock, which a
+// new leader counts from the beginning, an election of at most twenty ticks, and a margin for the machine.
 const maxTakeover = leaseTTL + leaseTTL/10 + 20*consensusTick + 500*time.Millisecond
 
-// takeoverTimes are the times for which nobody held a lease after a fault of its holder.
+// takeoverTimes are the times from a fault of a lease holder until another member held the lease.
 type takeoverTimes struct {
 	fleet     *fleet
 	durations []time.Duration
 }
 
-// await waits until a member other than the former holder holds the lease, and records how long that took from the fault on.
+// await waits until a member other than the former holder holds the lease, and records the time since the fault.
 func (t *takeoverTimes) await(ctx context.Context, lease string, formerHolder int, faultAt time.Time) error {
 	var taken time.Time
-	err := t.fleet.awaitCondition(ctx, 10*time.Second, lease+" is held by another", func() bool {
+	err := t.fleet.awaitCondition(ctx, 10*time.Second, lease+" is held by another member", func() bool {
 		for _, span := range t.fleet.leaseSpans(lease) {
 			if span.holder != formerHolder && span.from.After(faultAt) {
 				taken = span.from
@@ -34,7 +34,7 @@
 	return err
 }
 
-// measure measures the times, with a bound on the longest.
+// measure measures the median and the maximum of the times, with a bound on the maximum.
 func (t *takeoverTimes) measure(name string, bound time.Duration) {
 	if len(t.durations) == 0 {
 		t.fleet.env.Fail("%s: nothing was taken over", name)
--- a/internal/e2e/tasks.go
+++ b/internal/e2e/tasks.go
@@ -6,16 +6,16 @@
 	"sorrelrudder/internal/fake"
 )
 
-// sweepLease is the lease of the task that most scenarios of leases watch.
+// sweepLease is the lease of the task sweep, which most lease scenarios use.
 const sweepLease = "task/sweep"
 
-// sweepIdempotency is what repeating a slot of that task may do.
+// sweepIdempotency is the idempotency of the requests of the task sweep, by task.
 var sweepIdempotency = map[string]fake.Idempotency{"sweep": fake.IdempotentByKey}
 
-// sweepTask is that task in the operator's file.
+// sweepTask returns the [[tasks]] section of the task sweep.
 func sweepTask(every string) string { return taskTOML("sweep", "/delivery-order/sweep", every, "") }
 
-// startSweepFleet starts a fleet with that task, and waits until its lease is held.
+// startSweepFleet starts a fleet with the task sweep, and waits until its lease is held.
 func (e *Env) startSweepFleet(ctx context.Context, processes, voters int, every string) (*fleet, error) {
 	f, err := e.startFleet(ctx, fleetConfig{processes: processes, voters: voters, tasks: sweepTask(every)})
 	if err != nil {
@@ -24,7 +24,7 @@
 	return f, f.repairAndAwaitLease(ctx, sweepLease)
 }
 
-// repairAndAwaitTaskLeases settles the leases of tasks.
+// repairAndAwaitTaskLeases ends all faults and waits until the lease of each task is held.
 func (f *fleet) repairAndAwaitTaskLeases(ctx context.Context, tasks map[string]fake.Idempotency) error {
 	for name := range tasks {
 		if err := f.repairAndAwaitLease(ctx, "task/"+name); err != nil {
--- a/internal/e2e/versionobserver.go
+++ b/internal/e2e/versionobserver.go
@@ -12,46 +12,47 @@
 )
 
 const (
-	// convergenceTimeout is by when after the last fault all members are to hold the same shared state.
+	// convergenceTimeout is the target for the time from the last fault until all members hold the same shared state.
 	convergenceTimeout = 5 * time.Second
 
-	// convergenceAbort is when a scenario no longer waits for that.
+	// convergenceAbort is the time after which a scenario fails without convergence.
 	convergenceAbort = 40 * time.Second
 
 	observationInterval = 700 * time.Millisecond
 )
 
-// versionObserver remembers which version of each entry each start of each member has shown. It counts what must not be: a version
-// that goes back, and an entry that was gone and is there again as it was. It knows nothing of how members merge what they receive.
+// versionObserver tracks the versions of entries that each start of each member reports. It counts two kinds of violation: a version that
+// regresses, and an entry that had disappeared and is reported again with the same version. It does not depend on how members merge
+// entries.
 type versionObserver struct {
 	fleet *fleet
 
-	observing sync.Mutex // held during an observation, so that none records what it saw before another
+	observing sync.Mutex // held during an observation: concurrent ones could record older states after newer ones
 
 	mu             sync.Mutex // guards the fields below
 	newest         map[string]entryVersion
-	present        map[string]bool // at the last observation
+	present        map[string]bool // by entry, at the last observation
 	regressions    int
 	resurrections  int
 	firstViolation string
 	observations   int
 }
 
-// entryVersion orders the versions of an entry.
+// entryVersion is the version of an entry. Versions are ordered by incarnation, then by sequence.
 type entryVersion struct{ incarnation, sequence uint64 }
 
 func (v entryVersion) compare(other entryVersion) int {
 	return cmp.Or(cmp.Compare(v.incarnation, other.incarnation), cmp.Compare(v.sequence, other.sequence))
 }
 
-// String returns the version as reports have it.
+// String returns the form of the version in reports.
 func (v entryVersion) String() string { return fmt.Sprintf("[%d %d]", v.incarnation, v.sequence) }
 
 func newVersionObserver(f *fleet) *versionObserver {
 	return &versionObserver{fleet: f, newest: map[string]entryVersion{}, present: map[string]bool{}}
 }
 
-// observe asks all members once, and returns what they hold.
+// observe queries all members once and returns their shared state.
 func (o *versionObserver) observe() map[int]sharedState {
 	o.observing.Lock()
 	defer o.observing.Unlock()
@@ -65,14 +66,14 @@
 	o.observations++
 	for i, state := range states {
 		member := o.fleet.members[i]
-		if member.starts() == starts[i] { // else another start may have answered
+		if member.starts() == starts[i] { // otherwise either start may have answered
 			o.record(fmt.Sprintf("%s/%d ", member.name, starts[i]), state)
 		}
 	}
 	return states
 }
 
-// record records what one start of a member shows; prefix names it. The caller holds mu.
+// record records the entries that one start of a member reports. prefix identifies the start. The caller holds mu.
 func (o *versionObserver) record(prefix string, state sharedState) {
 	present := map[string]bool{}
 	for _, entry := range state.Entries {
@@ -103,7 +104,7 @@
 	}
 }
 
-// follow observes again and again until ctx ends. The channel is closed afterwards.
+// follow observes at observationInterval until ctx ends. The channel is closed afterwards.
 func (o *versionObserver) follow(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -115,12 +116,12 @@
 	return done
 }
 
-// converge waits until all members hold each other for alive and hold the same entries, and measures how long that took.
+// converge waits until all members consider each other alive and hold the same entries, and measures how long that took.
 func (o *versionObserver) converge(ctx context.Context, name string) error {
 	f := o.fleet
 	from := time.Now()
 	var states map[int]sharedState
-	err := f.awaitCondition(ctx, convergenceAbort, "all hold the same of all", func() bool {
+	err := f.awaitCondition(ctx, convergenceAbort, "all members hold the same entries", func() bool {
 		states = o.observe()
 		return f.allAlive(states) && differingEntries(states) == 0
 	})
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// allAlive reports whether all members answered and hold each other for alive.
+// allAlive reports whether all members answered and consider each other alive.
 func (f *fleet) allAlive(states map[int]sharedState) bool {
 	for _, state := range states {
 		if !state.allAlive() {
@@ -145,13 +146,13 @@
 	return len(states) == len(f.members)
 }
 
-// describeNotAlive lists who holds whom for something else than alive.
+// describeNotAlive lists the members that another member does not consider alive.
 func (f *fleet) describeNotAlive(states map[int]sharedState) []string {
 	var all []string
 	for i, state := range states {
 		for name, health := range state.Members {
 			if health != memberAlive {
-				all = append(all, fmt.Sprintf("%s holds %s for %s", f.members[i].name, name, health))
+				all = append(all, fmt.Sprintf("%s considers %s %s", f.members[i].name, name, health))
 			}
 		}
 	}
@@ -159,7 +160,7 @@
 	return all
 }
 
-// measure measures what was observed.
+// measure records the numbers of regressions and resurrections, which must be 0, and of observations.
 func (o *versionObserver) measure() {
 	e := o.fleet.env
 	o.mu.Lock()
@@ -172,8 +173,8 @@
 	e.Measure("looks", float64(o.observations))
 }
 
-// measureDivergence measures how many entries differ convergenceTimeout after the last fault. It takes the least of three
-// observations, since one may see a change that is still on its way.
+// measureDivergence measures how many entries differ convergenceTimeout after the last fault. It takes the minimum of three observations,
+// since a single one may see a change that is still being propagated.
 func (o *versionObserver) measureDivergence(ctx context.Context, lastFault time.Time) {
 	pause(ctx, convergenceTimeout-time.Since(lastFault))
 	least := math.MaxInt
--- a/internal/e2e/zonefleet.go
+++ b/internal/e2e/zonefleet.go
@@ -14,10 +14,10 @@
 	zoneProcesses = 12
 	zoneVoters    = 3
 
-	// zoneSettings have the fleet leave zones by itself, and return in short steps.
+	// zoneSettings enable automatic zone shifts, with short steps of the recovery ramp.
 	zoneSettings = "[tier.zones]\nautomatic = \"on\"\nstep = \"1s\"\nhold = \"1s\"\n"
 
-	// lastRecoveryStep is the step of the recovery ramp at which a zone is used in full, and failoverStep the one at which it is left.
+	// At failoverStep of the recovery ramp a zone is not used, at lastRecoveryStep it is used in full.
 	failoverStep     = 0
 	lastRecoveryStep = 4
 
@@ -25,29 +25,29 @@
 	exclusionsMessage = "exclusions applied"
 )
 
-// zoneNames are the zones, over which members and backends are spread in turn.
+// zoneNames lists the zones. Members and backends are assigned to them round-robin.
 var zoneNames = []string{"a", "b", "c"}
 
-// unreachableFault is the fault of a backend whose machine has unreachableFault.
+// unreachableFault is the fault of a backend whose machine has failed: requests and health checks get no response.
 var unreachableFault = fake.Fault{Kind: fake.FaultUnreachable, Fraction: 1}
 
-// zoneFleetConfig describes a fleet in three zones, with three backends in each.
+// zoneFleetConfig configures a fleet in three zones, with three backends in each.
 type zoneFleetConfig struct {
 	recorder         *fake.EffectRecorder
-	alone            bool   // members share no state, and leave no zone together
-	processes        int    // 0: zoneProcesses
-	voters           int    // 0: zoneVoters
-	poolSections     string // further sections of the pool, whose backends then are ordinary HTTP services
-	zoneKeys         string // further keys of [tier.zones]
+	alone            bool   // members share no state and decide about zones alone
+	processes        int    // 0 means zoneProcesses
+	voters           int    // 0 means zoneVoters
+	poolSections     string // additional sections of the pool; if set, its backends are ordinary HTTP services
+	zoneKeys         string // additional keys of [tier.zones]
 	configureBackend func(*fake.BackendConfig)
 }
 
-// configureZoneBackend makes the usual backend of a zone.
+// configureZoneBackend sets the default configuration of a backend in a zone.
 func configureZoneBackend(b *fake.BackendConfig) {
 	b.ServiceTime, b.Cores, b.QueueLimit = 40*time.Millisecond, 2, 200
 }
 
-// startZoneFleet starts a fleet, and waits until all members hold each other for alive; until they are ready if they share no state.
+// startZoneFleet starts a fleet. It waits until all members consider each other alive, or until all are ready if they share no state.
 func (e *Env) startZoneFleet(ctx context.Context, cfg zoneFleetConfig) (*fleet, error) {
 	configure := configureZoneBackend
 	if cfg.configureBackend != nil {
@@ -74,15 +74,15 @@
 	if cfg.alone {
 		return f, f.awaitAllReady(ctx)
 	}
-	return f, f.awaitCondition(ctx, 20*time.Second, "all are there to each other", func() bool {
+	return f, f.awaitCondition(ctx, 20*time.Second, "all members consider each other alive", func() bool {
 		return f.allAlive(f.sharedStates(f.members))
 	})
 }
 
-// zoneOf returns the zone of the member or backend with an index.
+// zoneOf returns the zone of the member or backend with index i.
 func zoneOf(i int) string { return zoneNames[i%len(zoneNames)] }
 
-// backendsIn returns the backends of a zone.
+// backendsIn returns the backends in a zone.
 func (f *fleet) backendsIn(zone string) (all []*fake.Backend) {
 	for _, backend := range f.backends {
 		if backend.Zone() == zone {
@@ -92,14 +92,14 @@
 	return all
 }
 
-// setFault sets the fault of backends.
+// setFault sets the fault of several backends.
 func setFault(backends []*fake.Backend, fault fake.Fault) {
 	for _, backend := range backends {
 		backend.SetFault(fault)
 	}
 }
 
-// lostRequests returns how many requests went to backends that were unreachable.
+// lostRequests returns the number of requests sent to backends while they were unreachable or crashed.
 func (f *fleet) lostRequests() int64 {
 	n := int64(0)
 	for _, backend := range f.backends {
@@ -108,7 +108,8 @@
 	return n
 }
 
-// exclusionTimes returns when after a moment each member first excluded that many backends, in order. Members that did not are left out.
+// exclusionTimes returns the sorted times at which each member first had exactly the given number of backends excluded, after a moment.
+// Members without such a time are omitted.
 func (f *fleet) exclusionTimes(excluded int, after time.Time) (times []time.Time) {
 	for _, member := range f.members {
 		for _, line := range member.currentProgram().LogLines() {
@@ -123,27 +124,27 @@
 	return times
 }
 
-// awaitExclusions waits until all members have excluded that many backends after a moment.
+// awaitExclusions waits until all members have had exactly the given number of backends excluded, after a moment.
 func (f *fleet) awaitExclusions(ctx context.Context, timeout time.Duration, excluded int, after time.Time, what string) error {
 	return f.awaitCondition(ctx, timeout, what, func() bool {
 		return len(f.exclusionTimes(excluded, after)) == len(f.members)
 	})
 }
 
-// backendsPerZone is how many backends members exclude as they leave a zone.
+// backendsPerZone is the number of backends that a member excludes when it leaves a zone.
 const backendsPerZone = zoneBackends / 3
 
 // awaitZoneLeft waits until all members have left a zone after a moment.
 func (f *fleet) awaitZoneLeft(ctx context.Context, timeout time.Duration, after time.Time) error {
-	return f.awaitExclusions(ctx, timeout, backendsPerZone, after, "all have left the zone")
+	return f.awaitExclusions(ctx, timeout, backendsPerZone, after, "all members have left the zone")
 }
 
-// awaitZoneUsed waits until all members exclude nothing again after a moment.
+// awaitZoneUsed waits until all members have no backend excluded any more after a moment.
 func (f *fleet) awaitZoneUsed(ctx context.Context, timeout time.Duration, after time.Time) error {
-	return f.awaitExclusions(ctx, timeout, 0, after, "all use the zone again")
+	return f.awaitExclusions(ctx, timeout, 0, after, "all members use the zone again")
 }
 
-// zoneShifts returns how many zone shifts the members' present programs have decided.
+// zoneShifts returns the number of zone shifts that the current programs of the members have decided.
 func (f *fleet) zoneShifts() (n int) {
 	for _, member := range f.members {
 		n += member.currentProgram().CountLog(zoneShiftMessage)
@@ -151,7 +152,7 @@
 	return n
 }
 
-// zoneShiftDeciders returns how many members have decided a zone shift.
+// zoneShiftDeciders returns the number of members that have decided a zone shift.
 func (f *fleet) zoneShiftDeciders() (n int) {
 	for _, member := range f.members {
 		if member.currentProgram().CountLog(zoneShiftMessage) > 0 {
@@ -161,35 +162,36 @@
 	return n
 }
 
-// zoneCommand runs an operator's command about a zone at the first member.
+// zoneCommand runs a zone command against the first member.
 func (f *fleet) zoneCommand(args ...string) error {
 	return f.mustCommandMember(f.members[0], append([]string{"zone"}, args...)...)
 }
 
-// expectZoneCommandRefused runs such a command, and fails with a message if it is not refused.
+// expectZoneCommandRefused runs a zone command, and records a violation with the given message if the command succeeds.
 func (f *fleet) expectZoneCommandRefused(message string, args ...string) {
 	if out, err := f.commandMember(f.members[0], append([]string{"zone"}, args...)...); err == nil {
 		f.env.Fail("%s: %s", message, out)
 	}
 }
 
-// outage is the loss and the return of a zone. The moments may be read once done is closed.
+// outage is the loss and the return of a zone. The times may be read once done is closed.
 type outage struct {
 	lost, restored time.Time
 	done           chan struct{} // closed once the load has ended
 }
 
-// loseZone has a zone's backends vanish after a while, and return after another, warming up. The load ends with ctx.
+// loseZone makes the backends of a zone unreachable after a delay, for the given length. They return in slow start. done is closed once
+// ctx, which limits the load, has ended.
 func (f *fleet) loseZone(ctx context.Context, zone string, after, length time.Duration) *outage {
 	o := &outage{done: make(chan struct{})}
 	go func() {
 		defer close(o.done)
 		pause(ctx, after)
-		f.logEvent("zone %s is lost", zone)
+		f.logEvent("backends of zone %s become unreachable", zone)
 		o.lost = time.Now()
 		setFault(f.backendsIn(zone), unreachableFault)
 		pause(ctx, length)
-		f.logEvent("zone %s is back, cold", zone)
+		f.logEvent("backends of zone %s return in slow start", zone)
 		o.restored = time.Now()
 		f.restoreZone(zone)
 		<-ctx.Done()
@@ -197,7 +199,7 @@
 	return o
 }
 
-// restoreZone ends the faults of a zone's backends, which warm up.
+// restoreZone ends the faults of the backends in a zone and starts their slow start.
 func (f *fleet) restoreZone(zone string) {
 	for _, backend := range f.backendsIn(zone) {
 		backend.RestartSlowStart()
@@ -205,7 +207,7 @@
 	}
 }
 
-// comparisonName names the measures of a fleet that shares state, or of members each alone.
+// comparisonName returns the prefix of the measures of a fleet that shares state, or of members that decide alone.
 func comparisonName(together bool) string {
 	if together {
 		return "together"
@@ -213,7 +215,8 @@
 	return "alone"
 }
 
-// measureExclusions measures when all members had left a zone and how far they were apart, from a moment on.
+// measureExclusions measures the time from the loss of a zone until the last member left it, and the time between the first and the last
+// member.
 func (f *fleet) measureExclusions(lost time.Time) {
 	times := f.exclusionTimes(backendsPerZone, lost)
 	if len(times) < len(f.members) {
