--- a/internal/e2e/abandoning_clients.go
+++ b/internal/e2e/abandoning_clients.go
@@ -12,29 +12,29 @@
 func init() {
 	Register(Scenario{
 		Name: "clients-once", Duration: 6 * time.Second, Run: abandoningClients,
-		Summary: "clients that ask once and keep their connection, beside keep-alive clients, alone and under silent connections",
+		Summary: "clients that send one request per connection and leave it open, beside keep-alive clients; then the same beside idle connections",
 	})
 }
 
 const (
-	abandoningRate     = 120 // operations a second, each on a connection of its own
+	abandoningRate     = 120 // operations per second, each on its own connection
 	keepAliveRate      = 60
-	abandoningMaxConns = 128 // connections of the abandoning clients; if each stayed open for 2 s, they would need 240
-	idleConnCount      = 200 // connections on which nothing is sent, in the second phase
+	abandoningMaxConns = 128 // of the abandoning clients; they would need 240 if each connection stayed open for 2 s
+	idleConnCount      = 200 // connections without requests, in the second phase
 	maxAcceptTimeMs    = 50
 
-	besideIdlePrefix = "beside_silents_" // of the second phase's measures
+	besideIdlePrefix = "beside_silents_" // prefix of the second phase's measures
 )
 
-// abandonResult is what came of a phase.
+// abandonResult is the result of a phase.
 type abandonResult struct {
 	abandoning, keepAlive *fake.ClientResults
 	acceptTimes           []time.Duration
 	idleOpened            int64
 }
 
-// abandoningClients plays clients that leave a connection open after each operation beside clients that reuse theirs: alone, then
-// beside connections on which nothing is sent. It measures how long a new client waits for its first response.
+// abandoningClients runs clients that open a connection for each operation and leave it open, beside clients that reuse theirs: first
+// alone, then beside idle connections. It measures how long a new client waits for its first response.
 func abandoningClients(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	program, _, _, err := e.startFarm(ctx, recorder, "[process]\ndescriptors = 384\n\n")
@@ -42,10 +42,10 @@
 		return err
 	}
 	addr := program.Addr("farm")
-	e.Phase("clients that ask once, beside keep-alive clients", e.Duration/2)
+	e.Phase("clients that leave connections open, beside keep-alive clients", e.Duration/2)
 	first := e.playAbandoning(ctx, addr, 0, recorder)
 	e.measureAbandoning("", first)
-	e.Phase("the same beside silent connections", e.Duration/2)
+	e.Phase("the same beside idle connections", e.Duration/2)
 	second := e.playAbandoning(ctx, addr, 1, recorder)
 	e.measureAbandoning(besideIdlePrefix, second)
 	e.Measure(besideIdlePrefix+"opened", float64(second.idleOpened))
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// playAbandoning plays a phase, the second one with idle connections.
+// playAbandoning runs a phase. The second one has idle connections.
 func (e *Env) playAbandoning(ctx context.Context, addr string, phase int, recorder *fake.EffectRecorder) abandonResult {
 	load, cancel := context.WithTimeout(ctx, e.Duration/2)
 	defer cancel()
--- a/internal/e2e/http2.go
+++ b/internal/e2e/http2.go
@@ -16,18 +16,18 @@
 func init() {
 	Register(Scenario{
 		Name: "http-h2", Duration: 10 * time.Second, Run: httpH2,
-		Summary: "clients with HTTP/2 over TLS, alone and beside floods of streams that are reset",
+		Summary: "HTTP/2 clients over TLS, alone and beside a flood of streams that are reset at once",
 	})
 }
 
 const (
 	http2Clients         = 30
-	resetStreamRate      = 2000 // a second, at most
+	resetStreamRate      = 2000 // per second, at most
 	resetStreamDialPause = 10 * time.Millisecond
 	resetStreamConnTime  = time.Minute
 )
 
-// httpH2 plays clients with HTTP/2, alone and then beside connections that open streams and reset them at once.
+// httpH2 runs HTTP/2 clients: first alone, then beside connections that open streams and reset them at once.
 func httpH2(ctx context.Context, e *Env) error {
 	w, err := e.startHTTPS(ctx)
 	if err != nil {
@@ -35,9 +35,9 @@
 	}
 	var http2Responses, requests int64
 	for i, flood := range []bool{false, true} {
-		phase, prefix := "clients with HTTP/2", ""
+		phase, prefix := "HTTP/2 clients over TLS", ""
 		if flood {
-			phase, prefix = "the same beside streams that are reset", "beside_resets_"
+			phase, prefix = "HTTP/2 clients beside a flood of reset streams", "beside_resets_"
 		}
 		e.Phase(phase, e.Duration/2)
 		load, cancel := context.WithTimeout(ctx, e.Duration/2)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// floodResets opens streams and resets them at once until ctx ends, on a further connection as each is closed. It returns how many
-// were reset.
+// floodResets opens streams and resets them at once until ctx ends. It opens a new connection whenever the current one is closed. It
+// returns the number of streams reset.
 func (w *httpsFarm) floodResets(ctx context.Context) (n int64) {
 	for ctx.Err() == nil {
 		conn, err := w.dialHTTP2()
@@ -81,7 +81,7 @@
 	return n
 }
 
-// resetStreams resets streams on one connection until that or ctx ends. n is how many were reset before; the new count is returned.
+// resetStreams resets streams on one connection until the connection or ctx ends. It adds their number to n and returns the sum.
 func (w *httpsFarm) resetStreams(ctx context.Context, conn *tls.Conn, n int64) int64 {
 	conn.SetDeadline(time.Now().Add(resetStreamConnTime))
 	go io.Copy(io.Discard, conn)
--- a/internal/e2e/http2_idle.go
+++ b/internal/e2e/http2_idle.go
@@ -16,17 +16,17 @@
 func init() {
 	Register(Scenario{
 		Name: "http-h2-idle", Duration: 5 * time.Second, Run: httpIdle,
-		Summary: "10,000 HTTP/2 connections over TLS that have asked once and stand idle: what they hold",
+		Summary: "10,000 idle HTTP/2 connections over TLS: memory per connection, and the requests of other clients",
 	})
 }
 
 const (
 	idleHTTP2Conns       = 10_000
-	idleHTTP2Dialers     = 64 // connections opened at once
+	idleHTTP2Dialers     = 64 // connections opened concurrently
 	idleHTTP2DialTimeout = 30 * time.Second
 )
 
-// httpIdle opens idle HTTP/2 connections and measures the program's memory; then clients send requests beside them.
+// httpIdle opens idle HTTP/2 connections and measures the memory of the program. Then clients send requests beside them.
 func httpIdle(ctx context.Context, e *Env) error {
 	w, err := e.startHTTPSWith(ctx, "[process]\ndescriptors = 24000\nmemory = \"1GiB\"\n")
 	if err != nil {
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	e.Phase("connections are opened", time.Minute)
+	e.Phase("opening idle connections", time.Minute)
 	conns, failed := w.openIdleConns(ctx)
 	defer closeConns(conns)
 	if err := ctx.Err(); err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	e.Phase("usual clients beside them", e.Duration)
+	e.Phase("clients beside the idle connections", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	var counts httpsCounts
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// openIdleConns opens the connections, of which those that failed are nil, and returns how many failed.
+// openIdleConns opens idleHTTP2Conns connections and returns the number of failures. Connections that failed are nil.
 func (w *httpsFarm) openIdleConns(ctx context.Context) (conns []*tls.Conn, failed int64) {
 	conns = make([]*tls.Conn, idleHTTP2Conns)
 	var next, failures atomic.Int64
@@ -95,7 +95,7 @@
 	}
 }
 
-// openIdleConn opens a connection, exchanges settings and leaves it open.
+// openIdleConn opens a connection, exchanges HTTP/2 settings and leaves the connection open.
 func (w *httpsFarm) openIdleConn() (*tls.Conn, error) {
 	conn, err := w.dialHTTP2()
 	if err != nil {
@@ -109,7 +109,7 @@
 		frame, err := framer.ReadFrame()
 		if err != nil {
 			conn.Close()
-			return nil, fmt.Errorf("no settings: %w", err)
+			return nil, fmt.Errorf("waiting for the HTTP/2 settings acknowledgment: %w", err)
 		}
 		if settings, ok := frame.(*http2.SettingsFrame); ok && settings.IsAck() {
 			conn.SetDeadline(time.Time{})
--- a/internal/e2e/http_services.go
+++ b/internal/e2e/http_services.go
@@ -12,27 +12,28 @@
 func init() {
 	Register(Scenario{
 		Name: "http-plain", Duration: 24 * time.Second, Run: httpServices,
-		Summary: "the same faults at ordinary HTTP services, with ORCA and without reports, as by the platform's protocol",
+		Summary: "the same faults at backends of the platform and at ordinary HTTP services, with ORCA load reports and without reports",
 	})
 }
 
 const (
 	httpBackends = 5
-	httpRate     = 250 // operations a second: some 0.4 of what the backends can serve while one of them is faulty
+	httpRate     = 250 // operations per second: about 0.4 of the capacity while one backend is faulty
 )
 
-// httpFaults strike one backend after the other.
+// httpFaults are the faults of the scenario. Each strikes another backend, one after the other.
 var httpFaults = []struct {
 	name  string
 	fault fake.Fault
 }{
-	{"answers late", fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 400 * time.Millisecond}},
-	{"stands still", fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1}},
-	{"answers garbage", fake.Fault{Kind: fake.FaultMalformed, Fraction: 1}},
-	{"closes as requests come", fake.Fault{Kind: fake.FaultClose, Fraction: 0.5}},
+	{"late responses", fake.Fault{Kind: fake.FaultDelay, Fraction: 1, Delay: 400 * time.Millisecond}},
+	{"unanswered requests", fake.Fault{Kind: fake.FaultUnanswered, Fraction: 1}},
+	{"malformed responses", fake.Fault{Kind: fake.FaultMalformed, Fraction: 1}},
+	{"connections closed on requests", fake.Fault{Kind: fake.FaultClose, Fraction: 0.5}},
 }
 
-// httpPoolTOML is a listener and a pool of the platform's backends, or of ordinary HTTP services whose classes are told by path.
+// httpPoolTOML returns a listener and a pool. The backends speak the platform's protocol or are ordinary HTTP services, whose classes are
+// matched by path.
 func httpPoolTOML(reporting fake.LoadReporting, backends []*fake.Backend) string {
 	var b strings.Builder
 	b.WriteString("[process]\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n\n[pools.farm]\n")
@@ -53,7 +54,7 @@
 	return b.String()
 }
 
-// httpServices plays the same faults at backends of the platform and at ordinary HTTP services, with load reports and without.
+// httpServices injects the same faults into backends of the platform and into ordinary HTTP services, with load reports and without.
 func httpServices(ctx context.Context, e *Env) error {
 	served := map[fake.LoadReporting]float64{}
 	answered, attempts, duplicates := 0, 0, 0
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// playHTTPServices plays the faults at backends of one kind.
+// playHTTPServices injects the faults into backends of one kind.
 func (e *Env) playHTTPServices(ctx context.Context, name string, reporting fake.LoadReporting) (*fake.ClientResults, fake.Verdict, error) {
 	recorder := fake.NewEffectRecorder()
 	backends, err := e.startBackends(name, httpBackends, recorder, func(c *fake.BackendConfig) { c.LoadReporting = reporting })
@@ -91,7 +92,7 @@
 		return nil, fake.Verdict{}, err
 	}
 	length := e.Duration / 3
-	e.Phase("services of the kind "+name, length)
+	e.Phase("backends of kind "+name, length)
 	load, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	go injectHTTPFaults(load, backends, length)
@@ -103,7 +104,8 @@
 	return results, e.CheckRules(recorder), nil
 }
 
-// injectHTTPFaults injects one fault at a backend after the other, with as long without between them, and kills the last backend.
+// injectHTTPFaults injects one fault into each backend in turn, each followed by a pause of the same length, and finally closes the last
+// backend.
 func injectHTTPFaults(ctx context.Context, backends []*fake.Backend, length time.Duration) {
 	step := length / time.Duration(2*len(httpFaults)+2)
 	for i, f := range httpFaults {
--- a/internal/e2e/https.go
+++ b/internal/e2e/https.go
@@ -21,11 +21,11 @@
 const (
 	defaultHTTPSProcess = "[process]\ndescriptors = 512\n"
 	httpsClientTimeout  = 5 * time.Second
-	httpsCertificate    = "farm" // name of its files, without an extension
+	httpsCertificate    = "farm" // name of the certificate files, without an extension
 	httpsBackends       = 4
 )
 
-// httpsFarm is a program with a listener that speaks TLS, in front of ordinary HTTP services.
+// httpsFarm is a program with a TLS listener in front of ordinary HTTP services.
 type httpsFarm struct {
 	env      *Env
 	program  *Program
@@ -33,12 +33,12 @@
 	recorder *fake.EffectRecorder
 }
 
-// startHTTPS starts the program with the usual limits.
+// startHTTPS starts the program with the default [process] section.
 func (e *Env) startHTTPS(ctx context.Context) (*httpsFarm, error) {
 	return e.startHTTPSWith(ctx, defaultHTTPSProcess)
 }
 
-// startHTTPSWith starts the program with another [process] section.
+// startHTTPSWith starts the program with the given [process] section.
 func (e *Env) startHTTPSWith(ctx context.Context, process string) (*httpsFarm, error) {
 	w := &httpsFarm{env: e, recorder: fake.NewEffectRecorder()}
 	backends, err := e.startBackends("box", httpsBackends, w.recorder, func(c *fake.BackendConfig) { c.LoadReporting = fake.ReportORCA })
@@ -65,7 +65,7 @@
 	return tls.Dial("tcp", w.program.Addr("farm"), &tls.Config{RootCAs: w.ca.CertPool(), ServerName: farmHost, NextProtos: []string{"h2"}})
 }
 
-// newClient returns a client that reuses its connections and speaks HTTP/2, and what closes the idle ones.
+// newClient returns an HTTP/2 client that reuses its connections, and a function that closes its idle connections.
 func (w *httpsFarm) newClient() (client *http.Client, closeIdle func()) {
 	addr := w.program.Addr("farm")
 	transport := &http.Transport{
@@ -77,20 +77,20 @@
 	return &http.Client{Transport: transport, Timeout: httpsClientTimeout}, transport.CloseIdleConnections
 }
 
-// httpsCounts are what became of requests.
+// httpsCounts counts requests by outcome.
 type httpsCounts struct {
 	requests, served, rejected, failed, other atomic.Int64
 	http2                                     atomic.Int64 // responses over HTTP/2
 }
 
-// httpsLoad describes a load of clients that each send one request after the other.
+// httpsLoad configures a load of clients. Each client sends one request after the other.
 type httpsLoad struct {
 	name    string // prefix of the request ids
 	clients int
-	renew   time.Duration // after which a client opens a connection of its own; 0: all share their connections
+	renew   time.Duration // interval at which a client opens a new connection; 0 means that all clients share connections
 }
 
-// run sends requests until ctx ends.
+// run runs the clients of a load until ctx ends.
 func (w *httpsFarm) run(ctx context.Context, load httpsLoad, counts *httpsCounts) {
 	shared, closeShared := w.newClient()
 	defer closeShared()
@@ -114,7 +114,7 @@
 	clients.Wait()
 }
 
-// send sends one request and counts what became of it.
+// send sends one request and counts its outcome.
 func (w *httpsFarm) send(client *http.Client, class fake.ClassLoad, id string, counts *httpsCounts) {
 	request, key, err := newHTTPSRequest(class, id)
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// exchangeHTTPS sends a request and reads the response to its end.
+// exchangeHTTPS sends a request and reads the complete response.
 func exchangeHTTPS(client *http.Client, request *http.Request) (response *http.Response, body string, err error) {
 	response, err = client.Do(request)
 	if err != nil {
@@ -155,7 +155,7 @@
 	return response, string(text), err
 }
 
-// newHTTPSRequest returns a request of a class, and its idempotency key, "" if it has none.
+// newHTTPSRequest returns a request of a class and its idempotency key, which is "" for classes without one.
 func newHTTPSRequest(class fake.ClassLoad, id string) (request *http.Request, key string, err error) {
 	method, body := http.MethodGet, ""
 	if class.Idempotency != fake.Idempotent {
@@ -171,11 +171,11 @@
 		key = id
 		request.Header.Set("Idempotency-Key", key)
 	}
-	request.GetBody = nil // the transport must not send it again by itself
+	request.GetBody = nil // prevents the transport from retrying the request
 	return request, key, nil
 }
 
-// measureHTTPS measures what became of a load, and returns the fraction served.
+// measureHTTPS measures the outcomes of a load, and returns the fraction served.
 func (e *Env) measureHTTPS(prefix string, counts *httpsCounts) (served float64) {
 	requests := counts.requests.Load()
 	e.Measure(prefix+"requests", float64(requests))
@@ -186,7 +186,7 @@
 	return served
 }
 
-// finish shuts the program down and checks the rules. requests is how many requests awaited a response.
+// finish shuts the program down and checks the rules. requests is the number of requests that expected a response.
 func (w *httpsFarm) finish(requests int64) {
 	if err := w.program.Stop(); err != nil {
 		w.env.Fail("the program ended with %v", err)
--- a/internal/e2e/lease_disk.go
+++ b/internal/e2e/lease_disk.go
@@ -12,11 +12,11 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-disk", Duration: 20 * time.Second, Run: leaseDisk,
-		Summary: "disks that are slow, full, fail once and are lost; a member that lost its own listens until it is replaced",
+		Summary: "disks of voters are slow, full, fail a sync or are lost; a voter without its store stays a learner until an operator replaces its identity",
 	})
 }
 
-// diskScenario plays faults of voters' disks. Each of its steps takes as long as part, and strikes a voter that is drawn.
+// diskScenario injects disk faults into voters. Each step takes part, and strikes a randomly drawn voter.
 type diskScenario struct {
 	fleet *fleet
 	rng   *rand.Rand
@@ -37,8 +37,8 @@
 		{"a slow disk", s.slowDisk},
 		{"a sync that fails once", s.failedSync},
 		{"a full disk", s.fullDisk},
-		{"a lost disk, and its seat replaced", s.lostDisk},
-		{"another's disk", s.foreignStore},
+		{"a lost store, and the replacement of the voter", s.lostDisk},
+		{"the store of another voter", s.foreignStore},
 	} {
 		e.Phase(step.phase, s.part)
 		if err := step.play(ctx); err != nil {
@@ -55,14 +55,14 @@
 	return s.fleet.members[s.rng.IntN(s.fleet.cfg.voters)]
 }
 
-// nextVoter returns another voter.
+// nextVoter returns a voter other than the given one.
 func (s *diskScenario) nextVoter(voter *fleetMember) *fleetMember {
 	return s.fleet.members[(voter.index+1)%s.fleet.cfg.voters]
 }
 
-// setDiskFault makes a member's disk faulty, until its fault file is removed.
+// setDiskFault makes the disk of a voter faulty until its fault file is removed.
 func (s *diskScenario) setDiskFault(voter *fleetMember, fault string) {
-	s.fleet.logEvent("the disk of %s: %s", voter.name, fault)
+	s.fleet.logEvent("disk fault of %s: %s", voter.name, fault)
 	if err := os.WriteFile(voter.diskFaultFile, []byte(fault), 0o600); err != nil {
 		s.fleet.env.Fail("%v", err)
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// failedSync has a voter stop voting, as it must after a failed sync, until it is started again.
+// failedSync makes a sync of a voter fail. The voter must then stop voting until it is restarted.
 func (s *diskScenario) failedSync(ctx context.Context) error {
 	const stopped = "the voter has stopped until the next start"
 	voter := s.drawVoter()
@@ -87,7 +87,7 @@
 		return err
 	}
 	pause(ctx, s.part/2)
-	s.fleet.logEvent("%s starts again", voter.name)
+	s.fleet.logEvent("%s is restarted", voter.name)
 	if err := voter.restart(); err != nil {
 		return err
 	}
@@ -107,14 +107,14 @@
 	return s.fleet.repairAndAwaitLease(ctx, sweepLease)
 }
 
-// lostDisk has a voter start without its store. It must not vote until an operator has replaced its identity.
+// lostDisk starts a voter without its store. It must not vote until an operator has replaced its identity.
 func (s *diskScenario) lostDisk(ctx context.Context) error {
 	f, voter := s.fleet, s.drawVoter()
 	voter.kill()
 	if err := os.Rename(voter.store, voter.store+".lost"); err != nil {
 		return err
 	}
-	f.logEvent("the disk of %s is lost", voter.name)
+	f.logEvent("the store of %s is lost", voter.name)
 	if err := voter.start(); err != nil {
 		return err
 	}
@@ -127,13 +127,13 @@
 		return err
 	}
 	if status.Council == nil {
-		return fmt.Errorf("%w: %s does not tell who votes", errNotRecovered, other.name)
+		return fmt.Errorf("%w: status of %s has no consensus group", errNotRecovered, other.name)
 	}
 	before := slices.Clone(status.Council.Voters)
 	if err := f.mustCommandMember(other, "member", "replace", voter.name); err != nil {
 		return err
 	}
-	if err := f.awaitCondition(ctx, 10*time.Second, "the new identity votes", func() bool {
+	if err := f.awaitCondition(ctx, 10*time.Second, "the new identity is a voter", func() bool {
 		status, err := f.status(other)
 		if err != nil || status.Council == nil {
 			return false
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// foreignStore has a voter start with the store of another, which it must refuse.
+// foreignStore starts a voter with the store of another voter. It must refuse to start.
 func (s *diskScenario) foreignStore(ctx context.Context) error {
 	voter := s.drawVoter()
 	voter.kill()
--- a/internal/e2e/lease_holders.go
+++ b/internal/e2e/lease_holders.go
@@ -11,11 +11,11 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-holders", Duration: 20 * time.Second, Run: leaseHolders,
-		Summary: "ten processes, of which five vote, and two tasks, under faults drawn from the seed",
+		Summary: "ten members, five of them voters, and two tasks, under faults drawn from the seed",
 	})
 }
 
-// leaseHolders injects faults of all kinds into a fleet whose clocks drift.
+// leaseHolders injects faults of all kinds into a fleet whose members' clocks drift.
 func leaseHolders(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 31))
 	f, err := e.startFleet(ctx, fleetConfig{
--- a/internal/e2e/lease_memory.go
+++ b/internal/e2e/lease_memory.go
@@ -9,11 +9,11 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-memory", Duration: 12 * time.Second, Run: leaseMemory,
-		Summary: "a council without disks: each process is killed in turn, and votes again under another identity without an operator",
+		Summary: "a consensus group without stores: each voter is killed in turn, and votes again under a new identity without an operator",
 	})
 }
 
-// leaseMemory kills voters without stores: each must get another identity before it votes again.
+// leaseMemory kills voters without stores. Each must get a new identity before it votes again.
 func leaseMemory(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{processes: 4, voters: 3, votersInMemory: true, tasks: sweepTask("50ms")})
 	if err != nil {
@@ -26,17 +26,17 @@
 		e.Fail("a second fleet was founded: %s", out)
 	}
 	from := time.Now()
-	e.Phase("each member is killed in turn", e.Duration)
+	e.Phase("each voter is killed in turn", e.Duration)
 	var durations []time.Duration
 	for n := 0; time.Since(from) < e.Duration || n < 3; n++ {
 		before := f.voters()
 		voter := f.members[n%3]
-		f.logEvent("%s is killed, and what it promised with it", voter.name)
+		f.logEvent("%s is killed and loses its consensus state", voter.name)
 		at := time.Now()
 		if err := voter.restart(); err != nil {
 			return err
 		}
-		if err := f.awaitCondition(ctx, 15*time.Second, voter.name+" votes under another identity", func() bool {
+		if err := f.awaitCondition(ctx, 15*time.Second, voter.name+" votes under a new identity", func() bool {
 			now := f.voters()
 			return len(now) == 3 && !slices.Equal(now, before)
 		}); err != nil {
--- a/internal/e2e/lease_pause.go
+++ b/internal/e2e/lease_pause.go
@@ -9,17 +9,17 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-pause", Duration: 20 * time.Second, Run: leasePause,
-		Summary: "the holder is stopped for three terms between its look and its act, and goes on",
+		Summary: "the lease holder is paused for three lease TTLs between checking its lease and acting on it, and then continues",
 	})
 }
 
-// leasePause stops the holder for longer than its lease lasts, so that it goes on with a lease that another has taken.
+// leasePause pauses the holder for longer than its lease lasts, so that it continues with a lease that another member has acquired.
 func leasePause(ctx context.Context, e *Env) error {
 	f, err := e.startSweepFleet(ctx, 5, 3, "20ms")
 	if err != nil {
 		return err
 	}
-	e.Phase("the holder is stopped for three terms, again and again", e.Duration)
+	e.Phase("the lease holder is paused for three lease TTLs, repeatedly", e.Duration)
 	from := time.Now()
 	times := &takeoverTimes{fleet: f}
 	for began := time.Now(); time.Since(began) < e.Duration; {
@@ -34,12 +34,12 @@
 		at := time.Now()
 		member := f.members[holder]
 		program := member.currentProgram()
-		f.logEvent("%s holds it, and is stopped", member.name)
+		f.logEvent("lease holder %s is paused", member.name)
 		program.Signal(syscall.SIGSTOP)
 		err := times.await(ctx, sweepLease, holder, at)
 		pause(ctx, 3*leaseTTL-time.Since(at))
 		program.Signal(syscall.SIGCONT)
-		f.logEvent("%s goes on", member.name)
+		f.logEvent("%s continues", member.name)
 		if err != nil {
 			return err
 		}
--- a/internal/e2e/lease_quickstart.go
+++ b/internal/e2e/lease_quickstart.go
@@ -8,20 +8,20 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-quickstart", Duration: 8 * time.Second, Run: leaseQuickstart,
-		Summary: "three processes share one task; its holder is killed, then one ends in order",
+		Summary: "three members share one task; its lease holder is killed, and the next one shut down gracefully",
 	})
 }
 
-// maxGracefulTakeover is the target for a takeover from a holder that shuts down gracefully.
+// maxGracefulTakeover is the target for the time of a takeover from a holder that shuts down gracefully.
 const maxGracefulTakeover = time.Second
 
-// leaseQuickstart kills the holder and shuts it down gracefully in turn, and measures the takeovers.
+// leaseQuickstart alternately kills the holder and shuts it down gracefully, and measures the takeovers.
 func leaseQuickstart(ctx context.Context, e *Env) error {
 	f, err := e.startFleet(ctx, fleetConfig{processes: 3, voters: 3, tasks: sweepTask("100ms")})
 	if err != nil {
 		return err
 	}
-	e.Phase("three processes, one task", e.Duration)
+	e.Phase("three members, one task", e.Duration)
 	if err := f.repairAndAwaitLease(ctx, sweepLease); err != nil {
 		return err
 	}
@@ -62,20 +62,20 @@
 	return nil
 }
 
-// killHolder kills the holder of the lease, and waits for the takeover.
+// killHolder kills the holder of the lease and waits for the takeover.
 func (f *fleet) killHolder(ctx context.Context, holder *fleetMember, times *takeoverTimes) error {
 	at := time.Now()
-	f.logEvent("%s holds it, and is killed", holder.name)
+	f.logEvent("lease holder %s is killed", holder.name)
 	holder.kill()
 	return times.await(ctx, sweepLease, holder.index, at)
 }
 
-// shutDownHolder shuts the holder of the lease down gracefully, and waits for the takeover and for its end.
+// shutDownHolder shuts the holder of the lease down gracefully, and waits for the takeover and for the end of its process.
 func (f *fleet) shutDownHolder(ctx context.Context, holder *fleetMember, times *takeoverTimes) error {
 	at := time.Now()
-	f.logEvent("%s holds it, and ends in order", holder.name)
+	f.logEvent("lease holder %s shuts down gracefully", holder.name)
 	program, _ := holder.markStopped()
-	go func() { _ = program.Stop() }() // its result is that of the call below
+	go func() { _ = program.Stop() }() // the call below returns the same result
 	if err := times.await(ctx, sweepLease, holder.index, at); err != nil {
 		return err
 	}
--- a/internal/e2e/lease_split.go
+++ b/internal/e2e/lease_split.go
@@ -8,11 +8,12 @@
 func init() {
 	Register(Scenario{
 		Name: "lease-split", Duration: 20 * time.Second, Run: leaseSplit,
-		Summary: "the council of five is split 2 to 3, then 1 to 2 to 2; the leader is cut off from all but a client",
+		Summary: "a consensus group of five is partitioned 2 to 3, then 1 to 2 to 2; the leader is isolated with one member that does not vote",
 	})
 }
 
-// leaseSplit cuts the fleet into sides: a lease is held where a majority of the voters is, and nowhere without one.
+// leaseSplit partitions the fleet into sides. A lease must be held on the side with a majority of the voters, and by no member if no side
+// has one.
 func leaseSplit(ctx context.Context, e *Env) error {
 	f, err := e.startSweepFleet(ctx, 7, 5, "50ms")
 	if err != nil {
@@ -23,7 +24,7 @@
 	splits := []struct {
 		what        string
 		side        func(i int) int
-		hasMajority bool // one of the sides
+		hasMajority bool // whether one of the sides has a majority of the voters
 	}{
 		{"2 to 3, clients with the majority", func(i int) int { return boolToInt(i >= 2) }, true},
 		{"1 to 2 to 2", func(i int) int { return []int{0, 1, 1, 2, 2, 1, 2}[i] }, false},
@@ -42,7 +43,7 @@
 		}
 		restore := f.partition(func(from, to int) bool { return sides[from] != sides[to] })
 		at := time.Now()
-		pause(ctx, max(part*3/4, maxTakeover)) // before, nobody need have it
+		pause(ctx, max(part*3/4, maxTakeover)) // until then, the lease may still be free
 		holder := f.leaseHolder(sweepLease)
 		if s.hasMajority && holder < 0 {
 			e.Fail("split %s: nobody holds %s after %v though a majority stands", s.what, sweepLease, time.Since(at).Round(time.Millisecond))
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// boolToInt is 1 for true.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/internal/e2e/link_protocols.go
+++ b/internal/e2e/link_protocols.go
@@ -17,27 +17,27 @@
 func init() {
 	Register(Scenario{
 		Name: "hop-carriage", Duration: 12 * time.Second, Run: linkProtocols,
-		Summary: "HTTP/1.1 and HTTP/2 over a link between sites: cost, long bodies beside short requests, a stalled connection",
+		Summary: "HTTP/1.1 and HTTP/2 on a link between sites: CPU time and latency, short requests beside long bodies, and a stalled connection",
 	})
 }
 
 const (
 	linkDelay           = 8 * time.Millisecond // one way
-	linkBytesPerSecond  = 8 << 20              // each way
+	linkBytesPerSecond  = 8 << 20              // in each direction
 	linkRequestTimeout  = 400 * time.Millisecond
-	linkServiceTime     = 5 * time.Millisecond // of the far side
+	linkServiceTime     = 5 * time.Millisecond // of the server
 	linkPingTimeout     = 100 * time.Millisecond
 	linkHeaderTimeout   = 5 * time.Second
 	maxLinkIdleConns    = 1000
 	maxLinkRequestBytes = 1 << 20
 
-	shortRate  = 200 // short requests a second
+	shortRate  = 200 // short requests per second
 	shortBytes = 200
-	longRate   = 20 // long requests a second
+	longRate   = 20 // long requests per second
 	longBytes  = 64 << 10
 )
 
-// linkProtocol is one of the two protocols, over a link of its own.
+// linkProtocol is one of the two protocols, with its own link.
 type linkProtocol struct {
 	name    string
 	proxy   *fake.Proxy
@@ -45,7 +45,7 @@
 	baseURL string
 }
 
-// newLinkProtocol starts a far side, a link to it and a client, which speak HTTP/2 or HTTP/1.1.
+// newLinkProtocol starts a server, a link to it and a client, which speak HTTP/2 or HTTP/1.1.
 func newLinkProtocol(e *Env, name string, useHTTP2 bool) (*linkProtocol, error) {
 	var protocols http.Protocols
 	protocols.SetHTTP1(!useHTTP2)
@@ -69,7 +69,7 @@
 	return &linkProtocol{name: name, proxy: proxy, client: &http.Client{Transport: transport}, baseURL: "http://" + proxy.Addr()}, nil
 }
 
-// startLinkServer starts the far side, and returns its address.
+// startLinkServer starts the server at the far end of the link, and returns its address.
 func startLinkServer(e *Env, protocols *http.Protocols) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -86,7 +86,7 @@
 	return listener.Addr().String(), nil
 }
 
-// linkResults are what became of requests. The fields may be read once send has returned.
+// linkResults are the outcomes of requests. The fields may be read once send has returned.
 type linkResults struct {
 	mu        sync.Mutex // guards the fields below
 	latencies []time.Duration
@@ -94,7 +94,7 @@
 	requests  int
 }
 
-// percentile returns the latency below which the fraction p of the answered requests lies; linkRequestTimeout if there are none.
+// percentile returns the latency below which the fraction p of the answered requests lies, or linkRequestTimeout if there are none.
 func (r *linkResults) percentile(p float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +115,7 @@
 	r.latencies = append(r.latencies, latency)
 }
 
-// send sends requests at a rate for a time, each with a body of n bytes.
+// send sends requests at a rate per second for a time, each with a body of n bytes, and returns once all have ended.
 func (l *linkProtocol) send(ctx context.Context, rate float64, n int, length time.Duration) *linkResults {
 	results := &linkResults{}
 	body := bytes.Repeat([]byte("b"), n)
@@ -157,7 +157,7 @@
 	return err
 }
 
-// processCPU returns the processor time that this process has used, which both sides of the links are part of.
+// processCPU returns the CPU time that this process has used. Both ends of the links run in it.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -166,7 +166,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// linkProtocols compares HTTP/1.1 and HTTP/2 between two sites.
+// linkProtocols compares HTTP/1.1 and HTTP/2 on a link between two sites.
 func linkProtocols(ctx context.Context, e *Env) error {
 	http1, err := newLinkProtocol(e, "http1", false)
 	if err != nil {
@@ -177,7 +177,7 @@
 		return err
 	}
 	length := e.Duration / 6
-	costs := map[string]float64{} // microseconds of processor time a request
+	costs := map[string]float64{} // microseconds of CPU time per request
 	for _, protocol := range []*linkProtocol{http1, http2} {
 		if costs[protocol.name], err = protocol.measureShort(ctx, e, length); err != nil {
 			return err
@@ -191,10 +191,10 @@
 	return nil
 }
 
-// measureShort measures short requests alone, and returns the processor time that one costs both sides, in microseconds.
+// measureShort measures short requests alone. It returns the CPU time per request of both ends together, in microseconds.
 func (l *linkProtocol) measureShort(ctx context.Context, e *Env, length time.Duration) (cost float64, err error) {
 	e.Phase(l.name+": short requests", length)
-	l.send(ctx, shortRate, shortBytes, length/4) // warms up
+	l.send(ctx, shortRate, shortBytes, length/4) // warm-up
 	before := processCPU()
 	results := l.send(ctx, shortRate, shortBytes, length)
 	cost = float64((processCPU() - before).Microseconds()) / float64(max(1, results.requests))
@@ -208,11 +208,12 @@
 	return cost, nil
 }
 
+// noRequestsError returns errNoRequests with the name of the protocol.
 func (l *linkProtocol) noRequestsError() error { return fmt.Errorf("%s: %w", l.name, errNoRequests) }
 
 // measureBesideLong measures short requests beside long ones.
 func (l *linkProtocol) measureBesideLong(ctx context.Context, e *Env, length time.Duration) {
-	e.Phase(l.name+": long bodies beside", length)
+	e.Phase(l.name+": short requests beside long bodies", length)
 	var results *linkResults
 	var both sync.WaitGroup
 	both.Go(func() { l.send(ctx, longRate, longBytes, length) })
@@ -221,9 +222,9 @@
 	e.Measure(l.name+"_p99_beside_long_bodies_ms", milliseconds(results.percentile(0.99)))
 }
 
-// measureStalled measures short requests while one connection stalls.
+// measureStalled measures short requests while one connection is stalled.
 func (l *linkProtocol) measureStalled(ctx context.Context, e *Env, length time.Duration) error {
-	e.Phase(l.name+": one connection stands still", length)
+	e.Phase(l.name+": one connection is stalled", length)
 	var results *linkResults
 	var both sync.WaitGroup
 	both.Go(func() { results = l.send(ctx, shortRate, shortBytes, length) })
--- a/internal/e2e/pools_flood.go
+++ b/internal/e2e/pools_flood.go
@@ -15,26 +15,27 @@
 func init() {
 	Register(Scenario{
 		Name: "pools", Duration: 6 * time.Second, Run: pools,
-		Summary: "three pools, alone and then with one flooded at ten times its limit: the others must not feel it",
+		Summary: "three pools, first under normal load, then with one flooded at ten times its rate limit: the other pools must not be affected",
 	})
 }
 
 const (
-	// floodedPoolRate is the limit of the pool that is flooded, in requests a second.
+	// floodedPoolRate is the rate limit of the flooded pool, in requests per second.
 	floodedPoolRate = 100
 
 	floodMaxInFlight     = 400
 	floodBodyBytes       = 60 << 10
-	floodHeldConnections = 100 // of each kind
+	floodHeldConnections = 100 // idle connections, and as many with an unfinished request
 )
 
-// poolNames are the pools. Each has a host of its own.
+// poolNames lists the pools. Each pool has its own host.
 var poolNames = []string{"orders", "meters", "channels"}
 
-// poolHost is the host whose requests a pool serves.
+// poolHost returns the host that is routed to a pool.
 func poolHost(pool string) string { return pool + ".example.org" }
 
-// poolsTOML is a configuration of three pools, orders with a limit. The addresses are those of their discoveries.
+// poolsTOML returns a configuration of three pools, of which orders has a rate limit. discoveries are the addresses of their discovery
+// servers by pool.
 func poolsTOML(discoveries map[string]string) string {
 	var b strings.Builder
 	b.WriteString("[process]\nmemory = \"64MiB\"\ndescriptors = 512\n\n[[listeners]]\nname = \"farm\"\naddress = \"127.0.0.1:0\"\n")
@@ -49,16 +50,16 @@
 	return b.String()
 }
 
-// poolsResult is what came of the pools' loads.
+// poolsResult is the result of a load on the pools.
 type poolsResult struct {
-	quiet           *fake.ClientResults // of meters and channels
+	quiet           *fake.ClientResults // of the pools meters and channels
 	flood           *fake.ClientResults // nil without a flood
-	cpu             time.Duration       // of the program
-	slowRequests    int64               // connections opened for them
+	cpu             time.Duration       // CPU time of the program
+	slowRequests    int64               // connections opened that send a request slowly
 	idleConnections int64
 }
 
-// pools plays the same load twice: alone, and beside a flood of one pool.
+// pools runs the same load twice: alone, and beside a flood of one pool.
 func pools(ctx context.Context, e *Env) error {
 	alone, err := runPools(ctx, e, false)
 	if err != nil {
@@ -98,16 +99,16 @@
 	}
 }
 
-// runPools plays the load with a program and backends of its own.
+// runPools runs the load on a new program with new backends.
 func runPools(ctx context.Context, e *Env, flooded bool) (*poolsResult, error) {
 	recorder := fake.NewEffectRecorder()
 	program, err := e.startPools(ctx, recorder)
 	if err != nil {
 		return nil, err
 	}
-	phase := "three pools alone"
+	phase := "three pools under normal load"
 	if flooded {
-		phase = "three pools, orders flooded"
+		phase = "three pools, with the pool orders flooded"
 	}
 	e.Phase(phase, e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
@@ -138,7 +139,7 @@
 	return result, nil
 }
 
-// startPools starts the backends and discoveries of all pools, and the program.
+// startPools starts the backends and discovery servers of all pools, and the program.
 func (e *Env) startPools(ctx context.Context, recorder *fake.EffectRecorder) (*Program, error) {
 	discoveries := map[string]string{}
 	for _, name := range poolNames {
@@ -155,7 +156,7 @@
 	return e.Start(ctx, poolsTOML(discoveries), 1)
 }
 
-// poolClients are the usual clients of a pool.
+// poolClients returns the default clients of a pool.
 func (e *Env) poolClients(name, pool, addr string, rate float64, recorder *fake.EffectRecorder, seed uint64, classes ...fake.ClassLoad) fake.ClientConfig {
 	return fake.ClientConfig{
 		Name: name, Addr: addr, Host: poolHost(pool), Rate: rate, MaxAttempts: 3, Backoff: 40 * time.Millisecond, HonorRetryAfter: true,
@@ -171,8 +172,8 @@
 	})...)
 }
 
-// floodOrders sends ten times the limit of a pool without regard for rejections: small requests, large bodies, and a connection for
-// each request.
+// floodOrders sends ten times the rate limit of the pool orders and ignores rejections. The flood consists of small requests, large bodies,
+// and requests that each open a connection.
 func (e *Env) floodOrders(ctx context.Context, addr string, recorder *fake.EffectRecorder) *fake.ClientResults {
 	largeOrder := deliveryOrder
 	largeOrder.BodyBytes = floodBodyBytes
--- a/internal/e2e/pools_reload.go
+++ b/internal/e2e/pools_reload.go
@@ -13,18 +13,18 @@
 func init() {
 	Register(Scenario{
 		Name: "pools-reload", Duration: 20 * time.Second, Run: poolsReload,
-		Summary: "200 reloads under load: pools, routes, limits, classes and boxes come, change and go",
+		Summary: "200 reloads under load: pools, routes, limits, classes and backends are added, changed and removed",
 	})
 }
 
 const (
-	// reloadCount is how many times the configuration is replaced.
+	// reloadCount is the number of times that the configuration is replaced.
 	reloadCount = 200
 
 	reloadedMessage       = "msg=reloaded"
 	reloadRejectedMessage = "msg=\"reload: the running configuration stays in force\""
 
-	// reloadTolerance is how many goroutines and descriptors the program may hold more after the reloads than before.
+	// reloadTolerance is the number of goroutines and file descriptors by which the program may exceed those before the reloads.
 	reloadTolerance = 5
 )
 
@@ -39,7 +39,7 @@
 		fmt.Fprintf(&b, "[[routes]]\nname = %q\nhosts = [%q]\npool = %q\n", name, poolHost(name), name)
 	}
 	orders, meters := backends["orders"], backends["meters"]
-	if n%4 == 1 { // a backend changes its pool
+	if n%4 == 1 { // a backend moves to another pool
 		meters = append(append([]*fake.Backend{}, meters...), orders[2])
 		orders = orders[:2]
 	}
@@ -49,21 +49,21 @@
 	}
 	pool("orders", orders, limits, classesTOML("orders"))
 	classes := classesTOML("meters")
-	if n%5 == 2 { // other settings: the pool is replaced by a new instance
+	if n%5 == 2 { // changed settings replace the pool by a new instance
 		classes = strings.Replace(classes, `aim = "300ms"`, `aim = "301ms"`, 1)
 	}
 	pool("meters", meters, "", classes)
-	if n%2 == 0 { // a pool that comes and goes, with requests in flight
+	if n%2 == 0 { // a pool is removed and added while requests are in flight
 		pool("channels", backends["channels"], "", classesTOML("channels"))
 	}
-	if n%10 == 7 { // a key that there is not
+	if n%10 == 7 { // an unknown key
 		b.WriteString("\n[pools.orders.limit]\nrate = 1\n")
 		return b.String(), true
 	}
 	return b.String(), false
 }
 
-// poolsReload replaces the configuration again and again under load, and compares what the program holds before and after.
+// poolsReload replaces the configuration repeatedly under load, and compares the resources of the idle program before and after.
 func poolsReload(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	backends := map[string][]*fake.Backend{}
@@ -128,8 +128,8 @@
 	return results
 }
 
-// reloadRepeatedly replaces the configuration reloadCount times, and returns how many the program had to reject. Each reload is
-// waited for, since signals that come together count once.
+// reloadRepeatedly replaces the configuration reloadCount times, and returns the number of invalid configurations, which the program had to
+// reject. It waits for each reload, since signals that are pending at the same time cause only one.
 func (e *Env) reloadRepeatedly(ctx context.Context, program *Program, backends map[string][]*fake.Backend) (rejected int, err error) {
 	applied := program.CountLog(reloadedMessage)
 	ticker := time.NewTicker(e.Duration / reloadCount)
@@ -187,18 +187,19 @@
 	e.Measure("memory_after_mb", after.memoryMB)
 }
 
-// idleUsage is what the program holds while nothing is asked of it.
+// idleUsage is the number of resources that the program holds while it has no requests.
 type idleUsage struct{ goroutines, descriptors, memoryMB float64 }
 
 const (
 	idleUsagePoll = 200 * time.Millisecond
 
-	// maxIdleDescriptors is what the program holds without idle connections to backends, which close within some seconds.
+	// maxIdleDescriptors is the number of file descriptors of the program once its idle connections to backends are closed, which
+	// takes some seconds.
 	maxIdleDescriptors = 16
 )
 
-// idleUsageOf makes text the configuration and waits until the program has no client, no request and no draining pool. It returns
-// what the program holds then.
+// idleUsageOf loads the configuration text and waits until the program has no client connections, no requests and no draining pools. It
+// returns the resources that the program holds then.
 func idleUsageOf(ctx context.Context, program *Program, text string) (idleUsage, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -220,12 +221,12 @@
 			}
 		}
 		if !pause(ctx, idleUsagePoll) {
-			return idleUsage{}, fmt.Errorf("the program does not come to rest: %s", line)
+			return idleUsage{}, fmt.Errorf("program did not become idle within the timeout; last reload: %s", line)
 		}
 	}
 }
 
-// reloadAndAwait replaces the configuration, and returns the line of the log that tells that it is in force.
+// reloadAndAwait replaces the configuration, waits until it is in force and returns the log line of the reload.
 func (p *Program) reloadAndAwait(ctx context.Context, text string) (string, error) {
 	n := p.CountLog(reloadedMessage)
 	if err := p.Reload(text); err != nil {
@@ -238,18 +239,19 @@
 	return line, nil
 }
 
-// parseReloadLine returns the goroutines that the line of a reload tells, and whether nothing is asked of the program.
+// parseReloadLine parses the number of goroutines from the log line of a reload. idle reports whether the program had no client
+// connections, no requests and no draining pools.
 func parseReloadLine(line string) (usage idleUsage, idle bool, err error) {
 	var pools, draining, requests, timers, upstreams, clients int
 	_, err = fmt.Sscanf(LogField(line, "load"), "%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %f goroutines",
 		&pools, &draining, &requests, &timers, &upstreams, &clients, &usage.goroutines)
 	if err != nil {
-		return idleUsage{}, false, fmt.Errorf("the log line of a reload: %w: %s", err, line)
+		return idleUsage{}, false, fmt.Errorf("parsing the log line of a reload: %w: %s", err, line)
 	}
 	return usage, draining == 0 && requests == 0 && clients == 0, nil
 }
 
-// addUsage adds the program's descriptors and memory.
+// addUsage returns usage with the current file descriptors and memory of the program added.
 func (p *Program) addUsage(usage idleUsage) (idleUsage, error) {
 	descriptors, err := p.Descriptors()
 	if err != nil {
--- a/internal/e2e/quickstart.go
+++ b/internal/e2e/quickstart.go
@@ -10,18 +10,18 @@
 func init() {
 	Register(Scenario{
 		Name: "quickstart", Duration: 10 * time.Second, Run: quickstart,
-		Summary: "one pool, three boxes, 150 requests a second; halfway one box begins to fail at once",
+		Summary: "one pool of three backends at 150 requests per second; one backend fails all requests for a while, and one drains",
 	})
 }
 
-// quickstart shows the program at work with a pool of three backends, of which one fails for a while and one drains.
+// quickstart runs the program with a pool of three backends, of which one returns errors for a while and one drains.
 func quickstart(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	program, backends, discovery, err := e.startFarm(ctx, recorder, "")
 	if err != nil {
 		return err
 	}
-	e.Phase("three boxes, one of which errs for a while and one of which leaves", e.Duration)
+	e.Phase("three backends: one returns errors for a while, and one drains", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	go runScript(load, e.Duration,
--- a/internal/e2e/replica_differ.go
+++ b/internal/e2e/replica_differ.go
@@ -11,11 +11,11 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-differ", Duration: 14 * time.Second, Run: replicaDiffer,
-		Summary: "one name is started again and again, orders are given and lifted over lossy links: one rule settles it everywhere",
+		Summary: "one member is restarted repeatedly while orders are given and lifted over lossy links: all members converge to the same entries",
 	})
 }
 
-// replicaDiffer restarts one member again and again, and gives and lifts orders over lossy links.
+// replicaDiffer restarts one member repeatedly, and gives and lifts orders over lossy links.
 func replicaDiffer(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 42))
 	f, err := e.startFleet(ctx, fleetConfig{processes: 8, voters: 3, backends: 6, sharedState: defaultSharedState})
@@ -29,7 +29,7 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	followed := observer.follow(load)
-	e.Phase("starts of one name, orders over lossy links", e.Duration)
+	e.Phase("restarts of one member, orders over lossy links", e.Duration)
 	restore := f.configureProxies(func(int, int) bool { return true },
 		func(w *fake.FrameFaults) {
 			w.DropFraction, w.DuplicateFraction, w.Jitter = 0.1, 0.1, 100*time.Millisecond
@@ -39,7 +39,7 @@
 	ordered := map[string]bool{}
 	starts := 0
 	for load.Err() == nil {
-		if err := restarted.restart(); err != nil { // some 100 times a minute
+		if err := restarted.restart(); err != nil { // about 100 times per minute
 			return err
 		}
 		starts++
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// orderInForce asks the first member whether an order about a backend is in force. It is not known if the member does not answer or
-// has no entry of it.
+// orderInForce queries the first member for whether an order about a backend is in force. known is false if the member does not answer or
+// has no entry for the order.
 func (f *fleet) orderInForce(backend string) (inForce, known bool) {
 	state, err := f.sharedState(f.members[0])
 	if err != nil {
@@ -84,8 +84,8 @@
 	return inForce, known
 }
 
-// measureIncarnations measures how often members met two contents of one version, and checks that they hold entries of one
-// incarnation of a member at the most.
+// measureIncarnations measures how often members received different contents for the same version, and checks that they hold entries of at
+// most one incarnation of a member.
 func (f *fleet) measureIncarnations(owner string) {
 	incarnations := map[uint64]bool{}
 	conflicts := 0
--- a/internal/e2e/replica_liar.go
+++ b/internal/e2e/replica_liar.go
@@ -12,7 +12,7 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-liar", Duration: 10 * time.Second, Run: replicaLiar,
-		Summary: "one, then two of twelve processes say that all servers are dead: what that costs",
+		Summary: "one, then two of twelve members falsely report that all backends have failed: the effect on the requests served",
 	})
 }
 
@@ -21,7 +21,7 @@
 	falseReportBackends  = 9
 )
 
-// allBackendsFailed is the false report that all backends have failed.
+// allBackendsFailed returns the false report that all backends have failed.
 func allBackendsFailed() string {
 	var names []string
 	for i := range falseReportBackends {
@@ -30,7 +30,8 @@
 	return strings.Join(names, ",")
 }
 
-// replicaLiar has none, one and two members report falsely that all backends have failed. One must not be believed.
+// replicaLiar has none, one and two members falsely report that all backends have failed. The other members must ignore the report of a
+// single member.
 func replicaLiar(ctx context.Context, e *Env) error {
 	served := map[int]float64{}
 	recorder := fake.NewEffectRecorder()
@@ -51,7 +52,7 @@
 		if err := newVersionObserver(f).converge(ctx, fmt.Sprintf("started_%d", falseReporters)); err != nil {
 			return err
 		}
-		e.Phase(fmt.Sprintf("%d liars", falseReporters), e.Duration/3)
+		e.Phase(fmt.Sprintf("%d members report falsely", falseReporters), e.Duration/3)
 		results := f.runClientsFor(ctx, e.Duration/3, fmt.Sprintf("l%d", falseReporters), 15, recorder)
 		served[falseReporters] = results.ServedFraction()
 		hinted := f.hintCount()
--- a/internal/e2e/replica_return.go
+++ b/internal/e2e/replica_return.go
@@ -13,14 +13,14 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-return", Duration: 16 * time.Second, Run: replicaReturn,
-		Summary: "processes that were killed, stopped, or come back with yesterday's file catch up",
+		Summary: "members that were killed, paused, or restarted with an outdated or damaged file catch up with the shared state",
 	})
 }
 
 const (
 	replicaReturnVoters = 3
 	sharedStateFileExt  = ".copies"
-	maxCatchUp          = 5 * time.Second // target, for a member that returns
+	maxCatchUp          = 5 * time.Second // target for a member that returns
 	catchUpAbort        = 20 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	env     *Env
 	fleet   *fleet
 	rng     *rand.Rand
-	part    time.Duration // of each step
+	part    time.Duration // length of each step
 	catchUp []time.Duration
 }
 
@@ -77,13 +77,14 @@
 	return s.returnWithFiles(ctx)
 }
 
-// drawMember draws a member that is no voter.
+// drawMember draws a member that is not a voter.
 func (s *returnScenario) drawMember() *fleetMember {
 	others := s.fleet.members[replicaReturnVoters:]
 	return others[s.rng.IntN(len(others))]
 }
 
-// awaitCaughtUp waits until a member has compared its shared state with another's since now, and records how long that took.
+// awaitCaughtUp waits until a member has compared its shared state with that of another member since the call, and records the time until
+// then.
 func (s *returnScenario) awaitCaughtUp(ctx context.Context, member *fleetMember, how string) error {
 	from := time.Now()
 	err := s.fleet.awaitCondition(ctx, catchUpAbort, member.name+" has caught up", func() bool {
@@ -97,7 +98,7 @@
 }
 
 func (s *returnScenario) returnKilled(ctx context.Context) error {
-	s.env.Phase("killed, and started again at once", s.part)
+	s.env.Phase("members are killed and restarted at once", s.part)
 	for range 2 {
 		member := s.drawMember()
 		s.fleet.logEvent("%s is killed", member.name)
@@ -111,11 +112,11 @@
 	return nil
 }
 
-// returnStopped stops a member while an order is given that it has to learn of.
+// returnStopped pauses a member while an order is given, which the member must learn of after the pause.
 func (s *returnScenario) returnStopped(ctx context.Context) error {
-	s.env.Phase("stopped for long, and gone on", s.part)
+	s.env.Phase("a member is paused and continued", s.part)
 	member := s.drawMember()
-	s.fleet.logEvent("%s is stopped", member.name)
+	s.fleet.logEvent("%s is paused", member.name)
 	program := member.currentProgram()
 	program.Signal(syscall.SIGSTOP)
 	if err := s.fleet.runOrder("avoid", s.fleet.backends[1].Name(), s.fleet.members[0]); err != nil {
@@ -128,10 +129,10 @@
 	return s.awaitCaughtUp(ctx, member, "stopped")
 }
 
-// returnWithFiles has a member return with the file of an earlier time, whose order was lifted since, and with a damaged one.
+// returnWithFiles restarts a member with an outdated file, which holds an order that was lifted since, and with a damaged file.
 func (s *returnScenario) returnWithFiles(ctx context.Context) error {
 	f := s.fleet
-	s.env.Phase("yesterday's file", s.part)
+	s.env.Phase("a member is restarted with an outdated file", s.part)
 	member := s.drawMember()
 	file := filepath.Join(f.dir, member.name+sharedStateFileExt)
 	isWritten := func() bool { _, err := os.Stat(file); return err == nil }
@@ -146,10 +147,10 @@
 		return err
 	}
 	pause(ctx, s.part/2)
-	if err := s.returnWithFile(ctx, member, file, data, "with yesterday's file"); err != nil {
+	if err := s.returnWithFile(ctx, member, file, data, "with an outdated file"); err != nil {
 		return err
 	}
-	s.env.Phase("a damaged file", s.part)
+	s.env.Phase("a member is restarted with a damaged file", s.part)
 	data[len(data)/2] ^= 0x10
 	if err := s.returnWithFile(ctx, member, file, data, "with a damaged file"); err != nil {
 		return err
--- a/internal/e2e/replica_rush.go
+++ b/internal/e2e/replica_rush.go
@@ -11,22 +11,23 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-rush", Duration: 28 * time.Second, Run: replicaRush,
-		Summary: "processes are killed and started again in the rush while two of nine servers are dead: what each serves in its first three seconds, beside its neighbours",
+		Summary: "members are restarted under load while two of nine backends are unreachable: requests served in their first three seconds, compared with the other members",
 	})
 }
 
-// restartCompareTime is the time after a member's start in which it is compared with its neighbours.
+// restartCompareTime is the time after a restart for which members are compared with their neighbours.
 const restartCompareTime = 3 * time.Second
 
-// restartOutcome is what members served that had just been restarted, and the others meanwhile.
+// restartOutcome is the result of the members that were just restarted, and of their neighbours: the other members, over the same time.
 type restartOutcome struct{ restarted, neighbours *fake.ClientResults }
 
-// servedDeficit is how much less the restarted members served.
+// servedDeficit returns by how much the served fraction of the restarted members is below that of their neighbours.
 func (o restartOutcome) servedDeficit() float64 {
 	return o.neighbours.ServedFraction() - o.restarted.ServedFraction()
 }
 
-// replicaRush restarts members under load, two at a time, while backends have vanished that only those know of which have met them.
+// replicaRush restarts members under load, two at a time, while two backends are unreachable. Without shared state, only members that have
+// sent to those backends know it.
 func replicaRush(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	alone, err := e.playRestarts(ctx, false, recorder)
@@ -38,7 +39,7 @@
 		return err
 	}
 	e.Measure("behind_alone", alone.servedDeficit())
-	e.AtMost("behind", shared.servedDeficit(), 0.03) // of some 600 requests: 0.01 over many seeds
+	e.AtMost("behind", shared.servedDeficit(), 0.03) // of about 600 requests; over many seeds the deficit is 0.01
 	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
@@ -51,10 +52,10 @@
 	if err != nil {
 		return restartOutcome{}, err
 	}
-	e.Phase("killed and started again in the rush, "+name, e.Duration/2)
+	e.Phase("members are restarted under load, "+name, e.Duration/2)
 	f.runClientsFor(ctx, 2*time.Second, name+"warm", 20, recorder)
 	for _, backend := range f.backends[:2] {
-		f.logEvent("%s dies", backend.Name())
+		f.logEvent("%s becomes unreachable", backend.Name())
 		backend.SetFault(unreachableFault)
 	}
 	maxStart := time.Duration(0)
@@ -77,7 +78,7 @@
 	return outcome, nil
 }
 
-// restartTogether kills members, starts them again and returns how long it took until all were ready.
+// restartTogether kills members, starts them again and returns the time until all were ready.
 func (f *fleet) restartTogether(ctx context.Context, indexes map[int]bool) (time.Duration, error) {
 	for i := range indexes {
 		f.members[i].kill()
@@ -96,7 +97,7 @@
 	return time.Since(began), nil
 }
 
-// compareRestarted has clients send requests, without retries, to all members for rushCompareTime.
+// compareRestarted sends requests without retries to all members for restartCompareTime.
 func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) restartOutcome {
 	const rate = 30
 	load, cancel := context.WithTimeout(ctx, restartCompareTime)
@@ -125,7 +126,7 @@
 	o.neighbours = mergeOptional(o.neighbours, round.neighbours)
 }
 
-// mergeOptional returns the sum of results, of which sum may be nil.
+// mergeOptional returns the sum of two results, of which the first may be nil.
 func mergeOptional(sum, results *fake.ClientResults) *fake.ClientResults {
 	if sum == nil {
 		return results
--- a/internal/e2e/replica_split.go
+++ b/internal/e2e/replica_split.go
@@ -10,14 +10,14 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-split", Duration: 12 * time.Second, Run: replicaSplit,
-		Summary: "ten processes split in two while servers die and orders are given on one side, and meet again",
+		Summary: "ten members are partitioned into halves while a backend is unreachable and orders are given on one side; then the partition ends",
 	})
 }
 
-// firstSideSize is how many of the members, all voters among them, are on the first side.
+// firstSideSize is the number of members on the first side, which include all voters.
 const firstSideSize = 5
 
-// replicaSplit cuts a fleet in two while a backend vanishes and orders are given on one side.
+// replicaSplit partitions a fleet into two sides while a backend is unreachable and orders are given on one side.
 func replicaSplit(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	f, err := e.startFleet(ctx, fleetConfig{processes: 10, voters: 3, backends: 6, sharedState: defaultSharedState, recorder: recorder})
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	e.Phase("healed", part)
+	e.Phase("the partition has ended", part)
 	if err := observer.converge(ctx, "converged"); err != nil {
 		return err
 	}
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// playPartition cuts the fleet in two for a time, and returns when that ended.
+// playPartition partitions the fleet into two sides for a time, and returns when the partition ended.
 func (f *fleet) playPartition(ctx context.Context, length time.Duration) (healed time.Time, err error) {
 	e := f.env
-	e.Phase("half and half", length)
-	f.logEvent("split")
+	e.Phase("two halves are partitioned", length)
+	f.logEvent("the halves are partitioned")
 	side := func(i int) bool { return i < firstSideSize }
 	restore := f.partition(func(from, to int) bool { return side(from) != side(to) })
 	f.backends[0].SetFault(unreachableFault)
@@ -77,19 +77,20 @@
 		e.Fail("the side without the council's majority has decided something: %s", out)
 	}
 	pause(ctx, length/2)
-	cutOff, err := f.sharedState(f.members[8])
+	minorityState, err := f.sharedState(f.members[8])
 	if err != nil {
 		return time.Time{}, err
 	}
-	// A member that is cut off tells how old its newest decision is.
-	e.AtLeast("decided_age_cut_off_s", float64(cutOff.DecidedMs)/1000, (length / 2).Seconds())
+	// A member on the side without a majority reports the age of its newest decision.
+	e.AtLeast("decided_age_cut_off_s", float64(minorityState.DecidedMs)/1000, (length / 2).Seconds())
 	f.backends[0].SetFault(fake.Fault{})
 	restore()
-	f.logEvent("the halves meet again")
+	f.logEvent("the partition ends")
 	return time.Now(), nil
 }
 
-// checkOrders checks that all members hold the orders about backends: one value for an order in force, none for a lifted one.
+// checkOrders checks the orders that all members hold. want has the number of values by backend: one for an order in force, none for a
+// lifted one.
 func (f *fleet) checkOrders(want map[string]int) error {
 	for _, member := range f.members {
 		state, err := f.sharedState(member)
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// decisionsOwner owns the entries of the shared state that the consensus group has decided.
+// decisionsOwner is the owner of the entries of the shared state that the consensus group has decided.
 const decisionsOwner = "*council"
 
-// orderKey is the key of an order about a backend in the shared state.
+// orderKey returns the key of an order about a backend in the shared state.
 func orderKey(backend string) string { return "order/farm/" + backend }
--- a/internal/e2e/replica_storm.go
+++ b/internal/e2e/replica_storm.go
@@ -11,11 +11,11 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-storm", Duration: 14 * time.Second, Run: replicaStorm,
-		Summary: "20 processes under lost, doubled and late messages, stops and kills; ten return at one moment",
+		Summary: "20 members under lost, duplicated and delayed messages, pauses and kills; then ten are restarted at the same time",
 	})
 }
 
-// replicaStorm injects faults into a fleet that shares state, and restarts half of it at one moment.
+// replicaStorm injects faults into a fleet that shares state, and then restarts half of its members at the same time.
 func replicaStorm(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 43))
 	recorder := fake.NewEffectRecorder()
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// restartHalf kills the second half of the members, starts them again and measures how long it takes until all have caught up.
+// restartHalf kills the second half of the members, starts them again and measures the time until all have caught up.
 func (f *fleet) restartHalf(ctx context.Context) error {
-	f.env.Phase("ten return at one moment", convergenceTimeout)
+	f.env.Phase("ten members are restarted at the same time", convergenceTimeout)
 	half := f.members[len(f.members)/2:]
 	for _, member := range half {
 		member.kill()
@@ -74,7 +74,7 @@
 			return err
 		}
 	}
-	err := f.awaitCondition(ctx, 20*time.Second, "all ten have caught up", func() bool {
+	err := f.awaitCondition(ctx, 20*time.Second, "all ten restarted members have caught up", func() bool {
 		caughtUp := 0
 		for _, state := range f.sharedStates(half) {
 			if state.InStepMs >= 0 {
--- a/internal/e2e/sites.go
+++ b/internal/e2e/sites.go
@@ -11,23 +11,23 @@
 
 const (
 	siteDelay       = 8 * time.Millisecond  // of the link, one way
-	siteServiceTime = 12 * time.Millisecond // of a backend, usually
-	siteBackends    = 6                     // of a site
-	siteRate        = 300                   // operations a second of a site's clients: some 0.6 of what its backends can serve
+	siteServiceTime = 12 * time.Millisecond // default of a backend
+	siteBackends    = 6                     // of each site
+	siteRate        = 300                   // operations per second of a site's clients: about 0.6 of the capacity of its backends
 )
 
-// twoSites are two programs, each with backends, discovery and a link to the other. The arrays are indexed by site.
+// twoSites are two programs, each with backends, a discovery server and a link to the other site. The arrays are indexed by site.
 type twoSites struct {
 	recorder    *fake.EffectRecorder
 	names       [2]string
 	backends    [2][]*fake.Backend
 	discoveries [2]*fake.Discovery
-	proxies     [2]*fake.Proxy // from the site to the other
+	proxies     [2]*fake.Proxy // link from the site to the other
 	programs    [2]*Program
 }
 
-// siteTOML is the configuration of a site: peerListener is where it listens for its peer, and peerAddress where it reaches the peer.
-// Without a peerAddress it knows of no other site.
+// siteTOML returns the configuration of a site. peerListener is the address on which the site listens for its peer, and peerAddress the
+// address at which it reaches the peer. Without a peerAddress the site has no peer.
 func siteTOML(name, peerListener, discovery, peer, peerAddress string) string {
 	classes := strings.ReplaceAll(classesTOML("farm"), "repeats_dropped_for", "repeats_dropped_at_both_sites = true\nrepeats_dropped_for")
 	to := fmt.Sprintf("[pools.farm.spill]\nto = %q\n", peer)
@@ -58,12 +58,12 @@
 %s`, name, peer, peerAddress, peerListener, discovery, name, to, classes)
 }
 
-// startSites starts two sites. Without a gateway they know nothing of each other.
+// startSites starts two sites. They are peers of each other if gateway is set; otherwise they are independent.
 func startSites(ctx context.Context, e *Env, gateway bool) (*twoSites, error) {
 	return startSitesOf(ctx, e, gateway, siteServiceTime)
 }
 
-// startSitesOf does the same with another service time of the backends.
+// startSitesOf is like startSites, with another service time of the backends.
 func startSitesOf(ctx context.Context, e *Env, gateway bool, serviceTime time.Duration) (*twoSites, error) {
 	t := &twoSites{recorder: fake.NewEffectRecorder(), names: [2]string{"clare-pump", "giru-office"}}
 	if err := t.startBackends(e, serviceTime); err != nil {
@@ -82,7 +82,7 @@
 	return t, t.awaitLinks(ctx)
 }
 
-// startBackends starts the backends and discoveries of both sites. The backends share a deduplicator.
+// startBackends starts the backends and discovery servers of both sites. All backends share a deduplicator.
 func (t *twoSites) startBackends(e *Env, serviceTime time.Duration) error {
 	deduplicator := fake.NewDeduplicator(time.Minute)
 	for i, name := range t.names {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// startProxies starts the links between the sites, and returns the addresses where the sites are to listen for each other.
+// startProxies starts the links between the sites. It returns the addresses on which the sites must listen for each other.
 func (t *twoSites) startProxies(e *Env) (listeners [2]string, err error) {
 	for i := range t.names {
 		if listeners[i], err = freeAddressAt("127.0.0.1"); err != nil {
@@ -132,20 +132,19 @@
 	return nil
 }
 
-// awaitLinks waits until each site has a link to the other.
+// awaitLinks waits until each site has an open link to the other.
 func (t *twoSites) awaitLinks(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, program := range t.programs {
 		if _, err := program.AwaitLog(ctx, "to=open", 1); err != nil {
-			return fmt.Errorf("a link did not open: %w\n%s", err, program.LogTail(20))
+			return fmt.Errorf("waiting for a site link to open: %w\n%s", err, program.LogTail(20))
 		}
 	}
 	return nil
 }
 
-// runClients has clients send requests to both sites until ctx ends, and returns their results by site. The rates are operations a
-// second.
+// runClients sends requests to both sites until ctx ends, and returns the results by site. The rates are in operations per second.
 func (t *twoSites) runClients(ctx context.Context, e *Env, phase string, rates [2]float64, classes ...fake.ClassLoad) [2]*fake.ClientResults {
 	var configs []fake.ClientConfig
 	for i, name := range t.names {
@@ -156,7 +155,7 @@
 	return [2]*fake.ClientResults(runAll(ctx, configs))
 }
 
-// drainFraction drains a fraction of the backends of the first site, at least one, or takes them back.
+// drainFraction drains a fraction of the backends of the first site, at least one. With restore it ends the draining of that fraction.
 func (t *twoSites) drainFraction(fraction float64, restore bool) {
 	const site = 0
 	n := int(fraction*siteBackends + 0.5)
@@ -169,7 +168,7 @@
 	t.discoveries[site].SetEndpoints(endpoints(t.backends[site])...)
 }
 
-// drainAll shuts both programs down gracefully.
+// drainAll shuts both programs down gracefully. An exit error is a violation.
 func (t *twoSites) drainAll(e *Env) {
 	for _, program := range t.programs {
 		if err := program.Stop(); err != nil {
@@ -178,7 +177,8 @@
 	}
 }
 
-// finish shuts the programs down, checks the rules and measures what crossed between the sites; prefix begins the measures' names.
+// finish shuts the programs down, checks the rules and measures the requests forwarded between the sites. prefix is that of the measures'
+// names.
 func (t *twoSites) finish(e *Env, prefix string) {
 	t.drainAll(e)
 	v := e.CheckRules(t.recorder)
@@ -192,7 +192,7 @@
 	e.Measure(prefix+"crossed_share", float64(crossed)/float64(max(1, v.Operations)))
 }
 
-// backendNames returns the set of the backends' names.
+// backendNames returns the set of the names of backends.
 func backendNames(backends []*fake.Backend) map[string]bool {
 	names := map[string]bool{}
 	for _, backend := range backends {
--- a/internal/e2e/streaming_bodies.go
+++ b/internal/e2e/streaming_bodies.go
@@ -15,27 +15,27 @@
 func init() {
 	Register(Scenario{
 		Name: "long-bodies", Duration: 12 * time.Second, Run: streamingBodies,
-		Summary: "long answers and bodies, 200 at once, between peers of unlike speed, in bounded memory",
+		Summary: "200 concurrent requests with long request or response bodies, between clients and backends of different speeds, in bounded memory",
 	})
 }
 
 const (
-	streamingConcurrency = 200      // long requests at once
+	streamingConcurrency = 200      // concurrent requests
 	maxStreamingBytes    = 32 << 20 // of the longest body
 	minStreamingBytes    = 70_000   // of the shortest
 
-	// maxStreamingMemoryMB is the target for the program's memory: no more than three of the longest bodies. It is configured with
-	// 128 MB, an eighth of which is for the first parts of 256 bodies.
+	// maxStreamingMemoryMB is the target for the memory of the program: at most three of the longest bodies. The program is
+	// configured with 128 MB, of which an eighth is for the first parts of 256 bodies.
 	maxStreamingMemoryMB = 96
 
 	streamingTimeout       = 20 * time.Second // of a request
 	streamingClientTimeout = 2 * time.Minute
-	slowClientTimeout      = 30 * time.Second // of the peers below
-	stuckReadLimit         = 300_000          // bytes that the backend reads that stops reading
+	slowClientTimeout      = 30 * time.Second // of the client that sends one byte per second, and of the client whose backend stops reading
+	stuckReadLimit         = 300_000          // bytes after which a backend stops reading
 	memoryPollInterval     = 50 * time.Millisecond
 )
 
-// streamingPaces are those of clients. Backends have the first three: at the last, the longest body would take a minute.
+// streamingPaces are the speeds of clients. Backends have the first three: at the last, the longest body would take more than a minute.
 var streamingPaces = []fake.Pace{
 	{MaxChunk: 64 << 10},
 	{BytesPerSecond: 8 << 20, MaxChunk: 40_000},
@@ -43,18 +43,18 @@
 	{BytesPerSecond: 400_000, MaxChunk: 3_000},
 }
 
-// streamingScenario passes long bodies both ways between clients and backends of different speeds.
+// streamingScenario passes long bodies in both directions between clients and backends of different speeds.
 type streamingScenario struct {
 	env      *Env
 	program  *Program
 	backends []*fake.StreamingBackend
-	stuck    *fake.StreamingBackend // stops reading
+	stuck    *fake.StreamingBackend // backend that stops reading after stuckReadLimit
 
 	mu     sync.Mutex // guards counts
 	counts streamingCounts
 }
 
-// streamingCounts are what became of requests.
+// streamingCounts counts requests by outcome.
 type streamingCounts struct {
 	requests, complete, rejected, broken, duplicated int
 	bytes                                            int64 // of complete bodies
@@ -65,7 +65,7 @@
 	if err := s.start(ctx); err != nil {
 		return err
 	}
-	e.Phase("long answers and bodies, both ways", e.Duration)
+	e.Phase("long request and response bodies", e.Duration)
 	watch, cancel := context.WithCancel(ctx)
 	defer cancel()
 	peakMemory := s.watchMemory(watch)
@@ -76,7 +76,7 @@
 		e.Fail("the program ended with %v", err)
 	}
 	if ctx.Err() != nil {
-		return fmt.Errorf("ended early: %w", ctx.Err())
+		return fmt.Errorf("scenario was interrupted: %w", ctx.Err())
 	}
 	s.measure(memory, slow, stuck)
 	return nil
@@ -113,7 +113,7 @@
 	return backend, nil
 }
 
-// streamingPoolTOML is a pool of one class, and the route to it.
+// streamingPoolTOML returns a pool of one class and the route to it.
 func streamingPoolTOML(name, class string, idempotency fake.Idempotency, backends ...*fake.StreamingBackend) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n[pools.%s]\n", name)
@@ -125,7 +125,7 @@
 	return b.String()
 }
 
-// watchMemory watches the program's memory until ctx ends. The channel then has the most that it held, in MB.
+// watchMemory polls the memory of the program until ctx ends. The channel then receives the maximum, in MB.
 func (s *streamingScenario) watchMemory(ctx context.Context) <-chan float64 {
 	peak := make(chan float64, 1)
 	go func() {
@@ -141,8 +141,8 @@
 	return peak
 }
 
-// load sends long requests for the scenario's time, beside a client that sends a byte a second and one whose backend stops reading.
-// It returns what became of these two.
+// load sends long requests for the duration of the scenario, beside a client that sends one byte per second and a client whose backend
+// stops reading. It returns the results of these two.
 func (s *streamingScenario) load(ctx context.Context) (slow, stuck fake.StreamingResult) {
 	until := time.Now().Add(s.env.Duration)
 	rng := rand.New(rand.NewPCG(s.env.Seed, 11))
@@ -171,7 +171,8 @@
 	return slow, stuck
 }
 
-// drawRequest draws an upload or a download. Most take the slowest backend some seconds; fast clients draw the longest now and then.
+// drawRequest draws an upload or a download. Most bodies take the slowest backend some seconds. The fastest clients draw the longest body
+// for one in twenty requests.
 func (s *streamingScenario) drawRequest(rng *rand.Rand, id string) fake.StreamingRequest {
 	pace := streamingPaces[rng.IntN(len(streamingPaces))]
 	request := fake.StreamingRequest{
@@ -188,7 +189,7 @@
 	return request
 }
 
-// send sends a request and counts what became of it.
+// send sends a request and counts its outcome.
 func (s *streamingScenario) send(ctx context.Context, request fake.StreamingRequest) {
 	result := fake.SendStreaming(ctx, request)
 	completed := int64(0)
--- a/internal/e2e/task_bounds.go
+++ b/internal/e2e/task_bounds.go
@@ -13,13 +13,13 @@
 func init() {
 	Register(Scenario{
 		Name: "task-bounds", Duration: 14 * time.Second, Run: taskBounds,
-		Summary: "six tasks on a pool of plain HTTP, two at once over the fleet, by priority and within a budget, while processes are killed and a lease is handed over",
+		Summary: "six tasks on a pool of ordinary HTTP services: at most two run at once in the fleet, by priority and within a budget, while members are killed and a lease is handed over",
 	})
 }
 
-// taskBounds holds the bounds on tasks at once, a task's budget and the order of priorities, under faults and a handover.
+// taskBounds checks the bound on concurrent tasks, the budget of a task and the order of priorities, under faults and a handover.
 func taskBounds(ctx context.Context, e *Env) error {
-	const atOnce, budget = 2, 5 // tasks; requests a period
+	const atOnce, budget = 2, 5 // concurrent tasks; requests per period
 	text, tasks := "", map[string]fake.Idempotency{}
 	for i := range 6 {
 		name := fmt.Sprint("work", i)
@@ -43,14 +43,14 @@
 	const lease = "task/work0"
 	holder := f.leaseHolder(lease)
 	if holder < 0 {
-		return fmt.Errorf("%w: nobody holds %s", errNotRecovered, lease)
+		return fmt.Errorf("%w: no member holds the lease %s", errNotRecovered, lease)
 	}
 	to := f.members[(holder+1)%5]
 	if err := f.mustCommandMember(f.members[holder], "lease", "handover", lease, to.name); err != nil {
 		return err
 	}
 	asked := time.Now()
-	if err := f.awaitCondition(ctx, 5*time.Second, "the lease goes to "+to.name, func() bool { return f.leaseHolder(lease) == to.index }); err != nil {
+	if err := f.awaitCondition(ctx, 5*time.Second, "the lease is handed over to "+to.name, func() bool { return f.leaseHolder(lease) == to.index }); err != nil {
 		return err
 	}
 	e.Measure("handover_s", time.Since(asked).Seconds())
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	e.Phase("processes are killed, cut off and end in order", e.Duration)
+	e.Phase("members are killed, partitioned and shut down gracefully", e.Duration)
 	from := time.Now()
 	f.injectFaults(ctx, faults)
 	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
@@ -73,7 +73,7 @@
 		return err
 	}
 	if s.Council == nil || s.Council.Fleet == nil {
-		return fmt.Errorf("%w: %s does not tell the state", errNotRecovered, f.members[0].name)
+		return fmt.Errorf("%w: status of %s has no state of the fleet", errNotRecovered, f.members[0].name)
 	}
 	done := func(task string) float64 { return float64(s.Council.Fleet.Slots.Tasks[task].Counts["done"]) }
 	e.Measure("done_of_least_priority", done("work0"))
@@ -82,7 +82,7 @@
 		e.Fail("what matters most was done less often than what matters least")
 	}
 	periods := math.Ceil(time.Since(f.started).Seconds()/2) + 1
-	const attemptsASlot = 3 // one slot may overdraw each period
+	const attemptsASlot = 3 // one slot may exceed the budget in each period
 	e.AtMost("budgeted", done("work5"), periods*(budget+attemptsASlot))
 	f.drainAll()
 	return nil
--- a/internal/e2e/task_slots.go
+++ b/internal/e2e/task_slots.go
@@ -11,11 +11,11 @@
 func init() {
 	Register(Scenario{
 		Name: "task-slots", Duration: 20 * time.Second, Run: taskSlots,
-		Summary: "tasks of each effect whose answers get lost, while holders are killed, stopped and end in order",
+		Summary: "tasks of each kind of idempotency whose responses are lost, while lease holders are killed, paused and shut down gracefully",
 	})
 }
 
-// taskSlots loses answers of tasks of each kind of idempotency, and their holders.
+// taskSlots loses responses of tasks of each kind of idempotency while their lease holders fail.
 func taskSlots(ctx context.Context, e *Env) error {
 	rng := rand.New(rand.NewPCG(e.Seed, 33))
 	f, err := e.startFleet(ctx, fleetConfig{
@@ -30,7 +30,7 @@
 	if err := f.repairAndAwaitTaskLeases(ctx, tasks); err != nil {
 		return err
 	}
-	e.Phase("answers get lost, and holders with them", e.Duration)
+	e.Phase("responses are lost, and lease holders fail", e.Duration)
 	f.backends[0].SetFault(fake.Fault{Kind: fake.FaultUnanswered, Fraction: 0.1})
 	f.backends[1].SetFault(fake.Fault{Kind: fake.FaultReset, Fraction: 0.1})
 	f.backends[2].SetFault(fake.Fault{Kind: fake.FaultReject, Fraction: 0.1})
--- a/internal/e2e/tls_rotation.go
+++ b/internal/e2e/tls_rotation.go
@@ -10,22 +10,22 @@
 func init() {
 	Register(Scenario{
 		Name: "http-tls-rotate", Duration: 10 * time.Second, Run: httpRotate,
-		Summary: "certificates change under load, now and then to ones that do not match their keys",
+		Summary: "certificates are replaced under load, every third time with an invalid key",
 	})
 }
 
 const (
 	rotationInterval = 400 * time.Millisecond
-	rotationRenew    = 300 * time.Millisecond // after which a client opens another connection
+	rotationRenew    = 300 * time.Millisecond // interval at which a client opens a new connection
 )
 
-// httpRotate replaces the certificate under load. Every third time its key is replaced by something that is no key.
+// httpRotate replaces the certificate under load. Every third time it writes an invalid key instead.
 func httpRotate(ctx context.Context, e *Env) error {
 	w, err := e.startHTTPS(ctx)
 	if err != nil {
 		return err
 	}
-	e.Phase("certificates change under load", e.Duration)
+	e.Phase("certificates are replaced under load", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	var counts httpsCounts
--- a/internal/e2e/two_sites.go
+++ b/internal/e2e/two_sites.go
@@ -11,20 +11,20 @@
 
 func init() {
 	for _, s := range []Scenario{
-		{Name: "gateway-calm", Duration: 5 * time.Second, Summary: "two sites with room: next to nothing crosses", Run: gatewayCalm},
-		{Name: "gateway-cost", Duration: 6 * time.Second, Summary: "all work of a site crosses a link without delay: what a crossing costs", Run: gatewayCost},
-		{Name: "gateway-overload", Duration: 4 * time.Second, Summary: "both sites are overloaded: nothing is passed to and fro", Run: gatewayOverload},
-		{Name: "gateway-loss", Duration: 8 * time.Second, Summary: "a site loses 18, 50 and 100% of its boxes for a while each", Run: gatewayLoss},
-		{Name: "gateway-stall", Duration: 6 * time.Second, Summary: "the link stands still, one way and both, while work crosses", Run: gatewayStall},
-		{Name: "gateway-drain", Duration: 4 * time.Second, Summary: "both sites drain at once while work crosses", Run: gatewayDrain},
-		{Name: "gateway-flap", Duration: 6 * time.Second, Summary: "the link breaks and comes back again and again", Run: gatewayFlap},
-		{Name: "gateway-split", Duration: 6 * time.Second, Summary: "the sites cannot see each other for a while; both have clients, one is short", Run: gatewaySplit},
+		{Name: "gateway-calm", Duration: 5 * time.Second, Summary: "two sites with spare capacity: almost no requests are forwarded between them", Run: gatewayCalm},
+		{Name: "gateway-cost", Duration: 6 * time.Second, Summary: "all requests of one site are forwarded over a link without delay: the latency that forwarding adds", Run: gatewayCost},
+		{Name: "gateway-overload", Duration: 4 * time.Second, Summary: "both sites are overloaded: requests must not be forwarded back and forth", Run: gatewayOverload},
+		{Name: "gateway-loss", Duration: 8 * time.Second, Summary: "one site loses 18, 50 and 100% of its backends, each for a while", Run: gatewayLoss},
+		{Name: "gateway-stall", Duration: 6 * time.Second, Summary: "the link stalls in both directions and in one while requests are forwarded", Run: gatewayStall},
+		{Name: "gateway-drain", Duration: 4 * time.Second, Summary: "both sites drain at the same time while requests are forwarded", Run: gatewayDrain},
+		{Name: "gateway-flap", Duration: 6 * time.Second, Summary: "the link is reset and stalled repeatedly while requests are forwarded", Run: gatewayFlap},
+		{Name: "gateway-split", Duration: 6 * time.Second, Summary: "the sites are partitioned for a while; both have clients, and one has a capacity shortage", Run: gatewaySplit},
 	} {
 		Register(s)
 	}
 }
 
-// gatewayCalm plays two sites with room, with the gateway and without it, so that its cost shows.
+// gatewayCalm runs two sites with spare capacity, without a link between them and with one. The comparison shows the cost of the gateway.
 func gatewayCalm(ctx context.Context, e *Env) error {
 	var cost [2]float64
 	for i, gateway := range []bool{false, true} {
@@ -33,7 +33,7 @@
 			return err
 		}
 		phase := []string{"alone", "joined"}[i]
-		e.Phase("two calm sites, "+phase, e.Duration)
+		e.Phase("two sites with spare capacity, "+phase, e.Duration)
 		load, cancel := context.WithTimeout(ctx, e.Duration)
 		all := t.runClients(load, e, phase, [2]float64{siteRate, siteRate}, farmClasses...)
 		cancel()
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// gatewayCost has a site without backends send all of its work across a link without delay, beside clients that ask the far site
-// directly: the difference is what a crossing costs.
+// gatewayCost has a site without backends forward all of its requests over a link without delay, beside clients that send to the other site
+// directly. The difference in latency is the cost of forwarding.
 func gatewayCost(ctx context.Context, e *Env) error {
 	t, err := startSitesOf(ctx, e, true, time.Millisecond)
 	if err != nil {
@@ -71,7 +71,7 @@
 	t.proxies[0].SetDelay(0)
 	t.proxies[1].SetDelay(0)
 	t.drainFraction(1, false)
-	e.Phase("all of one site's work crosses", e.Duration)
+	e.Phase("all requests of one site are forwarded", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	var memory [2]float64
@@ -88,12 +88,12 @@
 	e.Measure("crossing_costs_p50_ms", milliseconds(all[0].Percentile(0.5)-all[1].Percentile(0.5)))
 	e.Measure("memory_early_mb", memory[0])
 	e.Measure("memory_late_mb", memory[1])
-	e.AtLeast("served", all[0].ServedFraction(), 0.8) // what is refused until the site has shown that it is short is in it
+	e.AtLeast("served", all[0].ServedFraction(), 0.8) // includes the requests rejected before the site has detected its capacity shortage
 	return nil
 }
 
-// gatewayOverload overloads both sites: nothing is to be forwarded to and fro, and no more attempts are made than by
-// sites that know nothing of each other.
+// gatewayOverload overloads both sites. Requests must not be forwarded back and forth, and the sites must not make more attempts than
+// independent sites do.
 func gatewayOverload(ctx context.Context, e *Env) error {
 	var attempts, served [2]float64
 	for i, gateway := range []bool{false, true} {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// gatewayLoss plays a site that loses a fraction of its backends, with the gateway and without it.
+// gatewayLoss runs sites of which one loses a fraction of its backends, with a link between the sites and without it.
 func gatewayLoss(ctx context.Context, e *Env) error {
 	for _, fraction := range []float64{0.18, 0.5, 1} {
 		prefix := fmt.Sprintf("loss_%.0f_", 100*fraction)
@@ -137,13 +137,14 @@
 			return err
 		}
 		e.Measure(prefix+"served_without_gateway", without)
-		// Both sites together keep at least half of their backends, which is more than the load needs: a policy that sees all serves all.
+		// Both sites together keep at least half of their backends. That exceeds the load, so a policy that knew the state of all
+		// backends would serve all requests.
 		e.AtLeast(prefix+"served", with, 0.95)
 	}
 	return nil
 }
 
-// playLossWithGateway returns the fraction served by both sites, and measures what crossed between them.
+// playLossWithGateway returns the fraction served by both sites, and measures the requests forwarded between them.
 func playLossWithGateway(ctx context.Context, e *Env, prefix string, fraction float64) (served float64, err error) {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return results[0].Merge(results[1]).ServedFraction(), nil
 }
 
-// playLossWithoutGateway returns the fraction served by both sites, which know nothing of each other.
+// playLossWithoutGateway returns the fraction served by both sites, which are independent.
 func playLossWithoutGateway(ctx context.Context, e *Env, prefix string, fraction float64) (served float64, err error) {
 	t, err := startSites(ctx, e, false)
 	if err != nil {
@@ -169,7 +170,7 @@
 	return results[0].Merge(results[1]).ServedFraction(), nil
 }
 
-// playLoss drains a fraction of the first site's backends for half of the load, and returns when they were restored.
+// playLoss drains a fraction of the first site's backends for half of the load, and returns the time at which they were restored.
 func (t *twoSites) playLoss(ctx context.Context, e *Env, phase string, fraction float64) (results [2]*fake.ClientResults, restored time.Time) {
 	length := e.Duration / 2
 	e.Phase(phase, length)
@@ -189,13 +190,14 @@
 	return results, restored
 }
 
-// gatewayStall has a site without backends send its work across while the link stands still: both ways, and one way.
+// gatewayStall has a site that has lost most of its backends forward requests while the link stalls: in both directions, in one, and on one
+// connection.
 func gatewayStall(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
 		return err
 	}
-	e.Phase("the link stands still both ways, one way, and on one connection", e.Duration)
+	e.Phase("the link stalls in both directions, in one, and on one connection", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	var stalled time.Time
@@ -222,7 +224,7 @@
 	e.measureResults("", all[0])
 	e.AtLeast("served", all[0].Merge(all[1]).ServedFraction(), 0.7)
 	select {
-	case after := <-noticed: // two round trips and 200 ms, and some for the look at the link and its line in the log
+	case after := <-noticed: // two round trips, 200 ms, and a margin for the check of the link and for logging
 		e.AtMost("stall_noticed_ms", milliseconds(after), milliseconds(200*time.Millisecond+4*siteDelay+60*time.Millisecond))
 	default:
 		e.Fail("the stall of the link was not noticed")
@@ -232,13 +234,13 @@
 	return nil
 }
 
-// gatewayDrain shuts both sites down while requests cross between them.
+// gatewayDrain shuts both sites down while requests are forwarded between them.
 func gatewayDrain(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
 		return err
 	}
-	e.Phase("both sites drain at once", e.Duration)
+	e.Phase("both sites drain at the same time", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration*7/10)
 	defer cancel()
 	var stopping sync.WaitGroup
@@ -247,7 +249,7 @@
 			scriptStep{0.15, func() { t.drainFraction(0.66, false) }},
 			scriptStep{0.6, func() {
 				for _, p := range t.programs {
-					stopping.Go(func() { _ = p.Stop() }) // its clients' results show how it ended
+					stopping.Go(func() { _ = p.Stop() }) // finish calls Stop again and reports the exit error
 				}
 			}})
 	})
@@ -258,13 +260,13 @@
 	return nil
 }
 
-// gatewayFlap resets and stalls the link again and again.
+// gatewayFlap resets and stalls the link repeatedly.
 func gatewayFlap(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
 		return err
 	}
-	e.Phase("the link breaks again and again", e.Duration)
+	e.Phase("the link is reset and stalled repeatedly", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	steps := []scriptStep{{0.1, func() { t.drainFraction(0.66, false) }}}
@@ -280,13 +282,13 @@
 	return nil
 }
 
-// gatewaySplit cuts the link between the sites while the first has lost half of its backends.
+// gatewaySplit partitions the sites while the first has lost half of its backends.
 func gatewaySplit(ctx context.Context, e *Env) error {
 	t, err := startSites(ctx, e, true)
 	if err != nil {
 		return err
 	}
-	e.Phase("the sites cannot see each other for a while", e.Duration)
+	e.Phase("the sites are partitioned for a while", e.Duration)
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	go runScript(load, e.Duration,
--- a/internal/e2e/zone_blind.go
+++ b/internal/e2e/zone_blind.go
@@ -10,11 +10,12 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-blind", Duration: 16 * time.Second, Run: zoneBlind,
-		Summary: "the council has no majority when a zone goes: each goes on by its own eyes, and it is left once there is one; an operator's word holds",
+		Summary: "a zone is lost while the consensus group has no majority: each member decides alone, and the fleet leaves the zone once there is a majority; an operator's command overrides the automatic return",
 	})
 }
 
-// zoneBlind loses a zone while the consensus group has no majority, and has an operator's command outlast the zone's recovery.
+// zoneBlind loses a zone while the consensus group has no majority. Then an operator's command to leave the zone must stay in force
+// although the zone recovers.
 func zoneBlind(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
@@ -38,11 +39,11 @@
 	return nil
 }
 
-// loseZoneWithoutMajority loses a zone while two of three voters are down: it must be left only once they are back.
+// loseZoneWithoutMajority loses a zone while two of three voters are down. The fleet must leave the zone only once they are back.
 func (f *fleet) loseZoneWithoutMajority(ctx context.Context, part time.Duration) error {
 	e := f.env
-	e.Phase("no majority, and a zone goes", part)
-	f.logEvent("two of three of the council are killed, and zone b is lost")
+	e.Phase("a zone is lost while there is no majority", part)
+	f.logEvent("two of three voters are killed, and the backends of zone b become unreachable")
 	minority := f.members[1:3]
 	for _, voter := range minority {
 		voter.kill()
@@ -53,7 +54,7 @@
 	if n := len(f.exclusionTimes(backendsPerZone, lost)); n > 0 {
 		e.Fail("%d processes have left the zone, though nobody could decide it", n)
 	}
-	e.Phase("the majority is back", part)
+	e.Phase("the majority is restored", part)
 	for _, voter := range minority {
 		if err := voter.start(); err != nil {
 			return err
@@ -67,10 +68,11 @@
 	return nil
 }
 
-// overrideRecovery has an operator leave the zone, which recovers: it must be used again only once the operator gives it back.
+// overrideRecovery has an operator leave the zone, which then recovers. The zone must be used again only once the operator returns it to
+// automatic control.
 func (f *fleet) overrideRecovery(ctx context.Context, part time.Duration) error {
 	e := f.env
-	e.Phase("an operator's word against an automatic return", part)
+	e.Phase("an operator's command against the automatic return", part)
 	if err := f.zoneCommand("leave", "farm", "b"); err != nil {
 		return err
 	}
--- a/internal/e2e/zone_decider.go
+++ b/internal/e2e/zone_decider.go
@@ -14,12 +14,12 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-decider", Duration: 24 * time.Second, Run: zoneDecider,
-		Summary: "a zone is lost with the process that decides in it; the next is stopped in the middle of the return, half are deaf for an epoch, one comes back late",
+		Summary: "a zone is lost together with the member that decides zone shifts; the next decider is paused during the return, half of the members are partitioned for one epoch, and the paused decider resumes late",
 	})
 }
 
 const (
-	// zonesLease is the lease of the member that decides about zones.
+	// zonesLease is the lease of the member that decides zone shifts.
 	zonesLease = "zones"
 
 	deciderVoters       = 5
@@ -30,14 +30,15 @@
 	resumedRecoveryStep = 2
 )
 
-// deciderScenario loses a zone and the member that decides about it, and stops the next one as it brings the zone back.
+// deciderScenario loses a zone together with the member that decides about it, and pauses the next decider while it returns traffic to the
+// zone.
 type deciderScenario struct {
 	env      *Env
 	fleet    *fleet
 	observer *epochObserver
 	rng      *rand.Rand
-	decider  *fleetMember // killed with its zone
-	next     *fleetMember // stopped in the middle of the recovery ramp
+	decider  *fleetMember // killed as its zone is lost
+	next     *fleetMember // paused during the recovery ramp
 	zone     string
 	restored time.Time
 }
@@ -53,7 +54,7 @@
 	s.zone = zoneOf(s.decider.index)
 	load, cancel := context.WithCancel(ctx)
 	defer cancel()
-	clients := f.startClients(load, f.members[3:], 6, recorder) // not those that are killed and stopped
+	clients := f.startClients(load, f.members[3:], 6, recorder) // without the members that are killed and paused
 	observed := s.follow(load)
 	if err := s.play(ctx); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// follow observes all members again and again until ctx ends.
+// follow observes all members at observationPause until ctx ends. The channel is closed afterwards.
 func (s *deciderScenario) follow(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -84,7 +85,7 @@
 
 func (s *deciderScenario) play(ctx context.Context) error {
 	hasDecider := func() bool { return s.fleet.leaseHolder(zonesLease) >= 0 }
-	if err := s.fleet.awaitCondition(ctx, 15*time.Second, "somebody decides of zones", hasDecider); err != nil {
+	if err := s.fleet.awaitCondition(ctx, 15*time.Second, "a member holds the lease of zone shifts", hasDecider); err != nil {
 		return err
 	}
 	if err := s.handOver(ctx, s.decider); err != nil {
@@ -100,10 +101,10 @@
 	return s.awaitRecovery(ctx)
 }
 
-// handOver has the lease go to a member.
+// handOver hands the lease of zone shifts over to a member.
 func (s *deciderScenario) handOver(ctx context.Context, to *fleetMember) error {
 	f := s.fleet
-	return f.awaitCondition(ctx, handoverTimeout, to.name+" decides of zones", func() bool {
+	return f.awaitCondition(ctx, handoverTimeout, to.name+" holds the lease of zone shifts", func() bool {
 		holder := f.leaseHolder(zonesLease)
 		if holder < 0 || holder == to.index {
 			return holder == to.index
@@ -116,15 +117,15 @@
 	})
 }
 
-// loseDecider loses the zone of the decider and the decider itself, and waits until the others have left the zone.
+// loseDecider loses the decider and its zone, and waits until the other members have left the zone.
 func (s *deciderScenario) loseDecider(ctx context.Context) error {
-	s.env.Phase("the zone of the one who decides is lost with it", s.env.Duration/3)
+	s.env.Phase("the decider is lost together with its zone", s.env.Duration/3)
 	lost := time.Now()
 	setFault(s.fleet.backendsIn(s.zone), unreachableFault)
-	s.fleet.logEvent("zone %s is lost, and %s is killed, which decides", s.zone, s.decider.name)
+	s.fleet.logEvent("backends of zone %s become unreachable, and the decider %s is killed", s.zone, s.decider.name)
 	s.decider.kill()
 	others := slices.DeleteFunc(slices.Clone(s.fleet.members), func(member *fleetMember) bool { return member == s.decider })
-	err := s.fleet.awaitCondition(ctx, 20*time.Second, "all others have left the zone", func() bool {
+	err := s.fleet.awaitCondition(ctx, 20*time.Second, "all other members have left the zone", func() bool {
 		left := 0
 		for _, state := range s.observer.observe(others) {
 			for _, zone := range state.Zones {
@@ -138,43 +139,43 @@
 	if err != nil {
 		return err
 	}
-	s.env.AtMost("left_s", time.Since(lost).Seconds(), 8) // a TTL, an election, and the evidence
+	s.env.AtMost("left_s", time.Since(lost).Seconds(), 8) // a TTL, an election, and the time to detect the loss of the zone
 	return nil
 }
 
-// stopNextDecider stops the next decider in the middle of the recovery ramp while half of the members are cut off from the others,
-// and waits until another continues the ramp. The next decider then continues with what it knew.
+// stopNextDecider pauses the next decider during the recovery ramp, while a part of the members is partitioned from the others, and waits
+// until another member continues the ramp. Then the paused decider continues with its outdated state.
 func (s *deciderScenario) stopNextDecider(ctx context.Context) error {
 	f := s.fleet
-	s.env.Phase("the next one is stopped in the middle of the return; half are deaf for an epoch", s.env.Duration/3)
+	s.env.Phase("the next decider is paused during the return; half of the members are partitioned for one epoch", s.env.Duration/3)
 	if err := s.decider.start(); err != nil {
 		return err
 	}
-	f.logEvent("zone %s is back, and %s", s.zone, s.decider.name)
+	f.logEvent("backends of zone %s are reachable again, and %s is restarted", s.zone, s.decider.name)
 	s.restored = time.Now()
 	setFault(f.backendsIn(s.zone), fake.Fault{})
-	if err := s.awaitStep(ctx, "the return has begun", firstRecoveryStep); err != nil {
+	if err := s.awaitStep(ctx, "the recovery ramp has started", firstRecoveryStep); err != nil {
 		return err
 	}
-	if err := s.handOver(ctx, s.next); err != nil { // the next decider takes the step for just begun
+	if err := s.handOver(ctx, s.next); err != nil { // the next decider counts the time of the current step from now on
 		return err
 	}
-	isCutOff := s.drawHalf()
-	f.logEvent("%s is stopped, which decides; deaf: %v", s.next.name, isCutOff)
+	isPartitioned := s.drawHalf()
+	f.logEvent("the decider %s is paused; partitioned members: %v", s.next.name, isPartitioned)
 	program := s.next.currentProgram()
 	program.Signal(syscall.SIGSTOP)
-	restore := f.partition(func(from, to int) bool { return isCutOff[from] != isCutOff[to] })
-	if err := s.awaitStep(ctx, "another goes on with the return", resumedRecoveryStep); err != nil {
+	restore := f.partition(func(from, to int) bool { return isPartitioned[from] != isPartitioned[to] })
+	if err := s.awaitStep(ctx, "another member continues the recovery ramp", resumedRecoveryStep); err != nil {
 		return err
 	}
 	pause(ctx, time.Second)
-	f.logEvent("%s goes on with what it knew, and all hear again", s.next.name)
+	f.logEvent("%s continues with its outdated state, and the partition ends", s.next.name)
 	program.Signal(syscall.SIGCONT)
 	restore()
 	return nil
 }
 
-// drawHalf draws half of the members, and returns those of them that are no voters.
+// drawHalf draws half of the members, and returns the set of those among them that are not voters.
 func (s *deciderScenario) drawHalf() map[int]bool {
 	half := map[int]bool{}
 	for _, i := range s.rng.Perm(len(s.fleet.members))[:len(s.fleet.members)/2] {
@@ -183,7 +184,7 @@
 	return half
 }
 
-// awaitStep waits until a member has the zone's recovery ramp at least at a step.
+// awaitStep waits until a member reports at least the given step of the zone's recovery ramp.
 func (s *deciderScenario) awaitStep(ctx context.Context, what string, step int) error {
 	return s.fleet.awaitCondition(ctx, 30*time.Second, what, func() bool {
 		for _, state := range s.observer.observe(s.fleet.members) {
@@ -197,10 +198,10 @@
 	})
 }
 
-// awaitRecovery waits until all members use the zone in full, by the same epoch.
+// awaitRecovery waits until all members use the zone in full, with the same epoch.
 func (s *deciderScenario) awaitRecovery(ctx context.Context) error {
-	s.env.Phase("all meet again", s.env.Duration/3)
-	err := s.fleet.awaitCondition(ctx, 40*time.Second, "all use the zone again, by one epoch", func() bool {
+	s.env.Phase("the partition has ended", s.env.Duration/3)
+	err := s.fleet.awaitCondition(ctx, 40*time.Second, "all members use the zone again, with the same epoch", func() bool {
 		states := s.observer.observe(s.fleet.members)
 		epochs := map[uint64]bool{}
 		for _, state := range states {
@@ -222,7 +223,7 @@
 	return nil
 }
 
-// checkEpochs checks that no two decisions have the same epoch, whoever made them.
+// checkEpochs checks that no epoch was decided twice, by the same or by different members.
 func (s *deciderScenario) checkEpochs() {
 	decisions := 0
 	seen := map[uint64]bool{}
--- a/internal/e2e/zone_flap.go
+++ b/internal/e2e/zone_flap.go
@@ -10,19 +10,19 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-flap", Duration: 30 * time.Second, Run: zoneFlap,
-		Summary: "a zone goes and comes every three seconds: it is left, and each return that hurts is followed by a longer hold",
+		Summary: "a zone fails and recovers every three seconds: the fleet leaves it, and each failed return is followed by a longer hold",
 	})
 }
 
 const (
 	flapHalfPeriod = 1500 * time.Millisecond
 
-	// maxFlapShifts is the target for zone shifts in a run: one to leave, and for each return two at least; returns come after holds
-	// of 1, 2, 4, 8 s and more.
+	// maxFlapShifts is the target for the number of zone shifts in a run: one to leave, and at least two for each return. The holds
+	// before the returns are 1, 2, 4, 8 s and longer.
 	maxFlapShifts = 16
 )
 
-// zoneFlap loses and restores a zone again and again.
+// zoneFlap loses and restores a zone repeatedly.
 func zoneFlap(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
@@ -32,7 +32,7 @@
 	load, cancel := context.WithTimeout(ctx, e.Duration)
 	defer cancel()
 	clients := f.startClients(load, f.members, 6, recorder)
-	e.Phase("the zone goes and comes", e.Duration)
+	e.Phase("the zone fails and recovers repeatedly", e.Duration)
 	began := time.Now()
 	for pause(load, flapHalfPeriod) {
 		setFault(f.backendsIn("b"), unreachableFault)
--- a/internal/e2e/zone_gray.go
+++ b/internal/e2e/zone_gray.go
@@ -12,15 +12,15 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-grey", Duration: 48 * time.Second, Run: zoneGray,
-		Summary: "a zone that fails by half (slow by ten, one in eight answers an error, lost or late), used by each process as it sees fit, and left by order: what leaving it is worth",
+		Summary: "a zone with a gray failure (errors or no response for one in eight requests, errors for half of them, or tenfold latency), used as each member decides alone, and left by an operator's command: the gain of leaving it",
 	})
 	Register(Scenario{
 		Name: "zone-grey-auto", Duration: 48 * time.Second, Run: zoneGrayAuto,
-		Summary: "the same kinds of failing by half, found and left by the fleet itself, and used by each process as it sees fit, on the same seed",
+		Summary: "the same gray failures, detected and left by the fleet itself, and used as each member decides alone, on the same seed",
 	})
 }
 
-// grayFailure is a fault of a zone's backends that lets a part of the requests succeed in time.
+// grayFailure is a fault of a zone's backends at which some requests still succeed in time.
 type grayFailure struct {
 	name  string
 	fault fake.Fault
@@ -33,11 +33,11 @@
 	{"half", fake.Fault{Kind: fake.FaultError, Fraction: 0.5}},
 }
 
-// grayZoneRates are the operations a second at each member: some 0.3 and 0.6 of what all zones can serve.
+// grayZoneRates are in operations per second at each member: about 0.3 and 0.6 of the capacity of all zones.
 var grayZoneRates = []float64{10, 20}
 
-// zoneGray measures what it is worth to leave a zone with a gray failure: the same load on it as each member uses it, and with the
-// zone left by an operator's command.
+// zoneGray measures the gain of leaving a zone with a gray failure. It runs the same load with the zone used as each member decides, and
+// with the zone left by an operator's command.
 func zoneGray(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// playGrayFailure returns the fraction served while a zone has a gray failure. With leave it is left by command meanwhile.
+// playGrayFailure returns the fraction served while a zone has a gray failure. With leave, the zone is left by an operator's command during
+// the failure.
 func (f *fleet) playGrayFailure(ctx context.Context, failure grayFailure, rate float64, leave bool, length time.Duration, recorder *fake.EffectRecorder) (served float64, err error) {
 	zone := f.backendsIn("b")
 	if leave {
@@ -85,7 +86,7 @@
 			return 0, err
 		}
 	}
-	f.runClientsFor(ctx, length/4, name+"calm", rate, recorder) // members forget what they have learned of the zone, as far as they do
+	f.runClientsFor(ctx, length/4, name+"calm", rate, recorder) // lets the observations of the failure expire, as far as members let them
 	return results.ServedFraction(), nil
 }
 
@@ -108,7 +109,7 @@
 	return f.zoneCommand("auto", "farm", "b")
 }
 
-// zoneGrayAuto has the fleet find out by itself which zone has a gray failure, beside members that each find it out alone.
+// zoneGrayAuto compares a fleet that detects a gray failure of a zone and leaves the zone together, with members that each detect it alone.
 func zoneGrayAuto(ctx context.Context, e *Env) error {
 	gain := 0.0
 	for _, failure := range grayFailures {
@@ -128,9 +129,9 @@
 	return nil
 }
 
-// playGrayFailureAuto returns the fraction served while a zone has a gray failure.
+// playGrayFailureAuto returns the fraction served while a zone has a gray failure. With auto, the fleet may leave the zone by itself.
 func (e *Env) playGrayFailureAuto(ctx context.Context, failure grayFailure, auto bool) (served float64, err error) {
-	const rate = 12 // some four requests a second from each member to each zone
+	const rate = 12 // about four requests per second from each member to each zone
 	const calmTime = 5 * time.Second
 	length := e.Duration / time.Duration(2*len(grayFailures))
 	recorder := fake.NewEffectRecorder()
@@ -138,8 +139,8 @@
 	if err != nil {
 		return 0, err
 	}
-	e.Phase(fmt.Sprintf("%s, by itself: %v", failure.name, auto), length)
-	f.runClientsFor(ctx, calmTime, failure.name+"calm", rate, recorder) // members learn what is usual
+	e.Phase(fmt.Sprintf("%s, zone shifts by the fleet: %v", failure.name, auto), length)
+	f.runClientsFor(ctx, calmTime, failure.name+"calm", rate, recorder) // members learn the normal latency and error rate
 	failed := time.Now()
 	setFault(f.backendsIn("b"), failure.fault)
 	results := f.runClientsFor(ctx, 2*length, failure.name, rate, recorder)
@@ -153,7 +154,7 @@
 	return results.ServedFraction(), nil
 }
 
-// measureGrayFailover measures how many members have left the zone since it failed, and when the last did. No other may be left.
+// measureGrayFailover measures how many members have left the failed zone, and when the last one did. No other zone may be left.
 func (f *fleet) measureGrayFailover(failure grayFailure, failed time.Time) {
 	e := f.env
 	left := f.exclusionTimes(backendsPerZone, failed)
--- a/internal/e2e/zone_leave.go
+++ b/internal/e2e/zone_leave.go
@@ -10,17 +10,17 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-leave", Duration: 24 * time.Second, Run: zoneLeave,
-		Summary: "a zone of three is lost for five seconds in the rush and returns cold: left as a fleet, and each process alone, on the same seed",
+		Summary: "one of three zones is lost under load for five seconds and returns in slow start: left by the fleet together, and by each member alone, on the same seed",
 	})
 }
 
-// zoneOutcome is what the loss of a zone cost.
+// zoneOutcome is the effect of the loss of a zone on the requests.
 type zoneOutcome struct {
 	lostRequests int64
 	served       float64
 }
 
-// zoneLeave compares the loss of a zone for a fleet that leaves it together, and for members that each find it out alone.
+// zoneLeave compares the loss of a zone in a fleet that leaves the zone together, with that in a fleet whose members each detect it alone.
 func zoneLeave(ctx context.Context, e *Env) error {
 	alone, err := e.playZoneLeave(ctx, false)
 	if err != nil {
@@ -44,7 +44,7 @@
 		return zoneOutcome{}, err
 	}
 	name, length := comparisonName(together), e.Duration/2
-	e.Phase("a zone is lost, and returns cold, "+name, length)
+	e.Phase("a zone is lost and returns in slow start, "+name, length)
 	load, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	zone := f.loseZone(load, "b", 2*time.Second, 5*time.Second)
--- a/internal/e2e/zone_return.go
+++ b/internal/e2e/zone_return.go
@@ -11,7 +11,7 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-return", Duration: 40 * time.Second, Run: zoneReturn,
-		Summary: "a zone comes back cold, and its boxes fall when they are sent more than they bear then: returned to as a fleet, and by each alone",
+		Summary: "a zone returns in slow start, and its backends crash if they receive more than their capacity: returned to by the fleet together, and by each member alone",
 	})
 }
 
@@ -21,8 +21,8 @@
 	zoneReturnMinCapacity = 0.1
 )
 
-// zoneReturn loses a zone whose backends crash if they get too much while they warm up. The endpoint list does not tell when they
-// were started: all that a member knows is that they were away.
+// zoneReturn loses a zone whose backends crash if they are overloaded in slow start. The endpoint list has no start times: members know
+// only that the backends were unreachable.
 func zoneReturn(ctx context.Context, e *Env) error {
 	alone, err := e.playZoneReturn(ctx, false)
 	if err != nil {
@@ -52,7 +52,7 @@
 		return 0, err
 	}
 	name, length := comparisonName(together), e.Duration/2
-	e.Phase("a zone is lost, and its boxes fall when they get too much while cold, "+name, length)
+	e.Phase("a zone is lost, and its backends crash if they are overloaded in slow start, "+name, length)
 	load, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	zone := f.loseZone(load, "b", 2*time.Second, 4*time.Second)
@@ -75,7 +75,8 @@
 	return results.ServedFraction(), nil
 }
 
-// measureSlowStart measures what the backends got while they were lost and while they warmed up, and returns how often one crashed.
+// measureSlowStart measures the requests that backends received while they were unreachable and in slow start, and returns the number of
+// crashes.
 func (f *fleet) measureSlowStart(name string) (crashes int64) {
 	peakLoad, served := 0.0, int64(0)
 	for _, backend := range f.backends {
--- a/internal/e2e/zone_torn.go
+++ b/internal/e2e/zone_torn.go
@@ -10,11 +10,11 @@
 func init() {
 	Register(Scenario{
 		Name: "zone-torn", Duration: 16 * time.Second, Run: zoneTorn,
-		Summary: "what only looks like a lost zone: half of its servers dead, servers of all zones dead alike, members that are cut off: nothing is left",
+		Summary: "faults that only resemble the loss of a zone: a part of its backends unreachable, one backend of each zone unreachable, partitioned members, some errors: no zone may be left",
 	})
 }
 
-// zoneTorn plays faults that are no loss of a zone, in which no zone may be left.
+// zoneTorn injects faults that are not the loss of a zone. No zone may be left.
 func zoneTorn(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
 	f, err := e.startZoneFleet(ctx, zoneFleetConfig{recorder: recorder})
@@ -31,17 +31,17 @@
 		pause(ctx, part)
 	}
 	one := f.backendsIn("b")[:1]
-	playFault("one of a zone's three servers", unreachableFault, one...)
+	playFault("one of three backends of a zone is unreachable", unreachableFault, one...)
 	setFault(one, fake.Fault{})
 	oneOfEach := []*fake.Backend{f.backendsIn("a")[0], f.backendsIn("b")[0], f.backendsIn("c")[0]}
-	playFault("a server of each zone, as a bad release", unreachableFault, oneOfEach...)
+	playFault("one backend of each zone is unreachable, as after a bad release", unreachableFault, oneOfEach...)
 	setFault(oneOfEach, fake.Fault{})
-	e.Phase("members that are cut off", part)
+	e.Phase("the members of one zone are partitioned", part)
 	inSecondZone := func(i int) bool { return i%len(zoneNames) == 1 }
 	restore := f.partition(func(from, to int) bool { return inSecondZone(from) || inSecondZone(to) })
 	pause(ctx, part)
 	restore()
-	playFault("errors of one in eight", fake.Fault{Kind: fake.FaultError, Fraction: 0.125}, f.backendsIn("c")...)
+	playFault("one in eight responses of a zone is an error", fake.Fault{Kind: fake.FaultError, Fraction: 0.125}, f.backendsIn("c")...)
 	cancel()
 	results := <-clients
 	e.AtMost("wrongly_left", float64(f.zoneShiftDeciders()), 0)
