--- a/internal/e2e/fleet_cost.go
+++ b/internal/e2e/fleet_cost.go
@@ -34,8 +34,8 @@
 	loads         int           // number of loads so far
 
 	ratios    [][]float64 // leader to process without a fleet, of the CPU time per request, by rate and round
-	byRequest []float64   // ratios of the CPU time of an additional request, by round
-	byTime    []float64   // differences of the CPU time per second that does not depend on requests, by round
+	byRequest []float64   // the same ratio of the CPU time of an additional request, by round
+	byTime    []float64   // leader minus process without a fleet, of the CPU seconds per second that do not depend on requests, by round
 }
 
 // costPoint is the CPU usage of a process at a request rate.
--- a/internal/e2e/fleetclients.go
+++ b/internal/e2e/fleetclients.go
@@ -8,8 +8,8 @@
 	"sorrelrudder/internal/fake"
 )
 
-// runClients sends requests to all members until ctx ends, at a rate of operations per second to each member, and returns the sum of the
-// results.
+// runClients sends requests to all members until ctx ends, and returns the sum of the results. rate is in operations per second to each
+// member.
 func (f *fleet) runClients(ctx context.Context, name string, rate float64, recorder *fake.EffectRecorder) *fake.ClientResults {
 	return f.runClientsAt(ctx, f.members, name, rate, recorder)
 }
--- a/internal/e2e/lease_split.go
+++ b/internal/e2e/lease_split.go
@@ -35,8 +35,8 @@
 		}, true},
 	}
 	for _, s := range splits {
-		f.logEvent("split %s", s.what)
-		e.Phase("split "+s.what, part)
+		f.logEvent("partition %s", s.what)
+		e.Phase("partition "+s.what, part)
 		sides := make([]int, len(f.members))
 		for i := range sides {
 			sides[i] = s.side(i)
--- a/internal/e2e/leaselog.go
+++ b/internal/e2e/leaselog.go
@@ -36,8 +36,8 @@
 	return all
 }
 
-// leaseSpansOf returns the periods in which one program held a lease. If the program has ended, its last period ends with its last log
-// line.
+// leaseSpansOf returns the periods in which one program held a lease. If the program ended as the holder, its last period ends at the time
+// of its last log line.
 func leaseSpansOf(program *Program, lease string, holder int, hasEnded bool) []leaseSpan {
 	var spans []leaseSpan
 	var last time.Time
@@ -67,8 +67,8 @@
 	return spans
 }
 
-// leaseHolder returns the index of the member that holds a lease now, or -1 if no member does. Of several members, it is the one with the
-// newest token.
+// leaseHolder returns the index of the member that holds a lease now according to the logs, or -1 if there is none. Of several members, it
+// is the one with the newest token.
 func (f *fleet) leaseHolder(lease string) int {
 	holder, newest := -1, uint64(0)
 	for _, span := range f.leaseSpans(lease) {
--- a/internal/e2e/program.go
+++ b/internal/e2e/program.go
@@ -119,7 +119,7 @@
 }
 
 // errDrainTimeout is returned by Stop if the program did not drain within drainTimeout and was killed.
-var errDrainTimeout = errors.New("program did not drain in time and was killed")
+var errDrainTimeout = errors.New("the program did not drain in time")
 
 // Stop shuts the program down gracefully and returns its exit error. If the program does not end within drainTimeout, Stop kills it and
 // returns errDrainTimeout. Stop may be called again.
--- a/internal/e2e/zone_gray.go
+++ b/internal/e2e/zone_gray.go
@@ -86,7 +86,7 @@
 			return 0, err
 		}
 	}
-	f.runClientsFor(ctx, length/4, name+"calm", rate, recorder) // lets the observations of the failure expire, as far as members let them
+	f.runClientsFor(ctx, length/4, name+"calm", rate, recorder) // gives members time to drop their observations of the failure
 	return results.ServedFraction(), nil
 }
 
