--- a/internal/e2e/costround.go
+++ b/internal/e2e/costround.go
@@ -56,11 +56,11 @@
 	var mu sync.Mutex
 	for i := range costConns {
 		conns.Go(func() {
-			ofConn, failedOfConn := closedLoop(ctx, s.addr, i, until)
+			connLatencies, connFailed := closedLoop(ctx, s.addr, i, until)
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, ofConn...)
-			failed += failedOfConn
+			latencies = append(latencies, connLatencies...)
+			failed += connFailed
 		})
 	}
 	conns.Wait()
--- a/internal/e2e/fleet_cost.go
+++ b/internal/e2e/fleet_cost.go
@@ -44,8 +44,8 @@
 	requests float64 // per second
 }
 
-// coresARequest returns the CPU seconds per request.
-func (p costPoint) coresARequest() float64 { return p.cores / p.requests }
+// coresPerRequest returns the CPU seconds per request.
+func (p costPoint) coresPerRequest() float64 { return p.cores / p.requests }
 
 // costLine is the CPU usage of a process at the lowest and at the highest rate.
 type costLine struct{ low, high costPoint }
@@ -106,7 +106,7 @@
 			}
 			points[program] = append(points[program], point)
 		}
-		s.ratios[i] = append(s.ratios[i], points[s.leader][i].coresARequest()/points[s.alone][i].coresARequest())
+		s.ratios[i] = append(s.ratios[i], points[s.leader][i].coresPerRequest()/points[s.alone][i].coresPerRequest())
 	}
 	last := len(fleetCostRates) - 1
 	leader := costLine{points[s.leader][0], points[s.leader][last]}
--- a/internal/e2e/http_services.go
+++ b/internal/e2e/http_services.go
@@ -21,7 +21,7 @@
 	httpRate     = 250 // operations per second: about 0.4 of the capacity while one backend is faulty
 )
 
-// httpFaults are the faults of the scenario. Each strikes another backend, one after the other.
+// httpFaults are the faults of the scenario. They are injected one after the other, each into a different backend.
 var httpFaults = []struct {
 	name  string
 	fault fake.Fault
@@ -104,8 +104,8 @@
 	return results, e.CheckRules(recorder), nil
 }
 
-// injectHTTPFaults injects one fault into each backend in turn, each followed by a pause of the same length, and finally closes the last
-// backend.
+// injectHTTPFaults injects the faults one after the other, each into a different backend. Before each fault there is a time without faults
+// of the same length. Finally it closes the last backend.
 func injectHTTPFaults(ctx context.Context, backends []*fake.Backend, length time.Duration) {
 	step := length / time.Duration(2*len(httpFaults)+2)
 	for i, f := range httpFaults {
--- a/internal/e2e/lease_disk.go
+++ b/internal/e2e/lease_disk.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// diskScenario injects disk faults into voters. Each step takes part, and strikes a randomly drawn voter.
+// diskScenario injects disk faults into voters. Each step lasts for the duration part and strikes a randomly drawn voter.
 type diskScenario struct {
 	fleet *fleet
 	rng   *rand.Rand
--- a/internal/e2e/pools_flood.go
+++ b/internal/e2e/pools_flood.go
@@ -55,7 +55,7 @@
 	quiet           *fake.ClientResults // of the pools meters and channels
 	flood           *fake.ClientResults // nil without a flood
 	cpu             time.Duration       // CPU time of the program
-	slowRequests    int64               // connections opened that send a request slowly
+	slowRequests    int64               // connections opened with an unfinished request
 	idleConnections int64
 }
 
--- a/internal/e2e/takeover.go
+++ b/internal/e2e/takeover.go
@@ -7,7 +7,7 @@
 )
 
 // maxTakeover is the target for the time of a takeover after the holder was killed. It is the sum of the TTL by the slowest clock, which a
-// new leader counts from the beginning, an election of at most twenty ticks, and a margin for the machine.
+// new leader counts anew, an election of at most twenty ticks, and a margin for the machine.
 const maxTakeover = leaseTTL + leaseTTL/10 + 20*consensusTick + 500*time.Millisecond
 
 // takeoverTimes are the times from a fault of a lease holder until another member held the lease.
--- a/internal/e2e/task_bounds.go
+++ b/internal/e2e/task_bounds.go
@@ -82,8 +82,8 @@
 		e.Fail("what matters most was done less often than what matters least")
 	}
 	periods := math.Ceil(time.Since(f.started).Seconds()/2) + 1
-	const attemptsASlot = 3 // one slot may exceed the budget in each period
-	e.AtMost("budgeted", done("work5"), periods*(budget+attemptsASlot))
+	const attemptsPerSlot = 3 // one slot may exceed the budget in each period
+	e.AtMost("budgeted", done("work5"), periods*(budget+attemptsPerSlot))
 	f.drainAll()
 	return nil
 }
--- a/internal/e2e/versionobserver.go
+++ b/internal/e2e/versionobserver.go
@@ -15,7 +15,7 @@
 	// convergenceTimeout is the target for the time from the last fault until all members hold the same shared state.
 	convergenceTimeout = 5 * time.Second
 
-	// convergenceAbort is the time after which a scenario fails without convergence.
+	// convergenceAbort is the time after which a scenario that has not converged is aborted.
 	convergenceAbort = 40 * time.Second
 
 	observationInterval = 700 * time.Millisecond
--- a/internal/e2e/zonefleet.go
+++ b/internal/e2e/zonefleet.go
@@ -108,8 +108,8 @@
 	return n
 }
 
-// exclusionTimes returns the sorted times at which each member first had exactly the given number of backends excluded, after a moment.
-// Members without such a time are omitted.
+// exclusionTimes returns the times, after a moment, at which each member first had exactly the given number of backends excluded. The times
+// are sorted. Members without such a time are omitted.
 func (f *fleet) exclusionTimes(excluded int, after time.Time) (times []time.Time) {
 	for _, member := range f.members {
 		for _, line := range member.currentProgram().LogLines() {
@@ -124,7 +124,7 @@
 	return times
 }
 
-// awaitExclusions waits until all members have had exactly the given number of backends excluded, after a moment.
+// awaitExclusions waits until each member has, after a moment, had exactly the given number of backends excluded.
 func (f *fleet) awaitExclusions(ctx context.Context, timeout time.Duration, excluded int, after time.Time, what string) error {
 	return f.awaitCondition(ctx, timeout, what, func() bool {
 		return len(f.exclusionTimes(excluded, after)) == len(f.members)
