--- a/internal/e2e/replica_rush.go
+++ b/internal/e2e/replica_rush.go
@@ -11,58 +11,59 @@
 func init() {
 	Register(Scenario{
 		Name: "replica-rush", Duration: 28 * time.Second, Run: replicaRush,
-		Summary: "processes are killed and started again in the rush while two of nine servers are dead: what each serves in its first three seconds, beside its neighbours",
+		Summary: "members are restarted under load while two of nine backends are unreachable: requests served in their first three seconds, compared with the other members",
 	})
 }
 
-// rushCompareTime is the time after a member's start in which it is compared with its neighbours.
-const rushCompareTime = 3 * time.Second
+// restartCompareTime is the time after a restart for which members are compared with their neighbours.
+const restartCompareTime = 3 * time.Second
 
-// rushOutcome is what members served that had just been restarted, and the others meanwhile.
-type rushOutcome struct{ restarted, neighbours *fake.ClientResults }
+// restartOutcome is the result of the members that were just restarted, and of their neighbours: the other members, over the same time.
+type restartOutcome struct{ restarted, neighbours *fake.ClientResults }
 
-// behind is how much less the restarted members served.
-func (o rushOutcome) behind() float64 {
+// servedDeficit returns by how much the served fraction of the restarted members is below that of their neighbours.
+func (o restartOutcome) servedDeficit() float64 {
 	return o.neighbours.ServedFraction() - o.restarted.ServedFraction()
 }
 
-// replicaRush restarts members under load, two at a time, while backends have vanished that only those know of which have met them.
+// replicaRush restarts members under load, two at a time, while two backends are unreachable. Without shared state, only members that have
+// sent to those backends know it.
 func replicaRush(ctx context.Context, e *Env) error {
 	recorder := fake.NewEffectRecorder()
-	alone, err := e.playRush(ctx, false, recorder)
+	alone, err := e.playRestarts(ctx, false, recorder)
 	if err != nil {
 		return err
 	}
-	shared, err := e.playRush(ctx, true, recorder)
+	shared, err := e.playRestarts(ctx, true, recorder)
 	if err != nil {
 		return err
 	}
-	e.Measure("behind_alone", alone.behind())
-	e.AtMost("behind", shared.behind(), 0.03) // of some 600 requests: 0.01 over many seeds
+	e.Measure("behind_alone", alone.servedDeficit())
+	e.AtMost("behind", shared.servedDeficit(), 0.03) // of about 600 requests; over many seeds the deficit is 0.01
 	e.checkAnsweredOnce(recorder, "")
 	return nil
 }
 
-func (e *Env) playRush(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (outcome rushOutcome, err error) {
+func (e *Env) playRestarts(ctx context.Context, shared bool, recorder *fake.EffectRecorder) (outcome restartOutcome, err error) {
 	f, name, err := e.startSharedStateFleet(ctx, shared, fleetConfig{
 		processes: 10, voters: 3, backends: 9, recorder: recorder,
 		configureBackend: func(b *fake.BackendConfig) { b.ServiceTime = 15 * time.Millisecond },
 	})
 	if err != nil {
-		return rushOutcome{}, err
+		return restartOutcome{}, err
 	}
-	e.Phase("killed and started again in the rush, "+name, e.Duration/2)
+	e.Phase("members are restarted under load, "+name, e.Duration/2)
 	f.runClientsFor(ctx, 2*time.Second, name+"warm", 20, recorder)
 	for _, backend := range f.backends[:2] {
-		f.logEvent("%s dies", backend.Name())
-		backend.SetFault(vanished)
+		f.logEvent("%s becomes unreachable", backend.Name())
+		backend.SetFault(unreachableFault)
 	}
 	maxStart := time.Duration(0)
-	for round := range int(e.Duration / 2 / (rushCompareTime + time.Second)) {
+	for round := range int(e.Duration / 2 / (restartCompareTime + time.Second)) {
 		restarted := map[int]bool{3 + 2*round%7: true, 4 + 2*round%6: true}
 		startTime, err := f.restartTogether(ctx, restarted)
 		if err != nil {
-			return rushOutcome{}, err
+			return restartOutcome{}, err
 		}
 		maxStart = max(maxStart, startTime)
 		outcome.add(f.compareRestarted(ctx, restarted, name, round, recorder))
@@ -77,7 +78,7 @@
 	return outcome, nil
 }
 
-// restartTogether kills members, starts them again and returns how long it took until all were ready.
+// restartTogether kills members, starts them again and returns the time until all were ready.
 func (f *fleet) restartTogether(ctx context.Context, indexes map[int]bool) (time.Duration, error) {
 	for i := range indexes {
 		f.members[i].kill()
@@ -96,10 +97,10 @@
 	return time.Since(began), nil
 }
 
-// compareRestarted has clients send requests, without retries, to all members for rushCompareTime.
-func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) rushOutcome {
+// compareRestarted sends requests without retries to all members for restartCompareTime.
+func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) restartOutcome {
 	const rate = 30
-	load, cancel := context.WithTimeout(ctx, rushCompareTime)
+	load, cancel := context.WithTimeout(ctx, restartCompareTime)
 	defer cancel()
 	var configs []fake.ClientConfig
 	for i, member := range f.members {
@@ -108,7 +109,7 @@
 		cfg.MaxAttempts, cfg.Backoff, cfg.HonorRetryAfter = 1, 0, false
 		configs = append(configs, cfg)
 	}
-	var outcome rushOutcome
+	var outcome restartOutcome
 	for i, results := range runAll(load, configs) {
 		if restarted[i] {
 			outcome.restarted = mergeOptional(outcome.restarted, results)
@@ -120,12 +121,12 @@
 }
 
 // add adds the results of a round.
-func (o *rushOutcome) add(round rushOutcome) {
+func (o *restartOutcome) add(round restartOutcome) {
 	o.restarted = mergeOptional(o.restarted, round.restarted)
 	o.neighbours = mergeOptional(o.neighbours, round.neighbours)
 }
 
-// mergeOptional returns the sum of results, of which sum may be nil.
+// mergeOptional returns the sum of two results, of which the first may be nil.
 func mergeOptional(sum, results *fake.ClientResults) *fake.ClientResults {
 	if sum == nil {
 		return results
