--- a/internal/config/httpservice.go
+++ b/internal/config/httpservice.go
@@ -202,7 +202,7 @@
 		return httpservice.ValueSource{Header: http.CanonicalHeaderKey(field)}
 	}
 	if name, ok := strings.CutPrefix(text, "path:"); ok && name != "" {
-		return httpservice.ValueSource{PathName: name}
+		return httpservice.ValueSource{PathWildcard: name}
 	}
 	r.fail(s.nodeAt(key), "is %q, not header:NAME or path:NAME", text)
 	return httpservice.ValueSource{}
--- a/internal/httpservice/dialect.go
+++ b/internal/httpservice/dialect.go
@@ -26,14 +26,14 @@
 // ValueSource says where a value of a request is taken from. At most one field is set; none: there is no value.
 type ValueSource struct {
 	Header   string // name of a header field
-	PathName string // {name} of the pattern that matches the path
+	PathWildcard string // {name} of the pattern that matches the path
 }
 
 // value returns the value of a request that m classifies.
 func (s ValueSource) value(m classify.Match, header http.Header) string {
 	switch {
-	case s.PathName != "":
-		return m.Value(s.PathName)
+	case s.PathWildcard != "":
+		return m.Value(s.PathWildcard)
 	case s.Header != "":
 		return header.Get(s.Header)
 	}
--- a/internal/httpservice/dialect_test.go
+++ b/internal/httpservice/dialect_test.go
@@ -30,7 +30,7 @@
 	cfg := Config{
 		Via: "edge", FailureStatuses: []int{502, 503}, TimeoutFields: []string{"X-Timeout-Ms", "grpc-timeout"},
 		Classes: []Class{
-			{Rule: classify.Rule{Class: "read", Patterns: pattern("GET /items/{id}")}, Deadline: time.Second, Key: ValueSource{PathName: "id"}, Tenant: ValueSource{Header: "X-Shop"}},
+			{Rule: classify.Rule{Class: "read", Patterns: pattern("GET /items/{id}")}, Deadline: time.Second, Key: ValueSource{PathWildcard: "id"}, Tenant: ValueSource{Header: "X-Shop"}},
 			{Rule: classify.Rule{Class: "order", Patterns: pattern("POST /orders")}, Idempotency: policy.IdempotentByKey, KeylessClass: "order without a key", Deadline: 2 * time.Second},
 			{Rule: classify.Rule{Class: "other"}, Idempotency: policy.NonIdempotent, Deadline: 3 * time.Second},
 		},
