--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -11,20 +11,21 @@
 	"sorrelrudder/internal/quota"
 )
 
-// bodyBytesPerWorkUnit is how many bytes of a body cost the process as much as a request without one.
+// bodyBytesPerWorkUnit is the number of body bytes whose processing costs as much CPU time as a request without a body.
 const bodyBytesPerWorkUnit = 8 << 10
 
-// admittedRequest implements downstream.AdmittedRequest. It holds a part of its pool's quota until Release.
+// admittedRequest implements downstream.AdmittedRequest. It holds a share of its pool's quota until Release.
 type admittedRequest struct {
 	gateway       *Gateway
 	instance      *poolInstance
 	request       *httpmsg.Request
 	parsed        pool.ParsedRequest
-	reservedBytes int64 // of body memory
-	fromSite      bool  // another site has sent it
+	reservedBytes int64 // body memory reserved for the request, in bytes
+	fromSite      bool  // the request was forwarded by another site
 }
 
-// asAdmitted is the result of Gateway.admit as downstream.Handler has it: without a request of a nil pointer.
+// asAdmitted converts the result of Gateway.admit to that of downstream.Handler.Admit. On error it returns a nil interface rather than an
+// interface that holds a nil pointer.
 func asAdmitted(a *admittedRequest, id downstream.PoolID, err error) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	if err != nil {
 		return nil, id, err
@@ -32,8 +33,8 @@
 	return a, id, nil
 }
 
-// admit counts request r as work of pool p, and takes a part of its quota for it, unless it was not parsed: parseErr is
-// then returned. The error is a httpmsg.RejectionError.
+// admit records request r as work of pool p and reserves quota of the pool for it. If parseErr is not nil the request could not be parsed:
+// admit reserves nothing and returns parseErr. The error is an httpmsg.RejectionError.
 func (g *Gateway) admit(p *poolInstance, r *httpmsg.Request, parsed pool.ParsedRequest, parseErr error) (*admittedRequest, downstream.PoolID, error) {
 	id := downstream.PoolID(p.id)
 	bytes := r.Length
@@ -56,7 +57,7 @@
 	return &admittedRequest{gateway: g, instance: p, request: r, parsed: parsed, reservedBytes: bytes}, id, nil
 }
 
-// rejection is what the client of a request is told that was not admitted.
+// rejection returns the error that is sent to the client of a request that was not admitted.
 func (p *poolInstance) rejection(d quota.Decision) httpmsg.RejectionError {
 	rejection := httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: d.Reason.String()}
 	if d.Reason == quota.RateExceeded || d.Reason == quota.TooManyOpen {
@@ -72,7 +73,7 @@
 	return rejection
 }
 
-// Dispatch implements downstream.AdmittedRequest: it submits the request to its pool.
+// Dispatch implements downstream.AdmittedRequest. It submits the request to its pool.
 func (a *admittedRequest) Dispatch(body []byte, remainder httpmsg.BodyStream) (downstream.Exchange, error) {
 	a.request.Body, a.request.Remainder = body, remainder
 	a.releaseUnusedBytes(int64(len(body)))
@@ -91,7 +92,7 @@
 	return x, nil
 }
 
-// releaseUnusedBytes gives back the body memory beyond used bytes.
+// releaseUnusedBytes returns the reserved body memory beyond used bytes to the quota.
 func (a *admittedRequest) releaseUnusedBytes(used int64) {
 	unused := a.reservedBytes - used
 	if unused <= 0 {
--- a/internal/gateway/auxiliary_pool.go
+++ b/internal/gateway/auxiliary_pool.go
@@ -11,8 +11,8 @@
 	"sorrelrudder/internal/upstream"
 )
 
-// NewAuxiliaryPool starts a pool that is not of the configuration, such as one whose servers are at another site. It uses
-// descriptors that no pool of the configuration has reserved. The caller closes it.
+// NewAuxiliaryPool starts a pool that is not part of the configuration, such as a pool of endpoints at another site. It uses only
+// descriptors that are not reserved for configured pools. The caller must close it.
 func (g *Gateway) NewAuxiliaryPool(cfg pool.Config, dial func(context.Context, string) (net.Conn, error), log *slog.Logger) (*pool.Pool, error) {
 	id := g.nextPoolID()
 	conns := upstream.New(cfg.Settings.Config, g.descriptors.Pool(id))
@@ -26,7 +26,7 @@
 	return p, nil
 }
 
-// nextPoolID returns an ID that no pool has had.
+// nextPoolID returns an ID that has not been used by any pool.
 func (g *Gateway) nextPoolID() quota.PoolID {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
--- a/internal/gateway/drainable_listener.go
+++ b/internal/gateway/drainable_listener.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// acceptWindow is how long a draining listener accepts every connection that comes.
+	// acceptWindow is how long a draining listener keeps accepting all connections.
 	acceptWindow = 500 * time.Millisecond
-	// backlogIdleTimeout is how long after that no connection must come for the backlog to count as empty.
+	// backlogIdleTimeout applies after acceptWindow: once no connection has arrived for this long, the backlog counts as empty.
 	backlogIdleTimeout = 50 * time.Millisecond
 )
 
-// drainableListener is a listener that goes on accepting after drain, until no connection waits in the kernel's backlog:
-// closing it at once would reset those.
+// drainableListener is a listener that keeps accepting after drain until the kernel's backlog is empty. Closing the socket at once would
+// reset the connections in the backlog.
 type drainableListener struct {
 	*net.TCPListener
-	inherited bool // other processes accept at the socket too, so that its backlog is for them
+	inherited bool // other processes accept from the socket too and take over its backlog
 
 	mu    sync.Mutex // guards until
 	until time.Time  // zero: not draining
 }
 
-// drain makes Accept return net.ErrClosed once the backlog is empty after until, or at once if the socket is inherited.
+// drain makes Accept return net.ErrClosed once the backlog is empty after the given time, or at once if the socket is inherited.
 func (l *drainableListener) drain(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,10 +46,10 @@
 	l.mu.Unlock()
 	c, err := l.TCPListener.Accept()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, net.ErrClosed // after a timeout the server would try again
+		return nil, net.ErrClosed // the server would retry Accept after a timeout error
 	}
 	return c, err
 }
 
-// setDeadline bounds Accept. It fails only on a closed listener, on which Accept fails too.
+// setDeadline sets the deadline of Accept. It fails only if the listener is closed, in which case Accept fails too.
 func (l *drainableListener) setDeadline(t time.Time) { _ = l.SetDeadline(t) }
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// exclusionSet is the arguments of pool.Pool.SetExcluded.
+// exclusionSet holds the arguments of pool.Pool.SetExcluded.
 type exclusionSet struct{ excluded, returning, untilRestart map[string]bool }
 
-// RefreshEndpoints has all pools open a watch of their sources soon; see pool.Pool.PollNow.
+// RefreshEndpoints makes all pools query the sources of their endpoint lists soon; see pool.Pool.PollNow.
 func (g *Gateway) RefreshEndpoints() {
 	for _, p := range g.table.Load().pools {
 		p.pool.PollNow()
 	}
 }
 
-// EndpointsKnown reports whether every pool has had its list from its source.
+// EndpointsKnown reports whether every pool has received an endpoint list from its source.
 func (g *Gateway) EndpointsKnown() bool {
 	for _, p := range g.table.Load().pools {
 		if _, known := p.pool.Readiness(); !known {
@@ -29,7 +29,8 @@
 // PoolNames returns the names of all pools, sorted.
 func (g *Gateway) PoolNames() []string { return slices.Sorted(maps.Keys(g.table.Load().pools)) }
 
-// ReadyEndpoints returns the zone of each endpoint that a pool's list names ready, by the endpoint's name.
+// ReadyEndpoints returns the zones of a pool's endpoints that are ready in its endpoint list, keyed by endpoint name. It returns nil if
+// there is no such pool.
 func (g *Gateway) ReadyEndpoints(pool string) map[string]string {
 	p := g.table.Load().pools[pool]
 	if p == nil {
@@ -42,8 +43,8 @@
 	return zones
 }
 
-// ExcludeEndpoints has a pool, and each instance that replaces it, send nothing new to the servers in excluded until the next
-// call names others; see pool.Pool.SetExcluded. It returns false if no ready server would be left: then none is excluded.
+// ExcludeEndpoints makes a pool, and each instance that replaces it, send no new attempts to the excluded endpoints. The exclusion holds
+// until the next call for the pool; see pool.Pool.SetExcluded. If no ready endpoint would be left, it excludes none and returns false.
 func (g *Gateway) ExcludeEndpoints(pool string, excluded, returning, untilRestart map[string]bool) bool {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
@@ -57,9 +58,9 @@
 	return true
 }
 
-// OnReachabilityChange has f called, with unreachable true, for each attempt or health check that an endpoint left unanswered, and
-// with false once it answers again. It is called under the pool's lock, and must call neither pool nor gateway. There is one such
-// function at a time.
+// OnReachabilityChange registers f, which replaces the function of an earlier call. f is called with unreachable true for each attempt or
+// health check that an endpoint did not answer, and with false once the endpoint answers again. It is called with the pool's lock held and
+// must not call the pool or the gateway.
 func (g *Gateway) OnReachabilityChange(f func(pool, endpoint string, unreachable bool)) {
 	g.onReachabilityChange.Store(&f)
 }
@@ -70,22 +71,22 @@
 	}
 }
 
-// HintUnreachable tells a pool's policy that a server does not answer other processes.
-func (g *Gateway) HintUnreachable(pool, server string) {
+// HintUnreachable tells a pool's policy that an endpoint does not answer other processes.
+func (g *Gateway) HintUnreachable(pool, endpoint string) {
 	if p := g.table.Load().pools[pool]; p != nil {
-		p.pool.HintUnreachable(server)
+		p.pool.HintUnreachable(endpoint)
 	}
 }
 
-// AttemptOutcomes calls f with what became of a pool's attempts in each zone; see pool.Pool.ZoneOutcomes.
+// AttemptOutcomes calls f with the outcomes of a pool's attempts in each zone; see pool.Pool.ZoneOutcomes.
 func (g *Gateway) AttemptOutcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration)) {
 	if p := g.table.Load().pools[pool]; p != nil {
 		p.pool.ZoneOutcomes(f)
 	}
 }
 
-// CheckHealth sends a health check to a server of a pool, and reports whether it was answered.
-func (g *Gateway) CheckHealth(pool, server string) bool {
+// CheckHealth sends a health check to an endpoint of a pool, and reports whether the endpoint answered.
+func (g *Gateway) CheckHealth(pool, endpoint string) bool {
 	p := g.table.Load().pools[pool]
-	return p != nil && p.pool.CheckEndpoint(server)
+	return p != nil && p.pool.CheckEndpoint(endpoint)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway assembles one proxy process: its listeners, its pools, the routes that lead requests to them, the quotas
-// they share, configuration reloads and the graceful shutdown. A request passes from a client's connection (package
-// downstream) by a route to a pool, whose policy picks the endpoint. The rules are in packages route, quota and policy; this
-// package carries them out. It does not know how a configuration is written down.
+// Package gateway assembles one proxy process: its listeners, its pools, the routes from requests to pools, the quotas that the pools
+// share, configuration reloads and graceful shutdown. A request arrives on a client's connection (package downstream), is routed to a pool,
+// and is sent to the endpoint that the pool's policy picks. The rules are in packages route, quota and policy; this package applies them.
+// It is independent of the format of configuration files.
 package gateway
 
 import (
@@ -20,57 +20,56 @@
 	"sorrelrudder/internal/quota"
 )
 
-// adminCloseTimeout bounds how long Close waits for calls to the admin server that are being answered.
+// adminCloseTimeout bounds how long Close waits for open requests to the admin server.
 const adminCloseTimeout = 100 * time.Millisecond
 
-// ErrStopped is returned for a configuration that comes once the process has begun to shut down.
-var ErrStopped = errors.New("the process is ending")
+// ErrStopped is returned by Apply once the process has begun to shut down.
+var ErrStopped = errors.New("the process is shutting down")
 
 // Gateway is one proxy process. Its methods are safe for concurrent use.
 type Gateway struct {
 	log          *slog.Logger
 	descriptors  *process.Descriptors
-	clientServer *downstream.Server // connections of clients
-	siteServer   *downstream.Server // connections of other sites; nil without an extension
-	extension    Extension          // nil: none
+	clientServer *downstream.Server // serves the connections of clients
+	siteServer   *downstream.Server // serves the connections of other sites; nil without an extension
+	extension    Extension          // nil: no extension
 	protocols    ListenerProtocols
 	table        atomic.Pointer[routingTable]
 	quotas       processQuotas
-	counters     metrics.RequestCounters // of all pools, removed ones included
+	counters     metrics.RequestCounters // totals of all pools, including removed ones
 	listening    atomic.Bool
 	draining     atomic.Bool
 
-	onReachabilityChange atomic.Pointer[func(pool, server string, is bool)] // see OnUnresponsive
-	multiplePools        chan struct{}                                      // closed once there has been more than one pool
+	onReachabilityChange atomic.Pointer[func(pool, endpoint string, unreachable bool)] // see OnReachabilityChange
+	multiplePools        chan struct{}                                                 // closed when a configuration with more than one pool is first applied
 
-	ctx        context.Context // ends with Run or Close
+	ctx        context.Context // canceled by Close
 	stop       context.CancelFunc
-	drainTasks sync.WaitGroup // pools and listeners that a reload has removed and that still drain
+	drainTasks sync.WaitGroup // pools and listeners that a reload has removed and that are still draining
 
-	// configMu admits one change of the configuration at a time, and guards the fields below. It comes before all other
-	// locks.
+	// configMu serializes configuration changes, and guards the fields below. It is acquired before all other locks.
 	configMu    sync.Mutex
 	cfg         Config
 	listeners   map[Listener]*activeListener
-	adminServer *admin.Server // nil: none
+	adminServer *admin.Server // nil: not started
 	lastPoolID  quota.PoolID
 	stopped     bool
-	exclusions  map[string]exclusionSet // by pool
+	exclusions  map[string]exclusionSet // by pool name
 }
 
-// Options are what a program may add to a gateway. The zero value adds nothing.
+// Options are the optional parts of a gateway. The zero value selects none.
 type Options struct {
-	Extension Extension // nil: none
+	Extension Extension // nil: no extension
 	Protocols ListenerProtocols
 }
 
-// New returns a gateway of cfg without options, see NewWithOptions.
+// New returns a gateway with configuration cfg and without options; see NewWithOptions.
 func New(cfg Config, log *slog.Logger) (*Gateway, error) {
 	return NewWithOptions(cfg, log, Options{})
 }
 
-// NewWithOptions returns a gateway of cfg. Its pools begin to fetch their endpoint lists; no socket for clients is open
-// before Listen. It returns an error if the configuration is invalid. Run or Close ends the gateway.
+// NewWithOptions returns a gateway with configuration cfg. Its pools start to fetch their endpoint lists. Sockets for clients are opened by
+// Listen. The error says why the configuration is invalid. The caller must end the gateway with Run or Close.
 func NewWithOptions(cfg Config, log *slog.Logger, o Options) (*Gateway, error) {
 	g := &Gateway{
 		log:           log,
@@ -91,8 +90,8 @@
 	return g, nil
 }
 
-// newServers makes the servers for the connections of clients and, with an extension, of other sites. Both give up
-// connections where descriptors are short, clients' first.
+// newServers creates the server for connections of clients and, with an extension, the server for connections of other sites. When file
+// descriptors run short, connections of clients are evicted first, then those of other sites.
 func (g *Gateway) newServers() {
 	g.clientServer = downstream.NewServerWithOptions(&clientHandler{g}, g.descriptors, g.log, downstream.Options{
 		Multiplexed: g.protocols.Multiplexed,
@@ -108,8 +107,8 @@
 	g.descriptors.SetClientEvictor(func() bool { return g.clientServer.Evict() || g.siteServer.Evict() })
 }
 
-// StartAdmin opens the admin server, if one is configured and not open yet. Listen does so too; called earlier, it
-// answers operators before the process takes clients.
+// StartAdmin starts the admin server if one is configured and not started yet. Listen calls it too. A call before Listen makes the admin
+// server available before the process accepts clients.
 func (g *Gateway) StartAdmin() (err error) {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
@@ -119,8 +118,8 @@
 	return err
 }
 
-// AdminAddr returns the address of the admin server, or nil if none is open. It must not be called concurrently with
-// StartAdmin or Listen.
+// AdminAddr returns the address of the admin server, or nil if it is not started. It must not be called concurrently with StartAdmin or
+// Listen.
 func (g *Gateway) AdminAddr() net.Addr {
 	if g.adminServer == nil {
 		return nil
@@ -128,10 +127,10 @@
 	return g.adminServer.Addr()
 }
 
-// Done returns a channel that is closed as Close begins, after Run has drained the process.
+// Done returns a channel that is closed when Close begins. Run calls Close after it has drained the process.
 func (g *Gateway) Done() <-chan struct{} { return g.ctx.Done() }
 
-// Close ends everything at once. It is for a gateway that does not run, or has run.
+// Close stops the gateway without draining. It is for a gateway that was never run, and Run calls it at its end.
 func (g *Gateway) Close() {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -11,7 +11,7 @@
 // clientHandler implements downstream.Handler for the connections of clients.
 type clientHandler struct{ gateway *Gateway }
 
-// Admit implements downstream.Handler: it finds the request's pool and asks for its quota.
+// Admit implements downstream.Handler. It finds the request's pool by its route and reserves quota of the pool.
 func (h *clientHandler) Admit(r *httpmsg.Request) (downstream.AdmittedRequest, downstream.PoolID, error) {
 	g := h.gateway
 	p, path, err := g.table.Load().find(r)
--- a/internal/gateway/internal_request.go
+++ b/internal/gateway/internal_request.go
@@ -8,12 +8,14 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// errPoolCrowded rejects a request of the process itself, to leave the pool to clients.
+// errPoolCrowded rejects a request of the process itself while clients use a large part of the pool's quota, see
+// quota.Admission.Crowded.
 var errPoolCrowded = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool is taken by clients"}
 
-// Do sends a request of the process itself through the pool of that name, and returns the response without the remainder
-// of a long body. It is rejected while the pool is short of anything, so that clients go first. The error is a
-// httpmsg.RejectionError if no server can have had the request, or that of ctx, after which it may have run.
+// Do sends a request of the process itself through the named pool and returns the response. Only the first
+// httpmsg.MaxBufferedBodyBytes of a longer body are returned. Requests of clients take precedence: Do rejects the request while
+// clients use a large part of the pool's quota. The error is an httpmsg.RejectionError if no endpoint can have received the
+// request. Otherwise it is the error of ctx, and the request may have been executed.
 func (g *Gateway) Do(ctx context.Context, name string, r *httpmsg.Request) (httpmsg.Response, error) {
 	p := g.table.Load().pools[name]
 	if p == nil {
@@ -39,7 +41,7 @@
 	return resp, err
 }
 
-// awaitResponse waits for a response, or cancels the exchange as ctx ends.
+// awaitResponse waits for the response of x, and cancels x when ctx ends.
 func awaitResponse(ctx context.Context, x downstream.Exchange) (httpmsg.Response, error) {
 	select {
 	case resp := <-x.Response():
@@ -49,5 +51,5 @@
 	if x.Cancel() {
 		return httpmsg.Response{}, ctx.Err()
 	}
-	return <-x.Response(), nil // it was there already
+	return <-x.Response(), nil // the response arrived before the cancellation
 }
--- a/internal/gateway/learned_state.go
+++ b/internal/gateway/learned_state.go
@@ -5,14 +5,14 @@
 	"sorrelrudder/internal/pool"
 )
 
-// LearnedState is what a process has learned of clients and servers, for the process that replaces it with the same pools.
-// Nothing depends on it: what is missing or wrong in it is learned anew.
+// LearnedState is what a process has learned about clients and endpoints. It is handed to the process that replaces this one with the same
+// pools. It only saves time: values that are missing or wrong are learned anew.
 type LearnedState struct {
-	Clients keepalive.History            `json:"Clients"` // by pool, in the order of their IDs
-	Pools   map[string]pool.LearnedState `json:"Pools"`
+	Clients keepalive.History            `json:"Clients"` // by pool, ordered by pool ID
+	Pools   map[string]pool.LearnedState `json:"Pools"`   // by pool name
 }
 
-// ExportLearnedState returns what has been learned so far.
+// ExportLearnedState returns the state that the gateway and its pools have learned so far.
 func (g *Gateway) ExportLearnedState() LearnedState {
 	l := LearnedState{Clients: g.clientServer.ExportLearnedState(), Pools: map[string]pool.LearnedState{}}
 	for name, p := range g.table.Load().pools {
@@ -21,7 +21,7 @@
 	return l
 }
 
-// ImportLearnedState adds what another process has learned.
+// ImportLearnedState adds the state that another process has learned. State of unknown pools is ignored.
 func (g *Gateway) ImportLearnedState(l LearnedState) {
 	g.clientServer.ImportLearnedState(l.Clients)
 	for name, p := range g.table.Load().pools {
--- a/internal/gateway/listeners.go
+++ b/internal/gateway/listeners.go
@@ -11,22 +11,23 @@
 	"sorrelrudder/internal/downstream"
 )
 
-// multiPoolAcceptors is how many goroutines accept connections at each listener of a process with several pools. Each may
-// have to wait for a descriptor, for as long as one pool is flooded.
+// multiPoolAcceptors is the number of goroutines that accept connections from each listener of a process with several pools. While one pool
+// is flooded, an acceptor may have to wait for a file descriptor; the others keep accepting.
 const multiPoolAcceptors = 4
 
-// errNoTLS is that the program was built without TLS at its listeners.
-var errNoTLS = errors.New("this process speaks no TLS")
+// errNoTLS is returned for a TLS listener in a program that was built without TLS support.
+var errNoTLS = errors.New("TLS is configured, but this program does not support TLS on listeners")
 
 // activeListener is an open listener.
 type activeListener struct {
 	*drainableListener
-	served     net.Listener  // what its server accepts from
-	acceptDone chan struct{} // closed once its server accepts no more
+	served     net.Listener  // listener that the server accepts from, wrapped for other sites
+	acceptDone chan struct{} // closed once the server has stopped accepting
 	options    downstream.ListenerOptions
 }
 
-// Listen opens the listeners, and the admin server if it is not open yet. With an error none of the listeners is open.
+// Listen starts the admin server if it is not started yet, opens all listeners and starts to accept connections. On error none of the
+// listeners is open.
 func (g *Gateway) Listen() error {
 	if err := g.StartAdmin(); err != nil {
 		return err
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// ListenerAddr returns the address of the listener of that name, or nil if it is not open.
+// ListenerAddr returns the address of the named listener, or nil if it is not open.
 func (g *Gateway) ListenerAddr(name string) net.Addr {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// openListeners opens those of want that are not open yet: all or, with an error, none. The caller holds configMu.
+// openListeners opens the listeners in want that are not open yet. On error none of them is left open. The caller holds configMu.
 func (g *Gateway) openListeners(want []Listener) (map[Listener]*activeListener, error) {
 	opened := map[Listener]*activeListener{}
 	for _, l := range want {
@@ -71,7 +72,7 @@
 	return opened, nil
 }
 
-// openListener opens one listener, with what it speaks.
+// openListener opens one listener and sets up its protocols.
 func (g *Gateway) openListener(l Listener) (*activeListener, error) {
 	socket, err := l.open()
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// listenerOptions is what listener l speaks beside HTTP/1.1.
+// listenerOptions returns the protocols of listener l in addition to HTTP/1.1.
 func (g *Gateway) listenerOptions(l Listener) (o downstream.ListenerOptions, err error) {
 	o.H2C = l.H2C
 	switch {
@@ -111,7 +112,7 @@
 	return o, err
 }
 
-// open opens the socket of l, or takes over an inherited one.
+// open opens the socket of l, or returns its inherited socket.
 func (l Listener) open() (*net.TCPListener, error) {
 	if l.FD > 0 {
 		return inheritedSocket(l.FD, l.Name)
@@ -123,14 +124,14 @@
 	return ln.(*net.TCPListener), nil
 }
 
-// inheritedSocket is the listening socket of a descriptor that the process was started with. Nothing else uses that
-// descriptor again.
+// inheritedSocket returns the listening socket of a descriptor that the process has inherited at its start. It closes the descriptor, so it
+// must be called once per descriptor.
 func inheritedSocket(fd int, name string) (*net.TCPListener, error) {
 	file := os.NewFile(uintptr(fd), name)
 	if file == nil {
-		return nil, fmt.Errorf("descriptor %d is none", fd)
+		return nil, fmt.Errorf("inherited descriptor %d is invalid", fd)
 	}
-	ln, err := net.FileListener(file) // has a copy of the descriptor
+	ln, err := net.FileListener(file) // duplicates the descriptor
 	file.Close()
 	if err != nil {
 		return nil, err
@@ -138,12 +139,12 @@
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", fd)
+		return nil, fmt.Errorf("inherited descriptor %d is not a TCP socket", fd)
 	}
 	return tcp, nil
 }
 
-// startAccepting has connections accepted at listeners, which it adds to those that are open. The caller holds configMu.
+// startAccepting adds the opened listeners to g.listeners and starts to accept connections from them. The caller holds configMu.
 func (g *Gateway) startAccepting(opened map[Listener]*activeListener) {
 	acceptors := 1
 	if len(g.cfg.Pools) > 1 {
@@ -155,12 +156,12 @@
 		server := g.serverFor(l)
 		go func() {
 			defer close(ln.acceptDone)
-			_ = server.ServeWithOptions(g.ctx, ln.served, acceptors, ln.options) // it ends as the listener or ctx does
+			_ = server.ServeWithOptions(g.ctx, ln.served, acceptors, ln.options) // returns when the listener is closed or ctx ends
 		}()
 	}
 }
 
-// serverFor is the server that has the connections of a listener.
+// serverFor returns the server that handles connections of listener l.
 func (g *Gateway) serverFor(l Listener) *downstream.Server {
 	if l.InterSite {
 		return g.siteServer
@@ -168,7 +169,7 @@
 	return g.clientServer
 }
 
-// drainRemovedListeners drains the open listeners that want lacks. The caller holds configMu.
+// drainRemovedListeners drains the open listeners that are not in want. The caller holds configMu.
 func (g *Gateway) drainRemovedListeners(want []Listener) {
 	for l, ln := range g.listeners {
 		if !slices.Contains(want, l) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// drainListener closes a listener once its backlog is empty, and drains the connections that came in there.
+// drainListener closes a listener once its backlog is empty, and drains the connections that it has accepted.
 func (g *Gateway) drainListener(l Listener, ln *activeListener) {
 	ln.drain(time.Now().Add(acceptWindow))
 	g.drainTasks.Go(func() {
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// lastResponsesTimeout is the time for the last responses beyond the longest deadline.
+	// lastResponsesTimeout is the time, after the longest deadline, in which the last responses may be written.
 	lastResponsesTimeout = 150 * time.Millisecond
 	// drainPollInterval is how often a draining pool is checked for open requests.
 	drainPollInterval = 5 * time.Millisecond
 )
 
-// routingTable leads requests to pools. It is immutable, and replaced whole by a reload.
+// routingTable maps requests to pools. It is immutable; a reload replaces the whole table.
 type routingTable struct {
-	routes *route.Table // nil: all requests are for only
+	routes *route.Table // nil: all requests go to only
 	only   *poolInstance
 	pools  map[string]*poolInstance
 }
 
-// poolInstance is a pool in force, or one that drains after a reload.
+// poolInstance is a running pool: one of the configuration in force, or one that is draining after a reload.
 type poolInstance struct {
 	id        quota.PoolID
-	policy    policy.Config // what its clients may be told
+	policy    policy.Config // decides whether rejections carry Retry-After
 	cfg       Pool          // guarded by Gateway.configMu
 	pool      *pool.Pool
-	static    *discovery.Static // guarded by Gateway.configMu; nil if its list comes from discovery
-	spillover Spillover         // nil: its rejected requests go nowhere else
+	static    *discovery.Static // guarded by Gateway.configMu; nil if the endpoint list comes from a discovery service
+	spillover Spillover         // nil: rejected requests are not forwarded
 }
 
-// find returns the pool of a request and its path below the route, and makes the request's URI the one below the route.
-// The error is a httpmsg.RejectionError.
+// find returns the pool of a request, and the request's path below the route's prefix. It rewrites the request's URI as the route demands.
+// The error is an httpmsg.RejectionError.
 func (t *routingTable) find(q *httpmsg.Request) (p *poolInstance, path string, err error) {
 	if t.routes == nil {
 		return t.only, q.Path, nil
@@ -56,7 +56,7 @@
 	return t.pools[match.Pool], path, nil
 }
 
-// routeErrorStatus is the HTTP status for an error of route.Table.Find.
+// routeErrorStatus returns the HTTP status for an error of route.Table.Find.
 func routeErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, route.ErrUnknownHost):
@@ -67,17 +67,17 @@
 	return http.StatusBadRequest
 }
 
-// startPool starts an instance of a pool of c, which replaces old unless that is nil. The caller holds configMu.
+// startPool starts an instance of a pool of configuration c. The new instance replaces old unless old is nil. The caller holds configMu.
 func (g *Gateway) startPool(c Config, cfg Pool, old *poolInstance) (*poolInstance, error) {
 	g.lastPoolID++
 	p := &poolInstance{id: g.lastPoolID, policy: cfg.Settings.Config, cfg: cfg}
 	conns := upstream.New(cfg.Settings.Config, g.descriptors.Pool(p.id))
-	// It may run health checks as soon as it starts, and so needs its quotas before; until assignQuotas shrinks those of
-	// others little may be left of them.
+	// The instance may run health checks as soon as it starts, so its quotas must be registered before. They may be small until
+	// assignQuotas has reduced those of the other pools.
 	g.registerQuotas(c, p, conns.EvictIdle)
 	var err error
 	if p.pool, err = pool.New(g.poolConfig(c, p, old), conns, g.poolLogger(c, cfg.Name)); err != nil {
-		g.dropQuotas(p)
+		g.removeQuotas(p)
 		return nil, err
 	}
 	if x := g.exclusions[cfg.Name]; len(x.excluded) > 0 {
@@ -86,9 +86,9 @@
 	return p, nil
 }
 
-// poolConfig is what instance p is started with. It sets p.static and p.spillover.
+// poolConfig returns the configuration with which the pool of instance p is started. It sets p.static and p.spillover.
 func (g *Gateway) poolConfig(c Config, p, old *poolInstance) pool.Config {
-	name := p.cfg.Name // p.cfg changes with a reload
+	name := p.cfg.Name // copied for the callbacks, as a reload changes p.cfg
 	cfg := pool.Config{
 		Name:            name,
 		Settings:        p.cfg.Settings,
@@ -96,7 +96,7 @@
 		CachedList:      p.cfg.CachedList,
 		Seed:            p.cfg.Seed,
 		OnReadyCount:    func(n int) { g.quotas.setReady(p.id, n) },
-		AcceptsRequests: func() bool { return g.quotas.mayTakeRequests(p.id) },
+		AcceptsRequests: func() bool { return g.quotas.acceptsRequests(p.id) },
 		OnUnreachable:   func(endpoint string, unreachable bool) { g.notifyReachability(name, endpoint, unreachable) },
 		StatsInterval:   c.StatsInterval,
 		Metrics:         &g.counters,
@@ -122,7 +122,7 @@
 	return cfg
 }
 
-// poolLogger is the logger of a pool: it names the pool where there are several.
+// poolLogger returns the logger of a pool. If the configuration has several pools, log lines carry the pool's name.
 func (g *Gateway) poolLogger(c Config, name string) *slog.Logger {
 	if len(c.Pools) > 1 {
 		return g.log.With("pool", name)
@@ -130,13 +130,12 @@
 	return g.log
 }
 
-// discoverySource is the source of the endpoint list of p, which has a discovery service.
+// discoverySource returns the source of the endpoint list of p. Pool p must have a discovery service.
 func (p *Pool) discoverySource() discovery.Source {
 	return discovery.Client{Address: p.Discovery, Staleness: p.Settings.ListStaleness()}
 }
 
-// setSource makes p, which stays in force, take its endpoint list from where cfg says. The caller holds
-// Gateway.configMu.
+// setSource changes the endpoint list source of p, which stays in force, to that of cfg. The caller holds Gateway.configMu.
 func (p *poolInstance) setSource(cfg Pool) {
 	switch {
 	case cfg.Discovery != "":
@@ -152,8 +151,8 @@
 	}
 }
 
-// retirePool closes an instance once its open requests are answered. Until then they are served from what other pools do
-// not claim.
+// retirePool drains an instance and closes it once its open requests are answered. Until then the instance has no reserved quota and uses
+// only resources that are not reserved for other pools.
 func (g *Gateway) retirePool(p *poolInstance) {
 	g.quotas.retire(p)
 	g.descriptors.SetClaim(p.id, quota.Claim{Limit: quota.Unlimited})
@@ -170,8 +169,8 @@
 	})
 }
 
-// awaitDrained returns once p, which gets no new requests, has neither an open request nor one whose body is still to
-// come, or with the error of ctx.
+// awaitDrained waits until instance p, which receives no new requests, has no open requests and no requests whose body is still being read.
+// It returns the error of ctx if ctx ends before.
 func (g *Gateway) awaitDrained(ctx context.Context, p *poolInstance) error {
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -14,34 +14,33 @@
 const (
 	// reservedShare is the fraction of each resource that is reserved for the pools by their weights.
 	reservedShare = 0.5
-	// unassignedShare is the fraction of the clients' descriptors that is reserved for connections that have brought no
-	// request yet.
+	// unassignedShare is the fraction of the client descriptors that is reserved for connections without a request so far.
 	unassignedShare = 0.25
-	// bodyMemoryShare is the fraction of the process's memory that request bodies may take: they are kept as long as an
-	// attempt may need them, beside responses of the same size, buffers and garbage.
+	// bodyMemoryShare is the fraction of the process's memory that request bodies may use. Bodies are kept as long as an attempt may need
+	// them. The rest of the memory holds responses of the same size, buffers and garbage.
 	bodyMemoryShare = 1.0 / 8
-	// lagInterval is how often the scheduling lag of the process is measured.
+	// lagInterval is the interval at which the scheduling lag of the process is measured.
 	lagInterval = 5 * time.Millisecond
 )
 
-// unassignedPool has the connections that have brought no request yet. No pool has this ID.
+// unassignedPool is the pool ID of connections without a request so far. It is not the ID of any pool.
 const unassignedPool quota.PoolID = 0
 
-// processQuotas divides the process among its pools: requests open at once, memory for bodies, clients' connections and
-// the attention of the processor. Descriptors are divided by process.Descriptors.
+// processQuotas divides the resources of the process among its pools: open requests, body memory, connections of clients and CPU time. File
+// descriptors are divided by process.Descriptors.
 type processQuotas struct {
 	clockStart time.Time
 
-	// mu guards the fields below. It comes after the locks of pool.Pool and downstream.Server, which call in here: no
-	// method of either is called while it is held. The lock of process.Descriptors comes after it.
+	// mu guards the fields below. Lock order: pool.Pool and downstream.Server call processQuotas with their own locks held, so no method of
+	// either may be called while mu is held. The lock of process.Descriptors is acquired after mu.
 	mu          sync.Mutex
 	admission   *quota.Admission
 	pacer       *quota.Pacer
-	connections quota.Budget               // of clients
-	retired     map[*poolInstance]struct{} // removed by a reload, and still draining
+	connections quota.Budget               // connections of clients
+	retired     map[*poolInstance]struct{} // instances that a reload has removed and that are still draining
 }
 
-// poolQuotas are the claims of one pool.
+// poolQuotas are the claims of one pool on the resources of the process.
 type poolQuotas struct {
 	admission   quota.Limits
 	descriptors quota.Claim
@@ -57,17 +56,18 @@
 	q.retired = map[*poolInstance]struct{}{}
 }
 
-// now is the time on the clock of admission and pacer.
+// now returns the current time on the clock of admission and pacer.
 func (q *processQuotas) now() time.Duration { return time.Since(q.clockStart) }
 
-// setLocked makes claims those of a pool. The caller holds mu.
+// setLocked sets the claims of a pool. The caller holds mu.
 func (q *processQuotas) setLocked(id quota.PoolID, claims poolQuotas) {
 	q.admission.Set(q.now(), id, claims.admission)
 	q.connections.Set(id, claims.connections)
 	q.pacer.Set(id, claims.weight)
 }
 
-// removeLocked ends the claims of a pool. What it still uses returns to the others as it is released. The caller holds mu.
+// removeLocked removes the claims of a pool. Resources that the pool still uses become available to other pools when they are released. The
+// caller holds mu.
 func (q *processQuotas) removeLocked(id quota.PoolID) {
 	q.admission.Remove(id)
 	q.connections.Remove(id)
@@ -86,7 +86,7 @@
 	q.removeLocked(id)
 }
 
-// retire ends the claims of an instance that drains from now on.
+// retire removes the claims of an instance that starts to drain, and adds it to the retired instances.
 func (q *processQuotas) retire(p *poolInstance) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -94,43 +94,43 @@
 	q.retired[p] = struct{}{}
 }
 
-// forgetRetired notes that an instance has drained.
+// forgetRetired removes an instance that has drained from the retired instances.
 func (q *processQuotas) forgetRetired(p *poolInstance) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.retired, p)
 }
 
-// retiredPools returns the instances that drain.
+// retiredPools returns the instances that are draining.
 func (q *processQuotas) retiredPools() []*poolInstance {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.Collect(maps.Keys(q.retired))
 }
 
-// openRequests returns how many requests of a pool are admitted and not released.
+// openRequests returns the number of requests of a pool that are admitted and not yet released.
 func (q *processQuotas) openRequests(id quota.PoolID) int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.admission.OpenRequests(id)
 }
 
-// setReady notes how many ready servers the list of a pool names.
-func (q *processQuotas) setReady(id quota.PoolID, servers int) {
+// setReady records the number of ready endpoints in a pool's endpoint list.
+func (q *processQuotas) setReady(id quota.PoolID, endpoints int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.admission.SetReady(id, servers)
+	q.admission.SetReady(id, endpoints)
 }
 
-// mayTakeRequests reports whether requests of a pool are not rejected for want of an endpoint: its list names a ready one, its requests may wait
-// for one, or the pool is not known (any more).
-func (q *processQuotas) mayTakeRequests(id quota.PoolID) bool {
+// acceptsRequests reports whether a pool accepts requests. It returns true if the pool's list has a ready endpoint, if its requests may
+// wait for one, or if the pool is unknown, for example because it was removed.
+func (q *processQuotas) acceptsRequests(id quota.PoolID) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.admission.CanServe(id)
 }
 
-// crowded reports whether a pool is so short of something that it should take clients' requests only.
+// crowded reports whether clients use so much of a pool's quota that the pool should accept requests of clients only.
 func (q *processQuotas) crowded(id quota.PoolID) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -143,15 +143,15 @@
 	q.pacer.RecordLag(lag)
 }
 
-// registerQuotas gives a new instance its claims by configuration c. evict closes one of its idle connections, and reports
-// whether there was one.
+// registerQuotas sets the claims of a new instance according to configuration c. evict closes one of the instance's idle connections, and
+// reports whether there was one.
 func (g *Gateway) registerQuotas(c Config, p *poolInstance, evict func() bool) {
 	claims := g.claims(c, p.cfg)
 	g.descriptors.Register(p.id, claims.descriptors, evict)
 	g.quotas.set(p.id, claims)
 }
 
-// assignQuotas gives all pools of a table their claims by configuration c.
+// assignQuotas sets the claims of all pools of a table according to configuration c.
 func (g *Gateway) assignQuotas(c Config, t *routingTable) {
 	g.descriptors.Resize(c.usableDescriptors())
 	q := &g.quotas
@@ -168,20 +168,21 @@
 	}
 }
 
-// dropQuotas ends all claims of an instance.
-func (g *Gateway) dropQuotas(p *poolInstance) {
+// removeQuotas removes all claims of an instance.
+func (g *Gateway) removeQuotas(p *poolInstance) {
 	g.descriptors.Unregister(p.id)
 	g.quotas.remove(p.id)
 }
 
-// claims are those of a pool of configuration c.
+// claims returns the claims of a pool of configuration c.
 func (g *Gateway) claims(c Config, cfg Pool) poolQuotas {
 	claims := c.quotasFor(cfg)
 	claims.admission.Forwardable = g.hasSpillover(cfg.Name)
 	return claims
 }
 
-// measureSchedulingLag tells the pacer how late timers fire, once several pools share the process.
+// measureSchedulingLag reports to the pacer how late timers fire. It starts to measure once the process has several pools, and returns when
+// the gateway is closed.
 func (g *Gateway) measureSchedulingLag() {
 	select {
 	case <-g.multiplePools:
@@ -202,8 +203,8 @@
 	}
 }
 
-// usableDescriptors is how many descriptors are left for connections of clients and to servers: each listener and each
-// discovery beyond the first takes one, and the admin server some.
+// usableDescriptors returns the number of file descriptors for connections of clients and to endpoints. Each listener and each discovery
+// connection beyond the first uses one of the process's descriptors. The admin server uses adminDescriptors.
 func (c *Config) usableDescriptors() int {
 	n := c.Descriptors - max(0, len(c.Listeners)-1)
 	if c.AdminAddress != "" {
@@ -218,7 +219,7 @@
 	return n - max(0, watched-1)
 }
 
-// quotasFor divides what the process has among the pools by their weights, and returns the claims of p.
+// quotasFor divides the resources of the process among the pools by their weights, and returns the claims of p.
 func (c *Config) quotasFor(p Pool) poolQuotas {
 	totalWeight := 0.0
 	for _, other := range c.Pools {
@@ -228,7 +229,7 @@
 	clients := process.MaxClientDescriptors(c.usableDescriptors())
 	upstreams := process.MinUpstreamDescriptors(c.usableDescriptors())
 	connections := newClaim(clients, share, 0)
-	if len(c.Pools) == 1 { // there is nobody to reserve them against
+	if len(c.Pools) == 1 { // there is no other pool to reserve them against
 		connections.Reserved = 0
 	}
 	return poolQuotas{
@@ -245,7 +246,7 @@
 	}
 }
 
-// newClaim reserves a share of a total, up to a limit; 0: no limit.
+// newClaim returns a claim that reserves a share of total, up to limit. A limit of 0 means no limit.
 func newClaim(total int64, share float64, limit int64) quota.Claim {
 	if limit == 0 {
 		limit = quota.Unlimited
@@ -253,7 +254,7 @@
 	return quota.Claim{Reserved: min(int64(float64(total)*share), limit), Limit: limit}
 }
 
-// unassignedClaim is the claim of connections whose pool is not known yet. The connections of all pools begin as such.
+// unassignedClaim returns the claim of connections whose pool is not known yet. Every connection starts without a pool.
 func (c *Config) unassignedClaim() quota.Claim {
 	claim := quota.Claim{Limit: quota.Unlimited}
 	if len(c.Pools) > 1 {
@@ -262,7 +263,7 @@
 	return claim
 }
 
-// bodyMemory is how many bytes of request bodies the process may hold.
+// bodyMemory returns the memory for request bodies, in bytes.
 func (c *Config) bodyMemory() int64 {
 	return max(httpmsg.MaxBufferedBodyBytes, int64(float64(c.MemoryMB<<20)*bodyMemoryShare))
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -9,18 +9,18 @@
 	"sorrelrudder/internal/route"
 )
 
-// errNoExtension is that a listener for other sites needs an extension, which this process was not started with.
-var errNoExtension = errors.New("a listener for other sites, which this process was not started with")
+// errNoExtension is returned for an inter-site listener in a process that was started without an extension.
+var errNoExtension = errors.New("an inter-site listener is configured, but this process was started without connections to other sites")
 
-// Apply replaces the configuration in force, under load. Pools that the new one lacks drain: their open requests are
-// answered, and no new ones reach them. A pool whose settings or dialect have changed is replaced by a new instance that
-// knows its endpoint list; where only its limits, its list or the source of that have changed, the instance stays. With an
-// error the old configuration stays in force unchanged.
+// Apply replaces the configuration in force while the process serves requests. Pools that are not in the new configuration drain: their
+// open requests are answered, and they receive no new ones. A pool whose settings or dialect have changed is replaced by a new instance,
+// which starts with the endpoint list of the old one. If only its limits, its endpoint list or the source of the list have changed, the
+// instance is kept. On error the old configuration stays in force unchanged.
 func (g *Gateway) Apply(next Config) error {
 	return g.apply(next, g.listening.Load())
 }
 
-// apply is Apply. Without listen it opens and closes no listeners.
+// apply implements Apply. If listen is false it opens and closes no listeners.
 func (g *Gateway) apply(next Config, listen bool) error {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
@@ -43,12 +43,12 @@
 		closeListeners(opened)
 		return err
 	}
-	// Nothing fails from here on.
+	// No step below can fail.
 	g.assignQuotas(next, table)
 	table.updateKept(next, started)
 	g.table.Store(table)
 	g.retireReplaced(old, table)
-	g.noteMultiplePools(table)
+	g.signalMultiplePools(table)
 	if listen {
 		g.drainRemovedListeners(next.Listeners)
 		g.startAccepting(opened)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// validate checks a configuration, and returns its routes; nil: all requests are for the only pool.
+// validate checks a configuration and returns its routes. They are nil if all requests go to the only pool.
 func (g *Gateway) validate(next Config) (*route.Table, error) {
 	if err := next.Validate(); err != nil {
 		return nil, err
@@ -75,8 +75,8 @@
 	return routes, nil
 }
 
-// buildTable returns the routing table of a configuration: instances of the old one where they can stay, and else new
-// ones, which are started and returned too. With an error none of them is left running. The caller holds configMu.
+// buildTable returns the routing table of a configuration. It keeps instances of the old table where possible. It starts new instances for
+// the other pools, and returns these too. On error no new instance is left running. The caller holds configMu.
 func (g *Gateway) buildTable(next Config, routes *route.Table, old *routingTable) (*routingTable, []*poolInstance, error) {
 	table := &routingTable{routes: routes, pools: map[string]*poolInstance{}}
 	var started []*poolInstance
@@ -85,7 +85,7 @@
 		if p == nil || p.needsRestart(cfg) {
 			var err error
 			if p, err = g.startPool(next, cfg, p); err != nil {
-				g.abandonPools(started)
+				g.closePools(started)
 				return nil, nil, fmt.Errorf("pool %q: %w", cfg.Name, err)
 			}
 			started = append(started, p)
@@ -96,20 +96,20 @@
 	return table, started, nil
 }
 
-// abandonPools ends instances that have not come into force.
-func (g *Gateway) abandonPools(pools []*poolInstance) {
+// closePools closes instances that were started for a configuration that is not applied.
+func (g *Gateway) closePools(pools []*poolInstance) {
 	for _, p := range pools {
-		g.dropQuotas(p)
+		g.removeQuotas(p)
 		p.pool.Close()
 	}
 }
 
-// needsRestart reports whether cfg can only come into force with a new instance of p.
+// needsRestart reports whether applying cfg requires a new instance of p.
 func (p *poolInstance) needsRestart(cfg Pool) bool {
 	return !reflect.DeepEqual(p.cfg.Settings, cfg.Settings) || !reflect.DeepEqual(p.cfg.Dialect, cfg.Dialect)
 }
 
-// updateKept gives the instances that were not just started what they take from next.
+// updateKept applies next to the kept instances, that is, all that are not in started.
 func (t *routingTable) updateKept(next Config, started []*poolInstance) {
 	for _, cfg := range next.Pools {
 		if p := t.pools[cfg.Name]; !slices.Contains(started, p) {
@@ -128,8 +128,8 @@
 	}
 }
 
-// noteMultiplePools closes multiplePools once there is more than one pool. The caller holds configMu.
-func (g *Gateway) noteMultiplePools(table *routingTable) {
+// signalMultiplePools closes multiplePools when the table has more than one pool for the first time. The caller holds configMu.
+func (g *Gateway) signalMultiplePools(table *routingTable) {
 	if len(table.pools) <= 1 {
 		return
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// idleHandoverWindow is how long idle connections stay open for one more request where another process takes new ones: most
-// clients ask again within it, and learn from the response that it is the last on that connection.
+// idleHandoverWindow is how long idle connections stay open for one more request when another process accepts new connections. Most clients
+// send a request within this time, and learn from its response that the connection closes.
 const idleHandoverWindow = time.Second
 
-// Run serves until ctx ends, then shuts down gracefully: it returns once all requests that were taken are answered, or
-// given up at their deadlines. Listen comes before it. The error is always nil.
+// Run serves until ctx ends, then shuts down gracefully. It returns once all accepted requests are answered or have reached their
+// deadlines. Listen must be called before Run. The error is always nil.
 func (g *Gateway) Run(ctx context.Context) error {
 	go g.measureSchedulingLag()
 	defer g.Close()
@@ -22,28 +22,28 @@
 	return nil
 }
 
-// shutDown drains the process. Connections go on coming for acceptWindow, and what they bring is answered.
+// shutDown drains the process. New connections are accepted for acceptWindow, and their requests are answered.
 func (g *Gateway) shutDown() {
 	g.draining.Store(true)
 	g.log.Info("draining", "load", g.String())
 	g.configMu.Lock()
 	g.stopped = true
 	abortAfter := acceptWindow + g.drainTimeout()
-	end, cancel := context.WithTimeout(context.Background(), abortAfter+lastResponsesTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), abortAfter+lastResponsesTimeout)
 	defer cancel()
 	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	g.drainConnections()
-	g.drainListeners(end)
+	g.drainListeners(ctx)
 	g.configMu.Unlock()
-	err := g.clientServer.Wait(end)
+	err := g.clientServer.Wait(ctx)
 	if g.siteServer != nil {
-		err = errors.Join(err, g.siteServer.Wait(end))
+		err = errors.Join(err, g.siteServer.Wait(ctx))
 	}
 	g.log.Info("drained", "load", g.String(), "err", err)
 }
 
-// drainTimeout is how long open requests may take: the longest deadline of a pool, up to Config.MaxDrain. The caller holds
-// configMu.
+// drainTimeout returns how long open requests may take during shutdown: the longest deadline of all pools, up to Config.MaxDrain. The
+// caller holds configMu.
 func (g *Gateway) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, p := range g.servingPools() {
@@ -55,21 +55,21 @@
 	return longest
 }
 
-// abortRequests gives up all open requests.
+// abortRequests aborts all open requests of all pools.
 func (g *Gateway) abortRequests() {
 	for _, p := range g.servingPools() {
 		p.pool.AbortRequests()
 	}
 }
 
-// servingPools are those that may have open requests: those in force, and those that a reload has retired.
+// servingPools returns the instances that may have open requests: those in force, and those that a reload has retired.
 func (g *Gateway) servingPools() []*poolInstance {
 	inForce := g.table.Load().pools
 	return slices.AppendSeq(g.quotas.retiredPools(), maps.Values(inForce))
 }
 
-// drainConnections makes connections close with their next response, and closes idle ones. A request that crosses that
-// comes again on a new connection, which is still accepted. The caller holds configMu.
+// drainConnections makes connections close with their next response, and closes idle connections. A client whose request arrives just as
+// its idle connection is closed can retry on a new connection, which is still accepted. The caller holds configMu.
 func (g *Gateway) drainConnections() {
 	if g.inheritsListener() {
 		g.clientServer.CloseAfterResponse()
@@ -83,8 +83,8 @@
 	}
 }
 
-// inheritsListener reports whether another process accepts connections at a socket of this one, so that idle ones need
-// not be closed at once. The caller holds configMu.
+// inheritsListener reports whether this process listens on an inherited socket. Another process then accepts connections from the socket
+// too, so that idle connections need not be closed at once. The caller holds configMu.
 func (g *Gateway) inheritsListener() bool {
 	for l := range g.listeners {
 		if l.FD > 0 {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// drainListeners closes the listeners once their backlogs are empty, or at end. The caller holds configMu.
-func (g *Gateway) drainListeners(end context.Context) {
+// drainListeners closes the listeners once their backlogs are empty, or when ctx ends. The caller holds configMu.
+func (g *Gateway) drainListeners(ctx context.Context) {
 	until := time.Now().Add(acceptWindow)
 	for _, ln := range g.listeners {
 		ln.drain(until)
@@ -103,7 +103,7 @@
 	for _, ln := range g.listeners {
 		select {
 		case <-ln.acceptDone:
-		case <-end.Done():
+		case <-ctx.Done():
 		}
 		ln.Close()
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -13,18 +13,18 @@
 	errNotListening = errors.New("the process takes no clients yet")
 )
 
-// Load is what the process holds at a moment.
+// Load is a snapshot of the objects that the process holds.
 type Load struct {
-	Pools      int // in force
+	Pools      int // pools in force
 	Draining   int // removed pools with open requests
-	Requests   int // open, of the pools in force
-	Timers     int // of the pools in force
-	Endpoints  int // of the pools in force
-	Clients    int // clients' connections
+	Requests   int // open requests of the pools in force
+	Timers     int // timers of the pools in force
+	Endpoints  int // endpoints of the pools in force
+	Clients    int // connections of clients
 	Goroutines int
 }
 
-// Load returns what the process holds now.
+// Load returns the current load of the process.
 func (g *Gateway) Load() Load {
 	load := Load{
 		Draining:   len(g.quotas.retiredPools()),
@@ -41,14 +41,14 @@
 	return load
 }
 
-// String describes the load for logs.
+// String returns the current load as text for log lines.
 func (g *Gateway) String() string {
 	l := g.Load()
 	return fmt.Sprintf("%d pools, %d draining, %d requests, %d timers, %d upstreams, %d clients, %d goroutines",
 		l.Pools, l.Draining, l.Requests, l.Timers, l.Endpoints, l.Clients, l.Goroutines)
 }
 
-// Ready implements admin.Process: it returns nil if every pool can serve, and else the reason.
+// Ready implements admin.Process. It returns nil if every pool can serve requests, and otherwise an error with the reason.
 func (g *Gateway) Ready() error {
 	switch {
 	case g.draining.Load():
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Vars implements admin.Process.
+// Vars implements admin.Process. It sums the figures of the pools in force.
 func (g *Gateway) Vars() admin.Vars {
 	v := admin.Vars{Results: g.counters.Snapshot(), Forwards: g.counters.ForwardedAttempts()}
 	for _, p := range g.table.Load().pools {
