--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,7 +17,8 @@
 	"sorrelrudder/internal/route"
 )
 
-// instantServer answers each request at once with a few bytes. It costs little, so that what is measured is the gateway.
+// instantServer starts a server that answers each request at once with a few bytes, and returns its address. Its CPU time per request is
+// small, so that the benchmark measures the gateway.
 func instantServer(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,6 +53,7 @@
 	return ln.Addr().String()
 }
 
+// heap returns the memory in use, in bytes: the heap after garbage collection, and the stacks.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -60,6 +62,7 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
+// cpu returns the CPU time that the process has used.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -85,8 +88,8 @@
 	return cfg
 }
 
-// BenchmarkPools gives what a pool takes at rest, and the processor time of a request with that many pools, the client and
-// the server in the same process included.
+// BenchmarkPools measures the memory of an idle pool and the CPU time per request for several numbers of pools. The CPU time includes the
+// client and the server, which run in the same process.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("pools=%d", n), func(b *testing.B) {
@@ -112,7 +115,7 @@
 				cancel()
 				<-ended
 			}()
-			resting := (heap() - before) / float64(n)
+			idleBytes := (heap() - before) / float64(n)
 			c, err := net.Dial("tcp", g.ListenerAddr("farm").String())
 			if err != nil {
 				b.Fatal(err)
@@ -120,7 +123,7 @@
 			defer c.Close()
 			r := bufio.NewReader(c)
 			i := 0
-			ask := func() {
+			roundTrip := func() {
 				i++
 				fmt.Fprintf(c, "GET /check/7 HTTP/1.1\r\nHost: pool%d.example.org\r\nX-Request-ID: r%d\r\nX-Timeout-Ms: 5000\r\n\r\n", i%min(n, 8), i)
 				resp, err := http.ReadResponse(r, nil)
@@ -130,21 +133,21 @@
 				_, err = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != http.StatusOK {
-					b.Fatalf("status %d, %v", resp.StatusCode, err)
+					b.Fatalf("status %d, error %v", resp.StatusCode, err)
 				}
 			}
 			for range 200 {
-				ask()
+				roundTrip()
 			}
-			began := cpu()
+			start := cpu()
 			b.ReportAllocs()
-			asked := 0
+			requests := 0
 			for b.Loop() {
-				ask()
-				asked++
+				roundTrip()
+				requests++
 			}
-			b.ReportMetric(resting, "B/pool")
-			b.ReportMetric(float64((cpu()-began).Nanoseconds())/float64(asked), "cpu-ns/request")
+			b.ReportMetric(idleBytes, "B/pool")
+			b.ReportMetric(float64((cpu()-start).Nanoseconds())/float64(requests), "cpu-ns/request")
 		})
 	}
 }
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -12,12 +12,13 @@
 	"sorrelrudder/internal/fake"
 )
 
-// TestEmptyList guards against holding requests of a pool that has no server, and against its neighbours noticing; it serves
-// again when there is one. Its list goes empty, and another's discovery is dead from the start.
+// TestEmptyList guards against queuing requests of a pool without endpoints, and against effects on other pools. The endpoint list of one
+// pool becomes empty; the discovery service of another pool is unreachable from the start. A pool must serve again once its list has an
+// endpoint.
 func TestEmptyList(t *testing.T) {
 	s := newTestbed(t)
 	a, b := s.backend("a", nil), s.backend("b", nil)
-	disco, err := fake.StartDiscovery(s.ledger, a.Endpoint())
+	disco, err := fake.StartDiscovery(s.recorder, a.Endpoint())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,31 +34,31 @@
 	s.pool("meters", b)
 	s.pool("channels").Discovery = deadAddr
 	s.start()
-	ask := func(host string) response {
-		resp, _ := s.dial().ask(t, s.get(host+".example.org", "/check"))
+	roundTrip := func(host string) response {
+		resp, _ := s.dial().roundTrip(t, s.get(host+".example.org", "/check"))
 		return resp
 	}
-	waitFor(t, "the first list", func() bool { return ask("orders").StatusCode == http.StatusOK })
+	waitFor(t, "the pool to serve with its first list", func() bool { return roundTrip("orders").StatusCode == http.StatusOK })
 	disco.SetEndpoints()
-	waitFor(t, "the empty list to have requests rejected at once", func() bool { return isRetryableRejection(ask("orders")) })
-	if resp := ask("channels"); !isRetryableRejection(resp) {
-		t.Errorf("without any discovery: %d", resp.StatusCode)
+	waitFor(t, "requests to be rejected after the list became empty", func() bool { return isRetryableRejection(roundTrip("orders")) })
+	if resp := roundTrip("channels"); !isRetryableRejection(resp) {
+		t.Errorf("pool whose discovery is unreachable: status %d, want a retryable rejection", resp.StatusCode)
 	}
-	if resp := ask("meters"); resp.StatusCode != http.StatusOK {
-		t.Errorf("a neighbour: %d", resp.StatusCode)
+	if resp := roundTrip("meters"); resp.StatusCode != http.StatusOK {
+		t.Errorf("pool with an endpoint: status %d, want 200", resp.StatusCode)
 	}
 	if n := s.g.Load().Requests; n != 0 {
-		t.Errorf("%d requests are held", n)
+		t.Errorf("%d requests are open, want 0", n)
 	}
 	disco.SetEndpoints(a.Endpoint())
-	waitFor(t, "the list to be back", func() bool { return ask("orders").StatusCode == http.StatusOK })
+	waitFor(t, "the pool to serve again", func() bool { return roundTrip("orders").StatusCode == http.StatusOK })
 }
 
-// TestListEmptiesUnderLoad guards against requests that are taken just before the list goes empty and then wait for their time
-// to be up: all that was never sent is rejected at once.
+// TestListEmptiesUnderLoad guards against requests that are admitted just before the endpoint list becomes empty and then wait until their
+// deadlines. Requests that were never sent must be rejected at once.
 func TestListEmptiesUnderLoad(t *testing.T) {
 	s := newTestbed(t)
-	disco, err := fake.StartDiscovery(s.ledger)
+	disco, err := fake.StartDiscovery(s.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,7 @@
 			c := s.dial()
 			for ctx.Err() == nil {
 				began := time.Now()
-				resp, _ := c.ask(t, s.get("orders.example.org", "/check"))
+				resp, _ := c.roundTrip(t, s.get("orders.example.org", "/check"))
 				if resp.StatusCode == 0 {
 					c = s.dial()
 				}
@@ -86,15 +87,15 @@
 	for range 15 {
 		disco.SetEndpoints(backend.Endpoint())
 		served := statuses[200].Load()
-		waitFor(t, "some to be served", func() bool { return statuses[200].Load() > served+20 })
+		waitFor(t, "requests to be served", func() bool { return statuses[200].Load() > served+20 })
 		rejections := statuses[503].Load()
 		disco.SetEndpoints()
-		waitFor(t, "some to be rejected", func() bool { return statuses[503].Load() > rejections+5 })
+		waitFor(t, "requests to be rejected", func() bool { return statuses[503].Load() > rejections+5 })
 	}
 	cancel()
 	all.Wait()
-	// Their time is 10 s, and nothing here takes more than some milliseconds.
+	// The deadline of the requests is 10 s. Each step of the test takes only some milliseconds.
 	if d := time.Duration(slowest.Load()); d > 5*time.Second {
-		t.Errorf("one waited %v", d)
+		t.Errorf("the slowest request took %v, want at most 5s", d)
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -23,14 +23,14 @@
 	"sorrelrudder/policy"
 )
 
-// patience is how long a test waits for what must come; none asserts that something takes less.
-const patience = 20 * time.Second
+// testTimeout bounds how long a test waits for an expected event. No test asserts that an event takes less time.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var effects = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "book": fake.NonIdempotent}
+var idempotencies = map[string]fake.Idempotency{"check": fake.Idempotent, "order": fake.IdempotentByKey, "book": fake.NonIdempotent}
 
-// testSettings have one class of each effect, and time enough that none ends by itself.
+// testSettings returns settings with one class of each idempotency. Their deadlines are so long that no request times out in a test.
 func testSettings() settings.Settings {
 	class := func(name string, e policy.Idempotency) policy.Class {
 		return policy.Class{Name: name, Idempotency: e, DedupWindow: time.Minute, LatencyObjective: 10 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, LateWeightFraction: 1}
@@ -46,26 +46,26 @@
 	}
 }
 
-// testbed is backends for some pools, and a gateway for them.
+// testbed is a gateway with fake backends for its pools.
 type testbed struct {
-	t      *testing.T
-	ledger *fake.EffectRecorder
-	cfg    Config
-	g      *Gateway
-	addr   string
-	end    func() // as SIGTERM does, and returns once the process has ended
+	t        *testing.T
+	recorder *fake.EffectRecorder
+	cfg      Config
+	g        *Gateway
+	addr     string
+	end      func() // shuts the gateway down as on SIGTERM, and returns once Run has returned
 }
 
 func newTestbed(t *testing.T) *testbed {
-	return &testbed{t: t, ledger: fake.NewEffectRecorder(), cfg: Config{
+	return &testbed{t: t, recorder: fake.NewEffectRecorder(), cfg: Config{
 		Name: "test", MemoryMB: 64, Descriptors: 256, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}},
 	}}
 }
 
-// backend starts a backend that needs no time.
+// backend starts a backend without service time. change, which may be nil, adjusts its configuration.
 func (s *testbed) backend(name string, change func(*fake.BackendConfig)) *fake.Backend {
 	s.t.Helper()
-	cfg := fake.BackendConfig{Name: name, Cores: 8, QueueLimit: 100, Idempotency: effects, Recorder: s.ledger}
+	cfg := fake.BackendConfig{Name: name, Cores: 8, QueueLimit: 100, Idempotency: idempotencies, Recorder: s.recorder}
 	if change != nil {
 		change(&cfg)
 	}
@@ -86,7 +86,8 @@
 	return all
 }
 
-// pool is a pool with a list of its own, and its route by the host NAME.example.org.
+// pool adds a pool with a static endpoint list, and a route to it for the host NAME.example.org. It returns the pool's configuration, which
+// may be changed before start.
 func (s *testbed) pool(name string, backends ...*fake.Backend) *Pool {
 	s.cfg.Pools = append(s.cfg.Pools, Pool{
 		Name: name, Settings: testSettings(), StaticEndpoints: endpointsOf(backends...), Limits: Limits{Weight: 1}, Seed: 1,
@@ -95,7 +96,7 @@
 	return &s.cfg.Pools[len(s.cfg.Pools)-1]
 }
 
-// copyConfig is a configuration that may be changed while s.cfg is in force.
+// copyConfig returns a copy of s.cfg that may be changed while s.cfg is in force.
 func (s *testbed) copyConfig() Config {
 	c := s.cfg
 	c.Pools = append([]Pool{}, c.Pools...)
@@ -142,27 +143,29 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
-// response is what a client needs of a response whose body has been read. Status 0: the connection was closed instead.
+// response is the status and the header of a response whose body has been read. Status 0 means that the server closed the connection
+// without a response.
 type response struct {
 	StatusCode int
 	Header     http.Header
 }
 
-// write writes a request. Where the server has closed the connection, reading the response tells.
+// write writes a request. It ignores errors: if the server has closed the connection, reading the response fails.
 func (c *client) write(text string) { _, _ = io.WriteString(c, text) }
 
-// ask writes text, which may be empty, and reads a response with its body.
-func (c *client) ask(t *testing.T, text string) (response, string) {
+// roundTrip writes text, which may be empty, and reads one response with its body. It fails the test if neither a response nor the
+// end of the connection arrives in time.
+func (c *client) roundTrip(t *testing.T, text string) (response, string) {
 	t.Helper()
 	c.write(text)
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		if os.IsTimeout(err) {
-			t.Fatalf("neither an answer nor a close to %.80q", text)
+			t.Fatalf("neither a response nor a close of the connection after request %.80q", text)
 		}
 		return response{}, ""
 	}
@@ -176,35 +179,35 @@
 
 var lastID atomic.Int64
 
-// sent notes a request in the ledger and returns its text.
-func (s *testbed) sent(method, host, path, id, more string) string {
-	effect := effects[strings.Split(path, "/")[1]]
-	s.ledger.RecordSent(s.ledger.BeginOperation(effect), id, patience)
+// recordedRequest records a request as sent and returns its text.
+func (s *testbed) recordedRequest(method, host, path, id, more string) string {
+	effect := idempotencies[strings.Split(path, "/")[1]]
+	s.recorder.RecordSent(s.recorder.BeginOperation(effect), id, testTimeout)
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 10000\r\n%s\r\n", method, path, host, id, more)
 }
 
 func (s *testbed) get(host, path string) string {
-	return s.sent("GET", host, path, fmt.Sprint("id", lastID.Add(1)), "")
+	return s.recordedRequest("GET", host, path, fmt.Sprint("id", lastID.Add(1)), "")
 }
 
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// isRetryableRejection reports whether a response says that asking again is harmless, and when.
+// isRetryableRejection reports whether a response says that the request was not executed and when the client may retry.
 func isRetryableRejection(resp response) bool {
 	return (resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable) && resp.Header.Get("Retry-After") != ""
 }
 
 func (s *testbed) checkEffects() {
 	s.t.Helper()
-	for _, b := range s.ledger.Check(fake.DefaultTolerance).Violations {
-		// These tests don't note answers, so that only what concerns effects is looked at.
+	for _, b := range s.recorder.Check(fake.DefaultTolerance).Violations {
+		// These tests do not record responses, so only violations of rule 2, which concerns effects, are checked.
 		if strings.HasPrefix(b, "rule 2") {
 			s.t.Error(b)
 		}
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -12,12 +12,12 @@
 	"sorrelrudder/internal/fake"
 )
 
-// TestRemovedPool guards against losing what a pool had taken when it is removed: requests in flight, and one whose retry
-// is still to come, are answered by its backends; new ones find no route.
+// TestRemovedPool guards against losing admitted requests of a pool that a reload removes. Requests in flight, and those that are still to
+// be retried, must be answered by the pool's backends. New requests must find no route.
 func TestRemovedPool(t *testing.T) {
 	s := newTestbed(t)
 	failing, good := s.backend("failing", nil), s.backend("good", func(c *fake.BackendConfig) { c.ServiceTime = 200 * time.Millisecond })
-	// The first attempt is refused its connection only after a while, so that the retry comes after the removal.
+	// The first attempt fails only after 300 ms, so that the retry comes after the removal of the pool.
 	failing.SetFault(fake.Fault{Kind: fake.FaultError, Fraction: 1, Delay: 300 * time.Millisecond})
 	s.pool("orders", failing, good)
 	s.pool("meters", s.backend("b", nil))
@@ -28,60 +28,60 @@
 		c.write(s.get("orders.example.org", "/check"))
 		conns = append(conns, c)
 	}
-	waitFor(t, "all to be in flight", func() bool { return s.g.Load().Requests == 8 })
+	waitFor(t, "all requests to be in flight", func() bool { return s.g.Load().Requests == 8 })
 	next := s.copyConfig()
 	next.Pools, next.Routes = next.Pools[1:], next.Routes[1:]
 	if err := s.g.Apply(next); err != nil {
 		t.Fatal(err)
 	}
 	if n := s.g.Load().Draining; n != 1 {
-		t.Errorf("%d pools drain, want 1", n)
+		t.Errorf("%d pools are draining, want 1", n)
 	}
-	if resp, _ := s.dial().ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusMisdirectedRequest {
-		t.Errorf("a new request for it: %d, want 421", resp.StatusCode)
+	if resp, _ := s.dial().roundTrip(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusMisdirectedRequest {
+		t.Errorf("new request for the removed pool: status %d, want 421", resp.StatusCode)
 	}
 	for i, c := range conns {
-		if resp, _ := c.ask(t, ""); resp.StatusCode != http.StatusOK {
-			t.Errorf("request %d, taken before: %d", i, resp.StatusCode)
+		if resp, _ := c.roundTrip(t, ""); resp.StatusCode != http.StatusOK {
+			t.Errorf("request %d, admitted before the removal: status %d, want 200", i, resp.StatusCode)
 		}
 	}
-	waitFor(t, "the pool to be gone", func() bool { return s.g.Load().Draining == 0 })
+	waitFor(t, "the pool to be drained", func() bool { return s.g.Load().Draining == 0 })
 	s.checkEffects()
 }
 
-// TestBackendChangesPool guards against using a backend, or its connections, in the pool that it has left.
+// TestBackendChangesPool guards against using a backend, or connections to it, in a pool whose endpoint list no longer contains it.
 func TestBackendChangesPool(t *testing.T) {
 	s := newTestbed(t)
-	a, b, moves := s.backend("a", nil), s.backend("b", nil), s.backend("moves", nil)
-	s.pool("orders", moves)
+	a, b, moved := s.backend("a", nil), s.backend("b", nil), s.backend("moves", nil)
+	s.pool("orders", moved)
 	s.pool("meters", b)
 	s.start()
-	ask := func(host string) int {
-		resp, _ := s.dial().ask(t, s.get(host+".example.org", "/check"))
+	roundTrip := func(host string) int {
+		resp, _ := s.dial().roundTrip(t, s.get(host+".example.org", "/check"))
 		return resp.StatusCode
 	}
-	if status := ask("orders"); status != 200 || moves.Served() != 1 {
-		t.Fatalf("%d, served %d", status, moves.Served())
+	if status := roundTrip("orders"); status != 200 || moved.Served() != 1 {
+		t.Fatalf("status %d, served %d, want status 200 and 1 request served", status, moved.Served())
 	}
 	next := s.copyConfig()
-	next.Pools[0].StaticEndpoints, next.Pools[1].StaticEndpoints = endpointsOf(a), endpointsOf(moves)
+	next.Pools[0].StaticEndpoints, next.Pools[1].StaticEndpoints = endpointsOf(a), endpointsOf(moved)
 	if err := s.g.Apply(next); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the list to be told", func() bool { return ask("orders") == 200 && a.Served() > 0 })
-	served := moves.Served()
+	waitFor(t, "the new endpoint list to be used", func() bool { return roundTrip("orders") == 200 && a.Served() > 0 })
+	served := moved.Served()
 	for range 5 {
-		if status := ask("orders"); status != 200 {
-			t.Errorf("orders: %d", status)
+		if status := roundTrip("orders"); status != 200 {
+			t.Errorf("pool orders: status %d, want 200", status)
 		}
 	}
-	if moves.Served() != served {
-		t.Errorf("the pool that the backend left sent it %d more", moves.Served()-served)
+	if moved.Served() != served {
+		t.Errorf("the pool that the backend has left sent %d more requests to it", moved.Served()-served)
 	}
-	waitFor(t, "the other pool to use it", func() bool { return ask("meters") == 200 && moves.Served() > served })
+	waitFor(t, "the other pool to use the backend", func() bool { return roundTrip("meters") == 200 && moved.Served() > served })
 }
 
-// TestBadReload guards against taking over a part of what cannot be used.
+// TestBadReload guards against applying an invalid configuration, also in part.
 func TestBadReload(t *testing.T) {
 	s := newTestbed(t)
 	s.pool("orders", s.backend("a", nil))
@@ -94,42 +94,43 @@
 	defer taken.Close()
 	before := s.g.Load().Goroutines
 	for name, change := range map[string]func(*Config){
-		"a listener that is taken": func(c *Config) {
+		"listener address in use": func(c *Config) {
 			c.Listeners = append(c.Listeners, Listener{Name: "free", Address: "127.0.0.1:0"}, Listener{Name: "taken", Address: taken.Addr().String()})
 		},
-		"a route that ties":   func(c *Config) { c.Routes = append(c.Routes, c.Routes[0]) },
-		"a route to nowhere":  func(c *Config) { c.Routes[0].Pool = "none" },
-		"settings of no use":  func(c *Config) { c.Pools[1].Settings.Config.MaxAttempts = 0 },
-		"a pool without name": func(c *Config) { c.Pools[1].Name = "orders" },
-		"no pools":            func(c *Config) { c.Pools, c.Routes = nil, nil },
-		"no weight":           func(c *Config) { c.Pools[0].Limits.Weight = 0 },
-		"little memory":       func(c *Config) { c.MemoryMB = 1 },
+		"duplicate route":        func(c *Config) { c.Routes = append(c.Routes, c.Routes[0]) },
+		"route to unknown pool":  func(c *Config) { c.Routes[0].Pool = "none" },
+		"invalid settings":       func(c *Config) { c.Pools[1].Settings.Config.MaxAttempts = 0 },
+		"duplicate pool name":    func(c *Config) { c.Pools[1].Name = "orders" },
+		"no pools":               func(c *Config) { c.Pools, c.Routes = nil, nil },
+		"no weight":              func(c *Config) { c.Pools[0].Limits.Weight = 0 },
+		"memory limit too small": func(c *Config) { c.MemoryMB = 1 },
 	} {
 		next := s.copyConfig()
-		next.Pools[0].Limits.Rate = 0.001 // would show
+		next.Pools[0].Limits.Rate = 0.001 // would reject requests if it were applied
 		next.Pools[0].Settings.Config.MaxAttempts = 2
 		change(&next)
 		if err := s.g.Apply(next); err == nil {
-			t.Errorf("%s was taken over", name)
+			t.Errorf("%s: the configuration was applied, want an error", name)
 		}
 		for _, host := range []string{"orders", "meters"} {
 			for range 3 {
-				if resp, _ := s.dial().ask(t, s.get(host+".example.org", "/check")); resp.StatusCode != http.StatusOK {
-					t.Errorf("after %s, %s: %d", name, host, resp.StatusCode)
+				if resp, _ := s.dial().roundTrip(t, s.get(host+".example.org", "/check")); resp.StatusCode != http.StatusOK {
+					t.Errorf("after %s, pool %s: status %d, want 200", name, host, resp.StatusCode)
 				}
 			}
 		}
 	}
-	waitFor(t, "all that was started to have ended", func() bool { return s.g.Load().Goroutines <= before+30 && s.g.Load().Draining == 0 })
+	waitFor(t, "all goroutines of the rejected configurations to end", func() bool { return s.g.Load().Goroutines <= before+30 && s.g.Load().Draining == 0 })
 }
 
-// TestListenersChange guards against closing what came in at a listener that stays, and for one that is added under load.
+// TestListenersChange guards against closing connections of a listener that a reload keeps. A listener that is added under load must be
+// served, and its connections must close when it is removed.
 func TestListenersChange(t *testing.T) {
 	s := newTestbed(t)
 	s.pool("orders", s.backend("a", nil))
 	s.start()
-	stays := s.dial()
-	if resp, _ := stays.ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
+	kept := s.dial()
+	if resp, _ := kept.roundTrip(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
 		t.Fatal(resp.StatusCode)
 	}
 	next := s.copyConfig()
@@ -139,24 +140,24 @@
 	}
 	second := &testbed{t: t, addr: s.g.ListenerAddr("second").String()}
 	c := second.dial()
-	if resp, _ := c.ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
-		t.Errorf("at the second listener: %d", resp.StatusCode)
+	if resp, _ := c.roundTrip(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
+		t.Errorf("request on the second listener: status %d, want 200", resp.StatusCode)
 	}
 	if err := s.g.Apply(s.cfg); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the connection there to end", func() bool {
+	waitFor(t, "the connection of the second listener to be closed", func() bool {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		_, err := c.r.ReadByte()
 		return err == io.EOF
 	})
-	if resp, _ := s.dial().ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
-		t.Errorf("at the listener that stays: %d", resp.StatusCode)
+	if resp, _ := s.dial().roundTrip(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusOK {
+		t.Errorf("request on the kept listener: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// TestManyReloads guards against losing or doubling anything while configurations follow each other ten times a second and
-// faster: pools are replaced, backends move, limits change.
+// TestManyReloads guards against losing requests or executing them twice while configurations are applied more than ten times
+// per second. The reloads replace pools, move backends between pools and change limits.
 func TestManyReloads(t *testing.T) {
 	s := newTestbed(t)
 	slow := func(c *fake.BackendConfig) { c.ServiceTime = 5 * time.Millisecond }
@@ -166,11 +167,11 @@
 	s.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	crowds := make([]*fake.ClientResults, 2)
+	results := make([]*fake.ClientResults, 2)
 	for i, name := range []string{"orders", "meters"} {
 		all.Go(func() {
-			crowds[i] = fake.RunClients(ctx, fake.ClientConfig{
-				Name: name, Addr: s.addr, Host: name + ".example.org", Rate: 100, MaxAttempts: 2, Recorder: s.ledger, Seed: uint64(i),
+			results[i] = fake.RunClients(ctx, fake.ClientConfig{
+				Name: name, Addr: s.addr, Host: name + ".example.org", Rate: 100, MaxAttempts: 2, Recorder: s.recorder, Seed: uint64(i),
 				Backoff: 10 * time.Millisecond, HonorRetryAfter: true,
 				Classes: []fake.ClassLoad{
 					{Name: "check", Idempotency: fake.Idempotent, Weight: 1, LatencyObjective: 5 * time.Second, Deadline: 8 * time.Second, PriorityWeight: 1},
@@ -190,20 +191,20 @@
 		if err := s.g.Apply(next); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(30 * time.Millisecond) // between reloads; nothing waits for it
+		time.Sleep(30 * time.Millisecond) // interval between reloads
 	}
 	cancel()
 	all.Wait()
-	waitFor(t, "the old pools to be gone", func() bool { return s.g.Load().Draining == 0 })
-	for _, broken := range s.ledger.Check(fake.Tolerance{LateResponse: 2 * time.Second, AttemptAfterResponse: 2 * time.Second, AfterDrainGrace: time.Second}).Violations {
-		t.Error(broken)
+	waitFor(t, "the old pools to be drained", func() bool { return s.g.Load().Draining == 0 })
+	for _, violation := range s.recorder.Check(fake.Tolerance{LateResponse: 2 * time.Second, AttemptAfterResponse: 2 * time.Second, AfterDrainGrace: time.Second}).Violations {
+		t.Error(violation)
 	}
-	for i, crowd := range crowds {
-		if crowd.ServedFraction() < 0.9 {
-			t.Errorf("crowd %d: %.2f served; statuses %v", i, crowd.ServedFraction(), crowd.Statuses)
+	for i, result := range results {
+		if result.ServedFraction() < 0.9 {
+			t.Errorf("clients of pool %d: fraction %.2f served, want at least 0.9; statuses %v", i, result.ServedFraction(), result.Statuses)
 		}
 	}
 	if l := s.g.Load(); l.Requests != 0 {
-		t.Errorf("%d requests are left", l.Requests)
+		t.Errorf("%d requests are open, want 0", l.Requests)
 	}
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -9,7 +9,7 @@
 	"sorrelrudder/internal/fake"
 )
 
-// TestCloseAnswers guards against leaving a client without an answer where a pool ends before its requests have.
+// TestCloseAnswers guards against leaving a client without a response when a pool is closed while its requests are open.
 func TestCloseAnswers(t *testing.T) {
 	s := newTestbed(t)
 	stuck := s.backend("stuck", nil)
@@ -18,18 +18,18 @@
 	s.start()
 	c := s.dial()
 	c.write(s.get("orders.example.org", "/check"))
-	waitFor(t, "it to be open", func() bool { return s.g.Load().Requests == 1 })
+	waitFor(t, "the request to be open", func() bool { return s.g.Load().Requests == 1 })
 	s.g.table.Load().pools["orders"].pool.Close()
-	if resp, _ := c.ask(t, ""); resp.StatusCode != http.StatusBadGateway {
-		t.Errorf("answered %d, want 502", resp.StatusCode)
+	if resp, _ := c.roundTrip(t, ""); resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("open request: status %d, want 502", resp.StatusCode)
 	}
-	if resp, _ := s.dial().ask(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("one that came after: %d, want 503", resp.StatusCode)
+	if resp, _ := s.dial().roundTrip(t, s.get("orders.example.org", "/check")); resp.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("request after the close: status %d, want 503", resp.StatusCode)
 	}
 }
 
-// TestRequestsAbortedBeforeKill guards against requests that are taken and find no answer before the process is killed: every server
-// hangs, and the deadlines are longer than the platform waits. A pool that a reload has just retired owes its answers, too.
+// TestRequestsAbortedBeforeKill guards against admitted requests that get no response before the platform kills the process. Every backend
+// hangs, and the deadlines are longer than the platform waits. Requests of a pool that a reload has just retired must be outcome too.
 func TestRequestsAbortedBeforeKill(t *testing.T) {
 	t.Run("in force", func(t *testing.T) { testAborted(t, false) })
 	t.Run("retired", func(t *testing.T) { testAborted(t, true) })
@@ -43,27 +43,27 @@
 	s.pool("orders", hangs)
 	s.pool("meters", s.backend("b", nil))
 	s.start()
-	type answered struct {
+	type outcome struct {
 		status int
 		err    error
 	}
-	asked := map[string]chan answered{}
+	pending := map[string]chan outcome{}
 	for name, method := range map[string]string{"check": "GET", "book": "POST"} {
-		c, got := s.dial(), make(chan answered, 1)
-		asked[name] = got
-		c.write(s.sent(method, "orders.example.org", "/"+name, name, map[string]string{"POST": "Content-Length: 0\r\n"}[method]))
+		c, got := s.dial(), make(chan outcome, 1)
+		pending[name] = got
+		c.write(s.recordedRequest(method, "orders.example.org", "/"+name, name, map[string]string{"POST": "Content-Length: 0\r\n"}[method]))
 		go func() {
 			resp, err := http.ReadResponse(c.r, nil)
 			if err != nil {
-				got <- answered{0, err}
+				got <- outcome{0, err}
 				return
 			}
 			defer resp.Body.Close()
 			_, err = io.ReadAll(resp.Body)
-			got <- answered{resp.StatusCode, err}
+			got <- outcome{resp.StatusCode, err}
 		}()
 	}
-	waitFor(t, "both to be taken", func() bool { return s.g.Load().Requests == len(asked) })
+	waitFor(t, "both requests to be admitted", func() bool { return s.g.Load().Requests == len(pending) })
 	if retired {
 		next := s.copyConfig()
 		next.Pools, next.Routes = next.Pools[1:], next.Routes[1:]
@@ -71,20 +71,20 @@
 			t.Fatal(err)
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.end()
 	}()
-	for name, got := range asked {
+	for name, got := range pending {
 		a := <-got
 		if a.err != nil || a.status != http.StatusBadGateway {
-			t.Errorf("%s: answered %d, %v; want a failure", name, a.status, a.err)
+			t.Errorf("%s: status %d, error %v; want status 502", name, a.status, a.err)
 		}
 	}
 	<-ended
-	if took, most := time.Since(began), acceptWindow+s.cfg.MaxDrain+lastResponsesTimeout+time.Second; took > most {
-		t.Errorf("ended after %v, want %v at most", took, most)
+	if took, limit := time.Since(startedAt), acceptWindow+s.cfg.MaxDrain+lastResponsesTimeout+time.Second; took > limit {
+		t.Errorf("shutdown took %v, want at limit %v", took, limit)
 	}
 }
