--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Serve is ServeWithOptions for a listener that speaks HTTP/1.1 alone.
+// Serve calls ServeWithOptions for a listener that supports HTTP/1.1 only.
 func (s *Server) Serve(ctx context.Context, ln net.Listener, acceptors int) error {
 	return s.ServeWithOptions(ctx, ln, acceptors, ListenerOptions{})
 }
 
-// ServeWithOptions serves the connections that come at a listener until it is closed or ctx ends, and returns the error of
-// that. The connections live on. While no descriptor is free they wait in the kernel's backlog. The acceptors, goroutines
-// that accept side by side, are so many that others accept while one waits for a descriptor.
+// ServeWithOptions accepts and serves connections from a listener. It returns the error of Accept or of ctx once the listener is closed or
+// ctx ends; accepted connections stay open. While no file descriptor is free, new connections wait in the kernel's backlog. acceptors is
+// the number of goroutines that accept concurrently: with several, the others accept while one waits for a descriptor.
 func (s *Server) ServeWithOptions(ctx context.Context, ln net.Listener, acceptors int, o ListenerOptions) error {
 	listener := &serverListener{ListenerOptions: o}
 	s.mu.Lock()
@@ -31,7 +31,7 @@
 	return err
 }
 
-// acceptAll accepts connections until the listener is closed or ctx ends.
+// acceptAll accepts connections until the listener is closed or ctx ends. It retries other errors of Accept after acceptRetryDelay.
 func (s *Server) acceptAll(ctx context.Context, ln net.Listener, listener *serverListener) error {
 	for {
 		release, err := s.descriptors.AcquireClient(ctx)
@@ -59,7 +59,7 @@
 	}
 }
 
-// register adds a new connection, which waits for its first request from now on.
+// register adds a new connection to the server and starts its wait for the first request.
 func (s *Server) register(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	s.idlePolicy.Resize(s.descriptors.MaxClients())
 	s.idlePolicy.Opened(s.now())
 	s.idlePolicy.Assign(0)
-	if s.idlePolicy.ShouldEvictAhead(s.now()) { // the next need not wait for a descriptor then
+	if s.idlePolicy.ShouldEvictAhead(s.now()) { // so that the next connection need not wait for a descriptor
 		s.evictLocked()
 	}
 	s.beginIdle(c)
--- a/internal/downstream/body.go
+++ b/internal/downstream/body.go
@@ -11,18 +11,18 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// errTrailerTooLong is mapped to errMalformedBody for the client.
-var errTrailerTooLong = errors.New("the trailer is too long")
+// errTrailerTooLong is returned for a trailer section longer than maxTrailerBytes. The client is sent errMalformedBody instead.
+var errTrailerTooLong = errors.New("trailer section of a chunked request body is too long")
 
-// bodyReader reads the body of one request as it comes. It implements httpmsg.BodyStream. Its errors but io.EOF are as
-// those of requestReader.readRequest.
+// bodyReader reads the body of one request as it arrives. It implements httpmsg.BodyStream. Errors other than io.EOF are as those of
+// requestReader.readRequest.
 type bodyReader struct {
 	requests *requestReader
 	conn     net.Conn
 	progress bodyProgress
-	length   int64     // -1: chunked
-	chunks   io.Reader // of a chunked body
-	ended    bool
+	length   int64     // in bytes; -1: the body is chunked
+	chunks   io.Reader // decodes a chunked body; nil for other bodies
+	ended    bool      // the body is complete
 }
 
 func newBodyReader(r *requestReader, c net.Conn, q *clientRequest) *bodyReader {
@@ -33,13 +33,13 @@
 	return b
 }
 
-// bodyProgress is how much of a body has come since when.
+// bodyProgress records how much of a body has been received since reading started.
 type bodyProgress struct {
 	started time.Time
 	bytes   int64
 }
 
-// tooSlow reports whether the body has come at less than minBodyBytesPerSecond.
+// tooSlow reports whether the average rate of the body is below minBodyBytesPerSecond, after bodyRateGrace.
 func (p bodyProgress) tooSlow(now time.Time) bool {
 	return now.Sub(p.started) > bodyRateGrace+time.Duration(p.bytes)*time.Second/minBodyBytesPerSecond
 }
@@ -47,7 +47,7 @@
 // Length implements httpmsg.BodyStream.
 func (b *bodyReader) Length() int64 { return b.length }
 
-// Read implements httpmsg.BodyStream. It waits for one byte at most.
+// Read implements httpmsg.BodyStream. It blocks only until at least one byte is available.
 func (b *bodyReader) Read(p []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
@@ -73,7 +73,7 @@
 	return n, readError(err, errMalformedBody)
 }
 
-// read reads a part of the body, and sets ended with its last.
+// read reads a part of the body, and sets ended once the body is complete.
 func (b *bodyReader) read(p []byte) (int, error) {
 	if b.chunks != nil {
 		return b.readChunked(p)
@@ -86,7 +86,8 @@
 	return n, err
 }
 
-// readChunked reads from what is buffered alone: of a chunk that comes slowly httputil's reader would wait for the whole.
+// readChunked reads a part of a chunked body. It limits the read to the buffered bytes, because httputil's reader would block until the
+// whole of a slow chunk has arrived.
 func (b *bodyReader) readChunked(p []byte) (int, error) {
 	buffered := b.requests.buffered
 	if _, err := buffered.Peek(1); err != nil {
@@ -103,7 +104,7 @@
 	return n, io.EOF
 }
 
-// skipTrailer reads and discards what follows the last chunk.
+// skipTrailer reads and discards the trailer section after the last chunk.
 func (b *bodyReader) skipTrailer() error {
 	for left := maxTrailerBytes; ; {
 		line, err := b.requests.buffered.ReadSlice('\n')
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -15,31 +15,31 @@
 
 // clientConn is the connection of a client.
 type clientConn struct {
-	net.Conn          // of TLS once the handshake is over; written by its goroutine under Server.mu
+	net.Conn          // a *tls.Conn after a TLS handshake; written by the connection's goroutine under Server.mu
 	listener          *serverListener
 	releaseDescriptor func()
 	reader            *requestReader
-	lastRead          atomic.Int64 // when something was read last, in nanoseconds since processStart
-
-	// The connection's goroutine alone uses these.
-	watchTimer  *time.Timer // of awaitResponse
-	peerName    string      // by Options.PeerName
-	endsInOrder bool        // it has had its last response complete
-	http10      bool        // its last request was of HTTP/1.0, which has no chunked encoding
-	headRequest bool        // its last request was HEAD, whose response has no body
-
-	// Server.mu guards these. The connection's goroutine alone writes pool and counted, and so may read them without.
-	pool           PoolID         // of its last request
-	counted        bool           // in the quota of pool; if not, it closes with its next response
+	lastRead          atomic.Int64 // time of the last read that returned bytes, in nanoseconds since processStart
+
+	// Only the connection's goroutine uses the fields below.
+	watchTimer       *time.Timer // used by awaitResponse
+	peerName         string      // result of Options.PeerName
+	lastResponseSent bool        // the last response was written completely
+	http10           bool        // the last request was HTTP/1.0, which has no chunked encoding
+	headRequest      bool        // the last request was HEAD, whose response has no body
+
+	// Server.mu guards the fields below. Only the connection's goroutine writes pool and counted, so it may read them without the lock.
+	pool           PoolID         // pool of the last request
+	counted        bool           // counted in the quota of pool; if not, the connection closes with its next response
 	list           *connList      // nil while a request is open
-	element        *lists.Element // of list
-	listedSince    time.Time      // in list
-	responses      int            // written
-	idleLimit      keepalive.Wait // by the idle policy
-	idleOutcomeDue bool           // the idle policy is to be told how idleLimit ended
+	element        *lists.Element // element of list
+	listedSince    time.Time      // time at which the connection was added to list
+	responses      int            // number of responses written
+	idleLimit      keepalive.Wait // idle timeout set by the idle policy
+	idleOutcomeDue bool           // the outcome of idleLimit has not been reported to the idle policy yet
 	evicting       bool           // counted in Server.multiplexedEvictions
-	drainSignal    chan struct{}  // of a multiplexed connection; closed, and nil, once it is to take no further requests
-	closeDelimited bool           // a response is on its way whose end is that of the connection (RFC 9112, section 6.3)
+	drainSignal    chan struct{}  // of a multiplexed connection; closed and set to nil to stop it from accepting requests
+	closeDelimited bool           // a response is being written whose end is the close of the connection (RFC 9112, section 6.3)
 }
 
 func newClientConn(conn net.Conn, listener *serverListener, release func()) *clientConn {
@@ -48,10 +48,10 @@
 	return c
 }
 
-// processStart is the origin of clientConn.lastRead.
+// processStart is the zero time of clientConn.lastRead.
 var processStart = time.Now()
 
-// readRecorder reads from a connection, and records when something came.
+// readRecorder reads from a connection, and records in lastRead when bytes arrived.
 type readRecorder struct{ conn *clientConn }
 
 // Read implements io.Reader.
@@ -63,29 +63,29 @@
 	return n, err
 }
 
-// sinceLastRead returns for how long nothing has come.
+// sinceLastRead returns the time since bytes last arrived.
 func (c *clientConn) sinceLastRead() time.Duration {
 	return time.Since(processStart) - time.Duration(c.lastRead.Load())
 }
 
-// clientGone reports whether the client has closed the connection. It may be called from any goroutine.
+// clientGone reports whether the client has closed the connection. It is safe for concurrent use.
 func (c *clientConn) clientGone() bool {
 	return c.reader.clientClosed.Load() || process.PeerClosed(c.Conn)
 }
 
-// nothingPending reports whether nothing that has come, neither bytes nor the end, is still to be read.
-func (c *clientConn) nothingPending() bool {
+// noPendingInput reports whether there is no unread input: neither bytes nor the end of the stream.
+func (c *clientConn) noPendingInput() bool {
 	return c.reader.buffered.Buffered() == 0 && process.NothingToRead(c.Conn)
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It also releases the connection's file descriptor to the quota.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.releaseDescriptor()
 	return err
 }
 
-// reset closes the socket with a reset, where a client would take an ordinary end for that of its response.
+// reset closes the socket with a TCP reset. It is used where a client would mistake an ordinary close for the end of its response.
 func (c *clientConn) reset() {
 	conn := c.Conn
 	if t, ok := conn.(*tls.Conn); ok {
@@ -97,7 +97,7 @@
 	}
 }
 
-// serveConn answers the requests of a connection one after the other, and closes it.
+// serveConn serves the requests of a connection one after the other, and closes the connection.
 func (s *Server) serveConn(c *clientConn) {
 	defer s.closeConn(c)
 	if done := s.handshake(c); done || c.listener.H2C && s.serveH2C(c) {
@@ -126,13 +126,13 @@
 	}
 }
 
-// readBackoff counts the last requests of a connection that were not admitted.
+// readBackoff counts the consecutive requests of a connection that were not admitted.
 type readBackoff struct {
-	malformed int // in a row
-	rejected  int // in a row, and not malformed
+	malformed int // consecutive malformed requests
+	rejected  int // consecutive requests that were rejected and not malformed
 }
 
-// record counts a request, and returns how long the connection is not read if it was malformed.
+// record counts a request. If the request was malformed, it returns the delay until the connection is read again.
 func (b *readBackoff) record(o requestOutcome) time.Duration {
 	switch {
 	case o.admitted:
@@ -150,17 +150,17 @@
 
 // closeConn closes and removes a connection.
 func (s *Server) closeConn(c *clientConn) {
-	if c.endsInOrder {
+	if c.lastResponseSent {
 		s.linger(c)
 	}
-	_ = c.Close() // nothing is lost: what it was to send has been written
+	_ = c.Close() // all output has been written
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeFromList(c)
 	if c.evicting {
 		s.multiplexedEvictions--
 	}
-	s.endIdle(c, 0, false) // if it never came to wait
+	s.endIdle(c, 0, false) // for a connection that was never idle
 	s.idlePolicy.Unassign(c.pool)
 	s.idlePolicy.Closed()
 	if c.counted {
@@ -170,8 +170,8 @@
 	s.goroutines.Done()
 }
 
-// linger ends the sending side of a connection, and for a moment reads and discards what still comes: a close with bytes
-// unread would reset the connection, and the client might lose its response. Meanwhile it is the first to be evicted.
+// linger closes the sending side of a connection, then reads and discards input for at most lingerTimeout. Closing a socket with unread
+// bytes would reset the connection, and the client might lose its response. A lingering connection is the first to be evicted.
 func (s *Server) linger(c *clientConn) {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -182,5 +182,5 @@
 	c.SetDeadline(time.Now().Add(lingerTimeout))
 	s.addToList(c, &s.waiting[lingeringConns])
 	s.mu.Unlock()
-	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // until the client closes, the deadline, or dismiss
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes) // until the client closes, the deadline passes, or requestClose is called
 }
--- a/internal/downstream/drain.go
+++ b/internal/downstream/drain.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// CloseAfterResponse makes connections close with their next response, and leaves idle ones open. Drain follows.
+// CloseAfterResponse makes connections close with their next response, and keeps idle connections open. The caller must call Drain later.
 func (s *Server) CloseAfterResponse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Drain makes connections close with their next response, and closes idle ones. A request that crosses that comes again on
-// a new connection.
+// Drain makes connections close with their next response, and closes idle connections. A client whose request arrives just as its idle
+// connection is closed has to retry on a new connection.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	s.dismissIdle(func(*clientConn) bool { return true })
+	s.closeIdle(func(*clientConn) bool { return true })
 }
 
-// DrainListener does as Drain for the connections that came in at ln, which the caller closes.
+// DrainListener is like Drain, but for the connections accepted from ln only. The caller must close ln.
 func (s *Server) DrainListener(ln net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,15 +32,15 @@
 	}
 	delete(s.listeners, ln)
 	listener.draining = true
-	s.dismissIdle(func(c *clientConn) bool { return c.listener == listener })
+	s.closeIdle(func(c *clientConn) bool { return c.listener == listener })
 }
 
-// dismissIdle dismisses the idle connections that match, drains the multiplexed ones, and shortens the wait of new ones for
-// their first request. The caller holds mu.
-func (s *Server) dismissIdle(match func(*clientConn) bool) {
+// closeIdle closes the idle connections that match, drains the multiplexed ones, and shortens the time that new ones have for their first
+// request. The caller holds mu.
+func (s *Server) closeIdle(match func(*clientConn) bool) {
 	for _, conns := range s.idle {
 		for i := range conns {
-			s.dismissMatching(&conns[i], match)
+			s.closeMatching(&conns[i], match)
 		}
 	}
 	for c := range s.conns {
@@ -56,19 +56,19 @@
 	}
 }
 
-// dismissMatching dismisses the connections of a list that match. The caller holds mu.
-func (s *Server) dismissMatching(l *connList, match func(*clientConn) bool) {
+// closeMatching calls requestClose for the connections of a list that match. The caller holds mu.
+func (s *Server) closeMatching(l *connList, match func(*clientConn) bool) {
 	for e := l.Front(); e != nil; {
 		next := e.Next()
 		if c := e.Value.(*clientConn); match(c) {
-			s.dismiss(c)
+			s.requestClose(c)
 		}
 		e = next
 	}
 }
 
-// Wait returns nil once all connections have ended. If ctx ends before, it closes those that are left and returns the error
-// of ctx.
+// Wait waits until all connections have ended and returns nil. If ctx ends before, it closes the remaining connections and returns the
+// error of ctx.
 func (s *Server) Wait(ctx context.Context) error {
 	ended := make(chan struct{})
 	go func() {
@@ -84,7 +84,8 @@
 	return ctx.Err()
 }
 
-// closeAll closes the sockets of all connections, whatever they carry.
+// closeAll closes the sockets of all connections, also of those with open requests. It resets connections whose close the client would
+// mistake for the end of its response.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -10,23 +10,23 @@
 	"sorrelrudder/internal/process"
 )
 
-// Evict dismisses a connection without a complete request, so that its descriptor becomes free, and reports whether there
-// was one. It takes, in this order:
-//   - one that has had its last response and lingers;
-//   - the oldest that has never sent anything, unless it is new;
-//   - one whose request has stalled;
-//   - a multiplexed one without open requests;
-//   - of the pools that exceed their quota, the furthest beyond it first: the idle one of the least value to the idle
-//     policy, or a new one of less value;
-//   - a new one;
-//   - an idle one of a pool within its quota.
+// Evict closes a connection without a complete request to free its file descriptor, and reports whether there was one. It picks the first
+// that exists of:
+//   - a connection that has received its last response and lingers;
+//   - the oldest connection that has never sent a byte, if it is older than newConnGrace;
+//   - a connection whose request has stalled;
+//   - a multiplexed connection without open requests;
+//   - a connection of a pool that exceeds its quota, starting with the largest excess: the idle connection with the lowest
+//     value to the idle policy, or a new connection with a lower value;
+//   - a new connection;
+//   - an idle connection of a pool within its quota.
 func (s *Server) Evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.evictLocked()
 }
 
-// evictLocked is Evict. The caller holds mu.
+// evictLocked implements Evict. The caller holds mu.
 func (s *Server) evictLocked() bool {
 	newest := &s.waiting[newConns]
 	if s.evictFirst(&s.waiting[lingeringConns], 0) || s.evictFirst(newest, newConnGrace) || s.evictStalledRead() {
@@ -35,22 +35,22 @@
 	if s.multiplexedEvictions < maxMultiplexedEvictions && s.evictMultiplexed() {
 		return true
 	}
-	if s.multiplexedEvictions > 0 { // one is about to close
+	if s.multiplexedEvictions > 0 { // an evicted connection is about to close
 		return true
 	}
-	beyond, within := s.poolsByExcess()
-	if len(beyond) > 0 {
+	exceeding, within := s.poolsByExcess()
+	if len(exceeding) > 0 {
 		first := newest.Front()
-		if first != nil && s.idleValue(first) < s.lowestIdleValue(s.idle[beyond[0]]) && s.evictFirst(newest, 0) {
+		if first != nil && s.idleValue(first) < s.lowestIdleValue(s.idle[exceeding[0]]) && s.evictFirst(newest, 0) {
 			return true
 		}
 	}
-	return s.evictFromPools(beyond) || s.evictFirst(newest, 0) || s.evictFromPools(within)
+	return s.evictFromPools(exceeding) || s.evictFirst(newest, 0) || s.evictFromPools(within)
 }
 
-// poolsByExcess returns the pools that have idle connections, those beyond their quota and those within it, each with the
-// furthest beyond first. The caller holds mu.
-func (s *Server) poolsByExcess() (beyond, within []PoolID) {
+// poolsByExcess returns the pools that have idle connections: those that exceed their quota, and those within it. Both are in descending
+// order of excess. The caller holds mu.
+func (s *Server) poolsByExcess() (exceeding, within []PoolID) {
 	type candidate struct {
 		id     PoolID
 		excess int64
@@ -64,20 +64,20 @@
 	})
 	for _, c := range candidates {
 		if c.excess > 0 {
-			beyond = append(beyond, c.id)
+			exceeding = append(exceeding, c.id)
 		} else {
 			within = append(within, c.id)
 		}
 	}
-	return beyond, within
+	return exceeding, within
 }
 
-// evictFromPools dismisses an idle connection of the first pool that has one. The caller holds mu.
+// evictFromPools closes an idle connection of the first pool that has one, and reports whether there was one. The caller holds mu.
 func (s *Server) evictFromPools(ids []PoolID) bool {
 	return slices.ContainsFunc(ids, func(id PoolID) bool { return s.evictLowestValue(s.idle[id]) })
 }
 
-// lowestIdleValue returns the least value of the connections of one pool. The caller holds mu.
+// lowestIdleValue returns the lowest idle value of the connections of one pool. The caller holds mu.
 func (s *Server) lowestIdleValue(conns *idleConns) float64 {
 	lowest := math.Inf(1)
 	for i := range conns {
@@ -88,8 +88,8 @@
 	return lowest
 }
 
-// evictLowestValue dismisses the idle connection of one pool that is of the least value: an exploratory one, else the first
-// of one of the other lists. The caller holds mu.
+// evictLowestValue closes the idle connection with the lowest value of one pool: an exploratory one if there is one, and otherwise the
+// first of one of the other lists. It reports whether there was one. The caller holds mu.
 func (s *Server) evictLowestValue(conns *idleConns) bool {
 	first, second := oneRequestConns, severalRequestConns
 	if a, b := conns[first].Front(), conns[second].Front(); a != nil && b != nil && s.idleValue(a) > s.idleValue(b) {
@@ -104,25 +104,25 @@
 	return s.idlePolicy.GittinsIndex(c.pool, c.idleKind(), time.Since(c.listedSince))
 }
 
-// evictFirst dismisses the first connection of a list that has been there for minAge and has sent nothing that is still to
-// be read. The caller holds mu.
+// evictFirst closes the first connection of a list that has been in the list for minAge and has no unread input, and reports whether there
+// was one. The caller holds mu.
 func (s *Server) evictFirst(l *connList, minAge time.Duration) bool {
 	for e := l.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		if time.Since(c.listedSince) < minAge {
 			return false
 		}
-		if !process.NothingToRead(c.Conn) { // its goroutine is about to read a request, or the end
+		if !process.NothingToRead(c.Conn) { // its goroutine is about to read a request or the end of the stream
 			continue
 		}
-		s.dismiss(c)
+		s.requestClose(c)
 		return true
 	}
 	return false
 }
 
-// evictStalledRead dismisses the connection whose request has brought nothing for longest, from stalledReadAge on. The
-// caller holds mu.
+// evictStalledRead closes the connection with an incomplete request that has received no bytes for the longest time, if that time is at
+// least stalledReadAge. It searches at most maxStalledScan connections. The caller holds mu.
 func (s *Server) evictStalledRead() bool {
 	var stalled *clientConn
 	longest, scanned := stalledReadAge, 0
@@ -135,11 +135,12 @@
 	if stalled == nil {
 		return false
 	}
-	s.dismiss(stalled)
+	s.requestClose(stalled)
 	return true
 }
 
-// evictMultiplexed drains the multiplexed connection that has been without open requests for longest. The caller holds mu.
+// evictMultiplexed drains the multiplexed connection that has been without open requests for the longest time, and reports whether there
+// was one. The caller holds mu.
 func (s *Server) evictMultiplexed() bool {
 	e := s.waiting[multiplexedConns].Front()
 	if e == nil {
--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -8,17 +8,17 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// healthPath is answered by the server itself, for GET.
+// healthPath is the path of health checks. The server answers GET requests for it without the handler.
 const healthPath = "/healthz"
 
-// requestOutcome is how a request ended for its connection.
+// requestOutcome is the result of serving a request, as far as it concerns the connection.
 type requestOutcome struct {
-	status   int  // of the response; 0: none was written
-	admitted bool // it was not rejected
+	status   int  // status of the response; 0: no response was written
+	admitted bool // the request was not rejected
 	keepOpen bool // another request may follow
 }
 
-// handleRequest reads the body of r, whose header was read, has it answered, and writes the response.
+// handleRequest serves request r, whose header has been read: it reads the body, dispatches the request and writes the response.
 func (s *Server) handleRequest(c *clientConn, r *clientRequest) requestOutcome {
 	if r.Path == healthPath && r.Method == http.MethodGet {
 		open := s.writeResponse(c, httpmsg.Response{Status: http.StatusOK}, r.closesConnection) && c.reader.skipBody(c, r)
@@ -49,7 +49,7 @@
 	return s.finishExchange(c, r, x)
 }
 
-// setPeer names the peer of r where the server is to.
+// setPeer sets the peer name of r if Options.PeerName is set.
 func (s *Server) setPeer(c *clientConn, r *clientRequest) {
 	if s.options.PeerName == nil {
 		return
@@ -60,18 +60,18 @@
 	r.Peer = c.peerName
 }
 
-// finishExchange waits for the response to r, whose body is complete, and writes it.
+// finishExchange waits for the response to r and writes it. The body of r must have been read completely.
 func (s *Server) finishExchange(c *clientConn, r *clientRequest, x Exchange) requestOutcome {
-	resp, clientThere := c.awaitResponse(x)
-	if !clientThere {
+	resp, clientConnected := c.awaitResponse(x)
+	if !clientConnected {
 		discard(resp)
 		return requestOutcome{admitted: true}
 	}
 	return requestOutcome{status: resp.Status, admitted: true, keepOpen: s.writeResponse(c, resp, r.closesConnection)}
 }
 
-// handleStreamedRequest is the part of handleRequest for a body that is sent on as it comes. Whether the client is there
-// shows as the body is read; once that has ended, the client is watched.
+// handleStreamedRequest continues handleRequest for a body that is forwarded while it is being received. Reading the body shows whether the
+// client is still connected. Once the body is complete, the connection is watched for a close.
 func (s *Server) handleStreamedRequest(c *clientConn, r *clientRequest, admitted AdmittedRequest, body []byte, u *upload) requestOutcome {
 	x, err := admitted.Dispatch(body, u)
 	if err != nil {
@@ -88,16 +88,16 @@
 			c.SetDeadline(time.Time{})
 			return s.finishExchange(c, r, x)
 		}
-		resp = <-x.Response() // the reader of the body has had its error
+		resp = <-x.Response() // the exchange has received the read error of the body and responds
 	}
 	complete := u.stop()
 	open := s.writeResponse(c, resp, r.closesConnection || !complete)
 	return requestOutcome{status: resp.Status, admitted: true, keepOpen: open}
 }
 
-// awaitResponse waits for the response of x, and reports whether the client is still there. If not, the response may be the
-// zero value.
-func (c *clientConn) awaitResponse(x Exchange) (resp httpmsg.Response, clientThere bool) {
+// awaitResponse waits for the response of x, and reports whether the client is still connected. If it is not, the response may be the zero
+// value.
+func (c *clientConn) awaitResponse(x Exchange) (resp httpmsg.Response, clientConnected bool) {
 	if c.watchTimer == nil {
 		c.watchTimer = time.NewTimer(clientWatchDelay)
 	} else {
@@ -125,14 +125,15 @@
 	return resp, !c.reader.clientClosed.Load()
 }
 
-// discard closes a response that nobody reads.
+// discard closes the stream of a response that is not written to a client.
 func discard(resp httpmsg.Response) {
 	if resp.Remainder != nil {
 		resp.Remainder.Close(false)
 	}
 }
 
-// writeRejection answers a request that is not dispatched. Its body is skipped, or else the connection closes.
+// writeRejection responds to a request that was not dispatched. The connection closes if the request's body cannot be skipped.
+// Otherwise a caller that has not read the body must skip it.
 func (s *Server) writeRejection(c *clientConn, r *clientRequest, err error) requestOutcome {
 	var rejection httpmsg.RejectionError
 	errors.As(err, &rejection)
@@ -140,7 +141,8 @@
 	return requestOutcome{status: rejection.Status, keepOpen: open}
 }
 
-// rejectUnreadable answers a request that could not be read, unless the client has gone. The connection closes.
+// rejectUnreadable responds to a request that could not be read, unless the client has closed the connection. The caller closes the
+// connection.
 func (s *Server) rejectUnreadable(c *clientConn, err error) {
 	var rejection httpmsg.RejectionError
 	if errors.As(err, &rejection) {
--- a/internal/downstream/handshake.go
+++ b/internal/downstream/handshake.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// http2Preface is what HTTP/2 connections begin with. It is no request of HTTP/1.1 (RFC 9113, section 3.4).
+// http2Preface is the connection preface of HTTP/2 clients. It is not a valid HTTP/1.1 request (RFC 9113, section 3.4).
 const http2Preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 
-// handshake makes c speak TLS where its listener does. If that negotiates the multiplexed protocol, it serves c to its end.
-// It reports whether c is done with.
+// handshake performs the TLS handshake if the listener of c uses TLS. If the handshake negotiates the multiplexed protocol, handshake
+// serves c until it ends. It returns true if the handshake failed or c has been served, and c is to be closed.
 func (s *Server) handshake(c *clientConn) (done bool) {
 	if c.listener.TLS == nil {
 		return false
@@ -25,7 +25,7 @@
 		return true
 	}
 	s.mu.Lock()
-	c.Conn = t // other goroutines use c under mu only
+	c.Conn = t // other goroutines use c.Conn only with mu held
 	s.mu.Unlock()
 	if p := s.options.Multiplexed; p != nil && t.ConnectionState().NegotiatedProtocol == p.Name() {
 		s.serveMultiplexed(c, p, nil)
@@ -34,7 +34,7 @@
 	return false
 }
 
-// serveH2C serves c to its end if its client begins with HTTP/2, and reports whether it did.
+// serveH2C serves c until it ends if the client starts with the HTTP/2 preface, and reports whether it did.
 func (s *Server) serveH2C(c *clientConn) (done bool) {
 	if s.options.Multiplexed == nil {
 		return false
@@ -43,7 +43,7 @@
 	for n := 1; n <= len(http2Preface); n++ {
 		got, err := r.Peek(n)
 		if err != nil || string(got) != http2Preface[:n] {
-			return false // an error shows again in awaitRequest
+			return false // a read error recurs in awaitRequest
 		}
 	}
 	first, _ := r.Peek(r.Buffered())
--- a/internal/downstream/header.go
+++ b/internal/downstream/header.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// readHeader reads the bytes of a header, with the empty line at its end. Empty lines before it are skipped (RFC 9112,
-// section 2.2).
+// readHeader reads a request line and header fields, including the empty line at the end. It skips empty lines before the request line (RFC
+// 9112, section 2.2).
 func (r *requestReader) readHeader() ([]byte, error) {
 	var header []byte
 	for total := 0; ; {
@@ -35,9 +35,8 @@
 	return bytes.HasSuffix(header, []byte("\n\r\n")) || bytes.HasSuffix(header, []byte("\n\n"))
 }
 
-// checkHeader checks the lines of a header as they came, for what http.ReadRequest tolerates or hides: field names that are
-// no tokens, folded lines, control characters, and fields that must not be repeated. It reports whether there is a
-// Content-Length.
+// checkHeader rejects raw header lines that http.ReadRequest tolerates or hides: field names that are not tokens, folded lines, control
+// characters, and repeated fields that must be unique. It reports whether there is a Content-Length field.
 func checkHeader(header []byte) (hasLength bool, err error) {
 	seen := map[string]bool{}
 	first := true
@@ -66,7 +65,7 @@
 	return seen["Content-Length"], nil
 }
 
-// isSingleField reports whether a field, by its canonical name, must not be repeated.
+// isSingleField reports whether the field with the canonical name key must not be repeated.
 func isSingleField(key string) bool {
 	switch key {
 	case "Content-Length", "Transfer-Encoding", "Host", "X-Request-Id", "X-Timeout-Ms", "Idempotency-Key":
@@ -75,6 +74,7 @@
 	return false
 }
 
+// hasControlCharacter reports whether line contains a control character other than a tab.
 func hasControlCharacter(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' && b != '\t' || b == 0x7f {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// isToken reports whether name is a token of RFC 9110, section 5.6.2.
+// isToken reports whether name is a token as defined in RFC 9110, section 5.6.2.
 func isToken(name []byte) bool {
 	for _, b := range name {
 		switch {
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -9,33 +9,33 @@
 	"sorrelrudder/internal/process"
 )
 
-// The lists of Server.waiting: connections without a complete request that are not idle between two.
+// The lists of Server.waiting, which hold connections without a complete request, except those that are idle between two requests.
 const (
-	newConns         = iota // no request has come yet
-	readingConns            // one has begun to come
-	multiplexedConns        // multiplexed, without an open request
-	lingeringConns          // the last response is written, see linger
-	waitingLists
+	newConns         = iota // no request has begun to arrive
+	readingConns            // a request has begun to arrive
+	multiplexedConns        // multiplexed connections without open requests
+	lingeringConns          // the last response has been written, see linger
+	waitingLists            // number of lists
 )
 
 // The lists of idleConns.
 const (
-	exploratoryConns    = iota // not worth keeping, and kept to see whether they are used
-	oneRequestConns            // have brought one request
-	severalRequestConns        // have brought more
-	idleLists
+	exploratoryConns    = iota // not worth keeping by the idle policy, but kept to learn whether clients reuse them
+	oneRequestConns            // connections that have had one request
+	severalRequestConns        // connections that have had several requests
+	idleLists                  // number of lists
 )
 
-// idleConns are the idle connections whose last request was for one pool. Each list is ordered by age, and so by value to
+// idleConns are the idle connections whose last request was for one pool. Each list is ordered by age, which is also the order by value to
 // the idle policy.
 type idleConns [idleLists]connList
 
-// empty reports whether there are none.
+// empty reports whether all lists are empty.
 func (i *idleConns) empty() bool {
 	return i[exploratoryConns].Len()+i[oneRequestConns].Len()+i[severalRequestConns].Len() == 0
 }
 
-// listFor returns the list that idle connection c belongs in.
+// listFor returns the list to which idle connection c belongs.
 func (i *idleConns) listFor(c *clientConn) *connList {
 	switch {
 	case c.idleLimit.Explore:
@@ -46,7 +46,7 @@
 	return &i[severalRequestConns]
 }
 
-// addToList adds c, which is in no list, to one. The caller holds mu.
+// addToList adds c to list l. Connection c must not be in a list. The caller holds mu.
 func (s *Server) addToList(c *clientConn, l *connList) {
 	c.list, c.listedSince = l, time.Now()
 	c.element = l.PushBack(c)
@@ -64,13 +64,13 @@
 	}
 }
 
-// idleKind is the kind of c to the idle policy. The caller holds mu.
+// idleKind returns the kind of c for the idle policy. The caller holds mu.
 func (c *clientConn) idleKind() keepalive.Kind {
 	return keepalive.Kind(min(c.responses, int(keepalive.SeveralRequests)))
 }
 
-// beginIdle asks the idle policy how long c, without an open request, may wait for one, and reports whether it may at all.
-// The caller holds mu.
+// beginIdle sets the idle timeout of c, which has no open request, to the one that the idle policy returns. It reports whether c may stay
+// open at all. The caller holds mu.
 func (s *Server) beginIdle(c *clientConn) bool {
 	if s.options.LongLived {
 		c.idleLimit = keepalive.Wait{Max: keepalive.MaxIdle}
@@ -81,7 +81,7 @@
 	return c.idleOutcomeDue
 }
 
-// endIdle tells the idle policy how the wait of c ended, unless it was told before. The caller holds mu.
+// endIdle reports the outcome of the idle period of c to the idle policy, unless it has been reported before. The caller holds mu.
 func (s *Server) endIdle(c *clientConn, after time.Duration, used bool) {
 	if c.idleOutcomeDue {
 		c.idleOutcomeDue = false
@@ -89,7 +89,7 @@
 	}
 }
 
-// startWaiting lists c, which has no open request, and has it wait for one as long as the idle policy lets it. The caller
+// startWaiting adds c, which has no open request, to the list to which it belongs, and sets its deadline by the idle timeout. The caller
 // holds mu.
 func (s *Server) startWaiting(c *clientConn) {
 	if c.responses == 0 {
@@ -114,22 +114,22 @@
 	return s.draining || c.listener.draining || c.pool != 0 && !c.counted
 }
 
-// markIdle has c wait for its next request, and reports whether there may be one. One that has come already is still
-// answered while the server drains.
+// markIdle starts the wait of c for its next request, and reports whether c may stay open. A draining server still answers a request that
+// has already arrived.
 func (s *Server) markIdle(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeFromList(c)
-	if s.closesAfterResponse(c) && c.nothingPending() {
+	if s.closesAfterResponse(c) && c.noPendingInput() {
 		return false
 	}
 	s.startWaiting(c)
-	s.dismissExpired(c.pool)
+	s.closeExpired(c.pool)
 	return true
 }
 
-// awaitRequest waits for the first byte of a request, and reports whether it has come: also at the very end of the wait,
-// or once c was dismissed.
+// awaitRequest waits for the first byte of a request, and reports whether it has arrived. A byte that arrives just as the deadline passes,
+// or after requestClose was called, counts too.
 func (s *Server) awaitRequest(c *clientConn) bool {
 	err := c.reader.awaitFirstByte()
 	begun := err == nil || errors.Is(err, os.ErrDeadlineExceeded) && !process.NothingToRead(c.Conn)
@@ -145,7 +145,8 @@
 	return begun
 }
 
-// markActive notes that c has brought a complete request: it cannot be dismissed any more, and if it was, that is undone.
+// markActive records that c has received a complete request. From then on c cannot be evicted. It removes the deadline, which also cancels
+// a call of requestClose.
 func (s *Server) markActive(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +154,8 @@
 	c.SetDeadline(time.Time{})
 }
 
-// setPool notes which pool the request is for that c has brought. Only the goroutine of c calls it, while c is in no list
-// of idle connections.
+// setPool records the pool of the last request of c. It must be called by the goroutine of c, or with multiplexedConn.mu held if c is
+// multiplexed, and not while c is in a list of idle connections.
 func (s *Server) setPool(c *clientConn, id PoolID) {
 	if c.pool == id && c.counted {
 		return
@@ -169,32 +170,32 @@
 	c.pool, c.counted = id, s.handler.AcquireConnection(id)
 }
 
-// dismiss makes the goroutine of c, which has no complete request, close it unless a request has come meanwhile. Its
-// descriptor stays taken until then. The caller holds mu.
-func (s *Server) dismiss(c *clientConn) {
+// requestClose makes the goroutine of c close c, unless a request has arrived in the meantime. Connection c must not have a complete
+// request. Its file descriptor is in use until the goroutine has closed c. The caller holds mu.
+func (s *Server) requestClose(c *clientConn) {
 	s.removeFromList(c)
 	c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// dismissExpired dismisses idle connections of a pool that, by what the idle policy has learned since, are not worth keeping
-// any more: at most one of each list at a time, and no exploratory one. The caller holds mu.
-func (s *Server) dismissExpired(id PoolID) {
+// closeExpired closes idle connections of a pool that are no longer worth keeping according to what the idle policy has learned since. It
+// closes at most one connection of each list, and no exploratory ones. The caller holds mu.
+func (s *Server) closeExpired(id PoolID) {
 	conns := s.idle[id]
 	if conns == nil {
 		return
 	}
-	s.dismissFirstIfExpired(&conns[oneRequestConns])
-	s.dismissFirstIfExpired(&conns[severalRequestConns])
+	s.closeFirstIfExpired(&conns[oneRequestConns])
+	s.closeFirstIfExpired(&conns[severalRequestConns])
 }
 
-// dismissFirstIfExpired dismisses the first connection of an idle list if it is expired. The caller holds mu.
-func (s *Server) dismissFirstIfExpired(l *connList) {
+// closeFirstIfExpired closes the first connection of an idle list if it is expired. The caller holds mu.
+func (s *Server) closeFirstIfExpired(l *connList) {
 	first := l.Front()
 	if first == nil {
 		return
 	}
 	c := first.Value.(*clientConn)
 	if s.idlePolicy.Expired(c.pool, c.idleKind(), time.Since(c.listedSince)) && process.NothingToRead(c.Conn) {
-		s.dismiss(c)
+		s.requestClose(c)
 	}
 }
--- a/internal/downstream/multiplexed.go
+++ b/internal/downstream/multiplexed.go
@@ -11,21 +11,21 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// MultiplexedProtocol serves connections that carry several requests at once. The server keeps the connections, and answers
-// the requests.
+// MultiplexedProtocol serves connections that carry several requests at once, such as HTTP/2 connections. The server owns the connections
+// and responds to the requests.
 type MultiplexedProtocol interface {
-	// Name returns the protocol's name in a TLS handshake (ALPN).
+	// Name returns the protocol's ALPN name.
 	Name() string
-	// Serve serves c until it ends; first is what has been read of it already. It calls h for each request, in a goroutine
-	// for each, and active as the number of open requests rises from 0 and falls to 0. Once drain is closed it takes no
-	// further requests.
+	// Serve serves c until it ends. first holds the bytes that have already been read from c. Serve calls h for each request in a goroutine
+	// of its own. It calls active with true when the number of open requests rises from 0, and with false when it falls to 0. Once drain is
+	// closed, Serve accepts no further requests.
 	Serve(c net.Conn, first []byte, drain <-chan struct{}, active func(bool), h http.Handler)
 }
 
-// errClientGone is the error of reading a body whose client has canceled the request or closed the connection.
-var errClientGone = errors.New("the client has left")
+// errClientGone is returned by reads of a body whose client has canceled the request or closed the connection.
+var errClientGone = errors.New("client canceled the request or closed the connection")
 
-// serveMultiplexed serves c by a multiplexed protocol to its end.
+// serveMultiplexed serves c by a multiplexed protocol until c ends. first holds the bytes that have already been read.
 func (s *Server) serveMultiplexed(c *clientConn, p MultiplexedProtocol, first []byte) {
 	drain := s.startMultiplexed(c)
 	active := func(active bool) { s.setMultiplexedActive(c, active) }
@@ -35,7 +35,7 @@
 	s.drainMultiplexed(c)
 }
 
-// startMultiplexed makes c a multiplexed connection without open requests, and returns the channel that drains it.
+// startMultiplexed makes c a multiplexed connection without open requests. It returns the channel that is closed to drain c.
 func (s *Server) startMultiplexed(c *clientConn) <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	return drain
 }
 
-// setMultiplexedActive notes whether c has open requests. Without, it may be evicted.
+// setMultiplexedActive records whether c has open requests. Connections without open requests may be evicted.
 func (s *Server) setMultiplexedActive(c *clientConn, active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,8 @@
 	}
 }
 
-// drainMultiplexed makes a connection take no further requests. The caller holds mu.
+// drainMultiplexed makes a multiplexed connection accept no further requests. It has no effect on a connection that is already draining.
+// The caller holds mu.
 func (s *Server) drainMultiplexed(c *clientConn) {
 	if c.drainSignal != nil {
 		close(c.drainSignal)
@@ -70,12 +71,12 @@
 	}
 }
 
-// multiplexedConn is the http.Handler for the requests of one multiplexed connection.
+// multiplexedConn implements http.Handler for the requests of one multiplexed connection.
 type multiplexedConn struct {
 	server *Server
 	conn   *clientConn
 
-	mu        sync.Mutex // guards poolKnown, and is held while the pool is set. It comes before Server.mu.
+	mu        sync.Mutex // guards poolKnown, and is held while the pool is set; acquired before Server.mu
 	poolKnown bool
 }
 
@@ -109,7 +110,7 @@
 	}
 }
 
-// dispatchStream reads the body of a request, or the first of a long one, and dispatches the request.
+// dispatchStream reads the body of a request, or the first part of a long one, and dispatches the request.
 func dispatchStream(w http.ResponseWriter, r *http.Request, request *httpmsg.Request, admitted AdmittedRequest) (Exchange, error) {
 	body := newStreamBody(w, r, request.Length)
 	first, more, err := body.readFirst()
@@ -123,7 +124,7 @@
 	return admitted.Dispatch(first, nil)
 }
 
-// setPool makes the connection that of the pool of its first request.
+// setPool records the pool of the connection's first request as the pool of the connection.
 func (m *multiplexedConn) setPool(id PoolID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// newStreamRequest is a request of a multiplexed connection as a Handler has it. The error is a httpmsg.RejectionError.
+// newStreamRequest checks a request of a multiplexed connection and converts it for a Handler. The error is an httpmsg.RejectionError.
 func newStreamRequest(r *http.Request, from net.Addr) (*httpmsg.Request, error) {
 	for _, name := range []string{"X-Request-Id", "X-Timeout-Ms", "Idempotency-Key"} {
 		if len(r.Header[name]) > 1 {
--- a/internal/downstream/multiplexed_body.go
+++ b/internal/downstream/multiplexed_body.go
@@ -8,12 +8,12 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// streamBody is the body of a request on a multiplexed connection, under the same limits as bodyReader. It implements
+// streamBody is the body of a request on a multiplexed connection. It enforces the same limits as bodyReader. It implements
 // httpmsg.BodyStream.
 type streamBody struct {
 	request  *http.Request
 	control  *http.ResponseController
-	length   int64 // -1: not known
+	length   int64 // in bytes; -1: not known
 	progress bodyProgress
 }
 
@@ -26,7 +26,7 @@
 // Length implements httpmsg.BodyStream.
 func (b *streamBody) Length() int64 { return b.length }
 
-// readFirst reads the body, or as much of a long one as is kept, and reports whether more follows.
+// readFirst reads the body, or the first httpmsg.MaxBufferedBodyBytes of a longer one, and reports whether more may follow.
 func (b *streamBody) readFirst() (body []byte, more bool, err error) {
 	if b.length == 0 {
 		return nil, false, nil
@@ -38,13 +38,13 @@
 	return body, len(body) == httpmsg.MaxBufferedBodyBytes && b.progress.bytes != b.length, nil
 }
 
-// Read implements httpmsg.BodyStream. Its errors but io.EOF are a httpmsg.RejectionError or errClientGone.
+// Read implements httpmsg.BodyStream. Errors other than io.EOF are an httpmsg.RejectionError or errClientGone.
 func (b *streamBody) Read(p []byte) (int, error) {
 	now := time.Now()
 	if b.progress.tooSlow(now) {
 		return 0, errRequestTimeout
 	}
-	_ = b.control.SetReadDeadline(now.Add(bodyReadTimeout)) // fails only once the stream has ended, as Read then does
+	_ = b.control.SetReadDeadline(now.Add(bodyReadTimeout)) // fails only if the stream has ended, in which case Read fails too
 	n, err := b.request.Body.Read(p)
 	b.progress.bytes += int64(n)
 	switch {
--- a/internal/downstream/multiplexed_response.go
+++ b/internal/downstream/multiplexed_response.go
@@ -9,7 +9,8 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// writeStreamRejection answers a request that is not dispatched. If its client has gone, it resets the stream.
+// writeStreamRejection responds to a request that was not dispatched. It resets the stream if err is not an httpmsg.RejectionError, which
+// means that the client has disconnected.
 func writeStreamRejection(w http.ResponseWriter, r *http.Request, err error) {
 	var rejection httpmsg.RejectionError
 	if !errors.As(err, &rejection) {
@@ -18,7 +19,8 @@
 	writeStreamResponse(w, r, rejection.Response())
 }
 
-// writeStreamResponse writes a response. If it cannot be completed it resets the stream, so that its client can tell.
+// writeStreamResponse writes a response. If the response cannot be completed, it resets the stream, so that the client can detect the
+// truncation.
 func writeStreamResponse(w http.ResponseWriter, r *http.Request, resp httpmsg.Response) {
 	headRequest := r.Method == http.MethodHead
 	setStreamHeader(w.Header(), &resp, headRequest)
@@ -40,7 +42,8 @@
 	}
 }
 
-// setStreamHeader sets the fields of a response. net/http would add a Content-Type and a Date that the server has not sent.
+// setStreamHeader sets the header fields of a response. It suppresses the Content-Type and Date fields that net/http would add if the
+// endpoint has not sent them.
 func setStreamHeader(h http.Header, resp *httpmsg.Response, headRequest bool) {
 	for name, values := range resp.Header {
 		h[name] = values
@@ -58,7 +61,7 @@
 	}
 }
 
-// copyStreamRemainder writes the remainder of a response's body as it comes.
+// copyStreamRemainder writes the remainder of a response's body as it arrives, and flushes after each write.
 func copyStreamRemainder(w http.ResponseWriter, remainder httpmsg.ResponseStream) error {
 	control := http.NewResponseController(w)
 	return copyRemainder(remainder, func(p []byte) error {
@@ -70,7 +73,7 @@
 	})
 }
 
-// setStreamWriteDeadline bounds the next writes. It fails only once the stream has ended, as they then do.
+// setStreamWriteDeadline bounds the following writes. It ignores errors, which occur only if the stream has ended; writes fail then too.
 func setStreamWriteDeadline(w http.ResponseWriter, timeout time.Duration) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout))
 }
--- a/internal/downstream/request.go
+++ b/internal/downstream/request.go
@@ -16,7 +16,7 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Reasons why a request cannot be read.
+// The errors for requests that cannot be read. Their texts are sent to the client.
 var (
 	errMalformedHeader    = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "the head cannot be read"}
 	errHeaderTooLong      = httpmsg.RejectionError{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long"}
@@ -29,31 +29,31 @@
 	errInvalidTarget      = httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "the target is no path"}
 )
 
-// repeatedField rejects a request in which a field that decides about it is repeated.
+// repeatedField returns the error for a request that repeats a field which must be unique.
 func repeatedField(name string) httpmsg.RejectionError {
 	return httpmsg.RejectionError{Status: http.StatusBadRequest, Text: "more than one " + name}
 }
 
-// clientRequest is a request of HTTP/1 whose header was read.
+// clientRequest is an HTTP/1 request whose header has been read.
 type clientRequest struct {
 	httpmsg.Request
 	chunked          bool
-	expectsContinue  bool // the client waits for a 100 response before it sends the body
+	expectsContinue  bool // the client waits for a 100 (Continue) response before it sends the body
 	http10           bool
-	closesConnection bool // no other request may follow
+	closesConnection bool // the connection closes after the response
 }
 
-// bodySkippable reports whether the body can be read and discarded where the request is answered without it. It cannot if
-// its end is not known, if it may never come, or if it is long.
+// bodySkippable reports whether the body can be read and discarded if the request is rejected without reading it. It returns false if the
+// length of the body is unknown, if the client may never send it, or if it is longer than httpmsg.MaxBufferedBodyBytes.
 func (r *clientRequest) bodySkippable() bool {
 	return !r.chunked && !r.expectsContinue && r.Length <= httpmsg.MaxBufferedBodyBytes
 }
 
-// requestReader reads the requests of one connection. Its goroutine is the connection's, but for that of watchForClose,
-// which reads while the connection's does not.
+// requestReader reads the requests of one connection. It is used by the connection's goroutine, and by that of watchForClose while the
+// connection's goroutine does not read.
 type requestReader struct {
 	buffered     *bufio.Reader
-	clientClosed atomic.Bool // set before the channel of watchForClose is closed
+	clientClosed atomic.Bool // set before the channel that watchForClose returns is closed
 }
 
 func newRequestReader(r io.Reader) *requestReader {
@@ -66,8 +66,8 @@
 	return err
 }
 
-// readRequest reads the header of a request, within the connection's deadline. An error that is no httpmsg.RejectionError
-// means that the client has gone.
+// readRequest reads the header of a request, within the connection's deadline. The error is an httpmsg.RejectionError unless the connection
+// failed.
 func (r *requestReader) readRequest() (*clientRequest, error) {
 	header, err := r.readHeader()
 	if err != nil {
@@ -84,20 +84,20 @@
 	return newClientRequest(parsed, hasLength)
 }
 
-// headerParsers are readers for headers that have been read.
+// headerParsers pools the readers that parseHeader uses.
 var headerParsers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// parseHeader parses a complete header. The request's Body is not for use.
+// parseHeader parses a complete header. The Body of the returned request must not be used.
 func parseHeader(header []byte) (*http.Request, error) {
 	parser := headerParsers.Get().(*bufio.Reader)
 	defer headerParsers.Put(parser)
-	defer parser.Reset(nil) // lets go of header
+	defer parser.Reset(nil) // drops the reference to header
 	parser.Reset(bytes.NewReader(header))
 	return http.ReadRequest(parser)
 }
 
-// newClientRequest checks a parsed header. hasLength says whether it has a Content-Length, which http.ReadRequest drops if
-// there is a Transfer-Encoding too.
+// newClientRequest checks a parsed header and returns the request. hasLength tells whether the header has a Content-Length field, which
+// http.ReadRequest drops if there is a Transfer-Encoding field too.
 func newClientRequest(q *http.Request, hasLength bool) (*clientRequest, error) {
 	switch {
 	case q.ProtoMajor != 1:
@@ -111,7 +111,7 @@
 	}
 	chunked := len(q.TransferEncoding) > 0
 	switch {
-	case hasLength && chunked: // may hide a request from whichever proxy goes by the other of the two
+	case hasLength && chunked: // proxies that follow different fields would disagree on the end of the body (request smuggling)
 		return nil, errConflictingLengths
 	case q.ContentLength > httpmsg.MaxBodyBytes:
 		return nil, errBodyTooLong
@@ -123,7 +123,7 @@
 		},
 		chunked:          chunked,
 		http10:           http10,
-		closesConnection: q.Close || http10 || chunked, // RFC 9112, section 6.1: nothing after an encoded message is trusted
+		closesConnection: q.Close || http10 || chunked, // RFC 9112, section 6.1: bytes after a message with a transfer coding are not trusted
 	}
 	if chunked {
 		r.Length = -1
@@ -132,7 +132,8 @@
 	return r, nil
 }
 
-// requestURI is the target of a request without its host: http.ReadRequest has put that in q.Host (RFC 9112, section 3.2.2).
+// requestURI returns the target of a request without scheme and host. http.ReadRequest has stored the host in q.Host (RFC 9112, section
+// 3.2.2).
 func requestURI(q *http.Request) string {
 	if q.URL.Scheme == "http" && q.URL.Host != "" {
 		return q.URL.RequestURI()
@@ -140,8 +141,8 @@
 	return q.RequestURI
 }
 
-// readBody reads the body of q, whose header was read last. Of a body longer than httpmsg.MaxBufferedBodyBytes it returns so
-// much, and a reader of the remainder. Its errors are as those of readRequest.
+// readBody reads the body of q, whose header must be the last that was read. If the body is longer than httpmsg.MaxBufferedBodyBytes, it
+// returns the first httpmsg.MaxBufferedBodyBytes and a reader of the remainder. Errors are as those of readRequest.
 func (r *requestReader) readBody(c net.Conn, q *clientRequest) (body []byte, remainder *bodyReader, err error) {
 	if q.expectsContinue {
 		if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -180,8 +181,8 @@
 	return err == nil
 }
 
-// readError is the reason for a failed read: malformed if the client may still be there to be told, and what came is not
-// what it should be.
+// readError maps the error of a read from a client. It returns errRequestTimeout after a timeout, a wrapped error if the connection failed,
+// and malformed in all other cases, in which the client may still be able to receive a response.
 func readError(err error, malformed httpmsg.RejectionError) error {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -191,7 +192,7 @@
 	}
 	var op *net.OpError
 	if errors.As(err, &op) {
-		return fmt.Errorf("client: %w", err)
+		return fmt.Errorf("read from client connection: %w", err)
 	}
 	return malformed
 }
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -13,7 +13,8 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// writeResponse writes a response, and reports whether another request may follow on c. With last it may not.
+// writeResponse writes a response, and reports whether another request may follow on c. If last is true, the connection closes after the
+// response.
 func (s *Server) writeResponse(c *clientConn, resp httpmsg.Response, last bool) (keepOpen bool) {
 	last = s.decideLast(c, last)
 	f := frameResponse(c, &resp)
@@ -27,15 +28,15 @@
 		}
 		resp.Remainder.Close(err == nil)
 		if err != nil && f.length < 0 {
-			c.reset() // the client must not take the end of the connection for that of the response
+			c.reset() // the client must not mistake the end of the connection for the end of the response
 		}
 	}
-	c.endsInOrder = err == nil && last
+	c.lastResponseSent = err == nil && last
 	return err == nil && !last
 }
 
-// decideLast counts a response on c, and reports whether it is the last: because last says so, the connection is to close,
-// or the idle policy does not let it wait for another request, unless one has come already.
+// decideLast counts a response on c, and reports whether it is the last one. It is if last is true, if the connection has to close after
+// its response, or if the idle policy does not let c wait for another request and none has arrived yet.
 func (s *Server) decideLast(c *clientConn, last bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,33 +44,33 @@
 	if last || s.closesAfterResponse(c) {
 		return true
 	}
-	return !s.beginIdle(c) && c.nothingPending()
+	return !s.beginIdle(c) && c.noPendingInput()
 }
 
-// responseFraming is how the end of a response is told to the client (RFC 9112, section 6.3).
+// responseFraming describes how the end of a response is marked (RFC 9112, section 6.3).
 type responseFraming struct {
-	length         int64 // of the body, in bytes; -1: not known
+	length         int64 // length of the body in bytes; -1: not known
 	hasBody        bool
-	tellsLength    bool // by Content-Length
-	chunked        bool
-	closeDelimited bool // by the end of the connection
+	sendsLength    bool // the response has a Content-Length field
+	chunked        bool // the body uses the chunked transfer coding
+	closeDelimited bool // the response ends with the connection
 }
 
-// frameResponse decides how the end of a response to the last request of c is told.
+// frameResponse decides how the end of a response to the last request of c is marked.
 func frameResponse(c *clientConn, resp *httpmsg.Response) responseFraming {
 	f := responseFraming{
 		length:  responseLength(resp, c.headRequest),
 		hasBody: !c.headRequest && !bodiless(resp.Status),
 	}
-	f.tellsLength = f.length >= 0 && (f.hasBody || c.headRequest)
+	f.sendsLength = f.length >= 0 && (f.hasBody || c.headRequest)
 	if f.hasBody && f.length < 0 {
 		f.chunked, f.closeDelimited = !c.http10, c.http10
 	}
 	return f
 }
 
-// responseLength is the length of a response's body in bytes, or, in the response to HEAD, that which it would have; -1: it
-// is not known.
+// responseLength returns the length of a response's body in bytes, or -1 if it is not known. For a HEAD request it is the length that the
+// body would have for a GET request.
 func responseLength(resp *httpmsg.Response, headRequest bool) int64 {
 	switch {
 	case resp.Remainder != nil:
@@ -80,12 +81,12 @@
 	return int64(len(resp.Body))
 }
 
-// bodiless reports whether responses of a status have no body.
+// bodiless reports whether responses with the given status have no body.
 func bodiless(status int) bool {
 	return status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// retryAfterSeconds is the value of a Retry-After field.
+// retryAfterSeconds formats a duration as the value of a Retry-After field: in seconds, with decimals if needed.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
@@ -100,7 +101,7 @@
 	b.WriteString(http.StatusText(resp.Status))
 	b.WriteString("\r\n")
 	if resp.Header != nil {
-		_ = resp.Header.Write(&b) // a buffer takes all
+		_ = resp.Header.Write(&b) // writing to a bytes.Buffer does not fail
 	}
 	if resp.RetryAfter > 0 {
 		writeField(&b, "Retry-After", retryAfterSeconds(resp.RetryAfter))
@@ -111,7 +112,7 @@
 	switch {
 	case f.chunked:
 		writeField(&b, "Transfer-Encoding", "chunked")
-	case f.tellsLength:
+	case f.sendsLength:
 		writeField(&b, "Content-Length", strconv.FormatInt(f.length, 10))
 	}
 	b.WriteString("\r\n")
@@ -124,6 +125,7 @@
 	return b.Bytes()
 }
 
+// writeField writes a header field line.
 func writeField(b *bytes.Buffer, name, value string) {
 	b.WriteString(name)
 	b.WriteString(": ")
@@ -131,7 +133,7 @@
 	b.WriteString("\r\n")
 }
 
-// writeRemainder writes the remainder of a response's body as it comes.
+// writeRemainder writes the remainder of a response's body as it arrives.
 func (s *Server) writeRemainder(c *clientConn, remainder httpmsg.ResponseStream, f responseFraming) error {
 	s.setCloseDelimited(c, f.length < 0 && !f.chunked)
 	defer s.setCloseDelimited(c, false)
@@ -145,7 +147,7 @@
 	return err
 }
 
-// writePart writes a part of a body.
+// writePart writes a part of a body, as one chunk if the body is chunked.
 func (c *clientConn) writePart(p []byte, chunked bool) error {
 	if !chunked {
 		_, err := c.Write(p)
@@ -156,17 +158,17 @@
 	return err
 }
 
-// setCloseDelimited notes whether an end of c would pass for that of its response: closeAll then resets it.
-func (s *Server) setCloseDelimited(c *clientConn, is bool) {
+// setCloseDelimited records whether the client would take a close of c for the end of the response. If so, closeAll resets c.
+func (s *Server) setCloseDelimited(c *clientConn, isCloseDelimited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.closeDelimited = is
+	c.closeDelimited = isCloseDelimited
 }
 
-// copyBuffers are of copyBufferBytes.
+// copyBuffers pools the buffers of copyRemainder.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// copyRemainder passes what comes of a body to write until its end, which is no error.
+// copyRemainder reads a body until its end, and passes each part to write as it arrives. It returns nil at the end of the body.
 func copyRemainder(from httpmsg.BodyStream, write func(p []byte) error) error {
 	buffer := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buffer)
@@ -186,7 +188,7 @@
 	}
 }
 
-// isEOF reports whether err is the end of a complete body. An io.EOF that is wrapped is that of something else.
+// isEOF reports whether err marks the end of a complete body. A wrapped io.EOF does not: it comes from another source than the body.
 func isEOF(err error) bool {
 	return err == io.EOF //nolint:errorlint // see above
 }
--- a/internal/downstream/response_test.go
+++ b/internal/downstream/response_test.go
@@ -15,10 +15,10 @@
 		resp         httpmsg.Response
 		want         responseFraming
 	}{
-		"with a body":         {resp: httpmsg.Response{Status: 200, Body: []byte("abc")}, want: responseFraming{length: 3, hasBody: true, tellsLength: true}},
-		"without":             {resp: httpmsg.Response{Status: 200}, want: responseFraming{hasBody: true, tellsLength: true}},
+		"with a body":         {resp: httpmsg.Response{Status: 200, Body: []byte("abc")}, want: responseFraming{length: 3, hasBody: true, sendsLength: true}},
+		"without":             {resp: httpmsg.Response{Status: 200}, want: responseFraming{hasBody: true, sendsLength: true}},
 		"status 204":          {resp: httpmsg.Response{Status: http.StatusNoContent}, want: responseFraming{}},
-		"HEAD, length known":  {head: true, resp: httpmsg.Response{Status: 200, Length: 7}, want: responseFraming{length: 7, tellsLength: true}},
+		"HEAD, length known":  {head: true, resp: httpmsg.Response{Status: 200, Length: 7}, want: responseFraming{length: 7, sendsLength: true}},
 		"HEAD, not known":     {head: true, resp: httpmsg.Response{Status: 200, Length: -1}, want: responseFraming{length: -1}},
 		"streamed, HTTP/1.1":  {resp: httpmsg.Response{Status: 200, Remainder: unknown}, want: responseFraming{length: -1, hasBody: true, chunked: true}},
 		"streamed, HTTP/1.0":  {http10: true, resp: httpmsg.Response{Status: 200, Remainder: unknown}, want: responseFraming{length: -1, hasBody: true, closeDelimited: true}},
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,6 +1,6 @@
-// Package downstream serves the connections of clients: it reads their requests (HTTP/1.1 or, by a MultiplexedProtocol,
-// HTTP/2), passes each to a Handler, and writes its one final response. It decides which connections stay open while they
-// are idle and which are evicted where descriptors are short. It does not know pools, routes or limits: it asks the Handler.
+// Package downstream serves the connections of clients. It reads HTTP/1.1 requests, and HTTP/2 requests by a MultiplexedProtocol. It passes
+// each request to a Handler and writes the single final response. It decides which connections stay open while they are idle, and which are
+// evicted when file descriptors run short. It has no knowledge of pools, routes and limits; the Handler applies them.
 package downstream
 
 import (
@@ -15,65 +15,65 @@
 	"sorrelrudder/internal/process"
 )
 
-// Options are how a server differs from one for ordinary clients.
+// Options are the optional settings of a server. The zero value is for a server for ordinary clients.
 type Options struct {
-	// PeerName returns the name of who is at the other end of a connection, once its first request has come; nil: requests
-	// have no peer.
+	// PeerName returns the name of the peer at the other end of a connection. It is called once the first request of the connection has
+	// been received. If it is nil, requests have no peer name.
 	PeerName func(net.Conn) string
-	// LongLived makes the server keep idle connections as long as it may: the other side keeps them for a purpose, and cannot
-	// tell whether a request was received on one that closes meanwhile.
+	// LongLived makes the server keep idle connections as long as possible, instead of asking the idle policy. It is for peers that keep
+	// connections open on purpose. Such a peer cannot tell whether a request that it sent while the connection closed was received.
 	LongLived bool
-	// Multiplexed serves the connections that carry several requests at once; nil: there are none.
+	// Multiplexed serves connections that carry several requests at once. If it is nil, no multiplexed protocol is supported.
 	Multiplexed MultiplexedProtocol
 }
 
-// ListenerOptions are what a listener speaks beside HTTP/1.1.
+// ListenerOptions are the protocols of a listener in addition to HTTP/1.1.
 type ListenerOptions struct {
 	TLS *tls.Config // nil: no TLS
-	H2C bool        // Options.Multiplexed also without TLS, for clients with prior knowledge of it
+	H2C bool        // accept Options.Multiplexed without TLS too, from clients with prior knowledge
 }
 
-// Server owns the connections of clients. Each has one goroutine, which reads a request, waits for the response and writes
-// it. Only that goroutine closes the connection, since no other can tell whether it has just read a request, which would be
-// lost: to have a connection closed, see dismiss.
+// Server owns the connections of clients. Each connection has one goroutine, which reads a request, waits for the response and writes it.
+// Only that goroutine closes the connection: another goroutine cannot tell whether it has just read a request, which a close would lose.
+// Other goroutines call requestClose instead.
 //
-// The server parses requests from the sockets itself. net/http's server would hide whether a header had both a length and
-// a transfer encoding, and whether a connection has sent nothing.
+// The server parses requests from the sockets itself. The server of net/http would hide whether a header had both a Content-Length and a
+// Transfer-Encoding field, and whether a connection has sent no bytes yet.
 type Server struct {
 	handler     Handler
 	descriptors *process.Descriptors
 	log         *slog.Logger
 	options     Options
-	clockStart  time.Time      // of idlePolicy's clock
-	goroutines  sync.WaitGroup // of the connections
+	clockStart  time.Time      // zero time of idlePolicy's clock
+	goroutines  sync.WaitGroup // goroutines of the connections
 
-	// mu guards the fields below, and those of clientConn and serverListener that say so. Handler's methods that are called
-	// under it take locks of their own.
+	// mu guards the fields below, and the fields of clientConn and serverListener whose comments say so. The Handler methods that are
+	// called with mu held acquire locks of their own.
 	mu                   sync.Mutex
 	idlePolicy           *keepalive.IdlePolicy
 	draining             bool
 	listeners            map[net.Listener]*serverListener
-	conns                map[*clientConn]struct{} // all of them
+	conns                map[*clientConn]struct{} // all open connections
 	waiting              [waitingLists]connList
-	idle                 map[PoolID]*idleConns // connections between two requests
-	multiplexedEvictions int                   // multiplexed connections that are being evicted and are still there
+	idle                 map[PoolID]*idleConns // connections that are idle between two requests
+	multiplexedEvictions int                   // number of multiplexed connections that are being evicted and have not closed yet
 }
 
-// connList is a list of *clientConn, the one that has been in it longest first.
+// connList is a list of *clientConn in the order in which they were added, oldest first.
 type connList = lists.List
 
-// serverListener is a listener that the server accepts connections from.
+// serverListener is the state of a listener from which the server accepts connections.
 type serverListener struct {
 	ListenerOptions
 	draining bool // guarded by Server.mu
 }
 
-// NewServer returns a server for ordinary clients, which has no listeners yet.
+// NewServer returns a server for ordinary clients, without listeners. Serve adds one.
 func NewServer(h Handler, d *process.Descriptors, log *slog.Logger) *Server {
 	return NewServerWithOptions(h, d, log, Options{})
 }
 
-// NewServerWithOptions returns a server without listeners.
+// NewServerWithOptions returns a server without listeners. Serve and ServeWithOptions add one.
 func NewServerWithOptions(h Handler, d *process.Descriptors, log *slog.Logger, o Options) *Server {
 	return &Server{
 		handler:     h,
@@ -88,24 +88,24 @@
 	}
 }
 
-// now is the time on the clock of idlePolicy.
+// now returns the current time on the clock of idlePolicy.
 func (s *Server) now() time.Duration { return time.Since(s.clockStart) }
 
-// ConnectionCount returns the number of connections.
+// ConnectionCount returns the number of open connections.
 func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// ExportLearnedState returns how long clients have left connections idle.
+// ExportLearnedState returns the idle times of connections that the server has learned.
 func (s *Server) ExportLearnedState() keepalive.History {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.idlePolicy.History()
 }
 
-// ImportLearnedState adds what another process has learned.
+// ImportLearnedState adds the idle times that another process has learned.
 func (s *Server) ImportLearnedState(h keepalive.History) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// errResponseSent is the error of reading an upload whose request has its response.
-var errResponseSent = errors.New("the request has its answer")
+// errResponseSent is returned by reads of an upload whose request already has its response.
+var errResponseSent = errors.New("request body not read to its end: the response has already been received")
 
-// upload is the remainder of a request's body, read by the goroutine that sends it to a server while the connection's
-// goroutine waits for the response. It implements httpmsg.BodyStream.
+// upload is the remainder of a request's body. The goroutine that sends the body to an endpoint reads it while the connection's goroutine
+// waits for the response. It implements httpmsg.BodyStream.
 type upload struct {
 	*bodyReader
 	stopping atomic.Bool
 	done     chan struct{} // closed once reading has ended, with the body complete or not
 
 	mu  sync.Mutex // held during a Read; guards err
-	err error      // how reading has ended; io.EOF: the body is complete
+	err error      // error that ended reading; io.EOF: the body is complete
 }
 
 func newUpload(b *bodyReader) *upload { return &upload{bodyReader: b, done: make(chan struct{})} }
@@ -44,21 +44,21 @@
 	return n, u.finish(err)
 }
 
-// finish notes how reading has ended. The caller holds mu.
+// finish records the error that ended reading, and closes done. The caller holds mu.
 func (u *upload) finish(err error) error {
 	if !isEOF(err) {
-		err = fmt.Errorf("the rest of a body: %w", err)
+		err = fmt.Errorf("read remainder of a request body: %w", err)
 	}
 	u.err = err
 	close(u.done)
 	return err
 }
 
-// stop ends the reading, and reports whether the body was complete. Nothing reads from the connection any more once it
-// returns.
+// stop ends reading, and reports whether the body was complete. Once it returns, no goroutine reads the body from the connection.
 func (u *upload) stop() (complete bool) {
 	u.stopping.Store(true)
-	// A Read that set its own deadline after this one looks at stopping next, or is ended by the next turn.
+	// A concurrent Read may set its own deadline after the one below. It then either sees stopping, or is interrupted by the next
+	// iteration.
 	for {
 		u.conn.SetReadDeadline(time.Unix(1, 0))
 		if u.mu.TryLock() {
--- a/internal/downstream/watch.go
+++ b/internal/downstream/watch.go
@@ -10,9 +10,10 @@
 	"sorrelrudder/internal/process"
 )
 
-// watchForClose watches whether the client closes the connection while its request is open. What the client sends meanwhile
-// is read ahead as far as there is room; beyond that the socket is polled. The channel that it returns is closed when the
-// client has closed, when the connection's read deadline passes, or, if the socket is polled, once stop is closed.
+// watchForClose watches whether the client closes the connection while its request is open. It reads input of the client ahead into the
+// buffer; once the buffer is full, it polls the socket. The returned channel is closed when the client has closed the connection, when the
+// connection's read deadline passes, or, if the socket is polled, once stop is closed. clientClosed then tells whether the client has
+// closed the connection.
 func (r *requestReader) watchForClose(c net.Conn, stop <-chan struct{}) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -31,7 +32,7 @@
 	return ended
 }
 
-// pollForClose polls c until its other side has closed, which it reports, or stop is closed.
+// pollForClose polls c until the peer has closed it or stop is closed, and reports whether the peer has closed it.
 func pollForClose(c net.Conn, stop <-chan struct{}) (closed bool) {
 	tick := time.NewTicker(closePollInterval)
 	defer tick.Stop()
