--- a/internal/downstream/drain_test.go
+++ b/internal/downstream/drain_test.go
@@ -12,10 +12,10 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// hookListener gives connections that call after once they have read something, before their reader gets it.
+// hookListener accepts connections that call onRead whenever a read has returned bytes, before the reader receives them.
 type hookListener struct {
 	net.Listener
-	after func()
+	onRead func()
 }
 
 func (l *hookListener) Accept() (net.Conn, error) {
@@ -23,26 +23,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return &hookConn{c.(*net.TCPConn), l.after}, nil
+	return &hookConn{c.(*net.TCPConn), l.onRead}, nil
 }
 
 type hookConn struct {
 	*net.TCPConn
-	after func()
+	onRead func()
 }
 
 func (c *hookConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.after()
+		c.onRead()
 	}
 	return n, err
 }
 
-// TestRequestReadBeforeClose guards against closing a connection, for want of descriptors or to drain, of which a
-// request has just been read: the kernel has nothing more of it, and the client takes it for lost.
+// TestRequestReadBeforeClose guards against losing a request by an eviction or a drain. The server closes the connection when it has just
+// read the request: the kernel then has no unread bytes, so that the connection looks idle.
 func TestRequestReadBeforeClose(t *testing.T) {
-	for name, closing := range map[string]func(*Server){
+	for name, closeConns := range map[string]func(*Server){
 		"evict": func(s *Server) { s.Evict() },
 		"drain": func(s *Server) { s.Drain() },
 	} {
@@ -51,14 +51,14 @@
 			s := start(t, 256, func(ln net.Listener) net.Listener {
 				return &hookListener{ln, func() {
 					if s := hooked.Load(); s != nil {
-						closing(s)
+						closeConns(s)
 					}
 				}}
 			})
 			c := s.dial(t)
 			for _, id := range []string{"first", "next"} {
-				if resp, body := c.ask(t, get("h", id)); resp.StatusCode != http.StatusOK || body != id {
-					t.Errorf("%s: got %d %q", id, resp.StatusCode, body)
+				if resp, body := c.roundTrip(t, get("h", id)); resp.StatusCode != http.StatusOK || body != id {
+					t.Errorf("request %s: got status %d, body %q", id, resp.StatusCode, body)
 				}
 				hooked.Store(s.Server)
 			}
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestDrainOneListener guards against closing what came in elsewhere.
+// TestDrainOneListener guards against closing connections of other listeners.
 func TestDrainOneListener(t *testing.T) {
 	s := start(t, 256, nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,16 +76,16 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = s.Serve(context.Background(), ln, 1) // it ends with the listener
+		_ = s.Serve(context.Background(), ln, 1) // returns when the listener is closed
 	}()
-	other := (&running{s.Server, s.handler, ln.Addr().String()}).dial(t)
-	stays := s.dial(t)
-	for _, c := range []*client{other, stays} {
-		if resp, _ := c.ask(t, get("h", "a")); resp.StatusCode != http.StatusOK {
-			t.Fatal("not served")
+	other := (&testServer{s.Server, s.handler, ln.Addr().String()}).dial(t)
+	kept := s.dial(t)
+	for _, c := range []*client{other, kept} {
+		if resp, _ := c.roundTrip(t, get("h", "a")); resp.StatusCode != http.StatusOK {
+			t.Fatal("request was not served")
 		}
 	}
-	waitFor(t, "both to be idle", func() bool {
+	waitFor(t, "both connections to be idle", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.idle['h'] != nil && s.idleCount('h') == 2
@@ -94,14 +94,14 @@
 	<-ended
 	s.DrainListener(ln)
 	if _, err := other.r.ReadByte(); err != io.EOF {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("connection of the drained listener: got error %v, want io.EOF", err)
 	}
-	if resp, _ := stays.ask(t, get("h", "b")); resp.StatusCode != http.StatusOK {
+	if resp, _ := kept.roundTrip(t, get("h", "b")); resp.StatusCode != http.StatusOK {
 		t.Error("a connection of another listener was closed")
 	}
 }
 
-// streamHandler answers each request with the first of a long answer, whose rest never ends by itself.
+// streamHandler answers each request with a streamed response that never ends.
 type streamHandler struct{ echoHandler }
 
 func (h *streamHandler) Admit(*httpmsg.Request) (AdmittedRequest, PoolID, error) {
@@ -126,7 +126,7 @@
 
 func (streamExchange) Cancel() bool { return false }
 
-// endlessStream brings a byte now and then.
+// endlessStream returns one byte per millisecond and never ends.
 type endlessStream struct{ closed chan struct{} }
 
 func (*endlessStream) Length() int64 { return -1 }
@@ -139,8 +139,8 @@
 
 func (r *endlessStream) Close(bool) { close(r.closed) }
 
-// TestCloseUnderStreamedResponse guards against a part of an answer that seems whole, because the server ended under it: to a client that
-// knows no chunks, the end of the connection is that of the answer.
+// TestCloseUnderStreamedResponse guards against a truncated response that seems complete because the server closed the connection while
+// writing it. For HTTP/1.0 clients, which do not know the chunked transfer coding, the end of the connection marks the end of the response.
 func TestCloseUnderStreamedResponse(t *testing.T) {
 	for _, version := range []string{"1.0", "1.1"} {
 		t.Run("HTTP/"+version, func(t *testing.T) {
@@ -152,14 +152,14 @@
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
-			if _, err := io.ReadFull(resp.Body, make([]byte, len("first...."))); err != nil { // some of the rest has come
+			if _, err := io.ReadFull(resp.Body, make([]byte, len("first...."))); err != nil { // a part of the streamed remainder has arrived
 				t.Fatal(err)
 			}
 			ended, end := context.WithCancel(context.Background())
 			end()
-			_ = s.Wait(ended) // closes what is left
+			_ = s.Wait(ended) // closes the remaining connections
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("the answer ends in order %d bytes later", n)
+				t.Errorf("the response ended without an error after %d more bytes, want an error", n)
 			}
 		})
 	}
--- a/internal/downstream/evict_test.go
+++ b/internal/downstream/evict_test.go
@@ -12,77 +12,77 @@
 	"sorrelrudder/internal/process"
 )
 
-// TestSlowHeadersAreEvicted guards against clients that begin a request and never end it: while descriptors are wanted they
-// must not hold them for as long as a request may take.
+// TestSlowHeadersAreEvicted guards against clients that begin a request and never complete it. While file descriptors are needed, such
+// clients must not hold them until the header timeout.
 func TestSlowHeadersAreEvicted(t *testing.T) {
 	s := start(t, 64, nil)
-	most := int(process.MaxClientDescriptors(64))
+	maxClients := int(process.MaxClientDescriptors(64))
 	var slow []*client
 	begin := func() {
 		c := s.dial(t)
 		c.write("GET /check HTTP/1.1\r\nHost:")
 		slow = append(slow, c)
 	}
-	for range most {
+	for range maxClients {
 		begin()
 	}
-	waitFor(t, "all descriptors of clients to be held by slow heads", func() bool {
-		if s.ConnectionCount() < most { // on a busy machine the first of them have made room before the last has come
+	waitFor(t, "all client descriptors to be held by slow request headers", func() bool {
+		if s.ConnectionCount() < maxClients { // on a busy machine the first ones have been evicted before the last one was accepted
 			begin()
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.waiting[readingConns].Len() >= most-1
+		return s.waiting[readingConns].Len() >= maxClients-1
 	})
-	waitFor(t, "an answer beside slow heads", func() bool {
-		// A connection that has just come may have to make room before its request is seen; a client then connects anew.
-		resp, body := s.dial(t).ask(t, get("h", "quick"))
+	waitFor(t, "a response while slow request headers hold all descriptors", func() bool {
+		// A new connection may be evicted before the server sees its request. The client then connects again.
+		resp, body := s.dial(t).roundTrip(t, get("h", "quick"))
 		return resp.StatusCode == http.StatusOK && body == "quick"
 	})
 	first := slow[0]
-	if resp, _ := first.ask(t, ""); resp.StatusCode != 0 && resp.StatusCode != http.StatusRequestTimeout {
-		t.Errorf("a slow head was answered %d, want 408 or a close", resp.StatusCode)
+	if resp, _ := first.roundTrip(t, ""); resp.StatusCode != 0 && resp.StatusCode != http.StatusRequestTimeout {
+		t.Errorf("slow request header: status %d, want 408 or a close", resp.StatusCode)
 	}
 }
 
-// TestEvictionGoesByExcess guards against taking the connection of a pool that holds few for one that holds many.
+// TestEvictionGoesByExcess guards against evicting the connection of a pool with few connections in favor of a pool with many.
 func TestEvictionGoesByExcess(t *testing.T) {
 	s := start(t, 256, nil)
-	idle := func(o PoolID, n int) { // one after the other: the order in which they come to rest is that of their answers
+	waitIdle := func(id PoolID, n int) { // waits after each request, so that connections become idle in the order of their requests
 		t.Helper()
-		waitFor(t, "all to be idle", func() bool {
+		waitFor(t, "all connections to be idle", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return s.idleCount(o) == n
+			return s.idleCount(id) == n
 		})
 	}
 	meters := s.dial(t)
-	meters.ask(t, get("meters", "m"))
-	idle('m', 1)
+	meters.roundTrip(t, get("meters", "m"))
+	waitIdle('m', 1)
 	var orders []*client
 	for range 3 {
 		c := s.dial(t)
-		c.ask(t, get("orders", "o"))
+		c.roundTrip(t, get("orders", "o"))
 		orders = append(orders, c)
-		idle('o', len(orders))
+		waitIdle('o', len(orders))
 	}
 	for range 2 {
 		if !s.Evict() {
-			t.Fatal("nothing was evicted")
+			t.Fatal("no connection was evicted")
 		}
 	}
-	for _, c := range orders[:2] { // the ones idle longest
+	for _, c := range orders[:2] { // the connections that have been idle the longest
 		if _, err := c.r.ReadByte(); err != io.EOF {
-			t.Errorf("a connection of the pool that holds most brought %v, want its end", err)
+			t.Errorf("connection of the pool with the largest excess: got error %v, want io.EOF", err)
 		}
 	}
-	if resp, _ := meters.ask(t, get("meters", "n")); resp.StatusCode != http.StatusOK {
-		t.Error("the pool with one connection lost it")
+	if resp, _ := meters.roundTrip(t, get("meters", "n")); resp.StatusCode != http.StatusOK {
+		t.Error("the connection of the pool with one connection was evicted")
 	}
-	waitFor(t, "the count to go down", func() bool { return s.handler.ConnectionExcess('o') == 1 })
+	waitFor(t, "the evicted connections to be released from the quota", func() bool { return s.handler.ConnectionExcess('o') == 1 })
 }
 
-// dialSilent opens so many connections that never bring a request, some 500 a second, and closes them as ctx ends.
+// dialSilent opens n connections that never send a request, at about 500 per second, and closes them when ctx ends.
 func dialSilent(ctx context.Context, addr string, n int) {
 	for range n {
 		c, err := net.Dial("tcp", addr)
@@ -97,57 +97,58 @@
 	}
 }
 
-// TestSingleRequestClients guards against clients that ask once and keep their connection, alone and beside silent ones: theirs must not
-// take up all places, here or at the clients.
+// TestSingleRequestClients guards against clients that send one request and keep the connection open, alone and together with clients that
+// never send a request. Their idle connections must not use up all descriptors, of the server or of the clients.
 func TestSingleRequestClients(t *testing.T) {
-	for name, silent := range map[string]int{"alone": 0, "beside silent ones": 500} {
+	for name, silent := range map[string]int{"alone": 0, "with silent connections": 500} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, 384, nil)
-			places := int(process.MaxClientDescriptors(384))
+			maxClients := int(process.MaxClientDescriptors(384))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			var dialing sync.WaitGroup
 			defer dialing.Wait()
 			defer cancel()
 			dialing.Go(func() { dialSilent(ctx, s.addr, silent) })
-			most := 0
+			maxIdle := 0
 			for i := range 500 {
-				for served := false; !served; { // one that makes room before its request is seen connects anew
-					resp, body := s.dial(t).ask(t, get("h", "once"))
+				for served := false; !served; { // a client whose connection is evicted before its request is seen connects again
+					resp, body := s.dial(t).roundTrip(t, get("h", "once"))
 					served = resp.StatusCode == http.StatusOK && body == "once"
 				}
 				if i >= 250 {
 					s.mu.Lock()
-					most = max(most, s.idleCount('h'))
+					maxIdle = max(maxIdle, s.idleCount('h'))
 					s.mu.Unlock()
 				}
 			}
-			if most > places*6/10 { // half of them while no wait has ended yet, and those that explore
-				t.Errorf("%d of %d places are held by clients that asked once", most, places)
+			if maxIdle > maxClients*6/10 { // half of the descriptors while no idle period has ended yet, plus the exploratory connections
+				t.Errorf("%d of %d client descriptors are held by clients that sent one request, want at most 60%%", maxIdle, maxClients)
 			}
 		})
 	}
 }
 
-// TestFewerDescriptors guards against keeping more connections than a reload leaves, and against losing requests over it.
+// TestFewerDescriptors guards against keeping more connections than allowed after a reload has reduced the descriptor limit, and against
+// losing requests when connections are closed for it.
 func TestFewerDescriptors(t *testing.T) {
 	s := start(t, 384, nil)
 	var all []*client
 	for i := range 80 {
 		c := s.dial(t)
-		if resp, _ := c.ask(t, get("h", "a")); resp.StatusCode != http.StatusOK {
-			t.Fatalf("client %d is not served", i)
+		if resp, _ := c.roundTrip(t, get("h", "a")); resp.StatusCode != http.StatusOK {
+			t.Fatalf("request of client %d was not served", i)
 		}
 		all = append(all, c)
 	}
 	s.descriptors.Resize(96)
-	places := int(process.MaxClientDescriptors(96))
-	waitFor(t, "connections to go", func() bool { return s.ConnectionCount() <= places })
+	maxClients := int(process.MaxClientDescriptors(96))
+	waitFor(t, "connections beyond the new limit to be closed", func() bool { return s.ConnectionCount() <= maxClients })
 	for _, c := range all {
-		if resp, _ := c.ask(t, get("h", "b")); resp.StatusCode != http.StatusOK { // closed: it connects anew
+		if resp, _ := c.roundTrip(t, get("h", "b")); resp.StatusCode != http.StatusOK { // the connection was closed; connect again
 			c = s.dial(t)
-			if resp, body := c.ask(t, get("h", "c")); resp.StatusCode != http.StatusOK || body != "c" {
-				t.Fatalf("got %d %q", resp.StatusCode, body)
+			if resp, body := c.roundTrip(t, get("h", "c")); resp.StatusCode != http.StatusOK || body != "c" {
+				t.Fatalf("request on a new connection: got status %d, body %q", resp.StatusCode, body)
 			}
 		}
 	}
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -20,46 +20,48 @@
 	"sorrelrudder/internal/process"
 )
 
-const patience = 20 * time.Second
+// testTimeout bounds how long a test waits for an expected event.
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echoHandler answers each request with its id, from the pool that the first letter of its host names.
+// echoHandler answers each request with its ID and its body. The pool of a request is the first letter of its host; pool x has no
+// connection quota.
 type echoHandler struct {
 	mu    sync.Mutex
 	conns map[PoolID]int
 }
 
 func (h *echoHandler) Admit(q *httpmsg.Request) (AdmittedRequest, PoolID, error) {
-	o := PoolID(q.Host[0])
+	id := PoolID(q.Host[0])
 	if strings.HasPrefix(q.Path, "/full") {
-		return nil, o, httpmsg.RejectionError{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
+		return nil, id, httpmsg.RejectionError{Status: 429, Text: "full", RetryAfter: 1500 * time.Millisecond}
 	}
-	return echoRequest{q}, o, nil
+	return echoRequest{q}, id, nil
 }
 
 func (h *echoHandler) ReadDelay(PoolID, int) time.Duration { return 0 }
 
-func (h *echoHandler) AcquireConnection(o PoolID) bool {
+func (h *echoHandler) AcquireConnection(id PoolID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if o == 'x' {
+	if id == 'x' {
 		return false
 	}
-	h.conns[o]++
+	h.conns[id]++
 	return true
 }
 
-func (h *echoHandler) ReleaseConnection(o PoolID) {
+func (h *echoHandler) ReleaseConnection(id PoolID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.conns[o]--
+	h.conns[id]--
 }
 
-func (h *echoHandler) ConnectionExcess(o PoolID) int64 {
+func (h *echoHandler) ConnectionExcess(id PoolID) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return int64(h.conns[o])
+	return int64(h.conns[id])
 }
 
 type echoRequest struct{ q *httpmsg.Request }
@@ -87,14 +89,14 @@
 
 func (echoExchange) Cancel() bool { return false }
 
-// running is a server on a loopback socket.
-type running struct {
+// testServer is a server on a loopback socket.
+type testServer struct {
 	*Server
 	handler *echoHandler
 	addr    string
 }
 
-func start(t *testing.T, descriptors int, wrap func(net.Listener) net.Listener) *running {
+func start(t *testing.T, descriptors int, wrap func(net.Listener) net.Listener) *testServer {
 	t.Helper()
 	h := &echoHandler{conns: map[PoolID]int{}}
 	r := startWith(t, h, descriptors, wrap)
@@ -102,7 +104,7 @@
 	return r
 }
 
-func startWith(t *testing.T, h Handler, descriptors int, wrap func(net.Listener) net.Listener) *running {
+func startWith(t *testing.T, h Handler, descriptors int, wrap func(net.Listener) net.Listener) *testServer {
 	t.Helper()
 	d := process.NewDescriptors(descriptors)
 	s := NewServer(h, d, slog.New(slog.DiscardHandler))
@@ -113,29 +115,29 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	at := ln
+	accepted := ln
 	if wrap != nil {
-		at = wrap(ln)
+		accepted = wrap(ln)
 	}
 	go func() {
 		defer close(ended)
-		_ = s.Serve(ctx, at, 2) // it ends with the listener
+		_ = s.Serve(ctx, accepted, 2) // returns when the listener is closed
 	}()
 	t.Cleanup(func() {
 		cancel()
 		ln.Close()
 		<-ended
-		_ = s.Wait(ctx) // closes what is left
+		_ = s.Wait(ctx) // closes the remaining connections
 		s.goroutines.Wait()
 	})
-	return &running{s, nil, ln.Addr().String()}
+	return &testServer{s, nil, ln.Addr().String()}
 }
 
 // idleCount counts the idle connections of a pool. The caller holds mu.
-func (s *Server) idleCount(o PoolID) (n int) {
-	if of := s.idle[o]; of != nil {
-		for i := range of {
-			n += of[i].Len()
+func (s *Server) idleCount(id PoolID) (n int) {
+	if conns := s.idle[id]; conns != nil {
+		for i := range conns {
+			n += conns[i].Len()
 		}
 	}
 	return n
@@ -146,34 +148,36 @@
 	r *bufio.Reader
 }
 
-func (r *running) dial(t *testing.T) *client {
+func (r *testServer) dial(t *testing.T) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
-// response is what a client needs of a response whose body has been read. Status 0: the connection was closed instead.
+// response is the status and the header of a response whose body has been read. Status 0 means that the server closed the connection
+// without a response.
 type response struct {
 	StatusCode int
 	Header     http.Header
 	Close      bool
 }
 
-// write writes a request. Where the server has closed the connection, reading the response tells.
+// write writes a request. It ignores errors: if the server has closed the connection, reading the response fails.
 func (c *client) write(text string) { _, _ = io.WriteString(c, text) }
 
-// ask writes text, which may be empty, and reads a response with its body.
-func (c *client) ask(t *testing.T, text string) (response, string) {
+// roundTrip writes text, which may be empty, and reads one response with its body. It fails the test if neither a response nor the end of
+// the connection arrives in time.
+func (c *client) roundTrip(t *testing.T, text string) (response, string) {
 	t.Helper()
 	c.write(text)
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		t.Logf("no answer: %v", err)
+		t.Logf("no response: %v", err)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
 		}
@@ -193,9 +197,9 @@
 
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/downstream/idle_test.go
+++ b/internal/downstream/idle_test.go
@@ -12,37 +12,37 @@
 	"sorrelrudder/internal/process"
 )
 
-// teachNeverReused teaches the idle policy that connections of a pool are not used again.
-func (r *running) teachNeverReused(o PoolID) {
+// trainNeverReused trains the idle policy with connections of a pool that are never reused.
+func (r *testServer) trainNeverReused(id PoolID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range 2000 {
 		for k := keepalive.NoRequest; k <= keepalive.SeveralRequests; k++ {
-			w := r.idlePolicy.BeginIdle(r.now(), o, k)
-			r.idlePolicy.EndIdle(o, k, w, keepalive.MaxIdle, false)
+			w := r.idlePolicy.BeginIdle(r.now(), id, k)
+			r.idlePolicy.EndIdle(id, k, w, keepalive.MaxIdle, false)
 		}
 	}
 }
 
-// TestPipelinedBeforeClose guards against closing with its answer a connection on which the next request is there already.
+// TestPipelinedBeforeClose guards against closing a connection after a response although the next request has already arrived.
 func TestPipelinedBeforeClose(t *testing.T) {
 	s := start(t, 256, nil)
-	s.teachNeverReused('h')
+	s.trainNeverReused('h')
 	c := s.dial(t)
 	text := get("h", "a") + get("h", "b") + get("h", "c")
 	for i, want := range []string{"a", "b", "c"} {
-		resp, body := c.ask(t, text)
+		resp, body := c.roundTrip(t, text)
 		text = ""
 		if resp.StatusCode != http.StatusOK || body != want {
-			t.Fatalf("%s: got %d %q", want, resp.StatusCode, body)
+			t.Fatalf("request %s: got status %d, body %q", want, resp.StatusCode, body)
 		}
 		if resp.Close && i < 2 {
-			t.Fatalf("closed after %s, with more requests there", want)
+			t.Fatalf("the connection closed after response %s, although more requests had arrived", want)
 		}
 	}
 }
 
-// lateListener gives connections of which a read ends by its deadline just as bytes have come.
+// lateListener accepts connections on which the next read, once late is set, returns a timeout error just when bytes have arrived.
 type lateListener struct {
 	net.Listener
 	late *atomic.Bool
@@ -71,22 +71,22 @@
 	return c.TCPConn.Read(p)
 }
 
-// TestRequestAsIdleLimitEnds guards against losing a request that comes exactly as the wait of its connection is over.
+// TestRequestAsIdleLimitEnds guards against losing a request that arrives exactly when the idle timeout of its connection expires.
 func TestRequestAsIdleLimitEnds(t *testing.T) {
 	var late atomic.Bool
 	s := start(t, 256, func(ln net.Listener) net.Listener { return &lateListener{ln, &late} })
 	c := s.dial(t)
-	if resp, _ := c.ask(t, get("h", "a")); resp.StatusCode != http.StatusOK {
-		t.Fatal("not served")
+	if resp, _ := c.roundTrip(t, get("h", "a")); resp.StatusCode != http.StatusOK {
+		t.Fatal("request was not served")
 	}
 	late.Store(true)
-	// The reader of the server may be in a read already: a request on another connection is then the late one.
+	// The server may already be blocked in a read when late is set. Then the read of the second request is the late one.
 	for _, id := range []string{"b", "c"} {
-		if resp, body := c.ask(t, get("h", id)); resp.StatusCode != http.StatusOK || body != id {
-			t.Fatalf("%s: got %d %q", id, resp.StatusCode, body)
+		if resp, body := c.roundTrip(t, get("h", id)); resp.StatusCode != http.StatusOK || body != id {
+			t.Fatalf("request %s: got status %d, body %q", id, resp.StatusCode, body)
 		}
 	}
 	if late.Load() {
-		t.Fatal("no read ended late: nothing was shown")
+		t.Fatal("no read timed out late, so the test did not exercise the case")
 	}
 }
