--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -1,5 +1,5 @@
-// Package h2 serves the connections of clients that speak HTTP/2, by golang.org/x/net/http2, for package downstream, which owns the
-// connections. It does not know what becomes of the requests. Only the product links it.
+// Package h2 implements downstream.MultiplexedProtocol for HTTP/2 with golang.org/x/net/http2. Package downstream owns the connections; the
+// http.Handler that it passes serves the requests. Only the sorrelrudder program links this package, not the sidecar.
 package h2
 
 import (
@@ -13,32 +13,33 @@
 	"golang.org/x/net/http2"
 )
 
-// Preface is what a client sends first that speaks HTTP/2 without negotiation.
+// Preface is the first bytes that a client sends on an HTTP/2 connection. It identifies clients that use HTTP/2 without negotiation.
 const Preface = http2.ClientPreface
 
 const (
-	maxHeaderBytes       = 16 << 10 // of a request, trailers included
-	maxConcurrentStreams = 250      // of a connection
-	// idleTimeout is how long a connection may be idle while nobody else needs its place.
+	maxHeaderBytes       = 16 << 10 // bytes of a request's header, including trailers
+	maxConcurrentStreams = 250      // streams of a connection
+	// idleTimeout is how long a connection may be idle. It may be evicted earlier if its file descriptor is needed.
 	idleTimeout = time.Minute
-	// pingInterval is after how much silence the client is pinged.
+	// pingInterval is the time without any frame from the client after which the server sends a PING.
 	pingInterval = 30 * time.Second
-	// writeTimeout is how long the client may accept no byte at all.
+	// writeTimeout is how long a write may make no progress before the connection is closed.
 	writeTimeout = 15 * time.Second
-	// drainPollInterval is how often a draining connection is checked for requests; it is also the time that the client has to
-	// see the GOAWAY.
+	// drainPollInterval is the interval at which a draining connection is checked for open requests. It is also the minimum time that the
+	// client has to process the GOAWAY.
 	drainPollInterval = 20 * time.Millisecond
 	// responseFlushTime is how long the end of a response may take to be written after its handler has returned.
 	responseFlushTime = 100 * time.Millisecond
-	// connWindowBytes and streamWindowBytes bound what is read of bodies before the handler takes it.
+	// connWindowBytes and streamWindowBytes are the flow control windows. They bound the body bytes that are received before the handler
+	// reads them.
 	connWindowBytes   = 256 << 10
 	streamWindowBytes = 64 << 10
 )
 
-// Protocol implements downstream.MultiplexedProtocol.
+// Protocol implements downstream.MultiplexedProtocol for HTTP/2. Log receives the errors of connections at debug level.
 type Protocol struct{ Log *slog.Logger }
 
-// Name implements downstream.MultiplexedProtocol.
+// Name implements downstream.MultiplexedProtocol. It returns the ALPN name "h2".
 func (Protocol) Name() string { return http2.NextProtoTLS }
 
 // Serve implements downstream.MultiplexedProtocol.
@@ -75,12 +76,12 @@
 	requests.wait()
 }
 
-// shutDown sends a GOAWAY, and closes the connection once no request is open. It returns early when the connection has ended.
+// shutDown sends a GOAWAY, and closes the connection once no request is open. It returns early if the connection ends.
 func shutDown(base *http.Server, c net.Conn, requests *requestCounter, ended <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = base.Shutdown(ctx) // sends GOAWAY; its error only says that connections remain
-	// The library leaves an idle connection open for another second, for which whoever needs its place would wait.
+	_ = base.Shutdown(ctx) // sends the GOAWAY; the error only says that connections remain
+	// The library would keep an idle connection open for another second. An acceptor that waits for its descriptor would wait as long.
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/h2/prefixedconn.go
+++ b/internal/h2/prefixedconn.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// prefixedConn is a connection of which a prefix has been read already. Its reader gets that first.
+// prefixedConn is a connection whose first bytes have already been read. Read returns these bytes first.
 type prefixedConn struct {
 	net.Conn
 	prefix []byte
--- a/internal/h2/requestcounter.go
+++ b/internal/h2/requestcounter.go
@@ -9,12 +9,12 @@
 // requestCounter counts the open requests of a connection, and reports when it becomes active or idle.
 type requestCounter struct {
 	http.Handler
-	active   func(bool) // called under mu when the first request begins and the last one ends
+	active   func(bool) // called with mu held: true when the first request begins, false when the last one ends
 	handlers sync.WaitGroup
 
 	mu         sync.Mutex // guards the fields below
 	open       int
-	lastChange time.Time // when a request last began or ended
+	lastChange time.Time // time at which a request last began or ended
 }
 
 // ServeHTTP implements http.Handler.
@@ -38,12 +38,12 @@
 	}
 }
 
-// idleFor reports whether no request has been open for at least that time.
+// idleFor reports whether no request has been open for at least d.
 func (c *requestCounter) idleFor(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open == 0 && time.Since(c.lastChange) >= d
 }
 
-// wait returns once all handlers have returned. Their requests' contexts end with the connection.
+// wait blocks until all handlers have returned. The contexts of their requests are canceled when the connection ends.
 func (c *requestCounter) wait() { c.handlers.Wait() }
--- a/internal/httpmsg/message.go
+++ b/internal/httpmsg/message.go
@@ -1,5 +1,5 @@
-// Package httpmsg defines the messages that pass between a client's connection and a pool: requests as they were read, and
-// responses as they are to be written. It knows neither sockets nor pools.
+// Package httpmsg defines the messages between a client's connection and a pool: requests as they were read, and responses as they are to
+// be written. It is independent of sockets and pools.
 package httpmsg
 
 import (
@@ -10,53 +10,55 @@
 )
 
 const (
-	// MaxBufferedBodyBytes is how much of a request's or response's body is kept in memory. A request whose body is longer
-	// is streamed, and cannot be sent again.
+	// MaxBufferedBodyBytes is the number of bytes of a request or response body that are kept in memory. The body of a longer request is
+	// streamed, and the request cannot be retried.
 	MaxBufferedBodyBytes = 64 << 10
-	// MaxBodyBytes is the longest body that is accepted.
+	// MaxBodyBytes is the maximum length of a body that is accepted.
 	MaxBodyBytes = 34 << 20
 )
 
-// BodyStream is the remainder of a body that is longer than MaxBufferedBodyBytes. Read returns what has come as soon as
-// there is a byte, and io.EOF itself, not wrapped, once the body was complete. One goroutine reads it.
+// BodyStream is the remainder of a body that is longer than MaxBufferedBodyBytes. Read returns as soon as at least one byte is available.
+// At the end of a complete body it returns io.EOF itself, not a wrapped error. A BodyStream is read by one goroutine at a time.
 type BodyStream interface {
 	io.Reader
-	// Length returns the length of the whole body in bytes, with what was read before; -1: it is not known.
+	// Length returns the length of the whole body in bytes, including the bytes that were buffered before the stream. It is -1 if the
+	// length is not known.
 	Length() int64
 }
 
-// ResponseStream is the remainder of a response's body. Close must be called once, and says whether the client has had
-// the body complete.
+// ResponseStream is the remainder of a response's body.
 type ResponseStream interface {
 	BodyStream
+	// Close must be called exactly once. complete tells whether the client has received the complete body.
 	Close(complete bool)
 }
 
 // Request is a client's request.
 type Request struct {
 	Method     string
-	URI        string // as the client sent it
-	Path       string // of the URI, decoded
+	URI        string // request target as the client sent it
+	Path       string // decoded path of URI
 	Host       string // as the client sent it
 	Header     http.Header
-	Length     int64        // of the body, in bytes; -1: it is not known
-	Peer       string       // name of the sender, where the listener asks for it
-	Secure     bool         // it came by TLS
-	RemoteAddr fmt.Stringer // of the client; nil: not known
+	Length     int64        // length of the body in bytes; -1: not known
+	Peer       string       // name of the sender, if the server determines peer names
+	Secure     bool         // the request was received over TLS
+	RemoteAddr fmt.Stringer // address of the client; nil: not known
 	Body       []byte
-	Remainder  BodyStream // of the body, after Body; nil: none
-	// ClientGone reports whether the client has closed its connection or canceled the request; nil: that is not known. It
-	// may be called from any goroutine, also once the request has its response.
+	Remainder  BodyStream // rest of the body after Body; nil: Body is complete
+	// ClientGone reports whether the client has closed its connection or canceled the request. It is safe for concurrent use, and may be
+	// called after the response too. It is nil if this cannot be determined.
 	ClientGone func() bool
 }
 
 // Response is the final response to a request.
 type Response struct {
 	Status     int
-	RetryAfter time.Duration // 0: none is sent
+	RetryAfter time.Duration // 0: no Retry-After field is sent
 	Header     http.Header
 	Body       []byte
-	Remainder  ResponseStream // of the body, after Body; nil: none
-	// Length is, in the response to HEAD, the length that the body would have, in bytes; -1: it is not told.
+	Remainder  ResponseStream // rest of the body after Body; nil: Body is complete
+	// Length is used in the response to a HEAD request only. It is the length in bytes that the body would have for a GET request, or -1 if
+	// it is not known.
 	Length int64
 }
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,6 +1,6 @@
-// Package tlsfiles loads the certificates of a listener from files, and loads them again when the files change. Open connections keep
-// theirs, and files that cannot be used leave the certificates loaded before in force. It does not know listeners or connections. No
-// key appears in its errors and logs.
+// Package tlsfiles loads the certificates of a listener from files, and reloads them when the files change. Open connections keep their
+// certificates. If changed files cannot be loaded, the previous certificates stay in force. The package does not depend on listeners or
+// connections. Its errors and log lines never contain key material.
 package tlsfiles
 
 import (
@@ -15,29 +15,31 @@
 	"time"
 )
 
-// errNoCertificate says that a configuration has no pair.
-var errNoCertificate = errors.New("no certificate")
+// errNoCertificate is returned for a configuration without a certificate and key pair.
+var errNoCertificate = errors.New("no certificate is configured")
 
-// Pair names the PEM files of a certificate, with its chain, and of its key.
+// Pair names the PEM files of a certificate, which includes its chain, and of its private key.
 type Pair struct{ CertFile, KeyFile string }
 
 // Config describes the TLS of a listener.
 type Config struct {
-	Pairs             []Pair   // at least one; the first is the default for names that none is for
-	CAFile            string   // authorities of client certificates; "": no client certificates are requested
-	RequireClientCert bool     // with CAFile: a client without a certificate is rejected
-	Protocols         []string // for ALPN
+	Pairs             []Pair   // at least one; the first is the default for server names without a matching certificate
+	CAFile            string   // CA file for client certificates; "": client certificates are not requested
+	RequireClientCert bool     // reject clients without a certificate; requires CAFile
+	Protocols         []string // ALPN protocol names
 }
 
-// Store holds the TLS configuration that was loaded last.
+// Store holds the TLS configuration that was loaded last. Config may be called concurrently with all other methods. Watch and
+// ReloadIfChanged must not run concurrently with each other.
 type Store struct {
 	cfg         Config
 	log         *slog.Logger
 	current     atomic.Pointer[tls.Config]
-	fingerprint string // of the files when they were last loaded
+	fingerprint string // fingerprint of the files at the last load
 }
 
-// Load loads all files. log gets the results of later loads; it may be nil if there are none. The error names the file.
+// Load loads all files. The results of later loads are written to log, which may be nil if Watch and ReloadIfChanged are never called. The
+// error names the file.
 func Load(cfg Config, log *slog.Logger) (*Store, error) {
 	s := &Store{cfg: cfg, log: log, fingerprint: cfg.fingerprint()}
 	c, err := cfg.load()
@@ -48,7 +50,8 @@
 	return s, nil
 }
 
-// Config returns a configuration for a listener, which follows what is loaded later. It is safe for concurrent use.
+// Config returns a TLS configuration for a listener. Handshakes with it always use the certificates that were loaded last. It is safe for
+// concurrent use.
 func (s *Store) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS12,
@@ -70,17 +73,17 @@
 	}
 }
 
-// ReloadIfChanged loads the files again if they have changed, and reports whether the new ones are in force now. It is not safe for
-// concurrent use, nor beside Watch.
+// ReloadIfChanged reloads the files if they have changed, and reports whether the new certificates are now in force. It must not be called
+// concurrently, nor while Watch runs.
 func (s *Store) ReloadIfChanged() bool {
 	fingerprint := s.cfg.fingerprint()
 	if fingerprint == s.fingerprint {
 		return false
 	}
-	s.fingerprint = fingerprint // also after an error: a half-written file changes again
+	s.fingerprint = fingerprint // also if the load fails: a half-written file will change again
 	c, err := s.cfg.load()
 	if err != nil {
-		s.log.Error("the certificates have changed and cannot be used; those read before stay in force", "err", err)
+		s.log.Error("failed to load changed certificates; the previous certificates stay in force", "err", err)
 		return false
 	}
 	s.current.Store(c)
@@ -88,7 +91,7 @@
 	return true
 }
 
-// fingerprint returns a text that changes with the sizes and times of the files.
+// fingerprint returns a text that changes when the size or the modification time of a file changes.
 func (c *Config) fingerprint() string {
 	text := ""
 	for _, file := range c.files() {
@@ -113,7 +116,7 @@
 	return names
 }
 
-// ExposedKeys returns the key files that others than their owner can access.
+// ExposedKeys returns the key files that users other than their owner can access.
 func (c *Config) ExposedKeys() (names []string) {
 	for _, p := range c.Pairs {
 		if info, err := os.Stat(p.KeyFile); err == nil && info.Mode().Perm()&0o077 != 0 {
@@ -123,7 +126,7 @@
 	return names
 }
 
-// load loads the files.
+// load loads the files and returns the TLS configuration.
 func (c *Config) load() (*tls.Config, error) {
 	if len(c.Pairs) == 0 {
 		return nil, errNoCertificate
@@ -132,19 +135,19 @@
 	for _, p := range c.Pairs {
 		pair, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 		if err != nil {
-			return nil, fmt.Errorf("certificate %s with key %s: %w", p.CertFile, p.KeyFile, err)
+			return nil, fmt.Errorf("load certificate %s with key %s: %w", p.CertFile, p.KeyFile, err)
 		}
 		t.Certificates = append(t.Certificates, pair)
 	}
 	if c.CAFile != "" {
 		if err := c.loadAuthorities(t); err != nil {
-			return nil, fmt.Errorf("authorities: %w", err)
+			return nil, fmt.Errorf("load client certificate authorities: %w", err)
 		}
 	}
 	return t, nil
 }
 
-// loadAuthorities makes t verify client certificates.
+// loadAuthorities makes t verify client certificates with the authorities of CAFile.
 func (c *Config) loadAuthorities(t *tls.Config) error {
 	pem, err := os.ReadFile(c.CAFile)
 	if err != nil {
@@ -152,7 +155,7 @@
 	}
 	t.ClientCAs = x509.NewCertPool()
 	if !t.ClientCAs.AppendCertsFromPEM(pem) {
-		return fmt.Errorf("%s holds no certificate", c.CAFile)
+		return fmt.Errorf("%s contains no PEM certificate", c.CAFile)
 	}
 	t.ClientAuth = tls.VerifyClientCertIfGiven
 	if c.RequireClientCert {
