--- a/internal/httpservice/dialect.go
+++ b/internal/httpservice/dialect.go
@@ -1,9 +1,9 @@
-// Package httpservice is the dialect of pools of ordinary HTTP services, which do not speak the platform's protocol: it derives the
-// attributes of a request from its method, path and header, makes the header that goes on to an endpoint, and classifies responses.
-// It decides nothing about endpoints or attempts.
+// Package httpservice implements the dialect of pools of ordinary HTTP services, which do not use the platform's protocol. It derives the
+// attributes of a request from its method, path and header, builds the header that is forwarded to an endpoint, and classifies responses.
+// It does not pick endpoints or schedule attempts.
 //
-// A status proves that the endpoint has had the request, whatever it is. So even after a 503 a request may have been executed, unless
-// the operator has named the status as one for requests that were not begun. A method that is idempotent by RFC 9110 is not taken as
+// Any status proves that the endpoint has received the request. A request may therefore have been executed even after a 503, unless the
+// operator has configured the status as one for requests that were not executed. A method that is idempotent by RFC 9110 is not considered
 // safe to repeat either: a PUT that may have been executed must not be repeated after another request for the same resource.
 package httpservice
 
@@ -23,13 +23,13 @@
 	"sorrelrudder/policy"
 )
 
-// ValueSource says where a value of a request is taken from. At most one field is set; none: there is no value.
+// ValueSource is the place in a request from which a value is taken. At most one field is set. If none is set there is no value.
 type ValueSource struct {
-	Header   string // name of a header field
-	PathWildcard string // {name} of the pattern that matches the path
+	Header       string // name of a header field
+	PathWildcard string // name of a {name} wildcard in the pattern that matches the path
 }
 
-// value returns the value of a request that m classifies.
+// value returns the value of a request, given its match and its header. It returns "" if there is none.
 func (s ValueSource) value(m classify.Match, header http.Header) string {
 	switch {
 	case s.PathWildcard != "":
@@ -40,18 +40,20 @@
 	return ""
 }
 
-// Class is a class of a pool's requests, and how they are recognized.
+// Class is a class of a pool's requests, and the rule that matches them.
 type Class struct {
 	Rule        classify.Rule
 	Idempotency policy.Idempotency
-	// KeylessClass is the class of requests without an idempotency key, where Idempotency is policy.IdempotentByKey.
+	// KeylessClass is the name of the class of requests without an idempotency key. It is used only if Idempotency is
+	// policy.IdempotentByKey.
 	KeylessClass string
-	Deadline     time.Duration // where no trusted header field has the client's timeout
+	Deadline     time.Duration // used if no trusted header field has the client's timeout
 	Tenant       ValueSource
-	Key          ValueSource // affinity key of the decision module
+	Key          ValueSource // affinity key for the decision module
 }
 
-// attributesOf returns the name and the idempotency of a request of the class: without its key it is not idempotent.
+// attributesOf returns the class name and the idempotency of a request of the class. A request of a class that is idempotent by key is not
+// idempotent if it has no key.
 func (c *Class) attributesOf(header http.Header) (name string, idempotency policy.Idempotency) {
 	if c.Idempotency == policy.IdempotentByKey && header.Get("Idempotency-Key") == "" {
 		return c.KeylessClass, policy.NonIdempotent
@@ -62,11 +64,11 @@
 // Config describes the services of a pool.
 type Config struct {
 	Classes             []Class  // in the order in which they are tried; the last matches every request
-	TimeoutFields       []string // header fields trusted for the client's timeout, see clientTimeout
+	TimeoutFields       []string // header fields that are trusted for the client's timeout, see clientTimeout
 	Forwarding          Forwarding
-	FailureStatuses     []int  // after which a request is retried where that is harmless
-	NotExecutedStatuses []int  // by which an endpoint proves that it has not begun; they are failures too
-	ORCA                bool   // responses carry load reports of the ORCA standard
+	FailureStatuses     []int  // statuses after which a request is retried if that is safe
+	NotExecutedStatuses []int  // statuses that prove that the endpoint has not executed the request; they are failures too
+	ORCA                bool   // read ORCA load reports from responses
 	HealthCheckPath     string // "": no health checks
 	Via                 string // name of this process in Via fields
 }
@@ -74,13 +76,13 @@
 // Dialect implements pool.EndToEndProtocol. It is safe for concurrent use.
 type Dialect struct {
 	cfg   Config
-	rules []classify.Rule // of cfg.Classes
+	rules []classify.Rule // rules of cfg.Classes
 }
 
-// A pool finds out by a type assertion at run time that its protocol is an EndToEndProtocol.
+// Package pool detects an EndToEndProtocol by a type assertion at run time. This declaration checks the interface at compile time.
 var _ pool.EndToEndProtocol = (*Dialect)(nil)
 
-// New returns the dialect of a pool.
+// New returns the dialect of a pool with configuration cfg.
 func New(cfg Config) *Dialect {
 	d := &Dialect{cfg: cfg}
 	for _, c := range cfg.Classes {
@@ -89,7 +91,7 @@
 	return d
 }
 
-// FindClass returns the index of the class of a request, and the match of its pattern.
+// FindClass returns the index of the class of a request in Config.Classes, and the match of its pattern.
 func (d *Dialect) FindClass(method, host, path string, header http.Header) (int, classify.Match) {
 	hasHeader := func(name string) bool { return header.Get(name) != "" }
 	m, ok := classify.Find(d.rules, classify.Request{Method: method, Host: host, Path: path, HasHeader: hasHeader})
@@ -99,7 +101,7 @@
 	return m.RuleIndex, m
 }
 
-// ClassName returns the name of the class under which the decision module gets a request.
+// ClassName returns the name of the class that the decision module uses for a request.
 func (d *Dialect) ClassName(method, host, path string, header http.Header) string {
 	i, _ := d.FindClass(method, host, path, header)
 	name, _ := d.cfg.Classes[i].attributesOf(header)
@@ -127,7 +129,7 @@
 	return attributes, nil
 }
 
-// checkForwardable rejects what is not an exchange of one request and one response.
+// checkForwardable rejects requests that cannot be forwarded as one request with one response: CONNECT, TRACE and upgrades.
 func checkForwardable(q *httpmsg.Request) error {
 	reject := func(text string) error {
 		return httpmsg.RejectionError{Status: http.StatusNotImplemented, Text: text}
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// hasToken reports whether a header field that is a list has a token, whose case does not matter.
+// hasToken reports whether a list header field contains a token, which is compared case-insensitively.
 func hasToken(header http.Header, field, token string) bool {
 	for _, value := range header.Values(field) {
 		for part := range strings.SplitSeq(value, ",") {
@@ -153,7 +155,7 @@
 	return false
 }
 
-// ExtraFields implements pool.BackendProtocol: each attempt of a traced request is a span of its own.
+// ExtraFields implements pool.BackendProtocol. It gives each attempt of a traced request a span of its own.
 func (d *Dialect) ExtraFields(_ *policy.Request, header http.Header, _ time.Duration) []upstream.Field {
 	parent := header.Get(traceparentField)
 	if !isTraceparent(parent) {
--- a/internal/httpservice/dialect_test.go
+++ b/internal/httpservice/dialect_test.go
@@ -18,7 +18,8 @@
 	"sorrelrudder/policy"
 )
 
-func dialect(t *testing.T, change func(*Config)) *Dialect {
+// newDialect returns a dialect with three classes. change, which may be nil, adjusts its configuration.
+func newDialect(t *testing.T, change func(*Config)) *Dialect {
 	t.Helper()
 	pattern := func(text string) []classify.Pattern {
 		p, err := classify.ParsePattern(text)
@@ -41,7 +42,8 @@
 	return New(cfg)
 }
 
-func request(method, uri string, fields ...string) *httpmsg.Request {
+// newRequest returns a request. fields are the names and values of its header fields, in turn.
+func newRequest(method, uri string, fields ...string) *httpmsg.Request {
 	q := &httpmsg.Request{Method: method, URI: uri, Host: "shop.example.org:80", Header: http.Header{}, RemoteAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 9), Port: 7}}
 	for i := 0; i < len(fields); i += 2 {
 		q.Header.Add(fields[i], fields[i+1])
@@ -49,8 +51,10 @@
 	return q
 }
 
+// TestParseRequest guards against wrong attributes of a request: its class, idempotency, timeout, tenant and key. It also guards against
+// forwarding a request without an ID, using the client's ID as identity, and forwarding CONNECT, TRACE and upgrades.
 func TestParseRequest(t *testing.T) {
-	d := dialect(t, nil)
+	d := newDialect(t, nil)
 	for name, c := range map[string]struct {
 		q                      *httpmsg.Request
 		class                  string
@@ -58,66 +62,68 @@
 		timeout                time.Duration
 		tenant, idempotencyKey string
 	}{
-		"read":          {request("GET", "/items/7?x=/orders", "X-Shop", "s1"), "read", true, time.Second, "s1", "7"},
-		"head":          {request("HEAD", "/items/7"), "read", true, time.Second, "", "7"},
-		"keyed":         {request("POST", "/orders", "Idempotency-Key", "k"), "order", false, 2 * time.Second, "", ""},
-		"without a key": {request("POST", "/orders"), "order without a key", false, 2 * time.Second, "", ""},
-		"put":           {request("PUT", "/items/7"), "other", false, 3 * time.Second, "", ""},
-		"two readings":  {request("GET", "/items/..%2f7"), "other", false, 3 * time.Second, "", ""},
-		"patience":      {request("GET", "/items/7", "X-Timeout-Ms", "250"), "read", true, 250 * time.Millisecond, "", "7"},
-		"of grpc":       {request("GET", "/items/7", "Grpc-Timeout", "3S"), "read", true, 3 * time.Second, "", "7"},
-		"no number":     {request("GET", "/items/7", "X-Timeout-Ms", "-3", "Grpc-Timeout", "99x"), "read", true, time.Second, "", "7"},
-		"endless":       {request("GET", "/items/7", "X-Timeout-Ms", "999999999999999"), "read", true, time.Second, "", "7"},
+		"read":             {newRequest("GET", "/items/7?x=/orders", "X-Shop", "s1"), "read", true, time.Second, "s1", "7"},
+		"head":             {newRequest("HEAD", "/items/7"), "read", true, time.Second, "", "7"},
+		"keyed":            {newRequest("POST", "/orders", "Idempotency-Key", "k"), "order", false, 2 * time.Second, "", ""},
+		"without a key":    {newRequest("POST", "/orders"), "order without a key", false, 2 * time.Second, "", ""},
+		"put":              {newRequest("PUT", "/items/7"), "other", false, 3 * time.Second, "", ""},
+		"encoded slash":    {newRequest("GET", "/items/..%2f7"), "other", false, 3 * time.Second, "", ""},
+		"patience":         {newRequest("GET", "/items/7", "X-Timeout-Ms", "250"), "read", true, 250 * time.Millisecond, "", "7"},
+		"gRPC timeout":     {newRequest("GET", "/items/7", "Grpc-Timeout", "3S"), "read", true, 3 * time.Second, "", "7"},
+		"invalid timeouts": {newRequest("GET", "/items/7", "X-Timeout-Ms", "-3", "Grpc-Timeout", "99x"), "read", true, time.Second, "", "7"},
+		"endless":          {newRequest("GET", "/items/7", "X-Timeout-Ms", "999999999999999"), "read", true, time.Second, "", "7"},
 	} {
-		said, err := d.ParseRequest(c.q, "")
-		if err != nil || said.PolicyRequest.Class != c.class || said.Idempotent != c.safe || said.Timeout != c.timeout || said.PolicyRequest.Tenant != c.tenant || said.PolicyRequest.Key != c.idempotencyKey {
-			t.Errorf("%s: %+v, %v", name, said, err)
+		attributes, err := d.ParseRequest(c.q, "")
+		if err != nil || attributes.PolicyRequest.Class != c.class || attributes.Idempotent != c.safe || attributes.Timeout != c.timeout || attributes.PolicyRequest.Tenant != c.tenant || attributes.PolicyRequest.Key != c.idempotencyKey {
+			t.Errorf("%s: got attributes %+v, error %v", name, attributes, err)
 		}
-		if c.q.Header.Get("X-Request-Id") == "" || said.ID == "" {
-			t.Errorf("%s: no id", name)
+		if c.q.Header.Get("X-Request-Id") == "" || attributes.ID == "" {
+			t.Errorf("%s: the request has no ID", name)
 		}
 	}
-	a, _ := d.ParseRequest(request("GET", "/items/1", "X-Request-Id", "mine"), "")
-	b, _ := d.ParseRequest(request("GET", "/items/1", "X-Request-Id", "mine"), "")
+	a, _ := d.ParseRequest(newRequest("GET", "/items/1", "X-Request-Id", "mine"), "")
+	b, _ := d.ParseRequest(newRequest("GET", "/items/1", "X-Request-Id", "mine"), "")
 	if a.ID == b.ID {
-		t.Error("a client's id tells requests apart")
+		t.Error("two requests with the same X-Request-Id got the same ID")
 	}
 	for _, q := range []*httpmsg.Request{
-		request("TRACE", "/"), request("CONNECT", "/"), request("GET", "/chat", "Connection", "keep-alive, Upgrade", "Upgrade", "websocket"),
+		newRequest("TRACE", "/"), newRequest("CONNECT", "/"), newRequest("GET", "/chat", "Connection", "keep-alive, Upgrade", "Upgrade", "websocket"),
 	} {
 		_, err := d.ParseRequest(q, "")
 		if bad, ok := errors.AsType[httpmsg.RejectionError](err); !ok || bad.Status != 501 {
-			t.Errorf("%s %v: %v", q.Method, q.Header, err)
+			t.Errorf("%s with header %v: got error %v, want a rejection with status 501", q.Method, q.Header, err)
 		}
 	}
 }
 
+// TestForwarding guards against forwarding fields of an untrusted client, and against wrong values of these fields in each mode.
 func TestForwarding(t *testing.T) {
 	for name, c := range map[string]struct {
-		way                   Forwarding
+		mode                  Forwarding
 		xff, forwarded, proto string
 	}{
 		"replace": {ForwardingReplace, "127.0.0.9", `for=127.0.0.9;host="shop.example.org:80";proto=http`, "http"},
 		"append":  {ForwardingAppend, "10.0.0.1, 127.0.0.9", `for=10.0.0.1, for=127.0.0.9;host="shop.example.org:80";proto=http`, "https"},
 		"drop":    {ForwardingDrop, "", "", ""},
 	} {
-		q := request("GET", "/", "X-Forwarded-For", "10.0.0.1", "Forwarded", "for=10.0.0.1", "X-Forwarded-Proto", "https", "Via", "1.0 old")
-		if _, err := dialect(t, func(cfg *Config) { cfg.Forwarding = c.way }).ParseRequest(q, ""); err != nil {
+		q := newRequest("GET", "/", "X-Forwarded-For", "10.0.0.1", "Forwarded", "for=10.0.0.1", "X-Forwarded-Proto", "https", "Via", "1.0 old")
+		if _, err := newDialect(t, func(cfg *Config) { cfg.Forwarding = c.mode }).ParseRequest(q, ""); err != nil {
 			t.Fatal(err)
 		}
 		h := q.Header
 		if h.Get("X-Forwarded-For") != c.xff || h.Get("Forwarded") != c.forwarded || h.Get("X-Forwarded-Proto") != c.proto {
-			t.Errorf("%s: %v", name, h)
+			t.Errorf("%s: got header %v", name, h)
 		}
 		if via := strings.Join(h.Values("Via"), ", "); via != "1.0 old, 1.1 edge" {
-			t.Errorf("%s: via %s", name, via)
+			t.Errorf("%s: got Via %q", name, via)
 		}
 	}
 }
 
+// TestTraceparent guards against attempts that share a span or lose their trace, and against forwarding a span for an invalid traceparent.
 func TestTraceparent(t *testing.T) {
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	d := dialect(t, nil)
+	d := newDialect(t, nil)
 	seen := map[string]bool{parent: true}
 	for range 3 {
 		extra := d.ExtraFields(nil, http.Header{"Traceparent": {parent}}, 0)
@@ -133,25 +139,27 @@
 	}
 }
 
-// TestClassifyResponse guards against taking a status for a proof that nothing has run which the operator has not said to be one.
+// TestClassifyResponse guards against treating a status as proof that a request was not executed although the operator has not configured
+// it as such.
 func TestClassifyResponse(t *testing.T) {
-	d := dialect(t, func(c *Config) { c.NotExecutedStatuses = []int{429} })
+	d := newDialect(t, func(c *Config) { c.NotExecutedStatuses = []int{429} })
 	for status, want := range map[int]policy.Status{
 		200: policy.StatusOK, 204: policy.StatusOK, 301: policy.StatusOK, 404: policy.StatusOK, 500: policy.StatusOK, 502: policy.StatusApplicationError, 503: policy.StatusApplicationError, 429: policy.StatusOverloaded,
 	} {
 		if got, _ := d.ClassifyResponse(status, http.Header{}); got != want {
-			t.Errorf("%d: %v, want %v", status, got, want)
+			t.Errorf("status %d: got %v, want %v", status, got, want)
 		}
 	}
 }
 
+// TestORCA guards against wrong or implausible loads from ORCA reports in each format.
 func TestORCA(t *testing.T) {
 	raw, err := proto.Marshal(&orca.OrcaLoadReport{CpuUtilization: 0.5, NamedMetrics: map[string]float64{"queue": 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	bin := base64.StdEncoding.EncodeToString(raw)
-	for text, want := range map[string]float64{ // the greater of queue and inflight; -1: none
+	for text, want := range map[string]float64{ // the greater of queue and inflight; -1: no usable report
 		"TEXT named_metrics.queue=3, cpu_utilization=0.9":                 3,
 		"TEXT cpu_utilization=0.5":                                        1,
 		"TEXT application_utilization=0.75,cpu_utilization=0.5":           3,
@@ -176,7 +184,7 @@
 			got = max(l.Queue, l.InFlight)
 		}
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%.60q: %v, want %v", text, got, want)
+			t.Errorf("report %.60q: got %v requests, want %v", text, got, want)
 		}
 	}
 	if l := parseORCA(http.Header{orcaBinaryField: {bin}}); l == nil || l.Queue != 4 {
@@ -184,6 +192,7 @@
 	}
 }
 
+// FuzzORCA guards against loads outside the valid range, whatever the report contains.
 func FuzzORCA(f *testing.F) {
 	for _, s := range []string{"TEXT cpu_utilization=0.5", `JSON {"cpu_utilization":1}`, "BIN AAAA", "TEXT a=b,c", "JSON []"} {
 		f.Add(s)
@@ -195,7 +204,7 @@
 		}
 		for _, v := range []float64{l.Queue, l.InFlight} {
 			if !(v == -1 || v >= 0 && v <= maxQueue) {
-				t.Fatalf("%q gives %+v", text, l)
+				t.Fatalf("report %q: got load %+v, want values of -1 or from 0 to maxQueue", text, l)
 			}
 		}
 	})
--- a/internal/httpservice/forwarding.go
+++ b/internal/httpservice/forwarding.go
@@ -10,14 +10,14 @@
 	"sorrelrudder/internal/httpmsg"
 )
 
-// Forwarding says what becomes of the header fields about the origin of a request: X-Forwarded-* and Forwarded.
+// Forwarding is the mode in which the header fields about the origin of a request, X-Forwarded-* and Forwarded, are handled.
 type Forwarding int
 
-// The modes.
+// The forwarding modes.
 const (
-	ForwardingReplace Forwarding = iota // those of the client are dropped, and set anew
-	ForwardingAppend                    // what is seen here is added to those of a trusted proxy
-	ForwardingDrop                      // the endpoint gets none
+	ForwardingReplace Forwarding = iota // remove the client's fields and set new ones
+	ForwardingAppend                    // append to the fields of a trusted proxy
+	ForwardingDrop                      // remove the client's fields and set none
 )
 
 const (
@@ -27,10 +27,11 @@
 	forwardedProto = "X-Forwarded-Proto"
 )
 
+// viaValue returns the value that this process adds to Via fields.
 func (d *Dialect) viaValue() string { return "1.1 " + d.cfg.Via }
 
-// addForwardingFields adds the origin of a request to its header, and an ID if it has none. That ID
-// is for people: it never decides whether two requests are the same.
+// addForwardingFields adds the origin of a request to its header, and a request ID if there is none. The request ID is informational: it is
+// never used to decide whether two requests are the same.
 func (d *Dialect) addForwardingFields(q *httpmsg.Request, id string) {
 	h := q.Header
 	if h.Get("X-Request-Id") == "" {
@@ -56,7 +57,7 @@
 	appendValue(h, forwardedField, "for="+forwardedNode(client)+";host="+forwardedValue(q.Host)+";proto="+scheme)
 }
 
-// clientAddress returns the IP address of a client, or "".
+// clientAddress returns the IP address of a client, or "" if remote is not a TCP address.
 func clientAddress(remote fmt.Stringer) string {
 	tcp, ok := remote.(*net.TCPAddr)
 	if !ok {
@@ -65,7 +66,7 @@
 	return tcp.AddrPort().Addr().Unmap().String()
 }
 
-// appendValue appends a value to a header field that is a list, as one line.
+// appendValue appends a value to a list header field, and combines the field into one line.
 func appendValue(h http.Header, field, value string) {
 	if present := h.Values(field); len(present) > 0 {
 		value = strings.Join(present, ", ") + ", " + value
@@ -73,14 +74,14 @@
 	h.Set(field, value)
 }
 
-// setDefault sets a header field that is not there.
+// setDefault sets a header field if it is absent or empty.
 func setDefault(h http.Header, field, value string) {
 	if h.Get(field) == "" {
 		h.Set(field, value)
 	}
 }
 
-// forwardedNode writes an address as RFC 7239 has it.
+// forwardedNode formats an IP address as a node of RFC 7239.
 func forwardedNode(client string) string {
 	if address, err := netip.ParseAddr(client); err == nil && address.Is6() {
 		return `"[` + client + `]"`
@@ -88,7 +89,7 @@
 	return client
 }
 
-// forwardedValue writes a value as a token, or as a quoted string where it is none.
+// forwardedValue formats a value as a token, or as a quoted string if it contains other characters than letters, digits, "-" and ".".
 func forwardedValue(s string) string {
 	for _, r := range s {
 		if r != '-' && r != '.' && (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') {
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// orcaField carries a load report of the Open Request Cost Aggregation standard, in one of three formats; orcaBinaryField is
-	// its older form, always binary.
+	// orcaField is the header field with a load report of the Open Request Cost Aggregation (ORCA) standard, in one of three formats.
+	// orcaBinaryField is the older field, which is always binary.
 	orcaField       = "Endpoint-Load-Metrics"
 	orcaBinaryField = "Endpoint-Load-Metrics-Bin"
-	maxReportBytes  = 4 << 10
-	// maxQueue is the highest queue length, in requests, that is believed.
+	maxReportBytes  = 4 << 10 // longer reports are ignored
+	// maxQueue is the largest number of requests that a report may state. Larger values are ignored.
 	maxQueue = 1e6
-	// From fullUtilization on an endpoint counts as one that has fullQueue requests.
+	// An endpoint with a utilization of fullUtilization or more counts as an endpoint with fullQueue requests.
 	fullUtilization = 0.99
 	fullQueue       = fullUtilization / (1 - fullUtilization)
 )
 
-// parseORCA returns the load that a response reports; nil if it reports none that can be used. The decision module needs a number of
-// requests: the named metrics "queue" and "inflight" are such numbers. Otherwise the utilization u stands for u/(1-u) requests, the
-// mean at a queue with one server of that utilization, which orders endpoints as their queues would.
+// parseORCA returns the load that a response reports, or nil if it has no usable report. The decision module needs a number of requests.
+// The named metrics "queue" and "inflight" are such numbers. Without them, a utilization u is converted to u/(1-u) requests, the mean
+// number of requests at a single-server queue with that utilization. This orders endpoints as their queues would.
 func parseORCA(header http.Header) *policy.LoadReport {
 	text, binary := header.Get(orcaField), header.Get(orcaBinaryField)
 	if len(text)+len(binary) > maxReportBytes || text == "" && binary == "" {
@@ -45,7 +45,7 @@
 	return toLoadReport(&report)
 }
 
-// decodeORCA decodes "FORMAT REPORT", and reports whether that was possible.
+// decodeORCA decodes text of the form "FORMAT REPORT", and reports whether it is valid.
 func decodeORCA(text string, report *orca.OrcaLoadReport) bool {
 	format, content, _ := strings.Cut(text, " ")
 	switch format {
@@ -60,7 +60,7 @@
 	return false
 }
 
-// decodeBinary decodes a protocol buffer in base64, with or without padding.
+// decodeBinary decodes a base64-encoded protocol buffer, with or without padding, and reports whether it is valid.
 func decodeBinary(text string, r *orca.OrcaLoadReport) bool {
 	raw, err := base64.StdEncoding.DecodeString(strings.TrimSpace(text))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return err == nil && proto.Unmarshal(raw, r) == nil
 }
 
-// decodeText decodes a list such as "cpu_utilization=0.3, named_metrics.queue=2". It ignores what it does not know.
+// decodeText decodes a list such as "cpu_utilization=0.3, named_metrics.queue=2". It ignores unknown names and invalid numbers.
 func decodeText(text string, report *orca.OrcaLoadReport) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
@@ -90,6 +90,7 @@
 	}
 }
 
+// setNamedMetric sets a named metric of a report.
 func setNamedMetric(report *orca.OrcaLoadReport, name string, v float64) {
 	if report.NamedMetrics == nil {
 		report.NamedMetrics = map[string]float64{}
@@ -97,10 +98,10 @@
 	report.NamedMetrics[name] = v
 }
 
-// toLoadReport returns what the decision module can use of a report, or nil.
+// toLoadReport converts a report for the decision module. It returns nil if the report has no usable value.
 func toLoadReport(report *orca.OrcaLoadReport) *policy.LoadReport {
 	load := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
-	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // false for NaN
+	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // also false for NaN
 	if v, ok := report.GetNamedMetrics()["queue"]; ok && usable(v) {
 		load.Queue = v
 	}
@@ -111,7 +112,7 @@
 		return &load
 	}
 	utilization := report.GetApplicationUtilization()
-	if !(utilization > 0) { // also for NaN
+	if !(utilization > 0) { // also true for NaN
 		utilization = report.GetCpuUtilization()
 	}
 	if !(utilization > 0) || math.IsInf(utilization, 0) {
--- a/internal/httpservice/timeout.go
+++ b/internal/httpservice/timeout.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// maxTimeout bounds what a client may ask for; the bound itself is not allowed.
+	// maxTimeout is the exclusive upper bound of timeouts that clients may set.
 	maxTimeout = time.Hour
-	// maxGRPCTimeoutBytes bounds a grpc-timeout: eight digits and a unit.
+	// maxGRPCTimeoutBytes is the maximum length of a grpc-timeout value: eight digits and a unit.
 	maxGRPCTimeoutBytes = 9
 )
 
-// grpcUnits are the units of a grpc-timeout.
+// grpcUnits are the units of a grpc-timeout value.
 var grpcUnits = map[byte]time.Duration{
 	'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
 }
 
-// clientTimeout returns how long the client waits, by the first of the trusted header fields with a valid time: a grpc-timeout
-// has a unit, all others are in milliseconds.
+// clientTimeout returns the client's timeout from the first trusted header field with a valid value, and whether there is one. A
+// grpc-timeout value has a unit; values of all other fields are in milliseconds.
 func (d *Dialect) clientTimeout(header http.Header) (time.Duration, bool) {
 	for _, field := range d.cfg.TimeoutFields {
 		digits, unit := header.Get(field), time.Millisecond
@@ -38,7 +38,7 @@
 	return 0, false
 }
 
-// cutGRPCUnit returns the digits of a grpc-timeout and its unit, 0 if there is none.
+// cutGRPCUnit splits a grpc-timeout value into its digits and its unit. The unit is 0 if the value has no valid unit.
 func cutGRPCUnit(text string) (digits string, unit time.Duration) {
 	if text == "" || len(text) > maxGRPCTimeoutBytes {
 		return "", 0
--- a/internal/httpservice/trace.go
+++ b/internal/httpservice/trace.go
@@ -5,18 +5,18 @@
 	"math/rand/v2"
 )
 
-// traceparentField is the header field of W3C Trace Context.
+// traceparentField is the traceparent header field of W3C Trace Context, in canonical form.
 const traceparentField = "Traceparent"
 
-// The parts of a traceparent of version 00: 00-TRACE-PARENT-FLAGS.
+// The layout of a traceparent value of version 00: 00-TRACE-PARENT-FLAGS.
 const (
 	traceparentBytes = 55
-	traceEnd         = 35 // the dash after the trace
-	parentEnd        = 52 // the dash after the parent's span
-	spanBytes        = 8  // before encoding
+	traceEnd         = 35 // index of the dash after the trace ID
+	parentEnd        = 52 // index of the dash after the parent's span ID
+	spanBytes        = 8  // length of a span ID before hexadecimal encoding
 )
 
-// isTraceparent reports whether text is a traceparent of version 00.
+// isTraceparent reports whether text is a valid traceparent value of version 00.
 func isTraceparent(text string) bool {
 	if len(text) != traceparentBytes || text[:3] != "00-" || text[traceEnd] != '-' || text[parentEnd] != '-' {
 		return false
@@ -30,10 +30,10 @@
 	return true
 }
 
-// childSpan returns a valid traceparent with a new random span in place of the parent's.
+// childSpan returns a valid traceparent value with a new random span ID in place of the parent's.
 func childSpan(parent string) string {
 	var span [spanBytes]byte
-	id := rand.Uint64() | 1 // a span of all zeros would mean none
+	id := rand.Uint64() | 1 // a span ID of all zeros is invalid
 	for i := range span {
 		span[i] = byte(id >> (8 * i))
 	}
