--- a/internal/downstream/exchange.go
+++ b/internal/downstream/exchange.go
@@ -120,7 +120,7 @@
 		resp = <-x.Response()
 	}
 	close(stop)
-	c.SetReadDeadline(time.Unix(1, 0)) // ends the read of the watch
+	c.SetReadDeadline(time.Unix(1, 0)) // interrupts the read of watchForClose
 	<-watchEnded
 	return resp, !c.reader.clientClosed.Load()
 }
--- a/internal/downstream/limits.go
+++ b/internal/downstream/limits.go
@@ -54,8 +54,8 @@
 const (
 	// acceptRetryDelay is the wait after a temporary error of Accept, such as a lack of file descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
-	// newConnGrace is the age below which a connection without a request is evicted only if no other connection can be, because its first
-	// request is about to arrive.
+	// newConnGrace is the age from which a connection without a request is among the first to be evicted. Younger ones are spared at first,
+	// because their first request is about to arrive; see Server.Evict.
 	newConnGrace = 100 * time.Millisecond
 	// stalledReadAge is how long a connection with an incomplete request must have received no bytes before it may be evicted.
 	stalledReadAge = 400 * time.Millisecond
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -71,7 +71,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// benchConfig is a configuration of n pools, each with three endpoints at addr.
+// benchConfig returns a configuration with n pools, each with three endpoints at addr.
 func benchConfig(n int, addr string) Config {
 	cfg := Config{Name: "bench", MemoryMB: 512, Descriptors: 4096, Listeners: []Listener{{Name: "farm", Address: "127.0.0.1:0"}}}
 	for i := range n {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -43,8 +43,8 @@
 	StatsInterval time.Duration
 }
 
-// Listener is the configuration of a listening socket for clients or for other sites. It is comparable: a reload that changes any field
-// closes the old listener and opens a new one.
+// Listener is the configuration of a listening socket for clients or for other sites. It is comparable: a reload treats listeners that
+// differ in any field as different listeners.
 type Listener struct {
 	Name, Address string
 	FD            int  // if above 0, the descriptor of an inherited listening socket, which is used instead of Address
@@ -92,7 +92,7 @@
 	QueueWithoutEndpoints bool    // queue requests while no endpoint is ready; otherwise they are rejected
 }
 
-// Validate checks the constraints of c that involve more than one setting, and returns all violations as a joined error.
+// Validate checks limits of c and references between its settings. It returns all violations as one joined error.
 func (c *Config) Validate() error {
 	var errs []error
 	if c.MemoryMB < MinMemoryMB {
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -18,11 +18,11 @@
 func TestEmptyList(t *testing.T) {
 	s := newTestbed(t)
 	a, b := s.backend("a", nil), s.backend("b", nil)
-	disco, err := fake.StartDiscovery(s.recorder, a.Endpoint())
+	discoveryServer, err := fake.StartDiscovery(s.recorder, a.Endpoint())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(disco.Close)
+	t.Cleanup(discoveryServer.Close)
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 	deadAddr := dead.Addr().String()
 	dead.Close()
 	orders := s.pool("orders")
-	orders.Discovery, orders.Settings.Config.PollInterval = disco.Addr(), time.Second
+	orders.Discovery, orders.Settings.Config.PollInterval = discoveryServer.Addr(), time.Second
 	s.pool("meters", b)
 	s.pool("channels").Discovery = deadAddr
 	s.start()
@@ -39,7 +39,7 @@
 		return resp
 	}
 	waitFor(t, "the pool to serve with its first list", func() bool { return roundTrip("orders").StatusCode == http.StatusOK })
-	disco.SetEndpoints()
+	discoveryServer.SetEndpoints()
 	waitFor(t, "requests to be rejected after the list became empty", func() bool { return isRetryableRejection(roundTrip("orders")) })
 	if resp := roundTrip("channels"); !isRetryableRejection(resp) {
 		t.Errorf("pool whose discovery is unreachable: status %d, want a retryable rejection", resp.StatusCode)
@@ -50,7 +50,7 @@
 	if n := s.g.Load().Requests; n != 0 {
 		t.Errorf("%d requests are open, want 0", n)
 	}
-	disco.SetEndpoints(a.Endpoint())
+	discoveryServer.SetEndpoints(a.Endpoint())
 	waitFor(t, "the pool to serve again", func() bool { return roundTrip("orders").StatusCode == http.StatusOK })
 }
 
@@ -58,20 +58,20 @@
 // deadlines. Requests that were never sent must be rejected at once.
 func TestListEmptiesUnderLoad(t *testing.T) {
 	s := newTestbed(t)
-	disco, err := fake.StartDiscovery(s.recorder)
+	discoveryServer, err := fake.StartDiscovery(s.recorder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(disco.Close)
+	t.Cleanup(discoveryServer.Close)
 	backend := s.backend("a", nil)
-	s.pool("orders").Discovery = disco.Addr()
+	s.pool("orders").Discovery = discoveryServer.Addr()
 	s.start()
 	var slowest atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	statuses := make([]atomic.Int64, 600)
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			c := s.dial()
 			for ctx.Err() == nil {
 				began := time.Now()
@@ -85,15 +85,15 @@
 		})
 	}
 	for range 15 {
-		disco.SetEndpoints(backend.Endpoint())
+		discoveryServer.SetEndpoints(backend.Endpoint())
 		served := statuses[200].Load()
 		waitFor(t, "requests to be served", func() bool { return statuses[200].Load() > served+20 })
 		rejections := statuses[503].Load()
-		disco.SetEndpoints()
+		discoveryServer.SetEndpoints()
 		waitFor(t, "requests to be rejected", func() bool { return statuses[503].Load() > rejections+5 })
 	}
 	cancel()
-	all.Wait()
+	clients.Wait()
 	// The deadline of the requests is 10 s. Each step of the test takes only some milliseconds.
 	if d := time.Duration(slowest.Load()); d > 5*time.Second {
 		t.Errorf("the slowest request took %v, want at most 5s", d)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -53,7 +53,7 @@
 	cfg      Config
 	g        *Gateway
 	addr     string
-	end      func() // shuts the gateway down as on SIGTERM, and returns once Run has returned
+	shutDown func() // shuts the gateway down as on SIGTERM, and returns once Run has returned
 }
 
 func newTestbed(t *testing.T) *testbed {
@@ -124,11 +124,11 @@
 			s.t.Error(err)
 		}
 	}()
-	s.end = func() {
+	s.shutDown = func() {
 		cancel()
 		<-ended
 	}
-	s.t.Cleanup(s.end)
+	s.t.Cleanup(s.shutDown)
 }
 
 type client struct {
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -75,7 +75,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.end()
+		s.shutDown()
 	}()
 	for name, got := range pending {
 		a := <-got
