--- a/policy/actions.go
+++ b/policy/actions.go
@@ -19,7 +19,7 @@
 	// CheckHealth sends a health check to an endpoint, which responds with a load report. The host reports the result with
 	// HandleHealthCheck.
 	CheckHealth(endpoint EndpointID)
-	// WatchEndpoints subscribes to the endpoint list.
+	// WatchEndpoints calls the list service and watches the endpoint list. The Balancer always passes true; false would end the watch.
 	WatchEndpoints(on bool)
 	// Log writes a line to the log.
 	Log(text string)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// queueWaitDivisor divides the remaining time of a request to get its longest wait for a load sample: the wait adds to the latency.
+	// queueWaitDivisor divides the remaining time of a request to get its longest wait for a load sample, because the wait adds to the
+	// latency.
 	queueWaitDivisor = 6
-	// randomRejectionBand is the width of the random rejection range below a request's latency limit, as a fraction of the limit. The
-	// rejection probability rises to 1 across the range. Queues settle inside the range, below the objective, although each rejected
-	// client retries up to three times.
+	// randomRejectionBand is the width under a full shortage of the random rejection range, which ends at a request's latency limit. It is
+	// a fraction of the part of the limit above the latency without a queue. The rejection probability rises to 1 across the range. The
+	// range is wide enough that queues settle inside it, below the objective, even if each rejected client retries up to three times.
 	randomRejectionBand = 0.4
 	// sheddingLatencyMargin is the fraction that is added to expected latencies under a full shortage.
 	sheddingLatencyMargin = 0.5
@@ -22,7 +23,7 @@
 
 	// capacityDecayTime is the time constant of the exponential decay of the request counts in the capacity estimate.
 	capacityDecayTime = 500 * time.Millisecond
-	// capacityPriorRequests is the number of requests without capacity that are assumed in addition to those seen. An instance with
+	// capacityPriorRequests is the number of requests without capacity that are assumed in addition to those counted. An instance with
 	// little traffic has little information and therefore rejects as under a shortage.
 	capacityPriorRequests = 10
 	// minCapacityRequests is the number of recent requests that are needed to prove that there is capacity.
@@ -39,15 +40,16 @@
 const (
 	endedDeadline       endReason = iota // a response would be too late to be of use to the client
 	endedOverLimit                       // load shedding: the expected latency is above the latency limit of the request
-	endedNoEndpoint                      // no endpoint may be attempted
+	endedNoEndpoint                      // no endpoint may get an attempt
 	endedAttemptsFailed                  // the attempts failed, and no retry is allowed or of use
 )
 
 // retryHelps reports whether a retry by the client could succeed. Only then may the request be rejected instead of failed.
 func (r endReason) retryHelps() bool { return r != endedDeadline }
 
-// capacityEstimator distinguishes a capacity shortage from single slow responses. It counts for how many recent requests, of any
-// priority, at least one endpoint of the subset was expected to respond in time.
+// capacityEstimator distinguishes a capacity shortage from single slow responses. Among the recent requests of any priority that
+// admitOrReject decided, it counts those for which at least one endpoint of the active subset had capacity (hasCapacity). Requests that are
+// sent to a marked or just sampled endpoint are not counted.
 type capacityEstimator struct {
 	requests, withCapacity float64 // counts with exponential decay
 	updatedAt              Time
@@ -68,8 +70,8 @@
 	}
 }
 
-// provenSufficient reports whether enough recent requests were seen and enough of them had capacity. Unlike shortage, it does not
-// count the assumed requests of capacityPriorRequests.
+// provenSufficient reports whether enough recent requests were counted and enough of them had capacity. Unlike shortage, it does not count
+// the assumed requests of capacityPriorRequests.
 func (c *capacityEstimator) provenSufficient() bool {
 	return c.requests >= minCapacityRequests && c.requests-c.withCapacity <= sheddingStartShortage*c.requests
 }
@@ -82,7 +84,8 @@
 	return min(1, max(0, (without-sheddingStartShortage)/(sheddingFullShortage-sheddingStartShortage)))
 }
 
-// priorityDensity returns the priority weight per second of the latency objective. It is the value of a place in a queue for the class.
+// priorityDensity returns the priority weight per second of the latency objective. It tells which class should get a scarce place in a
+// queue.
 func (c Class) priorityDensity() float64 { return c.PriorityWeight / c.LatencyObjective.Seconds() }
 
 // highestPriorityDensity returns the highest priority density of the classes, 0 if there are none.
@@ -94,9 +97,9 @@
 	return highest
 }
 
-// latencyLimit returns the expected latency above which r is rejected. It is the time left to the objective of r. For lower priorities
-// it decreases as the capacity shortage grows. A request of the highest priority is rejected only if it would be late. Under a
-// shortage, other requests are also rejected at random within randomRejectionBand below their limit.
+// latencyLimit returns the expected latency above which r is rejected. It is the time left to the objective of r. For lower priorities it
+// decreases as the capacity shortage grows. A request of the highest priority density is rejected only if it could be late, as judged by
+// pessimisticLatency. Under a shortage, other requests are also rejected at random within randomRejectionBand below their limit.
 func (b *Balancer) latencyLimit(now Time, r *request) time.Duration {
 	unloaded := b.latency.predict(0)
 	shortage := b.capacity.shortage(now)
@@ -116,19 +119,19 @@
 	return time.Duration(min(factor*float64(b.expectedLatency(now, e)), float64(maxExpectedLatency)))
 }
 
-// exceedsLimit reports whether r should be rejected rather than sent to e. It is false for an idle endpoint whatever its expected
-// latency: no other request gains from the rejection, and only further responses can show that a period of slow responses is over.
+// exceedsLimit reports whether r should be rejected rather than sent to e. It is false for an idle endpoint whatever its expected latency,
+// because no other request gains from the rejection, and only further responses can show that a period of slow responses is over.
 func (b *Balancer) exceedsLimit(now Time, r *request, e *endpoint) bool {
 	return !e.isIdle() && b.pessimisticLatency(now, e, b.capacity.shortage(now)) > r.latencyLimit
 }
 
-// hasCapacity reports whether e is expected to respond to r in time, even with the full sheddingLatencyMargin.
+// hasCapacity reports whether e is idle, or is expected to respond to r in time even with the full sheddingLatencyMargin.
 func (b *Balancer) hasCapacity(now Time, r *request, e *endpoint) bool {
 	return e.isIdle() || now+b.pessimisticLatency(now, e, 1) <= r.objectiveDeadline
 }
 
 // admitOrReject sends r to an endpoint of the active subset. It ends r if the selected endpoint exceeds the latency limit of r or no
-// endpoint may be attempted.
+// endpoint may get an attempt.
 func (b *Balancer) admitOrReject(now Time, r *request, active []*endpoint, act Actions) {
 	hadCapacity := slices.ContainsFunc(active, func(e *endpoint) bool { return b.hasCapacity(now, r, e) })
 	b.capacity.record(now, hadCapacity)
@@ -143,8 +146,8 @@
 }
 
 // preferWithinLimit returns the endpoints of active that do not exceed the limit of r, or all of active if there are none. Under a full
-// shortage that recent requests do not disprove, it returns all of active for a request without top priority: the remaining capacity
-// is for the highest priorities.
+// shortage that recent requests do not disprove, it returns all of active for a request without top priority, because the remaining
+// capacity is for the highest priorities.
 func (b *Balancer) preferWithinLimit(now Time, r *request, active []*endpoint) []*endpoint {
 	shortage := b.capacity.shortage(now)
 	topPriority := r.class.priorityDensity() > b.maxPriorityDensity/topPriorityDivisor
@@ -171,9 +174,11 @@
 	r.queuedUntil = 0
 }
 
-// handleSampleReply passes a health check result of e to the requests that wait for it; reported tells whether it has a load report.
-// The first request for which e is within the limit is sent to e. The wait of a request ends once all its replies have arrived. If the
-// subset is limited to the own zone and has no capacity there, a further round first samples endpoints outside the subset.
+// handleSampleReply passes a health check result of e to the requests that wait for it; reported reports whether it has a load report. The
+// first request for which e is within the limit is sent to e. If the subset is limited to the local zone and no endpoint of the first round
+// is within the limit, a further round, if the budget allows it, samples endpoints outside the subset. The wait ends when the number of
+// replies to all rounds of the request reaches the size of the latest round: with the last reply to the first round, but usually with the
+// first reply to the second round.
 func (b *Balancer) handleSampleReply(now Time, e *endpoint, reported bool, act Actions) {
 	var unplaced []*request
 	for _, r := range b.queued {
@@ -183,7 +188,7 @@
 		r.sampleReplies++
 		admissible := reported && !b.exceedsLimit(now, r, e)
 		if r.sampleReplies == len(r.sampled) && b.localZoneOnly && !admissible && b.healthChecks.canAffordRound() {
-			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the own zone is full
+			r.sampled = b.startSamplingRound(now, r, b.readyEndpoints[b.subsetSize:], act) // the local zone is full
 			continue
 		}
 		if admissible {
@@ -207,8 +212,8 @@
 	b.admitOrReject(now, r, b.activeSubset(now), act)
 }
 
-// retryAfter returns how long a rejected client should wait before a retry: until the first queue of the active subset is expected to
-// have shrunk to the latency limit of r. It is 0 if clients do not honor it, and at most Config.MaxRetryAfter.
+// retryAfter returns how long a rejected client should wait before a retry: until one endpoint of the active subset is expected to respond
+// within the latency limit of r. It is 0 if clients do not honor it, and at most Config.MaxRetryAfter.
 func (b *Balancer) retryAfter(now Time, r *request) time.Duration {
 	if !b.cfg.RetryAfterHonored {
 		return 0
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -17,11 +17,11 @@
 	b.healthChecks.contention = 0
 	r := &request{latencyLimit: 90 * time.Millisecond}
 	if got := b.retryAfter(0, r); got != 10*time.Millisecond {
-		t.Errorf("retry after %v, want 10ms, by which the expected latency exceeds the limit", got)
+		t.Errorf("retry after %v, want 10ms, the excess of the expected latency over the limit", got)
 	}
 	r.latencyLimit = -time.Hour
 	if got := b.retryAfter(0, r); got != cfg.MaxRetryAfter {
-		t.Errorf("retry after %v, want at most %v", got, cfg.MaxRetryAfter)
+		t.Errorf("retry after %v, want %v, which is MaxRetryAfter", got, cfg.MaxRetryAfter)
 	}
 }
 
@@ -46,12 +46,12 @@
 	}
 	b.latency.observe(0, float64(time.Second/10))
 	b.healthChecks.credit = sampleSize
-	for _, s := range b.readyEndpoints {
-		s.reportedQueue, s.hasReport, s.marked = 1000, true, false
+	for _, e := range b.readyEndpoints {
+		e.reportedQueue, e.hasReport, e.marked = 1000, true, false
 	}
 	b.HandleRequest(0, Request{ID: 3, Class: "safe", Expires: time.Second}, rec)
-	for _, s := range b.requests[3].sampled {
-		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{Queue: 1000}}, rec)
+	for _, e := range b.requests[3].sampled {
+		b.HandleHealthCheck(0, HealthCheckResult{Endpoint: e.ID, Load: &LoadReport{Queue: 1000}}, rec)
 	}
 	if got := rec.take("reject"); !slices.Equal(got, []string{"reject 3"}) {
 		t.Errorf("got %v, want request 3 rejected at the last reply", got)
@@ -64,8 +64,8 @@
 	cfg := testConfig()
 	cfg.HealthCheckCost = 1 // few health checks
 	b, rec := newTestBalancer(t, cfg, 4)
-	for _, s := range b.readyEndpoints {
-		s.hasReport = true // with an empty queue
+	for _, e := range b.readyEndpoints {
+		e.hasReport = true // with an empty queue
 	}
 	b.latency.observe(0, float64(time.Second))
 	now, sent := time.Second, 0
@@ -99,8 +99,8 @@
 }
 
 // TestTopPriorityTakesTheCapacityLeft guards against rejecting requests of the highest priority while an endpoint has capacity. Under a
-// shortage such a request must go to the one endpoint with capacity, and must not be rejected at random below its objective. The test
-// failed when only one endpoint was drawn, and when the random rejection band applied to all classes.
+// shortage such a request must go to the one endpoint with capacity, and must not be rejected at random below its objective. The test fails
+// if only one endpoint is drawn, or if the random rejection band applies to all classes.
 func TestTopPriorityTakesTheCapacityLeft(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{
@@ -113,10 +113,10 @@
 		b, rec := newTestBalancer(t, cfg, 5)
 		b.healthChecks.credit = -10 // prevents health checks, so that the loads do not change
 		b.latency = latencyModel{meanQueue: 5, meanLatency: float64(500 * time.Millisecond), queueVariance: 25, covariance: 25 * float64(90*time.Millisecond)}
-		for id, s := range b.endpoints {
-			s.hasReport, s.reportedQueue = true, 9 // about 860 ms, and late with the margin
+		for id, e := range b.endpoints {
+			e.hasReport, e.reportedQueue = true, 9 // about 860 ms, and late with the margin
 			if id == "s3" {
-				s.reportedQueue = 6 // about 590 ms
+				e.reportedQueue = 6 // about 590 ms
 			}
 		}
 		b.healthChecks.contention = 1
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Balancer makes the decisions of one instance. Its methods must be called in order of time. Each rule is in a file of its own. A
-// Balancer is not safe for concurrent use.
+// Balancer makes the decisions of one instance. Its methods must be called in order of time. A Balancer is not safe for concurrent use.
 type Balancer struct {
 	cfg Config
 	rng *rand.Rand
@@ -188,8 +187,8 @@
 	a.endpoint.recordContact(now, status)
 }
 
-// HandleResponseStarted records that part of a response has reached the client. The request is not retried from then on. Package pool
-// does not call this method: it reports the attempt as StatusOK, with RequestEnded, once the first part of the response is handed over.
+// HandleResponseStarted records that part of a response has reached the client. The request is not retried from then on. A host need not
+// call this method if it reports the attempt as StatusOK, with RequestEnded, once the first part of the response is handed over.
 func (b *Balancer) HandleResponseStarted(_ Time, id RequestID, _ int, _ Actions) {
 	if r := b.requests[id]; r != nil {
 		r.responseStarted = true
@@ -228,8 +227,8 @@
 	act.SetTimer(max(0, r.finalDeadline-now), timerToken(id))
 }
 
-// HandleRequestAbandoned records that the host has ended a request without a decision of the Balancer: the client disconnected, the
-// body broke off, or the process ends. Its attempts are canceled if Config.CancellationAllowed is set.
+// HandleRequestAbandoned records that the host has ended a request without a decision of the Balancer: the client disconnected, the body
+// was cut short, or the process ends. Its attempts are canceled if Config.CancellationAllowed is set.
 func (b *Balancer) HandleRequestAbandoned(_ Time, id RequestID, act Actions) {
 	r := b.requests[id]
 	if r == nil || r.ended {
@@ -302,7 +301,7 @@
 type Summary struct {
 	TypicalLatency   time.Duration // moving average of the response latency
 	CapacityShortage float64       // from 0, there is capacity for all requests, to 1, the lowest priorities are shed in full
-	EjectedEndpoints int           // endpoints without traffic after failures; 0 while more than half are ejected and ejections are ignored
+	EjectedEndpoints int           // ready endpoints left out of the active subset after failures; 0 while more than half are ejected
 }
 
 // Summarize returns the Summary at now.
--- a/policy/checker_test.go
+++ b/policy/checker_test.go
@@ -30,11 +30,11 @@
 
 type openRequest struct {
 	Request
-	class        Class
-	attempts     []openAttempt
-	ended        bool
-	bodyConsumed bool // its streamed body is being sent or was sent
-	bodySending  bool // its streamed body is being sent
+	class          Class
+	attempts       []openAttempt
+	ended          bool
+	bodyConsumed   bool // its streamed body is being sent or was sent
+	bodyInTransfer bool // its streamed body is being sent
 }
 
 type openAttempt struct {
@@ -50,25 +50,25 @@
 	c.t.Errorf("at %v: %s", c.now, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) StartAttempt(id RequestID, s EndpointID, timeout time.Duration) {
-	c.log = append(c.log, fmt.Sprint("send ", id, s, timeout))
+func (c *checker) StartAttempt(id RequestID, endpointID EndpointID, timeout time.Duration) {
+	c.log = append(c.log, fmt.Sprint("send ", id, endpointID, timeout))
 	r := c.requests[id]
-	srv, ok := c.endpoints[s]
+	e, ok := c.endpoints[endpointID]
 	switch {
 	case r == nil || r.ended:
 		c.reportViolation("attempt of the ended or unknown request %d", id)
 		return
 	case !ok:
-		c.reportViolation("attempt at the unknown endpoint %s", s)
+		c.reportViolation("attempt at the unknown endpoint %s", endpointID)
 		return
-	case c.notReady[s]:
-		c.reportViolation("attempt at %s, which drains or was removed", s)
+	case c.notReady[endpointID]:
+		c.reportViolation("attempt at %s, which drains or was removed", endpointID)
 	case r.bodyConsumed:
 		c.reportViolation("attempt of request %d, whose body is consumed", id)
 	case r.StreamedBody && slices.ContainsFunc(r.attempts, func(a openAttempt) bool { return a.inFlight }):
 		c.reportViolation("second attempt in flight of request %d, whose body can be read only once", id)
 	case len(r.attempts) >= c.cfg.MaxAttempts:
-		c.reportViolation("attempt %d of at most %d", len(r.attempts)+1, c.cfg.MaxAttempts)
+		c.reportViolation("attempt number %d of one request, want at most MaxAttempts = %d", len(r.attempts)+1, c.cfg.MaxAttempts)
 	}
 	for _, a := range r.attempts {
 		if a.inFlight && !c.cfg.HedgingAllowed {
@@ -83,12 +83,12 @@
 			c.reportViolation("request %d is not idempotent and was sent again", id)
 		case c.now > a.sentAt+r.class.DedupWindow:
 			c.reportViolation("request %d with an idempotency key sent again %v after an attempt, after its dedup window", id, c.now-a.sentAt)
-		case r.class.DedupScope == DedupZone && a.endpoint.Zone != srv.Zone,
-			r.class.DedupScope == DedupCell && a.endpoint.Cell != srv.Cell:
+		case r.class.DedupScope == DedupZone && a.endpoint.Zone != e.Zone,
+			r.class.DedupScope == DedupCell && a.endpoint.Cell != e.Cell:
 			c.reportViolation("request %d with an idempotency key sent again outside its dedup scope", id)
 		}
 	}
-	r.attempts = append(r.attempts, openAttempt{endpoint: srv, sentAt: c.now, inFlight: true})
+	r.attempts = append(r.attempts, openAttempt{endpoint: e, sentAt: c.now, inFlight: true})
 }
 
 func (c *checker) recordEnd(id RequestID) *openRequest {
@@ -100,7 +100,7 @@
 	if r.ended {
 		c.reportViolation("second end of request %d", id)
 	}
-	if c.now > r.Expires+c.cfg.ResponseGrace && !r.bodySending {
+	if c.now > r.Expires+c.cfg.ResponseGrace && !r.bodyInTransfer {
 		c.reportViolation("request %d ended %v after its deadline", id, c.now-r.Expires)
 	}
 	r.ended = true
@@ -143,15 +143,15 @@
 	c.timers = append(c.timers, timerEvent{c.now + max(d, c.cfg.TimerResolution), token})
 }
 
-func (c *checker) CheckHealth(s EndpointID) {
-	c.log = append(c.log, fmt.Sprint("check ", s))
+func (c *checker) CheckHealth(endpointID EndpointID) {
+	c.log = append(c.log, fmt.Sprint("check ", endpointID))
 	if !c.cfg.HealthChecksAllowed {
 		c.reportViolation("health check without HealthChecksAllowed")
 	}
-	if _, ok := c.endpoints[s]; !ok {
-		c.reportViolation("health check of the unknown endpoint %s", s)
+	if _, ok := c.endpoints[endpointID]; !ok {
+		c.reportViolation("health check of the unknown endpoint %s", endpointID)
 	}
-	c.healthChecks = append(c.healthChecks, s)
+	c.healthChecks = append(c.healthChecks, endpointID)
 }
 
 func (c *checker) WatchEndpoints(on bool) { c.log = append(c.log, fmt.Sprint("watch ", on)) }
--- a/policy/clienttimeout.go
+++ b/policy/clienttimeout.go
@@ -57,10 +57,11 @@
 	}
 }
 
-// takeRetriedRequest returns the unanswered request that q retries and removes it from the list; nil if there is none. The two must
-// have the same tenant, key and expected work, and q must expire within the client's deadline for the first try. A request without key
-// and expected work never counts as a retry: under heavy traffic some request is always unanswered. New requests that were mistaken for
-// its retries would be rejected as late and become unanswered themselves, in an endless cycle.
+// takeRetriedRequest returns the unanswered request that q retries and removes it from the list; nil if there is none. The two must have
+// the same tenant, key and expected work, and q must expire within the client's deadline for the first try. This function never takes a
+// request with neither key nor expected work for a retry, because under heavy traffic some request is always unanswered. New requests that
+// were mistaken for its retries would be failed as late and become unanswered themselves, in an endless cycle. startOfLastTry may still
+// take such a request for a last try.
 func (c *classState) takeRetriedRequest(q Request, tolerance time.Duration) *request {
 	if q.Key == "" && q.ExpectedWork <= 0 {
 		return nil
@@ -76,8 +77,8 @@
 }
 
 // startOfLastTry estimates the start from the unusual timeout of q. A last try expires at the client's deadline, which determines the
-// start. The estimate is used if an unanswered request started at that time. Otherwise the client only has another timeout, q is a new
-// request, and startOfLastTry returns now.
+// start. The estimate is used if an unanswered request started at that time. Otherwise the client merely uses a different timeout, q is a
+// new request, and startOfLastTry returns now.
 func (c *classState) startOfLastTry(now Time, q Request, timerResolution time.Duration) Time {
 	start := min(now, max(now, q.Expires)-c.Deadline)
 	startedThen := func(r *request) bool { return (r.startedAt - start).Abs() <= startTolerance+timerResolution }
--- a/policy/config.go
+++ b/policy/config.go
@@ -13,7 +13,7 @@
 const (
 	Idempotent      Idempotency = iota // a repeat is harmless
 	IdempotentByKey                    // a repeat is dropped within Class.DedupScope and Class.DedupWindow
-	NonIdempotent                      // a repeat is executed again; not allowed
+	NonIdempotent                      // a repeat is executed again; allowed only if no earlier attempt can have been executed
 )
 
 // DedupScope is the set of endpoints that drop repeats of a request with an idempotency key.
@@ -60,15 +60,15 @@
 	MaxAttempts         int  // attempts per request
 	MaxRetryAfter       time.Duration
 	DialTimeout         time.Duration
-	ConnIdle            time.Duration // idle time after which a connection is closed
+	ConnIdle            time.Duration // idle time after which a connection is closed; not used by the decisions
 	TimerResolution     time.Duration // shortest time between two events of the host
 
 	InlineLoadReports bool // responses carry load reports; otherwise only health checks do. Read by the host
 	KeyAffinity       bool // an endpoint does less work for a key that it has served recently
 
-	PollInterval         time.Duration // an endpoint list older than this is out of date
-	PollMaxBackoff       time.Duration // longest delay from a failed call to the list service to the next call; 0: PollInterval
-	WatchReopenMaxDelay  time.Duration // longest delay from the loss of a watch to the next call; 0: PollInterval
+	PollInterval         time.Duration // an endpoint list older than this is out of date; also sets the delays between calls to the list service
+	PollMaxBackoff       time.Duration // longest delay from a failed call to the list service to the next call; 0: 1.5 times PollInterval
+	WatchReopenMaxDelay  time.Duration // longest delay from the loss of a watch to the next call; 0: set by PollInterval and InstanceCount alone
 	ResponseGrace        time.Duration // longest delay of a response after Request.Expires; not used by the decisions
 	SlowStartMinCapacity float64       // capacity of an endpoint at its start, as a fraction of its full capacity
 	SlowStartDuration    time.Duration // time from the start of an endpoint to its full capacity
@@ -76,8 +76,8 @@
 	// Costs that the platform charges, in points.
 	HealthCheckCost float64 // of one health check per request
 	ConnectionCost  float64 // of 100 open connections per endpoint
-	HandshakeCost   float64 // of one new connection per request
-	CrossZoneCost   float64 // of each attempt in another zone, as a fraction of all requests
+	HandshakeCost   float64 // of one new connection per request; not used by the decisions
+	CrossZoneCost   float64 // of one attempt in another zone per request
 }
 
 // ErrInvalidConfig is wrapped by the error that New returns for a Config with a value out of range.
@@ -87,7 +87,8 @@
 func (cfg Config) validate() error {
 	switch {
 	case cfg.InstanceCount < 1 || cfg.InstanceIndex < 0 || cfg.InstanceIndex >= cfg.InstanceCount:
-		return fmt.Errorf("%w: InstanceIndex %d must be at least 0 and below InstanceCount %d", ErrInvalidConfig, cfg.InstanceIndex, cfg.InstanceCount)
+		return fmt.Errorf("%w: InstanceIndex %d of InstanceCount %d: need InstanceCount >= 1 and 0 <= InstanceIndex < InstanceCount",
+			ErrInvalidConfig, cfg.InstanceIndex, cfg.InstanceCount)
 	case cfg.MaxAttempts < 1:
 		return fmt.Errorf("%w: MaxAttempts must be at least 1", ErrInvalidConfig)
 	case !(cfg.SlowStartMinCapacity >= 0 && cfg.SlowStartMinCapacity <= 1) || cfg.SlowStartDuration < 0:
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// pollRetrySlot is the time that each instance of the group adds to the period over which repeated calls to the list service are
-	// spread. A slow service may need this long for one call.
+	// pollRetrySlot times the number of instances in the group is the period over which repeated calls to the list service are spread,
+	// unless a bound below is shorter. A slow service may need this long for one call.
 	pollRetrySlot = 50 * time.Millisecond
-	// firstPollSlot is the same time for the first call of each instance. It is longer because the instance has a cached list.
+	// firstPollSlot replaces pollRetrySlot for the first call of each instance. It is longer because the instance has a cached list.
 	firstPollSlot = 300 * time.Millisecond
-	// pollRetryDivisor bounds the backoff after failed calls, before it doubles, to Config.PollInterval divided by it.
+	// pollRetryDivisor bounds the backoff after failed calls, before its doublings, to Config.PollInterval divided by it.
 	pollRetryDivisor = 8
-	// maxPollDoublings is how many times the backoff doubles with further failures.
+	// maxPollDoublings bounds the doublings of the backoff. It doubles with each consecutive failure, the first included.
 	maxPollDoublings = 3
 	// watchReopenDivisor bounds the delay of the call after a lost watch to Config.PollInterval divided by it.
 	watchReopenDivisor = 16
 	// firstPollTenths is the longest delay of the first call, in tenths of Config.PollInterval. The response thus arrives within the
-	// interval. Package staleness relies on the same fraction (firstPollSpread).
+	// interval. It must match firstPollSpread in package internal/staleness.
 	firstPollTenths = 6
 	// watchToken is the token of the timer for the next call to the list service.
 	watchToken = "watch"
@@ -32,7 +32,7 @@
 	hashKey uint64 // sort key of sortByHash
 
 	// Load, from load reports.
-	reportedQueue float64 // latest queue, in requests; infinite after a rejection or time-out
+	reportedQueue float64 // latest queue, in requests; infinite after a rejection or timeout
 	hasReport     bool
 	marked        bool // the latest report was at or below the threshold, and no attempt was sent since
 	markedAt      Time
@@ -48,15 +48,15 @@
 	ejectedUntil        Time // zero: not ejected
 
 	// Latency.
-	machineType      *machineType
-	slowness         float64 // moving average of the ratio of latency to predicted latency
-	slownessSamples  int     // responses in slowness, at most maxSlownessSamples
-	responseInterval float64 // moving average of the time between responses while attempts are in flight, in nanoseconds
-	lastResponse     Time
-	newestAnswered   Time // when the newest attempt that has a response was sent
+	machineType          *machineType
+	slowness             float64 // moving average of the ratio of latency to predicted latency
+	slownessSamples      int     // responses in slowness, at most slownessWindow
+	responseInterval     float64 // moving average of the time between responses while attempts are in flight, in nanoseconds
+	lastResponse         Time
+	newestAnsweredSentAt Time // when the newest attempt that has a response was sent
 }
 
-// hasQueue reports whether requests wait at e according to its latest load report.
+// hasQueue reports whether the latest load report of e has a queue of at least 1. The queue includes requests that are being processed.
 func (e *endpoint) hasQueue() bool { return e.reportedQueue >= 1 }
 
 // recordSend records that an attempt or a health check is about to be sent to e.
@@ -81,8 +81,8 @@
 type endpointPoll struct {
 	instanceCount  int
 	interval       time.Duration // Config.PollInterval
-	maxBackoff     time.Duration // 0: interval
-	reopenMaxDelay time.Duration // 0: interval
+	maxBackoff     time.Duration // Config.PollMaxBackoff, the bound of 1.5 times the backoff; 0: the backoff is at most interval
+	reopenMaxDelay time.Duration // Config.WatchReopenMaxDelay; 0: interval
 	watching       bool
 	failures       int // consecutive failed calls
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -17,7 +17,7 @@
 		cfg.InstanceCount = size
 		calls := firstPollDelays(t, cfg)
 		if len(calls) != size {
-			t.Fatalf("%d first calls of %d instances", len(calls), size)
+			t.Fatalf("%d first calls of %d instances, want one of each", len(calls), size)
 		}
 		slices.Sort(calls)
 		free, rejected, latest := time.Duration(0), 0, time.Duration(0)
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Time is an instant on the monotonic clock of the host. The origin of the clock is arbitrary, but every instant passed to a Balancer
-// must be above 0, because the Balancer uses 0 for "never".
+// Time is an instant on the monotonic clock of the host. The origin of the clock is arbitrary, but a host must only pass instants above 0
+// to a Balancer, because 0 means "not set" in the state of the Balancer.
 type Time = time.Duration
 
 // EndpointID identifies an endpoint. The Balancer compares, sorts and hashes IDs and does not parse them.
@@ -28,9 +28,9 @@
 	State       EndpointState
 	Zone        string
 	Cell        int
-	Weight      float64
-	MachineType string // name of the machine type in the endpoint list; empty: unknown
-	Started     Time   // start of the process; zero: long ago
+	Weight      float64 // not used by the decisions
+	MachineType string  // name of the machine type in the endpoint list; empty: unknown
+	Started     Time    // start of the process; zero: long ago
 }
 
 // UpdateKind is the kind of an update of the endpoint list.
@@ -41,8 +41,8 @@
 	UpdateDelta      UpdateKind = iota // changed entries only
 	UpdateFull                         // all entries; endpoints without an entry were removed
 	UpdateCached                       // all entries, possibly out of date
-	UpdatePollFailed                   // no entries: a call to the list service failed, or the watch broke
-	UpdateWatchLost                    // no entries: the watch ended or moved, or the host needs a list now; a watch is available
+	UpdatePollFailed                   // no entries: a call to the list service failed, or its watch ended early; a backoff follows
+	UpdateWatchLost                    // no entries: a working watch ended, the list service was replaced, or the host needs a list now
 )
 
 // PriorAttempt is an attempt of the request that was made before the request reached this instance, such as at another site. It counts
@@ -59,10 +59,10 @@
 	ID            RequestID
 	Class         string // a name from Config.Classes; a request of another class counts as not idempotent
 	Tenant        string
-	Key           string        // idempotency or affinity key; may be empty
+	Key           string        // idempotency key (IdempotentByKey) or affinity key (Config.KeyAffinity); may be empty
 	ExpectedWork  time.Duration // rough estimate; zero: unknown
 	IsRetry       bool          // the client marked the request as a retry; not used by the decisions
-	Expires       Time          // when the client gives up; with a streamed body: when the first attempt must have begun
+	Expires       Time          // when the client gives up; with a streamed body: the time by which the host must have begun to send the body
 	PriorAttempts []PriorAttempt
 	MaxAttempts   int  // including PriorAttempts; 0: only Config.MaxAttempts applies
 	StreamedBody  bool // the body is forwarded as it arrives; the host calls HandleBodyStarted and HandleBodyFinished
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,14 +10,14 @@
 // printer is an implementation of policy.Actions that prints the actions.
 type printer struct{}
 
-func (printer) StartAttempt(id policy.RequestID, s policy.EndpointID, d time.Duration) {
-	fmt.Println("send", id, "to", s, "within", d)
+func (printer) StartAttempt(id policy.RequestID, endpointID policy.EndpointID, d time.Duration) {
+	fmt.Println("send", id, "to", endpointID, "within", d)
 }
 func (printer) Reject(id policy.RequestID, _ time.Duration)    { fmt.Println("refuse", id) }
 func (printer) Fail(id policy.RequestID)                       { fmt.Println("fail", id) }
 func (printer) CancelAttempt(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
 func (printer) SetTimer(time.Duration, string)                 {}
-func (printer) CheckHealth(s policy.EndpointID)                { fmt.Println("probe", s) }
+func (printer) CheckHealth(endpointID policy.EndpointID)       { fmt.Println("probe", endpointID) }
 func (printer) WatchEndpoints(on bool)                         { fmt.Println("watch", on) }
 func (printer) Log(text string)                                { fmt.Println(text) }
 
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -8,17 +8,17 @@
 	healthCheckBudgetPoints = 0.05
 	// minHealthCheckCost replaces a cost of zero, in points. It prevents a division by zero.
 	minHealthCheckCost = 1e-9
-	// trafficInfoLifetime is how long the responses to an instance's own requests describe its subset well enough. An instance whose
+	// trafficInfoLifetime is how long the load information in the responses to an instance's own requests stays accurate. An instance whose
 	// requests arrive at shorter intervals sends proportionally fewer health checks per request.
 	trafficInfoLifetime = 600 * time.Millisecond
-	// maxRequestInterval caps each interval in the average of request intervals: one long pause says little about the traffic.
+	// maxRequestInterval caps each interval in the average of request intervals, because one long pause says little about the traffic.
 	maxRequestInterval = 4 * trafficInfoLifetime
-	// minHealthCheckShare is the share of the budget that remains under heavy traffic: marks and threshold need some health checks.
+	// minHealthCheckShare is the share of the budget that remains under heavy traffic, because marks and threshold need some health checks.
 	minHealthCheckShare = 0.3
 	// minContention is the share of the budget that remains while health checks find no queue, so that they can find the next queue.
 	minContention = 0.1
-	// arrivalCreditShare is the share of a request's credit that is earned on its arrival. The rest is earned with its first attempt.
-	// A client whose request is rejected retries up to three times, and each retry must not earn the full credit.
+	// arrivalCreditShare is the share of a request's credit that is earned on its arrival. The rest is earned with its first attempt. A
+	// client may retry a rejected request up to three times, and each retry must not earn the full credit.
 	arrivalCreditShare = 0.4
 )
 
@@ -27,7 +27,7 @@
 type healthCheckBudget struct {
 	cost            float64       // of one health check per request, in points
 	credit          float64       // health checks that past requests have paid for; at most one round
-	contention      float64       // moving average of the share of health checks that found a queue; 1 after a failure
+	contention      float64       // moving average of the queues that health checks found, each at most 1; 1 after a failure
 	requestInterval time.Duration // moving average of the time between requests
 	lastRequest     Time
 }
@@ -48,11 +48,11 @@
 	h.contention += smoothingWeight * (min(queue, 1) - h.contention)
 }
 
-// recordFailure records the failure of an endpoint. The full credit is earned until health checks find empty queues again.
+// recordFailure records the failure of an endpoint. Requests earn the full credit until health checks find empty queues again.
 func (h *healthCheckBudget) recordFailure() { h.contention = 1 }
 
-// earn adds the credit of a share of one request: the full credit while endpoints fail or have queues, little while they have no queues
-// and any endpoint is a good choice.
+// earn adds the given share of the credit of one request: the full credit while endpoints fail or have queues, little while they have no
+// queues and any endpoint is a good choice.
 func (h *healthCheckBudget) earn(share float64) {
 	share *= min(1, max(minHealthCheckShare, float64(h.requestInterval)/float64(trafficInfoLifetime)))
 	h.credit = min(h.credit+share*max(h.contention, minContention)*healthCheckBudgetPoints/max(h.cost, minHealthCheckCost), sampleSize)
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestFewerHealthChecksWithMuchTraffic guards against needless health checks under heavy traffic. The instance's own responses then
-// describe its subset, and it must send fewer health checks per request. The test failed when the budget did not depend on the traffic.
+// describe its subset, and it must send fewer health checks per request. The test fails if the budget does not depend on the traffic.
 func TestFewerHealthChecksWithMuchTraffic(t *testing.T) {
 	checksEach := func(gap time.Duration) float64 {
 		cfg := testConfig()
@@ -53,14 +53,14 @@
 			id := RequestID(i + 1)
 			b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 			for _, l := range rec.lines {
-				if s, ok := strings.CutPrefix(l, "check "); ok { // each endpoint has a queue, so that the full credit is earned
+				if endpointID, ok := strings.CutPrefix(l, "check "); ok { // each endpoint has a queue, so that the full credit is earned
 					checks++
-					b.HandleHealthCheck(now, HealthCheckResult{Endpoint: EndpointID(s), Load: &LoadReport{Queue: 1}}, rec)
+					b.HandleHealthCheck(now, HealthCheckResult{Endpoint: EndpointID(endpointID), Load: &LoadReport{Queue: 1}}, rec)
 				}
 			}
 			for _, l := range rec.take("send") {
-				s := EndpointID(l[strings.LastIndexByte(l, ' ')+1:])
-				b.HandleAttemptResult(now+10*time.Millisecond, AttemptResult{ID: id, Endpoint: s, Latency: 10 * time.Millisecond, RequestEnded: true}, rec)
+				endpointID := EndpointID(l[strings.LastIndexByte(l, ' ')+1:])
+				b.HandleAttemptResult(now+10*time.Millisecond, AttemptResult{ID: id, Endpoint: endpointID, Latency: 10 * time.Millisecond, RequestEnded: true}, rec)
 			}
 		}
 		return float64(checks) / requests
@@ -70,6 +70,6 @@
 		t.Errorf("health checks per request: %.2f with heavy traffic, %.2f with light; want light >= 0.8 and heavy <= 0.6*light", highTraffic, lowTraffic)
 	}
 	if highTraffic < 0.1 {
-		t.Errorf("%.2f health checks per request with heavy traffic, want at least 0.1: marks and thresholds would be outdated", highTraffic)
+		t.Errorf("%.2f health checks per request with heavy traffic, want at least 0.1, because marks and thresholds would be outdated", highTraffic)
 	}
 }
--- a/policy/hedge.go
+++ b/policy/hedge.go
@@ -18,18 +18,19 @@
 	slowResponseFactor = 2
 )
 
-// hedgeBudget limits the number of hedged requests. Each request adds hedgeBudgetRatio to the credit. Each hedged request whose response
-// arrives before that of the first attempt adds one. If some endpoints do not respond, hedging thus continues as long as it helps. If
-// all endpoints are equally slow, the first attempt wins and hedging stays within hedgeBudgetRatio.
+// hedgeBudget limits the number of hedged requests. Each request adds hedgeBudgetRatio to the credit. Each hedged request that wins, with a
+// response before that of the other attempt in flight, adds one. If some endpoints do not respond, hedging thus continues as long as it
+// helps. If all endpoints are equally slow, the first attempt wins and hedging stays within hedgeBudgetRatio.
 type hedgeBudget struct {
 	credit  float64 // hedged requests that may be sent now
-	winRate float64 // moving average of the share of hedged requests that had a response before the first attempt
+	winRate float64 // moving average of the share of hedged requests that won
 }
 
 // earn adds the credit of one request.
 func (h *hedgeBudget) earn() { h.credit = min(h.credit+hedgeBudgetRatio, maxHedgeCredit) }
 
-// recordOutcome records which of two attempts in flight at once had the first response. won is true for the hedged request.
+// recordOutcome records which of two attempts in flight at once had the first response. won is true for an attempt other than the first of
+// the request. This is usually the hedged request, but it is the earlier attempt if that is a retry.
 func (h *hedgeBudget) recordOutcome(won bool) {
 	h.winRate *= 1 - smoothingWeight
 	if won {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -8,18 +8,18 @@
 const (
 	// smoothingWeight is the weight of a new sample in moving averages. The average covers about the latest ten samples.
 	smoothingWeight = 0.1
-	// assumedConcurrency is the number of requests that an endpoint is assumed to process in parallel until latencies show more. Two is
-	// the smallest number with which latency grows slower than the queue.
+	// assumedConcurrency is the number of requests that an endpoint is assumed to process in parallel until latencies show more. Two is the
+	// smallest number with which latency grows slower than the queue; with one it would grow in proportion to the queue.
 	assumedConcurrency = 2
 	// minPredictionDivisor sets the lower bound of predictions: the mean latency divided by it, however steep the regression line is.
 	minPredictionDivisor = 4
-	// maxSlownessSample bounds the latency ratio that one response contributes to the slowness of an endpoint.
-	maxSlownessSample = 10
-	// maxSlownessSamples is the number of responses up to which slowness is their mean. Beyond it slowness is a moving average.
-	maxSlownessSamples = 1 / smoothingWeight
-	// machineTypeSamples is the weight of the machine type in the effective slowness of an endpoint, in responses of the endpoint.
-	machineTypeSamples = 3
-	// maxMachineTypes bounds the number of machine types that are stored: a list could have a different type for each endpoint.
+	// maxSlownessRatio bounds the latency ratio that one response contributes to the slowness of an endpoint.
+	maxSlownessRatio = 10
+	// slownessWindow is the number of responses up to which slowness is their mean. Beyond it slowness is a moving average.
+	slownessWindow = 1 / smoothingWeight
+	// machineTypeWeight is the weight of the machine type in the effective slowness of an endpoint, in responses of the endpoint.
+	machineTypeWeight = 3
+	// maxMachineTypes bounds the number of machine types that are stored, because a list could have a different type for each endpoint.
 	maxMachineTypes = 64
 	// maxExpectedLatency replaces an infinite latency where a duration is needed.
 	maxExpectedLatency = time.Hour
@@ -85,7 +85,7 @@
 
 // recordSlowness adds the ratio of a latency of e to its prediction.
 func (e *endpoint) recordSlowness(ratio float64) {
-	e.slownessSamples = min(e.slownessSamples+1, maxSlownessSamples)
+	e.slownessSamples = min(e.slownessSamples+1, slownessWindow)
 	e.slowness += max(smoothingWeight, 1/float64(e.slownessSamples)) * (ratio - e.slowness)
 }
 
@@ -94,7 +94,7 @@
 // endpoint as average and overload it.
 func (e *endpoint) effectiveSlowness() float64 {
 	samples := float64(e.slownessSamples)
-	return (samples*e.slowness + machineTypeSamples*e.machineType.slowness) / (samples + machineTypeSamples)
+	return (samples*e.slowness + machineTypeWeight*e.machineType.slowness) / (samples + machineTypeWeight)
 }
 
 // recordResponse records a response to an attempt sent at sentAt and updates responseInterval, the interval between responses to this
@@ -107,11 +107,11 @@
 		e.responseInterval = sample
 	}
 	e.responseInterval += smoothingWeight * (sample - e.responseInterval)
-	e.lastResponse, e.newestAnswered = now, max(e.newestAnswered, sentAt)
+	e.lastResponse, e.newestAnsweredSentAt = now, max(e.newestAnsweredSentAt, sentAt)
 }
 
-// rateBasedLatency returns the latency of another attempt at e if e keeps its response interval and first completes the attempts of this
-// instance in flight. If e has not replied for longer than one interval, that time replaces the interval of the last response.
+// rateBasedLatency returns how long one more attempt at e would take if e went on responding to this instance at its usual interval and in
+// the order of the attempts. If e has not replied for longer than one interval, that time replaces the interval of the last response.
 func (e *endpoint) rateBasedLatency(now Time) time.Duration {
 	interval := time.Duration(e.responseInterval)
 	if e.inFlight == 0 {
@@ -120,8 +120,9 @@
 	return time.Duration(float64(e.inFlight)*e.responseInterval) + max(interval, now-e.silentSince)
 }
 
-// isIdle reports whether no request waits at e, according to its load report and the attempts of this instance in flight. With the load
-// report alone, an instance with heavy traffic would overload e before the next report arrives.
+// isIdle reports whether the latest load report of e has a queue below 1, and fewer than assumedConcurrency attempts of this instance are
+// in flight at e. It is false without a load report. With the load report alone, an instance with heavy traffic would overload e before the
+// next report arrives.
 func (e *endpoint) isIdle() bool {
 	return e.hasReport && e.reportedQueue < 1 && e.inFlight < assumedConcurrency
 }
@@ -149,7 +150,7 @@
 func (b *Balancer) recordLatency(a *attempt, latency float64) {
 	predicted := b.latency.predict(a.queueAtSend)
 	if predicted > 0 {
-		ratio := min(latency/predicted, maxSlownessSample)
+		ratio := min(latency/predicted, maxSlownessRatio)
 		if !a.warmingUp {
 			a.endpoint.machineType.recordSample(ratio)
 		}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -11,36 +11,36 @@
 func TestRateBasedLatency(t *testing.T) {
 	const ms = time.Millisecond
 	b, rec := newTestBalancer(t, testConfig(), 4)
-	s := b.readyEndpoints[0]
-	s.hasReport = true
+	e := b.readyEndpoints[0]
+	e.hasReport = true
 	startRequest := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(at, r, []*endpoint{e}, rec)
 	}
 	for id := RequestID(1); id <= 10; id++ {
 		startRequest(id, 0)
 	}
 	for id := RequestID(1); id <= 10; id++ { // one every 20 ms
-		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
+		b.HandleAttemptResult(Time(id)*20*ms, AttemptResult{ID: id, Endpoint: e.ID, Status: StatusOK, RequestEnded: true}, rec)
 	}
 	b.latency = latencyModel{meanLatency: float64(20 * ms), queueVariance: 1e9} // flat line
 	for id := RequestID(11); id <= 20; id++ {
 		startRequest(id, time.Second)
 	}
-	if got := b.expectedLatency(time.Second, s); got < 180*ms || got > 220*ms {
+	if got := b.expectedLatency(time.Second, e); got < 180*ms || got > 220*ms {
 		t.Errorf("expected latency %v after ten attempts at 20ms each, want about 200ms", got)
 	}
-	if s.isIdle() {
+	if e.isIdle() {
 		t.Error("isIdle = true with ten attempts in flight, want false")
 	}
-	if got := b.expectedLatency(time.Second+500*ms, s); got < 600*ms {
+	if got := b.expectedLatency(time.Second+500*ms, e); got < 600*ms {
 		t.Errorf("expected latency %v after 500ms without a response, want at least 600ms", got)
 	}
 }
 
-// TestSlownessIsSharedByMachineType guards against treating a new endpoint of a slow machine type as average. The slowness of a machine type
-// must apply to its endpoints until they have responses of their own. The test failed when each endpoint only had its own slowness.
+// TestSlownessIsSharedByMachineType guards against treating a new endpoint of a slow machine type as average. The slowness of a machine
+// type must apply to its endpoints until they have responses of their own. The test fails if each endpoint only has its own slowness.
 func TestSlownessIsSharedByMachineType(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 0)
 	var list []Endpoint
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -6,7 +6,7 @@
 // That process may have another version, so the JSON names must not change.
 type LearnedState struct {
 	LatencyModel          [4]float64                     `json:"Line"` // mean queue, mean latency, variance of the queue, covariance
-	HealthCheckContention float64                        `json:"Busy"` // share of health checks that found a queue
+	HealthCheckContention float64                        `json:"Busy"` // moving average of the queues that health checks found, each at most 1
 	HedgeWinRate          float64                        `json:"CopyWins"`
 	Endpoints             map[EndpointID]LearnedEndpoint `json:"Servers"`
 	ClientTimeouts        map[string]time.Duration       `json:"Patience"` // usual client timeout by class
@@ -45,11 +45,11 @@
 	return state
 }
 
-// ImportLearnedState restores the state that another Balancer exported. The state of an endpoint is restored only if the endpoint is on
-// the list and has not restarted since.
+// ImportLearnedState restores the state that another Balancer exported. The state of an endpoint is restored only if the endpoint is on the
+// list with the same start time and so has not restarted. The host must first convert LearnedEndpoint.Started to its own clock.
 func (b *Balancer) ImportLearnedState(now Time, state LearnedState) {
-	line := state.LatencyModel
-	b.latency = latencyModel{meanQueue: line[0], meanLatency: line[1], queueVariance: line[2], covariance: line[3]}
+	model := state.LatencyModel
+	b.latency = latencyModel{meanQueue: model[0], meanLatency: model[1], queueVariance: model[2], covariance: model[3]}
 	b.healthChecks.contention, b.hedges.winRate = state.HealthCheckContention, state.HedgeWinRate
 	for id, learned := range state.Endpoints {
 		if e := b.endpoints[id]; e != nil && e.Started == learned.Started {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -11,14 +11,14 @@
 // TestFailingEndpointIsEjected guards against an endpoint that fails fast and attracts requests with its short queue.
 func TestFailingEndpointIsEjected(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 4)
-	s := b.endpoints["s0"]
-	s.marked = true
-	b.recordFailure(0, s, StatusApplicationError, false)
-	if s.marked || slices.Contains(b.activeSubset(0), s) {
+	e := b.endpoints["s0"]
+	e.marked = true
+	b.recordFailure(0, e, StatusApplicationError, false)
+	if e.marked || slices.Contains(b.activeSubset(0), e) {
 		t.Error("a failed endpoint is still marked or in the subset")
 	}
 	b.outliers.readmitByHealthCheck = false
-	if !slices.Contains(b.activeSubset(baseEjectionTime), s) {
+	if !slices.Contains(b.activeSubset(baseEjectionTime), e) {
 		t.Error("the endpoint is still ejected after baseEjectionTime without health checks")
 	}
 	b.outliers.readmitByHealthCheck = true
@@ -32,23 +32,23 @@
 }
 
 // TestEjectionEndsWithHealthCheck guards against client requests that probe an ejected endpoint where health checks are allowed. A health
-// check must find out whether the endpoint has recovered. The test failed when time alone ended ejections: requests of each instance
-// failed at a dead endpoint after each ejection.
+// check must find out whether the endpoint has recovered. If time alone ended ejections, requests of each instance would fail at a dead
+// endpoint after each ejection.
 func TestEjectionEndsWithHealthCheck(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 4)
 	now := time.Hour
-	s := b.readyEndpoints[0]
-	b.recordFailure(now, s, StatusConnectFailed, false)
+	e := b.readyEndpoints[0]
+	b.recordFailure(now, e, StatusConnectFailed, false)
 	b.healthChecks.credit = -1000 // prevents sampling rounds
 	id := RequestID(0)
 	sendRequest := func() (sent, checks int) {
 		id++
 		b.HandleRequest(now, Request{ID: id, Class: "safe", Expires: now + time.Second}, rec)
 		for _, l := range rec.take("") {
-			if l == fmt.Sprintf("send %d %s", id, s.ID) {
+			if l == fmt.Sprintf("send %d %s", id, e.ID) {
 				sent++
 			}
-			if l == fmt.Sprintf("check %s", s.ID) {
+			if l == fmt.Sprintf("check %s", e.ID) {
 				checks++
 			}
 		}
@@ -58,7 +58,7 @@
 		t.Errorf("%d attempts and %d health checks during the ejection time, want none", sent, checks)
 	}
 	for round := range 3 {
-		now = s.ejectedUntil
+		now = e.ejectedUntil
 		asked := 0
 		for range 20 {
 			sent, checks := sendRequest()
@@ -69,48 +69,48 @@
 		if asked != 1 {
 			t.Fatalf("round %d: %d health checks after the ejection time, want 1", round, asked)
 		}
-		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Status: StatusTimeout}, rec)
-		if want := now + baseEjectionTime<<(round+1); s.ejectedUntil != want {
-			t.Errorf("round %d: ejected until %v, want %v", round, s.ejectedUntil, want)
+		b.HandleHealthCheck(now, HealthCheckResult{Endpoint: e.ID, Status: StatusTimeout}, rec)
+		if want := now + baseEjectionTime<<(round+1); e.ejectedUntil != want {
+			t.Errorf("round %d: ejected until %v, want %v", round, e.ejectedUntil, want)
 		}
 	}
-	now = s.ejectedUntil
+	now = e.ejectedUntil
 	sendRequest()
-	fails := s.consecutiveFailures
-	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: s.ID, Load: &LoadReport{}}, rec)
-	if !slices.Contains(b.activeSubset(now), s) || b.EjectedCount(now) != 0 {
+	fails := e.consecutiveFailures
+	b.HandleHealthCheck(now, HealthCheckResult{Endpoint: e.ID, Load: &LoadReport{}}, rec)
+	if !slices.Contains(b.activeSubset(now), e) || b.EjectedCount(now) != 0 {
 		t.Error("still ejected after a successful health check")
 	}
-	if s.consecutiveFailures != fails {
+	if e.consecutiveFailures != fails {
 		t.Error("a health check reset the consecutive failures: an endpoint that fails each request would be tried twice as often")
 	}
 }
 
 // TestUnresponsiveEndpointIsAvoided guards against sending to a machine that is down without closing its connections. Attempts there end
-// only with their time-out, and the endpoint list reports the failure much later.
+// only with their timeout, and the endpoint list reports the failure much later.
 func TestUnresponsiveEndpointIsAvoided(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.latency.observe(0, float64(10*time.Millisecond))
-	s := b.readyEndpoints[0]
-	s.hasReport = true
+	e := b.readyEndpoints[0]
+	e.hasReport = true
 	for id := RequestID(1); id <= 3; id++ {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Second}
 		b.requests[id] = r
-		b.startOrAwaitEndpoint(0, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(0, r, []*endpoint{e}, rec)
 	}
-	if !slices.Contains(b.activeSubset(20*time.Millisecond), s) {
+	if !slices.Contains(b.activeSubset(20*time.Millisecond), e) {
 		t.Error("not in the subset after twice the typical latency without a reply")
 	}
-	if slices.Contains(b.activeSubset(40*time.Millisecond), s) {
+	if slices.Contains(b.activeSubset(40*time.Millisecond), e) {
 		t.Error("still in the subset after four times the typical latency without a reply")
 	}
-	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusOK, RequestEnded: true}, rec)
-	if !slices.Contains(b.activeSubset(60*time.Millisecond), s) {
+	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: e.ID, Status: StatusOK, RequestEnded: true}, rec)
+	if !slices.Contains(b.activeSubset(60*time.Millisecond), e) {
 		t.Error("not in the subset after a response")
 	}
-	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout}, rec)
-	if s.ejectedUntil <= time.Second {
-		t.Error("not ejected by a time-out of the unresponsive endpoint")
+	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: e.ID, Status: StatusTimeout}, rec)
+	if e.ejectedUntil <= time.Second {
+		t.Error("not ejected by a timeout of the unresponsive endpoint")
 	}
 }
 
@@ -120,24 +120,24 @@
 	b, rec := newTestBalancer(t, testConfig(), 4)
 	b.latency.observe(0, float64(100*time.Millisecond))
 	b.healthChecks.contention = 0
-	s := b.readyEndpoints[0]
-	s.hasReport = true
+	e := b.readyEndpoints[0]
+	e.hasReport = true
 	sendRequest := func(id RequestID, at Time) {
 		r := &request{Request: Request{ID: id, Expires: time.Minute}, class: b.classes["safe"], finalDeadline: time.Minute}
 		b.requests[id] = r
-		b.startOrAwaitEndpoint(at, r, []*endpoint{s}, rec)
+		b.startOrAwaitEndpoint(at, r, []*endpoint{e}, rec)
 	}
-	want, expected := *s, b.expectedLatency(0, s)
+	want, expected := *e, b.expectedLatency(0, e)
 	sendRequest(1, 0)
-	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: s.ID, Status: StatusTimeout, Latency: 50 * time.Millisecond, RequestEnded: true}, rec)
-	if s.reportedQueue != want.reportedQueue || s.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, s) != expected {
-		t.Errorf("after a short time-out: queue %v, %d failures, contention %v, expected latency %v; want no change and an expected latency of %v",
-			s.reportedQueue, s.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, s), expected)
+	b.HandleAttemptResult(50*time.Millisecond, AttemptResult{ID: 1, Endpoint: e.ID, Status: StatusTimeout, Latency: 50 * time.Millisecond, RequestEnded: true}, rec)
+	if e.reportedQueue != want.reportedQueue || e.consecutiveFailures != 0 || b.healthChecks.contention != 0 || b.expectedLatency(0, e) != expected {
+		t.Errorf("after a short timeout: queue %v, %d failures, contention %v, expected latency %v; want no change and an expected latency of %v",
+			e.reportedQueue, e.consecutiveFailures, b.healthChecks.contention, b.expectedLatency(0, e), expected)
 	}
 	sendRequest(2, 0)
-	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: s.ID, Status: StatusTimeout, Latency: time.Second, RequestEnded: true}, rec)
-	if s.consecutiveFailures == 0 {
-		t.Error("a long time-out counted no failure")
+	b.HandleAttemptResult(time.Second, AttemptResult{ID: 2, Endpoint: e.ID, Status: StatusTimeout, Latency: time.Second, RequestEnded: true}, rec)
+	if e.consecutiveFailures == 0 {
+		t.Error("a long timeout counted no failure")
 	}
 }
 
@@ -153,20 +153,20 @@
 	if len(b.endpoints) != 9 || b.endpoints["s0"].ejectedUntil != 0 {
 		t.Error("a hint for an endpoint that drains or is not on the list had an effect")
 	}
-	s := b.endpoints["s3"]
-	if !b.isEjected(time.Second, s) || s.consecutiveFailures != 0 || s.marked {
-		t.Fatalf("%+v", s)
+	e := b.endpoints["s3"]
+	if !b.isEjected(time.Second, e) || e.consecutiveFailures != 0 || e.marked {
+		t.Fatalf("after a hint for s3, the endpoint is %+v, want it ejected, without failures and not marked", e)
 	}
-	if b.HandleHealthCheck(1100*time.Millisecond, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); !b.isEjected(1100*time.Millisecond, s) {
+	if b.HandleHealthCheck(1100*time.Millisecond, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); !b.isEjected(1100*time.Millisecond, e) {
 		t.Error("a health check from before the end of the ejection time ended the ejection")
 	}
-	if !b.isEjected(time.Minute, s) {
+	if !b.isEjected(time.Minute, e) {
 		t.Error("time alone ended the ejection")
 	}
-	if b.HandleHealthCheck(2*time.Second, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); b.isEjected(2*time.Second, s) {
+	if b.HandleHealthCheck(2*time.Second, HealthCheckResult{Endpoint: "s3", Load: &LoadReport{}}, rec); b.isEjected(2*time.Second, e) {
 		t.Error("a health check after the ejection time did not end the ejection")
 	}
-	if b.HandleUnreachableHint(2*time.Second+baseEjectionTime-1, "s3"); b.isEjected(2*time.Second+baseEjectionTime-1, s) {
+	if b.HandleUnreachableHint(2*time.Second+baseEjectionTime-1, "s3"); b.isEjected(2*time.Second+baseEjectionTime-1, e) {
 		t.Error("a hint ejected an endpoint with a recent reply")
 	}
 	for i := range 9 {
@@ -195,7 +195,7 @@
 	}
 }
 
-// TestFailuresThatMayBeOverload guards against ejections because of load. Rejections never eject an endpoint. Time-outs eject it if it was
+// TestFailuresThatMayBeOverload guards against ejections because of load. Rejections never eject an endpoint. Timeouts eject it if it was
 // unresponsive, or after several consecutive failures without a recent success.
 func TestFailuresThatMayBeOverload(t *testing.T) {
 	now := time.Minute
@@ -216,7 +216,7 @@
 		e := &endpoint{consecutiveFailures: tt.failures, lastSuccess: tt.lastSuccess}
 		outlierPolicy{maxEjection: time.Second}.recordFailure(now, e, tt.status, tt.unresponsive)
 		if got := e.ejectedUntil > 0; got != tt.ejected {
-			t.Errorf("%+v: ejected = %v", tt, got)
+			t.Errorf("case %+v: ejected = %v, want the value of the field ejected", tt, got)
 		}
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -59,9 +59,10 @@
 	}
 }
 
-// attemptDenied alone decides whether an attempt of r at e is allowed at now. It applies to first attempts, retries and hedged requests.
-// It does not consider whether the attempt would be of use.
-func (p retryPolicy) attemptDenied(now Time, r *request, e *endpoint) AttemptDenial {
+// attemptDenial returns the reason why an attempt of r at e is not allowed at now, or AttemptAllowed. It applies to first attempts, retries
+// and hedged requests. scheduleHedge also excludes hedged requests with a streamed body. attemptDenial does not consider whether the
+// attempt would be of use.
+func (p retryPolicy) attemptDenial(now Time, r *request, e *endpoint) AttemptDenial {
 	switch {
 	case r.ended:
 		return DeniedRequestEnded
@@ -79,16 +80,16 @@
 		return DeniedHedgingForbidden
 	}
 	for i := range r.attempts {
-		if denial := p.repeatDenied(now, r.class, &r.attempts[i], e); denial != AttemptAllowed {
+		if denial := p.repeatDenial(now, r.class, &r.attempts[i], e); denial != AttemptAllowed {
 			return denial
 		}
 	}
 	return AttemptAllowed
 }
 
-// repeatDenied decides whether the earlier attempt may be repeated at e. An attempt that is proven not to have been executed may be
-// repeated anywhere. Otherwise the idempotency of the class decides.
-func (p retryPolicy) repeatDenied(now Time, c *classState, earlier *attempt, e *endpoint) AttemptDenial {
+// repeatDenial returns the reason why the earlier attempt may not be repeated at e, or AttemptAllowed. An attempt that is proven not to
+// have been executed may be repeated anywhere. Otherwise the idempotency of the class decides.
+func (p retryPolicy) repeatDenial(now Time, c *classState, earlier *attempt, e *endpoint) AttemptDenial {
 	if earlier.notExecuted {
 		return AttemptAllowed
 	}
@@ -108,7 +109,7 @@
 
 // attemptAllowed reports whether the retry policy allows an attempt of r at e.
 func (b *Balancer) attemptAllowed(now Time, r *request, e *endpoint) bool {
-	return b.retries.attemptDenied(now, r, e) == AttemptAllowed
+	return b.retries.attemptDenial(now, r, e) == AttemptAllowed
 }
 
 // rejectionSafe reports whether r may be rejected. A rejection tells the client that a retry is harmless. This holds if the class is
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -31,9 +31,9 @@
 		if c == nil {
 			c = &classState{Class: Class{Idempotency: NonIdempotent}}
 		}
-		s := b.endpoints["s0"]
+		e := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: c}
-		r.attempts = []attempt{{endpoint: s, zone: s.Zone, cell: s.Cell, notExecuted: tt.first.NotExecuted()}}
+		r.attempts = []attempt{{endpoint: e, zone: e.Zone, cell: e.Cell, notExecuted: tt.first.NotExecuted()}}
 		var allowed []EndpointID
 		for _, id := range slices.Sorted(maps.Keys(b.endpoints)) {
 			if b.attemptAllowed(0, r, b.endpoints[id]) {
@@ -55,16 +55,16 @@
 	for _, allowed := range []bool{true, false} {
 		cfg.HedgingAllowed = allowed
 		b, _ := newTestBalancer(t, cfg, 2)
-		s := b.endpoints["s0"]
+		e := b.endpoints["s0"]
 		r := &request{Request: Request{Expires: time.Second}, class: b.classes["safe"], inFlight: 1}
-		r.attempts = []attempt{{endpoint: s, inFlight: true}}
+		r.attempts = []attempt{{endpoint: e, inFlight: true}}
 		if got := b.attemptAllowed(0, r, b.endpoints["s1"]); got != allowed {
-			t.Errorf("HedgingAllowed %v: attemptAllowed = %v", allowed, got)
+			t.Errorf("HedgingAllowed %v: attemptAllowed = %v, want the same value", allowed, got)
 		}
 	}
 }
 
-// TestAttemptDenialReasons checks that attemptDenied returns the reason of the one rule that each case violates.
+// TestAttemptDenialReasons checks that attemptDenial returns the reason of the one rule that each case violates.
 func TestAttemptDenialReasons(t *testing.T) {
 	policy := retryPolicy{maxAttempts: 3, dedupMargin: 10 * time.Millisecond}
 	sent := attempt{zone: "a", cell: 1, sentAt: 0}
@@ -92,8 +92,8 @@
 		r := &request{Request: Request{Expires: time.Second}, class: &classState{Class: keyed}, attempts: []attempt{sent}}
 		e := &endpoint{Endpoint: Endpoint{Zone: "a", Cell: 1}}
 		tt.change(r, e)
-		if got := policy.attemptDenied(50*time.Millisecond, r, e); got != tt.want {
-			t.Errorf("case %d: denial %v, want %v", i, got, tt.want)
+		if got := policy.attemptDenial(50*time.Millisecond, r, e); got != tt.want {
+			t.Errorf("tests[%d]: denial %v, want %v", i, got, tt.want)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -108,9 +108,9 @@
 func (p *eventDriver) endAttempt(r *openRequest, i int, status Status) {
 	a := &r.attempts[i]
 	a.inFlight, a.status = false, status
-	if r.bodySending && status != StatusCanceled { // the body was not sent completely
+	if r.bodyInTransfer && status != StatusCanceled { // the body was not sent completely
 		status = StatusConnectFailed
-		a.status, r.bodySending = status, false
+		a.status, r.bodyInTransfer = status, false
 		r.Expires = max(r.Expires, p.now) // the deadline for the response starts with the last byte of the body
 	}
 	if status == StatusOK {
@@ -139,7 +139,7 @@
 func (p *eventDriver) expireAttempts() bool {
 	for _, id := range p.ids {
 		r := p.requests[id]
-		if r.bodySending {
+		if r.bodyInTransfer {
 			continue
 		}
 		if !r.ended && p.now > r.Expires+p.cfg.ResponseGrace {
@@ -191,10 +191,10 @@
 	switch {
 	case !r.StreamedBody || r.ended || inFlight < 0:
 	case !r.bodyConsumed:
-		r.bodyConsumed, r.bodySending = true, true
+		r.bodyConsumed, r.bodyInTransfer = true, true
 		p.b.HandleBodyStarted(p.now, r.ID, inFlight)
-	case r.bodySending:
-		r.bodySending = false
+	case r.bodyInTransfer:
+		r.bodyInTransfer = false
 		r.Expires = p.now + time.Duration(1+p.rng.IntN(900))*time.Millisecond
 		r.attempts[inFlight].sentAt = p.now
 		p.b.HandleBodyFinished(p.now, r.ID, r.Expires, p.checker)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,7 @@
 	rankSafe                 // safe: without this rank, slow endpoints would get an even share and ever longer queues
 	rankOnTime               // expected within the objective
 	rankLate                 // expected after the objective
-	notCandidate             // must not be attempted
+	notCandidate             // must not get an attempt
 )
 
 // rankOf returns the rank of e for r.
@@ -37,7 +37,7 @@
 	return rankMarked
 }
 
-// pickEndpoint returns a random endpoint among those with the best rank for r; nil if none may be attempted.
+// pickEndpoint returns a random endpoint among those with the best rank for r; nil if none may get an attempt.
 func (b *Balancer) pickEndpoint(now Time, r *request, endpoints []*endpoint) *endpoint {
 	var best []*endpoint
 	bestRank := notCandidate
@@ -56,8 +56,9 @@
 	return best[b.rng.IntN(len(best))]
 }
 
-// selectEndpoint returns the endpoint for the next attempt of r: one of the preferred endpoints, or else any ready endpoint; nil if there
-// is none. For a first attempt, a warming endpoint drawn by drawWarming replaces the selected endpoint.
+// selectEndpoint returns the endpoint for the next attempt of r: one of the preferred endpoints, or else any ready endpoint, even if it is
+// ejected or unresponsive; nil if there is none. For a first attempt, a warming endpoint drawn by drawWarming replaces the selected
+// endpoint.
 func (b *Balancer) selectEndpoint(now Time, r *request, preferred []*endpoint) *endpoint {
 	picked := b.pickEndpoint(now, r, preferred)
 	if picked == nil {
@@ -73,9 +74,10 @@
 	return picked
 }
 
-// startOrAwaitEndpoint starts the next attempt of r if there is an endpoint for it. It reports whether r continues: either with an
-// attempt, or without one until the list has a ready endpoint. Callers that ignore the result have an endpoint for r, or know that
-// none is ready.
+// startOrAwaitEndpoint starts the next attempt of r if there is an endpoint for it. It reports whether r continues: with an attempt, or, if
+// r has neither attempts nor PriorAttempts and the list has no ready endpoint, by waiting for one. Callers that ignore the result expect
+// that there is an endpoint for r or that none is ready. Otherwise, for example if slow start or the dedup scope of a prior attempt
+// excludes all ready endpoints, r waits until its deadline, or, if it has no attempt yet, until an update of the list.
 func (b *Balancer) startOrAwaitEndpoint(now Time, r *request, preferred []*endpoint, act Actions) bool {
 	e := b.selectEndpoint(now, r, preferred)
 	if e == nil {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -30,8 +30,8 @@
 		const requests = 4000
 		sent := 0
 		for i := range requests {
-			for _, s := range b.readyEndpoints {
-				s.marked, s.markedAt = true, now
+			for _, e := range b.readyEndpoints {
+				e.marked, e.markedAt = true, now
 			}
 			r := &request{
 				Request: Request{ID: RequestID(i + 1), Expires: now + time.Second},
@@ -56,7 +56,7 @@
 }
 
 // TestEndpointIsWarmBeforeFullCapacity guards against rejections while most endpoints are replaced. An endpoint must count as warm before
-// the end of slow start, but not at its start. In the failure, the few old endpoints had too little capacity for all requests.
+// the end of slow start, but not at its start. Otherwise the few old endpoints have too little capacity for all requests.
 func TestEndpointIsWarmBeforeFullCapacity(t *testing.T) {
 	cfg := testConfig()
 	b, rec := newTestBalancer(t, cfg, 2)
@@ -70,8 +70,7 @@
 }
 
 // TestWarmingEndpointsDoNotSkewLatency guards against overestimating the latency of warm endpoints while others warm up. Responses of
-// warming endpoints must not change the shared model. The test failed when they did: with many warming endpoints, warm endpoints were
-// treated as slow.
+// warming endpoints must not change the shared model. Otherwise, with many warming endpoints, warm endpoints are treated as slow.
 func TestWarmingEndpointsDoNotSkewLatency(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 4)
 	now := time.Hour
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -17,10 +17,11 @@
 	connectionBudgetPoints = 0.02
 	// connectionsPerCost is the number of open connections per endpoint that cost Config.ConnectionCost.
 	connectionsPerCost = 100
-	// localZoneFactor is the share of the own zone in a subset, as a multiple of its even share, if crossing zones has a cost. Load reports
-	// balance the remaining difference. The factor is small enough that a zone with few endpoints is not overloaded by its own instances.
+	// localZoneFactor is the share of the local zone in a subset, as a multiple of its even share, if crossing zones has a cost. Load
+	// reports balance the remaining difference. The factor is small enough that a zone with few endpoints is not overloaded by its own
+	// instances.
 	localZoneFactor = 2.4
-	// minRendezvousSubsets is the number of subsets per endpoint from which subsets are chosen by rendezvous hashing.
+	// minRendezvousSubsets is the least average number of subsets per endpoint with which subsets are chosen by rendezvous hashing.
 	minRendezvousSubsets = 5
 	// rendezvousLoadFactor limits the number of subsets with an endpoint, as a multiple of the mean (rendezvous hashing with bounded
 	// loads).
@@ -50,7 +51,7 @@
 type endpointOrder struct {
 	readyEndpoints []*endpoint // the subset, then the other endpoints in the order of rendezvous hashing
 	subsetSize     int         // the first subsetSize of readyEndpoints are the subset
-	localZoneOnly  bool        // the subset is limited to the own zone because of the cost of crossing zones
+	localZoneOnly  bool        // the subset is limited to the local zone because of the cost of crossing zones
 }
 
 // order returns the ready endpoints in the order of preference of this instance. The result does not depend on the order of ready.
@@ -58,7 +59,7 @@
 	sortByHash(ready, 0)
 	local := slices.DeleteFunc(slices.Clone(ready), r.isRemote)
 	remote := slices.DeleteFunc(slices.Clone(ready), func(e *endpoint) bool { return !r.isRemote(e) })
-	// Other zones are excluded if crossing zones costs more than the health checks that find an endpoint in the own zone.
+	// Other zones are excluded if crossing zones costs more than the health checks that find an endpoint in the local zone.
 	localZoneOnly := len(local) >= minSubsetSize && r.crossZoneCost > sampleSize*r.healthCheckCost
 	if localZoneOnly {
 		remote = nil
@@ -89,15 +90,15 @@
 	return size
 }
 
-// localSize returns the number of endpoints of the own zone in a subset: more than the even share of the zone, but not the whole subset if
-// there are remote endpoints.
+// localSize returns the number of endpoints of the local zone in a subset: more than the even share of the zone, but not the whole subset
+// if there are remote endpoints.
 func (r subsetRule) localSize(size, local, remote int) int {
 	preferred := int(math.Round(localZoneFactor * float64(size*local) / float64(max(1, local+remote))))
 	return max(size-remote, min(preferred, size-1, local))
 }
 
 // choose returns the count endpoints of list for this instance. It uses rendezvous hashing if each endpoint is in many subsets. The removal
-// of an endpoint then changes few other subset members. With the stride it would replace half of all members, and each replacement needs
+// of an endpoint then changes few other subset members. Choosing by stride would replace half of all members, and each replacement needs
 // new connections and new latency samples.
 func (r subsetRule) choose(list []*endpoint, count int) []*endpoint {
 	if r.instanceCount > maxRendezvousInstances || r.instanceCount*count < minRendezvousSubsets*len(list) {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -17,8 +17,8 @@
 	for i := range cfg.InstanceCount {
 		cfg.InstanceIndex = i
 		b, _ := newTestBalancer(t, cfg, 40)
-		for _, s := range b.activeSubset(0) {
-			count[s.ID]++
+		for _, e := range b.activeSubset(0) {
+			count[e.ID]++
 		}
 	}
 	want := cfg.InstanceCount * minSubsetSize / 40
@@ -33,8 +33,8 @@
 func TestListOrderDoesNotChangeTheSubset(t *testing.T) {
 	b, rec := newTestBalancer(t, testConfig(), 40)
 	var list []Endpoint
-	for _, s := range b.endpoints {
-		list = append(list, s.Endpoint)
+	for _, e := range b.endpoints {
+		list = append(list, e.Endpoint)
 	}
 	before := slices.Clone(b.readyEndpoints)
 	for seed := range uint64(5) {
@@ -69,15 +69,15 @@
 			}
 			b.UpdateEndpoints(0, UpdateFull, endpoints, &recorder{})
 			set := map[EndpointID]bool{}
-			for _, s := range b.readyEndpoints[:b.subsetSize] {
-				set[s.ID] = true
-				memberships[s.ID]++
+			for _, e := range b.readyEndpoints[:b.subsetSize] {
+				set[e.ID] = true
+				memberships[e.ID]++
 			}
 			all = append(all, set)
 		}
 		least = 1 << 30
-		for _, s := range endpoints {
-			most, least = max(most, memberships[s.ID]), min(least, memberships[s.ID])
+		for _, e := range endpoints {
+			most, least = max(most, memberships[e.ID]), min(least, memberships[e.ID])
 		}
 		return all, most, least
 	}
@@ -110,10 +110,9 @@
 	}
 }
 
-// TestSubsetsPreferTheOwnZone guards against subsets that ignore zones although crossing zones has a cost. Most of a subset must be of the
-// own zone. Endpoints must still be in about the same number of subsets, and those of a small zone must not be overloaded. The test failed
-// with subsets that ignore zones.
-func TestSubsetsPreferTheOwnZone(t *testing.T) {
+// TestSubsetsPreferTheLocalZone guards against subsets that ignore zones although crossing zones has a cost. Most of a subset must be of
+// the zone of the instance. Endpoints must still be in about the same number of subsets, and those of a small zone must not be overloaded.
+func TestSubsetsPreferTheLocalZone(t *testing.T) {
 	for name, c := range map[string]struct {
 		instances, endpoints, inA int // inA: endpoints in zone a
 		least, most               float64
@@ -136,24 +135,24 @@
 				t.Fatal(err)
 			}
 			b.UpdateEndpoints(0, UpdateFull, list, &recorder{})
-			for _, s := range b.readyEndpoints[:b.subsetSize] {
-				memberships[s.ID]++
+			for _, e := range b.readyEndpoints[:b.subsetSize] {
+				memberships[e.ID]++
 				if cfg.Zone == "a" {
 					members++
-					if s.Zone == "a" {
+					if e.Zone == "a" {
 						local++
 					}
 				}
 			}
 		}
 		most, least := 0, c.instances
-		for _, s := range list {
-			most, least = max(most, memberships[s.ID]), min(least, memberships[s.ID])
+		for _, e := range list {
+			most, least = max(most, memberships[e.ID]), min(least, memberships[e.ID])
 		}
 		share := float64(local) / float64(members)
 		t.Logf("%s: %.2f of the subset members of instances in zone a are in zone a; each endpoint in %d to %d subsets", name, share, least, most)
 		if share < c.least || share > c.most {
-			t.Errorf("%s: %.2f of the subset members are of the own zone, want %.2f to %.2f", name, share, c.least, c.most)
+			t.Errorf("%s: %.2f of the subset members are in the local zone, want %.2f to %.2f", name, share, c.least, c.most)
 		}
 		if mean := c.instances * maxSubsetSize / c.endpoints; least == 0 || most > 2*mean+1 {
 			t.Errorf("%s: each endpoint in %d to %d subsets, %d on average; want at least 1 and at most twice the average plus 1", name, least, most, mean)
--- a/policy/support_test.go
+++ b/policy/support_test.go
@@ -15,8 +15,8 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) StartAttempt(id RequestID, s EndpointID, _ time.Duration) {
-	r.record("send %d %s", id, s)
+func (r *recorder) StartAttempt(id RequestID, endpointID EndpointID, _ time.Duration) {
+	r.record("send %d %s", id, endpointID)
 }
 
 func (r *recorder) Reject(id RequestID, _ time.Duration) { r.record("reject %d", id) }
@@ -27,7 +27,7 @@
 
 func (r *recorder) SetTimer(d time.Duration, token string) { r.record("timer %v %s", d, token) }
 
-func (r *recorder) CheckHealth(s EndpointID) { r.record("check %s", s) }
+func (r *recorder) CheckHealth(endpointID EndpointID) { r.record("check %s", endpointID) }
 
 func (r *recorder) WatchEndpoints(on bool) { r.record("watch %v", on) }
 
@@ -57,7 +57,8 @@
 	}
 }
 
-// newTestBalancer returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell.
+// newTestBalancer returns a Balancer with n endpoints s0, s1, ... that alternate between zones a and b, with two endpoints per cell. Unlike
+// a host, it and its callers may use the instant 0.
 func newTestBalancer(t *testing.T, cfg Config, n int) (*Balancer, *recorder) {
 	t.Helper()
 	b, err := New(cfg, 1)
@@ -77,11 +78,11 @@
 
 // respond adds a request with an attempt at an endpoint, which responds after delay.
 func respond(b *Balancer, rec *recorder, now Time, id RequestID, endpointID EndpointID, delay time.Duration) {
-	s := b.endpoints[endpointID]
+	e := b.endpoints[endpointID]
 	r := &request{Request: Request{ID: id, Class: "safe", Expires: now + time.Second}, class: b.classes["safe"], finalDeadline: now + time.Second, objectiveDeadline: now + time.Second}
-	r.attempts = []attempt{{endpoint: s, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, s)}}
+	r.attempts = []attempt{{endpoint: e, sentAt: now, inFlight: true, queueAtSend: 0, warmingUp: !b.slowStart.isWarm(now, e)}}
 	r.inFlight = 1
-	s.inFlight++
+	e.inFlight++
 	b.requests[id] = r
 	b.HandleAttemptResult(now+delay, AttemptResult{ID: id, Endpoint: endpointID, Latency: delay, RequestEnded: true}, rec)
 }
--- a/policy/threshold.go
+++ b/policy/threshold.go
@@ -9,12 +9,12 @@
 // sampleSize is the d of JBT-d, the number of endpoints sampled per round. Two choices give most of the gain.
 const sampleSize = 2
 
-// joinBelowThreshold implements JBT-d of Zhou et al. A round samples d endpoints, and the shortest queue that they report is the
-// threshold. An endpoint is marked if its load report is at or below the threshold. An admitted request goes to a marked endpoint if
-// there is one, and clears the mark. A report sets a mark only once, and marks expire. An instance with little traffic therefore does
-// not rely on outdated marks.
+// joinBelowThreshold implements JBT-d of Zhou et al., "Designing Low-Complexity Heavy-Traffic Delay-Optimal Load Balancing Schemes" (2017).
+// A round samples d endpoints, and the shortest queue that they report is the threshold. An endpoint is marked if its load report is at or
+// below the threshold. An admitted request goes to a marked endpoint if there is one, and clears the mark. One report thus allows at most
+// one request by a mark, and marks expire. An instance with little traffic therefore does not rely on outdated marks.
 type joinBelowThreshold struct {
-	threshold     float64       // shortest queue reported so far in the latest round, in requests
+	threshold     float64       // shortest queue reported so far in the latest round, in requests; markSampled may raise it
 	awaitingFirst bool          // the latest round has no reply yet
 	markLifetime  time.Duration // the shortest latency objective of all classes
 }
@@ -55,9 +55,8 @@
 	e.marked, e.markedAt = e.State == Ready && e.reportedQueue <= j.threshold, now
 }
 
-// markSampled marks e and sets the threshold to its queue. e is the first endpoint to reply in the round of a waiting request. The
-// threshold may come from the round of another request. If the waiting request needed a mark below that threshold, it would be rejected
-// although it could be served.
+// markSampled marks e and sets the threshold to its queue. e has replied in the round of a waiting request and is the first endpoint within
+// its limit. The threshold may come from the round of another request. Keeping that threshold could reject a request that e can serve.
 func (j *joinBelowThreshold) markSampled(now Time, e *endpoint) {
 	j.threshold, e.marked, e.markedAt = e.reportedQueue, true, now
 }
@@ -75,9 +74,9 @@
 	})
 }
 
-// reportedQueueLength returns the queue that JBT-d uses, in requests: the larger of Queue and InFlight. InFlight includes the requests in
-// process, because an endpoint that processes many requests in parallel is slow long before any of them waits. The result is negative if
-// l reports neither.
+// reportedQueueLength returns the queue that JBT-d uses, in requests: the larger of Queue and InFlight. InFlight includes the requests that
+// are being processed, because an endpoint that processes many requests in parallel is slow long before any of them waits. The result is
+// negative if l reports neither.
 func reportedQueueLength(l *LoadReport) float64 {
 	if l == nil {
 		return -1
--- a/policy/trace_test.go
+++ b/policy/trace_test.go
@@ -51,9 +51,9 @@
 	h.actions++
 }
 
-func (h *hasher) StartAttempt(id RequestID, s EndpointID, d time.Duration) {
-	h.record("send %d %s %d", id, s, d)
-	h.attempts = append(h.attempts, sentAttempt{id, h.counts[id], s, h.now})
+func (h *hasher) StartAttempt(id RequestID, endpointID EndpointID, d time.Duration) {
+	h.record("send %d %s %d", id, endpointID, d)
+	h.attempts = append(h.attempts, sentAttempt{id, h.counts[id], endpointID, h.now})
 	h.counts[id]++
 }
 func (h *hasher) Reject(id RequestID, d time.Duration)    { h.record("refuse %d %d", id, d) }
@@ -63,9 +63,9 @@
 	h.record("timer %d %s", d, token)
 	h.timers = append(h.timers, dueTimer{h.now + d, token})
 }
-func (h *hasher) CheckHealth(s EndpointID) {
-	h.record("probe %s", s)
-	h.healthChecks = append(h.healthChecks, s)
+func (h *hasher) CheckHealth(endpointID EndpointID) {
+	h.record("probe %s", endpointID)
+	h.healthChecks = append(h.healthChecks, endpointID)
 }
 func (h *hasher) WatchEndpoints(on bool) { h.record("watch %v", on) }
 func (h *hasher) Log(text string)        { h.record("log %s", text) }
@@ -118,14 +118,14 @@
 		if kind == UpdateDelta && rng.IntN(4) > 0 {
 			continue
 		}
-		s := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, MachineType: fmt.Sprint("k", i%3), Weight: 1}
+		e := Endpoint{ID: EndpointID(fmt.Sprint("s", i)), Zone: string(rune('a' + i%2)), Cell: i / 3, MachineType: fmt.Sprint("k", i%3), Weight: 1}
 		if rng.IntN(5) == 0 {
-			s.State = EndpointState(rng.IntN(3))
+			e.State = EndpointState(rng.IntN(3))
 		}
 		if i%4 == 0 {
-			s.Started = max(0, now-Time(rng.Int64N(int64(10*time.Second))))
+			e.Started = max(0, now-Time(rng.Int64N(int64(10*time.Second))))
 		}
-		list = append(list, s)
+		list = append(list, e)
 	}
 	return kind, list
 }
@@ -253,7 +253,7 @@
 
 // applyHealthCheck ends a random health check with a random status, mostly StatusOK.
 func applyHealthCheck(b *Balancer, h *hasher, rng *rand.Rand) {
-	s, ok := takeAny(rng, &h.healthChecks)
+	endpointID, ok := takeAny(rng, &h.healthChecks)
 	if !ok {
 		return
 	}
@@ -261,7 +261,7 @@
 	if rng.IntN(8) == 0 {
 		status = Status(rng.IntN(int(StatusNotSent) + 1))
 	}
-	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: s, Status: status, Latency: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
+	b.HandleHealthCheck(h.now, HealthCheckResult{Endpoint: endpointID, Status: status, Latency: 2 * time.Millisecond, Load: randomLoad(rng)}, h)
 }
 
 // TestActionTrace guards against unintended changes of decisions, including the random draws. Equal events and an equal seed must give the
