--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -29,7 +29,7 @@
 		return nil // not valid in this term, see proposal.Term
 	}
 	if n.machine == nil {
-		return fmt.Errorf("%w: entry %d was committed before any snapshot", ErrInvalidLog, e.GetIndex())
+		return fmt.Errorf("%w: entry %d can't be applied: this node has not restored a snapshot yet", ErrInvalidLog, e.GetIndex())
 	}
 	answer := n.applyProposal(p)
 	changed := n.machine.Leases.TakeChangedMembers()
--- a/internal/consensus/confchange.go
+++ b/internal/consensus/confchange.go
@@ -17,7 +17,7 @@
 // nextConfChange returns the next step from the current raft configuration to the one that m specifies, or nil if no step is possible or
 // needed. The steps have this order:
 //  1. Each new ID is added as a learner.
-//  2. One learner at a time becomes a voter. If an obsolete voter exists, it is removed in the same step by joint consensus.
+//  2. One learner at a time becomes a voter. If the smallest obsolete ID is a voter, the same step removes it by joint consensus.
 //  3. The remaining obsolete IDs are removed.
 func (m *StateMachine) nextConfChange(current *raftpb.ConfState, caughtUp func(id uint64) bool) *raftpb.ConfChangeV2 {
 	if len(current.GetVotersOutgoing()) > 0 {
@@ -43,7 +43,8 @@
 	return removal(voters, obsolete, votes)
 }
 
-// votesByID maps each ID of a configuration to whether it is a voter.
+// votesByID maps each ID of a raft configuration to whether it is a voter there. The IDs that are to be voters are those of
+// StateMachine.votingIDs.
 func votesByID(c *raftpb.ConfState) map[uint64]bool {
 	votes := map[uint64]bool{}
 	for _, id := range c.GetLearners() {
@@ -66,8 +67,9 @@
 	return wanted
 }
 
-// promotion returns the change that makes a voter of the first learner that is to vote and has caught up. If the first obsolete ID is a
-// voter, the same change removes it, so that there are never more voters than wanted.
+// promotion returns the change that makes a voter of the first learner that is to vote and has caught up. If the smallest obsolete ID is a
+// voter, the same change removes it, so that the number of voters stays the same. If that ID is a learner, the change removes nothing, and
+// obsolete voters stay until a later step.
 func promotion(voters, obsolete []uint64, votes map[uint64]bool, caughtUp func(id uint64) bool) *raftpb.ConfChangeV2 {
 	for _, id := range voters {
 		if votes[id] || !caughtUp(id) {
--- a/internal/consensus/decision.go
+++ b/internal/consensus/decision.go
@@ -11,7 +11,7 @@
 
 // Kinds of decisions. The kind is the first part of a decision's key.
 const (
-	OperatorKind = "order" // operator commands about a server: "order/POOL/SERVER"
+	OperatorKind = "order" // operators' decisions on an endpoint: "order/POOL/ENDPOINT"
 	ZoneKind     = "zone"  // the state of a zone in the zone failover: "zone/POOL/ZONE"
 )
 
@@ -21,7 +21,7 @@
 // MaxDecisions is the largest number of decisions that are kept, including withdrawn ones.
 const MaxDecisions = 1024
 
-// Decision is a decision for the whole fleet that an operator or the holder of a lease made.
+// Decision is a decision that applies to the whole fleet. An operator or a lease holder makes it.
 type Decision struct {
 	Number    uint64 `json:"number"` // increases with each decision on any key
 	Value     string `json:"value,omitempty"`
@@ -65,7 +65,7 @@
 }
 
 // Rebase returns the command to send after RefusedConflict: the same command based on the current decision. ok is false if the current
-// decision equals the one that the command makes, because the command was applied and its response lost or another command did the same.
+// decision already has the wanted effect: the command was applied and its response was lost, or another command had the same effect.
 // ok is also false for any other refusal and for a command of a lease holder.
 func (c DecisionCommand) Rebase(r *DecisionResult) (next DecisionCommand, ok bool) {
 	if r.Refusal != RefusedConflict || c.Token != 0 {
--- a/internal/consensus/decision_test.go
+++ b/internal/consensus/decision_test.go
@@ -50,7 +50,7 @@
 		return 0
 	}
 	if !slices.Contains(decisionKeys, c.Key) || r.Number != last+1 || m.Decisions[c.Key].Number != r.Number {
-		t.Fatalf("%+v: %+v", c, r)
+		t.Fatalf("%+v was applied with the result %+v, want a known key and the next decision number", c, r)
 	}
 	checked := c.Token != 0 || c.Conditional
 	if late := m.Clone().applyDecision(c); checked && late.Refusal == "" {
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,7 +1,10 @@
-// Package consensus replicates one state machine over the processes of a fleet: the voters, the holders of leases, the begun slots of
-// tasks, and the decisions of operators and of the zone failover. The log and the elections are those of go.etcd.io/raft. This package
+// Package consensus replicates the state of a fleet: who the voters are, who holds which lease, which slots (scheduled runs) of tasks
+// have begun, and what operators and the zone failover have decided. The log and the elections are those of go.etcd.io/raft. This package
 // decides what to propose, applies committed entries, answers requests, and changes the voters.
 //
+// A member is a process of the fleet, known by its name. A node is a member's part in the raft group, as a voter or a learner. A
+// member need not have a node.
+//
 // It has no I/O, clock or goroutine. State that must be durable goes to a [Storage], messages are passed as values, and the caller passes
 // in readings of its monotonic clock. The types are not safe for concurrent use.
 //
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -10,14 +10,14 @@
 var (
 	// ErrInvalidSnapshot is wrapped by errors about a snapshot that can't be decoded or is inconsistent.
 	ErrInvalidSnapshot = errors.New("council: invalid snapshot")
-	// ErrInvalidLog is wrapped by errors about stored entries or a hard state that a node can't have written.
+	// ErrInvalidLog is wrapped by errors about a log, log entry or hard state that is inconsistent or can't be decoded.
 	ErrInvalidLog = errors.New("council: invalid log")
 	// ErrInvalidMessage is wrapped by errors of [DecodeMessage].
 	ErrInvalidMessage = errors.New("council: invalid message")
 	// ErrStorage is wrapped by errors about a failed [Storage.Save].
 	ErrStorage = errors.New("council: the disk")
-	// ErrRaft is wrapped by errors about a panic of the raft library.
-	ErrRaft = errors.New("council: the raft library panicked")
+	// ErrRaft is wrapped by errors about a panic in the raft library, or in the code of this project that processes its output.
+	ErrRaft = errors.New("council: panic while processing raft state")
 )
 
 // Refusal is the reason why a command was refused, empty if it was applied. It is sent to other processes and printed.
--- a/internal/consensus/errors_test.go
+++ b/internal/consensus/errors_test.go
@@ -26,7 +26,7 @@
 		hard := &raftpb.HardState{Term: ptr(uint64(1)), Commit: &c.commit}
 		_, err := New(Config{ID: founderID, Persisted: PersistentState{Snapshot: snap, HardState: hard, Entries: c.entries}})
 		if !errors.Is(err, ErrInvalidLog) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: New returned the error %v, want ErrInvalidLog", name, err)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 		_, err = n.Process(now, storage)
 	}
 	if !errors.Is(err, ErrStorage) || !errors.Is(err, storage.err) {
-		t.Fatalf("%v", err)
+		t.Fatalf("Process with a failing storage returned the error %v, want ErrStorage with the error of the storage", err)
 	}
 	if _, nextErr := n.Process(now, volatileStorage{}); !errors.Is(nextErr, ErrStorage) {
 		t.Errorf("Process after a storage error returned %v, want ErrStorage", nextErr)
@@ -65,9 +65,9 @@
 func TestRefusalErr(t *testing.T) {
 	var refused *RefusedError
 	if err := RefusedConflict.Err(); !errors.As(err, &refused) || refused.Refusal != RefusedConflict || err.Error() != string(RefusedConflict) {
-		t.Errorf("%v", err)
+		t.Errorf("Err of RefusedConflict returned %v, want a RefusedError with its text", err)
 	}
 	if err := Refusal("").Err(); err != nil {
-		t.Errorf("%v", err)
+		t.Errorf("Err of an empty refusal returned %v, want nil", err)
 	}
 }
--- a/internal/consensus/event.go
+++ b/internal/consensus/event.go
@@ -26,7 +26,7 @@
 	EventLeaderUnknown:        "no consensus leader known",
 	EventConfigurationChanged: "consensus configuration changed",
 	EventSnapshotRestored:     "replicated state restored from a snapshot",
-	EventVoterChanged:         "voter changed",
+	EventVoterChanged:         "voter command applied",
 	EventDecision:             "fleet-wide decision applied",
 	EventSessionOpened:        "session opened",
 	EventSessionExpired:       "session expired",
@@ -39,8 +39,8 @@
 // String returns the log message of events of the kind.
 func (k EventKind) String() string { return eventMessages[k] }
 
-// Event is a log record for the caller to write. Each member of the consensus group emits the events of an entry when it applies the entry,
-// and again when it replays the log at a start.
+// Event is a log record for the caller to write. Each node emits the events of an entry when it applies the entry, and again when it
+// replays the log at a start.
 type Event struct {
 	Kind    EventKind
 	Message string // Kind.String()
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -87,8 +87,8 @@
 	}}
 }
 
-// TestGoldenForms checks that log entries, snapshots and messages have the same encoding as in earlier versions.
-func TestGoldenForms(t *testing.T) {
+// TestGoldenEncodings checks that log entries, snapshots and messages have the same encoding as in earlier versions.
+func TestGoldenEncodings(t *testing.T) {
 	leaseCommand, voterCommand, taskCommand, decisionCommand := exampleCommands()
 	fleet := exampleStateMachine()
 	cases := []goldentest.Case{
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestFoundingForm checks that the initial snapshot and hard state of a fleet have the same encoding as in earlier versions.
-func TestFoundingForm(t *testing.T) {
+// TestBootstrapEncoding checks that the initial snapshot and hard state of a fleet have the same encoding as in earlier versions.
+func TestBootstrapEncoding(t *testing.T) {
 	snap, err := BootstrapSnapshot(NewStateMachine("fleet-a", "p0", "store-0", []string{"p0", "p1"}))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/consensus/leader_tracker.go
+++ b/internal/consensus/leader_tracker.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// LeaderTracker picks the member to send requests to: the leader if known, otherwise the members in round-robin order. A member that did
-// not answer is skipped for the backoff time, even if other members report it as the leader. All times are readings of the process's
-// monotonic clock. It is not safe for concurrent use.
+// LeaderTracker picks the member to which a request for the leader is sent: the leader if known, otherwise the given members in
+// round-robin order. A member that did not answer is skipped for the backoff time, even if other members report it as the leader. All times
+// are readings of the process's monotonic clock. It is not safe for concurrent use.
 type LeaderTracker struct {
 	members          []string
 	leader           string
-	current          int // index in members of the last pick in round-robin order
+	current          int // index in members of the last pick in round-robin order; the start value before the first pick
 	unreachableUntil map[string]time.Duration
 	backoff          time.Duration
 }
 
-// NewLeaderTracker returns a tracker that knows no leader and picks the member after members[start] first. backoff is how long a member
-// that did not answer is skipped.
+// NewLeaderTracker returns a tracker that knows no leader. Its first pick is members[(start+1) modulo len(members)]: with different start
+// values, processes send their first requests to different members. backoff is how long a member that did not answer is skipped.
 func NewLeaderTracker(members []string, start int, backoff time.Duration) *LeaderTracker {
 	return &LeaderTracker{members: members, current: start, unreachableUntil: map[string]time.Duration{}, backoff: backoff}
 }
--- a/internal/consensus/leader_tracker_test.go
+++ b/internal/consensus/leader_tracker_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	if seen["b"] || len(seen) != 2 {
-		t.Errorf("%v", seen)
+		t.Errorf("picked %v, want a and c", seen)
 	}
 	if !tracker.Redirected(time.Second, "a", "b") || tracker.Pick(time.Second) != "b" {
 		t.Error("the unreachable member is still skipped after the backoff")
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -23,9 +23,10 @@
 	maxMessageBytes = 256 << 10
 	// maxInflightMessages bounds the unacknowledged append messages to one follower.
 	maxInflightMessages = 64
-	// maxUncommittedBytes bounds the uncommitted entries of a leader. Further proposals are dropped.
+	// maxUncommittedBytes bounds the uncommitted entries of a leader. Further proposals are refused, and their requests redirected.
 	maxUncommittedBytes = 16 << 20
-	// snapshotTimeoutElections is the time, in election timeouts, after which an unacknowledged snapshot counts as lost.
+	// snapshotTimeoutElections is the time, in election timeouts, from sending a snapshot to reporting it to the raft library as failed. An
+	// acknowledgment does not stop this timer: the library ignores the report if the follower has received the snapshot.
 	snapshotTimeoutElections = 4
 	// maxPeerNames bounds the entries of Node.peerNames.
 	maxPeerNames = 4 * MaxVoters
@@ -35,9 +36,9 @@
 type Config struct {
 	ID          uint64 // raft ID, as OpAdmit allocated it
 	LeaseTiming lease.Timing
-	// ElectionTicks is the election timeout in ticks. 0: 10.
+	// ElectionTicks is the election timeout in ticks. 0 means 10.
 	ElectionTicks int
-	// SnapshotEntries is the number of entries after which the log is compacted. 0: 4096.
+	// SnapshotEntries is the number of entries after which the log is compacted. 0 means 4096.
 	SnapshotEntries uint64
 	// Persisted is the stored state that the node starts from.
 	Persisted PersistentState
@@ -46,7 +47,7 @@
 	ClockBasedReads bool
 }
 
-// Node is one member of the raft group. It is not safe for concurrent use.
+// Node is a voter or learner of the raft group. It is not safe for concurrent use.
 //
 // Invariants:
 //   - Process returns messages and replies only after the Storage has written the state that they depend on.
@@ -80,7 +81,7 @@
 	queuedReads          []pendingRequest
 	readInFlight         *readBatch
 	lastReadID           uint64
-	snapshotTicks        map[uint64]int // by raft ID: ticks since a snapshot was sent to it
+	snapshotTicks        map[uint64]int // by raft ID: ticks since a snapshot was sent to the node, with or without acknowledgment
 	ticksSinceConfChange uint64
 }
 
@@ -147,7 +148,7 @@
 	return n.loadEntries(s.Entries, s.HardState.GetCommit())
 }
 
-// loadHardState sets the stored hard state. Its committed index is raised to the index of the snapshot.
+// loadHardState sets the stored hard state. A committed index below the index of the snapshot is raised to it.
 func (n *Node) loadHardState(h *raftpb.HardState) error {
 	if raft.IsEmptyHardState(h) {
 		return nil
@@ -282,7 +283,8 @@
 	}
 }
 
-// recoverPanic stops the node after a panic of the raft library, so that the process can continue to serve its clients.
+// recoverPanic stops the node after a panic in Tick, Step or Process, so that the process can continue to serve its clients. The panic can
+// come from the raft library, this package or the replicated state machines.
 func (n *Node) recoverPanic() {
 	if r := recover(); r != nil && n.fatalErr == nil {
 		n.fatalErr = fmt.Errorf("%w: %v", ErrRaft, r)
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -40,12 +40,12 @@
 	n.Submit(now, 1, Request{Lease: &lease.Request{Command: &lease.Command{Op: lease.OpOpen, Member: "a", Nonce: "1"}}})
 	out, err := n.Process(now, volatileStorage{})
 	if err != nil || len(out.Replies) != 1 || out.Replies[0].Response.Lease == nil {
-		t.Fatalf("%+v, %v", out, err)
+		t.Fatalf("opening a session returned %+v and the error %v, want one reply to a lease command", out, err)
 	}
 	session := out.Replies[0].Response.Lease.Result.SessionID
 	due := n.lessor.DueCommands(now+2*time.Second, n.machine.Leases) // the expiry counts as proposed and is not applied
 	if len(due) != 1 || due[0].SessionID != session {
-		t.Fatalf("%+v", due)
+		t.Fatalf("the due commands are %+v, want the expiry of the session", due)
 	}
 	firstID, secondID := uint64(7), uint64(8)
 	learner := raftpb.ConfChangeType_ConfChangeAddLearnerNode
--- a/internal/consensus/process.go
+++ b/internal/consensus/process.go
@@ -13,7 +13,7 @@
 type Output struct {
 	Messages       []*raftpb.Message
 	Replies        []Reply
-	ChangedMembers []string // members whose leases have changed other than by a command of their own
+	ChangedMembers []string // members whose leases have changed other than by a command of their own; set only at the leader
 	Events         []Event
 }
 
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -107,9 +107,10 @@
 	n.reply(p, r)
 }
 
-// stepDown drops the state of a leader and redirects all pending requests to the new leader. A pending command may still be committed. The
-// sender then repeats it at the new leader: a command of a session has the same result there, and a conditional decision takes effect
-// once. A trigger, a revocation and an unconditional decision take effect again.
+// stepDown drops the state of a leader and answers all pending requests with NotLeader. The responses name no leader, because leaderID is
+// updated only afterwards. A pending command may still be committed. The sender then repeats it at the new leader: a command of a session
+// has the same result there, and a conditional decision takes effect once. An operator's start of a task (task.OpTrigger), a revocation and
+// an unconditional decision take effect again.
 func (n *Node) stepDown() {
 	n.lessor = nil
 	for _, p := range n.queuedReads {
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -9,7 +9,8 @@
 	Save(s PersistentState, sync bool) error
 }
 
-// PersistentState is the stored state of a node. [Config] contains all of it, and a call of [Storage.Save] the part that has changed.
+// PersistentState is the stored state of a node. In Config.Persisted it is complete. In a call of [Storage.Save] only the changed parts are
+// set.
 type PersistentState struct {
 	HardState *raftpb.HardState // nil: unchanged
 	Snapshot  *raftpb.Snapshot  // nil: none or unchanged; otherwise stored entries up to its index may be dropped
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -10,14 +10,15 @@
 // storage.
 const MaxVoters = 9
 
-// Voter is a member that was admitted to the consensus group. It votes, or it is a learner until an operator lets it vote. A raft ID
-// belongs to one store: a member that returns with another store gets another raft ID.
+// Voter is a member that was admitted to the consensus group, whether or not it votes now: it is a learner until it has caught up. A raft
+// ID belongs to one store. A member that returns with another store gets another raft ID, which is a learner until an operator confirms
+// that the former store is lost. If the voters' stores are volatile, no confirmation is needed.
 type Voter struct {
 	RaftID  uint64 `json:"id"`
 	StoreID string `json:"store"`
-	Votes   bool   `json:"voter"` // whether the member votes once it has caught up
-	// ReplacedID is the raft ID that the member had with its former store. It still counts as a voter, because the votes and entries that the
-	// former store has acknowledged are not known here. 0: none.
+	Votes   bool   `json:"voter"` // whether the member is to vote once it has caught up; the raft configuration has whether it votes now
+	// ReplacedID is the raft ID that the member had with its former store. It still counts as a voter, because the new store does not know
+	// which votes and entries the former one has confirmed. 0: none.
 	ReplacedID uint64 `json:"former,omitempty"`
 }
 
@@ -85,7 +86,7 @@
 }
 
 // replacement returns the voter for a member that returns with another store. It does not vote until an operator confirms that the former
-// store is lost, because the votes and entries that the former store has acknowledged are not known here.
+// store is lost, because the new store does not know which votes and entries the former one has confirmed.
 func (m *StateMachine) replacement(former *Voter, c VoterCommand) *Voter {
 	m.LastVoterID++
 	v := &Voter{RaftID: m.LastVoterID, StoreID: c.StoreID, ReplacedID: former.ReplacedID}
--- a/internal/consensus/voter_test.go
+++ b/internal/consensus/voter_test.go
@@ -140,6 +140,6 @@
 	conf := &raftpb.ConfState{Voters: []uint64{1, first.RaftID}, Learners: []uint64{second.RaftID}}
 	c := m.nextConfChange(conf, alwaysCaughtUp)
 	if c == nil || len(c.Changes) != 2 || c.Changes[0].GetNodeId() != second.RaftID || c.Changes[1].GetNodeId() != first.RaftID {
-		t.Errorf("%+v", c)
+		t.Errorf("the change is %+v, want the new raft ID of b added as a voter and the former one removed", c)
 	}
 }
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -27,7 +27,7 @@
 	lastIDKnown   bool // knownLastID may be used for the next OpOpen
 	validUntil    time.Duration
 	keepAliveAt   time.Duration
-	refreshDue    bool // the holdings have changed, and the change is not known here yet
+	refreshDue    bool // the holdings have changed at the leader, and the next keepalive is to fetch them
 	closing       bool
 	superseded    bool
 	lastSeq       uint64
@@ -127,7 +127,8 @@
 // ValidUntil returns the time until which the process may act on the leases that it holds. It is negative without a session.
 func (c *Client) ValidUntil() time.Duration { return c.validUntil }
 
-// Revision returns a counter that grows with each change of the result of Held, except for a change caused by the passing of time alone.
+// Revision returns a counter that grows with each change of the result of Held, except when the result changes only because
+// ValidUntil has passed or was extended.
 func (c *Client) Revision() uint64 { return c.revision }
 
 // Token returns the fencing token of a lease and the time until which the process may act on it. ok is false if the process may not act on
@@ -140,7 +141,9 @@
 	return token, c.validUntil, true
 }
 
-// Held returns the sorted names of the leases of the session. It returns none once the process may no longer act on them.
+// Held returns the sorted names of the leases that the leader has granted to the session. It returns none once ValidUntil has passed or
+// Close was called. It can contain a lease that was passed to Release or Transfer until Next sends its release; Token reports whether the
+// process may act on a lease.
 func (c *Client) Held(now time.Duration) []string {
 	if now >= c.validUntil || c.closing {
 		return nil
--- a/internal/lease/client_requests.go
+++ b/internal/lease/client_requests.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxInFlight is the number of the newest requests whose responses are accepted. The response to an older request is ignored.
+	// maxInFlight bounds Client.inFlight. Responses are accepted only for the newest maxInFlight requests.
 	maxInFlight = 64
 	// openKey and closeKey are the keys of Client.pending for OpOpen and OpClose. No lease has these names.
 	openKey  = "\x00open"
--- a/internal/lease/client_responses.go
+++ b/internal/lease/client_responses.go
@@ -135,7 +135,9 @@
 
 // handleOpened processes the result of OpOpen.
 func (c *Client) handleOpened(r Result) {
-	if r.Refusal != "" { // RefusedStale: the member has a newer session, so the next OpOpen needs a new nonce and KnownLastID
+	if r.Refusal != "" {
+		// After RefusedStale, the member has a newer session, so the next OpOpen needs a new nonce and KnownLastID. After any other refusal
+		// they do no harm.
 		c.lastIDKnown = false
 		c.openCount++
 		return
--- a/internal/lease/client_test.go
+++ b/internal/lease/client_test.go
@@ -83,7 +83,7 @@
 	result := m.Apply(*release.Command)
 	client.HandleResponse(Response{ID: release.ID, Result: &result})
 	if acquire := nextRequest(t, client, 0, OpAcquire); acquire.Command.Name != "x" {
-		t.Errorf("%+v", acquire)
+		t.Errorf("the request after the release is %+v, want OpAcquire for lease x", acquire)
 	}
 }
 
@@ -119,6 +119,6 @@
 	keepalive := nextRequest(t, client, 0, "")
 	client.HandleResponse(Response{ID: keepalive.ID, Refusal: RefusedSuperseded})
 	if requests, _ := client.Next(time.Minute); len(requests) != 0 || !client.Superseded() {
-		t.Errorf("%+v", requests)
+		t.Errorf("a superseded client sends %+v, want no requests, and Superseded must report true", requests)
 	}
 }
--- a/internal/lease/command.go
+++ b/internal/lease/command.go
@@ -44,9 +44,9 @@
 
 // Reasons for refusing a command or a keepalive.
 const (
-	RefusedNoSession     Refusal = "no such session"              // it has expired, or another process of that name has replaced it
+	RefusedNoSession     Refusal = "no such session"              // closed, expired (or the expiry was proposed), or never existed
 	RefusedSuperseded    Refusal = "another process has the name" // a later session of the same member exists
-	RefusedLimitReached  Refusal = "no room"                      // one of the Max constants is reached
+	RefusedLimitReached  Refusal = "no room"                      // MaxSessions, MaxLeases or MaxWaitersPerLease is reached
 	RefusedHeld          Refusal = "held by others"
 	RefusedLimitMismatch Refusal = "in use with another limit"
 	RefusedNotHeld       Refusal = "not held by this session"
@@ -55,13 +55,13 @@
 	RefusedMalformed     Refusal = "malformed"
 )
 
-// Result is the outcome of a command. A command that is sent again has the same result.
+// Result is the outcome of a command. A command that is sent again has the result of its first application, which may be out of date.
 type Result struct {
 	Refusal   Refusal `json:"why,omitempty"` // empty: it was applied
 	SessionID uint64  `json:"session,omitempty"`
-	// Token is the fencing token of the lease if the session holds it now. 0: the session does not hold it.
+	// Token is the fencing token of the lease if the session held it right after the command (OpAcquire). 0: the session did not hold it.
 	Token uint64 `json:"token,omitempty"`
-	// QueuePosition is the session's place in the queue, from 1. 0: the session is not in the queue.
+	// QueuePosition is the session's place in the queue right after the command (OpAcquire), from 1. 0: the session was not in the queue.
 	QueuePosition int `json:"place,omitempty"`
 	// Version and PreviousVersion are Session.Version after and before the command.
 	Version         uint64 `json:"version,omitempty"`
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -9,7 +9,7 @@
 // time:
 //
 //   - [Client] counts its validity from before it sent a keepalive, for Timing.ClientTTL.
-//   - [Lessor] counts a session's life from after a majority has confirmed that its process is still the leader, for Timing.TTL.
+//   - [Lessor] starts a session's Timing.TTL only after a majority has confirmed that the Lessor's process is still the leader.
 //   - A new leader keeps every live session for a whole TTL.
 //   - ClientTTL is shorter than TTL by enough to cover a slow clock at the client together with a fast clock at the leader.
 //
--- a/internal/lease/grant.go
+++ b/internal/lease/grant.go
@@ -81,7 +81,7 @@
 	return Result{}
 }
 
-// transfer grants a lease that a session holds to another member, ahead of its queue.
+// transfer moves a lease from a session to the session of another member, ahead of the waiters.
 func (m *StateMachine) transfer(s *Session, c Command) Result {
 	toID, to := m.SessionOf(c.To)
 	if to == nil || toID == c.SessionID {
--- a/internal/lease/lessor_test.go
+++ b/internal/lease/lessor_test.go
@@ -60,7 +60,7 @@
 	a := m.Apply(Command{Op: OpOpen, Member: "a", Nonce: "1"}).SessionID
 	l := NewLessor(Timing{TTL: time.Second}, 0, m)
 	if due := l.DueCommands(time.Second, m); len(due) != 1 || due[0].SessionID != a {
-		t.Fatalf("%+v", due)
+		t.Fatalf("the due commands are %+v, want the expiry of the session", due)
 	}
 	if l.Renew(time.Second, a) {
 		t.Error("the session was renewed after its expiry was proposed")
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -6,7 +6,7 @@
 )
 
 // openSession opens a session, or returns the one that the same nonce opened. Older sessions of the member are superseded: they can't be
-// renewed, but keep their leases until they expire, because their process may only be paused.
+// renewed, but keep their leases until they expire, because their process may merely be paused.
 func (m *StateMachine) openSession(c Command) Result {
 	if c.Member == "" || c.Nonce == "" {
 		return Result{Refusal: RefusedMalformed}
--- a/internal/lease/snapshot.go
+++ b/internal/lease/snapshot.go
@@ -13,8 +13,8 @@
 // Snapshot returns the JSON encoding of the whole state. Equal states have equal encodings.
 func (m *StateMachine) Snapshot() ([]byte, error) { return json.Marshal(m) }
 
-// Restore decodes the result of Snapshot. It returns ErrInvalidSnapshot for data that can't be decoded or that breaks an invariant of
-// [StateMachine].
+// Restore decodes the result of Snapshot. It returns ErrInvalidSnapshot for data that can't be decoded, and for data whose sessions and
+// leases refer to each other inconsistently. Not all invariants of [StateMachine] are checked.
 func Restore(data []byte) (*StateMachine, error) {
 	m := NewStateMachine()
 	if err := json.Unmarshal(data, m); err != nil {
@@ -23,7 +23,8 @@
 	return m, m.validate()
 }
 
-// validate checks the invariants that Apply relies on, and replaces the nil maps of sessions by empty ones.
+// validate checks that no session or lease is null, and that tokens, holders and waiters refer to existing sessions and leases. It replaces
+// the nil maps of sessions by empty ones.
 func (m *StateMachine) validate() error {
 	if m.Sessions == nil || m.Leases == nil || m.Revoked == nil {
 		return fmt.Errorf("%w: field sessions, names or revoked is missing", ErrInvalidSnapshot)
--- a/internal/lease/state_test.go
+++ b/internal/lease/state_test.go
@@ -167,7 +167,7 @@
 		sessions = append(sessions, s)
 		r := m.Apply(Command{Op: OpAcquire, SessionID: s, Seq: 1, Name: "x", Limit: 1, Wait: true})
 		if full := i > MaxWaitersPerLease; full != (r.Refusal == RefusedLimitReached) {
-			t.Fatalf("waiter %d: %+v", i, r)
+			t.Fatalf("session %d: result %+v, want RefusedLimitReached only once the queue is full", i, r)
 		}
 	}
 	for i, s := range sessions[:1000] {
--- a/internal/lease/timing.go
+++ b/internal/lease/timing.go
@@ -27,21 +27,21 @@
 	return time.Duration(float64(t.TTL)*(1-t.MaxClockDrift)/(1+t.MaxClockDrift)) - t.SafetyMargin
 }
 
-// KeepAliveInterval returns the time between two keepalives. It is a quarter of ClientTTL, so three successive keepalives may be lost
-// before the client has to stop acting.
+// KeepAliveInterval returns the time from sending a keepalive that succeeds to sending the next one: a quarter of ClientTTL. A keepalive
+// without a response is sent again after half of this time, so five successive keepalives may be lost before the client has to stop acting.
 func (t Timing) KeepAliveInterval() time.Duration { return t.ClientTTL() / 4 }
 
 // Validate returns an error that names the first invalid value, or nil.
 func (t Timing) Validate() error {
 	switch {
 	case t.TTL <= 0:
-		return errors.New("the term must be above 0")
+		return errors.New("lease TTL (term) must be above 0")
 	case !(t.MaxClockDrift >= 0 && t.MaxClockDrift <= maxDrift): // also NaN
-		return fmt.Errorf("the drift is %v, it must be from 0 to %v", t.MaxClockDrift, maxDrift)
+		return fmt.Errorf("maximum clock drift (drift) is %v, want 0 to %v", t.MaxClockDrift, maxDrift)
 	case t.SafetyMargin < 0:
-		return errors.New("the guard must not be negative")
+		return errors.New("safety margin (guard) must not be negative")
 	case t.ClientTTL() < t.TTL/4:
-		return fmt.Errorf("of a term of %v, drift and guard leave %v to a lease holder; at least a quarter is required", t.TTL, t.ClientTTL())
+		return fmt.Errorf("of a term of %v, drift and guard leave a lease holder only %v, want at least a quarter of the term", t.TTL, t.ClientTTL())
 	}
 	return nil
 }
