--- a/internal/quota/admission.go
+++ b/internal/quota/admission.go
@@ -9,7 +9,7 @@
 type Limits struct {
 	OpenRequests   Claim
 	BodyBytes      Claim   // of the bodies of open requests
-	Rate           float64 // requests per second, over any period; 0: no limit
+	Rate           float64 // sustained rate in requests per second; 0: no limit
 	Burst          float64 // requests that may arrive at once above the rate; values below 1 are taken as 1
 	Forwardable    bool    // requests may be forwarded to another site while no server is ready
 	WaitForServers bool    // requests may wait for the first ready server, for example when the process starts
@@ -112,8 +112,8 @@
 	}
 }
 
-// CanServe reports whether a pool has a ready server, or its requests may wait for the first one. Otherwise requests that have not been
-// sent must not go on waiting. The result is also true for a removed pool, which still serves the requests that it admitted.
+// CanServe reports whether a pool has a ready server, or its requests may wait for the first one. If the result is false, requests
+// that have not been sent must stop waiting. The result is also true for a removed pool, which still serves the requests that it admitted.
 func (a *Admission) CanServe(pool PoolID) bool {
 	p := a.pools[pool]
 	return p == nil || p.readyServers > 0 || p.limits.WaitForServers
@@ -171,8 +171,8 @@
 func (a *Admission) ReleaseBody(pool PoolID, unused int64) { a.bodies.Release(pool, unused) }
 
 // Crowded reports whether client requests use so much of a pool's quota that internal work of the process must wait: at least half of
-// its reserved open requests are in use, or less than half of the tokens of its burst are left. The result is true for an unknown
-// pool.
+// its reserved open requests are in use, or less than half of the tokens of its burst are left. The tokens are counted as of the last
+// call of Admit or Set for the pool. The result is true for an unknown pool.
 func (a *Admission) Crowded(pool PoolID) bool {
 	p := a.pools[pool]
 	if p == nil {
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -1,6 +1,6 @@
 // Package quota divides the resources of one process among its pools: open requests, memory for bodies, connections, and CPU time.
-// The package is pure: events in, decisions out, with the time passed in. It uses no sockets, clocks or goroutines. Of
-// servers and requests it takes only the number of ready servers and the sizes of requests. It does not depend on routes.
+// The package is pure: events in, decisions out, with the time passed in. It uses no sockets, clocks or goroutines. The only facts that it
+// gets about servers and requests are the number of ready servers and the sizes of requests. It does not depend on routes.
 package quota
 
 import "math"
@@ -45,8 +45,8 @@
 // Resize changes the total. Units acquired beyond the new total stay acquired until they are released.
 func (b *Budget) Resize(total int64) { b.total = max(0, total) }
 
-// Set sets or changes the claim of a pool. The sum of all reserves should not exceed the total. If it does, pools get their reserves
-// first come, first served. A reserve above the pool's limit is reduced to the limit.
+// Set sets or changes the claim of a pool. The sum of all reserves should not exceed the total. While it exceeds the total, Acquire fails
+// for every pool. A reserve above the pool's limit is reduced to the limit.
 func (b *Budget) Set(pool PoolID, claim Claim) {
 	u := b.claims[pool]
 	if u == nil {
--- a/internal/quota/pacer.go
+++ b/internal/quota/pacer.go
@@ -15,7 +15,7 @@
 	overloadLag = 2 * time.Millisecond
 	// lagWeight is the weight of a new sample in the smoothed timer lag.
 	lagWeight = 0.3
-	// maxReadDelay is the longest read delay, because the delay adds to the latency of the client on that connection.
+	// maxReadDelay bounds the read delay, because the delay adds to the latency of the client on that connection.
 	maxReadDelay = 50 * time.Millisecond
 	// firstRejectedDelay is the read delay after a rejection. It doubles with each further rejection in a row.
 	firstRejectedDelay = 2 * time.Millisecond
--- a/internal/spillover/grant.go
+++ b/internal/spillover/grant.go
@@ -13,7 +13,7 @@
 }
 
 const (
-	// maxIdleWindows limits how many past windows are evaluated one by one after a long time without events.
+	// maxIdleWindows limits how many windows are evaluated after the first one when a call comes after a long time without events.
 	maxIdleWindows = 8
 	// congestionAvoidanceDivisor sets the growth from the slow start threshold on: the grant grows by its size divided by this.
 	congestionAvoidanceDivisor = 4
--- a/internal/spillover/link.go
+++ b/internal/spillover/link.go
@@ -4,9 +4,9 @@
 // sees the remote site as endpoints, decides whether an attempt at the remote site may begin. This package determines how many of
 // these endpoints there are.
 //
-// Requests are served locally first: a request is offered to the remote site only if the local site has just rejected requests of the
-// same priority because of a capacity shortage. The remote site grants credits, so that forwarded requests never overload it. A dead
-// link must pass health checks before requests are forwarded on it again.
+// Requests are served locally first: a request is forwarded only if the local site has rejected it, and only while the local site rejects
+// many of its requests because of a capacity shortage. Classes with a high value density are forwarded first. The remote site grants
+// credits, so that forwarded requests never overload it. A dead link must pass health checks before requests are forwarded on it again.
 package spillover
 
 import (
@@ -53,8 +53,8 @@
 
 // Config holds the parameters of a link. All times are above 0.
 type Config struct {
-	// HealthCheckInterval is the time from a failed health check to the next one. It doubles with each failure in a row, up to
-	// MaxHealthCheckInterval.
+	// HealthCheckInterval is the time from a stall to the first health check. The time from a failed health check to the next one is
+	// twice as long, and doubles with each further failure in a row, up to MaxHealthCheckInterval.
 	HealthCheckInterval, MaxHealthCheckInterval time.Duration
 	// HealthyThreshold is the number of health checks in a row that must pass before a dead link opens, at least 1.
 	HealthyThreshold int
@@ -73,7 +73,7 @@
 // Class is a class of requests.
 type Class struct {
 	Name           string
-	PriorityWeight float64       // of a response
+	PriorityWeight float64       // of one response
 	ServiceTime    time.Duration // approximate time of a request at a server, above 0
 }
 
--- a/internal/spillover/window.go
+++ b/internal/spillover/window.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// advanceWindow ends the window once it is over, and decides by its counts whether spillover starts or stops.
+// advanceWindow ends the window once it is over, and decides by its counts whether spillover starts or stops. A window without local
+// requests stops spillover unless forwarded requests are in flight.
 func (l *Link) advanceWindow(now time.Duration) {
 	if now-l.windowStart < l.cfg.Window {
 		return
@@ -60,7 +61,7 @@
 }
 
 // selectClasses sets the classes that may be forwarded. It takes classes by descending value density until their rejected requests
-// reach MaxForwardedRatio.
+// reach MaxForwardedRatio of the offered requests.
 func (l *Link) selectClasses(offered int) {
 	remaining := l.cfg.MaxForwardedRatio * float64(offered)
 	l.eligibleClasses = 0
