--- a/internal/zonefailover/controller.go
+++ b/internal/zonefailover/controller.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// relapseWindow extends the hold-down after a completed recovery ramp. A shift within this time counts as a relapse, because a
-	// failure that occurs only under full load occurs by then.
+	// A shift counts as a relapse if it follows the last step of a recovery by less than the next hold-down plus relapseWindow. A
+	// failure that occurs only under full load is assumed to occur within this time.
 	relapseWindow = 30 * time.Second
 	// maxHoldDownDoublings prevents an overflow of the doubled hold-down.
 	maxHoldDownDoublings = 20
@@ -16,7 +16,7 @@
 	stepsBack = 2
 )
 
-// Reasons of the states in the recovery ramp. The reason of a shift is its Cause.
+// Values of State.Reason in the recovery ramp. The reason of a shift is the verdict (Cause).
 const (
 	reasonRecovered    = "it answers again"
 	reasonStepHealthy  = "a step was borne"
@@ -35,7 +35,7 @@
 // trackedZone is the state of a zone at the last call of Next.
 type trackedZone struct {
 	state    State
-	revision uint64
+	revision uint64        // number of the decision on the zone, see Snapshot.Revisions
 	since    time.Duration // when the state was entered or first seen
 }
 
@@ -50,7 +50,7 @@
 	State State
 }
 
-// Next returns the transition that is due, or nil, and the cause for each zone. It returns at most one transition per call. now
+// Next returns the transition that is due, or nil, and the verdict on each zone. It returns at most one transition per call. now
 // must not decrease between calls.
 func (c *Controller) Next(now time.Duration, s Snapshot) (next *Transition, causes map[string]Cause) {
 	causes = c.rules.Judge(s)
--- a/internal/zonefailover/controller_test.go
+++ b/internal/zonefailover/controller_test.go
@@ -27,7 +27,7 @@
 		return transition
 	}
 	if c := next(); c == nil || c.Zone != "b" || c.State.Step != 0 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("zone is down: transition %+v, want a shift away from zone b", c)
 	}
 	s.Unreachable, s.ZoneChecks = nil, nil // the zone receives no more requests
 	next()
@@ -60,10 +60,10 @@
 	}
 	s.Unreachable = down // the zone fails with half of its endpoints in service
 	if c := next(); c == nil || c.State.Step != 1 || c.State.Relapses != 1 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("step 3 failed: transition %+v, want step 1 with one relapse", c)
 	}
 	if c := next(); c == nil || c.State.Step != 0 || c.State.Relapses != 2 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("step 1 failed: transition %+v, want step 0 with two relapses", c)
 	}
 	s.Unreachable = nil
 	left := now
@@ -145,14 +145,14 @@
 	controller := NewController(rules)
 	s := smallSnapshot([2]string{"p", "q"}, State{})
 	if c, _ := controller.Next(0, s); c != nil {
-		t.Fatalf("%+v without hold-down", c)
+		t.Fatalf("transition %+v without hold-down, want none", c)
 	}
 	if c, _ := controller.Next(rules.HoldDown, s); c == nil || c.State.Step != 1 {
-		t.Fatalf("%+v after the hold-down", c)
+		t.Fatalf("transition %+v after the hold-down, want step 1", c)
 	}
 	s.Revisions = map[string]uint64{"b": 3} // revision 2 is the decided step, revision 3 the operator's state
 	if c, _ := controller.Next(rules.HoldDown+1, s); c != nil {
-		t.Errorf("%+v without hold-down after an operator's state", c)
+		t.Errorf("transition %+v without hold-down after an operator's state, want none", c)
 	}
 	if c, _ := controller.Next(2*rules.HoldDown+1, s); c == nil {
 		t.Error("zone does not recover after another hold-down")
@@ -191,14 +191,16 @@
 	if c := next(time.Hour); c != nil {
 		t.Fatalf("transition after the end of the warm-up: %+v", c)
 	}
-	now -= time.Hour // to the last time after the last step at which a shift counts as a relapse, which is after the end of the warm-up
+	// Go back to one instant before a shift would no longer count as a relapse. The warm-up has ended by then. Next requires that now
+	// does not decrease, but its last call has changed nothing.
+	now -= time.Hour
 	now += rules.HoldDown<<2 + relapseWindow - rules.WarmUp - 1
 	for _, member := range []string{"p", "q", "s"} {
 		s.Unreachable = append(s.Unreachable, UnreachableReport{member, "b1"})
 	}
 	s.ZoneChecks = []ZoneCheck{{"p", "b", false, true}, {"s", "b", false, true}}
 	if c := next(0); c == nil || c.State.Step != 0 || c.State.Relapses != 2 || c.State.WarmingUp {
-		t.Errorf("second shift: %+v", c)
+		t.Errorf("second shift: transition %+v, want step 0 with two relapses", c)
 	}
 	// If the controller is replaced during the warm-up, the warm-up ends later, never earlier.
 	s.Unreachable, s.ZoneChecks, s.States["b"] = nil, nil, State{Step: FullStep, WarmingUp: true}
--- a/internal/zonefailover/gray.go
+++ b/internal/zonefailover/gray.go
@@ -80,7 +80,8 @@
 	return slices.Sorted(maps.Keys(gray))
 }
 
-// addSample appends a sample and removes the samples that are older than the window, except the newest of these.
+// addSample appends a sample and removes the samples that are older than the window, except the newest of these. It also removes
+// the oldest samples if there are more than maxSamples.
 func (g *GrayDetector) addSample(now time.Duration, counts map[string]AttemptCounts) {
 	g.samples = append(g.samples, sample{now, counts})
 	for len(g.samples) > 2 && (g.samples[1].at <= now-g.rules.Window || len(g.samples) > maxSamples) {
@@ -108,7 +109,7 @@
 	return rates
 }
 
-// slowdown returns the mean latency of a zone as a multiple of its baseline, and updates the baseline. A latency at or above
+// slowdown returns the mean latency of a zone as a multiple of its baseline, and updates the baseline. A slowdown at or above
 // SlowdownThreshold does not update the baseline. Otherwise, a persistent failure would become the baseline.
 func (g *GrayDetector) slowdown(zone string, mean time.Duration) float64 {
 	if g.baseline[zone] == 0 {
--- a/internal/zonefailover/reports_test.go
+++ b/internal/zonefailover/reports_test.go
@@ -28,7 +28,7 @@
 	s.Unreachable = []UnreachableReport{{"ma0", "b0"}, {"ma0", "b1"}, {"ma0", "b0"}, {"mc0", "b0"}, {"gone", "b0"}, {"ma0", "unlisted"}}
 	reports := reportsByMember(s, indexEndpoints(s))
 	if len(reports) != 2 || len(reports["ma0"]) != 2 || len(reports["mc0"]) != 1 || !reports["ma0"].contains("b1") {
-		t.Errorf("%v", reports)
+		t.Errorf("reports %v, want b0 and b1 by ma0, and b0 by mc0", reports)
 	}
 }
 
--- a/internal/zonefailover/rules.go
+++ b/internal/zonefailover/rules.go
@@ -5,13 +5,15 @@
 //
 // Rules.Judge distinguishes a failing zone from a failing observer:
 //
-//   - A member that reaches hardly any endpoint of any zone is isolated. Its reports are ignored.
-//   - A zone is down if most of its endpoints are unreachable from more than one zone while most endpoints of the other zones are
-//     reachable.
+//   - A member that reports at least UnreachableThreshold of all endpoints, and some of each zone, is isolated. Its reports are
+//     ignored.
+//   - A zone is down if at least UnreachableThreshold of its endpoints are reported unreachable, the reporting members are in at
+//     least two zones, and at most MaxUnreachableElsewhere of the endpoints of the other zones are unreachable.
 //   - If only members of one zone report the zone, the network path between the two zones is broken.
 //   - If endpoints of all zones are unreachable, the cause is a release or overload. A shift would make the failure worse.
 //
-// A shift also requires a health quorum: enough members whose health checks found the zone down.
+// If a zone that is fully in service is down, a shift also requires a health quorum: enough members whose health checks found the
+// zone down. A shift because of a gray failure, and a step back during the recovery, do not require it.
 package zonefailover
 
 import (
@@ -33,8 +35,9 @@
 	HoldDown, MaxHoldDown time.Duration
 	// GrayFailures allows a shift away from a zone with a gray failure (partial failure).
 	GrayFailures bool
-	// HealthQuorum is the number of members whose health checks must find the zone unreachable before a shift, and healthy before
-	// each step of the recovery.
+	// HealthQuorum is the number of members whose health checks must find the zone unreachable before a shift because the zone is
+	// down, and healthy before each step of the recovery. If fewer members can check the zone, all of them must agree. A shift
+	// because of a gray failure, and a step back, do not require it.
 	HealthQuorum int
 	// WarmUp is how long a zone counts as recovering after the last step of its ramp, because its endpoints may still be warming
 	// up. 0 disables the warm-up.
--- a/internal/zonefailover/snapshot.go
+++ b/internal/zonefailover/snapshot.go
@@ -28,7 +28,7 @@
 	ZoneChecks   []ZoneCheck
 	GrayFailures []GrayFailureReport
 	States       map[string]State  // by zone; a zone without a state is fully in service
-	Revisions    map[string]uint64 // revision of each state, by zone; increases with each decision
+	Revisions    map[string]uint64 // number of the decision on each zone (consensus.Decision.Number), by zone
 }
 
 // stateOf returns the decided state of a zone. A zone without a decision is fully in service.
@@ -45,8 +45,9 @@
 	return alive
 }
 
-// eligibleReporters returns the alive members whose health checks and gray failure reports on a zone count, with their zones.
-// These are the members outside the zone, or all members if none is outside.
+// eligibleReporters returns the alive members whose gray failure reports on a zone, and health checks before a shift, count, with
+// their zones. These are the members outside the zone, or all members if none is outside. For a recovery, the health checks of all
+// alive members count.
 func (s Snapshot) eligibleReporters(zone string) map[string]string {
 	outside := maps.Clone(s.MemberZones)
 	maps.DeleteFunc(outside, func(_, memberZone string) bool { return memberZone == zone })
--- a/internal/zonefailover/state.go
+++ b/internal/zonefailover/state.go
@@ -14,13 +14,13 @@
 type State struct {
 	Step      int    `json:"step"`             // step of the recovery ramp: 0 after a shift, FullStep if fully in service
 	Manual    bool   `json:"pinned,omitempty"` // set by an operator; the controller does not change the zone
-	Relapses  int    `json:"falls,omitempty"`  // consecutive shifts and steps back without a healthy period between them
+	Relapses  int    `json:"falls,omitempty"`  // steps back, and shifts soon after a recovery, since the last shift that was no relapse
 	WarmingUp bool   `json:"cold,omitempty"`   // at FullStep, while the endpoints may still be warming up
 	Reason    string `json:"Why"`              // reason for the decision, shown to operators
 }
 
-// Recovering reports whether endpoints in service may be warming up although the endpoint list does not mark them so. The zone has
-// received little or no traffic until recently.
+// Recovering reports whether endpoints of the zone that are in service must be treated as warming up, even if the endpoint list does
+// not mark them: the zone receives reduced traffic, or did so until recently.
 func (s State) Recovering() bool { return s.Step < FullStep || s.WarmingUp }
 
 // warmingUpMark follows the step in an encoded state that is WarmingUp. A program version that does not know the mark ignores the
--- a/internal/zonefailover/state_test.go
+++ b/internal/zonefailover/state_test.go
@@ -16,12 +16,12 @@
 		}
 		s.WarmingUp = s.Step == FullStep && rapid.Bool().Draw(t, "warming up")
 		if got, err := Decode(s.Encode()); err != nil || got != s {
-			t.Fatalf("%+v, %v", got, err)
+			t.Fatalf("decoded state %+v, error %v; want the encoded state", got, err)
 		}
 	})
 	for _, bad := range []string{"", "1", "9 true 0", "1 perhaps 0", "-1 true 0", "1 true -2", "1c true 0", "c true 0", "4cc true 0"} {
 		if _, err := Decode(bad); !errors.Is(err, ErrInvalidState) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("decoding %q: error %v, want ErrInvalidState", bad, err)
 		}
 	}
 }
--- a/internal/zonefailover/verdict.go
+++ b/internal/zonefailover/verdict.go
@@ -1,9 +1,10 @@
 package zonefailover
 
-// Cause is the verdict on a zone: the reason why traffic is or is not shifted away from the zone. The text is shown to operators.
+// Cause is the verdict of Rules.Judge on one zone. Its text says why traffic is or is not shifted away from the zone, and is shown
+// to operators.
 type Cause string
 
-// The causes. CauseDown and CauseGrayFailure require a shift.
+// The verdicts. CauseDown and CauseGrayFailure require a shift.
 const (
 	CauseHealthy              Cause = "its servers answer"
 	CauseMinorityPartition    Cause = "most members are not there to this one: it may be cut off itself"
@@ -27,8 +28,9 @@
 
 // Judge returns the verdict on each zone of the endpoint list. CauseDown requires all of the following:
 //   - more than half of the fleet is alive
-//   - most of the zone's endpoints are unreachable from at least two zones, unless all alive members are in one zone
-//   - the other zones are reachable and have enough capacity
+//   - at least UnreachableThreshold of the zone's endpoints are reported unreachable
+//   - the members that report them are in at least two zones, unless all alive members are in one zone
+//   - the other zones are reachable (MaxUnreachableElsewhere) and have enough capacity (MinRemainingCapacity)
 //   - for a zone that is fully in service, the health quorum of members outside the zone
 //
 // CauseGrayFailure requires reports by enough members (see grayZones) in place of the unreachable endpoints and the health quorum.
@@ -85,7 +87,7 @@
 	return CauseDown
 }
 
-// isDown reports whether most of a zone's endpoints are unreachable.
+// isDown reports whether at least UnreachableThreshold of a zone's endpoints are unreachable.
 func (a *assessment) isDown(zone string) bool {
 	unreachable, total := len(a.unreachable.endpoints[zone]), len(a.index.byZone[zone])
 	return float64(unreachable) >= a.rules.UnreachableThreshold*float64(total)
