--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -10,8 +10,8 @@
 
 // BenchmarkAcquire measures how fast one of three processes acquires leases, one after the other and many at once. The stores sync to disk.
 func BenchmarkAcquire(b *testing.B) {
-	for _, names := range []int{1, 100, 10000} {
-		b.Run(fmt.Sprint(names, " names"), func(b *testing.B) {
+	for _, leases := range []int{1, 100, 10000} {
+		b.Run(fmt.Sprint(leases, " leases"), func(b *testing.B) {
 			cfgs := newFleetConfigs(b, 3)
 			var all []*Host
 			for _, cfg := range cfgs {
@@ -37,20 +37,20 @@
 				syncs := all[0].store.Syncs()
 				began := time.Now()
 				all[2].mu.Lock()
-				for i := range names {
+				for i := range leases {
 					all[2].session.Acquire(fmt.Sprint("many-", i), 1)
 				}
 				all[2].runDue()
 				all[2].mu.Unlock()
-				for !holds(fmt.Sprint("many-", names-1)) && time.Since(began) < time.Minute {
+				for !holds(fmt.Sprint("many-", leases-1)) && time.Since(began) < time.Minute {
 					time.Sleep(time.Millisecond)
 				}
-				if held() < names+1 {
-					b.Fatalf("held %d of %d leases", held(), names+1)
+				if held() < leases+1 {
+					b.Fatalf("held %d of %d leases", held(), leases+1)
 				}
 				took := time.Since(began)
-				b.ReportMetric(float64(names)/took.Seconds(), "leases/s")
-				b.ReportMetric(float64(all[0].store.Syncs()-syncs)/float64(names), "syncs/lease")
+				b.ReportMetric(float64(leases)/took.Seconds(), "leases/s")
+				b.ReportMetric(float64(all[0].store.Syncs()-syncs)/float64(leases), "syncs/lease")
 				var one []time.Duration
 				for i := range 200 {
 					name := fmt.Sprint("one-", i)
--- a/internal/fleet/conn.go
+++ b/internal/fleet/conn.go
@@ -37,13 +37,13 @@
 	maxFrameBytes         = 64 << 20 // a snapshot of 100,000 leases takes about 20 MB
 	handshakeTimeout      = 2 * time.Second
 	writeTimeout          = 5 * time.Second
-	idleTimeout           = time.Minute // without a received frame a connection is closed; an inbound connection after twice this time
-	maxInboundConnections = 2048
+	idleTimeout           = time.Minute // a connection that receives no frame for this time (inbound: twice this time) is closed
+	maxInboundConnections = 2048        // also stated in the text of errTooManyConnections
 )
 
 var (
 	errBadTag        = errors.New("frame with a wrong tag: the peer has another secret, or the frame was altered in transit")
-	errFrameTooLong  = errors.New("frame length out of range")
+	errFrameLength   = errors.New("frame length out of range: the frame is too short for its kind and tag, or longer than allowed")
 	errUnknownMember = errors.New("not a member of this fleet")
 )
 
@@ -69,7 +69,8 @@
 	return m.Sum(nil)
 }
 
-// conn is a connection whose ends have proven to each other that they know the secret. write may be called concurrently, read may not.
+// conn is a connection with authenticated frames. After the handshake, the dialing end knows that the peer has the secret. The accepting end
+// knows this only after it has read a further frame, because a hello can be replayed. write may be called concurrently, read may not.
 type conn struct {
 	net.Conn
 	reader              *bufio.Reader
@@ -106,7 +107,7 @@
 }
 
 // read returns the next frame. A frame of more than limit bytes is an error. Memory is allocated as bytes arrive, not by the length in the
-// header. The errors errFrameTooLong and errBadTag mean that the peer violates the protocol.
+// header. The errors errFrameLength and errBadTag mean that the peer violates the protocol.
 func (c *conn) read(limit uint32) (kind byte, payload []byte, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
@@ -114,7 +115,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n < 1+tagLength || n > limit {
-		return 0, nil, errFrameTooLong
+		return 0, nil, errFrameLength
 	}
 	var buf bytes.Buffer
 	if _, err := io.CopyN(&buf, c.reader, int64(n)); err != nil {
@@ -172,8 +173,8 @@
 	return n
 }
 
-// dial connects to address and performs the handshake, in which both ends prove that they know the secret. It returns an error if me.To
-// names a member and the peer is another one.
+// dial connects to address and performs the handshake, in which the accepting end proves that it knows the secret. The next frame of the
+// dialing end proves that the dialing end knows it, too. dial returns an error if me.To names a member and the peer is another one.
 func dial(ctx context.Context, address string, secret []byte, me hello) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
--- a/internal/fleet/connections.go
+++ b/internal/fleet/connections.go
@@ -17,10 +17,10 @@
 	acceptRetryPause     = 20 * time.Millisecond
 )
 
-var errTooManyConnections = errors.New("too many inbound connections")
+var errTooManyConnections = errors.New("too many inbound connections: at most 2048 are served at a time")
 
-// linkTo returns the link to another member and creates it at its first use. It returns nil for this process, for an unknown name and after
-// the host has closed. The caller must hold mu.
+// linkTo returns the link to another member and creates it at its first use. It returns nil for this process and for an unknown name. It
+// creates no link after the host has closed, and returns nil instead. The caller must hold mu.
 func (h *Host) linkTo(name string) *link {
 	if l := h.links[name]; l != nil {
 		return l
@@ -43,14 +43,15 @@
 	return hello{Name: h.cfg.Name, To: name, Fleet: h.fleetID}
 }
 
-// handleLinkError marks a member as unreachable after its link has failed, and logs each new error.
+// handleLinkError marks a member as unreachable after its link has failed. It logs an error that differs from the last one logged for this
+// member, even if the link worked in between.
 func (h *Host) handleLinkError(name string, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader.Unreachable(h.clock.Now(), name)
 	if h.linkErrors[name] != err.Error() {
 		h.linkErrors[name] = err.Error()
-		h.log.Warn("link to member failed", "member", name, "err", err)
+		h.log.Warn("link to member failed: it is dialed again for later messages", "member", name, "err", err)
 	}
 }
 
@@ -63,7 +64,7 @@
 
 // acceptConnections accepts connections of members and operators until the host closes, maxInboundConnections at a time.
 func (h *Host) acceptConnections() {
-	slots := make(chan struct{}, maxInboundConnections)
+	semaphore := make(chan struct{}, maxInboundConnections)
 	for {
 		raw, err := h.listener.Accept()
 		if err != nil {
@@ -75,14 +76,14 @@
 			continue
 		}
 		select {
-		case slots <- struct{}{}:
+		case semaphore <- struct{}{}:
 		default:
 			raw.Close()
 			h.logRejectedConnection("", errTooManyConnections)
 			continue
 		}
 		h.goroutines.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			h.serveConnection(raw)
 		})
 	}
@@ -106,7 +107,7 @@
 		c.SetReadDeadline(time.Now().Add(2 * idleTimeout))
 		kind, payload, err := c.read(maxFrameBytes)
 		if err != nil {
-			if errors.Is(err, errBadTag) || errors.Is(err, errFrameTooLong) {
+			if errors.Is(err, errBadTag) || errors.Is(err, errFrameLength) {
 				h.logRejectedConnection(c.peer.Name, err)
 			}
 			return
@@ -152,7 +153,7 @@
 	defer h.mu.Unlock()
 	h.rejectedConnections++
 	if now := h.clock.Now(); now >= h.rejectionLoggedAt+rejectionLogInterval {
-		h.log.Warn("rejected a connection or message of the fleet", "from", from, "err", err, "count", h.rejectedConnections)
+		h.log.Warn("rejected a connection or message from a peer", "from", from, "err", err, "count", h.rejectedConnections)
 		h.rejectedConnections, h.rejectionLoggedAt = 0, now
 	}
 }
--- a/internal/fleet/exclusions.go
+++ b/internal/fleet/exclusions.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// addZoneExclusions adds the endpoints of zones that are not fully in use.
+// addZoneExclusions adds the endpoints of zones that are not fully in service.
 func (s *sharedState) addZoneExclusions(all map[string]exclusions) {
 	for pool, zones := range s.zones.endpointZones {
 		excluded, recovering, untilRestart := zoneview.Exclusions(s.node, pool, zones)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -466,7 +466,7 @@
 	return httpmsg.Response{Status: http.StatusOK}, nil
 }
 
-// TestSlotRequest checks that servers receive the same request for a slot as from earlier versions, in particular the same keys and tokens.
+// TestSlotRequest checks that endpoints receive the same request for a slot as from earlier versions, in particular the same keys and tokens.
 func TestSlotRequest(t *testing.T) {
 	clock, err := NewClock()
 	if err != nil {
--- a/internal/fleet/host.go
+++ b/internal/fleet/host.go
@@ -3,8 +3,9 @@
 // gossip. Decisions are made by packages consensus, lease, task, gossip, zonefailover and zoneview. This package passes events to them and
 // carries out the resulting actions.
 //
-// Host is the entry point. Each concern has a file: voter (consensus), leases, tasks, requests (to the leader), connections (from and to
-// members), link and conn (transport), store, sharedstate (gossip), exclusions, zones, status and operator.
+// Host is the entry point. Each concern has a file: voter (consensus), leases, tasks, requests (to the leader), server (requests from
+// members and operators), connections (from and to members), link and conn (transport), store and memory (state of the voter), sharedstate
+// (gossip) with sharedstate_file and sharedstate_log, exclusions, zones, status, operator and clock.
 package fleet
 
 import (
@@ -49,7 +50,8 @@
 	Zones          *ZonesConfig       // nil: no automatic zone failover by this process
 }
 
-// Task is a task that runs once for the whole fleet, as a request to one of the process's pools.
+// Task is a scheduled task of the fleet. A slot is one run of the task. The process that holds the task's lease executes a slot by sending
+// a request through one of its own pools.
 type Task struct {
 	task.Spec
 	Pool, Method, Path, Tenant, Body string
@@ -58,17 +60,17 @@
 	Host  string // Host header of the request; empty: the pool's name
 }
 
-// Sender sends a request through one of the process's pools, which balance and retry the request like those of clients. It must be safe for
-// concurrent use.
+// Sender sends a request through one of the process's pools, which balance and retry the request like requests of clients. It must be
+// safe for concurrent use.
 type Sender interface {
 	Do(ctx context.Context, pool string, q *httpmsg.Request) (httpmsg.Response, error)
 }
 
 // Host is the membership of a process in its fleet. Its methods are safe for concurrent use.
 //
-// Its goroutines: runTimers runs due work, runConsensus owns the voter, and acceptConnections owns the listener. If state is shared,
-// applyToPools and watchZones call the pools. Each link, connection, task request and save of the shared state has its own goroutine. mu is
-// never held while waiting for a pool, the store or a connection.
+// Its goroutines: runTimers runs due work, runConsensus owns the voter, and acceptConnections owns the listener. If the process shares
+// state and its sender implements Pools, applyToPools and watchZones call the pools. Each link, connection, task request and save of the
+// shared state has its own goroutine. Except in Start, mu is never held while waiting for a pool, the store or a connection.
 type Host struct {
 	cfg      Config
 	log      *slog.Logger
@@ -85,7 +87,7 @@
 	inbox      chan func(*voter) // work for the consensus goroutine
 	timer      *time.Timer       // fires when runDue is due
 
-	// mu guards the fields below and all of shared except its channels.
+	// mu guards the fields below. Start sets shared, and the pointer does not change afterwards. See sharedState for the fields of shared.
 	mu      sync.Mutex
 	leaving bool   // no further slot is started: the process is about to end, or has been superseded
 	fleetID string // fleet that this process is admitted to; empty: none yet
@@ -110,8 +112,8 @@
 
 	// State of the last log lines.
 	loggedLeases        map[string]uint64 // tokens by name
-	loggedChanges       uint64            // revision of the session
-	loggedLapsed        bool              // the session had expired
+	loggedRevision      uint64            // Revision of the session
+	loggedLapsed        bool              // this process could no longer act on its leases (ValidUntil of the session had passed)
 	leasesLoggedAt      time.Duration
 	rejectedConnections int // since rejectionLoggedAt
 	rejectionLoggedAt   time.Duration
@@ -141,6 +143,7 @@
 		runners:   map[string]*taskRunner{},
 		handovers: map[string]string{},
 
+		// Processes whose names differ in length can start the round-robin at different voters.
 		leader:  consensus.NewLeaderTracker(cfg.Voters, len(cfg.Name), cfg.LeaseTiming.KeepAliveInterval()),
 		pending: map[uint64]*pendingRequest{},
 
--- a/internal/fleet/host_test.go
+++ b/internal/fleet/host_test.go
@@ -407,7 +407,7 @@
 		s.Close()
 	}
 	if err == nil || !strings.Contains(err.Error(), "tier member replace") {
-		t.Errorf("%v", err)
+		t.Errorf("reading a damaged store: got error %v, want one that names the command for recovery", err)
 	}
 	if left, _ := os.ReadFile(path); len(left) != len(whole) {
 		t.Error("the length of the damaged file has changed")
--- a/internal/fleet/idle_test.go
+++ b/internal/fleet/idle_test.go
@@ -11,7 +11,7 @@
 // BenchmarkRest measures the processor time and the context switches of a process in a fleet of three at rest, with the default intervals.
 func BenchmarkRest(b *testing.B) {
 	for _, sharing := range []bool{false, true} {
-		b.Run(map[bool]string{false: "leases", true: "leases and copies"}[sharing], func(b *testing.B) {
+		b.Run(map[bool]string{false: "leases", true: "leases and shared state"}[sharing], func(b *testing.B) {
 			cfgs := newFleetConfigs(b, 3)
 			var all []*Host
 			for i := range cfgs {
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -17,8 +17,8 @@
 	leaseLogInterval = 200 * time.Millisecond
 )
 
-// HeldLease reports whether this process may act on a lease now. It returns the fencing token and the longest time for which this right
-// lasts unless the lease is renewed.
+// HeldLease reports whether this process may act on a lease now. It returns the fencing token and the time until this right ends unless
+// the lease is renewed.
 func (h *Host) HeldLease(name string) (token uint64, left time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,10 +76,10 @@
 // logLeaseChanges logs the leases that this process has acquired or lost since the last call. The caller must hold mu.
 func (h *Host) logLeaseChanges(now time.Duration) {
 	n, lapsed := h.session.Revision(), now >= h.session.ValidUntil()
-	if n == h.loggedChanges && lapsed == h.loggedLapsed || len(h.loggedLeases) > manyLeases && now < h.leasesLoggedAt+leaseLogInterval {
+	if n == h.loggedRevision && lapsed == h.loggedLapsed || len(h.loggedLeases) > manyLeases && now < h.leasesLoggedAt+leaseLogInterval {
 		return
 	}
-	h.loggedChanges, h.loggedLapsed, h.leasesLoggedAt = n, lapsed, now
+	h.loggedRevision, h.loggedLapsed, h.leasesLoggedAt = n, lapsed, now
 	held := h.heldTokens(now)
 	h.logLeases("lease lost", h.loggedLeases, held)
 	h.logLeases("lease held", held, h.loggedLeases)
@@ -95,7 +95,7 @@
 	if h.shared != nil {
 		h.sendGossip(h.shared.node.Leave(now))
 	}
-	h.log.Error("superseded by another process of the same name: this process no longer holds leases or runs tasks", "name", h.cfg.Name)
+	h.log.Error("superseded by another process of the same name: this process no longer holds leases or runs tasks; give each process its own name, and restart this one", "name", h.cfg.Name)
 }
 
 // renewLeases sends the due requests of the lease session to the leader, and returns when it must be called again. The caller must hold mu.
@@ -166,7 +166,7 @@
 			continue
 		}
 		delete(h.handovers, name)
-		h.log.Info("lease handover requested", "name", name, "to", to)
+		h.log.Info("lease handover started", "name", name, "to", to)
 		h.session.Transfer(name, to)
 	}
 }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -21,8 +21,8 @@
 	payload []byte
 }
 
-// link carries frames to one member. It dials a connection when there is a frame to send, and dials again after a backoff when the
-// connection breaks. Frames that cannot be sent are dropped: a caller that needs a response repeats its request.
+// link carries frames to one member. It dials when there is a frame to send and no connection. After a failed dial, it drops frames for a
+// backoff before the next dial. Frames that cannot be sent are dropped: a caller that needs a response repeats its request.
 type link struct {
 	address string
 	secret  []byte
@@ -30,7 +30,8 @@
 	queue   chan frame
 	local   func() hello // returns the hello of this process
 
-	// Called from the link's goroutines. Only onFrame may be called concurrently with itself.
+	// Called from the link's goroutines. onFrame may be called concurrently with onError. Functions that several links share must be safe for
+	// concurrent use.
 	onHello func(hello)
 	onFrame func(c *conn, kind byte, payload []byte)
 	onError func(error) // the connection could not be established, or a write failed
--- a/internal/fleet/operator.go
+++ b/internal/fleet/operator.go
@@ -102,8 +102,10 @@
 }
 
 // Command records or withdraws an operator's decision. The command is conditional on the previous decision, so that a copy that arrives
-// late changes nothing. After a conflict, it is rebased on the decision that others have made meanwhile, and so replaces that decision.
-// Withdrawing a decision that is not in force succeeds. The error is ErrNoLeader or the reason for the refusal.
+// late changes nothing. After a conflict with a decision that already has the wanted effect, Command succeeds without a change: an earlier
+// copy was applied and its response lost, or others have decided the same. After any other conflict, the command is rebased on the current
+// decision, and so replaces it. A withdrawal without a conflict is refused if there is nothing to withdraw. The error is ErrNoLeader, an
+// error of the connection, or the reason for the refusal.
 func (o *Operator) Command(ctx context.Context, c consensus.DecisionCommand) (*consensus.DecisionResult, error) {
 	c.Conditional = true
 	for {
--- a/internal/fleet/requests.go
+++ b/internal/fleet/requests.go
@@ -71,7 +71,7 @@
 	}
 	data, err := json.Marshal(rpc{Handle: handle, Request: request})
 	if err != nil {
-		h.log.Error("encoding request failed", "err", err)
+		h.log.Error("request not sent: encoding failed", "err", err)
 		return true // the member is not at fault and must not count as unreachable
 	}
 	l := h.linkTo(to)
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -55,7 +55,7 @@
 func (h *Host) respond(c *conn, response rpc) {
 	data, err := json.Marshal(response)
 	if err != nil {
-		h.log.Error("encoding response failed", "err", err)
+		h.log.Error("response not sent: encoding failed", "err", err)
 		return
 	}
 	if err := c.write(kindResponse, data); err != nil {
--- a/internal/fleet/sharedstate.go
+++ b/internal/fleet/sharedstate.go
@@ -47,8 +47,8 @@
 	// CheckHealth sends a health check to an endpoint, waits for the response, and reports whether there was one.
 	CheckHealth(pool, endpoint string) (answered bool)
 	// AttemptOutcomes calls f for each zone of a pool with the number of attempts that were answered and that failed since the start, and
-	// the sum of their latencies.
-	AttemptOutcomes(pool string, f func(zone string, answered, failed int64, delay time.Duration))
+	// the sum of the latencies of the answered ones.
+	AttemptOutcomes(pool string, f func(zone string, answered, failed int64, totalLatency time.Duration))
 }
 
 const (
@@ -57,8 +57,8 @@
 	saveInterval       = 10 * time.Second
 )
 
-// falseReportsVariable names an environment variable for end-to-end tests. Its value is a comma-separated list of POOL/SERVER that the
-// process always reports as unreachable.
+// falseReportsVariable names an environment variable for end-to-end tests. Its value is a comma-separated list of POOL/ENDPOINT that
+// the process always reports as unreachable.
 const falseReportsVariable = "SORRELRUDDER_LAB_LIES"
 
 // observation is a change in an endpoint's reachability that a pool has observed.
@@ -75,18 +75,20 @@
 	pools Pools // nil: the process has no pools
 
 	// Observations of this process's pools.
-	observations          chan observation
-	observed              chan struct{} // signals that observations is not empty
-	observationsAt        time.Duration // the next recording of observations is not earlier
+	observations chan observation
+	observed     chan struct{} // signals that observations is not empty
+	// observationsAt is the earliest time for which scheduleObservations sets the timer. Each run of runSharedState records the queued
+	// observations, even if it is earlier.
+	observationsAt        time.Duration
 	failureReports        *gossip.FailureReports
 	failureReportsChanged bool // the hints must be computed again
 	hintsAt               time.Duration
-	hinted                int      // hints given since the start
-	falseReports          []string // POOL/SERVER, for end-to-end tests
+	hinted                int      // hints since the start; each repetition of a hint counts
+	falseReports          []string // POOL/ENDPOINT, for end-to-end tests
 
 	// Decisions of operators and of zone failover.
 	decisionsApplied  uint64        // number of the newest decision applied from the log of this process's voter
-	completeUntil     time.Duration // all decisions made until then are known here; negative: unknown
+	completeUntil     time.Duration // this process knows all decisions made until then; negative: unknown
 	exclusionsChanged bool
 	excluded          map[string]exclusions // in force, by pool
 	notApplied        map[string]bool       // pools that rejected their exclusions: no ready endpoint would be left
@@ -230,9 +232,9 @@
 			s.failureReports.Record(now, s.node, key, o.unreachable)
 		}
 	}
-	for _, server := range s.falseReports {
+	for _, poolEndpoint := range s.falseReports {
 		s.failureReportsChanged = true
-		s.failureReports.Record(now, s.node, gossip.UnreachableKind+"/"+server, true)
+		s.failureReports.Record(now, s.node, gossip.UnreachableKind+"/"+poolEndpoint, true)
 	}
 }
 
@@ -362,8 +364,8 @@
 	}
 }
 
-// noteDecisionDigest compares this process's copy of all decisions with the leader's digest of them at the time at. If they are equal, all
-// decisions made until then are known here. The caller must hold mu.
+// noteDecisionDigest compares this process's copy of all decisions with the leader's digest of them. at is when the request for the digest
+// was sent. If the digests are equal, this process knows all decisions made until then. The caller must hold mu.
 func (h *Host) noteDecisionDigest(at time.Duration, d *consensus.DecisionDigest) {
 	if h.shared == nil || d == nil {
 		return
--- a/internal/fleet/sharedstate_file.go
+++ b/internal/fleet/sharedstate_file.go
@@ -28,11 +28,11 @@
 		m.Entries = append(m.Entries, *e)
 		return len(m.Entries) < maxSavedEntries
 	})
-	return sealFile(m.Encode())
+	return addChecksum(m.Encode())
 }
 
 // restore loads the state that the last start of the member of that name has saved. Newer entries from their owners replace it. A file that
-// is damaged, belongs to another member or has another format is renamed. Nothing is lost, since other members have all of its entries.
+// cannot be read or decoded, or that belongs to another member, is renamed: other members usually have all of its entries.
 func (s *sharedState) restore(now time.Duration, name string) error {
 	if s.cfg.Store == "" {
 		return nil
@@ -43,7 +43,7 @@
 	}
 	var m *gossip.Message
 	if err == nil {
-		data, err = unsealFile(data)
+		data, err = removeChecksum(data)
 	}
 	if err == nil {
 		m, err = gossip.Decode(data)
@@ -89,18 +89,18 @@
 // checksumLength is the length of a checksum in bytes.
 const checksumLength = 4
 
-// sealFile prefixes data with its checksum.
-func sealFile(data []byte) []byte {
+// addChecksum prefixes data with its checksum.
+func addChecksum(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(data)), data...)
 }
 
-// unsealFile checks and removes the checksum of sealFile.
-func unsealFile(sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumLength {
-		return nil, errors.New("sealed value is missing or shorter than its checksum")
+// removeChecksum checks the checksum that addChecksum has added, and returns the data without it.
+func removeChecksum(checksummed []byte) ([]byte, error) {
+	if len(checksummed) < checksumLength {
+		return nil, errors.New("a stored value is missing or too short to hold its checksum")
 	}
-	if crc32.ChecksumIEEE(sealed[checksumLength:]) != binary.BigEndian.Uint32(sealed) {
+	if crc32.ChecksumIEEE(checksummed[checksumLength:]) != binary.BigEndian.Uint32(checksummed) {
 		return nil, errors.New("checksum mismatch")
 	}
-	return sealed[checksumLength:], nil
+	return checksummed[checksumLength:], nil
 }
--- a/internal/fleet/sharedstate_log.go
+++ b/internal/fleet/sharedstate_log.go
@@ -39,8 +39,8 @@
 	return reports, decisions
 }
 
-// ages returns two ages in milliseconds. inStep is the time since the state was last seen to equal another member's. decided is the time
-// since the newest moment up to which all decisions are known here. An age is -1 if it has been unknown since the start.
+// ages returns two ages in milliseconds. inStep is the time since this copy was last seen to equal another member's (InSync). decided is
+// the time since this copy was last known to contain all decisions. An age is -1 if it has been unknown since the start.
 func (s *sharedState) ages(now time.Duration) (inStep, decided int64) {
 	inStep, decided = -1, -1
 	if ago, ok := s.node.InSync(now); ok {
--- a/internal/fleet/sharedstate_test.go
+++ b/internal/fleet/sharedstate_test.go
@@ -178,7 +178,7 @@
 	}
 	all[2].Close()
 	if r := submitDecision(t, all[1], cfgs[1], consensus.DecisionCommand{Key: key, Value: "patched"}); r.Refusal != "" || r.Number != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("first decision: result %+v, want number 1 without a refusal", r)
 	}
 	eventually(t, "the running processes exclude the endpoint", func() bool { return pools[0].excludes("box") && pools[1].excludes("box") })
 	pools[2] = newFakePools()
@@ -225,7 +225,7 @@
 		t.Fatalf("restored %d entries: %v", shared.loaded, err)
 	}
 	if e, ok := shared.node.Store().Get(gossip.ConsensusOwner, "order/farm/box"); !ok || e.Sequence != 4 {
-		t.Errorf("%+v", e)
+		t.Errorf("restored decision is %+v, want one with number 4", e)
 	}
 	if shared.node.Incarnation() <= inc {
 		t.Error("the incarnation of the next start is not larger than the last one")
@@ -236,7 +236,7 @@
 		}
 		newNode()
 		if err := shared.restore(0, "p"); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: restore failed: %v, want a start without the file", name, err)
 		}
 		if _, err := os.Stat(file); !os.IsNotExist(err) {
 			t.Errorf("%s: the file has not been renamed", name)
@@ -259,7 +259,7 @@
 	f.Add([]byte("x"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		file := filepath.Join(t.TempDir(), "copies")
-		if err := os.WriteFile(file, sealFile(data), 0o600); err != nil {
+		if err := os.WriteFile(file, addChecksum(data), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cfg := gossip.DefaultConfig()
@@ -339,7 +339,7 @@
 		f.mu.Unlock()
 	}
 	steps := map[int]bool{}
-	eventually(t, "all processes use the zone fully again", func() bool {
+	eventually(t, "the zone is fully in service again at all processes", func() bool {
 		for i, host := range all {
 			z := fetchSharedState(t, host, cfgs[i]).Zones[1]
 			steps[z.Step] = true
@@ -350,7 +350,7 @@
 		return excludedEverywhere(0)()
 	})
 	if !steps[1] && !steps[2] && !steps[3] {
-		t.Errorf("the zone was used fully at once: steps %v", steps)
+		t.Errorf("the zone was fully in service again without a step between: steps %v", steps)
 	}
 	key := gossip.PoolKey(consensus.ZoneKind, "farm", "c")
 	submitDecision(t, all[0], cfgs[0], consensus.DecisionCommand{Key: key, Value: zonefailover.State{Manual: true, Reason: "an operator"}.Encode()})
@@ -360,10 +360,10 @@
 	}
 }
 
-// TestStartedWhileAZoneIsCold guards against a process that starts after the last step of a recovery and treats the zone's endpoints as
+// TestStartDuringWarmUp guards against a process that starts after the last step of a recovery and treats the zone's endpoints as
 // warm. The process has not seen the zone excluded, and no endpoint list gives the start times of the endpoints. It must treat them as warm
 // only once the fleet has decided so.
-func TestStartedWhileAZoneIsCold(t *testing.T) {
+func TestStartDuringWarmUp(t *testing.T) {
 	cfgs := newSharingConfigs(t)
 	zones := map[string]string{}
 	for i, cfg := range cfgs {
@@ -476,10 +476,10 @@
 	open.Wait()
 }
 
-// TestFoundedAnew guards against saved decisions of a former fleet that outweigh those of a new one. The stores of all voters are lost and
-// the fleet is bootstrapped again, as the operators' page describes. Its decisions are numbered from 1 again, while the processes have
-// saved decisions of the former fleet with larger numbers.
-func TestFoundedAnew(t *testing.T) {
+// TestFleetBootstrappedAgain guards against saved decisions of a former fleet that outweigh those of a new one. The stores of all voters
+// are lost and the fleet is bootstrapped again, as the operators' page describes. Its decisions are numbered from 1 again, while the
+// processes have saved decisions of the former fleet with larger numbers.
+func TestFleetBootstrappedAgain(t *testing.T) {
 	cfgs := newSharingConfigs(t)
 	var pools []*fakePools
 	var all []*Host
@@ -527,7 +527,7 @@
 		}
 	}()
 	if r := submitDecision(t, all[1], cfgs[1], consensus.DecisionCommand{Key: other, Value: "patched"}); r.Number != 1 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("first decision of the new fleet: result %+v, want number 1", r)
 	}
 	eventually(t, "only decisions of the new fleet are applied", func() bool {
 		for i, f := range pools {
@@ -538,7 +538,7 @@
 		return true
 	})
 	if r := submitDecision(t, all[2], cfgs[2], consensus.DecisionCommand{Key: other, Withdraw: true}); r.Number != 2 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("withdrawal of the first decision: result %+v, want number 2", r)
 	}
 	eventually(t, "the new fleet's withdrawal is applied", func() bool {
 		return !pools[0].excludes("other") && !pools[1].excludes("other") && !pools[2].excludes("other")
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -98,12 +98,12 @@
 	Incarnation uint64              `json:"incarnation"`
 	Members     map[string]string   `json:"members"`    // by name: alive, suspect, dead, left, unheard of
 	Health      int                 `json:"health"`     // 0: healthy; above 0: the process itself is slow, and multiplies its timeouts by 1+Health
-	InStepMs    int64               `json:"in_step_ms"` // since the copy was last seen to equal another member's; negative: not since the start
-	DecidedMs   int64               `json:"decided_ms"` // age of the newest moment up to which all decisions are known here; negative: unknown
+	InStepMs    int64               `json:"in_step_ms"` // since the copy was last seen to equal another member's (InSync); negative: not since start
+	DecidedMs   int64               `json:"decided_ms"` // since the copy was last known to contain all decisions; negative: not since the start
 	Entries     []SharedEntryStatus `json:"entries"`
-	Hints       []string            `json:"hints,omitempty"`           // endpoints that pools are hinted to be unreachable
+	Hints       []string            `json:"hints,omitempty"`           // keys of the endpoints about which pools get hints
 	NotApplied  []string            `json:"not_carried_out,omitempty"` // pools whose exclusions would leave no ready endpoint
-	Hinted      int                 `json:"hinted"`                    // hints given since the start
+	Hinted      int                 `json:"hinted"`                    // hints since the start; each repetition of a hint counts
 	Zones       []ZoneStatus        `json:"zones,omitempty"`
 	Digests     map[string]uint64   `json:"sums"` // digests, by kind of entry
 	Stats       gossip.Stats        `json:"figures"`
@@ -167,15 +167,15 @@
 type ZoneStatus struct {
 	Pool      string `json:"pool"`
 	Zone      string `json:"zone"`
-	Endpoints int    `json:"servers"` // ready endpoints
-	Excluded  int    `json:"avoided"` // ready endpoints that this process excludes
-	Epoch     uint64 `json:"epoch"`   // number of the last decision on the zone; 0: none
-	Step      int    `json:"step"`    // of the recovery ramp, from 0 (the zone is excluded) to 4 (fully in use)
-	Pinned    bool   `json:"pinned,omitempty"`
-	WarmingUp bool   `json:"cold,omitempty"`  // fully in use, but the endpoints may still be warming up
-	Relapses  int    `json:"falls,omitempty"` // relapses during recovery
+	Endpoints int    `json:"servers"`          // ready endpoints
+	Excluded  int    `json:"avoided"`          // ready endpoints that this process excludes
+	Epoch     uint64 `json:"epoch"`            // number of the last decision on the zone (Decision.Number); 0: none
+	Step      int    `json:"step"`             // of the recovery ramp, from 0 (the zone is excluded) to 4 (fully in service)
+	Pinned    bool   `json:"pinned,omitempty"` // set by an operator (State.Manual)
+	WarmingUp bool   `json:"cold,omitempty"`   // fully in service, but the endpoints may still be warming up
+	Relapses  int    `json:"falls,omitempty"`  // see zonefailover.State
 	Reason    string `json:"why,omitempty"`
-	Cause     string `json:"cause,omitempty"` // of the latest verdict, set at the process that judges zones
+	Cause     string `json:"cause,omitempty"` // verdict of this process when it last held the zone lease; empty: not since the start
 }
 
 // zonesStatus returns the status of all zones of all pools. The caller must hold Host.mu.
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -77,7 +77,7 @@
 }
 
 // OpenStore opens the store of the process of that name, and creates it if the file does not exist. The error wraps ErrStoreDamaged if the
-// store cannot be read.
+// contents of the file are damaged.
 func OpenStore(path, name string) (s *Store, err error) {
 	err = recoverDamage(path, func() error {
 		s, err = openStore(path, name)
@@ -133,7 +133,7 @@
 
 // readIdentity reads the identity of an existing store and checks that all buckets exist.
 func (s *Store) readIdentity(tx *bbolt.Tx) error {
-	data, err := unsealFile(tx.Bucket(identityBucket).Get(identityKey))
+	data, err := removeChecksum(tx.Bucket(identityBucket).Get(identityKey))
 	if err == nil {
 		err = json.Unmarshal(data, &s.id)
 	}
@@ -148,7 +148,7 @@
 
 // storeDamagedError returns an error that says how an operator can recover from a damaged store.
 func storeDamagedError(path string, err error) error {
-	return fmt.Errorf("%s: %w: %w; rename the file (don't delete it before the consensus group has a leader) and start the process again: "+
+	return fmt.Errorf("%s: %w: %w; rename the file (keep it until the consensus group has a leader: it may be the only copy of the state) and start the process again: "+
 		"it returns as a learner, and 'sorrelrudder tier member replace' lets it vote", path, ErrStoreDamaged, err)
 }
 
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(identityBucket).Put(identityKey, sealFile(data))
+	return tx.Bucket(identityBucket).Put(identityKey, addChecksum(data))
 }
 
 // SaveIdentity saves the identity that the consensus group has assigned. It must return before the identity is used.
@@ -258,12 +258,12 @@
 	if err != nil {
 		return err
 	}
-	return b.Put(key, sealFile(data))
+	return b.Put(key, addChecksum(data))
 }
 
 // readMessage decodes a message that putMessage has written and checks its checksum.
-func readMessage(sealed []byte, m proto.Message) error {
-	data, err := unsealFile(sealed)
+func readMessage(checksummed []byte, m proto.Message) error {
+	data, err := removeChecksum(checksummed)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 	return nil
 }
 
-// Load returns the saved state. The error wraps ErrStoreDamaged if the state cannot be read.
+// Load returns the saved state. The error wraps ErrStoreDamaged if the saved state is damaged.
 func (s *Store) Load() (v consensus.PersistentState, err error) {
 	err = recoverDamage(s.path, func() error {
 		v, err = s.load()
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -16,7 +16,7 @@
 	firstVoterID = 1    // raft ID of the first voter of a new fleet
 )
 
-// voter is this process's voter in the consensus group. Only the consensus goroutine accesses it.
+// voter is this process's raft node in the consensus group, which is a voter or a learner. Only the consensus goroutine accesses it.
 type voter struct {
 	node          *consensus.Node // nil: not admitted yet, or stopped
 	callbacks     map[uint64]func(consensus.Response)
@@ -78,7 +78,7 @@
 	if err != nil {
 		return storeDamagedError(h.cfg.Store, err)
 	}
-	h.log.Info("joined the consensus group", "id", id.ID, "fleet", id.Fleet)
+	h.log.Info("raft node of the consensus group started", "id", id.ID, "fleet", id.Fleet)
 	return nil
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-// tickVoter advances the clock of the raft node, or requests admission if there is none.
+// tickVoter advances the clock of the raft node. If there is no raft node yet, it requests admission to the consensus group.
 func (h *Host) tickVoter(v *voter) {
 	switch {
 	case v.node != nil:
@@ -151,7 +151,7 @@
 		return
 	}
 	if result.RaftID == 0 {
-		h.log.Error("the consensus group refused admission", "why", result.Refusal)
+		h.log.Error("the consensus group refused admission: the request is repeated", "why", result.Refusal)
 		return
 	}
 	err := h.store.SaveIdentity(result.FleetID, result.RaftID)
@@ -160,7 +160,7 @@
 	}
 	if err != nil {
 		v.err = err
-		h.log.Error("joining the consensus group failed", "err", err)
+		h.log.Error("joining the consensus group failed: this process has no vote until its next start", "err", err)
 		return
 	}
 	h.mu.Lock()
@@ -172,7 +172,8 @@
 	}
 }
 
-// processReady saves, sends and reports the output of the raft node.
+// processReady calls Node.Process, which saves the state of the raft node. It then logs the events, sends the messages and responses, and
+// notifies the members whose leases have changed.
 func (h *Host) processReady(v *voter) {
 	if v.node == nil {
 		return
@@ -210,7 +211,7 @@
 	clear(v.callbacks)
 }
 
-// publishOutput applies decisions, sends raft messages, and returns the connections to members whose leases have changed.
+// publishOutput applies decisions, sends raft messages, and returns the connections from members whose leases have changed.
 func (h *Host) publishOutput(v *voter, out consensus.Output) (changed []*conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -222,7 +223,7 @@
 		}
 		data, err := consensus.EncodeMessage(m)
 		if err != nil {
-			h.log.Error("encoding raft message failed", "err", err)
+			h.log.Error("raft message not sent: encoding failed", "err", err)
 			continue
 		}
 		l.send(kindRaft, data)
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -45,7 +45,7 @@
 	proposedAt      time.Duration
 
 	loggedAdvice map[string]string             // by key
-	lastCauses   map[string]zonefailover.Cause // by pool and zone, from the time when this process last held the lease
+	lastCauses   map[string]zonefailover.Cause // by pool and zone: verdicts of this process when it last held the zone lease
 
 	grayDetectors map[string]*zonefailover.GrayDetector // by pool
 	grayKeys      map[string]bool                       // keys of the entries on gray failures that this process has written
@@ -116,7 +116,7 @@
 	}
 }
 
-// logZoneCauses records the causes of verdicts, and logs each change to a cause other than healthy. The caller must hold mu.
+// logZoneCauses records the verdicts on zones, and logs each change to a verdict other than healthy. The caller must hold mu.
 func (h *Host) logZoneCauses(pool string, causes map[string]zonefailover.Cause, reports int) {
 	logged := h.shared.zones.lastCauses
 	for zone, cause := range causes {
@@ -137,7 +137,7 @@
 	key := gossip.PoolKey(consensus.ZoneKind, pool, change.Zone)
 	if logged[key] != change.State.Encode() {
 		logged[key] = change.State.Encode()
-		h.log.Warn("zone shift advised", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Reason)
+		h.log.Warn("zone change advised but not made: automatic failover is set to advise", "pool", pool, "zone", change.Zone, "step", change.State.Step, "why", change.State.Reason)
 	}
 }
 
@@ -189,8 +189,8 @@
 	for _, pool := range shared.pools.PoolNames() {
 		zones[pool] = shared.pools.ReadyEndpoints(pool)
 		counts[pool] = map[string]zonefailover.AttemptCounts{}
-		shared.pools.AttemptOutcomes(pool, func(zone string, answered, failed int64, delay time.Duration) {
-			counts[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: delay}
+		shared.pools.AttemptOutcomes(pool, func(zone string, answered, failed int64, totalLatency time.Duration) {
+			counts[pool][zone] = zonefailover.AttemptCounts{Succeeded: answered, Failed: failed, TotalLatency: totalLatency}
 		})
 	}
 	for _, check := range h.planZoneChecks(zones, counts) {
@@ -249,7 +249,7 @@
 	h.runDue()
 }
 
-// publishGrayZones publishes the zones in which some of this process's attempts fail. The caller must hold mu.
+// publishGrayZones publishes the zones that have a gray failure according to this process's own attempts. The caller must hold mu.
 func (h *Host) publishGrayZones(counts map[string]map[string]zonefailover.AttemptCounts) {
 	shared, z := h.shared, &h.shared.zones
 	if z.cfg == nil || !z.cfg.Rules.GrayFailures {
