--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -33,12 +33,12 @@
 // workerCmd simulates a range of seeds and prints the outcome of each as a line of JSON. Each core has a worker process of its own: raft
 // draws from a random source that the whole process shares, and each run replaces that source.
 type workerCmd struct {
-	First uint64 `arg:"" help:"Begin with this seed."`
-	Count uint64 `arg:"" help:"Simulate this many seeds."`
-	Plant string `arg:"" optional:"" help:"Inject this known bug."`
+	First uint64 `arg:""`
+	Count uint64 `arg:""`
+	Plant string `arg:"" optional:""`
 
-	Copies bool `help:"Simulate shared state."`
-	Zones  bool `help:"Simulate zone failover; needs --copies."`
+	Copies bool
+	Zones  bool
 }
 
 // Run implements the command.
