--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -31,7 +31,7 @@
 	Fleet   fleetCmd   `cmd:"" help:"Add up the statistics in the logs of all processes of a fleet, by interval. The processes log them if figures_every or GW_FIGURES_EVERY is set."`
 	Emulate emulateCmd `cmd:"" help:"Emulate the clients, instances and servers of a scenario file in virtual time, with several seeds; exit 1 if a rule is violated."`
 	Tier    tierCmd    `cmd:"" help:"Found a fleet; show and change its consensus group, leases, tasks, shared state and zones through a running member."`
-	Lab     labCmd     `cmd:"" help:"Run an end-to-end scenario on loopback against fake servers and check the four rules: one response per request, no duplicate effect, no work past the deadline, no overload during slow start. Exit 1 if a rule is violated or a bound is missed."`
+	Lab     labCmd     `cmd:"" help:"Run an end-to-end scenario on loopback against fake servers and check the four rules: each request gets one final response in time and no attempt after it; no effect occurs twice; a backend gets no new request once the grace after the notice of its draining or removal has passed; all instances together do not overload a warming backend. Exit 1 if a rule is violated or a bound is missed."`
 	Version versionCmd `cmd:"" help:"Print the version, the revision and the Go version."`
 	Worker  workerCmd  `cmd:"" name:"explore-worker" hidden:"" help:"Simulate a range of seeds for 'lab tier-explore' and print each outcome as a line of JSON."`
 	Proxy   proxyCmd   `cmd:"" hidden:"" help:"Run the plain reverse proxy that 'lab cost' compares the gateway with."`
