--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,9 +26,9 @@
 )
 
 var (
-	// ErrSilenceTimeout reports that the discovery service has sent nothing for the longest allowed time, so that the call or the watch
-	// was aborted. The service may still be available to the next call.
-	ErrSilenceTimeout = errors.New("discovery is silent")
+	// ErrSilenceTimeout reports that the discovery service did not accept the connection, sent nothing, or did not complete a message
+	// within the allowed time, so that the call or the watch was aborted. The service may still be available to the next call.
+	ErrSilenceTimeout = errors.New("timed out waiting for data from the discovery service")
 
 	errMessageTooLong = errors.New("head or message exceeds the size limit")
 )
@@ -39,9 +39,9 @@
 	Staleness staleness.Bound // bounds how long the service may send nothing
 }
 
-// Watch implements Source. The error contains the address. It wraps ErrSilenceTimeout if the service was silent for too long.
+// Watch implements Source. The error contains the address. It wraps ErrSilenceTimeout if the service timed out.
 func (d Client) Watch(ctx context.Context, since int64, receive func(*EndpointList)) error {
-	return fmt.Errorf("discovery %s: %w", d.Address, d.watch(ctx, since, receive))
+	return fmt.Errorf("watch discovery service %s: %w", d.Address, d.watch(ctx, since, receive))
 }
 
 // watch is Watch without the address in its error.
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("it answers %s", response.Status)
+		return nil, fmt.Errorf("unexpected status %s, want 200", response.Status)
 	}
 	return response, nil
 }
