--- a/internal/consensus/raft_logger.go
+++ b/internal/consensus/raft_logger.go
@@ -6,15 +6,38 @@
 // further step would be safe. Node.recoverPanic converts the panic to ErrRaft.
 type raftLogger struct{}
 
-func (raftLogger) Debug(...any)              {}
-func (raftLogger) Debugf(string, ...any)     {}
-func (raftLogger) Error(...any)              {}
-func (raftLogger) Errorf(string, ...any)     {}
-func (raftLogger) Info(...any)               {}
-func (raftLogger) Infof(string, ...any)      {}
-func (raftLogger) Warning(...any)            {}
-func (raftLogger) Warningf(string, ...any)   {}
-func (raftLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+// Debug implements raft.Logger. It discards the message.
+func (raftLogger) Debug(...any) {}
+
+// Debugf implements raft.Logger. It discards the message.
+func (raftLogger) Debugf(string, ...any) {}
+
+// Error implements raft.Logger. It discards the message.
+func (raftLogger) Error(...any) {}
+
+// Errorf implements raft.Logger. It discards the message.
+func (raftLogger) Errorf(string, ...any) {}
+
+// Info implements raft.Logger. It discards the message.
+func (raftLogger) Info(...any) {}
+
+// Infof implements raft.Logger. It discards the message.
+func (raftLogger) Infof(string, ...any) {}
+
+// Warning implements raft.Logger. It discards the message.
+func (raftLogger) Warning(...any) {}
+
+// Warningf implements raft.Logger. It discards the message.
+func (raftLogger) Warningf(string, ...any) {}
+
+// Fatal implements raft.Logger. It panics with the message.
+func (raftLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Fatalf implements raft.Logger. It panics with the message.
 func (raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+
+// Panic implements raft.Logger. It panics with the message.
+func (raftLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+
+// Panicf implements raft.Logger. It panics with the message.
 func (raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -78,10 +78,19 @@
 // timerHeap implements heap.Interface; the earliest timer is the first element.
 type timerHeap []timer
 
-func (t timerHeap) Len() int           { return len(t) }
+// Len implements sort.Interface.
+func (t timerHeap) Len() int { return len(t) }
+
+// Less implements sort.Interface. It orders timers by their due times.
 func (t timerHeap) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timerHeap) Push(x any)        { *t = append(*t, x.(timer)) }
+
+// Swap implements sort.Interface.
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push implements heap.Interface. It appends x, which must be a timer.
+func (t *timerHeap) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop implements heap.Interface. It removes and returns the last element.
 func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -75,6 +75,7 @@
 // outdatedError ends a watch that delivered a message with a lower version than the current list.
 type outdatedError struct{ version, current int64 }
 
+// Error names the version of the rejected list and the current version.
 func (e outdatedError) Error() string {
 	return fmt.Sprintf("the list is of version %d, older than %d, which stays in force", e.version, e.current)
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -15,16 +15,21 @@
 // eventQueue is a heap of events with the earliest at index 0. It implements heap.Interface.
 type eventQueue []*event
 
+// Len implements sort.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
+// Less implements sort.Interface. It orders events by time, and events of the same time by sequence number.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
+// Swap implements sort.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push implements heap.Interface. It appends x, which must be an *event.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
 
+// Pop implements heap.Interface. It removes and returns the last element.
 func (q *eventQueue) Pop() any {
 	old := *q
 	popped := old[len(old)-1]
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -19,6 +19,7 @@
 
 var _ io.Reader = seededReader{}
 
+// Read implements io.Reader. It fills b and never returns an error.
 func (r seededReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(r.source.Uint32())
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -15,6 +15,7 @@
 // was available. It says nothing about the endpoint.
 type NoDescriptorError struct{ Err error }
 
+// Error returns the message of the wrapped error.
 func (e NoDescriptorError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
@@ -23,6 +24,7 @@
 // NotWrittenError wraps the error that ended an exchange before the last byte of the request was written. The request was not executed.
 type NotWrittenError struct{ Err error }
 
+// Error returns the message of the wrapped error.
 func (e NotWrittenError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
@@ -31,6 +33,7 @@
 // RequestBodyError wraps the error that ended the body of a request on the client's side. The request was not executed.
 type RequestBodyError struct{ Err error }
 
+// Error returns the message of the wrapped error.
 func (e RequestBodyError) Error() string { return e.Err.Error() }
 
 // Unwrap returns what it wraps.
