--- a/internal/task/admission.go
+++ b/internal/task/admission.go
@@ -70,5 +70,5 @@
 	return true
 }
 
-// stopWaiting removes a task from the waiting ones.
+// stopWaiting marks a task as no longer waiting.
 func (record *Record) stopWaiting() { record.WaitingSince, record.PassedOver = 0, 0 }
--- a/internal/task/admission_test.go
+++ b/internal/task/admission_test.go
@@ -17,7 +17,7 @@
 // taskName returns the name of task i.
 func taskName(i int) string { return string(rune('a' + i)) }
 
-// finishSome finishes some of the open slots and returns the tasks that had none open.
+// finishSome finishes a random part of the open slots and returns the tasks that had no open slot.
 func (a *admissionTest) finishSome(t *rapid.T, tasks int) []int {
 	idle := []int{}
 	for i := range tasks {
@@ -55,7 +55,7 @@
 		}
 	}
 	if n > a.maxOpen || n != len(a.open) {
-		t.Fatalf("%d slots are open, the bound is %d", n, a.maxOpen)
+		t.Fatalf("%d slots are open, want the admitted ones and at most %d", n, a.maxOpen)
 	}
 }
 
--- a/internal/task/budget_test.go
+++ b/internal/task/budget_test.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// TestBudget checks that the spent budget survives a change of the holder, that a slot of a dead process is charged with the most that it
-// may have cost, and that the next period starts with the full budget.
+// TestBudget checks these properties of a budget:
+//   - The cost charged so far remains charged when the holder of the lease changes.
+//   - A slot of a dead process is charged with its largest possible cost.
+//   - The next period starts with the full budget.
 func TestBudget(t *testing.T) {
 	s := testSpec(IdempotentByKey, MissedRunNewest)
 	s.Budget = Budget{Period: 10 * time.Second, MaxRequests: 3}
@@ -38,13 +40,13 @@
 	}
 	second := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 	if n := runHolder(second, 2, 2*time.Second, 10*time.Second); n != 1 || !second.BudgetExhausted() {
-		t.Fatalf("the second holder sent %d requests with one left in the budget; exhausted: %v", n, second.BudgetExhausted())
+		t.Fatalf("the second holder sent %d requests, want 1; the budget is exhausted: %v, want true", n, second.BudgetExhausted())
 	}
 	// In the next period a holder begins a slot and dies. It may have sent the slot's request as often as MaxAttempts allows.
 	registry.Apply(Command{Op: OpBegin, Task: "t", Slot: registry.Record("t").Slot + 1, Token: 3})
 	third := NewRunner(s, 100*time.Millisecond, 300*time.Millisecond)
 	if n := runHolder(third, 4, 10*time.Second, 12*time.Second); n != 1 {
-		t.Fatalf("%d requests were sent after the two possible ones of the dead holder, want 1", n)
+		t.Fatalf("the third holder sent %d requests, want 1: the dead holder may have sent 2 of the 3 in the budget", n)
 	}
 	if p := registry.Record("t"); p.Requests != 3 || p.Period != 101 {
 		t.Fatalf("%+v", p)
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestSlotNumbers checks that a wall clock time has the same slot and budget period, and a slot the same idempotency key, as in earlier
-// versions. Slots and periods are stored in the registry, and servers remember the keys.
+// TestSlotNumbers checks that the slot and the budget period of a wall clock time, and the idempotency key of a slot, are the same as in
+// earlier versions. Slots and periods are stored in the registry, and servers remember the keys.
 func TestSlotNumbers(t *testing.T) {
 	s := Spec{Name: "sweep", Interval: time.Hour, Offset: 10 * time.Minute, Spread: 30 * time.Minute, Budget: Budget{Period: 24 * time.Hour}}
 	wall := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
--- a/internal/task/registry.go
+++ b/internal/task/registry.go
@@ -42,7 +42,7 @@
 	// The state of a task that waits because of Command.MaxOpen.
 	WaitingSince uint64 `json:"waits,omitempty"`    // Registry.AdmissionSeq at the start of the wait; 0: the task does not wait
 	Priority     int    `json:"priority,omitempty"` // Command.Priority of its last OpBegin
-	PassedOver   int    `json:"passed,omitempty"`   // OpBegin commands of other tasks that left a place to this task since its own last one
+	PassedOver   int    `json:"passed,omitempty"`   // OpBegin commands of other tasks that kept a place for this task, since its own last OpBegin
 
 	// The cost of the task in the newest known period of its budget.
 	Period   int64 `json:"period,omitempty"`
@@ -56,7 +56,8 @@
 // ErrInvalidSnapshot is wrapped by the errors of [Restore].
 var ErrInvalidSnapshot = errors.New("task: invalid snapshot")
 
-// Restore decodes a registry from its JSON encoding. It returns ErrInvalidSnapshot for data that can't be decoded or is inconsistent.
+// Restore decodes a registry from its JSON encoding. The error wraps ErrInvalidSnapshot if the data can't be decoded or is
+// inconsistent.
 func Restore(data []byte) (*Registry, error) {
 	r := NewRegistry()
 	if err := json.Unmarshal(data, r); err != nil {
--- a/internal/task/run.go
+++ b/internal/task/run.go
@@ -14,7 +14,8 @@
 	outcome     Outcome       // empty: not known yet
 }
 
-// send returns the next request of the slot. It returns no action while a retry is delayed or once the lease has expired.
+// send returns the next request of the slot. It returns no action while a retry is delayed or once the lease has expired. If the servers may
+// have forgotten the idempotency key of a slot that is run again, it returns an OpFinish command with OutcomeUnknown instead.
 func (r *Runner) send(now time.Duration, wall time.Time, token uint64, until time.Duration) (Action, time.Duration) {
 	run := &r.run
 	if now < run.retryAt {
@@ -62,7 +63,7 @@
 	return false
 }
 
-// finish proposes to record the outcome and the cost of the slot.
+// finish proposes an OpFinish command with the outcome and the cost of the slot.
 func (r *Runner) finish(now time.Duration, wall time.Time, token uint64) (Action, time.Duration) {
 	c := Command{Op: OpFinish, Task: r.spec.Name, Slot: r.run.slot, Token: token, Outcome: r.run.outcome}
 	earlierBegins := 0
--- a/internal/task/runner.go
+++ b/internal/task/runner.go
@@ -9,13 +9,13 @@
 	Send        *SlotRequest // send the request and pass its outcome to HandleOutcome
 }
 
-// SlotRequest is a request of a slot.
+// SlotRequest is a request to send for a slot.
 type SlotRequest struct {
 	Slot     int64
 	Key      string // idempotency key
 	Token    uint64
 	Attempt  int           // counts the requests of this process for the slot, from 1
-	Deadline time.Duration // by the process's monotonic clock; no part of the request may be sent later
+	Deadline time.Duration // no part of the request may be sent later; by the process's monotonic clock
 }
 
 // Runner runs one task at a process while the process holds the task's lease. It reads the task's record, begins due slots, returns the
--- a/internal/task/runner_test.go
+++ b/internal/task/runner_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestRunnerSendsOnlyWhatIsBegun checks that the runner sends a request only for a slot that the registry has as begun by the current
+// TestRunnerSendsOnlyBegunSlots checks that the runner sends a request only for a slot that the registry has as begun by the current
 // token, and that the request's deadline is not after the end of the lease.
-func TestRunnerSendsOnlyWhatIsBegun(t *testing.T) {
+func TestRunnerSendsOnlyBegunSlots(t *testing.T) {
 	sent := 0
 	defer func() {
 		if sent == 0 {
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestOvertakenRecord checks that a record that was read before a slot was finished, and arrives after the result of OpFinish, does not
-// make the runner send the slot's request again.
+// TestOvertakenRecord guards against sending a slot's request again because of an outdated record. The record was read before the slot was
+// finished, and arrives after the result of OpFinish.
 func TestOvertakenRecord(t *testing.T) {
 	registry := NewRegistry()
 	r, c := runnerAtBegin(t, registry, NonIdempotent)
--- a/internal/task/schedule.go
+++ b/internal/task/schedule.go
@@ -19,7 +19,7 @@
 }
 
 // Next returns the next step of the holder of token. notBegunFor is the time, by the process's monotonic clock, since the open slot was
-// last known not to be begun. If it is below 0, there is no such time, and the idempotency key counts as forgotten.
+// last known not to be begun. It is below 0 if no such time is known; the idempotency key then counts as forgotten by the servers.
 func (s *Spec) Next(record Record, token uint64, wall time.Time, notBegunFor time.Duration) Step {
 	switch {
 	case record.Open && record.BegunBy != token:
--- a/internal/task/schedule_test.go
+++ b/internal/task/schedule_test.go
@@ -51,7 +51,7 @@
 		"each, far behind": {MissedRunEach, Record{Slot: 3}, time.Unix(1000, 0), 901, 897},
 		"the first slot":   {MissedRunEach, Record{}, time.Unix(9, 5e8), 9, 0},
 		"done":             {MissedRunEach, Record{Slot: 9}, time.Unix(9, 5e8), 0, 0},
-		"a clock behind":   {MissedRunEach, Record{Slot: 12}, time.Unix(9, 5e8), 0, 0},
+		"clock behind":     {MissedRunEach, Record{Slot: 12}, time.Unix(9, 5e8), 0, 0},
 		"triggered":        {MissedSkip, Record{Slot: 9, Triggered: true}, time.Unix(9, 9e8), 10, 0},
 	} {
 		s := testSpec(Idempotent, c.missed)
@@ -68,9 +68,9 @@
 // TestSpecValidate checks that Validate rejects each kind of invalid value.
 func TestSpecValidate(t *testing.T) {
 	for name, change := range map[string]func(*Spec){
-		"no name": func(s *Spec) { s.Name = "" }, "too often": func(s *Spec) { s.Interval = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
-		"spread beyond": func(s *Spec) { s.Spread = 2 * time.Second }, "at beyond a day": func(s *Spec) { s.Offset = 25 * time.Hour },
-		"window within the deadline": func(s *Spec) { s.Idempotency, s.DedupWindow = IdempotentByKey, s.Deadline },
+		"no name": func(s *Spec) { s.Name = "" }, "interval below 1 ms": func(s *Spec) { s.Interval = 1 }, "no deadline": func(s *Spec) { s.Deadline = 0 },
+		"spread beyond the interval": func(s *Spec) { s.Spread = 2 * time.Second }, "offset beyond a day": func(s *Spec) { s.Offset = 25 * time.Hour },
+		"dedup window within the deadline": func(s *Spec) { s.Idempotency, s.DedupWindow = IdempotentByKey, s.Deadline },
 	} {
 		s := testSpec(Idempotent, MissedRunNewest)
 		if err := s.Validate(); err != nil {
--- a/internal/task/spec.go
+++ b/internal/task/spec.go
@@ -17,12 +17,12 @@
 	NonIdempotent                      // running a slot again does harm
 )
 
-// MissedPolicy determines which of the slots that were due while no process could run them are run later.
+// MissedPolicy determines which missed slots are run later. A slot is missed if no process could run it when it was due.
 type MissedPolicy string
 
 // Policies for missed slots.
 const (
-	MissedSkip      MissedPolicy = "skip" // a slot that was due longer than Spec.Deadline ago is left out
+	MissedSkip      MissedPolicy = "skip" // a slot is left out once it has been due for longer than Spec.Deadline
 	MissedRunNewest MissedPolicy = "once" // the newest slot is run, however late, and older slots are left out
 	MissedRunEach   MissedPolicy = "each" // the newest MaxMissedSlots slots are run in order
 )
@@ -64,7 +64,7 @@
 	case s.Budget.Period == 0 && (s.Budget.MaxRequests != 0 || s.Budget.MaxRequestTime != 0), s.Budget.Period < 0, s.Budget.MaxRequests < 0, s.Budget.MaxRequestTime < 0:
 		return fmt.Errorf("task %q: the budget must have a period above 0 and no negative bound", s.Name)
 	case s.Idempotency == IdempotentByKey && s.DedupWindow <= s.Deadline:
-		return fmt.Errorf("task %q: the servers remember an idempotency key for %v, it must be longer than the deadline of %v", s.Name, s.DedupWindow, s.Deadline)
+		return fmt.Errorf("task %q: the servers remember an idempotency key for %v, want longer than the deadline of %v", s.Name, s.DedupWindow, s.Deadline)
 	}
 	return nil
 }
@@ -75,17 +75,18 @@
 	case s.Name == "":
 		return errors.New("the task has no name")
 	case s.Interval < time.Millisecond:
-		return fmt.Errorf("task %q: every is %v, it must be at least 1ms", s.Name, s.Interval)
+		return fmt.Errorf("task %q: every is %v, want at least 1ms", s.Name, s.Interval)
 	case s.Offset < 0 || s.Offset >= max(s.Interval, 24*time.Hour):
-		return fmt.Errorf("task %q: at is %v, it must be at least 0 and below a day, or below the interval if that is longer", s.Name, s.Offset)
+		return fmt.Errorf("task %q: at is %v, want at least 0 and below a day, or below the interval if the interval is longer", s.Name, s.Offset)
 	case s.Spread < 0 || s.Spread > s.Interval:
-		return fmt.Errorf("task %q: the spread is %v, it must be from 0 to the interval of %v", s.Name, s.Spread, s.Interval)
+		return fmt.Errorf("task %q: the spread is %v, want from 0 to the interval of %v", s.Name, s.Spread, s.Interval)
 	}
 	return nil
 }
 
-// KeyLifetime returns for how long, after a slot was last known not to be begun, its idempotency key may be sent again, by this process's
-// clock. A request may run as late as its deadline, and the servers must still remember the key of the first run at that time.
+// KeyLifetime returns how long the idempotency key of a slot may be sent again, counted by this process's clock from the time at which the
+// slot was last known not to be begun. A request may run as late as its deadline. The servers must still remember the key of the first run
+// at that time.
 func (s *Spec) KeyLifetime() time.Duration {
 	return time.Duration(float64(s.DedupWindow)*(1-s.MaxClockDrift)/(1+s.MaxClockDrift)) - s.Deadline
 }
