--- a/cmd/sorrelrudder/emulate.go
+++ b/cmd/sorrelrudder/emulate.go
@@ -22,15 +22,15 @@
 // emulateCmd emulates a scenario file in virtual time.
 type emulateCmd struct {
 	File string `arg:"" help:"Read this scenario file, such as deploy/day.toml."`
-	Runs int    `default:"5" help:"Run this many times (1 to 10000), each time with the next seed, and print the means of the runs."`
-	JSON bool   `name:"json" help:"Print one JSON object per run instead of a table; with --share one object for all runs."`
+	Runs int    `default:"5" help:"Run this many times (1 to 10000), each time with the next seed, and print the means of the runs. In the table, 'worth' is the served fraction of the priority weight, 'sends' are attempts by instances, and 'tries' are attempts by clients."`
+	JSON bool   `name:"json" help:"Print one JSON object per run instead of a table; with --share one object for all runs, which has the number of violations in the runs with sharing as 'breaks'. Exit 0 in that case even if a rule is violated."`
 
 	Scale     float64       `default:"1" help:"Multiply the numbers of instances, servers, requests and watch requests for the endpoint list by this factor."`
 	Share     []string      `help:"Run each seed a second time with these kinds of state shared among all instances, and print the difference: dead (servers that do not answer), room (load reports of health checks), learn (learned latencies, for an instance that starts), list (the endpoint list, for an instance that starts), zones (one decision for all instances to leave a zone that fails, and to return to it in steps)."`
-	Witnesses int           `default:"2" help:"--share dead: require reports of this many instances within a second before the other instances are told that a server is unreachable."`
-	ZoneStep  time.Duration `default:"2s" help:"--share zones: observe each step of the return to a zone for this time."`
-	ZoneHold  time.Duration `default:"2s" help:"--share zones: keep a zone out of use for at least this time after it was left."`
-	Lag       time.Duration `default:"100ms" help:"Set the delay from the observation of an instance to its arrival at the other instances (--share); above 0."`
+	Witnesses int           `default:"2" help:"With --share dead, require reports of this many instances within a second before the other instances are told that a server is unreachable."`
+	ZoneStep  time.Duration `default:"2s" help:"With --share zones, observe each step of the return to a zone for this time."`
+	ZoneHold  time.Duration `default:"2s" help:"With --share zones, keep a zone out of use for at least this time after it was left."`
+	Lag       time.Duration `default:"100ms" help:"With --share, set the time that an observation by one instance takes to reach the other instances; above 0."`
 }
 
 // sharing returns the state that --share selects. The error wraps errInvalidInput.
@@ -62,7 +62,8 @@
 	return h, nil
 }
 
-// Run emulates the scenario with several seeds, on all cores. The error wraps errScenario if a rule was violated.
+// Run emulates the scenario with several seeds, on all cores. The error wraps errScenario if a rule was violated. With
+// --share, it does so only under the conditions of printPairs.
 func (c *emulateCmd) Run(s *streams) error {
 	day, err := scenario.LoadScaled(c.File, c.Scale)
 	if err != nil {
@@ -150,7 +151,9 @@
 	return t.ServedFraction(), worst, float64(t.ConnectFailures+t.Timeouts) / float64(max(1, t.Attempts)), float64(t.Rejected) / float64(max(1, t.ClientAttempts))
 }
 
-// printPairs prints what sharing changes, in pairs of runs with equal seeds: the mean of the differences and its standard error.
+// printPairs prints what sharing changes, in pairs of runs with equal seeds: the mean of the differences and its standard error. It counts
+// the violations of the runs with sharing only, and does not print their descriptions. With --json it prints their number and returns no
+// error. Without --json the error wraps errScenario if there are any.
 func (c *emulateCmd) printPairs(s *streams, without, with []*emulator.Result) error {
 	names := [4]string{"worth served", fmt.Sprintf("worst %d s", worstSeconds), "sends lost", "tries refused"}
 	var base, diff, squares [4]float64
@@ -177,7 +180,7 @@
 		return json.NewEncoder(s.out).Encode(map[string]any{"share": c.Share, "lag_s": c.Lag.Seconds(), "runs": len(with), "without": base, "difference": diff, "columns": names, "breaks": violationCount})
 	}
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "\twithout sharing\tdifference with %s after %v\n", strings.Join(c.Share, ", "), c.Lag)
+	fmt.Fprintf(t, "\twithout sharing\tdifference when sharing %s (lag %v)\n", strings.Join(c.Share, ", "), c.Lag)
 	for k, name := range names {
 		spread := ""
 		if len(with) > 1 {
--- a/cmd/sorrelrudder/explore.go
+++ b/cmd/sorrelrudder/explore.go
@@ -161,7 +161,7 @@
 		r.Broken = append(r.Broken, o)
 	}
 	if e.progress != nil && r.Seeds%10 == 0 {
-		fmt.Fprintf(e.progress, "\r%d of %d seeds, %d broken, %.0f per minute", r.Seeds, e.seeds, len(r.Broken), float64(r.Seeds)/time.Since(e.started).Minutes())
+		fmt.Fprintf(e.progress, "\r%d of %d seeds, %d with a violation, %.0f per minute", r.Seeds, e.seeds, len(r.Broken), float64(r.Seeds)/time.Since(e.started).Minutes())
 	}
 }
 
@@ -235,7 +235,7 @@
 	if c.JSON {
 		return json.NewEncoder(s.out).Encode(r)
 	}
-	fmt.Fprintf(s.out, "tier-explore, %d seeds from %d in %.0f s, %.0f a minute: %d broken; hash %x\n", r.Seeds, r.First, r.Seconds, r.PerMinute, len(r.Broken), r.Hash)
+	fmt.Fprintf(s.out, "tier-explore, %d seeds from %d in %.0f s, %.0f a minute: %d with a violation; hash %x\n", r.Seeds, r.First, r.Seconds, r.PerMinute, len(r.Broken), r.Hash)
 	for _, k := range slices.Sorted(maps.Keys(r.Counts)) {
 		fmt.Fprintf(s.out, "  %-24s %14.0f\n", k, r.Counts[k])
 	}
@@ -277,7 +277,7 @@
 	cfg.Kinds, cfg.DecidedKinds = []string{gossip.UnreachableKind}, []string{consensus.OperatorKind}
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	if !c.JSON {
-		fmt.Fprintln(w, "processes\tmessages lost\tconverged s\twrite at all, p50 s\tp99 s\tdeath known to all, p50 s\tmax s\tfalse deaths\tsuspicions\tB/s at rest\tB/s busy\tcatch-up s\tcatch-up B\trun time s")
+		fmt.Fprintln(w, "processes\tmessages lost\tconverged s\twrite known to all, p50 s\tp99 s\tdeath known to all, p50 s\tmax s\tfalse deaths\tsuspicions\tB/s at rest\tB/s busy\tcatch-up s\tcatch-up B\trun time s")
 	}
 	for _, size := range c.Sizes {
 		for _, loss := range c.Loss {
--- a/cmd/sorrelrudder/fleet.go
+++ b/cmd/sorrelrudder/fleet.go
@@ -171,7 +171,7 @@
 		}
 	}
 	if err := text.Err(); err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+		return nil, fmt.Errorf("read log %s (lines of at most 1 MiB): %w", name, err)
 	}
 	return lines, nil
 }
--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -19,26 +19,27 @@
 
 // The exit codes.
 const (
-	exitFailed = 1 // the command failed, or a scenario violated a rule or missed a bound
+	exitFailed = 1 // the command failed, a rule was violated, or a measured value was out of bounds
 	exitUsage  = 2 // the command line or a file is invalid
 )
 
 // cli defines the commands of the program.
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Run a gateway from an operator's file. SIGHUP reloads the file. SIGTERM drains the gateway: it answers the requests that it has accepted, then exits."`
-	Check   checkCmd   `cmd:"" help:"Check an operator's file and print every error with its file, line and key; exit 2 if there is an error."`
-	Route   routeCmd   `cmd:"" help:"Print the route, the pool and the class that an operator's file selects for a request."`
+	Run     runCmd     `cmd:"" help:"Run a gateway with a configuration file. SIGHUP reloads the file. SIGTERM drains the gateway: it answers the requests that it has accepted, then exits."`
+	Check   checkCmd   `cmd:"" help:"Check a configuration file and print every error with its file, line and key; exit 2 if there is an error."`
+	Route   routeCmd   `cmd:"" help:"Print the route, the pool and the class that a configuration file selects for a request."`
 	Fleet   fleetCmd   `cmd:"" help:"Add up the statistics in the logs of all processes of a fleet, by interval. The processes log them if figures_every or GW_FIGURES_EVERY is set."`
-	Emulate emulateCmd `cmd:"" help:"Emulate the clients, instances and servers of a scenario file in virtual time, with several seeds; exit 1 if a rule is violated."`
-	Tier    tierCmd    `cmd:"" help:"Found a fleet; show and change its consensus group, leases, tasks, shared state and zones through a running member."`
+	Emulate emulateCmd `cmd:"" help:"Emulate the clients, instances and servers of a scenario file in virtual time, with several seeds, and check these rules: one response per request, within its deadline; no attempt after the response or the deadline; no repeat that the class of the request forbids; no attempt at a server that is draining or removed; no overload during slow start. Exit 1 if a rule is violated."`
+	Tier    tierCmd    `cmd:"" help:"Create a fleet; show and change its consensus group, leases, tasks, shared state and zones through a running member. A fleet is a set of gateways with a [tier] section in their configuration files, which coordinate through a consensus group."`
 	Lab     labCmd     `cmd:"" help:"Run an end-to-end scenario on loopback against fake servers and check the four rules: one response per request, no duplicate effect, no work past the deadline, no overload during slow start. Exit 1 if a rule is violated or a bound is missed."`
 	Version versionCmd `cmd:"" help:"Print the version, the revision and the Go version."`
 	Worker  workerCmd  `cmd:"" name:"explore-worker" hidden:"" help:"Simulate a range of seeds for 'lab tier-explore' and print each outcome as a line of JSON."`
 	Proxy   proxyCmd   `cmd:"" hidden:"" help:"Run the plain reverse proxy that 'lab cost' compares the gateway with."`
 }
 
-// errInvalidInput is wrapped by errors about argument values that the command-line parser accepts, and about scenario files. The program
-// then exits with exitUsage.
+// errInvalidInput is wrapped by errors about scenario files and about most argument values that the command-line parser accepts. The
+// program then exits with exitUsage. The errors about the URL and the header fields of 'route' and about --every of 'fleet' don't wrap it,
+// and the program exits with exitFailed.
 var errInvalidInput = errors.New("invalid input")
 
 // streams are the writers that commands print to.
@@ -51,7 +52,7 @@
 	var c cli
 	exited := -1
 	parser, err := kong.New(&c, kong.Name("sorrelrudder"), kong.Writers(stdout, stderr), kong.Vars{"cores": strconv.Itoa(runtime.NumCPU())},
-		kong.Description("A client-side load balancer between applications and the services they call, built for large scale and for failure."),
+		kong.Description("A client-side load balancer between applications and the services they call, built for large scale and fault tolerance."),
 		kong.Exit(func(code int) { exited = code }), kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		fmt.Fprintln(stderr, "sorrelrudder:", err)
@@ -91,7 +92,7 @@
 
 // checkCmd checks an operator's file, and prints its summary or its settings with all defaults.
 type checkCmd struct {
-	File  string `arg:"" help:"Read this operator's file."`
+	File  string `arg:"" help:"Check this configuration file."`
 	Print bool   `help:"Print the file with all its settings, defaults included."`
 }
 
--- a/cmd/sorrelrudder/route.go
+++ b/cmd/sorrelrudder/route.go
@@ -14,9 +14,9 @@
 
 // routeCmd prints the route, the pool and the class that a file selects for a request.
 type routeCmd struct {
-	File   string   `arg:"" help:"Read this operator's file."`
-	Method string   `arg:"" help:"Match a request of this method."`
-	URL    string   `arg:"" help:"Match a request of this URL, such as http://shop.example.org/items/7."`
+	File   string   `arg:"" help:"Read the configuration from this file."`
+	Method string   `arg:"" help:"Match a request with this HTTP method."`
+	URL    string   `arg:"" help:"Match a request for this URL, such as http://shop.example.org/items/7."`
 	Header []string `short:"H" help:"Add this header field, as 'Name: value', to the request. Repeat the flag for several fields."`
 }
 
@@ -67,7 +67,7 @@
 			return nil
 		}
 	}
-	fmt.Fprintf(s.out, "the pool has no class %q\n", class)
+	fmt.Fprintf(s.out, "the pool has no class %q; 'check --print' lists the classes of each pool\n", class)
 	return errScenario
 }
 
--- a/cmd/sorrelrudder/run.go
+++ b/cmd/sorrelrudder/run.go
@@ -22,7 +22,7 @@
 
 // runCmd runs a gateway, and its host in a fleet if the file has a fleet.
 type runCmd struct {
-	File string `arg:"" help:"Read this operator's file."`
+	File string `arg:"" help:"Read the gateway's configuration from this file."`
 }
 
 // Run implements the command. It returns once the gateway has drained.
--- a/cmd/sorrelrudder/tier_leases.go
+++ b/cmd/sorrelrudder/tier_leases.go
@@ -91,8 +91,8 @@
 	Name string `arg:"" help:"Hold this lease."`
 	memberAddress
 	Limit int           `default:"1" help:"Allow this many holders at once. All that ask for the lease must give the same limit."`
-	Term  time.Duration `default:"3s" help:"Set the lease term, as the fleet's file has it (tier.term)."`
-	Drift float64       `default:"0.01" help:"Set the bound on clock drift as a share, as the fleet's file has it (tier.drift); 0.01 allows a clock to run 1% fast or slow."`
+	Term  time.Duration `default:"3s" help:"Set the lease term; it must equal tier.term in the fleet's configuration files."`
+	Drift float64       `default:"0.01" help:"Set the maximum clock drift as a fraction; it must equal tier.drift in the fleet's configuration files. 0.01 allows a clock to run 1% fast or slow."`
 }
 
 // Run implements the command.
--- a/cmd/sorrelrudder/tier_member.go
+++ b/cmd/sorrelrudder/tier_member.go
@@ -15,9 +15,9 @@
 	"sorrelrudder/internal/fleet"
 )
 
-// fleetInitCmd founds a fleet in the store of a member that does not run.
+// fleetInitCmd creates a fleet in the store of a member that does not run.
 type fleetInitCmd struct {
-	File string `arg:"" help:"Read the operator's file of this member."`
+	File string `arg:"" help:"Read the member's configuration from this file."`
 }
 
 // Run implements the command.
@@ -37,7 +37,7 @@
 	if err := store.Bootstrap(f.Fleet.Voters); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(s.out, "founded the fleet %s at %s; members of the consensus group: %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
+	_, err = fmt.Fprintf(s.out, "created the fleet %s at %s; members of the consensus group: %s\n", store.Identity().Fleet, f.Fleet.Name, strings.Join(f.Fleet.Voters, ", "))
 	return err
 }
 
@@ -45,8 +45,8 @@
 type memberAddress struct {
 	Address string        `arg:"" help:"Connect to a running member at this address (HOST:PORT)."`
 	Secret  string        `required:"" type:"existingfile" help:"Read the fleet's shared secret (tier.secret) from this file."`
-	JSON    bool          `help:"Print JSON instead of a table, where the command prints a table."`
-	Timeout time.Duration `default:"5s" help:"Wait at most this long for the answer."`
+	JSON    bool          `help:"Print JSON instead of a table. This applies to status, members, leases, tasks, zone status, and state without --diff."`
+	Timeout time.Duration `default:"5s" help:"Wait at most this long for the connection and the answer; 'lease hold' applies this to the connection only."`
 }
 
 // withOperator connects to the process as an operator and calls do, both within the timeout.
@@ -106,7 +106,7 @@
 	})
 }
 
-// fleetBootstrapCmd founds a fleet whose voters keep their state in memory, at a running member.
+// fleetBootstrapCmd creates a fleet whose voters keep their state in memory, at a running member.
 type fleetBootstrapCmd struct{ memberAddress }
 
 // Run implements the command.
@@ -115,7 +115,7 @@
 		if err := o.Bootstrap(ctx); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintln(s.out, "founded the fleet; the other members of the consensus group are admitted when they ask")
+		_, err := fmt.Fprintln(s.out, "created the fleet; the other members of the consensus group are admitted when they ask")
 		return err
 	})
 }
--- a/cmd/sorrelrudder/tier_state.go
+++ b/cmd/sorrelrudder/tier_state.go
@@ -19,7 +19,7 @@
 // sharedStateCmd prints the replica of the shared state at one process, or its differences from that of another.
 type sharedStateCmd struct {
 	memberAddress
-	Kind string `help:"Show only the entries of this kind: dead (reports of servers that do not answer), order (orders on servers)."`
+	Kind string `help:"Show only the entries of this kind: dead (reports of servers that do not answer), look (results of health checks on zones), grey (reports of gray failures of zones), order (orders on servers), zone (decisions on zones). Any other kind selects no entries."`
 	Diff string `help:"Compare with the process at this address (HOST:PORT)."`
 }
 
@@ -220,14 +220,14 @@
 func (c *operatorDecision) decide(s *streams, value string, withdraw bool) error {
 	key := gossip.PoolKey(consensus.OperatorKind, c.Pool, c.Server)
 	if key == "" {
-		return fmt.Errorf("%w: no order can be given on server %q of pool %q: a name is too long, or the pool's name has a slash", errInvalidInput, c.Server, c.Pool)
+		return fmt.Errorf("%w: no order can be given on server %q of pool %q: the pool's name must not contain a slash, and 'order/POOL/SERVER' must be at most 200 bytes long", errInvalidInput, c.Server, c.Pool)
 	}
 	return c.withOperator(func(ctx context.Context, o *fleet.Operator) error {
 		r, err := o.Command(ctx, consensus.DecisionCommand{Key: key, Value: value, Withdraw: withdraw})
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(s.out, "order %d is decided; 'tier state' shows whether a process has it\n", r.Number)
+		_, err = fmt.Fprintf(s.out, "decision %d is recorded; 'tier state' shows whether a process has received it\n", r.Number)
 		return err
 	})
 }
--- a/cmd/sorrelrudder/tier_test.go
+++ b/cmd/sorrelrudder/tier_test.go
@@ -54,7 +54,7 @@
 		code int
 		want string
 	}{
-		{[]string{"tier", "--help"}, 0, "Found a fleet"},
+		{[]string{"tier", "--help"}, 0, "Create a fleet"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret}, 1, "connection refused"},
 		{[]string{"tier", "status", "127.0.0.1:1", "--secret", secret + "x"}, 2, "no such file"},
 		{[]string{"tier", "init", filepath.Join("..", "..", "deploy", "sorrelrudder.toml")}, 1, "not a member of the consensus group"},
--- a/cmd/sorrelrudder/tier_voters.go
+++ b/cmd/sorrelrudder/tier_voters.go
@@ -13,13 +13,13 @@
 // stateMachineOf returns the replicated state as the process knows it. If the process knows none, it writes that and returns nil.
 func stateMachineOf(st *fleet.Status, w *tabwriter.Writer) *consensus.StateMachine {
 	if st.Voter == nil || st.Voter.StateMachine == nil {
-		fmt.Fprintf(w, "%s is not a member of the consensus group, or does not know its state yet: ask another member\n", st.Name)
+		fmt.Fprintf(w, "%s is not a member of the consensus group, or has not yet received the state of the group; connect to another member\n", st.Name)
 		return nil
 	}
 	return st.Voter.StateMachine
 }
 
-// votersCmd lists the members of the consensus group with their raft IDs and roles.
+// votersCmd lists the members of the consensus group with their raft IDs, and whether each is a voter.
 type votersCmd struct{ memberAddress }
 
 // Run implements the command.
@@ -51,7 +51,7 @@
 
 // voterChange selects the member of a command that changes the consensus group.
 type voterChange struct {
-	Name string `arg:"" help:"Change this member."`
+	Name string `arg:"" help:"Add, remove or replace the member of this name."`
 	memberAddress
 }
 
--- a/cmd/sorrelrudder/tier_zones.go
+++ b/cmd/sorrelrudder/tier_zones.go
@@ -56,7 +56,7 @@
 	Pool string `arg:"" help:"Select this pool."`
 	Zone string `arg:"" help:"Select this zone, by its name in the pool's endpoint list."`
 	memberAddress
-	Force bool `help:"Skip the checks that keep the fleet from doing this by itself. The recorded reason, which 'tier zone status' shows, ends with 'by force'."`
+	Force bool `help:"Skip the check of 'zone leave' that another zone of the pool is fully in use, and that of 'zone return' that the zone returns by one step at a time. The recorded reason, which 'tier zone status' shows, ends with 'by force'. 'zone plan' ignores this flag."`
 }
 
 // plan returns the status of the zone, and the number of ready endpoints in the other zones that are fully in use.
@@ -96,7 +96,7 @@
 			return err
 		}
 		if remaining == 0 {
-			return fmt.Errorf("zone %s can't be left: no other zone of pool %s is fully in use", c.Zone, c.Pool)
+			return fmt.Errorf("leaving zone %s needs --force: no other zone of pool %s is fully in use", c.Zone, c.Pool)
 		}
 		_, err = fmt.Fprintf(s.out, "%d servers of zone %s would get no new requests; the %d servers of fully used zones would each get %.2f times as many, if all are used equally\n", z.Endpoints, c.Zone, remaining, float64(remaining+z.Endpoints)/float64(remaining))
 		return err
@@ -130,7 +130,7 @@
 		case c.Step < 1 || c.Step > zonefailover.FullStep:
 			return zonefailover.State{}, fmt.Errorf("%w: --step %d: expected 1 to %d", errInvalidInput, c.Step, zonefailover.FullStep)
 		case c.Step > z.Step+1 && !c.Force:
-			return zonefailover.State{}, fmt.Errorf("zone %s stays at step %d: its servers may be cold, and a return by %d steps at once is more than one step (use --force to return anyway)", c.Zone, z.Step, c.Step-z.Step)
+			return zonefailover.State{}, fmt.Errorf("zone %s stays at step %d: its servers may have to warm up, so a return by %d steps at once needs --force; otherwise increase --step by one at a time", c.Zone, z.Step, c.Step-z.Step)
 		}
 		return zonefailover.State{Step: c.Step, Manual: true, Reason: "an operator"}, nil
 	})
