--- a/cmd/sorrelrudder/main.go
+++ b/cmd/sorrelrudder/main.go
@@ -1,5 +1,5 @@
-// Command sorrelrudder runs a client-side load balancer with several pools from an operator's file. It also checks that file, operates
-// a fleet, and tests the load balancer in end-to-end scenarios and simulations.
+// Command sorrelrudder runs a client-side load balancer with several pools. Its configuration file is called the operator's file in the
+// code. The command also checks that file, operates a fleet, and tests the load balancer in end-to-end scenarios and simulations.
 package main
 
 import (
