--- a/internal/pool/attempt_begin.go
+++ b/internal/pool/attempt_begin.go
@@ -9,15 +9,15 @@
 	"sorrelrudder/policy"
 )
 
-// beginDenial is the reason why an attempt that the decision module has started must not send its first byte.
+// beginDenial is the reason why an attempt that the decision module has started must not send its first byte, or beginAllowed.
 type beginDenial int
 
 const (
 	beginAllowed beginDenial = iota
 	deniedRequestEnded
 	deniedClientGone
-	deniedEndpointGone // removed, restarted or moved to another address
-	deniedEndpointDraining
+	deniedEndpointGone     // removed, restarted or moved to another address
+	deniedEndpointDraining // draining on the list, or excluded
 	deniedDeadline
 	deniedDedupWindowExpired
 )
@@ -72,8 +72,8 @@
 	return beginAllowed
 }
 
-// dedupWindowExpired reports whether attempt a retries a request with an idempotency key after the dedup window. An endpoint may have
-// executed another attempt, and may have dropped the key since, so that it would execute the request again. The caller holds mu.
+// dedupWindowExpired reports whether attempt a retries a request with an idempotency key after the dedup window of another attempt that
+// may have been executed. By then endpoints may have dropped the key, and would execute the request again. The caller holds mu.
 func (p *Pool) dedupWindowExpired(now policy.Time, a *attempt) bool {
 	r := a.request
 	class := p.classes[r.policyRequest.Class]
--- a/internal/pool/attempt_run.go
+++ b/internal/pool/attempt_run.go
@@ -118,8 +118,8 @@
 	return upstream.NotWrittenError{Err: err}
 }
 
-// finishBrokenBody ends a request whose client disconnected while sending the body, or sent an invalid body. The request has not been
-// executed.
+// finishBrokenBody ends a request whose body could not be read completely: the client has disconnected, or the body is invalid, too long or
+// too slow. The request has not been executed.
 func (p *Pool) finishBrokenBody(r *request, err error) {
 	response := httpmsg.Response{Status: http.StatusBadRequest}
 	var bad httpmsg.RejectionError
@@ -134,8 +134,8 @@
 	})
 }
 
-// receiveEarly receives a response that the endpoint sent before it had the complete request. cause is the error that ended the exchange;
-// it is returned unless the response can be used.
+// receiveEarly receives a response that the endpoint sent before it had the complete request. cause is the error that ended the exchange.
+// receiveEarly returns the response if it can be used, errRejectedEarly if it proves that the request was not executed, and otherwise cause.
 func (p *Pool) receiveEarly(a *attempt, conn *upstream.Conn, q *upstream.Request, cause error) (*http.Response, error) {
 	conn.SetReadDeadline(time.Now().Add(a.request.timeout))
 	response, err := conn.Receive(q)
@@ -166,6 +166,6 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(a.deadline):
 		status = policy.StatusTimeout
 	}
-	p.log.Debug("attempt", "request", a.request.xRequestID, "upstream", a.endpoint, "status", status, "err", err)
+	p.log.Debug("attempt ended without a complete response", "request", a.request.xRequestID, "upstream", a.endpoint, "status", status, "err", err)
 	p.failAttempt(a, status, nil)
 }
--- a/internal/pool/clock.go
+++ b/internal/pool/clock.go
@@ -6,8 +6,7 @@
 	"sorrelrudder/policy"
 )
 
-// clockOffset is the clock's reading when it is created. It keeps every present time far from zero, which means "never" to the decision
-// module.
+// clockOffset is the time that a new clock shows. It keeps the current time far from zero, which means "never" to the decision module.
 const clockOffset = time.Hour
 
 // clock converts wall-clock and monotonic time to the decision module's time, which is the duration since origin.
@@ -16,7 +15,7 @@
 	originMs int64 // origin in Unix milliseconds, computed once; see startTime
 }
 
-// newClock returns a clock that reads clockOffset now.
+// newClock returns a clock whose current time is clockOffset.
 func newClock() clock {
 	origin := time.Now().Add(-clockOffset)
 	return clock{origin: origin, originMs: origin.UnixMilli()}
--- a/internal/pool/endpoints.go
+++ b/internal/pool/endpoints.go
@@ -6,7 +6,8 @@
 	"sorrelrudder/policy"
 )
 
-// updateEndpoints applies an update of the endpoint list and passes it to the decision module. The caller holds mu.
+// updateEndpoints applies an update of the endpoint list and passes it to the decision module. If the pool then accepts no requests, it
+// rejects those without an attempt. The caller holds mu.
 func (p *Pool) updateEndpoints(now policy.Time, kind policy.UpdateKind, l *discovery.EndpointList) {
 	p.watch.accept(*l.Version, kind)
 	update := make([]policy.Endpoint, len(l.Endpoints))
@@ -33,8 +34,8 @@
 	}
 }
 
-// setPeer applies the list entry of one endpoint. The connections of an endpoint that was restarted, moved or removed are closed, since
-// another process may listen at its address. The caller holds mu.
+// setPeer applies the list entry of one endpoint. The idle connections of an endpoint that was restarted, moved or removed are closed, and
+// those in use are not kept afterwards, since another process may listen at its address. The caller holds mu.
 func (p *Pool) setPeer(id policy.EndpointID, state policy.EndpointState, e discovery.Endpoint) {
 	peer := p.peers[id]
 	if peer != nil && (state == policy.Removed || peer.Addr() != e.Address || peer.Started() != p.clock.startTime(e.StartedMs)) {
@@ -56,7 +57,7 @@
 }
 
 // policyEndpoint converts a list entry for the decision module. An excluded endpoint is draining. An endpoint that was readmitted after
-// an exclusion counts as started at its readmission. The caller holds mu.
+// an exclusion counts as started at its readmission, unless its listed start time is later. The caller holds mu.
 func (p *Pool) policyEndpoint(e discovery.Endpoint) policy.Endpoint {
 	endpoint := policy.Endpoint{
 		ID: policy.EndpointID(e.ID), State: e.State(), Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, MachineType: e.MachineType,
--- a/internal/pool/exclusion.go
+++ b/internal/pool/exclusion.go
@@ -15,7 +15,7 @@
 	excluded           map[string]bool        // the excluded endpoints of the last set applied
 	untilRestart       map[string]bool        // the subset of excluded that is readmitted once the list has another start time
 	startMsAtExclusion map[string]int64       // for each excluded endpoint: its listed start time then, in Unix milliseconds
-	listedAtLastUpdate map[string]bool        // the endpoints on the list when the last set was applied
+	listedAtLastApply  map[string]bool        // the endpoints on the list when the last set was applied
 	readmittedAt       map[string]policy.Time // when each endpoint was readmitted; 0: it restarted, and its listed start time counts
 }
 
@@ -52,9 +52,9 @@
 	}
 	x.excluded, x.untilRestart = set.excluded, set.untilRestart
 	x.recordStarts(before, endpoints)
-	x.listedAtLastUpdate = map[string]bool{}
+	x.listedAtLastApply = map[string]bool{}
 	for _, e := range endpoints {
-		x.listedAtLastUpdate[e.ID] = true
+		x.listedAtLastApply[e.ID] = true
 	}
 	var changed []discovery.Endpoint
 	for _, e := range endpoints {
@@ -88,7 +88,7 @@
 		}
 		e, listed := endpoints[policy.EndpointID(id)]
 		startMs := e.StartedMs
-		if listed && startMs != 0 && zonesBefore[e.Zone] && !x.listedAtLastUpdate[id] {
+		if listed && startMs != 0 && zonesBefore[e.Zone] && !x.listedAtLastApply[id] {
 			startMs = neverListedStartMs // it was listed only after the exclusion of its zone, so it has restarted since
 		}
 		x.startMsAtExclusion[id] = startMs
@@ -128,8 +128,10 @@
 // If the current list would have no ready endpoint left, SetExcluded excludes none at all and returns false. This is checked only now, and
 // not for an empty list: a later list may leave no ready endpoint.
 //
-// An endpoint that is no longer excluded counts as started now, and so does an endpoint of recovering, to which the fleet has just begun
-// to send requests again. An endpoint of untilRestart, a subset of excluded, is readmitted once the list has another start time for it.
+// With slow start, an endpoint that is no longer excluded counts as started now, unless it has restarted and was readmitted for that reason.
+// An endpoint of recovering, to which the fleet has just begun to send requests again, counts as started now, unless its readmission is
+// already recorded. An endpoint of untilRestart, a subset of excluded, is readmitted once the list has another start time for it.
+//
 // The pool keeps the maps; the caller must not modify them afterwards.
 func (p *Pool) SetExcluded(excluded, recovering, untilRestart map[string]bool) (applied bool) {
 	p.runEvent(func(now policy.Time) {
--- a/internal/pool/exclusion_test.go
+++ b/internal/pool/exclusion_test.go
@@ -63,10 +63,10 @@
 	p := startExclusionScenario(t)
 	policyView := p.policyView
 	if !p.SetExcluded(setOf("b"), nil, nil) || policyView("b").State != policy.Draining || policyView("b").Started != 0 {
-		t.Fatalf("%+v", policyView("b"))
+		t.Fatalf("the excluded endpoint is %+v, want it draining and without a start time", policyView("b"))
 	}
 	if !p.SetExcluded(nil, nil, nil) || policyView("b").State != policy.Ready || policyView("b").Started == 0 || policyView("a").Started != 0 {
-		t.Fatalf("%+v, %+v", policyView("a"), policyView("b"))
+		t.Fatalf("after a readmission of b, a is %+v and b is %+v, want only b started now", policyView("a"), policyView("b"))
 	}
 	since := policyView("b").Started
 	peer := p.peers["b"]
@@ -84,7 +84,7 @@
 	}
 	first := policyView("c").Started
 	if p.SetExcluded(nil, setOf("b", "c"), nil); policyView("c").Started != first || policyView("b").Started < since {
-		t.Errorf("%+v, %+v", policyView("b"), policyView("c"))
+		t.Errorf("with b and c recovering, b is %+v and c is %+v, want c started as before and b no earlier than before", policyView("b"), policyView("c"))
 	}
 	if p.SetExcluded(setOf("a", "b", "c"), nil, nil); policyView("c").State != policy.Ready {
 		t.Error("all ready endpoints were excluded, want none excluded")
--- a/internal/pool/form_test.go
+++ b/internal/pool/form_test.go
@@ -144,7 +144,7 @@
 		{503, "X-Not-Processed", "true", false}, {503, "X-Not-Processed", "0", false}, {503, "X-Processed", "1", false},
 	} {
 		if got := provesNotExecuted(&http.Response{StatusCode: c.status, Header: http.Header{c.field: {c.value}}}); got != c.want {
-			t.Errorf("%+v: got %v", c, got)
+			t.Errorf("provesNotExecuted for %+v returned %v", c, got)
 		}
 	}
 }
--- a/internal/pool/forward.go
+++ b/internal/pool/forward.go
@@ -92,7 +92,7 @@
 	close(rejected.clientGone)
 }
 
-// SubmitRejected passes to the decision module a request that another pool of this process has rejected. timeout and maxAttempts replace
+// SubmitRejected submits a request that another pool of this process has rejected; see Submit. timeout and maxAttempts replace
 // those of the request. The error is an httpmsg.RejectionError.
 func (p *Pool) SubmitRejected(rejected *RejectedRequest, timeout time.Duration, maxAttempts int) (*Exchange, error) {
 	parsed := ParsedRequest{policyRequest: rejected.PolicyRequest, timeout: timeout, requestID: rejected.ID}
@@ -140,8 +140,8 @@
 	return false
 }
 
-// AbortAttempts closes the connections of the attempts in flight to an endpoint. The endpoint may have executed an attempt that was sent
-// completely.
+// AbortAttempts interrupts the attempts in flight to an endpoint, and closes their connections. The endpoint may have executed an attempt
+// that was sent completely.
 func (p *Pool) AbortAttempts(endpoint policy.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/healthcheck.go
+++ b/internal/pool/healthcheck.go
@@ -16,7 +16,8 @@
 const (
 	// healthCheckTimeout bounds a health check, since a failed endpoint may not respond at all.
 	healthCheckTimeout = 400 * time.Millisecond
-	// maxHealthChecks bounds the health checks in flight. A further check is not sent, and is reported as StatusNotSent.
+	// maxHealthChecks bounds the health checks in flight, without those of CheckEndpoint. A further check is not sent, and is reported as
+	// StatusNotSent.
 	maxHealthChecks = 64
 	// maxLoadReportBytes bounds the body of a health check's response.
 	maxLoadReportBytes = 4 << 10
@@ -49,8 +50,8 @@
 	})
 }
 
-// CheckEndpoint sends a health check to an excluded endpoint and reports whether it succeeds. The result is not passed to the decision
-// module. CheckEndpoint blocks for up to the health check's timeout.
+// CheckEndpoint sends a health check to an endpoint, which may be excluded, and reports whether it succeeds. The result is not passed to the
+// decision module. CheckEndpoint blocks for up to the health check's timeout.
 func (p *Pool) CheckEndpoint(endpoint string) bool {
 	p.mu.Lock()
 	peer := p.peers[policy.EndpointID(endpoint)]
@@ -63,8 +64,8 @@
 	return status == policy.StatusOK
 }
 
-// healthCheck requests the load report of an endpoint. It returns the result of the check and the report, which is nil if there is none.
-// The caller does not hold mu.
+// healthCheck sends a health check to an endpoint: a request for its load report, or for the health check target of the BackendProtocol. It
+// returns the result of the check and the load report, which is nil if there is none. The caller does not hold mu.
 func (p *Pool) healthCheck(peer *upstream.Peer) (policy.Status, *policy.LoadReport) {
 	conn, err := p.conns.Connect(context.Background(), peer, time.Now().Add(healthCheckTimeout))
 	var noDescriptor upstream.NoDescriptorError
--- a/internal/pool/parse.go
+++ b/internal/pool/parse.go
@@ -43,8 +43,8 @@
 // Class returns the request's class.
 func (r *ParsedRequest) Class() string { return r.policyRequest.Class }
 
-// ParseRequest parses the head of a request. path is the request's path without the prefix of the route; its first segment is the class.
-// The error is an httpmsg.RejectionError.
+// ParseRequest parses the head of a request. path is the request's path without the prefix of the route. With the platform's protocol, its
+// first segment is the class. The error is an httpmsg.RejectionError.
 func (p *Pool) ParseRequest(q *httpmsg.Request, path string) (ParsedRequest, error) {
 	if p.endToEnd != nil {
 		attributes, err := p.endToEnd.ParseRequest(q, path)
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// parseRequestID returns the X-Request-ID, which must be unique among the open requests; Submit checks this.
+// parseRequestID returns the X-Request-ID, which must be unique among the requests that are open or ended recently; Submit checks this.
 func parseRequestID(header http.Header) (string, error) {
 	id := header.Get("X-Request-Id")
 	if id == "" || len(id) > maxRequestIDBytes {
@@ -103,7 +103,8 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// checkClass checks that the class is known, that its method is used and that an idempotency key is present if the class requires one.
+// checkClass checks that the class is known, that an idempotent class is used with GET and any other class with POST, and that an
+// idempotency key is present if the class requires one.
 func (p *Pool) checkClass(q *httpmsg.Request, name string) error {
 	class, known := p.classes[name]
 	idempotent := class.Idempotency == policy.Idempotent
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// parseTimeout parses the client's timeout, X-Timeout-Ms. It is limited to the longest deadline of the classes, so that every timer ends.
+// parseTimeout parses the client's timeout, X-Timeout-Ms. It limits the timeout to the pool's MaxDeadline, so that no timer runs longer.
 func (p *Pool) parseTimeout(header http.Header) (time.Duration, error) {
 	ms, err := strconv.ParseUint(header.Get("X-Timeout-Ms"), 10, 63)
 	if err != nil || ms == 0 {
--- a/internal/pool/parse_test.go
+++ b/internal/pool/parse_test.go
@@ -49,16 +49,16 @@
 		var rejection httpmsg.RejectionError
 		errors.As(err, &rejection)
 		if rejection.Status != c.status || (err == nil) != (c.status == 0) {
-			t.Errorf("%s: ParseRequest returned error %v", name, err)
+			t.Errorf("%s: ParseRequest returned error %v, which does not have the expected status", name, err)
 		}
 		if err == nil && (parsed.timeout != 300*time.Millisecond || parsed.idempotent != (c.method == "GET")) {
-			t.Errorf("%s: parsed as %+v", name, parsed)
+			t.Errorf("%s: parsed as %+v, want a timeout of 300ms, and idempotent only for GET", name, parsed)
 		}
 	}
 	parsed, err := p.ParseRequest(&httpmsg.Request{Method: "GET", Header: header(
 		"X-Timeout-Ms", "60000", "X-Tenant-Id", "t", "X-Retried", "1", "X-Cost", "1500")}, "/check/of/7")
 	want := policy.Request{Class: "check", Key: "7", Tenant: "t", IsRetry: true, ExpectedWork: 1500 * time.Microsecond}
 	if err != nil || !reflect.DeepEqual(parsed.policyRequest, want) || parsed.timeout != p.maxDeadline {
-		t.Errorf("got %+v and error %v", parsed, err)
+		t.Errorf("ParseRequest returned %+v and error %v, want all attributes of the header and the longest timeout", parsed, err)
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -36,13 +36,14 @@
 	OnReadyCount func(ready int)
 	// Protocol is the protocol of the endpoints. If nil, they speak the platform's protocol.
 	Protocol BackendProtocol
-	// ForwardRejected is called with each request that the decision module rejects and that may be forwarded to another site. If nil,
+	// ForwardRejected is called with each request that the pool rejects and that may be forwarded to another site. If nil,
 	// the clients get the rejections. It is called in a goroutine of its own, and must return soon after the context is done.
 	ForwardRejected func(context.Context, *RejectedRequest)
 	// Metrics counts the outcomes of requests, and the attempts sent completely. If nil, they are not counted.
 	Metrics *metrics.RequestCounters
 	// OnUnreachable is called with true each time an endpoint fails to respond to an attempt or a health check, and with false once it
-	// responds again, restarts or is removed. It is called with the pool's lock held, and must not call the pool. It may be nil.
+	// responds again, restarts, moves to another address or is removed. It is called with the pool's lock held, and must not call the pool.
+	// It may be nil.
 	OnUnreachable func(endpoint string, unreachable bool)
 	// StatsInterval is the interval at which the pool's statistics are logged; 0: never.
 	StatsInterval time.Duration
--- a/internal/pool/protocol.go
+++ b/internal/pool/protocol.go
@@ -23,7 +23,8 @@
 }
 
 // EndToEndProtocol is a BackendProtocol that clients speak as well. Responses are passed on to clients, including those that
-// ClassifyResponse classifies as failures, once no further attempt is made.
+// ClassifyResponse classifies as failures, once no further attempt is made. A failure with status 429 or 503 is passed on only if the
+// request is rejected: these statuses invite a retry.
 type EndToEndProtocol interface {
 	BackendProtocol
 	// ParseRequest parses the attributes of a request, and replaces the request's header by the header to forward. The error is an
@@ -37,6 +38,6 @@
 type RequestAttributes struct {
 	PolicyRequest policy.Request // without ID and Expires
 	Timeout       time.Duration  // how long the client waits
-	ID            string         // unique among the open requests
+	ID            string         // unique among the requests that are open or ended recently
 	Idempotent    bool
 }
--- a/internal/pool/reachability.go
+++ b/internal/pool/reachability.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// clear withdraws the report about an endpoint that responds again, has restarted or was removed.
+// clear withdraws the report about an endpoint that responds again, has restarted, has moved to another address or was removed.
 func (r *reachability) clear(id policy.EndpointID) {
 	if r.reported[id] {
 		delete(r.reported, id)
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -13,8 +13,9 @@
 // request is a client's request, from its submission until all its attempts have ended. The pool's mu guards the fields that change
 // after the submission.
 //
-// A request is open until ended is set: either with its one response, or by cancelRequest without a response, since the client has
-// disconnected. It stays in Pool.requests until attemptsInFlight is 0, forwarding is nil and streaming is false (removeFinished).
+// A request is open until ended is set. finish and completeAttempt set it with the one response. cancelRequest sets it without a response,
+// since the client has disconnected. reject sets it while the response is still awaited from another site, see forwarding. The request
+// stays in Pool.requests until attemptsInFlight is 0, forwarding is nil and streaming is false (removeFinished).
 type request struct {
 	id               policy.RequestID
 	xRequestID       string
@@ -24,7 +25,7 @@
 	header           http.Header
 	body             []byte
 	streamedBody     httpmsg.BodyStream // the rest of the body, after body; nil: none
-	timeout          time.Duration      // how long the client waits once the complete request is sent
+	timeout          time.Duration      // how long the client waits, counted from the end of its request
 	releaseBody      func()             // releases the memory of body
 	clientGone       func() bool        // reports whether the client has disconnected; nil: not known
 	response         chan httpmsg.Response
@@ -43,7 +44,7 @@
 var errPoolClosed = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool is being removed", RetryAfter: 100 * time.Millisecond}
 
 // errNoEndpoint rejects a request that was admitted just before the last ready endpoint was removed, if requests must not wait for
-// another endpoint. The request has not been executed.
+// another endpoint. It also rejects the requests without an attempt when AbortRequests is called. The request has not been executed.
 var errNoEndpoint = httpmsg.RejectionError{Status: http.StatusServiceUnavailable, Text: "the pool has no ready server", RetryAfter: time.Second}
 
 // errIDInUse rejects a request with the X-Request-ID of a request that is open or ended recently.
@@ -151,8 +152,8 @@
 	r.releaseBody()
 }
 
-// rejectUnsent rejects the requests that have no attempt yet. It is called when no endpoint is ready and requests must not wait for one,
-// since the decision module would hold them until their deadline, and by AbortRequests. The caller holds mu.
+// rejectUnsent rejects the requests that have no attempt yet. It is called by AbortRequests, and when no endpoint is ready and requests must
+// not wait for one. In the latter case the decision module would hold them until their deadlines. The caller holds mu.
 func (p *Pool) rejectUnsent(now policy.Time) {
 	for _, r := range p.requests {
 		if r.ended || len(r.attempts) > 0 {
--- a/internal/pool/request_ids.go
+++ b/internal/pool/request_ids.go
@@ -28,7 +28,7 @@
 	return requestIDSet{retention: retention, ids: map[string]bool{}}
 }
 
-// open adds the id of a new request. It returns false if the id is in use.
+// open adds the id of a new request. It returns false if a request with the id is open or ended recently.
 func (s *requestIDSet) open(now policy.Time, id string) bool {
 	s.expire(now)
 	if s.ids[id] {
@@ -38,7 +38,7 @@
 	return true
 }
 
-// expire drops the closed ids that are older than the retention, and the oldest of more than maxClosedIDs.
+// expire drops the closed ids that are older than the retention, and the oldest ones in excess of maxClosedIDs.
 func (s *requestIDSet) expire(now policy.Time) {
 	n := 0
 	for n < len(s.closed) && (now-s.closed[n].closedAt > s.retention || len(s.closed)-n > maxClosedIDs) {
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -17,8 +17,8 @@
 	initialBufferBytes = 4 << 10
 	// maxErrorBodyBytes bounds how much of the body of a failure response is read in order to reuse its connection.
 	maxErrorBodyBytes = 4 << 10
-	// unknownLengthWait is how long a response of unknown length is buffered before it is streamed. Its first bytes must not be held
-	// back.
+	// unknownLengthWait is how long a response of unknown length is buffered before it is streamed. It is bounded because the client must
+	// not wait long for the first bytes.
 	unknownLengthWait = 300 * time.Millisecond
 	// streamStallTimeout is how long a streamed response may make no progress.
 	streamStallTimeout = 10 * time.Second
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// minStableWatch is how long a watch must last after its first list to be reopened at once when it ends. A watch that ends sooner
-	// counts as a failed poll, which is followed by a backoff.
+	// minStableWatch is how long a watch must last after its first list to be reopened without a backoff when it ends. A watch that ends
+	// sooner counts as a failed poll, which is followed by a backoff, unless it ends with discovery.ErrSilenceTimeout.
 	minStableWatch = time.Second
 	// maxConsecutiveOutdated is how many consecutive messages may have a lower version than the current list. After that a complete list
 	// is accepted in spite of its version: the source has restarted its version count.
@@ -76,7 +76,7 @@
 type outdatedError struct{ version, current int64 }
 
 func (e outdatedError) Error() string {
-	return fmt.Sprintf("the list is of version %d, older than %d, which stays in force", e.version, e.current)
+	return fmt.Sprintf("endpoint list has version %d, older than the current version %d, which stays in force", e.version, e.current)
 }
 
 // WatchEndpoints implements policy.Actions. Unless it is canceled, a watch ends with one UpdatePollFailed or UpdateWatchLost. The
@@ -134,8 +134,8 @@
 	return policy.UpdateDelta
 }
 
-// endWatch tells the decision module that the watch has ended without being canceled. stable reports that it lasted long enough to be
-// reopened at once. The caller holds mu.
+// endWatch tells the decision module that the watch has ended without being canceled. stable reports whether it lasted long enough to be
+// reopened without a backoff. The caller holds mu.
 func (p *Pool) endWatch(now policy.Time, err error, stable bool) {
 	p.watch.cancel = nil
 	p.stats.Add(statslog.DiscoveryFailures, 1)
@@ -165,8 +165,8 @@
 	})
 }
 
-// PollNow makes the decision module open a watch within Config.WatchReopenMaxDelay, unless a list has been received from the source or a
-// watch is open.
+// PollNow makes the decision module open a watch within policy.Config.WatchReopenMaxDelay, unless a list has been received from the source
+// or a watch is open.
 func (p *Pool) PollNow() {
 	p.runEvent(func(now policy.Time) {
 		if !p.watch.received && p.watch.cancel == nil {
--- a/internal/pool/zone_outcomes.go
+++ b/internal/pool/zone_outcomes.go
@@ -22,7 +22,7 @@
 }
 
 // add counts an attempt that has ended. An attempt that was canceled because another one was faster counts as answered with the time it
-// took until then, which is a lower bound of its latency.
+// took until then, which is a lower bound of its latency. Attempts that were rejected for overload or not sent are not counted.
 func (z *zoneOutcomes) add(zone string, status policy.Status, latency time.Duration) {
 	if !z.enabled || zone == "" {
 		return
