--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,7 +60,7 @@
 	} {
 		f, err := Parse("f.toml", []byte(minimalHTTPFile+more))
 		if err != nil {
-			t.Errorf("%q: %v", more, err)
+			t.Errorf("file with %q: Parse returned error %v", more, err)
 			continue
 		}
 		var got []string
@@ -68,7 +68,7 @@
 			got = append(got, c.Name+" "+[...]string{"safe", "keyed", "unsafe"}[c.Idempotency])
 		}
 		if text := strings.Join(got, ", "); text != want {
-			t.Errorf("%q: %s, want %s", more, text, want)
+			t.Errorf("file with %q has the classes %s, want %s", more, text, want)
 		}
 		if f.Gateway.Pools[0].Settings.Config.HealthChecksAllowed {
 			t.Errorf("%q: health checks are allowed without a path for them", more)
@@ -99,7 +99,7 @@
 		"not keyed":                 {strings.Replace(minimalFile, "keyed", "safe", 1) + "repeats_dropped_for = \"1s\"\n", []string{`f.toml:9: pools.orders.classes[1].repeats_dropped_for: allowed only for a class`}},
 		"kind":                      {minimalFile + "[process]\nname = 7\nmemory = 64\n", []string{"f.toml:10: process.name: got an integer, expected a string", "f.toml:11: process.memory: 64 has no unit"}},
 		"memory":                    {minimalFile + "[process]\nmemory = \"1MiB\"\n", []string{"f.toml:10: process.memory: 1MiB is out of range; expected 24MiB"}},
-		"figures":                   {minimalFile + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: figures every 10ms, more often than every 100ms"}},
+		"figures":                   {minimalFile + "[process]\nfigures_every = \"10ms\"\n", []string{"f.toml:9: process: statistics interval is 10ms, want 0 or at least 100ms"}},
 		"list and discovery":        {minimalFile + "[[pools.orders.servers]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n", []string{"f.toml:9: pools.orders.servers: must not be combined with discovery (line 5)"}},
 		"no list":                   {strings.Replace(minimalFile, "discovery = \"127.0.0.1:8500\"\n", "", 1), []string{"f.toml:4: pools.orders: pool has no endpoint list"}},
 		"port 0":                    {strings.Replace(minimalFile, "8500", "0", 1), []string{`f.toml:5: pools.orders.discovery: port "0" is not a number`}},
@@ -127,7 +127,7 @@
 		_, err := Parse("f.toml", []byte(c.text))
 		var errs Errors
 		if !errors.As(err, &errs) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: Parse returned error %v, want an Errors", name, err)
 			continue
 		}
 		at := 0
@@ -174,15 +174,15 @@
 	for text, want := range map[string]int64{"64KiB": 64 << 10, "1 MiB": 1 << 20, "3kB": 3000, "0B": 0, "7B": 7, "2GiB": 2 << 30} {
 		got, err := parseSize(text)
 		if err != nil || got != want {
-			t.Errorf("%s: %d, %v", text, got, err)
+			t.Errorf("parseSize of %s returned %d and error %v", text, got, err)
 		}
 		if back, err := parseSize(formatSize(want)); err != nil || back != want {
-			t.Errorf("%s is formatted as %s", text, formatSize(want))
+			t.Errorf("the size %s is formatted as %s, which is parsed as another size", text, formatSize(want))
 		}
 	}
 	for _, text := range []string{"", "64", "KiB", "-1B", "1.5MiB", "99999999999GiB", "1TiB"} {
 		if got, err := parseSize(text); err == nil {
-			t.Errorf("%q: got %d, want an error", text, got)
+			t.Errorf("parseSize of %q returned %d, want an error", text, got)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	}
 	b := f.SiteLinks
 	if b == nil || b.Site != "a" || len(b.Peers) != 1 || b.Pools["farm"].Peer != "b" || len(b.Pools["farm"].SharedDedupClasses) != 1 || !f.Gateway.Listeners[1].InterSite {
-		t.Errorf("%+v", b)
+		t.Errorf("the site links are %+v, want site a with one peer, and pool farm with one shared dedup class", b)
 	}
 	if err := b.Validate(); err != nil {
 		t.Error(err)
@@ -269,7 +269,7 @@
 	} {
 		_, err := Parse("f.toml", []byte(strings.Replace(good, change[0], change[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", change[1], err, want)
+			t.Errorf("file changed to %q: got error %v, want %q", change[1], err, want)
 		}
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if f.Fleet == nil || len(f.Fleet.Members) != 3 || len(f.Fleet.Tasks) != 1 || f.Fleet.Tasks[0].DedupWindow <= 0 {
-		t.Fatalf("%+v", f.Fleet)
+		t.Fatalf("the fleet is %+v, want three members and one task with a dedup window", f.Fleet)
 	}
 	if again, err := Parse("f.toml", []byte(f.String())); err != nil || len(again.Fleet.Tasks) != 1 {
 		t.Errorf("the printed file is another configuration: %v", err)
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	if got := f.Fleet.Zones.Rules.WarmUp; got != 25*time.Second {
-		t.Errorf("got a warm-up of %v", got)
+		t.Errorf("the warm-up of zones is %v, want 25s", got)
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestFleetExamples(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "tier-*.toml"))
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("found example files %v with error %v, want three files", files, err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -140,13 +140,13 @@
 		t.Fatal(err)
 	}
 	if k := f.Fleet.Tasks[0]; !k.Plain || k.Idempotency != task.IdempotentByKey || k.DedupWindow != 20*time.Second {
-		t.Errorf("%+v", k)
+		t.Errorf("the task is %+v, want a plain one with an idempotency key and a dedup window of 20s", k)
 	}
 	f, err = Parse("f.toml", []byte(strings.Replace(text, `"/delivery-order/sweep"`, `"/else"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if k := f.Fleet.Tasks[0]; k.Idempotency != task.NonIdempotent {
-		t.Errorf("a request that matches no rule: %+v", k)
+		t.Errorf("the task whose request matches no rule is %+v, want it not idempotent", k)
 	}
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -81,7 +81,8 @@
 }
 
 // Limits are the limits of a pool on the resources of the process. Half of each resource is reserved for the pools in proportion to their
-// weights. The other half is shared first come, first served.
+// weights. The other half is shared first come, first served. In a process with several pools, a quarter of the client connections is
+// also reserved, for connections without a request so far.
 type Limits struct {
 	Weight                float64 // weight relative to the other pools, above 0
 	Rate                  float64 // requests per second; 0: no limit
@@ -99,7 +100,7 @@
 		errs = append(errs, fmt.Errorf("memory limit is %d MB, want at least %d MB", c.MemoryMB, MinMemoryMB))
 	}
 	if c.StatsInterval != 0 && c.StatsInterval < MinStatsInterval {
-		errs = append(errs, fmt.Errorf("figures every %v, more often than every %v", c.StatsInterval, MinStatsInterval))
+		errs = append(errs, fmt.Errorf("statistics interval is %v, want 0 or at least %v", c.StatsInterval, MinStatsInterval))
 	}
 	if n := c.usableDescriptors(); n < MinDescriptors {
 		errs = append(errs, fmt.Errorf("%d descriptors are left for connections besides those of listeners and endpoint discovery, want at least %d", n, MinDescriptors))
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if x := g.exclusions[cfg.Name]; len(x.excluded) > 0 {
-		p.pool.SetExcluded(x.excluded, x.returning, x.untilRestart)
+		p.pool.SetExcluded(x.excluded, x.recovering, x.untilRestart)
 	}
 	return p, nil
 }
@@ -151,8 +151,8 @@
 	}
 }
 
-// retirePool drains an instance and closes it once its open requests are answered. Until then the instance has no reserved quota and uses
-// only resources that are not reserved for other pools.
+// retirePool drains an instance and closes it once its open requests are answered, at the latest lastResponsesTimeout after the longest
+// deadline. Until then the instance has no reserved quota and uses only resources that are not reserved for other pools.
 func (g *Gateway) retirePool(p *poolInstance) {
 	g.quotas.retire(p)
 	g.descriptors.SetClaim(p.id, quota.Claim{Limit: quota.Unlimited})
--- a/internal/gateway/quotas_test.go
+++ b/internal/gateway/quotas_test.go
@@ -117,7 +117,7 @@
 	for i := range 6 {
 		resp, _ := c.roundTrip(t, s.get("orders.example.org", "/check"))
 		if want := map[bool]int{true: 200, false: 429}[i < 3]; resp.StatusCode != want || want == 429 && !isRetryableRejection(resp) {
-			t.Errorf("request %d: status %d, Retry-After %q", i, resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Errorf("request %d: status %d, Retry-After %q, want 200 for the first three and a retryable 429 for the others", i, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 	}
 	if resp, _ := c.roundTrip(t, s.get("meters.example.org", "/check")); resp.StatusCode != http.StatusOK {
--- a/internal/gateway/routing_test.go
+++ b/internal/gateway/routing_test.go
@@ -23,7 +23,7 @@
 	for i := range 6 {
 		host := []string{"orders.example.org", "meters.example.org"}[i%2]
 		if resp, _ := c.roundTrip(t, s.get(host, "/check/x")); resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %d", host, resp.StatusCode)
+			t.Fatalf("request for host %s: status %d, want 200", host, resp.StatusCode)
 		}
 	}
 	if a.Served() != 3 || b.Served() != 3 {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -12,8 +12,8 @@
 // send a request within this time, and learn from its response that the connection closes.
 const idleHandoverWindow = time.Second
 
-// Run serves until ctx ends, then shuts down gracefully. It returns once all accepted requests are answered or have reached their
-// deadlines. Listen must be called before Run. The error is always nil.
+// Run serves until ctx ends, then shuts down gracefully. It returns once all accepted requests are answered or aborted; see Config.MaxDrain.
+// Listen must be called before Run. The error is always nil.
 func (g *Gateway) Run(ctx context.Context) error {
 	go g.measureSchedulingLag()
 	defer g.Close()
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// shutDown drains the process. New connections are accepted for acceptWindow, and their requests are answered.
+// shutDown drains the process. New connections are accepted for acceptWindow, except from inherited sockets, and their requests are
+// answered.
 func (g *Gateway) shutDown() {
 	g.draining.Store(true)
 	g.log.Info("draining", "load", g.String())
@@ -68,8 +69,9 @@
 	return slices.AppendSeq(g.quotas.retiredPools(), maps.Values(inForce))
 }
 
-// drainConnections makes connections close with their next response, and closes idle connections. A client whose request arrives just as
-// its idle connection is closed can retry on a new connection, which is still accepted. The caller holds configMu.
+// drainConnections makes connections close with their next response, and closes idle connections: at once, or after idleHandoverWindow if
+// the process has an inherited listener. A client whose request arrives just as its idle connection is closed can retry on a new connection,
+// which is still accepted. The caller holds configMu.
 func (g *Gateway) drainConnections() {
 	if g.inheritsListener() {
 		g.clientServer.CloseAfterResponse()
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestRequestsAbortedBeforeKill guards against admitted requests that get no response before the platform kills the process. Every backend
-// hangs, and the deadlines are longer than the platform waits. Requests of a pool that a reload has just retired must be outcome too.
+// hangs, and the deadlines are longer than the platform waits. Requests of a pool that a reload has just retired must be answered too.
 func TestRequestsAbortedBeforeKill(t *testing.T) {
 	t.Run("in force", func(t *testing.T) { testAborted(t, false) })
 	t.Run("retired", func(t *testing.T) { testAborted(t, true) })
@@ -85,6 +85,6 @@
 	}
 	<-ended
 	if took, limit := time.Since(startedAt), acceptWindow+s.cfg.MaxDrain+lastResponsesTimeout+time.Second; took > limit {
-		t.Errorf("shutdown took %v, want at limit %v", took, limit)
+		t.Errorf("shutdown took %v, want at most %v", took, limit)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Vars implements admin.Process. It sums the figures of the pools in force.
+// Vars implements admin.Process. The counters include removed pools; the gauges are sums over the pools in force.
 func (g *Gateway) Vars() admin.Vars {
 	v := admin.Vars{Results: g.counters.Snapshot(), Forwards: g.counters.ForwardedAttempts()}
 	for _, p := range g.table.Load().pools {
