--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -12,9 +12,11 @@
 	return s.ServeWithOptions(ctx, ln, acceptors, ListenerOptions{})
 }
 
-// ServeWithOptions accepts and serves connections from a listener. It returns the error of Accept or of ctx once the listener is closed or
-// ctx ends; accepted connections stay open. While no file descriptor is free, new connections wait in the kernel's backlog. acceptors is
-// the number of goroutines that accept concurrently: with several, the others accept while one waits for a descriptor.
+// ServeWithOptions accepts and serves connections from a listener. It returns the error of Accept once the listener is closed, or the error
+// of ctx once ctx ends; accepted connections stay open. The end of ctx does not interrupt a call of Accept that waits for a connection.
+//
+// While no file descriptor is free, new connections wait in the kernel's backlog. acceptors is the number of goroutines that accept
+// concurrently: with several, the others accept while one waits for a descriptor.
 func (s *Server) ServeWithOptions(ctx context.Context, ln net.Listener, acceptors int, o ListenerOptions) error {
 	listener := &serverListener{ListenerOptions: o}
 	s.mu.Lock()
@@ -31,7 +33,7 @@
 	return err
 }
 
-// acceptAll accepts connections until the listener is closed or ctx ends. It retries other errors of Accept after acceptRetryDelay.
+// acceptAll implements ServeWithOptions for one goroutine. It retries errors of Accept after acceptRetryDelay unless the listener is closed.
 func (s *Server) acceptAll(ctx context.Context, ln net.Listener, listener *serverListener) error {
 	for {
 		release, err := s.descriptors.AcquireClient(ctx)
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -129,7 +129,7 @@
 // readBackoff counts the consecutive requests of a connection that were not admitted.
 type readBackoff struct {
 	malformed int // consecutive malformed requests
-	rejected  int // consecutive requests that were rejected and not malformed
+	rejected  int // requests since the last admitted one that were rejected and not malformed
 }
 
 // record counts a request. If the request was malformed, it returns the delay until the connection is read again.
--- a/internal/downstream/evict.go
+++ b/internal/downstream/evict.go
@@ -20,6 +20,9 @@
 //     value to the idle policy, or a new connection with a lower value;
 //   - a new connection;
 //   - an idle connection of a pool within its quota.
+//
+// While an evicted multiplexed connection has not closed yet, Evict skips the kinds that the list names after multiplexed connections, and
+// returns true.
 func (s *Server) Evict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/handler.go
+++ b/internal/downstream/handler.go
@@ -17,8 +17,8 @@
 	// Admit decides on a request by its header. It returns the request's pool even if it rejects the request. The error is an
 	// httpmsg.RejectionError.
 	Admit(r *httpmsg.Request) (AdmittedRequest, PoolID, error)
-	// ReadDelay returns how long the server waits after a response until it reads the connection again. rejections is the number of the
-	// connection's last consecutive requests that were rejected.
+	// ReadDelay returns how long the server waits after a response until it reads the connection again. rejections is the number of requests
+	// that were rejected since the last admitted one, without malformed requests.
 	ReadDelay(id PoolID, rejections int) time.Duration
 	// AcquireConnection counts a connection in a pool's quota, and reports whether the quota allows it. If it returns false, the connection
 	// closes with its next response. If it returns true, ReleaseConnection is called when the connection closes or changes to another pool.
