--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,10 +15,10 @@
 	responseHeadTimeout = 250 * time.Millisecond
 	// BodyStallTimeout is how long the body of a response may make no progress, for the same reason.
 	BodyStallTimeout = 300 * time.Millisecond
-	// maxHeadBytes bounds the head of a response, since an endless one must not exhaust the memory.
+	// maxHeadBytes bounds the heads of the responses to one request together, since an endless head must not exhaust the memory.
 	maxHeadBytes = 16 << 10
-	// maxInterimResponses bounds the number of 1xx responses before the final response.
-	maxInterimResponses = 5
+	// maxResponseHeads bounds the number of response heads that are read for one request: those of 1xx responses and of the final response.
+	maxResponseHeads = 5
 )
 
 // Conn is a connection to an endpoint. One goroutine at a time uses it; only Close and Discard may be called concurrently.
@@ -84,7 +84,7 @@
 	if q.Method == http.MethodHead { // its response has no body, whatever Content-Length the head has
 		request = &http.Request{Method: q.Method}
 	}
-	for range maxInterimResponses {
+	for range maxResponseHeads {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
