--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -33,8 +33,8 @@
 	inSyncAt   time.Duration // time at which the replica was last found equal to another; negative if never
 }
 
-// InSync reports whether the replica was found equal to another replica since the process started, and the time that has passed
-// since then. If ok is false, ago is the time since the process started.
+// InSync reports whether the replica was found equal to another replica since the process started. ago is the time since the replica
+// was last found equal or, if ok is false, the time since the process started.
 func (n *Node) InSync(now time.Duration) (ago time.Duration, ok bool) {
 	if n.sync.inSyncAt < 0 {
 		return now - n.startedAt, false
@@ -113,8 +113,8 @@
 	n.send(peer, m)
 }
 
-// syncCandidate returns the name of the least loaded of a few random members that are alive and not busy. If there is none, it
-// returns a random member that is not alive. If there is none either, it returns an empty string.
+// syncCandidate returns the name of the least loaded of a few random members that are alive and not busy. If no member is alive and not
+// busy, it returns a random member that is not alive. If all members are alive but busy, it returns an empty string.
 func (n *Node) syncCandidate(now time.Duration) string {
 	candidates := n.randomMembers(syncCandidates, func(m *member) bool { return m.State == Alive && now >= m.busyUntil })
 	if len(candidates) == 0 {
@@ -271,8 +271,8 @@
 }
 
 // compareEntry compares the sender's version of an entry with the local version, and adds the local entry to the reply if it is newer
-// or a sibling. It returns the local version and digest, and whether the sender's entry is to be requested. If the sender's
-// incarnation is outdated, the reply gets the owner state in place of a request.
+// or a sibling. It returns the local version and digest, and whether the sender's entry is to be requested. If the incarnation of the
+// sender's entry is outdated, the owner state is added to the reply and the entry is not requested.
 func (n *Node) compareEntry(kind string, id EntryID, remote EntryDigest, reply *syncReply) (version Version, digest uint64, want bool) {
 	version, digest, present := n.localVersion(kind, id)
 	if present {
--- a/internal/gossip/antientropy_test.go
+++ b/internal/gossip/antientropy_test.go
@@ -41,7 +41,7 @@
 	for name, n := range w.nodes {
 		rejected += n.Stats.CatchUpRejected
 		if sent := float64(n.Stats.CatchUpBytes - before[name]); sent > budget*((w.now-from).Seconds()+1)+maxSyncReplyBytes {
-			t.Errorf("%s sent %.0f bytes within %v, above its catch-up budget", name, sent, w.now-from)
+			t.Errorf("%s sent %.0f bytes of entries within %v, want no more than its catch-up budget plus one reply", name, sent, w.now-from)
 		}
 	}
 	if rejected == 0 {
@@ -74,7 +74,7 @@
 		}
 		w.until(fmt.Sprintf("all replicas are equal, with %d messages between interruptions", cut), time.Minute, w.equal)
 		if cut < 3 && breaks == 0 {
-			t.Error("the connection was never interrupted")
+			t.Error("the connection to c was never interrupted: the test did not exercise an interrupted exchange")
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	w.run(over)
 	for name, n := range w.nodes {
 		if syncs := n.Stats.Syncs - before[name]; syncs > int(over/n.cfg.GossipInterval)+1 || syncs < 2 {
-			t.Errorf("%s has started %d exchanges within %v with a gossip interval of %v", name, syncs, over, n.cfg.GossipInterval)
+			t.Errorf("%s has started %d exchanges within %v, want at least 2 and at most one per gossip interval of %v", name, syncs, over, n.cfg.GossipInterval)
 		}
 	}
 }
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -24,7 +24,7 @@
 		data := m.Encode()
 		got, err := Decode(data)
 		if err != nil || !reflect.DeepEqual(m, got) {
-			t.Fatalf("decoding failed or changed the message: %v\nwant %+v\ngot  %+v", err, m, got)
+			t.Fatalf("decoding an encoded message failed or changed the message: error %v\nwant %+v\ngot  %+v", err, m, got)
 		}
 		if cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut"); cut < len(data) {
 			if _, err := Decode(data[:cut]); err == nil {
@@ -33,7 +33,7 @@
 		}
 	})
 	if _, err := Decode([]byte{formatVersion + 1, byte(SyncMessage), 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("message of a newer format version: %v, want ErrUnsupportedFormat", err)
+		t.Errorf("decoding a message of a newer format version: error %v, want ErrUnsupportedFormat", err)
 	}
 }
 
--- a/internal/gossip/failuredetector.go
+++ b/internal/gossip/failuredetector.go
@@ -37,7 +37,7 @@
 	ping            *pendingPing             // nil if none is in flight
 	indirectPings   map[uint64]*indirectPing // sent on behalf of other members, by sequence number of the ping
 	nextPing        time.Duration
-	nextExpiryCheck time.Duration // time of the next check for expired suspicions and dead members
+	nextExpiryCheck time.Duration // time of the next check for expired suspicions and for dead members to reap
 	peerIndex       int           // index in Node.peers of the next member to ping
 	periods         int           // number of periods started
 	healthScore     int           // from 0 (healthy) to maxHealthScore
--- a/internal/gossip/form_test.go
+++ b/internal/gossip/form_test.go
@@ -64,7 +64,7 @@
 		messageForm("sync", &Message{Kind: SyncMessage, Seq: 3, Ranges: []RangeDigest{{Kind: membersKind, Digest: 5}, {Kind: "dead"}}}, false),
 	})
 	if _, err := Decode([]byte{2, byte(PingMessage), 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}); !errors.Is(err, ErrUnsupportedFormat) {
-		t.Errorf("message of format version 2: %v, want ErrUnsupportedFormat", err)
+		t.Errorf("decoding a message of format version 2: error %v, want ErrUnsupportedFormat", err)
 	}
 }
 
@@ -77,7 +77,7 @@
 	n.Restore(0, m)
 	for _, want := range m.Entries {
 		if got, ok := n.Store().Get(want.Owner, want.Key); !ok || !reflect.DeepEqual(got, want) {
-			t.Errorf("restored %+v, %v, want %+v", got, ok, want)
+			t.Errorf("restored entry is %+v (present: %v), want %+v", got, ok, want)
 		}
 	}
 	if n.Incarnation()>>incarnationRandomBits != 5 {
@@ -171,6 +171,6 @@
 	got := []any{formatVersion, tombstoneMark, valueMark, incarnationRandomBits, treeFanout, leafCount, ConsensusOwner, membersKind, UnreachableKind, MaxMessageBytes, MaxKeyBytes, MaxValueBytes, maxNameBytes, maxSiblings}
 	want := []any{1, 0, 1, 16, 16, 256, "*council", "*members", "dead", 1 << 20, 200, 1024, 128, 4}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("the encoded numbers and names are %v, want %v", got, want)
 	}
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -60,7 +60,7 @@
 // Stats are the counters of a node since it started.
 type Stats struct {
 	Suspicions      int `json:"Suspicions"` // members that this process has started to suspect by its own pings
-	Refutations     int `json:"Objections"` // suspicions against this process that it has refuted
+	Refutations     int `json:"Objections"` // received states of this process as suspect, dead or left that it has refuted
 	Deaths          int `json:"Deaths"`     // members that became dead in the view of this process
 	Syncs           int `json:"Syncs"`      // anti-entropy exchanges started by this process
 	SyncsEqual      int `json:"Equal"`      // started exchanges that found no difference
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -35,7 +35,7 @@
 	Incarnation uint64 // see Version
 	Refutations uint32 // number of suspicions that the member has refuted in this incarnation
 	State       State
-	SuspectedBy string // name of a member that suspects it, in state Suspect
+	SuspectedBy string // in state Suspect: name of a member that suspects this one
 }
 
 func (s MemberState) compare(t MemberState) int {
@@ -97,7 +97,7 @@
 // presentMembers returns the number of alive and suspected members, including this process.
 func (n *Node) presentMembers() int { return n.stateCounts[Alive] + n.stateCounts[Suspect] + 1 }
 
-// logFleetSize returns the decimal logarithm of the number of present members plus one, at least 1.
+// logFleetSize returns the decimal logarithm of presentMembers()+1, at least 1.
 func (n *Node) logFleetSize() float64 { return max(1, math.Log10(float64(n.presentMembers()+1))) }
 
 // applyMemberState applies a received state of a member.
@@ -154,8 +154,9 @@
 	n.rumors.add(rumorKey{member: s.Name})
 }
 
-// applyOwnState applies a state of this process that was received from another member. A suspicion is refuted. An unknown
-// incarnation of an earlier start, or of another process with the same name, makes this process start a larger incarnation.
+// applyOwnState applies a state of this process that was received from another member. If the state is that of the current incarnation
+// and not Alive, it is refuted. A larger incarnation comes from an earlier start or from another process with the same name. It makes
+// this process start an incarnation that is larger still.
 func (n *Node) applyOwnState(now time.Duration, s MemberState) {
 	switch {
 	case n.self.left:
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -56,7 +56,7 @@
 	w.cut = nil
 	w.until("all have the entries of the isolated member", 30*time.Second, func() bool { return w.equal() && w.holds("a", "c", "dead/x") && w.holds("a", "c", "dead/y") })
 	if w.nodes["c"].Incarnation() <= incarnation {
-		t.Error("the member continues with its reaped incarnation")
+		t.Error("the isolated member continues with an incarnation that was reaped, want a larger one")
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 	}
 	if n := w.nodes["a"].Stats.Suspicions; n > 0 {
-		t.Errorf("a has suspected members %d times although others reach them", n)
+		t.Errorf("a has suspected members %d times although other members reach them, want 0", n)
 	}
 	w.nodes["a"].Put("dead/x", nil)
 	w.nodes["a"].Put("dead/y", []byte("1"))
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -121,8 +121,8 @@
 	return n.takeOutbox()
 }
 
-// Receive processes a message from another member and returns the messages to send. A message from a process that is not a member
-// is dropped and counted.
+// Receive processes a message from another member and returns the messages to send. A message from a process that is not a member, or
+// that arrives after Leave, is dropped and counted.
 func (n *Node) Receive(now time.Duration, from string, m *Message) []Envelope {
 	peer := n.members[from]
 	if peer == nil || n.self.left {
@@ -154,7 +154,8 @@
 	return n.takeOutbox()
 }
 
-// receiveOwnerStates applies received owner states. If other members have reaped this process's incarnation, it starts a new one.
+// receiveOwnerStates applies received owner states. If other members have reaped this process's incarnation, this process starts a new
+// one.
 func (n *Node) receiveOwnerStates(now time.Duration, states []OwnerState) {
 	for _, s := range states {
 		if s.Name == n.cfg.Name && s.Reaped >= n.self.incarnation {
--- a/internal/gossip/ownentries.go
+++ b/internal/gossip/ownentries.go
@@ -22,7 +22,7 @@
 	sequence    uint64            // sequence number of the newest write
 	values      map[string][]byte // by key; nil is a tombstone
 	left        bool
-	digest      uint64 // digest of its member state in the digest tree of the members
+	digest      uint64 // digest of this process's member state in the digest tree of the members
 
 	reincarnatedAt         time.Duration // start time of the incarnation
 	reincarnateAt          time.Duration // start time of the next incarnation; 0 if none is scheduled
@@ -86,9 +86,9 @@
 	n.store.TakeChanges() // restored entries do not count as changes
 }
 
-// Put writes a value under a key whose kind is written by members. It returns false if the value exceeds MaxValueBytes, the key
-// exceeds MaxKeyBytes, there is no room for another key, or the node has left. There is room for at least MaxKeysPerOwner/2 keys with
-// a value.
+// Put writes a value under a key, whose kind must be one of Config.Kinds. A nil value is written as an empty value. Put returns false if
+// the value exceeds MaxValueBytes, the key exceeds MaxKeyBytes, there is no room for another key, or the node has left. There is room
+// for at least MaxKeysPerOwner/2 keys with a value.
 func (n *Node) Put(key string, value []byte) bool {
 	if len(value) > MaxValueBytes || len(key) > MaxKeyBytes || n.self.left {
 		return false
@@ -142,8 +142,9 @@
 	}
 }
 
-// Leave leaves the fleet and returns the messages that announce it. The other members then reap this process's entries. Afterwards
-// the node ignores all messages and ticks.
+// Leave leaves the fleet and returns a last message with rumors for a few random members. The message announces the departure unless
+// rumors queued earlier fill it. Members that learn of the departure reap this process's entries. Afterwards the node ignores all
+// messages and ticks.
 func (n *Node) Leave(now time.Duration) []Envelope {
 	n.self.left = true
 	n.updateOwnDigest()
--- a/internal/gossip/reports.go
+++ b/internal/gossip/reports.go
@@ -45,14 +45,14 @@
 	return key
 }
 
-// SplitPoolKey returns the pool and the name from a key that PoolKey has returned.
+// SplitPoolKey returns the pool and the name from a key that PoolKey has returned. ok is false if the key has no name part.
 func SplitPoolKey(key string) (pool, name string, ok bool) {
 	_, rest, _ := strings.Cut(key, "/")
 	return strings.Cut(rest, "/")
 }
 
-// Record records whether an endpoint is unreachable to this process, and writes, renews or withdraws the report accordingly. key is
-// of UnreachableKind.
+// Record records whether an endpoint is unreachable to this process, and writes, renews or withdraws the report accordingly. A new report
+// is dropped if this process has maxOwnReports reports already or if Put rejects the key. key is of UnreachableKind.
 func (r *FailureReports) Record(now time.Duration, n *Node, key string, unreachable bool) {
 	_, reported := r.ownReports[key]
 	if !unreachable {
@@ -109,7 +109,8 @@
 	}
 }
 
-// Hints returns the sorted keys of the endpoints that are reported by a quorum of alive or suspected members and not by this process.
+// Hints returns the sorted keys of the endpoints that are reported by a quorum of alive or suspected members and not by this process. It
+// returns the first maxHints keys at most.
 func (r *FailureReports) Hints(n *Node) []string {
 	var hints []string
 	for key, reporters := range r.reporters {
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -34,11 +34,12 @@
 	Counts  Counts
 }
 
-// Counts are the numbers of rejected entries and owner states, and of conflicts. An entry that is received twice counts as stale.
+// Counts are the numbers of rejected messages, member states, owner states, digests and entries, and the number of conflicts. An entry
+// that is received twice counts as stale.
 type Counts struct {
-	Unknown      int `json:"Unknown"` // the kind, owner or member is not known to this process
-	Invalid      int `json:"Illegal"` // malformed
-	OverLimit    int `json:"Full"`    // exceeds MaxOwners or MaxKeysPerOwner
+	Unknown      int `json:"Unknown"` // the kind, owner, member or member state is unknown, or a message arrived after Leave
+	Invalid      int `json:"Illegal"` // malformed entries, and digests of ranges and leaves that do not exist
+	OverLimit    int `json:"Full"`    // owners beyond MaxOwners, and keys dropped because of MaxKeysPerOwner
 	Conflicts    int `json:"Differ"`  // merges that resulted in several siblings
 	Stale        int `json:"Old"`     // not newer than the local replica
 	ForeignFleet int `json:"Foreign"` // decisions of another fleet
@@ -64,9 +65,9 @@
 	return s
 }
 
-// SetFleetTag sets the FleetTag of the fleet whose decisions count. Decisions of any other fleet are dropped, and rejected from now
-// on. A fleet that lost its disks and was founded again numbers its decisions from 1. Without the tag, replicated decisions of the
-// former fleet would override the new ones.
+// SetFleetTag sets the FleetTag of the fleet whose decisions count. A tag of 0 is ignored. Decisions of any other fleet are dropped,
+// and rejected from now on. A fleet that lost its disks and was founded again numbers its decisions from 1. Without the tag,
+// replicated decisions of the former fleet would override the new ones.
 func (s *Store) SetFleetTag(tag uint64) {
 	if tag == 0 || tag == s.fleetTag {
 		return
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -185,13 +185,13 @@
 	c.Merge(e)
 	e.Siblings = [][]byte{valueSibling("down")}
 	if !c.Merge(e) || c.Counts.Conflicts != 1 {
-		t.Errorf("%+v", c.Counts)
+		t.Errorf("a second value of the same version was not merged and counted as 1 conflict: counts are %+v", c.Counts)
 	}
 	if got, _ := c.Get("a", "dead/x"); len(got.Values()) != 2 {
-		t.Errorf("%q", got.Values())
+		t.Errorf("values of the entry are %q, want both values of the version", got.Values())
 	}
 	e.Sequence++
 	if c.Merge(e); len(c.all()) != 1 || len(c.all()[0].Siblings) != 1 {
-		t.Errorf("%+v", c.all())
+		t.Errorf("entries after a newer version are %+v, want one entry with one sibling", c.all())
 	}
 }
