--- a/internal/zoneview/zoneview_test.go
+++ b/internal/zoneview/zoneview_test.go
@@ -73,14 +73,14 @@
 // checkAssigned checks that a member has no checks assigned, or only distinct endpoints of zone b.
 func checkAssigned(t *rapid.T, name string, checks map[string][]string, endpoints map[string]string) {
 	if len(checks) > 1 || len(checks) == 1 && checks["b"] == nil {
-		t.Fatalf("%s checks %v", name, checks)
+		t.Fatalf("%s has checks %v assigned, want none or those of zone b only", name, checks)
 	}
 	if len(checks["b"]) > EndpointsPerCheck {
 		t.Fatalf("%s checks more than %d endpoints: %v", name, EndpointsPerCheck, checks)
 	}
 	for i, endpoint := range checks["b"] {
 		if endpoints[endpoint] != "b" || i > 0 && endpoint == checks["b"][i-1] {
-			t.Fatalf("%s checks %v", name, checks)
+			t.Fatalf("%s has checks %v assigned, want distinct endpoints of zone b", name, checks)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 			if all := fmt.Sprint(excluded, recovering, automatic); first == "" {
 				first = all
 			} else if all != first {
-				t.Fatalf("%s excludes %s, another member excludes %s", name, all, first)
+				t.Fatalf("exclusions of %s are %s, those of another member with the same decisions are %s", name, all, first)
 			}
 			for endpoint, zone := range endpoints {
 				s, decided := states[zone]
@@ -141,10 +141,10 @@
 	n.ApplyDecision("zone/farm/b", 7, []byte(zonefailover.State{Step: 4}.Encode()))
 	n.ApplyDecision("zone/other/b", 9, []byte(zonefailover.State{Step: 4}.Encode()))
 	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "a"}, 5); c.Key != "zone/farm/a" || c.BasedOn != 3 || c.NewestZoneDecision != 7 || c.Token != 5 || c.Conditional {
-		t.Errorf("%+v", c)
+		t.Errorf("command is %+v, want one based on decision 3 of the zone and 7 of the pool, with token 5", c)
 	}
 	if c := ShiftCommand(n, "farm", zonefailover.Transition{Zone: "c"}, 5); c.BasedOn != 0 || c.NewestZoneDecision != 7 {
-		t.Errorf("zone without a decision: %+v", c)
+		t.Errorf("command for a zone without a decision is %+v, want one based on no decision of the zone and 7 of the pool", c)
 	}
 }
 
@@ -161,17 +161,17 @@
 		t.Errorf("member zones are %+v, want those of the alive members, this process included", s.MemberZones)
 	}
 	if len(s.Unreachable) != 1 || s.Unreachable[0] != (zonefailover.UnreachableReport{Member: "p", Endpoint: "s1"}) || len(s.GrayFailures) != 1 || len(s.Endpoints) != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("snapshot is %+v, want the unreachable endpoint s1 of pool farm, one gray failure and one endpoint", s)
 	}
 	if len(s.ZoneChecks) != 1 || !s.ZoneChecks[0].NoneHealthy || s.ZoneChecks[0].AllHealthy {
-		t.Errorf("%+v", s.ZoneChecks)
+		t.Errorf("zone checks are %+v, want one in which no endpoint was healthy", s.ZoneChecks)
 	}
 	for _, c := range []struct {
 		healthy, checked int
 		want             string
 	}{{0, 3, noneHealthy}, {1, 3, someHealthy}, {3, 3, allHealthy}} {
 		if got := string(EncodeZoneCheck(c.healthy, c.checked)); got != c.want {
-			t.Errorf("%d of %d healthy: encoded as %q", c.healthy, c.checked, got)
+			t.Errorf("EncodeZoneCheck for %d healthy of %d checked endpoints returned the wrong value %q", c.healthy, c.checked, got)
 		}
 	}
 }
