--- a/internal/keepalive/policy.go
+++ b/internal/keepalive/policy.go
@@ -35,8 +35,8 @@
 	// minFirstRequestWait is the time that a new connection may always wait for its first request, because its client has just opened
 	// it.
 	minFirstRequestWait = 100 * time.Millisecond
-	// exploreInterval is how often a connection is kept to explore: one in exploreInterval of those with an index below the price.
-	// Without them, the policy could not observe that clients have started to reuse their connections again.
+	// exploreInterval is how often a connection is kept to explore: one in exploreInterval of those whose index falls below the price
+	// before MaxIdle. Without them, the policy could not observe that clients have started to reuse their connections again.
 	exploreInterval = 16
 	// maxExploreShare is the largest fraction of the capacity that connections kept to explore may use.
 	maxExploreShare = 1.0 / 16
@@ -54,7 +54,7 @@
 	capacity   int64 // maximum number of open connections
 	open       int64 // open connections
 	exploring  int64 // connections that are kept to explore
-	skipped    int   // connections below the price since the last one kept to explore
+	skipped    int   // waits with an index below the price before MaxIdle, since the last one kept to explore
 	pools      map[PoolID]*poolHistory
 	arrivals   rate // of new connections
 	lastWaitID uint64
@@ -116,7 +116,7 @@
 // Wait is the decision on how long an idle connection may wait for its next request. The caller passes it back to EndIdle.
 type Wait struct {
 	Max     time.Duration // 0: the connection is closed with its response
-	Explore bool          // the index is below the price, and the connection is kept to observe whether it is reused
+	Explore bool          // the index falls below the price before MaxIdle; the connection is kept to observe whether it is reused
 	id      uint64
 }
 
@@ -141,7 +141,7 @@
 	return wait
 }
 
-// tryExplore counts a connection whose index is below the price, and reports whether the connection is kept to explore.
+// tryExplore counts a connection whose index falls below the price before MaxIdle, and reports whether the connection is kept to explore.
 func (p *IdlePolicy) tryExplore() bool {
 	p.skipped++
 	if p.skipped < exploreInterval || float64(p.exploring+1) > max(1, maxExploreShare*float64(p.capacity)) {
--- a/internal/keepalive/policy_test.go
+++ b/internal/keepalive/policy_test.go
@@ -190,7 +190,7 @@
 		policy.BeginIdle(now, 1, OneRequest)
 	}
 	if !policy.Expired(1, OneRequest, time.Second) {
-		t.Errorf("a connection that has waited 1 s beside %d others has not expired: its index is %v", conns, policy.GittinsIndex(1, OneRequest, time.Second))
+		t.Errorf("a connection that has waited 1 s beside %d others has not expired although none is reused: its index is %v", conns, policy.GittinsIndex(1, OneRequest, time.Second))
 	}
 }
 
@@ -226,7 +226,7 @@
 			c.wait = policy.BeginIdle(now, c.pool, c.kind)
 			switch {
 			case c.wait.Max < 0 || c.wait.Max > MaxIdle || c.kind == NoRequest && c.wait.Max < minFirstRequestWait:
-				t.Fatalf("BeginIdle allows a wait of %v for kind %d", c.wait.Max, c.kind)
+				t.Fatalf("BeginIdle allows a wait of %v for kind %d, want at most MaxIdle, and at least minFirstRequestWait for a connection without a request", c.wait.Max, c.kind)
 			case c.wait.Max == 0:
 				policy.Closed()
 				continue
@@ -235,10 +235,10 @@
 				exploring++
 			}
 			if float64(exploring) > max(1, maxExploreShare*float64(capacity)) {
-				t.Fatalf("%d connections are kept to explore at a capacity of %d", exploring, capacity)
+				t.Fatalf("%d connections are kept to explore at a capacity of %d, want at most one or maxExploreShare of the capacity", exploring, capacity)
 			}
 			if w := policy.GittinsIndex(c.pool, c.kind, now); !(w >= 0 && w < 1e4) {
-				t.Fatalf("index %v, want at least 0 and less than 10000", w)
+				t.Fatalf("GittinsIndex returned %v, want at least 0 and less than 10000", w)
 			}
 			idle = append(idle, c)
 		}
@@ -286,6 +286,6 @@
 	index := next.GittinsIndex(1, SeveralRequests, 0)
 	next.Restore(History{1: {{}, {}, {Waited: make([]float64, ageBuckets), Used: make([]float64, ageBuckets)}}, 2: {{}}})
 	if w := next.GittinsIndex(1, SeveralRequests, 0); w != index {
-		t.Errorf("index %v after an invalid history was restored, %v before", w, index)
+		t.Errorf("the index is %v after an invalid history was restored, want %v as before", w, index)
 	}
 }
