--- a/internal/staleness/staleness.go
+++ b/internal/staleness/staleness.go
@@ -20,8 +20,8 @@
 	// watchSlack is how late a heartbeat may be before the watch counts as broken.
 	watchSlack = time.Second
 
-	// Limits for a list that is polled from discovery. Discovery itself rejects a call that has waited too long.
-	// discoveryCallTimeout is a little longer than that.
+	// Limits for a list that is polled from discovery. Discovery rejects a call that has waited in discovery for too long.
+	// discoveryCallTimeout is a little longer than this wait.
 	discoveryCallTimeout     = 3250 * time.Millisecond
 	discoveryRetryDelay      = 500 * time.Millisecond
 	discoveryRejectedBackoff = 1500 * time.Millisecond
