--- a/internal/sitelink/form_test.go
+++ b/internal/sitelink/form_test.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// TestRejectionForm pins the statuses of rejections. It also guards against a rejection that does not state that nothing was executed.
+// TestRejectionForm pins the statuses of rejections. It also guards against a rejection without the field that states that the request
+// was not executed.
 func TestRejectionForm(t *testing.T) {
 	e := formExtension(t)
 	h := &handler{extension: e}
--- a/internal/sitelink/forward.go
+++ b/internal/sitelink/forward.go
@@ -86,8 +86,9 @@
 	return response
 }
 
-// republishIfUnused publishes the peer's endpoint again if the link is open but the decision module makes no attempts although the peer
-// grants credits. Without attempts, the module's assessment of its only endpoint could not improve.
+// republishIfUnused publishes the peer's endpoint again if the link is open, at most once per minPublishInterval. It is called when the
+// decision module has rejected a request without an attempt although the peer grants credits. Without attempts, the module's assessment
+// of its only endpoint could not improve.
 func (l *poolLink) republishIfUnused() {
 	l.mu.Lock()
 	unused := l.spillover.State() == spillover.Open && l.extension.now()-l.publishedAt >= minPublishInterval
--- a/internal/sitelink/link.go
+++ b/internal/sitelink/link.go
@@ -19,7 +19,7 @@
 const (
 	// peerConnIdle is the idle timeout of connections to peers. An inter-site listener closes idle connections after two seconds.
 	peerConnIdle = 2 * time.Second
-	// minPublishInterval is the minimum time between two publications of the peer's endpoint by republishIfUnused.
+	// minPublishInterval is the minimum time from any publication of the peer's endpoint to the next one by republishIfUnused.
 	minPublishInterval = time.Second
 	// peerEndpointID is the ID of the peer's endpoint.
 	peerEndpointID = "far"
--- a/internal/sitelink/sitelink.go
+++ b/internal/sitelink/sitelink.go
@@ -51,7 +51,7 @@
 	return e, nil
 }
 
-// now returns the current time of the clock that spillover and the header fields use.
+// now returns the time since origin.
 func (e *Extension) now() time.Duration { return time.Since(e.origin) }
 
 // Start opens the links of g. The pools of g must have been started.
@@ -61,7 +61,7 @@
 			continue
 		}
 		if err := l.start(g, e.peer(l.cfg.Peer)); err != nil {
-			return fmt.Errorf("pool %q: %w", name, err)
+			return fmt.Errorf("open site link of pool %q: %w", name, err)
 		}
 	}
 	return nil
--- a/internal/sitelink/sitelink_test.go
+++ b/internal/sitelink/sitelink_test.go
@@ -36,7 +36,7 @@
 	for n := range 20 {
 		key := fmt.Sprint("here-", n)
 		if status := p.send(t, p.near.addr("farm"), "order-here", key, key, time.Second); status != 503 || p.recorder.ArrivalCount(key) > 0 {
-			t.Fatalf("got status %d and %d attempts, want status 503 and no attempt", status, p.recorder.ArrivalCount(key))
+			t.Fatalf("request of a class without shared deduplication got status %d and %d attempts, want status 503 and no attempt", status, p.recorder.ArrivalCount(key))
 		}
 	}
 	r := siteheader.Request{TimeLeft: time.Second, StallTimeout: time.Second, Stamp: p.far.extension.now(), Pool: "farm", Class: "order-here", AttemptsAllowed: 1, Origin: "near", Path: []string{"near"}}
@@ -63,7 +63,7 @@
 		id := fmt.Sprint("late-", n)
 		status := p.send(t, p.near.addr("farm"), "book", id, "", 200*time.Millisecond)
 		if elapsed := time.Since(start); elapsed > 450*time.Millisecond {
-			t.Errorf("responded after %v, timeout 200 ms", elapsed)
+			t.Errorf("the client got its response after %v, want at most 450 ms at a timeout of 200 ms", elapsed)
 		}
 		if p.recorder.ArrivalCount(id) > 0 && status != 502 {
 			t.Errorf("a booking that may have been executed got status %d, want 502", status)
@@ -115,7 +115,7 @@
 					t.Errorf("%s: got status %d only after %v, want at most 1 s", class, status, elapsed)
 				}
 				if class == "book" && status != 502 || status == 200 {
-					t.Errorf("%s that may have been executed got status %d", class, status)
+					t.Errorf("%s that may have been executed got status %d, want 502 for a booking and no 200 for any class", class, status)
 				}
 				return
 			}
@@ -159,7 +159,7 @@
 	p.far.stop()
 	waitFor(t, "the link to close", func() bool { return p.state() != spillover.Open })
 	if status := p.send(t, p.near.addr("farm"), "order", "late", "late", time.Second); status != 503 {
-		t.Errorf("got status %d, want 503", status)
+		t.Errorf("order while the peer drains got status %d, want 503", status)
 	}
 	p.checkRecorder(t)
 }
@@ -209,10 +209,10 @@
 	for n := range 20 {
 		start := time.Now()
 		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprint("silent-", n), "", 3*time.Second); status != 503 {
-			t.Fatalf("got status %d, want 503", status)
+			t.Fatalf("request with a silent peer got status %d, want 503", status)
 		}
 		if elapsed := time.Since(start); elapsed > time.Second {
-			t.Fatalf("rejected only after %v, want at most 1 s", elapsed)
+			t.Fatalf("request with a silent peer was rejected only after %v, want at most 1 s", elapsed)
 		}
 	}
 	if p.state() == spillover.Open {
@@ -244,11 +244,11 @@
 	}
 	for i := range 20 {
 		if status := p.send(t, p.near.addr("farm"), "check", fmt.Sprintf("full-%d", i), "", time.Second); status != 503 {
-			t.Fatalf("got status %d, want 503", status)
+			t.Fatalf("request without capacity at either site got status %d, want 503", status)
 		}
 	}
 	if n := p.recorder.Check(fake.DefaultTolerance).Arrivals; n > 200 {
-		t.Errorf("%d attempts, want at most 200", n)
+		t.Errorf("the backends received %d attempts, want at most 200", n)
 	}
 	p.checkRecorder(t)
 }
