--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -6,7 +6,8 @@
 	"sorrelrudder/policy"
 )
 
-// FailSilently makes the backends that match stop responding and accepting connections. Requests in execution there are lost.
+// FailSilently makes the backends that match stop responding and accepting connections. Requests in execution there are lost. Discovery
+// reports the backends as removed.
 func (e *Emulation) FailSilently(match func(index int, zone string) bool) {
 	for _, b := range e.backends {
 		if !b.stopped && match(b.index, b.zone) {
@@ -106,10 +107,11 @@
 	}
 }
 
-// RestartAllBackends restarts all backends at the same time, with unchanged names. They warm up.
+// RestartAllBackends restarts all backends at the same time, as RestartBackends does.
 func (e *Emulation) RestartAllBackends() { e.RestartBackends(1) }
 
-// RestartBackends restarts the given fraction of backends at the same time, with unchanged names. They warm up.
+// RestartBackends gives the given fraction of backends a new start time, all at once, so that they warm up. Their names, connections and
+// queued requests stay.
 func (e *Emulation) RestartBackends(fraction float64) {
 	for _, b := range e.backends {
 		if !b.stopped && InFraction(b.index, fraction) {
--- a/internal/emulator/observer.go
+++ b/internal/emulator/observer.go
@@ -12,7 +12,7 @@
 	maxViolationTexts = 20
 	// drainGrace is the time for which attempts may still go to an endpoint after the notification that it is draining or removed.
 	drainGrace = 2 * time.Second
-	// answerGrace is the time after its deadline within which a request may still be answered.
+	// answerGrace is the time after the deadline of a request within which the request may still be answered.
 	answerGrace = 50 * time.Millisecond
 )
 
--- a/internal/emulator/observer_test.go
+++ b/internal/emulator/observer_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestObserverAcceptsRepeats guards against a violation that is reported for a repeat which the rules allow.
+// TestObserverAcceptsRepeats guards against an observer that reports a repeat that the rules allow as a violation.
 func TestObserverAcceptsRepeats(t *testing.T) {
 	e, err := New(fleetScenario())
 	if err != nil {
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -52,7 +52,7 @@
 	e.Run()
 	for _, in := range e.instances {
 		if in.watch == nil || in.watch.canceled || len(in.backends) != scenario.BackendCount {
-			t.Errorf("instance %d has %d of %d backends from its watch", in.index, len(in.backends), scenario.BackendCount)
+			t.Errorf("instance %d has no open watch, or only %d of %d backends from its watch", in.index, len(in.backends), scenario.BackendCount)
 		}
 	}
 }
--- a/internal/emulator/sharing.go
+++ b/internal/emulator/sharing.go
@@ -9,7 +9,7 @@
 const (
 	// hintInterval is the minimum time between two reports of one instance on the same backend.
 	hintInterval = time.Second
-	// hintRepeats is the number of times that the other instances receive a hint within hintInterval.
+	// hintRepeats is the number of times that a hint is sent to the other instances within hintInterval.
 	hintRepeats = 5
 	// learnedStateDraws is the maximum number of random draws of an instance to import learned state from.
 	learnedStateDraws = 20
@@ -20,8 +20,9 @@
 	return status == policy.StatusConnectFailed || status == policy.StatusTimeout || status == policy.StatusReset
 }
 
-// shareFailure reports the status of an attempt or a health check to the zone controller. If the backend did not respond, it also reports
-// the backend to the other instances.
+// shareFailure reports the status of an attempt or a health check to the zone controller, if there is one. With Sharing.Unreachable, it
+// also reports a backend that did not respond, at most once per hintInterval. The other instances receive a hint once Sharing.Quorum
+// instances have reported the backend.
 func (in *instance) shareFailure(now policy.Time, target *backend, status policy.Status) {
 	e := in.emulation
 	if e.zones != nil && target != nil {
--- a/internal/emulator/sharing_test.go
+++ b/internal/emulator/sharing_test.go
@@ -38,7 +38,7 @@
 	lost := func(r *Result) int { return r.Total.ConnectFailures + r.Total.Timeouts }
 	t.Logf("without hints: served fraction %.3f, %d attempts lost; with hints: %.3f, %d; with false hints: %.3f", withoutHints.Total.ServedFraction(), lost(withoutHints), withHints.Total.ServedFraction(), lost(withHints), withFalseHints.Total.ServedFraction())
 	if 2*lost(withHints) > lost(withoutHints) || withHints.Total.ServedFraction() < withoutHints.Total.ServedFraction()-0.02 {
-		t.Errorf("with hints %d attempts lost, without %d, want at most half; served fraction %.3f, without hints %.3f", lost(withHints), lost(withoutHints), withHints.Total.ServedFraction(), withoutHints.Total.ServedFraction())
+		t.Errorf("with hints %d attempts lost, without %d, want at most half; served fraction %.3f, without hints %.3f, want at most 0.02 less", lost(withHints), lost(withoutHints), withHints.Total.ServedFraction(), withoutHints.Total.ServedFraction())
 	}
 	if withFalseHints.Total.ServedFraction() < withoutHints.Total.ServedFraction()-0.1 {
 		t.Errorf("false hints reduce the served fraction by %.3f, want at most 0.1", withoutHints.Total.ServedFraction()-withFalseHints.Total.ServedFraction())
--- a/internal/emulator/zonefailover.go
+++ b/internal/emulator/zonefailover.go
@@ -134,7 +134,8 @@
 	return checks
 }
 
-// zoneCheck returns the result of an instance's check of those backends of a zone that are assigned to the given checker.
+// zoneCheck returns the result of an instance's check of a zone. checker is the number of the instance among the zone's checkers, from 0,
+// and determines which backends of the zone the instance checks.
 func (c *zoneController) zoneCheck(in *instance, zone string, checker int) zonefailover.ZoneCheck {
 	checked, healthy := 0, 0
 	for i, b := range c.emulation.backends {
