--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -22,11 +22,12 @@
 type call struct {
 	request   consensus.Request
 	done      func(consensus.Response)
-	voter     string // that received the latest attempt
+	voter     string // voter that the latest attempt was sent to
 	redirects int
 }
 
-// call sends a request to the presumed leader, and passes its response to done. If no response arrives, done is not called.
+// call sends a request to the presumed leader, and passes its response to done. done is not called if no response arrives or if the call is
+// dropped after maxRedirects redirects.
 func (p *process) call(request consensus.Request, done func(consensus.Response)) {
 	p.lastCall++
 	handle := uint64(p.index)<<handleProcessShift | uint64(p.startCount)<<handleStartShift | p.lastCall
@@ -56,7 +57,8 @@
 	})
 }
 
-// handleResponse handles the response to a call. It redirects the call if the voter is not the leader.
+// handleResponse handles the response to a call. If the voter is not the leader, it redirects the call, or drops the call if no other voter
+// is to be tried or maxRedirects is reached.
 func (p *process) handleResponse(handle uint64, response consensus.Response) {
 	c := p.calls[handle]
 	if c == nil {
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -8,7 +8,7 @@
 )
 
 // tokenModel is the sequential specification of the leases: a token that only grows. A grant returns a larger token than all operations
-// before it. A read returns no smaller token than any operation before it; a leader that has been replaced could return one.
+// before it. A read returns no smaller token than any operation before it. A replaced leader could violate this by a stale read.
 var tokenModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -46,7 +46,7 @@
 	}
 	t.Logf("%d operations", total)
 	if total < 100 {
-		t.Error("fewer than 100 operations in all histories")
+		t.Error("the histories of all seeds have fewer than 100 operations together, want at least 100")
 	}
 }
 
--- a/internal/simulation/scale.go
+++ b/internal/simulation/scale.go
@@ -19,7 +19,7 @@
 	maxWriteDuration = 20 * time.Second // time limit for a write to reach all processes
 	maxDetection     = time.Minute      // time limit for all processes to detect a death
 	downtime         = time.Second      // how long restarted processes are down; shorter than the time to detect a death
-	maxCatchUp       = time.Minute      // time limit for restarted processes to receive all entries
+	maxCatchUp       = time.Minute      // time limit for each restarted process to be found equal to another
 )
 
 // ScaleOptions are the parameters of a scale run: a fleet whose processes only share state by gossip, and its load and faults.
@@ -31,7 +31,7 @@
 	StartupWindow time.Duration // time over which the starts are spread
 	RestDuration  time.Duration // time over which the traffic of an idle fleet is measured
 	WriteCount    int           // entries written one after the other after the fleet has converged
-	KillCount     int           // processes killed one after the other after the writes
+	KillCount     int           // random draws of a process to kill after the writes; a process drawn again is not killed again
 	RestartCount  int           // processes restarted at once, without state, after the kills
 	Gossip        gossip.Config
 }
@@ -46,14 +46,14 @@
 	WriteP99Seconds     float64 `json:"converge_p99_s"`
 	IncompleteWrites    int     `json:"missed"` // writes that did not reach all processes within the time limit
 	DetectionP50Seconds float64 `json:"dead_p50_s"`
-	DetectionMaxSeconds float64 `json:"dead_most_s"` // from a death until all processes have detected it
+	DetectionMaxSeconds float64 `json:"dead_most_s"` // from a death until all processes have detected it; at most maxDetection
 	FalseDeaths         int     `json:"false_deaths"`
 	Suspicions          int     `json:"suspicions"`
 	BytesPerSecond      float64 `json:"bytes_a_second"` // sent by each process in an idle fleet
 	BusyBytesPerSecond  float64 `json:"bytes_a_second_busy"`
 	FramesPerSecond     float64 `json:"frames_a_second"`
-	CatchUpSeconds      float64 `json:"catchup_s"`     // until the slowest restarted process had all entries
-	CatchUpBytes        float64 `json:"catchup_bytes"` // the most that one restarted process received until it had all entries
+	CatchUpSeconds      float64 `json:"catchup_s"`     // until the slowest restarted process was found equal to another; at most maxCatchUp
+	CatchUpBytes        float64 `json:"catchup_bytes"` // the most that one restarted process received until then
 	ElapsedSeconds      float64 `json:"real_s"`
 }
 
@@ -165,8 +165,8 @@
 	return killed
 }
 
-// measureCatchUp restarts processes that were not killed. It measures the time until they have received all entries, and the bytes that
-// they receive meanwhile.
+// measureCatchUp restarts processes that were not killed. It measures the time until gossip has found each of them equal to another
+// process, and the bytes that they receive meanwhile.
 func (f *scaleFleet) measureCatchUp(r *ScaleResult, killed []*scaleProcess) {
 	if f.options.RestartCount == 0 {
 		return
--- a/internal/simulation/scale_test.go
+++ b/internal/simulation/scale_test.go
@@ -31,7 +31,7 @@
 			rest = append(rest, r.BytesPerSecond)
 		}
 		if loss == 0 && rest[1] > 2*rest[0]+100 {
-			t.Errorf("message loss %g: an idle process sends %.0f bytes/s in a fleet of 60 and %.0f bytes/s in a fleet of 10", loss, rest[1], rest[0])
+			t.Errorf("message loss %g: an idle process sends %.0f bytes/s in a fleet of 60 and %.0f bytes/s in a fleet of 10, want at most twice as much plus 100 bytes/s", loss, rest[1], rest[0])
 		}
 	}
 }
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// completeSlot passes the outcome of the slot that was sent to the task's runner after a delay.
+// completeSlot passes the outcome of the sent slot to the task's runner after a delay.
 func (p *process) completeSlot(outcome task.Outcome, delay time.Duration) {
 	p.schedule(delay, func() {
 		p.runner.HandleOutcome(p.clock(), outcome, p.clock()+retryDelay)
