--- a/internal/emulator/exclusion.go
+++ b/internal/emulator/exclusion.go
@@ -68,8 +68,8 @@
 	return used
 }
 
-// readmit ends the exclusion of an endpoint. It records the time of the readmission, unless the endpoint had restarted and was used
-// although excluded.
+// readmit ends the exclusion of an endpoint. It records the time of the readmission, unless the endpoint was presented to the balancer as
+// ready despite the exclusion, as after a restart.
 func (x *exclusions) readmit(id policy.EndpointID, used bool, now policy.Time) {
 	if !used {
 		x.readmitted[id] = now
