--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -52,7 +52,8 @@
 // Checks of leases.
 
 // checkHolders checks that no lease has more holders than slots. It runs after each event, and judges each process by the process's own
-// clock and session. A paused process counts as a holder too, since it may use the lease as soon as it continues.
+// clock and session. A paused process counts as a holder too, since it may use the lease as soon as it continues. The count unheld_s is the
+// time without any holder, summed over all leases and divided by 3, the number of leases without zone failover.
 func (o *observer) checkHolders() {
 	s := o.simulation
 	o.readClocks()
