--- a/internal/httpservice/dialect.go
+++ b/internal/httpservice/dialect.go
@@ -66,7 +66,7 @@
 	Classes             []Class  // in the order in which they are tried; the last matches every request
 	TimeoutFields       []string // header fields that are trusted for the client's timeout, see clientTimeout
 	Forwarding          Forwarding
-	FailureStatuses     []int  // statuses after which a request is retried if that is safe
+	FailureStatuses     []int  // statuses that count as failures; the request is retried if that is safe
 	NotExecutedStatuses []int  // statuses that prove that the endpoint has not executed the request; they are failures too
 	ORCA                bool   // read ORCA load reports from responses
 	HealthCheckPath     string // "": no health checks
@@ -108,7 +108,8 @@
 	return name
 }
 
-// ParseRequest implements pool.EndToEndProtocol. The error is an httpmsg.RejectionError.
+// ParseRequest implements pool.EndToEndProtocol. It changes the header of q to the one that is forwarded. The error is an
+// httpmsg.RejectionError.
 func (d *Dialect) ParseRequest(q *httpmsg.Request, _ string) (pool.RequestAttributes, error) {
 	if err := checkForwardable(q); err != nil {
 		return pool.RequestAttributes{}, err
@@ -155,7 +156,7 @@
 	return false
 }
 
-// ExtraFields implements pool.BackendProtocol. It gives each attempt of a traced request a span of its own.
+// ExtraFields implements pool.BackendProtocol. If the request has a traceparent, each attempt gets one with a span ID of its own.
 func (d *Dialect) ExtraFields(_ *policy.Request, header http.Header, _ time.Duration) []upstream.Field {
 	parent := header.Get(traceparentField)
 	if !isTraceparent(parent) {
--- a/internal/httpservice/dialect_test.go
+++ b/internal/httpservice/dialect_test.go
@@ -51,16 +51,17 @@
 	return q
 }
 
-// TestParseRequest guards against wrong attributes of a request: its class, idempotency, timeout, tenant and key. It also guards against
-// forwarding a request without an ID, using the client's ID as identity, and forwarding CONNECT, TRACE and upgrades.
+// TestParseRequest guards against wrong attributes of a request: its class, idempotency, timeout, tenant and
+// affinity key. It also guards against forwarding a request without an ID, using the client's ID as identity, and forwarding CONNECT, TRACE
+// and upgrades.
 func TestParseRequest(t *testing.T) {
 	d := newDialect(t, nil)
 	for name, c := range map[string]struct {
-		q                      *httpmsg.Request
-		class                  string
-		safe                   bool
-		timeout                time.Duration
-		tenant, idempotencyKey string
+		q                   *httpmsg.Request
+		class               string
+		idempotent          bool
+		timeout             time.Duration
+		tenant, affinityKey string
 	}{
 		"read":             {newRequest("GET", "/items/7?x=/orders", "X-Shop", "s1"), "read", true, time.Second, "s1", "7"},
 		"head":             {newRequest("HEAD", "/items/7"), "read", true, time.Second, "", "7"},
@@ -74,8 +75,8 @@
 		"endless":          {newRequest("GET", "/items/7", "X-Timeout-Ms", "999999999999999"), "read", true, time.Second, "", "7"},
 	} {
 		attributes, err := d.ParseRequest(c.q, "")
-		if err != nil || attributes.PolicyRequest.Class != c.class || attributes.Idempotent != c.safe || attributes.Timeout != c.timeout || attributes.PolicyRequest.Tenant != c.tenant || attributes.PolicyRequest.Key != c.idempotencyKey {
-			t.Errorf("%s: got attributes %+v, error %v", name, attributes, err)
+		if err != nil || attributes.PolicyRequest.Class != c.class || attributes.Idempotent != c.idempotent || attributes.Timeout != c.timeout || attributes.PolicyRequest.Tenant != c.tenant || attributes.PolicyRequest.Key != c.affinityKey {
+			t.Errorf("%s: parsed request with attributes %+v, error %v", name, attributes, err)
 		}
 		if c.q.Header.Get("X-Request-Id") == "" || attributes.ID == "" {
 			t.Errorf("%s: the request has no ID", name)
@@ -134,7 +135,7 @@
 	}
 	for _, bad := range []string{"", "00-x", strings.ToUpper(parent), "01" + parent[2:], parent + "0"} {
 		if extra := d.ExtraFields(nil, http.Header{"Traceparent": {bad}}, 0); extra != nil {
-			t.Errorf("%q: %+v", bad, extra)
+			t.Errorf("invalid traceparent %q: got extra fields %+v, want none", bad, extra)
 		}
 	}
 }
@@ -188,7 +189,7 @@
 		}
 	}
 	if l := parseORCA(http.Header{orcaBinaryField: {bin}}); l == nil || l.Queue != 4 {
-		t.Errorf("binary field: %+v", l)
+		t.Errorf("binary field: got load %+v, want a queue of 4", l)
 	}
 }
 
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -19,7 +19,7 @@
 	// orcaBinaryField is the older field, which is always binary.
 	orcaField       = "Endpoint-Load-Metrics"
 	orcaBinaryField = "Endpoint-Load-Metrics-Bin"
-	maxReportBytes  = 4 << 10 // longer reports are ignored
+	maxReportBytes  = 4 << 10 // both fields together; longer ones are ignored
 	// maxQueue is the largest number of requests that a report may state. Larger values are ignored.
 	maxQueue = 1e6
 	// An endpoint with a utilization of fullUtilization or more counts as an endpoint with fullQueue requests.
@@ -27,9 +27,8 @@
 	fullQueue       = fullUtilization / (1 - fullUtilization)
 )
 
-// parseORCA returns the load that a response reports, or nil if it has no usable report. The decision module needs a number of requests.
-// The named metrics "queue" and "inflight" are such numbers. Without them, a utilization u is converted to u/(1-u) requests, the mean
-// number of requests at a single-server queue with that utilization. This orders endpoints as their queues would.
+// parseORCA returns the load that a response reports, or nil if it has no usable report. The binary field is read only if the other field
+// is absent.
 func parseORCA(header http.Header) *policy.LoadReport {
 	text, binary := header.Get(orcaField), header.Get(orcaBinaryField)
 	if len(text)+len(binary) > maxReportBytes || text == "" && binary == "" {
@@ -98,7 +97,10 @@
 	report.NamedMetrics[name] = v
 }
 
-// toLoadReport converts a report for the decision module. It returns nil if the report has no usable value.
+// toLoadReport converts a report for the decision module, which needs a number of requests. The named metrics "queue" and "inflight" are
+// such numbers. Without them, a utilization u is converted to u/(1-u) requests, the mean number of requests at a single-server queue with
+// that utilization. This orders endpoints as their queues would. The application's utilization has precedence over that of the CPU.
+// toLoadReport returns nil if the report has no usable value.
 func toLoadReport(report *orca.OrcaLoadReport) *policy.LoadReport {
 	load := policy.LoadReport{Queue: -1, InFlight: -1, Latency: -1, ErrorRate: -1}
 	usable := func(v float64) bool { return v >= 0 && v <= maxQueue } // also false for NaN
--- a/internal/httpservice/trace.go
+++ b/internal/httpservice/trace.go
@@ -16,7 +16,8 @@
 	spanBytes        = 8  // length of a span ID before hexadecimal encoding
 )
 
-// isTraceparent reports whether text is a valid traceparent value of version 00.
+// isTraceparent reports whether text has the syntax of a traceparent value of version 00. IDs of all zeros, which the standard forbids, are
+// not rejected.
 func isTraceparent(text string) bool {
 	if len(text) != traceparentBytes || text[:3] != "00-" || text[traceEnd] != '-' || text[parentEnd] != '-' {
 		return false
@@ -30,7 +31,7 @@
 	return true
 }
 
-// childSpan returns a valid traceparent value with a new random span ID in place of the parent's.
+// childSpan returns the traceparent value parent with a new random span ID in place of the parent's.
 func childSpan(parent string) string {
 	var span [spanBytes]byte
 	id := rand.Uint64() | 1 // a span ID of all zeros is invalid
