--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -25,6 +25,7 @@
 	return r
 }
 
+// TestFind guards against a wrong class or wildcard value, and against a match of a rule with a path for an ambiguous path.
 func TestFind(t *testing.T) {
 	rules := []Rule{
 		rule(t, "item", "GET /items/{id}", "GET items.example.org/{id}"),
@@ -59,20 +60,21 @@
 			class = rules[m.RuleIndex].Class
 		}
 		if class != c.class || m.Value("id") != c.value {
-			t.Errorf("%s %s%s: %q, %q, want %q, %q", c.method, c.host, c.path, class, m.Value("id"), c.class, c.value)
+			t.Errorf("%s %s%s: got class %q, id %q, want class %q, id %q", c.method, c.host, c.path, class, m.Value("id"), c.class, c.value)
 		}
 	}
 	m, ok := Find(rules, Request{Method: "POST", Path: "/x", HasHeader: func(f string) bool { return f == "X-Urgent" }})
 	if !ok || rules[m.RuleIndex].Class != "urgent" {
-		t.Errorf("rule for a header field: %v, %v", m, ok)
+		t.Errorf("request with X-Urgent: got match %v, %v, want class urgent", m, ok)
 	}
 }
 
+// TestParsePattern guards against accepting an invalid pattern.
 func TestParsePattern(t *testing.T) {
 	for _, text := range []string{"", "GET", "items", "get /a", "GET /a/../b", "/a//b", "/{a}/{a}", "/{a...}/b", "/{1a}", "/a{b}", "*.h/a", "/a%20b", "/a?b=c",
 		"/" + strings.Repeat("a/", MaxSegments+1)} {
 		if p, err := ParsePattern(text); err == nil {
-			t.Errorf("%q: got %+v, want an error", text, p)
+			t.Errorf("pattern %q: got %+v, want an error", text, p)
 		}
 	}
 }
@@ -114,10 +116,10 @@
 		rules := []Rule{rule(t, "c", text)}
 		m, got := Find(rules, Request{Method: method, Host: q.Host, Path: path, HasHeader: noHeaders})
 		if got != want {
-			t.Fatalf("%q on %s %s: %v, want %v", text, method, path, got, want)
+			t.Fatalf("pattern %q, request %s %s: got match %v, want %v", text, method, path, got, want)
 		}
 		if got && used && m.Value("x") == "" {
-			t.Fatalf("%q on %s: no value for {x}", text, path)
+			t.Fatalf("pattern %q, path %s: the match has no value for {x}", text, path)
 		}
 	})
 }
@@ -134,7 +136,7 @@
 			return
 		}
 		if v := m.Value("id"); v == "" || v == "." || v == ".." || strings.ContainsAny(v, "/\\\x00") || !strings.HasPrefix(path, "/") {
-			t.Fatalf("%q matched with %q", path, v)
+			t.Fatalf("path %q matched with id %q, want no match", path, v)
 		}
 	})
 }
--- a/internal/e2e/tls_rotation.go
+++ b/internal/e2e/tls_rotation.go
@@ -49,7 +49,7 @@
 	e.AtLeast("share_served", e.measureHTTPS("", &counts), 0.98)
 	e.Measure("certificates", float64(valid))
 	e.Measure("spoilt", float64(invalid))
-	e.Measure("read_again", float64(w.program.CountLog("certificates read again")))
+	e.Measure("read_again", float64(w.program.CountLog("certificates reloaded")))
 	e.AtMost("failed_handshakes_or_answers", float64(counts.failed.Load()), 0)
 	w.finish(counts.requests.Load())
 	return nil
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -19,7 +19,7 @@
 const (
 	maxHeaderBytes       = 16 << 10 // bytes of a request's header, including trailers
 	maxConcurrentStreams = 250      // streams of a connection
-	// idleTimeout is how long a connection may be idle. It may be evicted earlier if its file descriptor is needed.
+	// idleTimeout is how long a connection may be idle. The connection may be evicted earlier if its file descriptor is needed.
 	idleTimeout = time.Minute
 	// pingInterval is the time without any frame from the client after which the server sends a PING.
 	pingInterval = 30 * time.Second
@@ -76,12 +76,14 @@
 	requests.wait()
 }
 
-// shutDown sends a GOAWAY, and closes the connection once no request is open. It returns early if the connection ends.
+// shutDown sends a GOAWAY, and closes the connection once no request has been open for responseFlushTime. It returns early if the connection
+// ends.
 func shutDown(base *http.Server, c net.Conn, requests *requestCounter, ended <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = base.Shutdown(ctx) // sends the GOAWAY; the error only says that connections remain
-	// The library would keep an idle connection open for another second. An acceptor that waits for its descriptor would wait as long.
+	// The library would keep an idle connection open for another second. A caller that waits for its
+	// file descriptor to accept another connection would wait as long.
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -12,6 +12,7 @@
 	_ "sorrelrudder/internal/fixedseed"
 )
 
+// TestHosts guards against a wrong normalized form of a host, and against accepting a malformed one.
 func TestHosts(t *testing.T) {
 	for in, want := range map[string]string{
 		"orders.example.org":                "orders.example.org",
@@ -48,11 +49,12 @@
 		var buf hostBuffer
 		got, err := parseHost(in, &buf)
 		if string(got) != want || (err == nil) != (want != "") {
-			t.Errorf("%q: got %q, %v, want %q", in, got, err, want)
+			t.Errorf("host %q: got %q, error %v, want %q", in, got, err, want)
 		}
 	}
 }
 
+// find returns the pool of a request and the rest of its path, or the text of the error.
 func find(t *testing.T, table *Table, host, path string) string {
 	t.Helper()
 	m, rest, err := table.Find(host, path, path)
@@ -62,6 +64,7 @@
 	return m.Pool + " " + rest
 }
 
+// TestPrecedence guards against choosing a less specific host, path or class, and against a match for an ambiguous path.
 func TestPrecedence(t *testing.T) {
 	table, problems := New([]Route{
 		{Name: "any", Path: "/", Pool: "any"},
@@ -98,7 +101,7 @@
 		{"", "/x", ErrInvalidHost.Error()},
 	} {
 		if got := find(t, table, c[0], c[1]); got != c[2] {
-			t.Errorf("%s %s: got %q, want %q", c[0], c[1], got, c[2])
+			t.Errorf("host %s, path %s: got %q, want %q", c[0], c[1], got, c[2])
 		}
 	}
 	only, problems := New([]Route{{Name: "o", Hosts: []string{"a.org"}, Path: "/", Pool: "a"}})
@@ -106,13 +109,14 @@
 		t.Fatal(problems)
 	}
 	if got := find(t, only, "b.org", "/"); got != ErrUnknownHost.Error() {
-		t.Errorf("unknown host: got %q", got)
+		t.Errorf("unknown host: got %q, want the text of ErrUnknownHost", got)
 	}
 	if got := find(t, only, "a.org", "/a/../b"); got != "a /a/../b" {
-		t.Errorf("dot segments in a table without paths: got %q", got)
+		t.Errorf("dot segments in a table without paths: got %q, want them unchanged", got)
 	}
 }
 
+// TestStrip guards against a wrong request target after the path of the route was removed, and against a change of one that is kept.
 func TestStrip(t *testing.T) {
 	table, problems := New([]Route{{Name: "a", Path: "/farm/v1", Pool: "a", StripPath: true}, {Name: "b", Path: "/keep", Pool: "b"}})
 	if problems != nil {
@@ -132,7 +136,7 @@
 			t.Fatal(uri, err)
 		}
 		if got := m.RewriteTarget(uri); got != want {
-			t.Errorf("%s: got %s, want %s", uri, got, want)
+			t.Errorf("request target %s: rewritten to %s, want %s", uri, got, want)
 		}
 	}
 }
@@ -160,7 +164,7 @@
 	} {
 		_, problems := New([]Route{base, c.route})
 		if len(problems) != 1 || problems[0].RouteIndex != 1 || problems[0].Key != c.key || !strings.Contains(problems[0].Text, c.text) {
-			t.Errorf("%s: got %+v, want one of key %s with %q", name, problems, c.key, c.text)
+			t.Errorf("%s: got errors %+v, want one at key %s with %q", name, problems, c.key, c.text)
 		}
 	}
 	both := base
@@ -168,10 +172,10 @@
 	third := base
 	third.Name, third.Classes = "third", []string{"b"}
 	if _, problems := New([]Route{base, both}); problems != nil {
-		t.Errorf("a route for a class does not conflict with a route for any class: %v", problems)
+		t.Errorf("a route for a class and a route for any class: got errors %v, want none", problems)
 	}
 	if _, problems := New([]Route{base, both, third}); len(problems) != 1 || !strings.Contains(problems[0].Text, `class "b"`) {
-		t.Errorf("two routes for a class: %v", problems)
+		t.Errorf("two routes for a class: got errors %v, want one that names the class", problems)
 	}
 }
 
@@ -260,7 +264,7 @@
 				got = m.Pool + " " + rest
 			}
 			if want := referenceFind(routes, h, p); got != want {
-				t.Fatalf("%s %s: got %q, want %q", h, p, got, want)
+				t.Fatalf("host %s, path %s: got %q, want %q", h, p, got, want)
 			}
 		}
 	})
@@ -295,10 +299,10 @@
 			t.Fatalf("unexpected error: %v", err)
 		}
 		if !strings.HasSuffix(path, rest) || hasDotSegments(path) {
-			t.Fatalf("%q: rest %q", path, rest)
+			t.Fatalf("path %q matched with rest %q, want a suffix of a path without dot segments", path, rest)
 		}
 		if below := m.RewriteTarget(path); !strings.HasPrefix(below, "/") {
-			t.Fatalf("%q was rewritten to %q", path, below)
+			t.Fatalf("request target %q was rewritten to %q, want a leading slash", path, below)
 		}
 		var a, b hostBuffer
 		once, err := parseHost(host, &a)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -107,10 +107,10 @@
 	}
 }
 
-// failConflict adds an error for two routes that match the same requests.
+// failConflict adds an error for two routes that match the same requests, or for one route that lists a host or a class twice.
 func (b *tableBuilder) failConflict(m, other *Match, host, class string) {
 	if other.RouteIndex == m.RouteIndex {
-		b.fail(m.RouteIndex, "hosts", "host %q is listed twice", host)
+		b.fail(m.RouteIndex, "hosts", "host %q, or a class of its route, is listed twice", host)
 		return
 	}
 	r := &b.routes[m.RouteIndex]
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -35,7 +35,7 @@
 	cfg         Config
 	log         *slog.Logger
 	current     atomic.Pointer[tls.Config]
-	fingerprint string // fingerprint of the files at the last load
+	fingerprint string // fingerprint of the files at the last attempt to load them
 }
 
 // Load loads all files. The results of later loads are written to log, which may be nil if Watch and ReloadIfChanged are never called. The
@@ -87,11 +87,11 @@
 		return false
 	}
 	s.current.Store(c)
-	s.log.Info("certificates read again", "first", s.cfg.Pairs[0].CertFile)
+	s.log.Info("certificates reloaded", "first", s.cfg.Pairs[0].CertFile)
 	return true
 }
 
-// fingerprint returns a text that changes when the size or the modification time of a file changes.
+// fingerprint returns a text that changes when the size or the modification time of a file changes, or when a file appears or disappears.
 func (c *Config) fingerprint() string {
 	text := ""
 	for _, file := range c.files() {
@@ -116,7 +116,7 @@
 	return names
 }
 
-// ExposedKeys returns the key files that users other than their owner can access.
+// ExposedKeys returns the key files whose mode grants a permission to users other than their owner.
 func (c *Config) ExposedKeys() (names []string) {
 	for _, p := range c.Pairs {
 		if info, err := os.Stat(p.KeyFile); err == nil && info.Mode().Perm()&0o077 != 0 {
