--- a/internal/settings/form_test.go
+++ b/internal/settings/form_test.go
@@ -84,7 +84,7 @@
 		c.change(&want)
 		got, err := Parse([]byte(strings.Replace(string(full), c.old, c.new, 1)))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v\n got %+v\nwant %+v", c.name, err, got, want)
+			t.Errorf("parse %s: error %v\n got %+v\nwant %+v", c.name, err, got, want)
 		}
 	}
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -49,7 +49,7 @@
 	LateWeightFraction float64 `json:"LateShare"`
 }
 
-// safety holds the times on which the platform's rules are based.
+// safety holds the times on which the platform's rules are based, and the capacity at which slow start begins.
 type safety struct {
 	PollIntervalUs       int64   `json:"AskEveryUs"`
 	DrainGraceUs         int64   `json:"DrainGraceUs"`
@@ -83,7 +83,7 @@
 	RateQuota float64 `json:"AllowancePerS"`
 }
 
-// Values of MembershipMode and Via other than the defaults.
+// The values of MembershipMode and Via that the configuration depends on. All other values mean the opposite.
 const (
 	discoveryPushed   = "pushed"
 	loadReportsInline = "inline"
@@ -100,7 +100,8 @@
 }
 
 const (
-	// maxDuration is the upper bound of the durations. A longer one is more likely a mistake in the unit than a real deployment.
+	// maxDuration is the upper bound of the durations outside the classes. A longer one is more likely a mistake in the unit than a real
+	// deployment.
 	maxDuration = time.Hour
 	// maxDedupWindow is the upper bound of the deduplication window of a class.
 	maxDedupWindow = 24 * time.Hour
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,7 @@
 	"sorrelrudder/policy"
 )
 
-// defaultPollInterval is used where the settings do not specify how long an endpoint list may be used.
+// defaultPollInterval is used if the settings do not specify the age above which an endpoint list is out of date.
 const defaultPollInterval = 10 * time.Second
 
 // Settings is the part of the settings object that a host needs.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 func TestMissingAndInvalidTimes(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil || s.DrainGrace != 300*time.Millisecond || s.Config.PollInterval != 2*time.Second || len(s.Assumptions) > 0 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("valid settings: got %+v, error %v", s, err)
 	}
 	for text, want := range map[string]string{
 		`"AskEveryUs":2000000`:  "Safety.AskEveryUs",
@@ -23,13 +23,13 @@
 	} {
 		s, err := Parse([]byte(strings.Replace(validSettings, text, `"Unused":0`, 1)))
 		if err != nil || len(s.Assumptions) != 1 || !strings.Contains(s.Assumptions[0], want) || s.Config.PollInterval <= 0 {
-			t.Errorf("without %s: %q, %v", want, s.Assumptions, err)
+			t.Errorf("without %s: got assumptions %q, error %v, want one assumption and no error", want, s.Assumptions, err)
 		}
 		key, _, _ := strings.Cut(text, ":")
 		for _, value := range []string{"-1", "999999999999"} {
 			_, err := Parse([]byte(strings.Replace(validSettings, text, key+":"+value, 1)))
 			if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), value) {
-				t.Errorf("%s of %s: %v, want an error that names key and value", want, value, err)
+				t.Errorf("%s of %s: got error %v, want one that names key and value", want, value, err)
 			}
 		}
 	}
