--- a/internal/discovery/form_test.go
+++ b/internal/discovery/form_test.go
@@ -36,7 +36,7 @@
 		{ID: "s2", Address: "127.0.0.1:9002", Zone: "east", Cell: 5, MachineType: "small", Health: "leaving", Weight: 0.25, StartedMs: 1700000000002},
 	}}
 	if got, err := ParseEndpointList(text); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v\n got %+v\nwant %+v", err, got, want)
+		t.Errorf("parse endpoint list: error %v\n got %+v\nwant %+v", err, got, want)
 	}
 	var list struct{ Hosts []map[string]any }
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -92,6 +92,6 @@
 		{Version: seq(45), Complete: true, Endpoints: []Endpoint{}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf(" got %+v\nwant %+v", got, want)
+		t.Errorf("messages of the watch:\n got %+v\nwant %+v", got, want)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -50,7 +50,7 @@
 	errNoVersion    = errors.New("key seq is missing, want the version of the list")
 )
 
-// InvalidListError reports that a message is not a valid endpoint list.
+// InvalidListError reports that a message is not a valid endpoint list, or that reading it failed.
 type InvalidListError struct{ Err error }
 
 // Error implements error.
@@ -100,7 +100,7 @@
 	case !known:
 		return fmt.Errorf("host %q has health %q, want active, leaving or left", e.ID, e.Health)
 	case e.ID == "" || e.Address == "" && state != policy.Removed:
-		return fmt.Errorf("entry %d has no host or no dial, want both", index)
+		return fmt.Errorf("entry %d lacks host or dial, want both; only a host that has left needs no dial", index)
 	}
 	return nil
 }
--- a/internal/discovery/watchconn.go
+++ b/internal/discovery/watchconn.go
@@ -18,7 +18,7 @@
 	net.Conn
 	staleness       staleness.Bound
 	readBudget      int       // bytes that the rest of the head or of the current message may have
-	messageDeadline time.Time // deadline for completing the current message; zero: none has begun
+	messageDeadline time.Time // deadline for completing the current message, or the first one; zero: no message has begun
 	timedOut        bool
 }
 
