--- a/internal/process/descriptors.go
+++ b/internal/process/descriptors.go
@@ -24,7 +24,7 @@
 	// higher because idle clients connect too. The rest is left for upstream connections, so that accepted requests, their retries and
 	// health checks can proceed.
 	clientFraction = 0.45
-	// scarceFraction is the fraction of descriptors in use above which idle connections are not kept.
+	// scarceFraction is the fraction of descriptors in use above which idle connections are not kept while a caller waits for a descriptor.
 	scarceFraction = 0.9
 	// evictionRetryInterval is how often a caller that waits for a descriptor looks for an idle connection to close.
 	evictionRetryInterval = 10 * time.Millisecond
@@ -36,8 +36,8 @@
 var ErrNoDescriptor = errors.New("acquire file descriptor: none became free")
 
 // Descriptors is the budget of file descriptors for connections. When no descriptor is free, idle connections are evicted: first upstream
-// connections, starting with the pool that exceeds its quota by the most, and then client connections. Acquire waits until a descriptor is
-// free. The methods are safe for concurrent use.
+// connections, starting with the pool that exceeds its quota by the most, and then client connections. A caller that has reached its own
+// limit evicts only its own connections. Acquire waits until a descriptor is free. The methods are safe for concurrent use.
 type Descriptors struct {
 	waiting atomic.Int32 // number of callers that wait for a descriptor
 	// inUse and total are written with mu held, and read without it.
@@ -131,7 +131,8 @@
 	return p.descriptors.acquire(ctx, p.key)
 }
 
-// Scarce reports whether so few descriptors are free that idle connections should not be kept.
+// Scarce reports whether so few descriptors are free that idle connections should not be kept: none, or a small fraction while a caller
+// waits.
 func (p *PoolDescriptors) Scarce() bool {
 	d := p.descriptors
 	used, total := d.inUse.Load(), d.total.Load()
--- a/internal/process/siblings_test.go
+++ b/internal/process/siblings_test.go
@@ -21,7 +21,7 @@
 	count := func(c *SiblingGroup, want int) {
 		t.Helper()
 		if n, err := c.Others(); err != nil || n != want {
-			t.Errorf("got %d other processes, %v, want %d", n, err, want)
+			t.Errorf("got %d other processes, error %v, want %d", n, err, want)
 		}
 	}
 	a := join()
