--- a/internal/admin/form_test.go
+++ b/internal/admin/form_test.go
@@ -52,10 +52,10 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal([]byte(body), golden) {
-		t.Errorf("written as\n%swant\n%s", body, golden)
+		t.Errorf("/_vars written as\n%swant\n%s", body, golden)
 	}
 	var got Vars
 	if err := json.Unmarshal(golden, &got); err != nil || !reflect.DeepEqual(got, value) {
-		t.Errorf("%v\n got %+v\nwant %+v", err, got, value)
+		t.Errorf("decode /_vars: error %v\n got %+v\nwant %+v", err, got, value)
 	}
 }
--- a/internal/statslog/form_test.go
+++ b/internal/statslog/form_test.go
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), golden) {
-		t.Errorf("written as\n%swant\n%s", written.Bytes(), golden)
+		t.Errorf("log line written as\n%swant\n%s", written.Bytes(), golden)
 	}
 	gotAt, pool, got, ok := Parse(string(golden))
 	if !ok || !gotAt.Equal(at) || pool != "orders" || got != row {
-		t.Errorf("%v, %v, pool %q\n got %+v\nwant %+v", ok, gotAt, pool, got, row)
+		t.Errorf("parse log line: valid %v, time %v, pool %q\n got %+v\nwant %+v", ok, gotAt, pool, got, row)
 	}
 	for count, n := range row.Counters {
 		if n == 0 {
--- a/internal/statslog/stats_test.go
+++ b/internal/statslog/stats_test.go
@@ -26,7 +26,7 @@
 		slog.New(slog.NewTextHandler(&out, nil)).With("pool", "orders").Info(Message, append(r.Attrs(), "later", 7)...)
 		at, pool, got, ok := Parse("1.203 " + out.String())
 		if !ok || got != r || pool != "orders" || time.Since(at) > time.Hour {
-			t.Fatalf("%v %v %v\n%+v, want\n%+v", ok, pool, at, got, r)
+			t.Fatalf("parse log line: valid %v, pool %v, time %v\n got %+v\nwant %+v", ok, pool, at, got, r)
 		}
 	})
 }
