--- a/internal/scenario/fault.go
+++ b/internal/scenario/fault.go
@@ -35,7 +35,7 @@
 	faultReplaceBackends: Fault.replaceBackends,
 }
 
-// readsZone reports whether the fault affects the zone that it names.
+// readsZone reports whether the fault affects only the zone that it names.
 func (f Fault) readsZone() bool {
 	return f.Kind == faultZoneLost || f.Kind == faultCutOff && f.Zone != ""
 }
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -1,5 +1,5 @@
 // Package scenario reads a scenario of the emulator from a TOML file. Errors name the file and the key. If the file cannot be decoded, they
-// also name the line. Keys that a file does not set have the values of Default.
+// also name the line. Keys that a file does not set have the values of Default; within a kind, a class or a fault they are empty or 0.
 package scenario
 
 import (
@@ -124,8 +124,8 @@
 	}
 }
 
-// LoadScaled reads a scenario file and multiplies the numbers of instances and backends and the rates of requests and watch requests by
-// factor.
+// LoadScaled reads a scenario file and multiplies the numbers of instances and backends, the rates of requests and watch requests, and the
+// number of backends in each fault by factor.
 func LoadScaled(path string, factor float64) (emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/siteheader/siteheader.go
+++ b/internal/siteheader/siteheader.go
@@ -34,7 +34,8 @@
 var (
 	// ErrVersion reports a field of an unsupported version. The response has status 505.
 	ErrVersion = errors.New("hop: a version that is not known")
-	// ErrLoop reports a request that has been forwarded before. The response has status 508.
+	// ErrLoop reports a request that has been forwarded before or has returned to its origin: its path is not the origin alone, or the
+	// receiver is the origin. The response has status 508.
 	ErrLoop = errors.New("hop: a second hop")
 	// ErrMalformed reports a field that cannot be decoded or has a value out of bounds. The response has status 400.
 	ErrMalformed = errors.New("hop: the field cannot be read")
