--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -336,8 +336,8 @@
 	return b.response(http.StatusServiceUnavailable, notProcessedHeader, "")
 }
 
-// handle executes a request, or applies the fault of the backend to the request. If keepOpen is false, the connection is closed
-// without a response.
+// handle executes a request, or applies the fault of the backend to the request. A request without an ID is not executed. If
+// keepOpen is false, the connection is closed without a response.
 func (b *Backend) handle(c net.Conn, request *http.Request) (text string, keepOpen bool) {
 	b.recordArrival(request)
 	if request.Header.Get("X-Request-Id") == "" {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -62,7 +62,7 @@
 }
 
 // StartDiscovery starts a discovery service that lists the endpoints. It reports to recorder which endpoints it has announced
-// as draining or active. recorder may be nil.
+// as active, and which as draining or left. recorder may be nil.
 func StartDiscovery(recorder *EffectRecorder, endpoints ...Endpoint) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,8 +148,8 @@
 	return message
 }
 
-// ServeHTTP answers a request for the endpoint list. With the query parameters follow and since, it continues with a watch of
-// the list.
+// ServeHTTP answers a request with the complete endpoint list. With the query parameters follow and since, it continues with a
+// watch of the list. The value of since must be a version, but is not used.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != endpointListPath {
 		http.NotFound(w, request)
--- a/internal/fake/fault.go
+++ b/internal/fake/fault.go
@@ -10,11 +10,11 @@
 // FaultKind is a kind of failure that a backend injects into a request.
 type FaultKind int
 
-// The kinds of faults. FaultReject, FaultClose and FaultUnreachable leave the request without effect. After any other fault, the
-// sender must assume that the request may have had its effect.
+// The kinds of faults. FaultError, FaultReject, FaultClose and FaultUnreachable leave the request without effect. Only FaultReject
+// tells the sender so. After any other fault, the sender must assume that the request may have had its effect.
 const (
 	FaultNone        FaultKind = iota // no fault
-	FaultError                        // status 500, after Fault.Delay
+	FaultError                        // status 500 after Fault.Delay, without execution
 	FaultReject                       // status 503 with X-Not-Processed, without execution
 	FaultDelay                        // executed, then answered after Fault.Delay
 	FaultUnanswered                   // executed, but never answered
@@ -39,7 +39,7 @@
 // Fault is a fault that affects a fraction of the requests of a backend.
 type Fault struct {
 	Kind     FaultKind
-	Fraction float64       // 0 to 1
+	Fraction float64       // 0 to 1; FaultUnreachable ignores it
 	Delay    time.Duration // after execution for FaultDelay, before the response for FaultError
 }
 
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -35,7 +35,7 @@
 	Rate               float64       // operations per second, independent of the responses
 	MaxAttempts        int           // per operation; values below 1 mean 1
 	Backoff            time.Duration // mean pause before a retry
-	HonorRetryAfter    bool          // wait at least for the Retry-After of a response before a retry
+	HonorRetryAfter    bool          // before a retry, wait at least for the Retry-After of the response if it ends before the deadline
 	NewConnections     bool          // use a new connection for each attempt
 	AbandonConnections bool          // use a new connection for each attempt, and leave it open and unused until the program closes it
 	MaxConnections     int           // limit of open connections; an attempt that would exceed it is not sent; 0: no limit
@@ -123,7 +123,8 @@
 	return &g.cfg.Classes[len(g.cfg.Classes)-1]
 }
 
-// runOperation makes the attempts of an operation. A NonIdempotent operation is not retried after a failure.
+// runOperation makes the attempts of an operation. A NonIdempotent operation is not retried after a failure. A pause that would
+// exceed the deadline is skipped: the retry is made at once.
 func (g *loadGenerator) runOperation(class *ClassLoad, rng *rand.Rand) {
 	start := time.Now()
 	request := &clientRequest{class: class, operation: g.cfg.Recorder.BeginOperation(class.Idempotency)}
--- a/internal/fake/results.go
+++ b/internal/fake/results.go
@@ -34,7 +34,7 @@
 	ClosedBeforeReuse  int             // reused connections that the program had closed, so that the attempt was sent again
 	ConnectionLimited  int             // attempts that were not sent because of the connection limit
 	Statuses           map[int]int     // number of responses by status
-	Latencies          []time.Duration // of served operations, from the start of the operation
+	Latencies          []time.Duration // of served operations, late ones included, from the start of the operation
 	RejectionLatencies []time.Duration // from the start of an attempt to its rejection
 	OfferedWeight      float64         // priority weight of all operations
 	ServedWeight       float64         // priority weight of operations served within the latency objective
@@ -68,7 +68,7 @@
 	return percentile(r.RejectionLatencies, p)
 }
 
-// percentile returns the value of all below which the fraction p lies, or 0 if all is empty.
+// percentile returns the duration below which the fraction p of all lies, or 0 if all is empty.
 func percentile(all []time.Duration, p float64) time.Duration {
 	if len(all) == 0 {
 		return 0
