--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -66,7 +66,8 @@
 func (e notSetError) Error() string { return string(e) + " is not set" }
 
 // LoadConfig reads the configuration file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN take precedence over the
-// file. GW_FD is the descriptor of the listening socket if the platform holds it. An error names the invalid variable or key.
+// file. GW_FIGURES_EVERY is the interval of statistics. If the platform holds the listening socket, GW_FD is its descriptor and TMPDIR the
+// shared directory. An error names the invalid variable or key.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	file, err := readConfigFile(getenv("GW_CONFIG"))
 	if err != nil {
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// parseListenerFD reads the variables that the platform sets if it holds the listening socket: GW_FD and TMPDIR. Without GW_FD it changes
-// nothing.
+// parseListenerFD reads the variables that the platform sets if it holds the listening socket: GW_FD and TMPDIR. It also makes the seed
+// unique to this process. Without GW_FD it changes nothing.
 func (c *Config) parseListenerFD(getenv func(string) string) (err error) {
 	text := getenv("GW_FD")
 	if text == "" {
@@ -199,7 +200,7 @@
 		return nil
 	}
 	if c.CachedList, err = discovery.ParseEndpointList(text); err != nil {
-		return fmt.Errorf("key known: %w", err)
+		return fmt.Errorf("parse cached endpoint list in key known: %w", err)
 	}
 	return nil
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// TestServerBreaksOff guards against passing on a partial response as a complete one, and against retrying a non-idempotent request that
-// may have been processed. A server resets or closes the connection during a request, on a new connection and on one that was idle. A reset
-// must not count as the end of a response that has no length.
-func TestServerBreaksOff(t *testing.T) {
+// TestServerAbortsConnection guards against passing on a partial response as a complete one, and against retrying a non-idempotent request
+// that may have been processed. A server resets or closes the connection during a request, on a new connection and on one that was idle. A
+// reset must not count as the end of a response that has no length.
+func TestServerAbortsConnection(t *testing.T) {
 	reset := func(c net.Conn) {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// TestBytesOnARestingConnection guards against taking bytes that a server sends late or without a request for the response to the next
+// TestBytesOnIdleConnection guards against taking bytes that a server sends late or without a request for the response to the next
 // request. The next request must not fail because of them either, since it has not been sent yet.
-func TestBytesOnARestingConnection(t *testing.T) {
+func TestBytesOnIdleConnection(t *testing.T) {
 	for name, text := range map[string]string{
 		"partial status line": "HTTP/1.1 200 O",
 		"second response":     ok("late"),
--- a/internal/sidecar/form_test.go
+++ b/internal/sidecar/form_test.go
@@ -93,7 +93,7 @@
 			return c.env[name]
 		})
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v\n got %+v\nwant %+v", c.name, err, got, want)
+			t.Errorf("load configuration %s: error %v\n got %+v\nwant %+v", c.name, err, got, want)
 		}
 	}
 }
@@ -137,11 +137,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, golden) {
-		t.Errorf("encoded as\n%swant\n%s", encoded, golden)
+		t.Errorf("learned state encoded as\n%swant\n%s", encoded, golden)
 	}
 	var decoded gateway.LearnedState
 	if err := json.Unmarshal(golden, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%v\n got %+v\nwant %+v", err, decoded, value)
+		t.Errorf("decode learned state: error %v\n got %+v\nwant %+v", err, decoded, value)
 	}
 	assertPopulated(t, reflect.ValueOf(value), "Learnt")
 }
@@ -157,7 +157,7 @@
 	defer group.Leave()
 	files, err := filepath.Glob(filepath.Join(dir, "sorrelrudder-process-*"))
 	if err != nil || len(files) != 1 {
-		t.Errorf("files of this process: %q, %v, want one", files, err)
+		t.Errorf("files of this process: got %q, error %v, want one file", files, err)
 	}
 	other, err := os.Create(filepath.Join(dir, "sorrelrudder-process-other"))
 	if err != nil {
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if others, err := group.Others(); others != 1 || err != nil {
-		t.Errorf("got %d other processes, %v, want 1", others, err)
+		t.Errorf("got %d other processes, error %v, want 1", others, err)
 	}
 }
 
--- a/internal/sidecar/long_test.go
+++ b/internal/sidecar/long_test.go
@@ -143,14 +143,14 @@
 			close(more)
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || !bytes.Equal(append(first, rest...), long) {
-				t.Errorf("read of the rest: %v; got %d bytes in all, want the whole body", err, len(first)+len(rest))
+				t.Errorf("read of the rest: error %v; got %d bytes in all, want the whole body", err, len(first)+len(rest))
 			}
 		})
 	}
 }
 
-// TestLongAnswerBreaksOff guards against passing on a part of a long response as if it were complete.
-func TestLongAnswerBreaksOff(t *testing.T) {
+// TestLongResponseAborted guards against passing on a part of a long response as if it were complete.
+func TestLongResponseAborted(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 300000", "chunks": "Transfer-Encoding: chunked"} {
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" to "+version, func(t *testing.T) {
@@ -241,7 +241,7 @@
 				go send(c, post("book", "a", text))
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil || resp.StatusCode != http.StatusContinue {
-					t.Fatalf("%v, %+v", err, resp)
+					t.Fatalf("interim response: error %v, got %+v, want status 100", err, resp)
 				}
 				resp.Body.Close() // a 100 response has no body
 				text = ""
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -62,8 +62,8 @@
 func (c *Config) processCount() int { return 1 + c.siblings }
 
 // Reload applies a configuration that replaces the one in force. Only the address of the discovery service changes at run time. The
-// environment is the same as at the start, so a new address in the file takes precedence over GW_DISCOVERY. Other changes are logged and
-// take effect at the next start: the platform passes them to a new process.
+// environment is the same as at the start, so a new address in the file takes precedence over GW_DISCOVERY. Other changes take effect at
+// the next start: the platform passes them to a new process. Those that unappliedChanges returns are logged.
 func (s *Sidecar) Reload(next Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// unappliedChanges returns the keys whose values in next differ from c and that a reload does not apply.
+// unappliedChanges returns the keys whose values in next differ from c and that a reload does not apply. It does not compare the seed, the
+// cached list and what only the environment sets.
 func (c *Config) unappliedChanges(next *Config) []string {
 	var keys []string
 	for _, value := range []struct {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -546,7 +546,7 @@
 func TestBadConfig(t *testing.T) {
 	getenv := configEnv(t, "127.0.0.1:1", 256, nil)
 	if _, err := LoadConfig(getenv); err != nil {
-		t.Errorf("32 MB: %v", err)
+		t.Errorf("configuration with 32 MB: unexpected error: %v", err)
 	}
 	for value, want := range map[string]bool{"1s": true, "100ms": true, "1ms": false, "often": false, "-1s": false} {
 		_, err := LoadConfig(func(name string) string {
@@ -556,7 +556,7 @@
 			return getenv(name)
 		})
 		if (err == nil) != want || err != nil && !strings.Contains(err.Error(), "GW_FIGURES_EVERY") {
-			t.Errorf("GW_FIGURES_EVERY=%s: %v", value, err)
+			t.Errorf("GW_FIGURES_EVERY=%s: got error %v, want none if it is valid, or else one that names the variable", value, err)
 		}
 	}
 	for _, text := range []string{"", "{", `{"listen":"a","discovery":"b"}`, `{"listen":"a","discovery":"b","limits":{"memory_mb":1},"settings":{}}`} {
@@ -736,8 +736,8 @@
 	}
 }
 
-// TestUnansweredRequests guards against upstreams that never respond to some requests but respond to others. Hedged requests continue as
-// long as they are answered first, and the upstreams stay in use.
+// TestUnansweredRequests guards against upstreams that never respond to some requests but respond to others. Requests are still
+// hedged as long as the hedged attempts are answered first, and the upstreams stay in use.
 func TestUnansweredRequests(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
--- a/internal/sidecar/upgrade.go
+++ b/internal/sidecar/upgrade.go
@@ -14,7 +14,7 @@
 	// firstListTimeout is how long a successor process waits for an endpoint list before it accepts clients with the cached list. Until
 	// then its predecessor serves them.
 	firstListTimeout = 2 * time.Second
-	// firstListPollInterval is how often it checks for that list.
+	// firstListPollInterval is how often the successor checks for that list.
 	firstListPollInterval = 5 * time.Millisecond
 	// heapFraction is the fraction of the memory limit that the Go runtime may use. The rest is for stacks, code and the kernel.
 	heapFraction = 0.75
@@ -28,7 +28,7 @@
 		return s.Listen()
 	}
 	siblings, err := process.JoinSiblingGroup(s.cfg.SharedDir)
-	if err != nil { // serving is still possible, and the sibling cannot detect this process either
+	if err != nil { // this process serves with the whole limits; a sibling process cannot detect it either
 		s.log.Warn("joining sibling processes failed", "err", err)
 		return s.Listen()
 	}
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -274,10 +274,10 @@
 			return getenv(name)
 		})
 		if (err == nil) != ok {
-			t.Errorf("GW_FD %q: unexpected result, error %v", fd, err)
+			t.Errorf("GW_FD %q: got error %v, want one only if the value is invalid", fd, err)
 		}
 		if err == nil && fd == "5" && c.ListenerFD != 5 {
-			t.Errorf("GW_FD 5: got descriptor %d", c.ListenerFD)
+			t.Errorf("GW_FD 5: got descriptor %d, want 5", c.ListenerFD)
 		}
 	}
 }
