--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -76,8 +76,8 @@
 	requests.wait()
 }
 
-// shutDown sends a GOAWAY, and closes the connection once no request has been open for responseFlushTime. It returns early if the connection
-// ends.
+// shutDown sends a GOAWAY, and closes the connection once no request has been open for responseFlushTime. It returns early if the
+// connection ends.
 func shutDown(base *http.Server, c net.Conn, requests *requestCounter, ended <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
