--- a/internal/e2e/acceptlatency.go
+++ b/internal/e2e/acceptlatency.go
@@ -13,12 +13,13 @@
 const (
 	acceptProbeInterval = 10 * time.Millisecond
 	acceptProbeTimeout  = time.Second
-	maxAcceptProbes     = 50 // in flight, which bounds the load of the probes
+	maxAcceptProbes     = 50 // bounds the load of the probes
 	acceptProbeRequest  = "GET /healthz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
 )
 
 // acceptTimes opens connections at acceptProbeInterval until ctx ends, and returns the time that each took from its SYN to the first byte
-// of the response to a request that needs no backend. A connection without a response counts as acceptProbeTimeout.
+// of the response to a request that needs no backend. A connection without a response counts as acceptProbeTimeout. No connection is
+// opened while more than maxAcceptProbes are in flight.
 func acceptTimes(ctx context.Context, addr string) (all []time.Duration) {
 	var mu sync.Mutex
 	var probes sync.WaitGroup
--- a/internal/e2e/fleetfault.go
+++ b/internal/e2e/fleetfault.go
@@ -27,7 +27,7 @@
 	faultPartition fleetFaultKind = "split"    // the members are partitioned into two sides
 	faultLoss      fleetFaultKind = "loss"     // a fraction of all messages is dropped
 	faultReorder   fleetFaultKind = "storm"    // messages are delayed, reordered and duplicated
-	faultTruncate  fleetFaultKind = "truncate" // one message is truncated on each proxy from and to a member
+	faultTruncate  fleetFaultKind = "truncate" // one message is truncated in each direction of each proxy from and to a member
 	faultLeave     fleetFaultKind = "leave"    // a member shuts down gracefully and is restarted
 	faultSlowDisk  fleetFaultKind = "slowdisk" // the disk of a member is slow
 	faultKillAll   fleetFaultKind = "killall"  // all members are killed at the same time and restarted
@@ -55,7 +55,7 @@
 	Fraction float64        `json:"share,omitempty"` // of the messages, for faultLoss
 }
 
-// String formats the fault for the event log, with the member and the peer by name.
+// String formats the fault for the event log, with the numbers of the member and the peer, counted from 1.
 func (f FleetFault) String() string {
 	return fmt.Sprintf("%s p%d q%d for %v share %.2f", f.Kind, f.Member+1, f.Peer+1, f.Duration.Round(time.Millisecond), f.Fraction)
 }
--- a/internal/e2e/replica_rush.go
+++ b/internal/e2e/replica_rush.go
@@ -97,7 +97,7 @@
 	return time.Since(began), nil
 }
 
-// compareRestarted sends requests without retries to all members for restartCompareTime.
+// compareRestarted sends requests without retries to all members for restartCompareTime, and returns the results.
 func (f *fleet) compareRestarted(ctx context.Context, restarted map[int]bool, name string, round int, recorder *fake.EffectRecorder) restartOutcome {
 	const rate = 30
 	load, cancel := context.WithTimeout(ctx, restartCompareTime)
--- a/internal/e2e/report_test.go
+++ b/internal/e2e/report_test.go
@@ -29,7 +29,7 @@
 		e.report.Pass = len(e.report.Violations) == 0
 		var got strings.Builder
 		if err := e.report.WriteTable(&got); err != nil || got.String() != c.want {
-			t.Errorf("%s: %v, got\n%q, want\n%q", name, err, got.String(), c.want)
+			t.Errorf("table of %s: error %v, got\n%q, want\n%q", name, err, got.String(), c.want)
 		}
 	}
 }
--- a/internal/e2e/scenario_test.go
+++ b/internal/e2e/scenario_test.go
@@ -38,7 +38,7 @@
 		}
 		var b bytes.Buffer
 		if err := r.WriteJSON(&b); err != nil || strings.TrimSpace(b.String()) != want {
-			t.Errorf("got %s, %v, want %s", b.String(), err, want)
+			t.Errorf("report: got %s, error %v, want %s", b.String(), err, want)
 		}
 		if !json.Valid(b.Bytes()) {
 			t.Error("WriteJSON wrote invalid JSON")
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if ok := strings.Contains(table.String(), "passed"); ok != r.Pass || !strings.Contains(table.String(), "at least 1") {
-			t.Errorf("WriteTable wrote\n%s", table.String())
+			t.Errorf("WriteTable wrote\n%s\nwant the verdict of the report and the bound", table.String())
 		}
 	}
 	if _, err := Play(context.Background(), "test", Options{Seed: 4}); err == nil {
@@ -64,7 +64,7 @@
 	line := `time=x level=INFO msg="pool drains" pool=a load="1 requests, \"2\"" last=z`
 	for key, want := range map[string]string{"msg": "pool drains", "pool": "a", "load": `1 requests, "2"`, "last": "z", "none": "", "oad": ""} {
 		if got := LogField(line, key); got != want {
-			t.Errorf("%s: %q, want %q", key, got, want)
+			t.Errorf("field %s: got %q, want %q", key, got, want)
 		}
 	}
 }
--- a/internal/e2e/sites.go
+++ b/internal/e2e/sites.go
@@ -155,7 +155,8 @@
 	return [2]*fake.ClientResults(runAll(ctx, configs))
 }
 
-// drainFraction drains a fraction of the backends of the first site, at least one. With restore it ends the draining of that fraction.
+// drainFraction drains a fraction of the backends of the first site, at least one unless the fraction is 0. With restore it ends the
+// draining of that fraction.
 func (t *twoSites) drainFraction(fraction float64, restore bool) {
 	const site = 0
 	n := int(fraction*siteBackends + 0.5)
--- a/internal/e2e/zone_decider.go
+++ b/internal/e2e/zone_decider.go
@@ -147,7 +147,7 @@
 // until another member continues the ramp. Then the paused decider continues with its outdated state.
 func (s *deciderScenario) stopNextDecider(ctx context.Context) error {
 	f := s.fleet
-	s.env.Phase("the next decider is paused during the return; half of the members are partitioned for one epoch", s.env.Duration/3)
+	s.env.Phase("the next decider is paused during the return; up to half of the members are partitioned for one epoch", s.env.Duration/3)
 	if err := s.decider.start(); err != nil {
 		return err
 	}
