--- a/internal/classify/classify_test.go
+++ b/internal/classify/classify_test.go
@@ -25,7 +25,7 @@
 	return r
 }
 
-// TestFind guards against a wrong class or wildcard value, and against a match of a rule with a path for an ambiguous path.
+// TestFind guards against a wrong class or wildcard value, and against matching an ambiguous path with a pattern that names a path.
 func TestFind(t *testing.T) {
 	rules := []Rule{
 		rule(t, "item", "GET /items/{id}", "GET items.example.org/{id}"),
--- a/internal/discovery/watchconn.go
+++ b/internal/discovery/watchconn.go
@@ -18,7 +18,7 @@
 	net.Conn
 	staleness       staleness.Bound
 	readBudget      int       // bytes that the rest of the head or of the current message may have
-	messageDeadline time.Time // deadline for completing the current message, or the first one; zero: no message has begun
+	messageDeadline time.Time // deadline of the first message, or of a later one that has begun; zero: none
 	timedOut        bool
 }
 
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -35,7 +35,7 @@
 	Rate               float64       // operations per second, independent of the responses
 	MaxAttempts        int           // per operation; values below 1 mean 1
 	Backoff            time.Duration // mean pause before a retry
-	HonorRetryAfter    bool          // before a retry, wait at least for the Retry-After of the response if it ends before the deadline
+	HonorRetryAfter    bool          // before a retry, wait at least for the Retry-After of the response, if the deadline allows
 	NewConnections     bool          // use a new connection for each attempt
 	AbandonConnections bool          // use a new connection for each attempt, and leave it open and unused until the program closes it
 	MaxConnections     int           // limit of open connections; an attempt that would exceed it is not sent; 0: no limit
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -82,8 +82,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = base.Shutdown(ctx) // sends the GOAWAY; the error only says that connections remain
-	// The library would keep an idle connection open for another second. A caller that waits for its
-	// file descriptor to accept another connection would wait as long.
+	// The library would keep an idle connection open for another second. A caller that waits for the
+	// file descriptor of this connection would wait as long.
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/httpservice/dialect_test.go
+++ b/internal/httpservice/dialect_test.go
@@ -51,9 +51,9 @@
 	return q
 }
 
-// TestParseRequest guards against wrong attributes of a request: its class, idempotency, timeout, tenant and
-// affinity key. It also guards against forwarding a request without an ID, using the client's ID as identity, and forwarding CONNECT, TRACE
-// and upgrades.
+// TestParseRequest guards against wrong attributes of a request: its class, idempotency, timeout, tenant and affinity
+// key. It also guards against forwarding a request without an ID, using the client's ID as identity, and forwarding CONNECT, TRACE and
+// upgrades.
 func TestParseRequest(t *testing.T) {
 	d := newDialect(t, nil)
 	for name, c := range map[string]struct {
--- a/internal/httpservice/forwarding.go
+++ b/internal/httpservice/forwarding.go
@@ -16,7 +16,7 @@
 // The forwarding modes.
 const (
 	ForwardingReplace Forwarding = iota // remove the client's fields and set new ones
-	ForwardingAppend                    // append to the list fields of a trusted proxy, and keep its other fields
+	ForwardingAppend                    // append to X-Forwarded-For and Forwarded of a trusted proxy, and keep its other fields
 	ForwardingDrop                      // remove the client's fields and set none
 )
 
@@ -31,7 +31,7 @@
 func (d *Dialect) viaValue() string { return "1.1 " + d.cfg.Via }
 
 // addForwardingFields adds a Via field to the header of a request, and a request ID if there is none. It replaces, extends or removes the
-// fields about the origin of the request, as the forwarding mode determines. It sets none of them if the client's address is not known. The
+// fields about the origin of the request, as the forwarding mode determines. It adds none of them if the client's address is not known. The
 // request ID is informational: it is never used to decide whether two requests are the same.
 func (d *Dialect) addForwardingFields(q *httpmsg.Request, id string) {
 	h := q.Header
--- a/internal/httpservice/orca.go
+++ b/internal/httpservice/orca.go
@@ -19,7 +19,7 @@
 	// orcaBinaryField is the older field, which is always binary.
 	orcaField       = "Endpoint-Load-Metrics"
 	orcaBinaryField = "Endpoint-Load-Metrics-Bin"
-	maxReportBytes  = 4 << 10 // both fields together; longer ones are ignored
+	maxReportBytes  = 4 << 10 // of both fields together; longer reports are ignored
 	// maxQueue is the largest number of requests that a report may state. Larger values are ignored.
 	maxQueue = 1e6
 	// An endpoint with a utilization of fullUtilization or more counts as an endpoint with fullQueue requests.
--- a/internal/process/descriptors.go
+++ b/internal/process/descriptors.go
@@ -131,8 +131,8 @@
 	return p.descriptors.acquire(ctx, p.key)
 }
 
-// Scarce reports whether so few descriptors are free that idle connections should not be kept: none, or a small fraction while a caller
-// waits.
+// Scarce reports whether so few descriptors are free that idle connections should not be kept. It is true if none is free, or if few are
+// free and a caller waits for one.
 func (p *PoolDescriptors) Scarce() bool {
 	d := p.descriptors
 	used, total := d.inUse.Load(), d.total.Load()
--- a/internal/process/siblings.go
+++ b/internal/process/siblings.go
@@ -21,7 +21,7 @@
 // however the process ends, and it also works between processes that cannot see each other. Neither holds for a process id.
 type SiblingGroup struct {
 	dir  string
-	name string // final name of this process's file; empty: the file could not be locked
+	name string // final name of this process's file; empty: it could not be locked, so other processes cannot detect this process
 	file *os.File
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// TestStrip guards against a wrong request target after the path of the route was removed, and against a change of one that is kept.
+// TestStrip guards against a wrong request target after the path of the route was removed, and against changing the target if the
+// route keeps its path.
 func TestStrip(t *testing.T) {
 	table, problems := New([]Route{{Name: "a", Path: "/farm/v1", Pool: "a", StripPath: true}, {Name: "b", Path: "/keep", Pool: "b"}})
 	if problems != nil {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -83,7 +83,7 @@
 	RateQuota float64 `json:"AllowancePerS"`
 }
 
-// The values of MembershipMode and Via that the configuration depends on. All other values mean the opposite.
+// Values of MembershipMode and Via. Any other value means that the endpoint list is polled, or that load reports come with health checks.
 const (
 	discoveryPushed   = "pushed"
 	loadReportsInline = "inline"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// unappliedChanges returns the keys whose values in next differ from c and that a reload does not apply. It does not compare the seed, the
-// cached list and what only the environment sets.
+// unappliedChanges returns the keys whose values in next differ from c and that a reload does not apply. It compares neither the seed nor
+// the cached list, nor what only the environment sets.
 func (c *Config) unappliedChanges(next *Config) []string {
 	var keys []string
 	for _, value := range []struct {
