--- a/internal/fake/pace.go
+++ b/internal/fake/pace.go
@@ -21,7 +21,7 @@
 const minPacePause = 2 * time.Millisecond
 
 // errBodyMismatch reports a body that differs from the pattern of its request.
-var errBodyMismatch = errors.New("body differs from the pattern of its request")
+var errBodyMismatch = errors.New("other bytes than were sent")
 
 // copyPaced copies n bytes from r to w at a pace. It returns the error of the reader or writer, or that of ctx if ctx ends
 // during a pause.
