--- a/internal/e2e/http_services.go
+++ b/internal/e2e/http_services.go
@@ -18,7 +18,7 @@
 
 const (
 	httpBackends = 5
-	httpRate     = 250 // operations per second: about 0.2 of the capacity while one backend is faulty
+	httpRate     = 250 // operations per second: about 0.4 of the capacity while one backend is faulty
 )
 
 // httpFaults are the faults of the scenario. They are injected one after the other, each into a different backend.
--- a/internal/e2e/programlog.go
+++ b/internal/e2e/programlog.go
@@ -9,7 +9,7 @@
 )
 
 // errProgramEnded is returned by AwaitLog if the program ended before its log had the awaited lines.
-var errProgramEnded = errors.New("the program ended before its log had the awaited lines")
+var errProgramEnded = errors.New("it has ended")
 
 // appendLine records a line of the log and wakes up the callers of AwaitLog.
 func (p *Program) appendLine(line string) {
@@ -41,7 +41,7 @@
 			}
 			return "", errProgramEnded
 		case <-ctx.Done():
-			return "", fmt.Errorf("await log: fewer than %d lines with %q: %w", n, text, ctx.Err())
+			return "", fmt.Errorf("no %d lines with %q: %w", n, text, ctx.Err())
 		}
 	}
 }
--- a/internal/e2e/zone_gray.go
+++ b/internal/e2e/zone_gray.go
@@ -33,7 +33,7 @@
 	{"half", fake.Fault{Kind: fake.FaultError, Fraction: 0.5}},
 }
 
-// grayZoneRates are in operations per second at each member: 0.27 and 0.53 of the capacity of all zones.
+// grayZoneRates are in operations per second at each member: about 0.3 and 0.6 of the capacity of all zones.
 var grayZoneRates = []float64{10, 20}
 
 // zoneGray measures the gain of leaving a zone with a gray failure. It runs the same load with the zone used as each member decides, and
